--- /dev/null
+++ b/internal/fleet/replica/golden_test.go
@@ -0,0 +1,63 @@
+package replica
+
+import (
+	"crypto/sha256"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/fleet/operator"
+	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
+)
+
+// filled gives a message with no field that is zero.
+func filled[M any]() Message {
+	var message M
+	wiretest.Fill(&message)
+	return message
+}
+
+func TestMessagesOfAnEarlierVersionAreUnderstood(t *testing.T) {
+	RegisterMessages()
+	messages := map[string]Message{"Heartbeat": filled[Heartbeat](), "HeartbeatReply": filled[HeartbeatReply](),
+		"Prepare": filled[Prepare](), "Promise": filled[Promise](), "Reject": filled[Reject](), "Install": filled[Install](),
+		"Installed": filled[Installed](), "Accept": filled[Accept](), "AcceptReply": filled[AcceptReply](),
+		"Decided": filled[Decided](), "Append": filled[Append](), "Committed": filled[Committed](), "Pull": filled[Pull](),
+		"Orders": filled[Orders](), "Piece": filled[Piece]()}
+	for name, message := range messages {
+		envelope := Envelope{Body: message}
+		wiretest.Fill(&envelope)
+		require.Equal(t, message, envelope.Body)
+		require.False(t, reflect.ValueOf(message).IsZero(), name)
+		wiretest.Gob(t, "message-"+name+".gob", &envelope)
+	}
+}
+
+func TestASnapshotInPiecesOfAnEarlierVersionIsRead(t *testing.T) {
+	snapshot := operator.Snapshot{Document: []byte(`{"Revision":7,"Backends":[{"Name":"llm"}]}`),
+		Digests: []string{"digest of one 16", "digest of two 16"}, Made: []int64{6, 7}, Horizon: 5, History: "a history of 16 b"}
+	state, err := operator.FromSnapshot(snapshot)
+	require.NoError(t, err)
+	snapshot.Document = state.Document.JSON()
+	stored := Stored{Self: Member{Address: "10.0.0.1:7680", Incarnation: 42}, Snapshot: &Snapshot{Seq: 7, State: snapshot}}
+	m, err := New(DefaultOptions(), stored, time.Second)
+	require.NoError(t, err)
+	fresh := m.snapshot().bytes
+	golden := wiretest.Golden(t, "snapshot-in-pieces", fresh)
+
+	half := len(golden) / 2
+	incoming := incomingSnapshot{pieces: [][]byte{golden[:half], golden[half:]}, whole: sha256.Sum256(golden)}
+	read, err := incoming.decode()
+	require.NoError(t, err)
+	require.Equal(t, snapshot, read)
+	require.Equal(t, describePacked(t, golden), describePacked(t, fresh))
+}
+
+func describePacked(t *testing.T, packed []byte) []string {
+	t.Helper()
+	plain, err := operator.Decompress(packed)
+	require.NoError(t, err)
+	return wiretest.Describe(t, plain)
+}
