--- /dev/null
+++ b/internal/fleet/datanode/golden_test.go
@@ -0,0 +1,13 @@
+package datanode
+
+import (
+	"testing"
+
+	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
+)
+
+func TestTheStatusKeepsItsKeys(t *testing.T) {
+	var body statusBody
+	wiretest.Fill(&body)
+	wiretest.JSON(t, "status.json", body)
+}
