--- a/cmd/linenwheel-control/main.go
+++ b/cmd/linenwheel-control/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"linenwheel.dev/linenwheel/internal/fleet/controlnode"
+	"linenwheel.dev/linenwheel/internal/fleet/controlplane"
 	"linenwheel.dev/linenwheel/internal/fleet/program"
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
@@ -16,7 +16,7 @@
 	binary := program.Binary{
 		Name: "linenwheel-control",
 		Start: func(set *settings.Settings, logger *log.Logger) (program.Process, error) {
-			return controlnode.New(set, logger)
+			return controlplane.New(set, logger)
 		},
 		StatusAddress: func(set *settings.Settings) string { return set.Control },
 	}
--- a/internal/fleet/controlnode/events.go
+++ b/internal/fleet/controlplane/events.go
@@ -1,4 +1,4 @@
-package controlnode
+package controlplane
 
 import (
 	"sync"
--- a/internal/fleet/controlnode/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -1,6 +1,6 @@
-// Package controlnode is the control plane's process: it drives the replica and its disk, keeps the registry of raters,
+// Package controlplane is the control plane's process: it drives the replica and its disk, keeps the registry of raters,
 // answers raters and the operator, and hands configuration, raters and allowances to the data plane.
-package controlnode
+package controlplane
 
 import (
 	"context"
