--- a/cmd/linenwheel-data/main.go
+++ b/cmd/linenwheel-data/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"linenwheel.dev/linenwheel/internal/fleet/datanode"
+	"linenwheel.dev/linenwheel/internal/fleet/dataplane"
 	"linenwheel.dev/linenwheel/internal/fleet/program"
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
@@ -16,7 +16,7 @@
 	binary := program.Binary{
 		Name: "linenwheel-data",
 		Start: func(set *settings.Settings, logger *log.Logger) (program.Process, error) {
-			return datanode.New(set, logger), nil
+			return dataplane.New(set, logger), nil
 		},
 		StatusAddress: func(set *settings.Settings) string { return set.Readiness },
 	}
--- a/internal/fleet/datanode/node.go
+++ b/internal/fleet/dataplane/node.go
@@ -1,6 +1,6 @@
-// Package datanode is the data plane's process: it follows the control plane by long poll, answers clients, and ends in
+// Package dataplane is the data plane's process: it follows the control plane by long poll, answers clients, and ends in
 // order when the platform says so.
-package datanode
+package dataplane
 
 import (
 	"context"
