--- a/cmd/linenwheel-control/main.go
+++ b/cmd/linenwheel-control/main.go
@@ -8,14 +8,14 @@
 	"github.com/charmbracelet/log"
 
 	"linenwheel.dev/linenwheel/internal/fleet/controlplane"
-	"linenwheel.dev/linenwheel/internal/fleet/program"
+	"linenwheel.dev/linenwheel/internal/fleet/process"
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
 func main() {
-	binary := program.Binary{
+	binary := process.Binary{
 		Name: "linenwheel-control",
-		Start: func(set *settings.Settings, logger *log.Logger) (program.Process, error) {
+		Start: func(set *settings.Settings, logger *log.Logger) (process.Process, error) {
 			return controlplane.New(set, logger)
 		},
 		StatusAddress: func(set *settings.Settings) string { return set.Control },
--- a/internal/fleet/program/program.go
+++ b/internal/fleet/process/program.go
@@ -1,6 +1,6 @@
-// Package program is what both binaries of the fleet share: the command line, the settings file and its changes, the log,
+// Package process is what both binaries of the fleet share: the command line, the settings file and its changes, the log,
 // signals and exit codes.
-package program
+package process
 
 import (
 	"context"
--- a/internal/fleet/program/program_test.go
+++ b/internal/fleet/process/program_test.go
@@ -1,4 +1,4 @@
-package program
+package process
 
 import (
 	"bytes"
