--- a/internal/fleet/controlplane/http.go
+++ b/internal/fleet/controlplane/http.go
@@ -12,7 +12,7 @@
 	"github.com/go-chi/chi/v5"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
@@ -50,7 +50,7 @@
 }
 
 func answerError(w http.ResponseWriter, err error) {
-	answer := faults.KindOf(err).Answer()
+	answer := errkind.KindOf(err).Answer()
 	answerJSON(w, answer.Status, errorBody{Error: err.Error()})
 }
 
@@ -58,12 +58,12 @@
 func (n *Node) order(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit+1))
 	if err != nil || len(body) > bodyLimit {
-		answerError(w, faults.New(faults.BadRequest, "the body could not be read whole"))
+		answerError(w, errkind.New(errkind.BadRequest, "the body could not be read whole"))
 		return
 	}
 	base, err := strconv.ParseInt(strings.Trim(r.Header.Get("If-Match"), `" `), 10, 64)
 	if err != nil {
-		answerError(w, faults.New(faults.InvalidConfig, "header If-Match: a version number is wanted"))
+		answerError(w, errkind.New(errkind.InvalidConfig, "header If-Match: a version number is wanted"))
 		return
 	}
 	revision, err := n.submit(operator.Order{Method: r.Method, Base: base, Body: body})
@@ -80,7 +80,7 @@
 	deadline := time.Now().Add(orderWait)
 	for {
 		revision, err := n.submitOnce(order, time.Until(deadline))
-		if err == nil || faults.KindOf(err) != faults.Undecided || time.Until(deadline) < 2*orderPause {
+		if err == nil || errkind.KindOf(err) != errkind.Undecided || time.Until(deadline) < 2*orderPause {
 			return revision, err
 		}
 		time.Sleep(orderPause)
@@ -92,16 +92,16 @@
 	head := published.View.Head()
 	switch head {
 	case replica.Member{}:
-		return 0, faults.New(faults.Undecided, "there is no view yet")
+		return 0, errkind.New(errkind.Undecided, "there is no view yet")
 	case published.Self:
 		return n.core.Submit(order, wait)
 	}
 	var reply SubmitReply
 	if err := n.pool.Call(head.Address, methodSubmit, &order, &reply, wait); err != nil {
-		return 0, &faults.Error{Kind: faults.Undecided, Detail: "the head does not answer", Err: err}
+		return 0, &errkind.Error{Kind: errkind.Undecided, Detail: "the head does not answer", Err: err}
 	}
 	if reply.Failed {
-		return 0, faults.New(reply.Kind, "%s", reply.Detail)
+		return 0, errkind.New(reply.Kind, "%s", reply.Detail)
 	}
 	return reply.Revision, nil
 }
@@ -129,7 +129,7 @@
 	tail := published.View.Tail()
 	switch tail {
 	case replica.Member{}:
-		return nil, faults.New(faults.Undecided, "there is no view yet")
+		return nil, errkind.New(errkind.Undecided, "there is no view yet")
 	case published.Self:
 		state, err := n.core.Read()
 		if err != nil {
@@ -140,7 +140,7 @@
 	var none struct{}
 	var reply ReadReply
 	if err := n.pool.Call(tail.Address, methodRead, &none, &reply, submitWait); err != nil {
-		return nil, &faults.Error{Kind: faults.Undecided, Detail: "the tail does not answer", Err: err}
+		return nil, &errkind.Error{Kind: errkind.Undecided, Detail: "the tail does not answer", Err: err}
 	}
 	return reply.Document, nil
 }
@@ -195,14 +195,14 @@
 func readHeartbeat(id string, body io.Reader) (registry.Record, error) {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		return registry.Record{}, faults.New(faults.BadRequest, "the body could not be read whole")
+		return registry.Record{}, errkind.New(errkind.BadRequest, "the body could not be read whole")
 	}
 	var rater operatorpb.Rater
 	if err := heartbeatReading.Unmarshal(content, &rater); err != nil {
-		return registry.Record{}, &faults.Error{Kind: faults.BadRequest, Detail: "heartbeat", Err: err}
+		return registry.Record{}, &errkind.Error{Kind: errkind.BadRequest, Detail: "heartbeat", Err: err}
 	}
 	if rater.Backend == "" || rater.Address == "" {
-		return registry.Record{}, &faults.Error{Kind: faults.BadRequest, Err: errors.New("heartbeat without Backend or Address")}
+		return registry.Record{}, &errkind.Error{Kind: errkind.BadRequest, Err: errors.New("heartbeat without Backend or Address")}
 	}
 	record := registry.Record{ID: id, Backend: rater.Backend, Address: rater.Address, Zone: rater.Zone, Revision: rater.Revision,
 		Slots: int(rater.Slots), Sequence: rater.Sequence, WarmupLeft: time.Duration(rater.WarmupLeftMs * float64(time.Millisecond))}
--- a/internal/fleet/controlplane/services.go
+++ b/internal/fleet/controlplane/services.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/fleet/distribution"
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
@@ -43,7 +43,7 @@
 type SubmitReply struct {
 	Revision int64
 	Failed   bool
-	Kind     faults.Kind
+	Kind     errkind.Kind
 	Detail   string
 }
 
@@ -52,7 +52,7 @@
 	revision, err := s.node.core.Submit(*order, submitWait)
 	reply.Revision = revision
 	if err != nil {
-		reply.Failed, reply.Kind, reply.Detail = true, faults.KindOf(err), err.Error()
+		reply.Failed, reply.Kind, reply.Detail = true, errkind.KindOf(err), err.Error()
 	}
 	return nil
 }
--- a/internal/fleet/controlplane/spread.go
+++ b/internal/fleet/controlplane/spread.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
@@ -38,7 +38,7 @@
 			return nil
 		}
 		if g.node.now()-began > leaveWait-spreadWait {
-			return faults.New(faults.Undecided, "not enough of the control plane has the news that rater %s leaves", record.ID)
+			return errkind.New(errkind.Undecided, "not enough of the control plane has the news that rater %s leaves", record.ID)
 		}
 		time.Sleep(spreadPause)
 	}
--- a/internal/fleet/faults/faults.go
+++ b/internal/fleet/errkind/faults.go
@@ -1,6 +1,6 @@
-// Package faults holds the closed list of error kinds of the fleet and the table from kind to answer. Every error that
+// Package errkind holds the closed list of error kinds of the fleet and the table from kind to answer. Every error that
 // a client, a rater or the operator may see has one of these kinds.
-package faults
+package errkind
 
 import (
 	"errors"
--- a/internal/fleet/operator/document.go
+++ b/internal/fleet/operator/document.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 )
 
@@ -66,7 +66,7 @@
 }
 
 func invalid(format string, args ...any) error {
-	return faults.New(faults.InvalidConfig, format, args...)
+	return errkind.New(errkind.InvalidConfig, format, args...)
 }
 
 // readObject reads one whole JSON object and nothing after it.
--- a/internal/fleet/operator/operator_test.go
+++ b/internal/fleet/operator/operator_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
 const whole = `{"Revision":7,"Extra":{"kept":[1.0,2e3]},
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := state.Apply(order)
-			require.Equal(t, faults.InvalidConfig, faults.KindOf(err), "%v", err)
+			require.Equal(t, errkind.InvalidConfig, errkind.KindOf(err), "%v", err)
 		})
 	}
 }
@@ -94,7 +94,7 @@
 func TestAnOrderOnAnotherVersionIsAConflict(t *testing.T) {
 	state := apply(t, NewState(), put(0, whole))
 	_, err := state.Apply(patch(6, `{"Revision":8}`))
-	require.Equal(t, faults.VersionConflict, faults.KindOf(err))
+	require.Equal(t, errkind.VersionConflict, errkind.KindOf(err))
 }
 
 func TestTakenOrdersAreRemembered(t *testing.T) {
@@ -144,9 +144,9 @@
 		_, taken = s.Taken(first.Digest())
 		require.False(t, taken)
 		_, err := s.Apply(first)
-		require.Equal(t, faults.Undecided, faults.KindOf(err), "%v", err)
+		require.Equal(t, errkind.Undecided, errkind.KindOf(err), "%v", err)
 		_, err = s.Apply(patch(5, `{"Revision":7}`))
-		require.Equal(t, faults.VersionConflict, faults.KindOf(err), "a newer one is refused: it would be remembered")
+		require.Equal(t, errkind.VersionConflict, errkind.KindOf(err), "a newer one is refused: it would be remembered")
 	}
 }
 
--- a/internal/fleet/operator/state.go
+++ b/internal/fleet/operator/state.go
@@ -7,7 +7,7 @@
 
 	"github.com/benbjohnson/immutable"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
 // mostTaken bounds the orders that are remembered: an order is sent again within seconds, and at 41,000 changes a day so many
@@ -75,10 +75,10 @@
 		return nil, err
 	}
 	if order.Base < s.horizon {
-		return nil, faults.New(faults.Undecided, "the order builds on %d; what was taken before %d is not remembered", order.Base, s.horizon)
+		return nil, errkind.New(errkind.Undecided, "the order builds on %d; what was taken before %d is not remembered", order.Base, s.horizon)
 	}
 	if order.Base != s.Document.Revision {
-		return nil, faults.New(faults.VersionConflict, "the order builds on %d, %d is current", order.Base, s.Document.Revision)
+		return nil, errkind.New(errkind.VersionConflict, "the order builds on %d, %d is current", order.Base, s.Document.Revision)
 	}
 	if next.Revision <= s.Document.Revision {
 		return nil, invalid("field %s is %d, %d is current", fieldRevision, next.Revision, s.Document.Revision)
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
@@ -36,7 +36,7 @@
 // serve sends the request to raters until it has an answer or may not be sent again.
 func (c *call) serve() {
 	c.handler.Retries.First(c.service)
-	fault := faults.New(faults.NoRater, "")
+	fault := errkind.New(errkind.NoRater, "")
 	for unsent := 0; unsent < mostUnsent; {
 		ticket := c.place()
 		if ticket == nil {
@@ -52,7 +52,7 @@
 		}
 		fault = err
 		c.tried = append(c.tried, ticket.Rater.ID)
-		if fault.Kind == faults.NoRater {
+		if fault.Kind == errkind.NoRater {
 			unsent++
 			continue
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	if c.mayRun && fault.Kind.Answer().NotRun {
-		fault = faults.New(faults.RaterLost, "")
+		fault = errkind.New(errkind.RaterLost, "")
 	}
 	c.refuse(fault)
 }
@@ -90,10 +90,10 @@
 }
 
 // attempt sends the request to one rater.
-func (c *call) attempt(ticket *routing.Ticket) (verdict, *faults.Error) {
+func (c *call) attempt(ticket *routing.Ticket) (verdict, *errkind.Error) {
 	if c.tenant != nil && !c.handler.Config.Leased() {
 		c.end(ticket, decide.NotSent, routing.Load{})
-		return failed, faults.New(faults.UnconfirmedConfig, "")
+		return failed, errkind.New(errkind.UnconfirmedConfig, "")
 	}
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
@@ -106,20 +106,20 @@
 	if answer.NotRun() {
 		c.end(ticket, decide.Full, answer.Load)
 		if answer.Status == http.StatusMisdirectedRequest {
-			return elsewhere, faults.New(faults.TurnedAway, "another rater has the address")
+			return elsewhere, errkind.New(errkind.TurnedAway, "another rater has the address")
 		}
-		return elsewhere, faults.New(faults.TurnedAway, "")
+		return elsewhere, errkind.New(errkind.TurnedAway, "")
 	}
 	c.mayRun = true
 	if answer.Status >= http.StatusInternalServerError && c.route.Idempotent() && c.sends < c.route.MaxAttempts {
 		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, faults.New(faults.RaterLost, "")
+		return elsewhere, errkind.New(errkind.RaterLost, "")
 	}
 	return c.pass(ctx, ticket, answer)
 }
 
 // noAnswer decides what becomes of a request whose rater gave no answer.
-func (c *call) noAnswer(ctx context.Context, ticket *routing.Ticket, err error) (verdict, *faults.Error) {
+func (c *call) noAnswer(ctx context.Context, ticket *routing.Ticket, err error) (verdict, *errkind.Error) {
 	fate := rater.MayHaveRun
 	var exchange *rater.Error
 	if errors.As(err, &exchange) {
@@ -135,9 +135,9 @@
 			c.handler.Placer.Unreachable(c.service, ticket)
 		}
 		if ctx.Err() != nil {
-			return failed, faults.New(c.outOfTime(), "")
+			return failed, errkind.New(c.outOfTime(), "")
 		}
-		return elsewhere, faults.New(faults.NoRater, "")
+		return elsewhere, errkind.New(errkind.NoRater, "")
 	}
 	c.sends++
 	c.mayRun = true
@@ -148,23 +148,23 @@
 	switch {
 	case c.clientGone():
 		c.end(ticket, decide.Cancelled, routing.Load{})
-		return failed, faults.New(faults.RaterLost, "")
+		return failed, errkind.New(errkind.RaterLost, "")
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Late, routing.Load{})
-		return failed, faults.New(faults.DeadlinePassedAfter, "")
+		return failed, errkind.New(errkind.DeadlinePassedAfter, "")
 	case fate == rater.Garbled:
 		c.end(ticket, decide.Failed, routing.Load{})
-		return elsewhere, faults.New(faults.RaterBroken, "")
+		return elsewhere, errkind.New(errkind.RaterBroken, "")
 	}
 	c.end(ticket, decide.Reset, routing.Load{})
-	return elsewhere, faults.New(faults.RaterLost, "")
+	return elsewhere, errkind.New(errkind.RaterLost, "")
 }
 
-func (c *call) outOfTime() faults.Kind {
+func (c *call) outOfTime() errkind.Kind {
 	if c.mayRun {
-		return faults.DeadlinePassedAfter
+		return errkind.DeadlinePassedAfter
 	}
-	return faults.DeadlinePassed
+	return errkind.DeadlinePassed
 }
 
 func (c *call) end(ticket *routing.Ticket, result routing.Result, load routing.Load) {
--- a/internal/fleet/proxy/figures.go
+++ b/internal/fleet/proxy/figures.go
@@ -3,21 +3,21 @@
 import (
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
 // Figures count how requests ended.
 type Figures struct {
 	mu     sync.Mutex
-	ended  map[faults.Kind]int
+	ended  map[errkind.Kind]int
 	passed map[int]int
 }
 
 // NewFigures makes counters at 0.
-func NewFigures() *Figures { return &Figures{ended: map[faults.Kind]int{}, passed: map[int]int{}} }
+func NewFigures() *Figures { return &Figures{ended: map[errkind.Kind]int{}, passed: map[int]int{}} }
 
 // Ended counts a request that ended without a rater's answer.
-func (f *Figures) Ended(kind faults.Kind) {
+func (f *Figures) Ended(kind errkind.Kind) {
 	f.mu.Lock()
 	f.ended[kind]++
 	f.mu.Unlock()
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -14,7 +14,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
@@ -100,18 +100,18 @@
 func (c *call) prepare() error {
 	table := c.handler.Config.Table()
 	if table == nil {
-		return faults.New(faults.NotConfigured, "")
+		return errkind.New(errkind.NotConfigured, "")
 	}
 	c.route = table.Route(c.request.Host, pathOf(c.request.RequestURI))
 	if c.route == nil {
-		return faults.New(faults.NoRoute, "")
+		return errkind.New(errkind.NoRoute, "")
 	}
 	if err := c.authenticate(table); err != nil {
 		return err
 	}
 	c.setDeadline()
 	if c.mayBeCut() {
-		return faults.New(faults.ShuttingDown, "")
+		return errkind.New(errkind.ShuttingDown, "")
 	}
 	if err := c.readBody(table.Limits.BodyBytes); err != nil {
 		return err
@@ -146,15 +146,15 @@
 		return nil
 	}
 	if !c.handler.Config.Leased() {
-		return faults.New(faults.UnconfirmedConfig, "")
+		return errkind.New(errkind.UnconfirmedConfig, "")
 	}
 	keys := c.request.Header.Values(rater.HeaderKey)
 	if len(keys) != 1 {
-		return faults.New(faults.UnknownKey, "")
+		return errkind.New(errkind.UnknownKey, "")
 	}
 	c.tenant = table.Tenant(keys[0])
 	if c.tenant == nil {
-		return faults.New(faults.UnknownKey, "")
+		return errkind.New(errkind.UnknownKey, "")
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 
 func (c *call) readBody(limit int64) error {
 	if c.request.ContentLength > limit {
-		return faults.New(faults.TooLarge, "")
+		return errkind.New(errkind.TooLarge, "")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, limit))
 	if err == nil {
@@ -179,9 +179,9 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return faults.New(faults.TooLarge, "")
+		return errkind.New(errkind.TooLarge, "")
 	}
-	return &faults.Error{Kind: faults.BadRequest, Err: err}
+	return &errkind.Error{Kind: errkind.BadRequest, Err: err}
 }
 
 // spend takes the request from its tenant's allowance.
@@ -199,7 +199,7 @@
 	if ok, wait := c.handler.Rooms.Spend(c.tenant, table.Revision, c.amount, c.route.Priority == 0); !ok {
 		c.amount = 0
 		c.writer.Header().Set("Retry-After", retryAfter(wait))
-		return faults.New(faults.OverQuota, "")
+		return errkind.New(errkind.OverQuota, "")
 	}
 	return nil
 }
@@ -214,7 +214,7 @@
 
 // refuse ends a request without a rater's answer.
 func (c *call) refuse(err error) {
-	kind := faults.KindOf(err)
+	kind := errkind.KindOf(err)
 	c.handler.Figures.Ended(kind)
 	if c.stream.headSent {
 		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
@@ -222,7 +222,7 @@
 	c.refund()
 	answer := kind.Answer()
 	header := c.writer.Header()
-	if kind == faults.ShuttingDown {
+	if kind == errkind.ShuttingDown {
 		header.Set("Connection", "close")
 	}
 	if answer.NotRun && header.Get("Retry-After") == "" {
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
@@ -29,10 +29,10 @@
 const pieceSize = 16 << 10
 
 // pass gives the client a rater's answer as it comes.
-func (c *call) pass(ctx context.Context, ticket *routing.Ticket, answer *rater.Answer) (verdict, *faults.Error) {
+func (c *call) pass(ctx context.Context, ticket *routing.Ticket, answer *rater.Answer) (verdict, *errkind.Error) {
 	if answer.Status < http.StatusMultipleChoices && answer.Header.Get(rater.HeaderSeal) == "" {
 		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, faults.New(faults.RaterBroken, "a success without its seal")
+		return elsewhere, errkind.New(errkind.RaterBroken, "a success without its seal")
 	}
 	var err error
 	switch {
@@ -47,7 +47,7 @@
 }
 
 // passed ends an attempt whose answer was passed on, as far as it came.
-func (c *call) passed(ctx context.Context, ticket *routing.Ticket, answer *rater.Answer, err error) (verdict, *faults.Error) {
+func (c *call) passed(ctx context.Context, ticket *routing.Ticket, answer *rater.Answer, err error) (verdict, *errkind.Error) {
 	var gone *clientError
 	switch {
 	case err == nil && answer.Status >= http.StatusInternalServerError:
@@ -60,16 +60,16 @@
 		return done, nil
 	case errors.As(err, &gone) || c.clientGone():
 		c.end(ticket, decide.Cancelled, answer.Load)
-		return failed, faults.New(faults.RaterLost, "")
+		return failed, errkind.New(errkind.RaterLost, "")
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Cancelled, answer.Load)
-		return failed, faults.New(faults.DeadlinePassedAfter, "")
+		return failed, errkind.New(errkind.DeadlinePassedAfter, "")
 	}
 	c.end(ticket, decide.Reset, answer.Load)
 	if c.resumable() {
-		return elsewhere, faults.New(faults.RaterLost, "")
+		return elsewhere, errkind.New(errkind.RaterLost, "")
 	}
-	return failed, faults.New(faults.RaterLost, "")
+	return failed, errkind.New(errkind.RaterLost, "")
 }
 
 // clientError is a client that takes no more.
