--- a/internal/fleet/rater/connection.go
+++ b/internal/fleet/backend/connection.go
@@ -1,6 +1,6 @@
-// Package rater speaks HTTP/1.1 with raters: kept connections, one request at a time on each, and errors that tell what
+// Package backend speaks HTTP/1.1 with raters: kept connections, one request at a time on each, and errors that tell what
 // is known of whether the rater ran the request.
-package rater
+package backend
 
 import (
 	"bufio"
--- a/internal/fleet/rater/exchange_test.go
+++ b/internal/fleet/backend/exchange_test.go
@@ -1,4 +1,4 @@
-package rater
+package backend
 
 import (
 	"bufio"
--- a/internal/fleet/dataplane/node.go
+++ b/internal/fleet/dataplane/node.go
@@ -17,9 +17,9 @@
 	"github.com/charmbracelet/log"
 	"github.com/go-chi/chi/v5"
 
+	"linenwheel.dev/linenwheel/internal/fleet/backend"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/proxy"
-	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
@@ -160,7 +160,7 @@
 }
 
 func (n *Node) server() *http.Server {
-	handler := &proxy.Handler{Config: n, Placer: n.placer, Rooms: n.rooms, Retries: n.retries, Raters: rater.NewClient(),
+	handler := &proxy.Handler{Config: n, Placer: n.placer, Rooms: n.rooms, Retries: n.retries, Raters: backend.NewClient(),
 		Figures: n.figures, Log: n.log, Closing: n.wantsClosed, TimeLeft: n.timeLeft}
 	limits := n.Table().Limits
 	idle := newIdleConnections(func() time.Duration { return n.Table().Limits.IdleTimeout })
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
+	"linenwheel.dev/linenwheel/internal/fleet/backend"
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
-	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
@@ -120,12 +120,12 @@
 
 // noAnswer decides what becomes of a request whose rater gave no answer.
 func (c *call) noAnswer(ctx context.Context, ticket *routing.Ticket, err error) (verdict, *errkind.Error) {
-	fate := rater.MayHaveRun
-	var exchange *rater.Error
+	fate := backend.MayHaveRun
+	var exchange *backend.Error
 	if errors.As(err, &exchange) {
 		fate = exchange.Fate
 	}
-	if fate == rater.NotSent {
+	if fate == backend.NotSent {
 		result := decide.NoConnect
 		if ctx.Err() != nil {
 			result = decide.NotSent
@@ -152,7 +152,7 @@
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Late, routing.Load{})
 		return failed, errkind.New(errkind.DeadlinePassedAfter, "")
-	case fate == rater.Garbled:
+	case fate == backend.Garbled:
 		c.end(ticket, decide.Failed, routing.Load{})
 		return elsewhere, errkind.New(errkind.RaterBroken, "")
 	}
@@ -172,23 +172,23 @@
 }
 
 // outgoing is the request as the rater gets it.
-func (c *call) outgoing(ticket *routing.Ticket) *rater.Request {
+func (c *call) outgoing(ticket *routing.Ticket) *backend.Request {
 	header := c.request.Header.Clone()
 	dropHopHeaders(header)
-	for _, name := range []string{rater.HeaderKey, rater.HeaderTenant, rater.HeaderExpect, rater.HeaderPriority, rater.HeaderDeadline} {
+	for _, name := range []string{backend.HeaderKey, backend.HeaderTenant, backend.HeaderExpect, backend.HeaderPriority, backend.HeaderDeadline} {
 		header.Del(name)
 	}
 	left := max(1, time.Until(c.deadline).Milliseconds())
-	header.Set(rater.HeaderDeadline, strconv.FormatInt(left, 10))
-	header.Set(rater.HeaderExpect, ticket.Rater.ID)
-	header.Set(rater.HeaderPriority, strconv.Itoa(c.priority()))
+	header.Set(backend.HeaderDeadline, strconv.FormatInt(left, 10))
+	header.Set(backend.HeaderExpect, ticket.Rater.ID)
+	header.Set(backend.HeaderPriority, strconv.Itoa(c.priority()))
 	if c.tenant != nil {
-		header.Set(rater.HeaderTenant, c.tenant.Name)
+		header.Set(backend.HeaderTenant, c.tenant.Name)
 	}
 	if c.stream.lastID != "" {
-		header.Set(rater.HeaderLastID, c.stream.lastID)
+		header.Set(backend.HeaderLastID, c.stream.lastID)
 	}
-	return &rater.Request{Method: c.request.Method, Target: c.request.RequestURI, Host: c.request.Host, Header: header, Body: c.body}
+	return &backend.Request{Method: c.request.Method, Target: c.request.RequestURI, Host: c.request.Host, Header: header, Body: c.body}
 }
 
 // lowestPriority is the last rank that a rater knows.
@@ -215,10 +215,10 @@
 }
 
 // ownHeaders are those of a rater's answer that are for the system alone.
-var ownHeaders = []string{"Instance-Id", rater.HeaderLoad, rater.HeaderNotRun}
+var ownHeaders = []string{"Instance-Id", backend.HeaderLoad, backend.HeaderNotRun}
 
 // writeHead gives the client the head of a rater's answer.
-func (c *call) writeHead(answer *rater.Answer) {
+func (c *call) writeHead(answer *backend.Answer) {
 	header := c.writer.Header()
 	closing := header.Get("Connection")
 	for name, values := range answer.Header {
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -14,9 +14,9 @@
 
 	"github.com/charmbracelet/log"
 
+	"linenwheel.dev/linenwheel/internal/fleet/backend"
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
-	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
@@ -55,7 +55,7 @@
 	Placer  Placer
 	Rooms   Allowances
 	Retries RetryBudget
-	Raters  *rater.Client
+	Raters  *backend.Client
 	Figures *Figures
 	Log     *log.Logger
 	Closing func() bool // the process is about to end: connections are not to be kept
@@ -148,7 +148,7 @@
 	if !c.handler.Config.Leased() {
 		return errkind.New(errkind.UnconfirmedConfig, "")
 	}
-	keys := c.request.Header.Values(rater.HeaderKey)
+	keys := c.request.Header.Values(backend.HeaderKey)
 	if len(keys) != 1 {
 		return errkind.New(errkind.UnknownKey, "")
 	}
@@ -161,7 +161,7 @@
 
 func (c *call) setDeadline() {
 	within := c.route.Timeout
-	stated, err := strconv.ParseFloat(c.request.Header.Get(rater.HeaderDeadline), 64)
+	stated, err := strconv.ParseFloat(c.request.Header.Get(backend.HeaderDeadline), 64)
 	if err == nil && stated > 0 {
 		within = min(within, time.Duration(stated*float64(time.Millisecond)))
 	}
@@ -228,8 +228,8 @@
 	if answer.NotRun && header.Get("Retry-After") == "" {
 		header.Set("Retry-After", retryAfter(c.comeBack()))
 	}
-	if id := c.request.Header.Get(rater.HeaderAttempt); id != "" {
-		header.Set(rater.HeaderAttempt, id)
+	if id := c.request.Header.Get(backend.HeaderAttempt); id != "" {
+		header.Set(backend.HeaderAttempt, id)
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	c.writer.WriteHeader(answer.Status)
--- a/internal/fleet/proxy/handler_test.go
+++ b/internal/fleet/proxy/handler_test.go
@@ -17,8 +17,8 @@
 	"github.com/charmbracelet/log"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/fleet/backend"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
-	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 	"linenwheel.dev/linenwheel/lab/engine"
 )
@@ -118,7 +118,7 @@
 		t.Cleanup(server.Close)
 		f.raters = append(f.raters, server)
 	}
-	handler := &Handler{Config: f, Placer: f, Rooms: f, Retries: f, Raters: rater.NewClient(), Figures: NewFigures(),
+	handler := &Handler{Config: f, Placer: f, Rooms: f, Retries: f, Raters: backend.NewClient(), Figures: NewFigures(),
 		Log: log.New(io.Discard), Closing: func() bool { return false }, TimeLeft: f.timeLeft}
 	f.handler = handler
 	f.front = httptest.NewServer(handler)
