--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -16,8 +16,8 @@
 
 	"github.com/charmbracelet/log"
 
-	"linenwheel.dev/linenwheel/internal/fleet/allowance"
 	"linenwheel.dev/linenwheel/internal/fleet/distribution"
+	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
@@ -44,7 +44,7 @@
 	raters   *registry.Registry
 	news     chan struct{} // closed when the registry has news
 	sessions map[uint64]time.Duration
-	rooms    *allowance.Owner
+	rooms    *quota.Owner
 	roomFrom map[string]ownership
 	events   eventLog
 	relay    relay
@@ -56,7 +56,7 @@
 	n := &Node{settings: set, log: logger, begin: time.Now(), pool: transport.NewPool(), owner: randomNumber(),
 		raters: registry.New(set.Heartbeat), news: make(chan struct{}), sessions: map[uint64]time.Duration{},
 		relay: relay{lanes: map[string]*relayLane{}},
-		rooms: allowance.NewOwner(tolerance(set)), roomFrom: map[string]ownership{}}
+		rooms: quota.NewOwner(tolerance(set)), roomFrom: map[string]ownership{}}
 	var stored replica.Stored
 	if set.DataDir != "" {
 		store, found, err := storage.Open(set.DataDir)
@@ -74,8 +74,8 @@
 	return n, nil
 }
 
-func tolerance(set *settings.Settings) allowance.Tolerance {
-	return allowance.Tolerance{Window: set.Bounds.QuotaWindow, Over: set.Bounds.QuotaOver, Slack: set.Bounds.QuotaSlack}
+func tolerance(set *settings.Settings) quota.Tolerance {
+	return quota.Tolerance{Window: set.Bounds.QuotaWindow, Over: set.Bounds.QuotaOver, Slack: set.Bounds.QuotaSlack}
 }
 
 // now is the steady clock of the process. It begins above 0, which stands for "never".
--- a/internal/fleet/controlplane/node_test.go
+++ b/internal/fleet/controlplane/node_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/fleet/allowance"
 	"linenwheel.dev/linenwheel/internal/fleet/distribution"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
+	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
@@ -164,7 +164,7 @@
 	n := newAlone(t, 0, 0)
 	service := &allowanceService{n}
 	published, _ := n.core.Published()
-	handed := allowance.HandOver{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
+	handed := quota.HandOver{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
 	require.NoError(t, service.HandOver(&handed, &struct{}{}))
 	require.False(t, n.rooms.Has("t"))
 	handed.Epoch++
--- a/internal/fleet/controlplane/rooms.go
+++ b/internal/fleet/controlplane/rooms.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/fleet/allowance"
+	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
@@ -20,7 +20,7 @@
 type allowanceService struct{ node *Node }
 
 // Take answers a node's request for room.
-func (s *allowanceService) Take(request *allowance.TakeRequest, reply *allowance.TakeReply) error {
+func (s *allowanceService) Take(request *quota.TakeRequest, reply *quota.TakeReply) error {
 	n := s.node
 	published, _ := n.core.Published()
 	now := n.now()
@@ -36,7 +36,7 @@
 }
 
 // Reflect takes what the owner of some tenants' allowances shows of them.
-func (s *allowanceService) Reflect(reflection *allowance.Reflection, _ *struct{}) error {
+func (s *allowanceService) Reflect(reflection *quota.Reflection, _ *struct{}) error {
 	n := s.node
 	published, _ := n.core.Published()
 	n.mu.Lock()
@@ -48,7 +48,7 @@
 }
 
 // HandOver takes a bucket from the owner before. Where this process does not know yet that it is the owner, it soon will.
-func (s *allowanceService) HandOver(handed *allowance.HandOver, _ *struct{}) error {
+func (s *allowanceService) HandOver(handed *quota.HandOver, _ *struct{}) error {
 	n := s.node
 	published, _ := n.core.Published()
 	n.mu.Lock()
@@ -111,7 +111,7 @@
 	}
 }
 
-func (n *Node) arrangeRooms(published Published) []allowance.HandOver {
+func (n *Node) arrangeRooms(published Published) []quota.HandOver {
 	now := n.now()
 	document := published.State.Document
 	n.mu.Lock()
@@ -121,7 +121,7 @@
 			n.rooms.Begin(now, tenant.Name, tenant.Rate, tenant.Burst, document.Revision)
 		}
 	}
-	var handed []allowance.HandOver
+	var handed []quota.HandOver
 	for _, tenant := range n.rooms.Tenants() {
 		if AllowanceOwner(published.View.Chain, tenant) == published.Self.Address {
 			continue
@@ -137,7 +137,7 @@
 // showRooms shows the buckets of this process to the other members of the chain.
 func (n *Node) showRooms(published Published) {
 	n.mu.Lock()
-	reflection := allowance.Reflection{Epoch: published.View.Epoch, Buckets: n.rooms.Reflection(n.now())}
+	reflection := quota.Reflection{Epoch: published.View.Epoch, Buckets: n.rooms.Reflection(n.now())}
 	n.mu.Unlock()
 	if len(reflection.Buckets) == 0 || n.now()-published.ViewConfirmed > ownerConfirmed {
 		return
@@ -146,16 +146,16 @@
 		if member != published.Self {
 			go func() {
 				var none struct{}
-				_ = n.pool.Call(member.Address, allowance.MethodReflect, &reflection, &none, watchRooms) // the next one follows soon
+				_ = n.pool.Call(member.Address, quota.MethodReflect, &reflection, &none, watchRooms) // the next one follows soon
 			}()
 		}
 	}
 }
 
 // handOver hands a bucket to its new owner. One that is lost is begun anew there.
-func (n *Node) handOver(owner string, handed allowance.HandOver) {
+func (n *Node) handOver(owner string, handed quota.HandOver) {
 	var none struct{}
-	if err := n.pool.Call(owner, allowance.MethodHandOver, &handed, &none, handOverWait); err != nil {
+	if err := n.pool.Call(owner, quota.MethodHandOver, &handed, &none, handOverWait); err != nil {
 		n.log.Info("allowance not handed over", "tenant", handed.Tenant, "to", owner, "err", err)
 	}
 }
--- a/internal/fleet/dataplane/rooms.go
+++ b/internal/fleet/dataplane/rooms.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/fleet/allowance"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
+	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
@@ -33,7 +33,7 @@
 }
 
 type wallet struct {
-	allowance.Wallet
+	quota.Wallet
 	tenant   *operator.Tenant
 	revision int64
 }
@@ -54,7 +54,7 @@
 	}
 	need, ahead := w.Ask(now, amount)
 	r.mu.Unlock()
-	request := allowance.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
+	request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
 		Revision: revision, Urgent: urgent}
 	reply := r.ask(&request)
 	if !reply.Owner {
@@ -72,7 +72,7 @@
 
 // ask asks the owner, and its deputy where the owner is silent. While the ownership moves from one process to another that are
 // both there, neither gives for some milliseconds: then both are asked again.
-func (r *rooms) ask(request *allowance.TakeRequest) allowance.TakeReply {
+func (r *rooms) ask(request *quota.TakeRequest) quota.TakeReply {
 	for try := range askTries {
 		reply, answered := r.askInTurn(request)
 		if reply.Owner || !answered || try == askTries-1 {
@@ -80,11 +80,11 @@
 		}
 		time.Sleep(askPause)
 	}
-	return allowance.TakeReply{}
+	return quota.TakeReply{}
 }
 
 // askInTurn asks owner and deputy once. It also tells whether any of them answered at all.
-func (r *rooms) askInTurn(request *allowance.TakeRequest) (reply allowance.TakeReply, answered bool) {
+func (r *rooms) askInTurn(request *quota.TakeRequest) (reply quota.TakeReply, answered bool) {
 	chain := r.chain()
 	asked := *request
 	for range 2 {
@@ -100,19 +100,19 @@
 		asked.Deputy, asked.Ahead = true, 0
 		chain = slices.DeleteFunc(chain, func(address string) bool { return address == owner })
 	}
-	return allowance.TakeReply{}, answered
+	return quota.TakeReply{}, answered
 }
 
 // askOne asks one control process, unless it was found silent just now.
-func (r *rooms) askOne(address string, request *allowance.TakeRequest) (allowance.TakeReply, error) {
+func (r *rooms) askOne(address string, request *quota.TakeRequest) (quota.TakeReply, error) {
 	r.mu.Lock()
 	silent := r.node.now() < r.silent[address]
 	r.mu.Unlock()
 	if silent {
-		return allowance.TakeReply{}, errSilent
+		return quota.TakeReply{}, errSilent
 	}
-	var reply allowance.TakeReply
-	err := r.node.pool.Call(address, allowance.MethodTake, request, &reply, takeWait)
+	var reply quota.TakeReply
+	err := r.node.pool.Call(address, quota.MethodTake, request, &reply, takeWait)
 	if err != nil {
 		r.mu.Lock()
 		r.silent[address] = r.node.now() + silentFor
@@ -167,19 +167,19 @@
 func (r *rooms) run() {
 	for range time.Tick(returnEvery) {
 		for _, request := range r.unused() {
-			var reply allowance.TakeReply
-			_ = r.node.pool.Call(routing.Rendezvous(request.Tenant, r.chain()), allowance.MethodTake, &request, &reply, takeWait)
+			var reply quota.TakeReply
+			_ = r.node.pool.Call(routing.Rendezvous(request.Tenant, r.chain()), quota.MethodTake, &request, &reply, takeWait)
 		}
 	}
 }
 
-func (r *rooms) unused() []allowance.TakeRequest {
+func (r *rooms) unused() []quota.TakeRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var requests []allowance.TakeRequest
+	var requests []quota.TakeRequest
 	for name, w := range r.wallets {
 		if amount := w.Unused(r.node.now()); amount > 0 {
-			requests = append(requests, allowance.TakeRequest{Tenant: name, Rate: w.tenant.Rate, Burst: w.tenant.Burst,
+			requests = append(requests, quota.TakeRequest{Tenant: name, Rate: w.tenant.Rate, Burst: w.tenant.Burst,
 				Returned: amount, Revision: w.revision})
 		}
 	}
--- a/internal/fleet/allowance/allowance.go
+++ b/internal/fleet/quota/allowance.go
@@ -1,7 +1,7 @@
-// Package allowance keeps the tenants' allowances over the sum of all nodes. The owner of a tenant, one process of the
+// Package quota keeps the tenants' allowances over the sum of all nodes. The owner of a tenant, one process of the
 // control plane at a time, holds the tenant's token bucket; each node of the data plane asks it for room, a little ahead of
 // need, and gives back what it did not use. The package is pure.
-package allowance
+package quota
 
 import (
 	"time"
