--- a/cmd/linenwheel-control/main.go
+++ b/cmd/linenwheel-control/main.go
@@ -7,16 +7,16 @@
 
 	"github.com/charmbracelet/log"
 
-	"linenwheel.dev/linenwheel/internal/fleet/controlnode"
-	"linenwheel.dev/linenwheel/internal/fleet/program"
+	"linenwheel.dev/linenwheel/internal/fleet/controlplane"
+	"linenwheel.dev/linenwheel/internal/fleet/process"
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
 func main() {
-	binary := program.Binary{
+	binary := process.Binary{
 		Name: "linenwheel-control",
-		Start: func(set *settings.Settings, logger *log.Logger) (program.Process, error) {
-			return controlnode.New(set, logger)
+		Start: func(set *settings.Settings, logger *log.Logger) (process.Process, error) {
+			return controlplane.New(set, logger)
 		},
 		StatusAddress: func(set *settings.Settings) string { return set.Control },
 	}
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/fleet/faults"
+	"linenwheel.dev/linenwheel/internal/fleet/backend"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
-	"linenwheel.dev/linenwheel/internal/fleet/rater"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
@@ -36,7 +36,7 @@
 // serve sends the request to raters until it has an answer or may not be sent again.
 func (c *call) serve() {
 	c.handler.Retries.First(c.service)
-	fault := faults.New(faults.NoRater, "")
+	fault := errkind.New(errkind.NoRater, "")
 	for unsent := 0; unsent < mostUnsent; {
 		ticket := c.place()
 		if ticket == nil {
@@ -52,7 +52,7 @@
 		}
 		fault = err
 		c.tried = append(c.tried, ticket.Rater.ID)
-		if fault.Kind == faults.NoRater {
+		if fault.Kind == errkind.NoRater {
 			unsent++
 			continue
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	if c.mayRun && fault.Kind.Answer().NotRun {
-		fault = faults.New(faults.RaterLost, "")
+		fault = errkind.New(errkind.RaterLost, "")
 	}
 	c.refuse(fault)
 }
@@ -90,10 +90,10 @@
 }
 
 // attempt sends the request to one rater.
-func (c *call) attempt(ticket *routing.Ticket) (verdict, *faults.Error) {
+func (c *call) attempt(ticket *routing.Ticket) (verdict, *errkind.Error) {
 	if c.tenant != nil && !c.handler.Config.Leased() {
 		c.end(ticket, decide.NotSent, routing.Load{})
-		return failed, faults.New(faults.UnconfirmedConfig, "")
+		return failed, errkind.New(errkind.UnconfirmedConfig, "")
 	}
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
@@ -106,26 +106,26 @@
 	if answer.NotRun() {
 		c.end(ticket, decide.Full, answer.Load)
 		if answer.Status == http.StatusMisdirectedRequest {
-			return elsewhere, faults.New(faults.TurnedAway, "another rater has the address")
+			return elsewhere, errkind.New(errkind.TurnedAway, "another rater has the address")
 		}
-		return elsewhere, faults.New(faults.TurnedAway, "")
+		return elsewhere, errkind.New(errkind.TurnedAway, "")
 	}
 	c.mayRun = true
 	if answer.Status >= http.StatusInternalServerError && c.route.Idempotent() && c.sends < c.route.MaxAttempts {
 		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, faults.New(faults.RaterLost, "")
+		return elsewhere, errkind.New(errkind.RaterLost, "")
 	}
 	return c.pass(ctx, ticket, answer)
 }
 
 // noAnswer decides what becomes of a request whose rater gave no answer.
-func (c *call) noAnswer(ctx context.Context, ticket *routing.Ticket, err error) (verdict, *faults.Error) {
-	fate := rater.MayHaveRun
-	var exchange *rater.Error
+func (c *call) noAnswer(ctx context.Context, ticket *routing.Ticket, err error) (verdict, *errkind.Error) {
+	fate := backend.MayHaveRun
+	var exchange *backend.Error
 	if errors.As(err, &exchange) {
 		fate = exchange.Fate
 	}
-	if fate == rater.NotSent {
+	if fate == backend.NotSent {
 		result := decide.NoConnect
 		if ctx.Err() != nil {
 			result = decide.NotSent
@@ -135,9 +135,9 @@
 			c.handler.Placer.Unreachable(c.service, ticket)
 		}
 		if ctx.Err() != nil {
-			return failed, faults.New(c.outOfTime(), "")
+			return failed, errkind.New(c.outOfTime(), "")
 		}
-		return elsewhere, faults.New(faults.NoRater, "")
+		return elsewhere, errkind.New(errkind.NoRater, "")
 	}
 	c.sends++
 	c.mayRun = true
@@ -148,23 +148,23 @@
 	switch {
 	case c.clientGone():
 		c.end(ticket, decide.Cancelled, routing.Load{})
-		return failed, faults.New(faults.RaterLost, "")
+		return failed, errkind.New(errkind.RaterLost, "")
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Late, routing.Load{})
-		return failed, faults.New(faults.DeadlinePassedAfter, "")
-	case fate == rater.Garbled:
+		return failed, errkind.New(errkind.DeadlinePassedAfter, "")
+	case fate == backend.Garbled:
 		c.end(ticket, decide.Failed, routing.Load{})
-		return elsewhere, faults.New(faults.RaterBroken, "")
+		return elsewhere, errkind.New(errkind.RaterBroken, "")
 	}
 	c.end(ticket, decide.Reset, routing.Load{})
-	return elsewhere, faults.New(faults.RaterLost, "")
+	return elsewhere, errkind.New(errkind.RaterLost, "")
 }
 
-func (c *call) outOfTime() faults.Kind {
+func (c *call) outOfTime() errkind.Kind {
 	if c.mayRun {
-		return faults.DeadlinePassedAfter
+		return errkind.DeadlinePassedAfter
 	}
-	return faults.DeadlinePassed
+	return errkind.DeadlinePassed
 }
 
 func (c *call) end(ticket *routing.Ticket, result routing.Result, load routing.Load) {
@@ -172,23 +172,23 @@
 }
 
 // outgoing is the request as the rater gets it.
-func (c *call) outgoing(ticket *routing.Ticket) *rater.Request {
+func (c *call) outgoing(ticket *routing.Ticket) *backend.Request {
 	header := c.request.Header.Clone()
 	dropHopHeaders(header)
-	for _, name := range []string{rater.HeaderKey, rater.HeaderTenant, rater.HeaderExpect, rater.HeaderPriority, rater.HeaderDeadline} {
+	for _, name := range []string{backend.HeaderKey, backend.HeaderTenant, backend.HeaderExpect, backend.HeaderPriority, backend.HeaderDeadline} {
 		header.Del(name)
 	}
 	left := max(1, time.Until(c.deadline).Milliseconds())
-	header.Set(rater.HeaderDeadline, strconv.FormatInt(left, 10))
-	header.Set(rater.HeaderExpect, ticket.Rater.ID)
-	header.Set(rater.HeaderPriority, strconv.Itoa(c.priority()))
+	header.Set(backend.HeaderDeadline, strconv.FormatInt(left, 10))
+	header.Set(backend.HeaderExpect, ticket.Rater.ID)
+	header.Set(backend.HeaderPriority, strconv.Itoa(c.priority()))
 	if c.tenant != nil {
-		header.Set(rater.HeaderTenant, c.tenant.Name)
+		header.Set(backend.HeaderTenant, c.tenant.Name)
 	}
 	if c.stream.lastID != "" {
-		header.Set(rater.HeaderLastID, c.stream.lastID)
+		header.Set(backend.HeaderLastID, c.stream.lastID)
 	}
-	return &rater.Request{Method: c.request.Method, Target: c.request.RequestURI, Host: c.request.Host, Header: header, Body: c.body}
+	return &backend.Request{Method: c.request.Method, Target: c.request.RequestURI, Host: c.request.Host, Header: header, Body: c.body}
 }
 
 // lowestPriority is the last rank that a rater knows.
@@ -215,10 +215,10 @@
 }
 
 // ownHeaders are those of a rater's answer that are for the system alone.
-var ownHeaders = []string{"Instance-Id", rater.HeaderLoad, rater.HeaderNotRun}
+var ownHeaders = []string{"Instance-Id", backend.HeaderLoad, backend.HeaderNotRun}
 
 // writeHead gives the client the head of a rater's answer.
-func (c *call) writeHead(answer *rater.Answer) {
+func (c *call) writeHead(answer *backend.Answer) {
 	header := c.writer.Header()
 	closing := header.Get("Connection")
 	for name, values := range answer.Header {
