--- a/internal/fleet/controlplane/golden_test.go
+++ b/internal/fleet/controlplane/golden_test.go
@@ -1,4 +1,4 @@
-package controlnode
+package controlplane
 
 import (
 	"reflect"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/fleet/allowance"
+	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/distribution"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
@@ -36,7 +36,7 @@
 	}
 	slices.Sort(served)
 	require.Equal(t, methodNames, served)
-	called := []string{allowance.MethodHandOver, allowance.MethodReflect, allowance.MethodTake, distribution.MethodAnnounce,
+	called := []string{quota.MethodHandOver, quota.MethodReflect, quota.MethodTake, distribution.MethodAnnounce,
 		distribution.MethodPoll, distribution.MethodRelay, methodRead, methodSubmit, MethodDeliver, methodGossip}
 	require.Equal(t, methodNames, called)
 }
--- a/internal/fleet/dataplane/golden_test.go
+++ b/internal/fleet/dataplane/golden_test.go
@@ -1,4 +1,4 @@
-package datanode
+package dataplane
 
 import (
 	"testing"
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 import (
 	"testing"
