--- a/internal/fleet/controlplane/confirmations.go
+++ b/internal/fleet/controlplane/confirmations.go
@@ -51,12 +51,12 @@
 	for _, one := range waiting {
 		switch {
 		case r.machine.View().Epoch != one.reply.Epoch: // it was made on a state that may have been an older one
-			r.end(replica.Reply{ID: one.reply.ID, Err: errkind.New(errkind.Undecided, "the view changed meanwhile")})
+			r.end(replica.Reply{ID: one.reply.ID, Err: errkind.New(errkind.OutcomeUnknown, "the view changed meanwhile")})
 		case confirmed > one.since:
 			one.reply.Unconfirmed = false
 			r.end(one.reply)
 		case now-one.since > confirmWait:
-			r.end(replica.Reply{ID: one.reply.ID, Err: errkind.New(errkind.Undecided, "the view could not be confirmed")})
+			r.end(replica.Reply{ID: one.reply.ID, Err: errkind.New(errkind.OutcomeUnknown, "the view could not be confirmed")})
 		default:
 			r.pending.refusals = append(r.pending.refusals, one)
 		}
@@ -88,17 +88,17 @@
 		r.step(r.machine.Beat)
 	})
 	if !queued {
-		return nil, errkind.New(errkind.Undecided, "this member is behind")
+		return nil, errkind.New(errkind.OutcomeUnknown, "this member is behind")
 	}
 	timer := time.NewTimer(confirmWait + tickEvery*2)
 	defer timer.Stop()
 	select {
 	case state := <-done:
 		if state == nil {
-			return nil, errkind.New(errkind.Undecided, "the state could not be confirmed")
+			return nil, errkind.New(errkind.OutcomeUnknown, "the state could not be confirmed")
 		}
 		return state, nil
 	case <-timer.C:
-		return nil, errkind.New(errkind.Undecided, "this member is behind")
+		return nil, errkind.New(errkind.OutcomeUnknown, "this member is behind")
 	}
 }
--- a/internal/fleet/controlplane/golden_test.go
+++ b/internal/fleet/controlplane/golden_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/distribution"
+	"linenwheel.dev/linenwheel/internal/fleet/quota"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
--- a/internal/fleet/controlplane/http.go
+++ b/internal/fleet/controlplane/http.go
@@ -50,7 +50,7 @@
 }
 
 func answerError(w http.ResponseWriter, err error) {
-	answer := errkind.KindOf(err).Answer()
+	answer := errkind.KindOf(err).Response()
 	answerJSON(w, answer.Status, errorBody{Error: err.Error()})
 }
 
@@ -80,7 +80,7 @@
 	deadline := time.Now().Add(orderWait)
 	for {
 		revision, err := n.submitOnce(order, time.Until(deadline))
-		if err == nil || errkind.KindOf(err) != errkind.Undecided || time.Until(deadline) < 2*orderPause {
+		if err == nil || errkind.KindOf(err) != errkind.OutcomeUnknown || time.Until(deadline) < 2*orderPause {
 			return revision, err
 		}
 		time.Sleep(orderPause)
@@ -92,13 +92,13 @@
 	head := published.View.Head()
 	switch head {
 	case replica.Member{}:
-		return 0, errkind.New(errkind.Undecided, "there is no view yet")
+		return 0, errkind.New(errkind.OutcomeUnknown, "there is no view yet")
 	case published.Self:
 		return n.core.Submit(order, wait)
 	}
 	var reply SubmitReply
 	if err := n.pool.Call(head.Address, methodSubmit, &order, &reply, wait); err != nil {
-		return 0, &errkind.Error{Kind: errkind.Undecided, Detail: "the head does not answer", Err: err}
+		return 0, &errkind.Error{Kind: errkind.OutcomeUnknown, Detail: "the head does not answer", Err: err}
 	}
 	if reply.Failed {
 		return 0, errkind.New(reply.Kind, "%s", reply.Detail)
@@ -129,7 +129,7 @@
 	tail := published.View.Tail()
 	switch tail {
 	case replica.Member{}:
-		return nil, errkind.New(errkind.Undecided, "there is no view yet")
+		return nil, errkind.New(errkind.OutcomeUnknown, "there is no view yet")
 	case published.Self:
 		state, err := n.core.Read()
 		if err != nil {
@@ -140,7 +140,7 @@
 	var none struct{}
 	var reply ReadReply
 	if err := n.pool.Call(tail.Address, methodRead, &none, &reply, submitWait); err != nil {
-		return nil, &errkind.Error{Kind: errkind.Undecided, Detail: "the tail does not answer", Err: err}
+		return nil, &errkind.Error{Kind: errkind.OutcomeUnknown, Detail: "the tail does not answer", Err: err}
 	}
 	return reply.Document, nil
 }
--- a/internal/fleet/controlplane/replicator.go
+++ b/internal/fleet/controlplane/replicator.go
@@ -256,7 +256,7 @@
 		r.step(func(now time.Duration) replica.Output { return r.machine.Submit(now, id, order) })
 	})
 	if !queued {
-		return 0, errkind.New(errkind.Undecided, "too many orders are waiting")
+		return 0, errkind.New(errkind.OutcomeUnknown, "too many orders are waiting")
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -268,7 +268,7 @@
 			delete(r.waiting, id)
 			r.machine.Withdraw(id)
 		})
-		return 0, errkind.New(errkind.Undecided, "not committed in time")
+		return 0, errkind.New(errkind.OutcomeUnknown, "not committed in time")
 	}
 }
 
--- a/internal/fleet/controlplane/spread.go
+++ b/internal/fleet/controlplane/spread.go
@@ -38,7 +38,7 @@
 			return nil
 		}
 		if g.node.now()-began > leaveWait-spreadWait {
-			return errkind.New(errkind.Undecided, "not enough of the control plane has the news that rater %s leaves", record.ID)
+			return errkind.New(errkind.OutcomeUnknown, "not enough of the control plane has the news that rater %s leaves", record.ID)
 		}
 		time.Sleep(spreadPause)
 	}
--- a/internal/fleet/errkind/faults.go
+++ b/internal/fleet/errkind/faults.go
@@ -13,66 +13,66 @@
 
 // The kinds of error.
 const (
-	Internal            Kind = iota // a fault of this process
-	InvalidConfig                   // the configuration cannot be accepted
-	VersionConflict                 // another version is current
-	Undecided                       // whether the order was taken is not known
-	BadRequest                      // the request cannot be read
-	TooLarge                        // the body is over the limit
-	NoRoute                         // no route fits host and path
-	UnknownKey                      // the key belongs to no tenant
-	OverQuota                       // the tenant has no allowance left
-	NotConfigured                   // this node has no configuration yet
-	UnconfirmedConfig               // the configuration could not be confirmed in time
-	NoRater                         // no rater of the service is known or able
-	Saturated                       // the raters have no room for the request in time
-	TurnedAway                      // every rater that was asked declined without running the request
-	RaterLost                       // the rater may have run the request and gave no answer
-	RaterBroken                     // the rater gave bytes that are not an answer
-	DeadlinePassed                  // the deadline passed before the request was sent on
-	DeadlinePassedAfter             // the deadline passed while a rater was at work
-	ShuttingDown                    // the process is about to end
+	Internal                 Kind = iota // a fault of this process
+	InvalidConfig                        // the configuration cannot be accepted
+	VersionConflict                      // another version is current
+	OutcomeUnknown                       // whether the order was taken is not known
+	BadRequest                           // the request cannot be read
+	TooLarge                             // the body is over the limit
+	NoRoute                              // no route fits host and path
+	UnknownKey                           // the key belongs to no tenant
+	OverQuota                            // the tenant has no allowance left
+	NotConfigured                        // this node has no configuration yet
+	StaleConfig                          // the configuration could not be confirmed in time
+	NoBackend                            // no rater of the service is known or able
+	Saturated                            // the raters have no room for the request in time
+	Rejected                             // every rater that was asked declined without running the request
+	BackendLost                          // the rater may have run the request and gave no answer
+	MalformedResponse                    // the rater gave bytes that are not an answer
+	DeadlineExceeded                     // the deadline passed before the request was sent on
+	DeadlineExceededInFlight             // the deadline passed while a rater was at work
+	ShuttingDown                         // the process is about to end
 	kindCount
 )
 
-// Answer is how a kind of error is told to the caller.
-type Answer struct {
-	Status int
-	NotRun bool // the request has not run and never will; the caller is told when to come back
-	Text   string
+// Response is how a kind of error is told to the caller.
+type Response struct {
+	Status      int
+	NotExecuted bool // the request has not run and never will; the caller is told when to come back
+	Text        string
 }
 
-var answers = [kindCount]Answer{
-	Internal:            {http.StatusInternalServerError, false, "internal error"},
-	InvalidConfig:       {http.StatusBadRequest, false, "invalid configuration"},
-	VersionConflict:     {http.StatusPreconditionFailed, false, "another version is current"},
-	Undecided:           {http.StatusServiceUnavailable, false, "the order could not be completed; send it again"},
-	BadRequest:          {http.StatusBadRequest, false, "bad request"},
-	TooLarge:            {http.StatusRequestEntityTooLarge, false, "body too large"},
-	NoRoute:             {http.StatusNotFound, false, "no such route"},
-	UnknownKey:          {http.StatusUnauthorized, false, "unknown key"},
-	OverQuota:           {http.StatusTooManyRequests, true, "over quota"},
-	NotConfigured:       {http.StatusServiceUnavailable, true, "no configuration yet"},
-	UnconfirmedConfig:   {http.StatusServiceUnavailable, true, "configuration not confirmed"},
-	NoRater:             {http.StatusServiceUnavailable, true, "no rater available"},
-	Saturated:           {http.StatusServiceUnavailable, true, "raters are full"},
-	TurnedAway:          {http.StatusServiceUnavailable, true, "turned away by the raters"},
-	RaterLost:           {http.StatusBadGateway, false, "the rater was lost; the request may have run"},
-	RaterBroken:         {http.StatusBadGateway, false, "the rater's answer was broken; the request may have run"},
-	DeadlinePassed:      {http.StatusServiceUnavailable, true, "out of time"},
-	DeadlinePassedAfter: {http.StatusGatewayTimeout, false, "out of time; the request may have run"},
-	ShuttingDown:        {http.StatusServiceUnavailable, true, "shutting down"},
+var responses = [kindCount]Response{
+	Internal:                 {http.StatusInternalServerError, false, "internal error"},
+	InvalidConfig:            {http.StatusBadRequest, false, "invalid configuration"},
+	VersionConflict:          {http.StatusPreconditionFailed, false, "another version is current"},
+	OutcomeUnknown:           {http.StatusServiceUnavailable, false, "the order could not be completed; send it again"},
+	BadRequest:               {http.StatusBadRequest, false, "bad request"},
+	TooLarge:                 {http.StatusRequestEntityTooLarge, false, "body too large"},
+	NoRoute:                  {http.StatusNotFound, false, "no such route"},
+	UnknownKey:               {http.StatusUnauthorized, false, "unknown key"},
+	OverQuota:                {http.StatusTooManyRequests, true, "over quota"},
+	NotConfigured:            {http.StatusServiceUnavailable, true, "no configuration yet"},
+	StaleConfig:              {http.StatusServiceUnavailable, true, "configuration not confirmed"},
+	NoBackend:                {http.StatusServiceUnavailable, true, "no rater available"},
+	Saturated:                {http.StatusServiceUnavailable, true, "raters are full"},
+	Rejected:                 {http.StatusServiceUnavailable, true, "turned away by the raters"},
+	BackendLost:              {http.StatusBadGateway, false, "the rater was lost; the request may have run"},
+	MalformedResponse:        {http.StatusBadGateway, false, "the rater's answer was broken; the request may have run"},
+	DeadlineExceeded:         {http.StatusServiceUnavailable, true, "out of time"},
+	DeadlineExceededInFlight: {http.StatusGatewayTimeout, false, "out of time; the request may have run"},
+	ShuttingDown:             {http.StatusServiceUnavailable, true, "shutting down"},
 }
 
-// Answer is the answer of a kind.
-func (k Kind) Answer() Answer {
+// Response is the answer of a kind.
+func (k Kind) Response() Response {
 	if k >= kindCount {
-		return answers[Internal]
+		return responses[Internal]
 	}
-	return answers[k]
+	return responses[k]
 }
 
-func (k Kind) String() string { return k.Answer().Text }
+func (k Kind) String() string { return k.Response().Text }
 
 // Error is an error with a kind and what it is about.
 type Error struct {
--- a/internal/fleet/operator/operator_test.go
+++ b/internal/fleet/operator/operator_test.go
@@ -144,7 +144,7 @@
 		_, taken = s.Taken(first.Digest())
 		require.False(t, taken)
 		_, err := s.Apply(first)
-		require.Equal(t, errkind.Undecided, errkind.KindOf(err), "%v", err)
+		require.Equal(t, errkind.OutcomeUnknown, errkind.KindOf(err), "%v", err)
 		_, err = s.Apply(patch(5, `{"Revision":7}`))
 		require.Equal(t, errkind.VersionConflict, errkind.KindOf(err), "a newer one is refused: it would be remembered")
 	}
--- a/internal/fleet/operator/state.go
+++ b/internal/fleet/operator/state.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	if order.Base < s.horizon {
-		return nil, errkind.New(errkind.Undecided, "the order builds on %d; what was taken before %d is not remembered", order.Base, s.horizon)
+		return nil, errkind.New(errkind.OutcomeUnknown, "the order builds on %d; what was taken before %d is not remembered", order.Base, s.horizon)
 	}
 	if order.Base != s.Document.Revision {
 		return nil, errkind.New(errkind.VersionConflict, "the order builds on %d, %d is current", order.Base, s.Document.Revision)
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -36,7 +36,7 @@
 // serve sends the request to raters until it has an answer or may not be sent again.
 func (c *call) serve() {
 	c.handler.Retries.First(c.service)
-	fault := errkind.New(errkind.NoRater, "")
+	fault := errkind.New(errkind.NoBackend, "")
 	for unsent := 0; unsent < mostUnsent; {
 		ticket := c.place()
 		if ticket == nil {
@@ -52,7 +52,7 @@
 		}
 		fault = err
 		c.tried = append(c.tried, ticket.Rater.ID)
-		if fault.Kind == errkind.NoRater {
+		if fault.Kind == errkind.NoBackend {
 			unsent++
 			continue
 		}
@@ -60,8 +60,8 @@
 			break
 		}
 	}
-	if c.mayRun && fault.Kind.Answer().NotRun {
-		fault = errkind.New(errkind.RaterLost, "")
+	if c.mayRun && fault.Kind.Response().NotExecuted {
+		fault = errkind.New(errkind.BackendLost, "")
 	}
 	c.refuse(fault)
 }
@@ -93,7 +93,7 @@
 func (c *call) attempt(ticket *routing.Ticket) (verdict, *errkind.Error) {
 	if c.tenant != nil && !c.handler.Config.Leased() {
 		c.end(ticket, decide.NotSent, routing.Load{})
-		return failed, errkind.New(errkind.UnconfirmedConfig, "")
+		return failed, errkind.New(errkind.StaleConfig, "")
 	}
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
@@ -106,14 +106,14 @@
 	if answer.NotRun() {
 		c.end(ticket, decide.Full, answer.Load)
 		if answer.Status == http.StatusMisdirectedRequest {
-			return elsewhere, errkind.New(errkind.TurnedAway, "another rater has the address")
+			return elsewhere, errkind.New(errkind.Rejected, "another rater has the address")
 		}
-		return elsewhere, errkind.New(errkind.TurnedAway, "")
+		return elsewhere, errkind.New(errkind.Rejected, "")
 	}
 	c.mayRun = true
 	if answer.Status >= http.StatusInternalServerError && c.route.Idempotent() && c.sends < c.route.MaxAttempts {
 		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, errkind.New(errkind.RaterLost, "")
+		return elsewhere, errkind.New(errkind.BackendLost, "")
 	}
 	return c.pass(ctx, ticket, answer)
 }
@@ -137,7 +137,7 @@
 		if ctx.Err() != nil {
 			return failed, errkind.New(c.outOfTime(), "")
 		}
-		return elsewhere, errkind.New(errkind.NoRater, "")
+		return elsewhere, errkind.New(errkind.NoBackend, "")
 	}
 	c.sends++
 	c.mayRun = true
@@ -148,23 +148,23 @@
 	switch {
 	case c.clientGone():
 		c.end(ticket, decide.Cancelled, routing.Load{})
-		return failed, errkind.New(errkind.RaterLost, "")
+		return failed, errkind.New(errkind.BackendLost, "")
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Late, routing.Load{})
-		return failed, errkind.New(errkind.DeadlinePassedAfter, "")
+		return failed, errkind.New(errkind.DeadlineExceededInFlight, "")
 	case fate == backend.Garbled:
 		c.end(ticket, decide.Failed, routing.Load{})
-		return elsewhere, errkind.New(errkind.RaterBroken, "")
+		return elsewhere, errkind.New(errkind.MalformedResponse, "")
 	}
 	c.end(ticket, decide.Reset, routing.Load{})
-	return elsewhere, errkind.New(errkind.RaterLost, "")
+	return elsewhere, errkind.New(errkind.BackendLost, "")
 }
 
 func (c *call) outOfTime() errkind.Kind {
 	if c.mayRun {
-		return errkind.DeadlinePassedAfter
+		return errkind.DeadlineExceededInFlight
 	}
-	return errkind.DeadlinePassed
+	return errkind.DeadlineExceeded
 }
 
 func (c *call) end(ticket *routing.Ticket, result routing.Result, load routing.Load) {
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -146,7 +146,7 @@
 		return nil
 	}
 	if !c.handler.Config.Leased() {
-		return errkind.New(errkind.UnconfirmedConfig, "")
+		return errkind.New(errkind.StaleConfig, "")
 	}
 	keys := c.request.Header.Values(backend.HeaderKey)
 	if len(keys) != 1 {
@@ -220,12 +220,12 @@
 		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
 	}
 	c.refund()
-	answer := kind.Answer()
+	answer := kind.Response()
 	header := c.writer.Header()
 	if kind == errkind.ShuttingDown {
 		header.Set("Connection", "close")
 	}
-	if answer.NotRun && header.Get("Retry-After") == "" {
+	if answer.NotExecuted && header.Get("Retry-After") == "" {
 		header.Set("Retry-After", retryAfter(c.comeBack()))
 	}
 	if id := c.request.Header.Get(backend.HeaderAttempt); id != "" {
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -32,7 +32,7 @@
 func (c *call) pass(ctx context.Context, ticket *routing.Ticket, answer *backend.Answer) (verdict, *errkind.Error) {
 	if answer.Status < http.StatusMultipleChoices && answer.Header.Get(backend.HeaderSeal) == "" {
 		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, errkind.New(errkind.RaterBroken, "a success without its seal")
+		return elsewhere, errkind.New(errkind.MalformedResponse, "a success without its seal")
 	}
 	var err error
 	switch {
@@ -60,16 +60,16 @@
 		return done, nil
 	case errors.As(err, &gone) || c.clientGone():
 		c.end(ticket, decide.Cancelled, answer.Load)
-		return failed, errkind.New(errkind.RaterLost, "")
+		return failed, errkind.New(errkind.BackendLost, "")
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Cancelled, answer.Load)
-		return failed, errkind.New(errkind.DeadlinePassedAfter, "")
+		return failed, errkind.New(errkind.DeadlineExceededInFlight, "")
 	}
 	c.end(ticket, decide.Reset, answer.Load)
 	if c.resumable() {
-		return elsewhere, errkind.New(errkind.RaterLost, "")
+		return elsewhere, errkind.New(errkind.BackendLost, "")
 	}
-	return failed, errkind.New(errkind.RaterLost, "")
+	return failed, errkind.New(errkind.BackendLost, "")
 }
 
 // clientError is a client that takes no more.
--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -13,7 +13,7 @@
 func (m *Machine) Submit(now time.Duration, id uint64, order operator.Order) Output {
 	m.now = max(now, m.now)
 	if m.view.Head() != m.self || !m.healthy {
-		return Output{Replies: []Reply{{ID: id, Err: errkind.New(errkind.Undecided, "this member is not the head")}}}
+		return Output{Replies: []Reply{{ID: id, Err: errkind.New(errkind.OutcomeUnknown, "this member is not the head")}}}
 	}
 	m.queue = append(m.queue, submission{id, order})
 	return m.serve()
@@ -154,7 +154,7 @@
 func (m *Machine) refuseQueue() Output {
 	var out Output
 	for _, waiting := range m.queue {
-		err := errkind.New(errkind.Undecided, "this member is no longer the head")
+		err := errkind.New(errkind.OutcomeUnknown, "this member is no longer the head")
 		out.Replies = append(out.Replies, Reply{ID: waiting.id, Err: err})
 	}
 	m.queue = nil
