--- a/internal/fleet/dataplane/placer.go
+++ b/internal/fleet/dataplane/placer.go
@@ -62,7 +62,7 @@
 		lists[record.Backend] = append(lists[record.Backend], routing.Rater{ID: record.ID, Address: record.Address,
 			Slots: record.Slots, Memory: memoryOf(table, record.Backend), Late: record.Late, Draining: record.State == registry.Draining})
 	}
-	for name := range table.Backends {
+	for name := range table.Services {
 		service := p.services[name]
 		if service == nil {
 			aim, deadline := objectives(table, name)
@@ -79,7 +79,7 @@
 
 // memoryOf is how many tokens a rater of a service can hold, 0 where the configuration does not say so.
 func memoryOf(table *operator.Table, service string) float64 {
-	if backend := table.Backends[service]; backend != nil {
+	if backend := table.Services[service]; backend != nil {
 		return backend.KvTokens
 	}
 	return 0
--- a/internal/fleet/distribution/client.go
+++ b/internal/fleet/distribution/client.go
@@ -101,7 +101,7 @@
 			return errNoBase
 		}
 		for _, order := range patches {
-			next, err := state.Follow(order)
+			next, err := state.ApplyCommitted(order)
 			if err != nil {
 				c.wantWhole = true
 				return err
--- a/internal/fleet/operator/operator_test.go
+++ b/internal/fleet/operator/operator_test.go
@@ -104,12 +104,12 @@
 		state = apply(t, state, patch(revision-1, fmt.Sprintf(`{"Revision":%d}`, revision)))
 	}
 	for _, s := range []*State{state, mustRestore(t, state)} {
-		made, taken := s.Taken(first.Digest())
+		made, taken := s.Accepted(first.Digest())
 		require.True(t, taken)
 		require.EqualValues(t, 7, made)
 	}
 	other := put(1, whole)
-	_, taken := state.Taken(other.Digest())
+	_, taken := state.Accepted(other.Digest())
 	require.False(t, taken, "the version on which an order builds is part of it")
 }
 
@@ -122,26 +122,26 @@
 
 func TestTakenOrdersAreBounded(t *testing.T) {
 	state := NewState()
-	for revision := int64(1); revision <= mostTaken+10; revision++ {
+	for revision := int64(1); revision <= maxAccepted+10; revision++ {
 		state = apply(t, state, patch(revision-1, fmt.Sprintf(`{"Revision":%d}`, revision)))
 	}
-	require.Equal(t, mostTaken, state.taken.Len())
-	require.Equal(t, mostTaken, state.order.Len())
+	require.Equal(t, maxAccepted, state.accepted.Len())
+	require.Equal(t, maxAccepted, state.order.Len())
 }
 
 // What is not remembered any more may have been taken: to refuse it would be false, and so would it be to take it.
 func TestAnOrderOlderThanWhatIsRememberedIsNeitherTakenNorRefused(t *testing.T) {
 	orderOf := func(revision int64) Order { return patch(revision-1, fmt.Sprintf(`{"Revision":%d}`, revision)) }
 	state := NewState()
-	for revision := int64(1); revision <= mostTaken; revision++ {
+	for revision := int64(1); revision <= maxAccepted; revision++ {
 		state = apply(t, state, orderOf(revision))
 	}
 	first := orderOf(1)
-	_, taken := state.Taken(first.Digest())
+	_, taken := state.Accepted(first.Digest())
 	require.True(t, taken, "the 4,096th is the last that the first one outlives")
-	state = apply(t, state, orderOf(mostTaken+1))
+	state = apply(t, state, orderOf(maxAccepted+1))
 	for _, s := range []*State{state, mustRestore(t, state)} {
-		_, taken = s.Taken(first.Digest())
+		_, taken = s.Accepted(first.Digest())
 		require.False(t, taken)
 		_, err := s.Apply(first)
 		require.Equal(t, errkind.OutcomeUnknown, errkind.KindOf(err), "%v", err)
--- a/internal/fleet/operator/state.go
+++ b/internal/fleet/operator/state.go
@@ -10,9 +10,9 @@
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
-// mostTaken bounds the orders that are remembered: an order is sent again within seconds, and at 41,000 changes a day so many
+// maxAccepted bounds the orders that are remembered: an order is sent again within seconds, and at 41,000 changes a day so many
 // are 2.4 hours. What is asked again later is not refused either: see State.horizon.
-const mostTaken = 4096
+const maxAccepted = 4096
 
 // digestSize is the length of the digests of orders and histories, in bytes.
 const digestSize = 16
@@ -41,7 +41,7 @@
 // State is the replicated state: the current document and the orders that were taken. It is never changed once made.
 type State struct {
 	Document *Document
-	taken    *immutable.Map[string, int64] // digest to the revision that it made
+	accepted *immutable.Map[string, int64] // digest to the revision that it made
 	order    *immutable.List[string]       // digests, oldest first
 	// horizon is the revision that the newest forgotten order made, 0 where none was forgotten. Whether an order that builds
 	// on an earlier version was taken is not known any more, so it is neither acknowledged nor refused.
@@ -51,7 +51,7 @@
 
 // NewState is the state before the first order.
 func NewState() *State {
-	return &State{Document: Empty(), taken: immutable.NewMap[string, int64](nil), order: immutable.NewList[string]()}
+	return &State{Document: Empty(), accepted: immutable.NewMap[string, int64](nil), order: immutable.NewList[string]()}
 }
 
 // History names the sequence of all orders that led to this state: two states with the same one are the same.
@@ -65,8 +65,8 @@
 	return Digest(hash.Sum(nil)[:digestSize])
 }
 
-// Taken tells whether the same order was taken before, and which revision it made.
-func (s *State) Taken(digest Digest) (int64, bool) { return s.taken.Get(string(digest)) }
+// Accepted tells whether the same order was taken before, and which revision it made.
+func (s *State) Accepted(digest Digest) (int64, bool) { return s.accepted.Get(string(digest)) }
 
 // Apply gives the state after an order that is valid on this one.
 func (s *State) Apply(order Order) (*State, error) {
@@ -100,15 +100,15 @@
 }
 
 func (s *State) remember(document *Document, digest Digest) *State {
-	taken := s.taken.Set(string(digest), document.Revision)
+	taken := s.accepted.Set(string(digest), document.Revision)
 	order := s.order.Append(string(digest))
 	horizon := s.horizon
-	for order.Len() > mostTaken {
+	for order.Len() > maxAccepted {
 		horizon, _ = taken.Get(order.Get(0))
 		taken = taken.Delete(order.Get(0))
 		order = order.Slice(1, order.Len())
 	}
-	return &State{Document: document, taken: taken, order: order, horizon: horizon, history: s.history.follow(digest)}
+	return &State{Document: document, accepted: taken, order: order, horizon: horizon, history: s.history.follow(digest)}
 }
 
 // Snapshot is a state in plain form, to be stored or sent.
@@ -125,7 +125,7 @@
 	snapshot := Snapshot{Document: s.Document.JSON(), Horizon: s.horizon, History: s.history}
 	for iterator := s.order.Iterator(); !iterator.Done(); {
 		_, digest := iterator.Next()
-		made, _ := s.taken.Get(digest)
+		made, _ := s.accepted.Get(digest)
 		snapshot.Digests = append(snapshot.Digests, digest)
 		snapshot.Made = append(snapshot.Made, made)
 	}
@@ -148,16 +148,16 @@
 		taken.Set(digest, snapshot.Made[i])
 		order.Append(digest)
 	}
-	s.taken, s.order = taken.Map(), order.List()
+	s.accepted, s.order = taken.Map(), order.List()
 	s.horizon, s.history = snapshot.Horizon, snapshot.History
 	return s, nil
 }
 
-// Follow gives the state after an order that the control plane has committed on this one. It does not validate again.
-func (s *State) Follow(order Order) (*State, error) {
+// ApplyCommitted gives the state after an order that the control plane has committed on this one. It does not validate again.
+func (s *State) ApplyCommitted(order Order) (*State, error) {
 	next, err := s.change(order)
 	if err != nil {
 		return nil, err
 	}
-	return &State{Document: next, taken: s.taken, order: s.order, horizon: s.horizon, history: s.history}, nil
+	return &State{Document: next, accepted: s.accepted, order: s.order, horizon: s.horizon, history: s.history}, nil
 }
--- a/internal/fleet/operator/table.go
+++ b/internal/fleet/operator/table.go
@@ -27,7 +27,7 @@
 	Type        RouteType
 	Timeout     time.Duration
 	Target      time.Duration
-	GapAim      time.Duration
+	GapTarget   time.Duration
 	Priority    int
 	MaxAttempts int
 	Anonymous   bool
@@ -41,7 +41,7 @@
 
 // Split is one service of a route and the part of its traffic that goes there, as a running sum up to 1.
 type Split struct {
-	Backend string
+	Service string
 	UpTo    float64
 }
 
@@ -49,19 +49,19 @@
 func (r *Route) Pick(draw float64) string {
 	for _, split := range r.Splits {
 		if draw < split.UpTo {
-			return split.Backend
+			return split.Service
 		}
 	}
-	return r.Splits[len(r.Splits)-1].Backend
+	return r.Splits[len(r.Splits)-1].Service
 }
 
 // Allows tells whether the route sends requests to a service.
 func (r *Route) Allows(backend string) bool {
-	return slices.ContainsFunc(r.Splits, func(s Split) bool { return s.Backend == backend })
+	return slices.ContainsFunc(r.Splits, func(s Split) bool { return s.Service == backend })
 }
 
-// Backend is a compiled service.
-type Backend struct {
+// Service is a compiled service.
+type Service struct {
 	Name           string
 	MaxConnections int
 	Engine         bool
@@ -101,7 +101,7 @@
 type Table struct {
 	Revision  int64
 	hosts     map[string][]*Route // longest prefix first
-	Backends  map[string]*Backend
+	Services  map[string]*Service
 	keys      map[string]*Tenant
 	Tenants   map[string]*Tenant
 	HasTenant bool
@@ -110,7 +110,7 @@
 
 // Compile makes the table of a document.
 func (d *Document) Compile() *Table {
-	t := &Table{Revision: d.Revision, hosts: map[string][]*Route{}, Backends: map[string]*Backend{}, keys: map[string]*Tenant{},
+	t := &Table{Revision: d.Revision, hosts: map[string][]*Route{}, Services: map[string]*Service{}, keys: map[string]*Tenant{},
 		Tenants: map[string]*Tenant{}, Limits: compileLimits(d.limits)}
 	for _, route := range messages[*operatorpb.Route](d, fieldRoutes) {
 		host := strings.ToLower(route.Hostname)
@@ -120,7 +120,7 @@
 		slices.SortFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for _, backend := range messages[*operatorpb.Backend](d, fieldBackends) {
-		t.Backends[backend.Name] = compileBackend(backend)
+		t.Services[backend.Name] = compileBackend(backend)
 	}
 	for _, tenant := range messages[*operatorpb.Tenant](d, fieldTenants) {
 		compiled := compileTenant(tenant)
@@ -144,7 +144,7 @@
 
 func compileRoute(route *operatorpb.Route) *Route {
 	compiled := &Route{Name: route.Name, Prefix: route.PathPrefix, Timeout: milliseconds(route.TimeoutMs),
-		Target: milliseconds(route.TargetLatencyMs), GapAim: milliseconds(route.GapAimMs), Priority: int(route.Priority),
+		Target: milliseconds(route.TargetLatencyMs), GapTarget: milliseconds(route.GapAimMs), Priority: int(route.Priority),
 		MaxAttempts: max(1, int(route.MaxAttempts)), Anonymous: route.Anonymous, Affinity: route.SessionAffinity,
 		Resume: route.StreamResume}
 	switch route.RouteType {
@@ -154,7 +154,7 @@
 		compiled.Type = Streaming
 	}
 	if len(route.TrafficSplit) == 0 {
-		compiled.Splits = []Split{{Backend: route.Backend, UpTo: 1}}
+		compiled.Splits = []Split{{Service: route.Backend, UpTo: 1}}
 		return compiled
 	}
 	sum := 0.0
@@ -165,14 +165,14 @@
 	for _, split := range route.TrafficSplit {
 		if split.Weight > 0 {
 			upTo += split.Weight / sum
-			compiled.Splits = append(compiled.Splits, Split{Backend: split.Backend, UpTo: upTo})
+			compiled.Splits = append(compiled.Splits, Split{Service: split.Backend, UpTo: upTo})
 		}
 	}
 	return compiled
 }
 
-func compileBackend(backend *operatorpb.Backend) *Backend {
-	compiled := &Backend{Name: backend.Name, MaxConnections: int(backend.MaxConnections)}
+func compileBackend(backend *operatorpb.Backend) *Service {
+	compiled := &Service{Name: backend.Name, MaxConnections: int(backend.MaxConnections)}
 	if engine := backend.Engine; engine != nil {
 		compiled.Engine, compiled.Slots, compiled.KvTokens = true, int(engine.Slots), engine.KvTokens
 	}
--- a/internal/fleet/operator/wire.go
+++ b/internal/fleet/operator/wire.go
@@ -12,8 +12,8 @@
 // compressFrom is the size of a body from which on it is compressed: a list of routes shrinks to a tenth or less.
 const compressFrom = 2 << 10
 
-// mostDecompressed bounds what a compressed body may grow to.
-const mostDecompressed = 128 << 20
+// maxDecompressed bounds what a compressed body may grow to.
+const maxDecompressed = 128 << 20
 
 // errBadEncoding says that bytes are not an encoded order.
 var errBadEncoding = errors.New("operator: bytes that are no encoded order")
@@ -44,7 +44,7 @@
 	if packed[0] == 0 {
 		return packed[1:], nil
 	}
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed[1:])), mostDecompressed))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed[1:])), maxDecompressed))
 	if err != nil {
 		return nil, fmt.Errorf("operator: compressed bytes: %w", err)
 	}
--- a/internal/fleet/proxy/pause_test.go
+++ b/internal/fleet/proxy/pause_test.go
@@ -20,7 +20,7 @@
 		require.NoError(t, err)
 		service.SetRaters(time.Second, []routing.Rater{{ID: "r"}})
 		ticket := service.Place(time.Second, &routing.Request{Prefix: "k", Own: 100, Long: true, Deadline: time.Hour})
-		c := &call{route: &operator.Route{GapAim: 400 * time.Millisecond}}
+		c := &call{route: &operator.Route{GapTarget: 400 * time.Millisecond}}
 		c.came(ticket)
 		c.stream.cameAt = time.Now().Add(-one.pause)
 		c.came(ticket)
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -90,7 +90,7 @@
 // came notes that a part of an answer came.
 func (c *call) came(ticket *routing.Ticket) {
 	now := time.Now()
-	if c.route.GapAim > 0 && !c.stream.cameAt.IsZero() && now.Sub(c.stream.cameAt) > c.route.GapAim {
+	if c.route.GapTarget > 0 && !c.stream.cameAt.IsZero() && now.Sub(c.stream.cameAt) > c.route.GapTarget {
 		ticket.Paused()
 	}
 	c.stream.cameAt = now
--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -29,7 +29,7 @@
 	var out Output
 	for len(m.queue) > 0 && m.takesOrders() {
 		next := m.queue[0]
-		if revision, taken := m.copied.agreed.Taken(next.order.Digest()); taken {
+		if revision, taken := m.copied.agreed.Accepted(next.order.Digest()); taken {
 			m.queue = m.queue[1:]
 			out.Replies = append(out.Replies, Reply{ID: next.id, Revision: revision})
 			continue
