--- a/internal/fleet/backend/exchange.go
+++ b/internal/fleet/backend/exchange.go
@@ -18,16 +18,16 @@
 
 // The headers of the protocol between the fleet and the raters.
 const (
-	HeaderAttempt  = "Attempt-Id"
-	HeaderExpect   = "Expect-Instance"
-	HeaderTenant   = "Tenant"
-	HeaderDeadline = "Deadline-Ms"
-	HeaderPriority = "Priority"
-	HeaderNotRun   = "Not-Executed"
-	HeaderLoad     = "Instance-Load"
-	HeaderSeal     = "Response-Seal"
-	HeaderLastID   = "Last-Event-Id"
-	HeaderKey      = "Api-Key"
+	HeaderAttempt     = "Attempt-Id"
+	HeaderExpect      = "Expect-Instance"
+	HeaderTenant      = "Tenant"
+	HeaderDeadline    = "Deadline-Ms"
+	HeaderPriority    = "Priority"
+	HeaderNotExecuted = "Not-Executed"
+	HeaderLoad        = "Instance-Load"
+	HeaderSeal        = "Response-Seal"
+	HeaderLastID      = "Last-Event-Id"
+	HeaderKey         = "Api-Key"
 )
 
 // Request is what is sent to a rater.
@@ -45,11 +45,11 @@
 // NewClient makes a client without connections.
 func NewClient() *Client { return &Client{pool: pool{idle: map[string][]*connection{}}} }
 
-// Forget closes the idle connections to an address.
-func (c *Client) Forget(address string) { c.pool.forget(address) }
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(address string) { c.pool.forget(address) }
 
-// Answer is a rater's answer whose body is still to be read. It must be closed.
-type Answer struct {
+// Response is a rater's answer whose body is still to be read. It must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Load   routing.Load
@@ -66,7 +66,7 @@
 }
 
 // Do sends a request and reads the head of its answer. The connection is closed when the context ends.
-func (c *Client) Do(ctx context.Context, address string, request *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	conn := c.pool.take(address)
 	if conn == nil {
 		fresh, err := dial(address, time.Until(deadlineOf(ctx)))
@@ -94,7 +94,7 @@
 }
 
 // exchange sends a request and reads the head of its answer.
-func (c *connection) exchange(request *Request) (*Answer, error) {
+func (c *connection) exchange(request *Request) (*Response, error) {
 	message := request.encode()
 	judge := exchangeJudge{fresh: !c.used, id: request.Header.Get(HeaderAttempt), size: len(message)}
 	c.used = true
@@ -112,7 +112,7 @@
 		case ownAnswer:
 			return answer, nil
 		case unknownAnswer:
-			return nil, &Error{Garbled, errNotAttributable}
+			return nil, &Error{Malformed, errNotAttributable}
 		}
 		if _, err := io.Copy(io.Discard, answer.body); err != nil {
 			return nil, judge.broken(err)
@@ -120,7 +120,7 @@
 	}
 }
 
-func (c *connection) readHead(method string, judge *exchangeJudge) (*Answer, error) {
+func (c *connection) readHead(method string, judge *exchangeJudge) (*Response, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, judge.broken(err)
 	}
@@ -130,25 +130,25 @@
 		if errors.As(err, &failed) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, judge.broken(err)
 		}
-		return nil, &Error{Garbled, err}
+		return nil, &Error{Malformed, err}
 	}
 	if response.StatusCode < http.StatusOK {
-		return nil, &Error{Garbled, fmt.Errorf("status %d", response.StatusCode)}
+		return nil, &Error{Malformed, fmt.Errorf("status %d", response.StatusCode)}
 	}
-	answer := &Answer{Status: response.StatusCode, Header: response.Header, Load: parseLoad(response.Header.Get(HeaderLoad)),
+	answer := &Response{Status: response.StatusCode, Header: response.Header, Load: parseLoad(response.Header.Get(HeaderLoad)),
 		Length: response.ContentLength, connection: c, body: response.Body, keepAlive: response.Header.Get("Keep-Alive")}
 	answer.bounded = response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked")
 	answer.reusable = answer.bounded && !response.Close
 	return answer, nil
 }
 
-// NotRun tells whether the rater says that it did not run the request.
-func (a *Answer) NotRun() bool {
-	return a.Status == http.StatusMisdirectedRequest || a.Header.Get(HeaderNotRun) != ""
+// NotExecuted tells whether the rater says that it did not run the request.
+func (a *Response) NotExecuted() bool {
+	return a.Status == http.StatusMisdirectedRequest || a.Header.Get(HeaderNotExecuted) != ""
 }
 
 // Read reads the body.
-func (a *Answer) Read(into []byte) (int, error) {
+func (a *Response) Read(into []byte) (int, error) {
 	n, err := a.body.Read(into)
 	if errors.Is(err, io.EOF) {
 		a.whole = true
@@ -157,7 +157,7 @@
 }
 
 // Close ends the use of the answer. The connection is kept where the whole body was read and nothing came after it.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	open := a.stop()
 	if open && a.whole && a.reusable && a.connection.reader.Buffered() == 0 {
 		a.client.pool.put(a.connection, a.keepAlive)
--- a/internal/fleet/backend/exchange_test.go
+++ b/internal/fleet/backend/exchange_test.go
@@ -69,14 +69,14 @@
 	}
 	defer answer.Close()
 	content, err := io.ReadAll(answer)
-	return answer.Status, string(content), answer.NotRun(), err
+	return answer.Status, string(content), answer.NotExecuted(), err
 }
 
-func fateOf(t *testing.T, err error) Fate {
+func fateOf(t *testing.T, err error) Outcome {
 	t.Helper()
 	var failed *Error
 	require.ErrorAs(t, err, &failed)
-	return failed.Fate
+	return failed.Outcome
 }
 
 // hangUp ends a connection with a reset.
@@ -101,7 +101,7 @@
 	require.Equal(t, 200, status)
 	require.Equal(t, "for a", body)
 	_, _, _, err = ask(client, address, "b")
-	require.Equal(t, Garbled, fateOf(t, err), "b may have run")
+	require.Equal(t, Malformed, fateOf(t, err), "b may have run")
 }
 
 func TestARefusalWithoutAnIDIsBelievedAsTheFirstThingOnAConnection(t *testing.T) {
@@ -252,7 +252,7 @@
 	defer cancel()
 	answer, err := NewClient().Do(ctx, address, request)
 	require.NoError(t, err)
-	require.True(t, answer.NotRun())
+	require.True(t, answer.NotExecuted())
 	_, _ = io.Copy(io.Discard, answer)
 	answer.Close()
 	sent := <-got
--- a/internal/fleet/backend/judge.go
+++ b/internal/fleet/backend/judge.go
@@ -6,20 +6,20 @@
 	"net/http"
 )
 
-// Fate is what is known of a request that brought no answer.
-type Fate uint8
+// Outcome is what is known of a request that brought no answer.
+type Outcome uint8
 
 // The fates.
 const (
-	NotSent    Fate = iota // no connection was made, or nothing was written
-	MayHaveRun             // some of it was written
-	Garbled                // bytes came that are not an answer to it
+	NotSent    Outcome = iota // no connection was made, or nothing was written
+	MayHaveRun                // some of it was written
+	Malformed                 // bytes came that are not an answer to it
 )
 
 // Error is an exchange without an answer.
 type Error struct {
-	Fate Fate
-	Err  error
+	Outcome Outcome
+	Err     error
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("rater: %v", e.Err) }
--- a/internal/fleet/backend/judge_test.go
+++ b/internal/fleet/backend/judge_test.go
@@ -10,9 +10,9 @@
 func TestWhatEachEventProves(t *testing.T) {
 	reset := errors.New("reset")
 	sent := exchangeJudge{id: "a", size: 10, written: 10}
-	require.Equal(t, NotSent, (&exchangeJudge{id: "a", size: 10}).broken(reset).Fate, "nothing was written")
-	require.Equal(t, MayHaveRun, (&exchangeJudge{id: "a", size: 10, written: 1}).broken(reset).Fate, "a part was written")
-	require.Equal(t, MayHaveRun, sent.broken(reset).Fate)
+	require.Equal(t, NotSent, (&exchangeJudge{id: "a", size: 10}).broken(reset).Outcome, "nothing was written")
+	require.Equal(t, MayHaveRun, (&exchangeJudge{id: "a", size: 10, written: 1}).broken(reset).Outcome, "a part was written")
+	require.Equal(t, MayHaveRun, sent.broken(reset).Outcome)
 	for name, one := range map[string]struct {
 		fresh   bool
 		strays  int
@@ -132,7 +132,7 @@
 	judge := exchangeJudge{fresh: !w.used, id: id, size: 1}
 	w.used = true
 	if w.reset {
-		return outcome{notRun: true, repeats: judge.broken(nil).Fate == NotSent}, false
+		return outcome{notRun: true, repeats: judge.broken(nil).Outcome == NotSent}, false
 	}
 	judge.wrote(1)
 	if len(how.answers) > 0 {
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -103,7 +103,7 @@
 	}
 	defer answer.Close()
 	c.sends++
-	if answer.NotRun() {
+	if answer.NotExecuted() {
 		c.end(ticket, decide.Full, answer.Load)
 		if answer.Status == http.StatusMisdirectedRequest {
 			return elsewhere, errkind.New(errkind.Rejected, "another rater has the address")
@@ -123,7 +123,7 @@
 	fate := backend.MayHaveRun
 	var exchange *backend.Error
 	if errors.As(err, &exchange) {
-		fate = exchange.Fate
+		fate = exchange.Outcome
 	}
 	if fate == backend.NotSent {
 		result := decide.NoConnect
@@ -141,7 +141,7 @@
 	}
 	c.sends++
 	c.mayRun = true
-	c.handler.Raters.Forget(ticket.Rater.Address)
+	c.handler.Raters.CloseIdle(ticket.Rater.Address)
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		c.handler.Placer.Unreachable(c.service, ticket)
 	}
@@ -152,7 +152,7 @@
 	case ctx.Err() != nil:
 		c.end(ticket, decide.Late, routing.Load{})
 		return failed, errkind.New(errkind.DeadlineExceededInFlight, "")
-	case fate == backend.Garbled:
+	case fate == backend.Malformed:
 		c.end(ticket, decide.Failed, routing.Load{})
 		return elsewhere, errkind.New(errkind.MalformedResponse, "")
 	}
@@ -215,10 +215,10 @@
 }
 
 // ownHeaders are those of a rater's answer that are for the system alone.
-var ownHeaders = []string{"Instance-Id", backend.HeaderLoad, backend.HeaderNotRun}
+var ownHeaders = []string{"Instance-Id", backend.HeaderLoad, backend.HeaderNotExecuted}
 
 // writeHead gives the client the head of a rater's answer.
-func (c *call) writeHead(answer *backend.Answer) {
+func (c *call) writeHead(answer *backend.Response) {
 	header := c.writer.Header()
 	closing := header.Get("Connection")
 	for name, values := range answer.Header {
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -29,7 +29,7 @@
 const pieceSize = 16 << 10
 
 // pass gives the client a rater's answer as it comes.
-func (c *call) pass(ctx context.Context, ticket *routing.Ticket, answer *backend.Answer) (verdict, *errkind.Error) {
+func (c *call) pass(ctx context.Context, ticket *routing.Ticket, answer *backend.Response) (verdict, *errkind.Error) {
 	if answer.Status < http.StatusMultipleChoices && answer.Header.Get(backend.HeaderSeal) == "" {
 		c.end(ticket, decide.Failed, answer.Load)
 		return elsewhere, errkind.New(errkind.MalformedResponse, "a success without its seal")
@@ -47,7 +47,7 @@
 }
 
 // passed ends an attempt whose answer was passed on, as far as it came.
-func (c *call) passed(ctx context.Context, ticket *routing.Ticket, answer *backend.Answer, err error) (verdict, *errkind.Error) {
+func (c *call) passed(ctx context.Context, ticket *routing.Ticket, answer *backend.Response, err error) (verdict, *errkind.Error) {
 	var gone *clientError
 	switch {
 	case err == nil && answer.Status >= http.StatusInternalServerError:
@@ -97,7 +97,7 @@
 }
 
 // passWhole reads an answer to its end before the client gets any of it: one that is broken off is then no answer.
-func (c *call) passWhole(ticket *routing.Ticket, answer *backend.Answer) error {
+func (c *call) passWhole(ticket *routing.Ticket, answer *backend.Response) error {
 	body, err := io.ReadAll(answer)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // passPieces passes bytes on as they come.
-func (c *call) passPieces(ticket *routing.Ticket, answer *backend.Answer) error {
+func (c *call) passPieces(ticket *routing.Ticket, answer *backend.Response) error {
 	piece := make([]byte, pieceSize)
 	for {
 		n, err := answer.Read(piece)
@@ -134,7 +134,7 @@
 	}
 }
 
-func (c *call) write(answer *backend.Answer, bytes []byte) error {
+func (c *call) write(answer *backend.Response, bytes []byte) error {
 	if !c.stream.headSent {
 		c.writeHead(answer)
 	}
@@ -151,7 +151,7 @@
 
 // passEvents passes whole events on, each once: what is broken off in the middle of an event is continued at another
 // rater after the last whole one.
-func (c *call) passEvents(ticket *routing.Ticket, answer *backend.Answer) error {
+func (c *call) passEvents(ticket *routing.Ticket, answer *backend.Response) error {
 	var held []byte
 	piece := make([]byte, pieceSize)
 	for {
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *call) endEvents(answer *backend.Answer, rest []byte) error {
+func (c *call) endEvents(answer *backend.Response, rest []byte) error {
 	if len(rest) > 0 {
 		return c.write(answer, rest)
 	}
@@ -186,7 +186,7 @@
 }
 
 // writeEvents gives the client the events that it does not have yet.
-func (c *call) writeEvents(answer *backend.Answer, events []byte) error {
+func (c *call) writeEvents(answer *backend.Response, events []byte) error {
 	var fresh []byte
 	for len(events) > 0 {
 		end := bytes.Index(events, eventEnd) + len(eventEnd)
