--- a/internal/fleet/controlplane/confirmations.go
+++ b/internal/fleet/controlplane/confirmations.go
@@ -29,7 +29,7 @@
 func (r *Replicator) end(reply replica.Reply) {
 	if reply.Unconfirmed {
 		r.pending.refusals = append(r.pending.refusals, refusal{reply, r.clock()})
-		r.step(r.machine.Beat)
+		r.step(r.machine.Heartbeat)
 		return
 	}
 	if done := r.waiting[reply.ID]; done != nil {
@@ -70,7 +70,7 @@
 	for _, one := range waiting {
 		switch {
 		case confirmed > one.since:
-			_, state := r.machine.Agreed()
+			_, state := r.machine.Committed()
 			one.done <- state
 		case now-one.since > confirmWait:
 			one.done <- nil
@@ -85,7 +85,7 @@
 	done := make(chan *operator.State, 1)
 	queued := r.enqueue(func() {
 		r.pending.reads = append(r.pending.reads, readWait{r.clock(), done})
-		r.step(r.machine.Beat)
+		r.step(r.machine.Heartbeat)
 	})
 	if !queued {
 		return nil, errkind.New(errkind.OutcomeUnknown, "this member is behind")
--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -113,10 +113,10 @@
 			}
 		}
 	}
-	options := replica.DefaultOptions()
-	options.Tolerated = set.Tolerated()
+	options := replica.DefaultConfig()
+	options.MaxFailures = set.Tolerated()
 	options.Seeds = seeds
-	options.Core = set.Counts || set.DataDir != ""
+	options.CanVote = set.Counts || set.DataDir != ""
 	if set.LinkMbps > 0 {
 		options.TransferRate = int(set.LinkMbps * transferPart * bytesPerMegabit)
 	}
--- a/internal/fleet/controlplane/outbox.go
+++ b/internal/fleet/controlplane/outbox.go
@@ -38,7 +38,7 @@
 
 func isBulk(message replica.Message) bool {
 	switch message.(type) {
-	case replica.Append, replica.Orders, replica.Piece:
+	case replica.Append, replica.FetchReply, replica.SnapshotChunk:
 		return true
 	}
 	return false
--- a/internal/fleet/controlplane/replicator.go
+++ b/internal/fleet/controlplane/replicator.go
@@ -43,7 +43,7 @@
 	Released       bool // this member may end: the others go on without it
 	Standby        []replica.Member
 	CaughtUp       bool // this member has the state with which the view began, and what followed as far as it knows
-	copied         replica.Copy
+	copied         replica.Log
 }
 
 // orderResult is the end of an order.
@@ -127,18 +127,18 @@
 // Deliver takes a message of another member.
 func (r *Replicator) Deliver(envelope replica.Envelope) {
 	r.enqueue(func() {
-		r.step(func(now time.Duration) replica.Output { return r.machine.Step(now, envelope) })
+		r.step(func(now time.Duration) replica.Ready { return r.machine.Step(now, envelope) })
 	})
 }
 
 // step runs the machine, stores what it wants stored and then sends.
-func (r *Replicator) step(run func(now time.Duration) replica.Output) {
-	pending := []func(time.Duration) replica.Output{run}
+func (r *Replicator) step(run func(now time.Duration) replica.Ready) {
+	pending := []func(time.Duration) replica.Ready{run}
 	for len(pending) > 0 {
 		before := r.machine.Checkpoint()
 		out := pending[0](r.clock())
 		pending = pending[1:]
-		if err := r.write(out.Save); err != nil {
+		if err := r.write(out.Records); err != nil {
 			if !errors.Is(err, errDiskFailed) {
 				r.log.Error("disk write failed; leaving the chain until it works again", "err", err)
 				r.failedAt = r.clock()
@@ -146,10 +146,10 @@
 			r.machine.Rollback(before)
 			continue
 		}
-		r.logViews(out.Save)
-		for _, envelope := range out.Send {
+		r.logViews(out.Records)
+		for _, envelope := range out.Messages {
 			if envelope.To.Address == r.machine.Self().Address {
-				pending = append(pending, func(now time.Duration) replica.Output { return r.machine.Step(now, envelope) })
+				pending = append(pending, func(now time.Duration) replica.Ready { return r.machine.Step(now, envelope) })
 				continue
 			}
 			r.outbox.post(envelope)
@@ -210,10 +210,10 @@
 }
 
 func (r *Replicator) publish() {
-	seq, state := r.machine.Agreed()
+	seq, state := r.machine.Committed()
 	next := Published{Self: r.machine.Self(), View: r.machine.View(), Healthy: r.machine.Healthy(), Seq: seq, State: state,
-		ViewConfirmed: r.machine.ViewConfirmed(), StateConfirmed: r.machine.StateConfirmed(), AllHere: r.machine.AllHere(), Released: r.machine.Released(),
-		Standby: r.machine.Standby(), CaughtUp: r.machine.Status().Holds, copied: r.machine.Copy()}
+		ViewConfirmed: r.machine.ViewConfirmed(), StateConfirmed: r.machine.StateConfirmed(), AllHere: r.machine.AllVotersInView(), Released: r.machine.Released(),
+		Standby: r.machine.Standby(), CaughtUp: r.machine.Status().Holds, copied: r.machine.Log()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	news := next.Seq != r.published.Seq || next.View.Epoch != r.published.View.Epoch ||
@@ -234,7 +234,7 @@
 
 // OrdersSince gives the committed orders that lead from one place to another, nil where they are not all kept.
 func (p *Published) OrdersSince(from, to uint64) []operator.Order {
-	entries := p.copied.Between(from, to)
+	entries := p.copied.Entries(from, to)
 	if entries == nil {
 		return nil
 	}
@@ -253,7 +253,7 @@
 		r.lastID++
 		id = r.lastID
 		r.waiting[id] = done
-		r.step(func(now time.Duration) replica.Output { return r.machine.Submit(now, id, order) })
+		r.step(func(now time.Duration) replica.Ready { return r.machine.Submit(now, id, order) })
 	})
 	if !queued {
 		return 0, errkind.New(errkind.OutcomeUnknown, "too many orders are waiting")
--- a/internal/fleet/controlplane/slope_test.go
+++ b/internal/fleet/controlplane/slope_test.go
@@ -28,7 +28,7 @@
 	require.NoError(t, err)
 	// The replica's goroutine does not run: time is played.
 	for now := time.Duration(0); now < 5*time.Second; now += tickEvery {
-		n.core.step(func(time.Duration) replica.Output { return n.core.machine.Tick(now) })
+		n.core.step(func(time.Duration) replica.Ready { return n.core.machine.Tick(now) })
 	}
 	n.core.publish()
 	go n.core.Run()
--- a/internal/fleet/replica/agreement.go
+++ b/internal/fleet/replica/agreement.go
@@ -33,63 +33,63 @@
 
 // ---- The voter ----
 
-func (m *Machine) onPrepare(from Member, body Prepare) Output {
+func (m *Machine) onPrepare(from Member, body Prepare) Ready {
 	if out, done := m.otherEpoch(from, body.Epoch); done {
 		return out
 	}
 	if body.Ballot.compare(m.promised) < 0 {
-		return Output{Send: []Envelope{m.send(from, Reject{Epoch: body.Epoch, Promised: m.promised})}}
+		return Ready{Messages: []Envelope{m.send(from, Reject{Epoch: body.Epoch, Promised: m.promised})}}
 	}
 	out := m.promise(body.Ballot)
-	reply := Promise{Epoch: body.Epoch, Ballot: body.Ballot, Accepted: m.accepted, Holds: m.holdsAll(), Position: m.copied.newest()}
-	out.Send = append(out.Send, m.send(from, reply))
+	reply := Promise{Epoch: body.Epoch, Ballot: body.Ballot, Accepted: m.accepted, Holds: m.holdsAll(), Position: m.log.newest()}
+	out.Messages = append(out.Messages, m.send(from, reply))
 	return out
 }
 
 // otherEpoch answers a proposer of an epoch that this member cannot vote on.
-func (m *Machine) otherEpoch(from Member, epoch uint64) (Output, bool) {
+func (m *Machine) otherEpoch(from Member, epoch uint64) (Ready, bool) {
 	if epoch <= m.view.Epoch {
 		return m.bringUp(from, Status{Epoch: epoch - 1}), true
 	}
-	return Output{}, epoch != m.view.Epoch+1 || !m.isVoter() || !m.healthy
+	return Ready{}, epoch != m.view.Epoch+1 || !m.isVoter() || !m.healthy
 }
 
 // holdsAll tells whether this member's copy has every committed order.
 func (m *Machine) holdsAll() bool { return m.view.Epoch == 0 || m.follows() }
 
-func (m *Machine) promise(ballot Ballot) Output {
+func (m *Machine) promise(ballot Ballot) Ready {
 	if !m.sealed() {
 		m.sealedAt = m.now
 	}
 	m.round = max(m.round, ballot.Round)
 	if ballot == m.promised {
-		return Output{}
+		return Ready{}
 	}
 	m.promised = ballot
-	return Output{Save: []Record{SavePromise{Epoch: m.view.Epoch + 1, Ballot: ballot}}}
+	return Ready{Records: []Record{SavePromise{Epoch: m.view.Epoch + 1, Ballot: ballot}}}
 }
 
-func (m *Machine) onAccept(from Member, body Accept) Output {
+func (m *Machine) onAccept(from Member, body Accept) Ready {
 	epoch := body.Proposal.View.Epoch
 	if out, done := m.otherEpoch(from, epoch); done {
 		return out
 	}
 	if body.Ballot.compare(m.promised) < 0 {
-		return Output{Send: []Envelope{m.send(from, Reject{Epoch: epoch, Promised: m.promised})}}
+		return Ready{Messages: []Envelope{m.send(from, Reject{Epoch: epoch, Promised: m.promised})}}
 	}
-	if slices.Contains(body.Proposal.View.Chain, m.self) && !m.copied.holds(body.Proposal.Base) {
-		return Output{} // it is put to the vote only once the whole chain has its state
+	if slices.Contains(body.Proposal.View.Chain, m.self) && !m.log.holds(body.Proposal.Base) {
+		return Ready{} // it is put to the vote only once the whole chain has its state
 	}
 	out := m.promise(body.Ballot)
 	m.accepted = &Accepted{Ballot: body.Ballot, Proposal: body.Proposal}
-	out.Save = append(out.Save, SaveAccepted{Accepted: *m.accepted})
-	out.Send = append(out.Send, m.send(from, AcceptReply{Epoch: epoch, Ballot: body.Ballot}))
+	out.Records = append(out.Records, SaveAccepted{Accepted: *m.accepted})
+	out.Messages = append(out.Messages, m.send(from, AcceptReply{Epoch: epoch, Ballot: body.Ballot}))
 	return out
 }
 
-func (m *Machine) onDecided(proposal Proposal) Output {
+func (m *Machine) onDecided(proposal Proposal) Ready {
 	if proposal.View.Epoch <= m.view.Epoch {
-		return Output{}
+		return Ready{}
 	}
 	m.view, m.base = proposal.View, proposal.Base
 	m.settleOn(proposal.Base)
@@ -100,42 +100,42 @@
 		p.confirmedAt = 0
 	}
 	m.knowView()
-	return Output{Save: []Record{SaveView{Proposal: proposal}}}
+	return Ready{Records: []Record{SaveView{Proposal: proposal}}}
 }
 
 // settleOn brings the copy to the state with which an agreed view begins, if it is there: an uncommitted entry either is
 // part of that state, and committed with it, or was given up.
 func (m *Machine) settleOn(base Position) {
-	if m.copied.newest() == base {
-		m.copied = m.copied.commit(base.Seq)
+	if m.log.newest() == base {
+		m.log = m.log.commit(base.Seq)
 	} else {
-		m.copied = m.copied.drop()
+		m.log = m.log.drop()
 	}
-	m.holds = m.copied.passes(base)
+	m.holds = m.log.passes(base)
 	m.pendingSince = 0
 }
 
 // ---- The proposer ----
 
 // reconfigure proposes another view where one is wanted, or completes one that was begun and left.
-func (m *Machine) reconfigure() Output {
-	if m.attempt != nil && m.now-m.attempt.since < m.options.AttemptFor {
+func (m *Machine) reconfigure() Ready {
+	if m.attempt != nil && m.now-m.attempt.since < m.config.ProposalTimeout {
 		return m.pushInstall()
 	}
 	m.attempt = nil
 	if !m.mayPropose() || m.now < m.attemptAfter || !m.reachesMajority() {
-		return Output{}
+		return Ready{}
 	}
 	view, wanted := m.plan()
 	if !wanted {
 		m.wishSince = 0
-		return Output{}
+		return Ready{}
 	}
 	if m.wishSince == 0 {
 		m.wishSince = m.now
 	}
 	if m.now-m.wishSince < m.turn(view) {
-		return Output{}
+		return Ready{}
 	}
 	return m.propose(view)
 }
@@ -160,45 +160,45 @@
 	if place < 0 {
 		place = len(view.Chain)
 	}
-	return time.Duration(place) * m.options.RetryAfter
+	return time.Duration(place) * m.config.RetryInterval
 }
 
-func (m *Machine) propose(view View) Output {
+func (m *Machine) propose(view View) Ready {
 	m.round++
 	m.attempt = &attempt{epoch: m.view.Epoch + 1, ballot: Ballot{Round: m.round, Proposer: m.self}, view: view, since: m.now,
 		promises: map[Member]Promise{}, installed: map[Member]bool{}, accepts: map[Member]bool{}}
-	m.attemptAfter = m.now + m.options.RetryAfter
+	m.attemptAfter = m.now + m.config.RetryInterval
 	return m.ask(Prepare{Epoch: m.attempt.epoch, Ballot: m.attempt.ballot})
 }
 
 // ask sends a message to every voter, itself included.
-func (m *Machine) ask(body Message) Output {
-	var out Output
+func (m *Machine) ask(body Message) Ready {
+	var out Ready
 	for _, voter := range m.voters() {
 		if voter.Address == m.self.Address {
-			out.Send = append(out.Send, m.send(m.self, body))
+			out.Messages = append(out.Messages, m.send(m.self, body))
 			continue
 		}
-		out.Send = append(out.Send, m.send(voter, body))
+		out.Messages = append(out.Messages, m.send(voter, body))
 	}
 	return out
 }
 
-func (m *Machine) onPromise(from Member, body Promise) Output {
+func (m *Machine) onPromise(from Member, body Promise) Ready {
 	a := m.attempt
 	voter, known := m.voted(from)
 	if a == nil || !known || body.Epoch != a.epoch || body.Ballot != a.ballot || a.proposal != nil || a.begun > 0 {
-		return Output{}
+		return Ready{}
 	}
 	a.promises[voter] = body
 	if len(a.promises) < majority(len(m.voters())) {
-		return Output{}
+		return Ready{}
 	}
 	if accepted := a.accepted(); accepted != nil {
 		return m.vote(accepted.Proposal)
 	}
 	if !a.chooseBase(m) {
-		return Output{}
+		return Ready{}
 	}
 	a.begun = m.now
 	return m.askInstall()
@@ -234,40 +234,40 @@
 }
 
 // askInstall asks the members of the wanted chain that have not answered to store the state with which it begins.
-func (m *Machine) askInstall() Output {
+func (m *Machine) askInstall() Ready {
 	a := m.attempt
 	a.askedAt = m.now
 	body := Install{Epoch: a.epoch, Ballot: a.ballot, Base: a.base, Source: a.source}
-	var out Output
+	var out Ready
 	for _, member := range a.view.Chain {
 		if !a.installed[member] {
-			out.Send = append(out.Send, m.send(member, body))
+			out.Messages = append(out.Messages, m.send(member, body))
 		}
 	}
 	return out
 }
 
-// installPause is the part of RetryAfter after which a member of the wanted chain is asked again.
+// installPause is the part of RetryInterval after which a member of the wanted chain is asked again.
 const installPause = 3
 
 // pushInstall asks again for what has not been stored, and goes on without those that are too slow.
-func (m *Machine) pushInstall() Output {
+func (m *Machine) pushInstall() Ready {
 	a := m.attempt
 	if a.begun == 0 || a.proposal != nil {
-		return Output{}
+		return Ready{}
 	}
-	if m.now-a.begun >= m.options.InstallFor {
+	if m.now-a.begun >= m.config.InstallTimeout {
 		return m.voteWithout()
 	}
-	if m.now-a.askedAt < m.options.RetryAfter/installPause {
-		return Output{}
+	if m.now-a.askedAt < m.config.RetryInterval/installPause {
+		return Ready{}
 	}
 	return m.askInstall()
 }
 
 // voteWithout puts the wanted view to the vote with the part of its chain that has the state. A newcomer that has not gets
 // no vote either: then the attempt ends, and the next one leaves it out.
-func (m *Machine) voteWithout() Output {
+func (m *Machine) voteWithout() Ready {
 	a := m.attempt
 	var chain []Member
 	for _, member := range a.view.Chain {
@@ -284,7 +284,7 @@
 	}
 	if m.attempt == nil || len(chain) < m.leastChain(len(a.view.Voters)) {
 		m.attempt = nil
-		return Output{}
+		return Ready{}
 	}
 	a.view.Chain = chain
 	return m.vote(Proposal{View: a.view, Base: a.base})
@@ -293,52 +293,52 @@
 // slowFor is how long a member that did not store a state in time is left out of plans.
 const slowFor = 2 * time.Second
 
-func (m *Machine) onInstalled(from Member, body Installed) Output {
+func (m *Machine) onInstalled(from Member, body Installed) Ready {
 	a := m.attempt
 	if a == nil || a.proposal != nil || body.Epoch != a.epoch || body.Ballot != a.ballot || body.Base != a.base {
-		return Output{}
+		return Ready{}
 	}
 	a.installed[from] = true
 	for _, member := range a.view.Chain {
 		if !a.installed[member] {
-			return Output{}
+			return Ready{}
 		}
 	}
 	return m.vote(Proposal{View: a.view, Base: a.base})
 }
 
 // vote puts a proposal to the vote.
-func (m *Machine) vote(proposal Proposal) Output {
+func (m *Machine) vote(proposal Proposal) Ready {
 	m.attempt.proposal = &proposal
 	return m.ask(Accept{Ballot: m.attempt.ballot, Proposal: proposal})
 }
 
-func (m *Machine) onReject(body Reject) Output {
+func (m *Machine) onReject(body Reject) Ready {
 	if m.attempt == nil || body.Epoch != m.attempt.epoch {
-		return Output{}
+		return Ready{}
 	}
 	m.round = max(m.round, body.Promised.Round)
 	m.attempt = nil
 	place := time.Duration(m.self.Incarnation % 4) // two proposers do not try again together
-	m.attemptAfter = m.now + m.options.RetryAfter*(1+place)/2
-	return Output{}
+	m.attemptAfter = m.now + m.config.RetryInterval*(1+place)/2
+	return Ready{}
 }
 
-func (m *Machine) onAcceptReply(from Member, body AcceptReply) Output {
+func (m *Machine) onAcceptReply(from Member, body AcceptReply) Ready {
 	a := m.attempt
 	voter, known := m.voted(from)
 	if a == nil || !known || a.proposal == nil || body.Epoch != a.epoch || body.Ballot != a.ballot {
-		return Output{}
+		return Ready{}
 	}
 	a.accepts[voter] = true
 	if len(a.accepts) < majority(len(m.voters())) {
-		return Output{}
+		return Ready{}
 	}
 	proposal := *a.proposal
-	var out Output
+	var out Ready
 	for _, member := range union(m.voters(), proposal.View.Voters) {
 		if member.Address != m.self.Address {
-			out.Send = append(out.Send, m.send(member, Decided{Proposal: proposal}))
+			out.Messages = append(out.Messages, m.send(member, Decided{Proposal: proposal}))
 		}
 	}
 	out.add(m.onDecided(proposal))
--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -10,10 +10,10 @@
 )
 
 // Submit takes an order of the operator. Its end comes as a Reply with the same id.
-func (m *Machine) Submit(now time.Duration, id uint64, order operator.Order) Output {
+func (m *Machine) Submit(now time.Duration, id uint64, order operator.Order) Ready {
 	m.now = max(now, m.now)
 	if m.view.Head() != m.self || !m.healthy {
-		return Output{Replies: []Reply{{ID: id, Err: errkind.New(errkind.OutcomeUnknown, "this member is not the head")}}}
+		return Ready{Replies: []Reply{{ID: id, Err: errkind.New(errkind.OutcomeUnknown, "this member is not the head")}}}
 	}
 	m.queue = append(m.queue, submission{id, order})
 	return m.serve()
@@ -25,22 +25,22 @@
 }
 
 // serve takes orders from the queue until one is under way.
-func (m *Machine) serve() Output {
-	var out Output
+func (m *Machine) serve() Ready {
+	var out Ready
 	for len(m.queue) > 0 && m.takesOrders() {
 		next := m.queue[0]
-		if revision, taken := m.copied.agreed.Accepted(next.order.Digest()); taken {
+		if revision, taken := m.log.agreed.Accepted(next.order.Digest()); taken {
 			m.queue = m.queue[1:]
 			out.Replies = append(out.Replies, Reply{ID: next.id, Revision: revision})
 			continue
 		}
-		state, err := m.copied.state.Apply(next.order)
+		state, err := m.log.state.Apply(next.order)
 		if err != nil {
 			m.queue = m.queue[1:]
 			out.Replies = append(out.Replies, Reply{ID: next.id, Err: err, Unconfirmed: true, Epoch: m.view.Epoch})
 			continue
 		}
-		stored, _ := m.store(Entry{Epoch: m.view.Epoch, Seq: m.copied.seq + 1, Order: next.order, History: state.History()})
+		stored, _ := m.store(Entry{Epoch: m.view.Epoch, Seq: m.log.seq + 1, Order: next.order, History: state.History()})
 		out.add(stored)
 	}
 	return out
@@ -49,69 +49,69 @@
 // takesOrders tells whether this member may take an order now: it is the head of a chain with copies enough, and has none
 // under way.
 func (m *Machine) takesOrders() bool {
-	return !m.copied.pending() && m.holds && !m.sealed() && m.view.Head() == m.self && len(m.view.Chain) > m.options.Tolerated
+	return !m.log.pending() && m.holds && !m.sealed() && m.view.Head() == m.self && len(m.view.Chain) > m.config.MaxFailures
 }
 
 // store takes an entry into this member's copy and hands it on; false: it does not follow this copy.
-func (m *Machine) store(entry Entry) (Output, bool) {
-	next, err := m.copied.add(entry)
+func (m *Machine) store(entry Entry) (Ready, bool) {
+	next, err := m.log.add(entry)
 	if err != nil {
-		return Output{}, false
+		return Ready{}, false
 	}
-	m.copied = next
+	m.log = next
 	m.pendingSince, m.sentAt = m.now, m.now
-	out := Output{Save: []Record{SaveEntry{Entry: entry}}}
+	out := Ready{Records: []Record{SaveEntry{Entry: entry}}}
 	out.add(m.forward())
 	return out, true
 }
 
 // forward hands the newest entry to the next member, or tells that it is committed.
-func (m *Machine) forward() Output {
+func (m *Machine) forward() Ready {
 	place := slices.Index(m.view.Chain, m.self)
-	last, kept := m.copied.last()
-	if !kept || place < 0 || last.Epoch != m.view.Epoch || last.Seq != m.copied.seq {
-		return Output{}
+	last, kept := m.log.last()
+	if !kept || place < 0 || last.Epoch != m.view.Epoch || last.Seq != m.log.seq {
+		return Ready{}
 	}
 	if place+1 < len(m.view.Chain) {
-		return Output{Send: []Envelope{m.send(m.view.Chain[place+1], Append{Entry: last})}}
+		return Ready{Messages: []Envelope{m.send(m.view.Chain[place+1], Append{Entry: last})}}
 	}
-	var out Output
+	var out Ready
 	for _, member := range m.view.Chain[:place] {
-		out.Send = append(out.Send, m.send(member, Committed{Epoch: m.view.Epoch, Seq: m.copied.seq}))
+		out.Messages = append(out.Messages, m.send(member, Committed{Epoch: m.view.Epoch, Seq: m.log.seq}))
 	}
-	out.add(m.commit(m.copied.seq))
+	out.add(m.commit(m.log.seq))
 	return out
 }
 
-func (m *Machine) onAppend(entry Entry) Output {
+func (m *Machine) onAppend(entry Entry) Ready {
 	if entry.Epoch != m.view.Epoch || m.sealed() || !m.follows() || !m.healthy {
-		return Output{}
+		return Ready{}
 	}
 	switch {
-	case entry.Seq == m.copied.seq+1:
-		out := m.commit(m.copied.seq) // the head sends one entry at a time
+	case entry.Seq == m.log.seq+1:
+		out := m.commit(m.log.seq) // the head sends one entry at a time
 		stored, _ := m.store(entry)
 		out.add(stored)
 		return out
-	case entry.position() == m.copied.newest():
+	case entry.position() == m.log.newest():
 		return m.forward()
 	}
-	return Output{}
+	return Ready{}
 }
 
-func (m *Machine) onCommitted(body Committed) Output {
+func (m *Machine) onCommitted(body Committed) Ready {
 	if body.Epoch != m.view.Epoch {
-		return Output{}
+		return Ready{}
 	}
 	return m.commit(body.Seq)
 }
 
 // commit notes that an entry is on every member of the chain.
-func (m *Machine) commit(seq uint64) Output {
-	if seq != m.copied.seq || !m.copied.pending() {
-		return Output{}
+func (m *Machine) commit(seq uint64) Ready {
+	if seq != m.log.seq || !m.log.pending() {
+		return Ready{}
 	}
-	m.copied, m.pendingSince = m.copied.commit(seq), 0
+	m.log, m.pendingSince = m.log.commit(seq), 0
 	return m.serve()
 }
 
@@ -119,7 +119,7 @@
 // have pulled the entry after it told the proposer what it has: the next view then begins without the entry, so that from such
 // a member nothing is learned.
 func (m *Machine) learnCommitted() {
-	if !m.copied.pending() || !m.follows() || m.sealed() {
+	if !m.log.pending() || !m.follows() || m.sealed() {
 		return
 	}
 	for _, member := range m.view.Chain {
@@ -128,31 +128,31 @@
 		}
 		p := m.peers[member.Address]
 		if p == nil || p.member != member || p.status.Epoch != m.view.Epoch || p.status.Sealed ||
-			p.status.Seq < m.copied.seq {
+			p.status.Seq < m.log.seq {
 			return
 		}
 	}
-	m.copied, m.pendingSince = m.copied.commit(m.copied.seq), 0
+	m.log, m.pendingSince = m.log.commit(m.log.seq), 0
 }
 
 // resend hands an entry down again that is not committed yet, and takes orders that had to wait.
-func (m *Machine) resend() Output {
+func (m *Machine) resend() Ready {
 	if m.view.Head() != m.self {
 		return m.refuseQueue()
 	}
-	if !m.copied.pending() {
+	if !m.log.pending() {
 		return m.serve()
 	}
-	if m.sealed() || m.now-m.sentAt < m.options.RetryAfter {
-		return Output{}
+	if m.sealed() || m.now-m.sentAt < m.config.RetryInterval {
+		return Ready{}
 	}
 	m.sentAt = m.now
 	return m.forward()
 }
 
 // refuseQueue ends the orders of a member that is no longer the head: whether one of them was taken is not known here.
-func (m *Machine) refuseQueue() Output {
-	var out Output
+func (m *Machine) refuseQueue() Ready {
+	var out Ready
 	for _, waiting := range m.queue {
 		err := errkind.New(errkind.OutcomeUnknown, "this member is no longer the head")
 		out.Replies = append(out.Replies, Reply{ID: waiting.id, Err: err})
@@ -161,8 +161,8 @@
 	return out
 }
 
-// IsRefusal tells whether an error refuses an order for good.
-func IsRefusal(err error) bool {
+// IsRejection tells whether an error refuses an order for good.
+func IsRejection(err error) bool {
 	var fault *errkind.Error
 	return errors.As(err, &fault) && (fault.Kind == errkind.InvalidConfig || fault.Kind == errkind.VersionConflict)
 }
--- a/internal/fleet/replica/copy.go
+++ b/internal/fleet/replica/copy.go
@@ -17,10 +17,10 @@
 // errReplaced says that an entry does not follow the state that is there.
 var errReplaced = errors.New("replica: the entry does not follow this copy")
 
-// Copy is a member's copy of the replicated state: the newest state that it stored, which is at most one order ahead
+// Log is a member's copy of the replicated state: the newest state that it stored, which is at most one order ahead
 // of the newest one that it knows to be committed, and the entries that led there, as far as they are kept. It is never
 // changed in place.
-type Copy struct {
+type Log struct {
 	seq       uint64
 	state     *operator.State
 	committed uint64
@@ -30,43 +30,43 @@
 	keptBytes int
 }
 
-// loadCopy makes a copy from a snapshot; nil stands for the state before the first order.
-func loadCopy(snapshot *Snapshot) (Copy, error) {
+// newLog makes a copy from a snapshot; nil stands for the state before the first order.
+func newLog(snapshot *Snapshot) (Log, error) {
 	if snapshot == nil {
-		return copyOf(0, operator.NewState()), nil
+		return logAt(0, operator.NewState()), nil
 	}
 	state, err := operator.FromSnapshot(snapshot.State)
 	if err != nil {
-		return Copy{}, err
+		return Log{}, err
 	}
-	return copyOf(snapshot.Seq, state), nil
+	return logAt(snapshot.Seq, state), nil
 }
 
-// copyOf makes a copy that is at a committed state.
-func copyOf(seq uint64, state *operator.State) Copy {
-	return Copy{seq: seq, state: state, committed: seq, agreed: state, keptAfter: positionOf(seq, state),
+// logAt makes a copy that is at a committed state.
+func logAt(seq uint64, state *operator.State) Log {
+	return Log{seq: seq, state: state, committed: seq, agreed: state, keptAfter: positionOf(seq, state),
 		kept: immutable.NewList[Entry]()}
 }
 
 // newest is the position of the newest state that is stored.
-func (c Copy) newest() Position { return positionOf(c.seq, c.state) }
+func (c Log) newest() Position { return positionOf(c.seq, c.state) }
 
 // settled is the position of the newest state that is known to be committed.
-func (c Copy) settled() Position { return positionOf(c.committed, c.agreed) }
+func (c Log) settled() Position { return positionOf(c.committed, c.agreed) }
 
 // pending tells whether there is an entry that is not known to be committed.
-func (c Copy) pending() bool { return c.seq > c.committed }
+func (c Log) pending() bool { return c.seq > c.committed }
 
 // holds tells whether the copy is at a position, or was before the entry that is not known to be committed.
-func (c Copy) holds(at Position) bool { return c.newest() == at || c.settled() == at }
+func (c Log) holds(at Position) bool { return c.newest() == at || c.settled() == at }
 
 // passes tells whether the committed part of the copy has gone through a committed position.
-func (c Copy) passes(at Position) bool {
+func (c Log) passes(at Position) bool {
 	return c.committed > at.Seq || c.settled() == at
 }
 
 // add gives the copy with one more entry. The one before is committed then: an order is handed on only after that.
-func (c Copy) add(entry Entry) (Copy, error) {
+func (c Log) add(entry Entry) (Log, error) {
 	if entry.Seq != c.seq+1 {
 		return c, errReplaced
 	}
@@ -85,7 +85,7 @@
 }
 
 // trim forgets the oldest entries beyond the bounds, never the newest one.
-func (c Copy) trim() Copy {
+func (c Log) trim() Log {
 	for c.kept.Len() > 1 && (c.kept.Len() > mostKept || c.keptBytes > mostKeptBytes) {
 		first := c.kept.Get(0)
 		c.keptAfter = first.position()
@@ -96,7 +96,7 @@
 }
 
 // commit gives the copy with everything up to a place committed. Only the newest entry can be uncommitted.
-func (c Copy) commit(seq uint64) Copy {
+func (c Log) commit(seq uint64) Log {
 	if seq >= c.seq {
 		c.committed, c.agreed = c.seq, c.state
 	}
@@ -104,7 +104,7 @@
 }
 
 // drop gives the copy without the entry that is not known to be committed.
-func (c Copy) drop() Copy {
+func (c Log) drop() Log {
 	if !c.pending() {
 		return c
 	}
@@ -116,7 +116,7 @@
 }
 
 // last is the newest entry, if it is kept.
-func (c Copy) last() (Entry, bool) {
+func (c Log) last() (Entry, bool) {
 	if c.kept.Len() == 0 {
 		return Entry{}, false
 	}
@@ -124,7 +124,7 @@
 }
 
 // index gives the place among the kept entries of the first one after a position of this copy's past.
-func (c Copy) index(from Position) (int, bool) {
+func (c Log) index(from Position) (int, bool) {
 	if from == c.keptAfter {
 		return 0, true
 	}
@@ -136,8 +136,8 @@
 	return place, previous.History == from.History
 }
 
-// Between gives the committed entries after one place up to another, nil where they are not all kept.
-func (c Copy) Between(from, to uint64) []Entry {
+// Entries gives the committed entries after one place up to another, nil where they are not all kept.
+func (c Log) Entries(from, to uint64) []Entry {
 	if from < c.keptAfter.Seq || to > c.committed || from >= to {
 		return nil
 	}
--- a/internal/fleet/replica/exhaustive_test.go
+++ b/internal/fleet/replica/exhaustive_test.go
@@ -54,14 +54,14 @@
 type parents map[operator.Digest]Position
 
 type explorer struct {
-	options Options
+	options Config
 	parents parents
 	faulty  planted
 }
 
-func exploredOptions() Options {
-	options := DefaultOptions()
-	options.Tolerated = 1
+func exploredOptions() Config {
+	options := DefaultConfig()
+	options.MaxFailures = 1
 	return options
 }
 
@@ -116,27 +116,27 @@
 }
 
 // step has a member do something, stores what it wants stored, and puts its messages on their way.
-func (e *explorer) step(s *explored, place int, run func(m *Machine) Output) {
+func (e *explorer) step(s *explored, place int, run func(m *Machine) Ready) {
 	member := &s.members[place]
 	machine := cloneMachine(member.machine)
 	member.machine = machine
-	pending := []func(m *Machine) Output{run}
+	pending := []func(m *Machine) Ready{run}
 	for len(pending) > 0 {
 		out := pending[0](machine)
 		pending = pending[1:]
-		for _, record := range out.Save {
+		for _, record := range out.Records {
 			e.store(&member.disk, record)
 		}
-		for _, envelope := range out.Send {
+		for _, envelope := range out.Messages {
 			if envelope.To.Address == machine.self.Address {
-				pending = append(pending, func(m *Machine) Output { return m.Step(1, envelope) })
+				pending = append(pending, func(m *Machine) Ready { return m.Step(1, envelope) })
 				continue
 			}
 			s.flying = append(s.flying, envelope)
 		}
 		for _, reply := range out.Replies {
 			if reply.Err == nil {
-				at := machine.copied.settled()
+				at := machine.log.settled()
 				s.acked[at.History] = at
 			}
 		}
@@ -167,10 +167,10 @@
 }
 
 func (e *explorer) noteHistory(m *Machine) {
-	if last, kept := m.copied.last(); kept {
-		before := m.copied.keptAfter
-		if m.copied.kept.Len() > 1 {
-			previous := m.copied.kept.Get(m.copied.kept.Len() - 2)
+	if last, kept := m.log.last(); kept {
+		before := m.log.keptAfter
+		if m.log.kept.Len() > 1 {
+			previous := m.log.kept.Get(m.log.kept.Len() - 2)
 			before = previous.position()
 		}
 		e.parents[last.History] = before
@@ -203,7 +203,7 @@
 		name := fmt.Sprintf("%T %s>%s", envelope.Body, envelope.From.Address, envelope.To.Address)
 		move(name, func(n *explored) {
 			n.flying = slices.Delete(n.flying, i, i+1)
-			e.step(n, place, func(m *Machine) Output { return m.Step(1, envelope) })
+			e.step(n, place, func(m *Machine) Ready { return m.Step(1, envelope) })
 		})
 		if asks(envelope.Body) {
 			move(name+" and back", func(n *explored) { e.roundTrip(n, i, place) })
@@ -224,7 +224,7 @@
 // asks tells whether a message wants an answer.
 func asks(body Message) bool {
 	switch body.(type) {
-	case Prepare, Install, Accept, Append, Pull:
+	case Prepare, Install, Accept, Append, FetchRequest:
 		return true
 	}
 	return false
@@ -236,7 +236,7 @@
 	envelope := s.flying[at]
 	s.flying = slices.Delete(s.flying, at, at+1)
 	before := len(s.flying)
-	e.step(s, place, func(m *Machine) Output { return m.Step(1, envelope) })
+	e.step(s, place, func(m *Machine) Ready { return m.Step(1, envelope) })
 	sender := slices.IndexFunc(s.members, func(m exploredMember) bool { return m.disk.Self.Address == envelope.From.Address })
 	answers := slices.Clone(s.flying[before:])
 	s.flying = s.flying[:before]
@@ -245,7 +245,7 @@
 			s.flying = append(s.flying, answer)
 			continue
 		}
-		e.step(s, sender, func(m *Machine) Output { return m.Step(1, answer) })
+		e.step(s, sender, func(m *Machine) Ready { return m.Step(1, answer) })
 	}
 }
 
@@ -263,9 +263,9 @@
 		move("order", func(n *explored) {
 			n.left.orders--
 			n.ids++
-			base := machine.copied.agreed.Document.Revision
+			base := machine.log.agreed.Document.Revision
 			order := operator.Order{Method: "PATCH", Base: base, Body: fmt.Appendf(nil, `{"Revision":%d,"By":"m%d"}`, base+1, i)}
-			e.step(n, i, func(m *Machine) Output { return m.Submit(1, n.ids, order) })
+			e.step(n, i, func(m *Machine) Ready { return m.Submit(1, n.ids, order) })
 		})
 	}
 	if s.left.attempts > 0 && machine.isVoter() && machine.holdsAll() && machine.attempt == nil {
@@ -273,7 +273,7 @@
 			if without != i {
 				move(fmt.Sprintf("propose without m%d", without), func(n *explored) {
 					n.left.attempts--
-					e.step(n, i, func(m *Machine) Output { return m.propose(e.viewWithout(n, m, without)) })
+					e.step(n, i, func(m *Machine) Ready { return m.propose(e.viewWithout(n, m, without)) })
 				})
 			}
 		}
@@ -353,7 +353,7 @@
 		}
 		for _, member := range s.members {
 			m := member.machine
-			if m.view.Epoch == newest && m.follows() && !e.leadsTo(m.copied.newest(), order) {
+			if m.view.Epoch == newest && m.follows() && !e.leadsTo(m.log.newest(), order) {
 				return fmt.Sprintf("%s, in the chain of the newest view, lacks order %d", m.self.Address, order.Seq)
 			}
 		}
@@ -366,7 +366,7 @@
 	var text strings.Builder
 	for _, member := range s.members {
 		m := member.machine
-		fmt.Fprintln(&text, m.self, m.view, m.base, m.holds, m.copied.newest(), m.copied.settled(), m.promised, describeAccepted(m.accepted),
+		fmt.Fprintln(&text, m.self, m.view, m.base, m.holds, m.log.newest(), m.log.settled(), m.promised, describeAccepted(m.accepted),
 			m.round, len(m.queue))
 		if a := m.attempt; a != nil {
 			fmt.Fprintln(&text, a.ballot, a.view, a.base, a.begun > 0, a.installed, a.accepts, a.proposal != nil)
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -24,8 +24,8 @@
 	messages := map[string]Message{"Heartbeat": filled[Heartbeat](), "HeartbeatReply": filled[HeartbeatReply](),
 		"Prepare": filled[Prepare](), "Promise": filled[Promise](), "Reject": filled[Reject](), "Install": filled[Install](),
 		"Installed": filled[Installed](), "Accept": filled[Accept](), "AcceptReply": filled[AcceptReply](),
-		"Decided": filled[Decided](), "Append": filled[Append](), "Committed": filled[Committed](), "Pull": filled[Pull](),
-		"Orders": filled[Orders](), "Piece": filled[Piece]()}
+		"Decided": filled[Decided](), "Append": filled[Append](), "Committed": filled[Committed](), "Pull": filled[FetchRequest](),
+		"Orders": filled[FetchReply](), "Piece": filled[SnapshotChunk]()}
 	for name, message := range messages {
 		envelope := Envelope{Body: message}
 		wiretest.Fill(&envelope)
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	snapshot.Document = state.Document.JSON()
 	stored := Stored{Self: Member{Address: "10.0.0.1:7680", Incarnation: 42}, Snapshot: &Snapshot{Seq: 7, State: snapshot}}
-	m, err := New(DefaultOptions(), stored, time.Second)
+	m, err := New(DefaultConfig(), stored, time.Second)
 	require.NoError(t, err)
 	fresh := m.snapshot().bytes
 	golden := wiretest.Golden(t, "snapshot-in-pieces", fresh)
--- a/internal/fleet/replica/liveness.go
+++ b/internal/fleet/replica/liveness.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Beat sends a heartbeat to every known control process.
-func (m *Machine) Beat(now time.Duration) Output {
+// Heartbeat sends a heartbeat to every known control process.
+func (m *Machine) Heartbeat(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	m.beatAt = m.now
-	var out Output
+	var out Ready
 	body := Heartbeat{Stamp: m.now, Status: m.Status(), Learned: m.addresses()}
 	for _, address := range m.peerAddresses() {
-		out.Send = append(out.Send, m.send(Member{Address: address}, body))
+		out.Messages = append(out.Messages, m.send(Member{Address: address}, body))
 	}
 	return out
 }
 
-func (m *Machine) onHeartbeat(from Member, body Heartbeat) Output {
-	m.Know([]string{from.Address})
-	m.Know(body.Learned)
+func (m *Machine) onHeartbeat(from Member, body Heartbeat) Ready {
+	m.AddPeers([]string{from.Address})
+	m.AddPeers(body.Learned)
 	reply := HeartbeatReply{Stamp: body.Stamp, Status: m.Status(), Learned: m.addresses()}
-	out := Output{Send: []Envelope{m.send(from, reply)}}
+	out := Ready{Messages: []Envelope{m.send(from, reply)}}
 	out.add(m.bringUp(from, body.Status))
 	return out
 }
 
 // bringUp tells a peer that is behind of the present view.
-func (m *Machine) bringUp(to Member, status Status) Output {
+func (m *Machine) bringUp(to Member, status Status) Ready {
 	if m.view.Epoch == 0 || status.Epoch >= m.view.Epoch {
-		return Output{}
+		return Ready{}
 	}
-	return Output{Send: []Envelope{m.send(to, Decided{Proposal: m.proposal()})}}
+	return Ready{Messages: []Envelope{m.send(to, Decided{Proposal: m.proposal()})}}
 }
 
 // proposal is the present view as it was agreed.
@@ -39,12 +39,12 @@
 	return Proposal{View: m.view, Base: m.base}
 }
 
-func (m *Machine) onHeartbeatReply(from Member, body HeartbeatReply) Output {
-	m.Know([]string{from.Address})
-	m.Know(body.Learned)
+func (m *Machine) onHeartbeatReply(from Member, body HeartbeatReply) Ready {
+	m.AddPeers([]string{from.Address})
+	m.AddPeers(body.Learned)
 	p := m.peers[from.Address]
 	if p == nil {
-		return Output{}
+		return Ready{}
 	}
 	if p.member.Incarnation != from.Incarnation {
 		p.confirmedAt, p.liveSince = 0, 0
@@ -65,7 +65,7 @@
 // watchPeers notes which peers have stopped answering.
 func (m *Machine) watchPeers() {
 	for _, p := range m.peers {
-		if p.liveSince > 0 && m.now-p.answeredAt > m.options.SuspectAfter {
+		if p.liveSince > 0 && m.now-p.answeredAt > m.config.FailureTimeout {
 			p.liveSince, p.goneSince = 0, m.now
 		}
 	}
@@ -94,7 +94,7 @@
 // justStarted tells whether this process is too young to expect an answer from a member of the chain.
 func (m *Machine) justStarted(member Member) bool {
 	p := m.peers[member.Address]
-	return p != nil && p.answeredAt == 0 && m.now-m.started < m.options.SuspectAfter && slices.Contains(m.view.Chain, member)
+	return p != nil && p.answeredAt == 0 && m.now-m.started < m.config.FailureTimeout && slices.Contains(m.view.Chain, member)
 }
 
 // settled tells whether a member has been reachable for long enough to be taken in.
@@ -102,7 +102,7 @@
 	if member == m.self {
 		return true
 	}
-	return m.reachable(member) && m.now-m.peers[member.Address].liveSince >= m.options.AddAfter
+	return m.reachable(member) && m.now-m.peers[member.Address].liveSince >= m.config.JoinDelay
 }
 
 // see tells whether two members reach each other, as far as is known here.
@@ -142,8 +142,8 @@
 	return times[len(times)-majority(len(times))]
 }
 
-// AllHere tells whether every other voter is reachable and has told that it is in this member's view.
-func (m *Machine) AllHere() bool {
+// AllVotersInView tells whether every other voter is reachable and has told that it is in this member's view.
+func (m *Machine) AllVotersInView() bool {
 	for _, voter := range m.view.Voters {
 		if voter != m.self && (!m.reachable(voter) || m.peers[voter.Address].status.Epoch != m.view.Epoch) {
 			return false
@@ -161,7 +161,7 @@
 	if !m.follows() {
 		return 0
 	}
-	if !m.copied.pending() {
+	if !m.log.pending() {
 		return m.confirmed()
 	}
 	return min(m.confirmed(), m.pendingSince)
@@ -182,7 +182,7 @@
 const forgetAfter = 30 * time.Second
 
 func (m *Machine) wanted(address string, p *peer) bool {
-	if p.liveSince > 0 || containsAddress(m.view.Voters, address) || slices.Contains(m.options.Seeds, address) ||
+	if p.liveSince > 0 || containsAddress(m.view.Voters, address) || slices.Contains(m.config.Seeds, address) ||
 		m.view.Epoch == 0 && slices.Contains(m.founders, address) {
 		return true
 	}
@@ -204,20 +204,20 @@
 
 // SetSeeds takes seeds that were exchanged. They are asked from now on; they found nothing.
 func (m *Machine) SetSeeds(addresses []string) {
-	m.options.Seeds = addresses
-	m.Know(addresses)
+	m.config.Seeds = addresses
+	m.AddPeers(addresses)
 }
 
 // Leave tells the other members that this one is about to end for good, so that they go on without it.
-func (m *Machine) Leave(now time.Duration) Output {
+func (m *Machine) Leave(now time.Duration) Ready {
 	m.leaving = true
-	return m.Beat(now)
+	return m.Heartbeat(now)
 }
 
 // Released tells whether a member that leaves is needed no more: it is no copy of the chain, it has no vote that another
 // could take, now or once that has caught up, and a majority of the voters has gone over to that view.
 func (m *Machine) Released() bool {
-	if m.view.Epoch == 0 || !m.options.Core {
+	if m.view.Epoch == 0 || !m.config.CanVote {
 		return true
 	}
 	if m.InChain() || m.sealed() || m.isVoter() && m.mayBeFollowed() {
--- a/internal/fleet/replica/machine.go
+++ b/internal/fleet/replica/machine.go
@@ -7,27 +7,27 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// Options are the free figures of a member.
-type Options struct {
-	Tolerated     int           // members that may be lost at once
-	Seeds         []string      // internal addresses that are always asked
-	Core          bool          // this member can be a voter
-	Heartbeat     time.Duration // between heartbeats
-	SuspectAfter  time.Duration // without an answered heartbeat
-	AddAfter      time.Duration // that a peer must be reachable before it is taken in
-	RetryAfter    time.Duration // before an unanswered message is sent again, and between the turns of proposers
-	AttemptFor    time.Duration // that a proposal may take
-	InstallFor    time.Duration // of it, for the chain to store the state with which it begins
-	FoundingPause time.Duration // that founders wait for further members once there are as many as wanted
-	FoundingGrace time.Duration // that founders wait for all of them before a majority founds with those that are there
-	TransferRate  int           // bytes a second at which a snapshot is pulled
+// Config are the free figures of a member.
+type Config struct {
+	MaxFailures       int           // members that may be lost at once
+	Seeds             []string      // internal addresses that are always asked
+	CanVote           bool          // this member can be a voter
+	HeartbeatInterval time.Duration // between heartbeats
+	FailureTimeout    time.Duration // without an answered heartbeat
+	JoinDelay         time.Duration // that a peer must be reachable before it is taken in
+	RetryInterval     time.Duration // before an unanswered message is sent again, and between the turns of proposers
+	ProposalTimeout   time.Duration // that a proposal may take
+	InstallTimeout    time.Duration // of it, for the chain to store the state with which it begins
+	BootstrapPause    time.Duration // that founders wait for further members once there are as many as wanted
+	BootstrapTimeout  time.Duration // that founders wait for all of them before a majority founds with those that are there
+	TransferRate      int           // bytes a second at which a snapshot is pulled
 }
 
-// DefaultOptions are the project's defaults.
-func DefaultOptions() Options {
-	return Options{Core: true, Heartbeat: 150 * time.Millisecond, SuspectAfter: 700 * time.Millisecond,
-		AddAfter: 500 * time.Millisecond, RetryAfter: 300 * time.Millisecond, AttemptFor: time.Second,
-		InstallFor: 500 * time.Millisecond, FoundingPause: 600 * time.Millisecond, FoundingGrace: 3 * time.Second,
+// DefaultConfig are the project's defaults.
+func DefaultConfig() Config {
+	return Config{CanVote: true, HeartbeatInterval: 150 * time.Millisecond, FailureTimeout: 700 * time.Millisecond,
+		JoinDelay: 500 * time.Millisecond, RetryInterval: 300 * time.Millisecond, ProposalTimeout: time.Second,
+		InstallTimeout: 500 * time.Millisecond, BootstrapPause: 600 * time.Millisecond, BootstrapTimeout: 3 * time.Second,
 		TransferRate: 4 << 20}
 }
 
@@ -39,7 +39,7 @@
 	view     View
 	base     Position // with which the view's chain begins
 	holds    bool     // the copy has passed through the base
-	copied   Copy
+	log      Log
 	promised Ballot
 	accepted *Accepted
 
@@ -48,7 +48,7 @@
 
 // Machine is one member. It is not safe for concurrent use.
 type Machine struct {
-	options Options
+	config Config
 	durable
 	founders     []string // the addresses whose majority agrees on the first view
 	healthy      bool
@@ -84,8 +84,8 @@
 }
 
 // New makes a member from what is on its disk.
-func New(options Options, stored Stored, now time.Duration) (*Machine, error) {
-	m := &Machine{options: options, healthy: true, now: now, started: now, peers: map[string]*peer{}}
+func New(options Config, stored Stored, now time.Duration) (*Machine, error) {
+	m := &Machine{config: options, healthy: true, now: now, started: now, peers: map[string]*peer{}}
 	m.self, m.founder, m.promised, m.accepted = stored.Self, stored.Founder, stored.Promised, stored.Accepted
 	m.founders = stored.Founders
 	if stored.View != nil {
@@ -95,39 +95,39 @@
 		return nil, err
 	}
 	m.round = m.promised.Round
-	m.Know(options.Seeds)
-	m.Know(m.founders)
+	m.AddPeers(options.Seeds)
+	m.AddPeers(m.founders)
 	m.knowView()
 	return m, nil
 }
 
 // load makes the copy from what is on the disk. Entries that another view has replaced are passed over.
 func (m *Machine) load(stored *Stored) error {
-	copied, err := loadCopy(stored.Snapshot)
+	copied, err := newLog(stored.Snapshot)
 	if err != nil {
 		return err
 	}
-	m.copied = copied
-	m.holds = m.copied.passes(m.base)
+	m.log = copied
+	m.holds = m.log.passes(m.base)
 	for i := range stored.Entries {
 		entry := stored.Entries[i]
 		if entry.Seq > m.base.Seq && (entry.Epoch != m.view.Epoch || !m.holds) {
 			break
 		}
-		next, err := m.copied.add(entry)
+		next, err := m.log.add(entry)
 		if err != nil { // it follows an entry that was replaced
 			break
 		}
-		m.copied = next
-		if m.copied.newest() == m.base {
-			m.copied, m.holds = m.copied.commit(m.base.Seq), true
+		m.log = next
+		if m.log.newest() == m.base {
+			m.log, m.holds = m.log.commit(m.base.Seq), true
 		}
 	}
 	return nil
 }
 
-// Know adds addresses of control processes.
-func (m *Machine) Know(addresses []string) {
+// AddPeers adds addresses of control processes.
+func (m *Machine) AddPeers(addresses []string) {
 	for _, address := range addresses {
 		if address != m.self.Address && address != "" && m.peers[address] == nil {
 			m.peers[address] = &peer{member: Member{Address: address}, goneSince: m.now}
@@ -137,7 +137,7 @@
 
 func (m *Machine) knowView() {
 	for _, voter := range m.view.Voters {
-		m.Know([]string{voter.Address})
+		m.AddPeers([]string{voter.Address})
 	}
 }
 
@@ -150,17 +150,17 @@
 // Healthy tells whether the last write to the disk went well.
 func (m *Machine) Healthy() bool { return m.healthy }
 
-// Agreed is the newest state that this member knows to be committed, with its place.
-func (m *Machine) Agreed() (uint64, *operator.State) { return m.copied.committed, m.copied.agreed }
+// Committed is the newest state that this member knows to be committed, with its place.
+func (m *Machine) Committed() (uint64, *operator.State) { return m.log.committed, m.log.agreed }
 
-// Copy is this member's copy of the replicated state.
-func (m *Machine) Copy() Copy { return m.copied }
+// Log is this member's copy of the replicated state.
+func (m *Machine) Log() Log { return m.log }
 
 // Status is what this member tells of itself.
 func (m *Machine) Status() Status {
-	return Status{Epoch: m.view.Epoch, Sealed: m.sealed(), Holds: m.view.Epoch > 0 && m.holds, Seq: m.copied.seq,
-		Committed: m.copied.committed, Healthy: m.healthy, Core: m.options.Core, Founder: m.founder, Leaving: m.leaving,
-		Young: m.now-m.started < m.options.SuspectAfter, Live: m.liveAddresses()}
+	return Status{Epoch: m.view.Epoch, Sealed: m.sealed(), Holds: m.view.Epoch > 0 && m.holds, Seq: m.log.seq,
+		Committed: m.log.committed, Healthy: m.healthy, Core: m.config.CanVote, Founder: m.founder, Leaving: m.leaving,
+		Young: m.now-m.started < m.config.FailureTimeout, Live: m.liveAddresses()}
 }
 
 // InChain tells whether this member is in the chain of its view.
@@ -208,10 +208,10 @@
 func (m *Machine) SetHealthy() { m.healthy = true }
 
 // Step takes a message.
-func (m *Machine) Step(now time.Duration, envelope Envelope) Output {
+func (m *Machine) Step(now time.Duration, envelope Envelope) Ready {
 	m.now = max(now, m.now)
 	if to := envelope.To.Incarnation; to != 0 && to != m.self.Incarnation {
-		return Output{}
+		return Ready{}
 	}
 	switch body := envelope.Body.(type) {
 	case Heartbeat:
@@ -238,23 +238,23 @@
 		return m.onAppend(body.Entry)
 	case Committed:
 		return m.onCommitted(body)
-	case Pull:
+	case FetchRequest:
 		return m.onPull(envelope.From, body)
-	case Orders:
+	case FetchReply:
 		return m.onOrders(envelope.From, body)
-	case Piece:
+	case SnapshotChunk:
 		return m.onPiece(envelope.From, body)
 	}
-	return Output{}
+	return Ready{}
 }
 
 // Tick lets time pass. It wants to be called some times in every heartbeat interval.
-func (m *Machine) Tick(now time.Duration) Output {
+func (m *Machine) Tick(now time.Duration) Ready {
 	m.now = max(now, m.now)
-	var out Output
+	var out Ready
 	m.watchPeers()
-	if m.now-m.beatAt >= m.options.Heartbeat {
-		out.add(m.Beat(now))
+	if m.now-m.beatAt >= m.config.HeartbeatInterval {
+		out.add(m.Heartbeat(now))
 	}
 	out.add(m.resend())
 	out.add(m.reconfigure())
--- a/internal/fleet/replica/plan.go
+++ b/internal/fleet/replica/plan.go
@@ -19,7 +19,7 @@
 	if len(chain) < m.leastChain(len(voters)) {
 		return next, false
 	}
-	stuck := m.sealed() && m.now-m.sealedAt > m.options.RetryAfter
+	stuck := m.sealed() && m.now-m.sealedAt > m.config.RetryInterval
 	return next, stuck || !sameSet(voters, m.view.Voters) || !sameSet(chain, m.view.Chain)
 }
 
@@ -27,7 +27,7 @@
 // processes that can be voters and are reached: the wanted number of them, or after a while enough to take orders.
 func (m *Machine) planFounding() (View, bool) {
 	var candidates []Member
-	if m.options.Core {
+	if m.config.CanVote {
 		candidates = append(candidates, m.self)
 	}
 	foundersHere := 1
@@ -49,8 +49,8 @@
 		return view, false
 	}
 	waited := m.now - m.started
-	all := foundersHere == len(m.founders) && len(candidates) >= m.wantedVoters() && waited > m.options.FoundingPause
-	enough := len(candidates) > m.options.Tolerated && waited > m.options.FoundingGrace
+	all := foundersHere == len(m.founders) && len(candidates) >= m.wantedVoters() && waited > m.config.BootstrapPause
+	enough := len(candidates) > m.config.MaxFailures && waited > m.config.BootstrapTimeout
 	return view, all || enough
 }
 
@@ -61,12 +61,12 @@
 // wantedVoters is the number of voters of which a majority survives the losses that are tolerated. It is odd: one voter
 // more would raise the majority, but not the number of losses that it survives, and would let a cut into halves leave
 // none.
-func (m *Machine) wantedVoters() int { return 2*m.options.Tolerated + 1 }
+func (m *Machine) wantedVoters() int { return 2*m.config.MaxFailures + 1 }
 
 // leastChain is the least length of a chain: one copy more than may be lost, and long enough to share a member with
 // every majority of the voters.
 func (m *Machine) leastChain(voters int) int {
-	return max(min(m.options.Tolerated+1, voters), voters-majority(voters)+1)
+	return max(min(m.config.MaxFailures+1, voters), voters-majority(voters)+1)
 }
 
 // planVoters gives a place to members that stand by and takes it from those that leave or are gone. A place changes hands
@@ -116,7 +116,7 @@
 func (m *Machine) fillSeats(voters, candidates []Member) []Member {
 	candidates = slices.Clone(candidates)
 	room := min(m.wantedVoters(), len(voters)+len(candidates))
-	if room%2 == 0 && room > m.options.Tolerated+1 {
+	if room%2 == 0 && room > m.config.MaxFailures+1 {
 		room--
 	}
 	for len(voters) < room {
@@ -167,7 +167,7 @@
 	}
 	p := m.peers[member.Address]
 	return p != nil && p.status.Epoch == m.view.Epoch && p.status.Holds && m.now >= p.slowUntil &&
-		p.status.Committed+nearEnough >= m.copied.committed
+		p.status.Committed+nearEnough >= m.log.committed
 }
 
 // departing tells whether a member has said that it is about to end for good.
@@ -182,7 +182,7 @@
 // gone tells whether a voter does not answer any more.
 func (m *Machine) gone(voter Member) bool {
 	p := m.peers[voter.Address]
-	if p != nil && p.answeredAt == 0 && m.now-m.started < 2*m.options.SuspectAfter {
+	if p != nil && p.answeredAt == 0 && m.now-m.started < 2*m.config.FailureTimeout {
 		return false // this process is too young to expect an answer
 	}
 	return !m.reachable(voter)
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -329,7 +329,7 @@
 	order := w.order(1, 2, "limbo")
 	w.lastID++
 	w.pending[w.lastID] = order
-	w.step(head, func() Output { return head.machine.Submit(w.now, w.lastID, order) })
+	w.step(head, func() Ready { return head.machine.Submit(w.now, w.lastID, order) })
 	w.runUntil(w.now + 1500*time.Microsecond) // the next member may have it
 	w.crash(head)
 	for range 60 {
@@ -342,7 +342,7 @@
 
 func TestLeastChainSharesAMemberWithEveryMajority(t *testing.T) {
 	for tolerated := range 4 {
-		m := &Machine{options: Options{Tolerated: tolerated}}
+		m := &Machine{config: Config{MaxFailures: tolerated}}
 		for voters := 1; voters <= 13; voters++ {
 			require.Greater(t, m.leastChain(voters)+majority(voters), voters)
 			require.LessOrEqual(t, m.leastChain(voters), voters)
@@ -378,13 +378,13 @@
 	w = founded(t, 1, 3)
 	view := w.view()
 	n = w.nodeOf(view.Chain[1])
-	state, err := n.machine.copied.state.Apply(w.order(1, 2, "next"))
+	state, err := n.machine.log.state.Apply(w.order(1, 2, "next"))
 	require.NoError(t, err)
-	entry := Entry{Epoch: view.Epoch, Seq: n.machine.copied.seq + 1, Order: w.order(1, 2, "next"), History: state.History()}
-	w.step(n, func() Output {
+	entry := Entry{Epoch: view.Epoch, Seq: n.machine.log.seq + 1, Order: w.order(1, 2, "next"), History: state.History()}
+	w.step(n, func() Ready {
 		return n.machine.Step(w.now, Envelope{From: view.Head(), To: n.machine.Self(), Body: Append{Entry: entry}})
 	})
-	require.True(t, n.machine.copied.pending())
+	require.True(t, n.machine.log.pending())
 	others = map[Member]Status{}
 	for _, member := range view.Chain {
 		if member != n.machine.Self() {
@@ -398,7 +398,7 @@
 
 func (w *world) hear(n *node, others map[Member]Status) {
 	for member, status := range others {
-		w.step(n, func() Output {
+		w.step(n, func() Ready {
 			return n.machine.Step(w.now, Envelope{From: member, To: n.machine.Self(), Body: HeartbeatReply{Stamp: w.now, Status: status}})
 		})
 	}
@@ -407,7 +407,7 @@
 func TestAnEntryThatTheWholeChainHasIsCommitted(t *testing.T) {
 	w, n, others := pendingMember(t)
 	w.hear(n, others)
-	require.False(t, n.machine.copied.pending())
+	require.False(t, n.machine.log.pending())
 }
 
 // A member that promised the next epoch told what it had then. An entry that it pulls afterwards may be on the whole chain and
@@ -415,12 +415,12 @@
 func TestAnEntryPulledAfterAPromiseIsNotTakenForCommitted(t *testing.T) {
 	w, n, others := pendingMember(t)
 	proposer := w.view().Head()
-	w.step(n, func() Output {
+	w.step(n, func() Ready {
 		prepare := Prepare{Epoch: n.machine.View().Epoch + 1, Ballot: Ballot{Round: 7, Proposer: proposer}}
 		return n.machine.Step(w.now, Envelope{From: proposer, To: n.machine.Self(), Body: prepare})
 	})
 	w.hear(n, others)
-	require.True(t, n.machine.copied.pending(), "it has promised itself")
+	require.True(t, n.machine.log.pending(), "it has promised itself")
 
 	w, n, others = pendingMember(t)
 	for member, status := range others {
@@ -429,5 +429,5 @@
 		break
 	}
 	w.hear(n, others)
-	require.True(t, n.machine.copied.pending(), "another member of the chain has promised")
+	require.True(t, n.machine.log.pending(), "another member of the chain has promised")
 }
--- a/internal/fleet/replica/transfer.go
+++ b/internal/fleet/replica/transfer.go
@@ -58,7 +58,7 @@
 // goal is the state that this member lacks and whom it asks for it.
 func (m *Machine) goal() (want Position, sources []Member, needed bool) {
 	if install := m.transfer.install; install != nil {
-		if m.now-install.since < installLife && !m.copied.holds(install.request.Base) {
+		if m.now-install.since < installLife && !m.log.holds(install.request.Base) {
 			return install.request.Base, []Member{install.request.Source}, true
 		}
 		m.transfer.install = nil
@@ -71,7 +71,7 @@
 		if p == nil || !m.reachable(member) || p.status.Epoch < m.view.Epoch || !p.status.Holds {
 			continue
 		}
-		if p.status.Committed > m.copied.committed {
+		if p.status.Committed > m.log.committed {
 			sources = append(sources, member)
 		}
 	}
@@ -79,27 +79,27 @@
 }
 
 // pull asks for what this member lacks, one message at a time.
-func (m *Machine) pull() Output {
+func (m *Machine) pull() Ready {
 	t := &m.transfer
 	want, sources, needed := m.goal()
 	if !needed {
 		t.asked, t.unanswered = false, 0
-		return Output{}
+		return Ready{}
 	}
-	if t.asked && m.now-t.askedAt >= m.options.RetryAfter {
+	if t.asked && m.now-t.askedAt >= m.config.RetryInterval {
 		t.asked = false
 		t.unanswered++
 	}
 	if t.asked || m.now < t.notBefore {
-		return Output{}
+		return Ready{}
 	}
 	if !slices.Contains(sources, t.source) || t.unanswered >= mostUnanswered {
 		t.source = m.nextSource(sources)
 		t.unanswered = 0
 	}
 	t.asked, t.askedAt = true, m.now
-	body := Pull{Have: m.copied.settled(), Want: want, Snapshot: t.incoming.position, Piece: len(t.incoming.pieces)}
-	return Output{Send: []Envelope{m.send(t.source, body)}}
+	body := FetchRequest{Have: m.log.settled(), Want: want, Snapshot: t.incoming.position, Piece: len(t.incoming.pieces)}
+	return Ready{Messages: []Envelope{m.send(t.source, body)}}
 }
 
 // nextSource gives the member after the present source, from the end of the chain on: the head has the most to do.
@@ -121,18 +121,18 @@
 	return true
 }
 
-func (m *Machine) onOrders(from Member, body Orders) Output {
-	if !m.answered(from) || body.From != m.copied.settled() {
-		return Output{}
+func (m *Machine) onOrders(from Member, body FetchReply) Ready {
+	if !m.answered(from) || body.From != m.log.settled() {
+		return Ready{}
 	}
-	var out Output
+	var out Ready
 	for _, entry := range body.Entries {
 		saved, ok := m.takeEntry(entry)
 		if !ok {
-			m.transfer.notBefore = m.now + m.options.RetryAfter
+			m.transfer.notBefore = m.now + m.config.RetryInterval
 			break
 		}
-		out.Save = append(out.Save, saved...)
+		out.Records = append(out.Records, saved...)
 	}
 	m.settle(body.Committed)
 	out.add(m.installed())
@@ -142,32 +142,32 @@
 
 // takeEntry takes an entry that was pulled, in place of an uncommitted one that it replaces.
 func (m *Machine) takeEntry(entry Entry) ([]Record, bool) {
-	if newest, kept := m.copied.last(); kept && newest.position() == entry.position() {
+	if newest, kept := m.log.last(); kept && newest.position() == entry.position() {
 		return nil, true
 	}
-	if entry.Seq == m.copied.seq {
-		m.copied = m.copied.drop()
+	if entry.Seq == m.log.seq {
+		m.log = m.log.drop()
 	}
-	next, err := m.copied.add(entry)
+	next, err := m.log.add(entry)
 	if err != nil {
 		return nil, false
 	}
-	m.copied = next
+	m.log = next
 	return []Record{SaveEntry{Entry: entry}}, true
 }
 
 // settle notes what the source of orders knows to be committed.
 func (m *Machine) settle(committed uint64) {
-	if committed >= m.copied.seq {
-		m.copied = m.copied.commit(committed)
+	if committed >= m.log.seq {
+		m.log = m.log.commit(committed)
 		m.pendingSince = 0
 	}
-	m.holds = m.holds || m.copied.passes(m.base)
+	m.holds = m.holds || m.log.passes(m.base)
 }
 
-func (m *Machine) onPiece(from Member, body Piece) Output {
+func (m *Machine) onPiece(from Member, body SnapshotChunk) Ready {
 	if !m.answered(from) || sha256.Sum256(body.Bytes) != body.Sum {
-		return Output{}
+		return Ready{}
 	}
 	incoming := &m.transfer.incoming
 	if incoming.position != body.Snapshot || incoming.whole != body.Whole {
@@ -176,8 +176,8 @@
 	if body.Index == len(incoming.pieces) {
 		incoming.pieces = append(incoming.pieces, body.Bytes)
 	}
-	m.transfer.notBefore = m.now + time.Duration(len(body.Bytes))*time.Second/time.Duration(m.options.TransferRate)
-	var out Output
+	m.transfer.notBefore = m.now + time.Duration(len(body.Bytes))*time.Second/time.Duration(m.config.TransferRate)
+	var out Ready
 	if len(incoming.pieces) == incoming.count {
 		out = m.takeSnapshot()
 	}
@@ -186,21 +186,21 @@
 }
 
 // takeSnapshot goes over to a snapshot whose pieces are all there, if its digests are right.
-func (m *Machine) takeSnapshot() Output {
+func (m *Machine) takeSnapshot() Ready {
 	incoming := m.transfer.incoming
 	m.transfer.incoming = incomingSnapshot{}
 	snapshot, err := incoming.decode()
-	if err != nil || incoming.position.Seq <= m.copied.committed {
-		return Output{}
+	if err != nil || incoming.position.Seq <= m.log.committed {
+		return Ready{}
 	}
 	state, err := operator.FromSnapshot(snapshot)
 	if err != nil || state.History() != incoming.position.History {
-		return Output{}
+		return Ready{}
 	}
-	m.copied = copyOf(incoming.position.Seq, state)
+	m.log = logAt(incoming.position.Seq, state)
 	m.pendingSince = 0
-	m.holds = m.holds || m.copied.passes(m.base)
-	out := Output{Save: []Record{SaveSnapshot{Snapshot{Seq: incoming.position.Seq, State: snapshot}}}}
+	m.holds = m.holds || m.log.passes(m.base)
+	out := Ready{Records: []Record{SaveSnapshot{Snapshot{Seq: incoming.position.Seq, State: snapshot}}}}
 	out.add(m.installed())
 	return out
 }
@@ -220,12 +220,12 @@
 
 // ---- The state with which a chain begins ----
 
-func (m *Machine) onInstall(from Member, body Install) Output {
+func (m *Machine) onInstall(from Member, body Install) Ready {
 	if body.Epoch <= m.view.Epoch {
 		return m.bringUp(from, Status{Epoch: body.Epoch - 1})
 	}
 	if body.Epoch != m.view.Epoch+1 || !m.healthy {
-		return Output{}
+		return Ready{}
 	}
 	m.transfer.install = &pendingInstall{request: body, proposer: from, since: m.now}
 	out := m.installed()
@@ -234,35 +234,35 @@
 }
 
 // installed answers a proposer once the state that it wants is stored here.
-func (m *Machine) installed() Output {
+func (m *Machine) installed() Ready {
 	install := m.transfer.install
-	if install == nil || !m.copied.holds(install.request.Base) {
-		return Output{}
+	if install == nil || !m.log.holds(install.request.Base) {
+		return Ready{}
 	}
 	m.transfer.install = nil
 	body := Installed{Epoch: install.request.Epoch, Ballot: install.request.Ballot, Base: install.request.Base}
-	return Output{Send: []Envelope{m.send(install.proposer, body)}}
+	return Ready{Messages: []Envelope{m.send(install.proposer, body)}}
 }
 
 // ---- The member that has it ----
 
-func (m *Machine) onPull(from Member, body Pull) Output {
-	limit := m.copied.committed
-	if body.Want.Seq > 0 && body.Want == m.copied.newest() {
+func (m *Machine) onPull(from Member, body FetchRequest) Ready {
+	limit := m.log.committed
+	if body.Want.Seq > 0 && body.Want == m.log.newest() {
 		limit = body.Want.Seq
 	}
 	if limit <= body.Have.Seq {
-		return Output{}
+		return Ready{}
 	}
-	if first, known := m.copied.index(body.Have); known {
-		orders := Orders{From: body.Have, Entries: m.copied.batch(first, limit), Committed: m.copied.committed}
-		return Output{Send: []Envelope{m.send(from, orders)}}
+	if first, known := m.log.index(body.Have); known {
+		orders := FetchReply{From: body.Have, Entries: m.log.batch(first, limit), Committed: m.log.committed}
+		return Ready{Messages: []Envelope{m.send(from, orders)}}
 	}
-	return Output{Send: []Envelope{m.send(from, m.piece(body))}}
+	return Ready{Messages: []Envelope{m.send(from, m.piece(body))}}
 }
 
 // batch gives entries from a place on, as many as fit into one message.
-func (c Copy) batch(first int, limit uint64) []Entry {
+func (c Log) batch(first int, limit uint64) []Entry {
 	var entries []Entry
 	size := 0
 	for place := first; place < c.kept.Len(); place++ {
@@ -277,7 +277,7 @@
 }
 
 // piece gives the piece of a snapshot that a pull asks for, or the first one of a newer snapshot.
-func (m *Machine) piece(body Pull) Piece {
+func (m *Machine) piece(body FetchRequest) SnapshotChunk {
 	snapshot := m.snapshot()
 	index := 0
 	if body.Snapshot == snapshot.position {
@@ -286,7 +286,7 @@
 	count := (len(snapshot.bytes) + pieceSize - 1) / pieceSize
 	index = min(index, count-1)
 	part := snapshot.bytes[index*pieceSize : min((index+1)*pieceSize, len(snapshot.bytes))]
-	return Piece{Snapshot: snapshot.position, Index: index, Count: count, Bytes: part, Sum: sha256.Sum256(part),
+	return SnapshotChunk{Snapshot: snapshot.position, Index: index, Count: count, Bytes: part, Sum: sha256.Sum256(part),
 		Whole: snapshot.whole}
 }
 
@@ -294,15 +294,15 @@
 // there, so that pieces that were had are not pulled again.
 func (m *Machine) snapshot() *encodedSnapshot {
 	if held := m.transfer.outgoing; held != nil {
-		if _, leadsOn := m.copied.index(held.position); leadsOn && held.position.Seq <= m.copied.committed {
+		if _, leadsOn := m.log.index(held.position); leadsOn && held.position.Seq <= m.log.committed {
 			return held
 		}
 	}
 	var buffer bytes.Buffer
-	if err := gob.NewEncoder(&buffer).Encode(m.copied.agreed.Snapshot()); err != nil { // plain data
+	if err := gob.NewEncoder(&buffer).Encode(m.log.agreed.Snapshot()); err != nil { // plain data
 		panic(err)
 	}
 	packed := operator.Compress(buffer.Bytes())
-	m.transfer.outgoing = &encodedSnapshot{position: m.copied.settled(), bytes: packed, whole: sha256.Sum256(packed)}
+	m.transfer.outgoing = &encodedSnapshot{position: m.log.settled(), bytes: packed, whole: sha256.Sum256(packed)}
 	return m.transfer.outgoing
 }
--- a/internal/fleet/replica/types.go
+++ b/internal/fleet/replica/types.go
@@ -207,23 +207,23 @@
 	Seq   uint64
 }
 
-// Pull asks a member for what leads from the sender's copy to a newer state.
-type Pull struct {
+// FetchRequest asks a member for what leads from the sender's copy to a newer state.
+type FetchRequest struct {
 	Have     Position
 	Want     Position // the zero position: the newest committed one
 	Snapshot Position // of which pieces have come
 	Piece    int      // the next one of them
 }
 
-// Orders answers Pull with the entries that follow the position that the sender has.
-type Orders struct {
+// FetchReply answers Pull with the entries that follow the position that the sender has.
+type FetchReply struct {
 	From      Position
 	Entries   []Entry
 	Committed uint64
 }
 
-// Piece answers Pull with a part of an encoded snapshot.
-type Piece struct {
+// SnapshotChunk answers Pull with a part of an encoded snapshot.
+type SnapshotChunk struct {
 	Snapshot Position
 	Index    int
 	Count    int
@@ -278,16 +278,16 @@
 	Epoch       uint64
 }
 
-// Output is what a step asks for: store the records, then send the messages and give the replies.
-type Output struct {
-	Save    []Record
-	Send    []Envelope
-	Replies []Reply
+// Ready is what a step asks for: store the records, then send the messages and give the replies.
+type Ready struct {
+	Records  []Record
+	Messages []Envelope
+	Replies  []Reply
 }
 
-func (o *Output) add(other Output) {
-	o.Save = append(o.Save, other.Save...)
-	o.Send = append(o.Send, other.Send...)
+func (o *Ready) add(other Ready) {
+	o.Records = append(o.Records, other.Records...)
+	o.Messages = append(o.Messages, other.Messages...)
 	o.Replies = append(o.Replies, other.Replies...)
 }
 
@@ -295,18 +295,24 @@
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Address == address })
 }
 
-// HigherBallot gives the higher of two ballots.
-func HigherBallot(a, b Ballot) Ballot {
+// MaxBallot gives the higher of two ballots.
+func MaxBallot(a, b Ballot) Ballot {
 	if a.compare(b) >= 0 {
 		return a
 	}
 	return b
 }
 
+// wirePath precedes the names under which gob knows the messages. Two versions of the program understand each other by these
+// names, so a type that is renamed or moved keeps the name that it had on the wire.
+const wirePath = "linenwheel.dev/linenwheel/internal/fleet/replica."
+
 // RegisterMessages makes the messages known to gob, before the first one is sent or read.
 func RegisterMessages() {
-	for _, message := range []Message{Heartbeat{}, HeartbeatReply{}, Prepare{}, Promise{}, Reject{}, Install{}, Installed{},
-		Accept{}, AcceptReply{}, Decided{}, Append{}, Committed{}, Pull{}, Orders{}, Piece{}} {
-		gob.Register(message)
+	for name, message := range map[string]Message{"Heartbeat": Heartbeat{}, "HeartbeatReply": HeartbeatReply{}, "Prepare": Prepare{},
+		"Promise": Promise{}, "Reject": Reject{}, "Install": Install{}, "Installed": Installed{}, "Accept": Accept{},
+		"AcceptReply": AcceptReply{}, "Decided": Decided{}, "Append": Append{}, "Committed": Committed{}, "Pull": FetchRequest{},
+		"Orders": FetchReply{}, "Piece": SnapshotChunk{}} {
+		gob.RegisterName(wirePath+name, message)
 	}
 }
--- a/internal/fleet/replica/world_test.go
+++ b/internal/fleet/replica/world_test.go
@@ -148,9 +148,9 @@
 	w.now = end
 }
 
-func (w *world) options() Options {
-	options := DefaultOptions()
-	options.Tolerated = w.tolerated
+func (w *world) options() Config {
+	options := DefaultConfig()
+	options.MaxFailures = w.tolerated
 	options.Seeds = w.presentSeeds()
 	if w.transferRate > 0 {
 		options.TransferRate = w.transferRate
@@ -181,7 +181,7 @@
 	n.noted = 0
 	w.spoil(n)
 	options := w.options()
-	options.Core = !n.outside
+	options.CanVote = !n.outside
 	machine, err := New(options, n.disk, w.now)
 	if err != nil {
 		w.fail("%s cannot start: %v", n.address, err)
@@ -206,7 +206,7 @@
 		if err != nil {
 			return
 		}
-		snapshot := Snapshot{Seq: machine.copied.seq, State: machine.copied.state.Snapshot()}
+		snapshot := Snapshot{Seq: machine.log.seq, State: machine.log.state.Snapshot()}
 		snapshot.State.Digests, snapshot.State.Made = nil, nil
 		disk.Snapshot, disk.Entries = &snapshot, nil
 	}
@@ -216,7 +216,7 @@
 	if !n.up || n.life != life {
 		return
 	}
-	w.step(n, func() Output { return n.machine.Tick(w.now) })
+	w.step(n, func() Ready { return n.machine.Tick(w.now) })
 	w.checkNextLoss()
 	if n.up && !n.badDisk && !n.machine.Healthy() {
 		n.machine.SetHealthy()
@@ -225,7 +225,7 @@
 }
 
 // step runs a member's machine, stores, sends and replies.
-func (w *world) step(n *node, run func() Output) {
+func (w *world) step(n *node, run func() Ready) {
 	if !n.up {
 		return
 	}
@@ -235,16 +235,16 @@
 	}
 	before := n.machine.Checkpoint()
 	out := run()
-	if n.badDisk && len(out.Save) > 0 {
+	if n.badDisk && len(out.Records) > 0 {
 		n.machine.Rollback(before)
 		return
 	}
-	for _, record := range out.Save {
+	for _, record := range out.Records {
 		w.store(n, record)
 	}
 	w.noteView(n)
 	w.checkLease(n)
-	for _, envelope := range out.Send {
+	for _, envelope := range out.Messages {
 		w.post(n, envelope)
 	}
 	for _, reply := range out.Replies {
@@ -294,7 +294,7 @@
 		if w.cuts[[2]string{from.address, to.address}] {
 			return
 		}
-		w.step(to, func() Output { return to.machine.Step(w.now, envelope) })
+		w.step(to, func() Ready { return to.machine.Step(w.now, envelope) })
 	})
 }
 
@@ -318,18 +318,18 @@
 		if w.planted.committedEarly && len(chain) > 0 && chain[0] == from.machine.Self() {
 			early := Committed{Epoch: body.Entry.Epoch, Seq: body.Entry.Seq}
 			w.after(time.Millisecond, func() {
-				w.step(from, func() Output { return from.machine.Step(w.now, Envelope{To: from.machine.Self(), Body: early}) })
+				w.step(from, func() Ready { return from.machine.Step(w.now, Envelope{To: from.machine.Self(), Body: early}) })
 			})
 		}
 		if w.planted.anotherOrder && w.rand.IntN(5) == 0 {
 			body.Entry.Order.Body = append(slices.Clone(body.Entry.Order.Body), ' ')
-			next, err := from.machine.copied.drop().state.Apply(body.Entry.Order)
+			next, err := from.machine.log.drop().state.Apply(body.Entry.Order)
 			if err == nil {
 				body.Entry.History = next.History()
 				envelope.Body = body
 			}
 		}
-	case Piece:
+	case SnapshotChunk:
 		if w.garblePieces && w.rand.IntN(4) == 0 {
 			body.Bytes = slices.Clone(body.Bytes)
 			body.Bytes[w.rand.IntN(len(body.Bytes))] ^= 1
@@ -348,7 +348,7 @@
 		if voter.Address != envelope.From.Address && voter.Address != to.address {
 			forged := envelope
 			forged.From = voter
-			w.after(time.Millisecond, func() { w.step(to, func() Output { return to.machine.Step(w.now, forged) }) })
+			w.after(time.Millisecond, func() { w.step(to, func() Ready { return to.machine.Step(w.now, forged) }) })
 			return
 		}
 	}
@@ -386,7 +386,7 @@
 	if w.planted.leaseUnconfirmed {
 		confirmed = w.now
 	}
-	_, state := n.machine.Agreed()
+	_, state := n.machine.Committed()
 	for _, one := range w.ackedAt {
 		if one.at < confirmed && one.revision > state.Document.Revision {
 			w.fail("%s holds revision %d for the newest one at %v, %d was acknowledged at %v", n.address,
@@ -432,7 +432,7 @@
 }
 
 func (w *world) refused(order operator.Order, reply Reply) {
-	if one := w.orders[order.Digest()]; one != nil && IsRefusal(reply.Err) {
+	if one := w.orders[order.Digest()]; one != nil && IsRejection(reply.Err) {
 		w.calls = append(w.calls, operation{call: one.call, end: configEnd{known: true, refused: true}, began: w.sentAt[reply.ID], ended: w.now})
 	}
 	if revision, taken := w.acked[order.Digest()]; taken {
@@ -480,7 +480,7 @@
 	w.lastID++
 	id := w.lastID
 	w.pending[id], w.sentAt[id] = order, w.now
-	w.step(head, func() Output { return head.machine.Submit(w.now, id, order) })
+	w.step(head, func() Ready { return head.machine.Submit(w.now, id, order) })
 }
 
 // read reads at the tail that some member knows, and checks that no older version is given than was acknowledged before.
@@ -506,7 +506,7 @@
 		w.after(worldTick/5, func() { w.awaitRead(tail, life, since, newest, done) })
 		return
 	}
-	_, state := tail.machine.Agreed()
+	_, state := tail.machine.Committed()
 	if state.Document.Revision < newest {
 		w.fail("%s reads %d, %d was acknowledged before", tail.address, state.Document.Revision, newest)
 	}
@@ -530,7 +530,7 @@
 		return
 	}
 	n.leaving = true
-	w.step(n, func() Output { return n.machine.Leave(w.now) })
+	w.step(n, func() Ready { return n.machine.Leave(w.now) })
 	w.awaitRelease(n, n.life, w.now+within, then)
 }
 
--- a/internal/fleet/replica/worst_days_test.go
+++ b/internal/fleet/replica/worst_days_test.go
@@ -23,7 +23,7 @@
 	w.lastID++
 	id := w.lastID
 	w.pending[id] = order
-	w.step(head, func() Output { return head.machine.Submit(w.now, id, order) })
+	w.step(head, func() Ready { return head.machine.Submit(w.now, id, order) })
 }
 
 // isolate cuts a member off from all others.
@@ -83,7 +83,7 @@
 		cut.cutOff = false
 		w.runUntil(w.now + w.catchUp)
 		require.Contains(t, w.view().Chain, cut.machine.Self())
-		_, state := cut.machine.Agreed()
+		_, state := cut.machine.Committed()
 		require.Equal(t, w.newest(), state.Document.Revision)
 		require.Empty(t, w.problems())
 	}
@@ -223,12 +223,12 @@
 			}
 			w.start(away)
 			began := w.now
-			for !away.machine.InChain() || away.machine.Copy().seq < uint64(changes) {
+			for !away.machine.InChain() || away.machine.Log().seq < uint64(changes) {
 				w.runUntil(w.now + 10*time.Millisecond)
 				require.Less(t, w.now-began, w.catchUp, "%d changes, wiped %v", changes, wiped)
 			}
 			t.Logf("%d changes, wiped %v: in the chain with everything after %v", changes, wiped, w.now-began)
-			require.LessOrEqual(t, away.machine.copied.kept.Len(), mostKept)
+			require.LessOrEqual(t, away.machine.log.kept.Len(), mostKept)
 			require.Empty(t, w.problems())
 		}
 	}
@@ -243,7 +243,7 @@
 		w.isolate(head)
 		lost := w.order(1, 2, "only the head has it")
 		w.submitAt(head, lost)
-		require.EqualValues(t, 2, head.machine.Copy().seq)
+		require.EqualValues(t, 2, head.machine.Log().seq)
 		w.runUntil(w.now + time.Second)
 		w.submitOthers(t, head)
 		if seed%2 == 0 {
@@ -253,7 +253,7 @@
 		w.heal()
 		w.runUntil(w.now + w.catchUp)
 		require.NotContains(t, w.acked, lost.Digest(), "seed %d", seed)
-		require.Equal(t, w.nodes[0].machine.Copy().newest(), w.nodes[1].machine.Copy().newest())
+		require.Equal(t, w.nodes[0].machine.Log().newest(), w.nodes[1].machine.Log().newest())
 		requireGoesOn(t, w, 2*time.Second, "seed %d", seed)
 	}
 }
@@ -309,7 +309,7 @@
 	if len(n.disk.Entries) < 2 {
 		return
 	}
-	state, err := loadCopy(n.disk.Snapshot)
+	state, err := newLog(n.disk.Snapshot)
 	if err != nil {
 		panic(err)
 	}
@@ -374,7 +374,7 @@
 		w.lastID++
 		id := w.lastID
 		w.pending[id] = late
-		w.step(head, func() Output { return head.machine.Submit(w.now, id, late) })
+		w.step(head, func() Ready { return head.machine.Submit(w.now, id, late) })
 		w.runUntil(w.now + time.Second)
 		for range 19 {
 			w.submitOthers(t, head)
@@ -418,7 +418,7 @@
 	w.cuts[[2]string{"m1", "m0"}], w.cuts[[2]string{"m2", "m0"}] = true, true
 	status := w.nodes[1].machine.Status()
 	w.runUntil(w.now + 400*time.Millisecond)
-	w.step(n, func() Output {
+	w.step(n, func() Ready {
 		return n.machine.Step(w.now, Envelope{From: w.nodes[1].machine.Self(), To: n.machine.Self(), Body: HeartbeatReply{Stamp: sent, Status: status}})
 	})
 	require.Equal(t, max(before, sent), n.machine.ViewConfirmed())
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -117,13 +117,13 @@
 // requireStart checks that a member starts from what is on its disk, with the view and the state that were there.
 func requireStart(t *testing.T, stored replica.Stored) {
 	t.Helper()
-	m, err := replica.New(replica.DefaultOptions(), stored, time.Second)
+	m, err := replica.New(replica.DefaultConfig(), stored, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, goldenStored().View.View, m.View())
-	committed, agreed := m.Agreed()
+	committed, agreed := m.Committed()
 	require.Equal(t, uint64(8), committed, "an entry is committed once another follows it")
 	require.Equal(t, stored.Entries[0].History, agreed.History())
 	require.Equal(t, int64(80), agreed.Document.Revision)
 	require.Equal(t, uint64(9), m.Status().Seq, "an entry is taken only if it leads to the digest that it carries")
-	require.Equal(t, stored.Entries[:1], m.Copy().Between(7, 8))
+	require.Equal(t, stored.Entries[:1], m.Log().Entries(7, 8))
 }
--- a/internal/fleet/storage/records.go
+++ b/internal/fleet/storage/records.go
@@ -139,7 +139,7 @@
 	}
 	if accepted.Proposal.View.Epoch == nextEpoch(held) {
 		held.Accepted = &accepted
-		held.Promised = replica.HigherBallot(held.Promised, accepted.Ballot)
+		held.Promised = replica.MaxBallot(held.Promised, accepted.Ballot)
 	}
 	return nil
 }
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -251,7 +251,7 @@
 	require.LessOrEqual(t, len(store.held.Entries), mostEntries)
 	store.Close()
 	_, stored := open(t, dir)
-	machine, err := replica.New(replica.DefaultOptions(), stored, 1)
+	machine, err := replica.New(replica.DefaultConfig(), stored, 1)
 	require.NoError(t, err)
 	require.EqualValues(t, orders, machine.Status().Seq)
 	names, err := os.ReadDir(dir)
