--- a/internal/fleet/controlplane/gossip.go
+++ b/internal/fleet/controlplane/gossip.go
@@ -110,7 +110,7 @@
 func (g *gossiper) round() {
 	n := g.node
 	n.mu.Lock()
-	fresh := n.raters.Fresh(n.now())
+	fresh := n.raters.DrainUpdates(n.now())
 	if n.raters.Expire(n.now()) {
 		n.announce()
 		g.logSilent()
@@ -147,7 +147,7 @@
 
 // logSilent logs which raters have been silent for long, when they are others than before. The lock is held.
 func (g *gossiper) logSilent() {
-	late, silent := g.node.raters.Quiet()
+	late, silent := g.node.raters.Unresponsive()
 	if names := strings.Join(silent, " "); names != g.silent {
 		g.silent = names
 		g.node.log.Info("raters not heard", "silent", silent, "late", late)
@@ -198,7 +198,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	reply.Zone, reply.Owner, reply.Version = n.settings.Zone, n.owner, n.raters.Version()
-	reply.Records = n.raters.Since(n.now(), since)
+	reply.Records = n.raters.ChangedSince(n.now(), since)
 }
 
 func (n *Node) merge(records []registry.Record) {
--- a/internal/fleet/controlplane/http.go
+++ b/internal/fleet/controlplane/http.go
@@ -161,7 +161,7 @@
 func (n *Node) instanceLeaves(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	n.mu.Lock()
-	news := n.raters.Leave(n.now(), id)
+	news := n.raters.Deregister(n.now(), id)
 	n.mu.Unlock()
 	n.answerRater(w, news, id)
 }
@@ -172,7 +172,7 @@
 	if news {
 		n.announce()
 	}
-	record, known := n.raters.One(n.now(), id)
+	record, known := n.raters.Get(n.now(), id)
 	n.mu.Unlock()
 	var err error
 	switch {
--- a/internal/fleet/controlplane/node_test.go
+++ b/internal/fleet/controlplane/node_test.go
@@ -43,7 +43,7 @@
 	for _, record := range reply.Records {
 		states[record.ID] = record.State
 	}
-	require.Equal(t, map[string]registry.State{"i0": registry.Gone, "i1": registry.Draining}, states)
+	require.Equal(t, map[string]registry.State{"i0": registry.Removed, "i1": registry.Draining}, states)
 }
 
 func order(n *Node, base int, body string) int {
--- a/internal/fleet/controlplane/services.go
+++ b/internal/fleet/controlplane/services.go
@@ -133,7 +133,7 @@
 		reply.Events = n.events.since(now, request.EventSeq, request.Session)
 	}
 	reply.EventSeq = n.events.last
-	reply.Records = n.raters.Since(now, since)
+	reply.Records = n.raters.ChangedSince(now, since)
 }
 
 // listAge tells how long ago this process's list of raters was certainly whole.
--- a/internal/fleet/controlplane/spread.go
+++ b/internal/fleet/controlplane/spread.go
@@ -106,7 +106,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for id := range g.told {
-		if _, known := g.node.raters.One(0, id); !known {
+		if _, known := g.node.raters.Get(0, id); !known {
 			delete(g.told, id)
 		}
 	}
--- a/internal/fleet/distribution/client.go
+++ b/internal/fleet/distribution/client.go
@@ -131,14 +131,14 @@
 	known, present := c.raters[record.ID]
 	if !present {
 		c.raters[record.ID] = record
-		return record.State != registry.Gone
+		return record.State != registry.Removed
 	}
 	if record.Sequence < known.Sequence || record.State < known.State { // a copy that is behind
 		return false
 	}
 	if record.Address == "" { // it left, and the copy knew it only by its id
 		gone := known
-		gone.State = registry.Gone
+		gone.State = registry.Removed
 		record = gone
 	}
 	c.raters[record.ID] = record
@@ -181,7 +181,7 @@
 	raters := make([]registry.Record, 0, len(c.raters))
 	silent := 0
 	for _, record := range c.raters {
-		if record.State == registry.Gone {
+		if record.State == registry.Removed {
 			continue
 		}
 		raters = append(raters, record)
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -15,7 +15,7 @@
 const (
 	Ready    State = iota
 	Draining       // it leaves: nothing new is sent to it
-	Gone           // it has left, or its address was taken by another
+	Removed        // it has left, or its address was taken by another
 )
 
 // Record is one rater, that is one start of its process.
@@ -80,18 +80,18 @@
 	return r.put(now, record)
 }
 
-// Leave takes the news that a rater ends. It tells whether that is news.
-func (r *Registry) Leave(now time.Duration, id string) bool {
+// Deregister takes the news that a rater ends. It tells whether that is news.
+func (r *Registry) Deregister(now time.Duration, id string) bool {
 	r.fresh[id] = true
 	e := r.entries[id]
 	if e == nil {
-		r.entries[id] = &entry{record: Record{ID: id, State: Gone}, heard: now, version: r.next(id)}
+		r.entries[id] = &entry{record: Record{ID: id, State: Removed}, heard: now, version: r.next(id)}
 		return true
 	}
-	if e.record.State == Gone {
+	if e.record.State == Removed {
 		return false
 	}
-	e.record.State, e.heard, e.version = Gone, now, r.next(id)
+	e.record.State, e.heard, e.version = Removed, now, r.next(id)
 	return true
 }
 
@@ -127,13 +127,13 @@
 		r.displace(&record)
 		return true
 	}
-	if e.record.State == Gone || record.Sequence < e.record.Sequence && record.State <= e.record.State {
+	if e.record.State == Removed || record.Sequence < e.record.Sequence && record.State <= e.record.State {
 		return false
 	}
 	e.heard = max(e.heard, heard)
 	was := e.record
 	state := max(record.State, was.State) // one that leaves does not come back under the same id
-	if record.State == Gone && record.Backend == "" {
+	if record.State == Removed && record.Backend == "" {
 		record = was
 	}
 	stale := heard < e.heard
@@ -155,8 +155,8 @@
 		return
 	}
 	for _, e := range r.entries {
-		if e.record.Address == newcomer.Address && e.record.ID != newcomer.ID && e.record.State != Gone && newcomer.Address != "" {
-			e.record.State, e.version = Gone, r.next(e.record.ID)
+		if e.record.Address == newcomer.Address && e.record.ID != newcomer.ID && e.record.State != Removed && newcomer.Address != "" {
+			e.record.State, e.version = Removed, r.next(e.record.ID)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	for id, e := range r.entries {
 		silent := now - e.heard
 		switch {
-		case e.record.State == Gone:
+		case e.record.State == Removed:
 			if silent > goneKept+silentIntervals*r.interval {
 				delete(r.entries, id)
 			}
@@ -193,11 +193,11 @@
 	e.record.Late, e.record.Silent, e.version = late, silent, r.next(e.record.ID)
 }
 
-// Quiet gives the ids of the raters that are late or silent.
-func (r *Registry) Quiet() (late, silent []string) {
+// Unresponsive gives the ids of the raters that are late or silent.
+func (r *Registry) Unresponsive() (late, silent []string) {
 	for id, e := range r.entries {
 		switch {
-		case e.record.State == Gone:
+		case e.record.State == Removed:
 		case e.record.Silent:
 			silent = append(silent, id)
 		case e.record.Late:
@@ -209,8 +209,8 @@
 	return late, silent
 }
 
-// Since gives the records that changed after a version, in the order of their ids.
-func (r *Registry) Since(now time.Duration, version uint64) []Record {
+// ChangedSince gives the records that changed after a version, in the order of their ids.
+func (r *Registry) ChangedSince(now time.Duration, version uint64) []Record {
 	first, _ := slices.BinarySearchFunc(r.changes, version, func(c change, version uint64) int {
 		return cmp.Compare(c.version, version+1)
 	})
@@ -224,8 +224,8 @@
 	return records
 }
 
-// Fresh gives the records that were heard from here since the last call.
-func (r *Registry) Fresh(now time.Duration) []Record {
+// DrainUpdates gives the records that were heard from here since the last call.
+func (r *Registry) DrainUpdates(now time.Duration) []Record {
 	records := make([]Record, 0, len(r.fresh))
 	for id := range r.fresh {
 		if e := r.entries[id]; e != nil {
@@ -240,8 +240,8 @@
 // Size is the number of raters that are known.
 func (r *Registry) Size() int { return len(r.entries) }
 
-// One gives one record.
-func (r *Registry) One(now time.Duration, id string) (Record, bool) {
+// Get gives one record.
+func (r *Registry) Get(now time.Duration, id string) (Record, bool) {
 	e := r.entries[id]
 	if e == nil {
 		return Record{}, false
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -15,7 +15,7 @@
 
 func only(t *testing.T, r *Registry, id string) Record {
 	t.Helper()
-	one, known := r.One(0, id)
+	one, known := r.Get(0, id)
 	require.True(t, known)
 	return one
 }
@@ -33,15 +33,15 @@
 func TestAHeartbeatAfterLeavingIsNoNews(t *testing.T) {
 	r := New(beat)
 	r.Heartbeat(0, record("a", 1, Ready))
-	require.True(t, r.Leave(0, "a"))
-	require.False(t, r.Leave(0, "a"))
+	require.True(t, r.Deregister(0, "a"))
+	require.False(t, r.Deregister(0, "a"))
 	require.False(t, r.Heartbeat(0, record("a", 9, Ready)))
-	require.Equal(t, Gone, only(t, r, "a").State)
+	require.Equal(t, Removed, only(t, r, "a").State)
 }
 
 func TestLeavingIsKnownBeforeTheRater(t *testing.T) {
 	r := New(beat)
-	require.True(t, r.Leave(0, "a"))
+	require.True(t, r.Deregister(0, "a"))
 	require.False(t, r.Heartbeat(0, record("a", 1, Ready)))
 }
 
@@ -50,8 +50,8 @@
 	r.Heartbeat(0, record("a", 1, Ready))
 	version := r.Version()
 	r.Heartbeat(0, record("b", 1, Ready))
-	require.Equal(t, Gone, only(t, r, "a").State)
-	require.Len(t, r.Since(0, version), 2)
+	require.Equal(t, Removed, only(t, r, "a").State)
+	require.Len(t, r.ChangedSince(0, version), 2)
 }
 
 func TestSilenceMakesARaterLateThenSilentAndAHeartbeatBringsItBack(t *testing.T) {
@@ -65,13 +65,13 @@
 	require.True(t, r.Expire(20*beat))
 	require.True(t, only(t, r, "a").Silent)
 	require.Equal(t, Ready, only(t, r, "a").State, "a rater that nobody heard has not said that it leaves")
-	late, silent := r.Quiet()
+	late, silent := r.Unresponsive()
 	require.Empty(t, late)
 	require.Equal(t, []string{"a"}, silent)
 	require.True(t, r.Heartbeat(21*beat, record("a", 3, Ready)))
 	require.False(t, only(t, r, "a").Silent)
 	r.Expire(200 * beat)
-	_, known := r.One(0, "a")
+	_, known := r.Get(0, "a")
 	require.False(t, known, "one that has been silent for very long is forgotten")
 }
 
@@ -113,22 +113,22 @@
 		other.Address = "10.0.0.2:1"
 		r.Heartbeat(0, other)
 	}
-	require.Len(t, r.Since(0, 0), 2)
-	require.Len(t, r.Since(0, r.Version()-1), 1)
-	require.Empty(t, r.Since(0, r.Version()))
+	require.Len(t, r.ChangedSince(0, 0), 2)
+	require.Len(t, r.ChangedSince(0, r.Version()-1), 1)
+	require.Empty(t, r.ChangedSince(0, r.Version()))
 	require.LessOrEqual(t, len(r.changes), 2*2+leastChanges+1)
 }
 
 func TestACopyThatDoesNotHearARaterDoesNotSpeakForTheOthers(t *testing.T) {
 	hears, deaf := New(beat), New(beat)
 	hears.Heartbeat(0, record("a", 1, Ready))
-	deaf.Merge(0, hears.Since(0, 0))
+	deaf.Merge(0, hears.ChangedSince(0, 0))
 	for sequence := int64(2); sequence < 300; sequence++ {
 		now := time.Duration(sequence) * beat
 		hears.Heartbeat(now, record("a", sequence, Ready))
 		hears.Expire(now)
 		deaf.Expire(now)
-		hears.Merge(now, deaf.Since(now, 0))
+		hears.Merge(now, deaf.ChangedSince(now, 0))
 		one := only(t, hears, "a")
 		require.Equal(t, Ready, one.State)
 		require.False(t, one.Late || one.Silent, "heartbeat %d", sequence)
