--- a/internal/fleet/controlplane/spread.go
+++ b/internal/fleet/controlplane/spread.go
@@ -10,7 +10,7 @@
 )
 
 // The figures of acknowledging that a rater leaves. A node of the data plane turns away from a control process whose list of
-// raters was certainly whole longer ago than distribution.StaleList, at its next answer to a poll. So a process that has been
+// raters was certainly whole longer ago than distribution.MaxRegistryAge, at its next answer to a poll. So a process that has been
 // silent for listQuiet is followed by no node any more, or has the news from others.
 const (
 	leaveWait   = 850 * time.Millisecond // in which the others must have the news; a rater waits for a second
--- a/internal/fleet/controlplane/spread_test.go
+++ b/internal/fleet/controlplane/spread_test.go
@@ -134,7 +134,7 @@
 		reply, _ := poll(t, n, nil)
 		require.Len(t, reply.Records, 1, "everybody knew before it was acknowledged")
 		require.True(t, reply.ListConfirmed)
-		require.Less(t, reply.ListConfirmedAgo, distribution.StaleList)
+		require.Less(t, reply.ListConfirmedAgo, distribution.MaxRegistryAge)
 	}
 	fleet.cut.Store(true)
 	cutAt := time.Now()
@@ -145,7 +145,7 @@
 		require.Less(t, time.Since(cutAt), 6*time.Second)
 	}
 	stale, _ := poll(t, fleet.nodes[2], nil)
-	require.Greater(t, stale.ListConfirmedAgo, distribution.StaleList, "nodes have left it by now")
+	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryAge, "nodes have left it by now")
 	known, _ := poll(t, fleet.nodes[1], nil)
 	require.Len(t, known.Records, 2)
 }
--- a/internal/fleet/dataplane/follower.go
+++ b/internal/fleet/dataplane/follower.go
@@ -40,13 +40,13 @@
 	nodesHint  atomic.Int64           // about how many nodes of the data plane there are
 
 	mu    sync.Mutex
-	copy  *distribution.Copy
+	copy  *distribution.ClientState
 	seeds []string
 	avoid map[string]time.Duration // until when a control process is left alone
 }
 
 func newFollower(n *Node) *follower {
-	f := &follower{node: n, copy: distribution.NewCopy(n.settings.Bounds.Closed, n.settings.Bounds.Revoke),
+	f := &follower{node: n, copy: distribution.NewClientState(n.settings.Bounds.Closed, n.settings.Bounds.Revoke),
 		configured: make(chan struct{}), avoid: map[string]time.Duration{}}
 	f.nodesHint.Store(1)
 	f.setSeeds(n.settings)
@@ -154,7 +154,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	hadTable := f.copy.Table() != nil
-	change, err := f.copy.Take(sent, reply)
+	change, err := f.copy.Apply(sent, reply)
 	if err != nil {
 		f.node.log.Error("configuration from the control plane not taken", "err", err)
 		return err
@@ -165,8 +165,8 @@
 	f.leaseEnd.Store(int64(f.copy.LeaseEnd()))
 	f.node.retries.setNodes(f.copy.Nodes())
 	f.nodesHint.Store(int64(f.copy.Nodes()))
-	if change.Raters || change.Config {
-		f.node.placer.update(f.copy.Table(), f.copy.Raters(), f.copy.Nodes())
+	if change.Backends || change.Config {
+		f.node.placer.update(f.copy.Table(), f.copy.Backends(), f.copy.Nodes())
 	}
 	f.node.placer.heard(reply.Events)
 	if !hadTable && f.copy.Table() != nil {
@@ -178,7 +178,7 @@
 		return errLeaving
 	case !reply.Confirmed || reply.ConfirmedAgo > staleAfter:
 		return errStale
-	case !reply.ListConfirmed || reply.ListConfirmedAgo > distribution.StaleList:
+	case !reply.ListConfirmed || reply.ListConfirmedAgo > distribution.MaxRegistryAge:
 		return errStaleList
 	}
 	return nil
--- a/internal/fleet/distribution/client.go
+++ b/internal/fleet/distribution/client.go
@@ -18,36 +18,36 @@
 // errNoBase says that patches came for a configuration that the node does not have.
 var errNoBase = errors.New("patches without the configuration that they build on")
 
-// Copy is a node's copy of what the control plane gives out. It is pure and not safe for concurrent use.
-type Copy struct {
-	seq       uint64
-	wantWhole bool // a patch did not fit: the next answer must bring the whole document
-	state     *operator.State
-	table     *operator.Table
-	leaseFor  time.Duration
-	closed    bool
-	leaseEnd  time.Duration
-	owner     uint64
-	version   uint64
-	events    uint64
-	raters    map[string]registry.Record
-	epoch     uint64
-	members   []ControlMember
-	sessions  int
-	confirmed bool
+// ClientState is a node's copy of what the control plane gives out. It is pure and not safe for concurrent use.
+type ClientState struct {
+	seq              uint64
+	needFullDocument bool // a patch did not fit: the next answer must bring the whole document
+	state            *operator.State
+	table            *operator.Table
+	leaseFor         time.Duration
+	closed           bool
+	leaseEnd         time.Duration
+	owner            uint64
+	version          uint64
+	events           uint64
+	backends         map[string]registry.Record
+	epoch            uint64
+	members          []ControlMember
+	sessions         int
+	confirmed        bool
 }
 
-// NewCopy makes an empty copy. Where closed is set, a configuration may be used only while it is known that no newer one
+// NewClientState makes an empty copy. Where closed is set, a configuration may be used only while it is known that no newer one
 // was acknowledged more than revoke ago.
-func NewCopy(closed bool, revoke time.Duration) *Copy {
-	return &Copy{closed: closed, leaseFor: time.Duration(leasePart * float64(revoke)), raters: map[string]registry.Record{}}
+func NewClientState(closed bool, revoke time.Duration) *ClientState {
+	return &ClientState{closed: closed, leaseFor: time.Duration(leasePart * float64(revoke)), backends: map[string]registry.Record{}}
 }
 
 // Request gives the next poll.
-func (c *Copy) Request(node string, session uint64, hold time.Duration) PollRequest {
+func (c *ClientState) Request(node string, session uint64, hold time.Duration) PollRequest {
 	request := PollRequest{Node: node, Session: session, ConfigSeq: c.seq, RegistryOwner: c.owner, RegistryVersion: c.version,
 		EventSeq: c.events, Hold: hold}
-	if c.wantWhole {
+	if c.needFullDocument {
 		request.ConfigSeq = 0
 	}
 	return request
@@ -55,14 +55,14 @@
 
 // Change tells what an answer changed.
 type Change struct {
-	Config bool
-	Raters bool
+	Config   bool
+	Backends bool
 }
 
-// Take takes the answer to a poll that was sent at a time. An answer never takes the configuration back.
-func (c *Copy) Take(sent time.Duration, reply *PollReply) (Change, error) {
+// Apply takes the answer to a poll that was sent at a time. An answer never takes the configuration back.
+func (c *ClientState) Apply(sent time.Duration, reply *PollReply) (Change, error) {
 	var change Change
-	if err := c.takeConfig(reply, &change); err != nil {
+	if err := c.applyConfig(reply, &change); err != nil {
 		return change, err
 	}
 	c.confirmed = reply.Confirmed && reply.ConfigSeq == c.seq
@@ -74,17 +74,17 @@
 		c.epoch, c.members = reply.Epoch, reply.Members
 	}
 	c.sessions = reply.Sessions
-	change.Raters = c.takeRaters(reply)
+	change.Backends = c.applyBackends(reply)
 	return change, nil
 }
 
-func (c *Copy) takeConfig(reply *PollReply, change *Change) error {
-	if reply.ConfigSeq < c.seq || reply.ConfigSeq == c.seq && !c.wantWhole {
+func (c *ClientState) applyConfig(reply *PollReply, change *Change) error {
+	if reply.ConfigSeq < c.seq || reply.ConfigSeq == c.seq && !c.needFullDocument {
 		return nil
 	}
 	whole, patches, err := reply.Update.Read()
 	if err != nil {
-		c.wantWhole = true
+		c.needFullDocument = true
 		return err
 	}
 	state := c.state
@@ -97,28 +97,28 @@
 		state.Document = document
 	} else {
 		if state == nil {
-			c.wantWhole = true
+			c.needFullDocument = true
 			return errNoBase
 		}
 		for _, order := range patches {
 			next, err := state.ApplyCommitted(order)
 			if err != nil {
-				c.wantWhole = true
+				c.needFullDocument = true
 				return err
 			}
 			state = next
 		}
 	}
 	c.seq, c.state, c.table = reply.ConfigSeq, state, state.Document.Compile()
-	c.wantWhole = false
+	c.needFullDocument = false
 	change.Config = true
 	return nil
 }
 
-func (c *Copy) takeRaters(reply *PollReply) bool {
+func (c *ClientState) applyBackends(reply *PollReply) bool {
 	changed := false
 	for _, record := range reply.Records {
-		changed = c.takeRater(record) || changed
+		changed = c.applyBackend(record) || changed
 	}
 	if reply.Whole {
 		changed = c.dropUnlisted(reply) || changed
@@ -127,10 +127,10 @@
 	return changed
 }
 
-func (c *Copy) takeRater(record registry.Record) bool {
-	known, present := c.raters[record.ID]
+func (c *ClientState) applyBackend(record registry.Record) bool {
+	known, present := c.backends[record.ID]
 	if !present {
-		c.raters[record.ID] = record
+		c.backends[record.ID] = record
 		return record.State != registry.Removed
 	}
 	if record.Sequence < known.Sequence || record.State < known.State { // a copy that is behind
@@ -141,20 +141,20 @@
 		gone.State = registry.Removed
 		record = gone
 	}
-	c.raters[record.ID] = record
+	c.backends[record.ID] = record
 	return known.State != record.State || known.Late != record.Late || known.Silent != record.Silent || known.Address != record.Address
 }
 
 // dropUnlisted forgets raters that a copy of the registry does not list although it has been there for long. One that was
 // begun just now does not know them yet.
-func (c *Copy) dropUnlisted(reply *PollReply) bool {
+func (c *ClientState) dropUnlisted(reply *PollReply) bool {
 	if reply.RegistryAge < forgetUnlisted {
 		return false
 	}
 	dropped := false
-	for id := range c.raters {
+	for id := range c.backends {
 		if !slices.ContainsFunc(reply.Records, func(r registry.Record) bool { return r.ID == id }) {
-			delete(c.raters, id)
+			delete(c.backends, id)
 			dropped = true
 		}
 	}
@@ -162,10 +162,10 @@
 }
 
 // Table is the compiled configuration, nil before the first.
-func (c *Copy) Table() *operator.Table { return c.table }
+func (c *ClientState) Table() *operator.Table { return c.table }
 
 // LeaseEnd is until when the configuration may be used; it never ends where that need not be confirmed.
-func (c *Copy) LeaseEnd() time.Duration {
+func (c *ClientState) LeaseEnd() time.Duration {
 	if !c.closed {
 		return time.Duration(1<<63 - 1)
 	}
@@ -173,14 +173,14 @@
 }
 
 // Confirmed tells whether the last answer confirmed the configuration.
-func (c *Copy) Confirmed() bool { return c.confirmed }
+func (c *ClientState) Confirmed() bool { return c.confirmed }
 
-// Raters are the raters that have not left and have been heard. Where control has heard of less than half of them, it is
+// Backends are the raters that have not left and have been heard. Where control has heard of less than half of them, it is
 // taken to be at fault: then all count.
-func (c *Copy) Raters() []registry.Record {
-	raters := make([]registry.Record, 0, len(c.raters))
+func (c *ClientState) Backends() []registry.Record {
+	raters := make([]registry.Record, 0, len(c.backends))
 	silent := 0
-	for _, record := range c.raters {
+	for _, record := range c.backends {
 		if record.State == registry.Removed {
 			continue
 		}
@@ -205,7 +205,7 @@
 }
 
 // Members are the control processes, the chain first, and the epoch in which they were.
-func (c *Copy) Members() (uint64, []ControlMember) { return c.epoch, c.members }
+func (c *ClientState) Members() (uint64, []ControlMember) { return c.epoch, c.members }
 
 // Nodes is about how many nodes of the data plane there are.
-func (c *Copy) Nodes() int { return max(1, c.sessions) }
+func (c *ClientState) Nodes() int { return max(1, c.sessions) }
--- a/internal/fleet/distribution/copy_test.go
+++ b/internal/fleet/distribution/copy_test.go
@@ -29,15 +29,15 @@
 	return update
 }
 
-func take(t *testing.T, c *Copy, sent time.Duration, r *PollReply) Change {
+func take(t *testing.T, c *ClientState, sent time.Duration, r *PollReply) Change {
 	t.Helper()
-	change, err := c.Take(sent, r)
+	change, err := c.Apply(sent, r)
 	require.NoError(t, err)
 	return change
 }
 
 func TestTheLeaseRunsFromWhenThePollWasSentAndTheViewConfirmed(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	require.Zero(t, c.LeaseEnd())
 	take(t, c, 10*time.Second, reply(1, `{"Revision":1}`, 300*time.Millisecond))
 	lease := time.Duration(leasePart * float64(revoke))
@@ -51,12 +51,12 @@
 }
 
 func TestWithoutClosedTheLeaseNeverEnds(t *testing.T) {
-	c := NewCopy(false, revoke)
+	c := NewClientState(false, revoke)
 	require.Greater(t, c.LeaseEnd(), 1000*time.Hour)
 }
 
 func TestAnOlderVersionIsNotTaken(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	take(t, c, time.Second, reply(5, `{"Revision":9}`, 0))
 	change := take(t, c, time.Second, reply(4, `{"Revision":7}`, 0))
 	require.False(t, change.Config)
@@ -64,7 +64,7 @@
 }
 
 func TestPatchesLeadToTheNewVersionAndOneThatDoesNotFitAsksForTheWhole(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	take(t, c, time.Second, reply(1, `{"Revision":1,"Backends":[{"Name":"b"}]}`, 0))
 	patched := reply(2, "", 0)
 	patched.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3,"Upsert":{"Backends":[{"Name":"c"}]}}`)})
@@ -73,7 +73,7 @@
 	require.Contains(t, c.Table().Services, "c")
 	broken := reply(3, "", 0)
 	broken.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 3, Body: []byte(`{`)})
-	_, err := c.Take(time.Second, broken)
+	_, err := c.Apply(time.Second, broken)
 	require.Error(t, err)
 	require.EqualValues(t, 3, c.Table().Revision, "the version in force stays")
 	require.Zero(t, c.Request("n", 1, 0).ConfigSeq, "the whole document is asked for")
@@ -90,34 +90,34 @@
 }
 
 func TestARaterThatDrainsDoesNotComeBackFromACopyThatIsBehind(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	first := reply(1, `{"Revision":1}`, 0)
 	first.Records, first.Whole, first.RegistryOwner = []registry.Record{rater("a", 4, registry.Draining)}, true, 1
 	take(t, c, time.Second, first)
 	behind := reply(1, "", 0)
 	behind.Records, behind.Whole, behind.RegistryOwner = []registry.Record{rater("a", 3, registry.Ready)}, true, 2
-	require.False(t, take(t, c, time.Second, behind).Raters)
-	require.Equal(t, registry.Draining, c.Raters()[0].State)
+	require.False(t, take(t, c, time.Second, behind).Backends)
+	require.Equal(t, registry.Draining, c.Backends()[0].State)
 }
 
 func TestAControlPlaneThatRestartedEmptyIsNotAnEmptyFleet(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	first := reply(1, `{"Revision":1}`, 0)
 	first.Records, first.Whole = []registry.Record{rater("a", 4, registry.Ready), rater("b", 4, registry.Ready)}, true
 	take(t, c, time.Second, first)
 	empty := reply(1, "", 0)
 	empty.Whole, empty.RegistryOwner, empty.RegistryAge = true, 2, time.Second
 	take(t, c, 2*time.Second, empty)
-	require.Len(t, c.Raters(), 2)
+	require.Len(t, c.Backends(), 2)
 	old := reply(1, "", 0)
 	old.Whole, old.RegistryOwner, old.RegistryAge = true, 3, forgetUnlisted
 	old.Records = []registry.Record{rater("a", 5, registry.Ready)}
-	require.True(t, take(t, c, 3*time.Second, old).Raters)
-	require.Len(t, c.Raters(), 1, "a copy that has been there for long knows who is gone")
+	require.True(t, take(t, c, 3*time.Second, old).Backends)
+	require.Len(t, c.Backends(), 1, "a copy that has been there for long knows who is gone")
 }
 
 func TestSilentRatersAreLeftOutUnlessMostAreSilent(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	first := reply(1, `{"Revision":1}`, 0)
 	first.Whole, first.RegistryOwner = true, 1
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -134,21 +134,21 @@
 		}
 		return r
 	}
-	require.True(t, take(t, c, time.Second, quiet("a", "b")).Raters)
-	require.Len(t, c.Raters(), 2)
+	require.True(t, take(t, c, time.Second, quiet("a", "b")).Backends)
+	require.Len(t, c.Backends(), 2)
 	take(t, c, time.Second, quiet("c"))
-	require.Len(t, c.Raters(), 4, "it is the control plane that does not hear")
+	require.Len(t, c.Backends(), 4, "it is the control plane that does not hear")
 	back := reply(1, "", 0)
 	back.Records = []registry.Record{rater("a", 2, registry.Ready)}
 	back.RegistryOwner = 1
-	require.True(t, take(t, c, time.Second, back).Raters, "one that is heard again is back")
+	require.True(t, take(t, c, time.Second, back).Backends, "one that is heard again is back")
 }
 
 func TestPatchesWithoutTheirBaseAskForTheWhole(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	patched := reply(2, "", 0)
 	patched.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3}`)})
-	_, err := c.Take(time.Second, patched)
+	_, err := c.Apply(time.Second, patched)
 	require.ErrorIs(t, err, errNoBase)
 	require.Nil(t, c.Table())
 	take(t, c, time.Second, reply(2, `{"Revision":3}`, 0))
@@ -156,11 +156,11 @@
 }
 
 func TestAnUpdateThatCannotBeReadAsksForTheWhole(t *testing.T) {
-	c := NewCopy(true, revoke)
+	c := NewClientState(true, revoke)
 	take(t, c, time.Second, reply(1, `{"Revision":1}`, 0))
 	spoiled := reply(2, `{"Revision":2}`, 0)
 	spoiled.Update = spoiled.Update[:len(spoiled.Update)/2]
-	_, err := c.Take(time.Second, spoiled)
+	_, err := c.Apply(time.Second, spoiled)
 	require.Error(t, err)
 	require.EqualValues(t, 1, c.Table().Revision)
 	require.Zero(t, c.Request("n", 1, 0).ConfigSeq)
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -93,8 +93,8 @@
 	return document, nil, err
 }
 
-// StaleList is the age of a list of raters from which on a node turns to another control process.
-const StaleList = 1200 * time.Millisecond
+// MaxRegistryAge is the age of a list of raters from which on a node turns to another control process.
+const MaxRegistryAge = 1200 * time.Millisecond
 
 // MethodAnnounce is the method by which a node tells of its attempts, MethodRelay that by which control processes hand it on.
 const (
