--- a/internal/fleet/controlplane/node_test.go
+++ b/internal/fleet/controlplane/node_test.go
@@ -166,8 +166,8 @@
 	published, _ := n.core.Published()
 	handed := quota.HandOver{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
 	require.NoError(t, service.HandOver(&handed, &struct{}{}))
-	require.False(t, n.rooms.Has("t"))
+	require.False(t, n.rooms.Owns("t"))
 	handed.Epoch++
 	require.NoError(t, service.HandOver(&handed, &struct{}{}))
-	require.True(t, n.rooms.Has("t"))
+	require.True(t, n.rooms.Owns("t"))
 }
--- a/internal/fleet/controlplane/rooms.go
+++ b/internal/fleet/controlplane/rooms.go
@@ -28,9 +28,9 @@
 	defer n.mu.Unlock()
 	switch {
 	case n.mayGive(published, request.Tenant, now):
-		*reply = n.rooms.Take(now, request)
+		*reply = n.rooms.Acquire(now, request)
 	case request.Deputy || AllowanceOwner(published.View.Chain, request.Tenant) == published.Self.Address:
-		*reply = n.rooms.TakeAsDeputy(now, request) // also while the owner before may not have stopped yet
+		*reply = n.rooms.AcquireAsDeputy(now, request) // also while the owner before may not have stopped yet
 	}
 	return nil
 }
@@ -42,7 +42,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if reflection.Epoch >= published.View.Epoch {
-		n.rooms.Reflect(n.now(), reflection.Buckets)
+		n.rooms.UpdateMirrors(n.now(), reflection.Buckets)
 	}
 	return nil
 }
@@ -54,7 +54,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if handed.Epoch >= published.View.Epoch {
-		n.rooms.Receive(n.now(), handed)
+		n.rooms.AcceptTransfer(n.now(), handed)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 	if now-published.ViewConfirmed > ownerConfirmed || !slices.Contains(published.View.Chain, published.Self) {
 		return false
 	}
-	return n.rooms.Has(tenant) || n.mayBegin(published, tenant, now)
+	return n.rooms.Owns(tenant) || n.mayBegin(published, tenant, now)
 }
 
 // mayBegin tells whether no other process can still give out a tenant's room: all have gone over to this view and have had
@@ -118,7 +118,7 @@
 	defer n.mu.Unlock()
 	for _, tenant := range document.Tenants() {
 		if tenant.Rate > 0 && n.mayGive(published, tenant.Name, now) {
-			n.rooms.Begin(now, tenant.Name, tenant.Rate, tenant.Burst, document.Revision)
+			n.rooms.EnsureBucket(now, tenant.Name, tenant.Rate, tenant.Burst, document.Revision)
 		}
 	}
 	var handed []quota.HandOver
@@ -137,7 +137,7 @@
 // showRooms shows the buckets of this process to the other members of the chain.
 func (n *Node) showRooms(published Published) {
 	n.mu.Lock()
-	reflection := quota.Reflection{Epoch: published.View.Epoch, Buckets: n.rooms.Reflection(n.now())}
+	reflection := quota.Reflection{Epoch: published.View.Epoch, Buckets: n.rooms.Buckets(n.now())}
 	n.mu.Unlock()
 	if len(reflection.Buckets) == 0 || n.now()-published.ViewConfirmed > ownerConfirmed {
 		return
--- a/internal/fleet/dataplane/rooms.go
+++ b/internal/fleet/dataplane/rooms.go
@@ -33,7 +33,7 @@
 }
 
 type wallet struct {
-	quota.Wallet
+	quota.LocalBucket
 	tenant   *operator.Tenant
 	revision int64
 }
@@ -48,11 +48,11 @@
 	now := r.node.now()
 	r.mu.Lock()
 	w := r.wallet(tenant, revision)
-	if w.Spend(now, amount) {
+	if w.TryAcquire(now, amount) {
 		r.mu.Unlock()
 		return true, 0
 	}
-	need, ahead := w.Ask(now, amount)
+	need, ahead := w.Demand(now, amount)
 	r.mu.Unlock()
 	request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
 		Revision: revision, Urgent: urgent}
@@ -62,8 +62,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w.Granted(r.node.now(), reply.Granted)
-	if w.Spend(r.node.now(), amount) {
+	w.AddGrant(r.node.now(), reply.Granted)
+	if w.TryAcquire(r.node.now(), amount) {
 		return true, 0
 	}
 	r.node.log.Debug("over quota", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
@@ -127,7 +127,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.node.log.Debug("no owner of the allowance answers", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "nodes", nodes)
-	return w.Fallback(r.node.now(), tenant.Rate, nodes, amount), silentFor
+	return w.TryAcquireFallback(r.node.now(), tenant.Rate, nodes, amount), silentFor
 }
 
 // Refund gives back what a request that did not run took.
@@ -178,7 +178,7 @@
 	defer r.mu.Unlock()
 	var requests []quota.TakeRequest
 	for name, w := range r.wallets {
-		if amount := w.Unused(r.node.now()); amount > 0 {
+		if amount := w.ReleaseUnused(r.node.now()); amount > 0 {
 			requests = append(requests, quota.TakeRequest{Tenant: name, Rate: w.tenant.Rate, Burst: w.tenant.Burst,
 				Returned: amount, Revision: w.revision})
 		}
--- a/internal/fleet/quota/allowance.go
+++ b/internal/fleet/quota/allowance.go
@@ -123,8 +123,8 @@
 	return &Owner{tolerance: tolerance, buckets: map[string]*bucket{}, mirrors: map[string]*mirror{}}
 }
 
-// Begin makes a tenant's bucket, if it has none, so that it fills before the first request comes.
-func (o *Owner) Begin(now time.Duration, tenant string, rate, burst float64, revision int64) *bucket {
+// EnsureBucket makes a tenant's bucket, if it has none, so that it fills before the first request comes.
+func (o *Owner) EnsureBucket(now time.Duration, tenant string, rate, burst float64, revision int64) *bucket {
 	b := o.buckets[tenant]
 	if b == nil {
 		b = o.first(now, tenant, rate, burst, revision)
@@ -161,8 +161,8 @@
 	return &bucket{level: level, rate: rate, burst: o.tolerance.burst(rate, burst), revision: revision, at: now}
 }
 
-// Reflection shows the buckets.
-func (o *Owner) Reflection(now time.Duration) []HandOver {
+// Buckets shows the buckets.
+func (o *Owner) Buckets(now time.Duration) []HandOver {
 	shown := make([]HandOver, 0, len(o.buckets))
 	for tenant, b := range o.buckets {
 		b.fill(now)
@@ -171,18 +171,18 @@
 	return shown
 }
 
-// Reflect takes what another owner shows.
-func (o *Owner) Reflect(now time.Duration, shown []HandOver) {
+// UpdateMirrors takes what another owner shows.
+func (o *Owner) UpdateMirrors(now time.Duration, shown []HandOver) {
 	for _, h := range shown {
-		if !o.Has(h.Tenant) {
+		if !o.Owns(h.Tenant) {
 			o.mirrors[h.Tenant] = &mirror{bucket: bucket{level: h.Level, rate: h.Rate, burst: h.Burst, revision: h.Revision, at: now}, heardAt: now}
 		}
 	}
 }
 
-// TakeAsDeputy answers a request for room while the owner is silent. What is given is bounded: the owner may be giving
+// AcquireAsDeputy answers a request for room while the owner is silent. What is given is bounded: the owner may be giving
 // to nodes that still reach it.
-func (o *Owner) TakeAsDeputy(now time.Duration, r *TakeRequest) TakeReply {
+func (o *Owner) AcquireAsDeputy(now time.Duration, r *TakeRequest) TakeReply {
 	m := o.mirrors[r.Tenant]
 	if m == nil || now-m.heardAt < deputyAfter || now-m.heardAt > mirrorLife {
 		return TakeReply{}
@@ -200,8 +200,8 @@
 	return TakeReply{Owner: true, Granted: r.Need}
 }
 
-// Has tells whether this owner holds a tenant's bucket.
-func (o *Owner) Has(tenant string) bool { return o.buckets[tenant] != nil }
+// Owns tells whether this owner holds a tenant's bucket.
+func (o *Owner) Owns(tenant string) bool { return o.buckets[tenant] != nil }
 
 // Release takes a tenant's bucket out, to be handed over.
 func (o *Owner) Release(now time.Duration, tenant string) (HandOver, bool) {
@@ -214,17 +214,17 @@
 	return HandOver{Tenant: tenant, Level: b.level, Rate: b.rate, Burst: b.burst, Revision: b.revision}, true
 }
 
-// Receive takes a bucket over as it was.
-func (o *Owner) Receive(now time.Duration, h *HandOver) {
-	if o.Has(h.Tenant) {
+// AcceptTransfer takes a bucket over as it was.
+func (o *Owner) AcceptTransfer(now time.Duration, h *HandOver) {
+	if o.Owns(h.Tenant) {
 		return
 	}
 	o.buckets[h.Tenant] = &bucket{level: min(h.Level, h.Burst), rate: h.Rate, burst: h.Burst, revision: h.Revision, at: now}
 }
 
-// Take answers a request for room. A need beyond the burst is met from a full bucket, which then is in debt.
-func (o *Owner) Take(now time.Duration, r *TakeRequest) TakeReply {
-	b := o.Begin(now, r.Tenant, r.Rate, r.Burst, r.Revision)
+// Acquire answers a request for room. A need beyond the burst is met from a full bucket, which then is in debt.
+func (o *Owner) Acquire(now time.Duration, r *TakeRequest) TakeReply {
+	b := o.EnsureBucket(now, r.Tenant, r.Rate, r.Burst, r.Revision)
 	b.level = min(b.level+max(0, r.Returned), b.burst)
 	least := b.least(r)
 	if b.level < least {
--- a/internal/fleet/quota/wallet.go
+++ b/internal/fleet/quota/wallet.go
@@ -11,8 +11,8 @@
 	keepFor      = time.Second / 2        // after which what was granted and not used is given back
 )
 
-// Wallet is the room that a node holds for one tenant.
-type Wallet struct {
+// LocalBucket is the room that a node holds for one tenant.
+type LocalBucket struct {
 	balance    float64
 	grantedAt  time.Duration
 	use        float64 // recent use, a second
@@ -23,8 +23,8 @@
 	outage     float64 // spent since the owner last answered
 }
 
-// Spend takes room for a request from what is held, and tells whether there was enough.
-func (w *Wallet) Spend(now time.Duration, amount float64) bool {
+// TryAcquire takes room for a request from what is held, and tells whether there was enough.
+func (w *LocalBucket) TryAcquire(now time.Duration, amount float64) bool {
 	if w.balance < amount {
 		return false
 	}
@@ -33,29 +33,29 @@
 	return true
 }
 
-func (w *Wallet) used(now time.Duration, amount float64) {
+func (w *LocalBucket) used(now time.Duration, amount float64) {
 	keep := 1 - min(1, (now-w.useAt).Seconds()/useMemory)
 	w.use = w.use*max(0, keep) + amount/useMemory
 	w.useAt = now
 }
 
 // Refund gives room back for a request that did not run.
-func (w *Wallet) Refund(amount float64) { w.balance += amount }
+func (w *LocalBucket) Refund(amount float64) { w.balance += amount }
 
-// Ask gives the request for room that lets an amount be spent.
-func (w *Wallet) Ask(now time.Duration, amount float64) (need, ahead float64) {
+// Demand gives the request for room that lets an amount be spent.
+func (w *LocalBucket) Demand(now time.Duration, amount float64) (need, ahead float64) {
 	return max(0, amount-w.balance), aheadFor * w.use
 }
 
-// Granted takes an owner's answer.
-func (w *Wallet) Granted(now time.Duration, amount float64) {
+// AddGrant takes an owner's answer.
+func (w *LocalBucket) AddGrant(now time.Duration, amount float64) {
 	w.answeredAt, w.fallback, w.outage = now, 0, 0
 	w.balance += amount
 	w.grantedAt = now
 }
 
-// Unused takes out what has been held for too long, to be given back.
-func (w *Wallet) Unused(now time.Duration) float64 {
+// ReleaseUnused takes out what has been held for too long, to be given back.
+func (w *LocalBucket) ReleaseUnused(now time.Duration) float64 {
 	if w.balance <= 0 || now-w.grantedAt < keepFor {
 		return 0
 	}
@@ -64,9 +64,9 @@
 	return unused
 }
 
-// Fallback spends from this node's even part of a limit, while no owner answers. The part grows from a little before the
+// TryAcquireFallback spends from this node's even part of a limit, while no owner answers. The part grows from a little before the
 // owner was found silent.
-func (w *Wallet) Fallback(now time.Duration, rate float64, nodes int, amount float64) bool {
+func (w *LocalBucket) TryAcquireFallback(now time.Duration, rate float64, nodes int, amount float64) bool {
 	part := rate / float64(max(1, nodes))
 	since := w.fallAt
 	if w.fallAt <= w.answeredAt { // the owner has only just fallen silent
