--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -101,7 +101,7 @@
 	set := n.settings
 	seeds := n.seedAddresses(set)
 	if stored.Self.Address != set.SelfInternal() {
-		stored = replica.Stored{Self: replica.Member{Address: set.SelfInternal(), Incarnation: randomNumber(), Domain: set.Domain()}}
+		stored = replica.Stored{Self: replica.Member{Address: set.SelfInternal(), Incarnation: randomNumber(), Domain: set.FailureDomain()}}
 		stored.Founder = set.Bootstrap && slices.Contains(seeds, set.SelfInternal())
 		if stored.Founder {
 			stored.Founders = seeds
@@ -114,7 +114,7 @@
 		}
 	}
 	options := replica.DefaultConfig()
-	options.MaxFailures = set.Tolerated()
+	options.MaxFailures = set.MaxFailures()
 	options.Seeds = seeds
 	options.CanVote = set.Counts || set.DataDir != ""
 	if set.LinkMbps > 0 {
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -81,11 +81,11 @@
 	File         string
 }
 
-// Tolerated is the number of voters, each in a domain of its own, that may be lost at once.
-func (s *Settings) Tolerated() int { return max(s.Machines, s.ZonesLost, s.RegionsLost) }
+// MaxFailures is the number of voters, each in a domain of its own, that may be lost at once.
+func (s *Settings) MaxFailures() int { return max(s.Machines, s.ZonesLost, s.RegionsLost) }
 
-// Domain names what fails together with this machine: its region where regions may be lost, else its zone.
-func (s *Settings) Domain() string {
+// FailureDomain names what fails together with this machine: its region where regions may be lost, else its zone.
+func (s *Settings) FailureDomain() string {
 	if s.RegionsLost > 0 {
 		return s.Region
 	}
