--- a/cmd/linenwheel-control/main.go
+++ b/cmd/linenwheel-control/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	binary := process.Binary{
+	binary := process.Program{
 		Name: "linenwheel-control",
 		Start: func(set *settings.Settings, logger *log.Logger) (process.Process, error) {
 			return controlplane.New(set, logger)
--- a/internal/fleet/controlplane/events.go
+++ b/internal/fleet/controlplane/events.go
@@ -41,7 +41,7 @@
 	}
 	for _, event := range events {
 		l.last++
-		l.list = append(l.list, loggedEvent{announcement.Session, now - event.Ago, event})
+		l.list = append(l.list, loggedEvent{announcement.Session, now - event.Age, event})
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 	for _, one := range l.after(since) {
 		if one.session != session {
 			event := one.event
-			event.Ago = now - one.at
+			event.Age = now - one.at
 			packed = routing.AppendEvent(packed, event)
 		}
 	}
--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -203,8 +203,8 @@
 	n.log.Warn("leaving without having been replaced: the time is over")
 }
 
-// TakeSettings takes a settings file that has changed while the process runs: the seeds may be others.
-func (n *Node) TakeSettings(set *settings.Settings) {
+// ApplySettings takes a settings file that has changed while the process runs: the seeds may be others.
+func (n *Node) ApplySettings(set *settings.Settings) {
 	n.core.SetSeeds(n.seedAddresses(set))
 }
 
--- a/internal/fleet/controlplane/node_test.go
+++ b/internal/fleet/controlplane/node_test.go
@@ -100,14 +100,14 @@
 
 func TestEventsGoToAllNodesButTheirSender(t *testing.T) {
 	var l eventLog
-	one := routing.AppendEvent(nil, routing.Event{Kind: routing.Ended, Rater: 1})
-	two := routing.AppendEvent(one, routing.Event{Kind: routing.Failed, Rater: 2})
+	one := routing.AppendEvent(nil, routing.Event{Kind: routing.EventEnded, Backend: 1})
+	two := routing.AppendEvent(one, routing.Event{Kind: routing.EventFailed, Backend: 2})
 	require.NoError(t, l.add(time.Second, &distribution.Announcement{Session: 1, Events: two}))
 	require.NoError(t, l.add(2*time.Second, &distribution.Announcement{Session: 2, Events: one}))
 	require.True(t, l.news(0, 1))
 	require.Len(t, eventsOf(t, l.since(2*time.Second, 0, 1)), 1)
 	require.Len(t, eventsOf(t, l.since(2*time.Second, 0, 2)), 2)
-	require.Equal(t, time.Second, eventsOf(t, l.since(2*time.Second, 0, 2))[0].Ago)
+	require.Equal(t, time.Second, eventsOf(t, l.since(2*time.Second, 0, 2))[0].Age)
 	require.False(t, l.news(3, 9))
 	require.False(t, l.news(3, 1))
 	require.NoError(t, l.add(time.Minute, &distribution.Announcement{Session: 1}))
@@ -145,14 +145,14 @@
 	published, _ := n.core.Published()
 	now := n.now()
 	published.ViewConfirmed = now
-	published.AllHere = true
+	published.AllVotersInView = true
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	require.False(t, n.mayGive(published, "t", now), "the one before may still hand its bucket over")
 	require.True(t, n.mayGive(published, "t", now+handOverWait))
 	require.False(t, n.mayGive(published, "t", now+ownerConfirmed+time.Millisecond))
 	published.ViewConfirmed = now + time.Second
-	published.AllHere = false
+	published.AllVotersInView = false
 	require.False(t, n.mayGive(published, "u", now+time.Second), "another may still give")
 	published.ViewConfirmed += ownerWait
 	require.True(t, n.mayGive(published, "u", now+time.Second+ownerWait))
--- a/internal/fleet/controlplane/rooms.go
+++ b/internal/fleet/controlplane/quotaservice.go
@@ -29,7 +29,7 @@
 	switch {
 	case n.mayGive(published, request.Tenant, now):
 		*reply = n.rooms.Acquire(now, request)
-	case request.Deputy || AllowanceOwner(published.View.Chain, request.Tenant) == published.Self.Address:
+	case request.Deputy || QuotaOwner(published.View.Chain, request.Tenant) == published.Self.Address:
 		*reply = n.rooms.AcquireAsDeputy(now, request) // also while the owner before may not have stopped yet
 	}
 	return nil
@@ -61,7 +61,7 @@
 
 // mayGive tells whether this process owns a tenant's allowance and may give out room. The lock is held.
 func (n *Node) mayGive(published Published, tenant string, now time.Duration) bool {
-	if AllowanceOwner(published.View.Chain, tenant) != published.Self.Address {
+	if QuotaOwner(published.View.Chain, tenant) != published.Self.Address {
 		delete(n.roomFrom, tenant)
 		return false
 	}
@@ -78,7 +78,7 @@
 	if !known || from.epoch != published.View.Epoch {
 		from = ownership{epoch: published.View.Epoch, since: now}
 	}
-	if !published.AllHere {
+	if !published.AllVotersInView {
 		from.allSince = 0
 	} else if from.allSince == 0 {
 		from.allSince = now
@@ -99,7 +99,7 @@
 	for {
 		published, changed := n.core.Published()
 		for _, handed := range n.arrangeRooms(published) {
-			go n.handOver(AllowanceOwner(published.View.Chain, handed.Tenant), handed)
+			go n.handOver(QuotaOwner(published.View.Chain, handed.Tenant), handed)
 		}
 		n.showRooms(published)
 		timer := time.NewTimer(watchRooms)
@@ -123,7 +123,7 @@
 	}
 	var handed []quota.HandOver
 	for _, tenant := range n.rooms.Tenants() {
-		if AllowanceOwner(published.View.Chain, tenant) == published.Self.Address {
+		if QuotaOwner(published.View.Chain, tenant) == published.Self.Address {
 			continue
 		}
 		if bucket, held := n.rooms.Release(now, tenant); held {
@@ -160,8 +160,8 @@
 	}
 }
 
-// AllowanceOwner is the address of the member that owns a tenant's allowance. The one that follows in the hash's order is
+// QuotaOwner is the address of the member that owns a tenant's allowance. The one that follows in the hash's order is
 // its deputy, and the owner in the chain without it.
-func AllowanceOwner(chain []replica.Member, tenant string) string {
+func QuotaOwner(chain []replica.Member, tenant string) string {
 	return routing.Rendezvous(tenant, addresses(chain))
 }
--- a/internal/fleet/controlplane/replicator.go
+++ b/internal/fleet/controlplane/replicator.go
@@ -32,18 +32,18 @@
 
 // Published is what the rest of the process sees of the replica.
 type Published struct {
-	Self           replica.Member
-	View           replica.View
-	Healthy        bool
-	Seq            uint64
-	State          *operator.State
-	ViewConfirmed  time.Duration
-	StateConfirmed time.Duration
-	AllHere        bool // every other voter is known to be in this view
-	Released       bool // this member may end: the others go on without it
-	Standby        []replica.Member
-	CaughtUp       bool // this member has the state with which the view began, and what followed as far as it knows
-	copied         replica.Log
+	Self            replica.Member
+	View            replica.View
+	Healthy         bool
+	Seq             uint64
+	State           *operator.State
+	ViewConfirmed   time.Duration
+	StateConfirmed  time.Duration
+	AllVotersInView bool // every other voter is known to be in this view
+	Released        bool // this member may end: the others go on without it
+	Standby         []replica.Member
+	CaughtUp        bool // this member has the state with which the view began, and what followed as far as it knows
+	copied          replica.Log
 }
 
 // orderResult is the end of an order.
@@ -212,7 +212,7 @@
 func (r *Replicator) publish() {
 	seq, state := r.machine.Committed()
 	next := Published{Self: r.machine.Self(), View: r.machine.View(), Healthy: r.machine.Healthy(), Seq: seq, State: state,
-		ViewConfirmed: r.machine.ViewConfirmed(), StateConfirmed: r.machine.StateConfirmed(), AllHere: r.machine.AllVotersInView(), Released: r.machine.Released(),
+		ViewConfirmed: r.machine.ViewConfirmed(), StateConfirmed: r.machine.StateConfirmed(), AllVotersInView: r.machine.AllVotersInView(), Released: r.machine.Released(),
 		Standby: r.machine.Standby(), CaughtUp: r.machine.Status().Holds, copied: r.machine.Log()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/dataplane/follower.go
+++ b/internal/fleet/dataplane/configwatcher.go
@@ -30,8 +30,8 @@
 var errStaleList = errors.New("the control process cannot confirm its list of raters")
 var errLeaving = errors.New("the control process is about to end")
 
-// follower keeps the node's copy of what the control plane gives out.
-type follower struct {
+// configWatcher keeps the node's copy of what the control plane gives out.
+type configWatcher struct {
 	node       *Node
 	table      atomic.Pointer[operator.Table]
 	leaseEnd   atomic.Int64
@@ -45,15 +45,15 @@
 	avoid map[string]time.Duration // until when a control process is left alone
 }
 
-func newFollower(n *Node) *follower {
-	f := &follower{node: n, copy: distribution.NewClientState(n.settings.Bounds.Closed, n.settings.Bounds.Revoke),
+func newConfigWatcher(n *Node) *configWatcher {
+	f := &configWatcher{node: n, copy: distribution.NewClientState(n.settings.Bounds.Closed, n.settings.Bounds.Revoke),
 		configured: make(chan struct{}), avoid: map[string]time.Duration{}}
 	f.nodesHint.Store(1)
 	f.setSeeds(n.settings)
 	return f
 }
 
-func (f *follower) setSeeds(set *settings.Settings) {
+func (f *configWatcher) setSeeds(set *settings.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = nil
@@ -65,7 +65,7 @@
 }
 
 // run polls, always one control process at a time.
-func (f *follower) run() {
+func (f *configWatcher) run() {
 	pause := pauseMin
 	for {
 		address := f.choose()
@@ -82,7 +82,7 @@
 }
 
 // choose gives the control process to ask: one of the chain, in the own zone if there is one.
-func (f *follower) choose() string {
+func (f *configWatcher) choose() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.node.now()
@@ -115,7 +115,7 @@
 }
 
 // leastAvoided gives the process whose time to be left alone ends first.
-func (f *follower) leastAvoided(addresses []string) string {
+func (f *configWatcher) leastAvoided(addresses []string) string {
 	best := ""
 	for _, address := range addresses {
 		if best == "" || f.avoid[address] < f.avoid[best] {
@@ -125,7 +125,7 @@
 	return best
 }
 
-func (f *follower) poll(address string) error {
+func (f *configWatcher) poll(address string) error {
 	f.mu.Lock()
 	hold := pollHold
 	switch {
@@ -150,7 +150,7 @@
 	return err
 }
 
-func (f *follower) take(sent time.Duration, reply *distribution.PollReply) error {
+func (f *configWatcher) take(sent time.Duration, reply *distribution.PollReply) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	hadTable := f.copy.Table() != nil
@@ -166,9 +166,9 @@
 	f.node.retries.setNodes(f.copy.Nodes())
 	f.nodesHint.Store(int64(f.copy.Nodes()))
 	if change.Backends || change.Config {
-		f.node.placer.update(f.copy.Table(), f.copy.Backends(), f.copy.Nodes())
+		f.node.picker.update(f.copy.Table(), f.copy.Backends(), f.copy.Nodes())
 	}
-	f.node.placer.heard(reply.Events)
+	f.node.picker.heard(reply.Events)
 	if !hadTable && f.copy.Table() != nil {
 		close(f.configured)
 		f.node.pool.SetEager(false)
@@ -185,17 +185,17 @@
 }
 
 // members are the control processes and the epoch in which they were.
-func (f *follower) members() (uint64, []distribution.ControlMember) {
+func (f *configWatcher) members() (uint64, []distribution.ControlMember) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy.Members()
 }
 
-func (f *follower) nodes() int {
+func (f *configWatcher) nodes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy.Nodes()
 }
 
-// TakeSettings takes a settings file that has changed while the process runs: the seeds may be others.
-func (n *Node) TakeSettings(set *settings.Settings) { n.follower.setSeeds(set) }
+// ApplySettings takes a settings file that has changed while the process runs: the seeds may be others.
+func (n *Node) ApplySettings(set *settings.Settings) { n.watcher.setSeeds(set) }
--- a/internal/fleet/dataplane/listen_test.go
+++ b/internal/fleet/dataplane/listen_test.go
@@ -48,7 +48,7 @@
 	defer func() { _ = client.Close() }()
 	_, err := client.Write([]byte("hello"))
 	require.NoError(t, err)
-	close(n.follower.configured)
+	close(n.watcher.configured)
 	listener := <-opened
 	defer func() { _ = listener.Close() }()
 	accepted, err := listener.Accept()
@@ -70,7 +70,7 @@
 		}
 		return err != nil
 	}, 10*time.Second, 5*time.Millisecond)
-	close(n.follower.configured)
+	close(n.watcher.configured)
 	listener := <-opened
 	defer func() { _ = listener.Close() }()
 	client, err := net.Dial("tcp4", n.settings.Front)
--- a/internal/fleet/dataplane/announcer.go
+++ b/internal/fleet/dataplane/loadreporter.go
@@ -26,9 +26,9 @@
 	at    time.Duration
 }
 
-// announcer hands the events of the node's attempts to the control process that it polls. What all nodes together announce
+// loadReporter hands the events of the node's attempts to the control process that it polls. What all nodes together announce
 // is bounded: the larger the fleet, the longer a prompt must be for its attempt to be announced.
-type announcer struct {
+type loadReporter struct {
 	node  *Node
 	now   func() time.Duration
 	nodes func() int64 // about how many nodes of the data plane there are
@@ -42,13 +42,13 @@
 	told      map[uint32]bool // attempts that were announced and have not ended
 }
 
-func newAnnouncer(n *Node) *announcer {
-	return &announcer{node: n, now: n.now, nodes: func() int64 { return n.follower.nodesHint.Load() }, wake: make(chan struct{}, 1),
+func newLoadReporter(n *Node) *loadReporter {
+	return &loadReporter{node: n, now: n.now, nodes: func() int64 { return n.watcher.nodesHint.Load() }, wake: make(chan struct{}, 1),
 		told: map[uint32]bool{}}
 }
 
 // add queues the events that are worth telling. What finds no place is dropped: it would be too late.
-func (a *announcer) add(events []routing.Event) {
+func (a *loadReporter) add(events []routing.Event) {
 	now := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,17 +67,17 @@
 }
 
 // worth tells whether other nodes are told of an event: of whole attempts or not at all. The lock is held.
-func (a *announcer) worth(now time.Duration, event *routing.Event) bool {
+func (a *loadReporter) worth(now time.Duration, event *routing.Event) bool {
 	switch event.Kind {
-	case routing.Sent:
+	case routing.EventSent:
 		return a.admit(now, event)
-	case routing.Answered:
+	case routing.EventFirstToken:
 		told := a.told[event.Attempt]
 		if !event.Long { // its end is not told
 			delete(a.told, event.Attempt)
 		}
 		return told
-	case routing.Ended, routing.Failed, routing.Paused:
+	case routing.EventEnded, routing.EventFailed, routing.EventPaused:
 		told := a.told[event.Attempt]
 		delete(a.told, event.Attempt)
 		return told
@@ -86,7 +86,7 @@
 }
 
 // admit decides whether an attempt is announced, by the size of its prompt and the node's part of what the fleet may tell.
-func (a *announcer) admit(now time.Duration, event *routing.Event) bool {
+func (a *loadReporter) admit(now time.Duration, event *routing.Event) bool {
 	rate := fleetAttempts / float64(a.nodes())
 	full := max(1, savedAttempts*rate)
 	a.room = min(a.room+rate*(now-a.roomAt).Seconds(), full)
@@ -111,23 +111,23 @@
 }
 
 // take gives the waiting events in their packed form.
-func (a *announcer) take() []byte {
+func (a *loadReporter) take() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
 	var packed []byte
 	for _, one := range a.waiting {
-		one.event.Ago = now - one.at
+		one.event.Age = now - one.at
 		packed = routing.AppendEvent(packed, one.event)
 	}
 	a.waiting = a.waiting[:0]
 	return packed
 }
 
-func (a *announcer) run() {
+func (a *loadReporter) run() {
 	for range a.wake {
 		time.Sleep(gatherFor)
-		address := a.node.follower.current.Load()
+		address := a.node.watcher.current.Load()
 		packed := a.take()
 		if address == nil || *address == "" || len(packed) == 0 {
 			continue
--- a/internal/fleet/dataplane/announcer_test.go
+++ b/internal/fleet/dataplane/loadreporter_test.go
@@ -10,16 +10,16 @@
 )
 
 // testAnnouncer is an announcer of one of so many nodes, on a clock of the test.
-func testAnnouncer(nodes int64, clock *time.Duration) *announcer {
-	return &announcer{now: func() time.Duration { return *clock }, nodes: func() int64 { return nodes }, wake: make(chan struct{}, 1),
+func testAnnouncer(nodes int64, clock *time.Duration) *loadReporter {
+	return &loadReporter{now: func() time.Duration { return *clock }, nodes: func() int64 { return nodes }, wake: make(chan struct{}, 1),
 		told: map[uint32]bool{}}
 }
 
 func sent(attempt uint32, tokens float64) routing.Event {
-	return routing.Event{Kind: routing.Sent, Attempt: attempt, Tokens: tokens, Long: true}
+	return routing.Event{Kind: routing.EventSent, Attempt: attempt, Tokens: tokens, Long: true}
 }
 
-func eventsOf(t *testing.T, a *announcer) []routing.Event {
+func eventsOf(t *testing.T, a *loadReporter) []routing.Event {
 	t.Helper()
 	events, err := routing.UnpackEvents(a.take())
 	require.NoError(t, err)
@@ -54,12 +54,12 @@
 	a.add([]routing.Event{sent(2, 1000)}) // there is no room for it
 	require.Empty(t, eventsOf(t, a))
 	answered := func(attempt uint32) routing.Event {
-		return routing.Event{Kind: routing.Answered, Attempt: attempt, Long: true}
+		return routing.Event{Kind: routing.EventFirstToken, Attempt: attempt, Long: true}
 	}
-	a.add([]routing.Event{answered(1), answered(2), {Kind: routing.Ended, Attempt: 1}, {Kind: routing.Failed, Attempt: 2}})
+	a.add([]routing.Event{answered(1), answered(2), {Kind: routing.EventEnded, Attempt: 1}, {Kind: routing.EventFailed, Attempt: 2}})
 	require.Len(t, eventsOf(t, a), 2, "those of the first one")
 	require.Empty(t, a.told)
-	a.add([]routing.Event{{Kind: routing.Unreachable, Rater: 1}})
+	a.add([]routing.Event{{Kind: routing.EventUnreachable, Backend: 1}})
 	require.Len(t, eventsOf(t, a), 1, "that a rater cannot be reached is always told")
 }
 
@@ -68,5 +68,5 @@
 	a := testAnnouncer(1, &clock)
 	a.add([]routing.Event{sent(1, 1000)})
 	clock += 40 * time.Millisecond
-	require.Equal(t, 40*time.Millisecond, eventsOf(t, a)[0].Ago)
+	require.Equal(t, 40*time.Millisecond, eventsOf(t, a)[0].Age)
 }
--- a/internal/fleet/dataplane/node.go
+++ b/internal/fleet/dataplane/node.go
@@ -26,33 +26,33 @@
 
 // Node is one process of the data plane.
 type Node struct {
-	settings  *settings.Settings
-	log       *log.Logger
-	begin     time.Time
-	session   uint64
-	pool      *transport.Pool
-	follower  *follower
-	placer    *placer
-	rooms     *rooms
-	announcer *announcer
-	retries   *retryBudget
-	figures   *proxy.Figures
-	active    atomic.Int64 // requests under way
-	stopping  atomic.Bool
-	cutAt     atomic.Int64 // when the process ends what is still under way
-	closing   atomic.Bool
+	settings *settings.Settings
+	log      *log.Logger
+	begin    time.Time
+	session  uint64
+	pool     *transport.Pool
+	watcher  *configWatcher
+	picker   *picker
+	quotas   *quotaClient
+	reporter *loadReporter
+	retries  *retryBudget
+	metrics  *proxy.Metrics
+	active   atomic.Int64 // requests under way
+	stopping atomic.Bool
+	cutAt    atomic.Int64 // when the process ends what is still under way
+	closing  atomic.Bool
 }
 
 // New makes a process of the data plane from its settings.
 func New(set *settings.Settings, logger *log.Logger) *Node {
 	n := &Node{settings: set, log: logger, begin: time.Now(), session: rand.Uint64()>>1 + 1, pool: transport.NewPool(),
-		figures: proxy.NewFigures()}
+		metrics: proxy.NewMetrics()}
 	n.pool.SetEager(true) // until it is configured
-	n.announcer = newAnnouncer(n)
-	n.placer = newPlacer(n.now, nodeNumber(set.NodeName), n.announcer.add)
+	n.reporter = newLoadReporter(n)
+	n.picker = newPicker(n.now, nodeNumber(set.NodeName), n.reporter.add)
 	n.retries = newRetryBudget(set.Bounds)
-	n.follower = newFollower(n)
-	n.rooms = newRooms(n)
+	n.watcher = newConfigWatcher(n)
+	n.quotas = newQuotaClient(n)
 	return n
 }
 
@@ -69,13 +69,13 @@
 }
 
 // Table is the configuration in force.
-func (n *Node) Table() *operator.Table { return n.follower.table.Load() }
+func (n *Node) Table() *operator.Table { return n.watcher.table.Load() }
 
 // Leased tells whether the configuration may be used now.
-func (n *Node) Leased() bool { return n.now() < time.Duration(n.follower.leaseEnd.Load()) }
+func (n *Node) Leased() bool { return n.now() < time.Duration(n.watcher.leaseEnd.Load()) }
 
 // leaseLeft is how long the configuration may still be used.
-func (n *Node) leaseLeft() time.Duration { return time.Duration(n.follower.leaseEnd.Load()) - n.now() }
+func (n *Node) leaseLeft() time.Duration { return time.Duration(n.watcher.leaseEnd.Load()) - n.now() }
 
 // A node whose lease runs out because it does not reach the control plane sends its clients elsewhere before it must refuse
 // them: it calls itself not ready with so much of the lease left, and then has clients close their connections.
@@ -107,9 +107,9 @@
 	go func() {
 		failed <- (&http.Server{Handler: n.readiness(), ErrorLog: n.log.StandardLog()}).Serve(readiness)
 	}()
-	go n.follower.run()
-	go n.rooms.run()
-	go n.announcer.run()
+	go n.watcher.run()
+	go n.quotas.run()
+	go n.reporter.run()
 	front, err := n.listen(ctx, failed, acceptAhead)
 	if front == nil {
 		return err
@@ -140,7 +140,7 @@
 	defer ahead.Stop()
 	for {
 		select {
-		case <-n.follower.configured:
+		case <-n.watcher.configured:
 			if front == nil {
 				front, err = net.Listen("tcp4", n.settings.Front)
 			}
@@ -160,8 +160,8 @@
 }
 
 func (n *Node) server() *http.Server {
-	handler := &proxy.Handler{Config: n, Placer: n.placer, Rooms: n.rooms, Retries: n.retries, Raters: backend.NewClient(),
-		Figures: n.figures, Log: n.log, Closing: n.wantsClosed, TimeLeft: n.timeLeft}
+	handler := &proxy.Handler{Config: n, Picker: n.picker, Quotas: n.quotas, Retries: n.retries, Backends: backend.NewClient(),
+		Metrics: n.metrics, Log: n.log, Closing: n.wantsClosed, TimeLeft: n.timeLeft}
 	limits := n.Table().Limits
 	idle := newIdleConnections(func() time.Duration { return n.Table().Limits.IdleTimeout })
 	go idle.run()
@@ -202,7 +202,7 @@
 }
 
 func (n *Node) status(w http.ResponseWriter, _ *http.Request) {
-	body := statusBody{Node: n.settings.NodeName, Ready: n.ready(), Active: n.active.Load(), Services: n.placer.status()}
+	body := statusBody{Node: n.settings.NodeName, Ready: n.ready(), Active: n.active.Load(), Services: n.picker.status()}
 	if table := n.Table(); table != nil {
 		body.Revision = table.Revision
 	}
@@ -211,8 +211,8 @@
 	} else {
 		body.LeaseLeft = "not needed"
 	}
-	body.Epoch, _ = n.follower.members()
-	body.Refused, body.Passed = n.figures.Counts()
+	body.Epoch, _ = n.watcher.members()
+	body.Refused, body.Passed = n.metrics.Counts()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/fleet/dataplane/placer.go
+++ b/internal/fleet/dataplane/picker.go
@@ -10,30 +10,30 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// placer holds the services' routing behind a lock.
-type placer struct {
+// picker holds the services' routing behind a lock.
+type picker struct {
 	now  func() time.Duration
 	node int
 
 	announce func([]routing.Event)
 
-	mu       sync.Mutex
-	services map[string]*routing.Service
+	mu        sync.Mutex
+	balancers map[string]*routing.Balancer
 }
 
-func newPlacer(now func() time.Duration, node int, announce func([]routing.Event)) *placer {
-	return &placer{now: now, node: node, announce: announce, services: map[string]*routing.Service{}}
+func newPicker(now func() time.Duration, node int, announce func([]routing.Event)) *picker {
+	return &picker{now: now, node: node, announce: announce, balancers: map[string]*routing.Balancer{}}
 }
 
 // tell has other nodes told of this node's attempts.
-func (p *placer) tell(service *routing.Service) {
-	if events := service.TakeEvents(); len(events) > 0 {
+func (p *picker) tell(service *routing.Balancer) {
+	if events := service.DrainEvents(); len(events) > 0 {
 		p.announce(events)
 	}
 }
 
 // heard takes what other nodes told.
-func (p *placer) heard(packed []byte) {
+func (p *picker) heard(packed []byte) {
 	events, err := routing.UnpackEvents(packed)
 	if err != nil { // a control process of another version: the node goes by its own attempts
 		return
@@ -42,8 +42,8 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	for i := range events {
-		for _, service := range p.services {
-			if service.Heard(now, &events[i]) {
+		for _, service := range p.balancers {
+			if service.Observe(now, &events[i]) {
 				break
 			}
 		}
@@ -51,29 +51,29 @@
 }
 
 // update takes configuration and raters.
-func (p *placer) update(table *operator.Table, raters []registry.Record, nodes int) {
+func (p *picker) update(table *operator.Table, raters []registry.Record, nodes int) {
 	if table == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	lists := make(map[string][]routing.Rater)
+	lists := make(map[string][]routing.Backend)
 	for _, record := range raters {
-		lists[record.Backend] = append(lists[record.Backend], routing.Rater{ID: record.ID, Address: record.Address,
-			Slots: record.Slots, Memory: memoryOf(table, record.Backend), Late: record.Late, Draining: record.State == registry.Draining})
+		lists[record.Backend] = append(lists[record.Backend], routing.Backend{ID: record.ID, Address: record.Address,
+			Slots: record.Slots, KVTokens: memoryOf(table, record.Backend), HeartbeatLate: record.Late, Draining: record.State == registry.Draining})
 	}
 	for name := range table.Services {
-		service := p.services[name]
+		service := p.balancers[name]
 		if service == nil {
 			aim, deadline := objectives(table, name)
-			made, err := routing.NewService(routing.Options{Aim: aim, Deadline: deadline, Nodes: nodes, Node: p.node, Seed: rand.Uint64()})
+			made, err := routing.NewBalancer(routing.Config{Target: aim, Deadline: deadline, Nodes: nodes, Node: p.node, Seed: rand.Uint64()})
 			if err != nil { // the options above are in range
 				panic(err)
 			}
 			service = made
-			p.services[name] = service
+			p.balancers[name] = service
 		}
-		service.SetRaters(p.now(), believed(lists[name]))
+		service.SetBackends(p.now(), believed(lists[name]))
 	}
 }
 
@@ -86,10 +86,10 @@
 }
 
 // believed drops the notice that raters are late where it is about most of them: then it is control that does not hear.
-func believed(raters []routing.Rater) []routing.Rater {
+func believed(raters []routing.Backend) []routing.Backend {
 	late := 0
 	for _, one := range raters {
-		if one.Late {
+		if one.HeartbeatLate {
 			late++
 		}
 	}
@@ -97,7 +97,7 @@
 		return raters
 	}
 	for i := range raters {
-		raters[i].Late = false
+		raters[i].HeartbeatLate = false
 	}
 	return raters
 }
@@ -115,44 +115,44 @@
 	return aim, max(aim, deadline)
 }
 
-// Place chooses a rater.
-func (p *placer) Place(name string, request *routing.Request) *routing.Ticket {
+// Pick chooses a rater.
+func (p *picker) Pick(name string, request *routing.Request) *routing.Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	service := p.services[name]
+	service := p.balancers[name]
 	if service == nil {
 		return nil
 	}
 	now := p.now()
 	request.Deadline += now
-	ticket := service.Place(now, request)
+	ticket := service.Pick(now, request)
 	p.tell(service)
 	return ticket
 }
 
-// Begun takes the first token of an answer.
-func (p *placer) Begun(name string, ticket *routing.Ticket) {
+// FirstToken takes the first token of an answer.
+func (p *picker) FirstToken(name string, ticket *routing.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	service := p.services[name]
-	service.Begun(p.now(), ticket)
+	service := p.balancers[name]
+	service.FirstToken(p.now(), ticket)
 	p.tell(service)
 }
 
-// End takes the end of an attempt.
-func (p *placer) End(name string, ticket *routing.Ticket, result routing.Result, load routing.Load) {
+// Done takes the end of an attempt.
+func (p *picker) Done(name string, ticket *routing.Attempt, result routing.Result, load routing.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	service := p.services[name]
-	service.End(p.now(), ticket, result, load)
+	service := p.balancers[name]
+	service.Done(p.now(), ticket, result, load)
 	p.tell(service)
 }
 
 // Unreachable takes the news that the rater of an attempt could not be reached, and tells the other nodes.
-func (p *placer) Unreachable(name string, ticket *routing.Ticket) {
+func (p *picker) Unreachable(name string, ticket *routing.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	service := p.services[name]
+	service := p.balancers[name]
 	service.Unreachable(p.now(), ticket)
 	p.tell(service)
 }
@@ -172,14 +172,14 @@
 	Failing  float64
 }
 
-func (p *placer) status() map[string][]raterStatus {
+func (p *picker) status() map[string][]raterStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make(map[string][]raterStatus, len(p.services))
-	for name, service := range p.services {
+	all := make(map[string][]raterStatus, len(p.balancers))
+	for name, service := range p.balancers {
 		for _, view := range service.View(p.now()).Backends {
-			load := service.Load(p.now(), service.Name(view.ID))
-			all[name] = append(all[name], raterStatus{ID: service.Name(view.ID), Share: view.Share, Reading: load.Reading,
+			load := service.Load(p.now(), service.BackendName(view.ID))
+			all[name] = append(all[name], raterStatus{ID: service.BackendName(view.ID), Share: view.Share, Reading: load.Reading,
 				Running: load.Running, Wait: load.Wait.Round(time.Millisecond).String(), Pace: load.Pace, Failing: load.Failing,
 				Latency: view.Latency.Round(time.Microsecond).String(), Slow: view.Slow, Away: view.Away, InFlight: view.Out})
 		}
--- a/internal/fleet/dataplane/rooms.go
+++ b/internal/fleet/dataplane/quotaclient.go
@@ -23,8 +23,8 @@
 
 var errSilent = errors.New("the control process was found silent just now")
 
-// rooms keeps the node's part of the tenants' allowances.
-type rooms struct {
+// quotaClient keeps the node's part of the tenants' allowances.
+type quotaClient struct {
 	node *Node
 
 	mu      sync.Mutex
@@ -38,13 +38,13 @@
 	revision int64
 }
 
-func newRooms(n *Node) *rooms {
-	return &rooms{node: n, wallets: map[string]*wallet{}, silent: map[string]time.Duration{}}
+func newQuotaClient(n *Node) *quotaClient {
+	return &quotaClient{node: n, wallets: map[string]*wallet{}, silent: map[string]time.Duration{}}
 }
 
-// Spend takes an amount from a tenant's allowance: from what is held, else from its owner, else from the owner's deputy,
+// Acquire takes an amount from a tenant's allowance: from what is held, else from its owner, else from the owner's deputy,
 // else from this node's even part of the limit.
-func (r *rooms) Spend(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
+func (r *quotaClient) Acquire(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
 	now := r.node.now()
 	r.mu.Lock()
 	w := r.wallet(tenant, revision)
@@ -72,7 +72,7 @@
 
 // ask asks the owner, and its deputy where the owner is silent. While the ownership moves from one process to another that are
 // both there, neither gives for some milliseconds: then both are asked again.
-func (r *rooms) ask(request *quota.TakeRequest) quota.TakeReply {
+func (r *quotaClient) ask(request *quota.TakeRequest) quota.TakeReply {
 	for try := range askTries {
 		reply, answered := r.askInTurn(request)
 		if reply.Owner || !answered || try == askTries-1 {
@@ -84,7 +84,7 @@
 }
 
 // askInTurn asks owner and deputy once. It also tells whether any of them answered at all.
-func (r *rooms) askInTurn(request *quota.TakeRequest) (reply quota.TakeReply, answered bool) {
+func (r *quotaClient) askInTurn(request *quota.TakeRequest) (reply quota.TakeReply, answered bool) {
 	chain := r.chain()
 	asked := *request
 	for range 2 {
@@ -104,7 +104,7 @@
 }
 
 // askOne asks one control process, unless it was found silent just now.
-func (r *rooms) askOne(address string, request *quota.TakeRequest) (quota.TakeReply, error) {
+func (r *quotaClient) askOne(address string, request *quota.TakeRequest) (quota.TakeReply, error) {
 	r.mu.Lock()
 	silent := r.node.now() < r.silent[address]
 	r.mu.Unlock()
@@ -122,8 +122,8 @@
 }
 
 // fallBack spends from this node's even part of the limit, while the owner does not answer.
-func (r *rooms) fallBack(w *wallet, tenant *operator.Tenant, amount float64) (bool, time.Duration) {
-	nodes := r.node.follower.nodes()
+func (r *quotaClient) fallBack(w *wallet, tenant *operator.Tenant, amount float64) (bool, time.Duration) {
+	nodes := r.node.watcher.nodes()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.node.log.Debug("no owner of the allowance answers", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "nodes", nodes)
@@ -131,7 +131,7 @@
 }
 
 // Refund gives back what a request that did not run took.
-func (r *rooms) Refund(tenant *operator.Tenant, amount float64) {
+func (r *quotaClient) Refund(tenant *operator.Tenant, amount float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if w := r.wallets[tenant.Name]; w != nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (r *rooms) wallet(tenant *operator.Tenant, revision int64) *wallet {
+func (r *quotaClient) wallet(tenant *operator.Tenant, revision int64) *wallet {
 	w := r.wallets[tenant.Name]
 	if w == nil {
 		w = &wallet{}
@@ -152,8 +152,8 @@
 }
 
 // chain are the members of the chain as far as is known here.
-func (r *rooms) chain() []string {
-	_, members := r.node.follower.members()
+func (r *quotaClient) chain() []string {
+	_, members := r.node.watcher.members()
 	var chain []string
 	for _, member := range members {
 		if member.InChain {
@@ -164,7 +164,7 @@
 }
 
 // run gives back what was granted and not used.
-func (r *rooms) run() {
+func (r *quotaClient) run() {
 	for range time.Tick(returnEvery) {
 		for _, request := range r.unused() {
 			var reply quota.TakeReply
@@ -173,7 +173,7 @@
 	}
 }
 
-func (r *rooms) unused() []quota.TakeRequest {
+func (r *quotaClient) unused() []quota.TakeRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var requests []quota.TakeRequest
--- a/internal/fleet/dataplane/retrybudget.go
+++ b/internal/fleet/dataplane/retrybudget.go
@@ -36,8 +36,8 @@
 
 func (b *retryBudget) most() float64 { return max(1, b.slack/float64(b.nodes)) }
 
-// First notes the first send of a request.
-func (b *retryBudget) First(service string) {
+// Deposit notes the first send of a request.
+func (b *retryBudget) Deposit(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	saved, known := b.tokens[service]
@@ -47,8 +47,8 @@
 	b.tokens[service] = min(saved+b.ratio, b.most())
 }
 
-// TakeRetry takes a further send, if there is one.
-func (b *retryBudget) TakeRetry(service string) bool {
+// TryWithdraw takes a further send, if there is one.
+func (b *retryBudget) TryWithdraw(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens[service] < 1 {
--- a/internal/fleet/process/program.go
+++ b/internal/fleet/process/process.go
@@ -38,11 +38,11 @@
 // Process is one binary's work.
 type Process interface {
 	Run(ctx context.Context) error
-	TakeSettings(set *settings.Settings)
+	ApplySettings(set *settings.Settings)
 }
 
-// Binary describes a binary.
-type Binary struct {
+// Program describes a binary.
+type Program struct {
 	Name          string
 	Start         func(set *settings.Settings, logger *log.Logger) (Process, error)
 	StatusAddress func(set *settings.Settings) string
@@ -59,7 +59,7 @@
 }
 
 // Main runs a binary and gives its exit code.
-func (b *Binary) Main(args []string, stdout, stderr io.Writer) int {
+func (b *Program) Main(args []string, stdout, stderr io.Writer) int {
 	var line commandLine
 	parser := flags.NewParser(&line, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = b.Name
@@ -95,7 +95,7 @@
 }
 
 // status prints what a running process tells of itself.
-func (b *Binary) status(set *settings.Settings, stdout, stderr io.Writer) int {
+func (b *Program) status(set *settings.Settings, stdout, stderr io.Writer) int {
 	client := http.Client{Timeout: statusWithin}
 	response, err := client.Get("http://" + b.StatusAddress(set) + "/-/status")
 	if err != nil {
@@ -110,7 +110,7 @@
 	return 0
 }
 
-func (b *Binary) serve(set *settings.Settings, level string, stderr io.Writer) int {
+func (b *Program) serve(set *settings.Settings, level string, stderr io.Writer) int {
 	logger := newLogger(level, stderr)
 	if set.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryMB) * (1 << 20)))
@@ -164,7 +164,7 @@
 			continue
 		}
 		logger.Info("settings read again", "seeds", set.Seeds)
-		process.TakeSettings(set)
+		process.ApplySettings(set)
 	}
 }
 
--- a/internal/fleet/process/program_test.go
+++ b/internal/fleet/process/process_test.go
@@ -16,13 +16,13 @@
 type nothing struct{}
 
 func (nothing) Run(context.Context) error       { return nil }
-func (nothing) TakeSettings(*settings.Settings) {}
+func (nothing) ApplySettings(*settings.Settings) {}
 
 func run(t *testing.T, content string, args ...string) (int, string, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o644))
-	binary := Binary{Name: "linenwheel-test",
+	binary := Program{Name: "linenwheel-test",
 		Start:         func(*settings.Settings, *log.Logger) (Process, error) { return nothing{}, nil },
 		StatusAddress: func(*settings.Settings) string { return "127.0.0.1:1" }}
 	var stdout, stderr bytes.Buffer
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -35,7 +35,7 @@
 
 // serve sends the request to raters until it has an answer or may not be sent again.
 func (c *call) serve() {
-	c.handler.Retries.First(c.service)
+	c.handler.Retries.Deposit(c.service)
 	fault := errkind.New(errkind.NoBackend, "")
 	for unsent := 0; unsent < mostUnsent; {
 		ticket := c.place()
@@ -51,7 +51,7 @@
 			return
 		}
 		fault = err
-		c.tried = append(c.tried, ticket.Rater.ID)
+		c.tried = append(c.tried, ticket.Backend.ID)
 		if fault.Kind == errkind.NoBackend {
 			unsent++
 			continue
@@ -67,18 +67,18 @@
 }
 
 // place chooses the next rater; nil where there is none or no time.
-func (c *call) place() *routing.Ticket {
+func (c *call) place() *routing.Attempt {
 	if time.Until(c.deadline) <= 0 || c.clientGone() {
 		return nil
 	}
-	request := &routing.Request{Cost: c.prompt.cost(), Deadline: time.Until(c.deadline), Exclude: c.tried, Own: c.prompt.own,
-		Shared: max(0, c.prompt.input-c.prompt.own), Aim: c.route.Target,
+	request := &routing.Request{Cost: c.prompt.cost(), Deadline: time.Until(c.deadline), Exclude: c.tried, OwnTokens: c.prompt.own,
+		SharedTokens: max(0, c.prompt.input-c.prompt.own), Target: c.route.Target,
 		Long: c.prompt.long(), Route: c.route.Name}
 	if c.route.Affinity {
 		request.Prefix = c.prompt.shared
 	}
 	c.placed = time.Now()
-	return c.handler.Placer.Place(c.service, request)
+	return c.handler.Picker.Pick(c.service, request)
 }
 
 // mayRetry tells whether a request that a rater has had may be sent to another one.
@@ -86,18 +86,18 @@
 	if c.mayRun && !c.route.Idempotent() {
 		return false
 	}
-	return c.sends < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.handler.Retries.TakeRetry(c.service)
+	return c.sends < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.handler.Retries.TryWithdraw(c.service)
 }
 
 // attempt sends the request to one rater.
-func (c *call) attempt(ticket *routing.Ticket) (verdict, *errkind.Error) {
+func (c *call) attempt(ticket *routing.Attempt) (verdict, *errkind.Error) {
 	if c.tenant != nil && !c.handler.Config.Leased() {
 		c.end(ticket, decide.NotSent, routing.Load{})
 		return failed, errkind.New(errkind.StaleConfig, "")
 	}
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
-	answer, err := c.handler.Raters.Do(ctx, ticket.Rater.Address, c.outgoing(ticket))
+	answer, err := c.handler.Backends.Do(ctx, ticket.Backend.Address, c.outgoing(ticket))
 	if err != nil {
 		return c.noAnswer(ctx, ticket, err)
 	}
@@ -119,7 +119,7 @@
 }
 
 // noAnswer decides what becomes of a request whose rater gave no answer.
-func (c *call) noAnswer(ctx context.Context, ticket *routing.Ticket, err error) (verdict, *errkind.Error) {
+func (c *call) noAnswer(ctx context.Context, ticket *routing.Attempt, err error) (verdict, *errkind.Error) {
 	fate := backend.MayHaveRun
 	var exchange *backend.Error
 	if errors.As(err, &exchange) {
@@ -132,7 +132,7 @@
 		}
 		c.end(ticket, result, routing.Load{})
 		if !c.clientGone() {
-			c.handler.Placer.Unreachable(c.service, ticket)
+			c.handler.Picker.Unreachable(c.service, ticket)
 		}
 		if ctx.Err() != nil {
 			return failed, errkind.New(c.outOfTime(), "")
@@ -141,9 +141,9 @@
 	}
 	c.sends++
 	c.mayRun = true
-	c.handler.Raters.CloseIdle(ticket.Rater.Address)
+	c.handler.Backends.CloseIdle(ticket.Backend.Address)
 	if errors.Is(err, syscall.ETIMEDOUT) {
-		c.handler.Placer.Unreachable(c.service, ticket)
+		c.handler.Picker.Unreachable(c.service, ticket)
 	}
 	switch {
 	case c.clientGone():
@@ -167,12 +167,12 @@
 	return errkind.DeadlineExceeded
 }
 
-func (c *call) end(ticket *routing.Ticket, result routing.Result, load routing.Load) {
-	c.handler.Placer.End(c.service, ticket, result, load)
+func (c *call) end(ticket *routing.Attempt, result routing.Result, load routing.Load) {
+	c.handler.Picker.Done(c.service, ticket, result, load)
 }
 
 // outgoing is the request as the rater gets it.
-func (c *call) outgoing(ticket *routing.Ticket) *backend.Request {
+func (c *call) outgoing(ticket *routing.Attempt) *backend.Request {
 	header := c.request.Header.Clone()
 	dropHopHeaders(header)
 	for _, name := range []string{backend.HeaderKey, backend.HeaderTenant, backend.HeaderExpect, backend.HeaderPriority, backend.HeaderDeadline} {
@@ -180,7 +180,7 @@
 	}
 	left := max(1, time.Until(c.deadline).Milliseconds())
 	header.Set(backend.HeaderDeadline, strconv.FormatInt(left, 10))
-	header.Set(backend.HeaderExpect, ticket.Rater.ID)
+	header.Set(backend.HeaderExpect, ticket.Backend.ID)
 	header.Set(backend.HeaderPriority, strconv.Itoa(c.priority()))
 	if c.tenant != nil {
 		header.Set(backend.HeaderTenant, c.tenant.Name)
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -28,37 +28,37 @@
 	Leased() bool
 }
 
-// Placer chooses raters.
-type Placer interface {
-	Place(service string, request *routing.Request) *routing.Ticket
-	Begun(service string, ticket *routing.Ticket)
-	End(service string, ticket *routing.Ticket, result routing.Result, load routing.Load)
-	Unreachable(service string, ticket *routing.Ticket)
+// Picker chooses raters.
+type Picker interface {
+	Pick(service string, request *routing.Request) *routing.Attempt
+	FirstToken(service string, ticket *routing.Attempt)
+	Done(service string, ticket *routing.Attempt, result routing.Result, load routing.Load)
+	Unreachable(service string, ticket *routing.Attempt)
 }
 
-// Allowances keep the tenants' limits.
-type Allowances interface {
+// Quotas keep the tenants' limits.
+type Quotas interface {
 	// Spend takes an amount from a tenant's allowance. Where there is not enough it tells when to come back.
-	Spend(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (ok bool, wait time.Duration)
+	Acquire(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (ok bool, wait time.Duration)
 	Refund(tenant *operator.Tenant, amount float64)
 }
 
 // RetryBudget bounds the sends beyond the first.
 type RetryBudget interface {
-	First(service string)
-	TakeRetry(service string) bool
+	Deposit(service string)
+	TryWithdraw(service string) bool
 }
 
 // Handler answers the clients of one node.
 type Handler struct {
-	Config  Configuration
-	Placer  Placer
-	Rooms   Allowances
-	Retries RetryBudget
-	Raters  *backend.Client
-	Figures *Figures
-	Log     *log.Logger
-	Closing func() bool // the process is about to end: connections are not to be kept
+	Config   Configuration
+	Picker   Picker
+	Quotas   Quotas
+	Retries  RetryBudget
+	Backends *backend.Client
+	Metrics  *Metrics
+	Log      *log.Logger
+	Closing  func() bool // the process is about to end: connections are not to be kept
 	// TimeLeft tells how long what is under way may still take, where the process is about to end.
 	TimeLeft func() (left time.Duration, ending bool)
 }
@@ -196,7 +196,7 @@
 			c.amount = c.tenant.PlainTokens
 		}
 	}
-	if ok, wait := c.handler.Rooms.Spend(c.tenant, table.Revision, c.amount, c.route.Priority == 0); !ok {
+	if ok, wait := c.handler.Quotas.Acquire(c.tenant, table.Revision, c.amount, c.route.Priority == 0); !ok {
 		c.amount = 0
 		c.writer.Header().Set("Retry-After", retryAfter(wait))
 		return errkind.New(errkind.OverQuota, "")
@@ -207,7 +207,7 @@
 // refund gives the allowance of a request back that did not run.
 func (c *call) refund() {
 	if c.amount > 0 && !c.mayRun {
-		c.handler.Rooms.Refund(c.tenant, c.amount)
+		c.handler.Quotas.Refund(c.tenant, c.amount)
 		c.amount = 0
 	}
 }
@@ -215,7 +215,7 @@
 // refuse ends a request without a rater's answer.
 func (c *call) refuse(err error) {
 	kind := errkind.KindOf(err)
-	c.handler.Figures.Ended(kind)
+	c.handler.Metrics.Ended(kind)
 	if c.stream.headSent {
 		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
 	}
--- a/internal/fleet/proxy/handler_test.go
+++ b/internal/fleet/proxy/handler_test.go
@@ -61,8 +61,8 @@
 	return f.left, f.left > 0
 }
 
-// Place takes the raters in turn, but for those that were tried.
-func (f *fixture) Place(_ string, request *routing.Request) *routing.Ticket {
+// Pick takes the raters in turn, but for those that were tried.
+func (f *fixture) Pick(_ string, request *routing.Request) *routing.Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.raters {
@@ -73,22 +73,22 @@
 			tried = tried || id == one.ID
 		}
 		if !tried {
-			return &routing.Ticket{Rater: routing.Rater{ID: one.ID, Address: one.Address}}
+			return &routing.Attempt{Backend: routing.Backend{ID: one.ID, Address: one.Address}}
 		}
 	}
 	return nil
 }
 
-func (f *fixture) Begun(string, *routing.Ticket)       {}
-func (f *fixture) Unreachable(string, *routing.Ticket) {}
+func (f *fixture) FirstToken(string, *routing.Attempt)  {}
+func (f *fixture) Unreachable(string, *routing.Attempt) {}
 
-func (f *fixture) End(_ string, _ *routing.Ticket, result routing.Result, _ routing.Load) {
+func (f *fixture) Done(_ string, _ *routing.Attempt, result routing.Result, _ routing.Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ends = append(f.ends, result)
 }
 
-func (f *fixture) Spend(_ *operator.Tenant, _ int64, amount float64, _ bool) (bool, time.Duration) {
+func (f *fixture) Acquire(_ *operator.Tenant, _ int64, amount float64, _ bool) (bool, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.denied {
@@ -104,8 +104,8 @@
 	f.spent -= amount
 }
 
-func (f *fixture) First(string)          {}
-func (f *fixture) TakeRetry(string) bool { return true }
+func (f *fixture) Deposit(string)          {}
+func (f *fixture) TryWithdraw(string) bool { return true }
 
 func newFixture(t *testing.T, raters int) *fixture {
 	t.Helper()
@@ -118,7 +118,7 @@
 		t.Cleanup(server.Close)
 		f.raters = append(f.raters, server)
 	}
-	handler := &Handler{Config: f, Placer: f, Rooms: f, Retries: f, Raters: backend.NewClient(), Figures: NewFigures(),
+	handler := &Handler{Config: f, Picker: f, Quotas: f, Retries: f, Backends: backend.NewClient(), Metrics: NewMetrics(),
 		Log: log.New(io.Discard), Closing: func() bool { return false }, TimeLeft: f.timeLeft}
 	f.handler = handler
 	f.front = httptest.NewServer(handler)
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -29,7 +29,7 @@
 const pieceSize = 16 << 10
 
 // pass gives the client a rater's answer as it comes.
-func (c *call) pass(ctx context.Context, ticket *routing.Ticket, answer *backend.Response) (verdict, *errkind.Error) {
+func (c *call) pass(ctx context.Context, ticket *routing.Attempt, answer *backend.Response) (verdict, *errkind.Error) {
 	if answer.Status < http.StatusMultipleChoices && answer.Header.Get(backend.HeaderSeal) == "" {
 		c.end(ticket, decide.Failed, answer.Load)
 		return elsewhere, errkind.New(errkind.MalformedResponse, "a success without its seal")
@@ -47,16 +47,16 @@
 }
 
 // passed ends an attempt whose answer was passed on, as far as it came.
-func (c *call) passed(ctx context.Context, ticket *routing.Ticket, answer *backend.Response, err error) (verdict, *errkind.Error) {
+func (c *call) passed(ctx context.Context, ticket *routing.Attempt, answer *backend.Response, err error) (verdict, *errkind.Error) {
 	var gone *clientError
 	switch {
 	case err == nil && answer.Status >= http.StatusInternalServerError:
 		c.end(ticket, decide.Failed, answer.Load)
-		c.handler.Figures.Passed(answer.Status)
+		c.handler.Metrics.Passed(answer.Status)
 		return done, nil
 	case err == nil:
 		c.end(ticket, decide.Good, answer.Load)
-		c.handler.Figures.Passed(answer.Status)
+		c.handler.Metrics.Passed(answer.Status)
 		return done, nil
 	case errors.As(err, &gone) || c.clientGone():
 		c.end(ticket, decide.Cancelled, answer.Load)
@@ -77,27 +77,27 @@
 
 func (e *clientError) Error() string { return e.err.Error() }
 
-func (c *call) begun(ticket *routing.Ticket) {
+func (c *call) begun(ticket *routing.Attempt) {
 	if !c.stream.begun {
 		c.stream.begun = true
-		c.handler.Placer.Begun(c.service, ticket)
-		c.handler.Log.Debug("answer begins", "route", c.route.Name, "rater", ticket.Rater.ID, "why", ticket.Why,
-			"kept", ticket.Kept, "home_expected", ticket.Home, "expected", ticket.Expected, "took", time.Since(c.arrived), "since_sent", time.Since(c.placed), "target", c.route.Target,
+		c.handler.Picker.FirstToken(c.service, ticket)
+		c.handler.Log.Debug("answer begins", "route", c.route.Name, "rater", ticket.Backend.ID, "why", ticket.Reason,
+			"kept", ticket.PrefixCached, "home_expected", ticket.HomeExpected, "expected", ticket.Expected, "took", time.Since(c.arrived), "since_sent", time.Since(c.placed), "target", c.route.Target,
 			"input", c.prompt.input, "own", c.prompt.own, "sends", c.sends)
 	}
 }
 
 // came notes that a part of an answer came.
-func (c *call) came(ticket *routing.Ticket) {
+func (c *call) came(ticket *routing.Attempt) {
 	now := time.Now()
 	if c.route.GapTarget > 0 && !c.stream.cameAt.IsZero() && now.Sub(c.stream.cameAt) > c.route.GapTarget {
-		ticket.Paused()
+		ticket.RecordPause()
 	}
 	c.stream.cameAt = now
 }
 
 // passWhole reads an answer to its end before the client gets any of it: one that is broken off is then no answer.
-func (c *call) passWhole(ticket *routing.Ticket, answer *backend.Response) error {
+func (c *call) passWhole(ticket *routing.Attempt, answer *backend.Response) error {
 	body, err := io.ReadAll(answer)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // passPieces passes bytes on as they come.
-func (c *call) passPieces(ticket *routing.Ticket, answer *backend.Response) error {
+func (c *call) passPieces(ticket *routing.Attempt, answer *backend.Response) error {
 	piece := make([]byte, pieceSize)
 	for {
 		n, err := answer.Read(piece)
@@ -151,7 +151,7 @@
 
 // passEvents passes whole events on, each once: what is broken off in the middle of an event is continued at another
 // rater after the last whole one.
-func (c *call) passEvents(ticket *routing.Ticket, answer *backend.Response) error {
+func (c *call) passEvents(ticket *routing.Attempt, answer *backend.Response) error {
 	var held []byte
 	piece := make([]byte, pieceSize)
 	for {
--- a/internal/fleet/routing/service.go
+++ b/internal/fleet/routing/balancer.go
@@ -22,67 +22,67 @@
 	delayLoss  = 0.05 // worth lost for each aim of expected time
 )
 
-// Rater is a rater as the balancer of its service is told of it.
-type Rater struct {
-	ID       string
-	Address  string
-	Slots    int
-	Memory   float64 // tokens that it can hold, 0 = not known
-	Late     bool    // control has not heard from it for longer than usual
-	Draining bool
+// Backend is a rater as the balancer of its service is told of it.
+type Backend struct {
+	ID            string
+	Address       string
+	Slots         int
+	KVTokens      float64 // tokens that it can hold, 0 = not known
+	HeartbeatLate bool    // control has not heard from it for longer than usual
+	Draining      bool
 }
 
 // Request is what the choice depends on.
 type Request struct {
-	Prefix   string  // the key of the shared part; empty = none
-	Long     bool    // the answer is long after its first token
-	Route    string  // requests of a route are alike
-	Cost     float64 // expected work, in any unit that is the same for all
-	Own      float64 // tokens of the prompt that no other request shares
-	Shared   float64 // and those that others do
-	Aim      time.Duration
-	Deadline time.Duration
-	Exclude  []string // raters that were tried already
+	Prefix       string  // the key of the shared part; empty = none
+	Long         bool    // the answer is long after its first token
+	Route        string  // requests of a route are alike
+	Cost         float64 // expected work, in any unit that is the same for all
+	OwnTokens    float64 // tokens of the prompt that no other request shares
+	SharedTokens float64 // and those that others do
+	Target       time.Duration
+	Deadline     time.Duration
+	Exclude      []string // raters that were tried already
 }
 
 // Result is how an attempt ended.
 type Result = decide.Result
 
-// Ticket is one attempt at a rater.
-type Ticket struct {
-	Rater    Rater
-	Expected time.Duration // the expected time to the first token, 0 = not known
-	Why      Reason
-	Kept     bool          // the rater is taken to have the shared part of the prompt
-	Home     time.Duration // the expected time at the prompt's home, where one was looked for
-	request  decide.RequestID
-	backend  decide.BackendID
-	sent     time.Duration
-	tag      uint32
-	long     bool
-	begun    bool
-	paused   bool
-}
-
-// Paused notes that an answer came with a longer pause between its parts than its route allows.
-func (t *Ticket) Paused() { t.paused = true }
+// Attempt is one attempt at a rater.
+type Attempt struct {
+	Backend      Backend
+	Expected     time.Duration // the expected time to the first token, 0 = not known
+	Reason       Reason
+	PrefixCached bool          // the rater is taken to have the shared part of the prompt
+	HomeExpected time.Duration // the expected time at the prompt's home, where one was looked for
+	request      decide.RequestID
+	balancerID   decide.BackendID
+	sent         time.Duration
+	tag          uint32
+	long         bool
+	begun        bool
+	paused       bool
+}
+
+// RecordPause notes that an answer came with a longer pause between its parts than its route allows.
+func (t *Attempt) RecordPause() { t.paused = true }
 
 // Reason says why a rater was chosen.
 type Reason string
 
 // The reasons.
 const (
-	ByHome Reason = "home" // it is the home of the prompt's shared part
-	ByMove Reason = "move" // it is expected to be better than the home
-	ByTurn Reason = "turn" // its turn of the weighted round robin
-	ByNeed Reason = "need" // the others are away
+	ReasonHome       Reason = "home" // it is the home of the prompt's shared part
+	ReasonMoved      Reason = "move" // it is expected to be better than the home
+	ReasonRoundRobin Reason = "turn" // its turn of the weighted round robin
+	ReasonLastResort Reason = "need" // the others are away
 )
 
-// attempt names the attempt in events. Nodes begin at numbers of their own.
-func (t *Ticket) attempt() uint32 { return uint32(t.request) }
+// eventID names the attempt in events. Nodes begin at numbers of their own.
+func (t *Attempt) eventID() uint32 { return uint32(t.request) }
 
 type member struct {
-	rater   Rater
+	rater   Backend
 	tag     uint32
 	backend decide.BackendID
 	ours    int // requests of this node that it holds
@@ -90,8 +90,8 @@
 	suspect suspicion
 }
 
-// Service places the requests of one service. It is not safe for concurrent use.
-type Service struct {
+// Balancer places the requests of one service. It is not safe for concurrent use.
+type Balancer struct {
 	balancer *decide.Balancer
 	actions  *actions
 	members  map[string]*member
@@ -112,7 +112,7 @@
 
 // actions takes what a balancer asks for. Every attempt is a request of its own, so only where to send is of interest.
 type actions struct {
-	service *Service
+	service *Balancer
 	now     time.Duration
 	chosen  decide.BackendID
 	found   bool
@@ -131,21 +131,21 @@
 	a.service.timers = append(a.service.timers, timer{a.now + after, token})
 }
 
-// Options describe a service.
-type Options struct {
-	Aim      time.Duration // the latency objective of its routes
+// Config describe a service.
+type Config struct {
+	Target   time.Duration // the latency objective of its routes
 	Deadline time.Duration
 	Nodes    int // nodes of the data plane
 	Node     int // this one's number, any that others are unlikely to have
 	Seed     uint64
 }
 
-// NewService makes a service without raters.
-func NewService(options Options) (*Service, error) {
-	s := &Service{members: map[string]*member{}, byID: map[decide.BackendID]*member{}, byTag: map[uint32]*member{}, loads: newLoads(), sizes: sizes{},
+// NewBalancer makes a service without raters.
+func NewBalancer(options Config) (*Balancer, error) {
+	s := &Balancer{members: map[string]*member{}, byID: map[decide.BackendID]*member{}, byTag: map[uint32]*member{}, loads: newLoads(), sizes: sizes{},
 		lastReq: decide.RequestID(options.Seed >> 1)}
 	s.actions = &actions{service: s}
-	aim := max(options.Aim, time.Millisecond)
+	aim := max(options.Target, time.Millisecond)
 	settings := decide.Settings{Nodes: max(1, options.Nodes), Node: options.Node, Zones: []string{"all"}, Kinds: []string{"rater"},
 		Classes: []decide.Class{{Name: "request", Effect: decide.Safe, Aim: aim, Deadline: max(aim, options.Deadline), Worth: 1,
 			LateWorth: 0.3, Streaming: true}},
@@ -156,7 +156,7 @@
 }
 
 // Tick lets the balancer's timers run.
-func (s *Service) Tick(now time.Duration) {
+func (s *Balancer) Tick(now time.Duration) {
 	s.actions.now = now
 	due := slices.Clone(s.timers)
 	s.timers = s.timers[:0]
@@ -169,8 +169,8 @@
 	}
 }
 
-// SetRaters takes the list of raters.
-func (s *Service) SetRaters(now time.Duration, raters []Rater) {
+// SetBackends takes the list of raters.
+func (s *Balancer) SetBackends(now time.Duration, raters []Backend) {
 	s.actions.now = now
 	present := make(map[string]bool, len(raters))
 	entries := make([]decide.Backend, 0, len(raters))
@@ -183,7 +183,7 @@
 			s.members[rater.ID], s.byID[m.backend], s.byTag[m.tag] = m, m, m
 		}
 		m.rater = rater
-		s.loads.of(m.tag).memory = rater.Memory
+		s.loads.of(m.tag).memory = rater.KVTokens
 		state := decide.Serving
 		if rater.Draining {
 			state = decide.Draining
@@ -202,7 +202,7 @@
 }
 
 // Size is the number of raters that may get requests.
-func (s *Service) Size() int {
+func (s *Balancer) Size() int {
 	size := 0
 	for _, m := range s.members {
 		if !m.rater.Draining {
@@ -212,8 +212,8 @@
 	return size
 }
 
-// Place chooses a rater, nil where none may get the request.
-func (s *Service) Place(now time.Duration, request *Request) *Ticket {
+// Pick chooses a rater, nil where none may get the request.
+func (s *Balancer) Pick(now time.Duration, request *Request) *Attempt {
 	s.Tick(now)
 	s.lastReq++
 	s.sizes.note(request)
@@ -226,13 +226,13 @@
 	return s.placeByTurn(now, request, r)
 }
 
-// Heard takes what other nodes told. It tells whether the event was about a rater of this service.
-func (s *Service) Heard(now time.Duration, event *Event) bool {
-	m := s.byTag[event.Rater]
+// Observe takes what other nodes told. It tells whether the event was about a rater of this service.
+func (s *Balancer) Observe(now time.Duration, event *Event) bool {
+	m := s.byTag[event.Backend]
 	if m == nil {
 		return false
 	}
-	if event.Kind == Unreachable {
+	if event.Kind == EventUnreachable {
 		s.heardUnreachable(now, m)
 		return true
 	}
@@ -240,21 +240,21 @@
 	return true
 }
 
-// TakeEvents gives what other nodes are to be told, once.
-func (s *Service) TakeEvents() []Event {
+// DrainEvents gives what other nodes are to be told, once.
+func (s *Balancer) DrainEvents() []Event {
 	events := s.events
 	s.events = nil
 	return events
 }
 
 // note takes an event of this node's and keeps it for the others.
-func (s *Service) note(now time.Duration, event Event) {
+func (s *Balancer) note(now time.Duration, event Event) {
 	s.loads.take(now, &event, true)
 	s.events = append(s.events, event)
 }
 
 // placeByTurn leaves the choice to the balancer.
-func (s *Service) placeByTurn(now time.Duration, request *Request, r decide.Request) *Ticket {
+func (s *Balancer) placeByTurn(now time.Duration, request *Request, r decide.Request) *Attempt {
 	for range len(s.members) {
 		s.actions.found = false
 		s.balancer.Request(now, r)
@@ -262,12 +262,12 @@
 			return s.placeAnywhere(now, request, r)
 		}
 		m := s.byID[s.actions.chosen]
-		ticket := &Ticket{request: r.ID, backend: s.actions.chosen, sent: now}
-		if m != nil && !m.suspected(now) && !m.rater.Late && !slices.Contains(request.Exclude, m.rater.ID) {
-			ticket.Why = ByTurn
+		ticket := &Attempt{request: r.ID, balancerID: s.actions.chosen, sent: now}
+		if m != nil && !m.suspected(now) && !m.rater.HeartbeatLate && !slices.Contains(request.Exclude, m.rater.ID) {
+			ticket.Reason = ReasonRoundRobin
 			return s.ticket(ticket, m, request)
 		}
-		s.balancer.Outcome(now, decide.Outcome{Request: r.ID, Backend: ticket.backend, Over: true, Result: decide.NotSent})
+		s.balancer.Outcome(now, decide.Outcome{Request: r.ID, Backend: ticket.balancerID, Over: true, Result: decide.NotSent})
 		s.lastReq++
 		r.ID = s.lastReq
 	}
@@ -276,7 +276,7 @@
 
 // placeAnywhere takes the rater with the least of this node's requests where the balancer has put all others away. One that
 // is suspected is better than none.
-func (s *Service) placeAnywhere(now time.Duration, request *Request, r decide.Request) *Ticket {
+func (s *Balancer) placeAnywhere(now time.Duration, request *Request, r decide.Request) *Attempt {
 	var best *member
 	for _, m := range s.sorted() {
 		if !s.allowed(m, request) || !s.balancer.Usable(now, m.backend) {
@@ -289,37 +289,37 @@
 	if best == nil || !s.balancer.Placed(now, r, best.backend) {
 		return nil
 	}
-	return s.ticket(&Ticket{request: r.ID, backend: best.backend, sent: now, Why: ByNeed}, best, request)
+	return s.ticket(&Attempt{request: r.ID, balancerID: best.backend, sent: now, Reason: ReasonLastResort}, best, request)
 }
 
-func (s *Service) ticket(t *Ticket, m *member, request *Request) *Ticket {
+func (s *Balancer) ticket(t *Attempt, m *member, request *Request) *Attempt {
 	m.ours++
-	t.Rater, t.tag, t.long = m.rater, m.tag, request.Long
+	t.Backend, t.tag, t.long = m.rater, m.tag, request.Long
 	prefix := TagOf(request.Prefix)
-	tokens := request.Own
-	t.Kept = slices.Contains(s.loads.keeps(t.sent, prefix), m.tag)
-	if !t.Kept {
-		tokens += request.Shared
+	tokens := request.OwnTokens
+	t.PrefixCached = slices.Contains(s.loads.keeps(t.sent, prefix), m.tag)
+	if !t.PrefixCached {
+		tokens += request.SharedTokens
 	}
 	if tokens > 0 {
 		t.Expected = s.expected(t.sent, m, tokens)
-		s.note(t.sent, Event{Kind: Sent, Rater: m.tag, Attempt: t.attempt(), Tokens: tokens, Prefix: prefix, Long: t.long})
+		s.note(t.sent, Event{Kind: EventSent, Backend: m.tag, Attempt: t.eventID(), Tokens: tokens, Prefix: prefix, Long: t.long})
 	}
 	return t
 }
 
 // expected is the time after which a rater's first token is expected where it has so many tokens to read.
-func (s *Service) expected(now time.Duration, m *member, tokens float64) time.Duration {
+func (s *Balancer) expected(now time.Duration, m *member, tokens float64) time.Duration {
 	load := s.loads.of(m.tag)
 	return s.loads.wait(now, load) + s.loads.slotWait(now, load, m.rater.Slots) + s.loads.reading(now, load, tokens)
 }
 
-func (s *Service) allowed(m *member, request *Request) bool {
-	return !m.rater.Draining && !m.rater.Late && !slices.Contains(request.Exclude, m.rater.ID)
+func (s *Balancer) allowed(m *member, request *Request) bool {
+	return !m.rater.Draining && !m.rater.HeartbeatLate && !slices.Contains(request.Exclude, m.rater.ID)
 }
 
 // sorted gives the members in an order that is the same at every run.
-func (s *Service) sorted() []*member {
+func (s *Balancer) sorted() []*member {
 	members := make([]*member, 0, len(s.members))
 	for _, m := range s.members {
 		members = append(members, m)
@@ -334,7 +334,7 @@
 }
 
 // rank orders the raters that may get a request by the hash of its prefix.
-func (s *Service) rank(now time.Duration, request *Request) []ranked {
+func (s *Balancer) rank(now time.Duration, request *Request) []ranked {
 	var order []ranked
 	for _, m := range s.sorted() {
 		if !s.allowed(m, request) || m.suspected(now) || !s.balancer.Usable(now, m.backend) {
@@ -348,13 +348,13 @@
 
 // placeByHash gives a request to the home of its prefix, or to the next ones of the hash's order where those are expected
 // to give the first token so much sooner that it pays to read the shared part there too.
-func (s *Service) placeByHash(now time.Duration, request *Request, r decide.Request) *Ticket {
+func (s *Balancer) placeByHash(now time.Duration, request *Request, r decide.Request) *Attempt {
 	order := s.rank(now, request)
 	if len(order) == 0 {
 		return nil
 	}
 	home := order[0].member
-	homeExpected := s.expected(now, home, request.Own)
+	homeExpected := s.expected(now, home, request.OwnTokens)
 	s.moveFromBusyHome(now, request, order)
 	bound := s.bound(len(order))
 	for _, candidate := range order {
@@ -362,9 +362,9 @@
 			continue
 		}
 		if s.balancer.Placed(now, r, candidate.member.backend) {
-			ticket := &Ticket{request: r.ID, backend: candidate.member.backend, sent: now, Why: ByHome, Home: homeExpected}
+			ticket := &Attempt{request: r.ID, balancerID: candidate.member.backend, sent: now, Reason: ReasonHome, HomeExpected: homeExpected}
 			if candidate.member != home {
-				ticket.Why = ByMove
+				ticket.Reason = ReasonMoved
 			}
 			return s.ticket(ticket, candidate.member, request)
 		}
@@ -373,7 +373,7 @@
 }
 
 // moveFromBusyHome puts another rater before the home of a prefix where less worth is expected to be lost there.
-func (s *Service) moveFromBusyHome(now time.Duration, request *Request, order []ranked) {
+func (s *Balancer) moveFromBusyHome(now time.Duration, request *Request, order []ranked) {
 	if len(order) < 2 {
 		return
 	}
@@ -396,13 +396,13 @@
 
 // loss is the one measure by which raters are compared: the part of a request's worth that is expected to be lost at a
 // rater, as its first token is late, the attempt fails, or the shared part of its prompt is read once more.
-func (s *Service) loss(now time.Duration, request *Request, m *member, keeping []uint32) float64 {
-	aim := max(request.Aim.Seconds(), 0.001)
+func (s *Balancer) loss(now time.Duration, request *Request, m *member, keeping []uint32) float64 {
+	aim := max(request.Target.Seconds(), 0.001)
 	load := s.loads.of(m.tag)
-	tokens, reread := request.Own, 0.0
+	tokens, reread := request.OwnTokens, 0.0
 	if !slices.Contains(keeping, m.tag) {
-		tokens += request.Shared
-		reread = rereadLoss * s.loads.curve.time(request.Shared).Seconds() / aim
+		tokens += request.SharedTokens
+		reread = rereadLoss * s.loads.curve.time(request.SharedTokens).Seconds() / aim
 	}
 	expected := s.expected(now, m, tokens).Seconds() / aim
 	late := 1 / (1 + math.Exp((aimSafety-expected)/aimWidth))
@@ -416,7 +416,7 @@
 }
 
 // bound is how many requests of this node a rater may hold and still get prefixes.
-func (s *Service) bound(raters int) float64 {
+func (s *Balancer) bound(raters int) float64 {
 	held := 1
 	for _, m := range s.members {
 		held += m.ours
@@ -424,16 +424,16 @@
 	return boundPart*float64(held)/float64(max(1, raters)) + boundSlack
 }
 
-// Begun takes the first token of an attempt's answer.
-func (s *Service) Begun(now time.Duration, t *Ticket) {
+// FirstToken takes the first token of an attempt's answer.
+func (s *Balancer) FirstToken(now time.Duration, t *Attempt) {
 	s.actions.now = now
 	s.balancer.Begun(now, t.request, 0, now-t.sent)
-	if m := s.members[t.Rater.ID]; m != nil {
+	if m := s.members[t.Backend.ID]; m != nil {
 		m.answered(now)
 	}
 	if !t.begun {
 		t.begun = true
-		s.note(now, Event{Kind: Answered, Rater: t.tag, Attempt: t.attempt(), Took: now - t.sent, Long: t.long})
+		s.note(now, Event{Kind: EventFirstToken, Backend: t.tag, Attempt: t.eventID(), TimeToFirstToken: now - t.sent, Long: t.long})
 	}
 }
 
@@ -444,10 +444,10 @@
 	Waiting int
 }
 
-// End takes the end of an attempt.
-func (s *Service) End(now time.Duration, t *Ticket, result Result, load Load) {
+// Done takes the end of an attempt.
+func (s *Balancer) Done(now time.Duration, t *Attempt, result Result, load Load) {
 	s.actions.now = now
-	if m := s.members[t.Rater.ID]; m != nil && m.backend == t.backend {
+	if m := s.members[t.Backend.ID]; m != nil && m.backend == t.balancerID {
 		m.ours--
 		if result == decide.Good || result == decide.Full {
 			m.answered(now)
@@ -455,13 +455,13 @@
 	}
 	switch {
 	case t.paused:
-		s.note(now, Event{Kind: Paused, Rater: t.tag, Attempt: t.attempt()})
+		s.note(now, Event{Kind: EventPaused, Backend: t.tag, Attempt: t.eventID()})
 	case failedResult(result):
-		s.note(now, Event{Kind: Failed, Rater: t.tag, Attempt: t.attempt()})
+		s.note(now, Event{Kind: EventFailed, Backend: t.tag, Attempt: t.eventID()})
 	case t.long || !t.begun:
-		s.note(now, Event{Kind: Ended, Rater: t.tag, Attempt: t.attempt()})
+		s.note(now, Event{Kind: EventEnded, Backend: t.tag, Attempt: t.eventID()})
 	}
-	outcome := decide.Outcome{Request: t.request, Backend: t.backend, Over: true, Latency: now - t.sent, Result: result}
+	outcome := decide.Outcome{Request: t.request, Backend: t.balancerID, Over: true, Latency: now - t.sent, Result: result}
 	if load.Known {
 		outcome.Load.Has = 1 << decide.ReportHeld
 		outcome.Load.Values[decide.ReportHeld] = float64(load.Running + load.Waiting)
@@ -479,10 +479,10 @@
 }
 
 // View tells how the service's raters do.
-func (s *Service) View(now time.Duration) decide.View { return s.balancer.View(now) }
+func (s *Balancer) View(now time.Duration) decide.View { return s.balancer.View(now) }
 
-// RaterLoad is what is known of a rater's load, from this node's attempts and from those that other nodes told of.
-type RaterLoad struct {
+// BackendLoad is what is known of a rater's load, from this node's attempts and from those that other nodes told of.
+type BackendLoad struct {
 	Reading int           // prompts whose first token has not come
 	Running int           // long answers under way
 	Wait    time.Duration // until it is done with the prompts that it has to read
@@ -491,14 +491,14 @@
 }
 
 // Load tells what is known of the load of a rater.
-func (s *Service) Load(now time.Duration, id string) RaterLoad {
+func (s *Balancer) Load(now time.Duration, id string) BackendLoad {
 	load := s.loads.of(TagOf(id))
-	return RaterLoad{Reading: len(load.open), Running: len(load.running), Wait: s.loads.wait(now, load), Pace: s.loads.pace(now, load),
+	return BackendLoad{Reading: len(load.open), Running: len(load.running), Wait: s.loads.wait(now, load), Pace: s.loads.pace(now, load),
 		Failing: s.loads.risk(now, load)}
 }
 
-// Name is the id of a rater by its number in View.
-func (s *Service) Name(id decide.BackendID) string {
+// BackendName is the id of a rater by its number in View.
+func (s *Balancer) BackendName(id decide.BackendID) string {
 	if m := s.byID[id]; m != nil {
 		return m.rater.ID
 	}
--- a/internal/fleet/routing/service_test.go
+++ b/internal/fleet/routing/balancer_test.go
@@ -10,30 +10,30 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-func newTestService(t *testing.T, raters int, seed uint64) *Service {
+func newTestService(t *testing.T, raters int, seed uint64) *Balancer {
 	t.Helper()
-	s, err := NewService(Options{Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Nodes: 4, Seed: seed})
+	s, err := NewBalancer(Config{Target: 500 * time.Millisecond, Deadline: 3 * time.Second, Nodes: 4, Seed: seed})
 	require.NoError(t, err)
-	s.SetRaters(time.Second, list(raters))
+	s.SetBackends(time.Second, list(raters))
 	return s
 }
 
-func list(raters int) []Rater {
-	var all []Rater
+func list(raters int) []Backend {
+	var all []Backend
 	for i := range raters {
-		all = append(all, Rater{ID: fmt.Sprintf("r%02d", i), Slots: 64})
+		all = append(all, Backend{ID: fmt.Sprintf("r%02d", i), Slots: 64})
 	}
 	return all
 }
 
 func prefixed(key string) *Request {
-	return &Request{Prefix: key, Own: 500, Shared: 5000, Aim: 500 * time.Millisecond, Deadline: time.Hour}
+	return &Request{Prefix: key, OwnTokens: 500, SharedTokens: 5000, Target: 500 * time.Millisecond, Deadline: time.Hour}
 }
 
 // light is a request whose shared part costs little to read again.
 func light(key string) *Request {
 	request := prefixed(key)
-	request.Own, request.Shared = 4000, 500
+	request.OwnTokens, request.SharedTokens = 4000, 500
 	return request
 }
 
@@ -42,11 +42,11 @@
 	homes := map[string]int{}
 	for i := range 300 {
 		key := fmt.Sprint(i)
-		first, second := a.Place(time.Second, prefixed(key)), b.Place(time.Second, prefixed(key))
-		require.Equal(t, first.Rater.ID, second.Rater.ID)
-		homes[first.Rater.ID]++
-		a.End(time.Second, first, decide.Good, Load{})
-		b.End(time.Second, second, decide.Good, Load{})
+		first, second := a.Pick(time.Second, prefixed(key)), b.Pick(time.Second, prefixed(key))
+		require.Equal(t, first.Backend.ID, second.Backend.ID)
+		homes[first.Backend.ID]++
+		a.Done(time.Second, first, decide.Good, Load{})
+		b.Done(time.Second, second, decide.Good, Load{})
 	}
 	for id, count := range homes {
 		require.InDelta(t, 300.0/9, count, 25, id)
@@ -55,41 +55,41 @@
 
 func TestOnlyThePrefixesOfARaterThatLeavesMove(t *testing.T) {
 	before, after := newTestService(t, 9, 1), newTestService(t, 9, 1)
-	after.SetRaters(time.Second, append(list(9)[:4], list(9)[5:]...))
+	after.SetBackends(time.Second, append(list(9)[:4], list(9)[5:]...))
 	for i := range 300 {
-		was, is := before.Place(time.Second, prefixed(fmt.Sprint(i))), after.Place(time.Second, prefixed(fmt.Sprint(i)))
-		if was.Rater.ID != "r04" {
-			require.Equal(t, was.Rater.ID, is.Rater.ID)
+		was, is := before.Pick(time.Second, prefixed(fmt.Sprint(i))), after.Pick(time.Second, prefixed(fmt.Sprint(i)))
+		if was.Backend.ID != "r04" {
+			require.Equal(t, was.Backend.ID, is.Backend.ID)
 		}
-		before.End(time.Second, was, decide.Good, Load{})
-		after.End(time.Second, is, decide.Good, Load{})
+		before.Done(time.Second, was, decide.Good, Load{})
+		after.Done(time.Second, is, decide.Good, Load{})
 	}
 }
 
 func TestDrainingLateAndTriedRatersGetNothing(t *testing.T) {
 	s := newTestService(t, 4, 1)
 	raters := list(4)
-	raters[0].Draining, raters[1].Late = true, true
-	s.SetRaters(time.Second, raters)
+	raters[0].Draining, raters[1].HeartbeatLate = true, true
+	s.SetBackends(time.Second, raters)
 	for i := range 60 {
 		request := prefixed(fmt.Sprint(i))
 		if i%2 == 0 {
 			request.Prefix = ""
 		}
 		request.Exclude = []string{"r02"}
-		ticket := s.Place(time.Second, request)
+		ticket := s.Pick(time.Second, request)
 		require.NotNil(t, ticket)
-		require.Equal(t, "r03", ticket.Rater.ID)
-		s.End(time.Second, ticket, decide.Good, Load{})
+		require.Equal(t, "r03", ticket.Backend.ID)
+		s.Done(time.Second, ticket, decide.Good, Load{})
 	}
-	require.Nil(t, s.Place(time.Second, &Request{Exclude: []string{"r02", "r03"}, Deadline: time.Hour}))
+	require.Nil(t, s.Pick(time.Second, &Request{Exclude: []string{"r02", "r03"}, Deadline: time.Hour}))
 }
 
 func TestARaterThatHoldsMoreThanItsPartPassesPrefixesOn(t *testing.T) {
 	s := newTestService(t, 4, 1)
 	places := map[string]int{}
 	for range 40 {
-		places[s.Place(time.Second, prefixed("hot")).Rater.ID]++
+		places[s.Pick(time.Second, prefixed("hot")).Backend.ID]++
 	}
 	require.GreaterOrEqual(t, len(places), 2)
 	for id, count := range places {
@@ -98,33 +98,33 @@
 }
 
 // teach lets a service learn that its raters read so many tokens a second.
-func teach(s *Service, now time.Duration, speed float64) time.Duration {
+func teach(s *Balancer, now time.Duration, speed float64) time.Duration {
 	for i := range 40 {
 		request := prefixed(fmt.Sprint("teach", i))
-		request.Own = 10_000
+		request.OwnTokens = 10_000
 		if i%2 == 0 {
-			request.Own = 100
+			request.OwnTokens = 100
 		}
-		ticket := s.Place(now, request)
-		tokens := request.Own
-		if !ticket.Kept { // the rater reads the shared part too
-			tokens += request.Shared
+		ticket := s.Pick(now, request)
+		tokens := request.OwnTokens
+		if !ticket.PrefixCached { // the rater reads the shared part too
+			tokens += request.SharedTokens
 		}
 		now += 50*time.Millisecond + time.Duration(tokens/speed*float64(time.Second))
-		s.Begun(now, ticket)
-		s.End(now, ticket, decide.Good, Load{})
+		s.FirstToken(now, ticket)
+		s.Done(now, ticket, decide.Good, Load{})
 	}
 	return now
 }
 
 // told is an event of another node's attempt at a rater.
 func told(kind EventKind, rater string, attempt uint32) *Event {
-	return &Event{Kind: kind, Rater: TagOf(rater), Attempt: attempt}
+	return &Event{Kind: kind, Backend: TagOf(rater), Attempt: attempt}
 }
 
 // reads is the event that another node sent a rater a prompt.
 func reads(rater string, attempt uint32, tokens float64) *Event {
-	event := told(Sent, rater, attempt)
+	event := told(EventSent, rater, attempt)
 	event.Tokens = tokens
 	return event
 }
@@ -132,141 +132,141 @@
 func TestARequestMovesFromAHomeThatReadsALongPrompt(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := teach(s, time.Second, 100_000)
-	home := s.Place(now, prefixed("k"))
-	s.End(now, home, decide.Good, Load{})
-	require.True(t, s.Heard(now, reads(home.Rater.ID, 7, 90_000)))
-	moved := s.Place(now, prefixed("k"))
-	require.NotEqual(t, home.Rater.ID, moved.Rater.ID)
-	require.Equal(t, ByMove, moved.Why)
-	require.False(t, moved.Kept, "the shared part is read anew there")
-	s.End(now, moved, decide.Good, Load{})
+	home := s.Pick(now, prefixed("k"))
+	s.Done(now, home, decide.Good, Load{})
+	require.True(t, s.Observe(now, reads(home.Backend.ID, 7, 90_000)))
+	moved := s.Pick(now, prefixed("k"))
+	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
+	require.Equal(t, ReasonMoved, moved.Reason)
+	require.False(t, moved.PrefixCached, "the shared part is read anew there")
+	s.Done(now, moved, decide.Good, Load{})
 	patient := prefixed("k")
-	patient.Aim = time.Minute
-	stays := s.Place(now, patient)
-	require.True(t, stays.Kept, "one with time to spare goes where its prefix is kept")
-	s.End(now, stays, decide.Good, Load{})
-	s.Heard(now, told(Ended, home.Rater.ID, 7))
-	back := s.Place(now, prefixed("k"))
-	require.Equal(t, home.Rater.ID, back.Rater.ID, "once the prompt is read, the home goes first again")
+	patient.Target = time.Minute
+	stays := s.Pick(now, patient)
+	require.True(t, stays.PrefixCached, "one with time to spare goes where its prefix is kept")
+	s.Done(now, stays, decide.Good, Load{})
+	s.Observe(now, told(EventEnded, home.Backend.ID, 7))
+	back := s.Pick(now, prefixed("k"))
+	require.Equal(t, home.Backend.ID, back.Backend.ID, "once the prompt is read, the home goes first again")
 }
 
 func TestAPromptThatIsLateAnywhereStaysAtItsHome(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := teach(s, time.Second, 100_000)
 	huge := prefixed("k")
-	huge.Own = 200_000 // two seconds on an idle rater
-	home := s.Place(now, huge)
-	s.End(now, home, decide.Good, Load{})
-	s.Heard(now, reads(home.Rater.ID, 7, 10_000))
-	again := s.Place(now, huge)
-	require.Equal(t, home.Rater.ID, again.Rater.ID, "a move would gain nothing and have the shared part read again")
+	huge.OwnTokens = 200_000 // two seconds on an idle rater
+	home := s.Pick(now, huge)
+	s.Done(now, home, decide.Good, Load{})
+	s.Observe(now, reads(home.Backend.ID, 7, 10_000))
+	again := s.Pick(now, huge)
+	require.Equal(t, home.Backend.ID, again.Backend.ID, "a move would gain nothing and have the shared part read again")
 }
 
 func TestALongPromptLeavesARaterWithManyStreams(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := teach(s, time.Second, 100_000)
 	long := light("k")
-	long.Own = 45_000
-	home := s.Place(now, long)
-	s.End(now, home, decide.Good, Load{})
+	long.OwnTokens = 45_000
+	home := s.Pick(now, long)
+	s.Done(now, home, decide.Good, Load{})
 	for attempt := range uint32(6) {
-		running := reads(home.Rater.ID, attempt, 10)
+		running := reads(home.Backend.ID, attempt, 10)
 		running.Long = true
-		s.Heard(now, running)
-		s.Heard(now, told(Answered, home.Rater.ID, attempt))
+		s.Observe(now, running)
+		s.Observe(now, told(EventFirstToken, home.Backend.ID, attempt))
 	}
-	moved := s.Place(now, long)
-	require.NotEqual(t, home.Rater.ID, moved.Rater.ID, "every stream there would be held up")
-	s.End(now, moved, decide.Good, Load{})
+	moved := s.Pick(now, long)
+	require.NotEqual(t, home.Backend.ID, moved.Backend.ID, "every stream there would be held up")
+	s.Done(now, moved, decide.Good, Load{})
 	for attempt := range uint32(6) {
-		s.Heard(now, told(Ended, home.Rater.ID, attempt))
+		s.Observe(now, told(EventEnded, home.Backend.ID, attempt))
 	}
-	back := s.Place(now, long)
-	require.True(t, back.Kept)
+	back := s.Pick(now, long)
+	require.True(t, back.PrefixCached)
 }
 
 func TestARaterThatOthersFindSlowLosesRequests(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := teach(s, time.Second, 100_000)
-	home := s.Place(now, light("k"))
-	s.End(now, home, decide.Good, Load{})
+	home := s.Pick(now, light("k"))
+	s.Done(now, home, decide.Good, Load{})
 	for attempt := range uint32(20) {
 		now += 50 * time.Millisecond
-		s.Heard(now, reads(home.Rater.ID, attempt, 500))
-		answer := told(Answered, home.Rater.ID, attempt)
-		answer.Took = time.Second
-		s.Heard(now, answer)
+		s.Observe(now, reads(home.Backend.ID, attempt, 500))
+		answer := told(EventFirstToken, home.Backend.ID, attempt)
+		answer.TimeToFirstToken = time.Second
+		s.Observe(now, answer)
 	}
-	moved := s.Place(now, light("k"))
-	require.NotEqual(t, home.Rater.ID, moved.Rater.ID)
-	s.End(now, moved, decide.Good, Load{})
+	moved := s.Pick(now, light("k"))
+	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
+	s.Done(now, moved, decide.Good, Load{})
 	now += 10 * paceMemory
-	back := s.Place(now, light("k"))
-	require.True(t, back.Kept)
+	back := s.Pick(now, light("k"))
+	require.True(t, back.PrefixCached)
 	require.Less(t, back.Expected, 200*time.Millisecond, "it is tried again after a while, by a client's request")
 }
 
 func TestARaterThatOthersFindFailingLosesRequests(t *testing.T) {
-	for _, kind := range []EventKind{Failed, Paused} {
+	for _, kind := range []EventKind{EventFailed, EventPaused} {
 		s := newTestService(t, 9, 1)
 		now := teach(s, time.Second, 100_000)
 		request := light("k")
 		request.Long = true
-		home := s.Place(now, request)
-		s.End(now, home, decide.Good, Load{})
+		home := s.Pick(now, request)
+		s.Done(now, home, decide.Good, Load{})
 		for attempt := range uint32(12) {
-			sent := reads(home.Rater.ID, attempt, 500)
+			sent := reads(home.Backend.ID, attempt, 500)
 			sent.Long = true
-			s.Heard(now, sent)
-			answer := told(Answered, home.Rater.ID, attempt)
-			answer.Took = 55 * time.Millisecond
-			s.Heard(now, answer)
-			s.Heard(now, told(kind, home.Rater.ID, attempt))
+			s.Observe(now, sent)
+			answer := told(EventFirstToken, home.Backend.ID, attempt)
+			answer.TimeToFirstToken = 55 * time.Millisecond
+			s.Observe(now, answer)
+			s.Observe(now, told(kind, home.Backend.ID, attempt))
 		}
-		moved := s.Place(now, request)
-		require.NotEqual(t, home.Rater.ID, moved.Rater.ID)
+		moved := s.Pick(now, request)
+		require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 	}
 }
 
 func TestARaterThatIsSilentLosesRequestsBeforeAnyTimeOut(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := teach(s, time.Second, 100_000)
-	home := s.Place(now, light("k"))
-	s.End(now, home, decide.Good, Load{})
+	home := s.Pick(now, light("k"))
+	s.Done(now, home, decide.Good, Load{})
 	for attempt := range uint32(6) {
-		s.Heard(now, reads(home.Rater.ID, attempt, 100))
+		s.Observe(now, reads(home.Backend.ID, attempt, 100))
 	}
-	moved := s.Place(now+400*time.Millisecond, light("k"))
-	require.NotEqual(t, home.Rater.ID, moved.Rater.ID)
+	moved := s.Pick(now+400*time.Millisecond, light("k"))
+	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 }
 
 func TestARaterWithAllItsSlotsTakenLosesRequests(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := teach(s, time.Second, 100_000)
-	home := s.Place(now, light("k"))
-	s.End(now, home, decide.Good, Load{})
+	home := s.Pick(now, light("k"))
+	s.Done(now, home, decide.Good, Load{})
 	for attempt := range uint32(100) { // it has 64
-		running := reads(home.Rater.ID, attempt, 1)
+		running := reads(home.Backend.ID, attempt, 1)
 		running.Long = true
-		s.Heard(now, running)
-		s.Heard(now, told(Answered, home.Rater.ID, attempt))
+		s.Observe(now, running)
+		s.Observe(now, told(EventFirstToken, home.Backend.ID, attempt))
 	}
-	require.Greater(t, s.loads.slotWait(now, s.loads.of(TagOf(home.Rater.ID)), 64), 300*time.Millisecond)
-	moved := s.Place(now, light("k"))
-	require.NotEqual(t, home.Rater.ID, moved.Rater.ID)
+	require.Greater(t, s.loads.slotWait(now, s.loads.of(TagOf(home.Backend.ID)), 64), 300*time.Millisecond)
+	moved := s.Pick(now, light("k"))
+	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 }
 
 func TestNewsThatIsNeverEndedIsForgotten(t *testing.T) {
 	s := newTestService(t, 2, 1)
 	now := teach(s, time.Second, 100_000)
-	s.Heard(now, reads("r00", 7, 90_000))
+	s.Observe(now, reads("r00", 7, 90_000))
 	load := s.loads.of(TagOf("r00"))
 	require.Positive(t, s.loads.wait(now, load))
 	require.Zero(t, s.loads.wait(now+readingLife+time.Second, load))
 	running := reads("r01", 8, 10)
 	running.Long = true
-	s.Heard(now, running)
-	s.Heard(now, told(Answered, "r01", 8))
+	s.Observe(now, running)
+	s.Observe(now, told(EventFirstToken, "r01", 8))
 	load = s.loads.of(TagOf("r01"))
 	require.Len(t, load.running, 1)
 	s.loads.slotWait(now+runningLife+time.Second, load, 64)
@@ -275,7 +275,7 @@
 
 func TestNewsOfARaterOfAnotherServiceIsNotTaken(t *testing.T) {
 	s := newTestService(t, 2, 1)
-	require.False(t, s.Heard(time.Second, reads("elsewhere", 1, 1000)))
+	require.False(t, s.Observe(time.Second, reads("elsewhere", 1, 1000)))
 }
 
 func TestTheCurveIsThatOfAnIdleRater(t *testing.T) {
@@ -305,39 +305,39 @@
 	now := time.Second
 	request := prefixed("k")
 	request.Long = true
-	ticket := a.Place(now, request)
-	a.Begun(now+100*time.Millisecond, ticket)
-	a.End(now+time.Second, ticket, decide.Good, Load{})
-	events := a.TakeEvents()
+	ticket := a.Pick(now, request)
+	a.FirstToken(now+100*time.Millisecond, ticket)
+	a.Done(now+time.Second, ticket, decide.Good, Load{})
+	events := a.DrainEvents()
 	require.Len(t, events, 3)
-	require.Empty(t, a.TakeEvents(), "each is told once")
-	kinds := []EventKind{Sent, Answered, Ended}
+	require.Empty(t, a.DrainEvents(), "each is told once")
+	kinds := []EventKind{EventSent, EventFirstToken, EventEnded}
 	for i := range events {
 		require.Equal(t, kinds[i], events[i].Kind)
-		require.True(t, b.Heard(now, &events[i]))
+		require.True(t, b.Observe(now, &events[i]))
 	}
-	load := b.loads.of(TagOf(ticket.Rater.ID))
+	load := b.loads.of(TagOf(ticket.Backend.ID))
 	require.Empty(t, load.open)
 	require.Empty(t, load.running)
-	require.Equal(t, []uint32{TagOf(ticket.Rater.ID)}, b.loads.keeps(now, TagOf("k")))
+	require.Equal(t, []uint32{TagOf(ticket.Backend.ID)}, b.loads.keeps(now, TagOf("k")))
 }
 
 func TestAPartIsKeptUntilItsRaterHasReadMuchElse(t *testing.T) {
 	s := newTestService(t, 3, 1)
 	raters := list(3)
 	for i := range raters {
-		raters[i].Memory = 100_000
+		raters[i].KVTokens = 100_000
 	}
-	s.SetRaters(time.Second, raters)
+	s.SetBackends(time.Second, raters)
 	now := time.Second
 	sent := reads("r00", 1, 5000)
 	sent.Prefix = TagOf("k")
-	s.Heard(now, sent)
+	s.Observe(now, sent)
 	now += 10 * partLife
 	require.Len(t, s.loads.keeps(now, TagOf("k")), 1, "nothing has taken its place")
-	s.Heard(now, reads("r00", 2, 60_000))
+	s.Observe(now, reads("r00", 2, 60_000))
 	require.Empty(t, s.loads.keeps(now, TagOf("k")))
-	s.SetRaters(now, raters[1:])
+	s.SetBackends(now, raters[1:])
 	require.Nil(t, s.loads.raters[TagOf("r00")], "a rater that left keeps nothing")
 }
 
@@ -359,12 +359,12 @@
 func TestLargeRequestsAreWorthMore(t *testing.T) {
 	all := sizes{}
 	for range 300 {
-		all.note(&Request{Route: "a", Own: 1000})
+		all.note(&Request{Route: "a", OwnTokens: 1000})
 	}
-	require.InDelta(t, 1, all.worth(&Request{Route: "a", Own: 1000}), 0.01)
-	require.InDelta(t, 1.7, all.worth(&Request{Route: "a", Own: 2000}), 0.01)
-	require.InDelta(t, worthMost, all.worth(&Request{Route: "a", Own: 50_000}), 0.01)
-	require.InDelta(t, 1, all.worth(&Request{Route: "unknown", Own: 50_000}), 0.01)
+	require.InDelta(t, 1, all.worth(&Request{Route: "a", OwnTokens: 1000}), 0.01)
+	require.InDelta(t, 1.7, all.worth(&Request{Route: "a", OwnTokens: 2000}), 0.01)
+	require.InDelta(t, worthMost, all.worth(&Request{Route: "a", OwnTokens: 50_000}), 0.01)
+	require.InDelta(t, 1, all.worth(&Request{Route: "unknown", OwnTokens: 50_000}), 0.01)
 }
 
 func TestWithoutAPrefixTheSharesDecide(t *testing.T) {
@@ -373,14 +373,14 @@
 	places := map[string]int{}
 	for range 3000 {
 		now += 5 * time.Millisecond
-		ticket := s.Place(now, &Request{Deadline: time.Hour})
-		places[ticket.Rater.ID]++
+		ticket := s.Pick(now, &Request{Deadline: time.Hour})
+		places[ticket.Backend.ID]++
 		took := 20 * time.Millisecond
-		if ticket.Rater.ID == "r00" { // four times slower
+		if ticket.Backend.ID == "r00" { // four times slower
 			took *= 4
 		}
-		s.Begun(now+took, ticket)
-		s.End(now+took, ticket, decide.Good, Load{})
+		s.FirstToken(now+took, ticket)
+		s.Done(now+took, ticket, decide.Good, Load{})
 	}
 	require.Less(t, places["r00"], places["r01"])
 	require.Less(t, places["r00"], places["r02"])
@@ -394,21 +394,21 @@
 	for i := range 4000 {
 		now += 5 * time.Millisecond
 		down = i < 2000
-		ticket := s.Place(now, &Request{Deadline: time.Hour})
+		ticket := s.Pick(now, &Request{Deadline: time.Hour})
 		require.NotNil(t, ticket)
-		if ticket.Rater.ID != "r00" {
-			s.Begun(now+10*time.Millisecond, ticket)
-			s.End(now+10*time.Millisecond, ticket, decide.Good, Load{})
+		if ticket.Backend.ID != "r00" {
+			s.FirstToken(now+10*time.Millisecond, ticket)
+			s.Done(now+10*time.Millisecond, ticket, decide.Good, Load{})
 			continue
 		}
 		if down {
 			placesDown++
-			s.End(now, ticket, decide.NoConnect, Load{})
+			s.Done(now, ticket, decide.NoConnect, Load{})
 			continue
 		}
 		placesAfter++
-		s.Begun(now+10*time.Millisecond, ticket)
-		s.End(now+10*time.Millisecond, ticket, decide.Good, Load{})
+		s.FirstToken(now+10*time.Millisecond, ticket)
+		s.Done(now+10*time.Millisecond, ticket, decide.Good, Load{})
 	}
 	require.Less(t, placesDown, 40)
 	require.Greater(t, placesAfter, 100)
@@ -420,9 +420,9 @@
 	s := newTestService(t, 9, 3)
 	for i := range 1000 {
 		key := fmt.Sprint("also", i)
-		ticket := s.Place(time.Second, prefixed(key))
-		s.End(time.Second, ticket, decide.Good, Load{})
-		if ticket.Rater.ID == rater {
+		ticket := s.Pick(time.Second, prefixed(key))
+		s.Done(time.Second, ticket, decide.Good, Load{})
+		if ticket.Backend.ID == rater {
 			return key
 		}
 	}
@@ -433,35 +433,35 @@
 func TestARaterThatANodeCouldNotReachIsLeftAloneByAll(t *testing.T) {
 	a, b := newTestService(t, 9, 1), newTestService(t, 9, 2)
 	now := time.Second
-	home := a.Place(now, prefixed("k"))
-	a.End(now, home, decide.NoConnect, Load{})
+	home := a.Pick(now, prefixed("k"))
+	a.Done(now, home, decide.NoConnect, Load{})
 	a.Unreachable(now, home)
-	later := alsoAt(t, home.Rater.ID)
-	b.Heard(now, told(Unreachable, home.Rater.ID, 0))
-	for _, s := range []*Service{a, b} {
-		moved := s.Place(now+time.Millisecond, prefixed("k"))
-		require.NotEqual(t, home.Rater.ID, moved.Rater.ID)
-		s.End(now, moved, decide.Good, Load{})
-		require.True(t, s.Place(now+suspectMost, prefixed("k")).Kept, "what moved stays")
-		back := s.Place(now+suspectMost, prefixed(later))
-		require.Equal(t, home.Rater.ID, back.Rater.ID, "it is tried again after a while")
-		s.End(now, back, decide.Good, Load{})
+	later := alsoAt(t, home.Backend.ID)
+	b.Observe(now, told(EventUnreachable, home.Backend.ID, 0))
+	for _, s := range []*Balancer{a, b} {
+		moved := s.Pick(now+time.Millisecond, prefixed("k"))
+		require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
+		s.Done(now, moved, decide.Good, Load{})
+		require.True(t, s.Pick(now+suspectMost, prefixed("k")).PrefixCached, "what moved stays")
+		back := s.Pick(now+suspectMost, prefixed(later))
+		require.Equal(t, home.Backend.ID, back.Backend.ID, "it is tried again after a while")
+		s.Done(now, back, decide.Good, Load{})
 	}
 }
 
 func TestOneNodesBadLinksCondemnNoRaterForAll(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	now := time.Second
-	heard := s.Place(now, prefixed("k"))
-	s.Begun(now, heard)
-	s.End(now, heard, decide.Good, Load{})
-	s.Heard(now+trustOwn/2, told(Unreachable, heard.Rater.ID, 0))
-	again := s.Place(now+trustOwn/2, prefixed("k"))
-	require.Equal(t, heard.Rater.ID, again.Rater.ID, "what this node hears from it goes before")
-	s.End(now, again, decide.Good, Load{})
+	heard := s.Pick(now, prefixed("k"))
+	s.FirstToken(now, heard)
+	s.Done(now, heard, decide.Good, Load{})
+	s.Observe(now+trustOwn/2, told(EventUnreachable, heard.Backend.ID, 0))
+	again := s.Pick(now+trustOwn/2, prefixed("k"))
+	require.Equal(t, heard.Backend.ID, again.Backend.ID, "what this node hears from it goes before")
+	s.Done(now, again, decide.Good, Load{})
 	now += time.Minute
 	for _, rater := range list(9) {
-		s.Heard(now, told(Unreachable, rater.ID, 0))
+		s.Observe(now, told(EventUnreachable, rater.ID, 0))
 	}
 	suspected := 0
 	for _, m := range s.members {
@@ -474,10 +474,10 @@
 
 func TestASuspectedRaterIsBetterThanNone(t *testing.T) {
 	s := newTestService(t, 1, 1)
-	only := s.Place(time.Second, prefixed("k"))
-	s.End(time.Second, only, decide.NotSent, Load{})
+	only := s.Pick(time.Second, prefixed("k"))
+	s.Done(time.Second, only, decide.NotSent, Load{})
 	s.Unreachable(time.Second, only)
-	require.NotNil(t, s.Place(time.Second, prefixed("k")))
+	require.NotNil(t, s.Pick(time.Second, prefixed("k")))
 }
 
 func TestRendezvousSpreadsEvenlyAndStably(t *testing.T) {
@@ -501,10 +501,10 @@
 	s := newTestService(t, 2, 1)
 	request := light("k")
 	request.Long = true
-	ticket := s.Place(time.Second, request)
-	s.Begun(time.Second, ticket)
-	ticket.Paused()
-	s.End(2*time.Second, ticket, decide.Good, Load{})
-	events := s.TakeEvents()
-	require.Equal(t, Paused, events[len(events)-1].Kind)
+	ticket := s.Pick(time.Second, request)
+	s.FirstToken(time.Second, ticket)
+	ticket.RecordPause()
+	s.Done(2*time.Second, ticket, decide.Good, Load{})
+	events := s.DrainEvents()
+	require.Equal(t, EventPaused, events[len(events)-1].Kind)
 }
--- a/internal/fleet/routing/event.go
+++ b/internal/fleet/routing/event.go
@@ -12,25 +12,25 @@
 
 // The kinds of events.
 const (
-	Sent        EventKind = iota + 1 // the request was sent
-	Answered                         // its first token came
-	Ended                            // it has ended: the rater's slot is free
-	Failed                           // it has ended without the answer that was asked for
-	Paused                           // it has ended, and was held up for longer than its route allows
-	Unreachable                      // no connection to the rater could be made
+	EventSent        EventKind = iota + 1 // the request was sent
+	EventFirstToken                       // its first token came
+	EventEnded                            // it has ended: the rater's slot is free
+	EventFailed                           // it has ended without the answer that was asked for
+	EventPaused                           // it has ended, and was held up for longer than its route allows
+	EventUnreachable                      // no connection to the rater could be made
 )
 
 // Event is one step of an attempt, as nodes tell each other. A node learns from the events of all others what it cannot see
 // itself: what a rater has to read, how many requests it runs, how fast it answers, and whether it fails.
 type Event struct {
-	Kind    EventKind
-	Rater   uint32        // TagOf the rater's id
-	Attempt uint32        // names the attempt at that rater
-	Ago     time.Duration // how long ago it was
-	Tokens  float64       // Sent: tokens of the prompt that the rater has to read
-	Prefix  uint32        // Sent: TagOf the shared part of the prompt, 0 = none
-	Long    bool          // Sent, Answered: its end will be told, as it is long after its first token
-	Took    time.Duration // Answered: the time to the first token
+	Kind             EventKind
+	Backend          uint32        // TagOf the rater's id
+	Attempt          uint32        // names the attempt at that rater
+	Age              time.Duration // how long ago it was
+	Tokens           float64       // Sent: tokens of the prompt that the rater has to read
+	Prefix           uint32        // Sent: TagOf the shared part of the prompt, 0 = none
+	Long             bool          // Sent, Answered: its end will be told, as it is long after its first token
+	TimeToFirstToken time.Duration // Answered: the time to the first token
 }
 
 // TagOf shortens an id for events. Two raters with the same tag would be taken for one; of 10,000 that is a chance of one
@@ -63,15 +63,15 @@
 		head |= longFlag
 	}
 	packed = append(packed, head)
-	packed = binary.LittleEndian.AppendUint32(packed, e.Rater)
+	packed = binary.LittleEndian.AppendUint32(packed, e.Backend)
 	packed = binary.LittleEndian.AppendUint32(packed, e.Attempt)
-	packed = binary.LittleEndian.AppendUint16(packed, uint16(min(max(e.Ago.Milliseconds(), 0), mostAgo)))
+	packed = binary.LittleEndian.AppendUint16(packed, uint16(min(max(e.Age.Milliseconds(), 0), mostAgo)))
 	switch e.Kind {
-	case Sent:
+	case EventSent:
 		packed = binary.LittleEndian.AppendUint32(packed, uint32(e.Tokens))
 		packed = binary.LittleEndian.AppendUint32(packed, e.Prefix)
-	case Answered:
-		packed = binary.LittleEndian.AppendUint32(packed, uint32(e.Took.Microseconds()))
+	case EventFirstToken:
+		packed = binary.LittleEndian.AppendUint32(packed, uint32(e.TimeToFirstToken.Microseconds()))
 	}
 	return packed
 }
@@ -85,14 +85,14 @@
 		if size == 0 || len(packed) < size {
 			return nil, errPackedEvent
 		}
-		event := Event{Kind: kind, Long: packed[0]&longFlag != 0, Rater: binary.LittleEndian.Uint32(packed[1:]),
-			Attempt: binary.LittleEndian.Uint32(packed[5:]), Ago: time.Duration(binary.LittleEndian.Uint16(packed[9:])) * time.Millisecond}
+		event := Event{Kind: kind, Long: packed[0]&longFlag != 0, Backend: binary.LittleEndian.Uint32(packed[1:]),
+			Attempt: binary.LittleEndian.Uint32(packed[5:]), Age: time.Duration(binary.LittleEndian.Uint16(packed[9:])) * time.Millisecond}
 		switch kind {
-		case Sent:
+		case EventSent:
 			event.Tokens = float64(binary.LittleEndian.Uint32(packed[commonSize:]))
 			event.Prefix = binary.LittleEndian.Uint32(packed[commonSize+4:])
-		case Answered:
-			event.Took = time.Duration(binary.LittleEndian.Uint32(packed[commonSize:])) * time.Microsecond
+		case EventFirstToken:
+			event.TimeToFirstToken = time.Duration(binary.LittleEndian.Uint32(packed[commonSize:])) * time.Microsecond
 		}
 		events = append(events, event)
 		packed = packed[size:]
@@ -102,11 +102,11 @@
 
 func packedSize(kind EventKind) int {
 	switch kind {
-	case Sent:
+	case EventSent:
 		return sentSize
-	case Answered:
+	case EventFirstToken:
 		return answeredSize
-	case Ended, Failed, Paused, Unreachable:
+	case EventEnded, EventFailed, EventPaused, EventUnreachable:
 		return commonSize
 	}
 	return 0
--- a/internal/fleet/routing/event_test.go
+++ b/internal/fleet/routing/event_test.go
@@ -9,13 +9,13 @@
 
 func TestEventsAreUnpackedAsTheyWerePacked(t *testing.T) {
 	events := []Event{
-		{Kind: Sent, Rater: 1 << 31, Attempt: 7, Ago: 15 * time.Millisecond, Tokens: 54_600, Prefix: 99, Long: true},
-		{Kind: Sent, Rater: 2, Attempt: 8, Tokens: 12},
-		{Kind: Answered, Rater: 2, Attempt: 8, Ago: time.Second, Took: 123_456 * time.Microsecond},
-		{Kind: Ended, Rater: 3, Attempt: 1<<32 - 1},
-		{Kind: Failed, Rater: 3, Attempt: 2},
-		{Kind: Paused, Rater: 3, Attempt: 3},
-		{Kind: Unreachable, Rater: 4},
+		{Kind: EventSent, Backend: 1 << 31, Attempt: 7, Age: 15 * time.Millisecond, Tokens: 54_600, Prefix: 99, Long: true},
+		{Kind: EventSent, Backend: 2, Attempt: 8, Tokens: 12},
+		{Kind: EventFirstToken, Backend: 2, Attempt: 8, Age: time.Second, TimeToFirstToken: 123_456 * time.Microsecond},
+		{Kind: EventEnded, Backend: 3, Attempt: 1<<32 - 1},
+		{Kind: EventFailed, Backend: 3, Attempt: 2},
+		{Kind: EventPaused, Backend: 3, Attempt: 3},
+		{Kind: EventUnreachable, Backend: 4},
 	}
 	var packed []byte
 	for _, event := range events {
@@ -35,9 +35,9 @@
 }
 
 func TestAnAgeBeyondWhatIsPackedIsTheOldest(t *testing.T) {
-	unpacked, err := UnpackEvents(AppendEvent(nil, Event{Kind: Ended, Ago: time.Hour}))
+	unpacked, err := UnpackEvents(AppendEvent(nil, Event{Kind: EventEnded, Age: time.Hour}))
 	require.NoError(t, err)
-	require.Equal(t, mostAgo*time.Millisecond, unpacked[0].Ago)
+	require.Equal(t, mostAgo*time.Millisecond, unpacked[0].Age)
 }
 
 func TestNoPrefixHasNoTag(t *testing.T) {
--- a/internal/fleet/routing/golden_test.go
+++ b/internal/fleet/routing/golden_test.go
@@ -11,12 +11,12 @@
 
 func TestEventsOfAnEarlierVersionAreUnpacked(t *testing.T) {
 	events := []Event{
-		{Kind: Sent, Rater: 1, Attempt: 2, Ago: 3 * time.Millisecond, Tokens: 4, Prefix: TagOf("a prefix"), Long: true},
-		{Kind: Answered, Rater: 5, Attempt: 6, Ago: 7 * time.Millisecond, Took: 8 * time.Microsecond, Long: true},
-		{Kind: Ended, Rater: 9, Attempt: 10, Ago: 11 * time.Millisecond},
-		{Kind: Failed, Rater: 12, Attempt: 13, Ago: 14 * time.Millisecond},
-		{Kind: Paused, Rater: 15, Attempt: 16, Ago: 17 * time.Millisecond},
-		{Kind: Unreachable, Rater: TagOf("a rater"), Attempt: 18, Ago: 19 * time.Millisecond},
+		{Kind: EventSent, Backend: 1, Attempt: 2, Age: 3 * time.Millisecond, Tokens: 4, Prefix: TagOf("a prefix"), Long: true},
+		{Kind: EventFirstToken, Backend: 5, Attempt: 6, Age: 7 * time.Millisecond, TimeToFirstToken: 8 * time.Microsecond, Long: true},
+		{Kind: EventEnded, Backend: 9, Attempt: 10, Age: 11 * time.Millisecond},
+		{Kind: EventFailed, Backend: 12, Attempt: 13, Age: 14 * time.Millisecond},
+		{Kind: EventPaused, Backend: 15, Attempt: 16, Age: 17 * time.Millisecond},
+		{Kind: EventUnreachable, Backend: TagOf("a rater"), Attempt: 18, Age: 19 * time.Millisecond},
 	}
 	var fresh []byte
 	for _, event := range events {
--- a/internal/fleet/routing/load.go
+++ b/internal/fleet/routing/load.go
@@ -50,8 +50,8 @@
 	sent    time.Duration
 }
 
-// raterLoad is what is known of one rater: its attempts under way and how its answers were of late.
-type raterLoad struct {
+// backendLoad is what is known of one rater: its attempts under way and how its answers were of late.
+type backendLoad struct {
 	open    []openAttempt // in the order of their sending
 	running []runningAttempt
 	memory  float64 // in tokens, 0 = not known
@@ -82,20 +82,20 @@
 
 // loads knows the load of all raters of a service from this node's attempts and from those that other nodes told of.
 type loads struct {
-	raters map[uint32]*raterLoad
+	raters map[uint32]*backendLoad
 	curve  readCurve
 	hold   time.Duration // how long a long answer keeps its slot, learned
 	parts  keptParts
 }
 
 func newLoads() *loads {
-	return &loads{raters: map[uint32]*raterLoad{}, curve: newReadCurve(), hold: usualHold, parts: newKeptParts()}
+	return &loads{raters: map[uint32]*backendLoad{}, curve: newReadCurve(), hold: usualHold, parts: newKeptParts()}
 }
 
-func (l *loads) of(rater uint32) *raterLoad {
+func (l *loads) of(rater uint32) *backendLoad {
 	load := l.raters[rater]
 	if load == nil {
-		load = &raterLoad{}
+		load = &backendLoad{}
 		l.raters[rater] = load
 	}
 	return load
@@ -128,32 +128,32 @@
 
 // take takes an event that happened at a time.
 func (l *loads) take(now time.Duration, event *Event, own bool) {
-	load := l.of(event.Rater)
-	at := now - event.Ago
+	load := l.of(event.Backend)
+	at := now - event.Age
 	switch event.Kind {
-	case Sent:
+	case EventSent:
 		l.sent(at, load, event, own)
-	case Answered:
+	case EventFirstToken:
 		l.answered(now, load, event)
-	case Ended, Paused:
-		l.ended(now, load, event.Attempt, event.Kind == Paused)
-	case Failed:
+	case EventEnded, EventPaused:
+		l.ended(now, load, event.Attempt, event.Kind == EventPaused)
+	case EventFailed:
 		load.failing.add(now, failureMemory, 1, 1)
 		load.open = slices.DeleteFunc(load.open, func(o openAttempt) bool { return o.attempt == event.Attempt })
 		load.running = slices.DeleteFunc(load.running, func(r runningAttempt) bool { return r.attempt == event.Attempt })
 	}
 }
 
-func (l *loads) sent(at time.Duration, load *raterLoad, event *Event, own bool) {
+func (l *loads) sent(at time.Duration, load *backendLoad, event *Event, own bool) {
 	expected := l.wait(at, load) + l.reading(at, load, event.Tokens)
 	entry := openAttempt{attempt: event.Attempt, tokens: event.Tokens, sent: at, alone: len(load.open) == 0, long: event.Long, own: own,
 		nominal: time.Duration(float64(expected) / l.pace(at, load))}
 	load.open = append(load.open, entry)
 	load.read += event.Tokens
-	l.parts.note(at, event.Prefix, event.Rater, load.read)
+	l.parts.note(at, event.Prefix, event.Backend, load.read)
 }
 
-func (l *loads) answered(now time.Duration, load *raterLoad, event *Event) {
+func (l *loads) answered(now time.Duration, load *backendLoad, event *Event) {
 	i := slices.IndexFunc(load.open, func(o openAttempt) bool { return o.attempt == event.Attempt })
 	if i < 0 {
 		return
@@ -161,11 +161,11 @@
 	one := load.open[i]
 	load.open = slices.Delete(load.open, i, i+1)
 	if one.alone {
-		l.curve.learn(one.tokens, event.Took)
+		l.curve.learn(one.tokens, event.TimeToFirstToken)
 	}
 	if one.nominal > 0 {
 		nominal := one.nominal.Seconds()
-		took := min(max(event.Took.Seconds(), paceLeast*nominal), paceMost*nominal)
+		took := min(max(event.TimeToFirstToken.Seconds(), paceLeast*nominal), paceMost*nominal)
 		load.pace.add(now, paceMemory, nominal, took)
 	}
 	load.failing.add(now, failureMemory, 1, 0)
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *loads) ended(now time.Duration, load *raterLoad, attempt uint32, paused bool) {
+func (l *loads) ended(now time.Duration, load *backendLoad, attempt uint32, paused bool) {
 	load.open = slices.DeleteFunc(load.open, func(o openAttempt) bool { return o.attempt == attempt })
 	i := slices.IndexFunc(load.running, func(r runningAttempt) bool { return r.attempt == attempt })
 	if i < 0 {
@@ -190,7 +190,7 @@
 }
 
 // pace is how many times slower than usual a rater answers. Answers that are overdue tell of it before they come.
-func (l *loads) pace(now time.Duration, load *raterLoad) float64 {
+func (l *loads) pace(now time.Duration, load *backendLoad) float64 {
 	load.pace.fade(now, paceMemory)
 	expected, took := load.pace.base, load.pace.extra
 	for i := range load.open {
@@ -206,7 +206,7 @@
 }
 
 // risk is the part of a rater's attempts that fail.
-func (l *loads) risk(now time.Duration, load *raterLoad) float64 {
+func (l *loads) risk(now time.Duration, load *backendLoad) float64 {
 	load.failing.fade(now, failureMemory)
 	attempts, failures := load.failing.base, load.failing.extra
 	for i := range load.open {
@@ -220,18 +220,18 @@
 }
 
 // pauses is the part of a rater's long answers that are held up on their way.
-func (l *loads) pauses(now time.Duration, load *raterLoad) float64 {
+func (l *loads) pauses(now time.Duration, load *backendLoad) float64 {
 	load.held.fade(now, failureMemory)
 	return load.held.extra / (load.held.base + failurePrior)
 }
 
 // reading is how long a rater takes to the first token of a prompt once it has come to it.
-func (l *loads) reading(now time.Duration, load *raterLoad, tokens float64) time.Duration {
+func (l *loads) reading(now time.Duration, load *backendLoad, tokens float64) time.Duration {
 	return time.Duration(l.pace(now, load) * float64(l.curve.base+l.curve.time(tokens)))
 }
 
 // wait is how long a rater is expected to be busy with the prompts that it has to read.
-func (l *loads) wait(now time.Duration, load *raterLoad) time.Duration {
+func (l *loads) wait(now time.Duration, load *backendLoad) time.Duration {
 	load.open = slices.DeleteFunc(load.open, func(o openAttempt) bool { return now-o.sent > readingLife })
 	pace := l.pace(now, load)
 	var free time.Duration // when the rater is done with those before
@@ -249,7 +249,7 @@
 }
 
 // slotWait is how long a request waits for a slot of a rater.
-func (l *loads) slotWait(now time.Duration, load *raterLoad, slots int) time.Duration {
+func (l *loads) slotWait(now time.Duration, load *backendLoad, slots int) time.Duration {
 	load.running = slices.DeleteFunc(load.running, func(r runningAttempt) bool { return now-r.sent > runningLife })
 	beyond := len(load.open) + len(load.running) + 1 - slots
 	if slots <= 0 || beyond <= 0 {
--- a/internal/fleet/routing/sizes.go
+++ b/internal/fleet/routing/promptsizes.go
@@ -11,7 +11,7 @@
 type sizes map[string]float64
 
 func (s sizes) note(request *Request) {
-	size := request.Own + request.Shared
+	size := request.OwnTokens + request.SharedTokens
 	mean, known := s[request.Route]
 	if !known {
 		s[request.Route] = size
@@ -26,5 +26,5 @@
 	if mean <= 0 {
 		return 1
 	}
-	return min(worthBase+(1-worthBase)*(request.Own+request.Shared)/mean, worthMost)
+	return min(worthBase+(1-worthBase)*(request.OwnTokens+request.SharedTokens)/mean, worthMost)
 }
--- a/internal/fleet/routing/suspicion.go
+++ b/internal/fleet/routing/unreachable.go
@@ -33,16 +33,16 @@
 }
 
 // Unreachable notes that this node could not reach the rater of an attempt.
-func (s *Service) Unreachable(now time.Duration, t *Ticket) {
-	if m := s.members[t.Rater.ID]; m != nil {
+func (s *Balancer) Unreachable(now time.Duration, t *Attempt) {
+	if m := s.members[t.Backend.ID]; m != nil {
 		m.raise(now)
-		s.events = append(s.events, Event{Kind: Unreachable, Rater: m.tag})
+		s.events = append(s.events, Event{Kind: EventUnreachable, Backend: m.tag})
 	}
 }
 
 // heardUnreachable takes another node's notice that it could not reach a rater. A node whose own links are at fault tells so of
 // many: what this node hears from a rater, and notices about more than half of them, go before it.
-func (s *Service) heardUnreachable(now time.Duration, m *member) {
+func (s *Balancer) heardUnreachable(now time.Duration, m *member) {
 	if m.heardAt > 0 && now-m.heardAt < trustOwn {
 		return
 	}
