--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,189 @@
+package ledger
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/golden"
+	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/quota/lease"
+)
+
+// Guards against a command, question, reply or image whose JSON has changed, in any of its fields.
+func TestEncodedTypesKeepTheirForm(t *testing.T) {
+	golden.JSON[Command](t, "command")
+	golden.JSON[Reply](t, "reply")
+	golden.JSON[Ask](t, "ask")
+	golden.JSON[Opening](t, "opening")
+	golden.JSON[image](t, "image")
+	golden.JSON[Member](t, "member")
+	golden.JSON[Started](t, "members-started")
+	golden.JSON[Raise](t, "members-raise")
+	golden.JSON[Value](t, "register-value")
+	golden.JSON[Set](t, "register-set")
+	golden.JSON[Get](t, "register-get")
+	golden.JSON[Ordered](t, "orders-ordered")
+	golden.JSON[Order](t, "orders-order")
+	golden.JSON[OrdersOf](t, "orders-of")
+	golden.JSON[callsCommand](t, "calls-command")
+	golden.JSON[Held](t, "calls-held")
+	golden.JSON[Look](t, "calls-look")
+	golden.JSON[Outcome](t, "calls-outcome")
+	golden.JSON[callsImage](t, "calls-image")
+	golden.JSON[PolicyCommand](t, "policy-command")
+	golden.JSON[PolicyQuestion](t, "policy-question")
+	golden.JSON[RoomCommand](t, "room-command")
+}
+
+// Guards against names of parts, codes, roles and verdicts that are on disks and between processes and have changed.
+func TestEncodedWordsKeepTheirForm(t *testing.T) {
+	words := []any{PartMembers, PartRegister, PartCalls, PartOrders, PartPolicy, PartRoom, OK, Conflict, Faulty, Full, Lost, Voter, Learner, Gone,
+		TakenRun, TakenElse, TakenReplay, TakenSpent, TakenDoubt, TakenMismatch, TakenFull, TakenUnknown, HowServed, HowNotRun, HowDoubt,
+		policy.Looking, policy.Pausing, policy.Agreed, policy.Refused}
+	golden.Check(t, "words", fmt.Append(nil, words))
+}
+
+// script gives the commands of a history after which no part is empty: of each kind one at least.
+func script() (list []Command) {
+	say := func(at float64, session, number uint64, part string, body any) {
+		list = append(list, Command{Version: Version, At: at, Session: session, Number: number, Done: number / 4, Part: part, Body: encode(body)})
+	}
+	name := func(b byte) []byte { return bytes.Repeat([]byte{b}, 16) }
+	say(1_000_100, 0, 71, "", Opening{Name: "node-1"})
+	say(1_000_200, 0, 72, "", Opening{Name: "node-2"})
+	say(1_000_300, 0, 0, PartMembers, Started{ID: 11, Starts: 4, Speaks: 2})
+	n := map[uint64]uint64{}
+	do := func(at float64, session uint64, part string, body any) {
+		n[session]++
+		say(at, session, n[session], part, body)
+	}
+	do(1_000_400, 1, PartRegister, Set{Name: "colour", Value: "blue"})
+	do(1_000_500, 2, PartRegister, Set{Name: "colour", Value: "red", Was: new(uint64(4))})
+	do(1_000_600, 1, PartRegister, Set{Name: "size", Value: "large"})
+	for _, o := range []Order{{"node-1", "drain", ""}, {"node-1", "suspend", "rater-2"}, {"node-2", "suspend", "rater-3"}, {"node-2", "suspend", "rater-4"},
+		{"node-2", "resume", "rater-3"}, {"node-3", "drain", ""}, {"node-3", "activate", ""}} {
+		do(1_000_700, 1, PartOrders, o)
+	}
+	do(1_000_800, 1, PartCalls, FreshCommand(Fresh{Node: "node-1", Life: 5, Secret: []byte("secret"), Before: 4}))
+	for b := byte(1); b <= 6; b++ {
+		do(1_000_900+float64(b), 2, PartCalls, TakeCommand(Take{Name: name(b), Print: name(b + 100), Tenant: fmt.Sprint("tenant ", b), Answered: 60_000 + float64(b%2),
+			Doubt: 90_000, Run: 30_000, Node: fmt.Sprint("node-", b%2+1), Life: 5, Token: uint64(b) + 40}))
+	}
+	for b, e := range []Ended{{How: HowServed, Body: []byte("an answer")}, {How: HowServed}, {How: HowDoubt}, {How: HowNotRun}} {
+		e.Name, e.Token = name(byte(b+1)), uint64(b)+41
+		do(1_001_000+float64(b), 2, PartCalls, EndedCommand(e))
+	}
+	report := func(at float64, r policy.Report) {
+		do(at, 1, PartPolicy, PolicyCommand{Report: &r})
+	}
+	propose := func(at float64, p policy.Proposal) { do(at, 2, PartPolicy, PolicyCommand{Propose: &p}) }
+	propose(1_001_100, policy.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
+	propose(1_001_110, policy.Proposal{ID: "late", Text: "another", By: "bob"})
+	report(1_001_120, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000})
+	report(1_001_130, policy.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true})
+	report(1_001_135, policy.Report{Node: "node-3", Life: 7, Holds: 1, Lease: 8000})
+	propose(1_001_140, policy.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
+	report(1_001_150, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
+	do(1_001_160, 1, PartPolicy, PolicyCommand{Dead: "node-3"})
+	propose(1_001_170, policy.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
+	report(1_001_180, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second"})
+	report(1_001_190, policy.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true, Looked: "second"})
+	report(1_001_200, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second", Paused: "second"})
+	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Kept: .1,
+		Memory: 30, PayBack: 10, PayPart: .25, MostWait: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}, Burst: 2},
+			{Name: "c", Share: .1, Alone: true}, {Name: "d", Parent: "a", Share: .4, Long: quota.Amount{30}, Keep: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
+	do(1_001_300, 1, PartRoom, RoomCommand{Tree: &tree})
+	for i := range 6 {
+		at := 1_001_400 + 500*float64(i)
+		for j := range 2 {
+			do(at+float64(j), uint64(j+1), PartRoom, RoomCommand{Report: &lease.Report{Node: fmt.Sprint("node-", j+1), Life: uint64(j + 5), Tree: tree.Hash(), Length: 8000,
+				Holds: uint64(2*(i-1) + j + 1), Asked: []lease.Asked{{At: 1, Want: .1 * float64(i), Used: .05}, {At: 2, Want: .9, Used: .4 * float64(j)}, {At: 4, Want: .02, Used: .01}}}})
+		}
+	}
+	return list
+}
+
+// questions are one of each kind for each part.
+func questions() (list []Ask) {
+	for part, bodies := range map[string][]any{
+		PartMembers:  {struct{}{}},
+		PartRegister: {Get{}, Get{Name: "colour"}},
+		PartOrders:   {OrdersOf{Node: "node-1"}, OrdersOf{Node: "node-2"}},
+		PartCalls: {Look{}, Look{Name: bytes.Repeat([]byte{1}, 16), Print: bytes.Repeat([]byte{101}, 16)}, Look{Name: bytes.Repeat([]byte{2}, 16), Print: bytes.Repeat([]byte{102}, 16)},
+			Look{Name: bytes.Repeat([]byte{3}, 16), Print: bytes.Repeat([]byte{103}, 16)}, Look{Name: bytes.Repeat([]byte{5}, 16), Print: bytes.Repeat([]byte{105}, 16)}},
+		PartPolicy: {PolicyQuestion{}, PolicyQuestion{News: true}, PolicyQuestion{Outcome: "faulty"}, PolicyQuestion{Proposed: "second"}, PolicyQuestion{Document: new(uint64(1))}},
+		PartRoom:   {struct{}{}},
+	} {
+		for _, b := range bodies {
+			list = append(list, Ask{Part: part, Body: encode(b)})
+		}
+	}
+	return list
+}
+
+func answers(l *Ledger) map[string]Reply {
+	out := map[string]Reply{}
+	for _, q := range questions() {
+		out[q.Part+" "+string(q.Body)] = l.Query(q)
+	}
+	return out
+}
+
+// Guards against commands, replies, images and answers that this build writes or reads otherwise than an earlier one of the
+// release: the golden files hold a history, what its commands got, the images of both forms, and the answers to every question.
+func TestImagesAndHistoryOfAnEarlierBuild(t *testing.T) {
+	var text bytes.Buffer
+	for _, c := range script() {
+		text.Write(append(encode(c), '\n'))
+	}
+	golden.Check(t, "history.jsonl", text.Bytes())
+
+	l := Found([]Member{{ID: 11, Name: "k0", Address: "h0:1", Speaks: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, Speaks: 2}}, 1e6)
+	l.Learns(0, Member{ID: 13, Name: "k2", Address: "h2:1", Replaces: 12, Speaks: 2})
+	l.Learns(0, Member{ID: 14, Name: "k3", Address: "h3:1", Speaks: 2})
+	l.Leaves(0, 14)
+	replies := []Reply{}
+	for line := range bytes.Lines(golden.File(t, "history.jsonl", nil)) {
+		var c Command
+		require.NoError(t, json.Unmarshal(line, &c))
+		require.Equal(t, string(bytes.TrimSpace(line)), string(encode(c)), "a command is encoded again as it was")
+		_, r, err := l.Apply(l.Index()+1, line)
+		require.NoError(t, err)
+		require.Equal(t, OK, r.Code, "%s: %s", line, r.Text)
+		replies = append(replies, r)
+	}
+	golden.Check(t, "replies.json", encode(replies))
+	golden.Check(t, "answers.json", encode(answers(l)))
+
+	for name, raised := range map[string]int{"image-plain": 0, "image-compact": 2} {
+		t.Run(name, func(t *testing.T) {
+			l.members.raised = raised
+			frozen, err := l.Freeze()()
+			require.NoError(t, err)
+			golden.Check(t, name, frozen)
+			other := New()
+			require.NoError(t, other.Restore(golden.File(t, name, nil)))
+			require.Equal(t, l.now, other.now)
+			require.Equal(t, l.index, other.index)
+			require.Equal(t, l.members, other.members)
+			require.Equal(t, l.sessions, other.sessions)
+			require.Equal(t, answers(l), answers(other))
+			again, err := other.Freeze()()
+			require.NoError(t, err)
+			require.Equal(t, frozen, again)
+			for _, part := range []string{PartMembers, PartRegister, PartOrders, PartPolicy, PartRoom, PartCalls} {
+				want, err := l.parts[part].Freeze()()
+				require.NoError(t, err)
+				got, err := other.parts[part].Freeze()()
+				require.NoError(t, err)
+				require.Equal(t, string(want), string(got), part)
+				require.Greater(t, len(want), 50, "%s is not empty", part)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/peers/link/golden_test.go
@@ -0,0 +1,43 @@
+package link
+
+import (
+	"bytes"
+	"net"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/golden"
+)
+
+// Guards against first words whose JSON has changed, in any of their fields.
+func TestEncodedTypesKeepTheirForm(t *testing.T) {
+	golden.JSON[Hello](t, "hello")
+	golden.JSON[Welcome](t, "welcome")
+}
+
+// Guards against frames that an earlier build of this release does not read, or that it wrote and this one does not read: one of each
+// kind, and a message of two parts.
+func TestFramesOfAnEarlierBuild(t *testing.T) {
+	kinds := []Kind{KindHello, KindAnswer, KindRaft, KindAsk, KindRaft}
+	messages := [][]byte{[]byte(`{"fleet":"morava"}`), []byte("an answer"), {0, 1, 2, 255}, {}, bytes.Repeat([]byte("part"), mostFrame/4+1)}
+	var frames []byte
+	for i, kind := range kinds {
+		frames = Append(frames, kind, messages[i])
+	}
+	golden.Check(t, "frames", frames)
+	earlier := golden.File(t, "frames", nil)
+	near, far := net.Pipe()
+	defer near.Close()
+	go func() {
+		defer far.Close()
+		_, _ = far.Write(earlier) // the reader tells
+	}()
+	c := NewConn(near)
+	for i, want := range kinds {
+		kind, message, err := c.Read()
+		require.NoError(t, err)
+		require.Equal(t, want, kind)
+		require.Equal(t, string(messages[i]), string(message))
+	}
+}
--- /dev/null
+++ b/internal/peers/talk/golden_test.go
@@ -0,0 +1,17 @@
+package talk
+
+import (
+	"fmt"
+	"testing"
+
+	"linenwheel.dev/linenwheel/internal/golden"
+)
+
+// Guards against requests and answers whose JSON, or whose words, have changed.
+func TestEncodedTypesKeepTheirForm(t *testing.T) {
+	golden.JSON[Request](t, "request")
+	golden.JSON[Answer](t, "answer")
+	golden.JSON[State](t, "state")
+	golden.JSON[Member](t, "member")
+	golden.Check(t, "words", fmt.Append(nil, []string{Do, Read, Wait, Status, Picture, Found, Learn, Remove, Copy, Elsewhere, Nobody, Later, Refused}))
+}
--- /dev/null
+++ b/internal/quota/lease/golden_test.go
@@ -0,0 +1,58 @@
+package lease
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/golden"
+)
+
+// Guards against encoded forms of the package whose JSON has changed, in any of their fields.
+func TestEncodedTypesKeepTheirForm(t *testing.T) {
+	golden.JSON[Asked](t, "asked")
+	golden.JSON[Report](t, "report")
+	golden.JSON[Grant](t, "grant")
+	golden.JSON[Tree](t, "tree")
+	golden.JSON[View](t, "view")
+	golden.JSON[image](t, "image")
+	var full Tree
+	golden.Fill(t, &full)
+	golden.Check(t, "tree-hash", []byte(full.Hash()))
+}
+
+// Guards against a machine that takes an image of an earlier build of this release otherwise than that build did. Every field of the
+// members and accounts is set; the tree is one that can be divided.
+func TestLoadsTheImageOfAnEarlierBuild(t *testing.T) {
+	divided := tree(3, 1, partners...)
+	m := New()
+	require.NoError(t, m.Bring(1e6, divided))
+	var i image
+	golden.Fill(t, &i)
+	i.Tree, i.Acc, i.At = &divided, make([]account, len(m.acc)), 1e6
+	golden.Fill(t, &i.Acc)
+	for len(i.Acc) < len(m.acc) {
+		i.Acc = append(i.Acc, i.Acc...)
+	}
+	i.Acc = i.Acc[:len(m.acc)]
+	for id, e := range i.Members {
+		for _, parts := range [][]Part{e.Using, e.Next} {
+			for n := range parts {
+				parts[n].At = n
+			}
+		}
+		i.Members[id] = e
+	}
+	want, err := json.Marshal(i)
+	require.NoError(t, err)
+	golden.Check(t, "machine.json", want)
+	require.NoError(t, m.Load(golden.File(t, "machine.json", nil)))
+	require.Equal(t, i, image{m.tree, m.members, m.acc, m.at, m.number})
+	text, err := m.Freeze()()
+	require.NoError(t, err)
+	golden.Check(t, "machine.json", text)
+	other := New()
+	require.NoError(t, other.Load(text))
+	require.Equal(t, m, other)
+}
