--- /dev/null
+++ b/internal/peers/client/golden_test.go
@@ -0,0 +1,97 @@
+package client
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"regexp"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/golden"
+	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/peers/link"
+	"linenwheel.dev/linenwheel/internal/peers/talk"
+)
+
+// drawn is the number under which a session is opened, which is drawn by chance.
+var drawn = regexp.MustCompile(`"n":\d{10,}`)
+
+// Guards against a client whose first word or requests, of any kind, have changed on the wire, or that cannot read an answer with every
+// field set.
+func TestSpeaksToAKeeperAsAnEarlierBuild(t *testing.T) {
+	listen, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listen.Close()
+	heard, over := make(chan string, 100), make(chan error, 1)
+	go func() {
+		over <- func() error {
+			raw, err := listen.Accept()
+			if err != nil {
+				return err
+			}
+			c := link.NewConn(raw)
+			defer c.Close()
+			hello, err := c.Accept("morava", func(link.Hello) link.Welcome { return link.Welcome{Name: "keeper-1", ID: 7} })
+			if err != nil {
+				return err
+			}
+			text, err := json.Marshal(hello)
+			if err != nil {
+				return err
+			}
+			for heard <- string(text); ; {
+				kind, text, err := c.Read()
+				if err != nil {
+					return nil // it has ended
+				}
+				heard <- fmt.Sprintf("%d %s", kind, drawn.ReplaceAll(text, []byte(`"n":0`)))
+				var r struct {
+					ID uint64 `json:"id"`
+				}
+				if err := json.Unmarshal(text, &r); err != nil {
+					return err
+				}
+				answer := fmt.Appendf(nil, `{"id":%d,"reply":{"code":"ok","text":"t","body":"Y29weQ==","index":12}}`, r.ID)
+				if err := c.Write(link.KindAnswer, answer, time.Second); err != nil {
+					return err
+				}
+			}
+		}()
+	}()
+	c := New(Settings{Fleet: "morava", Name: "node-1", Release: "r1", Try: 10 * time.Second,
+		Keepers: []Keeper{{Name: "keeper-1", Address: listen.Addr().String()}}})
+	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
+	defer stop()
+	want := ledger.Reply{Code: ledger.OK, Text: "t", Body: json.RawMessage(`"Y29weQ=="`), Index: 12}
+	for range 2 {
+		r, err := c.Do(ctx, ledger.PartRegister, ledger.Set{Name: "a", Value: "b", Was: new(uint64(3))})
+		require.NoError(t, err)
+		require.Equal(t, want, r)
+	}
+	r, err := c.Read(ctx, ledger.PartRegister, ledger.Get{Name: "a"})
+	require.NoError(t, err)
+	require.Equal(t, want, r)
+	r, err = c.Wait(ctx, ledger.PartPolicy, ledger.PolicyQuestion{News: true}, "known")
+	require.NoError(t, err)
+	require.Equal(t, want, r)
+	index, image, err := c.Copy(ctx)
+	require.NoError(t, err)
+	require.Equal(t, uint64(12), index)
+	require.Equal(t, "copy", string(image))
+	for _, change := range []string{talk.Learn, talk.Remove} {
+		require.NoError(t, c.Change(ctx, change, ledger.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: ledger.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
+	}
+	c.Close()
+	require.NoError(t, <-over)
+	close(heard)
+	var all bytes.Buffer
+	for line := range heard {
+		all.WriteString(line + "\n")
+	}
+	golden.Check(t, "requests", all.Bytes())
+}
