--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -82,10 +82,10 @@
 
 // Ending counts the final answers of one kind and reason.
 type Ending struct {
-	Kind   Kind
-	Reason string
-	Calls  uint64
-	Last   uint64 // the number of the last of them among all final answers, from 1: which came last
+	Kind   Kind   `json:"Kind"`
+	Reason string `json:"Reason"`
+	Calls  uint64 `json:"Calls"`
+	Last   uint64 `json:"Last"` // the number of the last of them among all final answers, from 1: which came last
 }
 
 // Core serves calls. All of its methods may be called from any goroutine.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -56,7 +56,7 @@
 }
 
 // Fill sets every field that v points to and JSON encodes to a value of its own, by its place alone and not by its name: no field
-// is left at its zero value, so that omitempty leaves none out.
+// is left at its zero value, so that omitempty leaves none out. A field without a tag fails: its Go name would be on the wire.
 func Fill(t *testing.T, v any) {
 	t.Helper()
 	n := 0
@@ -73,7 +73,9 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if f := v.Type().Field(i); (f.IsExported() || f.Anonymous) && f.Tag.Get("json") != "-" {
+			f := v.Type().Field(i)
+			if tag, tagged := f.Tag.Lookup("json"); (f.IsExported() || f.Anonymous) && tag != "-" {
+				require.True(t, tagged || f.Anonymous, "%s.%s is encoded by its Go name: give it a tag", v.Type(), f.Name)
 				fill(t, v.Field(i), n)
 			}
 		}
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -50,32 +50,32 @@
 
 // Node describes one tenant of any size.
 type Node struct {
-	Name   string
-	Parent string // empty for those at the top
+	Name   string `json:"Name"`
+	Parent string `json:"Parent"` // empty for those at the top
 	// Guarantee is what it may always have: a share of its parent's if Share is set, else rates a second as long as the
 	// fleet can do what the root says.
-	Share     float64
-	Guarantee Amount
-	Ceiling   Amount  // rates a second that it never goes beyond; 0 = none
-	Long      Amount  // rates a second that it never goes beyond over LongWindow; 0 = none
-	Burst     float64 // seconds of its guarantee that it may save up; 0 = the settings'
-	Keep      bool    // it lends nothing
-	Alone     bool    // it borrows nothing
+	Share     float64 `json:"Share"`
+	Guarantee Amount  `json:"Guarantee"`
+	Ceiling   Amount  `json:"Ceiling"` // rates a second that it never goes beyond; 0 = none
+	Long      Amount  `json:"Long"`    // rates a second that it never goes beyond over LongWindow; 0 = none
+	Burst     float64 `json:"Burst"`   // seconds of its guarantee that it may save up; 0 = the settings'
+	Keep      bool    `json:"Keep"`    // it lends nothing
+	Alone     bool    `json:"Alone"`   // it borrows nothing
 }
 
 // Settings describe a tree.
 type Settings struct {
-	Root       Amount  // what the whole fleet can do a second; a worth of 0 is not counted
-	Floor      float64 // the least part of that which is divided, whatever is learned
-	Nodes      []Node
-	Priorities int     // how many there are; 0 is the lowest
-	Burst      float64 // seconds, see Node
-	LongWindow float64 // seconds
-	Kept       float64 // part of a bucket that each priority keeps from those below it
-	Memory     float64 // seconds after which a credit weighs 1/e
-	PayBack    float64 // seconds in which a debt is paid once it is called in
-	PayPart    float64 // part of a guarantee that goes into that at the most
-	MostWait   float64 // seconds that a refused caller is told to stay away at the most
+	Root       Amount  `json:"Root"`  // what the whole fleet can do a second; a worth of 0 is not counted
+	Floor      float64 `json:"Floor"` // the least part of that which is divided, whatever is learned
+	Nodes      []Node  `json:"Nodes"`
+	Priorities int     `json:"Priorities"` // how many there are; 0 is the lowest
+	Burst      float64 `json:"Burst"`      // seconds, see Node
+	LongWindow float64 `json:"LongWindow"` // seconds
+	Kept       float64 `json:"Kept"`       // part of a bucket that each priority keeps from those below it
+	Memory     float64 `json:"Memory"`     // seconds after which a credit weighs 1/e
+	PayBack    float64 `json:"PayBack"`    // seconds in which a debt is paid once it is called in
+	PayPart    float64 `json:"PayPart"`    // part of a guarantee that goes into that at the most
+	MostWait   float64 `json:"MostWait"`   // seconds that a refused caller is told to stay away at the most
 }
 
 // FieldError names the setting that cannot work.
--- a/internal/repeats/repeats.go
+++ b/internal/repeats/repeats.go
@@ -49,7 +49,10 @@
 }
 
 // Windows are times for which a call is known, as in Class.
-type Windows struct{ Answered, Doubt float64 }
+type Windows struct {
+	Answered float64 `json:"Answered"`
+	Doubt    float64 `json:"Doubt"`
+}
 
 // Longest is the longer one.
 func (w Windows) Longest() float64 { return max(w.Answered, w.Doubt) }
