--- a/internal/ledger/calls.go
+++ b/internal/ledger/calls.go
@@ -131,7 +131,11 @@
 
 // versionOfCall is 2 for what the first release of the log did not know.
 func versionOfCall(body json.RawMessage) int {
-	var c struct{ Fresh *struct{ Before uint64 } }
+	var c struct {
+		Fresh *struct {
+			Before uint64 `json:"before"`
+		} `json:"fresh"`
+	}
 	if bytes.Contains(body, []byte(`"before"`)) && json.Unmarshal(body, &c) == nil && c.Fresh != nil && c.Fresh.Before != 0 {
 		return 2
 	}
