--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -116,7 +116,7 @@
 	options := replica.DefaultConfig()
 	options.MaxFailures = set.MaxFailures()
 	options.Seeds = seeds
-	options.CanVote = set.Counts || set.DataDir != ""
+	options.CanVote = set.CountsForQuorum || set.DataDir != ""
 	if set.LinkMbps > 0 {
 		options.TransferRate = int(set.LinkMbps * transferPart * bytesPerMegabit)
 	}
--- a/internal/fleet/dataplane/quotaclient.go
+++ b/internal/fleet/dataplane/quotaclient.go
@@ -52,7 +52,7 @@
 		r.mu.Unlock()
 		return true, 0
 	}
-	need, ahead := w.Demand(now, amount)
+	need, ahead := w.Demand(amount)
 	r.mu.Unlock()
 	request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
 		Revision: revision, Urgent: urgent}
--- a/internal/fleet/operator/document.go
+++ b/internal/fleet/operator/document.go
@@ -45,12 +45,12 @@
 	limits   *operatorpb.Limits
 }
 
-// Empty is the document before the first order.
-func Empty() *Document {
+// EmptyDocument is the document before the first order.
+func EmptyDocument() *Document {
 	return &Document{lists: map[string][]item{}, other: map[string]json.RawMessage{}, limits: &operatorpb.Limits{}}
 }
 
-var reading = protojson.UnmarshalOptions{DiscardUnknown: true}
+var unmarshalOptions = protojson.UnmarshalOptions{DiscardUnknown: true}
 
 // newMessage makes the checked form of an item of a list, nil for lists that are only kept.
 func newMessage(list string) proto.Message {
@@ -121,7 +121,7 @@
 	}
 	one := item{name: named.Name, raw: raw, message: newMessage(list)}
 	if one.message != nil {
-		if err := reading.Unmarshal(raw, one.message); err != nil {
+		if err := unmarshalOptions.Unmarshal(raw, one.message); err != nil {
 			return item{}, err
 		}
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := Empty()
+	d := EmptyDocument()
 	if d.Revision, err = readRevision(fields); err != nil {
 		return nil, err
 	}
@@ -158,7 +158,7 @@
 	if !present {
 		return nil
 	}
-	if err := reading.Unmarshal(raw, d.limits); err != nil {
+	if err := unmarshalOptions.Unmarshal(raw, d.limits); err != nil {
 		return invalid("field %s: %v", fieldLimits, err)
 	}
 	return nil
--- a/internal/fleet/operator/operator_test.go
+++ b/internal/fleet/operator/operator_test.go
@@ -126,7 +126,7 @@
 		state = apply(t, state, patch(revision-1, fmt.Sprintf(`{"Revision":%d}`, revision)))
 	}
 	require.Equal(t, maxAccepted, state.accepted.Len())
-	require.Equal(t, maxAccepted, state.order.Len())
+	require.Equal(t, maxAccepted, state.acceptedOrder.Len())
 }
 
 // What is not remembered any more may have been taken: to refuse it would be false, and so would it be to take it.
--- a/internal/fleet/operator/state.go
+++ b/internal/fleet/operator/state.go
@@ -40,9 +40,9 @@
 
 // State is the replicated state: the current document and the orders that were taken. It is never changed once made.
 type State struct {
-	Document *Document
-	accepted *immutable.Map[string, int64] // digest to the revision that it made
-	order    *immutable.List[string]       // digests, oldest first
+	Document      *Document
+	accepted      *immutable.Map[string, int64] // digest to the revision that it made
+	acceptedOrder *immutable.List[string]       // digests, oldest first
 	// horizon is the revision that the newest forgotten order made, 0 where none was forgotten. Whether an order that builds
 	// on an earlier version was taken is not known any more, so it is neither acknowledged nor refused.
 	horizon int64
@@ -51,7 +51,7 @@
 
 // NewState is the state before the first order.
 func NewState() *State {
-	return &State{Document: Empty(), accepted: immutable.NewMap[string, int64](nil), order: immutable.NewList[string]()}
+	return &State{Document: EmptyDocument(), accepted: immutable.NewMap[string, int64](nil), acceptedOrder: immutable.NewList[string]()}
 }
 
 // History names the sequence of all orders that led to this state: two states with the same one are the same.
@@ -70,7 +70,7 @@
 
 // Apply gives the state after an order that is valid on this one.
 func (s *State) Apply(order Order) (*State, error) {
-	next, err := s.change(order)
+	next, err := s.applyTo(order)
 	if err != nil {
 		return nil, err
 	}
@@ -86,10 +86,10 @@
 	if err := next.validate(); err != nil {
 		return nil, err
 	}
-	return s.remember(next, order.Digest()), nil
+	return s.withAccepted(next, order.Digest()), nil
 }
 
-func (s *State) change(order Order) (*Document, error) {
+func (s *State) applyTo(order Order) (*Document, error) {
 	switch order.Method {
 	case http.MethodPut:
 		return ParseDocument(order.Body)
@@ -99,16 +99,16 @@
 	return nil, invalid("method %s", order.Method)
 }
 
-func (s *State) remember(document *Document, digest Digest) *State {
+func (s *State) withAccepted(document *Document, digest Digest) *State {
 	taken := s.accepted.Set(string(digest), document.Revision)
-	order := s.order.Append(string(digest))
+	order := s.acceptedOrder.Append(string(digest))
 	horizon := s.horizon
 	for order.Len() > maxAccepted {
 		horizon, _ = taken.Get(order.Get(0))
 		taken = taken.Delete(order.Get(0))
 		order = order.Slice(1, order.Len())
 	}
-	return &State{Document: document, accepted: taken, order: order, horizon: horizon, history: s.history.follow(digest)}
+	return &State{Document: document, accepted: taken, acceptedOrder: order, horizon: horizon, history: s.history.follow(digest)}
 }
 
 // Snapshot is a state in plain form, to be stored or sent.
@@ -123,7 +123,7 @@
 // Snapshot gives the state in plain form.
 func (s *State) Snapshot() Snapshot {
 	snapshot := Snapshot{Document: s.Document.JSON(), Horizon: s.horizon, History: s.history}
-	for iterator := s.order.Iterator(); !iterator.Done(); {
+	for iterator := s.acceptedOrder.Iterator(); !iterator.Done(); {
 		_, digest := iterator.Next()
 		made, _ := s.accepted.Get(digest)
 		snapshot.Digests = append(snapshot.Digests, digest)
@@ -148,16 +148,16 @@
 		taken.Set(digest, snapshot.Made[i])
 		order.Append(digest)
 	}
-	s.accepted, s.order = taken.Map(), order.List()
+	s.accepted, s.acceptedOrder = taken.Map(), order.List()
 	s.horizon, s.history = snapshot.Horizon, snapshot.History
 	return s, nil
 }
 
 // ApplyCommitted gives the state after an order that the control plane has committed on this one. It does not validate again.
 func (s *State) ApplyCommitted(order Order) (*State, error) {
-	next, err := s.change(order)
+	next, err := s.applyTo(order)
 	if err != nil {
 		return nil, err
 	}
-	return &State{Document: next, accepted: s.accepted, order: s.order, horizon: s.horizon, history: s.history}, nil
+	return &State{Document: next, accepted: s.accepted, acceptedOrder: s.acceptedOrder, horizon: s.horizon, history: s.history}, nil
 }
--- a/internal/fleet/process/process.go
+++ b/internal/fleet/process/process.go
@@ -29,10 +29,10 @@
 
 // The figures of a process.
 const (
-	watchEvery   = 2 * time.Second // between looks at the settings file: it may change without a signal
-	memoryPart   = 0.7             // of the memory limit that the heap may fill before it is collected harder
-	collectAt    = 60              // percent that the heap may grow between collections
-	statusWithin = 2 * time.Second
+	settingsPollInterval = 2 * time.Second // between looks at the settings file: it may change without a signal
+	heapFraction         = 0.7             // of the memory limit that the heap may fill before it is collected harder
+	gcPercent            = 60              // percent that the heap may grow between collections
+	statusTimeout        = 2 * time.Second
 )
 
 // Process is one binary's work.
@@ -96,7 +96,7 @@
 
 // status prints what a running process tells of itself.
 func (b *Program) status(set *settings.Settings, stdout, stderr io.Writer) int {
-	client := http.Client{Timeout: statusWithin}
+	client := http.Client{Timeout: statusTimeout}
 	response, err := client.Get("http://" + b.StatusAddress(set) + "/-/status")
 	if err != nil {
 		_, _ = fmt.Fprintf(stderr, "%s: no answer: %v\n", b.Name, err)
@@ -113,9 +113,9 @@
 func (b *Program) serve(set *settings.Settings, level string, stderr io.Writer) int {
 	logger := newLogger(level, stderr)
 	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(set.MemoryMB) * (1 << 20)))
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	replica.RegisterMessages()
 	process, err := b.Start(set, logger)
 	if err != nil {
@@ -144,20 +144,20 @@
 func watchSettings(ctx context.Context, path string, process Process, logger *log.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	changed := modified(path)
+	changed := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if modified(path).Equal(changed) {
+			if modTime(path).Equal(changed) {
 				continue
 			}
 		}
-		changed = modified(path)
+		changed = modTime(path)
 		set, err := settings.Read(path)
 		if err != nil {
 			logger.Error("changed settings not taken", "err", err)
@@ -168,7 +168,7 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/fleet/process/process_test.go
+++ b/internal/fleet/process/process_test.go
@@ -15,7 +15,7 @@
 
 type nothing struct{}
 
-func (nothing) Run(context.Context) error       { return nil }
+func (nothing) Run(context.Context) error        { return nil }
 func (nothing) ApplySettings(*settings.Settings) {}
 
 func run(t *testing.T, content string, args ...string) (int, string, string) {
--- a/internal/fleet/quota/owner.go
+++ b/internal/fleet/quota/owner.go
@@ -1,133 +1,132 @@
-// Package quota keeps the tenants' allowances over the sum of all nodes. The owner of a tenant, one process of the
-// control plane at a time, holds the tenant's token bucket; each node of the data plane asks it for room, a little ahead of
-// need, and gives back what it did not use. The package is pure.
+// Package quota limits what each tenant uses over the sum of all nodes. The owner of a tenant, one process of the control plane
+// at a time, holds the tenant's token bucket; each node of the data plane acquires units from it, a little ahead of need, and
+// returns what it did not use. The package is pure: time comes from the caller, in durations since the start of the process.
+//
+// Three parties may grant units of one tenant while the owner changes: the old owner, its deputy and the new owner. What the
+// rules tolerate beyond a limit is divided among them, so that the sum of all grants stays within limit and tolerance without
+// any agreement on each request.
 package quota
 
-import (
-	"time"
-)
-
-// MethodTake is the method by which a node asks the owner for room.
-const MethodTake = "Allowance.Take"
-
-// TakeRequest asks for room.
-type TakeRequest struct {
-	Tenant   string
-	Rate     float64 // the tenant's limit as the node knows it
-	Burst    float64
-	Need     float64 // for requests that are waiting
-	Ahead    float64 // for those to come
-	Returned float64 // what was granted before and not used
-	Urgent   bool    // the need is for requests of the highest rank
-	Deputy   bool    // the owner does not answer
-	Revision int64   // of the configuration that the limit is from
-}
+import "time"
 
-// TakeReply grants room.
-type TakeReply struct {
-	Granted float64
-	Owner   bool          // the process asked is the owner, or its deputy while the owner is silent
-	Wait    time.Duration // when the need can be met, where nothing was granted
-}
-
-// What the rules tolerate beyond a limit is given out in parts: one makes the bucket deeper, one is what a deputy may give
-// while the owner is silent, and may still be giving to others. The rest is for nodes that spend from their even part while
-// neither answers, and for a new owner that knows nothing of the bucket before.
+// The fractions of the tolerance beyond a limit. One makes the bucket deeper, one is what a deputy may grant while the owner is
+// unresponsive and may still be granting to others, one is what an owner may grant that knows nothing of the bucket before. The
+// rest covers nodes that spend from their even share of the limit while neither owner nor deputy responds.
 const (
-	tolerancePart = 0.4
-	deputyPart    = 0.2
-	newOwnerPart  = 0.2
+	burstToleranceFraction    = 0.4
+	deputyToleranceFraction   = 0.2
+	newOwnerToleranceFraction = 0.2
 )
 
-// deputyAfter is how long the owner must not have been heard before its deputy gives out room.
-const deputyAfter = 250 * time.Millisecond
-
-// mirrorLife is how long a copy of another owner's bucket is of use.
-const mirrorLife = 30 * time.Second
-
-// MethodReflect is the method by which an owner shows its buckets to those that may come after it.
-const MethodReflect = "Allowance.Reflect"
-
-// Reflection is an owner's buckets.
-type Reflection struct {
-	Epoch   uint64
-	Buckets []HandOver
-}
-
-// MethodHandOver is the method by which an owner hands a bucket to the next one.
-const MethodHandOver = "Allowance.HandOver"
+// Parameters of deputies.
+const (
+	deputyAfter  = 250 * time.Millisecond // for which the owner must be unresponsive before its deputy grants units
+	mirrorMaxAge = 30 * time.Second       // up to which a mirror of another owner's bucket is used
+)
 
-// HandOver is a bucket that has a new owner.
-type HandOver struct {
-	Epoch    uint64 // the view that made the new owner
-	Tenant   string
-	Level    float64
-	Rate     float64
-	Burst    float64
-	Revision int64
-}
+// Parameters of a bucket.
+const (
+	// reserveFraction of a bucket is reserved for urgent and for small requests: they pass also when a tenant is over its limit.
+	reserveFraction = 0.35
+	// smallRequestFraction is the fraction of a bucket up to which a request counts as small.
+	smallRequestFraction = 0.01
+	// maxDeniedSeconds bounds, in seconds of the tenant's rate, the denied demand that is expected to come back.
+	maxDeniedSeconds = 5.0
+	// unlimitedWait is the wait of a tenant whose rate is 0: its bucket does not fill.
+	unlimitedWait = time.Second
+)
 
 // Tolerance is what the rules tolerate over a window beyond a tenant's rate and burst.
 type Tolerance struct {
 	Window time.Duration
-	Over   float64 // part of the limit
-	Slack  float64 // and so much more
+	Over   float64 // fraction of the limit over the window
+	Slack  float64 // units, in addition
 }
 
-// burst is the most that a bucket holds: a tenant may come in bursts as large as the tolerance lets it.
+// burst returns the depth of a bucket: a tenant may come in bursts as large as the tolerance lets it.
 func (t *Tolerance) burst(rate, burst float64) float64 {
-	return burst + tolerancePart*t.beyond(rate, burst)
+	return burst + burstToleranceFraction*t.excess(rate, burst)
 }
 
-// beyond is what the rules tolerate beyond a limit in a window.
-func (t *Tolerance) beyond(rate, burst float64) float64 {
+// excess returns the units that the rules tolerate beyond a limit in a window.
+func (t *Tolerance) excess(rate, burst float64) float64 {
 	return t.Over*(rate*t.Window.Seconds()+burst) + t.Slack
 }
 
-// reservePart is the part of a bucket that is kept for urgent and for small requests: when a tenant runs over its limit,
-// these still pass.
-const reservePart = 0.35
+// bucket is a token bucket. A level below 0 is debt.
+type bucket struct {
+	level    float64
+	denied   float64 // units that were denied and may be asked for again
+	rate     float64 // units a second
+	burst    float64 // depth
+	revision int64   // of the configuration that rate and burst are from
+	filledAt time.Duration
+}
 
-// smallPart is the part of a bucket up to which a request is small.
-const smallPart = 0.01
+// fill adds what has accrued since the last call.
+func (b *bucket) fill(now time.Duration) {
+	if now <= b.filledAt {
+		return
+	}
+	accrued := b.rate * (now - b.filledAt).Seconds()
+	b.level = min(b.level+accrued, b.burst)
+	b.denied = max(0, b.denied-accrued)
+	b.filledAt = now
+}
+
+// minLevel returns the level from which on a request is granted. A need beyond the depth is granted from a full bucket, which
+// then is in debt: else it could never be met.
+func (b *bucket) minLevel(r *TakeRequest) float64 {
+	level := min(r.Need, b.burst)
+	if r.Urgent || r.Need <= smallRequestFraction*b.burst {
+		return level
+	}
+	return min(level+reserveFraction*b.burst, b.burst)
+}
 
-// mostDenied bounds, in seconds of the tenant's rate, the demand that is taken to come back after it was denied.
-const mostDenied = 5.0
+// timeUntil returns how long the bucket takes to fill to a level.
+func (b *bucket) timeUntil(level float64) time.Duration {
+	if b.rate <= 0 {
+		return unlimitedWait
+	}
+	return time.Duration((level - b.level) / b.rate * float64(time.Second))
+}
 
-type bucket struct {
-	level    float64
-	denied   float64 // demand that was denied and may come back
-	rate     float64
-	burst    float64
-	revision int64
-	at       time.Duration
+func (b *bucket) state(tenant string) HandOver {
+	return HandOver{Tenant: tenant, Level: b.level, Rate: b.rate, Burst: b.burst, Revision: b.revision}
+}
+
+// mirror is a copy of another owner's bucket. It does not fill: what the limit allows while the owner is unresponsive is left to
+// the nodes, each of which spends its even share.
+type mirror struct {
+	bucket
+	receivedAt time.Duration
+	granted    float64 // as the deputy, since it was received
 }
 
-// Owner holds the buckets of the tenants that a process owns.
+// Owner holds the buckets of the tenants that a process owns, and mirrors of the other owners' buckets. It does not decide who
+// owns a tenant: the caller does. It is not safe for concurrent use.
 type Owner struct {
 	tolerance Tolerance
 	buckets   map[string]*bucket
 	mirrors   map[string]*mirror
 }
 
-// mirror is a copy of another owner's bucket. It does not fill: what the limit allows while the owner is silent is left to the
-// nodes, each of which spends its even part.
-type mirror struct {
-	bucket
-	heardAt time.Duration
-	given   float64 // as the deputy, since it was heard
-}
-
-// NewOwner makes an owner of nothing.
+// NewOwner returns an owner of no tenant.
 func NewOwner(tolerance Tolerance) *Owner {
 	return &Owner{tolerance: tolerance, buckets: map[string]*bucket{}, mirrors: map[string]*mirror{}}
 }
 
-// EnsureBucket makes a tenant's bucket, if it has none, so that it fills before the first request comes.
-func (o *Owner) EnsureBucket(now time.Duration, tenant string, rate, burst float64, revision int64) *bucket {
+// EnsureBucket begins a tenant's bucket, if there is none, so that it fills before the first request comes, and applies the
+// limit of the newest revision.
+func (o *Owner) EnsureBucket(now time.Duration, tenant string, rate, burst float64, revision int64) {
+	o.ensure(now, tenant, rate, burst, revision)
+}
+
+func (o *Owner) ensure(now time.Duration, tenant string, rate, burst float64, revision int64) *bucket {
 	b := o.buckets[tenant]
 	if b == nil {
-		b = o.first(now, tenant, rate, burst, revision)
+		b = o.newBucket(now, tenant, rate, burst, revision)
 		o.buckets[tenant] = b
 	}
 	b.fill(now)
@@ -138,72 +137,90 @@
 	return b
 }
 
-// Tenants are those with a bucket.
-func (o *Owner) Tenants() []string {
-	names := make([]string, 0, len(o.buckets))
-	for name := range o.buckets {
-		names = append(names, name)
-	}
-	return names
-}
-
-// first is the bucket of a tenant that this owner has only just got: as the owner before showed it, if that was not long ago.
-func (o *Owner) first(now time.Duration, tenant string, rate, burst float64, revision int64) *bucket {
+// newBucket returns the bucket of a tenant that this owner has only just got: as the owner before mirrored it, if that was not
+// long ago, else at the level that the tolerance covers whatever the owner before has granted.
+func (o *Owner) newBucket(now time.Duration, tenant string, rate, burst float64, revision int64) *bucket {
 	if m := o.mirrors[tenant]; m != nil {
 		delete(o.mirrors, tenant)
-		if now-m.heardAt < mirrorLife {
+		if now-m.receivedAt < mirrorMaxAge {
 			b := m.bucket
-			b.at = now
+			b.filledAt = now
 			return &b
 		}
 	}
-	level := newOwnerPart * o.tolerance.beyond(rate, burst)
-	return &bucket{level: level, rate: rate, burst: o.tolerance.burst(rate, burst), revision: revision, at: now}
+	level := newOwnerToleranceFraction * o.tolerance.excess(rate, burst)
+	return &bucket{level: level, rate: rate, burst: o.tolerance.burst(rate, burst), revision: revision, filledAt: now}
 }
 
-// Buckets shows the buckets.
-func (o *Owner) Buckets(now time.Duration) []HandOver {
-	shown := make([]HandOver, 0, len(o.buckets))
-	for tenant, b := range o.buckets {
-		b.fill(now)
-		shown = append(shown, HandOver{Tenant: tenant, Level: b.level, Rate: b.rate, Burst: b.burst, Revision: b.revision})
+// Tenants returns the tenants with a bucket, in no order.
+func (o *Owner) Tenants() []string {
+	names := make([]string, 0, len(o.buckets))
+	for name := range o.buckets {
+		names = append(names, name)
 	}
-	return shown
+	return names
 }
 
-// UpdateMirrors takes what another owner shows.
-func (o *Owner) UpdateMirrors(now time.Duration, shown []HandOver) {
-	for _, h := range shown {
-		if !o.Owns(h.Tenant) {
-			o.mirrors[h.Tenant] = &mirror{bucket: bucket{level: h.Level, rate: h.Rate, burst: h.Burst, revision: h.Revision, at: now}, heardAt: now}
-		}
+// Owns reports whether this owner holds a tenant's bucket.
+func (o *Owner) Owns(tenant string) bool { return o.buckets[tenant] != nil }
+
+// Acquire answers a node's request as the owner.
+func (o *Owner) Acquire(now time.Duration, r *TakeRequest) TakeReply {
+	b := o.ensure(now, r.Tenant, r.Rate, r.Burst, r.Revision)
+	b.level = min(b.level+max(0, r.Returned), b.burst)
+	required := b.minLevel(r)
+	if b.level < required {
+		wait := b.timeUntil(required + b.denied)
+		b.denied = min(b.denied+r.Need, maxDeniedSeconds*b.rate)
+		return TakeReply{Owner: true, Wait: wait}
 	}
+	granted := r.Need
+	granted += min(r.Ahead, max(0, b.level-required))
+	b.level -= granted
+	return TakeReply{Owner: true, Granted: granted}
 }
 
-// AcquireAsDeputy answers a request for room while the owner is silent. What is given is bounded: the owner may be giving
-// to nodes that still reach it.
+// AcquireAsDeputy answers a node's request while the owner is unresponsive. What is granted is bounded, because the owner may be
+// granting to nodes that still reach it.
 func (o *Owner) AcquireAsDeputy(now time.Duration, r *TakeRequest) TakeReply {
 	m := o.mirrors[r.Tenant]
-	if m == nil || now-m.heardAt < deputyAfter || now-m.heardAt > mirrorLife {
+	if m == nil || now-m.receivedAt < deputyAfter || now-m.receivedAt > mirrorMaxAge {
 		return TakeReply{}
 	}
-	left := deputyPart*o.tolerance.beyond(r.Rate, r.Burst) - m.given
-	least := m.least(r)
-	if r.Need > left { // nodes have their even parts
+	remaining := deputyToleranceFraction*o.tolerance.excess(r.Rate, r.Burst) - m.granted
+	required := m.minLevel(r)
+	if r.Need > remaining { // nodes have their even shares
 		return TakeReply{}
 	}
-	if m.level < least {
-		return TakeReply{Owner: true, Wait: max(m.until(least), deputyAfter)}
+	if m.level < required {
+		return TakeReply{Owner: true, Wait: max(m.timeUntil(required), deputyAfter)}
 	}
 	m.level -= r.Need
-	m.given += r.Need
+	m.granted += r.Need
 	return TakeReply{Owner: true, Granted: r.Need}
 }
 
-// Owns tells whether this owner holds a tenant's bucket.
-func (o *Owner) Owns(tenant string) bool { return o.buckets[tenant] != nil }
+// Buckets returns the state of all buckets, for UpdateMirrors of the other members.
+func (o *Owner) Buckets(now time.Duration) []HandOver {
+	buckets := make([]HandOver, 0, len(o.buckets))
+	for tenant, b := range o.buckets {
+		b.fill(now)
+		buckets = append(buckets, b.state(tenant))
+	}
+	return buckets
+}
 
-// Release takes a tenant's bucket out, to be handed over.
+// UpdateMirrors stores the buckets of another owner. A tenant that this process owns itself is passed over.
+func (o *Owner) UpdateMirrors(now time.Duration, buckets []HandOver) {
+	for _, h := range buckets {
+		if !o.Owns(h.Tenant) {
+			copied := bucket{level: h.Level, rate: h.Rate, burst: h.Burst, revision: h.Revision, filledAt: now}
+			o.mirrors[h.Tenant] = &mirror{bucket: copied, receivedAt: now}
+		}
+	}
+}
+
+// Release removes a tenant's bucket and returns its state for the next owner; false where there is none.
 func (o *Owner) Release(now time.Duration, tenant string) (HandOver, bool) {
 	b := o.buckets[tenant]
 	if b == nil {
@@ -211,55 +228,14 @@
 	}
 	b.fill(now)
 	delete(o.buckets, tenant)
-	return HandOver{Tenant: tenant, Level: b.level, Rate: b.rate, Burst: b.burst, Revision: b.revision}, true
+	return b.state(tenant), true
 }
 
-// AcceptTransfer takes a bucket over as it was.
+// AcceptTransfer begins a bucket as the owner before had it. One that was begun here already stays: requests have been granted
+// from it.
 func (o *Owner) AcceptTransfer(now time.Duration, h *HandOver) {
 	if o.Owns(h.Tenant) {
 		return
 	}
-	o.buckets[h.Tenant] = &bucket{level: min(h.Level, h.Burst), rate: h.Rate, burst: h.Burst, revision: h.Revision, at: now}
-}
-
-// Acquire answers a request for room. A need beyond the burst is met from a full bucket, which then is in debt.
-func (o *Owner) Acquire(now time.Duration, r *TakeRequest) TakeReply {
-	b := o.EnsureBucket(now, r.Tenant, r.Rate, r.Burst, r.Revision)
-	b.level = min(b.level+max(0, r.Returned), b.burst)
-	least := b.least(r)
-	if b.level < least {
-		wait := b.until(least + b.denied)
-		b.denied = min(b.denied+r.Need, mostDenied*b.rate)
-		return TakeReply{Owner: true, Wait: wait}
-	}
-	granted := r.Need
-	granted += min(r.Ahead, max(0, b.level-least))
-	b.level -= granted
-	return TakeReply{Owner: true, Granted: granted}
-}
-
-// least is the level from which on a need is met.
-func (b *bucket) least(r *TakeRequest) float64 {
-	least := min(r.Need, b.burst)
-	if r.Urgent || r.Need <= smallPart*b.burst {
-		return least
-	}
-	return min(least+reservePart*b.burst, b.burst)
-}
-
-func (b *bucket) fill(now time.Duration) {
-	if now > b.at {
-		room := b.rate * (now - b.at).Seconds()
-		b.level = min(b.level+room, b.burst)
-		b.denied = max(0, b.denied-room)
-		b.at = now
-	}
-}
-
-// until is the time until the bucket holds so much.
-func (b *bucket) until(level float64) time.Duration {
-	if b.rate <= 0 {
-		return time.Second
-	}
-	return time.Duration((level - b.level) / b.rate * float64(time.Second))
+	o.buckets[h.Tenant] = &bucket{level: min(h.Level, h.Burst), rate: h.Rate, burst: h.Burst, revision: h.Revision, filledAt: now}
 }
--- a/internal/fleet/quota/owner_test.go
+++ b/internal/fleet/quota/owner_test.go
@@ -28,7 +28,7 @@
 	return o, time.Hour
 }
 
-func TestABucketGivesItsDepthThenItsRate(t *testing.T) {
+func TestBucketGrantsItsDepthThenItsRate(t *testing.T) {
 	o, now := full()
 	given := 0.0
 	for range 1000 {
@@ -42,7 +42,7 @@
 	require.InDelta(t, rate, given, 6000)
 }
 
-func TestADeniedNeedIsToldWhenTheOnesBeforeItWillHaveBeenMet(t *testing.T) {
+func TestDeniedNeedWaitsUntilEarlierDeniedNeedsAreMet(t *testing.T) {
 	o, now := full()
 	for o.Acquire(now, request(20_000)).Granted > 0 {
 	}
@@ -65,7 +65,7 @@
 	require.Zero(t, o.Acquire(now, request(20_000)).Granted)
 }
 
-func TestANeedBeyondTheDepthIsMetFromAFullBucketAndRepaid(t *testing.T) {
+func TestNeedBeyondTheDepthIsGrantedFromAFullBucketAndRepaid(t *testing.T) {
 	o, now := full()
 	most := tolerance.burst(rate, burst)
 	require.Positive(t, o.Acquire(now, request(2*most)).Granted)
@@ -75,7 +75,7 @@
 	require.Positive(t, o.Acquire(now+time.Minute, urgent).Granted)
 }
 
-func TestANodeThatIsBehindDoesNotSetTheLimit(t *testing.T) {
+func TestNodeThatIsBehindDoesNotSetTheLimit(t *testing.T) {
 	o, now := full()
 	newer := request(1)
 	newer.Rate, newer.Burst, newer.Revision = rate/10, burst/10, 2
@@ -84,7 +84,7 @@
 	require.InDelta(t, rate/10, o.buckets["t"].rate, 1)
 }
 
-func TestABucketIsHandedOverAsItWas(t *testing.T) {
+func TestBucketIsTransferredAsItWas(t *testing.T) {
 	o, now := full()
 	o.Acquire(now, request(30_000))
 	handed, held := o.Release(now, "t")
@@ -98,7 +98,7 @@
 	require.InDelta(t, tolerance.burst(rate, burst)-60_000, next.buckets["t"].level, 1, "handed over twice, it counts once")
 }
 
-func TestADeputyGivesABoundedPartWhileTheOwnerIsSilent(t *testing.T) {
+func TestDeputyGrantsABoundedAmountWhileTheOwnerIsUnresponsive(t *testing.T) {
 	o, now := full()
 	deputy := NewOwner(tolerance)
 	deputy.UpdateMirrors(now, o.Buckets(now))
@@ -109,16 +109,16 @@
 		urgent.Urgent = true
 		given += deputy.AcquireAsDeputy(now+deputyAfter, urgent).Granted
 	}
-	require.InDelta(t, deputyPart*tolerance.beyond(rate, burst), given, 5000)
+	require.InDelta(t, deputyToleranceFraction*tolerance.excess(rate, burst), given, 5000)
 	level := deputy.mirrors["t"].level
-	deputy.mirrors["t"].at -= time.Second // it does not fill meanwhile
-	b := deputy.EnsureBucket(now+deputyAfter, "t", rate, burst, 1)
-	require.InDelta(t, level, b.level, 1, "as the owner it goes on with what is left")
+	deputy.mirrors["t"].filledAt -= time.Second // it does not fill meanwhile
+	deputy.EnsureBucket(now+deputyAfter, "t", rate, burst, 1)
+	require.InDelta(t, level, deputy.buckets["t"].level, 1, "as the owner it goes on with what is left")
 }
 
-func TestAWalletSpendsGivesBackAndAsksAhead(t *testing.T) {
+func TestLocalBucketAcquiresReturnsAndPrefetches(t *testing.T) {
 	var w LocalBucket
-	need, ahead := w.Demand(time.Second, 1000)
+	need, ahead := w.Demand(1000)
 	require.InDelta(t, 1000, need, 1e-9)
 	require.Zero(t, ahead)
 	w.AddGrant(time.Second, 1500)
@@ -126,14 +126,14 @@
 	require.False(t, w.TryAcquire(time.Second, 1000))
 	w.Refund(1000)
 	require.True(t, w.TryAcquire(time.Second, 1000))
-	_, ahead = w.Demand(time.Second, 1000)
+	_, ahead = w.Demand(1000)
 	require.Positive(t, ahead)
 	require.Zero(t, w.ReleaseUnused(time.Second))
-	require.InDelta(t, 500, w.ReleaseUnused(time.Second+keepFor), 1e-9)
-	require.Zero(t, w.ReleaseUnused(time.Second+2*keepFor))
+	require.InDelta(t, 500, w.ReleaseUnused(time.Second+unusedAfter), 1e-9)
+	require.Zero(t, w.ReleaseUnused(time.Second+2*unusedAfter))
 }
 
-func TestWithoutAnOwnerANodeSpendsItsEvenPartForAWhile(t *testing.T) {
+func TestWithoutAnOwnerANodeSpendsItsEvenShareForAWhile(t *testing.T) {
 	var w LocalBucket
 	w.AddGrant(10*time.Second, 0)
 	spent := 0.0
@@ -142,7 +142,7 @@
 			spent += 500
 		}
 	}
-	require.InDelta(t, mostFallback*rate/10, spent, 500)
+	require.InDelta(t, maxFallbackSeconds*rate/10, spent, 500)
 	w.AddGrant(61*time.Second, 0)
 	require.True(t, w.TryAcquireFallback(62*time.Second, rate, 10, 500), "it may again once the owner has answered in between")
 }
@@ -154,69 +154,98 @@
 	}
 }
 
+const (
+	simulatedNodes = 12
+	simulatedStep  = 10 * time.Millisecond
+	simulatedTime  = 40 * time.Second
+)
+
+// simulation is a fleet of nodes that spend as much of one tenant's quota as they get, while the owner is lost again and again.
+type simulation struct {
+	random      *rand.Rand
+	rate, burst float64
+	owner       *Owner
+	nodes       []LocalBucket
+	lostAt      time.Duration // when the owner was lost, 0 = not yet
+	backAt      time.Duration // when the next owner begins: the old one cannot be confirmed any more
+	nextLoss    time.Duration
+}
+
+func newSimulation(seed uint64, rate, burst float64) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 9)), rate: rate, burst: burst, owner: NewOwner(tolerance),
+		nodes: make([]LocalBucket, simulatedNodes)}
+	s.owner.EnsureBucket(0, "t", rate, burst, 1)
+	s.nextLoss = 10*time.Second + time.Duration(s.random.IntN(4000))*time.Millisecond
+	return s
+}
+
+// loseOwner replaces the owner by one that has its mirrored buckets in two of three cases.
+func (s *simulation) loseOwner(now time.Duration) {
+	s.lostAt, s.backAt, s.nextLoss = now, now+1600*time.Millisecond, now+4500*time.Millisecond
+	buckets := s.owner.Buckets(now - reflectEvery)
+	s.owner = NewOwner(tolerance)
+	if s.random.IntN(3) > 0 {
+		s.owner.UpdateMirrors(now, buckets)
+	}
+}
+
+// step has every node try to spend and returns what they spent.
+func (s *simulation) step(now time.Duration) float64 {
+	if now >= s.nextLoss {
+		s.loseOwner(now)
+	}
+	spent := 0.0
+	for i := range s.nodes {
+		amount := 1000 + float64(s.random.IntN(9000))
+		if s.random.IntN(4) == 0 && s.acquire(now, &s.nodes[i], amount) {
+			spent += amount
+		}
+	}
+	return spent
+}
+
+func (s *simulation) acquire(now time.Duration, node *LocalBucket, amount float64) bool {
+	if node.TryAcquire(now, amount) {
+		return true
+	}
+	if s.lostAt > 0 && now < s.backAt {
+		deputy := s.owner.AcquireAsDeputy(now, &TakeRequest{Tenant: "t", Rate: s.rate, Burst: s.burst, Need: amount, Urgent: true})
+		if deputy.Owner {
+			return deputy.Granted > 0
+		}
+		return node.TryAcquireFallback(now, s.rate, simulatedNodes, amount)
+	}
+	need, ahead := node.Demand(amount)
+	reply := s.owner.Acquire(now, &TakeRequest{Tenant: "t", Rate: s.rate, Burst: s.burst, Need: need, Ahead: ahead, Revision: 1, Urgent: true})
+	node.AddGrant(now, reply.Granted)
+	return node.TryAcquire(now, amount)
+}
+
+// maxOverWindow returns the largest sum over any window of the rules.
+func maxOverWindow(spent []float64) float64 {
+	window := int(tolerance.Window / simulatedStep)
+	largest, sum := 0.0, 0.0
+	for i, amount := range spent {
+		sum += amount
+		if i >= window {
+			sum -= spent[i-window]
+		}
+		largest = max(largest, sum)
+	}
+	return largest
+}
+
 func checkSum(t *testing.T, rate, burst float64) {
-	const nodes, step = 12, 10 * time.Millisecond
+	t.Helper()
 	for seed := range uint64(60) {
-		chance := rand.New(rand.NewPCG(seed, 9))
-		owner := NewOwner(tolerance)
-		owner.EnsureBucket(0, "t", rate, burst, 1)
-		wallets := make([]LocalBucket, nodes)
-		var sums []float64
-		var lostAt, backAt time.Duration
-		nextLoss := 10*time.Second + time.Duration(chance.IntN(4000))*time.Millisecond
-		for now := time.Duration(0); now < 40*time.Second; now += step {
-			if now >= nextLoss { // the owner dies; the next one begins when the old one cannot be confirmed any more
-				lostAt, backAt, nextLoss = now, now+1600*time.Millisecond, now+4500*time.Millisecond
-				shown := owner.Buckets(now - reflectEvery)
-				owner = NewOwner(tolerance)
-				if chance.IntN(3) > 0 {
-					owner.UpdateMirrors(now, shown)
-				}
-			}
-			spent := 0.0
-			for i := range wallets {
-				amount := 1000 + float64(chance.IntN(9000))
-				if chance.IntN(4) != 0 {
-					continue
-				}
-				w := &wallets[i]
-				if w.TryAcquire(now, amount) {
-					spent += amount
-					continue
-				}
-				if lostAt > 0 && now < backAt {
-					deputy := owner.AcquireAsDeputy(now, &TakeRequest{Tenant: "t", Rate: rate, Burst: burst, Need: amount, Urgent: true})
-					if deputy.Owner {
-						if deputy.Granted > 0 {
-							spent += amount
-						}
-						continue
-					}
-					if w.TryAcquireFallback(now, rate, nodes, amount) {
-						spent += amount
-					}
-					continue
-				}
-				need, ahead := w.Demand(now, amount)
-				granted := owner.Acquire(now, &TakeRequest{Tenant: "t", Rate: rate, Burst: burst, Need: need, Ahead: ahead, Revision: 1, Urgent: true})
-				w.AddGrant(now, granted.Granted)
-				if w.TryAcquire(now, amount) {
-					spent += amount
-				}
-			}
-			sums = append(sums, spent)
-		}
-		window := int(tolerance.Window / step)
-		most, sum := 0.0, 0.0
-		for i, spent := range sums {
-			sum += spent
-			if i >= window {
-				sum -= sums[i-window]
-			}
-			most = max(most, sum)
+		s := newSimulation(seed, rate, burst)
+		var spent []float64
+		for now := time.Duration(0); now < simulatedTime; now += simulatedStep {
+			spent = append(spent, s.step(now))
 		}
+		largest := maxOverWindow(spent)
 		limit := (rate*tolerance.Window.Seconds()+burst)*(1+tolerance.Over) + tolerance.Slack
-		require.LessOrEqual(t, most, limit, "seed %d", seed)
-		require.GreaterOrEqual(t, most, rate*tolerance.Window.Seconds(), "the tenant gets its rate")
+		require.LessOrEqual(t, largest, limit, "seed %d", seed)
+		require.GreaterOrEqual(t, largest, rate*tolerance.Window.Seconds(), "the tenant gets its rate")
 	}
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -52,37 +52,37 @@
 	QuotaOver        float64
 	QuotaSlack       float64
 	Pass             time.Duration
-	Again            time.Duration
+	RereadWindow     time.Duration
 }
 
 // Settings are what one process is told at its start.
 type Settings struct {
-	NodeName     string
-	Role         string
-	IP           string
-	Zone         string
-	Region       string
-	Front        string // address for clients, empty where the role does not serve them
-	Readiness    string
-	Control      string // address for raters and the operator
-	InternalPort int
-	Seeds        []string // control addresses
-	Bootstrap    bool
-	Counts       bool // the machine counts among those that may be lost
-	MemoryMB     int
-	MaxFds       int
-	DataDir      string
-	Heartbeat    time.Duration
-	LinkMbps     float64
-	Machines     int // machines that may be lost at once
-	ZonesLost    int // zones that may be lost at once
-	RegionsLost  int // regions that may be lost at once
-	Bounds       Bounds
-	File         string
+	NodeName        string
+	Role            string
+	IP              string
+	Zone            string
+	Region          string
+	Front           string // address for clients, empty where the role does not serve them
+	Readiness       string
+	Control         string // address for raters and the operator
+	InternalPort    int
+	Seeds           []string // control addresses
+	Bootstrap       bool
+	CountsForQuorum bool // the machine counts among those that may be lost
+	MemoryMB        int
+	MaxFds          int
+	DataDir         string
+	Heartbeat       time.Duration
+	LinkMbps        float64
+	MachinesLost    int // machines that may be lost at once
+	ZonesLost       int // zones that may be lost at once
+	RegionsLost     int // regions that may be lost at once
+	Bounds          Bounds
+	File            string
 }
 
 // MaxFailures is the number of voters, each in a domain of its own, that may be lost at once.
-func (s *Settings) MaxFailures() int { return max(s.Machines, s.ZonesLost, s.RegionsLost) }
+func (s *Settings) MaxFailures() int { return max(s.MachinesLost, s.ZonesLost, s.RegionsLost) }
 
 // FailureDomain names what fails together with this machine: its region where regions may be lost, else its zone.
 func (s *Settings) FailureDomain() string {
@@ -122,26 +122,26 @@
 
 func parse(path string, file *properties.Properties) (*Settings, error) {
 	r := &reader{path: path, file: file}
-	ports := r.list("InternalPorts")
+	ports := r.listValue("InternalPorts")
 	s := &Settings{
-		File:      path,
-		NodeName:  r.text("NodeName", ""),
-		Role:      r.text("Role", ""),
-		IP:        r.text("Ip", ""),
-		Zone:      r.text("Zone", ""),
-		Region:    r.text("Region", ""),
-		Front:     r.address("Listen.Front"),
-		Readiness: r.address("Listen.Readiness"),
-		Control:   r.address("Listen.Control"),
-		Seeds:     r.addresses("Seeds"),
-		Bootstrap: r.flag("Bootstrap", false),
-		Counts:    r.flag("CountsForQuorum", false),
-		MemoryMB:  int(r.number("Limits.MemoryMb", 0)),
-		MaxFds:    int(r.number("Limits.MaxFds", 1024)),
-		DataDir:   r.text("DataDir", ""),
-		Heartbeat: r.milliseconds("HeartbeatMs", 1000),
-		LinkMbps:  r.number("Limits.LinkMbps", 0),
-		Machines:  int(r.number("FaultTolerance.Machines", 0)),
+		File:            path,
+		NodeName:        r.text("NodeName", ""),
+		Role:            r.text("Role", ""),
+		IP:              r.text("Ip", ""),
+		Zone:            r.text("Zone", ""),
+		Region:          r.text("Region", ""),
+		Front:           r.address("Listen.Front"),
+		Readiness:       r.address("Listen.Readiness"),
+		Control:         r.address("Listen.Control"),
+		Seeds:           r.addresses("Seeds"),
+		Bootstrap:       r.flag("Bootstrap", false),
+		CountsForQuorum: r.flag("CountsForQuorum", false),
+		MemoryMB:        int(r.number("Limits.MemoryMb", 0)),
+		MaxFds:          int(r.number("Limits.MaxFds", 1024)),
+		DataDir:         r.text("DataDir", ""),
+		Heartbeat:       r.milliseconds("HeartbeatMs", 1000),
+		LinkMbps:        r.number("Limits.LinkMbps", 0),
+		MachinesLost:    int(r.number("FaultTolerance.Machines", 0)),
 
 		ZonesLost:   int(r.number("FaultTolerance.Zones", 0)),
 		RegionsLost: int(r.number("FaultTolerance.Regions", 0)),
@@ -162,7 +162,7 @@
 			QuotaOver:        r.number("Bounds.QuotaOver", 0),
 			QuotaSlack:       r.number("Bounds.QuotaSlack", 0),
 			Pass:             r.milliseconds("Bounds.pass_ms", 120),
-			Again:            r.seconds("Bounds.again_s", 10),
+			RereadWindow:     r.seconds("Bounds.again_s", 10),
 		},
 	}
 	s.InternalPort = r.port("InternalPorts", ports)
@@ -237,7 +237,7 @@
 	return value
 }
 
-func (r *reader) list(key string) []string {
+func (r *reader) listValue(key string) []string {
 	var items []string
 	for _, item := range strings.Split(r.text(key, ""), ",") {
 		if item = strings.TrimSpace(item); item != "" {
@@ -259,7 +259,7 @@
 }
 
 func (r *reader) addresses(key string) []string {
-	items := r.list(key)
+	items := r.listValue(key)
 	for _, item := range items {
 		if _, _, err := net.SplitHostPort(item); err != nil {
 			r.fail(key, fmt.Errorf("%q is not host:port", item))
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -43,7 +43,7 @@
 	require.Equal(t, 4*time.Second, set.Bounds.CatchUp)
 	require.True(t, set.Bootstrap)
 	require.True(t, set.Bounds.Closed)
-	require.Equal(t, 1, set.Machines)
+	require.Equal(t, 1, set.MachinesLost)
 	require.InDelta(t, 0.1, set.Bounds.QuotaOver, 1e-9)
 }
 
