--- a/internal/fleet/errkind/errkind.go
+++ b/internal/fleet/errkind/errkind.go
@@ -1,5 +1,5 @@
-// Package errkind holds the closed list of error kinds of the fleet and the table from kind to answer. Every error that
-// a client, a rater or the operator may see has one of these kinds.
+// Package errkind has the closed list of the fleet's error kinds and the HTTP response of each. Every error that a client, a
+// backend or the operator may see has one of these kinds.
 package errkind
 
 import (
@@ -8,12 +8,12 @@
 	"net/http"
 )
 
-// Kind is the kind of an error.
+// Kind is the kind of an error. Its number is on the wire between control processes: new kinds go to the end.
 type Kind uint8
 
-// The kinds of error.
+// Error kinds.
 const (
-	Internal                 Kind = iota // a fault of this process
+	Internal                 Kind = iota // this process is at fault
 	InvalidConfig                        // the configuration cannot be accepted
 	VersionConflict                      // another version is current
 	OutcomeUnknown                       // whether the order was taken is not known
@@ -35,10 +35,10 @@
 	kindCount
 )
 
-// Response is how a kind of error is told to the caller.
+// Response is the HTTP response to an error of a kind.
 type Response struct {
 	Status      int
-	NotExecuted bool // the request has not run and never will; the caller is told when to come back
+	NotExecuted bool // the request was not executed and never will be; the response says when to retry
 	Text        string
 }
 
@@ -74,7 +74,7 @@
 
 func (k Kind) String() string { return k.Response().Text }
 
-// Error is an error with a kind and what it is about.
+// Error is an error with a kind. Its text is part of responses: Detail must not hold secrets.
 type Error struct {
 	Kind   Kind
 	Detail string
@@ -94,12 +94,12 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// New makes an error of a kind.
+// New returns an error of a kind with a formatted detail, which may be empty.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// KindOf is the kind of an error, Internal where it has none.
+// KindOf returns the kind of an error, Internal where it has none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/fleet/operator/document.go
+++ b/internal/fleet/operator/document.go
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// patch gives the document that an order to change named items makes of this one.
+// patch returns the document that an order to change named items makes of this one.
 func (d *Document) patch(body []byte) (*Document, error) {
 	fields, err := readObject(body)
 	if err != nil {
@@ -247,7 +247,7 @@
 	return nil
 }
 
-// replaceOrAdd gives the items with the changed ones in place of those of the same name, or at the end.
+// replaceOrAdd returns the items with the changed ones in place of those of the same name, or at the end.
 func replaceOrAdd(items, changed []item) []item {
 	merged := slices.Clone(items)
 	place := make(map[string]int, len(merged))
@@ -286,7 +286,7 @@
 	return body
 }
 
-// messages gives the checked forms of a list.
+// messages returns the checked forms of a list.
 func messages[M proto.Message](d *Document, list string) []M {
 	items := d.lists[list]
 	checked := make([]M, 0, len(items))
--- a/internal/fleet/operator/state.go
+++ b/internal/fleet/operator/state.go
@@ -10,8 +10,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
-// maxAccepted bounds the orders that are remembered: an order is sent again within seconds, and at 41,000 changes a day so many
-// are 2.4 hours. What is asked again later is not refused either: see State.horizon.
+// maxAccepted bounds the accepted orders that are remembered: an order is retried within seconds, and at 41,000 changes a day so
+// many are 2.4 hours. One that is retried later is not rejected either: see State.horizon.
 const maxAccepted = 4096
 
 // digestSize is the length of the digests of orders and histories, in bytes.
@@ -27,7 +27,7 @@
 // Digest names an order by its content: the same order sent again has the same digest.
 type Digest string
 
-// Digest gives the order's digest.
+// Digest returns the order's digest.
 func (o *Order) Digest() Digest {
 	hash := sha256.New()
 	hash.Write([]byte(o.Method))
@@ -38,26 +38,26 @@
 	return Digest(hash.Sum(nil)[:digestSize])
 }
 
-// State is the replicated state: the current document and the orders that were taken. It is never changed once made.
+// State is the replicated state: the current document and the orders that were accepted. It is immutable.
 type State struct {
 	Document      *Document
 	accepted      *immutable.Map[string, int64] // digest to the revision that it made
 	acceptedOrder *immutable.List[string]       // digests, oldest first
 	// horizon is the revision that the newest forgotten order made, 0 where none was forgotten. Whether an order that builds
-	// on an earlier version was taken is not known any more, so it is neither acknowledged nor refused.
+	// on an earlier revision was accepted is not known any more, so it is neither acknowledged nor rejected.
 	horizon int64
 	history Digest
 }
 
-// NewState is the state before the first order.
+// NewState returns the state before the first order.
 func NewState() *State {
 	return &State{Document: EmptyDocument(), accepted: immutable.NewMap[string, int64](nil), acceptedOrder: immutable.NewList[string]()}
 }
 
-// History names the sequence of all orders that led to this state: two states with the same one are the same.
+// History identifies the sequence of all orders that led to this state: two states with the same history are equal.
 func (s *State) History() Digest { return s.history }
 
-// follow gives the history after one more order.
+// follow returns the history after one more order.
 func (d Digest) follow(order Digest) Digest {
 	hash := sha256.New()
 	hash.Write([]byte(d))
@@ -65,10 +65,11 @@
 	return Digest(hash.Sum(nil)[:digestSize])
 }
 
-// Accepted tells whether the same order was taken before, and which revision it made.
+// Accepted reports whether the same order was accepted before, and which revision it made.
 func (s *State) Accepted(digest Digest) (int64, bool) { return s.accepted.Get(string(digest)) }
 
-// Apply gives the state after an order that is valid on this one.
+// Apply returns the state after an order, or an error of kind InvalidConfig, VersionConflict or OutcomeUnknown that leaves this state
+// as it is.
 func (s *State) Apply(order Order) (*State, error) {
 	next, err := s.applyTo(order)
 	if err != nil {
@@ -100,27 +101,27 @@
 }
 
 func (s *State) withAccepted(document *Document, digest Digest) *State {
-	taken := s.accepted.Set(string(digest), document.Revision)
-	order := s.acceptedOrder.Append(string(digest))
+	accepted := s.accepted.Set(string(digest), document.Revision)
+	digests := s.acceptedOrder.Append(string(digest))
 	horizon := s.horizon
-	for order.Len() > maxAccepted {
-		horizon, _ = taken.Get(order.Get(0))
-		taken = taken.Delete(order.Get(0))
-		order = order.Slice(1, order.Len())
+	for digests.Len() > maxAccepted {
+		horizon, _ = accepted.Get(digests.Get(0))
+		accepted = accepted.Delete(digests.Get(0))
+		digests = digests.Slice(1, digests.Len())
 	}
-	return &State{Document: document, accepted: taken, acceptedOrder: order, horizon: horizon, history: s.history.follow(digest)}
+	return &State{Document: document, accepted: accepted, acceptedOrder: digests, horizon: horizon, history: s.history.follow(digest)}
 }
 
-// Snapshot is a state in plain form, to be stored or sent.
+// Snapshot is a state in plain form. It is stored and sent with gob: its fields keep their names.
 type Snapshot struct {
 	Document []byte
 	Digests  []string
-	Made     []int64
+	Made     []int64 // the revision that the order of the same index made
 	Horizon  int64
 	History  Digest
 }
 
-// Snapshot gives the state in plain form.
+// Snapshot returns the state in plain form, to be stored or sent.
 func (s *State) Snapshot() Snapshot {
 	snapshot := Snapshot{Document: s.Document.JSON(), Horizon: s.horizon, History: s.history}
 	for iterator := s.acceptedOrder.Iterator(); !iterator.Done(); {
@@ -132,7 +133,7 @@
 	return snapshot
 }
 
-// FromSnapshot gives the state of a snapshot.
+// FromSnapshot returns the state of a snapshot.
 func FromSnapshot(snapshot Snapshot) (*State, error) {
 	s := NewState()
 	if len(snapshot.Document) > 0 {
@@ -142,18 +143,18 @@
 		}
 		s.Document = document
 	}
-	taken := immutable.NewMapBuilder[string, int64](nil)
-	order := immutable.NewListBuilder[string]()
+	accepted := immutable.NewMapBuilder[string, int64](nil)
+	digests := immutable.NewListBuilder[string]()
 	for i, digest := range snapshot.Digests {
-		taken.Set(digest, snapshot.Made[i])
-		order.Append(digest)
+		accepted.Set(digest, snapshot.Made[i])
+		digests.Append(digest)
 	}
-	s.accepted, s.acceptedOrder = taken.Map(), order.List()
+	s.accepted, s.acceptedOrder = accepted.Map(), digests.List()
 	s.horizon, s.history = snapshot.Horizon, snapshot.History
 	return s, nil
 }
 
-// ApplyCommitted gives the state after an order that the control plane has committed on this one. It does not validate again.
+// ApplyCommitted returns the state after an order that the control plane has committed on this one. It does not validate again.
 func (s *State) ApplyCommitted(order Order) (*State, error) {
 	next, err := s.applyTo(order)
 	if err != nil {
--- a/internal/fleet/operator/table.go
+++ b/internal/fleet/operator/table.go
@@ -10,10 +10,10 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 )
 
-// RouteType tells how far a request may be repeated and how it is answered.
+// RouteType says whether a request may be retried and how it is answered.
 type RouteType uint8
 
-// The types of route.
+// Route types.
 const (
 	Unsafe RouteType = iota
 	Safe
@@ -36,16 +36,16 @@
 	Splits      []Split
 }
 
-// Idempotent tells whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Type == Safe || r.Type == Streaming && r.Resume }
 
-// Split is one service of a route and the part of its traffic that goes there, as a running sum up to 1.
+// Split is one service of a route. UpTo is the cumulative fraction of the traffic, up to 1, that goes to it and those before it.
 type Split struct {
 	Service string
 	UpTo    float64
 }
 
-// Pick chooses the service for a number drawn from [0, 1).
+// Pick returns the service for a number drawn uniformly from [0, 1).
 func (r *Route) Pick(draw float64) string {
 	for _, split := range r.Splits {
 		if draw < split.UpTo {
@@ -55,12 +55,12 @@
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// Allows tells whether the route sends requests to a service.
+// Allows reports whether the route sends requests to a service.
 func (r *Route) Allows(backend string) bool {
 	return slices.ContainsFunc(r.Splits, func(s Split) bool { return s.Service == backend })
 }
 
-// Service is a compiled service.
+// Service is a compiled service: the backends that answer the requests of some routes. The configuration calls it a backend.
 type Service struct {
 	Name           string
 	MaxConnections int
@@ -88,7 +88,7 @@
 	IdleTimeout   time.Duration
 }
 
-// The limits where the configuration names none.
+// Limits where the configuration names none.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 4 << 20
@@ -97,7 +97,7 @@
 	unitTokens           = "token_count"
 )
 
-// Table is a compiled document. It is never changed once made.
+// Table is a compiled document, in which requests are looked up. It is immutable.
 type Table struct {
 	Revision  int64
 	hosts     map[string][]*Route // longest prefix first
@@ -108,7 +108,7 @@
 	Limits    Limits
 }
 
-// Compile makes the table of a document.
+// Compile compiles a valid document.
 func (d *Document) Compile() *Table {
 	t := &Table{Revision: d.Revision, hosts: map[string][]*Route{}, Services: map[string]*Service{}, keys: map[string]*Tenant{},
 		Tenants: map[string]*Tenant{}, Limits: compileLimits(d.limits)}
@@ -133,7 +133,7 @@
 	return t
 }
 
-// Tenants are the tenants of a document.
+// Tenants returns the tenants of a document, compiled.
 func (d *Document) Tenants() []*Tenant {
 	var tenants []*Tenant
 	for _, tenant := range messages[*operatorpb.Tenant](d, fieldTenants) {
@@ -202,7 +202,7 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Route finds the route for a host, as in a Host header, and a path.
+// Route returns the route for a host, as in a Host header, and a path: the one with the longest prefix, nil where none fits.
 func (t *Table) Route(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -215,10 +215,10 @@
 	return nil
 }
 
-// Tenant finds the tenant that holds a key.
+// Tenant returns the tenant with an API key, nil where there is none.
 func (t *Table) Tenant(key string) *Tenant { return t.keys[key] }
 
-// Routes are all routes, in no order.
+// Routes returns all routes, in no order.
 func (t *Table) Routes() []*Route {
 	var all []*Route
 	for _, routes := range t.hosts {
--- a/internal/fleet/operator/wire.go
+++ b/internal/fleet/operator/wire.go
@@ -18,7 +18,7 @@
 // errBadEncoding says that bytes are not an encoded order.
 var errBadEncoding = errors.New("operator: bytes that are no encoded order")
 
-// Compress gives bytes in a form that Decompress reads, smaller where that is worth it.
+// Compress returns bytes in a form that Decompress reads, smaller where that is worth it.
 func Compress(plain []byte) []byte {
 	if len(plain) < compressFrom {
 		return append([]byte{0}, plain...)
@@ -36,7 +36,7 @@
 	return buffer.Bytes()
 }
 
-// Decompress gives what Compress was given.
+// Decompress returns what Compress was given.
 func Decompress(packed []byte) ([]byte, error) {
 	if len(packed) == 0 {
 		return nil, errBadEncoding
--- a/internal/fleet/process/process.go
+++ b/internal/fleet/process/process.go
@@ -1,4 +1,4 @@
-// Package process is what both binaries of the fleet share: the command line, the settings file and its changes, the log,
+// Package process is what both programs of the fleet share: the command line, the settings file and its reloads, the log,
 // signals and exit codes.
 package process
 
@@ -21,13 +21,13 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitFailed   = 1 // the process could not go on
 	exitSettings = 2 // the command line or the settings file is at fault
 )
 
-// The figures of a process.
+// Parameters of a process.
 const (
 	settingsPollInterval = 2 * time.Second // between looks at the settings file: it may change without a signal
 	heapFraction         = 0.7             // of the memory limit that the heap may fill before it is collected harder
@@ -35,20 +35,24 @@
 	statusTimeout        = 2 * time.Second
 )
 
-// Process is one binary's work.
+// Process is the work of one program.
 type Process interface {
+	// Run serves until the context ends and then shuts down gracefully. An error means that the process could not go on.
 	Run(ctx context.Context) error
+	// ApplySettings applies a settings file that has changed. It is called beside Run, from another goroutine.
 	ApplySettings(set *settings.Settings)
 }
 
-// Program describes a binary.
+// Program describes a program.
 type Program struct {
-	Name          string
-	Start         func(set *settings.Settings, logger *log.Logger) (Process, error)
+	Name string
+	// Start assembles the process; it does not serve yet.
+	Start func(set *settings.Settings, logger *log.Logger) (Process, error)
+	// StatusAddress is the address at which a running process answers GET /-/status.
 	StatusAddress func(set *settings.Settings) string
 }
 
-// commandLine is the command line of both binaries.
+// commandLine is the command line of both programs.
 type commandLine struct {
 	Settings string `long:"settings" description:"path of the settings file; before the environment variable LINENWHEEL_SETTINGS"`
 	Check    bool   `long:"check" description:"read and check the settings file, and end"`
@@ -58,7 +62,7 @@
 	} `positional-args:"yes"`
 }
 
-// Main runs a binary and gives its exit code.
+// Main runs a program and returns its exit code.
 func (b *Program) Main(args []string, stdout, stderr io.Writer) int {
 	var line commandLine
 	parser := flags.NewParser(&line, flags.HelpFlag|flags.PassDoubleDash)
@@ -94,7 +98,7 @@
 	return exitSettings
 }
 
-// status prints what a running process tells of itself.
+// status prints the status of a running process.
 func (b *Program) status(set *settings.Settings, stdout, stderr io.Writer) int {
 	client := http.Client{Timeout: statusTimeout}
 	response, err := client.Get("http://" + b.StatusAddress(set) + "/-/status")
@@ -119,14 +123,14 @@
 	replica.RegisterMessages()
 	process, err := b.Start(set, logger)
 	if err != nil {
-		logger.Error("could not start", "err", err)
+		logger.Error("failed to start", "err", err)
 		return exitFailed
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	go watchSettings(ctx, set.File, process, logger)
 	if err := process.Run(ctx); err != nil {
-		logger.Error("ended", "err", err)
+		logger.Error("process failed", "err", err)
 		return exitFailed
 	}
 	return 0
@@ -140,7 +144,8 @@
 	return logger
 }
 
-// watchSettings reads the settings file again at SIGHUP and when it has changed. One that is at fault changes nothing.
+// watchSettings reloads the settings file at SIGHUP and when it has changed, until the context ends. A file with an error changes
+// nothing.
 func watchSettings(ctx context.Context, path string, process Process, logger *log.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -160,10 +165,10 @@
 		changed = modTime(path)
 		set, err := settings.Read(path)
 		if err != nil {
-			logger.Error("changed settings not taken", "err", err)
+			logger.Error("failed to apply changed settings", "err", err)
 			continue
 		}
-		logger.Info("settings read again", "seeds", set.Seeds)
+		logger.Info("settings reloaded", "seeds", set.Seeds)
 		process.ApplySettings(set)
 	}
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file that the platform gives each process of the fleet. Keys that are not known
-// are ignored; a known key with a bad value is an error that names the file and the key.
+// Package settings reads the settings file that the platform writes for each process of the fleet. Unknown keys are ignored; a
+// known key with a bad value is an *Error that names the file and the key.
 package settings
 
 import (
@@ -19,7 +19,7 @@
 // DefaultPath is where the settings file is looked for when the variable is empty.
 const DefaultPath = "/etc/linenwheel/boot.conf"
 
-// Error is a fault of the settings file.
+// Error is an invalid settings file.
 type Error struct {
 	File string
 	Key  string // empty where the file as a whole is at fault
@@ -35,7 +35,7 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the bounds of the rules in force, by their names in the settings file.
 type Bounds struct {
 	Contact          time.Duration
 	Ack              time.Duration
@@ -55,7 +55,7 @@
 	RereadWindow     time.Duration
 }
 
-// Settings are what one process is told at its start.
+// Settings describe one process and its machine.
 type Settings struct {
 	NodeName        string
 	Role            string
@@ -125,11 +125,11 @@
 	ports := r.listValue("InternalPorts")
 	s := &Settings{
 		File:            path,
-		NodeName:        r.text("NodeName", ""),
-		Role:            r.text("Role", ""),
-		IP:              r.text("Ip", ""),
-		Zone:            r.text("Zone", ""),
-		Region:          r.text("Region", ""),
+		NodeName:        r.text("NodeName"),
+		Role:            r.text("Role"),
+		IP:              r.text("Ip"),
+		Zone:            r.text("Zone"),
+		Region:          r.text("Region"),
 		Front:           r.address("Listen.Front"),
 		Readiness:       r.address("Listen.Readiness"),
 		Control:         r.address("Listen.Control"),
@@ -138,7 +138,7 @@
 		CountsForQuorum: r.flag("CountsForQuorum", false),
 		MemoryMB:        int(r.number("Limits.MemoryMb", 0)),
 		MaxFds:          int(r.number("Limits.MaxFds", 1024)),
-		DataDir:         r.text("DataDir", ""),
+		DataDir:         r.text("DataDir"),
 		Heartbeat:       r.milliseconds("HeartbeatMs", 1000),
 		LinkMbps:        r.number("Limits.LinkMbps", 0),
 		MachinesLost:    int(r.number("FaultTolerance.Machines", 0)),
@@ -200,12 +200,12 @@
 	}
 }
 
-func (r *reader) text(key, fallback string) string {
-	return strings.TrimSpace(r.file.GetString(key, fallback))
+func (r *reader) text(key string) string {
+	return strings.TrimSpace(r.file.GetString(key, ""))
 }
 
 func (r *reader) number(key string, fallback float64) float64 {
-	text := r.text(key, "")
+	text := r.text(key)
 	if text == "" {
 		return fallback
 	}
@@ -226,7 +226,7 @@
 }
 
 func (r *reader) flag(key string, fallback bool) bool {
-	text := r.text(key, "")
+	text := r.text(key)
 	if text == "" {
 		return fallback
 	}
@@ -239,7 +239,7 @@
 
 func (r *reader) listValue(key string) []string {
 	var items []string
-	for _, item := range strings.Split(r.text(key, ""), ",") {
+	for _, item := range strings.Split(r.text(key), ",") {
 		if item = strings.TrimSpace(item); item != "" {
 			items = append(items, item)
 		}
@@ -248,7 +248,7 @@
 }
 
 func (r *reader) address(key string) string {
-	text := r.text(key, "")
+	text := r.text(key)
 	if text == "" {
 		return ""
 	}
