--- a/internal/fleet/backend/attribution.go
+++ b/internal/fleet/backend/attribution.go
@@ -29,19 +29,19 @@
 // errNotAttributable says that an answer came that may be to this request or to an earlier one.
 var errNotAttributable = errors.New("an answer that may be to another request")
 
-// mostStray bounds the answers of earlier requests that are passed over on a connection.
-const mostStray = 4
+// maxStaleResponses bounds the answers of earlier requests that are passed over on a connection.
+const maxStaleResponses = 4
 
 // attribution is to which request an answer belongs.
 type attribution uint8
 
 const (
-	ownAnswer     attribution = iota
-	strayAnswer               // to an earlier request on the connection: it is passed over
-	unknownAnswer             // nobody can tell: the request may have run
+	ownResponse            attribution = iota
+	staleResponse                      // to an earlier request on the connection: it is passed over
+	unattributableResponse             // nobody can tell: the request may have run
 )
 
-// exchangeJudge decides what each event in the life of one request on a connection proves. It is pure.
+// exchangeState decides what each event in the life of one request on a connection proves. It is pure.
 //
 //	event                                               conclusion
 //	no connection, or the first write took nothing      not sent: it has not run
@@ -52,39 +52,39 @@
 //	an answer without an id, the first thing that ever
 //	came on the connection, a refusal                   its answer: no other request was sent there
 //	any other answer without an id                      may have run: a late refusal of an earlier request looks the same
-type exchangeJudge struct {
-	fresh   bool   // no request was sent on the connection before
-	id      string // of the request
-	size    int    // of the request, in bytes
-	written int
-	strays  int
+type exchangeState struct {
+	fresh          bool   // no request was sent on the connection before
+	id             string // of the request
+	size           int    // of the request, in bytes
+	written        int
+	staleResponses int
 }
 
-func (j *exchangeJudge) wrote(bytes int) { j.written = bytes }
+func (j *exchangeState) recordWrite(bytes int) { j.written = bytes }
 
-// broken gives what is known where a write or a read failed.
-func (j *exchangeJudge) broken(err error) *Error {
+// failed gives what is known where a write or a read failed.
+func (j *exchangeState) failed(err error) *Error {
 	if j.written == 0 {
 		return &Error{NotSent, err}
 	}
 	return &Error{MayHaveRun, err}
 }
 
-// head tells to which request an answer belongs.
-func (j *exchangeJudge) head(status int, id string, bounded bool) attribution {
+// attribute tells to which request an answer belongs.
+func (j *exchangeState) attribute(status int, id string, bounded bool) attribution {
 	switch {
 	case j.written < j.size:
-		return unknownAnswer
+		return unattributableResponse
 	case id != "" && id == j.id:
-		return ownAnswer
+		return ownResponse
 	case id != "":
-		j.strays++
-		if !bounded || j.strays >= mostStray {
-			return unknownAnswer
+		j.staleResponses++
+		if !bounded || j.staleResponses >= maxStaleResponses {
+			return unattributableResponse
 		}
-		return strayAnswer
-	case j.fresh && j.strays == 0 && status >= http.StatusBadRequest:
-		return ownAnswer
+		return staleResponse
+	case j.fresh && j.staleResponses == 0 && status >= http.StatusBadRequest:
+		return ownResponse
 	}
-	return unknownAnswer
+	return unattributableResponse
 }
--- a/internal/fleet/backend/attribution_test.go
+++ b/internal/fleet/backend/attribution_test.go
@@ -9,10 +9,10 @@
 
 func TestWhatEachEventProves(t *testing.T) {
 	reset := errors.New("reset")
-	sent := exchangeJudge{id: "a", size: 10, written: 10}
-	require.Equal(t, NotSent, (&exchangeJudge{id: "a", size: 10}).broken(reset).Outcome, "nothing was written")
-	require.Equal(t, MayHaveRun, (&exchangeJudge{id: "a", size: 10, written: 1}).broken(reset).Outcome, "a part was written")
-	require.Equal(t, MayHaveRun, sent.broken(reset).Outcome)
+	sent := exchangeState{id: "a", size: 10, written: 10}
+	require.Equal(t, NotSent, (&exchangeState{id: "a", size: 10}).failed(reset).Outcome, "nothing was written")
+	require.Equal(t, MayHaveRun, (&exchangeState{id: "a", size: 10, written: 1}).failed(reset).Outcome, "a part was written")
+	require.Equal(t, MayHaveRun, sent.failed(reset).Outcome)
 	for name, one := range map[string]struct {
 		fresh   bool
 		strays  int
@@ -21,26 +21,26 @@
 		bounded bool
 		want    attribution
 	}{
-		"its id":                                    {false, 0, 200, "a", true, ownAnswer},
-		"its id, a refusal":                         {false, 0, 503, "a", true, ownAnswer},
-		"its id, after others":                      {false, 3, 503, "a", true, ownAnswer},
-		"its id, ended by the connection":           {false, 0, 200, "a", false, ownAnswer},
-		"another id":                                {false, 0, 200, "b", true, strayAnswer},
-		"another id, a refusal":                     {false, 0, 503, "b", true, strayAnswer},
-		"another id, ended by the connection":       {false, 0, 200, "b", false, unknownAnswer},
-		"another id, one too many":                  {false, mostStray - 1, 200, "b", true, unknownAnswer},
-		"no id, a refusal, kept connection":         {false, 0, 503, "", true, unknownAnswer},
-		"no id, a refusal, the first ever":          {true, 0, 400, "", true, ownAnswer},
-		"no id, a refusal, after another one":       {true, 1, 400, "", true, unknownAnswer},
-		"no id, a success, the first ever":          {true, 0, 200, "", true, unknownAnswer},
-		"no id, a success, kept connection":         {false, 0, 200, "", true, unknownAnswer},
-		"no id, a refusal, ended by the connection": {true, 0, 400, "", false, ownAnswer},
+		"its id":                                    {false, 0, 200, "a", true, ownResponse},
+		"its id, a refusal":                         {false, 0, 503, "a", true, ownResponse},
+		"its id, after others":                      {false, 3, 503, "a", true, ownResponse},
+		"its id, ended by the connection":           {false, 0, 200, "a", false, ownResponse},
+		"another id":                                {false, 0, 200, "b", true, staleResponse},
+		"another id, a refusal":                     {false, 0, 503, "b", true, staleResponse},
+		"another id, ended by the connection":       {false, 0, 200, "b", false, unattributableResponse},
+		"another id, one too many":                  {false, maxStaleResponses - 1, 200, "b", true, unattributableResponse},
+		"no id, a refusal, kept connection":         {false, 0, 503, "", true, unattributableResponse},
+		"no id, a refusal, the first ever":          {true, 0, 400, "", true, ownResponse},
+		"no id, a refusal, after another one":       {true, 1, 400, "", true, unattributableResponse},
+		"no id, a success, the first ever":          {true, 0, 200, "", true, unattributableResponse},
+		"no id, a success, kept connection":         {false, 0, 200, "", true, unattributableResponse},
+		"no id, a refusal, ended by the connection": {true, 0, 400, "", false, ownResponse},
 	} {
-		judge := exchangeJudge{fresh: one.fresh, id: "a", size: 10, written: 10, strays: one.strays}
-		require.Equal(t, one.want, judge.head(one.status, one.id, one.bounded), name)
+		judge := exchangeState{fresh: one.fresh, id: "a", size: 10, written: 10, staleResponses: one.strays}
+		require.Equal(t, one.want, judge.attribute(one.status, one.id, one.bounded), name)
 	}
-	half := exchangeJudge{fresh: true, id: "a", size: 10, written: 9}
-	require.Equal(t, unknownAnswer, half.head(200, "a", true), "an answer to a request that is not written whole")
+	half := exchangeState{fresh: true, id: "a", size: 10, written: 9}
+	require.Equal(t, unattributableResponse, half.attribute(200, "a", true), "an answer to a request that is not written whole")
 }
 
 // ---- All interleavings of two calls on one connection ----
@@ -129,12 +129,12 @@
 
 // call plays one call to its end, and tells whether the connection may be used again.
 func (w *wire) call(id string, how conduct) (outcome, bool) {
-	judge := exchangeJudge{fresh: !w.used, id: id, size: 1}
+	judge := exchangeState{fresh: !w.used, id: id, size: 1}
 	w.used = true
 	if w.reset {
-		return outcome{notRun: true, repeats: judge.broken(nil).Outcome == NotSent}, false
+		return outcome{notRun: true, repeats: judge.failed(nil).Outcome == NotSent}, false
 	}
-	judge.wrote(1)
+	judge.recordWrite(1)
 	if len(how.answers) > 0 {
 		w.buffer = append(w.buffer, how.answers[0](id))
 		if first := how.answers[0](id); first.owner != id {
@@ -144,14 +144,14 @@
 	for len(w.buffer) > 0 {
 		next := w.buffer[0]
 		w.buffer = w.buffer[1:]
-		verdict := judge.head(next.status, next.id, true)
+		verdict := judge.attribute(next.status, next.id, true)
 		if w.client.believesUnstamped && next.id == "" && next.status >= 400 || w.client.takesAnyID {
-			verdict = ownAnswer
+			verdict = ownResponse
 		}
 		switch {
-		case verdict == unknownAnswer:
+		case verdict == unattributableResponse:
 			return outcome{}, false
-		case verdict == strayAnswer:
+		case verdict == staleResponse:
 			continue
 		case next.half:
 			return outcome{from: next.owner}, w.client.reusesBroken
--- a/internal/fleet/backend/connection.go
+++ b/internal/fleet/backend/connection.go
@@ -16,13 +16,13 @@
 
 // The figures of connections.
 const (
-	dialTimeout   = 250 * time.Millisecond
-	userTimeout   = 600 * time.Millisecond // after which unacknowledged bytes end a connection
-	usualIdle     = 10 * time.Second       // how long a connection is kept where the rater states nothing
-	idleMargin    = 1200 * time.Millisecond
-	mostIdlePer   = 32
-	readerBuffer  = 4 << 10
-	sweepInterval = 5 * time.Second
+	dialTimeout        = 250 * time.Millisecond
+	userTimeout        = 600 * time.Millisecond // after which unacknowledged bytes end a connection
+	defaultIdleTimeout = 10 * time.Second       // how long a connection is kept where the rater states nothing
+	idleMargin         = 1200 * time.Millisecond
+	maxIdlePerBackend  = 32
+	readerBuffer       = 4 << 10
+	sweepInterval      = 5 * time.Second
 )
 
 // connection is one connection to a rater.
@@ -42,8 +42,8 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readerBuffer), address: address}, nil
 }
 
-// quiet tells whether nothing has come on an idle connection: neither its end nor bytes that belong to no request.
-func (c *connection) quiet() bool {
+// isQuiet tells whether nothing has come on an idle connection: neither its end nor bytes that belong to no request.
+func (c *connection) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -68,13 +68,13 @@
 	sweptAt time.Time
 }
 
-func (p *pool) take(address string) *connection {
+func (p *pool) get(address string) *connection {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if time.Now().Before(c.useUntil) && c.quiet() {
+		if time.Now().Before(c.useUntil) && c.isQuiet() {
 			return c
 		}
 		_ = c.Close()
@@ -95,7 +95,7 @@
 
 // put keeps a connection for as long as the rater does, less a margin.
 func (p *pool) put(c *connection, keepAlive string) {
-	keep := usualIdle
+	keep := defaultIdleTimeout
 	if stated, found := keepAliveTimeout(keepAlive); found {
 		keep = stated - idleMargin
 	}
@@ -103,7 +103,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
-	if keep <= 0 || len(p.idle[c.address]) >= mostIdlePer {
+	if keep <= 0 || len(p.idle[c.address]) >= maxIdlePerBackend {
 		_ = c.Close()
 		return
 	}
--- a/internal/fleet/backend/exchange.go
+++ b/internal/fleet/backend/exchange.go
@@ -61,13 +61,13 @@
 	bounded    bool // its end is told by itself, not by the end of the connection
 	reusable   bool
 	keepAlive  string
-	whole      bool
+	complete   bool
 	stop       func() bool
 }
 
 // Do sends a request and reads the head of its answer. The connection is closed when the context ends.
 func (c *Client) Do(ctx context.Context, address string, request *Request) (*Response, error) {
-	conn := c.pool.take(address)
+	conn := c.pool.get(address)
 	if conn == nil {
 		fresh, err := dial(address, time.Until(deadlineOf(ctx)))
 		if err != nil {
@@ -96,39 +96,39 @@
 // exchange sends a request and reads the head of its answer.
 func (c *connection) exchange(request *Request) (*Response, error) {
 	message := request.encode()
-	judge := exchangeJudge{fresh: !c.used, id: request.Header.Get(HeaderAttempt), size: len(message)}
+	judge := exchangeState{fresh: !c.used, id: request.Header.Get(HeaderAttempt), size: len(message)}
 	c.used = true
 	written, err := c.Write(message)
-	judge.wrote(written)
+	judge.recordWrite(written)
 	if err != nil {
-		return nil, judge.broken(err)
+		return nil, judge.failed(err)
 	}
 	for {
 		answer, err := c.readHead(request.Method, &judge)
 		if err != nil {
 			return nil, err
 		}
-		switch judge.head(answer.Status, answer.Header.Get(HeaderAttempt), answer.bounded) {
-		case ownAnswer:
+		switch judge.attribute(answer.Status, answer.Header.Get(HeaderAttempt), answer.bounded) {
+		case ownResponse:
 			return answer, nil
-		case unknownAnswer:
+		case unattributableResponse:
 			return nil, &Error{Malformed, errNotAttributable}
 		}
 		if _, err := io.Copy(io.Discard, answer.body); err != nil {
-			return nil, judge.broken(err)
+			return nil, judge.failed(err)
 		}
 	}
 }
 
-func (c *connection) readHead(method string, judge *exchangeJudge) (*Response, error) {
+func (c *connection) readHead(method string, judge *exchangeState) (*Response, error) {
 	if _, err := c.reader.Peek(1); err != nil {
-		return nil, judge.broken(err)
+		return nil, judge.failed(err)
 	}
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		var failed net.Error
 		if errors.As(err, &failed) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, judge.broken(err)
+			return nil, judge.failed(err)
 		}
 		return nil, &Error{Malformed, err}
 	}
@@ -151,7 +151,7 @@
 func (a *Response) Read(into []byte) (int, error) {
 	n, err := a.body.Read(into)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
@@ -159,7 +159,7 @@
 // Close ends the use of the answer. The connection is kept where the whole body was read and nothing came after it.
 func (a *Response) Close() {
 	open := a.stop()
-	if open && a.whole && a.reusable && a.connection.reader.Buffered() == 0 {
+	if open && a.complete && a.reusable && a.connection.reader.Buffered() == 0 {
 		a.client.pool.put(a.connection, a.keepAlive)
 		return
 	}
@@ -184,12 +184,12 @@
 	return buffer.Bytes()
 }
 
-// loadParts is the number of figures in Instance-Load: running, waiting, slots.
-const loadParts = 3
+// loadFields is the number of figures in Instance-Load: running, waiting, slots.
+const loadFields = 3
 
 func parseLoad(field string) routing.Load {
 	parts := strings.Split(field, ",")
-	if len(parts) != loadParts {
+	if len(parts) != loadFields {
 		return routing.Load{}
 	}
 	running, err := strconv.Atoi(strings.TrimSpace(parts[0]))
--- a/internal/fleet/routing/balancer.go
+++ b/internal/fleet/routing/balancer.go
@@ -11,15 +11,15 @@
 
 // The figures of placing.
 const (
-	boundPart  = 1.5  // times its even part of this node's requests that a rater may hold and still get its prefixes
-	boundSlack = 6.0  // and so many more
-	mostMoves  = 8    // raters after home that are looked at
-	rereadLoss = 4.0  // worth lost for each aim of time that a rater reads what is kept elsewhere
-	pauseLoss  = 0.5  // worth lost for each stream beside a prompt that is read for as long as the aim
-	pauseFrom  = 0.5  // part of the aim for which a prompt may be read without a stream beside it being held up too long
-	aimSafety  = 0.9  // part of the aim at which half of the answers are taken to be late
-	aimWidth   = 0.1  // part of the aim by which true times scatter about the expected ones
-	delayLoss  = 0.05 // worth lost for each aim of expected time
+	inFlightBoundFactor = 1.5  // times its even part of this node's requests that a rater may hold and still get its prefixes
+	inFlightBoundSlack  = 6.0  // and so many more
+	maxCandidates       = 8    // raters after home that are looked at
+	rereadPenalty       = 4.0  // worth lost for each aim of time that a rater reads what is kept elsewhere
+	stallPenalty        = 0.5  // worth lost for each stream beside a prompt that is read for as long as the aim
+	stallThreshold      = 0.5  // part of the aim for which a prompt may be read without a stream beside it being held up too long
+	lateThreshold       = 0.9  // part of the aim at which half of the answers are taken to be late
+	lateWidth           = 0.1  // part of the aim by which true times scatter about the expected ones
+	delayPenalty        = 0.05 // worth lost for each aim of expected time
 )
 
 // Backend is a rater as the balancer of its service is told of it.
@@ -82,27 +82,27 @@
 func (t *Attempt) eventID() uint32 { return uint32(t.request) }
 
 type member struct {
-	rater   Backend
-	tag     uint32
-	backend decide.BackendID
-	ours    int // requests of this node that it holds
-	heardAt time.Duration
-	suspect suspicion
+	state       Backend
+	tag         uint32
+	balancerID  decide.BackendID
+	inFlight    int // requests of this node that it holds
+	respondedAt time.Duration
+	avoidance   avoidance
 }
 
 // Balancer places the requests of one service. It is not safe for concurrent use.
 type Balancer struct {
-	balancer *decide.Balancer
-	actions  *actions
-	members  map[string]*member
-	byID     map[decide.BackendID]*member
-	lastID   decide.BackendID
-	lastReq  decide.RequestID
-	timers   []timer
-	loads    *loads
-	sizes    sizes
-	byTag    map[uint32]*member
-	events   []Event // for other nodes
+	shares      *decide.Balancer
+	actions     *actions
+	members     map[string]*member
+	byID        map[decide.BackendID]*member
+	lastID      decide.BackendID
+	lastRequest decide.RequestID
+	timers      []timer
+	loads       *loadTable
+	promptSizes meanSizes
+	byTag       map[uint32]*member
+	events      []Event // for other nodes
 }
 
 type timer struct {
@@ -142,8 +142,8 @@
 
 // NewBalancer makes a service without raters.
 func NewBalancer(options Config) (*Balancer, error) {
-	s := &Balancer{members: map[string]*member{}, byID: map[decide.BackendID]*member{}, byTag: map[uint32]*member{}, loads: newLoads(), sizes: sizes{},
-		lastReq: decide.RequestID(options.Seed >> 1)}
+	s := &Balancer{members: map[string]*member{}, byID: map[decide.BackendID]*member{}, byTag: map[uint32]*member{}, loads: newLoadTable(), promptSizes: meanSizes{},
+		lastRequest: decide.RequestID(options.Seed >> 1)}
 	s.actions = &actions{service: s}
 	aim := max(options.Target, time.Millisecond)
 	settings := decide.Settings{Nodes: max(1, options.Nodes), Node: options.Node, Zones: []string{"all"}, Kinds: []string{"rater"},
@@ -151,7 +151,7 @@
 			LateWorth: 0.3, Streaming: true}},
 		Limits: decide.Limits{MaxAttempts: 1, Cancel: true}}
 	balancer, err := decide.New(settings, options.Seed, s.actions)
-	s.balancer = balancer
+	s.shares = balancer
 	return s, err
 }
 
@@ -165,7 +165,7 @@
 			s.timers = append(s.timers, t)
 			continue
 		}
-		s.balancer.Timer(now, t.token)
+		s.shares.Timer(now, t.token)
 	}
 }
 
@@ -179,33 +179,33 @@
 		m := s.members[rater.ID]
 		if m == nil {
 			s.lastID++
-			m = &member{backend: s.lastID, tag: TagOf(rater.ID)}
-			s.members[rater.ID], s.byID[m.backend], s.byTag[m.tag] = m, m, m
+			m = &member{balancerID: s.lastID, tag: TagOf(rater.ID)}
+			s.members[rater.ID], s.byID[m.balancerID], s.byTag[m.tag] = m, m, m
 		}
-		m.rater = rater
-		s.loads.of(m.tag).memory = rater.KVTokens
+		m.state = rater
+		s.loads.backend(m.tag).kvTokens = rater.KVTokens
 		state := decide.Serving
 		if rater.Draining {
 			state = decide.Draining
 		}
-		entries = append(entries, decide.Backend{ID: m.backend, State: state})
+		entries = append(entries, decide.Backend{ID: m.balancerID, State: state})
 	}
 	for id, m := range s.members {
 		if !present[id] {
 			delete(s.members, id)
-			delete(s.byID, m.backend)
+			delete(s.byID, m.balancerID)
 			delete(s.byTag, m.tag)
 		}
 	}
 	s.loads.retain(s.byTag)
-	s.balancer.List(now, decide.ListFull, entries)
+	s.shares.List(now, decide.ListFull, entries)
 }
 
 // Size is the number of raters that may get requests.
 func (s *Balancer) Size() int {
 	size := 0
 	for _, m := range s.members {
-		if !m.rater.Draining {
+		if !m.state.Draining {
 			size++
 		}
 	}
@@ -215,15 +215,15 @@
 // Pick chooses a rater, nil where none may get the request.
 func (s *Balancer) Pick(now time.Duration, request *Request) *Attempt {
 	s.Tick(now)
-	s.lastReq++
-	s.sizes.note(request)
-	r := decide.Request{ID: s.lastReq, Tenant: -1, Deadline: request.Deadline, Cost: request.Cost}
+	s.lastRequest++
+	s.promptSizes.record(request)
+	r := decide.Request{ID: s.lastRequest, Tenant: -1, Deadline: request.Deadline, Cost: request.Cost}
 	if request.Prefix != "" || len(request.Exclude) > 0 {
-		if ticket := s.placeByHash(now, request, r); ticket != nil {
+		if ticket := s.pickByPrefix(now, request, r); ticket != nil {
 			return ticket
 		}
 	}
-	return s.placeByTurn(now, request, r)
+	return s.pickRoundRobin(now, request, r)
 }
 
 // Observe takes what other nodes told. It tells whether the event was about a rater of this service.
@@ -233,10 +233,10 @@
 		return false
 	}
 	if event.Kind == EventUnreachable {
-		s.heardUnreachable(now, m)
+		s.observeUnreachable(now, m)
 		return true
 	}
-	s.loads.take(now, event, false)
+	s.loads.apply(now, event, false)
 	return true
 }
 
@@ -247,84 +247,84 @@
 	return events
 }
 
-// note takes an event of this node's and keeps it for the others.
-func (s *Balancer) note(now time.Duration, event Event) {
-	s.loads.take(now, &event, true)
+// record takes an event of this node's and keeps it for the others.
+func (s *Balancer) record(now time.Duration, event Event) {
+	s.loads.apply(now, &event, true)
 	s.events = append(s.events, event)
 }
 
-// placeByTurn leaves the choice to the balancer.
-func (s *Balancer) placeByTurn(now time.Duration, request *Request, r decide.Request) *Attempt {
+// pickRoundRobin leaves the choice to the balancer.
+func (s *Balancer) pickRoundRobin(now time.Duration, request *Request, r decide.Request) *Attempt {
 	for range len(s.members) {
 		s.actions.found = false
-		s.balancer.Request(now, r)
+		s.shares.Request(now, r)
 		if !s.actions.found {
-			return s.placeAnywhere(now, request, r)
+			return s.pickLastResort(now, request, r)
 		}
 		m := s.byID[s.actions.chosen]
 		ticket := &Attempt{request: r.ID, balancerID: s.actions.chosen, sent: now}
-		if m != nil && !m.suspected(now) && !m.rater.HeartbeatLate && !slices.Contains(request.Exclude, m.rater.ID) {
+		if m != nil && !m.avoided(now) && !m.state.HeartbeatLate && !slices.Contains(request.Exclude, m.state.ID) {
 			ticket.Reason = ReasonRoundRobin
-			return s.ticket(ticket, m, request)
+			return s.start(ticket, m, request)
 		}
-		s.balancer.Outcome(now, decide.Outcome{Request: r.ID, Backend: ticket.balancerID, Over: true, Result: decide.NotSent})
-		s.lastReq++
-		r.ID = s.lastReq
+		s.shares.Outcome(now, decide.Outcome{Request: r.ID, Backend: ticket.balancerID, Over: true, Result: decide.NotSent})
+		s.lastRequest++
+		r.ID = s.lastRequest
 	}
-	return s.placeAnywhere(now, request, r)
+	return s.pickLastResort(now, request, r)
 }
 
-// placeAnywhere takes the rater with the least of this node's requests where the balancer has put all others away. One that
+// pickLastResort takes the rater with the least of this node's requests where the balancer has put all others away. One that
 // is suspected is better than none.
-func (s *Balancer) placeAnywhere(now time.Duration, request *Request, r decide.Request) *Attempt {
+func (s *Balancer) pickLastResort(now time.Duration, request *Request, r decide.Request) *Attempt {
 	var best *member
-	for _, m := range s.sorted() {
-		if !s.allowed(m, request) || !s.balancer.Usable(now, m.backend) {
+	for _, m := range s.sortedMembers() {
+		if !s.allowed(m, request) || !s.shares.Usable(now, m.balancerID) {
 			continue
 		}
-		if best == nil || best.suspected(now) && !m.suspected(now) || best.suspected(now) == m.suspected(now) && m.ours < best.ours {
+		if best == nil || best.avoided(now) && !m.avoided(now) || best.avoided(now) == m.avoided(now) && m.inFlight < best.inFlight {
 			best = m
 		}
 	}
-	if best == nil || !s.balancer.Placed(now, r, best.backend) {
+	if best == nil || !s.shares.Placed(now, r, best.balancerID) {
 		return nil
 	}
-	return s.ticket(&Attempt{request: r.ID, balancerID: best.backend, sent: now, Reason: ReasonLastResort}, best, request)
+	return s.start(&Attempt{request: r.ID, balancerID: best.balancerID, sent: now, Reason: ReasonLastResort}, best, request)
 }
 
-func (s *Balancer) ticket(t *Attempt, m *member, request *Request) *Attempt {
-	m.ours++
-	t.Backend, t.tag, t.long = m.rater, m.tag, request.Long
+func (s *Balancer) start(t *Attempt, m *member, request *Request) *Attempt {
+	m.inFlight++
+	t.Backend, t.tag, t.long = m.state, m.tag, request.Long
 	prefix := TagOf(request.Prefix)
 	tokens := request.OwnTokens
-	t.PrefixCached = slices.Contains(s.loads.keeps(t.sent, prefix), m.tag)
+	t.PrefixCached = slices.Contains(s.loads.cachedAt(t.sent, prefix), m.tag)
 	if !t.PrefixCached {
 		tokens += request.SharedTokens
 	}
 	if tokens > 0 {
-		t.Expected = s.expected(t.sent, m, tokens)
-		s.note(t.sent, Event{Kind: EventSent, Backend: m.tag, Attempt: t.eventID(), Tokens: tokens, Prefix: prefix, Long: t.long})
+		t.Expected = s.expectedFirstToken(t.sent, m, tokens)
+		s.record(t.sent, Event{Kind: EventSent, Backend: m.tag, Attempt: t.eventID(), Tokens: tokens, Prefix: prefix, Long: t.long})
 	}
 	return t
 }
 
-// expected is the time after which a rater's first token is expected where it has so many tokens to read.
-func (s *Balancer) expected(now time.Duration, m *member, tokens float64) time.Duration {
-	load := s.loads.of(m.tag)
-	return s.loads.wait(now, load) + s.loads.slotWait(now, load, m.rater.Slots) + s.loads.reading(now, load, tokens)
+// expectedFirstToken is the time after which a rater's first token is expected where it has so many tokens to read.
+func (s *Balancer) expectedFirstToken(now time.Duration, m *member, tokens float64) time.Duration {
+	load := s.loads.backend(m.tag)
+	return s.loads.queueDelay(now, load) + s.loads.slotDelay(now, load, m.state.Slots) + s.loads.prefillTime(now, load, tokens)
 }
 
 func (s *Balancer) allowed(m *member, request *Request) bool {
-	return !m.rater.Draining && !m.rater.HeartbeatLate && !slices.Contains(request.Exclude, m.rater.ID)
+	return !m.state.Draining && !m.state.HeartbeatLate && !slices.Contains(request.Exclude, m.state.ID)
 }
 
-// sorted gives the members in an order that is the same at every run.
-func (s *Balancer) sorted() []*member {
+// sortedMembers gives the members in an order that is the same at every run.
+func (s *Balancer) sortedMembers() []*member {
 	members := make([]*member, 0, len(s.members))
 	for _, m := range s.members {
 		members = append(members, m)
 	}
-	slices.SortFunc(members, func(a, b *member) int { return cmp.Compare(a.rater.ID, b.rater.ID) })
+	slices.SortFunc(members, func(a, b *member) int { return cmp.Compare(a.state.ID, b.state.ID) })
 	return members
 }
 
@@ -333,57 +333,57 @@
 	score  float64
 }
 
-// rank orders the raters that may get a request by the hash of its prefix.
-func (s *Balancer) rank(now time.Duration, request *Request) []ranked {
+// rankByHash orders the raters that may get a request by the hash of its prefix.
+func (s *Balancer) rankByHash(now time.Duration, request *Request) []ranked {
 	var order []ranked
-	for _, m := range s.sorted() {
-		if !s.allowed(m, request) || m.suspected(now) || !s.balancer.Usable(now, m.backend) {
+	for _, m := range s.sortedMembers() {
+		if !s.allowed(m, request) || m.avoided(now) || !s.shares.Usable(now, m.balancerID) {
 			continue
 		}
-		order = append(order, ranked{m, hashUnit(request.Prefix, m.rater.ID)})
+		order = append(order, ranked{m, hashUnit(request.Prefix, m.state.ID)})
 	}
 	slices.SortFunc(order, func(a, b ranked) int { return cmp.Compare(b.score, a.score) })
 	return order
 }
 
-// placeByHash gives a request to the home of its prefix, or to the next ones of the hash's order where those are expected
+// pickByPrefix gives a request to the home of its prefix, or to the next ones of the hash's order where those are expected
 // to give the first token so much sooner that it pays to read the shared part there too.
-func (s *Balancer) placeByHash(now time.Duration, request *Request, r decide.Request) *Attempt {
-	order := s.rank(now, request)
+func (s *Balancer) pickByPrefix(now time.Duration, request *Request, r decide.Request) *Attempt {
+	order := s.rankByHash(now, request)
 	if len(order) == 0 {
 		return nil
 	}
 	home := order[0].member
-	homeExpected := s.expected(now, home, request.OwnTokens)
-	s.moveFromBusyHome(now, request, order)
-	bound := s.bound(len(order))
+	homeExpected := s.expectedFirstToken(now, home, request.OwnTokens)
+	s.preferLowestLoss(now, request, order)
+	bound := s.inFlightBound(len(order))
 	for _, candidate := range order {
-		if float64(candidate.member.ours) >= bound {
+		if float64(candidate.member.inFlight) >= bound {
 			continue
 		}
-		if s.balancer.Placed(now, r, candidate.member.backend) {
-			ticket := &Attempt{request: r.ID, balancerID: candidate.member.backend, sent: now, Reason: ReasonHome, HomeExpected: homeExpected}
+		if s.shares.Placed(now, r, candidate.member.balancerID) {
+			ticket := &Attempt{request: r.ID, balancerID: candidate.member.balancerID, sent: now, Reason: ReasonHome, HomeExpected: homeExpected}
 			if candidate.member != home {
 				ticket.Reason = ReasonMoved
 			}
-			return s.ticket(ticket, candidate.member, request)
+			return s.start(ticket, candidate.member, request)
 		}
 	}
 	return nil
 }
 
-// moveFromBusyHome puts another rater before the home of a prefix where less worth is expected to be lost there.
-func (s *Balancer) moveFromBusyHome(now time.Duration, request *Request, order []ranked) {
+// preferLowestLoss puts another rater before the home of a prefix where less worth is expected to be lost there.
+func (s *Balancer) preferLowestLoss(now time.Duration, request *Request, order []ranked) {
 	if len(order) < 2 {
 		return
 	}
-	keeping := s.loads.keeps(now, TagOf(request.Prefix))
+	keeping := s.loads.cachedAt(now, TagOf(request.Prefix))
 	if len(keeping) == 0 { // one that kept it before is as likely as any to have it still
 		keeping = []uint32{order[0].member.tag}
 	}
-	best, least := 0, s.loss(now, request, order[0].member, keeping)
-	for i := 1; i < len(order) && i <= mostMoves; i++ {
-		if loss := s.loss(now, request, order[i].member, keeping); loss < least {
+	best, least := 0, s.expectedLoss(now, request, order[0].member, keeping)
+	for i := 1; i < len(order) && i <= maxCandidates; i++ {
+		if loss := s.expectedLoss(now, request, order[i].member, keeping); loss < least {
 			best, least = i, loss
 		}
 	}
@@ -394,46 +394,46 @@
 	}
 }
 
-// loss is the one measure by which raters are compared: the part of a request's worth that is expected to be lost at a
+// expectedLoss is the one measure by which raters are compared: the part of a request's worth that is expected to be lost at a
 // rater, as its first token is late, the attempt fails, or the shared part of its prompt is read once more.
-func (s *Balancer) loss(now time.Duration, request *Request, m *member, keeping []uint32) float64 {
+func (s *Balancer) expectedLoss(now time.Duration, request *Request, m *member, keeping []uint32) float64 {
 	aim := max(request.Target.Seconds(), 0.001)
-	load := s.loads.of(m.tag)
+	load := s.loads.backend(m.tag)
 	tokens, reread := request.OwnTokens, 0.0
 	if !slices.Contains(keeping, m.tag) {
 		tokens += request.SharedTokens
-		reread = rereadLoss * s.loads.curve.time(request.SharedTokens).Seconds() / aim
+		reread = rereadPenalty * s.loads.prefill.time(request.SharedTokens).Seconds() / aim
 	}
-	expected := s.expected(now, m, tokens).Seconds() / aim
-	late := 1 / (1 + math.Exp((aimSafety-expected)/aimWidth))
-	risk := s.loads.risk(now, load)
+	expected := s.expectedFirstToken(now, m, tokens).Seconds() / aim
+	late := 1 / (1 + math.Exp((lateThreshold-expected)/lateWidth))
+	risk := s.loads.failureRate(now, load)
 	if request.Long {
-		risk = max(risk, s.loads.pauses(now, load))
+		risk = max(risk, s.loads.stallRate(now, load))
 	}
-	reading := s.loads.pace(now, load) * s.loads.curve.time(tokens).Seconds() / aim
-	beside := pauseLoss * float64(len(load.running)) * max(0, reading-pauseFrom)
-	return s.sizes.worth(request)*(1-(1-late)*(1-risk)+delayLoss*expected) + reread + beside
+	reading := s.loads.slowdown(now, load) * s.loads.prefill.time(tokens).Seconds() / aim
+	beside := stallPenalty * float64(len(load.decoding)) * max(0, reading-stallThreshold)
+	return s.promptSizes.value(request)*(1-(1-late)*(1-risk)+delayPenalty*expected) + reread + beside
 }
 
-// bound is how many requests of this node a rater may hold and still get prefixes.
-func (s *Balancer) bound(raters int) float64 {
+// inFlightBound is how many requests of this node a rater may hold and still get prefixes.
+func (s *Balancer) inFlightBound(raters int) float64 {
 	held := 1
 	for _, m := range s.members {
-		held += m.ours
+		held += m.inFlight
 	}
-	return boundPart*float64(held)/float64(max(1, raters)) + boundSlack
+	return inFlightBoundFactor*float64(held)/float64(max(1, raters)) + inFlightBoundSlack
 }
 
 // FirstToken takes the first token of an attempt's answer.
 func (s *Balancer) FirstToken(now time.Duration, t *Attempt) {
 	s.actions.now = now
-	s.balancer.Begun(now, t.request, 0, now-t.sent)
+	s.shares.Begun(now, t.request, 0, now-t.sent)
 	if m := s.members[t.Backend.ID]; m != nil {
-		m.answered(now)
+		m.recordResponse(now)
 	}
 	if !t.begun {
 		t.begun = true
-		s.note(now, Event{Kind: EventFirstToken, Backend: t.tag, Attempt: t.eventID(), TimeToFirstToken: now - t.sent, Long: t.long})
+		s.record(now, Event{Kind: EventFirstToken, Backend: t.tag, Attempt: t.eventID(), TimeToFirstToken: now - t.sent, Long: t.long})
 	}
 }
 
@@ -447,30 +447,30 @@
 // Done takes the end of an attempt.
 func (s *Balancer) Done(now time.Duration, t *Attempt, result Result, load Load) {
 	s.actions.now = now
-	if m := s.members[t.Backend.ID]; m != nil && m.backend == t.balancerID {
-		m.ours--
+	if m := s.members[t.Backend.ID]; m != nil && m.balancerID == t.balancerID {
+		m.inFlight--
 		if result == decide.Good || result == decide.Full {
-			m.answered(now)
+			m.recordResponse(now)
 		}
 	}
 	switch {
 	case t.paused:
-		s.note(now, Event{Kind: EventPaused, Backend: t.tag, Attempt: t.eventID()})
-	case failedResult(result):
-		s.note(now, Event{Kind: EventFailed, Backend: t.tag, Attempt: t.eventID()})
+		s.record(now, Event{Kind: EventPaused, Backend: t.tag, Attempt: t.eventID()})
+	case isFailure(result):
+		s.record(now, Event{Kind: EventFailed, Backend: t.tag, Attempt: t.eventID()})
 	case t.long || !t.begun:
-		s.note(now, Event{Kind: EventEnded, Backend: t.tag, Attempt: t.eventID()})
+		s.record(now, Event{Kind: EventEnded, Backend: t.tag, Attempt: t.eventID()})
 	}
 	outcome := decide.Outcome{Request: t.request, Backend: t.balancerID, Over: true, Latency: now - t.sent, Result: result}
 	if load.Known {
 		outcome.Load.Has = 1 << decide.ReportHeld
 		outcome.Load.Values[decide.ReportHeld] = float64(load.Running + load.Waiting)
 	}
-	s.balancer.Outcome(now, outcome)
+	s.shares.Outcome(now, outcome)
 }
 
-// failedResult tells whether an end speaks against the rater.
-func failedResult(result Result) bool {
+// isFailure tells whether an end speaks against the rater.
+func isFailure(result Result) bool {
 	switch result {
 	case decide.Failed, decide.Reset, decide.Full, decide.Late:
 		return true
@@ -479,7 +479,7 @@
 }
 
 // View tells how the service's raters do.
-func (s *Balancer) View(now time.Duration) decide.View { return s.balancer.View(now) }
+func (s *Balancer) View(now time.Duration) decide.View { return s.shares.View(now) }
 
 // BackendLoad is what is known of a rater's load, from this node's attempts and from those that other nodes told of.
 type BackendLoad struct {
@@ -492,15 +492,15 @@
 
 // Load tells what is known of the load of a rater.
 func (s *Balancer) Load(now time.Duration, id string) BackendLoad {
-	load := s.loads.of(TagOf(id))
-	return BackendLoad{Reading: len(load.open), Running: len(load.running), Wait: s.loads.wait(now, load), Pace: s.loads.pace(now, load),
-		Failing: s.loads.risk(now, load)}
+	load := s.loads.backend(TagOf(id))
+	return BackendLoad{Reading: len(load.prefilling), Running: len(load.decoding), Wait: s.loads.queueDelay(now, load), Pace: s.loads.slowdown(now, load),
+		Failing: s.loads.failureRate(now, load)}
 }
 
 // BackendName is the id of a rater by its number in View.
 func (s *Balancer) BackendName(id decide.BackendID) string {
 	if m := s.byID[id]; m != nil {
-		return m.rater.ID
+		return m.state.ID
 	}
 	return ""
 }
--- a/internal/fleet/routing/balancer_test.go
+++ b/internal/fleet/routing/balancer_test.go
@@ -93,7 +93,7 @@
 	}
 	require.GreaterOrEqual(t, len(places), 2)
 	for id, count := range places {
-		require.LessOrEqual(t, float64(count), boundPart*40/4+boundSlack, id)
+		require.LessOrEqual(t, float64(count), inFlightBoundFactor*40/4+inFlightBoundSlack, id)
 	}
 }
 
@@ -200,7 +200,7 @@
 	moved := s.Pick(now, light("k"))
 	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 	s.Done(now, moved, decide.Good, Load{})
-	now += 10 * paceMemory
+	now += 10 * slowdownWindow
 	back := s.Pick(now, light("k"))
 	require.True(t, back.PrefixCached)
 	require.Less(t, back.Expected, 200*time.Millisecond, "it is tried again after a while, by a client's request")
@@ -251,7 +251,7 @@
 		s.Observe(now, running)
 		s.Observe(now, told(EventFirstToken, home.Backend.ID, attempt))
 	}
-	require.Greater(t, s.loads.slotWait(now, s.loads.of(TagOf(home.Backend.ID)), 64), 300*time.Millisecond)
+	require.Greater(t, s.loads.slotDelay(now, s.loads.backend(TagOf(home.Backend.ID)), 64), 300*time.Millisecond)
 	moved := s.Pick(now, light("k"))
 	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 }
@@ -260,17 +260,17 @@
 	s := newTestService(t, 2, 1)
 	now := teach(s, time.Second, 100_000)
 	s.Observe(now, reads("r00", 7, 90_000))
-	load := s.loads.of(TagOf("r00"))
-	require.Positive(t, s.loads.wait(now, load))
-	require.Zero(t, s.loads.wait(now+readingLife+time.Second, load))
+	load := s.loads.backend(TagOf("r00"))
+	require.Positive(t, s.loads.queueDelay(now, load))
+	require.Zero(t, s.loads.queueDelay(now+prefillMaxAge+time.Second, load))
 	running := reads("r01", 8, 10)
 	running.Long = true
 	s.Observe(now, running)
 	s.Observe(now, told(EventFirstToken, "r01", 8))
-	load = s.loads.of(TagOf("r01"))
-	require.Len(t, load.running, 1)
-	s.loads.slotWait(now+runningLife+time.Second, load, 64)
-	require.Empty(t, load.running)
+	load = s.loads.backend(TagOf("r01"))
+	require.Len(t, load.decoding, 1)
+	s.loads.slotDelay(now+streamMaxAge+time.Second, load, 64)
+	require.Empty(t, load.decoding)
 }
 
 func TestNewsOfARaterOfAnotherServiceIsNotTaken(t *testing.T) {
@@ -281,19 +281,19 @@
 func TestTheCurveIsThatOfAnIdleRater(t *testing.T) {
 	s := newTestService(t, 9, 1)
 	teach(s, time.Second, 100_000)
-	require.InDelta(t, 0.1, s.loads.curve.time(10_000).Seconds(), 0.015)
-	require.InDelta(t, 0.05, s.loads.curve.base.Seconds(), 0.01)
+	require.InDelta(t, 0.1, s.loads.prefill.time(10_000).Seconds(), 0.015)
+	require.InDelta(t, 0.05, s.loads.prefill.base.Seconds(), 0.01)
 }
 
 func TestTheCurveBendsWhereLongPromptsTakeLongerByToken(t *testing.T) {
-	curve := newReadCurve()
+	curve := newPrefillCurve()
 	took := func(tokens float64) time.Duration {
 		x := tokens / 1000
 		return 45*time.Millisecond + time.Duration((0.018*x+0.0002*x*x)*float64(time.Second))
 	}
 	for i := range 600 {
 		tokens := float64(300 + (i*7919)%50_000)
-		curve.learn(tokens, took(tokens))
+		curve.observe(tokens, took(tokens))
 	}
 	for _, tokens := range []float64{2000, 10_000, 30_000, 50_000} {
 		require.InEpsilon(t, took(tokens).Seconds(), (curve.base + curve.time(tokens)).Seconds(), 0.12, tokens)
@@ -316,10 +316,10 @@
 		require.Equal(t, kinds[i], events[i].Kind)
 		require.True(t, b.Observe(now, &events[i]))
 	}
-	load := b.loads.of(TagOf(ticket.Backend.ID))
-	require.Empty(t, load.open)
-	require.Empty(t, load.running)
-	require.Equal(t, []uint32{TagOf(ticket.Backend.ID)}, b.loads.keeps(now, TagOf("k")))
+	load := b.loads.backend(TagOf(ticket.Backend.ID))
+	require.Empty(t, load.prefilling)
+	require.Empty(t, load.decoding)
+	require.Equal(t, []uint32{TagOf(ticket.Backend.ID)}, b.loads.cachedAt(now, TagOf("k")))
 }
 
 func TestAPartIsKeptUntilItsRaterHasReadMuchElse(t *testing.T) {
@@ -333,38 +333,38 @@
 	sent := reads("r00", 1, 5000)
 	sent.Prefix = TagOf("k")
 	s.Observe(now, sent)
-	now += 10 * partLife
-	require.Len(t, s.loads.keeps(now, TagOf("k")), 1, "nothing has taken its place")
+	now += 10 * prefixMaxAge
+	require.Len(t, s.loads.cachedAt(now, TagOf("k")), 1, "nothing has taken its place")
 	s.Observe(now, reads("r00", 2, 60_000))
-	require.Empty(t, s.loads.keeps(now, TagOf("k")))
+	require.Empty(t, s.loads.cachedAt(now, TagOf("k")))
 	s.SetBackends(now, raters[1:])
-	require.Nil(t, s.loads.raters[TagOf("r00")], "a rater that left keeps nothing")
+	require.Nil(t, s.loads.backends[TagOf("r00")], "a rater that left keeps nothing")
 }
 
 func TestPartsAreForgottenByGenerations(t *testing.T) {
-	parts := newKeptParts()
-	for part := uint32(1); part <= 3*mostParts; part++ {
-		parts.note(0, part, 1, 0)
-		parts.note(0, 1, 2, 0) // one in use stays
+	parts := newPrefixCache()
+	for part := uint32(1); part <= 3*maxPrefixes; part++ {
+		parts.record(0, part, 1, 0)
+		parts.record(0, 1, 2, 0) // one in use stays
 	}
-	require.LessOrEqual(t, len(parts.young)+len(parts.old), mostParts)
-	require.Len(t, parts.places(1), 2)
-	require.Empty(t, parts.places(2))
-	for rater := range uint32(3 * mostPlaces) {
-		parts.note(time.Duration(rater), 1, rater+10, 0)
+	require.LessOrEqual(t, len(parts.young)+len(parts.old), maxPrefixes)
+	require.Len(t, parts.locations(1), 2)
+	require.Empty(t, parts.locations(2))
+	for rater := range uint32(3 * maxBackendsPerPrefix) {
+		parts.record(time.Duration(rater), 1, rater+10, 0)
 	}
-	require.Len(t, parts.places(1), mostPlaces)
+	require.Len(t, parts.locations(1), maxBackendsPerPrefix)
 }
 
 func TestLargeRequestsAreWorthMore(t *testing.T) {
-	all := sizes{}
+	all := meanSizes{}
 	for range 300 {
-		all.note(&Request{Route: "a", OwnTokens: 1000})
+		all.record(&Request{Route: "a", OwnTokens: 1000})
 	}
-	require.InDelta(t, 1, all.worth(&Request{Route: "a", OwnTokens: 1000}), 0.01)
-	require.InDelta(t, 1.7, all.worth(&Request{Route: "a", OwnTokens: 2000}), 0.01)
-	require.InDelta(t, worthMost, all.worth(&Request{Route: "a", OwnTokens: 50_000}), 0.01)
-	require.InDelta(t, 1, all.worth(&Request{Route: "unknown", OwnTokens: 50_000}), 0.01)
+	require.InDelta(t, 1, all.value(&Request{Route: "a", OwnTokens: 1000}), 0.01)
+	require.InDelta(t, 1.7, all.value(&Request{Route: "a", OwnTokens: 2000}), 0.01)
+	require.InDelta(t, maxValue, all.value(&Request{Route: "a", OwnTokens: 50_000}), 0.01)
+	require.InDelta(t, 1, all.value(&Request{Route: "unknown", OwnTokens: 50_000}), 0.01)
 }
 
 func TestWithoutAPrefixTheSharesDecide(t *testing.T) {
@@ -442,8 +442,8 @@
 		moved := s.Pick(now+time.Millisecond, prefixed("k"))
 		require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 		s.Done(now, moved, decide.Good, Load{})
-		require.True(t, s.Pick(now+suspectMost, prefixed("k")).PrefixCached, "what moved stays")
-		back := s.Pick(now+suspectMost, prefixed(later))
+		require.True(t, s.Pick(now+maxAvoidance, prefixed("k")).PrefixCached, "what moved stays")
+		back := s.Pick(now+maxAvoidance, prefixed(later))
 		require.Equal(t, home.Backend.ID, back.Backend.ID, "it is tried again after a while")
 		s.Done(now, back, decide.Good, Load{})
 	}
@@ -455,8 +455,8 @@
 	heard := s.Pick(now, prefixed("k"))
 	s.FirstToken(now, heard)
 	s.Done(now, heard, decide.Good, Load{})
-	s.Observe(now+trustOwn/2, told(EventUnreachable, heard.Backend.ID, 0))
-	again := s.Pick(now+trustOwn/2, prefixed("k"))
+	s.Observe(now+ownEvidenceMaxAge/2, told(EventUnreachable, heard.Backend.ID, 0))
+	again := s.Pick(now+ownEvidenceMaxAge/2, prefixed("k"))
 	require.Equal(t, heard.Backend.ID, again.Backend.ID, "what this node hears from it goes before")
 	s.Done(now, again, decide.Good, Load{})
 	now += time.Minute
@@ -465,7 +465,7 @@
 	}
 	suspected := 0
 	for _, m := range s.members {
-		if m.suspected(now) {
+		if m.avoided(now) {
 			suspected++
 		}
 	}
--- a/internal/fleet/routing/event.go
+++ b/internal/fleet/routing/event.go
@@ -51,7 +51,7 @@
 	commonSize   = 1 + 4 + 4 + 2
 	sentSize     = commonSize + 4 + 4
 	answeredSize = commonSize + 4
-	mostAgo      = 1<<16 - 1
+	maxEventAge  = 1<<16 - 1
 )
 
 var errPackedEvent = errors.New("routing: events are not as this version packs them")
@@ -65,7 +65,7 @@
 	packed = append(packed, head)
 	packed = binary.LittleEndian.AppendUint32(packed, e.Backend)
 	packed = binary.LittleEndian.AppendUint32(packed, e.Attempt)
-	packed = binary.LittleEndian.AppendUint16(packed, uint16(min(max(e.Age.Milliseconds(), 0), mostAgo)))
+	packed = binary.LittleEndian.AppendUint16(packed, uint16(min(max(e.Age.Milliseconds(), 0), maxEventAge)))
 	switch e.Kind {
 	case EventSent:
 		packed = binary.LittleEndian.AppendUint32(packed, uint32(e.Tokens))
--- a/internal/fleet/routing/event_test.go
+++ b/internal/fleet/routing/event_test.go
@@ -37,7 +37,7 @@
 func TestAnAgeBeyondWhatIsPackedIsTheOldest(t *testing.T) {
 	unpacked, err := UnpackEvents(AppendEvent(nil, Event{Kind: EventEnded, Age: time.Hour}))
 	require.NoError(t, err)
-	require.Equal(t, mostAgo*time.Millisecond, unpacked[0].Age)
+	require.Equal(t, maxEventAge*time.Millisecond, unpacked[0].Age)
 }
 
 func TestNoPrefixHasNoTag(t *testing.T) {
--- a/internal/fleet/routing/prefixcache.go
+++ b/internal/fleet/routing/prefixcache.go
@@ -4,59 +4,59 @@
 
 // The figures of where shared parts are kept.
 const (
-	partLife   = 20 * time.Second // for which a part counts as kept where a rater's memory is not known
-	memoryPart = 0.5              // of a rater's memory: so many tokens may it read until a part that is not used gives way
-	mostPlaces = 8                // of one part that are remembered
-	mostParts  = 8192             // that are remembered, in two generations
+	prefixMaxAge         = 20 * time.Second // for which a part counts as kept where a rater's memory is not known
+	cacheFraction        = 0.5              // of a rater's memory: so many tokens may it read until a part that is not used gives way
+	maxBackendsPerPrefix = 8                // of one part that are remembered
+	maxPrefixes          = 8192             // that are remembered, in two generations
 )
 
-// partPlace is one rater that has a shared part.
-type partPlace struct {
-	rater uint32
-	at    time.Duration // when it was last sent there,
-	read  float64       // and how many tokens the rater had read by then
+// cachedPrefix is one rater that has a shared part.
+type cachedPrefix struct {
+	backend         uint32
+	sentAt          time.Duration // when it was last sent there,
+	prefilledTokens float64       // and how many tokens the rater had read by then
 }
 
-// keptParts remembers which raters were sent which shared parts of prompts, by this node or by others. The older generation
+// prefixCache remembers which raters were sent which shared parts of prompts, by this node or by others. The older generation
 // is forgotten when the younger one is full.
-type keptParts struct {
-	young, old map[uint32][]partPlace
+type prefixCache struct {
+	young, old map[uint32][]cachedPrefix
 }
 
-func newKeptParts() keptParts { return keptParts{young: map[uint32][]partPlace{}} }
+func newPrefixCache() prefixCache { return prefixCache{young: map[uint32][]cachedPrefix{}} }
 
-// note takes that a rater that had read so many tokens was sent a part.
-func (k *keptParts) note(at time.Duration, part, rater uint32, read float64) {
+// record takes that a rater that had read so many tokens was sent a part.
+func (k *prefixCache) record(at time.Duration, part, rater uint32, read float64) {
 	if part == 0 {
 		return
 	}
-	places := k.places(part)
+	places := k.locations(part)
 	for i := range places {
-		if places[i].rater == rater {
-			places[i].at, places[i].read = max(places[i].at, at), read
+		if places[i].backend == rater {
+			places[i].sentAt, places[i].prefilledTokens = max(places[i].sentAt, at), read
 			return
 		}
 	}
-	if len(places) == mostPlaces {
+	if len(places) == maxBackendsPerPrefix {
 		oldest := 0
 		for i := range places {
-			if places[i].at < places[oldest].at {
+			if places[i].sentAt < places[oldest].sentAt {
 				oldest = i
 			}
 		}
-		places[oldest] = partPlace{rater, at, read}
+		places[oldest] = cachedPrefix{rater, at, read}
 		return
 	}
-	k.young[part] = append(places, partPlace{rater, at, read})
+	k.young[part] = append(places, cachedPrefix{rater, at, read})
 }
 
-// places gives where a part was sent, after moving it to the younger generation.
-func (k *keptParts) places(part uint32) []partPlace {
+// locations gives where a part was sent, after moving it to the younger generation.
+func (k *prefixCache) locations(part uint32) []cachedPrefix {
 	if places, found := k.young[part]; found {
 		return places
 	}
-	if len(k.young) >= mostParts/2 {
-		k.young, k.old = make(map[uint32][]partPlace, mostParts/2), k.young
+	if len(k.young) >= maxPrefixes/2 {
+		k.young, k.old = make(map[uint32][]cachedPrefix, maxPrefixes/2), k.young
 	}
 	places, found := k.old[part]
 	if found {
@@ -65,10 +65,10 @@
 	return places
 }
 
-// kept tells whether a rater with a memory for so many tokens, 0 = not known, is likely to have a part still.
-func (p *partPlace) kept(now time.Duration, read, memory float64) bool {
+// likelyCached tells whether a rater with a memory for so many tokens, 0 = not known, is likely to have a part still.
+func (p *cachedPrefix) likelyCached(now time.Duration, read, memory float64) bool {
 	if memory <= 0 {
-		return now-p.at <= partLife
+		return now-p.sentAt <= prefixMaxAge
 	}
-	return read-p.read <= memoryPart*memory
+	return read-p.prefilledTokens <= cacheFraction*memory
 }
--- a/internal/fleet/routing/rendezvous.go
+++ b/internal/fleet/routing/rendezvous.go
@@ -15,21 +15,21 @@
 )
 
 // hashUnit draws a number in (0, 1) for a key at a place.
-func hashUnit(key, place string) float64 {
+func hashUnit(key, node string) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(key)
 	_, _ = digest.Write([]byte{0})
-	_, _ = digest.WriteString(place)
+	_, _ = digest.WriteString(node)
 	return (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
 }
 
 // Rendezvous gives the place of a key among places of equal weight; empty where there is none.
-func Rendezvous(key string, places []string) string {
+func Rendezvous(key string, nodes []string) string {
 	best, highest := "", -1.0
-	for _, place := range places {
-		if score := hashUnit(key, place); score > highest {
-			best, highest = place, score
+	for _, node := range nodes {
+		if score := hashUnit(key, node); score > highest {
+			best, highest = node, score
 		}
 	}
 	return best
