--- a/internal/fleet/datanode/rooms.go
+++ b/internal/fleet/datanode/rooms.go
@@ -1,6 +1,7 @@
 package datanode
 
 import (
+	"context"
 	"errors"
 	"slices"
 	"sync"
@@ -19,6 +20,7 @@
 	mostQuotaWait = 5 * time.Second
 	askTries      = 4
 	askPause      = 25 * time.Millisecond
+	shortWait     = 5 * time.Millisecond // up to which a request waits for allowance here: its client's way back takes longer
 )
 
 var errSilent = errors.New("the control process was found silent just now")
@@ -43,31 +45,58 @@
 }
 
 // Spend takes an amount from a tenant's allowance: from what is held, else from its owner, else from the owner's deputy,
-// else from this node's even part of the limit.
-func (r *rooms) Spend(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
-	now := r.node.now()
-	r.mu.Lock()
-	w := r.wallet(tenant, revision)
-	if w.Spend(now, amount) {
+// else from this node's even part of the limit. Where the owner will very soon have enough, it is asked once more: the bucket
+// of one that has just begun may be empty though the tenant is far below its limit.
+func (r *rooms) Spend(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
+	for retried := false; ; retried = true {
+		now := r.node.now()
+		r.mu.Lock()
+		w := r.wallet(tenant, revision)
+		if w.Spend(now, amount) {
+			r.mu.Unlock()
+			return true, 0
+		}
+		need, ahead := w.Ask(now, amount)
 		r.mu.Unlock()
-		return true, 0
-	}
-	need, ahead := w.Ask(now, amount)
-	r.mu.Unlock()
-	request := allowance.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
-		Revision: revision, Urgent: urgent}
-	reply := r.ask(&request)
-	if !reply.Owner {
-		return r.fallBack(w, tenant, amount)
+		request := allowance.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
+			Revision: revision, Urgent: urgent}
+		reply := r.ask(&request)
+		if !reply.Owner {
+			return r.fallBack(w, tenant, amount)
+		}
+		if r.spendGranted(w, reply.Granted, amount) {
+			return true, 0
+		}
+		if retried || !waitShortly(ctx, reply.Wait) {
+			r.node.log.Debug("over quota", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
+			return false, min(reply.Wait, mostQuotaWait)
+		}
 	}
+}
+
+// spendGranted takes an owner's answer and an amount from what is then held.
+func (r *rooms) spendGranted(w *wallet, granted, amount float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w.Granted(r.node.now(), reply.Granted)
-	if w.Spend(r.node.now(), amount) {
-		return true, 0
+	w.Granted(r.node.now(), granted)
+	return w.Spend(r.node.now(), amount)
+}
+
+// waitShortly waits and tells whether it did: not where the time is longer than shortWait or than the request has left, and
+// only as long as the request's context lasts.
+func waitShortly(ctx context.Context, wait time.Duration) bool {
+	deadline, limited := ctx.Deadline()
+	if wait > shortWait || limited && wait >= time.Until(deadline) {
+		return false
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return ctx.Err() == nil
+	case <-ctx.Done():
+		return false
 	}
-	r.node.log.Debug("over quota", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
-	return false, min(reply.Wait, mostQuotaWait)
 }
 
 // ask asks the owner, and its deputy where the owner is silent. While the ownership moves from one process to another that are
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -38,8 +38,9 @@
 
 // Allowances keep the tenants' limits.
 type Allowances interface {
-	// Spend takes an amount from a tenant's allowance. Where there is not enough it tells when to come back.
-	Spend(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (ok bool, wait time.Duration)
+	// Spend takes an amount from a tenant's allowance. Where there is not enough it tells when to come back. It waits no longer
+	// than the context lasts, which ends with the request or at its deadline.
+	Spend(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (ok bool, wait time.Duration)
 	Refund(tenant *operator.Tenant, amount float64)
 }
 
@@ -196,7 +197,9 @@
 			c.amount = c.tenant.PlainTokens
 		}
 	}
-	if ok, wait := c.handler.Rooms.Spend(c.tenant, table.Revision, c.amount, c.route.Priority == 0); !ok {
+	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
+	defer cancel()
+	if ok, wait := c.handler.Rooms.Spend(ctx, c.tenant, table.Revision, c.amount, c.route.Priority == 0); !ok {
 		c.amount = 0
 		c.writer.Header().Set("Retry-After", retryAfter(wait))
 		return faults.New(faults.OverQuota, "")
--- a/internal/fleet/proxy/handler_test.go
+++ b/internal/fleet/proxy/handler_test.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -50,6 +52,10 @@
 	spent  float64
 	denied bool
 	ends   []routing.Result
+
+	waits     bool      // Spend waits as long as it may, and then denies
+	waitUntil time.Time // which is until here
+	waitEnded error     // why it ended
 }
 
 func (f *fixture) Table() *operator.Table { return f.table }
@@ -88,9 +94,17 @@
 	f.ends = append(f.ends, result)
 }
 
-func (f *fixture) Spend(_ *operator.Tenant, _ int64, amount float64, _ bool) (bool, time.Duration) {
+func (f *fixture) Spend(ctx context.Context, _ *operator.Tenant, _ int64, amount float64, _ bool) (bool, time.Duration) {
+	if f.waits {
+		<-ctx.Done()
+	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	if f.waits {
+		f.waitEnded = ctx.Err()
+		f.waitUntil, _ = ctx.Deadline()
+		return false, time.Millisecond
+	}
 	if f.denied {
 		return false, 1500 * time.Millisecond
 	}
@@ -357,6 +371,29 @@
 	}
 }
 
+// Guards against a request that waits for allowance beyond its own time, or after its client has gone.
+func TestAWaitForAllowanceEndsWithTheRequest(t *testing.T) {
+	f := newFixture(t, 1)
+	f.waits = true
+	begun := time.Now()
+	got := f.send(t, "/unsafe/", func(r *http.Request) { r.Header.Set("Deadline-Ms", "50") })
+	require.Equal(t, http.StatusTooManyRequests, got.status)
+	require.NotEmpty(t, got.header.Get("Retry-After"))
+	f.mu.Lock()
+	require.ErrorIs(t, f.waitEnded, context.DeadlineExceeded)
+	require.WithinRange(t, f.waitUntil, begun.Add(50*time.Millisecond), time.Now())
+	f.mu.Unlock()
+	ctx, leave := context.WithCancel(t.Context())
+	time.AfterFunc(50*time.Millisecond, leave)
+	f.send(t, "/safe/", func(r *http.Request) { *r = *r.WithContext(ctx) })
+	require.Eventually(t, func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return errors.Is(f.waitEnded, context.Canceled)
+	}, time.Minute, time.Millisecond)
+	require.Zero(t, f.runs("a1"))
+}
+
 func setBody(r *http.Request, body string) {
 	r.Body = io.NopCloser(strings.NewReader(body))
 	r.ContentLength = int64(len(body))
