--- a/internal/fleet/dataplane/quotaclient.go
+++ b/internal/fleet/dataplane/quotaclient.go
@@ -1,6 +1,7 @@
 package dataplane
 
 import (
+	"context"
 	"errors"
 	"slices"
 	"sync"
@@ -19,13 +20,15 @@
 	mostQuotaWait = 5 * time.Second
 	askTries      = 4
 	askPause      = 25 * time.Millisecond
+	shortWait     = 5 * time.Millisecond // up to which a request waits for allowance here: its client's way back takes longer
 )
 
 var errSilent = errors.New("the control process was found silent just now")
 
 // quotaClient keeps the node's part of the tenants' allowances.
 type quotaClient struct {
-	node *Node
+	node        *Node
+	callTimeout time.Duration
 
 	mu      sync.Mutex
 	wallets map[string]*wallet
@@ -39,35 +42,62 @@
 }
 
 func newQuotaClient(n *Node) *quotaClient {
-	return &quotaClient{node: n, wallets: map[string]*wallet{}, silent: map[string]time.Duration{}}
+	return &quotaClient{node: n, callTimeout: takeWait, wallets: map[string]*wallet{}, silent: map[string]time.Duration{}}
 }
 
 // Acquire takes an amount from a tenant's allowance: from what is held, else from its owner, else from the owner's deputy,
-// else from this node's even part of the limit.
-func (r *quotaClient) Acquire(tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
-	now := r.node.now()
-	r.mu.Lock()
-	w := r.wallet(tenant, revision)
-	if w.TryAcquire(now, amount) {
+// else from this node's even part of the limit. Where the owner will very soon have enough, it is asked once more: the bucket
+// of one that has just begun may be empty though the tenant is far below its limit.
+func (r *quotaClient) Acquire(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
+	for retried := false; ; retried = true {
+		now := r.node.now()
+		r.mu.Lock()
+		w := r.wallet(tenant, revision)
+		if w.TryAcquire(now, amount) {
+			r.mu.Unlock()
+			return true, 0
+		}
+		need, ahead := w.Demand(amount)
 		r.mu.Unlock()
-		return true, 0
-	}
-	need, ahead := w.Demand(amount)
-	r.mu.Unlock()
-	request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
-		Revision: revision, Urgent: urgent}
-	reply := r.ask(&request)
-	if !reply.Owner {
-		return r.fallBack(w, tenant, amount)
+		request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
+			Revision: revision, Urgent: urgent}
+		reply := r.ask(&request)
+		if !reply.Owner {
+			return r.fallBack(w, tenant, amount)
+		}
+		if r.acquireGranted(w, reply.Granted, amount) {
+			return true, 0
+		}
+		if retried || !waitShortly(ctx, reply.Wait) {
+			r.node.log.Debug("over quota", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
+			return false, min(reply.Wait, mostQuotaWait)
+		}
 	}
+}
+
+// acquireGranted takes an owner's answer and an amount from what is then held.
+func (r *quotaClient) acquireGranted(w *wallet, granted, amount float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w.AddGrant(r.node.now(), reply.Granted)
-	if w.TryAcquire(r.node.now(), amount) {
-		return true, 0
+	w.AddGrant(r.node.now(), granted)
+	return w.TryAcquire(r.node.now(), amount)
+}
+
+// waitShortly waits and tells whether it did: not where the time is longer than shortWait or than the request has left, and
+// only as long as the request's context lasts.
+func waitShortly(ctx context.Context, wait time.Duration) bool {
+	deadline, limited := ctx.Deadline()
+	if wait > shortWait || limited && wait >= time.Until(deadline) {
+		return false
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return ctx.Err() == nil
+	case <-ctx.Done():
+		return false
 	}
-	r.node.log.Debug("over quota", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
-	return false, min(reply.Wait, mostQuotaWait)
 }
 
 // ask asks the owner, and its deputy where the owner is silent. While the ownership moves from one process to another that are
@@ -112,7 +142,7 @@
 		return quota.TakeReply{}, errSilent
 	}
 	var reply quota.TakeReply
-	err := r.node.pool.Call(address, quota.MethodTake, request, &reply, takeWait)
+	err := r.node.pool.Call(address, quota.MethodTake, request, &reply, r.callTimeout)
 	if err != nil {
 		r.mu.Lock()
 		r.silent[address] = r.node.now() + silentFor
@@ -168,7 +198,7 @@
 	for range time.Tick(returnEvery) {
 		for _, request := range r.unused() {
 			var reply quota.TakeReply
-			_ = r.node.pool.Call(routing.Rendezvous(request.Tenant, r.chain()), quota.MethodTake, &request, &reply, takeWait)
+			_ = r.node.pool.Call(routing.Rendezvous(request.Tenant, r.chain()), quota.MethodTake, &request, &reply, r.callTimeout)
 		}
 	}
 }
