--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -37,7 +37,7 @@
 	Binaries  string        // folder of linenwheel-control and linenwheel-data
 	Folder    string        // for settings, disks and logs
 	Heartbeat time.Duration // of raters; 0 = a short one
-	Subnet    byte          // second byte of the machines' loopback addresses, so that fleets do not meet
+	Subnet    byte          // second byte of the machines' loopback addresses, so that fleets of one process do not meet
 }
 
 // Machine is one process on an address of its own.
@@ -56,6 +56,7 @@
 	Data    []*Machine
 	Raters  []*engine.Server
 	options Options
+	network *network
 	ports   ports
 	cancel  context.CancelFunc
 }
@@ -66,6 +67,11 @@
 // Start starts a fleet. Its raters register themselves until it is stopped.
 func Start(options Options) (*Fleet, error) {
 	f := &Fleet{options: options, ports: ports{front: 8662, readiness: 8663, control: 8665, internal: 7680}}
+	network, err := reserveNetwork(options.Subnet, f.ports.control)
+	if err != nil {
+		return nil, err
+	}
+	f.network = network
 	for i := range options.Control {
 		f.Control = append(f.Control, f.machine(fmt.Sprintf("control-%d", i+1), i+1, "linenwheel-control"))
 	}
@@ -91,7 +97,7 @@
 }
 
 func (f *Fleet) machine(name string, number int, program string) *Machine {
-	ip := net.IPv4(127, f.options.Subnet, 0, byte(10+number)).String()
+	ip := net.IPv4(127, f.options.Subnet, f.network.number, byte(10+number)).String()
 	return &Machine{Name: name, IP: ip, program: filepath.Join(f.options.Binaries, program), folder: filepath.Join(f.options.Folder, name)}
 }
 
@@ -191,7 +197,7 @@
 	for _, server := range f.Raters {
 		server.Close()
 	}
-	return nil
+	return f.network.release()
 }
 
 // register sends a rater's heartbeats, each to the first control process that takes it.
