--- a/cmd/linenwheel-keep/main.go
+++ b/cmd/linenwheel-keep/main.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/peers/keeper"
 )
@@ -132,7 +132,7 @@
 	fmt.Fprintf(out, "It was so at %s. Held: %d names of charges, %d of them running (they count as such that may have run); policy %d.\n",
 		time.UnixMilli(int64(r.At)).UTC().Format(time.RFC3339), r.Calls.Names, r.Calls.Running, r.Policy)
 	for _, m := range r.Members {
-		if m.Role != ledger.Gone && m.Name != set.Name {
+		if m.Role != statemachine.Gone && m.Name != set.Name {
 			fmt.Fprintf(out, "%s, number %x, is out for good: it is turned away if it comes back. Make sure that it is not running.\n", m.Name, m.ID)
 		}
 	}
--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/copies"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -87,16 +87,16 @@
 		return nil
 	}
 	var stops []func() string
-	var founders []ledger.Member
+	var founders []statemachine.Member
 	for _, k := range set.Keepers {
 		stops = append(stops, start("old", k.Name))
-		founders = append(founders, ledger.Member{ID: ask("old", k.Name, talk.Request{Want: talk.Status}).ID, Name: k.Name, Address: k.Address})
+		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, talk.Request{Want: talk.Status}).ID, Name: k.Name, Address: k.Address})
 	}
 	for _, k := range set.Keepers {
 		ask("old", k.Name, talk.Request{Want: talk.Found, Members: founders, Now: 1e12})
 	}
 	old := client.New(set)
-	_, err := old.Do(ctx, ledger.PartRegister, ledger.Set{Name: "city", Value: "Brno"})
+	_, err := old.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Brno"})
 	require.NoError(t, err)
 	index, image, err := old.Copy(ctx)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 	require.NoError(t, copies.Write(copied, "old", index, image))
 	require.Error(t, copies.Write(copied, "old", index, image), "it is there")
 	stops[2]() // c does not hear of what comes now
-	_, err = old.Do(ctx, ledger.PartRegister, ledger.Set{Name: "city", Value: "Brno again"})
+	_, err = old.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Brno again"})
 	require.NoError(t, err)
 	old.Close()
 	for _, stop := range stops[:2] {
@@ -128,7 +128,7 @@
 	rescue(0, "wrong", "c", "-yes") // the one that holds less is gone on with by mistake
 	stop := start("wrong", "c")
 	mistaken := client.New(client.Settings{Fleet: "wrong", Name: "test", Keepers: set.Keepers, Try: time.Second})
-	reply, err := mistaken.Read(ctx, ledger.PartRegister, ledger.Get{Name: "city"})
+	reply, err := mistaken.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	mistaken.Close()
 	assert.Contains(t, string(reply.Body), `"Brno"`, "what was agreed last is missing, and it was told so")
@@ -145,18 +145,18 @@
 	require.NoError(t, err)
 	running := filepath.Join(dir, "copy-of-new")
 	require.NoError(t, copies.Write(running, "new", index, image))
-	r, err := now.Read(ctx, ledger.PartRegister, ledger.Get{Name: "city"})
+	r, err := now.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), "Brno again")
 	assert.Contains(t, start("new", "b")(), `it is "b" of "old"`, "a folder of the fleet before")
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
-	fresh := ledger.Member{ID: ask("new", "b", talk.Request{Want: talk.Status}).ID, Name: "b", Address: set.Keepers[1].Address}
+	fresh := statemachine.Member{ID: ask("new", "b", talk.Request{Want: talk.Status}).ID, Name: "b", Address: set.Keepers[1].Address}
 	require.NoError(t, now.Change(ctx, talk.Learn, fresh))
 	for ctx.Err() == nil && ask("new", "b", talk.Request{Want: talk.Status}).Applied == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
-	_, err = now.Do(ctx, ledger.PartRegister, ledger.Set{Name: "city", Value: "Praha"})
+	_, err = now.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Praha"})
 	require.NoError(t, err)
 	var errs bytes.Buffer // one more fleet, from a copy of the one that runs beside it
 	raise := []string{"-options", options("third"), "-name", "c", "-raise", running, "-yes"}
@@ -164,12 +164,12 @@
 	defer start("third", "c")()
 	third := client.New(client.Settings{Fleet: "third", Name: "test", Keepers: set.Keepers, Try: 10 * time.Second})
 	defer third.Close()
-	r, err = third.Read(ctx, ledger.PartRegister, ledger.Get{Name: "city"})
+	r, err = third.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), `"Brno again"`)
-	_, err = third.Do(ctx, ledger.PartRegister, ledger.Set{Name: "city", Value: "Ostrava"})
+	_, err = third.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Ostrava"})
 	require.NoError(t, err)
-	r, err = now.Read(ctx, ledger.PartRegister, ledger.Get{Name: "city"})
+	r, err = now.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), `"Praha"`, "each is a fleet of its own")
 	image[len(image)/2]++
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -13,7 +13,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/copies"
@@ -208,7 +208,7 @@
 			if m.Heard || m.ID == lead.ID {
 				heard = "yes"
 			}
-			if m.Role == ledger.Gone {
+			if m.Role == statemachine.Gone {
 				holds, heard = "-", "-"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%x\n", m.Name, m.Role, heard, holds, m.Bytes, m.Address, m.ID)
@@ -225,13 +225,13 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	var members []ledger.Member
+	var members []statemachine.Member
 	for _, name := range f.options.Keepers {
 		state, err := f.started(ctx, name)
 		if err != nil {
 			return fmt.Errorf("peers: nothing was founded: %w", err)
 		}
-		members = append(members, ledger.Member{ID: state.ID, Name: name, Address: f.options.Address(name)})
+		members = append(members, statemachine.Member{ID: state.ID, Name: name, Address: f.options.Address(name)})
 	}
 	now := float64(time.Now().UnixMilli())
 	for _, m := range members {
@@ -277,15 +277,15 @@
 }
 
 // enrol has a member learn and then vote, in place of another or as one more.
-func (s *shell) enrol(ctx context.Context, f *fleet, m ledger.Member) error {
+func (s *shell) enrol(ctx context.Context, f *fleet, m statemachine.Member) error {
 	if err := f.log.Change(ctx, talk.Learn, m); err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
 	return s.settled(ctx, f, func(lead *talk.State) (string, bool) {
 		switch now := find(lead, m.ID); now.Role {
-		case ledger.Voter:
+		case statemachine.Voter:
 			return fmt.Sprintf("%s votes, as number %x", m.Name, m.ID), true
-		case ledger.Learner:
+		case statemachine.Learner:
 			return fmt.Sprintf("%s learns and has come to entry %d of %d", m.Name, now.Match, lead.Committed), false
 		}
 		return fmt.Sprintf("%s is not taken in yet", m.Name), false
@@ -300,7 +300,7 @@
 	if err != nil {
 		return fmt.Errorf("peers: nothing was changed: %w", err)
 	}
-	return s.enrol(ctx, f, ledger.Member{ID: state.ID, Name: args[0], Address: f.options.Address(args[0])})
+	return s.enrol(ctx, f, statemachine.Member{ID: state.ID, Name: args[0], Address: f.options.Address(args[0])})
 }
 
 func (s *shell) replaceKeeper(ctx context.Context, f *fleet, args []string) error {
@@ -315,9 +315,9 @@
 	if err != nil {
 		return fmt.Errorf("peers: nothing was changed: %w", err)
 	}
-	m := ledger.Member{ID: fresh.ID, Name: args[0], Address: f.options.Address(args[0])}
+	m := statemachine.Member{ID: fresh.ID, Name: args[0], Address: f.options.Address(args[0])}
 	for _, old := range lead.Members {
-		if old.Name == m.Name && old.Role == ledger.Voter {
+		if old.Name == m.Name && old.Role == statemachine.Voter {
 			m.Replaces = old.ID
 		}
 	}
@@ -339,14 +339,14 @@
 		return fmt.Errorf("peers: nothing was changed: %w", err)
 	}
 	for _, m := range lead.Members {
-		if m.Name != args[0] || m.Role == ledger.Gone {
+		if m.Name != args[0] || m.Role == statemachine.Gone {
 			continue
 		}
 		if err := f.log.Change(ctx, talk.Remove, m.Member); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
 		return s.settled(ctx, f, func(lead *talk.State) (string, bool) {
-			return fmt.Sprintf("%s, number %x, is taken out", m.Name, m.ID), find(lead, m.ID).Role == ledger.Gone
+			return fmt.Sprintf("%s, number %x, is taken out", m.Name, m.ID), find(lead, m.ID).Role == statemachine.Gone
 		})
 	}
 	return fmt.Errorf("peers: nothing was changed: no member is called %q", args[0])
@@ -356,17 +356,17 @@
 	if len(args) > 1 {
 		return flag.ErrHelp
 	}
-	g := ledger.Get{}
+	g := statemachine.Get{}
 	if len(args) == 1 {
 		g.Name = args[0]
 	}
-	r, err := f.log.Read(ctx, ledger.PartRegister, g)
+	r, err := f.log.Read(ctx, statemachine.PartRegister, g)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	var list []ledger.Value
+	var list []statemachine.Value
 	if g.Name != "" {
-		list = make([]ledger.Value, 1)
+		list = make([]statemachine.Value, 1)
 		err = json.Unmarshal(r.Body, &list[0])
 	} else {
 		err = json.Unmarshal(r.Body, &list)
@@ -386,15 +386,15 @@
 	if len(args) != 2 {
 		return flag.ErrHelp
 	}
-	set := ledger.Set{Name: args[0], Value: args[1]}
+	set := statemachine.Set{Name: args[0], Value: args[1]}
 	if was >= 0 {
 		set.Was = new(uint64(was))
 	}
-	r, err := f.log.Do(ctx, ledger.PartRegister, set)
+	r, err := f.log.Do(ctx, statemachine.PartRegister, set)
 	switch {
 	case err != nil:
 		return fmt.Errorf("peers: %w", err)
-	case r.Code != ledger.OK:
+	case r.Code != statemachine.OK:
 		return fmt.Errorf("peers: nothing was changed: %s", r.Text)
 	}
 	fmt.Fprintf(s.out, "linenwheel: agreed as number %d\n", r.Index)
@@ -406,14 +406,14 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	r, err := f.log.Do(ctx, ledger.PartMembers, ledger.Raise{Raise: ledger.Version})
-	if err == nil && r.Code != ledger.OK {
+	r, err := f.log.Do(ctx, statemachine.PartMembers, statemachine.Raise{Raise: statemachine.Version})
+	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
 	if err != nil {
 		return fmt.Errorf("peers: raise: %w", err)
 	}
-	fmt.Fprintf(s.out, "version %d of the log is used from now on; a keeper of an older release stops when it comes to it\n", ledger.Version)
+	fmt.Fprintf(s.out, "version %d of the log is used from now on; a keeper of an older release stops when it comes to it\n", statemachine.Version)
 	return nil
 }
 
--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -18,7 +18,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
@@ -75,7 +75,7 @@
 			if len(args) != 1 {
 				return flag.ErrHelp
 			}
-			n, err := ask[int](ctx, f, ledger.PolicyCommand{Dead: args[0]})
+			n, err := ask[int](ctx, f, statemachine.PolicyCommand{Dead: args[0]})
 			if err == nil {
 				fmt.Fprintf(s.out, "linenwheel: %d processes of %s are taken for dead\n", n, args[0])
 			}
@@ -85,19 +85,19 @@
 }
 
 // ask has a command agreed and gives what it came to.
-func ask[T any](ctx context.Context, f *fleet, c ledger.PolicyCommand) (v T, err error) {
-	r, err := f.log.Do(ctx, ledger.PartPolicy, c)
+func ask[T any](ctx context.Context, f *fleet, c statemachine.PolicyCommand) (v T, err error) {
+	r, err := f.log.Do(ctx, statemachine.PartPolicy, c)
 	return v, answered(r, err, &v)
 }
 
 // question asks what is agreed.
-func question[T any](ctx context.Context, f *fleet, q ledger.PolicyQuestion) (v T, err error) {
-	r, err := f.log.Read(ctx, ledger.PartPolicy, q)
+func question[T any](ctx context.Context, f *fleet, q statemachine.PolicyQuestion) (v T, err error) {
+	r, err := f.log.Read(ctx, statemachine.PartPolicy, q)
 	return v, answered(r, err, &v)
 }
 
-func answered(r ledger.Reply, err error, v any) error {
-	if err == nil && r.Code != ledger.OK {
+func answered(r statemachine.Reply, err error, v any) error {
+	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
 	if err == nil {
@@ -113,20 +113,20 @@
 func (f *fleet) document(ctx context.Context, args []string) (d policy.Document, err error) {
 	switch len(args) {
 	case 0:
-		v, err := question[policy.View](ctx, f, ledger.PolicyQuestion{})
+		v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
 		if err != nil {
 			return d, err
 		}
 		if v.Number == 0 {
 			return d, errors.New("policy: none was agreed: each node's own file holds")
 		}
-		return question[policy.Document](ctx, f, ledger.PolicyQuestion{Document: &v.Number})
+		return question[policy.Document](ctx, f, statemachine.PolicyQuestion{Document: &v.Number})
 	case 1:
 		n, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
 			return d, fmt.Errorf("policy: %q is no number of a policy", args[0])
 		}
-		return question[policy.Document](ctx, f, ledger.PolicyQuestion{Document: &n})
+		return question[policy.Document](ctx, f, statemachine.PolicyQuestion{Document: &n})
 	}
 	return d, flag.ErrHelp
 }
@@ -141,7 +141,7 @@
 		p.By = u.Username
 	}
 	if base < 0 {
-		v, err := question[policy.View](ctx, f, ledger.PolicyQuestion{})
+		v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
 		if err != nil {
 			return err
 		}
@@ -151,14 +151,14 @@
 	if n := len(p.Text); n > policy.MostDocument { // the log does not take a command of that size
 		return s.outcome(policy.Outcome{Stage: policy.Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, policy.MostDocument)})
 	}
-	o, err := ask[policy.Outcome](ctx, f, ledger.PolicyCommand{Propose: &p})
+	o, err := ask[policy.Outcome](ctx, f, statemachine.PolicyCommand{Propose: &p})
 	if err != nil && !errors.Is(err, client.ErrUnknown) {
 		return fmt.Errorf("nothing has changed: %w", err)
 	}
 	for err == nil && wait && (o.Stage == policy.Looking || o.Stage == policy.Pausing) && ctx.Err() == nil {
 		time.Sleep(lookEvery)
 		var next policy.Outcome
-		if next, err = question[policy.Outcome](ctx, f, ledger.PolicyQuestion{Outcome: p.ID}); err == nil {
+		if next, err = question[policy.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: p.ID}); err == nil {
 			o = next
 		}
 	}
@@ -184,13 +184,13 @@
 		return flag.ErrHelp
 	}
 	if len(args) == 1 {
-		o, err := question[policy.Outcome](ctx, f, ledger.PolicyQuestion{Outcome: args[0]})
+		o, err := question[policy.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: args[0]})
 		if err != nil {
 			return err
 		}
 		return s.outcome(o)
 	}
-	v, err := question[policy.View](ctx, f, ledger.PolicyQuestion{})
+	v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	v, err := question[policy.View](ctx, f, ledger.PolicyQuestion{})
+	v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
 	if err != nil {
 		return err
 	}
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/keeper"
 	"linenwheel.dev/linenwheel/internal/policy"
@@ -77,7 +77,7 @@
 	defer log.Close()
 	say := func(r policy.Report) {
 		r.Node, r.Life, r.Holds, r.Lease, r.GoesOn = "n", 1, 4, policy.MostLease, true // it does not go, however slow this machine is
-		_, err := log.Do(ctx, ledger.PartPolicy, ledger.PolicyCommand{Report: &r})
+		_, err := log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &r})
 		require.NoError(t, err)
 	}
 	say(policy.Report{})
--- a/cmd/linenwheel/quota.go
+++ b/cmd/linenwheel/quota.go
@@ -11,7 +11,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/control"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/quota"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
@@ -60,7 +60,7 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	r, err := f.log.Read(ctx, ledger.PartRoom, struct{}{})
+	r, err := f.log.Read(ctx, statemachine.PartRoom, struct{}{})
 	var v lease.View
 	if err == nil {
 		err = json.Unmarshal(r.Body, &v)
--- a/cmd/linenwheel/raters.go
+++ b/cmd/linenwheel/raters.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/policy"
 )
 
@@ -47,13 +47,13 @@
 
 // leaveOut proposes the document that holds with inventory.out changed. Comments in it are lost.
 func (s *shell) leaveOut(ctx context.Context, f *fleet, rater string, out bool, id string) error {
-	v, err := question[policy.View](ctx, f, ledger.PolicyQuestion{})
+	v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
 	if err != nil {
 		return err
 	}
 	d := policy.Document{}
 	if v.Number > 0 {
-		if d, err = question[policy.Document](ctx, f, ledger.PolicyQuestion{Document: &v.Number}); err != nil {
+		if d, err = question[policy.Document](ctx, f, statemachine.PolicyQuestion{Document: &v.Number}); err != nil {
 			return err
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/node/statemachine/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is the machine that the agreed log's entries are applied to, the same on every member that keeps copies.
+// Package statemachine is the machine that the agreed log's entries are applied to, the same on every member that keeps copies.
 // It has a part for each thing that is held: members, sessions, the register. It is pure: no I/O, goroutine, lock or
 // clock; the same entries give the same state, replies and images.
 //
@@ -10,7 +10,7 @@
 //
 // Bounds: MostSessions sessions, of each Window replies that were not confirmed yet; what a part holds, by its constants;
 // a command of MostCommand bytes.
-package ledger
+package statemachine
 
 import (
 	"bytes"
--- a/internal/ledger/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 import (
 	"bufio"
--- a/internal/peers/client/client.go
+++ b/internal/peers/client/client.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
@@ -91,7 +91,7 @@
 func (s *session) take() (n uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for !s.lost && s.next >= s.done+ledger.Window {
+	for !s.lost && s.next >= s.done+statemachine.Window {
 		s.free.Wait()
 	}
 	if s.lost {
@@ -140,7 +140,7 @@
 			return s, nil
 		}
 	}
-	body, err := json.Marshal(ledger.Opening{Name: c.set.Name})
+	body, err := json.Marshal(statemachine.Opening{Name: c.set.Name})
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 	if err != nil { // a session that nobody uses does no harm
 		return nil, untaken(err)
 	}
-	if a.Reply.Code != ledger.OK {
+	if a.Reply.Code != statemachine.OK {
 		return nil, fmt.Errorf("%w: %s", ErrRefused, a.Reply.Text)
 	}
 	s = &session{id: a.Reply.Index, told: map[uint64]bool{}}
@@ -161,15 +161,15 @@
 
 // Do has a command agreed and gives its reply. It is tried until ctx ends; the error then wraps ErrNobody or ErrRefused where it
 // was certainly not applied, and ErrUnknown where it may have been.
-func (c *Client) Do(ctx context.Context, part string, body any) (ledger.Reply, error) {
+func (c *Client) Do(ctx context.Context, part string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	for {
 		s, err := c.open(ctx)
 		if err != nil {
-			return ledger.Reply{}, err
+			return statemachine.Reply{}, err
 		}
 		n, ok := s.take()
 		if !ok {
@@ -181,30 +181,30 @@
 		if err != nil {
 			s.giveUp()
 			if taken {
-				return ledger.Reply{}, errors.Join(ErrUnknown, err)
+				return statemachine.Reply{}, errors.Join(ErrUnknown, err)
 			}
-			return ledger.Reply{}, untaken(err)
+			return statemachine.Reply{}, untaken(err)
 		}
 		s.tell(n)
-		if a.Reply.Code != ledger.Lost {
+		if a.Reply.Code != statemachine.Lost {
 			return *a.Reply, nil
 		}
 		s.giveUp()
 		if taken {
-			return ledger.Reply{}, ErrUnknown
+			return statemachine.Reply{}, ErrUnknown
 		}
 	}
 }
 
 // Read asks a part a question, answered by what holds at some moment from now on.
-func (c *Client) Read(ctx context.Context, part string, body any) (ledger.Reply, error) {
+func (c *Client) Read(ctx context.Context, part string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Read, Part: part, Body: text} })
 	if err != nil {
-		return ledger.Reply{}, untaken(err)
+		return statemachine.Reply{}, untaken(err)
 	}
 	return *a.Reply, nil
 }
@@ -220,27 +220,27 @@
 // Wait asks the keeper that was asked last a question, and waits until the answer is not what is known, or ctx ends. It is a hint: the
 // answer holds at that keeper, which may not lead any more. It costs no entry, and an error costs nothing: no keeper or connection is
 // given up for it, which is for whoever asks something next.
-func (c *Client) Wait(ctx context.Context, part string, question, known any) (ledger.Reply, error) {
+func (c *Client) Wait(ctx context.Context, part string, question, known any) (statemachine.Reply, error) {
 	body, err := json.Marshal(question)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	have, err := json.Marshal(known)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	c.mu.Lock()
 	k := c.conn
 	c.mu.Unlock()
 	if k == nil {
-		return ledger.Reply{}, errors.New("there is no connection")
+		return statemachine.Reply{}, errors.New("there is no connection")
 	}
 	a, _, err := k.ask(ctx, talk.Request{Want: talk.Wait, Part: part, Body: body, Known: have})
 	if err == nil && a.Reply == nil {
 		err = fmt.Errorf("no hint: %s", a.Text)
 	}
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	return *a.Reply, nil
 }
@@ -255,8 +255,8 @@
 }
 
 // Change asks whoever leads to change the members.
-func (c *Client) Change(ctx context.Context, want string, m ledger.Member) error {
-	_, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: want, Members: []ledger.Member{m}} })
+func (c *Client) Change(ctx context.Context, want string, m statemachine.Member) error {
+	_, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: want, Members: []statemachine.Member{m}} })
 	return err
 }
 
@@ -468,8 +468,8 @@
 	if err != nil {
 		return a, false, err
 	}
-	if len(text) > ledger.MostCommand {
-		return talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", ledger.MostCommand)}, false, nil
+	if len(text) > statemachine.MostCommand {
+		return talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MostCommand)}, false, nil
 	}
 	k.write.Lock()
 	err = k.raw.Write(link.KindAsk, text, k.try)
--- a/internal/peers/client/client_test.go
+++ b/internal/peers/client/client_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // Guards against nodes that start together and speak to the keepers together.
@@ -30,7 +30,7 @@
 	c.from = time.Now().Add(time.Hour)
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer stop()
-	_, err = c.Read(ctx, ledger.PartCalls, ledger.Look{})
+	_, err = c.Read(ctx, statemachine.PartCalls, statemachine.Look{})
 	require.ErrorIs(t, err, ErrNobody)
 	require.NoError(t, listen.(*net.TCPListener).SetDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err = listen.Accept()
--- a/internal/peers/group/group.go
+++ b/internal/peers/group/group.go
@@ -17,7 +17,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // Settings describe a member. Times are counted in ticks.
@@ -51,8 +51,8 @@
 // Applied is a command that was agreed and carried out here.
 type Applied struct {
 	Index   uint64
-	Command ledger.Command
-	Reply   ledger.Reply
+	Command statemachine.Command
+	Reply   statemachine.Reply
 }
 
 // Read is a question's permission: what holds here from now on is no older than the question.
@@ -109,7 +109,7 @@
 	set      Settings
 	node     *raft.RawNode
 	log      *held
-	ledger   *ledger.Ledger
+	ledger   *statemachine.Ledger
 	conf     *pb.ConfState
 	applied  uint64
 	size     int              // bytes of entries applied since the last image was begun
@@ -130,8 +130,8 @@
 }
 
 // Found gives what each of the first voters begins with.
-func Found(voters []ledger.Member, now float64) (*pb.Snapshot, error) {
-	data, err := ledger.Found(voters, now).Freeze()()
+func Found(voters []statemachine.Member, now float64) (*pb.Snapshot, error) {
+	data, err := statemachine.Found(voters, now).Freeze()()
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 
 // New makes a member from what its disk holds.
 func New(set Settings, saved Saved) (*Group, error) {
-	g := &Group{set: set, log: &held{MemoryStorage: raft.NewMemoryStorage()}, ledger: ledger.New(), conf: &pb.ConfState{},
+	g := &Group{set: set, log: &held{MemoryStorage: raft.NewMemoryStorage()}, ledger: statemachine.New(), conf: &pb.ConfState{},
 		luck: rand.New(rand.NewPCG(set.Seed, set.ID))}
 	g.rest()
 	if len(saved.Image.GetData()) > 0 {
@@ -260,18 +260,18 @@
 // Propose has a command agreed if this member leads; it is told by Applied, wherever it came from. Its time is the group's as
 // this member last heard it before it led, and what has gone by since on its own clock: a clock that is set wrong changes nothing,
 // and the group's time never runs ahead of a clock that runs evenly.
-func (g *Group) Propose(now float64, c ledger.Command) error {
+func (g *Group) Propose(now float64, c statemachine.Command) error {
 	if g.role != raft.StateLeader {
 		return ErrNotLeader
 	}
 	most := g.ledger.Members().Speaks()
-	if c.Part == ledger.PartMembers { // what raises it
+	if c.Part == statemachine.PartMembers { // what raises it
 		most = g.ledger.Members().Known()
 	}
-	if ledger.VersionOf(c.Part, c.Body) > most {
+	if statemachine.VersionOf(c.Part, c.Body) > most {
 		return ErrYoung
 	}
-	c.Version, c.At = ledger.VersionOf(c.Part, c.Body), g.time+now-g.at
+	c.Version, c.At = statemachine.VersionOf(c.Part, c.Body), g.time+now-g.at
 	data, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -292,23 +292,23 @@
 }
 
 // Query answers a question from what is held here, after a Read has allowed it.
-func (g *Group) Query(a ledger.Ask) ledger.Reply { return g.ledger.Query(a) }
+func (g *Group) Query(a statemachine.Ask) statemachine.Reply { return g.ledger.Query(a) }
 
 // Learn takes in a member that learns, to vote later: in place of the one whose number it has in Replaces, or as one more.
-func (g *Group) Learn(m ledger.Member) error {
+func (g *Group) Learn(m statemachine.Member) error {
 	return g.change(m, &pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeAddLearnerNode, m.ID)}})
 }
 
 // Remove takes a member out.
 func (g *Group) Remove(id uint64) error {
-	return g.change(ledger.Member{ID: id}, &pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeRemoveNode, id)}})
+	return g.change(statemachine.Member{ID: id}, &pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeRemoveNode, id)}})
 }
 
 func single(kind pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
 	return &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)}
 }
 
-func (g *Group) change(m ledger.Member, cc *pb.ConfChangeV2) error {
+func (g *Group) change(m statemachine.Member, cc *pb.ConfChangeV2) error {
 	if g.role != raft.StateLeader {
 		return ErrNotLeader
 	}
@@ -336,7 +336,7 @@
 		p, ok := status.Progress[m.ID]
 		// The library takes a newcomer for active at first, and in a young group nobody is behind: one that has acknowledged nothing
 		// may not run at all.
-		if m.Role != ledger.Learner || !ok || !p.RecentActive || p.Match == 0 || p.Match+lateBy < status.HardState.GetCommit() {
+		if m.Role != statemachine.Learner || !ok || !p.RecentActive || p.Match == 0 || p.Match+lateBy < status.HardState.GetCommit() {
 			continue
 		}
 		cc := &pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeAddNode, m.ID)}}
@@ -445,7 +445,7 @@
 	if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
-	var m ledger.Member
+	var m statemachine.Member
 	if len(cc.GetContext()) > 0 {
 		if err := json.Unmarshal(cc.GetContext(), &m); err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
@@ -551,7 +551,7 @@
 func (g *Group) Changing() bool { return len(g.conf.GetVotersOutgoing()) > 0 }
 
 // Ledger is the state that is agreed, as far as it is known here. It is only read.
-func (g *Group) Ledger() *ledger.Ledger { return g.ledger }
+func (g *Group) Ledger() *statemachine.Ledger { return g.ledger }
 
 // Position tells how far the log has come here.
 func (g *Group) Position() (term, committed, applied uint64) {
--- a/internal/peers/group/group_test.go
+++ b/internal/peers/group/group_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // Guards against a group's time that falls behind under load, because what each entry takes to be agreed is lost, or that runs ahead:
 // windows and leases would last for ever, or end before the node that counts on them; and against a command that a member of an older
 // release could not read.
 func TestTimeUnderLoad(t *testing.T) {
-	image, err := Found([]ledger.Member{{ID: 1, Name: "a"}}, 5000)
+	image, err := Found([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
 	g, err := New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
 		Saved{Image: image})
@@ -42,16 +42,16 @@
 	require.True(t, g.Leads())
 	begin := now
 	for i := range uint64(1000) {
-		require.NoError(t, g.Propose(now, ledger.Command{Number: i + 1, Body: []byte(`{"name":"c"}`)}))
+		require.NoError(t, g.Propose(now, statemachine.Command{Number: i + 1, Body: []byte(`{"name":"c"}`)}))
 		take()
 		now += 1.5 // until the disk has it, with the next one proposed right after
 		lasts()
 		assert.LessOrEqual(t, g.Ledger().Now(), 5000+now-begin, "it runs ahead")
 	}
 	assert.InDelta(t, 5000+now-begin, g.Ledger().Now(), 3)
-	room := ledger.Command{Part: ledger.PartRoom, Body: []byte(`{}`)}
+	room := statemachine.Command{Part: statemachine.PartRoom, Body: []byte(`{}`)}
 	assert.ErrorIs(t, g.Propose(now, room), ErrYoung, "not before all members are known to know it")
-	require.NoError(t, g.Propose(now, ledger.Command{Part: ledger.PartMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
+	require.NoError(t, g.Propose(now, statemachine.Command{Part: statemachine.PartMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
 	take()
 	lasts()
 	assert.NoError(t, g.Propose(now, room))
@@ -59,7 +59,7 @@
 
 // Guards against a member that goes on voting though the leader knows it to hold entries that it does not have.
 func TestLacksWhatItAcknowledged(t *testing.T) {
-	image, err := Found([]ledger.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}, 5000)
+	image, err := Found([]statemachine.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}, 5000)
 	require.NoError(t, err)
 	g, err := New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
 		Saved{Image: image})
@@ -81,7 +81,7 @@
 	image := &pb.Snapshot{Data: []byte(`{"version":99}`), Metadata: &pb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(4)),
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
 	_, err := New(set, Saved{Image: image})
-	require.ErrorIs(t, err, ledger.ErrVersion)
+	require.ErrorIs(t, err, statemachine.ErrVersion)
 	g, err := New(set, Saved{})
 	require.NoError(t, err)
 	g.Step(&pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(4)), Snapshot: image})
@@ -89,12 +89,12 @@
 	require.NoError(t, err)
 	require.Len(t, w.Write, 1)
 	require.NotNil(t, w.Write[0].Image)
-	require.ErrorIs(t, g.Done(w.Write[0]), ledger.ErrVersion)
+	require.ErrorIs(t, g.Done(w.Write[0]), statemachine.ErrVersion)
 }
 
 // lone is a group of one member that leads, and what carries out all that it wants.
 func lone(t *testing.T) (g *Group, settle func()) {
-	image, err := Found([]ledger.Member{{ID: 1, Name: "a"}}, 5000)
+	image, err := Found([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
 	g, err = New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
 		Saved{Image: image})
@@ -129,27 +129,27 @@
 // little, and with a keeper down beside it no majority would be left.
 func TestNoVoteBeforeAWord(t *testing.T) {
 	g, settle := lone(t)
-	role := func() ledger.Role {
+	role := func() statemachine.Role {
 		m, _ := g.Ledger().Members().Get(2)
 		return m.Role
 	}
-	require.NoError(t, g.Learn(ledger.Member{ID: 2, Name: "b"}))
+	require.NoError(t, g.Learn(statemachine.Member{ID: 2, Name: "b"}))
 	settle()
 	_, heard := g.Behind(2)
 	require.True(t, heard, "it is taken for active")
 	g.Promote()
 	settle()
-	require.Equal(t, ledger.Learner, role(), "it may not run at all")
+	require.Equal(t, statemachine.Learner, role(), "it may not run at all")
 	acknowledge(g, 2)
 	g.Promote()
 	settle()
-	require.Equal(t, ledger.Voter, role(), "it has what is agreed")
+	require.Equal(t, statemachine.Voter, role(), "it has what is agreed")
 }
 
 // Guards against an order about members that is refused for good because it comes while the lead is handed on: it is to be given again.
 func TestOrderWhileTheLeadIsHandedOn(t *testing.T) {
 	g, settle := lone(t)
-	require.NoError(t, g.Learn(ledger.Member{ID: 2, Name: "b"}))
+	require.NoError(t, g.Learn(statemachine.Member{ID: 2, Name: "b"}))
 	settle()
 	acknowledge(g, 2)
 	g.Promote()
@@ -159,5 +159,5 @@
 	require.True(t, g.Hand())
 	require.True(t, g.Leads())
 	require.ErrorIs(t, g.Remove(2), ErrBusy)
-	require.ErrorIs(t, g.Learn(ledger.Member{ID: 3, Name: "c"}), ErrBusy)
+	require.ErrorIs(t, g.Learn(statemachine.Member{ID: 3, Name: "c"}), ErrBusy)
 }
--- a/internal/peers/keeper/keeper.go
+++ b/internal/peers/keeper/keeper.go
@@ -21,7 +21,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/store"
@@ -33,7 +33,7 @@
 const MostClients = 1024
 
 const (
-	mostWaiting = ledger.Window
+	mostWaiting = statemachine.Window
 	slowMost    = 8 << 20
 	uncommitted = 16 << 20
 	inbox       = 1024
@@ -305,12 +305,12 @@
 // noteStarts has it agreed how often members have started, so that a copy of an older directory is known by all, and what they know,
 // so that nothing is written that one of them cannot read.
 func (k *Keeper) noteStarts() {
-	k.starts[k.store.ID], k.speaks[k.store.ID] = k.store.Starts, ledger.Version
+	k.starts[k.store.ID], k.speaks[k.store.ID] = k.store.Starts, statemachine.Version
 	for id, n := range k.starts {
 		m, ok := k.group.Ledger().Members().Get(id)
 		if speaks := k.speaks[id]; ok && (m.Starts < n || speaks > 0 && m.Speaks != speaks) {
-			_ = k.group.Propose(k.clock.Now(), ledger.Command{Part: ledger.PartMembers,
-				Body: encode(ledger.Started{ID: id, Starts: n, Speaks: speaks})}) // it is tried again
+			_ = k.group.Propose(k.clock.Now(), statemachine.Command{Part: statemachine.PartMembers,
+				Body: encode(statemachine.Started{ID: id, Starts: n, Speaks: speaks})}) // it is tried again
 		}
 	}
 }
@@ -353,7 +353,7 @@
 	for _, r := range work.Reads {
 		if w := k.reads[r.Number]; w != nil {
 			delete(k.reads, r.Number)
-			reply := k.group.Query(ledger.Ask{Part: w.ask.Part, Body: w.ask.Body})
+			reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
 			w.answer(talk.Answer{Reply: &reply})
 		}
 	}
@@ -391,7 +391,7 @@
 		k.passOn("another keeper leads since it was asked")
 	}
 	for id, s := range k.senders { // to one that was replaced another answers under its address
-		if m, ok := k.group.Ledger().Members().Get(id); ok && m.Role == ledger.Gone {
+		if m, ok := k.group.Ledger().Members().Get(id); ok && m.Role == statemachine.Gone {
 			s.Close()
 			delete(k.senders, id)
 		}
@@ -493,7 +493,7 @@
 
 func (k *Keeper) dial(address, name string, id uint64, within time.Duration) (*link.Conn, error) {
 	c, w, err := link.Dial(address, link.Hello{Fleet: k.set.Fleet, Release: k.set.Release, Name: k.set.Name, To: name, Want: id, ID: k.store.ID,
-		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), Ledger: ledger.Version}, within)
+		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), Ledger: statemachine.Version}, within)
 	switch {
 	case errors.Is(err, link.ErrRefused) && w.Final:
 		select {
--- a/internal/peers/keeper/keeper_test.go
+++ b/internal/peers/keeper/keeper_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
@@ -42,12 +42,12 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
-	var members []ledger.Member
+	var members []statemachine.Member
 	for _, to := range set.Keepers {
 		k, err := New(Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Synced: true, Addresses: addresses,
 			Heartbeat: election / 10, Election: election, ImageEvery: 4 << 20, Trail: 1000}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
-		members = append(members, ledger.Member{ID: k.ID(), Name: to.Name, Address: to.Address})
+		members = append(members, statemachine.Member{ID: k.ID(), Name: to.Name, Address: to.Address})
 		run.Go(func() { _ = k.Run(ctx) })
 	}
 	t.Cleanup(func() { stop(); run.Wait() })
@@ -97,7 +97,7 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute) // it only ends what hangs
 	defer stop()
-	_, err := c.Do(ctx, ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 }
 
@@ -110,7 +110,7 @@
 	for range 64 {
 		wait.Go(func() {
 			for i := range work {
-				if _, err := c.Do(context.Background(), ledger.PartRegister, ledger.Set{Name: fmt.Sprint(i % 100), Value: "x"}); err != nil {
+				if _, err := c.Do(context.Background(), statemachine.PartRegister, statemachine.Set{Name: fmt.Sprint(i % 100), Value: "x"}); err != nil {
 					b.Error(err)
 				}
 			}
@@ -135,7 +135,7 @@
 	for i := range 64 {
 		wait.Go(func() {
 			for j := range 192 {
-				_, err := c.Do(ctx, ledger.PartRegister, ledger.Set{Name: fmt.Sprint(i), Value: strings.Repeat(fmt.Sprint(j%10), 4<<10)})
+				_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: fmt.Sprint(i), Value: strings.Repeat(fmt.Sprint(j%10), 4<<10)})
 				if !assert.NoError(t, err) {
 					return
 				}
@@ -168,7 +168,7 @@
 	set := fleet(t, 3, 1500, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	leads := func() (client.Keeper, *talk.State) {
 		for {
@@ -179,7 +179,7 @@
 			}
 		}
 	}
-	role := func(s *talk.State, id uint64) ledger.Role {
+	role := func(s *talk.State, id uint64) statemachine.Role {
 		for _, m := range s.Members {
 			if m.ID == id {
 				return m.Role
@@ -188,16 +188,16 @@
 		return ""
 	}
 	at, first := leads()
-	old := ledger.Member{ID: first.ID, Name: at.Name, Address: at.Address}
-	_, err = client.Ask(t.Context(), set, at, talk.Request{Want: talk.Remove, Members: []ledger.Member{old}})
+	old := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
+	_, err = client.Ask(t.Context(), set, at, talk.Request{Want: talk.Remove, Members: []statemachine.Member{old}})
 	require.Error(t, err, "it is to be asked again")
 	next := first
 	for next.ID == first.ID {
 		_, next = leads()
 	}
-	require.Equal(t, ledger.Voter, role(next, first.ID), "another leads before it is out")
+	require.Equal(t, statemachine.Voter, role(next, first.ID), "another leads before it is out")
 	require.NoError(t, c.Change(t.Context(), talk.Remove, old))
-	for role(next, first.ID) != ledger.Gone {
+	for role(next, first.ID) != statemachine.Gone {
 		_, next = leads()
 	}
 }
@@ -208,13 +208,13 @@
 	set := fleet(t, 3, 250, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	for id := range uint64(2) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close() // the kernel takes what connects, nobody reads it
-		m := ledger.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
+		m := statemachine.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
 		for silent := false; !silent; { // until the leader has noticed
 			require.NoError(t, c.Change(t.Context(), talk.Learn, m)) // an order may be lost with a leader
 			for _, k := range set.Keepers {
@@ -222,7 +222,7 @@
 				require.NoError(t, err)
 				for _, have := range a.State.Members {
 					if have.ID == m.ID {
-						require.Equal(t, ledger.Learner, have.Role)
+						require.Equal(t, statemachine.Learner, have.Role)
 						silent = silent || a.State.Role == "leader" && !have.Heard
 					}
 				}
--- a/internal/peers/keeper/recover.go
+++ b/internal/peers/keeper/recover.go
@@ -9,7 +9,7 @@
 	"log/slog"
 	"os"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/copies"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/internal/peers/store"
@@ -19,13 +19,13 @@
 type Rest struct {
 	Fleet   string
 	Name    string
-	Agreed  uint64          // entry up to which this keeper knew that a majority had agreed
-	Last    uint64          // the last entry that it holds; those after Agreed may have been agreed, or not
-	At      float64         // ms of the fleet's time at the last entry
-	Members []ledger.Member // as of then
-	Calls   ledger.Held
+	Agreed  uint64                // entry up to which this keeper knew that a majority had agreed
+	Last    uint64                // the last entry that it holds; those after Agreed may have been agreed, or not
+	At      float64               // ms of the fleet's time at the last entry
+	Members []statemachine.Member // as of then
+	Calls   statemachine.Held
 	Policy  uint64 // number of the policy that holds
-	state   *ledger.Ledger
+	state   *statemachine.Ledger
 }
 
 // LookAtRest reads what a keeper that is down has left. The folder stays as it is, but for one more start.
@@ -80,8 +80,8 @@
 	var view struct {
 		Number uint64 `json:"number"`
 	}
-	for part, to := range map[string]any{ledger.PartCalls: &r.Calls, ledger.PartPolicy: &view} {
-		if reply := r.state.Query(ledger.Ask{Part: part, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
+	for part, to := range map[string]any{statemachine.PartCalls: &r.Calls, statemachine.PartPolicy: &view} {
+		if reply := r.state.Query(statemachine.Ask{Part: part, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
 			return fmt.Errorf("its part %s cannot be read", part)
 		}
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return r, err
 	}
-	r = Rest{Fleet: fleet, Name: "the copy", Agreed: index, Last: index, state: ledger.New()}
+	r = Rest{Fleet: fleet, Name: "the copy", Agreed: index, Last: index, state: statemachine.New()}
 	if err := r.state.Restore(image); err != nil {
 		return r, err
 	}
@@ -122,7 +122,7 @@
 		return kept, err
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
-	r.state.Alone(ledger.Member{ID: s.ID, Name: set.Name, Address: set.Listen, Starts: s.Starts})
+	r.state.Alone(statemachine.Member{ID: s.ID, Name: set.Name, Address: set.Listen, Starts: s.Starts})
 	data, err := r.state.Freeze()()
 	if err != nil {
 		return kept, err
--- a/internal/peers/keeper/serve.go
+++ b/internal/peers/keeper/serve.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -120,7 +120,7 @@
 	match, _ := k.group.Behind(h.ID)
 	_, committed, applied := k.group.Position()
 	switch {
-	case known && m.Role == ledger.Gone:
+	case known && m.Role == statemachine.Gone:
 		w.Reason, w.Final = "it was taken out or replaced: its directory is to be emptied", true
 	case !known && applied > 0 && h.Applied <= applied: // else it may have joined since: who was away must hear of it from it
 		w.Reason = "it is no member (yet)"
@@ -192,7 +192,7 @@
 			return err
 		}
 		ask := &talk.Request{}
-		if kind != link.KindAsk || len(text) > ledger.MostCommand || json.Unmarshal(text, ask) != nil {
+		if kind != link.KindAsk || len(text) > statemachine.MostCommand || json.Unmarshal(text, ask) != nil {
 			return link.ErrFrame
 		}
 		answer := func(a talk.Answer) {
@@ -224,7 +224,7 @@
 		w.answer(k.fault(group.ErrNotLeader))
 		return
 	}
-	if reply := k.group.Query(ledger.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
+	if reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
 		w.answer(talk.Answer{Reply: &reply})
 		return
 	}
@@ -234,10 +234,10 @@
 // hint answers those who wait for what has come to be.
 func (k *Keeper) hint() {
 	var asked *talk.Request
-	var reply ledger.Reply
+	var reply statemachine.Reply
 	for c, w := range k.waits {
 		if asked == nil || asked.Part != w.ask.Part || !bytes.Equal(asked.Body, w.ask.Body) { // most ask the same
-			asked, reply = w.ask, k.group.Query(ledger.Ask{Part: w.ask.Part, Body: w.ask.Body})
+			asked, reply = w.ask, k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
 		}
 		if !bytes.Equal(reply.Body, w.ask.Known) {
 			delete(k.waits, c)
@@ -254,7 +254,7 @@
 		answer(talk.Answer{State: k.state()})
 		return
 	case talk.Picture:
-		reply := k.group.Query(ledger.Ask{Part: ledger.PartRegister, Body: encode(ledger.Get{})})
+		reply := k.group.Query(statemachine.Ask{Part: statemachine.PartRegister, Body: encode(statemachine.Get{})})
 		answer(talk.Answer{Reply: &reply})
 		return
 	case talk.Found:
@@ -265,7 +265,7 @@
 		answer(talk.Answer{State: k.state()})
 		return
 	case talk.Do:
-		c := ledger.Command{Session: ask.Session, Number: ask.Number, Done: ask.Done, Part: ask.Part, Body: ask.Body}
+		c := statemachine.Command{Session: ask.Session, Number: ask.Number, Done: ask.Done, Part: ask.Part, Body: ask.Body}
 		if c.Session == 0 {
 			c.Part = "" // nobody speaks for the group itself
 		}
@@ -289,7 +289,7 @@
 					answer(talk.Answer{Fault: talk.Refused, Text: err.Error()})
 					return
 				}
-				answer(talk.Answer{Reply: &ledger.Reply{Code: ledger.OK, Index: index, Body: encode(image)}})
+				answer(talk.Answer{Reply: &statemachine.Reply{Code: statemachine.OK, Index: index, Body: encode(image)}})
 			}()
 			return
 		}
@@ -329,13 +329,13 @@
 }
 
 // learn takes a member in, unless it is one.
-func (k *Keeper) learn(m ledger.Member) error {
+func (k *Keeper) learn(m statemachine.Member) error {
 	list := k.group.Ledger().Members()
 	have, known := list.Get(m.ID)
 	switch {
 	case !k.group.Leads():
 		return group.ErrNotLeader
-	case known && have.Role != ledger.Gone:
+	case known && have.Role != statemachine.Gone:
 		return nil
 	case known:
 		return fmt.Errorf("number %x was taken out: empty the directory of %q", m.ID, m.Name)
@@ -352,21 +352,21 @@
 
 // remove takes a member out, unless it is the last. One that leads hands its lead on first and is asked again: else nobody would lead until
 // the others miss it.
-func (k *Keeper) remove(m ledger.Member) error {
+func (k *Keeper) remove(m statemachine.Member) error {
 	list := k.group.Ledger().Members()
 	have, known := list.Get(m.ID)
 	voters := 0
 	for _, other := range list.List() {
-		if other.Role == ledger.Voter {
+		if other.Role == statemachine.Voter {
 			voters++
 		}
 	}
 	switch {
 	case !k.group.Leads():
 		return group.ErrNotLeader
-	case !known || have.Role == ledger.Gone:
+	case !known || have.Role == statemachine.Gone:
 		return nil
-	case have.Role == ledger.Voter && voters == 1:
+	case have.Role == statemachine.Voter && voters == 1:
 		return errors.New("it is the last that votes")
 	case m.ID == k.ID() && k.group.Hand():
 		return group.ErrBusy
--- a/internal/peers/keeper/serve_test.go
+++ b/internal/peers/keeper/serve_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -25,7 +25,7 @@
 	c := client.New(set)
 	defer c.Close()
 	for range 20 {
-		_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+		_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 		require.NoError(t, err)
 	}
 	var lead, other *talk.State
@@ -77,9 +77,9 @@
 		assert.Equal(t, x.ok, err == nil, "%s: %v", x.what, err)
 		assert.Equal(t, x.final, w.Final, x.what)
 	}
-	gone := ledger.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
+	gone := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
 	require.NoError(t, c.Change(t.Context(), talk.Remove, gone))
-	_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
+	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
 	require.NoError(t, err)
 	w, err := as(func(h *link.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
@@ -93,12 +93,12 @@
 	set := fleet(t, 1, 1500, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	var wait sync.WaitGroup
 	for i := range 16 {
 		wait.Go(func() {
-			for j := range ledger.MostSessions / 16 {
+			for j := range statemachine.MostSessions / 16 {
 				open := talk.Request{Want: talk.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
 					if _, err := client.Ask(t.Context(), set, set.Keepers[0], open); err == nil {
@@ -109,9 +109,9 @@
 		})
 	}
 	wait.Wait()
-	r, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "c"})
+	r, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"})
 	require.NoError(t, err)
-	assert.Equal(t, ledger.OK, r.Code, r.Text)
+	assert.Equal(t, statemachine.OK, r.Code, r.Text)
 }
 
 // asker is a connection of a client whose requests come in the order in which they are asked.
@@ -136,7 +136,7 @@
 }
 
 func (a *asker) wait(known policy.News) uint64 {
-	return a.ask(talk.Request{Want: talk.Wait, Part: ledger.PartPolicy, Body: encode(ledger.PolicyQuestion{News: true}), Known: encode(known)})
+	return a.ask(talk.Request{Want: talk.Wait, Part: statemachine.PartPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
 }
 
 func (a *asker) hear() (said talk.Answer) {
@@ -155,7 +155,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	wait := func(ctx context.Context, known policy.News) (n policy.News, err error) {
-		reply, err := c.Wait(ctx, ledger.PartPolicy, ledger.PolicyQuestion{News: true}, known)
+		reply, err := c.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
 		if err == nil {
 			require.NoError(t, json.Unmarshal(reply.Body, &n))
 		}
@@ -165,7 +165,7 @@
 	require.ErrorContains(t, err, "no connection")
 	propose := func(number uint64) policy.News { // nobody has to look at it: it holds at once
 		p := policy.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
-		_, err := c.Do(ctx, ledger.PartPolicy, ledger.PolicyCommand{Propose: &p})
+		_, err := c.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
 		return policy.News{Number: number, Hash: policy.Hash(p.Text)}
 	}
@@ -206,7 +206,7 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	_, err := c.Do(ctx, ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	elsewhere, lost := 0, false
 	for !lost {
@@ -226,7 +226,7 @@
 			if lost {
 				continue
 			}
-			require.NoError(t, c.Change(ctx, talk.Remove, ledger.Member{ID: state.ID, Name: state.Name}))
+			require.NoError(t, c.Change(ctx, talk.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
 			said = one.hear()
 			require.Equal(t, waits, said.ID)
 			assert.Equal(t, talk.Later, said.Fault)
--- a/internal/peers/talk/talk.go
+++ b/internal/peers/talk/talk.go
@@ -5,7 +5,7 @@
 import (
 	"encoding/json"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // What a request wants.
@@ -23,16 +23,16 @@
 
 // Request is one.
 type Request struct {
-	ID      uint64          `json:"id"`
-	Want    string          `json:"want"`
-	Session uint64          `json:"s,omitempty"`
-	Number  uint64          `json:"n,omitempty"`
-	Done    uint64          `json:"d,omitempty"`
-	Part    string          `json:"p,omitempty"`
-	Body    json.RawMessage `json:"b,omitempty"`
-	Known   json.RawMessage `json:"k,omitempty"`       // the answer to a question that whoever waits has
-	Members []ledger.Member `json:"members,omitempty"` // to found with, or the one that comes or goes
-	Now     float64         `json:"now,omitempty"`     // of the group at its founding, ms
+	ID      uint64                `json:"id"`
+	Want    string                `json:"want"`
+	Session uint64                `json:"s,omitempty"`
+	Number  uint64                `json:"n,omitempty"`
+	Done    uint64                `json:"d,omitempty"`
+	Part    string                `json:"p,omitempty"`
+	Body    json.RawMessage       `json:"b,omitempty"`
+	Known   json.RawMessage       `json:"k,omitempty"`       // the answer to a question that whoever waits has
+	Members []statemachine.Member `json:"members,omitempty"` // to found with, or the one that comes or goes
+	Now     float64               `json:"now,omitempty"`     // of the group at its founding, ms
 }
 
 // What went wrong with a request.
@@ -45,12 +45,12 @@
 
 // Answer is what a request gets.
 type Answer struct {
-	ID     uint64        `json:"id"`
-	Fault  string        `json:"fault,omitempty"`
-	Text   string        `json:"text,omitempty"`
-	Leader string        `json:"leader,omitempty"` // its name
-	Reply  *ledger.Reply `json:"reply,omitempty"`
-	State  *State        `json:"state,omitempty"`
+	ID     uint64              `json:"id"`
+	Fault  string              `json:"fault,omitempty"`
+	Text   string              `json:"text,omitempty"`
+	Leader string              `json:"leader,omitempty"` // its name
+	Reply  *statemachine.Reply `json:"reply,omitempty"`
+	State  *State              `json:"state,omitempty"`
 }
 
 // State is how a keeper does.
@@ -77,7 +77,7 @@
 
 // Member is what a keeper knows of a member.
 type Member struct {
-	ledger.Member
+	statemachine.Member
 	Up    bool   `json:"up"`              // there is a connection to it
 	Match uint64 `json:"match,omitempty"` // up to which entry it holds the log; of the leader only
 	Heard bool   `json:"heard"`           // lately; of the leader only
--- a/internal/repeats/fleet/fleet.go
+++ b/internal/repeats/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/repeats"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
@@ -82,7 +82,7 @@
 	defer close(n.ending)
 	sum := hmac.New(sha256.New, n.set.Secret)
 	_, _ = sum.Write([]byte("linenwheel names of a fleet")) // it does not fail
-	fresh := ledger.Fresh{Node: n.set.Node, Life: n.life, Secret: sum.Sum(nil), Before: n.set.Before}
+	fresh := statemachine.Fresh{Node: n.set.Node, Life: n.life, Secret: sum.Sum(nil), Before: n.set.Before}
 	told, warned, alone, first := false, false, n.alone, true
 	if fresh.Before == 0 {
 		alone = nil
@@ -97,8 +97,8 @@
 		var err error
 		if !told && n.own.Err() == nil { // a later process would count as an earlier one whose runs nobody answers for
 			unhook := context.AfterFunc(n.own, stop)
-			var r ledger.Reply
-			if r, err = n.client.Do(one, ledger.PartCalls, ledger.FreshCommand(fresh)); err == nil && r.Code == ledger.Conflict {
+			var r statemachine.Reply
+			if r, err = n.client.Do(one, statemachine.PartCalls, statemachine.FreshCommand(fresh)); err == nil && r.Code == statemachine.Conflict {
 				if !warned {
 					n.log.Error("this node hashes names under another secret than its fleet: it takes none", "error", r.Text)
 				}
@@ -107,7 +107,7 @@
 			told = err == nil
 			unhook()
 		} else {
-			_, err = n.client.Read(one, ledger.PartCalls, ledger.Look{Name: make([]byte, 16)})
+			_, err = n.client.Read(one, statemachine.PartCalls, statemachine.Look{Name: make([]byte, 16)})
 		}
 		stop()
 		switch {
@@ -170,41 +170,41 @@
 	if err != nil {
 		return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}
 	}
-	if o.Taken == ledger.TakenElse {
+	if o.Taken == statemachine.TakenElse {
 		o = n.await(c, deadline, left, firstPoll)
 	}
-	if o.Taken == ledger.TakenUnknown {
+	if o.Taken == statemachine.TakenUnknown {
 		return edge.Taken{Verdict: repeats.Run}
 	}
 	return told(o)
 }
 
 // see asks once how a name stands.
-func (n *Names) see(c repeats.Call, deadline float64) (o ledger.Outcome, err error) {
+func (n *Names) see(c repeats.Call, deadline float64) (o statemachine.Outcome, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), n.span(max(0, min(n.set.Take, deadline-n.clock.Now()))))
 	defer stop()
-	r, err := n.client.Read(ctx, ledger.PartCalls, ledger.Look{Name: c.Name[:], Print: c.Print[:]})
+	r, err := n.client.Read(ctx, statemachine.PartCalls, statemachine.Look{Name: c.Name[:], Print: c.Print[:]})
 	switch {
 	case err != nil:
 		return o, err
-	case r.Code != ledger.OK:
+	case r.Code != statemachine.OK:
 		return o, errors.New(r.Text)
 	}
 	return o, json.Unmarshal(r.Body, &o)
 }
 
 // told is what an outcome other than a run of one's own comes to.
-func told(o ledger.Outcome) edge.Taken {
+func told(o statemachine.Outcome) edge.Taken {
 	switch o.Taken {
-	case ledger.TakenReplay:
+	case statemachine.TakenReplay:
 		return edge.Taken{Verdict: repeats.Replay, Body: o.Body}
-	case ledger.TakenSpent:
+	case statemachine.TakenSpent:
 		return edge.Taken{Verdict: repeats.Spent}
-	case ledger.TakenMismatch:
+	case statemachine.TakenMismatch:
 		return edge.Taken{Verdict: repeats.Mismatch}
-	case ledger.TakenDoubt:
+	case statemachine.TakenDoubt:
 		return edge.Taken{Verdict: repeats.Doubt}
-	case ledger.TakenElse:
+	case statemachine.TakenElse:
 		return edge.Taken{Verdict: repeats.Join}
 	}
 	return edge.Taken{Verdict: repeats.Full, Wait: o.Wait}
@@ -220,7 +220,7 @@
 		tenant = n.set.Tenants[c.Tenant]
 	}
 	t := edge.Taken{Token: rand.Uint64()>>1 | 1}
-	take := ledger.TakeCommand(ledger.Take{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered,
+	take := statemachine.TakeCommand(statemachine.Take{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered,
 		Doubt: c.Windows.Doubt, Run: n.set.Claim + n.set.Longest, Node: n.set.Node, Life: n.life, Token: t.Token})
 	for poll := firstPoll; ; poll = min(2*poll, lastPoll) {
 		asked := n.clock.Now()
@@ -228,27 +228,27 @@
 			return edge.Taken{Verdict: repeats.Join}
 		}
 		ctx, stop := context.WithTimeout(context.Background(), n.span(min(n.set.Take, deadline-asked)))
-		r, err := n.client.Do(ctx, ledger.PartCalls, take)
+		r, err := n.client.Do(ctx, statemachine.PartCalls, take)
 		stop()
 		if err != nil {
 			n.lost(err)
 			if errors.Is(err, client.ErrUnknown) { // nothing was sent, and nothing will be
-				n.work.Go(func() { n.takeBack(ledger.Ended{Name: c.Name[:], Token: t.Token, How: ledger.HowNotRun}) })
+				n.work.Go(func() { n.takeBack(statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowNotRun}) })
 			}
 			return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}
 		}
 		n.seen.Add(1)
-		var o ledger.Outcome
-		if r.Code != ledger.OK || json.Unmarshal(r.Body, &o) != nil {
+		var o statemachine.Outcome
+		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.log.Error("a name could not be taken", "error", r.Text)
 			return edge.Taken{Verdict: repeats.Full, Wait: comeBack}
 		}
-		if o.Taken == ledger.TakenElse {
-			if o = n.await(c, deadline, left, poll); o.Taken == ledger.TakenUnknown {
+		if o.Taken == statemachine.TakenElse {
+			if o = n.await(c, deadline, left, poll); o.Taken == statemachine.TakenUnknown {
 				continue // it did not run: this one may be the next
 			}
 		}
-		if o.Taken == ledger.TakenRun {
+		if o.Taken == statemachine.TakenRun {
 			t.Stands = func() bool { return n.clock.Now() < asked+n.set.Claim }
 			return t
 		}
@@ -257,8 +257,8 @@
 }
 
 // await asks how a run elsewhere ended until it has. TakenElse = it had not when the time was up.
-func (n *Names) await(c repeats.Call, deadline float64, left <-chan struct{}, poll float64) ledger.Outcome {
-	running := ledger.Outcome{Taken: ledger.TakenElse}
+func (n *Names) await(c repeats.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.Outcome {
+	running := statemachine.Outcome{Taken: statemachine.TakenElse}
 	for ; ; poll = min(2*poll, lastPoll) {
 		now := n.clock.Now()
 		wait := make(chan struct{})
@@ -272,7 +272,7 @@
 		if now = n.clock.Now(); now >= deadline {
 			return running
 		}
-		if o, err := n.see(c, deadline); err == nil && o.Taken != ledger.TakenElse {
+		if o, err := n.see(c, deadline); err == nil && o.Taken != statemachine.TakenElse {
 			return o
 		}
 	}
@@ -280,14 +280,14 @@
 
 // Ended has it agreed how a run ended, and returns once it is, or after Settings.End: it then goes on for a while.
 func (n *Names) Ended(c repeats.Call, t edge.Taken, how repeats.End, body []byte) {
-	e := ledger.Ended{Name: c.Name[:], Token: t.Token, How: ledger.HowDoubt}
+	e := statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowDoubt}
 	switch how {
 	case repeats.EndServed:
-		e.How, e.Body = ledger.HowServed, body
+		e.How, e.Body = statemachine.HowServed, body
 	case repeats.EndNotRun:
-		e.How = ledger.HowNotRun
+		e.How = statemachine.HowNotRun
 	}
-	if len(body) > ledger.MostBody {
+	if len(body) > statemachine.MostBody {
 		e.Body = nil // known without
 	}
 	select {
@@ -314,10 +314,10 @@
 }
 
 // tell has an end agreed, and gives the reply; false where it was not before ctx ended.
-func (n *Names) tell(ctx context.Context, e ledger.Ended) (r ledger.Reply, ok bool) {
+func (n *Names) tell(ctx context.Context, e statemachine.Ended) (r statemachine.Reply, ok bool) {
 	for ctx.Err() == nil {
 		one, stop := context.WithTimeout(ctx, n.span(n.set.Take))
-		r, err := n.client.Do(one, ledger.PartCalls, ledger.EndedCommand(e))
+		r, err := n.client.Do(one, statemachine.PartCalls, statemachine.EndedCommand(e))
 		stop()
 		if err == nil {
 			n.seen.Add(1)
@@ -329,7 +329,7 @@
 
 // takeBack gives up a name of which it is not known whether it was taken: a claim that is still on its way may be agreed after the
 // word that nothing ran, so that it is said again, less and less often, until it is heard or no longer to be expected.
-func (n *Names) takeBack(e ledger.Ended) {
+func (n *Names) takeBack(e statemachine.Ended) {
 	select {
 	case n.after <- struct{}{}:
 		defer func() { <-n.after }()
@@ -339,7 +339,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), afterwards)
 	defer stop()
 	for pause := lostEvery; ; pause *= 2 {
-		if r, ok := n.tell(ctx, e); !ok || r.Code == ledger.OK {
+		if r, ok := n.tell(ctx, e); !ok || r.Code == statemachine.OK {
 			return
 		}
 		wait := make(chan struct{})
--- a/internal/repeats/fleet/late_test.go
+++ b/internal/repeats/fleet/late_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -22,7 +22,7 @@
 // alone is a keeper that agrees with itself, and lets the first claim come late: after the word that nothing ran was refused.
 type alone struct {
 	t     *testing.T
-	log   *ledger.Ledger
+	log   *statemachine.Ledger
 	late  []byte // the first claim
 	first bool   // it has come
 	came  chan struct{}
@@ -68,7 +68,7 @@
 		if err != nil || json.Unmarshal(text, &r) != nil {
 			return
 		}
-		answer := make(chan *ledger.Reply, 1)
+		answer := make(chan *statemachine.Reply, 1)
 		asks <- func() { answer <- k.take(r) }
 		if reply := <-answer; reply != nil {
 			text, _ = json.Marshal(talk.Answer{ID: r.ID, Reply: reply}) // of types that can be written
@@ -77,8 +77,8 @@
 	}
 }
 
-func (k *alone) take(r talk.Request) *ledger.Reply {
-	data, _ := json.Marshal(ledger.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
+func (k *alone) take(r talk.Request) *statemachine.Reply {
+	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
 	claim, end := bytes.Contains(r.Body, []byte(`"take"`)), bytes.Contains(r.Body, []byte(`"ended"`))
 	if claim && (!k.first || k.late != nil) {
 		if !k.first {
@@ -89,16 +89,16 @@
 	}
 	reply := k.apply(data)
 	if end && k.late != nil {
-		assert.Equal(k.t, ledger.Conflict, reply.Code)
+		assert.Equal(k.t, statemachine.Conflict, reply.Code)
 		k.apply(k.late)
 		k.late = nil
-	} else if end && reply.Code == ledger.OK {
+	} else if end && reply.Code == statemachine.OK {
 		close(k.freed)
 	}
 	return reply
 }
 
-func (k *alone) apply(data []byte) *ledger.Reply {
+func (k *alone) apply(data []byte) *statemachine.Reply {
 	_, reply, err := k.log.Apply(k.log.Index()+1, data)
 	assert.NoError(k.t, err)
 	return &reply
@@ -106,7 +106,7 @@
 
 // Guards against a claim that is agreed after its node gave it up: nothing ran, and every repeat would be told that it may have.
 func TestLateClaimIsTakenBack(t *testing.T) {
-	k := &alone{t: t, log: ledger.New(), came: make(chan struct{}), freed: make(chan struct{})}
+	k := &alone{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
 	log := client.New(client.Settings{Fleet: "f", Name: "n", Keepers: []client.Keeper{{Name: "k", Address: k.listen()}}, Try: 250 * time.Millisecond})
 	defer log.Close()
 	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
--- a/lab/circle/circle.go
+++ b/lab/circle/circle.go
@@ -22,7 +22,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/lab/live/proc"
@@ -205,13 +205,13 @@
 			return err
 		}
 	}
-	var members []ledger.Member
+	var members []statemachine.Member
 	for _, name := range voters {
 		s, err := c.until(ctx, name, func(*talk.State) bool { return true })
 		if err != nil {
 			return err
 		}
-		members = append(members, ledger.Member{ID: s.ID, Name: name, Address: c.find(name).address})
+		members = append(members, statemachine.Member{ID: s.ID, Name: name, Address: c.find(name).address})
 	}
 	for _, name := range voters {
 		for { // asked again, a keeper says that it is founded
@@ -365,7 +365,7 @@
 	}
 	voters := map[string]uint64{}
 	for _, m := range lead.Members {
-		if m.Role == ledger.Voter {
+		if m.Role == statemachine.Voter {
 			voters[m.Name] = m.ID
 		}
 	}
@@ -381,10 +381,10 @@
 		}
 		gone := true
 		for _, m := range lead.Members {
-			if m.Name == name && m.Role != ledger.Gone {
+			if m.Name == name && m.Role != statemachine.Gone {
 				gone = false
 				_, _ = client.Ask(ctx, c.look(), client.Keeper{Name: lead.Name, Address: c.find(lead.Name).address},
-					talk.Request{Want: talk.Remove, Members: []ledger.Member{m.Member}}) // it is tried again
+					talk.Request{Want: talk.Remove, Members: []statemachine.Member{m.Member}}) // it is tried again
 			}
 		}
 		if gone && !lead.Changing {
@@ -500,29 +500,29 @@
 	if err != nil {
 		return err
 	}
-	m := ledger.Member{ID: fresh.ID, Name: name, Address: c.find(name).address}
+	m := statemachine.Member{ID: fresh.ID, Name: name, Address: c.find(name).address}
 	for {
 		lead, err := c.lead(ctx)
 		if err != nil {
 			return err
 		}
-		now := ledger.Member{}
+		now := statemachine.Member{}
 		for _, have := range lead.Members {
 			if have.ID == m.ID {
 				now = have.Member
-			} else if have.Name == name && have.Role == ledger.Voter {
+			} else if have.Name == name && have.Role == statemachine.Voter {
 				m.Replaces = have.ID
 			}
 		}
 		switch now.Role {
-		case ledger.Voter:
+		case statemachine.Voter:
 			if !lead.Changing {
 				c.counts.add("met: a replacement that votes")
 				return nil
 			}
 		case "":
 			_, _ = client.Ask(ctx, c.look(), client.Keeper{Name: lead.Name, Address: c.find(lead.Name).address},
-				talk.Request{Want: talk.Learn, Members: []ledger.Member{m}}) // it is tried again
+				talk.Request{Want: talk.Learn, Members: []statemachine.Member{m}}) // it is tried again
 		}
 		select {
 		case <-ctx.Done():
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -177,21 +177,21 @@
 		}
 		a := judge.Ask{Client: number, Name: fmt.Sprintf("r%d-%d", luck.IntN(3), i/30%300), Called: p.now(), Told: math.Inf(1)}
 		ctx, stop := context.WithTimeout(p.ctx, 4*time.Second)
-		var r ledger.Reply
+		var r statemachine.Reply
 		var err error
 		if a.Read = luck.IntN(3) == 0; a.Read {
-			r, err = log.Read(ctx, ledger.PartRegister, ledger.Get{Name: a.Name})
+			r, err = log.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: a.Name})
 		} else {
 			a.Value = fmt.Sprintf("c%d-%d", number, i)
-			set := ledger.Set{Name: a.Name, Value: a.Value}
+			set := statemachine.Set{Name: a.Name, Value: a.Value}
 			if a.Based = luck.IntN(3) == 0; a.Based {
 				a.Was = seen[a.Name]
 				set.Was = &a.Was
 			}
-			r, err = log.Do(ctx, ledger.PartRegister, set)
+			r, err = log.Do(ctx, statemachine.PartRegister, set)
 		}
 		stop()
-		var v ledger.Value
+		var v statemachine.Value
 		switch {
 		case errors.Is(err, client.ErrNobody):
 			p.counts.add("met: an ask that nobody took")
@@ -202,10 +202,10 @@
 			if err := json.Unmarshal(r.Body, &v); err != nil {
 				p.fault("a body that cannot be read: %s", r.Body)
 			}
-			a.Told, a.Number, a.Clash = p.now(), v.Number, r.Code == ledger.Conflict
+			a.Told, a.Number, a.Clash = p.now(), v.Number, r.Code == statemachine.Conflict
 			if seen[a.Name] = v.Number; a.Read {
 				a.Value = v.Value
-			} else if r.Code != ledger.OK && !a.Clash {
+			} else if r.Code != statemachine.OK && !a.Clash {
 				p.fault("%s: %s", r.Code, r.Text)
 			}
 			p.told.Add(1)
@@ -406,7 +406,7 @@
 	}
 	p.Pause(n, true)
 	defer p.Pause(n, false)
-	m := ledger.Member{ID: fresh.ID, Name: n, Address: p.find(n).address}
+	m := statemachine.Member{ID: fresh.ID, Name: n, Address: p.find(n).address}
 	for {
 		lead, err := p.lead(p.ctx)
 		if err != nil {
@@ -416,8 +416,8 @@
 		switch {
 		case have < 0:
 			_, _ = client.Ask(p.ctx, p.settings("rig"), client.Keeper{Name: lead.Name, Address: p.find(lead.Name).address},
-				talk.Request{Want: talk.Learn, Members: []ledger.Member{m}}) // it is tried again
-		case lead.Members[have].Role != ledger.Learner: // to wait on would be for ever
+				talk.Request{Want: talk.Learn, Members: []statemachine.Member{m}}) // it is tried again
+		case lead.Members[have].Role != statemachine.Learner: // to wait on would be for ever
 			return fmt.Errorf("%s stands still and has learnt nothing, and its role is %q", n, lead.Members[have].Role)
 		default:
 			p.counts.add("met: a leader that died with a change of members under way")
@@ -604,7 +604,7 @@
 			p.fault("after the faults: %v", err)
 			return
 		}
-		var held []ledger.Reply
+		var held []statemachine.Reply
 		for _, n := range p.voters {
 			if _, err := p.until(p.ctx, n, func(s *talk.State) bool { return s.Applied >= lead.Applied && s.Leader != "" }); err != nil {
 				p.fault("after the faults: %v", err)
@@ -621,7 +621,7 @@
 		if len(held) < len(p.voters) && p.ctx.Err() == nil {
 			continue
 		}
-		if slices.ContainsFunc(held, func(r ledger.Reply) bool { return r.Index != held[0].Index }) {
+		if slices.ContainsFunc(held, func(r statemachine.Reply) bool { return r.Index != held[0].Index }) {
 			continue // something was agreed meanwhile
 		}
 		for i, r := range held {
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
@@ -30,7 +30,7 @@
 		runtime.GC()
 	}
 	runtime.ReadMemStats(&before)
-	l := ledger.New()
+	l := statemachine.New()
 	if err := l.Restore(r.Image); err != nil {
 		return c, err
 	}
@@ -40,18 +40,18 @@
 	runtime.ReadMemStats(&after)
 	c.Heap = float64(after.HeapAlloc) - float64(before.HeapAlloc)
 	index, session := l.Index(), uint64(0)
-	apply := func(number uint64, part string, v any) (reply ledger.Reply, us float64, err error) {
+	apply := func(number uint64, part string, v any) (reply statemachine.Reply, us float64, err error) {
 		index++
-		data := body(ledger.Command{Version: ledger.VersionOf(part, body(v)), At: l.Now() + 0.05, Session: session, Number: number, Done: max(1, number) - 1,
+		data := body(statemachine.Command{Version: statemachine.VersionOf(part, body(v)), At: l.Now() + 0.05, Session: session, Number: number, Done: max(1, number) - 1,
 			Part: part, Body: body(v)})
 		begun := time.Now()
 		_, reply, err = l.Apply(index, data)
-		if us = float64(time.Since(begun).Nanoseconds()) / 1000; err == nil && reply.Code != ledger.OK {
+		if us = float64(time.Since(begun).Nanoseconds()) / 1000; err == nil && reply.Code != statemachine.OK {
 			err = fmt.Errorf("%s: %s", reply.Code, reply.Text)
 		}
 		return reply, us, err
 	}
-	reply, _, err := apply(1, "", ledger.Opening{Name: "costs"})
+	reply, _, err := apply(1, "", statemachine.Opening{Name: "costs"})
 	if err != nil {
 		return c, err
 	}
@@ -65,7 +65,7 @@
 		for i := range partners {
 			report.Asked = append(report.Asked, lease.Asked{At: 1 + i, Want: 0.001, Used: 0.001})
 		}
-		reply, us, err := apply(number, ledger.PartRoom, ledger.RoomCommand{Report: &report})
+		reply, us, err := apply(number, statemachine.PartRoom, statemachine.RoomCommand{Report: &report})
 		if err != nil {
 			return c, err
 		}
@@ -75,13 +75,13 @@
 		}
 		holds, rooms = g.Number, append(rooms, us)
 		number++
-		if _, us, err = apply(number, ledger.PartPolicy, ledger.PolicyCommand{Report: &policy.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
+		if _, us, err = apply(number, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &policy.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
 			return c, err
 		}
 		policies = append(policies, us)
 		number++
 		name := fmt.Appendf(nil, "%016d", number)
-		if _, us, err = apply(number, ledger.PartCalls, ledger.TakeCommand(ledger.Take{Name: name, Print: name, Tenant: "partner-0", Answered: 60000,
+		if _, us, err = apply(number, statemachine.PartCalls, statemachine.TakeCommand(statemachine.Take{Name: name, Print: name, Tenant: "partner-0", Answered: 60000,
 			Doubt: 60000, Run: claim, Node: "costs", Life: 1, Token: number})); err != nil {
 			return c, err
 		}
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -9,7 +9,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -143,7 +143,7 @@
 	for _, r := range work.Reads {
 		if a := k.reads[r.Number]; a != nil {
 			delete(k.reads, r.Number)
-			reply := k.group.Query(ledger.Ask{Part: a.request.Part, Body: a.request.Body})
+			reply := k.group.Query(statemachine.Ask{Part: a.request.Part, Body: a.request.Body})
 			k.answer(a, talk.Answer{Reply: &reply})
 		}
 	}
@@ -308,7 +308,7 @@
 	r := &a.request
 	var err error
 	if r.Want == talk.Do {
-		c := ledger.Command{Session: r.Session, Number: r.Number, Done: r.Done, Part: r.Part, Body: r.Body}
+		c := statemachine.Command{Session: r.Session, Number: r.Number, Done: r.Done, Part: r.Part, Body: r.Body}
 		if err = k.group.Propose(k.w.now, c); err == nil {
 			k.waiting[key{r.Session, r.Number}] = a
 			return
@@ -343,7 +343,7 @@
 	if len(k.waits) == 0 {
 		return
 	}
-	reply := k.group.Query(ledger.Ask{Part: ledger.PartPolicy, Body: k.waits[0].request.Body}) // all ask the same
+	reply := k.group.Query(statemachine.Ask{Part: statemachine.PartPolicy, Body: k.waits[0].request.Body}) // all ask the same
 	k.waits = slices.DeleteFunc(k.waits, func(a *asking) bool {
 		other := !bytes.Equal(reply.Body, a.request.Known)
 		if other {
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
@@ -91,7 +91,7 @@
 	tries   int
 	pause   float64
 	over    bool
-	done    func(*ledger.Reply) // nil = none came in time
+	done    func(*statemachine.Reply) // nil = none came in time
 }
 
 func newNode(w *fleet, number int) *node {
@@ -165,7 +165,7 @@
 
 // orders asks what operators had ordered.
 func (n *node) orders() {
-	n.read("orders", ledger.PartOrders, ledger.OrdersOf{Node: n.name}, ordersLimit, func(r *ledger.Reply) {
+	n.read("orders", statemachine.PartOrders, statemachine.OrdersOf{Node: n.name}, ordersLimit, func(r *statemachine.Reply) {
 		if r == nil {
 			n.orders()
 			return
@@ -187,7 +187,7 @@
 	if !n.named {
 		within = lostWait
 	}
-	heard := func(r *ledger.Reply) {
+	heard := func(r *statemachine.Reply) {
 		if r == nil {
 			n.named = false
 			n.w.result.Counts["met: a look that found no majority"]++
@@ -200,10 +200,10 @@
 	}
 	if !told {
 		secret := make([]byte, 32)
-		n.do("begun", ledger.PartCalls, ledger.FreshCommand(ledger.Fresh{Node: n.name, Life: n.process, Secret: secret}), within, heard)
+		n.do("begun", statemachine.PartCalls, statemachine.FreshCommand(statemachine.Fresh{Node: n.name, Life: n.process, Secret: secret}), within, heard)
 		return
 	}
-	n.read("look", ledger.PartCalls, ledger.Look{Name: make([]byte, 16)}, within, heard)
+	n.read("look", statemachine.PartCalls, statemachine.Look{Name: make([]byte, 16)}, within, heard)
 }
 
 // play has the calls of the rhythm come.
@@ -239,16 +239,16 @@
 	for i := range name {
 		name[i], print[i] = byte(n.w.luck.Uint32()), byte(n.w.luck.Uint32())
 	}
-	take := ledger.TakeCommand(ledger.Take{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
+	take := statemachine.TakeCommand(statemachine.Take{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
 		Run: claim + 5000, Node: n.name, Life: n.process, Token: token})
-	n.do("name", ledger.PartCalls, take, takeLimit, func(r *ledger.Reply) {
-		var o ledger.Outcome
+	n.do("name", statemachine.PartCalls, take, takeLimit, func(r *statemachine.Reply) {
+		var o statemachine.Outcome
 		if r == nil {
 			n.named = false
 			n.w.result.Refused++
 			return
 		}
-		if r.Code != ledger.OK || json.Unmarshal(r.Body, &o) != nil || o.Taken != ledger.TakenRun {
+		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Taken != statemachine.TakenRun {
 			n.w.fault("%s could not take a name: %s %s %s", n.name, r.Code, r.Text, o.Taken)
 			return
 		}
@@ -257,9 +257,9 @@
 			for i := range body {
 				body[i] = byte(n.w.luck.Uint32())
 			}
-			n.do("end", ledger.PartCalls, ledger.EndedCommand(ledger.Ended{Name: name, Token: token, How: ledger.HowServed, Body: body}), endLimit,
-				func(r *ledger.Reply) {
-					if r != nil && r.Code == ledger.OK {
+			n.do("end", statemachine.PartCalls, statemachine.EndedCommand(statemachine.Ended{Name: name, Token: token, How: statemachine.HowServed, Body: body}), endLimit,
+				func(r *statemachine.Reply) {
+					if r != nil && r.Code == statemachine.OK {
 						n.w.result.Counts["met: a charge agreed to its end"]++
 					}
 				})
@@ -287,14 +287,14 @@
 			n.after(max(0, n.around(pause-hasten)), renew)
 		})
 	}
-	n.do("room", ledger.PartRoom, ledger.RoomCommand{Report: &report}, roomLease, func(r *ledger.Reply) {
+	n.do("room", statemachine.PartRoom, statemachine.RoomCommand{Report: &report}, roomLease, func(r *statemachine.Reply) {
 		var g lease.Grant
-		if r == nil || r.Code != ledger.OK || json.Unmarshal(r.Body, &g) != nil {
+		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &g) != nil {
 			next(roomPause)
 			return
 		}
 		if g.Number == 0 {
-			n.do("tree", ledger.PartRoom, ledger.RoomCommand{Tree: &n.tree}, roomLease, func(*ledger.Reply) { next(0) })
+			n.do("tree", statemachine.PartRoom, statemachine.RoomCommand{Tree: &n.tree}, roomLease, func(*statemachine.Reply) { next(0) })
 			return
 		}
 		n.holds, n.parts = g.Number, map[int]bool{}
@@ -309,9 +309,9 @@
 // renewPolicy reports once, and obeys.
 func (n *node) renewPolicy() {
 	report, asked := n.policy.Report(), n.w.now
-	n.do("policy", ledger.PartPolicy, ledger.PolicyCommand{Report: &report}, policyLease, func(r *ledger.Reply) {
+	n.do("policy", statemachine.PartPolicy, statemachine.PolicyCommand{Report: &report}, policyLease, func(r *statemachine.Reply) {
 		var o policy.Order
-		if r == nil || r.Code != ledger.OK || json.Unmarshal(r.Body, &o) != nil {
+		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.restPolicy(n.policy.Again())
 			return
 		}
@@ -323,7 +323,7 @@
 		case s.Take:
 			n.takePolicy(s)
 		case s.Look != "":
-			n.read("document", ledger.PartPolicy, ledger.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *ledger.Reply) {
+			n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *statemachine.Reply) {
 				var d policy.Document
 				unseen := r == nil || json.Unmarshal(r.Body, &d) != nil
 				if !unseen {
@@ -359,7 +359,7 @@
 		took()
 		return
 	}
-	n.read("document", ledger.PartPolicy, ledger.PolicyQuestion{Document: &s.Number}, policyLease, func(r *ledger.Reply) {
+	n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Document: &s.Number}, policyLease, func(r *statemachine.Reply) {
 		if r == nil {
 			n.restPolicy(n.policy.Again())
 			return
@@ -370,9 +370,9 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := talk.Request{Want: talk.Wait, Part: ledger.PartPolicy, Body: body(ledger.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
+	r := talk.Request{Want: talk.Wait, Part: statemachine.PartPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
-	a.done = func(r *ledger.Reply) {
+	a.done = func(r *statemachine.Reply) {
 		var news policy.News
 		if r == nil || json.Unmarshal(r.Body, &news) != nil {
 			n.restPolicy(pause)
@@ -407,10 +407,10 @@
 func (n *node) propose(id string) {
 	began := n.w.now
 	p := policy.Proposal{ID: id, Text: strings.Repeat("# a policy of some lines\n", 80), By: "an operator"}
-	n.do("propose", ledger.PartPolicy, ledger.PolicyCommand{Propose: &p}, endLimit, func(*ledger.Reply) {
+	n.do("propose", statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p}, endLimit, func(*statemachine.Reply) {
 		var again func()
 		again = func() {
-			n.read("propose", ledger.PartPolicy, ledger.PolicyQuestion{Outcome: id}, endLimit, func(r *ledger.Reply) {
+			n.read("propose", statemachine.PartPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
 				var o policy.Outcome
 				switch {
 				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == policy.Looking || o.Stage == policy.Pausing:
@@ -435,18 +435,18 @@
 }
 
 // do has a command agreed.
-func (n *node) do(word, part string, v any, within float64, done func(*ledger.Reply)) {
+func (n *node) do(word, part string, v any, within float64, done func(*statemachine.Reply)) {
 	a := n.make(word, talk.Request{Want: talk.Do, Part: part, Body: body(v)}, within, done)
 	a.command = true
 	n.enter(a)
 }
 
 // read asks a question.
-func (n *node) read(word, part string, v any, within float64, done func(*ledger.Reply)) {
+func (n *node) read(word, part string, v any, within float64, done func(*statemachine.Reply)) {
 	n.make(word, talk.Request{Want: talk.Read, Part: part, Body: body(v)}, within, done).send()
 }
 
-func (n *node) make(word string, r talk.Request, within float64, done func(*ledger.Reply)) *asking {
+func (n *node) make(word string, r talk.Request, within float64, done func(*statemachine.Reply)) *asking {
 	a := &asking{node: n, life: n.life, word: word, request: r, began: n.w.now, pause: firstPause, done: done}
 	n.asked = append(n.asked, a)
 	n.w.after(within, func() {
@@ -463,7 +463,7 @@
 	case n.session == 0:
 		n.openers = append(n.openers, a)
 		n.open()
-	case n.next >= n.done+ledger.Window:
+	case n.next >= n.done+statemachine.Window:
 		n.held = append(n.held, a)
 	default:
 		n.next++
@@ -478,12 +478,12 @@
 		return
 	}
 	n.opening = true
-	r := talk.Request{Want: talk.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(ledger.Opening{Name: n.name})}
-	n.make("session", r, lostWait, func(r *ledger.Reply) {
+	r := talk.Request{Want: talk.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
+	n.make("session", r, lostWait, func(r *statemachine.Reply) {
 		n.opening = false
 		waiting := n.openers
 		n.openers = nil
-		if r != nil && r.Code == ledger.OK {
+		if r != nil && r.Code == statemachine.OK {
 			n.session, n.next, n.done, n.told = r.Index, 0, 0, map[uint64]bool{}
 		}
 		for _, a := range waiting {
@@ -501,7 +501,7 @@
 		n.done++
 		delete(n.told, n.done)
 	}
-	for len(n.held) > 0 && n.next < n.done+ledger.Window {
+	for len(n.held) > 0 && n.next < n.done+statemachine.Window {
 		a := n.held[0]
 		if n.held = n.held[1:]; !a.over {
 			n.enter(a)
@@ -698,7 +698,7 @@
 		} else {
 			a.again()
 		}
-	case answer.Reply.Code == ledger.Lost && a.command:
+	case answer.Reply.Code == statemachine.Lost && a.command:
 		n.giveUp(a.request.Session)
 		n.enter(a)
 	default:
--- a/lab/circle/size/size.go
+++ b/lab/circle/size/size.go
@@ -20,7 +20,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/lab/agenda"
 )
@@ -144,11 +144,11 @@
 func Play(set Settings, r *Rhythm) *Result {
 	w := &fleet{set: set, luck: rand.New(rand.NewPCG(set.Seed, 41)),
 		result: &Result{Settings: set, Counts: map[string]int{}, ByWord: map[string]float64{}}, words: make([]int, int((first+set.Length)/bucket)+2)}
-	var voters []ledger.Member
+	var voters []statemachine.Member
 	for i := range set.Keepers {
 		k := &keeper{w: w, id: uint64(101 + i), name: fmt.Sprint("k", i)}
 		w.keepers = append(w.keepers, k)
-		voters = append(voters, ledger.Member{ID: k.id, Name: k.name, Address: k.name + ".example:7070", Speaks: ledger.Version})
+		voters = append(voters, statemachine.Member{ID: k.id, Name: k.name, Address: k.name + ".example:7070", Speaks: statemachine.Version})
 	}
 	image, err := group.Found(voters, 1e6)
 	if err != nil {
--- a/lab/circle/virtual/clients.go
+++ b/lab/circle/virtual/clients.go
@@ -6,7 +6,7 @@
 	"math"
 	"strconv"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/lab/circle/judge"
 )
 
@@ -26,7 +26,7 @@
 type asker interface {
 	wants(a *ask) bool          // a member that hears of it now need not drop it
 	turn(a *ask, pause float64) // the member that was asked cannot: another is next, ms later
-	told(a *ask, r ledger.Reply)
+	told(a *ask, r statemachine.Reply)
 }
 
 // ask is one thing that somebody wants of the group.
@@ -54,11 +54,11 @@
 // next begins the next ask.
 func (c *client) next() {
 	w := c.w
-	a := &ask{by: c, part: ledger.PartRegister, op: judge.Ask{Client: c.number, Called: w.now, Told: math.Inf(1)}}
+	a := &ask{by: c, part: statemachine.PartRegister, op: judge.Ask{Client: c.number, Called: w.now, Told: math.Inf(1)}}
 	switch {
 	case c.session == 0:
 		w.fresh++
-		a.number, a.body = w.fresh, encode(ledger.Opening{Name: c.name})
+		a.number, a.body = w.fresh, encode(statemachine.Opening{Name: c.name})
 	case c.left == 0:
 		c.now = nil
 		return
@@ -67,13 +67,13 @@
 		name := "r" + strconv.Itoa(w.luck.IntN(3+w.set.Clients/4)) // few clients a name, so that a history can be judged
 		a.op.Name = name
 		if a.op.Read = w.luck.IntN(3) == 0; a.op.Read {
-			a.read, a.body = true, encode(ledger.Get{Name: name})
+			a.read, a.body = true, encode(statemachine.Get{Name: name})
 			w.fresh++
 			a.number = w.fresh
 		} else {
 			a.number = c.done + 1
 			a.op.Value = fmt.Sprintf("%s-%d", c.name, a.number)
-			set := ledger.Set{Name: name, Value: a.op.Value}
+			set := statemachine.Set{Name: name, Value: a.op.Value}
 			if w.luck.IntN(3) == 0 {
 				a.op.Based, a.op.Was = true, w.lastSeen(name)
 				set.Was = &a.op.Was
@@ -142,7 +142,7 @@
 		return
 	}
 	if a.read && (m.w.set.Wrong == ReadsStale || m.w.set.Wrong == StaleLook) {
-		m.w.answer(a, m.group.Query(ledger.Ask{Part: a.part, Body: a.body}))
+		m.w.answer(a, m.group.Query(statemachine.Ask{Part: a.part, Body: a.body}))
 		return
 	}
 	var err error
@@ -152,7 +152,7 @@
 			m.reads[m.readings] = a
 		}
 	} else {
-		command := ledger.Command{Session: a.session, Number: a.number, Done: a.done, Part: a.part, Body: a.body}
+		command := statemachine.Command{Session: a.session, Number: a.number, Done: a.done, Part: a.part, Body: a.body}
 		if a.session == 0 {
 			command.Part = ""
 		}
@@ -176,18 +176,18 @@
 }
 
 // answer tells what became of an ask.
-func (w *world) answer(a *ask, r ledger.Reply) {
+func (w *world) answer(a *ask, r statemachine.Reply) {
 	w.after(0.2+w.luck.Float64(), func() { a.by.told(a, r) })
 }
 
-func (c *client) told(a *ask, r ledger.Reply) {
+func (c *client) told(a *ask, r statemachine.Reply) {
 	w := c.w
 	if c.now != a {
 		return
 	}
 	a.op.Told = w.now
 	if a.op.Name == "" {
-		if r.Code != ledger.OK {
+		if r.Code != statemachine.OK {
 			w.fault("%s got no session: %s", c.name, r.Text)
 		}
 		c.session = r.Index
@@ -202,8 +202,8 @@
 }
 
 // judgeable puts the reply into the judge's terms.
-func (w *world) judgeable(a *ask, r ledger.Reply) {
-	var v ledger.Value
+func (w *world) judgeable(a *ask, r statemachine.Reply) {
+	var v statemachine.Value
 	if len(r.Body) > 0 && json.Unmarshal(r.Body, &v) != nil {
 		w.fault("a body that cannot be read: %s", r.Body)
 	}
@@ -211,11 +211,11 @@
 	switch {
 	case a.op.Read:
 		a.op.Value = v.Value
-	case r.Code == ledger.Conflict:
+	case r.Code == statemachine.Conflict:
 		a.op.Clash = true
-	case r.Code == ledger.Lost:
+	case r.Code == statemachine.Lost:
 		a.op.Told = math.Inf(1)
-	case r.Code != ledger.OK:
+	case r.Code != statemachine.OK:
 		w.fault("%s: %s", r.Code, r.Text)
 	case a.op.Number == 0: // told early
 		a.op.Number = r.Index
--- a/lab/circle/virtual/nodes.go
+++ b/lab/circle/virtual/nodes.go
@@ -1,7 +1,7 @@
 package virtual
 
 import (
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // node is one of the fleet: what internal/repeats/fleet and internal/peers/client do, step by step.
@@ -51,7 +51,7 @@
 	out  bool  // one is being asked
 	over bool
 	asking
-	then func(ledger.Reply, outcome)
+	then func(statemachine.Reply, outcome)
 }
 
 // start lets a node's process begin.
@@ -149,11 +149,11 @@
 }
 
 // do has a command agreed until a time.
-func (n *node) do(until float64, part string, body any, as asking, then func(ledger.Reply, outcome)) {
+func (n *node) do(until float64, part string, body any, as asking, then func(statemachine.Reply, outcome)) {
 	if n.line == nil || n.line.lost {
 		n.w.fresh++
 		c := &call{n: n, life: n.life}
-		c.then = func(r ledger.Reply, how outcome) {
+		c.then = func(r statemachine.Reply, how outcome) {
 			if how != agreed {
 				then(r, nobody) // a session that nobody uses does no harm
 				return
@@ -163,14 +163,14 @@
 			}
 			n.do(until, part, body, as, then)
 		}
-		c.begin(until, &ask{by: c, number: n.w.fresh, body: encode(ledger.Opening{Name: n.name})})
+		c.begin(until, &ask{by: c, number: n.w.fresh, body: encode(statemachine.Opening{Name: n.name})})
 		return
 	}
 	l := n.line
 	l.next++
 	c := &call{n: n, life: n.life, line: l, asking: as}
 	number := l.next
-	c.then = func(r ledger.Reply, how outcome) {
+	c.then = func(r statemachine.Reply, how outcome) {
 		if how != agreed {
 			l.lost = true
 			then(r, how)
@@ -181,7 +181,7 @@
 			l.done++
 			delete(l.told, l.done)
 		}
-		if r.Code != ledger.Lost {
+		if r.Code != statemachine.Lost {
 			then(r, agreed)
 			return
 		}
@@ -195,10 +195,10 @@
 }
 
 // read asks how things stand.
-func (n *node) read(until float64, body any, then func(ledger.Reply, outcome)) {
+func (n *node) read(until float64, body any, then func(statemachine.Reply, outcome)) {
 	n.w.fresh++
 	c := &call{n: n, life: n.life, then: then}
-	c.begin(until, &ask{by: c, number: n.w.fresh, read: true, part: ledger.PartCalls, body: encode(body)})
+	c.begin(until, &ask{by: c, number: n.w.fresh, read: true, part: statemachine.PartCalls, body: encode(body)})
 }
 
 func (c *call) begin(until float64, a *ask) {
@@ -208,9 +208,9 @@
 		}
 		c.over = true
 		if c.sent || c.out {
-			c.then(ledger.Reply{}, unknown)
+			c.then(statemachine.Reply{}, unknown)
 		} else {
-			c.then(ledger.Reply{}, nobody)
+			c.then(statemachine.Reply{}, nobody)
 		}
 	})
 	c.ask(a)
@@ -225,7 +225,7 @@
 		}
 		if c.asking.life && n.heir != nil && n.w.set.Wrong != OldSpeaks {
 			c.over = true
-			c.then(ledger.Reply{}, unknown)
+			c.then(statemachine.Reply{}, unknown)
 			return
 		}
 		c.out = true
@@ -272,7 +272,7 @@
 	})
 }
 
-func (c *call) told(_ *ask, r ledger.Reply) {
+func (c *call) told(_ *ask, r statemachine.Reply) {
 	n := c.n
 	if n.deaf {
 		return
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/lab/agenda"
 )
@@ -153,10 +153,10 @@
 func Play(set Settings) Result {
 	w := &world{set: set, luck: rand.New(rand.NewPCG(set.Seed, 27)), ids: map[uint64]*member{}, links: map[[2]uint64]*wire{},
 		counts: map[string]int{}, entries: map[uint64]string{}, fresh: 100}
-	var voters []ledger.Member
+	var voters []statemachine.Member
 	for i := range set.Members {
 		m := w.join(fmt.Sprintf("k%d", i))
-		voters = append(voters, ledger.Member{ID: m.id, Name: m.name, Address: m.name, Speaks: set.Speaks})
+		voters = append(voters, statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Speaks: set.Speaks})
 	}
 	image, err := group.Found(voters, 1e6)
 	if err != nil {
@@ -247,7 +247,7 @@
 	for _, m := range w.members {
 		if m.group != nil && m.group.Leads() {
 			other, ok := m.group.Ledger().Members().Get(id)
-			return ok && other.Role != ledger.Gone
+			return ok && other.Role != statemachine.Gone
 		}
 	}
 	return true
@@ -365,7 +365,7 @@
 	for _, r := range work.Reads {
 		if a := m.reads[r.Number]; a != nil {
 			delete(m.reads, r.Number)
-			m.w.answer(a, m.group.Query(ledger.Ask{Part: a.part, Body: a.body}))
+			m.w.answer(a, m.group.Query(statemachine.Ask{Part: a.part, Body: a.body}))
 		}
 	}
 	if m.group.Leads() && !m.led {
@@ -441,10 +441,10 @@
 	}
 	if m.w.set.Wrong == AnswersEarly {
 		for _, e := range job.Entries {
-			var c ledger.Command
-			if json.Unmarshal(e.GetData(), &c) == nil && c.Part == ledger.PartRegister && m.group.Leads() {
+			var c statemachine.Command
+			if json.Unmarshal(e.GetData(), &c) == nil && c.Part == statemachine.PartRegister && m.group.Leads() {
 				if a := m.waiting[key{c.Session, c.Number}]; a != nil {
-					m.w.answer(a, ledger.Reply{Code: ledger.OK, Index: e.GetIndex()})
+					m.w.answer(a, statemachine.Reply{Code: statemachine.OK, Index: e.GetIndex()})
 				}
 			}
 		}
@@ -491,16 +491,16 @@
 func dropOne(data []byte) []byte {
 	var image map[string]json.RawMessage
 	var parts map[string]json.RawMessage
-	var values []ledger.Value
+	var values []statemachine.Value
 	if json.Unmarshal(data, &image) != nil || json.Unmarshal(image["parts"], &parts) != nil ||
-		json.Unmarshal(parts[ledger.PartRegister], &values) != nil || len(values) == 0 {
+		json.Unmarshal(parts[statemachine.PartRegister], &values) != nil || len(values) == 0 {
 		return data
 	}
 	for _, put := range []struct {
 		in    map[string]json.RawMessage
 		name  string
 		value any
-	}{{parts, ledger.PartRegister, values[1:]}, {image, "parts", parts}} {
+	}{{parts, statemachine.PartRegister, values[1:]}, {image, "parts", parts}} {
 		text, err := json.Marshal(put.value)
 		if err != nil {
 			panic(err) // it was read from such a text
--- a/lab/points/points.go
+++ b/lab/points/points.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/lab/circle"
 	"linenwheel.dev/linenwheel/lab/live/link"
@@ -283,10 +283,10 @@
 }
 
 // held asks how much the fleet holds.
-func (r *rig) held() (h ledger.Held) {
-	reply, err := r.log.Read(r.ctx, ledger.PartCalls, ledger.Look{})
+func (r *rig) held() (h statemachine.Held) {
+	reply, err := r.log.Read(r.ctx, statemachine.PartCalls, statemachine.Look{})
 	if err != nil || json.Unmarshal(reply.Body, &h) != nil {
-		return ledger.Held{Running: -1}
+		return statemachine.Held{Running: -1}
 	}
 	return h
 }
--- a/lab/policies/documents_test.go
+++ b/lab/policies/documents_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/lab/circle/built"
@@ -46,7 +46,7 @@
 	propose := func(text string) (o policy.Outcome) {
 		p := policy.Proposal{ID: fmt.Sprint("p", time.Now().UnixNano()), Text: text, Base: number, By: "the lab"}
 		for o.Stage = policy.Looking; (o.Stage == policy.Looking || o.Stage == policy.Pausing) && ctx.Err() == nil; {
-			r, err := log.Do(ctx, ledger.PartPolicy, ledger.PolicyCommand{Propose: &p})
+			r, err := log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p})
 			require.NoError(t, err)
 			require.NoError(t, json.Unmarshal(r.Body, &o))
 		}
@@ -82,7 +82,7 @@
 	}
 	require.Equal(t, policy.Agreed, propose(document(1)).Stage)
 	all("the first", oneOf(1))
-	_, err = log.Do(ctx, ledger.PartPolicy, ledger.PolicyCommand{Propose: &policy.Proposal{ID: "long", Text: strings.Repeat("#", 1<<20), Base: 1}})
+	_, err = log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &policy.Proposal{ID: "long", Text: strings.Repeat("#", 1<<20), Base: 1}})
 	require.ErrorIs(t, err, client.ErrRefused)
 	o := propose("[quota]\n\nrequests = -1\n")
 	assert.Equal(t, policy.Refused, o.Stage)
--- a/node/peers.go
+++ b/node/peers.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
@@ -54,8 +54,8 @@
 func (p *peers) hold(node string, o Order) error {
 	ctx, stop := context.WithTimeout(context.Background(), orderLimit)
 	defer stop()
-	r, err := p.log.Do(ctx, ledger.PartOrders, ledger.Order{Node: node, Do: o.Do, Rater: o.Rater})
-	if err == nil && r.Code != ledger.OK {
+	r, err := p.log.Do(ctx, statemachine.PartOrders, statemachine.Order{Node: node, Do: o.Do, Rater: o.Rater})
+	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
 	return err
@@ -106,8 +106,8 @@
 	defer n.peers.mu.Unlock()
 	ctx, stop := context.WithTimeout(ctx, orderLimit)
 	defer stop()
-	r, err := n.peers.log.Read(ctx, ledger.PartOrders, ledger.OrdersOf{Node: n.conf.Name})
-	var held ledger.Ordered
+	r, err := n.peers.log.Read(ctx, statemachine.PartOrders, statemachine.OrdersOf{Node: n.conf.Name})
+	var held statemachine.Ordered
 	if err != nil || json.Unmarshal(r.Body, &held) != nil {
 		return false
 	}
@@ -116,7 +116,7 @@
 }
 
 // obeyHeld lets what is held for this node be in force.
-func (n *Node) obeyHeld(held ledger.Ordered) {
+func (n *Node) obeyHeld(held statemachine.Ordered) {
 	k := Knowledge{Bans: ban.Memory{Out: held.Out}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
--- a/node/policy.go
+++ b/node/policy.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"log/slog"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/policy/gate"
@@ -32,29 +32,29 @@
 type policyLog struct{ *peers }
 
 func (p policyLog) Report(ctx context.Context, r policy.Report) (o policy.Order, err error) {
-	reply, err := p.log.Do(ctx, ledger.PartPolicy, ledger.PolicyCommand{Report: &r})
+	reply, err := p.log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &r})
 	return o, decoded(reply, err, &o)
 }
 
 func (p policyLog) Document(ctx context.Context, number uint64, id string) (d policy.Document, err error) {
-	q := ledger.PolicyQuestion{Proposed: id}
+	q := statemachine.PolicyQuestion{Proposed: id}
 	if id == "" {
 		q.Document = &number
 	}
-	reply, err := p.log.Read(ctx, ledger.PartPolicy, q)
+	reply, err := p.log.Read(ctx, statemachine.PartPolicy, q)
 	return d, decoded(reply, err, &d)
 }
 
 func (p policyLog) News(ctx context.Context, known policy.News) (n policy.News, err error) {
-	reply, err := p.log.Wait(ctx, ledger.PartPolicy, ledger.PolicyQuestion{News: true}, known)
+	reply, err := p.log.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
 	return n, decoded(reply, err, &n)
 }
 
-func decoded(r ledger.Reply, err error, v any) error {
+func decoded(r statemachine.Reply, err error, v any) error {
 	switch {
 	case err != nil:
 		return err
-	case r.Code != ledger.OK:
+	case r.Code != statemachine.OK:
 		return errors.New(r.Text)
 	}
 	return json.Unmarshal(r.Body, v)
--- a/node/quota.go
+++ b/node/quota.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/quota"
 	"linenwheel.dev/linenwheel/internal/quota/edge"
@@ -68,18 +68,18 @@
 type roomLog struct{ *peers }
 
 func (p roomLog) Report(ctx context.Context, r lease.Report) (g lease.Grant, err error) {
-	reply, err := p.log.Do(ctx, ledger.PartRoom, ledger.RoomCommand{Report: &r})
+	reply, err := p.log.Do(ctx, statemachine.PartRoom, statemachine.RoomCommand{Report: &r})
 	return g, decoded(reply, err, &g)
 }
 
 func (p roomLog) Bring(ctx context.Context, t lease.Tree) error {
-	reply, err := p.log.Do(ctx, ledger.PartRoom, ledger.RoomCommand{Tree: &t})
+	reply, err := p.log.Do(ctx, statemachine.PartRoom, statemachine.RoomCommand{Tree: &t})
 	switch {
 	case err != nil:
 		return err
-	case reply.Code == ledger.Conflict:
+	case reply.Code == statemachine.Conflict:
 		return fmt.Errorf("%w: %s", lease.ErrOlder, reply.Text)
-	case reply.Code != ledger.OK:
+	case reply.Code != statemachine.OK:
 		return errors.New(reply.Text)
 	}
 	return nil
