--- a/cmd/linenwheel-keep/main.go
+++ b/cmd/linenwheel-keep/main.go
@@ -20,9 +20,9 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/peers/keeper"
 )
 
 // version is that of the node's program, too.
@@ -69,9 +69,9 @@
 	}
 	logger := log.On(log.New(errs, format, level), clock.NewSystem()).With("node", set.Name, "part", "keeper")
 	if *before != "" || *from != "" {
-		look := func() (keeper.Rest, error) { return keeper.LookAtRest(set, *before) }
+		look := func() (replica.Rest, error) { return replica.LookAtRest(set, *before) }
 		if *from != "" {
-			look = func() (keeper.Rest, error) { return keeper.LookAtCopy(*from) }
+			look = func() (replica.Rest, error) { return replica.LookAtCopy(*from) }
 		}
 		if err := recoverFleet(set, look, *yes, logger, errs); err != nil {
 			fmt.Fprintln(errs, "linenwheel: keep: recover:", err)
@@ -79,7 +79,7 @@
 		}
 		return 0
 	}
-	k, err := keeper.New(set, logger)
+	k, err := replica.New(set, logger)
 	if err == nil {
 		err = k.Run(ctx)
 	}
@@ -91,7 +91,7 @@
 }
 
 // settings reads the options file.
-func settings(path, name string, getenv func(string) string, rest []string) (set keeper.Settings, o options.Options, err error) {
+func settings(path, name string, getenv func(string) string, rest []string) (set replica.Settings, o options.Options, err error) {
 	if len(rest) > 0 {
 		return set, o, fmt.Errorf("keep does not take %q", rest[0])
 	}
@@ -101,7 +101,7 @@
 	}
 	o = file.Options
 	p := &o.Peers
-	set = keeper.Settings{Fleet: p.Fleet, Name: cmp.Or(name, p.Name, getenv("ROUTER_NAME")), Directory: p.Directory, Synced: p.Synced,
+	set = replica.Settings{Fleet: p.Fleet, Name: cmp.Or(name, p.Name, getenv("ROUTER_NAME")), Directory: p.Directory, Synced: p.Synced,
 		Addresses: map[string]string{}, Heartbeat: p.Heartbeat.Ms, Election: p.Election.Ms, ImageEvery: p.ImageEvery.Bytes, Trail: p.Trail,
 		Release: version}
 	for _, m := range p.Members {
@@ -121,7 +121,7 @@
 }
 
 // recoverFleet tells what one keeper has left of a fleet, and goes on with it where that is wanted.
-func recoverFleet(set keeper.Settings, look func() (keeper.Rest, error), yes bool, log *slog.Logger, out io.Writer) error {
+func recoverFleet(set replica.Settings, look func() (replica.Rest, error), yes bool, log *slog.Logger, out io.Writer) error {
 	r, err := look()
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		fmt.Fprintf(out, "Nothing was done. With -yes the fleet %q goes on with this; then give its name to all nodes, and add keepers.\n", set.Fleet)
 		return nil
 	}
-	kept, err := keeper.Recover(set, r, log)
+	kept, err := replica.Recover(set, r, log)
 	if err == nil {
 		fmt.Fprintf(out, "The fleet %q goes on with this keeper alone.\n", set.Fleet)
 	}
--- a/cmd/linenwheel/peers_test.go
+++ b/cmd/linenwheel/peers_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/peers/keeper"
+	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
 )
 
 // Guards against commands that answer with what was asked and not with what was agreed, and against an empty keeper under an old
@@ -35,7 +35,7 @@
 	var all sync.WaitGroup
 	stops := map[string]func(){}
 	start := func(name string) {
-		k, err := keeper.New(keeper.Settings{Fleet: "f", Name: name, Listen: addresses[name], Directory: t.TempDir(), Addresses: addresses,
+		k, err := replica.New(replica.Settings{Fleet: "f", Name: name, Listen: addresses[name], Directory: t.TempDir(), Addresses: addresses,
 			Heartbeat: 20, Election: 200, ImageEvery: 1 << 20, Trail: 100}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
 		ctx, stop := context.WithCancel(context.Background())
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/keeper"
 	"linenwheel.dev/linenwheel/internal/policy"
 )
 
@@ -36,7 +36,7 @@
 	}
 	file := write("o.toml", fmt.Sprintf("[peers]\nfleet = \"f\"\nkeepers = [\"a\"]\npatience = \"2m\"\n"+
 		"[[peers.member]]\nname = \"a\"\naddress = %q\n", address))
-	k, err := keeper.New(keeper.Settings{Fleet: "f", Name: "a", Listen: address, Directory: t.TempDir(), Heartbeat: 20, Election: 200,
+	k, err := replica.New(replica.Settings{Fleet: "f", Name: "a", Listen: address, Directory: t.TempDir(), Heartbeat: 20, Election: 200,
 		ImageEvery: 1 << 20, Trail: 100, Addresses: map[string]string{"a": address}}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/peers/keeper/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -1,9 +1,9 @@
-// Package keeper runs one member of the agreed log: its state machine, disk, links and clock. What it decides is in package
+// Package replica runs one member of the agreed log: its state machine, disk, links and clock. What it decides is in package
 // group; here are a goroutine that owns the state machine, one that writes to the disk, one a connection, one a sender.
 //
 // Bounds: MostClients connections of clients with mostWaiting requests and one wait for a hint each; a sender holds slowMost bytes
 // for a slow member; what waits to be agreed is bounded by uncommitted.
-package keeper
+package replica
 
 import (
 	"context"
--- a/internal/peers/keeper/keeper_test.go
+++ b/internal/node/consensus/replica/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package replica
 
 import (
 	"context"
--- a/internal/repeats/fleet/fleet_test.go
+++ b/internal/repeats/fleet/fleet_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/keeper"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/repeats"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
@@ -29,7 +29,7 @@
 	require.NoError(t, err)
 	to := client.Keeper{Name: "k", Address: l.Addr().String()}
 	require.NoError(t, l.Close())
-	k, err := keeper.New(keeper.Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Addresses: map[string]string{to.Name: to.Address},
+	k, err := replica.New(replica.Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Addresses: map[string]string{to.Name: to.Address},
 		Heartbeat: 25, Election: 250, ImageEvery: 4 << 20, Trail: 1000}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	work.Go(func() { _ = k.Run(ctx) })
