--- a/internal/node/consensus/replica/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -21,9 +21,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/store"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/segments"
@@ -82,7 +82,7 @@
 
 	// Of the goroutine that owns the state machine.
 	group   *group.Group
-	senders map[uint64]*link.Sender
+	senders map[uint64]*transport.Sender
 	names   map[uint64]string // of keepers that have connected, by number
 	starts  map[uint64]uint64
 	speaks  map[uint64]int    // the version of the ledger that members know
@@ -90,7 +90,7 @@
 	dialled map[uint64]uint64 // of keepers since their last start, the latest that was heard
 	waiting map[key][]*waiter
 	reads   map[uint64]*waiter
-	waits   map[*link.Conn]*waiter // for hints: one a connection
+	waits   map[*transport.Conn]*waiter // for hints: one a connection
 	number  uint64
 	tick    uint64
 	leader  uint64
@@ -98,7 +98,7 @@
 	todo    []job // for the disk, which is behind
 
 	mu    sync.Mutex
-	conns map[*link.Conn]uint64 // that were accepted, with the keeper's number
+	conns map[*transport.Conn]uint64 // that were accepted, with the keeper's number
 }
 
 type key struct{ session, number uint64 }
@@ -119,9 +119,9 @@
 // New opens the directory and listens.
 func New(set Settings, log *slog.Logger) (*Keeper, error) {
 	k := &Keeper{set: set, log: log, clock: clock.NewSystem(), events: make(chan func(), inbox), disk: make(chan job, inbox),
-		ended: make(chan struct{}), refusals: make(chan error, 1), senders: map[uint64]*link.Sender{}, names: map[uint64]string{},
+		ended: make(chan struct{}), refusals: make(chan error, 1), senders: map[uint64]*transport.Sender{}, names: map[uint64]string{},
 		starts: map[uint64]uint64{}, speaks: map[uint64]int{}, dialled: map[uint64]uint64{}, lives: map[uint64]uint64{}, life: rand.Uint64()>>1 | 1,
-		waiting: map[key][]*waiter{}, reads: map[uint64]*waiter{}, waits: map[*link.Conn]*waiter{}, conns: map[*link.Conn]uint64{}}
+		waiting: map[key][]*waiter{}, reads: map[uint64]*waiter{}, waits: map[*transport.Conn]*waiter{}, conns: map[*transport.Conn]uint64{}}
 	var err error
 	if k.store, err = store.Open(set.Directory, set.Fleet, set.Name, set.Synced, set.Wrap); err != nil {
 		return nil, fmt.Errorf("peers.directory %s: %w", set.Directory, err)
@@ -448,13 +448,13 @@
 		if m.GetType() == pb.MsgSnap {
 			sent = func(ok bool) { go k.tell(func() { k.group.ImageSent(id, ok) }) }
 		}
-		s.Send(link.KindRaft, text, sent)
+		s.Send(transport.KindRaft, text, sent)
 	}
 }
 
 // sender gives the one to a member, nil if it cannot be reached. A member that is slow to answer is given twice the time with each
 // attempt, up to dialMost: else two that are both slow would never meet.
-func (k *Keeper) sender(id uint64) *link.Sender {
+func (k *Keeper) sender(id uint64) *transport.Sender {
 	if s := k.senders[id]; s != nil {
 		return s
 	}
@@ -463,11 +463,11 @@
 		return nil
 	}
 	within := time.Duration(max(k.set.Election, 100) * 1e6)
-	limits := link.Limits{Bytes: slowMost, Write: max(2*time.Second, within), FirstPause: 50 * time.Millisecond,
+	limits := transport.Limits{Bytes: slowMost, Write: max(2*time.Second, within), FirstPause: 50 * time.Millisecond,
 		LastPause: time.Second}
 	patience := within
-	s := link.NewSender(limits,
-		func() (*link.Conn, error) {
+	s := transport.NewSender(limits,
+		func() (*transport.Conn, error) {
 			c, err := k.dial(address, name, id, patience)
 			if patience = min(2*patience, max(within, dialMost)); err == nil {
 				patience = within
@@ -491,11 +491,11 @@
 	return s
 }
 
-func (k *Keeper) dial(address, name string, id uint64, within time.Duration) (*link.Conn, error) {
-	c, w, err := link.Dial(address, link.Hello{Fleet: k.set.Fleet, Release: k.set.Release, Name: k.set.Name, To: name, Want: id, ID: k.store.ID,
+func (k *Keeper) dial(address, name string, id uint64, within time.Duration) (*transport.Conn, error) {
+	c, w, err := transport.Dial(address, transport.Hello{Fleet: k.set.Fleet, Release: k.set.Release, Name: k.set.Name, To: name, Want: id, ID: k.store.ID,
 		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), Ledger: statemachine.Version}, within)
 	switch {
-	case errors.Is(err, link.ErrRefused) && w.Final:
+	case errors.Is(err, transport.ErrRefused) && w.Final:
 		select {
 		case k.refusals <- err:
 		default:
--- a/internal/node/consensus/replica/serve.go
+++ b/internal/node/consensus/replica/serve.go
@@ -12,9 +12,9 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
@@ -38,12 +38,12 @@
 			time.Sleep(50 * time.Millisecond) // out of descriptors for a moment
 			continue
 		}
-		go k.serve(link.NewConn(raw))
+		go k.serve(transport.NewConn(raw))
 	}
 }
 
 // serve hears one connection to its end.
-func (k *Keeper) serve(c *link.Conn) {
+func (k *Keeper) serve(c *transport.Conn) {
 	defer c.Close()
 	k.mu.Lock()
 	full := len(k.conns) >= MostClients
@@ -72,13 +72,13 @@
 		k.alone(c, hello.ID)
 		err = k.hearKeeper(c, hello.ID)
 	}
-	if errors.Is(err, link.ErrFrame) {
+	if errors.Is(err, transport.ErrFrame) {
 		k.log.Warn("a peer was turned away", "peer", hello.Name, "remote", c.Remote(), "error", err)
 	}
 }
 
 // alone ends an earlier connection of a keeper: it has none but the last.
-func (k *Keeper) alone(c *link.Conn, id uint64) {
+func (k *Keeper) alone(c *transport.Conn, id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for other, of := range k.conns {
@@ -90,21 +90,21 @@
 }
 
 // judge says whether whoever connects is welcome.
-func (k *Keeper) judge(h link.Hello) link.Welcome {
-	answer := make(chan link.Welcome, 1)
+func (k *Keeper) judge(h transport.Hello) transport.Welcome {
+	answer := make(chan transport.Welcome, 1)
 	if !k.tell(func() { answer <- k.look(h) }) {
-		return link.Welcome{Reason: "this keeper ends"}
+		return transport.Welcome{Reason: "this keeper ends"}
 	}
 	select {
 	case w := <-answer:
 		return w
 	case <-k.ended:
-		return link.Welcome{Reason: "this keeper ends"}
+		return transport.Welcome{Reason: "this keeper ends"}
 	}
 }
 
-func (k *Keeper) look(h link.Hello) link.Welcome {
-	w := link.Welcome{Name: k.set.Name, ID: k.store.ID}
+func (k *Keeper) look(h transport.Hello) transport.Welcome {
+	w := transport.Welcome{Name: k.set.Name, ID: k.store.ID}
 	if h.To != "" && h.To != k.set.Name {
 		w.Reason = fmt.Sprintf("this is %q, not %q", k.set.Name, h.To)
 		return w
@@ -151,15 +151,15 @@
 }
 
 // hearKeeper passes on what a member says.
-func (k *Keeper) hearKeeper(c *link.Conn, id uint64) error {
+func (k *Keeper) hearKeeper(c *transport.Conn, id uint64) error {
 	for {
 		kind, text, err := c.Read()
 		if err != nil {
 			return err
 		}
 		m := &pb.Message{}
-		if kind != link.KindRaft || proto.Unmarshal(text, m) != nil || m.GetFrom() != id || m.GetTo() != k.store.ID {
-			return link.ErrFrame
+		if kind != transport.KindRaft || proto.Unmarshal(text, m) != nil || m.GetFrom() != id || m.GetTo() != k.store.ID {
+			return transport.ErrFrame
 		}
 		if !k.tell(func() { k.group.Step(m) }) {
 			return nil
@@ -168,7 +168,7 @@
 }
 
 // hearClient answers the requests of a client of the log.
-func (k *Keeper) hearClient(c *link.Conn) error {
+func (k *Keeper) hearClient(c *transport.Conn) error {
 	out, over := make(chan talk.Answer, 2*mostWaiting), make(chan struct{})
 	defer close(over)
 	defer k.tell(func() { delete(k.waits, c) })
@@ -178,7 +178,7 @@
 			select {
 			case a := <-out:
 				text, err := json.Marshal(a)
-				if err != nil || c.Write(link.KindAnswer, text, answerLimit) != nil {
+				if err != nil || c.Write(transport.KindAnswer, text, answerLimit) != nil {
 					return
 				}
 			case <-over:
@@ -192,8 +192,8 @@
 			return err
 		}
 		ask := &talk.Request{}
-		if kind != link.KindAsk || len(text) > statemachine.MostCommand || json.Unmarshal(text, ask) != nil {
-			return link.ErrFrame
+		if kind != transport.KindAsk || len(text) > statemachine.MostCommand || json.Unmarshal(text, ask) != nil {
+			return transport.ErrFrame
 		}
 		answer := func(a talk.Answer) {
 			a.ID = ask.ID
@@ -215,7 +215,7 @@
 
 // wait has a question answered once the answer is not what the asker knows. It is a hint and no more: nobody is asked whether this
 // keeper still leads, and it costs no entry. A later one on the connection takes the place of an earlier, which nobody hears any more.
-func (k *Keeper) wait(c *link.Conn, w *waiter) {
+func (k *Keeper) wait(c *transport.Conn, w *waiter) {
 	if earlier := k.waits[c]; earlier != nil {
 		earlier.answer(talk.Answer{Fault: talk.Later, Text: "a later one has come"})
 	}
--- a/internal/node/consensus/replica/serve_test.go
+++ b/internal/node/consensus/replica/serve_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/policy"
 )
@@ -47,10 +47,10 @@
 			address = k.Address
 		}
 	}
-	as := func(change func(*link.Hello)) (link.Welcome, error) {
-		h := link.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
+	as := func(change func(*transport.Hello)) (transport.Welcome, error) {
+		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
 		change(&h)
-		conn, w, err := link.Dial(address, h, set.Try)
+		conn, w, err := transport.Dial(address, h, set.Try)
 		if err == nil {
 			require.NoError(t, conn.Close())
 		}
@@ -58,20 +58,20 @@
 	}
 	for _, x := range []struct {
 		what   string
-		change func(*link.Hello)
+		change func(*transport.Hello)
 		ok     bool
 		final  bool
 	}{
-		{"itself", func(*link.Hello) {}, true, false},
-		{"an earlier connection that comes late", func(h *link.Hello) { h.Dial, h.Last = 1, 0 }, false, false},
-		{"an older copy by its entries", func(h *link.Hello) { h.Dial++; h.Last = 3 }, false, true},
-		{"an older copy that has come to the same start", func(h *link.Hello) { h.Life = 8 }, false, true},
-		{"an older copy by its starts", func(h *link.Hello) { h.Starts = 0 }, false, true},
-		{"another fleet", func(h *link.Hello) { h.Fleet = "g" }, false, true},
-		{"a stranger", func(h *link.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
-		{"a member under another name", func(h *link.Hello) { h.Name = "x" }, false, false},
-		{"one that wants another number under this address", func(h *link.Hello) { h.Want, h.Last = 5, 0 }, false, false},
-		{"one that wants another", func(h *link.Hello) { h.To = "x" }, false, false},
+		{"itself", func(*transport.Hello) {}, true, false},
+		{"an earlier connection that comes late", func(h *transport.Hello) { h.Dial, h.Last = 1, 0 }, false, false},
+		{"an older copy by its entries", func(h *transport.Hello) { h.Dial++; h.Last = 3 }, false, true},
+		{"an older copy that has come to the same start", func(h *transport.Hello) { h.Life = 8 }, false, true},
+		{"an older copy by its starts", func(h *transport.Hello) { h.Starts = 0 }, false, true},
+		{"another fleet", func(h *transport.Hello) { h.Fleet = "g" }, false, true},
+		{"a stranger", func(h *transport.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
+		{"a member under another name", func(h *transport.Hello) { h.Name = "x" }, false, false},
+		{"one that wants another number under this address", func(h *transport.Hello) { h.Want, h.Last = 5, 0 }, false, false},
+		{"one that wants another", func(h *transport.Hello) { h.To = "x" }, false, false},
 	} {
 		w, err := as(x.change)
 		assert.Equal(t, x.ok, err == nil, "%s: %v", x.what, err)
@@ -81,7 +81,7 @@
 	require.NoError(t, c.Change(t.Context(), talk.Remove, gone))
 	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
 	require.NoError(t, err)
-	w, err := as(func(h *link.Hello) { h.Dial++ })
+	w, err := as(func(h *transport.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
 	assert.True(t, w.Final)
 	assert.ErrorContains(t, c.Change(t.Context(), talk.Learn, gone), "was taken out")
@@ -117,12 +117,12 @@
 // asker is a connection of a client whose requests come in the order in which they are asked.
 type asker struct {
 	t    *testing.T
-	raw  *link.Conn
+	raw  *transport.Conn
 	last uint64
 }
 
 func connect(t *testing.T, set client.Settings, to client.Keeper) *asker {
-	raw, _, err := link.Dial(to.Address, link.Hello{Fleet: set.Fleet, Name: set.Name, To: to.Name}, time.Minute)
+	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Name: set.Name, To: to.Name}, time.Minute)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = raw.Close() })
 	return &asker{t: t, raw: raw}
@@ -131,7 +131,7 @@
 func (a *asker) ask(r talk.Request) uint64 {
 	a.last++
 	r.ID = a.last
-	require.NoError(a.t, a.raw.Write(link.KindAsk, encode(r), time.Minute))
+	require.NoError(a.t, a.raw.Write(transport.KindAsk, encode(r), time.Minute))
 	return a.last
 }
 
--- a/internal/peers/link/link.go
+++ b/internal/node/consensus/transport/link.go
@@ -1,9 +1,9 @@
-// Package link carries frames between the processes of one fleet: what the first word on a connection must say, frames with a
+// Package transport carries frames between the processes of one fleet: what the first word on a connection must say, frames with a
 // length and a checksum, and a sender that never makes its owner wait.
 //
 // Bounds: a frame has 64 KiB and its head, a message 64 MiB in frames; a sender holds what Limits say, and drops what comes
 // beyond. A peer that says anything else than it should loses its connection.
-package link
+package transport
 
 import (
 	"bufio"
--- a/internal/peers/client/client.go
+++ b/internal/peers/client/client.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
@@ -390,7 +390,7 @@
 
 // conn is a connection on which many requests are under way.
 type conn struct {
-	raw   *link.Conn
+	raw   *transport.Conn
 	try   time.Duration
 	write sync.Mutex
 	mu    sync.Mutex
@@ -410,7 +410,7 @@
 }
 
 func dial(to Keeper, set *Settings, within time.Duration) (*conn, error) {
-	raw, _, err := link.Dial(to.Address, link.Hello{Fleet: set.Fleet, Release: set.Release, Name: set.Name, To: to.Name}, within)
+	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Release: set.Release, Name: set.Name, To: to.Name}, within)
 	if err != nil {
 		return nil, err
 	}
@@ -434,7 +434,7 @@
 	for {
 		kind, text, err := k.raw.Read()
 		var a talk.Answer
-		if err != nil || kind != link.KindAnswer || json.Unmarshal(text, &a) != nil {
+		if err != nil || kind != transport.KindAnswer || json.Unmarshal(text, &a) != nil {
 			return
 		}
 		k.mu.Lock()
@@ -472,7 +472,7 @@
 		return talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MostCommand)}, false, nil
 	}
 	k.write.Lock()
-	err = k.raw.Write(link.KindAsk, text, k.try)
+	err = k.raw.Write(transport.KindAsk, text, k.try)
 	k.write.Unlock()
 	if err != nil {
 		return a, true, err
--- a/internal/repeats/fleet/late_test.go
+++ b/internal/repeats/fleet/late_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/repeats"
 )
@@ -41,7 +41,7 @@
 			if err != nil {
 				return
 			}
-			go k.serve(link.NewConn(raw), asks)
+			go k.serve(transport.NewConn(raw), asks)
 		}
 	}()
 	go func() { // the ledger is one goroutine's
@@ -57,9 +57,9 @@
 	return l.Addr().String()
 }
 
-func (k *alone) serve(c *link.Conn, asks chan func()) {
+func (k *alone) serve(c *transport.Conn, asks chan func()) {
 	defer c.Close()
-	if _, err := c.Accept("f", func(link.Hello) link.Welcome { return link.Welcome{Name: "k"} }); err != nil {
+	if _, err := c.Accept("f", func(transport.Hello) transport.Welcome { return transport.Welcome{Name: "k"} }); err != nil {
 		return
 	}
 	for {
@@ -72,7 +72,7 @@
 		asks <- func() { answer <- k.take(r) }
 		if reply := <-answer; reply != nil {
 			text, _ = json.Marshal(talk.Answer{ID: r.ID, Reply: reply}) // of types that can be written
-			_ = c.Write(link.KindAnswer, text, time.Second)             // or it has left
+			_ = c.Write(transport.KindAnswer, text, time.Second)        // or it has left
 		}
 	}
 }
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/lab/circle/judge"
 )
@@ -558,10 +558,10 @@
 	if _, err := p.until(p.ctx, names[0], func(*talk.State) bool { return true }); err != nil { // it may have been started just now
 		return err
 	}
-	for _, hello := range []link.Hello{{Fleet: "other", Name: "x", ID: 5}, {Fleet: fleet, Name: "x", ID: 5},
+	for _, hello := range []transport.Hello{{Fleet: "other", Name: "x", ID: 5}, {Fleet: fleet, Name: "x", ID: 5},
 		{Fleet: fleet, Name: "c", To: "somebody"}} {
-		c, _, err := link.Dial(address, hello, patience)
-		if !errors.Is(err, link.ErrRefused) {
+		c, _, err := transport.Dial(address, hello, patience)
+		if !errors.Is(err, transport.ErrRefused) {
 			if c != nil {
 				_ = c.Close()
 			}
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -9,9 +9,9 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
@@ -274,7 +274,7 @@
 			panic(err) // of the library's own types
 		}
 		if k.w.count {
-			k.w.result.KeepBytes += float64(len(link.Append(nil, link.KindRaft, text)))
+			k.w.result.KeepBytes += float64(len(transport.Append(nil, transport.KindRaft, text)))
 		}
 		life := k.life
 		if k.lines[to] == nil {
@@ -373,7 +373,7 @@
 	if err != nil {
 		panic(err) // of types that can be written
 	}
-	k.w.carried(a.word, link.KindAnswer, text)
+	k.w.carried(a.word, transport.KindAnswer, text)
 	a.node.lines[1].after(k.w, func() {
 		if k.w.cut && k.far != a.node.far {
 			return
@@ -383,11 +383,11 @@
 }
 
 // carried counts what goes between nodes and keepers.
-func (w *fleet) carried(word string, kind link.Kind, text []byte) {
+func (w *fleet) carried(word string, kind transport.Kind, text []byte) {
 	if !w.count {
 		return
 	}
-	n := float64(len(link.Append(nil, kind, text)))
+	n := float64(len(transport.Append(nil, kind, text)))
 	w.result.NodeBytes += n
 	w.result.ByWord[word] += n
 }
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
 	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/quota"
@@ -563,7 +563,7 @@
 	if err != nil {
 		panic(err) // of types that can be written
 	}
-	n.w.carried(a.word, link.KindAsk, text)
+	n.w.carried(a.word, transport.KindAsk, text)
 	k, this := n.conn, a.tries
 	n.lines[0].after(n.w, func() {
 		if n.w.cut && k.far != n.far {
@@ -595,7 +595,7 @@
 	}
 	n.dialing = true
 	from, k := n.at, n.w.keepers[n.at]
-	n.w.carried("hello", link.KindHello, body(link.Hello{Fleet: "a fleet", Min: 1, Max: link.Version, Name: n.name, To: k.name}))
+	n.w.carried("hello", transport.KindHello, body(transport.Hello{Fleet: "a fleet", Min: 1, Max: transport.Version, Name: n.name, To: k.name}))
 	up := func(ok bool) {
 		n.dialing = false
 		waiting := n.dialers
@@ -624,7 +624,7 @@
 			if n.fresh && !n.policed && !n.ordered && !n.begun && !n.leased {
 				n.w.firsts = append(n.w.firsts, n.w.now)
 			}
-			n.w.carried("hello", link.KindHello, body(link.Welcome{Version: link.Version, Name: k.name, ID: k.id}))
+			n.w.carried("hello", transport.KindHello, body(transport.Welcome{Version: transport.Version, Name: k.name, ID: k.id}))
 			n.after(n.w.way(), func() { up(k.group != nil) })
 		}
 	})
