--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/copies"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 // Guards against a keeper that starts without knowing who it is, and against a bad file that is told without its place.
@@ -73,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute) // it only ends what hangs
 	defer cancel()
-	ask := func(fleet, name string, r talk.Request) *talk.State {
+	ask := func(fleet, name string, r protocol.Request) *protocol.State {
 		set.Fleet = fleet
 		for _, k := range set.Keepers {
 			for k.Name == name && ctx.Err() == nil {
@@ -90,10 +90,10 @@
 	var founders []statemachine.Member
 	for _, k := range set.Keepers {
 		stops = append(stops, start("old", k.Name))
-		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, talk.Request{Want: talk.Status}).ID, Name: k.Name, Address: k.Address})
+		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, protocol.Request{Want: protocol.Status}).ID, Name: k.Name, Address: k.Address})
 	}
 	for _, k := range set.Keepers {
-		ask("old", k.Name, talk.Request{Want: talk.Found, Members: founders, Now: 1e12})
+		ask("old", k.Name, protocol.Request{Want: protocol.Found, Members: founders, Now: 1e12})
 	}
 	old := client.New(set)
 	_, err := old.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Brno"})
@@ -151,9 +151,9 @@
 	assert.Contains(t, start("new", "b")(), `it is "b" of "old"`, "a folder of the fleet before")
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
-	fresh := statemachine.Member{ID: ask("new", "b", talk.Request{Want: talk.Status}).ID, Name: "b", Address: set.Keepers[1].Address}
-	require.NoError(t, now.Change(ctx, talk.Learn, fresh))
-	for ctx.Err() == nil && ask("new", "b", talk.Request{Want: talk.Status}).Applied == 0 {
+	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Want: protocol.Status}).ID, Name: "b", Address: set.Keepers[1].Address}
+	require.NoError(t, now.Change(ctx, protocol.Learn, fresh))
+	for ctx.Err() == nil && ask("new", "b", protocol.Request{Want: protocol.Status}).Applied == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	_, err = now.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Praha"})
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -13,11 +13,11 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/peers/copies"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 // lookEvery is the time between two looks at a change of members that is under way.
@@ -95,12 +95,12 @@
 }
 
 // state asks a keeper how it does.
-func (f *fleet) state(ctx context.Context, name string) (*talk.State, error) {
+func (f *fleet) state(ctx context.Context, name string) (*protocol.State, error) {
 	address := f.options.Address(name)
 	if address == "" {
 		return nil, fmt.Errorf("peers.member has no %q", name)
 	}
-	a, err := client.Ask(ctx, f.set, client.Keeper{Name: name, Address: address}, talk.Request{Want: talk.Status})
+	a, err := client.Ask(ctx, f.set, client.Keeper{Name: name, Address: address}, protocol.Request{Want: protocol.Status})
 	if err != nil {
 		return nil, fmt.Errorf("%s at %s: %w", name, address, err)
 	}
@@ -108,7 +108,7 @@
 }
 
 // started is state of a keeper that may be starting just now: it is waited for while nobody listens at its address.
-func (f *fleet) started(ctx context.Context, name string) (*talk.State, error) {
+func (f *fleet) started(ctx context.Context, name string) (*protocol.State, error) {
 	for {
 		state, err := f.state(ctx, name)
 		if !errors.Is(err, syscall.ECONNREFUSED) {
@@ -123,7 +123,7 @@
 }
 
 // leader asks whoever leads how it does, once one does: they may be about to choose.
-func (f *fleet) leader(ctx context.Context) (*talk.State, error) {
+func (f *fleet) leader(ctx context.Context) (*protocol.State, error) {
 	for {
 		state, err := f.leading(ctx)
 		if err == nil {
@@ -138,7 +138,7 @@
 }
 
 // leading asks whoever leads how it does.
-func (f *fleet) leading(ctx context.Context) (*talk.State, error) {
+func (f *fleet) leading(ctx context.Context) (*protocol.State, error) {
 	last := errors.New("no keeper leads")
 	for _, m := range f.options.Members {
 		state, err := f.state(ctx, m.Name)
@@ -154,9 +154,9 @@
 
 // keeperAnswer is what one keeper said.
 type keeperAnswer struct {
-	Name  string      `json:"name"`
-	Error string      `json:"error,omitempty"`
-	State *talk.State `json:"state,omitempty"`
+	Name  string          `json:"name"`
+	Error string          `json:"error,omitempty"`
+	State *protocol.State `json:"state,omitempty"`
 }
 
 func (s *shell) peersStatus(ctx context.Context, f *fleet, args []string, asJSON bool) error {
@@ -164,7 +164,7 @@
 		return flag.ErrHelp
 	}
 	var answers []keeperAnswer
-	var lead *talk.State
+	var lead *protocol.State
 	for _, m := range f.options.Members {
 		a := keeperAnswer{Name: m.Name}
 		state, err := f.state(ctx, m.Name)
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (s *shell) printKeepers(answers []keeperAnswer, lead *talk.State) error {
+func (s *shell) printKeepers(answers []keeperAnswer, lead *protocol.State) error {
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KEEPER\tROLE\tLEADER\tTERM\tAGREED\tAPPLIED\tSESSIONS\tSTARTS\tRELEASE\tID")
 	for _, a := range answers {
@@ -236,7 +236,7 @@
 	now := float64(time.Now().UnixMilli())
 	for _, m := range members {
 		_, err := client.Ask(ctx, f.set, client.Keeper{Name: m.Name, Address: m.Address},
-			talk.Request{Want: talk.Found, Members: members, Now: now})
+			protocol.Request{Want: protocol.Found, Members: members, Now: now})
 		if err != nil {
 			return fmt.Errorf("peers: %s: %w", m.Name, err)
 		}
@@ -250,7 +250,7 @@
 }
 
 // settled waits until the members are as wanted, and tells what was agreed.
-func (s *shell) settled(ctx context.Context, f *fleet, want func(*talk.State) (string, bool)) error {
+func (s *shell) settled(ctx context.Context, f *fleet, want func(*protocol.State) (string, bool)) error {
 	said := "nothing is known of it"
 	for {
 		if lead, err := f.leading(ctx); err == nil {
@@ -267,21 +267,21 @@
 	}
 }
 
-func find(s *talk.State, id uint64) talk.Member {
+func find(s *protocol.State, id uint64) protocol.Member {
 	for _, m := range s.Members {
 		if m.ID == id {
 			return m
 		}
 	}
-	return talk.Member{}
+	return protocol.Member{}
 }
 
 // enrol has a member learn and then vote, in place of another or as one more.
 func (s *shell) enrol(ctx context.Context, f *fleet, m statemachine.Member) error {
-	if err := f.log.Change(ctx, talk.Learn, m); err != nil {
+	if err := f.log.Change(ctx, protocol.Learn, m); err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	return s.settled(ctx, f, func(lead *talk.State) (string, bool) {
+	return s.settled(ctx, f, func(lead *protocol.State) (string, bool) {
 		switch now := find(lead, m.ID); now.Role {
 		case statemachine.Voter:
 			return fmt.Sprintf("%s votes, as number %x", m.Name, m.ID), true
@@ -342,10 +342,10 @@
 		if m.Name != args[0] || m.Role == statemachine.Gone {
 			continue
 		}
-		if err := f.log.Change(ctx, talk.Remove, m.Member); err != nil {
+		if err := f.log.Change(ctx, protocol.Remove, m.Member); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
-		return s.settled(ctx, f, func(lead *talk.State) (string, bool) {
+		return s.settled(ctx, f, func(lead *protocol.State) (string, bool) {
 			return fmt.Sprintf("%s, number %x, is taken out", m.Name, m.ID), find(lead, m.ID).Role == statemachine.Gone
 		})
 	}
--- a/internal/peers/talk/talk.go
+++ b/internal/node/consensus/protocol/talk.go
@@ -1,6 +1,6 @@
-// Package talk is what clients of the agreed log and keepers say to each other: requests with a number of their own on the
+// Package protocol is what clients of the agreed log and keepers say to each other: requests with a number of their own on the
 // connection, and an answer to each, in any order.
-package talk
+package protocol
 
 import (
 	"encoding/json"
--- a/internal/node/consensus/replica/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -21,11 +21,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/internal/peers/store"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
@@ -105,8 +105,8 @@
 
 // waiter is a client's request that is under way.
 type waiter struct {
-	ask    *talk.Request
-	answer func(talk.Answer)
+	ask    *protocol.Request
+	answer func(protocol.Answer)
 	since  uint64 // tick
 }
 
@@ -291,7 +291,7 @@
 	for c, w := range k.waits {
 		if k.tick-w.since > waitTicks {
 			delete(k.waits, c)
-			w.answer(talk.Answer{Fault: talk.Later, Text: "there is nothing new"})
+			w.answer(protocol.Answer{Fault: protocol.Later, Text: "there is nothing new"})
 		}
 	}
 	for id, list := range k.waiting {
@@ -318,7 +318,7 @@
 // passOn sends those who wait here to whoever leads now. What they asked may have been agreed, or be lost with this keeper's lead: asked
 // again under its number it is applied once.
 func (k *Keeper) passOn(text string) {
-	a := talk.Answer{Fault: talk.Later, Text: text, Leader: k.nameOf(k.leader)}
+	a := protocol.Answer{Fault: protocol.Later, Text: text, Leader: k.nameOf(k.leader)}
 	for id, list := range k.waiting {
 		delete(k.waiting, id)
 		for _, w := range list {
@@ -354,7 +354,7 @@
 		if w := k.reads[r.Number]; w != nil {
 			delete(k.reads, r.Number)
 			reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
-			w.answer(talk.Answer{Reply: &reply})
+			w.answer(protocol.Answer{Reply: &reply})
 		}
 	}
 	for _, w := range work.Write {
@@ -408,7 +408,7 @@
 func (k *Keeper) applied(a group.Applied) {
 	id := key{a.Command.Session, a.Command.Number}
 	for _, w := range k.waiting[id] {
-		w.answer(talk.Answer{Reply: &a.Reply})
+		w.answer(protocol.Answer{Reply: &a.Reply})
 	}
 	delete(k.waiting, id)
 }
--- a/internal/node/consensus/replica/keeper_test.go
+++ b/internal/node/consensus/replica/keeper_test.go
@@ -19,9 +19,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 // fleet runs founded keepers in this process that miss a leader after so many ms, and reach each other over what way gives for an
@@ -52,7 +52,7 @@
 	}
 	t.Cleanup(func() { stop(); run.Wait() })
 	for _, to := range set.Keepers {
-		_, err := client.Ask(ctx, set, to, talk.Request{Want: talk.Found, Members: members, Now: 1})
+		_, err := client.Ask(ctx, set, to, protocol.Request{Want: protocol.Found, Members: members, Now: 1})
 		require.NoError(t, err)
 	}
 	return set
@@ -170,16 +170,16 @@
 	defer c.Close()
 	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
-	leads := func() (client.Keeper, *talk.State) {
+	leads := func() (client.Keeper, *protocol.State) {
 		for {
 			for _, k := range set.Keepers {
-				if a, err := client.Ask(t.Context(), set, k, talk.Request{Want: talk.Status}); err == nil && a.State.Role == "leader" {
+				if a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status}); err == nil && a.State.Role == "leader" {
 					return k, a.State
 				}
 			}
 		}
 	}
-	role := func(s *talk.State, id uint64) statemachine.Role {
+	role := func(s *protocol.State, id uint64) statemachine.Role {
 		for _, m := range s.Members {
 			if m.ID == id {
 				return m.Role
@@ -189,14 +189,14 @@
 	}
 	at, first := leads()
 	old := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
-	_, err = client.Ask(t.Context(), set, at, talk.Request{Want: talk.Remove, Members: []statemachine.Member{old}})
+	_, err = client.Ask(t.Context(), set, at, protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{old}})
 	require.Error(t, err, "it is to be asked again")
 	next := first
 	for next.ID == first.ID {
 		_, next = leads()
 	}
 	require.Equal(t, statemachine.Voter, role(next, first.ID), "another leads before it is out")
-	require.NoError(t, c.Change(t.Context(), talk.Remove, old))
+	require.NoError(t, c.Change(t.Context(), protocol.Remove, old))
 	for role(next, first.ID) != statemachine.Gone {
 		_, next = leads()
 	}
@@ -216,9 +216,9 @@
 		defer l.Close() // the kernel takes what connects, nobody reads it
 		m := statemachine.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
 		for silent := false; !silent; { // until the leader has noticed
-			require.NoError(t, c.Change(t.Context(), talk.Learn, m)) // an order may be lost with a leader
+			require.NoError(t, c.Change(t.Context(), protocol.Learn, m)) // an order may be lost with a leader
 			for _, k := range set.Keepers {
-				a, err := client.Ask(t.Context(), set, k, talk.Request{Want: talk.Status})
+				a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status})
 				require.NoError(t, err)
 				for _, have := range a.State.Members {
 					if have.ID == m.ID {
--- a/internal/node/consensus/replica/serve.go
+++ b/internal/node/consensus/replica/serve.go
@@ -12,10 +12,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 const answerLimit = 5 * time.Second // for a client to take an answer
@@ -169,7 +169,7 @@
 
 // hearClient answers the requests of a client of the log.
 func (k *Keeper) hearClient(c *transport.Conn) error {
-	out, over := make(chan talk.Answer, 2*mostWaiting), make(chan struct{})
+	out, over := make(chan protocol.Answer, 2*mostWaiting), make(chan struct{})
 	defer close(over)
 	defer k.tell(func() { delete(k.waits, c) })
 	go func() {
@@ -191,11 +191,11 @@
 		if err != nil {
 			return err
 		}
-		ask := &talk.Request{}
+		ask := &protocol.Request{}
 		if kind != transport.KindAsk || len(text) > statemachine.MostCommand || json.Unmarshal(text, ask) != nil {
 			return transport.ErrFrame
 		}
-		answer := func(a talk.Answer) {
+		answer := func(a protocol.Answer) {
 			a.ID = ask.ID
 			select {
 			case out <- a:
@@ -204,7 +204,7 @@
 			}
 		}
 		do := func() { k.answer(ask, answer) }
-		if ask.Want == talk.Wait {
+		if ask.Want == protocol.Wait {
 			do = func() { k.wait(c, &waiter{ask, answer, k.tick}) }
 		}
 		if !k.tell(do) {
@@ -217,7 +217,7 @@
 // keeper still leads, and it costs no entry. A later one on the connection takes the place of an earlier, which nobody hears any more.
 func (k *Keeper) wait(c *transport.Conn, w *waiter) {
 	if earlier := k.waits[c]; earlier != nil {
-		earlier.answer(talk.Answer{Fault: talk.Later, Text: "a later one has come"})
+		earlier.answer(protocol.Answer{Fault: protocol.Later, Text: "a later one has come"})
 	}
 	delete(k.waits, c)
 	if !k.group.Leads() {
@@ -225,7 +225,7 @@
 		return
 	}
 	if reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
-		w.answer(talk.Answer{Reply: &reply})
+		w.answer(protocol.Answer{Reply: &reply})
 		return
 	}
 	k.waits[c] = w
@@ -233,7 +233,7 @@
 
 // hint answers those who wait for what has come to be.
 func (k *Keeper) hint() {
-	var asked *talk.Request
+	var asked *protocol.Request
 	var reply statemachine.Reply
 	for c, w := range k.waits {
 		if asked == nil || asked.Part != w.ask.Part || !bytes.Equal(asked.Body, w.ask.Body) { // most ask the same
@@ -241,30 +241,30 @@
 		}
 		if !bytes.Equal(reply.Body, w.ask.Known) {
 			delete(k.waits, c)
-			w.answer(talk.Answer{Reply: &reply})
+			w.answer(protocol.Answer{Reply: &reply})
 		}
 	}
 }
 
 // answer does what a client asks for, on the goroutine of the state machine.
-func (k *Keeper) answer(ask *talk.Request, answer func(talk.Answer)) {
+func (k *Keeper) answer(ask *protocol.Request, answer func(protocol.Answer)) {
 	var err error
 	switch ask.Want {
-	case talk.Status:
-		answer(talk.Answer{State: k.state()})
+	case protocol.Status:
+		answer(protocol.Answer{State: k.state()})
 		return
-	case talk.Picture:
+	case protocol.Picture:
 		reply := k.group.Query(statemachine.Ask{Part: statemachine.PartRegister, Body: encode(statemachine.Get{})})
-		answer(talk.Answer{Reply: &reply})
+		answer(protocol.Answer{Reply: &reply})
 		return
-	case talk.Found:
+	case protocol.Found:
 		if err := k.found(ask); err != nil {
-			answer(talk.Answer{Fault: talk.Refused, Text: err.Error()})
+			answer(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
 			return
 		}
-		answer(talk.Answer{State: k.state()})
+		answer(protocol.Answer{State: k.state()})
 		return
-	case talk.Do:
+	case protocol.Do:
 		c := statemachine.Command{Session: ask.Session, Number: ask.Number, Done: ask.Done, Part: ask.Part, Body: ask.Body}
 		if c.Session == 0 {
 			c.Part = "" // nobody speaks for the group itself
@@ -274,56 +274,56 @@
 			k.waiting[id] = append(k.waiting[id], &waiter{ask, answer, k.tick})
 			return
 		}
-	case talk.Read:
+	case protocol.Read:
 		k.number++
 		if err = k.group.Read(k.number); err == nil {
 			k.reads[k.number] = &waiter{ask, answer, k.tick}
 			return
 		}
-	case talk.Copy:
+	case protocol.Copy:
 		if err = group.ErrNotLeader; k.group.Leads() {
 			freeze, index := k.group.Ledger().Freeze(), k.group.Ledger().Index()
 			go func() { // it may take its time
 				image, err := freeze()
 				if err != nil {
-					answer(talk.Answer{Fault: talk.Refused, Text: err.Error()})
+					answer(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
 					return
 				}
-				answer(talk.Answer{Reply: &statemachine.Reply{Code: statemachine.OK, Index: index, Body: encode(image)}})
+				answer(protocol.Answer{Reply: &statemachine.Reply{Code: statemachine.OK, Index: index, Body: encode(image)}})
 			}()
 			return
 		}
-	case talk.Learn, talk.Remove:
+	case protocol.Learn, protocol.Remove:
 		if len(ask.Members) != 1 {
-			answer(talk.Answer{Fault: talk.Refused, Text: "want one member"})
+			answer(protocol.Answer{Fault: protocol.Refused, Text: "want one member"})
 			return
 		}
-		if ask.Want == talk.Learn {
+		if ask.Want == protocol.Learn {
 			err = k.learn(ask.Members[0])
 		} else {
 			err = k.remove(ask.Members[0])
 		}
 		if err == nil {
-			answer(talk.Answer{State: k.state()})
+			answer(protocol.Answer{State: k.state()})
 			return
 		}
 	default:
-		answer(talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("nobody wants %q", ask.Want)})
+		answer(protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("nobody wants %q", ask.Want)})
 		return
 	}
 	answer(k.fault(err))
 }
 
 // fault is the answer to what cannot be done here.
-func (k *Keeper) fault(err error) talk.Answer {
-	a := talk.Answer{Fault: talk.Refused, Text: err.Error(), Leader: k.nameOf(k.leader)}
+func (k *Keeper) fault(err error) protocol.Answer {
+	a := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.nameOf(k.leader)}
 	switch {
 	case errors.Is(err, group.ErrNotLeader) && k.group.Leader() == 0:
-		a.Fault = talk.Nobody
+		a.Fault = protocol.Nobody
 	case errors.Is(err, group.ErrNotLeader):
-		a.Fault = talk.Elsewhere
+		a.Fault = protocol.Elsewhere
 	case errors.Is(err, group.ErrBacklog), errors.Is(err, group.ErrBusy):
-		a.Fault = talk.Later
+		a.Fault = protocol.Later
 	}
 	return a
 }
@@ -375,7 +375,7 @@
 }
 
 // found makes this keeper one of the first members. Asked again, it says that it is.
-func (k *Keeper) found(ask *talk.Request) error {
+func (k *Keeper) found(ask *protocol.Request) error {
 	own := false
 	for _, m := range ask.Members {
 		own = own || m.ID == k.store.ID && m.Name == k.set.Name
@@ -408,9 +408,9 @@
 }
 
 // state is how the keeper does.
-func (k *Keeper) state() *talk.State {
+func (k *Keeper) state() *protocol.State {
 	l := k.group.Ledger()
-	s := &talk.State{Fleet: k.set.Fleet, Name: k.set.Name, ID: k.store.ID, Release: k.set.Release, Starts: k.store.Starts,
+	s := &protocol.State{Fleet: k.set.Fleet, Name: k.set.Name, ID: k.store.ID, Release: k.set.Release, Starts: k.store.Starts,
 		Leader: k.nameOf(k.group.Leader()), Time: l.Now(), Changing: k.group.Changing(), Synced: k.set.Synced, Sessions: l.Sessions(),
 		Images: k.images, Writes: k.writes.Load(), Clients: int(k.clients.Load())}
 	s.Term, s.Committed, s.Applied = k.group.Position()
@@ -425,7 +425,7 @@
 		s.Role = "blank"
 	}
 	for _, m := range l.Members().List() {
-		v := talk.Member{Member: m}
+		v := protocol.Member{Member: m}
 		if sender := k.senders[m.ID]; sender != nil {
 			v.Up, v.Bytes = sender.Up()
 		}
--- a/internal/node/consensus/replica/serve_test.go
+++ b/internal/node/consensus/replica/serve_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/policy"
 )
 
@@ -28,11 +28,11 @@
 		_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 		require.NoError(t, err)
 	}
-	var lead, other *talk.State
+	var lead, other *protocol.State
 	for lead == nil || other == nil { // none may lead at the moment
 		lead, other = nil, nil
 		for _, k := range set.Keepers {
-			a, err := client.Ask(t.Context(), set, k, talk.Request{Want: talk.Status})
+			a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status})
 			require.NoError(t, err)
 			if a.State.Role == "leader" {
 				lead = a.State
@@ -78,13 +78,13 @@
 		assert.Equal(t, x.final, w.Final, x.what)
 	}
 	gone := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
-	require.NoError(t, c.Change(t.Context(), talk.Remove, gone))
+	require.NoError(t, c.Change(t.Context(), protocol.Remove, gone))
 	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
 	require.NoError(t, err)
 	w, err := as(func(h *transport.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
 	assert.True(t, w.Final)
-	assert.ErrorContains(t, c.Change(t.Context(), talk.Learn, gone), "was taken out")
+	assert.ErrorContains(t, c.Change(t.Context(), protocol.Learn, gone), "was taken out")
 }
 
 // Guards against a client whose session was pushed out by those of others, and that goes on with it: nothing that it asks would be
@@ -99,7 +99,7 @@
 	for i := range 16 {
 		wait.Go(func() {
 			for j := range statemachine.MostSessions / 16 {
-				open := talk.Request{Want: talk.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
+				open := protocol.Request{Want: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
 					if _, err := client.Ask(t.Context(), set, set.Keepers[0], open); err == nil {
 						break
@@ -128,7 +128,7 @@
 	return &asker{t: t, raw: raw}
 }
 
-func (a *asker) ask(r talk.Request) uint64 {
+func (a *asker) ask(r protocol.Request) uint64 {
 	a.last++
 	r.ID = a.last
 	require.NoError(a.t, a.raw.Write(transport.KindAsk, encode(r), time.Minute))
@@ -136,10 +136,10 @@
 }
 
 func (a *asker) wait(known policy.News) uint64 {
-	return a.ask(talk.Request{Want: talk.Wait, Part: statemachine.PartPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
+	return a.ask(protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
 }
 
-func (a *asker) hear() (said talk.Answer) {
+func (a *asker) hear() (said protocol.Answer) {
 	_, text, err := a.raw.Read()
 	require.NoError(a.t, err)
 	require.NoError(a.t, json.Unmarshal(text, &said))
@@ -175,16 +175,16 @@
 	assert.Equal(t, first, now, "it is another at once")
 
 	one := connect(t, set, set.Keepers[0])
-	one.ask(talk.Request{Want: talk.Status})
+	one.ask(protocol.Request{Want: protocol.Status})
 	before, last := one.hear().State.Committed, one.wait(first)
 	for range 100 {
 		earlier := last
 		last = one.wait(first)
 		said := one.hear()
 		require.Equal(t, earlier, said.ID)
-		require.Equal(t, talk.Later, said.Fault)
+		require.Equal(t, protocol.Later, said.Fault)
 	}
-	one.ask(talk.Request{Want: talk.Status})
+	one.ask(protocol.Request{Want: protocol.Status})
 	assert.Less(t, one.hear().State.Committed, before+50, "they cost no entries")
 	second := propose(2)
 	said := one.hear()
@@ -212,13 +212,13 @@
 	for !lost {
 		for _, k := range set.Keepers {
 			one := connect(t, set, k)
-			one.ask(talk.Request{Want: talk.Status})
+			one.ask(protocol.Request{Want: protocol.Status})
 			state := one.hear().State
 			waits := one.wait(policy.News{})
-			status := one.ask(talk.Request{Want: talk.Status})
+			status := one.ask(protocol.Request{Want: protocol.Status})
 			said := one.hear()
 			if said.ID == waits { // it does not lead
-				require.Contains(t, []string{talk.Elsewhere, talk.Nobody, talk.Later}, said.Fault)
+				require.Contains(t, []string{protocol.Elsewhere, protocol.Nobody, protocol.Later}, said.Fault)
 				elsewhere++
 				continue
 			}
@@ -226,10 +226,10 @@
 			if lost {
 				continue
 			}
-			require.NoError(t, c.Change(ctx, talk.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
+			require.NoError(t, c.Change(ctx, protocol.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
 			said = one.hear()
 			require.Equal(t, waits, said.ID)
-			assert.Equal(t, talk.Later, said.Fault)
+			assert.Equal(t, protocol.Later, said.Fault)
 			assert.Contains(t, said.Text, "lead")
 			lost = true
 		}
--- a/internal/peers/client/client.go
+++ b/internal/peers/client/client.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 // Keeper is one that can be asked.
@@ -144,7 +144,9 @@
 	if err != nil {
 		return nil, err
 	}
-	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Do, Number: rand.Uint64()>>1 | 1, Body: body} })
+	a, _, err := c.ask(ctx, func() protocol.Request {
+		return protocol.Request{Want: protocol.Do, Number: rand.Uint64()>>1 | 1, Body: body}
+	})
 	if err != nil { // a session that nobody uses does no harm
 		return nil, untaken(err)
 	}
@@ -175,8 +177,8 @@
 		if !ok {
 			continue
 		}
-		a, taken, err := c.ask(ctx, func() talk.Request {
-			return talk.Request{Want: talk.Do, Session: s.id, Number: n, Done: s.confirmed(), Part: part, Body: text}
+		a, taken, err := c.ask(ctx, func() protocol.Request {
+			return protocol.Request{Want: protocol.Do, Session: s.id, Number: n, Done: s.confirmed(), Part: part, Body: text}
 		})
 		if err != nil {
 			s.giveUp()
@@ -202,7 +204,7 @@
 	if err != nil {
 		return statemachine.Reply{}, err
 	}
-	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Read, Part: part, Body: text} })
+	a, _, err := c.ask(ctx, func() protocol.Request { return protocol.Request{Want: protocol.Read, Part: part, Body: text} })
 	if err != nil {
 		return statemachine.Reply{}, untaken(err)
 	}
@@ -235,7 +237,7 @@
 	if k == nil {
 		return statemachine.Reply{}, errors.New("there is no connection")
 	}
-	a, _, err := k.ask(ctx, talk.Request{Want: talk.Wait, Part: part, Body: body, Known: have})
+	a, _, err := k.ask(ctx, protocol.Request{Want: protocol.Wait, Part: part, Body: body, Known: have})
 	if err == nil && a.Reply == nil {
 		err = fmt.Errorf("no hint: %s", a.Text)
 	}
@@ -247,7 +249,7 @@
 
 // Copy gives all that whoever leads holds, as it was at an entry.
 func (c *Client) Copy(ctx context.Context) (index uint64, image []byte, err error) {
-	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Copy} })
+	a, _, err := c.ask(ctx, func() protocol.Request { return protocol.Request{Want: protocol.Copy} })
 	if err == nil {
 		index, err = a.Reply.Index, json.Unmarshal(a.Reply.Body, &image)
 	}
@@ -256,13 +258,13 @@
 
 // Change asks whoever leads to change the members.
 func (c *Client) Change(ctx context.Context, want string, m statemachine.Member) error {
-	_, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: want, Members: []statemachine.Member{m}} })
+	_, _, err := c.ask(ctx, func() protocol.Request { return protocol.Request{Want: want, Members: []statemachine.Member{m}} })
 	return err
 }
 
 // ask sends a request to one keeper after the other until one answers it for good. taken tells whether one that did not
 // answer may have passed it on before.
-func (c *Client) ask(ctx context.Context, request func() talk.Request) (a talk.Answer, taken bool, err error) {
+func (c *Client) ask(ctx context.Context, request func() protocol.Request) (a protocol.Answer, taken bool, err error) {
 	last := errors.New("no keeper is configured")
 	pause := 5 * time.Millisecond
 	if early := time.Until(c.from); early > 0 {
@@ -289,12 +291,12 @@
 				c.turn(at, "")
 			case a.Fault == "":
 				return a, taken, nil
-			case a.Fault == talk.Refused:
+			case a.Fault == protocol.Refused:
 				return a, taken, fmt.Errorf("%w: %s", ErrRefused, a.Text)
 			default:
 				last = fmt.Errorf("%s: %s", c.set.Keepers[at].Name, a.Text)
-				taken = taken || a.Fault == talk.Later
-				if a.Fault == talk.Elsewhere || a.Leader != "" {
+				taken = taken || a.Fault == protocol.Later
+				if a.Fault == protocol.Elsewhere || a.Leader != "" {
 					if c.turn(at, a.Leader); try < 2 {
 						continue // at once: somebody leads
 					}
@@ -373,10 +375,10 @@
 }
 
 // Ask puts one request to one keeper, for what is not the log's: how it does, or to found it.
-func Ask(ctx context.Context, set Settings, to Keeper, r talk.Request) (talk.Answer, error) {
+func Ask(ctx context.Context, set Settings, to Keeper, r protocol.Request) (protocol.Answer, error) {
 	k, err := dial(to, &set, set.Try)
 	if err != nil {
-		return talk.Answer{}, err
+		return protocol.Answer{}, err
 	}
 	defer k.raw.Close()
 	ctx, cancel := context.WithTimeout(ctx, set.Try)
@@ -395,7 +397,7 @@
 	write sync.Mutex
 	mu    sync.Mutex
 	next  uint64
-	open  map[uint64]chan talk.Answer
+	open  map[uint64]chan protocol.Answer
 	left  bool // nothing more is asked on it
 	ended chan struct{}
 }
@@ -414,7 +416,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{raw: raw, try: within, open: map[uint64]chan talk.Answer{}, ended: make(chan struct{})}
+	k := &conn{raw: raw, try: within, open: map[uint64]chan protocol.Answer{}, ended: make(chan struct{})}
 	go k.hear()
 	return k, nil
 }
@@ -433,7 +435,7 @@
 	defer k.raw.Close()
 	for {
 		kind, text, err := k.raw.Read()
-		var a talk.Answer
+		var a protocol.Answer
 		if err != nil || kind != transport.KindAnswer || json.Unmarshal(text, &a) != nil {
 			return
 		}
@@ -448,8 +450,8 @@
 }
 
 // ask sends one request and waits for its answer. sent tells whether the keeper may have it.
-func (k *conn) ask(ctx context.Context, r talk.Request) (a talk.Answer, sent bool, err error) {
-	to := make(chan talk.Answer, 1)
+func (k *conn) ask(ctx context.Context, r protocol.Request) (a protocol.Answer, sent bool, err error) {
+	to := make(chan protocol.Answer, 1)
 	k.mu.Lock()
 	k.next++
 	r.ID = k.next
@@ -469,7 +471,7 @@
 		return a, false, err
 	}
 	if len(text) > statemachine.MostCommand {
-		return talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MostCommand)}, false, nil
+		return protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MostCommand)}, false, nil
 	}
 	k.write.Lock()
 	err = k.raw.Write(transport.KindAsk, text, k.try)
--- a/internal/repeats/fleet/fleet_test.go
+++ b/internal/repeats/fleet/fleet_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/repeats"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
 )
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	work.Go(func() { _ = k.Run(ctx) })
 	ask := client.Settings{Fleet: "f", Name: "n", Try: time.Minute, Keepers: []client.Keeper{to}}
-	_, err = client.Ask(ctx, ask, to, talk.Request{Want: talk.Found, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
+	_, err = client.Ask(ctx, ask, to, protocol.Request{Want: protocol.Found, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
 	require.NoError(t, err)
 	return ask
 }
--- a/internal/repeats/fleet/late_test.go
+++ b/internal/repeats/fleet/late_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
@@ -64,20 +64,20 @@
 	}
 	for {
 		_, text, err := c.Read()
-		var r talk.Request
+		var r protocol.Request
 		if err != nil || json.Unmarshal(text, &r) != nil {
 			return
 		}
 		answer := make(chan *statemachine.Reply, 1)
 		asks <- func() { answer <- k.take(r) }
 		if reply := <-answer; reply != nil {
-			text, _ = json.Marshal(talk.Answer{ID: r.ID, Reply: reply}) // of types that can be written
-			_ = c.Write(transport.KindAnswer, text, time.Second)        // or it has left
+			text, _ = json.Marshal(protocol.Answer{ID: r.ID, Reply: reply}) // of types that can be written
+			_ = c.Write(transport.KindAnswer, text, time.Second)            // or it has left
 		}
 	}
 }
 
-func (k *alone) take(r talk.Request) *statemachine.Reply {
+func (k *alone) take(r protocol.Request) *statemachine.Reply {
 	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
 	claim, end := bytes.Contains(r.Body, []byte(`"take"`)), bytes.Contains(r.Body, []byte(`"ended"`))
 	if claim && (!k.first || k.late != nil) {
--- a/lab/circle/circle.go
+++ b/lab/circle/circle.go
@@ -22,9 +22,9 @@
 
 	"golang.org/x/sys/unix"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/lab/live/proc"
 )
 
@@ -207,7 +207,7 @@
 	}
 	var members []statemachine.Member
 	for _, name := range voters {
-		s, err := c.until(ctx, name, func(*talk.State) bool { return true })
+		s, err := c.until(ctx, name, func(*protocol.State) bool { return true })
 		if err != nil {
 			return err
 		}
@@ -216,7 +216,7 @@
 	for _, name := range voters {
 		for { // asked again, a keeper says that it is founded
 			_, err := client.Ask(ctx, c.look(), client.Keeper{Name: name, Address: c.find(name).address},
-				talk.Request{Want: talk.Found, Members: members, Now: 1e12})
+				protocol.Request{Want: protocol.Found, Members: members, Now: 1e12})
 			if err == nil {
 				break
 			}
@@ -246,9 +246,9 @@
 }
 
 // state asks a keeper how it does.
-func (c *Circle) state(ctx context.Context, name string) (*talk.State, error) {
+func (c *Circle) state(ctx context.Context, name string) (*protocol.State, error) {
 	k := c.find(name)
-	a, err := client.Ask(ctx, c.look(), client.Keeper{Name: name, Address: k.address}, talk.Request{Want: talk.Status})
+	a, err := client.Ask(ctx, c.look(), client.Keeper{Name: name, Address: k.address}, protocol.Request{Want: protocol.Status})
 	if err != nil {
 		return nil, err
 	}
@@ -287,7 +287,7 @@
 }
 
 // until waits until a keeper does as wanted, or ctx ends.
-func (c *Circle) until(ctx context.Context, name string, want func(*talk.State) bool) (*talk.State, error) {
+func (c *Circle) until(ctx context.Context, name string, want func(*protocol.State) bool) (*protocol.State, error) {
 	for {
 		s, err := c.state(ctx, name)
 		if err == nil && want(s) {
@@ -305,9 +305,9 @@
 }
 
 // lead waits until a keeper leads that others follow, and gives it.
-func (c *Circle) lead(ctx context.Context) (*talk.State, error) {
+func (c *Circle) lead(ctx context.Context) (*protocol.State, error) {
 	for {
-		var best *talk.State
+		var best *protocol.State
 		for _, k := range c.keepers {
 			if k.process == nil || k.stopped {
 				continue
@@ -384,7 +384,7 @@
 			if m.Name == name && m.Role != statemachine.Gone {
 				gone = false
 				_, _ = client.Ask(ctx, c.look(), client.Keeper{Name: lead.Name, Address: c.find(lead.Name).address},
-					talk.Request{Want: talk.Remove, Members: []statemachine.Member{m.Member}}) // it is tried again
+					protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{m.Member}}) // it is tried again
 			}
 		}
 		if gone && !lead.Changing {
@@ -459,11 +459,11 @@
 	if err := c.Start(name); err != nil {
 		return err
 	}
-	s, err := c.until(ctx, name, func(s *talk.State) bool { return s.Role == "leader" || s.Role == "voter" && s.Leader != "" })
+	s, err := c.until(ctx, name, func(s *protocol.State) bool { return s.Role == "leader" || s.Role == "voter" && s.Leader != "" })
 	if err != nil {
 		return err
 	}
-	if _, err := c.until(ctx, name, func(now *talk.State) bool { return now.Applied > s.Applied+5 && starts(now, s.ID) >= s.Starts }); err != nil {
+	if _, err := c.until(ctx, name, func(now *protocol.State) bool { return now.Applied > s.Applied+5 && starts(now, s.ID) >= s.Starts }); err != nil {
 		return err
 	}
 	c.Kill(name)
@@ -496,7 +496,7 @@
 // Replace has an empty keeper that runs under a name take the vote of the one before, as the operators' command does, and
 // waits until it votes.
 func (c *Circle) Replace(ctx context.Context, name string) error {
-	fresh, err := c.until(ctx, name, func(*talk.State) bool { return true })
+	fresh, err := c.until(ctx, name, func(*protocol.State) bool { return true })
 	if err != nil {
 		return err
 	}
@@ -522,7 +522,7 @@
 			}
 		case "":
 			_, _ = client.Ask(ctx, c.look(), client.Keeper{Name: lead.Name, Address: c.find(lead.Name).address},
-				talk.Request{Want: talk.Learn, Members: []statemachine.Member{m}}) // it is tried again
+				protocol.Request{Want: protocol.Learn, Members: []statemachine.Member{m}}) // it is tried again
 		}
 		select {
 		case <-ctx.Done():
@@ -594,7 +594,7 @@
 func (c *Circle) Caught(ctx context.Context, name string) error {
 	lead, err := c.lead(ctx)
 	if err == nil {
-		_, err = c.until(ctx, name, func(s *talk.State) bool { return s.Leader != "" && s.Applied >= lead.Applied })
+		_, err = c.until(ctx, name, func(s *protocol.State) bool { return s.Leader != "" && s.Applied >= lead.Applied })
 	}
 	return err
 }
--- a/lab/circle/circle_test.go
+++ b/lab/circle/circle_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/peers/talk"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/lab/circle/built"
 )
 
@@ -119,7 +119,7 @@
 	defer c.Close()
 	c.founders = []string{"k0"}
 	require.NoError(t, c.Start("k0"))
-	_, err = c.until(ctx, "k0", func(*talk.State) bool { return true })
+	_, err = c.until(ctx, "k0", func(*protocol.State) bool { return true })
 	require.NoError(t, err)
 	threads := fmt.Sprintf("/proc/%d/task/*/stat", c.find("k0").process.PID())
 	for range 20 {
@@ -133,7 +133,7 @@
 			require.Regexp(t, `\) T `, string(text))
 		}
 		c.Pause("k0", false)
-		_, err = c.until(ctx, "k0", func(*talk.State) bool { return true })
+		_, err = c.until(ctx, "k0", func(*protocol.State) bool { return true })
 		require.NoError(t, err)
 	}
 }
--- a/lab/circle/measure.go
+++ b/lab/circle/measure.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 // Measured is what a load showed.
@@ -213,7 +213,7 @@
 			return nil, err
 		}
 		for _, n := range names {
-			if _, err := c.until(ctx, n, func(s *talk.State) bool { return s.Leader != "" }); err != nil {
+			if _, err := c.until(ctx, n, func(s *protocol.State) bool { return s.Leader != "" }); err != nil {
 				return nil, err
 			}
 		}
@@ -273,11 +273,11 @@
 	if err := c.Start(victim); err != nil {
 		return l, err
 	}
-	if _, err := c.until(ctx, victim, func(s *talk.State) bool { return s.Leader != "" }); err != nil {
+	if _, err := c.until(ctx, victim, func(s *protocol.State) bool { return s.Leader != "" }); err != nil {
 		return l, err
 	}
 	l.Start = float64(time.Since(at)) / 1e6
-	if _, err := c.until(ctx, victim, func(s *talk.State) bool { return s.Applied >= now.Applied }); err != nil {
+	if _, err := c.until(ctx, victim, func(s *protocol.State) bool { return s.Applied >= now.Applied }); err != nil {
 		return l, err
 	}
 	l.CatchUp = float64(time.Since(at)) / 1e6
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/lab/circle/judge"
 )
 
@@ -400,7 +400,7 @@
 	if err := p.Start(n); err != nil {
 		return err
 	}
-	fresh, err := p.until(p.ctx, n, func(*talk.State) bool { return true })
+	fresh, err := p.until(p.ctx, n, func(*protocol.State) bool { return true })
 	if err != nil {
 		return err
 	}
@@ -412,11 +412,11 @@
 		if err != nil {
 			return fmt.Errorf("%s is not taken in: %w", n, err)
 		}
-		have := slices.IndexFunc(lead.Members, func(have talk.Member) bool { return have.ID == m.ID })
+		have := slices.IndexFunc(lead.Members, func(have protocol.Member) bool { return have.ID == m.ID })
 		switch {
 		case have < 0:
 			_, _ = client.Ask(p.ctx, p.settings("rig"), client.Keeper{Name: lead.Name, Address: p.find(lead.Name).address},
-				talk.Request{Want: talk.Learn, Members: []statemachine.Member{m}}) // it is tried again
+				protocol.Request{Want: protocol.Learn, Members: []statemachine.Member{m}}) // it is tried again
 		case lead.Members[have].Role != statemachine.Learner: // to wait on would be for ever
 			return fmt.Errorf("%s stands still and has learnt nothing, and its role is %q", n, lead.Members[have].Role)
 		default:
@@ -486,7 +486,7 @@
 }
 
 // starts is how often a member has started, as far as is agreed.
-func starts(s *talk.State, id uint64) uint64 {
+func starts(s *protocol.State, id uint64) uint64 {
 	for _, m := range s.Members {
 		if m.ID == id {
 			return m.Starts
@@ -555,7 +555,7 @@
 // claims to be a keeper that it is not, one that says nothing to the end.
 func (p *play) stray(_ Fault, names []string) error {
 	address := p.find(names[0]).address
-	if _, err := p.until(p.ctx, names[0], func(*talk.State) bool { return true }); err != nil { // it may have been started just now
+	if _, err := p.until(p.ctx, names[0], func(*protocol.State) bool { return true }); err != nil { // it may have been started just now
 		return err
 	}
 	for _, hello := range []transport.Hello{{Fleet: "other", Name: "x", ID: 5}, {Fleet: fleet, Name: "x", ID: 5},
@@ -606,12 +606,12 @@
 		}
 		var held []statemachine.Reply
 		for _, n := range p.voters {
-			if _, err := p.until(p.ctx, n, func(s *talk.State) bool { return s.Applied >= lead.Applied && s.Leader != "" }); err != nil {
+			if _, err := p.until(p.ctx, n, func(s *protocol.State) bool { return s.Applied >= lead.Applied && s.Leader != "" }); err != nil {
 				p.fault("after the faults: %v", err)
 				return
 			}
 			a, err := client.Ask(p.ctx, p.look(), client.Keeper{Name: n, Address: p.find(n).address},
-				talk.Request{Want: talk.Picture})
+				protocol.Request{Want: protocol.Picture})
 			if err != nil { // it is slow to answer: the look is made again
 				p.counts.add("met: a keeper that was slow to answer")
 				break
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -9,10 +9,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 // keeper is one member with its disk. It deals with what comes one after the other, a batch at a time, as a keeper does.
@@ -144,7 +144,7 @@
 		if a := k.reads[r.Number]; a != nil {
 			delete(k.reads, r.Number)
 			reply := k.group.Query(statemachine.Ask{Part: a.request.Part, Body: a.request.Body})
-			k.answer(a, talk.Answer{Reply: &reply})
+			k.answer(a, protocol.Answer{Reply: &reply})
 		}
 	}
 	if now := k.group.Leader(); now != k.leader {
@@ -165,7 +165,7 @@
 
 // passOn sends those who wait here elsewhere.
 func (k *keeper) passOn() {
-	a := talk.Answer{Fault: talk.Later, Text: "another keeper leads since it was asked", Leader: k.w.nameOf(k.group.Leader())}
+	a := protocol.Answer{Fault: protocol.Later, Text: "another keeper leads since it was asked", Leader: k.w.nameOf(k.group.Leader())}
 	for _, n := range k.w.nodes {
 		for _, ask := range n.asked {
 			k.answer(ask, a) // where it waits here
@@ -307,13 +307,13 @@
 func (k *keeper) deal(a *asking) {
 	r := &a.request
 	var err error
-	if r.Want == talk.Do {
+	if r.Want == protocol.Do {
 		c := statemachine.Command{Session: r.Session, Number: r.Number, Done: r.Done, Part: r.Part, Body: r.Body}
 		if err = k.group.Propose(k.w.now, c); err == nil {
 			k.waiting[key{r.Session, r.Number}] = a
 			return
 		}
-	} else if r.Want == talk.Wait {
+	} else if r.Want == protocol.Wait {
 		if err = group.ErrNotLeader; k.group.Leads() {
 			k.waits = append(slices.DeleteFunc(k.waits, func(earlier *asking) bool { return earlier.node == a.node }), a)
 			k.hint()
@@ -326,14 +326,14 @@
 			return
 		}
 	}
-	fault := talk.Answer{Fault: talk.Refused, Text: err.Error(), Leader: k.w.nameOf(k.group.Leader())}
+	fault := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.w.nameOf(k.group.Leader())}
 	switch {
 	case errors.Is(err, group.ErrNotLeader) && fault.Leader == "":
-		fault.Fault = talk.Nobody
+		fault.Fault = protocol.Nobody
 	case errors.Is(err, group.ErrNotLeader):
-		fault.Fault = talk.Elsewhere
+		fault.Fault = protocol.Elsewhere
 	case errors.Is(err, group.ErrBacklog):
-		fault.Fault = talk.Later
+		fault.Fault = protocol.Later
 	}
 	k.answer(a, fault)
 }
@@ -347,7 +347,7 @@
 	k.waits = slices.DeleteFunc(k.waits, func(a *asking) bool {
 		other := !bytes.Equal(reply.Body, a.request.Known)
 		if other {
-			k.take(raftWork, func() { k.answer(a, talk.Answer{Reply: &reply}) })
+			k.take(raftWork, func() { k.answer(a, protocol.Answer{Reply: &reply}) })
 		}
 		return other
 	})
@@ -357,12 +357,12 @@
 	id := key{a.Command.Session, a.Command.Number}
 	if ask := k.waiting[id]; ask != nil {
 		delete(k.waiting, id)
-		k.answer(ask, talk.Answer{Reply: &a.Reply})
+		k.answer(ask, protocol.Answer{Reply: &a.Reply})
 	}
 }
 
 // answer sends an answer back.
-func (k *keeper) answer(a *asking, answer talk.Answer) {
+func (k *keeper) answer(a *asking, answer protocol.Answer) {
 	try, open := k.open[a]
 	if !open {
 		return
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -6,10 +6,10 @@
 	"slices"
 	"strings"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/quota"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
@@ -85,7 +85,7 @@
 	node    *node
 	life    int
 	word    string // what it is for
-	request talk.Request
+	request protocol.Request
 	command bool
 	began   float64
 	tries   int
@@ -370,7 +370,7 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := talk.Request{Want: talk.Wait, Part: statemachine.PartPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
+	r := protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
 	a.done = func(r *statemachine.Reply) {
 		var news policy.News
@@ -436,17 +436,17 @@
 
 // do has a command agreed.
 func (n *node) do(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	a := n.make(word, talk.Request{Want: talk.Do, Part: part, Body: body(v)}, within, done)
+	a := n.make(word, protocol.Request{Want: protocol.Do, Part: part, Body: body(v)}, within, done)
 	a.command = true
 	n.enter(a)
 }
 
 // read asks a question.
 func (n *node) read(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	n.make(word, talk.Request{Want: talk.Read, Part: part, Body: body(v)}, within, done).send()
+	n.make(word, protocol.Request{Want: protocol.Read, Part: part, Body: body(v)}, within, done).send()
 }
 
-func (n *node) make(word string, r talk.Request, within float64, done func(*statemachine.Reply)) *asking {
+func (n *node) make(word string, r protocol.Request, within float64, done func(*statemachine.Reply)) *asking {
 	a := &asking{node: n, life: n.life, word: word, request: r, began: n.w.now, pause: firstPause, done: done}
 	n.asked = append(n.asked, a)
 	n.w.after(within, func() {
@@ -478,7 +478,7 @@
 		return
 	}
 	n.opening = true
-	r := talk.Request{Want: talk.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
+	r := protocol.Request{Want: protocol.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
 	n.make("session", r, lostWait, func(r *statemachine.Reply) {
 		n.opening = false
 		waiting := n.openers
@@ -660,7 +660,7 @@
 	if a.over || n.life != a.life || a.tries != this {
 		return
 	}
-	if a.request.Want == talk.Wait { // whoever asks something next finds another
+	if a.request.Want == protocol.Wait { // whoever asks something next finds another
 		a.end()
 		a.done(nil)
 		return
@@ -674,24 +674,24 @@
 }
 
 // heard is an answer.
-func (a *asking) heard(this int, answer talk.Answer) {
+func (a *asking) heard(this int, answer protocol.Answer) {
 	n := a.node
 	if a.over || n.life != a.life || a.tries != this {
 		return
 	}
 	from := n.at
 	switch {
-	case a.request.Want == talk.Wait:
+	case a.request.Want == protocol.Wait:
 		a.end()
 		a.done(answer.Reply)
-	case answer.Fault == talk.Refused:
+	case answer.Fault == protocol.Refused:
 		n.w.fault("%s: %s was refused: %s", n.name, a.word, answer.Text)
 		a.fail()
 	case answer.Fault != "":
-		if answer.Fault == talk.Elsewhere {
+		if answer.Fault == protocol.Elsewhere {
 			n.w.result.Counts["met: another keeper leads"]++
 		}
-		elsewhere := answer.Fault == talk.Elsewhere || answer.Leader != ""
+		elsewhere := answer.Fault == protocol.Elsewhere || answer.Leader != ""
 		n.turn(from, answer.Leader)
 		if elsewhere && a.tries <= 2 {
 			a.send()
@@ -705,7 +705,7 @@
 		a.end()
 		took := n.w.now - a.began
 		if n.w.count && a.word != "propose" {
-			if a.request.Want == talk.Do {
+			if a.request.Want == protocol.Do {
 				n.w.agreed = append(n.w.agreed, took)
 				if !n.fresh {
 					n.w.settled = append(n.w.settled, took)
