--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/copies"
 )
 
 // Guards against a keeper that starts without knowing who it is, and against a bad file that is told without its place.
@@ -101,8 +101,8 @@
 	index, image, err := old.Copy(ctx)
 	require.NoError(t, err)
 	copied := filepath.Join(dir, "copy")
-	require.NoError(t, copies.Write(copied, "old", index, image))
-	require.Error(t, copies.Write(copied, "old", index, image), "it is there")
+	require.NoError(t, backup.Write(copied, "old", index, image))
+	require.Error(t, backup.Write(copied, "old", index, image), "it is there")
 	stops[2]() // c does not hear of what comes now
 	_, err = old.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Brno again"})
 	require.NoError(t, err)
@@ -144,7 +144,7 @@
 	index, image, err = now.Copy(ctx)
 	require.NoError(t, err)
 	running := filepath.Join(dir, "copy-of-new")
-	require.NoError(t, copies.Write(running, "new", index, image))
+	require.NoError(t, backup.Write(running, "new", index, image))
 	r, err := now.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), "Brno again")
@@ -174,7 +174,7 @@
 	assert.Contains(t, string(r.Body), `"Praha"`, "each is a fleet of its own")
 	image[len(image)/2]++
 	damaged := filepath.Join(dir, "damaged")
-	require.NoError(t, copies.Write(damaged, "old", index, nil))
+	require.NoError(t, backup.Write(damaged, "old", index, nil))
 	text, err := os.ReadFile(damaged)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(damaged, append(text, image...), 0o600))
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -13,11 +13,11 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/copies"
 )
 
 // lookEvery is the time between two looks at a change of members that is under way.
@@ -428,7 +428,7 @@
 	defer log.Close()
 	index, image, err := log.Copy(ctx)
 	if err == nil {
-		err = copies.Write(args[0], f.set.Fleet, index, image)
+		err = backup.Write(args[0], f.set.Fleet, index, image)
 	}
 	if err != nil {
 		return fmt.Errorf("peers: copy: %w", err)
--- a/internal/peers/copies/copies.go
+++ b/internal/node/consensus/backup/copies.go
@@ -1,6 +1,6 @@
-// Package copies writes and reads the files that hold all that a fleet has agreed on, for keeping elsewhere: a line of JSON that says
+// Package backup writes and reads the files that hold all that a fleet has agreed on, for keeping elsewhere: a line of JSON that says
 // whose it is, and the ledger's image.
-package copies
+package backup
 
 import (
 	"bytes"
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -9,8 +9,8 @@
 	"log/slog"
 	"os"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/copies"
 	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/internal/peers/store"
 )
@@ -91,7 +91,7 @@
 
 // LookAtCopy reads a copy that linenwheel peers copy has made.
 func LookAtCopy(file string) (r Rest, err error) {
-	fleet, index, image, err := copies.Read(file)
+	fleet, index, image, err := backup.Read(file)
 	if err != nil {
 		return r, err
 	}
