--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 )
 
 // Guards against a keeper that starts without knowing who it is, and against a bad file that is told without its place.
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -14,10 +14,10 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 )
 
 // lookEvery is the time between two looks at a change of members that is under way.
--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -18,9 +18,9 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
 )
 
--- a/internal/node/consensus/replica/keeper_test.go
+++ b/internal/node/consensus/replica/keeper_test.go
@@ -19,9 +19,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 )
 
 // fleet runs founded keepers in this process that miss a leader after so many ms, and reach each other over what way gives for an
--- a/internal/node/consensus/replica/serve_test.go
+++ b/internal/node/consensus/replica/serve_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
 )
 
--- a/internal/repeats/fleet/fleet.go
+++ b/internal/repeats/fleet/fleet.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/repeats"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
 )
--- a/lab/circle/circle.go
+++ b/lab/circle/circle.go
@@ -22,9 +22,9 @@
 
 	"golang.org/x/sys/unix"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/lab/live/proc"
 )
 
--- a/lab/circle/measure.go
+++ b/lab/circle/measure.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 )
 
 // Measured is what a load showed.
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/lab/circle/judge"
 )
 
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -6,10 +6,10 @@
 	"slices"
 	"strings"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/quota"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
--- a/lab/points/points.go
+++ b/lab/points/points.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/lab/circle"
 	"linenwheel.dev/linenwheel/lab/live/link"
 	"linenwheel.dev/linenwheel/lab/site"
--- a/lab/policies/documents_test.go
+++ b/lab/policies/documents_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/lab/circle/built"
 	"linenwheel.dev/linenwheel/lab/site"
--- a/lab/policies/policies.go
+++ b/lab/policies/policies.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/lab/circle"
 	"linenwheel.dev/linenwheel/lab/site"
--- a/node/peers.go
+++ b/node/peers.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/peers/client"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
 	"linenwheel.dev/linenwheel/internal/repeats/fleet"
 )
