--- a/internal/node/consensus/replica/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -22,10 +22,10 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/storage"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/store"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
@@ -65,7 +65,7 @@
 	set    Settings
 	log    *slog.Logger
 	clock  clock.Clock
-	store  *store.Store
+	store  *storage.Store
 	listen net.Listener
 	events chan func()
 	disk   chan job
@@ -123,7 +123,7 @@
 		starts: map[uint64]uint64{}, speaks: map[uint64]int{}, dialled: map[uint64]uint64{}, lives: map[uint64]uint64{}, life: rand.Uint64()>>1 | 1,
 		waiting: map[key][]*waiter{}, reads: map[uint64]*waiter{}, waits: map[*transport.Conn]*waiter{}, conns: map[*transport.Conn]uint64{}}
 	var err error
-	if k.store, err = store.Open(set.Directory, set.Fleet, set.Name, set.Synced, set.Wrap); err != nil {
+	if k.store, err = storage.Open(set.Directory, set.Fleet, set.Name, set.Synced, set.Wrap); err != nil {
 		return nil, fmt.Errorf("peers.directory %s: %w", set.Directory, err)
 	}
 	if err = k.begin(); err == nil {
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -10,9 +10,9 @@
 	"os"
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
+	"linenwheel.dev/linenwheel/internal/node/consensus/storage"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/store"
 )
 
 // Rest is what the folder of one keeper holds, where a majority of a fleet's keepers is lost for good.
@@ -30,7 +30,7 @@
 
 // LookAtRest reads what a keeper that is down has left. The folder stays as it is, but for one more start.
 func LookAtRest(set Settings, fleet string) (r Rest, err error) {
-	s, err := store.Open(set.Directory, fleet, set.Name, true, nil)
+	s, err := storage.Open(set.Directory, fleet, set.Name, true, nil)
 	if err != nil {
 		return r, err
 	}
@@ -117,7 +117,7 @@
 	} else if err != nil {
 		return "", err
 	}
-	s, err := store.Open(set.Directory, set.Fleet, set.Name, true, nil)
+	s, err := storage.Open(set.Directory, set.Fleet, set.Name, true, nil)
 	if err != nil {
 		return kept, err
 	}
--- a/internal/peers/store/store.go
+++ b/internal/node/consensus/storage/store.go
@@ -1,11 +1,11 @@
-// Package store keeps one member of the agreed log on a disk: who it is, its votes, its entries and images of the state.
+// Package storage keeps one member of the agreed log on a disk: who it is, its votes, its entries and images of the state.
 //
 // The log is segments that are only appended to; an image is a file of its own, whole only with its last record. A crash
 // leaves what was synced and a torn tail behind it, which is read over. Anything else that is missing or damaged means that
 // the member would vote as if it remembered: Open refuses, and the machine is to be replaced as one that has lost its disk.
 //
 // Bounds: on the disk two images, the entries since the last one, and those that trail it.
-package store
+package storage
 
 import (
 	"encoding/json"
