--- a/node/policy.go
+++ b/node/policy.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"log/slog"
 
+	"linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/policy"
-	"linenwheel.dev/linenwheel/internal/policy/gate"
 )
 
 // policyName stands for the file in faults of a policy's text.
