--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -19,9 +19,9 @@
 
 	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // errUndecided is what a proposal ends with of which it is not known yet what became of it.
@@ -41,14 +41,14 @@
 		if err != nil {
 			return fmt.Errorf("policy: %w", err)
 		}
-		return s.propose(ctx, f, policy.Proposal{ID: id, Text: string(text)}, base, wait)
+		return s.propose(ctx, f, rollout.Proposal{ID: id, Text: string(text)}, base, wait)
 	})
 	back := sub("roll-back", "NUMBER", "propose the document of an earlier number as a new one", func(ctx context.Context, f *fleet, args []string) error {
 		d, err := f.document(ctx, args)
 		if err != nil {
 			return err
 		}
-		return s.propose(ctx, f, policy.Proposal{ID: id, Text: d.Text}, base, wait)
+		return s.propose(ctx, f, rollout.Proposal{ID: id, Text: d.Text}, base, wait)
 	})
 	for _, c := range []*ffcli.Command{propose, back} {
 		c.FlagSet.StringVar(&id, "id", "", "the proposal's `id`, to ask again what became of one; empty = drawn")
@@ -110,29 +110,29 @@
 }
 
 // document gives the one whose number is named, or the one that holds.
-func (f *fleet) document(ctx context.Context, args []string) (d policy.Document, err error) {
+func (f *fleet) document(ctx context.Context, args []string) (d rollout.Document, err error) {
 	switch len(args) {
 	case 0:
-		v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
+		v, err := question[rollout.View](ctx, f, statemachine.PolicyQuestion{})
 		if err != nil {
 			return d, err
 		}
 		if v.Number == 0 {
 			return d, errors.New("policy: none was agreed: each node's own file holds")
 		}
-		return question[policy.Document](ctx, f, statemachine.PolicyQuestion{Document: &v.Number})
+		return question[rollout.Document](ctx, f, statemachine.PolicyQuestion{Document: &v.Number})
 	case 1:
 		n, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
 			return d, fmt.Errorf("policy: %q is no number of a policy", args[0])
 		}
-		return question[policy.Document](ctx, f, statemachine.PolicyQuestion{Document: &n})
+		return question[rollout.Document](ctx, f, statemachine.PolicyQuestion{Document: &n})
 	}
 	return d, flag.ErrHelp
 }
 
 // propose has a change agreed, and tells what became of it: agreed, refused, or not known yet with how to find out.
-func (s *shell) propose(ctx context.Context, f *fleet, p policy.Proposal, base int64, wait bool) error {
+func (s *shell) propose(ctx context.Context, f *fleet, p rollout.Proposal, base int64, wait bool) error {
 	if p.ID == "" {
 		p.ID = fmt.Sprintf("p-%x", rand.Uint64())
 	}
@@ -141,24 +141,24 @@
 		p.By = u.Username
 	}
 	if base < 0 {
-		v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
+		v, err := question[rollout.View](ctx, f, statemachine.PolicyQuestion{})
 		if err != nil {
 			return err
 		}
 		base = int64(v.Number)
 	}
 	p.Base = uint64(base)
-	if n := len(p.Text); n > policy.MostDocument { // the log does not take a command of that size
-		return s.outcome(policy.Outcome{Stage: policy.Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, policy.MostDocument)})
+	if n := len(p.Text); n > rollout.MostDocument { // the log does not take a command of that size
+		return s.outcome(rollout.Outcome{Stage: rollout.Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, rollout.MostDocument)})
 	}
-	o, err := ask[policy.Outcome](ctx, f, statemachine.PolicyCommand{Propose: &p})
+	o, err := ask[rollout.Outcome](ctx, f, statemachine.PolicyCommand{Propose: &p})
 	if err != nil && !errors.Is(err, client.ErrUnknown) {
 		return fmt.Errorf("nothing has changed: %w", err)
 	}
-	for err == nil && wait && (o.Stage == policy.Looking || o.Stage == policy.Pausing) && ctx.Err() == nil {
+	for err == nil && wait && (o.Stage == rollout.Looking || o.Stage == rollout.Pausing) && ctx.Err() == nil {
 		time.Sleep(lookEvery)
-		var next policy.Outcome
-		if next, err = question[policy.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: p.ID}); err == nil {
+		var next rollout.Outcome
+		if next, err = question[rollout.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: p.ID}); err == nil {
 			o = next
 		}
 	}
@@ -168,12 +168,12 @@
 	return s.outcome(o)
 }
 
-func (s *shell) outcome(o policy.Outcome) error {
+func (s *shell) outcome(o rollout.Outcome) error {
 	switch o.Stage {
-	case policy.Agreed:
+	case rollout.Agreed:
 		_, err := fmt.Fprintf(s.out, "linenwheel: agreed: number %d holds everywhere\n", o.Number)
 		return err
-	case policy.Refused:
+	case rollout.Refused:
 		return fmt.Errorf("policy: refused, nothing has changed: %s", o.Reason)
 	}
 	return fmt.Errorf("policy: %w, it is at %q: linenwheel policy status %s", errUndecided, o.Stage, o.ID)
@@ -184,13 +184,13 @@
 		return flag.ErrHelp
 	}
 	if len(args) == 1 {
-		o, err := question[policy.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: args[0]})
+		o, err := question[rollout.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: args[0]})
 		if err != nil {
 			return err
 		}
 		return s.outcome(o)
 	}
-	v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
+	v, err := question[rollout.View](ctx, f, statemachine.PolicyQuestion{})
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
+	v, err := question[rollout.View](ctx, f, statemachine.PolicyQuestion{})
 	if err != nil {
 		return err
 	}
@@ -236,7 +236,7 @@
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", d.Number, d.Hash, d.By, d.ID)
 	}
 	for _, o := range v.Ended {
-		if o.Stage == policy.Refused {
+		if o.Stage == rollout.Refused {
 			fmt.Fprintf(w, "refused\t-\t%s\t%s\n", o.Reason, o.ID)
 		}
 	}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	only := func(sign string, of, other policy.Document) {
+	only := func(sign string, of, other rollout.Document) {
 		there := map[string]int{}
 		for line := range strings.Lines(other.Text) {
 			there[strings.TrimRight(line, "\n")]++
@@ -294,13 +294,13 @@
 				return fmt.Errorf("policy: %w", err)
 			}
 			_, found := options.Overlay(file.Options, args[0], text, conf, nil)
-			if len(text) > policy.MostDocument {
-				found = append(found, &config.FieldError{File: args[0], Err: fmt.Errorf("has %d bytes, %d at the most", len(text), policy.MostDocument)})
+			if len(text) > rollout.MostDocument {
+				found = append(found, &config.FieldError{File: args[0], Err: fmt.Errorf("has %d bytes, %d at the most", len(text), rollout.MostDocument)})
 			}
 			if len(found) > 0 {
 				return badConfiguration(found)
 			}
-			_, err = fmt.Fprintf(s.out, "linenwheel: this machine can take document %s\n", policy.Hash(string(text)))
+			_, err = fmt.Fprintf(s.out, "linenwheel: this machine can take document %s\n", rollout.Hash(string(text)))
 			return err
 		}}
 }
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -17,8 +17,8 @@
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // Guards against operators who are told what was asked and not what was agreed: a proposal whose answer was lost that is proposed
@@ -75,15 +75,15 @@
 
 	log := client.New(client.Settings{Fleet: "f", Name: "n", Keepers: []client.Keeper{{Name: "a", Address: address}}, Try: lookEvery * 20})
 	defer log.Close()
-	say := func(r policy.Report) {
-		r.Node, r.Life, r.Holds, r.Lease, r.GoesOn = "n", 1, 4, policy.MostLease, true // it does not go, however slow this machine is
+	say := func(r rollout.Report) {
+		r.Node, r.Life, r.Holds, r.Lease, r.GoesOn = "n", 1, 4, rollout.MostLease, true // it does not go, however slow this machine is
 		_, err := log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &r})
 		require.NoError(t, err)
 	}
-	say(policy.Report{})
+	say(rollout.Report{})
 	call(1, `it is at "looking": linenwheel policy status p5`, "policy", "propose", "-wait=false", "-id", "p5", one)
 	call(1, "a change of ", "policy", "propose", two)
-	say(policy.Report{Looked: "p5", Fault: "policy:2:1: quota.requests: too few"})
+	say(rollout.Report{Looked: "p5", Fault: "policy:2:1: quota.requests: too few"})
 	call(1, "nothing has changed: n cannot take it: policy:2:1: quota.requests: too few", "policy", "status", "p5")
 	call(0, "n cannot take it", "policy", "history")
 	call(0, "1 processes of n are taken for dead", "policy", "dead", "n")
--- a/cmd/linenwheel/raters.go
+++ b/cmd/linenwheel/raters.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/peterbourgon/ff/v3/ffcli"
 
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // ratersCommand takes raters out of the whole fleet's work, and back: a change of the fleet's policy, so that every node is shown
@@ -47,13 +47,13 @@
 
 // leaveOut proposes the document that holds with inventory.out changed. Comments in it are lost.
 func (s *shell) leaveOut(ctx context.Context, f *fleet, rater string, out bool, id string) error {
-	v, err := question[policy.View](ctx, f, statemachine.PolicyQuestion{})
+	v, err := question[rollout.View](ctx, f, statemachine.PolicyQuestion{})
 	if err != nil {
 		return err
 	}
-	d := policy.Document{}
+	d := rollout.Document{}
 	if v.Number > 0 {
-		if d, err = question[policy.Document](ctx, f, statemachine.PolicyQuestion{Document: &v.Number}); err != nil {
+		if d, err = question[rollout.Document](ctx, f, statemachine.PolicyQuestion{Document: &v.Number}); err != nil {
 			return err
 		}
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return fmt.Errorf("raters: %w", err)
 	}
-	return s.propose(ctx, f, policy.Proposal{ID: id, Text: text}, int64(v.Number), true)
+	return s.propose(ctx, f, rollout.Proposal{ID: id, Text: text}, int64(v.Number), true)
 }
 
 // withOut changes inventory.out of a document.
--- a/internal/node/consensus/replica/serve_test.go
+++ b/internal/node/consensus/replica/serve_test.go
@@ -14,8 +14,8 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // Guards against a keeper that is told for good to stay away because an earlier connection of its own came late, and against an
@@ -135,7 +135,7 @@
 	return a.last
 }
 
-func (a *asker) wait(known policy.News) uint64 {
+func (a *asker) wait(known rollout.News) uint64 {
 	return a.ask(protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
 }
 
@@ -154,23 +154,23 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	wait := func(ctx context.Context, known policy.News) (n policy.News, err error) {
+	wait := func(ctx context.Context, known rollout.News) (n rollout.News, err error) {
 		reply, err := c.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
 		if err == nil {
 			require.NoError(t, json.Unmarshal(reply.Body, &n))
 		}
 		return n, err
 	}
-	_, err := wait(ctx, policy.News{})
+	_, err := wait(ctx, rollout.News{})
 	require.ErrorContains(t, err, "no connection")
-	propose := func(number uint64) policy.News { // nobody has to look at it: it holds at once
-		p := policy.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
+	propose := func(number uint64) rollout.News { // nobody has to look at it: it holds at once
+		p := rollout.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
 		_, err := c.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
-		return policy.News{Number: number, Hash: policy.Hash(p.Text)}
+		return rollout.News{Number: number, Hash: rollout.Hash(p.Text)}
 	}
 	first := propose(1)
-	now, err := wait(ctx, policy.News{})
+	now, err := wait(ctx, rollout.News{})
 	require.NoError(t, err)
 	assert.Equal(t, first, now, "it is another at once")
 
@@ -214,7 +214,7 @@
 			one := connect(t, set, k)
 			one.ask(protocol.Request{Want: protocol.Status})
 			state := one.hear().State
-			waits := one.wait(policy.News{})
+			waits := one.wait(rollout.News{})
 			status := one.ask(protocol.Request{Want: protocol.Status})
 			said := one.hear()
 			if said.ID == waits { // it does not lead
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -14,22 +14,22 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 // Fleet is whom the gate asks. Its methods block until ctx ends at the most.
 type Fleet interface {
-	Report(ctx context.Context, r policy.Report) (policy.Order, error)
+	Report(ctx context.Context, r rollout.Report) (rollout.Order, error)
 	// Document gives one by its number, or by its proposal where id is not empty.
-	Document(ctx context.Context, number uint64, id string) (policy.Document, error)
+	Document(ctx context.Context, number uint64, id string) (rollout.Document, error)
 	// News tells how far the fleet is once that is not what is known; an error = it cannot be waited for now.
-	News(ctx context.Context, known policy.News) (policy.News, error)
+	News(ctx context.Context, known rollout.News) (rollout.News, error)
 }
 
 // Node is what the policy is for.
 type Node interface {
-	Check(d policy.Document) error // whether the node can take it
-	Take(d policy.Document) error  // have it in force from now on
+	Check(d rollout.Document) error // whether the node can take it
+	Take(d rollout.Document) error  // have it in force from now on
 }
 
 // Settings describe the gate. Times are milliseconds.
@@ -52,17 +52,17 @@
 	clock clock.Clock
 	log   *slog.Logger
 
-	looked policy.Document // at last; of Run alone
+	looked rollout.Document // at last; of Run alone
 
 	mu     sync.Mutex
-	holder *policy.Holder // Run alone changes it, with the lock; it reads it without
-	opened chan struct{}  // closed when calls may begin that might not before, or the other way round
+	holder *rollout.Holder // Run alone changes it, with the lock; it reads it without
+	opened chan struct{}   // closed when calls may begin that might not before, or the other way round
 }
 
 // New makes a gate that lets no call begin before Run has heard from the fleet.
 func New(set Settings, f Fleet, n Node, c clock.Clock, log *slog.Logger) *Gate {
 	return &Gate{set: set, fleet: f, node: n, clock: c, log: log, opened: make(chan struct{}),
-		holder: policy.NewHolder(set.Name, rand.Uint64()>>1|1, set.Lease, set.GoesOn)}
+		holder: rollout.NewHolder(set.Name, rand.Uint64()>>1|1, set.Lease, set.GoesOn)}
 }
 
 // Wrap is the core.Stage.
@@ -111,7 +111,7 @@
 }
 
 // change has the holder take something in, and wakes the calls that wait.
-func (g *Gate) change(do func(h *policy.Holder)) {
+func (g *Gate) change(do func(h *rollout.Holder)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	do(g.holder)
@@ -137,8 +137,8 @@
 		}
 		stop()
 	}
-	var leaves policy.Report
-	g.change(func(h *policy.Holder) { leaves = h.Leave() })
+	var leaves rollout.Report
+	g.change(func(h *rollout.Holder) { leaves = h.Leave() })
 	last, stop := context.WithTimeout(context.WithoutCancel(ctx), 200*time.Millisecond)
 	defer stop()
 	_, _ = g.fleet.Report(last, leaves) // else its lease runs out
@@ -150,7 +150,7 @@
 // wait waits for a hint, at the most until a report is due; it gives the time until then. pause is that where no hint can be waited for.
 func (g *Gate) wait(ctx context.Context, most, pause float64) float64 {
 	due := g.clock.Now() + around(most)
-	var news policy.News
+	var news rollout.News
 	for late := true; late; { // one that was lost is not waited for until then
 		one, over := context.WithCancel(ctx)
 		stop := g.clock.At(min(due, g.clock.Now()+g.holder.Again()), over)
@@ -166,8 +166,8 @@
 			return pause
 		}
 	}
-	var next policy.Step
-	g.change(func(h *policy.Holder) { next = h.Hear(news) })
+	var next rollout.Step
+	g.change(func(h *rollout.Holder) { next = h.Hear(news) })
 	if next.Held {
 		g.held(news.Change)
 	}
@@ -202,8 +202,8 @@
 	if err != nil {
 		return g.holder.Again(), 0
 	}
-	var next policy.Step
-	g.change(func(h *policy.Holder) { next = h.Obey(asked, o) })
+	var next rollout.Step
+	g.change(func(h *rollout.Holder) { next = h.Obey(asked, o) })
 	if next.Renewed {
 		g.log.Info("the lease on the policy is renewed: calls begin again", "number", o.Number)
 	}
@@ -234,14 +234,14 @@
 			g.log.Info("this node can take a policy that was proposed", "proposal", id, "hash", d.Hash)
 		}
 	}
-	g.change(func(h *policy.Holder) { pause = h.Saw(id, unseen, err) })
+	g.change(func(h *rollout.Holder) { pause = h.Saw(id, unseen, err) })
 	return pause
 }
 
 // take has a policy in force, while no call begins; it gives the time until the next report. The document that was looked at last is
 // not asked for again.
 func (g *Gate) take(ctx context.Context, number uint64, hash string) (pause float64) {
-	d := policy.Document{}
+	d := rollout.Document{}
 	if hash != "" && hash == g.looked.Hash {
 		d = g.looked
 		d.Number = number
@@ -253,10 +253,10 @@
 	}
 	if err := g.node.Take(d); err != nil {
 		g.log.Error("this node cannot take the policy that holds: it begins no calls", "number", number, "error", err)
-		g.change(func(h *policy.Holder) { pause = h.Failed(number) })
+		g.change(func(h *rollout.Holder) { pause = h.Failed(number) })
 		return pause
 	}
-	g.change(func(h *policy.Holder) { h.Took(number, d.Hash) })
+	g.change(func(h *rollout.Holder) { h.Took(number, d.Hash) })
 	g.log.Info("a policy is in force", "number", number, "hash", d.Hash, "by", d.By)
 	return 0
 }
--- a/internal/node/rollout/gate/gate_test.go
+++ b/internal/node/rollout/gate/gate_test.go
@@ -13,37 +13,37 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 // scripted is a fleet that gives one order after the other, and a node that takes what it is given.
 type scripted struct {
-	orders []policy.Order
-	said   []policy.Report
+	orders []rollout.Order
+	said   []rollout.Report
 	fault  error
-	hints  chan policy.News // closed = it cannot be waited for
+	hints  chan rollout.News // closed = it cannot be waited for
 	taken  []uint64
 	asked  int // for documents
 	waits  int
 	cannot error
 }
 
-func (s *scripted) Report(_ context.Context, r policy.Report) (policy.Order, error) {
+func (s *scripted) Report(_ context.Context, r rollout.Report) (rollout.Order, error) {
 	s.said = append(s.said, r)
 	if len(s.orders) == 0 {
-		return policy.Order{}, errors.New("nobody answers")
+		return rollout.Order{}, errors.New("nobody answers")
 	}
 	o := s.orders[0]
 	s.orders = s.orders[1:]
 	return o, nil
 }
 
-func (s *scripted) Document(_ context.Context, number uint64, id string) (policy.Document, error) {
+func (s *scripted) Document(_ context.Context, number uint64, id string) (rollout.Document, error) {
 	s.asked++
-	return policy.Document{Number: number, ID: id, Hash: "x", Text: "x"}, nil
+	return rollout.Document{Number: number, ID: id, Hash: "x", Text: "x"}, nil
 }
 
-func (s *scripted) News(ctx context.Context, _ policy.News) (policy.News, error) {
+func (s *scripted) News(ctx context.Context, _ rollout.News) (rollout.News, error) {
 	s.waits++
 	select {
 	case n, ok := <-s.hints:
@@ -52,12 +52,12 @@
 		}
 		return n, nil
 	case <-ctx.Done():
-		return policy.News{}, ctx.Err()
+		return rollout.News{}, ctx.Err()
 	}
 }
 
-func (s *scripted) Check(policy.Document) error { return s.fault }
-func (s *scripted) Take(d policy.Document) error {
+func (s *scripted) Check(rollout.Document) error { return s.fault }
+func (s *scripted) Take(d rollout.Document) error {
 	s.taken = append(s.taken, d.Number)
 	return s.cannot
 }
@@ -83,17 +83,17 @@
 			}
 		}
 	}
-	step := func(o policy.Order) float64 {
-		s.orders = []policy.Order{o}
+	step := func(o rollout.Order) float64 {
+		s.orders = []rollout.Order{o}
 		pause, _ := g.step(context.Background())
 		return pause
 	}
 	assert.Equal(t, core.Refused, try().Kind, "the fleet was not heard")
-	assert.Zero(t, step(policy.Order{Number: 4}), "it asks again at once")
+	assert.Zero(t, step(rollout.Order{Number: 4}), "it asks again at once")
 	assert.Equal(t, []uint64{4}, s.taken)
 	assert.Equal(t, core.Refused, try().Kind, "it has no lease")
 	assert.Zero(t, heard)
-	step(policy.Order{Number: 4, Lease: 100})
+	step(rollout.Order{Number: 4, Lease: 100})
 	assert.Equal(t, 1, heard)
 	assert.Equal(t, core.Served, try().Kind)
 	c.Advance(94)
@@ -103,29 +103,29 @@
 	assert.Equal(t, core.Refused, a.Kind, "95%% of the lease are over")
 	assert.Equal(t, ReasonPolicy, a.Reason)
 	assert.Equal(t, 100.0, a.Wait)
-	step(policy.Order{Number: 4, Lease: 100, Change: "p", Stage: policy.Looking})
+	step(rollout.Order{Number: 4, Lease: 100, Change: "p", Stage: rollout.Looking})
 	assert.Equal(t, "line 3", g.holder.Report().Fault)
 	s.fault = nil
-	step(policy.Order{Number: 4, Lease: 100, Change: "q", Stage: policy.Looking})
+	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
 	assert.Empty(t, g.holder.Report().Fault)
-	step(policy.Order{Number: 4, Lease: 100, Change: "q", Stage: policy.Looking})
+	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
 	assert.Equal(t, "q", s.said[len(s.said)-1].Looked)
 	assert.Equal(t, core.Served, try().Kind, "while it is looked at")
-	step(policy.Order{Number: 4, Change: "q", Stage: policy.Pausing})
+	step(rollout.Order{Number: 4, Change: "q", Stage: rollout.Pausing})
 	assert.Equal(t, core.Refused, try().Kind, "a change takes hold")
-	step(policy.Order{Number: 5, Change: "", Stage: ""})
+	step(rollout.Order{Number: 5, Change: "", Stage: ""})
 	assert.Equal(t, "q", s.said[len(s.said)-1].Paused)
-	step(policy.Order{Number: 5, Lease: 100})
+	step(rollout.Order{Number: 5, Lease: 100})
 	assert.Equal(t, core.Served, try().Kind)
 	assert.Equal(t, []uint64{4, 5}, s.taken)
 	s.cannot = errors.New("line 7")
-	require.Positive(t, step(policy.Order{Number: 6, Change: "r", Stage: policy.Looking}))
-	require.Zero(t, step(policy.Order{Number: 6, Change: "r", Stage: policy.Looking}))
+	require.Positive(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
+	require.Zero(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
 	assert.Equal(t, "r", g.holder.Report().Looked, "what could take the place of a number that it cannot take")
 	pause, wait := g.step(context.Background())
 	require.Positive(t, pause, "nobody answers: it is asked again after a while")
 	require.Zero(t, wait)
-	g.change(func(h *policy.Holder) { h.Leave() })
+	g.change(func(h *rollout.Holder) { h.Leave() })
 	call := &core.Call{Deadline: c.Now() + 1000}
 	call.Leave()
 	assert.Equal(t, core.Left, next(call).Kind)
@@ -135,23 +135,23 @@
 // holds; that asks for a document that it has; that waits on for a hint that was lost, or when a report is due; and that asks keepers of
 // the release before, which know no waits, over and over without a pause.
 func TestHint(t *testing.T) {
-	c, s := clock.NewManual(1000), &scripted{hints: make(chan policy.News, 1)}
+	c, s := clock.NewManual(1000), &scripted{hints: make(chan rollout.News, 1)}
 	g := New(Settings{Name: "n", Lease: 100, Hold: 50, Heard: func() {}}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.orders = []policy.Order{{Lease: 100, Change: "p", Stage: policy.Looking}, {Lease: 100, Change: "p", Stage: policy.Looking}}
+	s.orders = []rollout.Order{{Lease: 100, Change: "p", Stage: rollout.Looking}, {Lease: 100, Change: "p", Stage: rollout.Looking}}
 	g.step(context.Background())
 	pause, most := g.step(context.Background())
 	require.Equal(t, 20.0, pause)
 	require.InDelta(t, 100.0/3, most, 0.01)
-	hear := func(n policy.News) float64 {
+	hear := func(n rollout.News) float64 {
 		s.hints <- n
 		return g.wait(context.Background(), most, pause)
 	}
-	assert.Zero(t, hear(policy.News{Change: "q", Stage: policy.Looking}), "it reports at once")
+	assert.Zero(t, hear(rollout.News{Change: "q", Stage: rollout.Looking}), "it reports at once")
 	assert.True(t, g.holder.Open(c.Now()))
-	assert.Zero(t, hear(policy.News{Change: "p", Stage: policy.Pausing}))
+	assert.Zero(t, hear(rollout.News{Change: "p", Stage: rollout.Pausing}))
 	assert.False(t, g.holder.Open(c.Now()))
 	assert.Equal(t, "p", g.holder.Report().Paused)
-	assert.Zero(t, hear(policy.News{Number: 1, Hash: "x"}))
+	assert.Zero(t, hear(rollout.News{Number: 1, Hash: "x"}))
 	assert.Equal(t, []uint64{1}, s.taken)
 	assert.Equal(t, 1, s.asked, "it has looked at that document")
 	assert.False(t, g.holder.Open(c.Now()), "it has no lease on it")
--- a/internal/policy/policy.go
+++ b/internal/node/rollout/policy.go
@@ -1,4 +1,4 @@
-// Package policy decides when a change of policy takes hold: everywhere or nowhere. It is pure: no I/O, goroutine, lock or clock;
+// Package rollout decides when a change of policy takes hold: everywhere or nowhere. It is pure: no I/O, goroutine, lock or clock;
 // time is the group's own, milliseconds, passed in. Its machine is a part of the agreed log's ledger.
 //
 // A policy is one document with a number. A member (one process of a node) judges calls by the number that it holds, for as long
@@ -15,7 +15,7 @@
 // when its lease has run out; one that hangs in the pause makes the others wait for the rest of its lease.
 //
 // Bounds: MostMembers members, MostDocument bytes a document, Kept documents, Remembered outcomes.
-package policy
+package rollout
 
 import (
 	"cmp"
--- a/internal/node/statemachine/ledger.go
+++ b/internal/node/statemachine/ledger.go
@@ -20,7 +20,7 @@
 	"maps"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
@@ -128,7 +128,7 @@
 func New() *Ledger {
 	l := &Ledger{sessions: map[uint64]*session{}, members: &Members{list: map[uint64]Member{}}}
 	l.parts = map[string]Part{PartMembers: l.members, PartRegister: newRegister(), PartCalls: newCalls(), PartOrders: newOrders(),
-		PartPolicy: policies{policy.New()}, PartRoom: room{lease.New()}}
+		PartPolicy: policies{rollout.New()}, PartRoom: room{lease.New()}}
 	return l
 }
 
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 // PartPolicy is the name of the part that holds the fleet's policy.
@@ -11,9 +11,9 @@
 
 // PolicyCommand is one of the part's commands.
 type PolicyCommand struct {
-	Report  *policy.Report   `json:"report,omitempty"`
-	Propose *policy.Proposal `json:"propose,omitempty"`
-	Dead    string           `json:"dead,omitempty"` // a node that a person declares dead
+	Report  *rollout.Report   `json:"report,omitempty"`
+	Propose *rollout.Proposal `json:"propose,omitempty"`
+	Dead    string            `json:"dead,omitempty"` // a node that a person declares dead
 }
 
 // PolicyQuestion is one of its questions: a document by number or by its proposal, what became of a proposal, how
@@ -26,7 +26,7 @@
 }
 
 // policies is the part.
-type policies struct{ *policy.Machine }
+type policies struct{ *rollout.Machine }
 
 func (p policies) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var c PolicyCommand
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
@@ -75,7 +75,7 @@
 		}
 		holds, rooms = g.Number, append(rooms, us)
 		number++
-		if _, us, err = apply(number, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &policy.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
+		if _, us, err = apply(number, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &rollout.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
 			return c, err
 		}
 		policies = append(policies, us)
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -9,13 +9,13 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/internal/quota"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
-// Times of a node, ms: those of internal/peers/client, internal/repeats/fleet, internal/quota/edge and internal/policy/gate, and of
+// Times of a node, ms: those of internal/peers/client, internal/repeats/fleet, internal/quota/edge and internal/node/rollout/gate, and of
 // options that are not set.
 const (
 	try          = 1000.0
@@ -76,7 +76,7 @@
 	holds   uint64
 	hurry   func()
 
-	policy *policy.Holder
+	policy *rollout.Holder
 	looked string // hash of the document that it looked at last
 }
 
@@ -122,7 +122,7 @@
 	n.session, n.opening, n.openers, n.held = 0, false, nil, nil
 	n.ordered, n.begun, n.named, n.policed, n.leased = false, false, false, false, false
 	n.demand, n.parts, n.holds, n.hurry = lease.NewDemand(n.w.now, 1/n.tree.Set.Root[quota.Requests]), nil, 0, nil
-	n.policy, n.looked = policy.NewHolder(n.name, n.process, policyLease, false), ""
+	n.policy, n.looked = rollout.NewHolder(n.name, n.process, policyLease, false), ""
 	if fresh && n.w.upAt == 0 {
 		n.w.upAt = n.w.now
 	}
@@ -310,7 +310,7 @@
 func (n *node) renewPolicy() {
 	report, asked := n.policy.Report(), n.w.now
 	n.do("policy", statemachine.PartPolicy, statemachine.PolicyCommand{Report: &report}, policyLease, func(r *statemachine.Reply) {
-		var o policy.Order
+		var o rollout.Order
 		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.restPolicy(n.policy.Again())
 			return
@@ -324,7 +324,7 @@
 			n.takePolicy(s)
 		case s.Look != "":
 			n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *statemachine.Reply) {
-				var d policy.Document
+				var d rollout.Document
 				unseen := r == nil || json.Unmarshal(r.Body, &d) != nil
 				if !unseen {
 					n.looked = d.Hash
@@ -349,7 +349,7 @@
 }
 
 // takePolicy has a number in force, whose document it has looked at or asks for.
-func (n *node) takePolicy(s policy.Step) {
+func (n *node) takePolicy(s rollout.Step) {
 	took := func() {
 		n.policy.Took(s.Number, s.Hash)
 		n.w.result.Counts["met: a policy taken"]++
@@ -373,7 +373,7 @@
 	r := protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
 	a.done = func(r *statemachine.Reply) {
-		var news policy.News
+		var news rollout.News
 		if r == nil || json.Unmarshal(r.Body, &news) != nil {
 			n.restPolicy(pause)
 			return
@@ -406,16 +406,16 @@
 // propose has a policy changed, and asks until it holds.
 func (n *node) propose(id string) {
 	began := n.w.now
-	p := policy.Proposal{ID: id, Text: strings.Repeat("# a policy of some lines\n", 80), By: "an operator"}
+	p := rollout.Proposal{ID: id, Text: strings.Repeat("# a policy of some lines\n", 80), By: "an operator"}
 	n.do("propose", statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p}, endLimit, func(*statemachine.Reply) {
 		var again func()
 		again = func() {
 			n.read("propose", statemachine.PartPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
-				var o policy.Outcome
+				var o rollout.Outcome
 				switch {
-				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == policy.Looking || o.Stage == policy.Pausing:
+				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Looking || o.Stage == rollout.Pausing:
 					n.after(lookingPause, again)
-				case o.Stage == policy.Agreed:
+				case o.Stage == rollout.Agreed:
 					n.w.result.Took = n.w.now - began
 				default:
 					n.w.fault("the change of policy was refused: %s", o.Reason)
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/lab/circle"
 	"linenwheel.dev/linenwheel/lab/site"
 )
@@ -388,7 +388,7 @@
 			return
 		case <-time.After(time.Second):
 		}
-		proposal := policy.Proposal{ID: fmt.Sprintf("life-%d-%d", p.set.Seed, time.Since(p.began).Milliseconds()), Base: number, By: "life",
+		proposal := rollout.Proposal{ID: fmt.Sprintf("life-%d-%d", p.set.Seed, time.Since(p.began).Milliseconds()), Base: number, By: "life",
 			Text: fmt.Sprintf("[quota]\nrequests = %d\n", 100000+number)}
 		windows := []string{"5m", "2m", "1s", "5m"}[number%4]
 		if p.set.Course != "" { // every charge is held to its first windows, and the release before has no classes in a policy
@@ -405,17 +405,17 @@
 			one, stop := context.WithTimeout(p.ctx, 2*time.Second)
 			r, err := p.log.Do(one, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
 			stop()
-			var o policy.Outcome
-			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == policy.Agreed || o.Stage == policy.Refused) {
+			var o rollout.Outcome
+			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == rollout.Agreed || o.Stage == rollout.Refused) {
 				p.mu.Lock()
 				p.result.Changes[string(o.Stage)]++
 				for i := range p.brief {
-					if p.brief[i].to.IsZero() && o.Stage == policy.Agreed && windows != "1s" {
+					if p.brief[i].to.IsZero() && o.Stage == rollout.Agreed && windows != "1s" {
 						p.brief[i].to = time.Now()
 					}
 				}
 				p.mu.Unlock()
-				if o.Stage == policy.Agreed {
+				if o.Stage == rollout.Agreed {
 					number = o.Number
 				}
 				break
@@ -552,7 +552,7 @@
 	end := time.Now().Add(settles)
 	for {
 		r, err := p.log.Read(p.ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{})
-		var v policy.View
+		var v rollout.View
 		if err == nil && json.Unmarshal(r.Body, &v) == nil && v.Change == nil {
 			holds := map[string]bool{}
 			for _, m := range v.Members {
--- a/lab/policies/policies.go
+++ b/lab/policies/policies.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/policy"
 	"linenwheel.dev/linenwheel/lab/circle"
 	"linenwheel.dev/linenwheel/lab/site"
 )
@@ -74,7 +74,7 @@
 }
 
 // The steps of a change that faults are made in. Looking and pausing are known from outside some ms late.
-var steps = []string{"proposed", string(policy.Looking), string(policy.Pausing), "over"}
+var steps = []string{"proposed", string(rollout.Looking), string(rollout.Pausing), "over"}
 
 var tenants = [2]string{"vltava", "morava"} // admitted by even, odd numbers
 
@@ -242,7 +242,7 @@
 func (p *play) change(ctx context.Context, log *client.Client, number uint64) error {
 	began := time.Now()
 	id := fmt.Sprintf("p%d-%d", number, len(p.result.ChangeMs)+p.result.Refused)
-	proposal := policy.Proposal{ID: id, Text: document(number), Base: number - 1, By: "the lab"}
+	proposal := rollout.Proposal{ID: id, Text: document(number), Base: number - 1, By: "the lab"}
 	for {
 		if ctx.Err() != nil {
 			return fmt.Errorf("%s does not come to an end", id)
@@ -250,13 +250,13 @@
 		one, stop := context.WithTimeout(ctx, 2*time.Second)
 		r, err := log.Do(one, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
 		stop()
-		var o policy.Outcome
+		var o rollout.Outcome
 		if err != nil || json.Unmarshal(r.Body, &o) != nil {
 			continue
 		}
 		p.mu.Lock()
 		switch o.Stage {
-		case policy.Agreed:
+		case rollout.Agreed:
 			p.result.Agreed++
 			p.number.Store(o.Number)
 			p.result.ChangeMs = append(p.result.ChangeMs, float64(time.Since(began))/1e6)
@@ -265,7 +265,7 @@
 				return fmt.Errorf("%s became number %d, not %d", id, o.Number, number)
 			}
 			return nil
-		case policy.Refused:
+		case rollout.Refused:
 			p.result.Refused++
 			p.mu.Unlock()
 			return nil
--- a/lab/policies/virtual/log.go
+++ b/lab/policies/virtual/log.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 const (
@@ -19,11 +19,11 @@
 // command is one for the log, with its reply once it is applied: sent again it gets the same.
 type command struct {
 	node    *node // nil = an operator's
-	report  *policy.Report
-	propose *policy.Proposal
+	report  *rollout.Report
+	propose *rollout.Proposal
 	asked   float64 // on the node's clock
-	order   policy.Order
-	outcome policy.Outcome
+	order   rollout.Order
+	outcome rollout.Outcome
 	stamp   float64
 	epoch   int
 	applied bool
@@ -36,7 +36,7 @@
 // not told is told to whoever asks again.
 type agreed struct {
 	w        *world
-	machine  *policy.Machine
+	machine  *rollout.Machine
 	rates    [keepers]float64 // of the keepers' clocks
 	leader   int              // -1 = none
 	epoch    int
@@ -47,12 +47,12 @@
 	busy     float64
 	next     float64 // when the last entry will be agreed
 	pending  []*command
-	waits    []*hintWait   // one a node
-	news     []policy.News // all that were agreed, one after the other
-	old      [keepers]bool // of the release before, which knows no waits
-	deaf     bool          // the leader's answers are lost
-	disk     float64       // ms that an entry takes more
-	stage    policy.Stage
+	waits    []*hintWait    // one a node
+	news     []rollout.News // all that were agreed, one after the other
+	old      [keepers]bool  // of the release before, which knows no waits
+	deaf     bool           // the leader's answers are lost
+	disk     float64        // ms that an entry takes more
+	stage    rollout.Stage
 	pausedAt float64
 	heldAt   float64            // when the number came to hold
 	late     map[string]bool    // members that said their first word while calls were held: nobody asks them
@@ -70,12 +70,12 @@
 }
 
 func newAgreed(w *world) *agreed {
-	l := &agreed{w: w, machine: policy.New(), base: 5e5, at: w.now, time: 5e5, applied: w.now, late: map[string]bool{}, live: map[string]float64{}}
+	l := &agreed{w: w, machine: rollout.New(), base: 5e5, at: w.now, time: 5e5, applied: w.now, late: map[string]bool{}, live: map[string]float64{}}
 	for i := range l.rates {
 		l.rates[i] = w.between(0.995, 1.005)
 		l.old[i] = w.set.Faults > 0 && w.luck.IntN(4) == 0
 	}
-	l.news = []policy.News{l.machine.News()}
+	l.news = []rollout.News{l.machine.News()}
 	return l
 }
 
@@ -139,8 +139,8 @@
 // hintWait is a wait for a hint.
 type hintWait struct {
 	node  *node
-	known policy.News
-	heard func(n policy.News, ok bool)
+	known rollout.News
+	heard func(n rollout.News, ok bool)
 }
 
 // wait has heard told once how far the fleet is, if that is not what is known; not ok = the keeper does not tell. Either may be lost.
@@ -156,7 +156,7 @@
 			case l.epoch != epoch:
 			case l.old[l.leader]:
 				l.w.count("met: a wait that a keeper of the release before refused")
-				l.told(x, policy.News{}, false)
+				l.told(x, rollout.News{}, false)
 			case l.machine.News() != x.known:
 				l.told(x, l.machine.News(), true)
 			default:
@@ -182,7 +182,7 @@
 }
 
 // told passes a hint on: some are lost, late or old.
-func (l *agreed) told(x *hintWait, n policy.News, ok bool) {
+func (l *agreed) told(x *hintWait, n rollout.News, ok bool) {
 	if l.deaf && l.w.luck.IntN(4) > 0 || x.node.in {
 		return
 	}
@@ -208,9 +208,9 @@
 }
 
 // noteLate notes who says its first word while calls are held, which that very word may have begun: it found that another's time is over.
-func (l *agreed) noteLate(r *policy.Report) {
+func (l *agreed) noteLate(r *rollout.Report) {
 	id := fmt.Sprint(r.Node, r.Life)
-	if l.machine.News().Stage == policy.Pausing && l.live[id] <= l.time {
+	if l.machine.News().Stage == rollout.Pausing && l.live[id] <= l.time {
 		l.late[id] = true
 	}
 	l.live[id] = max(l.live[id], l.time+r.Lease)
@@ -219,7 +219,7 @@
 // watch holds what the machine did against the words, and strikes at the steps of changes.
 func (l *agreed) watch(before uint64, c *command) {
 	w := l.w
-	stage := policy.Stage("")
+	stage := rollout.Stage("")
 	if id := c.order.Change + c.outcome.ID; id != "" || l.stage != "" {
 		if v := l.machine.Under(); v != "" {
 			o, _ := l.machine.Outcome(v)
@@ -249,13 +249,13 @@
 	} else if l.stage != "" && stage == "" {
 		w.result.Refused++
 	}
-	if stage != l.stage && stage == policy.Pausing {
+	if stage != l.stage && stage == rollout.Pausing {
 		l.pausedAt = w.now
 	}
 	if stage != l.stage && !w.healed && w.set.Faults > 0 && w.luck.IntN(2) == 0 {
 		w.after(w.between(0, 25), w.trouble)
 	}
-	if l.stage = stage; stage != policy.Pausing {
+	if l.stage = stage; stage != rollout.Pausing {
 		clear(l.late)
 	}
 }
@@ -280,7 +280,7 @@
 }
 
 // read has a question answered from what holds at some moment between asking and answering.
-func (l *agreed) read(n *node, question func(*policy.Machine), answered func()) {
+func (l *agreed) read(n *node, question func(*rollout.Machine), answered func()) {
 	l.w.after(l.w.between(0.2, 1)+n.slow*l.w.luck.Float64(), func() {
 		if l.leader < 0 || n.out {
 			return
@@ -311,7 +311,7 @@
 	}
 	for _, x := range l.waits {
 		if l.w.luck.IntN(2) == 0 { // the connection breaks; the others hear nothing
-			l.told(x, policy.News{}, false)
+			l.told(x, rollout.News{}, false)
 		}
 	}
 	l.waits = nil
@@ -322,7 +322,7 @@
 	l.w.after(l.w.between(200, 1200), func() {
 		image, err := l.machine.Freeze()()
 		if err == nil {
-			l.machine = policy.New()
+			l.machine = rollout.New()
 			err = l.machine.Load(image)
 		}
 		if err != nil {
--- a/lab/policies/virtual/node.go
+++ b/lab/policies/virtual/node.go
@@ -5,7 +5,7 @@
 	"math"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 const late = 1500.0 // ms that a report may come late, when it does
@@ -14,7 +14,7 @@
 type node struct {
 	w        *world
 	name     string
-	holder   *policy.Holder
+	holder   *rollout.Holder
 	life     int
 	up       bool
 	stopped  bool
@@ -99,7 +99,7 @@
 	n.up, n.stopped, n.woke, n.settled, n.closed, n.receipt, n.looked = true, false, nil, n.w.now, 0, 0, ""
 	n.early = n.w.set.Wrong == ReadyEarly
 	n.floor = n.w.log.machine.Number()
-	n.holder = policy.NewHolder(n.name, uint64(n.life), n.w.set.Lease, false)
+	n.holder = rollout.NewHolder(n.name, uint64(n.life), n.w.set.Lease, false)
 	n.step()
 }
 
@@ -211,7 +211,7 @@
 		return
 	}
 	life, over, due := n.life, false, n.w.now+most*n.w.between(0.75, 1.25)
-	heard := func(news policy.News, ok bool) {
+	heard := func(news rollout.News, ok bool) {
 		n.run(life, func() {
 			switch {
 			case over:
@@ -248,9 +248,9 @@
 }
 
 // hear takes a hint.
-func (n *node) hear(news policy.News) {
+func (n *node) hear(news rollout.News) {
 	if n.w.set.Wrong == HintRenews {
-		n.holder.Obey(n.clock(), policy.Order{Number: news.Number, Lease: n.w.set.Lease, Change: news.Change, Stage: news.Stage})
+		n.holder.Obey(n.clock(), rollout.Order{Number: news.Number, Lease: n.w.set.Lease, Change: news.Change, Stage: news.Stage})
 	}
 	s := n.holder.Hear(news)
 	switch {
@@ -265,10 +265,10 @@
 }
 
 // ask has a document found, for a lease at the longest, or failed is done.
-func (n *node) ask(number uint64, id string, found func(d policy.Document, ok bool)) {
-	var d policy.Document
+func (n *node) ask(number uint64, id string, found func(d rollout.Document, ok bool)) {
+	var d rollout.Document
 	ok, over := false, false
-	n.w.log.read(n, func(m *policy.Machine) { d, ok = m.Find(number, id) }, func() {
+	n.w.log.read(n, func(m *rollout.Machine) { d, ok = m.Find(number, id) }, func() {
 		n.after(0, func() {
 			if !over {
 				over = true
@@ -293,7 +293,7 @@
 }
 
 func (n *node) look(id string) {
-	n.ask(0, id, func(d policy.Document, ok bool) {
+	n.ask(0, id, func(d rollout.Document, ok bool) {
 		n.after(n.w.between(0.1, 2)+n.slow, func() {
 			err := n.cannot(d.Text)
 			if ok && err != nil {
@@ -312,7 +312,7 @@
 }
 
 func (n *node) take(number uint64, hash string) {
-	done := func(d policy.Document) {
+	done := func(d rollout.Document) {
 		n.after(n.w.between(0.1, 2)+n.slow, func() {
 			if d.Text != n.w.texts[number] {
 				n.w.fault("%s takes %q as number %d", n.name, d.Text, number)
@@ -337,14 +337,14 @@
 		})
 	}
 	if number == 0 {
-		done(policy.Document{})
+		done(rollout.Document{})
 		return
 	}
-	if hash == policy.Hash(n.looked) { // as the gate's does
-		done(policy.Document{Text: n.looked, Hash: hash})
+	if hash == rollout.Hash(n.looked) { // as the gate's does
+		done(rollout.Document{Text: n.looked, Hash: hash})
 		return
 	}
-	n.ask(number, "", func(d policy.Document, ok bool) {
+	n.ask(number, "", func(d rollout.Document, ok bool) {
 		if !ok {
 			n.after(n.holder.Again(), n.step)
 			return
--- a/lab/policies/virtual/virtual.go
+++ b/lab/policies/virtual/virtual.go
@@ -11,7 +11,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/lab/agenda"
 )
 
@@ -179,7 +179,7 @@
 		under = c.ID
 	}
 	w.after(w.bound(), func() {
-		if o, ok := w.log.machine.Outcome(under); ok && (o.Stage == policy.Looking || o.Stage == policy.Pausing) {
+		if o, ok := w.log.machine.Outcome(under); ok && (o.Stage == rollout.Looking || o.Stage == rollout.Pausing) {
 			w.fault("%s is still %s after the last fault", under, o.Stage)
 		}
 		last := &operator{w: w, name: "the last", last: true}
@@ -195,7 +195,7 @@
 	}
 	for _, n := range w.nodes {
 		n.settle()
-		if holds, hash, _ := n.holder.Holds(); holds != w.log.machine.Number() || hash != policy.Hash(w.texts[holds]) || !n.open() {
+		if holds, hash, _ := n.holder.Holds(); holds != w.log.machine.Number() || hash != rollout.Hash(w.texts[holds]) || !n.open() {
 			w.fault("%s holds number %d (%s) and calls begin: %v; number %d holds", n.name, holds, hash, n.open(), w.log.machine.Number())
 		}
 	}
@@ -225,7 +225,7 @@
 }
 
 // proposed is the step of a change before its operator is told anything.
-const proposed policy.Stage = "proposed"
+const proposed rollout.Stage = "proposed"
 
 // operator proposes one document after the other, and dies now and then while it waits.
 type operator struct {
@@ -253,15 +253,15 @@
 	if w.log.machine.View().Change != nil {
 		w.count("met: two operators at once")
 	}
-	dies := policy.Stage("")
+	dies := rollout.Stage("")
 	if !o.last && w.set.Faults > 0 && w.luck.IntN(3) == 0 {
-		dies = []policy.Stage{proposed, policy.Looking, policy.Pausing}[w.luck.IntN(3)]
+		dies = []rollout.Stage{proposed, rollout.Looking, rollout.Pausing}[w.luck.IntN(3)]
 	}
-	o.ask(policy.Proposal{ID: id, Text: text, Base: o.base, By: o.name}, dies)
+	o.ask(rollout.Proposal{ID: id, Text: text, Base: o.base, By: o.name}, dies)
 }
 
 // ask asks until the proposal has ended, or the operator dies.
-func (o *operator) ask(p policy.Proposal, dies policy.Stage) {
+func (o *operator) ask(p rollout.Proposal, dies rollout.Stage) {
 	w := o.w
 	if dies == proposed {
 		o.die(proposed)
@@ -271,12 +271,12 @@
 	w.log.ask(&command{propose: &p, told: func(c *command) {
 		end := c.outcome
 		switch end.Stage {
-		case policy.Agreed:
+		case rollout.Agreed:
 			o.base = end.Number
 			if o.last {
 				o.agreed = end.Number
 			}
-		case policy.Refused:
+		case rollout.Refused:
 			o.base, o.reason = w.log.machine.Number(), end.Reason
 		default:
 			if dies == end.Stage {
@@ -295,7 +295,7 @@
 }
 
 // die ends an operator's program; the next begins from what holds.
-func (o *operator) die(at policy.Stage) {
+func (o *operator) die(at rollout.Stage) {
 	o.w.count("fault: a proposer that dies")
 	o.w.count("met: a proposer that died while " + string(at))
 	o.w.after(o.w.between(50, 50+o.w.set.Between), func() {
--- a/node/node.go
+++ b/node/node.go
@@ -25,11 +25,11 @@
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/north/httpfront"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/policy"
 	quotaedge "linenwheel.dev/linenwheel/internal/quota/edge"
 	"linenwheel.dev/linenwheel/internal/repeats/edge"
 	"linenwheel.dev/linenwheel/internal/repeats/fleet"
@@ -150,7 +150,7 @@
 	names *fleet.Names     // of calls, held by the fleet; nil = by this node alone
 	guide *policygate.Gate // of calls, by the fleet's policy; nil = by this node's file alone
 	own   Options          // of this machine, without the fleet's policy; under reload
-	doc   policy.Document  // the fleet's policy, Number 0 = none; under reload
+	doc   rollout.Document // the fleet's policy, Number 0 = none; under reload
 
 	figures *figures.Set
 	budget  *flow.Budget // of bodies
--- a/node/policy.go
+++ b/node/policy.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"log/slog"
 
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // policyName stands for the file in faults of a policy's text.
@@ -31,12 +31,12 @@
 // policyLog asks the agreed log.
 type policyLog struct{ *peers }
 
-func (p policyLog) Report(ctx context.Context, r policy.Report) (o policy.Order, err error) {
+func (p policyLog) Report(ctx context.Context, r rollout.Report) (o rollout.Order, err error) {
 	reply, err := p.log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &r})
 	return o, decoded(reply, err, &o)
 }
 
-func (p policyLog) Document(ctx context.Context, number uint64, id string) (d policy.Document, err error) {
+func (p policyLog) Document(ctx context.Context, number uint64, id string) (d rollout.Document, err error) {
 	q := statemachine.PolicyQuestion{Proposed: id}
 	if id == "" {
 		q.Document = &number
@@ -45,7 +45,7 @@
 	return d, decoded(reply, err, &d)
 }
 
-func (p policyLog) News(ctx context.Context, known policy.News) (n policy.News, err error) {
+func (p policyLog) News(ctx context.Context, known rollout.News) (n rollout.News, err error) {
 	reply, err := p.log.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
 	return n, decoded(reply, err, &n)
 }
@@ -64,7 +64,7 @@
 type policyNode struct{ n *Node }
 
 // Check lays a document over the machine's own options, as SIGHUP lays a file.
-func (p policyNode) Check(d policy.Document) error {
+func (p policyNode) Check(d rollout.Document) error {
 	p.n.reload.Lock()
 	defer p.n.reload.Unlock()
 	_, err := p.n.under(&p.n.own, d)
@@ -72,7 +72,7 @@
 }
 
 // Take has it in force.
-func (p policyNode) Take(d policy.Document) error {
+func (p policyNode) Take(d rollout.Document) error {
 	n := p.n
 	n.reload.Lock()
 	defer n.reload.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // under gives what options come to under a policy; number 0 is none.
-func (n *Node) under(own *Options, d policy.Document) (Options, error) {
+func (n *Node) under(own *Options, d rollout.Document) (Options, error) {
 	if d.Text == "" {
 		return *own, nil
 	}
--- a/node/policy_test.go
+++ b/node/policy_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // Guards against a call that waits for room under one number of the policy and gets it under the next, where another call of its
@@ -31,7 +31,7 @@
 		}
 		return false
 	}, time.Minute, time.Millisecond)
-	require.NoError(t, policyNode{n}.Take(policy.Document{Number: 1, Text: "[quota]\nrequests = 1000\n"}))
+	require.NoError(t, policyNode{n}.Take(rollout.Document{Number: 1, Text: "[quota]\nrequests = 1000\n"}))
 	s.Run(`
 		a expect 429
 		wait 5
--- a/node/repeats_test.go
+++ b/node/repeats_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/policy"
 )
 
 // knowing are options that recognise repeats of charges by a header and of alerts by their key.
@@ -140,7 +140,7 @@
 			wait 5`)
 		short.Repeats.Classes = n.opts.Load().Repeats.Classes
 		require.Equal(t, 20000.0, short.Repeats.Classes[0].Answered.Ms)
-		_, err := n.under(&n.own, policy.Document{Number: 1, Hash: "h", Text: classFile("pay", "Other", 30)})
+		_, err := n.under(&n.own, rollout.Document{Number: 1, Hash: "h", Text: classFile("pay", "Other", 30)})
 		require.ErrorContains(t, err, "policy h:4:1: repeats.class.0.header: calls of class \"pay\" would be named in another way")
 	})
 	require.Contains(t, log.text.String(), "renamed.toml:6:1: repeats.class.0.header: calls of class \\\"pay\\\" would be named in another way")
