--- a/internal/repeats/edge/edge.go
+++ b/internal/node/idempotency/middleware/edge.go
@@ -1,10 +1,10 @@
-// Package edge is the stage that recognises repeats: the half of package repeats that has a lock, a clock, a journal and
+// Package middleware is the stage that recognises repeats: the half of package repeats that has a lock, a clock, a journal and
 // calls that wait.
 //
 // The first call of a name runs in a copy of its own, whose client leaves only when nobody waits for it any more. Every
 // repeat that comes meanwhile waits for that run's answer until its own time is up or its own client leaves. All of them
 // get the one answer.
-package edge
+package middleware
 
 import (
 	"log/slog"
--- a/internal/repeats/fleet/fleet.go
+++ b/internal/repeats/fleet/fleet.go
@@ -20,9 +20,9 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 )
 
 // Settings describe the adaptor. Times are milliseconds.
@@ -162,19 +162,19 @@
 func (n *Names) Up() bool { return n.up.Load() }
 
 // Look tells how a name stands, and waits for the run elsewhere that has it; Run = nobody has it, and it is not taken.
-func (n *Names) Look(c repeats.Call, deadline float64, left <-chan struct{}) edge.Taken {
+func (n *Names) Look(c repeats.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	if !n.up.Load() {
-		return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
 	o, err := n.see(c, deadline)
 	if err != nil {
-		return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
 	if o.Taken == statemachine.TakenElse {
 		o = n.await(c, deadline, left, firstPoll)
 	}
 	if o.Taken == statemachine.TakenUnknown {
-		return edge.Taken{Verdict: repeats.Run}
+		return middleware.Taken{Verdict: repeats.Run}
 	}
 	return told(o)
 }
@@ -194,38 +194,38 @@
 }
 
 // told is what an outcome other than a run of one's own comes to.
-func told(o statemachine.Outcome) edge.Taken {
+func told(o statemachine.Outcome) middleware.Taken {
 	switch o.Taken {
 	case statemachine.TakenReplay:
-		return edge.Taken{Verdict: repeats.Replay, Body: o.Body}
+		return middleware.Taken{Verdict: repeats.Replay, Body: o.Body}
 	case statemachine.TakenSpent:
-		return edge.Taken{Verdict: repeats.Spent}
+		return middleware.Taken{Verdict: repeats.Spent}
 	case statemachine.TakenMismatch:
-		return edge.Taken{Verdict: repeats.Mismatch}
+		return middleware.Taken{Verdict: repeats.Mismatch}
 	case statemachine.TakenDoubt:
-		return edge.Taken{Verdict: repeats.Doubt}
+		return middleware.Taken{Verdict: repeats.Doubt}
 	case statemachine.TakenElse:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: repeats.Join}
 	}
-	return edge.Taken{Verdict: repeats.Full, Wait: o.Wait}
+	return middleware.Taken{Verdict: repeats.Full, Wait: o.Wait}
 }
 
 // Take has a name taken, or waits for the run elsewhere that has it, until the deadline or until left is closed.
-func (n *Names) Take(c repeats.Call, deadline float64, left <-chan struct{}) edge.Taken {
+func (n *Names) Take(c repeats.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	if !n.up.Load() {
-		return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
 	tenant := ""
 	if c.Tenant >= 0 && c.Tenant < len(n.set.Tenants) {
 		tenant = n.set.Tenants[c.Tenant]
 	}
-	t := edge.Taken{Token: rand.Uint64()>>1 | 1}
+	t := middleware.Taken{Token: rand.Uint64()>>1 | 1}
 	take := statemachine.TakeCommand(statemachine.Take{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered,
 		Doubt: c.Windows.Doubt, Run: n.set.Claim + n.set.Longest, Node: n.set.Node, Life: n.life, Token: t.Token})
 	for poll := firstPoll; ; poll = min(2*poll, lastPoll) {
 		asked := n.clock.Now()
 		if asked >= deadline {
-			return edge.Taken{Verdict: repeats.Join}
+			return middleware.Taken{Verdict: repeats.Join}
 		}
 		ctx, stop := context.WithTimeout(context.Background(), n.span(min(n.set.Take, deadline-asked)))
 		r, err := n.client.Do(ctx, statemachine.PartCalls, take)
@@ -235,13 +235,13 @@
 			if errors.Is(err, client.ErrUnknown) { // nothing was sent, and nothing will be
 				n.work.Go(func() { n.takeBack(statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowNotRun}) })
 			}
-			return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}
+			return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 		}
 		n.seen.Add(1)
 		var o statemachine.Outcome
 		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.log.Error("a name could not be taken", "error", r.Text)
-			return edge.Taken{Verdict: repeats.Full, Wait: comeBack}
+			return middleware.Taken{Verdict: repeats.Full, Wait: comeBack}
 		}
 		if o.Taken == statemachine.TakenElse {
 			if o = n.await(c, deadline, left, poll); o.Taken == statemachine.TakenUnknown {
@@ -279,7 +279,7 @@
 }
 
 // Ended has it agreed how a run ended, and returns once it is, or after Settings.End: it then goes on for a while.
-func (n *Names) Ended(c repeats.Call, t edge.Taken, how repeats.End, body []byte) {
+func (n *Names) Ended(c repeats.Call, t middleware.Taken, how repeats.End, body []byte) {
 	e := statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowDoubt}
 	switch how {
 	case repeats.EndServed:
--- a/internal/repeats/fleet/fleet_test.go
+++ b/internal/repeats/fleet/fleet_test.go
@@ -18,9 +18,9 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 )
 
 // lone runs a fleet's only keeper, which ends with ctx; work is done when it has ended.
@@ -80,7 +80,7 @@
 		require.Fail(t, "it does not say so")
 	}
 	call := repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
-	assert.Equal(t, edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
+	assert.Equal(t, middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
 	assert.False(t, other.Up())
 	assert.Equal(t, repeats.Run, first.Take(call, real.Now()+20000, nil).Verdict)
 	same := begin("b", "the secret of the fleet", slog.New(slog.DiscardHandler))
--- a/internal/repeats/handover/handover.go
+++ b/internal/repeats/handover/handover.go
@@ -12,8 +12,8 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 )
 
 // Send tells the other process something, in order. After an error the channel is broken, and its end is told.
@@ -96,7 +96,7 @@
 
 // Giver is the old process's side: the edge.Fleet of its stage from the hand-over on.
 type Giver struct {
-	stage *edge.Stage
+	stage *middleware.Stage
 	clock clock.Clock
 	log   *slog.Logger
 	send  Send
@@ -112,11 +112,11 @@
 // asked is a name that the heir was asked for.
 type asked struct {
 	call   repeats.Call
-	answer chan edge.Taken // nobody waits for one that is nil
+	answer chan middleware.Taken // nobody waits for one that is nil
 }
 
 // NewGiver makes the side that gives a stage's book away once it runs.
-func NewGiver(stage *edge.Stage, c clock.Clock, log *slog.Logger, send Send) *Giver {
+func NewGiver(stage *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Giver {
 	return &Giver{stage: stage, clock: c, log: log, send: send, given: make(chan struct{}), waiting: map[uint64]*asked{}}
 }
 
@@ -154,18 +154,18 @@
 }
 
 // Take has the heir asked.
-func (g *Giver) Take(c repeats.Call, deadline float64, left <-chan struct{}) edge.Taken {
+func (g *Giver) Take(c repeats.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	late := make(chan struct{})
 	stop := g.clock.At(deadline, func() { close(late) })
 	defer stop()
 	select {
 	case <-g.given:
 	case <-late:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: repeats.Join}
 	case <-left:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: repeats.Join}
 	}
-	a := &asked{c, make(chan edge.Taken, 1)}
+	a := &asked{c, make(chan middleware.Taken, 1)}
 	answer := a.answer
 	g.mu.Lock()
 	if g.broken {
@@ -192,20 +192,20 @@
 	case t := <-answer:
 		return t
 	default:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: repeats.Join}
 	}
 }
 
 // refused is the answer where the heir cannot be asked. A call that may run twice runs, and is not recognised.
-func (g *Giver) refused(c repeats.Call) edge.Taken {
+func (g *Giver) refused(c repeats.Call) middleware.Taken {
 	if !g.stage.Once(c.Class) {
-		return edge.Taken{Verdict: repeats.Pass}
+		return middleware.Taken{Verdict: repeats.Pass}
 	}
-	return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonHeirGone}
+	return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonHeirGone}
 }
 
 // Ended tells the heir. What is written before the client is told is read by the heir though this process dies.
-func (g *Giver) Ended(c repeats.Call, _ edge.Taken, how repeats.End, body []byte) {
+func (g *Giver) Ended(c repeats.Call, _ middleware.Taken, how repeats.End, body []byte) {
 	<-g.given
 	g.mu.Lock()
 	broken := g.broken
@@ -224,7 +224,7 @@
 	if m.Told == nil {
 		return nil
 	}
-	t := edge.Taken{Verdict: m.Told.Verdict, Reason: m.Told.Reason, Wait: m.Told.Wait, Body: m.Told.Body}
+	t := middleware.Taken{Verdict: m.Told.Verdict, Reason: m.Told.Reason, Wait: m.Told.Wait, Body: m.Told.Body}
 	g.mu.Lock()
 	a := g.waiting[m.Told.Seq]
 	delete(g.waiting, m.Told.Seq)
@@ -263,7 +263,7 @@
 
 // Heir is the new process's side. Its methods are called one after the other.
 type Heir struct {
-	stage *edge.Stage
+	stage *middleware.Stage
 	clock clock.Clock
 	log   *slog.Logger
 	send  Send
@@ -272,7 +272,7 @@
 }
 
 // Await has a stage wait for the names of the process before.
-func Await(stage *edge.Stage, c clock.Clock, log *slog.Logger, send Send) *Heir {
+func Await(stage *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Heir {
 	stage.Await()
 	return &Heir{stage: stage, clock: c, log: log, send: send, gone: make(chan struct{})}
 }
@@ -299,7 +299,7 @@
 	case m.Ask != nil:
 		go h.answer(*m.Ask) // there are as many as the other process has calls
 	case m.End != nil:
-		h.stage.Ended(m.End.call.call(), edge.Taken{}, m.End.How, m.End.Body)
+		h.stage.Ended(m.End.call.call(), middleware.Taken{}, m.End.How, m.End.Body)
 	}
 	return nil
 }
--- a/internal/repeats/handover/handover_test.go
+++ b/internal/repeats/handover/handover_test.go
@@ -16,8 +16,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 )
 
 type text string
@@ -75,8 +75,8 @@
 		}
 		c := clock.NewManual(1000)
 		var ran, ranInOld sync.Map
-		stage := func(old bool, secret string) (*edge.Stage, core.Handler) {
-			s, err := edge.New(edge.Settings{Classes: []edge.Class{{On: true, By: edge.Naming{Key: true}}}, Secret: []byte(secret),
+		stage := func(old bool, secret string) (*middleware.Stage, core.Handler) {
+			s, err := middleware.New(middleware.Settings{Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}}, Secret: []byte(secret),
 				Book:    repeats.Settings{Classes: []repeats.Class{{Once: true, Answered: 1e6, Doubt: 1e6}}, Entries: 1000, Bytes: 1 << 20, Alpha: 4},
 				Content: func(p any) core.Content { return p.(core.Content) }, Encode: func(p any) []byte { return []byte(p.(text)) },
 				Decode: func(b []byte) any { return text(b) }, Wall: c.Now}, c, slog.New(slog.DiscardHandler))
@@ -126,9 +126,9 @@
 				if _, theirs := ranInOld.Load(string(key)); theirs && heirs {
 					joined.Add(1)
 				}
-			case a.Reason == edge.ReasonHeirGone || a.Reason == edge.ReasonNoHandover:
+			case a.Reason == middleware.ReasonHeirGone || a.Reason == middleware.ReasonNoHandover:
 				refused.Add(1)
-			case a.Reason == edge.ReasonDoubt:
+			case a.Reason == middleware.ReasonDoubt:
 				doubt.Add(1)
 			}
 		}
@@ -159,7 +159,7 @@
 // Guards against a name that stays taken for ever because nobody waited any more when the heir said that it may run.
 func TestNobodyWaitsForTheName(t *testing.T) {
 	c := clock.NewManual(1000)
-	s, err := edge.New(edge.Settings{Book: repeats.Settings{Classes: []repeats.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
+	s, err := middleware.New(middleware.Settings{Book: repeats.Settings{Classes: []repeats.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	sent := make(chan message, 9)
 	g := NewGiver(s, c, slog.New(slog.DiscardHandler), func(text json.RawMessage) (err error) {
@@ -171,7 +171,7 @@
 	g.Run()
 	require.True(t, (<-sent).Book.Last)
 	left := make(chan struct{})
-	taken := make(chan edge.Taken)
+	taken := make(chan middleware.Taken)
 	go func() { taken <- g.Take(repeats.Call{Name: repeats.Name{7}}, 2000, left) }()
 	asked := <-sent
 	close(left)
@@ -183,15 +183,15 @@
 	go func() { taken <- g.Take(repeats.Call{Name: repeats.Name{8}}, 2000, nil) }()
 	<-sent
 	g.Lost()
-	require.Equal(t, edge.ReasonHeirGone, (<-taken).Reason)
+	require.Equal(t, middleware.ReasonHeirGone, (<-taken).Reason)
 }
 
 // Guards against a name that the process which takes over holds for another time than the one before had promised, because their
 // classes' windows differ: one that was handed over, and one that the old process asked for afterwards.
 func TestWindowsAreHandedOver(t *testing.T) {
 	c, quiet, ran := clock.NewManual(1000), slog.New(slog.DiscardHandler), atomic.Int64{}
-	stage := func(window float64) (*edge.Stage, core.Handler) {
-		s, err := edge.New(edge.Settings{Secret: []byte("s"), Classes: []edge.Class{{On: true, By: edge.Naming{Key: true}}},
+	stage := func(window float64) (*middleware.Stage, core.Handler) {
+		s, err := middleware.New(middleware.Settings{Secret: []byte("s"), Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}},
 			Book:    repeats.Settings{Classes: []repeats.Class{{Once: true, Answered: window, Doubt: window}}, Entries: 9, Bytes: 99, Alpha: 4},
 			Content: func(p any) core.Content { return p.(core.Content) }, Encode: func(p any) []byte { return []byte(p.(text)) },
 			Decode: func(b []byte) any { return text(b) }}, c, quiet)
--- a/node/node.go
+++ b/node/node.go
@@ -25,13 +25,13 @@
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/north/httpfront"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/pilot"
 	quotaedge "linenwheel.dev/linenwheel/internal/quota/edge"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 	"linenwheel.dev/linenwheel/internal/repeats/fleet"
 	"linenwheel.dev/linenwheel/internal/repeats/journal"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
@@ -140,11 +140,11 @@
 	thrift *thriftSide // nil = Thrift is not spoken
 	poke   chan struct{}
 
-	quota   *quotaedge.Stage // nil = calls are not held to quotas
-	repeats *edge.Stage      // nil = repeats are not recognised
-	pass    passing          // of its names to another process, or from one
-	journal *journal.Journal // of them, nil = none
-	locked  *os.File         // keeps other processes from the journal
+	quota   *quotaedge.Stage  // nil = calls are not held to quotas
+	repeats *middleware.Stage // nil = repeats are not recognised
+	pass    passing           // of its names to another process, or from one
+	journal *journal.Journal  // of them, nil = none
+	locked  *os.File          // keeps other processes from the journal
 
 	peers *peers           // what the fleet holds for this node and its clients; nil = the node shares nothing
 	names *fleet.Names     // of calls, held by the fleet; nil = by this node alone
--- a/node/peers.go
+++ b/node/peers.go
@@ -10,9 +10,9 @@
 
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 	"linenwheel.dev/linenwheel/internal/repeats/fleet"
 )
 
@@ -38,7 +38,7 @@
 }
 
 // names has names of calls agreed with the fleet.
-func (p *peers) names(n *Node, set *edge.Settings, log *slog.Logger) *fleet.Names {
+func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *fleet.Names {
 	names := fleet.Settings{Node: n.conf.Name, Secret: set.Secret, Claim: p.set.Claim.Ms,
 		Longest: n.conf.MaxDeadline, Take: 2 * p.set.Try.Ms, End: p.set.EndWait.Ms}
 	if n.known != nil {
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -11,9 +11,9 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
 	"linenwheel.dev/linenwheel/internal/repeats/journal"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
@@ -22,8 +22,8 @@
 const leastSecret = 16
 
 // recognise makes the stage that recognises repeats, with its journal if there is one.
-func (n *Node) recognise(o *options.Repeats, log *slog.Logger) (*edge.Stage, error) {
-	set := edge.Settings{Classes: n.classes(o), Content: content, Encode: encodeAnswer, Decode: decodeAnswer, Wall: n.clock.Now,
+func (n *Node) recognise(o *options.Repeats, log *slog.Logger) (*middleware.Stage, error) {
+	set := middleware.Settings{Classes: n.classes(o), Content: content, Encode: encodeAnswer, Decode: decodeAnswer, Wall: n.clock.Now,
 		Longest: n.conf.MaxDeadline,
 		Book: repeats.Settings{Classes: make([]repeats.Class, len(n.conf.Settings.Classes)),
 			Tenants: len(n.conf.Settings.Tenants), Entries: o.Entries, Bytes: o.Bytes.Bytes, Alpha: o.Alpha}}
@@ -66,12 +66,12 @@
 		n.names = n.peers.names(n, &set, log)
 		set.Fleet, set.Longest = n.names, n.conf.MaxDeadline+n.peers.set.Claim.Ms
 	}
-	return edge.New(set, n.clock, log)
+	return middleware.New(set, n.clock, log)
 }
 
 // classes puts the classes' options into the stage's terms; those that are not listed are off.
-func (n *Node) classes(o *options.Repeats) []edge.Class {
-	list := make([]edge.Class, len(n.conf.Settings.Classes))
+func (n *Node) classes(o *options.Repeats) []middleware.Class {
+	list := make([]middleware.Class, len(n.conf.Settings.Classes))
 	for i, class := range n.conf.Settings.Classes {
 		list[i].Windows = &repeats.Windows{}
 		at := slices.IndexFunc(o.Classes, func(c options.RepeatsClass) bool { return c.Name == class.Name })
@@ -79,7 +79,7 @@
 			continue
 		}
 		c := &o.Classes[at]
-		list[i] = edge.Class{On: true, By: naming(c, class.Effect), Required: c.Required, Recorded: c.Recorded && o.Journal != "",
+		list[i] = middleware.Class{On: true, By: naming(c, class.Effect), Required: c.Required, Recorded: c.Recorded && o.Journal != "",
 			Agreed: c.Recorded && class.Effect == decide.Unsafe, Windows: &repeats.Windows{Answered: c.Answered.Ms, Doubt: c.Doubt.Ms}}
 	}
 	return list
@@ -90,7 +90,7 @@
 	if n.repeats == nil {
 		return
 	}
-	var wrong *edge.NamingError
+	var wrong *middleware.NamingError
 	if errors.As(n.repeats.Check(n.classes(&o.Repeats)), &wrong) {
 		name := n.conf.Settings.Classes[wrong.Class].Name
 		at := slices.IndexFunc(o.Repeats.Classes, func(c options.RepeatsClass) bool { return c.Name == name })
@@ -108,16 +108,16 @@
 }
 
 // naming puts a class's options into the stage's terms. A class of the platform that carries a key has it with the call.
-func naming(c *options.RepeatsClass, effect decide.Effect) edge.Naming {
+func naming(c *options.RepeatsClass, effect decide.Effect) middleware.Naming {
 	switch {
 	case c.By == "header":
-		return edge.Naming{Header: c.Header}
+		return middleware.Naming{Header: c.Header}
 	case c.By == "key" && effect == decide.Keyed:
-		return edge.Naming{Key: true}
+		return middleware.Naming{Key: true}
 	case c.By == "key":
-		return edge.Naming{Header: "Idempotency-Key"}
+		return middleware.Naming{Header: "Idempotency-Key"}
 	}
-	by := edge.Naming{Path: slices.Contains(c.Parts, "path"), Query: slices.Contains(c.Parts, "query"),
+	by := middleware.Naming{Path: slices.Contains(c.Parts, "path"), Query: slices.Contains(c.Parts, "query"),
 		Body: slices.Contains(c.Parts, "body")}
 	for _, part := range c.Parts {
 		if name, ok := strings.CutPrefix(part, "header:"); ok {
