--- a/internal/repeats/handover/handover.go
+++ b/internal/node/idempotency/transfer/handover.go
@@ -1,10 +1,10 @@
-// Package handover hands the names of calls from a process to the one that takes its place, over the channel of the takeover.
+// Package transfer hands the names of calls from a process to the one that takes its place, over the channel of the takeover.
 //
 // There is one book at each moment: the old process's until the other one has said that it accepts, then that one's. The old one
 // gives it away whole, and asks for each new name from then on; what it runs already runs in the other's book too, and it tells each
 // end before it tells its client. When the channel breaks, the old one refuses new names, and the other takes what it was not told the
 // end of for something that may have run.
-package handover
+package transfer
 
 import (
 	"encoding/json"
--- a/internal/repeats/handover/handover_test.go
+++ b/internal/node/idempotency/transfer/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package transfer
 
 import (
 	"encoding/json"
--- a/node/names.go
+++ b/node/names.go
@@ -8,15 +8,15 @@
 	"fmt"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/repeats/handover"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/transfer"
 )
 
 // passing is what a node has to do with another process of it where names are handed over.
 type passing struct {
 	work  sync.WaitGroup // the names being sent
 	mu    sync.Mutex
-	giver *handover.Giver // nil = no other process has taken over
-	heir  *handover.Heir  // nil = there is no process before that hands names over, or it cannot be spoken with any more
+	giver *transfer.Giver // nil = no other process has taken over
+	heir  *transfer.Heir  // nil = there is no process before that hands names over, or it cannot be spoken with any more
 }
 
 // NamesMark says how a node makes the names of calls that it hands over to a process which takes its place: two processes of one
@@ -69,7 +69,7 @@
 	}
 	n.pass.mu.Lock()
 	defer n.pass.mu.Unlock()
-	n.pass.heir = handover.Await(n.repeats, n.clock, n.log.With("part", "repeats"), send)
+	n.pass.heir = transfer.Await(n.repeats, n.clock, n.log.With("part", "repeats"), send)
 }
 
 // Heir tells whether a process before this one can still ask it for names.
@@ -86,7 +86,7 @@
 	}
 	n.pass.mu.Lock()
 	defer n.pass.mu.Unlock()
-	n.pass.giver = handover.NewGiver(n.repeats, n.clock, n.log.With("part", "repeats"), send)
+	n.pass.giver = transfer.NewGiver(n.repeats, n.clock, n.log.With("part", "repeats"), send)
 	n.pass.work.Go(n.pass.giver.Run) // it ends with the channel at the latest
 }
 
