--- a/internal/repeats/fleet/fleet.go
+++ b/internal/node/idempotency/replicated/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet holds names for all nodes of a fleet: what a node takes is agreed by the keepers before its first byte goes
+// Package replicated holds names for all nodes of a fleet: what a node takes is agreed by the keepers before its first byte goes
 // out, and what it was answered before its client is told. It is the adaptor between the stage of repeats and the agreed log;
 // what is decided is in package ledger.
 //
 // While no majority of keepers can be reached, names are refused at once: a look goes on in the background and finds when one
 // can be reached again.
-package fleet
+package replicated
 
 import (
 	"context"
--- a/internal/repeats/fleet/fleet_test.go
+++ b/internal/node/idempotency/replicated/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package replicated
 
 import (
 	"bytes"
--- a/node/node.go
+++ b/node/node.go
@@ -26,13 +26,13 @@
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/north/httpfront"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/pilot"
 	quotaedge "linenwheel.dev/linenwheel/internal/quota/edge"
-	"linenwheel.dev/linenwheel/internal/repeats/fleet"
 	"linenwheel.dev/linenwheel/internal/repeats/journal"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/stop"
@@ -146,11 +146,11 @@
 	journal *journal.Journal  // of them, nil = none
 	locked  *os.File          // keeps other processes from the journal
 
-	peers *peers           // what the fleet holds for this node and its clients; nil = the node shares nothing
-	names *fleet.Names     // of calls, held by the fleet; nil = by this node alone
-	guide *policygate.Gate // of calls, by the fleet's policy; nil = by this node's file alone
-	own   Options          // of this machine, without the fleet's policy; under reload
-	doc   rollout.Document // the fleet's policy, Number 0 = none; under reload
+	peers *peers            // what the fleet holds for this node and its clients; nil = the node shares nothing
+	names *replicated.Names // of calls, held by the fleet; nil = by this node alone
+	guide *policygate.Gate  // of calls, by the fleet's policy; nil = by this node's file alone
+	own   Options           // of this machine, without the fleet's policy; under reload
+	doc   rollout.Document  // the fleet's policy, Number 0 = none; under reload
 
 	figures *figures.Set
 	budget  *flow.Budget // of bodies
--- a/node/peers.go
+++ b/node/peers.go
@@ -11,9 +11,9 @@
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/repeats/fleet"
 )
 
 // orderLimit is how long operators wait for an order to be agreed.
@@ -38,8 +38,8 @@
 }
 
 // names has names of calls agreed with the fleet.
-func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *fleet.Names {
-	names := fleet.Settings{Node: n.conf.Name, Secret: set.Secret, Claim: p.set.Claim.Ms,
+func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *replicated.Names {
+	names := replicated.Settings{Node: n.conf.Name, Secret: set.Secret, Claim: p.set.Claim.Ms,
 		Longest: n.conf.MaxDeadline, Take: 2 * p.set.Try.Ms, End: p.set.EndWait.Ms}
 	if n.known != nil {
 		names.Before = n.known.Life
@@ -47,7 +47,7 @@
 	for _, t := range n.conf.Settings.Tenants {
 		names.Tenants = append(names.Tenants, t.Name)
 	}
-	return fleet.New(names, p.log, n.clock, log)
+	return replicated.New(names, p.log, n.clock, log)
 }
 
 // hold has an order agreed under the node's name.
