--- a/cmd/linenwheel/repeats.go
+++ b/cmd/linenwheel/repeats.go
@@ -12,7 +12,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/repeats/journal"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
--- a/internal/node/idempotency/middleware/edge.go
+++ b/internal/node/idempotency/middleware/edge.go
@@ -13,8 +13,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/journal"
 )
 
 // Class is how the calls of one class are treated.
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -11,10 +11,10 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/journal"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
