--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
@@ -34,7 +34,7 @@
 		return r, fmt.Errorf("reading the journal: %w", err)
 	}
 	slices.Sort(names)
-	know := map[repeats.Name]*entry{}
+	know := map[idempotency.Name]*entry{}
 	r.Names = map[string]int{}
 	for _, name := range names {
 		if _, ok := form.Number(name); !ok {
@@ -65,9 +65,9 @@
 		switch {
 		case e.Running:
 			r.Names["running"]++
-		case e.how == repeats.EndServed:
+		case e.how == idempotency.EndServed:
 			r.Names["answered"]++
-		case e.how == repeats.EndInDoubt:
+		case e.how == idempotency.EndInDoubt:
 			r.Names["in doubt"]++
 		default:
 			r.Names["not run"]++
@@ -111,9 +111,9 @@
 		if k.Body != nil {
 			body = k.Body.([]byte)
 		}
-		how := repeats.EndInDoubt
+		how := idempotency.EndInDoubt
 		if k.Served {
-			how = repeats.EndServed
+			how = idempotency.EndServed
 		}
 		if last, err = j.Began(at, k.Call); err == nil && !k.Running {
 			last, err = j.Ended(at, k.Call, how, body)
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -24,7 +24,7 @@
 	"slices"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
@@ -62,16 +62,16 @@
 // record is one line of a journal, in the order in which it is written.
 type record struct {
 	kind   kind
-	how    repeats.End
+	how    idempotency.End
 	class  uint8
 	tenant uint16 // math.MaxUint16 = none
 	at     float64
-	name   repeats.Name
-	print  repeats.Print
+	name   idempotency.Name
+	print  idempotency.Print
 	body   []byte // with an end; what Codec made of it
 	// windows are those that were promised, with a beginning. A release that does not know of them takes their bytes for an answer
 	// that cannot be read, and goes by its own windows.
-	windows *repeats.Windows
+	windows *idempotency.Windows
 }
 
 const (
@@ -95,10 +95,10 @@
 }
 
 func parse(b []byte) (r record, err error) {
-	if len(b) < recordLength || b[0] != byte(began) && b[0] != byte(ended) || b[1] > byte(repeats.EndInDoubt) {
+	if len(b) < recordLength || b[0] != byte(began) && b[0] != byte(ended) || b[1] > byte(idempotency.EndInDoubt) {
 		return r, segments.ErrTorn
 	}
-	r = record{kind: kind(b[0]), how: repeats.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
+	r = record{kind: kind(b[0]), how: idempotency.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
 		at: math.Float64frombits(binary.BigEndian.Uint64(b[5:]))}
 	copy(r.name[:], b[13:])
 	copy(r.print[:], b[29:])
@@ -107,7 +107,7 @@
 	case r.kind == ended && len(rest) > 0:
 		r.body = slices.Clone(rest)
 	case r.kind == began && len(rest) == windowsLength:
-		w := repeats.Windows{Answered: math.Float64frombits(binary.BigEndian.Uint64(rest)),
+		w := idempotency.Windows{Answered: math.Float64frombits(binary.BigEndian.Uint64(rest)),
 			Doubt: math.Float64frombits(binary.BigEndian.Uint64(rest[8:]))}
 		if !(w.Answered >= 0 && w.Doubt >= 0) || math.IsInf(w.Longest(), 1) {
 			return r, segments.ErrTorn
@@ -174,13 +174,13 @@
 }
 
 // Began notes that a call is about to run.
-func (j *Journal) Began(at float64, c repeats.Call) (Ticket, error) {
+func (j *Journal) Began(at float64, c idempotency.Call) (Ticket, error) {
 	return j.take(&record{kind: began, at: at, class: uint8(c.Class), tenant: tenant(c.Tenant), name: c.Name,
 		print: c.Print, windows: c.Windows})
 }
 
 // Ended notes how a call ended, with what it was answered in the caller's own form; nil = not kept.
-func (j *Journal) Ended(at float64, c repeats.Call, how repeats.End, body []byte) (Ticket, error) {
+func (j *Journal) Ended(at float64, c idempotency.Call, how idempotency.End, body []byte) (Ticket, error) {
 	return j.take(&record{kind: ended, how: how, at: at, class: uint8(c.Class), tenant: tenant(c.Tenant), name: c.Name,
 		print: c.Print, body: body})
 }
@@ -273,7 +273,7 @@
 }
 
 // keeps is for how long records of a call with these windows are of use, nil = it is not known which.
-func (s *Settings) keeps(w *repeats.Windows) float64 {
+func (s *Settings) keeps(w *idempotency.Windows) float64 {
 	if w == nil {
 		return s.Keep
 	}
@@ -291,13 +291,13 @@
 
 // Read reads a folder without changing it: what is known of each name at a time, in the order of their ends, and what is
 // wrong. Of a damaged file what stands before the damage counts. A call that had begun and not ended was running.
-func Read(f segments.Folder, set Settings, now float64) (list []repeats.Known, found []Finding, err error) {
+func Read(f segments.Folder, set Settings, now float64) (list []idempotency.Known, found []Finding, err error) {
 	names, err := f.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the journal: %w", err)
 	}
 	slices.Sort(names)
-	know := map[repeats.Name]*entry{}
+	know := map[idempotency.Name]*entry{}
 	for _, name := range names {
 		if _, ok := form.Number(name); !ok {
 			continue
@@ -312,13 +312,13 @@
 		}
 	}
 	for _, e := range know {
-		if now-e.at <= set.keeps(e.Windows) && (e.Running || e.how != repeats.EndNotRun) {
+		if now-e.at <= set.keeps(e.Windows) && (e.Running || e.how != idempotency.EndNotRun) {
 			e.Age = now - e.at
-			e.Served = !e.Running && e.how == repeats.EndServed
+			e.Served = !e.Running && e.how == idempotency.EndServed
 			list = append(list, e.Known)
 		}
 	}
-	slices.SortFunc(list, func(a, b repeats.Known) int {
+	slices.SortFunc(list, func(a, b idempotency.Known) int {
 		switch {
 		case a.Age != b.Age && a.Age > b.Age:
 			return -1
@@ -332,13 +332,13 @@
 
 // entry is what the records so far tell of a name.
 type entry struct {
-	repeats.Known
+	idempotency.Known
 	at  float64
-	how repeats.End
+	how idempotency.End
 }
 
 // readSegment reads one segment into know and tells each record; offset is where it went wrong.
-func readSegment(text []byte, set Settings, know map[repeats.Name]*entry, tell func(record)) (offset int, err error) {
+func readSegment(text []byte, set Settings, know map[idempotency.Name]*entry, tell func(record)) (offset int, err error) {
 	var h header
 	var classes, tenants []int
 	return form.Read(text, func(content []byte) error {
@@ -361,14 +361,14 @@
 			e = &entry{}
 			know[r.name] = e
 		}
-		c := repeats.Call{Name: r.name, Print: r.print, Class: classes[r.class], Tenant: -1}
+		c := idempotency.Call{Name: r.name, Print: r.print, Class: classes[r.class], Tenant: -1}
 		if int(r.tenant) < len(tenants) {
 			c.Tenant = tenants[r.tenant]
 		}
 		if c.Windows = r.windows; r.kind == ended {
 			c.Windows = e.Windows // it was judged by those under which it began
 		}
-		e.Known = repeats.Known{Call: c, Running: r.kind == began}
+		e.Known = idempotency.Known{Call: c, Running: r.kind == began}
 		e.at, e.how = r.at, r.how
 		if r.body != nil {
 			e.Body, e.Size = r.body, len(r.body)
@@ -388,7 +388,7 @@
 
 // Open reads a folder and makes a journal that goes on in it, in a segment of its own. Findings are not errors: what is
 // damaged stays as it is until its time is over.
-func Open(f segments.Folder, set Settings, now float64) (j *Journal, list []repeats.Known, found []Finding, err error) {
+func Open(f segments.Folder, set Settings, now float64) (j *Journal, list []idempotency.Known, found []Finding, err error) {
 	list, found, err = Read(f, set, now)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/node/idempotency/journal/journal_test.go
+++ b/internal/node/idempotency/journal/journal_test.go
@@ -14,14 +14,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
 var set = Settings{Classes: []string{"post-charge", "cap-alert"}, Tenants: []string{"morava", "vltava"}, SegmentBytes: 600,
 	Keep: 1000, Queue: 100}
 
-func call(i int) (c repeats.Call) {
+func call(i int) (c idempotency.Call) {
 	c.Name[0], c.Print[3], c.Class, c.Tenant = byte(i), byte(i), i%2, i%3-1
 	return c
 }
@@ -96,7 +96,7 @@
 func (h *handle) Close() error { return nil }
 
 // begin opens a journal on a folder and runs it; stop ends it.
-func begin(t *testing.T, f segments.Folder, now float64) (j *Journal, list []repeats.Known, found []Finding, stop func()) {
+func begin(t *testing.T, f segments.Folder, now float64) (j *Journal, list []idempotency.Known, found []Finding, stop func()) {
 	j, list, found, err := Open(f, set, now)
 	require.NoError(t, err)
 	over := make(chan struct{})
@@ -105,15 +105,15 @@
 }
 
 // play makes calls that begin and end, and gives those that are sure to be known after a restart.
-func play(j *Journal, calls int) (begun, ended map[repeats.Name]bool) {
-	begun, ended = map[repeats.Name]bool{}, map[repeats.Name]bool{}
+func play(j *Journal, calls int) (begun, ended map[idempotency.Name]bool) {
+	begun, ended = map[idempotency.Name]bool{}, map[idempotency.Name]bool{}
 	for i := range calls {
 		c := call(i)
 		if t, err := j.Began(float64(i), c); err != nil || t.Wait() != nil {
 			continue
 		}
 		begun[c.Name] = true
-		if t, err := j.Ended(float64(i), c, repeats.EndServed, []byte("body")); err == nil && t.Wait() == nil {
+		if t, err := j.Ended(float64(i), c, idempotency.EndServed, []byte("body")); err == nil && t.Wait() == nil {
 			ended[c.Name] = true
 		}
 	}
@@ -140,7 +140,7 @@
 		for _, lost := range []int{0, 1, 17, 1 << 20} {
 			list, _, err := Read(m.crash(lost), set, float64(calls))
 			require.NoError(t, err)
-			known := map[repeats.Name]repeats.Known{}
+			known := map[idempotency.Name]idempotency.Known{}
 			for _, k := range list {
 				known[k.Name] = k
 			}
@@ -311,11 +311,11 @@
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
 	long := call(0)
-	long.Windows = &repeats.Windows{Answered: 5000, Doubt: 70}
-	for _, c := range []repeats.Call{long, call(2)} {
+	long.Windows = &idempotency.Windows{Answered: 5000, Doubt: 70}
+	for _, c := range []idempotency.Call{long, call(2)} {
 		_, err := j.Began(1, c)
 		require.NoError(t, err)
-		_, err = j.Ended(2, c, repeats.EndServed, []byte("body"))
+		_, err = j.Ended(2, c, idempotency.EndServed, []byte("body"))
 		require.NoError(t, err)
 	}
 	stop()
@@ -340,7 +340,7 @@
 	stop()
 	list, _, err := Read(m, set, 4900)
 	require.NoError(t, err)
-	assert.True(t, slices.ContainsFunc(list, func(k repeats.Known) bool { return k.Name == long.Name }))
+	assert.True(t, slices.ContainsFunc(list, func(k idempotency.Known) bool { return k.Name == long.Name }))
 	n, err := Compact(m, 1, 4900)
 	require.NoError(t, err)
 	assert.Equal(t, 2, n)
--- a/internal/node/idempotency/middleware/classes.go
+++ b/internal/node/idempotency/middleware/classes.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"reflect"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // table is how calls are treated from one change of the classes to the next. It does not change itself.
@@ -27,7 +27,7 @@
 	t := &table{}
 	for i, c := range set.Classes {
 		if c.Windows == nil {
-			c.Windows = &repeats.Windows{Answered: set.Book.Classes[i].Answered, Doubt: set.Book.Classes[i].Doubt}
+			c.Windows = &idempotency.Windows{Answered: set.Book.Classes[i].Answered, Doubt: set.Book.Classes[i].Doubt}
 		}
 		t.classes = append(t.classes, inForce{Class: c})
 	}
@@ -106,10 +106,10 @@
 }
 
 // look asks the fleet for a name that it may hold from when its class was agreed on, and takes nothing.
-func (s *Stage) look(class *inForce, c repeats.Call, deadline float64, left <-chan struct{}) Taken {
+func (s *Stage) look(class *inForce, c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
 	fleet, ok := s.set.Fleet.(Looker)
 	if !ok || class.Agreed || s.clock.Now() >= class.agreed {
-		return Taken{Verdict: repeats.Run}
+		return Taken{Verdict: idempotency.Run}
 	}
 	return fleet.Look(c, deadline, left)
 }
--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // with gives the classes of settings, with the first one changed.
@@ -16,17 +16,17 @@
 	set := settings()
 	for i := range set.Classes {
 		w := set.Book.Classes[i]
-		set.Classes[i].Windows = &repeats.Windows{Answered: w.Answered, Doubt: w.Doubt}
+		set.Classes[i].Windows = &idempotency.Windows{Answered: w.Answered, Doubt: w.Doubt}
 	}
 	change(&set.Classes[0])
 	return set.Classes
 }
 
 func windows(answered, doubt float64) []Class {
-	return with(func(c *Class) { c.Windows = &repeats.Windows{Answered: answered, Doubt: doubt} })
+	return with(func(c *Class) { c.Windows = &idempotency.Windows{Answered: answered, Doubt: doubt} })
 }
 
-var away = with(func(c *Class) { *c = Class{Windows: &repeats.Windows{}} })
+var away = with(func(c *Class) { *c = Class{Windows: &idempotency.Windows{}} })
 
 // late is a call whose deadline is far.
 func late(key string) *core.Call {
@@ -135,34 +135,36 @@
 
 // agreed is a fleet that holds names for ever, and tells how often it was looked at.
 type agreed struct {
-	names map[repeats.Name][]byte
+	names map[idempotency.Name][]byte
 	looks int
 }
 
-func (a *agreed) Take(c repeats.Call, _ float64, left <-chan struct{}) Taken {
-	if t := a.Look(c, 0, left); t.Verdict != repeats.Run {
+func (a *agreed) Take(c idempotency.Call, _ float64, left <-chan struct{}) Taken {
+	if t := a.Look(c, 0, left); t.Verdict != idempotency.Run {
 		return t
 	}
 	a.names[c.Name] = nil
-	return Taken{Verdict: repeats.Run}
+	return Taken{Verdict: idempotency.Run}
 }
 
-func (a *agreed) Look(c repeats.Call, _ float64, _ <-chan struct{}) Taken {
+func (a *agreed) Look(c idempotency.Call, _ float64, _ <-chan struct{}) Taken {
 	a.looks++
 	if body, ok := a.names[c.Name]; ok {
-		return Taken{Verdict: repeats.Replay, Body: body}
+		return Taken{Verdict: idempotency.Replay, Body: body}
 	}
-	return Taken{Verdict: repeats.Run}
+	return Taken{Verdict: idempotency.Run}
 }
 
-func (a *agreed) Ended(c repeats.Call, _ Taken, _ repeats.End, body []byte) { a.names[c.Name] = body }
+func (a *agreed) Ended(c idempotency.Call, _ Taken, _ idempotency.End, body []byte) {
+	a.names[c.Name] = body
+}
 
 // Guards against a charge that another node has run, and that runs here because its class has been taken away, or is not recorded any
 // more; and against names that are looked for when none can be held any more.
 func TestAgreedBeforeAChange(t *testing.T) {
 	recorded := with(func(c *Class) { c.Agreed = true })
 	for _, classes := range [][]Class{with(func(*Class) {}), away} {
-		set, fleet := settings(), &agreed{names: map[repeats.Name][]byte{}}
+		set, fleet := settings(), &agreed{names: map[idempotency.Name][]byte{}}
 		set.Fleet, set.Longest, set.Classes = fleet, 100, recorded
 		s, c := newStage(t, set)
 		other, _ := newStage(t, set)
--- a/internal/node/idempotency/middleware/edge.go
+++ b/internal/node/idempotency/middleware/edge.go
@@ -13,8 +13,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
-	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
 // Class is how the calls of one class are treated.
@@ -25,14 +25,14 @@
 	Recorded bool // a call waits until the disk has it before it runs, and is turned away where the disk fails
 	Agreed   bool // a call waits until the fleet has agreed on it
 	// Windows are those under which its calls take their names, nil = those of Settings.Book.
-	Windows *repeats.Windows
+	Windows *idempotency.Windows
 }
 
 // Taken is what became of a name that was to be agreed.
 type Taken struct {
 	// Verdict is Run, Pass, Replay with the Body, Spent, Doubt, Mismatch, Full with a Reason of its own if there is one, or Join: it
 	// runs elsewhere, and has not ended in time.
-	Verdict repeats.Verdict
+	Verdict idempotency.Verdict
 	Reason  string
 	Wait    float64 // with Full, ms
 	Body    []byte  // as Settings.Encode wrote it
@@ -44,27 +44,27 @@
 // Fleet holds names for all nodes. Its methods block.
 type Fleet interface {
 	// Take has a name agreed before it runs, until the deadline on the node's clock, or until left is closed.
-	Take(c repeats.Call, deadline float64, left <-chan struct{}) Taken
+	Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken
 	// Ended has the end of a run agreed before anyone is told.
-	Ended(c repeats.Call, t Taken, how repeats.End, body []byte)
+	Ended(c idempotency.Call, t Taken, how idempotency.End, body []byte)
 }
 
 // Looker is a Fleet that can tell how a name stands and take nothing: as Take, with Run for a name that nobody has.
 type Looker interface {
-	Look(c repeats.Call, deadline float64, left <-chan struct{}) Taken
+	Look(c idempotency.Call, deadline float64, left <-chan struct{}) Taken
 }
 
 // Settings describe the stage.
 type Settings struct {
 	Classes []Class // by number
-	Book    repeats.Settings
+	Book    idempotency.Settings
 	Secret  []byte // keys the hash of names; the same before and after a restart where there is a journal
 	Content func(payload any) core.Content
-	Journal *journal.Journal // nil = none
-	Fleet   Fleet            // nil = names are this node's alone
-	Longest float64          // ms that a run may take, here or for the fleet
-	Known   []repeats.Known  // what it held at the start; bodies are what Decode reads
-	Wall    func() float64   // wall clock for the journal, ms since the Unix epoch
+	Journal *journal.Journal    // nil = none
+	Fleet   Fleet               // nil = names are this node's alone
+	Longest float64             // ms that a run may take, here or for the fleet
+	Known   []idempotency.Known // what it held at the start; bodies are what Decode reads
+	Wall    func() float64      // wall clock for the journal, ms since the Unix epoch
 	// Encode and Decode turn a served answer's payload into bytes for the journal and back; nil is not kept.
 	Encode func(payload any) []byte
 	Decode func(text []byte) any
@@ -93,8 +93,8 @@
 	now   atomic.Pointer[table] // a call is judged whole by the one that it finds
 
 	mu   sync.Mutex
-	book *repeats.Book
-	runs map[repeats.Ref]*run
+	book *idempotency.Book
+	runs map[idempotency.Ref]*run
 	heir Fleet // the process that has taken over has the book; nil = it is here
 
 	before *before // the process whose place this one takes hands its names over; nil = none does
@@ -111,11 +111,11 @@
 
 // New makes the stage. The error is that of settings that cannot work.
 func New(set Settings, c clock.Clock, log *slog.Logger) (*Stage, error) {
-	book, err := repeats.New(set.Book)
+	book, err := idempotency.New(set.Book)
 	if err != nil {
 		return nil, err
 	}
-	s := &Stage{set: set, clock: c, log: log, namer: newNamer(set.Secret), book: book, runs: map[repeats.Ref]*run{}}
+	s := &Stage{set: set, clock: c, log: log, namer: newNamer(set.Secret), book: book, runs: map[idempotency.Ref]*run{}}
 	s.now.Store(newTable(&set))
 	lost := 0
 	for _, k := range set.Known {
@@ -133,7 +133,7 @@
 }
 
 // restore takes an entry whose body is still to be read, and tells whether there was room.
-func (s *Stage) restore(k repeats.Known) bool {
+func (s *Stage) restore(k idempotency.Known) bool {
 	if text, ok := k.Body.([]byte); ok {
 		k.Body, k.Size = nil, 0
 		if payload := s.set.Decode(text); payload != nil {
@@ -144,7 +144,7 @@
 }
 
 // Counts tells what the stage holds and has done.
-func (s *Stage) Counts() repeats.Counts {
+func (s *Stage) Counts() idempotency.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Counts()
@@ -174,20 +174,20 @@
 		case !ok:
 			return next(call)
 		}
-		return s.serve(call, next, class, repeats.Call{Name: name, Print: print, Class: call.Class, Tenant: call.Tenant,
+		return s.serve(call, next, class, idempotency.Call{Name: name, Print: print, Class: call.Class, Tenant: call.Tenant,
 			Windows: class.Windows})
 	}
 }
 
 // serve carries out what the book says.
-func (s *Stage) serve(call *core.Call, next core.Handler, class *inForce, c repeats.Call) core.Answer {
+func (s *Stage) serve(call *core.Call, next core.Handler, class *inForce, c idempotency.Call) core.Answer {
 	for {
 		s.mu.Lock()
 		if !class.On && s.heir == nil { // its names are known until they end, and no more are taken
 			s.book.Tick(s.clock.Now())
 			if _, known := s.book.ClassOf(c.Name); !known {
 				s.mu.Unlock()
-				if t := s.look(class, c, call.Deadline, call.Left()); t.Verdict != repeats.Run {
+				if t := s.look(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
 					_, _, a := s.elsewhere(t)
 					return a
 				}
@@ -197,36 +197,36 @@
 		d := s.book.Ask(s.clock.Now(), c)
 		var r *run
 		switch d.Verdict {
-		case repeats.Run:
+		case idempotency.Run:
 			r = &run{call: call.Fork(), waiting: 1, heir: s.heir, done: make(chan struct{})}
 			s.runs[d.Ref] = r
-		case repeats.Join:
+		case idempotency.Join:
 			r = s.runs[d.Ref]
 			r.waiting++
 		}
 		s.mu.Unlock()
 		switch d.Verdict {
-		case repeats.Run:
+		case idempotency.Run:
 			call.OnLeave(func() { s.left(r) })
 			s.run(r, d.Ref, next, class, c)
 			if call.HasLeft() {
 				return core.Answer{Kind: core.Left}
 			}
 			return r.answer
-		case repeats.Join:
+		case idempotency.Join:
 			if a, again := s.join(call, r); !again {
 				return a
 			}
 			continue // the run was called off before this call came to wait for it
-		case repeats.Replay:
+		case idempotency.Replay:
 			return core.Answer{Kind: core.Served, Payload: d.Body}
-		case repeats.Spent:
+		case idempotency.Spent:
 			return core.Fail(core.Known, ReasonSpent)
-		case repeats.Doubt:
+		case idempotency.Doubt:
 			return core.Fail(core.Known, ReasonDoubt)
-		case repeats.Mismatch:
+		case idempotency.Mismatch:
 			return core.Fail(core.Mismatch, ReasonMismatch)
-		case repeats.Full:
+		case idempotency.Full:
 			return core.Refuse(core.Busy, ReasonFull, d.Wait)
 		}
 		return next(call)
@@ -234,8 +234,8 @@
 }
 
 // run runs a call for all who wait for it, and records what came of it before anyone is told.
-func (s *Stage) run(r *run, ref repeats.Ref, next core.Handler, class *inForce, c repeats.Call) {
-	how, body, size := repeats.EndInDoubt, any(nil), 0
+func (s *Stage) run(r *run, ref idempotency.Ref, next core.Handler, class *inForce, c idempotency.Call) {
+	how, body, size := idempotency.EndInDoubt, any(nil), 0
 	r.answer = core.Fail(core.Unavailable, core.ReasonPanic) // unless it comes to another end
 	var agreed *Taken
 	others := r.heir // who have a say whether it runs
@@ -271,23 +271,23 @@
 	if err := s.record(class, c); err != nil {
 		s.log.Error("the beginning of a request was not recorded", "error", err)
 		if class.Recorded {
-			how, r.answer = repeats.EndNotRun, core.Refuse(core.Busy, ReasonUnrecorded, 0)
+			how, r.answer = idempotency.EndNotRun, core.Refuse(core.Busy, ReasonUnrecorded, 0)
 			return
 		}
 	}
 	if others != nil {
 		t := others.Take(c, r.call.Deadline, r.call.Left())
-		if t.Verdict != repeats.Run && t.Verdict != repeats.Pass {
+		if t.Verdict != idempotency.Run && t.Verdict != idempotency.Pass {
 			how, body, r.answer = s.elsewhere(t)
 			if body != nil {
 				size = s.set.Content(body).Size()
 			}
 			return
 		}
-		if t.Verdict == repeats.Run {
+		if t.Verdict == idempotency.Run {
 			agreed, r.call.Stands = &t, t.Stands
 		}
-	} else if t := s.look(class, c, r.call.Deadline, r.call.Left()); t.Verdict != repeats.Run {
+	} else if t := s.look(class, c, r.call.Deadline, r.call.Left()); t.Verdict != idempotency.Run {
 		how, body, r.answer = s.elsewhere(t)
 		if body != nil {
 			size = s.set.Content(body).Size()
@@ -297,29 +297,29 @@
 	a := next(r.call)
 	switch {
 	case a.Kind == core.Served:
-		how, body = repeats.EndServed, a.Payload
+		how, body = idempotency.EndServed, a.Payload
 		size = s.set.Content(a.Payload).Size()
 	case !a.Ran:
-		how = repeats.EndNotRun
+		how = idempotency.EndNotRun
 	}
 	r.answer = a
 }
 
 // elsewhere is what a call gets that is not this node's to run. Nothing ran here: but for an answer, the fleet is asked again.
-func (s *Stage) elsewhere(t Taken) (how repeats.End, body any, a core.Answer) {
+func (s *Stage) elsewhere(t Taken) (how idempotency.End, body any, a core.Answer) {
 	switch t.Verdict {
-	case repeats.Replay:
+	case idempotency.Replay:
 		if payload := s.set.Decode(t.Body); payload != nil {
-			return repeats.EndServed, payload, core.Answer{Kind: core.Served, Payload: payload}
+			return idempotency.EndServed, payload, core.Answer{Kind: core.Served, Payload: payload}
 		}
 		a = core.Fail(core.Known, ReasonSpent)
-	case repeats.Spent:
+	case idempotency.Spent:
 		a = core.Fail(core.Known, ReasonSpent)
-	case repeats.Doubt:
+	case idempotency.Doubt:
 		a = core.Fail(core.Known, ReasonDoubt)
-	case repeats.Mismatch:
+	case idempotency.Mismatch:
 		a = core.Fail(core.Mismatch, ReasonMismatch)
-	case repeats.Join:
+	case idempotency.Join:
 		a = core.Fail(core.Unavailable, ReasonWaited)
 	default:
 		a = core.Refuse(core.Busy, ReasonFull, t.Wait)
@@ -327,11 +327,11 @@
 			a.Reason = t.Reason
 		}
 	}
-	return repeats.EndNotRun, nil, a
+	return idempotency.EndNotRun, nil, a
 }
 
 // record notes that a call is about to run, and waits for the disk where its class does.
-func (s *Stage) record(class *inForce, c repeats.Call) error {
+func (s *Stage) record(class *inForce, c idempotency.Call) error {
 	if s.set.Journal == nil {
 		return nil
 	}
--- a/internal/node/idempotency/middleware/edge_test.go
+++ b/internal/node/idempotency/middleware/edge_test.go
@@ -17,8 +17,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
-	"linenwheel.dev/linenwheel/internal/repeats"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
@@ -34,7 +34,7 @@
 func settings() Settings {
 	return Settings{Classes: []Class{{On: true, By: Naming{Key: true}}, {On: true, By: Naming{Path: true, Body: true}}, {},
 		{On: true, By: Naming{Header: "X-Name"}, Required: true}, {On: true, By: Naming{Key: true}, Recorded: true}},
-		Book: repeats.Settings{Classes: []repeats.Class{{Once: true, Answered: 1000, Doubt: 2000}, {Answered: 1000, Doubt: 1000},
+		Book: idempotency.Settings{Classes: []idempotency.Class{{Once: true, Answered: 1000, Doubt: 2000}, {Answered: 1000, Doubt: 1000},
 			{}, {}, {Once: true, Answered: 1000, Doubt: 2000}}, Entries: 1000, Bytes: 1 << 20, Alpha: 4},
 		Secret: []byte("secret"), Content: func(p any) core.Content { return p.(core.Content) },
 		Encode: func(p any) []byte { return []byte(p.(text)) }, Decode: func(b []byte) any { return text(b) },
@@ -232,7 +232,7 @@
 // Guards against two calls that meet under one name though their parts differ, or that do not though they are the same.
 func TestNames(t *testing.T) {
 	n := newNamer([]byte("a"))
-	seen := map[repeats.Name]string{}
+	seen := map[idempotency.Name]string{}
 	for _, by := range []Naming{{Key: true}, {Path: true, Body: true, Headers: []string{"X"}}} {
 		for class := range 2 {
 			for tenant := -1; tenant < 2; tenant++ {
--- a/internal/node/idempotency/middleware/handover.go
+++ b/internal/node/idempotency/middleware/handover.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // before is the process whose place this one takes: it hands its names over, still runs some, and asks here for each new one.
@@ -14,12 +14,12 @@
 
 	// Under the stage's lock.
 	over bool // it cannot be spoken with any more: what it runs may have run
-	runs map[repeats.Name]theirs
+	runs map[idempotency.Name]theirs
 }
 
 // theirs is a run in the process before.
 type theirs struct {
-	ref repeats.Ref
+	ref idempotency.Ref
 	run *run
 }
 
@@ -50,7 +50,7 @@
 
 // Give gives the book away, once and for good: heir is asked for each new name from here on, and told the end of what runs. The
 // entries are as Settings.Known has them.
-func (s *Stage) Give(heir Fleet) []repeats.Known {
+func (s *Stage) Give(heir Fleet) []idempotency.Known {
 	s.mu.Lock()
 	s.heir = heir
 	s.book.Tick(s.clock.Now())
@@ -69,12 +69,12 @@
 
 // Await has calls wait until Inherit, before the first one comes.
 func (s *Stage) Await() {
-	s.before = &before{heard: make(chan struct{}), runs: map[repeats.Name]theirs{}}
+	s.before = &before{heard: make(chan struct{}), runs: map[idempotency.Name]theirs{}}
 }
 
 // Inherit takes the book that another process has given away, after Await and before Take. The secret is the one under which its
 // names are hashed.
-func (s *Stage) Inherit(secret []byte, list []repeats.Known) {
+func (s *Stage) Inherit(secret []byte, list []idempotency.Known) {
 	s.set.Secret, s.namer = secret, newNamer(secret) // nobody uses them before heard is closed
 	s.mu.Lock()
 	running, lost := 0, 0
@@ -102,13 +102,13 @@
 }
 
 // theirs notes a run in the process before, under the lock.
-func (s *Stage) theirs(name repeats.Name, ref repeats.Ref) {
+func (s *Stage) theirs(name idempotency.Name, ref idempotency.Ref) {
 	r := &run{waiting: 1, done: make(chan struct{})}
 	s.runs[ref], s.before.runs[name] = r, theirs{ref, r}
 }
 
 // Take is Fleet's, for the process before.
-func (s *Stage) Take(c repeats.Call, deadline float64, left <-chan struct{}) Taken {
+func (s *Stage) Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
 	late := make(chan struct{})
 	stop := s.clock.At(deadline, func() { close(late) })
 	defer stop()
@@ -116,23 +116,23 @@
 		s.mu.Lock()
 		if s.before.over {
 			s.mu.Unlock()
-			return Taken{Verdict: repeats.Full, Reason: ReasonHeirGone}
+			return Taken{Verdict: idempotency.Full, Reason: ReasonHeirGone}
 		}
 		d := s.book.Ask(s.clock.Now(), c)
 		var r *run
 		switch d.Verdict {
-		case repeats.Run:
+		case idempotency.Run:
 			s.theirs(c.Name, d.Ref)
-		case repeats.Join:
+		case idempotency.Join:
 			r = s.runs[d.Ref]
 			r.waiting++ // it is not called off while they wait
 		}
 		s.mu.Unlock()
-		if d.Verdict != repeats.Join {
+		if d.Verdict != idempotency.Join {
 			t := Taken{Verdict: d.Verdict, Wait: d.Wait}
 			if d.Body != nil {
 				if t.Body = s.set.Encode(d.Body); t.Body == nil {
-					t.Verdict = repeats.Spent
+					t.Verdict = idempotency.Spent
 				}
 			}
 			return t
@@ -147,16 +147,16 @@
 		case <-left:
 		}
 		s.left(r)
-		return Taken{Verdict: repeats.Join}
+		return Taken{Verdict: idempotency.Join}
 	}
 }
 
 // Ended is Fleet's, for the process before.
-func (s *Stage) Ended(c repeats.Call, _ Taken, how repeats.End, body []byte) {
+func (s *Stage) Ended(c idempotency.Call, _ Taken, how idempotency.End, body []byte) {
 	payload, size := any(nil), 0
 	a := core.Answer{Kind: core.Left} // it did not run: one of those that wait may be the next
 	switch {
-	case how == repeats.EndServed:
+	case how == idempotency.EndServed:
 		a = core.Fail(core.Known, ReasonSpent)
 		if len(body) > 0 {
 			payload = s.set.Decode(body)
@@ -166,7 +166,7 @@
 		} else {
 			size = s.set.Book.Bytes + 1 // known without
 		}
-	case how == repeats.EndInDoubt:
+	case how == idempotency.EndInDoubt:
 		a = core.Fail(core.Known, ReasonDoubt)
 	}
 	s.mu.Lock()
@@ -177,7 +177,7 @@
 }
 
 // end ends a run in the process before, under the lock.
-func (s *Stage) end(name repeats.Name, t theirs, how repeats.End, a core.Answer, body any, size int) {
+func (s *Stage) end(name idempotency.Name, t theirs, how idempotency.End, a core.Answer, body any, size int) {
 	delete(s.before.runs, name)
 	s.book.End(s.clock.Now(), t.ref, how, body, size)
 	delete(s.runs, t.ref)
@@ -192,7 +192,7 @@
 	s.before.over = true
 	left := len(s.before.runs)
 	for name, t := range s.before.runs {
-		s.end(name, t, repeats.EndInDoubt, core.Fail(core.Known, ReasonDoubt), nil, 0)
+		s.end(name, t, idempotency.EndInDoubt, core.Fail(core.Known, ReasonDoubt), nil, 0)
 	}
 	s.mu.Unlock()
 	if left > 0 {
--- a/internal/node/idempotency/middleware/naming.go
+++ b/internal/node/idempotency/middleware/naming.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // Naming is what makes two calls of a class the same. Class and tenant are always part of it.
@@ -55,7 +55,7 @@
 }
 
 // name gives a call's name and print; false where it has nothing to be named by.
-func (n *namer) name(by *Naming, call *core.Call, c core.Content) (name repeats.Name, print repeats.Print, ok bool) {
+func (n *namer) name(by *Naming, call *core.Call, c core.Content) (name idempotency.Name, print idempotency.Print, ok bool) {
 	d := digest{Hash: n.macs.Get().(hash.Hash)}
 	defer n.macs.Put(d.Hash)
 	d.Reset()
--- a/internal/repeats/repeats.go
+++ b/internal/node/idempotency/repeats.go
@@ -1,4 +1,4 @@
-// Package repeats knows which calls have been here before: whether the first one still runs, what it was answered, and
+// Package idempotency knows which calls have been here before: whether the first one still runs, what it was answered, and
 // whether it may run again. It is the pure half of the recognition of repeats: no input or output, no goroutine, no lock,
 // no clock. Time is passed in, in milliseconds; it may stand still or go back, which counts as standing still.
 //
@@ -26,7 +26,7 @@
 // window that was promised is never shorter, and never longer. Names of one class and the same windows stand in one lane; there are
 // at most mostLanes at once, and one is free again when its last name has gone. A call for whose windows there is no lane any more
 // is turned away, or goes on unrecorded, as in a book that is full.
-package repeats
+package idempotency
 
 import (
 	"cmp"
--- a/internal/repeats/repeats_test.go
+++ b/internal/node/idempotency/repeats_test.go
@@ -1,4 +1,4 @@
-package repeats
+package idempotency
 
 import (
 	"encoding/binary"
--- a/internal/node/idempotency/replicated/fleet.go
+++ b/internal/node/idempotency/replicated/fleet.go
@@ -20,9 +20,9 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
 // Settings describe the adaptor. Times are milliseconds.
@@ -162,25 +162,25 @@
 func (n *Names) Up() bool { return n.up.Load() }
 
 // Look tells how a name stands, and waits for the run elsewhere that has it; Run = nobody has it, and it is not taken.
-func (n *Names) Look(c repeats.Call, deadline float64, left <-chan struct{}) middleware.Taken {
+func (n *Names) Look(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	if !n.up.Load() {
-		return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
 	o, err := n.see(c, deadline)
 	if err != nil {
-		return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
 	if o.Taken == statemachine.TakenElse {
 		o = n.await(c, deadline, left, firstPoll)
 	}
 	if o.Taken == statemachine.TakenUnknown {
-		return middleware.Taken{Verdict: repeats.Run}
+		return middleware.Taken{Verdict: idempotency.Run}
 	}
 	return told(o)
 }
 
 // see asks once how a name stands.
-func (n *Names) see(c repeats.Call, deadline float64) (o statemachine.Outcome, err error) {
+func (n *Names) see(c idempotency.Call, deadline float64) (o statemachine.Outcome, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), n.span(max(0, min(n.set.Take, deadline-n.clock.Now()))))
 	defer stop()
 	r, err := n.client.Read(ctx, statemachine.PartCalls, statemachine.Look{Name: c.Name[:], Print: c.Print[:]})
@@ -197,23 +197,23 @@
 func told(o statemachine.Outcome) middleware.Taken {
 	switch o.Taken {
 	case statemachine.TakenReplay:
-		return middleware.Taken{Verdict: repeats.Replay, Body: o.Body}
+		return middleware.Taken{Verdict: idempotency.Replay, Body: o.Body}
 	case statemachine.TakenSpent:
-		return middleware.Taken{Verdict: repeats.Spent}
+		return middleware.Taken{Verdict: idempotency.Spent}
 	case statemachine.TakenMismatch:
-		return middleware.Taken{Verdict: repeats.Mismatch}
+		return middleware.Taken{Verdict: idempotency.Mismatch}
 	case statemachine.TakenDoubt:
-		return middleware.Taken{Verdict: repeats.Doubt}
+		return middleware.Taken{Verdict: idempotency.Doubt}
 	case statemachine.TakenElse:
-		return middleware.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	}
-	return middleware.Taken{Verdict: repeats.Full, Wait: o.Wait}
+	return middleware.Taken{Verdict: idempotency.Full, Wait: o.Wait}
 }
 
 // Take has a name taken, or waits for the run elsewhere that has it, until the deadline or until left is closed.
-func (n *Names) Take(c repeats.Call, deadline float64, left <-chan struct{}) middleware.Taken {
+func (n *Names) Take(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	if !n.up.Load() {
-		return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
 	tenant := ""
 	if c.Tenant >= 0 && c.Tenant < len(n.set.Tenants) {
@@ -225,7 +225,7 @@
 	for poll := firstPoll; ; poll = min(2*poll, lastPoll) {
 		asked := n.clock.Now()
 		if asked >= deadline {
-			return middleware.Taken{Verdict: repeats.Join}
+			return middleware.Taken{Verdict: idempotency.Join}
 		}
 		ctx, stop := context.WithTimeout(context.Background(), n.span(min(n.set.Take, deadline-asked)))
 		r, err := n.client.Do(ctx, statemachine.PartCalls, take)
@@ -235,13 +235,13 @@
 			if errors.Is(err, client.ErrUnknown) { // nothing was sent, and nothing will be
 				n.work.Go(func() { n.takeBack(statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowNotRun}) })
 			}
-			return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+			return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 		}
 		n.seen.Add(1)
 		var o statemachine.Outcome
 		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.log.Error("a name could not be taken", "error", r.Text)
-			return middleware.Taken{Verdict: repeats.Full, Wait: comeBack}
+			return middleware.Taken{Verdict: idempotency.Full, Wait: comeBack}
 		}
 		if o.Taken == statemachine.TakenElse {
 			if o = n.await(c, deadline, left, poll); o.Taken == statemachine.TakenUnknown {
@@ -257,7 +257,7 @@
 }
 
 // await asks how a run elsewhere ended until it has. TakenElse = it had not when the time was up.
-func (n *Names) await(c repeats.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.Outcome {
+func (n *Names) await(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.Outcome {
 	running := statemachine.Outcome{Taken: statemachine.TakenElse}
 	for ; ; poll = min(2*poll, lastPoll) {
 		now := n.clock.Now()
@@ -279,12 +279,12 @@
 }
 
 // Ended has it agreed how a run ended, and returns once it is, or after Settings.End: it then goes on for a while.
-func (n *Names) Ended(c repeats.Call, t middleware.Taken, how repeats.End, body []byte) {
+func (n *Names) Ended(c idempotency.Call, t middleware.Taken, how idempotency.End, body []byte) {
 	e := statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowDoubt}
 	switch how {
-	case repeats.EndServed:
+	case idempotency.EndServed:
 		e.How, e.Body = statemachine.HowServed, body
-	case repeats.EndNotRun:
+	case idempotency.EndNotRun:
 		e.How = statemachine.HowNotRun
 	}
 	if len(body) > statemachine.MostBody {
--- a/internal/node/idempotency/replicated/fleet_test.go
+++ b/internal/node/idempotency/replicated/fleet_test.go
@@ -18,9 +18,9 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
 // lone runs a fleet's only keeper, which ends with ctx; work is done when it has ended.
@@ -79,10 +79,10 @@
 	case <-time.After(time.Minute):
 		require.Fail(t, "it does not say so")
 	}
-	call := repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
-	assert.Equal(t, middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
+	call := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	assert.Equal(t, middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
 	assert.False(t, other.Up())
-	assert.Equal(t, repeats.Run, first.Take(call, real.Now()+20000, nil).Verdict)
+	assert.Equal(t, idempotency.Run, first.Take(call, real.Now()+20000, nil).Verdict)
 	same := begin("b", "the secret of the fleet", slog.New(slog.DiscardHandler))
 	<-same.Begun()
 }
@@ -107,12 +107,12 @@
 		<-n.Begun()
 		return n
 	}
-	heir, call := begin(false), repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
+	heir, call := begin(false), idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
 	t1 := heir.Take(call, real.Now()+120000, nil)
-	require.Equal(t, repeats.Run, t1.Verdict)
+	require.Equal(t, idempotency.Run, t1.Verdict)
 	begin(true)
-	heir.Ended(call, t1, repeats.EndServed, []byte("answer"))
+	heir.Ended(call, t1, idempotency.EndServed, []byte("answer"))
 	t2 := heir.Take(call, real.Now()+120000, nil)
-	assert.Equal(t, repeats.Replay, t2.Verdict)
+	assert.Equal(t, idempotency.Replay, t2.Verdict)
 	assert.Equal(t, "answer", string(t2.Body))
 }
--- a/internal/node/idempotency/replicated/late_test.go
+++ b/internal/node/idempotency/replicated/late_test.go
@@ -15,8 +15,8 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
 // alone is a keeper that agrees with itself, and lets the first claim come late: after the word that nothing ran was refused.
@@ -111,13 +111,13 @@
 	defer log.Close()
 	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
 		log, clock.NewSystem(), slog.New(slog.DiscardHandler))
-	c := repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
-	take := func() repeats.Verdict {
+	c := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	take := func() idempotency.Verdict {
 		n.up.Store(true)
 		return n.Take(c, n.clock.Now()+60000, nil).Verdict
 	}
 	for came := false; !came; { // on a slow machine its time may be up before it is sent
-		require.Equal(t, repeats.Full, take(), "refused, for nobody knows whether it was agreed")
+		require.Equal(t, idempotency.Full, take(), "refused, for nobody knows whether it was agreed")
 		select {
 		case <-k.came:
 			came = true
@@ -130,8 +130,8 @@
 		require.Fail(t, "the name stays one that may have run")
 	}
 	last := take()
-	for last == repeats.Full { // as clients do that are told to come back
+	for last == idempotency.Full { // as clients do that are told to come back
 		last = take()
 	}
-	assert.Equal(t, repeats.Run, last)
+	assert.Equal(t, idempotency.Run, last)
 }
--- a/internal/node/idempotency/transfer/handover.go
+++ b/internal/node/idempotency/transfer/handover.go
@@ -12,8 +12,8 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
-	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
 // Send tells the other process something, in order. After an error the channel is broken, and its end is told.
@@ -46,7 +46,7 @@
 	Class  int    `json:"class"`
 	Tenant int    `json:"tenant"`
 	// Windows are those that were promised to it; a release that does not tell them goes by its class's, as this one then does.
-	Windows *repeats.Windows `json:"windows,omitempty"`
+	Windows *idempotency.Windows `json:"windows,omitempty"`
 }
 
 type known struct {
@@ -64,22 +64,22 @@
 }
 
 type told struct {
-	Seq     uint64          `json:"seq"`
-	Verdict repeats.Verdict `json:"verdict"`
-	Reason  string          `json:"reason,omitempty"`
-	Wait    float64         `json:"wait,omitempty"` // milliseconds
-	Body    []byte          `json:"body,omitempty"`
+	Seq     uint64              `json:"seq"`
+	Verdict idempotency.Verdict `json:"verdict"`
+	Reason  string              `json:"reason,omitempty"`
+	Wait    float64             `json:"wait,omitempty"` // milliseconds
+	Body    []byte              `json:"body,omitempty"`
 }
 
 type end struct {
 	call
-	How  repeats.End `json:"how"`
-	Body []byte      `json:"body,omitempty"`
+	How  idempotency.End `json:"how"`
+	Body []byte          `json:"body,omitempty"`
 }
 
-func wired(c repeats.Call) call { return call{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows} }
+func wired(c idempotency.Call) call { return call{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows} }
 
-func (c call) call() (out repeats.Call) {
+func (c call) call() (out idempotency.Call) {
 	out.Class, out.Tenant, out.Windows = c.Class, c.Tenant, c.Windows
 	copy(out.Name[:], c.Name)
 	copy(out.Print[:], c.Print)
@@ -111,7 +111,7 @@
 
 // asked is a name that the heir was asked for.
 type asked struct {
-	call   repeats.Call
+	call   idempotency.Call
 	answer chan middleware.Taken // nobody waits for one that is nil
 }
 
@@ -154,16 +154,16 @@
 }
 
 // Take has the heir asked.
-func (g *Giver) Take(c repeats.Call, deadline float64, left <-chan struct{}) middleware.Taken {
+func (g *Giver) Take(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	late := make(chan struct{})
 	stop := g.clock.At(deadline, func() { close(late) })
 	defer stop()
 	select {
 	case <-g.given:
 	case <-late:
-		return middleware.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	case <-left:
-		return middleware.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	}
 	a := &asked{c, make(chan middleware.Taken, 1)}
 	answer := a.answer
@@ -192,20 +192,20 @@
 	case t := <-answer:
 		return t
 	default:
-		return middleware.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	}
 }
 
 // refused is the answer where the heir cannot be asked. A call that may run twice runs, and is not recognised.
-func (g *Giver) refused(c repeats.Call) middleware.Taken {
+func (g *Giver) refused(c idempotency.Call) middleware.Taken {
 	if !g.stage.Once(c.Class) {
-		return middleware.Taken{Verdict: repeats.Pass}
+		return middleware.Taken{Verdict: idempotency.Pass}
 	}
-	return middleware.Taken{Verdict: repeats.Full, Reason: middleware.ReasonHeirGone}
+	return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonHeirGone}
 }
 
 // Ended tells the heir. What is written before the client is told is read by the heir though this process dies.
-func (g *Giver) Ended(c repeats.Call, _ middleware.Taken, how repeats.End, body []byte) {
+func (g *Giver) Ended(c idempotency.Call, _ middleware.Taken, how idempotency.End, body []byte) {
 	<-g.given
 	g.mu.Lock()
 	broken := g.broken
@@ -233,8 +233,8 @@
 		a.answer <- t
 	}
 	g.mu.Unlock()
-	if unwanted && t.Verdict == repeats.Run {
-		g.Ended(a.call, t, repeats.EndNotRun, nil)
+	if unwanted && t.Verdict == idempotency.Run {
+		g.Ended(a.call, t, idempotency.EndNotRun, nil)
 	}
 	return nil
 }
@@ -267,8 +267,8 @@
 	clock clock.Clock
 	log   *slog.Logger
 	send  Send
-	book  []repeats.Known // that has come
-	gone  chan struct{}   // closed when the channel has broken
+	book  []idempotency.Known // that has come
+	gone  chan struct{}       // closed when the channel has broken
 }
 
 // Await has a stage wait for the names of the process before.
@@ -286,7 +286,7 @@
 	switch {
 	case m.Book != nil:
 		for _, k := range m.Book.Known {
-			in := repeats.Known{Call: k.call.call(), Running: k.Running, Served: k.Served, Age: k.Age}
+			in := idempotency.Known{Call: k.call.call(), Running: k.Running, Served: k.Served, Age: k.Age}
 			if k.Body != nil {
 				in.Body = k.Body
 			}
--- a/internal/node/idempotency/transfer/handover_test.go
+++ b/internal/node/idempotency/transfer/handover_test.go
@@ -16,8 +16,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
-	"linenwheel.dev/linenwheel/internal/repeats"
 )
 
 type text string
@@ -77,7 +77,7 @@
 		var ran, ranInOld sync.Map
 		stage := func(old bool, secret string) (*middleware.Stage, core.Handler) {
 			s, err := middleware.New(middleware.Settings{Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}}, Secret: []byte(secret),
-				Book:    repeats.Settings{Classes: []repeats.Class{{Once: true, Answered: 1e6, Doubt: 1e6}}, Entries: 1000, Bytes: 1 << 20, Alpha: 4},
+				Book:    idempotency.Settings{Classes: []idempotency.Class{{Once: true, Answered: 1e6, Doubt: 1e6}}, Entries: 1000, Bytes: 1 << 20, Alpha: 4},
 				Content: func(p any) core.Content { return p.(core.Content) }, Encode: func(p any) []byte { return []byte(p.(text)) },
 				Decode: func(b []byte) any { return text(b) }, Wall: c.Now}, c, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
@@ -159,7 +159,7 @@
 // Guards against a name that stays taken for ever because nobody waited any more when the heir said that it may run.
 func TestNobodyWaitsForTheName(t *testing.T) {
 	c := clock.NewManual(1000)
-	s, err := middleware.New(middleware.Settings{Book: repeats.Settings{Classes: []repeats.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
+	s, err := middleware.New(middleware.Settings{Book: idempotency.Settings{Classes: []idempotency.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	sent := make(chan message, 9)
 	g := NewGiver(s, c, slog.New(slog.DiscardHandler), func(text json.RawMessage) (err error) {
@@ -172,15 +172,15 @@
 	require.True(t, (<-sent).Book.Last)
 	left := make(chan struct{})
 	taken := make(chan middleware.Taken)
-	go func() { taken <- g.Take(repeats.Call{Name: repeats.Name{7}}, 2000, left) }()
+	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{7}}, 2000, left) }()
 	asked := <-sent
 	close(left)
-	require.Equal(t, repeats.Join, (<-taken).Verdict)
+	require.Equal(t, idempotency.Join, (<-taken).Verdict)
 	require.NoError(t, g.Told(json.RawMessage(fmt.Sprintf(`{"told":{"seq":%d,"verdict":0}}`, asked.Ask.Seq))))
 	m := <-sent
-	require.Equal(t, repeats.EndNotRun, m.End.How)
+	require.Equal(t, idempotency.EndNotRun, m.End.How)
 	require.Equal(t, byte(7), m.End.Name[0])
-	go func() { taken <- g.Take(repeats.Call{Name: repeats.Name{8}}, 2000, nil) }()
+	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{8}}, 2000, nil) }()
 	<-sent
 	g.Lost()
 	require.Equal(t, middleware.ReasonHeirGone, (<-taken).Reason)
@@ -192,7 +192,7 @@
 	c, quiet, ran := clock.NewManual(1000), slog.New(slog.DiscardHandler), atomic.Int64{}
 	stage := func(window float64) (*middleware.Stage, core.Handler) {
 		s, err := middleware.New(middleware.Settings{Secret: []byte("s"), Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}},
-			Book:    repeats.Settings{Classes: []repeats.Class{{Once: true, Answered: window, Doubt: window}}, Entries: 9, Bytes: 99, Alpha: 4},
+			Book:    idempotency.Settings{Classes: []idempotency.Class{{Once: true, Answered: window, Doubt: window}}, Entries: 9, Bytes: 99, Alpha: 4},
 			Content: func(p any) core.Content { return p.(core.Content) }, Encode: func(p any) []byte { return []byte(p.(text)) },
 			Decode: func(b []byte) any { return text(b) }}, c, quiet)
 		require.NoError(t, err)
--- a/internal/node/statemachine/calls.go
+++ b/internal/node/statemachine/calls.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // PartCalls is the name of the part that holds calls which must not run twice.
@@ -112,18 +112,18 @@
 
 // holder is who runs a name.
 type holder struct {
-	Ref   repeats.Ref `json:"-"`
-	Node  string      `json:"node"`
-	Life  uint64      `json:"life"`
-	Token uint64      `json:"token"`
-	Until float64     `json:"until"` // ms of the group's time
+	Ref   idempotency.Ref `json:"-"`
+	Node  string          `json:"node"`
+	Life  uint64          `json:"life"`
+	Token uint64          `json:"token"`
+	Until float64         `json:"until"` // ms of the group's time
 }
 
 // calls holds names: the pure book that a node has, with who runs what.
 type calls struct {
-	book    *repeats.Book
-	classes []repeats.Class
-	running map[repeats.Name]holder
+	book    *idempotency.Book
+	classes []idempotency.Class
+	running map[idempotency.Name]holder
 	next    float64 // when the first of them counts as one that may have run
 	secret  []byte
 	room    int // names at the most: MostCalls
@@ -139,13 +139,13 @@
 }
 
 func newCalls() *calls {
-	c := &calls{running: map[repeats.Name]holder{}, next: math.Inf(1), classes: []repeats.Class{{Once: true}}, room: MostCalls}
+	c := &calls{running: map[idempotency.Name]holder{}, next: math.Inf(1), classes: []idempotency.Class{{Once: true}}, room: MostCalls}
 	c.book = newBook(c.classes, c.room)
 	return c
 }
 
-func newBook(classes []repeats.Class, room int) *repeats.Book {
-	book, err := repeats.New(repeats.Settings{Classes: classes, Tenants: payers, Entries: room, Bytes: MostBodies, Alpha: callsAlpha})
+func newBook(classes []idempotency.Class, room int) *idempotency.Book {
+	book, err := idempotency.New(idempotency.Settings{Classes: classes, Tenants: payers, Entries: room, Bytes: MostBodies, Alpha: callsAlpha})
 	if err != nil {
 		panic(err) // the settings above can work
 	}
@@ -154,7 +154,7 @@
 
 // class gives the number of the class with these windows, made where there is none.
 func (c *calls) class(answered, doubt float64) (int, bool) {
-	want := repeats.Class{Once: true, Answered: math.Floor(answered), Doubt: math.Floor(doubt)}
+	want := idempotency.Class{Once: true, Answered: math.Floor(answered), Doubt: math.Floor(doubt)}
 	if at := slices.Index(c.classes, want); at >= 0 {
 		return at, true
 	}
@@ -165,7 +165,7 @@
 	return n, ok
 }
 
-func toName(b []byte) (n repeats.Name, ok bool) {
+func toName(b []byte) (n idempotency.Name, ok bool) {
 	return n, len(b) == copy(n[:], b) && len(b) == len(n)
 }
 
@@ -198,15 +198,15 @@
 
 // doubt ends the runs that are picked, in the order of their names, so that all members do alike.
 func (c *calls) doubt(now float64, pick func(holder) bool) (n int) {
-	var names []repeats.Name
+	var names []idempotency.Name
 	for name, h := range c.running {
 		if pick(h) {
 			names = append(names, name)
 		}
 	}
-	slices.SortFunc(names, func(a, b repeats.Name) int { return bytes.Compare(a[:], b[:]) })
+	slices.SortFunc(names, func(a, b idempotency.Name) int { return bytes.Compare(a[:], b[:]) })
 	for _, name := range names {
-		c.book.End(now, c.running[name].Ref, repeats.EndInDoubt, nil, 0)
+		c.book.End(now, c.running[name].Ref, idempotency.EndInDoubt, nil, 0)
 		delete(c.running, name)
 	}
 	c.next = math.Inf(1)
@@ -229,9 +229,9 @@
 	if h, held := c.running[name]; held && h.Token == t.Token { // the same run, asked again in another session
 		return Reply{Code: OK, Body: encode(Outcome{Taken: TakenRun})}
 	}
-	d := c.book.Ask(now, repeats.Call{Name: name, Print: repeats.Print(print), Class: c.classOf(name, class),
+	d := c.book.Ask(now, idempotency.Call{Name: name, Print: idempotency.Print(print), Class: c.classOf(name, class),
 		Tenant: int(xxhash.Sum64String(t.Tenant) % payers)})
-	if d.Verdict == repeats.Run {
+	if d.Verdict == idempotency.Run {
 		h := holder{Ref: d.Ref, Node: t.Node, Life: t.Life, Token: t.Token, Until: now + math.Ceil(t.Run)}
 		c.running[name] = h
 		c.next = min(c.next, h.Until)
@@ -240,29 +240,29 @@
 }
 
 // classOf is the class of a name that is known: windows that were changed meanwhile make no other call of it.
-func (c *calls) classOf(name repeats.Name, class int) int {
+func (c *calls) classOf(name idempotency.Name, class int) int {
 	if at, ok := c.book.ClassOf(name); ok {
 		return at
 	}
 	return class
 }
 
-func (c *calls) outcome(name repeats.Name, d repeats.Decision) Outcome {
+func (c *calls) outcome(name idempotency.Name, d idempotency.Decision) Outcome {
 	o := Outcome{Wait: d.Wait}
 	switch d.Verdict {
-	case repeats.Run, repeats.Pass:
+	case idempotency.Run, idempotency.Pass:
 		o.Taken = TakenRun
-	case repeats.Join:
+	case idempotency.Join:
 		o.Taken, o.Node = TakenElse, c.running[name].Node
-	case repeats.Replay:
+	case idempotency.Replay:
 		o.Taken, o.Body = TakenReplay, d.Body.([]byte)
-	case repeats.Spent:
+	case idempotency.Spent:
 		o.Taken = TakenSpent
-	case repeats.Doubt:
+	case idempotency.Doubt:
 		o.Taken = TakenDoubt
-	case repeats.Mismatch:
+	case idempotency.Mismatch:
 		o.Taken = TakenMismatch
-	case repeats.Full:
+	case idempotency.Full:
 		o.Taken = TakenFull
 	}
 	return o
@@ -274,15 +274,15 @@
 	if !ok || !held || h.Token != e.Token {
 		return Reply{Code: Conflict, Text: "the run is not known, or counts as one that may have run"}
 	}
-	how, body, size := repeats.EndInDoubt, any(nil), 0
+	how, body, size := idempotency.EndInDoubt, any(nil), 0
 	switch e.How {
 	case HowServed:
-		how, size = repeats.EndServed, MostBodies+1
+		how, size = idempotency.EndServed, MostBodies+1
 		if len(e.Body) > 0 && len(e.Body) <= MostBody {
 			body, size = e.Body, len(e.Body)
 		}
 	case HowNotRun:
-		how = repeats.EndNotRun
+		how = idempotency.EndNotRun
 	}
 	c.book.End(now, h.Ref, how, body, size)
 	delete(c.running, name)
@@ -317,7 +317,7 @@
 		return Reply{Code: OK, Body: encode(Outcome{Taken: TakenUnknown})}
 	}
 	print, _ := toName(l.Print)
-	d := c.book.Peek(repeats.Call{Name: name, Print: repeats.Print(print), Class: class})
+	d := c.book.Peek(idempotency.Call{Name: name, Print: idempotency.Print(print), Class: class})
 	return Reply{Code: OK, Body: encode(c.outcome(name, d))}
 }
 
@@ -395,7 +395,7 @@
 func (c *calls) begin(i *callsImage) error {
 	c.classes = c.classes[:0]
 	for _, k := range i.Classes {
-		c.classes = append(c.classes, repeats.Class{Once: true, Answered: k[0], Doubt: k[1]})
+		c.classes = append(c.classes, idempotency.Class{Once: true, Answered: k[0], Doubt: k[1]})
 	}
 	if len(c.classes) == 0 {
 		return fmt.Errorf("it has no classes")
@@ -405,14 +405,14 @@
 	return nil
 }
 
-func (k *knownImage) call() repeats.Call {
+func (k *knownImage) call() idempotency.Call {
 	name, _ := toName(k.Name)
 	print, _ := toName(k.Print)
-	return repeats.Call{Name: name, Print: repeats.Print(print), Class: k.Class, Tenant: k.Tenant}
+	return idempotency.Call{Name: name, Print: idempotency.Print(print), Class: k.Class, Tenant: k.Tenant}
 }
 
 func (c *calls) restore(now float64, k *knownImage) error {
-	known := repeats.Known{Call: k.call(), Served: k.Served, Age: k.Age, Size: len(k.Body)}
+	known := idempotency.Known{Call: k.call(), Served: k.Served, Age: k.Age, Size: len(k.Body)}
 	if k.Body != nil {
 		known.Body = k.Body
 	}
--- a/internal/node/statemachine/compact.go
+++ b/internal/node/statemachine/compact.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // compact is a part whose image has a second form, of a third of the bytes, for members that all know it.
@@ -72,13 +72,13 @@
 func (c *calls) FreezeCompact() func() ([]byte, error) {
 	now, secret, classes := c.book.Now(), c.secret, slices.Clone(c.classes)
 	list, size := c.book.Image(), 64
-	order := func(k repeats.Known) int { // those that run come last, by their names: what comes before is in the order of its ends
+	order := func(k idempotency.Known) int { // those that run come last, by their names: what comes before is in the order of its ends
 		if k.Running {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(list, func(a, b repeats.Known) int {
+	slices.SortStableFunc(list, func(a, b idempotency.Known) int {
 		if a.Running && b.Running {
 			return bytes.Compare(a.Name[:], b.Name[:])
 		}
--- a/internal/options/repeats.go
+++ b/internal/options/repeats.go
@@ -7,7 +7,7 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // Repeats is the recognition of calls that have been here before, which get the one answer of a single run. Only the classes
@@ -109,7 +109,7 @@
 			report(fmt.Sprintf("%q is no class of the platform's settings", class.Name), fmt.Sprintf("class.%d.name", i))
 		}
 	}
-	if need := float64(r.Entries)*repeats.EntryBytes + float64(r.Bytes.Bytes); r.On && need > c.MemoryMB*(1<<20)/2 {
+	if need := float64(r.Entries)*idempotency.EntryBytes + float64(r.Bytes.Bytes); r.On && need > c.MemoryMB*(1<<20)/2 {
 		report(fmt.Sprintf("entries and bytes may hold %.0f MB, more than half of limits.memory_mb, %.0f MB", need/(1<<20),
 			c.MemoryMB), "entries", "bytes", "on")
 	}
--- a/internal/segments/segments_test.go
+++ b/internal/segments/segments_test.go
@@ -12,7 +12,7 @@
 var form = Form{Magic: "lwtest", Prefix: "test"}
 
 // Guards against a folder that other users may read, a second process in it, and a record lost or taken twice where one
-// segment follows another. What a journal does with cuts and failures is in internal/repeats/journal.
+// segment follows another. What a journal does with cuts and failures is in internal/node/idempotency/journal.
 func TestOnDisk(t *testing.T) {
 	disk := Disk{Path: filepath.Join(t.TempDir(), "new", "folder")}
 	require.NoError(t, disk.Make())
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -15,7 +15,7 @@
 	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
-// Times of a node, ms: those of internal/peers/client, internal/repeats/fleet, internal/quota/edge and internal/node/rollout/gate, and of
+// Times of a node, ms: those of internal/peers/client, internal/node/idempotency/fleet, internal/quota/edge and internal/node/rollout/gate, and of
 // options that are not set.
 const (
 	try          = 1000.0
--- a/lab/circle/virtual/nodes.go
+++ b/lab/circle/virtual/nodes.go
@@ -4,7 +4,7 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// node is one of the fleet: what internal/repeats/fleet and internal/peers/client do, step by step.
+// node is one of the fleet: what internal/node/idempotency/fleet and internal/peers/client do, step by step.
 type node struct {
 	w      *world
 	number int
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -11,10 +11,10 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/repeats"
 	"linenwheel.dev/linenwheel/internal/segments"
 )
 
@@ -25,13 +25,13 @@
 func (n *Node) recognise(o *options.Repeats, log *slog.Logger) (*middleware.Stage, error) {
 	set := middleware.Settings{Classes: n.classes(o), Content: content, Encode: encodeAnswer, Decode: decodeAnswer, Wall: n.clock.Now,
 		Longest: n.conf.MaxDeadline,
-		Book: repeats.Settings{Classes: make([]repeats.Class, len(n.conf.Settings.Classes)),
+		Book: idempotency.Settings{Classes: make([]idempotency.Class, len(n.conf.Settings.Classes)),
 			Tenants: len(n.conf.Settings.Tenants), Entries: o.Entries, Bytes: o.Bytes.Bytes, Alpha: o.Alpha}}
 	keep, names := 0.0, []string{}
 	for i, class := range n.conf.Settings.Classes {
 		names = append(names, class.Name)
 		w := set.Classes[i].Windows
-		set.Book.Classes[i] = repeats.Class{Once: class.Effect == decide.Unsafe, Answered: w.Answered, Doubt: w.Doubt}
+		set.Book.Classes[i] = idempotency.Class{Once: class.Effect == decide.Unsafe, Answered: w.Answered, Doubt: w.Doubt}
 		keep = max(keep, w.Longest())
 	}
 	var err error
@@ -73,14 +73,14 @@
 func (n *Node) classes(o *options.Repeats) []middleware.Class {
 	list := make([]middleware.Class, len(n.conf.Settings.Classes))
 	for i, class := range n.conf.Settings.Classes {
-		list[i].Windows = &repeats.Windows{}
+		list[i].Windows = &idempotency.Windows{}
 		at := slices.IndexFunc(o.Classes, func(c options.RepeatsClass) bool { return c.Name == class.Name })
 		if at < 0 {
 			continue
 		}
 		c := &o.Classes[at]
 		list[i] = middleware.Class{On: true, By: naming(c, class.Effect), Required: c.Required, Recorded: c.Recorded && o.Journal != "",
-			Agreed: c.Recorded && class.Effect == decide.Unsafe, Windows: &repeats.Windows{Answered: c.Answered.Ms, Doubt: c.Doubt.Ms}}
+			Agreed: c.Recorded && class.Effect == decide.Unsafe, Windows: &idempotency.Windows{Answered: c.Answered.Ms, Doubt: c.Doubt.Ms}}
 	}
 	return list
 }
