--- a/internal/quota/edge/edge.go
+++ b/internal/node/quota/middleware/edge.go
@@ -1,9 +1,9 @@
-// Package edge is the stage that holds calls to their tenants' quotas: the half of package quota that has a lock, a clock and
+// Package middleware is the stage that holds calls to their tenants' quotas: the half of package quota that has a lock, a clock and
 // calls that wait.
 //
 // A call that is turned away may wait a little for room, in the order of its priority and its worth. What was granted to a call
 // that certainly did not run is given back. The node's own further attempts cost nothing: a call is asked for once.
-package edge
+package middleware
 
 import (
 	"cmp"
--- a/internal/quota/edge/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -1,4 +1,4 @@
-package edge
+package middleware
 
 import (
 	"context"
--- a/node/quota.go
+++ b/node/quota.go
@@ -7,26 +7,26 @@
 	"log/slog"
 	"slices"
 
+	"linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/quota/edge"
 	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
 // divide makes the stage that holds calls to their tenants' quotas.
-func (n *Node) divide(o *options.Quota, log *slog.Logger) (*edge.Stage, error) {
+func (n *Node) divide(o *options.Quota, log *slog.Logger) (*middleware.Stage, error) {
 	book, err := quota.New(o.Own(n.fleet), n.conf.Seed)
 	if err != nil {
 		return nil, err
 	}
-	set := edge.Settings{Unknown: o.Unknown, Gateway: o.Gateway, Content: content, Wait: o.Wait.Ms, Waiting: o.Waiting,
+	set := middleware.Settings{Unknown: o.Unknown, Gateway: o.Gateway, Content: content, Wait: o.Wait.Ms, Waiting: o.Waiting,
 		Every: o.LearnEvery.Ms}
 	if set.Unknown == "" {
 		set.Unknown = options.Others
 	}
 	for _, c := range n.conf.Settings.Classes {
-		set.Classes = append(set.Classes, edge.Class{Priority: max(0, slices.Index(o.Priorities, c.Name)), Worth: c.Worth})
+		set.Classes = append(set.Classes, middleware.Class{Priority: max(0, slices.Index(o.Priorities, c.Name)), Worth: c.Worth})
 	}
 	for _, t := range n.conf.Settings.Tenants {
 		set.Tenants = append(set.Tenants, t.Name)
@@ -37,7 +37,7 @@
 			return room / root, learned
 		}
 	}
-	return edge.New(set, book, n.clock, log), nil
+	return middleware.New(set, book, n.clock, log), nil
 }
 
 // redivide takes changed options into the running tree. They were checked, so it is one that can work.
@@ -56,7 +56,7 @@
 	if o.Leased <= 0 || n.peers == nil {
 		return
 	}
-	set := edge.Leases{Fleet: roomLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, Call: quota.Amount{quota.Requests: 1},
+	set := middleware.Leases{Fleet: roomLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, Call: quota.Amount{quota.Requests: 1},
 		Tree: lease.Tree{Number: n.doc.Number, Leased: o.Leased, Set: o.Tree()}}
 	for _, c := range n.conf.Settings.Classes {
 		set.Call[quota.Worth] = max(set.Call[quota.Worth], c.Worth)
