--- a/internal/node/statemachine/ledger.go
+++ b/internal/node/statemachine/ledger.go
@@ -20,8 +20,8 @@
 	"maps"
 	"slices"
 
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
 // Version is that of the commands and images which this release writes. It reads those up to it; a command of a later one
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
 // Guards against a release that cannot read what the one before wrote, or that writes what that one cannot read while it is still in
--- a/internal/node/statemachine/room.go
+++ b/internal/node/statemachine/room.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
 // PartRoom is the name of the part that divides the fleet's room among its nodes.
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
 // Cost is what the state at a play's end costs a keeper, on this machine.
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"math"
 
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
 )
 
 // Of histories of leases. Times are milliseconds.
