--- a/internal/node/quota/lease/lease.go
+++ b/internal/node/quota/lease/lease.go
@@ -35,7 +35,7 @@
 	"math"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // Bounds.
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
 )
 
--- a/internal/node/quota/lease/lost_test.go
+++ b/internal/node/quota/lease/lost_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // Guards against room that is given to another while a member goes on by the lease before, since the answer that took it back was lost.
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // Tree is what the fleet's room is divided by.
--- a/internal/node/quota/middleware/edge.go
+++ b/internal/node/quota/middleware/edge.go
@@ -13,7 +13,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // Class is what the stage has to know of a class.
--- a/internal/node/quota/middleware/edge_test.go
+++ b/internal/node/quota/middleware/edge_test.go
@@ -10,7 +10,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // head is a payload whose gateway is its text.
--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
 // Fleet is whom the stage asks for leases. Its methods block until ctx ends at the most.
--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
 // agreed is a fleet of one machine of package lease, whose answers can be lost.
--- a/internal/options/quota.go
+++ b/internal/options/quota.go
@@ -6,8 +6,8 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
 // Quota divides what the fleet can do among nested tenants. A tenant of the platform has the node of its name.
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -9,13 +9,13 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
-// Times of a node, ms: those of internal/peers/client, internal/node/idempotency/fleet, internal/quota/edge and internal/node/rollout/gate, and of
+// Times of a node, ms: those of internal/peers/client, internal/node/idempotency/fleet, internal/node/quota/edge and internal/node/rollout/gate, and of
 // options that are not set.
 const (
 	try          = 1000.0
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"math"
 
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
 // Of histories of leases. Times are milliseconds.
@@ -56,7 +56,7 @@
 	seen   float64 // when that was looked at last
 }
 
-// room is a node's life, as internal/quota/edge goes by leases.
+// room is a node's life, as internal/node/quota/edge goes by leases.
 type room struct {
 	n      *node
 	life   int
--- a/lab/quotas/compare.go
+++ b/lab/quotas/compare.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // Tree is that of the comparison: an organisation with two partners, and two partners of their own.
--- a/lab/quotas/dividers.go
+++ b/lab/quotas/dividers.go
@@ -4,7 +4,7 @@
 package quotas
 
 import (
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // Divider decides who goes on.
--- a/lab/quotas/fleet.go
+++ b/lab/quotas/fleet.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
 // FleetCase is a pattern of arrivals at several nodes, with what fails.
--- a/lab/rooms/rooms.go
+++ b/lab/rooms/rooms.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/lab/circle"
 	"linenwheel.dev/linenwheel/lab/site"
 )
--- a/node/handover.go
+++ b/node/handover.go
@@ -10,8 +10,8 @@
 
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/quota"
 	"linenwheel.dev/linenwheel/internal/service"
 )
 
--- a/node/status.go
+++ b/node/status.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/quota"
 )
 
 // Status is how a node does, for people and programs. Times are milliseconds, points in time since the Unix epoch.
