--- a/cmd/linenwheel-etcd/soak_test.go
+++ b/cmd/linenwheel-etcd/soak_test.go
@@ -19,7 +19,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 	"linenwheel.dev/linenwheel/node"
 )
@@ -55,7 +55,7 @@
 	require.NoError(t, err)
 	o.Inventory.Trust, o.Inventory.Etcd.Agent, o.Inventory.Guard.Share, o.Inventory.Guard.Floor = []string{"etcd"}, addr, 1, 0
 	steps := 0
-	src, err := node.NewSources(conf, &o, slog.New(slog.DiscardHandler), func(pilot.Source, []pilot.Host) { steps++ })
+	src, err := node.NewSources(conf, &o, slog.New(slog.DiscardHandler), func(dispatch.Source, []dispatch.Host) { steps++ })
 	require.NoError(t, err)
 	work.Go(func() { src.Run(ctx) })
 	has := func() map[string]string {
--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -20,8 +20,8 @@
 	"linenwheel.dev/linenwheel/internal/inventory/files"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
 	"linenwheel.dev/linenwheel/node"
 )
 
@@ -67,7 +67,7 @@
 }
 
 // sources begins to follow the sources of the options. stop ends that.
-func (s *shell) sources(give func(pilot.Source, []pilot.Host)) (src *node.Sources, stop func(), err error) {
+func (s *shell) sources(give func(dispatch.Source, []dispatch.Host)) (src *node.Sources, stop func(), err error) {
 	conf, file, faults := s.load()
 	if len(faults) > 0 {
 		return nil, nil, faults
@@ -100,7 +100,7 @@
 }
 
 func (s *shell) showInventory(asJSON bool) error {
-	src, stop, err := s.sources(func(pilot.Source, []pilot.Host) {})
+	src, stop, err := s.sources(func(dispatch.Source, []dispatch.Host) {})
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 }
 
 // list reads a file or folder. With a configuration it is held against its zones and kinds.
-func (s *shell) list(path string) (hosts []pilot.Host, all []*files.List, o *options.Options, err error) {
+func (s *shell) list(path string) (hosts []dispatch.Host, all []*files.List, o *options.Options, err error) {
 	known := files.Known{}
 	var file *options.File
 	if s.env(configVariable) != "" {
@@ -194,7 +194,7 @@
 	}
 	ready, sealed, meant := 0, true, true
 	for _, h := range hosts {
-		if h.Status == pilot.Ready {
+		if h.Status == dispatch.Ready {
 			ready++
 		}
 	}
@@ -234,8 +234,8 @@
 }
 
 // steps prints what differs, by name.
-func (s *shell) steps(from, to []pilot.Host) {
-	old := map[string]pilot.Host{}
+func (s *shell) steps(from, to []dispatch.Host) {
+	old := map[string]dispatch.Host{}
 	for _, h := range from {
 		old[h.Name] = h
 	}
@@ -258,14 +258,14 @@
 	}
 }
 
-func describe(h pilot.Host) string {
+func describe(h dispatch.Host) string {
 	e := form.Of(h)
 	return fmt.Sprintf("%s at %s, zone %s, type %s, group %d, weight %g, since %.0f", e.Status, e.Address, e.Zone, e.Type, e.Group,
 		e.Weight, e.Since)
 }
 
 // judge prints what the guard would say.
-func (s *shell) judge(o *options.Options, from, to []pilot.Host, meant bool) error {
+func (s *shell) judge(o *options.Options, from, to []dispatch.Host, meant bool) error {
 	verdict, c, err := node.Judge(o, from, to)
 	if err != nil {
 		return err
@@ -288,11 +288,11 @@
 
 func (s *shell) watchInventory() error {
 	steps := make(chan string, 1024)
-	_, stop, err := s.sources(func(kind pilot.Source, list []pilot.Host) {
-		word := map[pilot.Source]string{pilot.Changes: "changes", pilot.Whole: "whole list", pilot.Stored: "list from before"}[kind]
+	_, stop, err := s.sources(func(kind dispatch.Source, list []dispatch.Host) {
+		word := map[dispatch.Source]string{dispatch.Changes: "changes", dispatch.Whole: "whole list", dispatch.Stored: "list from before"}[kind]
 		text := fmt.Sprintf("%s  %s, %d hosts", time.Now().UTC().Format("15:04:05.000"), word, len(list))
 		for _, h := range list {
-			if kind == pilot.Changes {
+			if kind == dispatch.Changes {
 				text += fmt.Sprintf("\n    %s  %s", h.Name, describe(h))
 			}
 		}
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -11,7 +11,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/figures"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Call is one request of a client. What a front has set does not change while the call is served, but for stages that
@@ -40,7 +40,7 @@
 	taken   float64       // when it was let in
 	onLeave func()        // what leaving means besides; nil = nothing
 	opened  bool          // the pilot has it, under ticket
-	ticket  pilot.Ticket
+	ticket  dispatch.Ticket
 
 	room [2]chan struct{} // of offs: a third relay is rare
 	offs []chan struct{}  // by relay; closed when it is called off
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,7 +9,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/figures"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Handler serves a call and blocks until its final answer. A stage that waits must end when Call.Left is closed, and
@@ -48,7 +48,7 @@
 type Carrier interface {
 	// Relay carries one relay to one host and blocks until its end, the time until or off is closed, and tells the
 	// outcome as the protocol's table has it. It sends at most once. The payload is that of an outcome Served.
-	Relay(to Host, call *Call, until float64, off <-chan struct{}) (pilot.Outcome, any)
+	Relay(to Host, call *Call, until float64, off <-chan struct{}) (dispatch.Outcome, any)
 }
 
 // Gate lets calls in for as long as they can be served.
@@ -91,7 +91,7 @@
 // Core serves calls. All of its methods may be called from any goroutine.
 type Core struct {
 	set     Settings
-	pilot   *pilot.Pilot
+	pilot   *dispatch.Pilot
 	carrier Carrier
 	log     *slog.Logger
 	serve   Handler
@@ -115,7 +115,7 @@
 }
 
 // New makes a core that takes calls.
-func New(set Settings, p *pilot.Pilot, carrier Carrier, log *slog.Logger) *Core {
+func New(set Settings, p *dispatch.Pilot, carrier Carrier, log *slog.Logger) *Core {
 	c := &Core{set: set, pilot: p, carrier: carrier, log: log, open: map[string]*Call{},
 		endings: map[ending]tally{}}
 	c.serve = set.Stages.chain(c.decide)
@@ -269,21 +269,21 @@
 // call once: a stage that wants another run forks it.
 func (c *Core) decide(call *Call) Answer {
 	call.offs = call.room[:0]
-	c.pilot.Begin(&call.ticket, pilot.Request{Class: call.Class, Tenant: call.Tenant, Deadline: call.Deadline,
+	c.pilot.Begin(&call.ticket, dispatch.Request{Class: call.Class, Tenant: call.Tenant, Deadline: call.Deadline,
 		Cost: call.Cost, Repeat: call.Repeat})
 	call.begin()
 	for {
 		switch v := call.ticket.Pick(); v.Kind {
-		case pilot.Answer:
+		case dispatch.Answer:
 			c.settle(call)
 			return Answer{Kind: Served, Payload: v.Payload}
-		case pilot.BackOff:
+		case dispatch.BackOff:
 			c.settle(call)
 			return Answer{Kind: Refused, Fault: Busy, Reason: ReasonModule, Wait: v.Wait, Ran: v.Ran}
-		case pilot.Fail:
+		case dispatch.Fail:
 			c.settle(call)
 			return Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: v.Ran}
-		case pilot.Done:
+		case dispatch.Done:
 			return Answer{Kind: Left, Ran: v.Ran}
 		default:
 			c.carryOut(call, v)
@@ -297,30 +297,30 @@
 		return
 	}
 	go func() {
-		for v := call.ticket.Pick(); v.Kind != pilot.Done; v = call.ticket.Pick() {
+		for v := call.ticket.Pick(); v.Kind != dispatch.Done; v = call.ticket.Pick() {
 			c.carryOut(call, v)
 		}
 	}()
 }
 
 // carryOut starts a relay or calls one off. A call's verdicts are carried out one after the other.
-func (c *Core) carryOut(call *Call, v pilot.Verdict) {
+func (c *Core) carryOut(call *Call, v dispatch.Verdict) {
 	switch v.Kind {
-	case pilot.Relay:
+	case dispatch.Relay:
 		for len(call.offs) <= v.Relay { // one that a rule forbade has no verdict
 			call.offs = append(call.offs, nil)
 		}
 		off := make(chan struct{})
 		call.offs[v.Relay] = off
 		go c.relay(call, v, off)
-	case pilot.CallOff:
+	case dispatch.CallOff:
 		close(call.offs[v.Relay])
 	}
 }
 
 // relay carries one relay and reports its end. A carrier that panics leaves open whether it ran.
-func (c *Core) relay(call *Call, v pilot.Verdict, off <-chan struct{}) {
-	o, payload := pilot.Failed, any(nil)
+func (c *Core) relay(call *Call, v dispatch.Verdict, off <-chan struct{}) {
+	o, payload := dispatch.Failed, any(nil)
 	defer func() {
 		if err := recover(); err != nil {
 			c.log.Error("a carrier panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,25 +11,25 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // carrier answers as its function says.
-type carrier func(to Host, call *Call, off <-chan struct{}) (pilot.Outcome, any)
+type carrier func(to Host, call *Call, off <-chan struct{}) (dispatch.Outcome, any)
 
-func (c carrier) Relay(to Host, call *Call, _ float64, off <-chan struct{}) (pilot.Outcome, any) {
+func (c carrier) Relay(to Host, call *Call, _ float64, off <-chan struct{}) (dispatch.Outcome, any) {
 	return c(to, call, off)
 }
 
 func newCore(tb testing.TB, set Settings, c Carrier) *Core {
 	now := clock.NewManual(1000)
-	p, err := pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
+	p, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Aim: 600 * time.Millisecond,
 			Deadline: 2 * time.Second, Worth: 1}},
 		Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Rules:  decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, now, slog.New(slog.DiscardHandler), nil)
 	require.NoError(tb, err)
-	p.Inventory(pilot.Whole, []pilot.Host{{Name: "h1", Zone: "z", Kind: "k", Weight: 1},
+	p.Inventory(dispatch.Whole, []dispatch.Host{{Name: "h1", Zone: "z", Kind: "k", Weight: 1},
 		{Name: "h2", Zone: "z", Kind: "k", Weight: 1}})
 	return New(set, p, c, slog.New(slog.DiscardHandler))
 }
@@ -49,8 +49,8 @@
 		Repeats: stage("repeats"), First: []Stage{stage("first"), nil}}
 	set.chain(func(*Call) Answer { return Answer{} })(&Call{})
 	assert.Equal(t, []string{"first", "caller", "quota", "repeats", "region", "last"}, seen)
-	c := newCore(t, Settings{Calls: 1}, carrier(func(Host, *Call, <-chan struct{}) (pilot.Outcome, any) {
-		return pilot.Served, "body"
+	c := newCore(t, Settings{Calls: 1}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
+		return dispatch.Served, "body"
 	}))
 	_, ok := c.Take(&Call{ID: "q", Tenant: -1, Deadline: 1900})
 	require.True(t, ok)
@@ -64,7 +64,7 @@
 // served for a client that left before anything was sent.
 func TestCarrierThatPanics(t *testing.T) {
 	relays := 0
-	c := newCore(t, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (pilot.Outcome, any) {
+	c := newCore(t, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
 		relays++
 		panic("on purpose")
 	}))
@@ -77,10 +77,10 @@
 // Guards against relays that go on for a client that has left, and an answer for it.
 func TestLeavingCallsRelaysOff(t *testing.T) {
 	out := make(chan struct{})
-	c := newCore(t, Settings{Calls: 2}, carrier(func(_ Host, _ *Call, off <-chan struct{}) (pilot.Outcome, any) {
+	c := newCore(t, Settings{Calls: 2}, carrier(func(_ Host, _ *Call, off <-chan struct{}) (dispatch.Outcome, any) {
 		close(out)
 		<-off
-		return pilot.CalledOff, nil
+		return dispatch.CalledOff, nil
 	}))
 	call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
 	c.Take(call)
@@ -97,8 +97,8 @@
 // BenchmarkServe is one call through the core with an empty chain and a carrier that answers at once.
 func BenchmarkServe(b *testing.B) {
 	payload := any("body")
-	c := newCore(b, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (pilot.Outcome, any) {
-		return pilot.Served, payload
+	c := newCore(b, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
+		return dispatch.Served, payload
 	}))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -123,10 +123,10 @@
 			<-off
 			panic("on purpose")
 		}
-	}}}, carrier(func(_ Host, _ *Call, called <-chan struct{}) (pilot.Outcome, any) {
+	}}}, carrier(func(_ Host, _ *Call, called <-chan struct{}) (dispatch.Outcome, any) {
 		close(off)
 		<-called
-		return pilot.CalledOff, nil
+		return dispatch.CalledOff, nil
 	}))
 	c.log = slog.New(slog.NewTextHandler(&text, nil))
 	call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
--- a/internal/inventory/agent/agent_test.go
+++ b/internal/inventory/agent/agent_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // The histories are the same ones each time, unless -rapid.seed asks for others.
@@ -25,8 +25,8 @@
 	os.Exit(m.Run())
 }
 
-func host(name string, status pilot.Status, weight float64) pilot.Host {
-	return pilot.Host{Name: name, Address: "10.0.0.1:80", Zone: "z", Kind: "k", Status: status, Weight: weight}
+func host(name string, status dispatch.Status, weight float64) dispatch.Host {
+	return dispatch.Host{Name: name, Address: "10.0.0.1:80", Zone: "z", Kind: "k", Status: status, Weight: weight}
 }
 
 // caller keeps what it was told.
@@ -69,8 +69,8 @@
 			}
 			c.Epoch, c.Revision = fmt.Sprint(epoch), revision
 			for i := range rapid.IntRange(0, 5).Draw(t, "hosts") {
-				status := rapid.SampledFrom([]pilot.Status{pilot.Ready, pilot.Ready, pilot.Gone}).Draw(t, "status")
-				if status != pilot.Gone || !c.Whole {
+				status := rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready, dispatch.Gone}).Draw(t, "status")
+				if status != dispatch.Gone || !c.Whole {
 					c.Hosts = append(c.Hosts, host(string(rune('a'+i)), status, rand.Float64()))
 				}
 			}
@@ -79,7 +79,7 @@
 				clear(want)
 			}
 			for _, h := range c.Hosts {
-				if want[h.Name] = h.Weight; h.Status == pilot.Gone {
+				if want[h.Name] = h.Weight; h.Status == dispatch.Gone {
 					delete(want, h.Name)
 				}
 			}
@@ -98,8 +98,8 @@
 	text, _ := b.Answer(0, "", 0, false)
 	late.take(t, text)
 	for i := range mostChanges {
-		b.Take(Change{Epoch: "e", Revision: uint64(i + 2), Hosts: []pilot.Host{host(fmt.Sprint(i%50), pilot.Ready, float64(i)),
-			host(fmt.Sprint(i%50+50), pilot.Ready, float64(i)), host("one", pilot.Ready, float64(i))}})
+		b.Take(Change{Epoch: "e", Revision: uint64(i + 2), Hosts: []dispatch.Host{host(fmt.Sprint(i%50), dispatch.Ready, float64(i)),
+			host(fmt.Sprint(i%50+50), dispatch.Ready, float64(i)), host("one", dispatch.Ready, float64(i))}})
 		require.LessOrEqual(t, len(b.changes), 2*mostChanges)
 	}
 	text, _ = b.Answer(0, late.epoch, late.index, false)
@@ -137,7 +137,7 @@
 			code, _, _ = call(bad)
 			assert.Equal(t, 400, code, bad)
 		}
-		b.Take(Change{Whole: true, Epoch: "e", Revision: 5, Hosts: []pilot.Host{host("a", pilot.Ready, 1)}})
+		b.Take(Change{Whole: true, Epoch: "e", Revision: 5, Hosts: []dispatch.Host{host("a", dispatch.Ready, 1)}})
 		_, a, _ := call("")
 		assert.True(t, a.Snapshot && a.Origin.Away > 0, "more is to come")
 		b.Alive(now())
@@ -152,7 +152,7 @@
 		_, _, took = call("?index=5&epoch=e&wait=999999")
 		assert.Equal(t, time.Minute, took)
 		later(300*time.Millisecond, func() {
-			b.Take(Change{Epoch: "e", Revision: 6, Hosts: []pilot.Host{host("b", pilot.Ready, 1)}, Confirm: 3})
+			b.Take(Change{Epoch: "e", Revision: 6, Hosts: []dispatch.Host{host("b", dispatch.Ready, 1)}, Confirm: 3})
 		})
 		_, a, took = call("?index=5&epoch=e&wait=1000")
 		assert.Equal(t, 300*time.Millisecond, took)
--- a/internal/inventory/agent/book.go
+++ b/internal/inventory/agent/book.go
@@ -16,7 +16,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // mostChanges bounds what is kept of the past.
@@ -51,7 +51,7 @@
 	Whole    bool
 	Epoch    string
 	Revision uint64
-	Hosts    []pilot.Host
+	Hosts    []dispatch.Host
 	Confirm  uint64 // 0 = nothing new was confirmed
 }
 
@@ -75,7 +75,7 @@
 }
 
 type entry struct {
-	pilot.Host
+	dispatch.Host
 	revision uint64
 }
 
@@ -116,14 +116,14 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(left)) {
 			gone := left[name].Host
-			gone.Status = pilot.Gone
+			gone.Status = dispatch.Gone
 			hosts = append(hosts[:len(hosts):len(hosts)], gone)
 		}
 	}
 	for _, h := range hosts {
 		old, there := b.hosts[h.Name]
 		switch {
-		case h.Status == pilot.Gone:
+		case h.Status == dispatch.Gone:
 			delete(b.hosts, h.Name)
 		case there && old.Host == h:
 			continue
--- a/internal/inventory/ban/ban.go
+++ b/internal/inventory/ban/ban.go
@@ -12,7 +12,7 @@
 	"maps"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // mostOut is how many raters can be out at once.
@@ -27,21 +27,21 @@
 
 // Book is what the sources list and who is out. The zero value is an empty one.
 type Book struct {
-	listed map[string]pilot.Host
+	listed map[string]dispatch.Host
 	out    map[string]bool
 	fleet  map[string]bool    // out by the fleet's policy, beside those by hand
 	back   map[string]float64 // when a listed one was called back
 }
 
 // Take notes what the sources give, the whole list or what has changed, and returns it as the module is to see it.
-func (b *Book) Take(from pilot.Source, list []pilot.Host) []pilot.Host {
+func (b *Book) Take(from dispatch.Source, list []dispatch.Host) []dispatch.Host {
 	b.make()
-	if from != pilot.Changes {
+	if from != dispatch.Changes {
 		clear(b.listed)
 	}
 	shown := list
 	for i, h := range list {
-		if h.Status == pilot.Gone {
+		if h.Status == dispatch.Gone {
 			delete(b.listed, h.Name)
 			continue
 		}
@@ -59,21 +59,21 @@
 
 func (b *Book) make() {
 	if b.listed == nil {
-		b.listed, b.out, b.back = map[string]pilot.Host{}, map[string]bool{}, map[string]float64{}
+		b.listed, b.out, b.back = map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}
 	}
 }
 
 // show is one rater as the module is to see it.
-func (b *Book) show(h pilot.Host) pilot.Host {
-	if b.Out(h.Name) && h.Status == pilot.Ready {
-		h.Status = pilot.Draining
+func (b *Book) show(h dispatch.Host) dispatch.Host {
+	if b.Out(h.Name) && h.Status == dispatch.Ready {
+		h.Status = dispatch.Draining
 	}
 	h.Since = max(h.Since, b.back[h.Name])
 	return h
 }
 
 // Suspend leaves a rater out until Resume, and returns what has changed for the module. Twice is as good as once.
-func (b *Book) Suspend(name string) ([]pilot.Host, error) {
+func (b *Book) Suspend(name string) ([]dispatch.Host, error) {
 	b.make()
 	h, listed := b.listed[name]
 	switch {
@@ -86,11 +86,11 @@
 	}
 	b.out[name] = true
 	delete(b.back, name)
-	return []pilot.Host{b.show(h)}, nil
+	return []dispatch.Host{b.show(h)}, nil
 }
 
 // Resume lets a rater serve again, cold, and returns what has changed for the module.
-func (b *Book) Resume(now float64, name string) ([]pilot.Host, error) {
+func (b *Book) Resume(now float64, name string) ([]dispatch.Host, error) {
 	b.make()
 	h, listed := b.listed[name]
 	if !listed && !b.out[name] {
@@ -107,12 +107,12 @@
 		return nil, nil
 	}
 	b.back[name] = now
-	return []pilot.Host{b.show(h)}, nil
+	return []dispatch.Host{b.show(h)}, nil
 }
 
 // Fleet has just these raters out by the fleet's policy, listed or not, and returns what has changed for the module. One that comes
 // back is cold.
-func (b *Book) Fleet(now float64, names []string) (changed []pilot.Host) {
+func (b *Book) Fleet(now float64, names []string) (changed []dispatch.Host) {
 	b.make()
 	was := b.fleet
 	b.fleet = map[string]bool{}
@@ -151,9 +151,9 @@
 }
 
 // Recall takes what another process of the node knew, in place of what is known here, and returns what changes for the module.
-func (b *Book) Recall(m Memory) []pilot.Host {
+func (b *Book) Recall(m Memory) []dispatch.Host {
 	b.make()
-	was := map[string]pilot.Host{}
+	was := map[string]dispatch.Host{}
 	for name, h := range b.listed {
 		was[name] = b.show(h)
 	}
@@ -167,7 +167,7 @@
 			b.back[name] = at
 		}
 	}
-	var changed []pilot.Host
+	var changed []dispatch.Host
 	for _, name := range slices.Sorted(maps.Keys(b.listed)) {
 		if h := b.show(b.listed[name]); h != was[name] {
 			changed = append(changed, h)
--- a/internal/inventory/ban/ban_test.go
+++ b/internal/inventory/ban/ban_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // TestBookHolds guards, over any history of lists and orders, against a rater that is out by hand and shown ready, one that is
@@ -17,11 +17,11 @@
 	require.NoError(t, flag.Set("rapid.seed", "5"))
 	rapid.Check(t, func(t *rapid.T) {
 		var b Book
-		shown, out, back, listed := map[string]pilot.Host{}, map[string]bool{}, map[string]float64{}, map[string]bool{}
+		shown, out, back, listed := map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}, map[string]bool{}
 		name := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "rater")) })
-		see := func(list []pilot.Host) {
+		see := func(list []dispatch.Host) {
 			for _, h := range list {
-				if shown[h.Name] = h; h.Status == pilot.Gone {
+				if shown[h.Name] = h; h.Status == dispatch.Gone {
 					delete(shown, h.Name)
 				}
 			}
@@ -30,10 +30,10 @@
 			who := name.Draw(t, "who")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				list := []pilot.Host{}
+				list := []dispatch.Host{}
 				for i := range 5 {
 					if rapid.Bool().Draw(t, "listed") {
-						list = append(list, pilot.Host{Name: fmt.Sprint("s", i), Status: pilot.Status(rapid.IntRange(0, 1).Draw(t, "status"))})
+						list = append(list, dispatch.Host{Name: fmt.Sprint("s", i), Status: dispatch.Status(rapid.IntRange(0, 1).Draw(t, "status"))})
 					}
 				}
 				clear(shown)
@@ -41,13 +41,13 @@
 				for _, h := range list {
 					listed[h.Name] = true
 				}
-				see(b.Take(pilot.Whole, list))
+				see(b.Take(dispatch.Whole, list))
 			case 1:
-				h := pilot.Host{Name: who, Status: pilot.Status(rapid.IntRange(0, 2).Draw(t, "status"))}
-				if listed[who] = h.Status != pilot.Gone; !listed[who] {
+				h := dispatch.Host{Name: who, Status: dispatch.Status(rapid.IntRange(0, 2).Draw(t, "status"))}
+				if listed[who] = h.Status != dispatch.Gone; !listed[who] {
 					delete(listed, who)
 				}
-				see(b.Take(pilot.Changes, []pilot.Host{h}))
+				see(b.Take(dispatch.Changes, []dispatch.Host{h}))
 			case 2, 3:
 				list, err := b.Suspend(who)
 				require.Equal(t, !listed[who] && !out[who], err != nil)
@@ -66,7 +66,7 @@
 				see(list)
 			case 5:
 				var next Book
-				next.Take(pilot.Whole, b.all())
+				next.Take(dispatch.Whole, b.all())
 				see(next.Recall(b.Remember()))
 				b = next
 			}
@@ -78,7 +78,7 @@
 			}
 			for name, h := range shown {
 				require.True(t, listed[name])
-				require.False(t, out[name] && h.Status == pilot.Ready, "%s is out and shown ready", name)
+				require.False(t, out[name] && h.Status == dispatch.Ready, "%s is out and shown ready", name)
 				require.GreaterOrEqual(t, h.Since, back[name], "%s is back and shown warm", name)
 			}
 		}
@@ -86,7 +86,7 @@
 }
 
 // all is what the sources list.
-func (b *Book) all() (list []pilot.Host) {
+func (b *Book) all() (list []dispatch.Host) {
 	for _, h := range b.listed {
 		list = append(list, h)
 	}
@@ -97,17 +97,17 @@
 // against it, one that comes back warm, and one out by hand that the policy brings back.
 func TestFleet(t *testing.T) {
 	var b Book
-	b.Take(pilot.Whole, []pilot.Host{{Name: "a", Status: pilot.Ready}, {Name: "b", Status: pilot.Ready}})
+	b.Take(dispatch.Whole, []dispatch.Host{{Name: "a", Status: dispatch.Ready}, {Name: "b", Status: dispatch.Ready}})
 	changed := b.Fleet(5, []string{"a", "later"})
-	require.Equal(t, []pilot.Host{{Name: "a", Status: pilot.Draining}}, changed)
+	require.Equal(t, []dispatch.Host{{Name: "a", Status: dispatch.Draining}}, changed)
 	require.Empty(t, b.Fleet(6, []string{"a", "later"}))
 	_, err := b.Resume(7, "a")
 	require.ErrorIs(t, err, ErrFleet)
-	shown := b.Take(pilot.Changes, []pilot.Host{{Name: "later", Status: pilot.Ready}})
-	require.Equal(t, pilot.Draining, shown[0].Status)
+	shown := b.Take(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
+	require.Equal(t, dispatch.Draining, shown[0].Status)
 	_, err = b.Suspend("a")
 	require.NoError(t, err)
 	changed = b.Fleet(9, nil)
-	require.Equal(t, []pilot.Host{{Name: "later", Status: pilot.Ready, Since: 9}}, changed)
+	require.Equal(t, []dispatch.Host{{Name: "later", Status: dispatch.Ready, Since: 9}}, changed)
 	require.True(t, b.Out("a"), "by hand")
 }
--- a/internal/inventory/discovery/discovery.go
+++ b/internal/inventory/discovery/discovery.go
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/inventory/pace"
 	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Limits are the times of the calls, in milliseconds.
@@ -38,7 +38,7 @@
 type List struct {
 	Index int64
 	Whole bool
-	Hosts []pilot.Host
+	Hosts []dispatch.Host
 
 	Look      bool     // it was asked for as a second look
 	Revisions []uint64 // at which each of the hosts changed; nil where that is not said
--- a/internal/inventory/discovery/discovery_test.go
+++ b/internal/inventory/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/script"
 )
 
@@ -23,9 +23,9 @@
 		{"name":"e","address":"127.0.0.1:80","status":"Ready","since_ms":-1}, {"name":5}, 6]}`))
 	require.NoError(t, err)
 	assert.Len(t, odd, 6)
-	assert.Equal(t, List{Index: 4, Whole: true, Hosts: []pilot.Host{
+	assert.Equal(t, List{Index: 4, Whole: true, Hosts: []dispatch.Host{
 		{Name: "a", Address: "127.0.0.1:80", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Since: 7},
-		{Name: "b", Status: pilot.Gone}}}, l)
+		{Name: "b", Status: dispatch.Gone}}}, l)
 	for _, text := range []string{"", "{x}", "[]", "{}", `{"index":"4"}`, `{"index":1,"endpoints":{}}`} {
 		_, _, err := Decode([]byte(text))
 		assert.Error(t, err, text)
--- a/internal/inventory/etcd/source_test.go
+++ b/internal/inventory/etcd/source_test.go
@@ -20,7 +20,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
 
@@ -64,7 +64,7 @@
 		s.wholes++
 	}
 	for _, h := range u.Hosts {
-		if s.hosts[h.Name] = h.Address; h.Status == pilot.Gone {
+		if s.hosts[h.Name] = h.Address; h.Status == dispatch.Gone {
 			delete(s.hosts, h.Name)
 		}
 	}
--- a/internal/inventory/etcd/track.go
+++ b/internal/inventory/etcd/track.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // ConfirmKey is the name under the prefix whose value, a revision in decimal digits, confirms what was held up to it.
@@ -35,11 +35,11 @@
 
 // Update is what has changed, all at one revision.
 type Update struct {
-	Whole    bool         // Hosts are all; else those that changed, one that is pilot.Gone has left
-	Revision int64        // up to which this is all there is
-	Hosts    []pilot.Host // by name
-	Odd      []string     // what is wrong with values that cannot be used
-	Confirm  uint64       // the revision up to which what was held is meant; 0 = nothing is said of that
+	Whole    bool            // Hosts are all; else those that changed, one that is pilot.Gone has left
+	Revision int64           // up to which this is all there is
+	Hosts    []dispatch.Host // by name
+	Odd      []string        // what is wrong with values that cannot be used
+	Confirm  uint64          // the revision up to which what was held is meant; 0 = nothing is said of that
 }
 
 // Tracker keeps what the keys under a prefix say, and finds out whether what it is shown can follow from that. It is
@@ -59,7 +59,7 @@
 	mod   int64
 	sum   uint64 // of its value
 	good  bool   // host is what a value said,
-	host  pilot.Host
+	host  dispatch.Host
 	stale bool // but not the last one, which cannot be used
 }
 
@@ -142,14 +142,14 @@
 }
 
 // Hosts are all that the keys list, by name.
-func (t *Tracker) Hosts() []pilot.Host {
-	hosts := make([]pilot.Host, 0, len(t.keys))
+func (t *Tracker) Hosts() []dispatch.Host {
+	hosts := make([]dispatch.Host, 0, len(t.keys))
 	for _, k := range t.keys {
 		if k.good {
 			hosts = append(hosts, k.host)
 		}
 	}
-	slices.SortFunc(hosts, func(a, b pilot.Host) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(hosts, func(a, b dispatch.Host) int { return strings.Compare(a.Name, b.Name) })
 	return hosts
 }
 
@@ -165,7 +165,7 @@
 	case err != nil:
 	case h.Name != name:
 		err = fmt.Errorf("is of %q", h.Name)
-	case h.Status == pilot.Gone:
+	case h.Status == dispatch.Gone:
 		err = errors.New("status Gone: delete the key")
 	}
 	if err == nil {
@@ -251,7 +251,7 @@
 		if e.Type == mvccpb.Event_DELETE {
 			delete(t.keys, name)
 			if old.good {
-				old.host.Status = pilot.Gone
+				old.host.Status = dispatch.Gone
 				u.Hosts = append(u.Hosts, old.host)
 			}
 			continue
@@ -270,7 +270,7 @@
 		}
 	}
 	t.rev = rev
-	slices.SortFunc(u.Hosts, func(a, b pilot.Host) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(u.Hosts, func(a, b dispatch.Host) int { return strings.Compare(a.Name, b.Name) })
 	return u, nil
 }
 
--- a/internal/inventory/files/files_test.go
+++ b/internal/inventory/files/files_test.go
@@ -19,7 +19,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // The histories are the same ones each time, unless -rapid.seed asks for others.
@@ -45,8 +45,8 @@
 
 // Guards against a file that is taken although anything is wrong with it, and against a refusal that does not say what.
 func TestParse(t *testing.T) {
-	want := &List{Index: 7, Meant: true, Sealed: true, Hosts: []pilot.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z",
-		Kind: "k", Cell: 3, Status: pilot.Draining, Weight: 1, Since: 5}}}
+	want := &List{Index: 7, Meant: true, Sealed: true, Hosts: []dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z",
+		Kind: "k", Cell: 3, Status: dispatch.Draining, Weight: 1, Since: 5}}}
 	l, err := Parse("l.json", []byte(`{"index":7,"confirm":7,"count":1,"snapshot":true,"endpoints":[{"name":"a","address":"10.0.0.1:80",
 		"zone":"z","type":"k","group":3,"status":"Terminating","since_ms":5}]}`), known)
 	require.NoError(t, err)
--- a/internal/inventory/files/list.go
+++ b/internal/inventory/files/list.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Known is what a list is held against.
@@ -27,7 +27,7 @@
 	Index  uint64 // of this version of the file, 0 = it has none
 	Meant  bool   // whoever wrote it confirms what the guard would hold
 	Sealed bool   // its count or checksum proves that it is whole
-	Hosts  []pilot.Host
+	Hosts  []dispatch.Host
 }
 
 // file is the form of a file, in TOML and in JSON.
@@ -147,7 +147,7 @@
 	return err
 }
 
-func (e *entry) host() (pilot.Host, error) {
+func (e *entry) host() (dispatch.Host, error) {
 	full := form.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Speaks: e.Speaks, Group: e.Group, Status: e.Status,
 		Weight: 1, Since: e.Since}
 	if e.Status == "" {
@@ -157,7 +157,7 @@
 		full.Weight = *e.Weight
 	}
 	h, err := full.Host()
-	if err == nil && h.Status == pilot.Gone {
+	if err == nil && h.Status == dispatch.Gone {
 		err = errors.New("status Gone: leave the entry out")
 	}
 	return h, err
--- a/internal/inventory/files/shelf.go
+++ b/internal/inventory/files/shelf.go
@@ -21,7 +21,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // MostFiles is how many files a folder may hold.
@@ -184,7 +184,7 @@
 	if len(c.v.Hosts) > s.known.Most {
 		return fmt.Errorf("%d endpoints in all, at most %d can be taken", len(c.v.Hosts), s.known.Most)
 	}
-	slices.SortFunc(c.v.Hosts, func(a, b pilot.Host) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(c.v.Hosts, func(a, b dispatch.Host) int { return cmp.Compare(a.Name, b.Name) })
 	return nil
 }
 
--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -20,7 +20,7 @@
 	"linenwheel.dev/linenwheel/internal/inventory/files"
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // fileText is version i of a list: four hosts, at addresses that only this version has, of which one changes each time.
@@ -38,7 +38,7 @@
 func TestManyVersionsWhileRequestsRun(t *testing.T) {
 	const versions = 1000
 	path, c, discard := filepath.Join(t.TempDir(), "list.toml"), clock.NewSystem(), slog.New(slog.DiscardHandler)
-	p, err := pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
+	p, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, c, discard, nil)
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	last, taken := -1, 0
 	k, err := New(Settings{Settings: set.Settings{Sources: []set.Source{{Name: "files", Keep: 1e6, Expect: path}},
 		Guard: guard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
-		Give: func(kind pilot.Source, list []pilot.Host) { p.Inventory(kind, list) }}, c, discard)
+		Give: func(kind dispatch.Source, list []dispatch.Host) { p.Inventory(kind, list) }}, c, discard)
 	require.NoError(t, err)
 	w := &files.Watcher{Path: path, Single: true, Known: files.Known{Zones: []string{"z"}, Kinds: []string{"k"}, Most: 9}, Most: 1 << 20,
 		Settle: 5, Limits: files.Limits{Poll: 1000}, Clock: c, Log: discard, Sink: k.Feed(0)}
@@ -87,19 +87,19 @@
 	for range 4 {
 		asking.Go(func() {
 			for ctx.Err() == nil {
-				q := p.Open(pilot.Request{Tenant: -1, Deadline: c.Now() + 900})
+				q := p.Open(dispatch.Request{Tenant: -1, Deadline: c.Now() + 900})
 				asked.Add(1)
 				v := q.Pick()
 				look()
 				switch v.Kind {
-				case pilot.Relay:
-					q.Report(v.Relay, pilot.Served, nil)
+				case dispatch.Relay:
+					q.Report(v.Relay, dispatch.Served, nil)
 					if !known[v.Address] {
 						mu.Lock()
 						faults = append(faults, "a relay to "+v.Address)
 						mu.Unlock()
 					}
-				case pilot.BackOff:
+				case dispatch.BackOff:
 					refused.Add(1)
 				}
 			}
--- a/internal/inventory/form/form.go
+++ b/internal/inventory/form/form.go
@@ -8,7 +8,7 @@
 	"math"
 	"net/netip"
 
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Entry is how a host is written.
@@ -24,40 +24,40 @@
 	Since   float64 `json:"since_ms" toml:"since_ms"` // Unix time of its last start, 0 = long ago
 }
 
-var statuses = map[string]pilot.Status{"Ready": pilot.Ready, "Terminating": pilot.Draining, "Gone": pilot.Gone}
+var statuses = map[string]dispatch.Status{"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Gone}
 
-var words = [...]string{pilot.Ready: "Ready", pilot.Draining: "Terminating", pilot.Gone: "Gone"}
+var words = [...]string{dispatch.Ready: "Ready", dispatch.Draining: "Terminating", dispatch.Gone: "Gone"}
 
 // Of is the entry of a host.
-func Of(h pilot.Host) Entry {
+func Of(h dispatch.Host) Entry {
 	return Entry{h.Name, h.Address, h.Zone, h.Kind, h.Protocol, h.Cell, words[h.Status], h.Weight, h.Since}
 }
 
 // Host gives the host, or says what is wrong with the entry.
-func (e *Entry) Host() (pilot.Host, error) {
+func (e *Entry) Host() (dispatch.Host, error) {
 	status, ok := statuses[e.Status]
 	switch _, err := netip.ParseAddrPort(e.Address); {
 	case e.Name == "":
-		return pilot.Host{}, errors.New("name is missing")
+		return dispatch.Host{}, errors.New("name is missing")
 	case e.Speaks != "" && e.Speaks != "http" && e.Speaks != "thrift":
-		return pilot.Host{}, fmt.Errorf("unknown protocol %q: want http or thrift", e.Speaks)
+		return dispatch.Host{}, fmt.Errorf("unknown protocol %q: want http or thrift", e.Speaks)
 	case !ok:
-		return pilot.Host{}, fmt.Errorf("unknown status %q", e.Status)
-	case err != nil && status != pilot.Gone:
-		return pilot.Host{}, fmt.Errorf("address: %w", err)
+		return dispatch.Host{}, fmt.Errorf("unknown status %q", e.Status)
+	case err != nil && status != dispatch.Gone:
+		return dispatch.Host{}, fmt.Errorf("address: %w", err)
 	case !(e.Weight >= 0 && e.Weight <= math.MaxFloat64 && e.Since >= 0 && e.Since <= math.MaxInt64/1e6):
-		return pilot.Host{}, errors.New("weight or since_ms out of range")
+		return dispatch.Host{}, errors.New("weight or since_ms out of range")
 	}
 	protocol := e.Speaks
 	if protocol == "http" {
 		protocol = ""
 	}
-	return pilot.Host{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Protocol: protocol, Cell: e.Group, Status: status,
+	return dispatch.Host{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Protocol: protocol, Cell: e.Group, Status: status,
 		Weight: e.Weight, Since: e.Since}, nil
 }
 
 // JSON reads an entry from JSON, with the revision that it may name; fields that are not known are passed over.
-func JSON(text []byte) (h pilot.Host, revision uint64, err error) {
+func JSON(text []byte) (h dispatch.Host, revision uint64, err error) {
 	var e struct {
 		Entry
 		Revision uint64 `json:"revision"`
--- a/internal/inventory/keeper.go
+++ b/internal/inventory/keeper.go
@@ -15,15 +15,15 @@
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Settings say what a keeper is made of.
 type Settings struct {
 	set.Settings
 	Node string
-	Give func(pilot.Source, []pilot.Host) // gets each step, one after the other
-	Last func()                           // called when the list has changed; may be nil
+	Give func(dispatch.Source, []dispatch.Host) // gets each step, one after the other
+	Last func()                                 // called when the list has changed; may be nil
 }
 
 // Keeper keeps the list. All of its methods may be called from any goroutine.
@@ -66,7 +66,7 @@
 // Offer gives the keeper a list from before, of a time, that stands until a source says something. The newest counts.
 // Departures are judged by it if that is no longer than judge milliseconds ago. Positions are what the sources had come to,
 // nil = nothing is known of that.
-func (k *Keeper) Offer(hosts []pilot.Host, at, judge float64, positions []last.Position) {
+func (k *Keeper) Offer(hosts []dispatch.Host, at, judge float64, positions []last.Position) {
 	k.do(func(float64) {
 		if k.begun || at < k.offered || len(hosts) == 0 {
 			return
@@ -102,7 +102,7 @@
 	defer k.giving.Unlock()
 	k.mu.Lock()
 	kind, list, ok := k.set.Step()
-	if ok && kind != pilot.Stored {
+	if ok && kind != dispatch.Stored {
 		k.changed = k.clock.Now()
 	}
 	k.mu.Unlock()
@@ -110,7 +110,7 @@
 		return
 	}
 	k.settings.Give(kind, list)
-	if k.settings.Last != nil && kind != pilot.Stored {
+	if k.settings.Last != nil && kind != dispatch.Stored {
 		k.settings.Last()
 	}
 }
@@ -150,7 +150,7 @@
 }
 
 // Hosts is the list, by name.
-func (k *Keeper) Hosts() []pilot.Host {
+func (k *Keeper) Hosts() []dispatch.Host {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.set.Hosts()
--- a/internal/inventory/keeper_test.go
+++ b/internal/inventory/keeper_test.go
@@ -27,7 +27,7 @@
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
 
@@ -67,12 +67,12 @@
 type fleet struct {
 	t      *testing.T
 	clock  clock.Clock
-	pilot  *pilot.Pilot
+	pilot  *dispatch.Pilot
 	keeper *Keeper
 	truth  func() map[string]string // what the cluster has
 
 	mu      sync.Mutex
-	hosts   map[string]pilot.Host
+	hosts   map[string]dispatch.Host
 	left    map[string]float64 // when a host was told to depart
 	gone    map[string]bool    // addresses that were replaced or left
 	faults  []string
@@ -86,20 +86,20 @@
 }
 
 // give is between the keeper and the pilot.
-func (f *fleet) give(kind pilot.Source, list []pilot.Host) {
+func (f *fleet) give(kind dispatch.Source, list []dispatch.Host) {
 	f.mu.Lock()
 	now, before, truth := f.clock.Now(), maps.Clone(f.hosts), f.truth()
-	if kind != pilot.Changes {
+	if kind != dispatch.Changes {
 		clear(f.hosts)
 	}
 	for _, h := range list {
-		if f.hosts[h.Name] = h; h.Status == pilot.Gone {
+		if f.hosts[h.Name] = h; h.Status == dispatch.Gone {
 			delete(f.hosts, h.Name)
 		}
 	}
 	for name, old := range before {
 		h, there := f.hosts[name]
-		if _, told := f.left[name]; !told && (!there || h.Status != pilot.Ready) {
+		if _, told := f.left[name]; !told && (!there || h.Status != dispatch.Ready) {
 			f.left[name] = now
 		}
 		if (!there || h.Address != old.Address) && !strings.Contains(truth["r/"+name], old.Address) {
@@ -107,10 +107,10 @@
 		}
 	}
 	for name, h := range f.hosts {
-		if h.Status == pilot.Ready {
+		if h.Status == dispatch.Ready {
 			delete(f.left, name)
 		}
-		if f.gone[h.Address] && h.Status == pilot.Ready && !strings.Contains(truth["r/"+name], h.Address) {
+		if f.gone[h.Address] && h.Status == dispatch.Ready && !strings.Contains(truth["r/"+name], h.Address) {
 			f.fault("%s is back at %s", name, h.Address)
 		}
 	}
@@ -126,15 +126,15 @@
 func (f *fleet) ask(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := f.clock.Now()
-		q := f.pilot.Open(pilot.Request{Tenant: -1, Deadline: now + 900})
-		if v := q.Pick(); v.Kind == pilot.Relay {
+		q := f.pilot.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
+		if v := q.Pick(); v.Kind == dispatch.Relay {
 			f.mu.Lock()
 			f.relays++
 			if at, told := f.left[v.Host]; told && now > at+grace+1 {
 				f.fault("a relay to %s, %.0f ms after it was told to depart", v.Host, now-at)
 			}
 			f.mu.Unlock()
-			q.Report(v.Relay, pilot.Served, nil)
+			q.Report(v.Relay, dispatch.Served, nil)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -221,7 +221,7 @@
 func TestFromEtcdAndFilesToThePilot(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(draw), 1, 40).Draw(r, "steps")
-		f := &fleet{t: t, hosts: map[string]pilot.Host{}, left: map[string]float64{}, gone: map[string]bool{}}
+		f := &fleet{t: t, hosts: map[string]dispatch.Host{}, left: map[string]float64{}, gone: map[string]bool{}}
 		synctest.Test(t, func(t *testing.T) { f.play(t, steps) })
 		require.Empty(r, f.faults)
 		require.NotZero(r, f.relays)
@@ -233,7 +233,7 @@
 	f.clock = clock.NewSystem()
 	discard := slog.New(slog.DiscardHandler)
 	var err error
-	f.pilot, err = pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
+	f.pilot, err = dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
--- a/internal/inventory/last/last.go
+++ b/internal/inventory/last/last.go
@@ -17,7 +17,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/store"
 )
 
@@ -42,7 +42,7 @@
 }
 
 // Set gives the record a list of hosts.
-func (r *Record) Set(hosts []pilot.Host) {
+func (r *Record) Set(hosts []dispatch.Host) {
 	r.Entries = make([]form.Entry, len(hosts))
 	for i, h := range hosts {
 		r.Entries[i] = form.Of(h)
@@ -50,7 +50,7 @@
 }
 
 // Hosts gives the list.
-func (r *Record) Hosts() (hosts []pilot.Host, err error) {
+func (r *Record) Hosts() (hosts []dispatch.Host, err error) {
 	for i := range r.Entries {
 		h, err := r.Entries[i].Host()
 		if err != nil {
--- a/internal/inventory/last/last_test.go
+++ b/internal/inventory/last/last_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 func record(changed float64) Record {
 	r := Record{Node: "n", Changed: changed, Followed: "etcd", Sources: []Position{{"etcd", "c1", 7}}}
-	r.Set([]pilot.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: pilot.Draining, Weight: 1.5, Since: 3}})
+	r.Set([]dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: dispatch.Draining, Weight: 1.5, Since: 3}})
 	return r
 }
 
@@ -35,7 +35,7 @@
 	assert.Equal(t, record(6), *got)
 	hosts, err := got.Hosts()
 	require.NoError(t, err)
-	assert.Equal(t, pilot.Host{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: pilot.Draining, Weight: 1.5, Since: 3}, hosts[0])
+	assert.Equal(t, dispatch.Host{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: dispatch.Draining, Weight: 1.5, Since: 3}, hosts[0])
 	_, err = Load(path, "m")
 	assert.ErrorContains(t, err, `it is of node "n"`)
 
--- a/internal/inventory/set/notes.go
+++ b/internal/inventory/set/notes.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 const (
@@ -81,9 +81,9 @@
 }
 
 // onlyIn names the hosts that serve by one list and not by another.
-func onlyIn(a, b map[string]pilot.Host) (names []string) {
+func onlyIn(a, b map[string]dispatch.Host) (names []string) {
 	for name, h := range a {
-		if other, ok := b[name]; h.Status == pilot.Ready && (!ok || other.Status != pilot.Ready) {
+		if other, ok := b[name]; h.Status == dispatch.Ready && (!ok || other.Status != dispatch.Ready) {
 			names = append(names, name)
 		}
 	}
--- a/internal/inventory/set/set.go
+++ b/internal/inventory/set/set.go
@@ -23,7 +23,7 @@
 	"strings"
 
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Times that nobody sets, in milliseconds.
@@ -74,11 +74,11 @@
 // Version is what a source says.
 type Version struct {
 	Revision Revision
-	Whole    bool         // Hosts is every host; else those that changed
-	Hosts    []pilot.Host // one that is pilot.Gone has left; of two with one name the last counts
-	Look     bool         // it was read anew because a second look was asked for
-	Meant    bool         // who writes it confirms what the guard would hold
-	Away     float64      // since when the source has had no word itself; 0 = it has; below 0 = there is more to come
+	Whole    bool            // Hosts is every host; else those that changed
+	Hosts    []dispatch.Host // one that is pilot.Gone has left; of two with one name the last counts
+	Look     bool            // it was read anew because a second look was asked for
+	Meant    bool            // who writes it confirms what the guard would hold
+	Away     float64         // since when the source has had no word itself; 0 = it has; below 0 = there is more to come
 }
 
 // What Take refuses for good, wrapped.
@@ -93,7 +93,7 @@
 // source is what one source has said.
 type source struct {
 	Source
-	list     map[string]pilot.Host
+	list     map[string]dispatch.Host
 	departed map[string]departure // of hosts that it has told to drain or to leave, or from an address
 	revision Revision
 	known    bool    // it has given a whole list
@@ -115,7 +115,7 @@
 }
 
 // counts tells whether a host that somebody else lists has departed.
-func (d departure) counts(h pilot.Host) bool {
+func (d departure) counts(h dispatch.Host) bool {
 	return d.at > 0 && h.Since <= d.at ||
 		slices.ContainsFunc(d.left, func(p place) bool { return p.address == h.Address && h.Since <= p.at })
 }
@@ -146,35 +146,35 @@
 	lead    int // the source that the list follows; -1 = none yet
 	aged    bool
 
-	hosts    map[string]pilot.Host
+	hosts    map[string]dispatch.Host
 	serving  int
 	guard    *guard.Guard
 	baseTill float64 // until when the list from before is one to judge by
 	based    bool    // there is a later one
 
 	held  map[string]dispute
-	shift shift          // of all that is held
-	look  float64        // when the next second look is due; +Inf = never
-	pause float64        // from there to the one after it
-	open  bool           // it was told that something is held, and not yet that nothing is
-	now   float64        // when something was told last
-	sweep float64        // when the next sweep is due
-	kind  pilot.Source   // of the next step
-	dirty map[string]had // what changed since the last one,
-	order []string       // in this order
+	shift shift           // of all that is held
+	look  float64         // when the next second look is due; +Inf = never
+	pause float64         // from there to the one after it
+	open  bool            // it was told that something is held, and not yet that nothing is
+	now   float64         // when something was told last
+	sweep float64         // when the next sweep is due
+	kind  dispatch.Source // of the next step
+	dirty map[string]had  // what changed since the last one,
+	order []string        // in this order
 	notes []Note
 }
 
 // had is what the last step said of a host.
 type had struct {
-	pilot.Host
+	dispatch.Host
 	listed bool
 }
 
 // New makes a set that has no list yet.
 func New(set Settings) (*Set, error) {
-	s := &Set{set: set, zones: names(set.Zones), kinds: names(set.Kinds), lead: -1, hosts: map[string]pilot.Host{},
-		held: map[string]dispute{}, look: math.Inf(1), pause: set.Wait, kind: pilot.Whole,
+	s := &Set{set: set, zones: names(set.Zones), kinds: names(set.Kinds), lead: -1, hosts: map[string]dispatch.Host{},
+		held: map[string]dispute{}, look: math.Inf(1), pause: set.Wait, kind: dispatch.Whole,
 		dirty: map[string]had{}}
 	var err error
 	if s.guard, err = guard.New(set.Guard); err != nil {
@@ -192,7 +192,7 @@
 		if !(one.Keep >= 0) {
 			return nil, fmt.Errorf("set: keep %v of %s is below 0", one.Keep, one.Name)
 		}
-		s.sources = append(s.sources, &source{Source: one, list: map[string]pilot.Host{}, away: math.Inf(1),
+		s.sources = append(s.sources, &source{Source: one, list: map[string]dispatch.Host{}, away: math.Inf(1),
 			departed: map[string]departure{}})
 	}
 	return s, nil
@@ -220,22 +220,22 @@
 // Start gives the set a list from before, in place of another such, while no source has given one. Departures are judged
 // by it until a time; a first version after that counts whatever it does. Revisions, in the order of the sources, are what
 // these had come to: nothing older is taken.
-func (s *Set) Start(hosts []pilot.Host, fresh float64, revisions []Revision) {
+func (s *Set) Start(hosts []dispatch.Host, fresh float64, revisions []Revision) {
 	clear(s.hosts)
 	s.serving = 0
 	for _, h := range hosts {
-		if h.Status != pilot.Gone && s.usable(&h) {
+		if h.Status != dispatch.Gone && s.usable(&h) {
 			s.put(h)
 		}
 	}
 	for i, r := range revisions {
 		s.sources[i].revision = r
 	}
-	s.kind, s.baseTill = pilot.Stored, fresh
+	s.kind, s.baseTill = dispatch.Stored, fresh
 }
 
-func (s *Set) usable(h *pilot.Host) bool {
-	return h.Name != "" && (h.Status == pilot.Gone || h.Status < pilot.Gone && s.zones[h.Zone] && s.kinds[h.Kind])
+func (s *Set) usable(h *dispatch.Host) bool {
+	return h.Name != "" && (h.Status == dispatch.Gone || h.Status < dispatch.Gone && s.zones[h.Zone] && s.kinds[h.Kind])
 }
 
 // Take takes a version. One that is refused for good has changed nothing.
@@ -292,7 +292,7 @@
 }
 
 // check tells whether a version may follow what its source has said.
-func (s *Set) check(src *source, v Version, hosts []pilot.Host) error {
+func (s *Set) check(src *source, v Version, hosts []dispatch.Host) error {
 	have, next := src.revision, v.Revision
 	count := len(hosts)
 	if !v.Whole {
@@ -326,12 +326,12 @@
 }
 
 // differs tells whether hosts say anything else than a list.
-func differs(list map[string]pilot.Host, whole bool, hosts []pilot.Host) bool {
+func differs(list map[string]dispatch.Host, whole bool, hosts []dispatch.Host) bool {
 	if whole && len(hosts) != len(list) {
 		return true
 	}
 	for _, h := range hosts {
-		if old, ok := list[h.Name]; ok != (h.Status != pilot.Gone) || ok && old != h {
+		if old, ok := list[h.Name]; ok != (h.Status != dispatch.Gone) || ok && old != h {
 			return true
 		}
 	}
@@ -340,8 +340,8 @@
 
 // usables gives a version's hosts. An entry that cannot be used stands for what the source said of the host before; if
 // that is nothing it is left out. odd names both.
-func (s *Set) usables(src *source, v Version) (hosts []pilot.Host, odd []string) {
-	hosts = make([]pilot.Host, 0, len(v.Hosts))
+func (s *Set) usables(src *source, v Version) (hosts []dispatch.Host, odd []string) {
+	hosts = make([]dispatch.Host, 0, len(v.Hosts))
 	place := make(map[string]int, len(v.Hosts))
 	for _, h := range v.Hosts {
 		if !s.usable(&h) {
@@ -360,19 +360,19 @@
 		hosts = append(hosts, h)
 	}
 	if v.Whole {
-		hosts = slices.DeleteFunc(hosts, func(h pilot.Host) bool { return h.Status == pilot.Gone })
+		hosts = slices.DeleteFunc(hosts, func(h dispatch.Host) bool { return h.Status == dispatch.Gone })
 	}
 	return hosts, odd
 }
 
 // matters gives what picks, once a version was heeded, the hosts for which it changes anything in the set. What is held is
 // not let go because another source than the one that is followed says again what is known.
-func (s *Set) matters(of int, whole bool, hosts []pilot.Host) func(touched []string) []string {
+func (s *Set) matters(of int, whole bool, hosts []dispatch.Host) func(touched []string) []string {
 	if s.lead < 0 || of == s.lead {
 		return func(touched []string) []string { return touched }
 	}
 	type want struct {
-		pilot.Host
+		dispatch.Host
 		listed bool
 	}
 	src, before := s.sources[of], map[string]want{}
@@ -392,13 +392,13 @@
 		return slices.DeleteFunc(touched, func(name string) bool {
 			h, listed := s.target(name)
 			now := s.hosts[name]
-			return before[name] == want{h, listed} && !(now.Status == pilot.Ready && src.departed[name].counts(now))
+			return before[name] == want{h, listed} && !(now.Status == dispatch.Ready && src.departed[name].counts(now))
 		})
 	}
 }
 
 // heed takes hosts into a source's list and names those that are new or changed.
-func (s *Set) heed(now float64, src *source, whole bool, hosts []pilot.Host) (touched []string) {
+func (s *Set) heed(now float64, src *source, whole bool, hosts []dispatch.Host) (touched []string) {
 	if whole {
 		named := make(map[string]bool, len(hosts))
 		for i := range hosts {
@@ -416,7 +416,7 @@
 	}
 	for _, h := range hosts {
 		old, listed := src.list[h.Name]
-		if listed && old == h || !listed && h.Status == pilot.Gone {
+		if listed && old == h || !listed && h.Status == dispatch.Gone {
 			if _, held := s.held[h.Name]; held && !whole {
 				touched = append(touched, h.Name) // said again, and by itself
 			}
@@ -424,12 +424,12 @@
 		}
 		touched = append(touched, h.Name)
 		switch h.Status {
-		case pilot.Gone:
+		case dispatch.Gone:
 			s.end(now, src, h.Name)
 			continue
-		case pilot.Ready:
+		case dispatch.Ready:
 			src.arrive(now, old, h)
-		case pilot.Draining:
+		case dispatch.Draining:
 			src.depart(now, h.Name)
 		}
 		src.list[h.Name] = h
@@ -463,7 +463,7 @@
 }
 
 // arrive notes that a host serves, and that it is not where it was.
-func (src *source) arrive(now float64, old, h pilot.Host) {
+func (src *source) arrive(now float64, old, h dispatch.Host) {
 	if old.Address != "" && old.Address != h.Address {
 		src.leave(now, h.Name, old.Address)
 	}
@@ -559,16 +559,16 @@
 }
 
 // target is what the set should have of a host, and whether it should have it at all.
-func (s *Set) target(name string) (pilot.Host, bool) {
+func (s *Set) target(name string) (dispatch.Host, bool) {
 	if s.lead < 0 {
 		h, ok := s.hosts[name]
 		return h, ok
 	}
 	h, ok := s.sources[s.lead].list[name]
-	if ok && h.Status == pilot.Ready {
+	if ok && h.Status == dispatch.Ready {
 		for _, src := range s.sources { // of what the lead has told itself, the list is the newer word
 			if src.departed[name].counts(h) {
-				h.Status = pilot.Draining
+				h.Status = dispatch.Draining
 			}
 		}
 	}
@@ -585,14 +585,14 @@
 }
 
 // Compare counts what it would do to the hosts that serve if one list were followed by another.
-func Compare(from, to []pilot.Host) (c guard.Change) {
+func Compare(from, to []dispatch.Host) (c guard.Change) {
 	var sum shift
-	next := map[string]pilot.Host{}
+	next := map[string]dispatch.Host{}
 	for _, h := range to {
 		next[h.Name] = h
 	}
 	for _, h := range from {
-		if h.Status == pilot.Ready {
+		if h.Status == dispatch.Ready {
 			c.Serving++
 		}
 		want, ok := next[h.Name]
@@ -600,7 +600,7 @@
 		delete(next, h.Name)
 	}
 	for _, h := range next {
-		sum.add(step(pilot.Host{}, false, h, true), 1)
+		sum.add(step(dispatch.Host{}, false, h, true), 1)
 	}
 	c.Drains, c.Leaves, c.Arrives = sum.drains, sum.leaves, sum.arrives
 	return c
@@ -617,8 +617,8 @@
 }
 
 // step is what it does if a host, where it is listed, is as it should be, where it should be listed.
-func step(have pilot.Host, listed bool, want pilot.Host, ok bool) (sh shift) {
-	serves, will := listed && have.Status == pilot.Ready, ok && want.Status == pilot.Ready
+func step(have dispatch.Host, listed bool, want dispatch.Host, ok bool) (sh shift) {
+	serves, will := listed && have.Status == dispatch.Ready, ok && want.Status == dispatch.Ready
 	moves := listed && ok && have.Address != want.Address
 	switch {
 	case serves && (!will || moves) && ok && !moves:
@@ -674,7 +674,7 @@
 func (s *Set) settled() {
 	if !s.based {
 		s.based = true
-		s.kind = pilot.Whole
+		s.kind = dispatch.Whole
 	}
 	if len(s.held) == 0 {
 		if s.open {
@@ -745,7 +745,7 @@
 		s.put(want)
 	} else {
 		s.mark(name)
-		if s.hosts[name].Status == pilot.Ready {
+		if s.hosts[name].Status == dispatch.Ready {
 			s.serving--
 		}
 		delete(s.hosts, name)
@@ -758,13 +758,13 @@
 	}
 }
 
-func (s *Set) put(h pilot.Host) {
+func (s *Set) put(h dispatch.Host) {
 	s.mark(h.Name)
 	old, listed := s.hosts[h.Name]
-	if listed && old.Status == pilot.Ready {
+	if listed && old.Status == dispatch.Ready {
 		s.serving--
 	}
-	if h.Status == pilot.Ready {
+	if h.Status == dispatch.Ready {
 		s.serving++
 	}
 	s.hosts[h.Name] = h
@@ -855,35 +855,35 @@
 
 // Step gives what has changed since the last one, as the pilot takes it; false if nothing has. A step is the set as it
 // is now: what came and went in between does not show.
-func (s *Set) Step() (kind pilot.Source, list []pilot.Host, ok bool) {
+func (s *Set) Step() (kind dispatch.Source, list []dispatch.Host, ok bool) {
 	kind = s.kind
-	if kind == pilot.Changes && len(s.order) == 0 || kind == pilot.Whole && !s.based {
+	if kind == dispatch.Changes && len(s.order) == 0 || kind == dispatch.Whole && !s.based {
 		return kind, nil, false
 	}
-	if kind == pilot.Changes {
+	if kind == dispatch.Changes {
 		for _, name := range s.order {
 			old := s.dirty[name]
 			if h, now := s.hosts[name]; now {
 				list = append(list, h)
 			} else if old.listed {
-				old.Status = pilot.Gone
+				old.Status = dispatch.Gone
 				list = append(list, old.Host)
 			}
 		}
 	} else {
 		list = s.Hosts()
 	}
-	s.kind, s.order = pilot.Changes, s.order[:0]
+	s.kind, s.order = dispatch.Changes, s.order[:0]
 	clear(s.dirty)
-	return kind, list, len(list) > 0 || kind != pilot.Changes
+	return kind, list, len(list) > 0 || kind != dispatch.Changes
 }
 
 // Hosts is the whole list, by name.
-func (s *Set) Hosts() []pilot.Host {
-	list := make([]pilot.Host, 0, len(s.hosts))
+func (s *Set) Hosts() []dispatch.Host {
+	list := make([]dispatch.Host, 0, len(s.hosts))
 	for _, h := range s.hosts {
 		list = append(list, h)
 	}
-	slices.SortFunc(list, func(a, b pilot.Host) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b dispatch.Host) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
--- a/internal/inventory/set/set_test.go
+++ b/internal/inventory/set/set_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // The histories are the same ones each time, unless -rapid.seed asks for others.
@@ -27,8 +27,8 @@
 
 var half = guard.Settings{Share: 0.5, Window: 30e3, Floor: 1}
 
-func host(name string, status pilot.Status) pilot.Host {
-	return pilot.Host{Name: name, Address: name + ":1", Zone: "z", Kind: "k", Status: status}
+func host(name string, status dispatch.Status) dispatch.Host {
+	return dispatch.Host{Name: name, Address: name + ":1", Zone: "z", Kind: "k", Status: status}
 }
 
 func newSet(t require.TestingT, g guard.Settings, sources ...Source) *Set {
@@ -37,9 +37,9 @@
 	return s
 }
 
-func letters(n int) (list []pilot.Host) {
+func letters(n int) (list []dispatch.Host) {
 	for i := range n {
-		list = append(list, host(string(rune('a'+i)), pilot.Ready))
+		list = append(list, host(string(rune('a'+i)), dispatch.Ready))
 	}
 	return list
 }
@@ -47,28 +47,28 @@
 func at(n uint64) Revision { return Revision{Number: n} }
 
 // pilotLike takes steps as the pilot does.
-type pilotLike map[string]pilot.Host
+type pilotLike map[string]dispatch.Host
 
 func (p pilotLike) step(s *Set) {
 	kind, list, ok := s.Step()
-	if ok && kind != pilot.Changes {
+	if ok && kind != dispatch.Changes {
 		clear(p)
 	}
 	for _, h := range list {
-		if p[h.Name] = h; h.Status == pilot.Gone {
+		if p[h.Name] = h; h.Status == dispatch.Gone {
 			delete(p, h.Name)
 		}
 	}
 }
 
 // shiftOf works out anew what the guard is asked.
-func shiftOf(have, want map[string]pilot.Host) (c guard.Change, same bool) {
+func shiftOf(have, want map[string]dispatch.Host) (c guard.Change, same bool) {
 	c.Serving = ready(have)
 	for name, h := range have {
 		next, ok := want[name]
 		stays := ok && next.Address == h.Address
 		switch {
-		case h.Status != pilot.Ready || stays && next.Status == pilot.Ready:
+		case h.Status != dispatch.Ready || stays && next.Status == dispatch.Ready:
 		case stays:
 			c.Drains++
 		default:
@@ -76,16 +76,16 @@
 		}
 	}
 	for name, h := range want {
-		if old := have[name]; h.Status == pilot.Ready && !(old.Address == h.Address && old.Status == pilot.Ready) {
+		if old := have[name]; h.Status == dispatch.Ready && !(old.Address == h.Address && old.Status == dispatch.Ready) {
 			c.Arrives++
 		}
 	}
 	return c, maps.Equal(have, want)
 }
 
-func ready(hosts map[string]pilot.Host) (n int) {
+func ready(hosts map[string]dispatch.Host) (n int) {
 	for _, h := range hosts {
-		if h.Status == pilot.Ready {
+		if h.Status == dispatch.Ready {
 			n++
 		}
 	}
@@ -99,21 +99,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSet(t, half, Source{Name: "a", Keep: 1e6})
 		now, number, pilots := epoch, uint64(1), pilotLike{}
-		said := map[string]pilot.Host{}
+		said := map[string]dispatch.Host{}
 		// The pair is always told together: who serves changes hands in one version.
-		pair := func(first bool) []pilot.Host {
-			status := [2]pilot.Status{pilot.Ready, pilot.Draining}
+		pair := func(first bool) []dispatch.Host {
+			status := [2]dispatch.Status{dispatch.Ready, dispatch.Draining}
 			if !first {
-				status = [2]pilot.Status{pilot.Draining, pilot.Ready}
+				status = [2]dispatch.Status{dispatch.Draining, dispatch.Ready}
 			}
-			return []pilot.Host{host("one", status[0]), host("two", status[1])}
+			return []dispatch.Host{host("one", status[0]), host("two", status[1])}
 		}
 		tell := func(v Version) {
 			if v.Whole {
 				clear(said)
 			}
 			for _, h := range v.Hosts {
-				if said[h.Name] = h; h.Status == pilot.Gone {
+				if said[h.Name] = h; h.Status == dispatch.Gone {
 					delete(said, h.Name)
 				}
 			}
@@ -123,9 +123,9 @@
 		pilots.step(s)
 		for range rapid.IntRange(1, 40).Draw(t, "versions") {
 			now += rapid.Float64Range(0, 20e3).Draw(t, "ms")
-			var list []pilot.Host
-			for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom(letters(9)), 0, 8, rapid.ID[pilot.Host]).Draw(t, "hosts") {
-				name.Status = rapid.SampledFrom([]pilot.Status{pilot.Ready, pilot.Ready, pilot.Draining, pilot.Gone}).Draw(t, "status")
+			var list []dispatch.Host
+			for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom(letters(9)), 0, 8, rapid.ID[dispatch.Host]).Draw(t, "hosts") {
+				name.Status = rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "status")
 				name.Address = rapid.SampledFrom([]string{"x:1", name.Address}).Draw(t, "address")
 				list = append(list, name)
 			}
@@ -136,7 +136,7 @@
 			v := Version{Revision: at(number), Whole: rapid.IntRange(0, 3).Draw(t, "whole") == 0, Hosts: list}
 			if v.Whole {
 				v.Hosts = append(v.Hosts, pair(rapid.Bool().Draw(t, "first"))...)
-				v.Hosts = slices.DeleteFunc(v.Hosts, func(h pilot.Host) bool { return h.Status == pilot.Gone })
+				v.Hosts = slices.DeleteFunc(v.Hosts, func(h dispatch.Host) bool { return h.Status == dispatch.Gone })
 			}
 			bad := Version{Revision: at(number - 2), Hosts: list}
 			require.ErrorIs(t, s.Take(now, 0, bad), ErrBack)
@@ -149,18 +149,18 @@
 				require.LessOrEqual(t, float64(s.guard.Departed(now)), most, "too many departed at once")
 				require.NotZero(t, ready(s.hosts))
 			}
-			if len(v.Hosts) == 1 && !v.Whole && v.Hosts[0].Status == pilot.Draining && before[v.Hosts[0].Name].Address == v.Hosts[0].Address {
-				require.Equal(t, pilot.Draining, s.hosts[v.Hosts[0].Name].Status, "a single drain was held back")
+			if len(v.Hosts) == 1 && !v.Whole && v.Hosts[0].Status == dispatch.Draining && before[v.Hosts[0].Name].Address == v.Hosts[0].Address {
+				require.Equal(t, dispatch.Draining, s.hosts[v.Hosts[0].Name].Status, "a single drain was held back")
 			}
 			if c, same := shiftOf(s.hosts, said); len(s.held) == 0 {
 				require.True(t, same)
 			} else {
 				require.NotEqual(t, guard.Take, s.guard.Judge(now, c), "held for nothing")
 			}
-			require.Equal(t, pilot.Ready+pilot.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "half a version")
+			require.Equal(t, dispatch.Ready+dispatch.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "half a version")
 			require.Equal(t, ready(s.hosts), s.serving)
 			pilots.step(s)
-			require.Equal(t, s.hosts, map[string]pilot.Host(pilots))
+			require.Equal(t, s.hosts, map[string]dispatch.Host(pilots))
 		}
 		now += 1001
 		if look := s.Due(now); len(s.held) > 0 {
@@ -185,7 +185,7 @@
 		keep := []float64{3000, 1000, 2000}
 		s := newSet(t, guard.Settings{Share: 1}, Source{Name: "a", Keep: keep[0]}, Source{Name: "b", Keep: keep[1]}, Source{Name: "c", Keep: keep[2]})
 		now, lead := epoch, -1
-		var lists [3]map[string]pilot.Host
+		var lists [3]map[string]dispatch.Host
 		var left [3]map[string]float64
 		var away [3]float64
 		for i := range left {
@@ -209,17 +209,17 @@
 			case what == "time":
 				s.Due(now)
 			case what == "whole" || lists[of] != nil:
-				list := map[string]pilot.Host{}
+				list := map[string]dispatch.Host{}
 				if what == "change" {
 					list = maps.Clone(lists[of])
 				}
-				var told []pilot.Host
+				var told []dispatch.Host
 				for _, h := range letters(4) {
 					if rapid.Bool().Draw(t, "listed") {
-						h.Status = rapid.SampledFrom([]pilot.Status{pilot.Ready, pilot.Draining, pilot.Gone}).Draw(t, "status")
+						h.Status = rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "status")
 						h.Since = rapid.SampledFrom([]float64{0, now}).Draw(t, "since")
 						told = append(told, h)
-						if list[h.Name] = h; h.Status == pilot.Gone {
+						if list[h.Name] = h; h.Status == dispatch.Gone {
 							delete(list, h.Name)
 						}
 					}
@@ -230,7 +230,7 @@
 					next, is := list[h.Name]
 					_, known := left[of][h.Name]
 					switch {
-					case is && next.Status == pilot.Ready:
+					case is && next.Status == dispatch.Ready:
 						delete(left[of], h.Name)
 					case is && !known, was && !is:
 						left[of][h.Name] = now
@@ -245,12 +245,12 @@
 				}
 			}
 			s.Due(now)
-			want := map[string]pilot.Host{}
+			want := map[string]dispatch.Host{}
 			if lead >= 0 {
 				for name, h := range lists[lead] {
 					for i := range left {
-						if told, ok := left[i][name]; ok && i != lead && h.Status == pilot.Ready && h.Since <= told {
-							h.Status = pilot.Draining
+						if told, ok := left[i][name]; ok && i != lead && h.Status == dispatch.Ready && h.Since <= told {
+							h.Status = dispatch.Draining
 						}
 					}
 					want[name] = h
@@ -267,7 +267,7 @@
 // anew, and an epoch that the operator names may follow.
 func TestRefusedForGood(t *testing.T) {
 	s := newSet(t, half, Source{Name: "a"}, Source{Name: "free", Free: true, Anew: true})
-	take := func(of int, r Revision, whole bool, hosts ...pilot.Host) error {
+	take := func(of int, r Revision, whole bool, hosts ...dispatch.Host) error {
 		return s.Take(epoch, of, Version{Revision: r, Whole: whole, Hosts: hosts})
 	}
 	assert.ErrorIs(t, take(0, at(1), false), ErrChanges)
@@ -276,15 +276,15 @@
 	for _, c := range []struct {
 		r     Revision
 		whole bool
-		hosts []pilot.Host
+		hosts []dispatch.Host
 		want  error
 	}{
 		{Revision{"y", 9}, true, letters(4), ErrHistory}, {Revision{"x", 4}, true, letters(4), ErrBack},
 		{Revision{"x", 5}, true, letters(3), ErrSame}, {Revision{"x", 5}, false, letters(5), ErrSame},
 		{Revision{"x", 4}, false, nil, ErrBack}, {Revision{"x", 5}, true, letters(4), nil},
-		{Revision{}, true, letters(4), ErrHistory}, {Revision{"x", 6}, false, func() (many []pilot.Host) {
+		{Revision{}, true, letters(4), ErrHistory}, {Revision{"x", 6}, false, func() (many []dispatch.Host) {
 			for i := range 98 {
-				many = append(many, host(fmt.Sprint(i), pilot.Ready))
+				many = append(many, host(fmt.Sprint(i), dispatch.Ready))
 			}
 			return many
 		}(), ErrMany},
@@ -308,28 +308,28 @@
 func TestStart(t *testing.T) {
 	for _, c := range []struct {
 		fresh  float64
-		first  []pilot.Host
+		first  []dispatch.Host
 		serves int
 	}{{epoch, letters(1), 4}, {epoch - 1, letters(1), 1}, {epoch - 1, nil, 4}, {epoch, letters(2), 2}} {
 		s := newSet(t, half, Source{Name: "a"})
 		s.Start(letters(4), c.fresh, []Revision{at(7)})
 		kind, list, ok := s.Step()
-		assert.Equal(t, pilot.Stored, kind)
+		assert.Equal(t, dispatch.Stored, kind)
 		assert.True(t, ok)
 		assert.Len(t, list, 4)
 		assert.ErrorIs(t, s.Take(epoch, 0, Version{Revision: at(6), Whole: true, Hosts: letters(4)}), ErrBack)
 		require.NoError(t, s.Take(epoch, 0, Version{Revision: at(7), Whole: true, Hosts: c.first}))
 		assert.Equal(t, c.serves, s.serving)
 		if kind, list, _ = s.Step(); c.serves != 4 {
-			assert.Equal(t, pilot.Whole, kind)
+			assert.Equal(t, dispatch.Whole, kind)
 			assert.Len(t, list, c.serves)
 		}
 	}
 	s := newSet(t, half, Source{Name: "a"})
-	odd := host("b", pilot.Ready)
+	odd := host("b", dispatch.Ready)
 	odd.Zone = "elsewhere"
 	require.NoError(t, s.Take(epoch, 0, Version{Revision: at(1), Whole: true, Hosts: letters(2)}))
-	require.NoError(t, s.Take(epoch, 0, Version{Revision: at(2), Whole: true, Hosts: []pilot.Host{host("a", pilot.Ready), odd, {Name: "c"}}}))
+	require.NoError(t, s.Take(epoch, 0, Version{Revision: at(2), Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Ready), odd, {Name: "c"}}}))
 	assert.Equal(t, letters(2), s.Hosts())
 	assert.Equal(t, Note{Kind: Unusable, Source: "a", Revision: at(2), Count: 2, Names: []string{"b", "c"}}, s.Notes()[1])
 }
@@ -346,8 +346,8 @@
 	}
 	tell(0, Version{Revision: at(1), Hosts: all})
 	tell(0, Version{Revision: at(2), Hosts: all[4:]})
-	require.NoError(t, s.Take(epoch+300, 0, Version{Revision: at(2), Hosts: []pilot.Host{host("a", pilot.Gone), host("b", pilot.Gone),
-		host("c", pilot.Gone), host("d", pilot.Gone)}})) // once more: the wait goes on
+	require.NoError(t, s.Take(epoch+300, 0, Version{Revision: at(2), Hosts: []dispatch.Host{host("a", dispatch.Gone), host("b", dispatch.Gone),
+		host("c", dispatch.Gone), host("d", dispatch.Gone)}})) // once more: the wait goes on
 	tell(600, Version{Revision: at(3), Hosts: all[8:]})
 	tell(900, Version{Revision: at(3), Hosts: all[8:], Look: true})
 	assert.Equal(t, 12, s.serving)
@@ -387,7 +387,7 @@
 	few := guard.Settings{Share: 0.1, Floor: 1}
 	s := newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b", Keep: 1000, Free: true})
 	all := letters(8)
-	take := func(ms float64, of int, whole bool, hosts ...pilot.Host) {
+	take := func(ms float64, of int, whole bool, hosts ...dispatch.Host) {
 		require.NoError(t, s.Take(epoch+ms, of, Version{Whole: whole, Hosts: hosts}))
 	}
 	take(0, 0, true, all...)
@@ -410,49 +410,49 @@
 	s = newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b", Free: true})
 	take(0, 0, true, all...)
 	s.Away(epoch, 0, epoch)
-	take(1001, 1, true, host("a", pilot.Draining), host("b", pilot.Draining))
+	take(1001, 1, true, host("a", dispatch.Draining), host("b", dispatch.Draining))
 	assert.Equal(t, 6, s.serving, "those in the first word of the platform, though it would leave none")
 
 	s = newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
 	take(0, 0, true, all...)
 	s.Away(epoch, 0, epoch)
-	other := host("a", pilot.Ready)
+	other := host("a", dispatch.Ready)
 	other.Weight = 2
 	take(1001, 1, true, other)
 	assert.Equal(t, all, s.Hosts(), "a list of two sources")
 
 	s = newSet(t, half, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
-	moved, again := host("a", pilot.Ready), host("a", pilot.Ready)
+	moved, again := host("a", dispatch.Ready), host("a", dispatch.Ready)
 	moved.Address, again.Since = "elsewhere:1", epoch+2
 	take(0, 0, true, all...)
 	take(0, 1, true, all...)
 	take(1, 0, false, moved)
 	s.Away(epoch, 0, epoch)
 	s.Due(epoch + 1001)
-	assert.Equal(t, pilot.Draining, s.hosts["a"].Status, "it has left the address that the other still has")
+	assert.Equal(t, dispatch.Draining, s.hosts["a"].Status, "it has left the address that the other still has")
 	take(1001, 1, false, again)
-	assert.Equal(t, pilot.Ready, s.hosts["a"].Status, "but may have come back there")
-	require.NoError(t, s.Take(epoch+1002, 0, Version{Hosts: []pilot.Host{host("b", pilot.Gone)}, Away: -1}))
+	assert.Equal(t, dispatch.Ready, s.hosts["a"].Status, "but may have come back there")
+	require.NoError(t, s.Take(epoch+1002, 0, Version{Hosts: []dispatch.Host{host("b", dispatch.Gone)}, Away: -1}))
 	assert.False(t, s.View(epoch).Sources[0].Followed, "there is more to come")
-	back := host("b", pilot.Ready)
+	back := host("b", dispatch.Ready)
 	back.Address = "elsewhere:2"
 	take(1003, 0, false, back)
 	s.Away(epoch+1003, 0, epoch)
 	s.Due(epoch + 1003)
-	assert.Equal(t, pilot.Draining, s.hosts["b"].Status, "it has left, and is back elsewhere")
+	assert.Equal(t, dispatch.Draining, s.hosts["b"].Status, "it has left, and is back elsewhere")
 
 	s = newSet(t, half, Source{Name: "a"})
 	take(0, 0, true, all...)
-	take(0, 0, true, host("a", pilot.Draining))
+	take(0, 0, true, host("a", dispatch.Draining))
 	assert.Equal(t, 8, s.serving)
-	take(0, 0, false, host("a", pilot.Draining))
+	take(0, 0, false, host("a", dispatch.Draining))
 	assert.Equal(t, 7, s.serving, "said again, and by itself")
 }
 
 // Guards against half of a version where two sources have to do with it. Each history was found by the test of the whole way
 // from etcd and files to the pilot.
 func TestWholeVersionsOfTwoSources(t *testing.T) {
-	one, two := host("one", pilot.Ready), host("two", pilot.Ready)
+	one, two := host("one", dispatch.Ready), host("two", dispatch.Ready)
 	all := append(letters(2), one)
 	next := append(letters(1), two) // one leaves and two comes, at once; b leaves, too
 	begin := func() (*Set, func(ms float64, of int, v Version)) {
@@ -475,9 +475,9 @@
 	assert.Equal(t, "a b one ", names(s))
 	take(100, 1, Version{Hosts: next})
 	assert.Equal(t, "a b one ", names(s), "the other source says again what is held")
-	take(200, 0, Version{Hosts: []pilot.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}}})
+	take(200, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}}})
 	s.Due(epoch + 1000)
-	take(1000, 0, Version{Hosts: []pilot.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, two}, Look: true})
+	take(1000, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, two}, Look: true})
 	assert.Equal(t, "a two ", names(s), "what is held together is taken together")
 
 	s, take = begin()
@@ -492,23 +492,23 @@
 	s, take = begin()
 	take(0, 1, Version{Hosts: all})
 	take(0, 0, Version{Hosts: next})
-	take(100, 1, Version{Hosts: []pilot.Host{host("b", pilot.Draining)}})
+	take(100, 1, Version{Hosts: []dispatch.Host{host("b", dispatch.Draining)}})
 	assert.Equal(t, "a one ", names(s), "what drains by the word of the other need not wait")
 
 	s, take = begin()
 	take(0, 0, Version{Hosts: append(letters(1), one)})
-	take(100, 0, Version{Hosts: []pilot.Host{two}})
+	take(100, 0, Version{Hosts: []dispatch.Host{two}})
 	take(200, 0, Version{Hosts: append(letters(1), two)})
-	take(300, 0, Version{Hosts: []pilot.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}})
+	take(300, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}})
 	s.Due(epoch + 1250)
-	take(1250, 0, Version{Hosts: []pilot.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Look: true})
+	take(1250, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Look: true})
 	assert.NotContains(t, names(s), "one two")
 
 	s = newSet(t, guard.Settings{Share: 0.1, Floor: 1}, Source{Name: "a"})
 	gone := func(ms float64, names ...string) {
-		var list []pilot.Host
+		var list []dispatch.Host
 		for _, name := range names {
-			list = append(list, host(name, pilot.Gone))
+			list = append(list, host(name, dispatch.Gone))
 		}
 		require.NoError(t, s.Take(epoch+ms, 0, Version{Hosts: list}))
 	}
@@ -523,18 +523,18 @@
 	s = newSet(t, half, Source{Name: "a", Keep: 1000})
 	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: all, Away: epoch - 2000}))
 	kind, list, ok := s.Step()
-	assert.True(t, ok && kind == pilot.Whole && len(list) == 3, "an old list is better than none")
+	assert.True(t, ok && kind == dispatch.Whole && len(list) == 3, "an old list is better than none")
 }
 
 // Guards against memory that grows with every host that a source ends, and against one forgotten that another still lists.
 func TestEndedHostsAreForgotten(t *testing.T) {
 	s := newSet(t, guard.Settings{Share: 1}, Source{Name: "a"}, Source{Name: "b"})
-	stays := host("stays", pilot.Ready)
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []pilot.Host{stays}}))
-	require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []pilot.Host{stays}}))
+	stays := host("stays", dispatch.Ready)
+	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
+	require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
 	require.NoError(t, s.Take(epoch, 1, Version{Whole: true}))
 	for i := range 1000 {
-		require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []pilot.Host{host(fmt.Sprint(i), pilot.Ready)}}))
+		require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{host(fmt.Sprint(i), dispatch.Ready)}}))
 		require.LessOrEqual(t, len(s.sources[1].departed), 201)
 	}
 	s.Due(epoch + rememberFor - 1)
@@ -544,10 +544,10 @@
 	assert.Zero(t, s.serving)
 	for i := range 100 {
 		stays.Address = fmt.Sprint(i % 50)
-		require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []pilot.Host{stays}}))
+		require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
 	}
 	assert.Len(t, s.sources[1].departed["stays"].left, mostPlaces)
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []pilot.Host{host("a", pilot.Draining)}}))
+	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Draining)}}))
 	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: letters(1)}))
 	assert.NotContains(t, s.sources[0].departed, "a", "it is where it was")
 }
@@ -556,7 +556,7 @@
 // list that is not told.
 func TestDisagreementAndAge(t *testing.T) {
 	s := newSet(t, half, Source{Name: "a", Keep: 5e3}, Source{Name: "b", Keep: 50e3})
-	take := func(of int, hosts []pilot.Host) {
+	take := func(of int, hosts []dispatch.Host) {
 		require.NoError(t, s.Take(epoch, of, Version{Whole: true, Hosts: hosts}))
 	}
 	take(0, letters(4))
--- a/internal/pilot/bounds_test.go
+++ b/internal/node/dispatch/bounds_test.go
@@ -1,4 +1,4 @@
-package pilot
+package dispatch
 
 import (
 	"fmt"
--- a/internal/pilot/pilot.go
+++ b/internal/node/dispatch/pilot.go
@@ -1,6 +1,6 @@
-// Package pilot is the facade over the decision module: network code picks, reports and ticks in blocking style
+// Package dispatch is the facade over the decision module: network code picks, reports and ticks in blocking style
 // and never sees the module's events or actions. It knows no protocol and no socket.
-package pilot
+package dispatch
 
 import (
 	"container/heap"
--- a/internal/south/carrier/body_test.go
+++ b/internal/south/carrier/body_test.go
@@ -16,7 +16,7 @@
 	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
 )
@@ -35,13 +35,13 @@
 	for name, c := range map[string]struct {
 		came int // bytes of it
 		end  func(b *bench, host net.Conn, off chan struct{})
-		want pilot.Outcome
+		want dispatch.Outcome
 	}{
-		"reset":                      {size, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, pilot.Reset},
-		"called off":                 {size, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, pilot.CalledOff},
-		"out of time":                {size, func(b *bench, _ net.Conn, _ chan struct{}) { b.clock.Advance(1e9) }, pilot.Late},
-		"called off before the last": {size - 1, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, pilot.Unsent},
-		"reset before the last":      {size - 1, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, pilot.NoConnect},
+		"reset":                      {size, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.Reset},
+		"called off":                 {size, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.CalledOff},
+		"out of time":                {size, func(b *bench, _ net.Conn, _ chan struct{}) { b.clock.Advance(1e9) }, dispatch.Late},
+		"called off before the last": {size - 1, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.Unsent},
+		"reset before the last":      {size - 1, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.NoConnect},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
@@ -74,12 +74,12 @@
 	for name, c := range map[string]struct {
 		length int // of the request's body
 		answer string
-		want   pilot.Outcome
+		want   dispatch.Outcome
 	}{
-		"declined":           {32 << 20, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", pilot.Declined},
-		"declined in chunks": {-1, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", pilot.Declined},
-		"long":               {32 << 20, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, pilot.Served},
-		"long, for chunks":   {-1, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, pilot.Served},
+		"declined":           {32 << 20, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Declined},
+		"declined in chunks": {-1, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Declined},
+		"long":               {32 << 20, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, dispatch.Served},
+		"long, for chunks":   {-1, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, dispatch.Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
@@ -107,7 +107,7 @@
 			require.Eventually(t, func() bool { return len(b.pool.Uses()) == 0 }, time.Minute, time.Millisecond, "it is closed")
 			_, ended = b.attempt("2", nil)
 			b.serve(b.accept())
-			assert.Equal(t, result{pilot.Served, "/look/2"}, <-ended)
+			assert.Equal(t, result{dispatch.Served, "/look/2"}, <-ended)
 			assert.Equal(t, map[string]carrier.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 		})
 	}
--- a/internal/south/carrier/carrier_test.go
+++ b/internal/south/carrier/carrier_test.go
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Guards against a host put away because a request's time, or the node's room, ran out before anything was sent.
@@ -27,12 +27,12 @@
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	open, closed := make(chan struct{}), make(chan struct{})
 	close(closed)
-	assert.Equal(t, pilot.NoConnect, p.unsent(errors.New("refused"), 1000, open))
-	assert.Equal(t, pilot.NoConnect, p.unsent(slow, 2000, open), "it had its full time")
-	assert.Equal(t, pilot.Unsent, p.unsent(slow, 1000, open))
-	assert.Equal(t, pilot.Unsent, p.unsent(context.Canceled, 2000, closed), "it has not run")
+	assert.Equal(t, dispatch.NoConnect, p.unsent(errors.New("refused"), 1000, open))
+	assert.Equal(t, dispatch.NoConnect, p.unsent(slow, 2000, open), "it had its full time")
+	assert.Equal(t, dispatch.Unsent, p.unsent(slow, 1000, open))
+	assert.Equal(t, dispatch.Unsent, p.unsent(context.Canceled, 2000, closed), "it has not run")
 	o, _ := p.Relay(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
-	assert.Equal(t, pilot.Unsent, o, "no connection is allowed at all")
+	assert.Equal(t, dispatch.Unsent, o, "no connection is allowed at all")
 }
 
 // Guards against requests given to connections that are dead after a time shorter than the settings name, against
@@ -64,8 +64,8 @@
 // served answers each relay at once.
 type served struct{}
 
-func (served) Relay(core.Host, *core.Call, float64, <-chan struct{}) (pilot.Outcome, any) {
-	return pilot.Served, nil
+func (served) Relay(core.Host, *core.Call, float64, <-chan struct{}) (dispatch.Outcome, any) {
+	return dispatch.Served, nil
 }
 
 // speechless is a protocol in which nothing may be said.
@@ -81,11 +81,11 @@
 // and against the connection being lost for it.
 func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
 	c, quiet := clock.NewManual(1000), slog.New(slog.DiscardHandler)
-	module, err := pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1},
+	module, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1},
 		Classes: []decide.Class{{Name: "pay", Aim: 600e6, Deadline: 2e9}}}, 1, c, quiet, nil)
 	require.NoError(t, err)
 	p, h := silent(t, c)
-	module.Inventory(pilot.Whole, []pilot.Host{{Name: "h", Address: h.Address, Zone: "z", Kind: "k", Weight: 1}})
+	module.Inventory(dispatch.Whole, []dispatch.Host{{Name: "h", Address: h.Address, Zone: "z", Kind: "k", Weight: 1}})
 	call := &core.Call{ID: "q", Tenant: -1, Deadline: 1900}
 	owed, _ := call.May(h)
 	require.True(t, owed)
@@ -94,7 +94,7 @@
 	require.False(t, owed)
 	require.True(t, permitted)
 	o, _ := p.Relay(h, call, 2000, make(chan struct{}))
-	assert.Equal(t, pilot.Unsent, o)
+	assert.Equal(t, dispatch.Unsent, o)
 	assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 }
 
@@ -117,7 +117,7 @@
 	p, h := silent(t, clock.NewManual(1000))
 	for range 2 {
 		o, _ := p.Relay(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, Stands: func() bool { return false }}, 2000, make(chan struct{}))
-		assert.Equal(t, pilot.Unsent, o)
+		assert.Equal(t, dispatch.Unsent, o)
 		assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 	}
 }
@@ -129,7 +129,7 @@
 	taken := []*conn{{pool: p, host: h}, {pool: p, host: h}}
 	p.open, p.to[h] = 2, 2
 	o, _ := p.Relay(h, &core.Call{}, 2000, make(chan struct{}))
-	assert.Equal(t, pilot.Unsent, o)
+	assert.Equal(t, dispatch.Unsent, o)
 	assert.Equal(t, map[string]Use{"h": {2, 0}}, p.Uses())
 	for _, c := range taken {
 		c.release()
--- a/internal/south/carrier/crossing_test.go
+++ b/internal/south/carrier/crossing_test.go
@@ -22,7 +22,7 @@
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
 )
@@ -79,7 +79,7 @@
 }
 
 type result struct {
-	outcome pilot.Outcome
+	outcome dispatch.Outcome
 	body    string
 }
 
@@ -149,7 +149,7 @@
 			_, ended := b.attempt("1", nil)
 			c := b.accept()
 			b.serve(c)
-			require.Equal(t, result{pilot.Served, "/look/1"}, <-ended)
+			require.Equal(t, result{dispatch.Served, "/look/1"}, <-ended)
 			b.clock.Advance(10) // it is used again
 			b.hold()
 			require.NoError(t, spoil(c))
@@ -159,7 +159,7 @@
 			_, ended = b.attempt("2", nil)
 			b.serve(b.accept())
 			close(b.free)
-			assert.Equal(t, result{pilot.Served, "/look/2"}, <-ended)
+			assert.Equal(t, result{dispatch.Served, "/look/2"}, <-ended)
 			if name != "its end whole" {
 				text, err := io.ReadAll(c)
 				if !errors.Is(err, unix.ECONNRESET) {
@@ -208,7 +208,7 @@
 		_, ended := b.attempt("1", nil)
 		host := b.accept()
 		b.serve(host)
-		require.Equal(t, result{pilot.Served, "/look/1"}, <-ended)
+		require.Equal(t, result{dispatch.Served, "/look/1"}, <-ended)
 		pulse, err := b.loop.Pulse()
 		require.NoError(t, err)
 		pulse.Beat(t.Context()) // the poller has done with the answer
@@ -223,7 +223,7 @@
 			b.asking, b.sent = func() { deafen(t, host) }, again
 		}
 		_, ended = b.attempt("2", nil)
-		assert.Equal(t, result{pilot.Reset, ""}, <-ended, "it may have run")
+		assert.Equal(t, result{dispatch.Reset, ""}, <-ended, "it may have run")
 		require.Eventually(t, func() bool { return len(b.pool.Uses()) == 0 }, time.Minute, time.Millisecond, "it is closed")
 	}
 }
@@ -238,7 +238,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "999997999", r.Header.Get(http1.DeadlineField), "of 1e9 - 2000.5")
 	require.NoError(t, host.Close())
-	assert.Equal(t, pilot.Reset, (<-ended).outcome)
+	assert.Equal(t, dispatch.Reset, (<-ended).outcome)
 }
 
 // Guards against an attempt that begins for a client whose end the poller has not seen, on a connection that has just come up and on a
@@ -250,7 +250,7 @@
 			if kept {
 				_, ended := b.attempt("1", nil)
 				b.serve(b.accept())
-				require.Equal(t, pilot.Served, (<-ended).outcome)
+				require.Equal(t, dispatch.Served, (<-ended).outcome)
 				b.clock.Advance(10)
 			}
 			raw, client := b.client()
@@ -260,7 +260,7 @@
 			require.NoError(t, raw.CloseWrite())
 			b.arrived(raw)
 			call, ended := b.attempt("2", client)
-			assert.Equal(t, result{pilot.Unsent, ""}, <-ended)
+			assert.Equal(t, result{dispatch.Unsent, ""}, <-ended)
 			assert.True(t, call.HasLeft())
 			assert.Equal(t, map[string]carrier.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 			close(b.free)
@@ -273,12 +273,12 @@
 func TestLateConnectionSendsNothingAfterTheWindow(t *testing.T) {
 	b := newBench(t)
 	quiet := slog.New(slog.DiscardHandler)
-	module, err := pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 3},
+	module, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 3},
 		Classes: []decide.Class{{Name: "alert", Effect: decide.Keyed, Group: decide.GroupAll, KeyTTL: 300 * time.Millisecond, Aim: time.Second,
 			Deadline: 2 * time.Second, Worth: 1}}}, 1, b.clock, quiet, nil)
 	require.NoError(t, err)
 	address := b.rater.Addr().String()
-	module.Inventory(pilot.Whole, []pilot.Host{{Name: "h1", Address: address, Zone: "z", Kind: "k", Weight: 1},
+	module.Inventory(dispatch.Whole, []dispatch.Host{{Name: "h1", Address: address, Zone: "z", Kind: "k", Weight: 1},
 		{Name: "h2", Address: address, Zone: "z", Kind: "k", Weight: 1}})
 	call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/alert/q")}}
 	dialled := 0
@@ -309,10 +309,10 @@
 	for _, cancel := range []bool{false, true} {
 		b := newBench(t)
 		quiet := slog.New(slog.DiscardHandler)
-		module, err := pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1, Cancel: cancel},
+		module, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1, Cancel: cancel},
 			Classes: []decide.Class{{Name: "pay", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1, b.clock, quiet, nil)
 		require.NoError(t, err)
-		module.Inventory(pilot.Whole, []pilot.Host{{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
+		module.Inventory(dispatch.Whole, []dispatch.Host{{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
 		call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
 		b.dialling = call.Leave
 		assert.Equal(t, core.Answer{Kind: core.Left}, core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call), cancel)
@@ -323,24 +323,24 @@
 // ago, or to where it is not any more.
 func TestNothingNewToAHostThatDepartsMeanwhile(t *testing.T) {
 	for name, c := range map[string]struct {
-		change pilot.Host
+		change dispatch.Host
 		after  float64
 		goes   bool
-	}{"draining": {pilot.Host{Status: pilot.Draining}, 501, false}, "gone": {pilot.Host{Status: pilot.Gone}, 501, false},
-		"moved": {pilot.Host{Address: "127.0.0.1:1"}, 501, false}, "within its grace": {pilot.Host{Status: pilot.Draining}, 500, true}} {
+	}{"draining": {dispatch.Host{Status: dispatch.Draining}, 501, false}, "gone": {dispatch.Host{Status: dispatch.Gone}, 501, false},
+		"moved": {dispatch.Host{Address: "127.0.0.1:1"}, 501, false}, "within its grace": {dispatch.Host{Status: dispatch.Draining}, 500, true}} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
 			quiet := slog.New(slog.DiscardHandler)
-			module, err := pilot.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1},
+			module, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1},
 				Rules:   decide.Rules{DrainGrace: 500 * time.Millisecond},
 				Classes: []decide.Class{{Name: "pay", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1, b.clock, quiet, nil)
 			require.NoError(t, err)
-			is := pilot.Host{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}
-			module.Inventory(pilot.Whole, []pilot.Host{is})
+			is := dispatch.Host{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}
+			module.Inventory(dispatch.Whole, []dispatch.Host{is})
 			b.dialling = func() {
 				is.Status = c.change.Status
 				is.Address = cmp.Or(c.change.Address, is.Address)
-				module.Inventory(pilot.Changes, []pilot.Host{is})
+				module.Inventory(dispatch.Changes, []dispatch.Host{is})
 				b.clock.Advance(c.after)
 			}
 			call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
--- a/internal/south/carrier/pool.go
+++ b/internal/south/carrier/pool.go
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Protocol is what is spoken with a host. Its methods may be called from any goroutine.
@@ -42,7 +42,7 @@
 
 // Answer is a host's whole answer.
 type Answer struct {
-	Outcome pilot.Outcome
+	Outcome dispatch.Outcome
 	Payload any  // with Served
 	Last    bool // the host ends the connection after it
 	// Attach, if not nil, is to be given the rest of the body, which flows.
@@ -347,7 +347,7 @@
 }
 
 // Relay is that of core.Carrier.
-func (p *Pool) Relay(host core.Host, call *core.Call, until float64, off <-chan struct{}) (pilot.Outcome, any) {
+func (p *Pool) Relay(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
 	done := make(chan end, 1)
 	late := make(chan struct{})
 	c, about, o, err := p.begin(host, call, until, done, off)
@@ -377,17 +377,17 @@
 		broke = true
 		c.giveUp(done)
 		if whole() {
-			return pilot.Reset, nil
+			return dispatch.Reset, nil
 		}
-		return pilot.NoConnect, nil
+		return dispatch.NoConnect, nil
 	}
 	if s, ok := about.(Silent); ok && s.Silent() {
 		c.disarm()
 		now := whole()
 		if p.put(c, now); !now && !whole() { // closed, its last byte never goes out
-			return pilot.NoConnect, nil
+			return dispatch.NoConnect, nil
 		}
-		return pilot.Served, nil
+		return dispatch.Served, nil
 	}
 	var e end
 	if body != nil && body.Rest != nil {
@@ -398,9 +398,9 @@
 			case e.whole: // it ended the connection after an answer
 				done <- e
 			case errors.Is(err, errHost): // the last byte never went out
-				return pilot.NoConnect, nil
+				return dispatch.NoConnect, nil
 			default:
-				return pilot.Unsent, nil
+				return dispatch.Unsent, nil
 			}
 		}
 		if more > 0 {
@@ -414,29 +414,29 @@
 	case <-off:
 		if e = c.giveUp(done); !e.whole {
 			if !whole() {
-				return pilot.Unsent, nil
+				return dispatch.Unsent, nil
 			}
-			return pilot.CalledOff, nil
+			return dispatch.CalledOff, nil
 		}
 	case <-late:
 		if e = c.giveUp(done); !e.whole {
 			if !whole() {
-				return pilot.NoConnect, nil
+				return dispatch.NoConnect, nil
 			}
-			return pilot.Late, nil
+			return dispatch.Late, nil
 		}
 	}
 	if e.err != nil {
 		broke = errors.Is(e.err, errBroken) && p.clock.Now()-sent < p.limits.Load().Wear.Quick
 		c.net.Close()
 		if !whole() {
-			return pilot.NoConnect, nil
+			return dispatch.NoConnect, nil
 		}
 		if !errors.Is(e.err, errBroken) {
 			p.log.Warn("a host's answer cannot be read", "host", host.Name, "address", host.Address, "error", e.err)
-			return pilot.Failed, nil
+			return dispatch.Failed, nil
 		}
-		return pilot.Reset, nil
+		return dispatch.Reset, nil
 	}
 	if e.answer.Attach == nil {
 		p.put(c, whole())
@@ -447,7 +447,7 @@
 // begin finds a connection for an attempt and writes the first bytes of its request, or tells why nothing is to go out. What may have
 // changed since the attempt was decided is asked here, last before its first byte: whether it was called off or its time is up, the
 // final answer is given, the host departs, the client is there, and nothing has come on the connection. err is that of the first write.
-func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan end, off <-chan struct{}) (c *conn, about any, o pilot.Outcome,
+func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan end, off <-chan struct{}) (c *conn, about any, o dispatch.Outcome,
 	err error) {
 	client, _ := call.Client.(*loop.Conn)
 	for {
@@ -458,18 +458,18 @@
 		select {
 		case <-off:
 			c.giveUp(done)
-			return nil, nil, pilot.Unsent, nil
+			return nil, nil, dispatch.Unsent, nil
 		default:
 		}
 		left := int(until - p.clock.Now()) // never more than there is
 		if left <= 0 {
 			c.giveUp(done)
-			return nil, nil, pilot.Unsent, nil
+			return nil, nil, dispatch.Unsent, nil
 		}
-		back := func() (*conn, any, pilot.Outcome, error) {
+		back := func() (*conn, any, dispatch.Outcome, error) {
 			c.disarm()
 			p.put(c, true)
-			return nil, nil, pilot.Unsent, nil
+			return nil, nil, dispatch.Unsent, nil
 		}
 		if !call.Standing() { // the node stood still for longer than its claim: another may have it
 			return back()
@@ -493,7 +493,7 @@
 		}
 		c.giveUp(done)
 		if c.since == 0 {
-			return nil, nil, pilot.NoConnect, nil
+			return nil, nil, dispatch.NoConnect, nil
 		}
 	}
 }
@@ -529,17 +529,17 @@
 }
 
 // unsent tells why no connection could be had. The host is to blame only if it had its full time.
-func (p *Pool) unsent(err error, until float64, off <-chan struct{}) pilot.Outcome {
+func (p *Pool) unsent(err error, until float64, off <-chan struct{}) dispatch.Outcome {
 	select {
 	case <-off:
-		return pilot.Unsent
+		return dispatch.Unsent
 	default:
 	}
 	var timeout net.Error
 	if errors.Is(err, errFull) || errors.As(err, &timeout) && timeout.Timeout() && p.clock.Now() >= until-1 {
-		return pilot.Unsent
+		return dispatch.Unsent
 	}
-	return pilot.NoConnect
+	return dispatch.NoConnect
 }
 
 // giveUp closes a connection whose relay ends. An answer that came in the same moment is returned.
--- a/internal/south/httphost/httphost.go
+++ b/internal/south/httphost/httphost.go
@@ -8,7 +8,7 @@
 	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -114,17 +114,17 @@
 }
 
 // outcome reads an answer as the protocol's table has it.
-func outcome(m *http1.Message) pilot.Outcome {
+func outcome(m *http1.Message) dispatch.Outcome {
 	switch m.Status {
 	case 200:
-		return pilot.Served
+		return dispatch.Served
 	case 503, 504:
 		if v, n := m.Get("Srv-Declined"); n == 1 && string(v) == "1" {
-			return pilot.Declined
+			return dispatch.Declined
 		}
 	}
 	if m.Status >= 400 && m.Status < 500 {
-		return pilot.Rejected
+		return dispatch.Rejected
 	}
-	return pilot.Failed
+	return dispatch.Failed
 }
--- a/internal/south/httphost/httphost_test.go
+++ b/internal/south/httphost/httphost_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Guards against outcomes other than the protocol's.
@@ -15,9 +15,9 @@
 	for _, c := range []struct {
 		status int
 		fields []http1.Field
-		want   pilot.Outcome
-	}{{200, nil, pilot.Served}, {500, nil, pilot.Failed}, {503, marked, pilot.Declined}, {504, marked, pilot.Declined},
-		{503, nil, pilot.Failed}, {500, marked, pilot.Failed}, {404, nil, pilot.Rejected}, {400, marked, pilot.Rejected}, {201, nil, pilot.Failed}} {
+		want   dispatch.Outcome
+	}{{200, nil, dispatch.Served}, {500, nil, dispatch.Failed}, {503, marked, dispatch.Declined}, {504, marked, dispatch.Declined},
+		{503, nil, dispatch.Failed}, {500, marked, dispatch.Failed}, {404, nil, dispatch.Rejected}, {400, marked, dispatch.Rejected}, {201, nil, dispatch.Failed}} {
 		assert.Equal(t, c.want, outcome(&http1.Message{Status: c.status, Fields: c.fields}), c.status)
 	}
 }
--- a/internal/south/thrifthost/thrifthost.go
+++ b/internal/south/thrifthost/thrifthost.go
@@ -8,7 +8,7 @@
 
 	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -110,11 +110,11 @@
 		return carrier.Answer{}, false, errOther
 	}
 	answer := carrier.Answer{Outcome: outcomes[mapping.Tell(m)]}
-	if answer.Outcome == pilot.Served {
+	if answer.Outcome == dispatch.Served {
 		answer.Payload = want.back(m)
 	}
 	return answer, true, nil
 }
 
-var outcomes = [...]pilot.Outcome{mapping.Served: pilot.Served, mapping.TurnedAway: pilot.Declined,
-	mapping.Error: pilot.Failed, mapping.Rejected: pilot.Rejected}
+var outcomes = [...]dispatch.Outcome{mapping.Served: dispatch.Served, mapping.TurnedAway: dispatch.Declined,
+	mapping.Error: dispatch.Failed, mapping.Rejected: dispatch.Rejected}
--- a/internal/south/thrifthost/thrifthost_test.go
+++ b/internal/south/thrifthost/thrifthost_test.go
@@ -10,7 +10,7 @@
 
 	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
 )
@@ -130,15 +130,15 @@
 				seq    int32
 				kind   official.TMessageType
 				field  int16
-				want   pilot.Outcome
+				want   dispatch.Outcome
 				bad    bool
 			}{
-				{method, seq, official.REPLY, 0, pilot.Served, false}, {method, seq, official.REPLY, 1, pilot.Declined, false},
-				{method, seq, official.REPLY, 2, pilot.Failed, false}, {method, seq, official.REPLY, 3, pilot.Served, false},
-				{method, seq, official.REPLY, -1, pilot.Served, false},
-				{method, seq, official.EXCEPTION, official.INTERNAL_ERROR, pilot.Failed, false},
-				{method, seq, official.EXCEPTION, official.UNKNOWN_METHOD, pilot.Rejected, false},
-				{method, seq, official.EXCEPTION, official.PROTOCOL_ERROR, pilot.Rejected, false},
+				{method, seq, official.REPLY, 0, dispatch.Served, false}, {method, seq, official.REPLY, 1, dispatch.Declined, false},
+				{method, seq, official.REPLY, 2, dispatch.Failed, false}, {method, seq, official.REPLY, 3, dispatch.Served, false},
+				{method, seq, official.REPLY, -1, dispatch.Served, false},
+				{method, seq, official.EXCEPTION, official.INTERNAL_ERROR, dispatch.Failed, false},
+				{method, seq, official.EXCEPTION, official.UNKNOWN_METHOD, dispatch.Rejected, false},
+				{method, seq, official.EXCEPTION, official.PROTOCOL_ERROR, dispatch.Rejected, false},
 				{method, seq + 1, official.REPLY, 0, 0, true}, {"capAlert", seq, official.REPLY, 0, 0, true},
 				{method, seq, official.CALL, 0, 0, true},
 			} {
@@ -159,7 +159,7 @@
 				require.NoError(t, err)
 				require.True(t, whole && r.Idle())
 				assert.Equal(t, a.want, got.Outcome, "%v %v %d", f, a.kind, a.field)
-				if a.want == pilot.Served && a.field == 0 {
+				if a.want == dispatch.Served && a.field == 0 {
 					switch m := got.Payload.(type) {
 					case *http1.Message:
 						assert.Equal(t, "ok", string(m.Body))
--- a/lab/newcomer/newcomer.go
+++ b/lab/newcomer/newcomer.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/lab/experiments"
 	"linenwheel.dev/linenwheel/lab/record"
 	"linenwheel.dev/linenwheel/lab/report"
@@ -248,7 +248,7 @@
 		return err
 	}
 	own := b.Own.(*decide.Balancer)
-	return own.Restore(b.Now, pilot.Blend(own.Snapshot(b.Now), told, b.Settings.Rules.ColdTime, rand.New(rand.NewPCG(b.Seed, 1))))
+	return own.Restore(b.Now, dispatch.Blend(own.Snapshot(b.Now), told, b.Settings.Rules.ColdTime, rand.New(rand.NewPCG(b.Seed, 1))))
 }
 
 // swapped tells of each rater what is known of the next.
--- a/node/door.go
+++ b/node/door.go
@@ -10,8 +10,8 @@
 	"linenwheel.dev/linenwheel/internal/admin"
 	"linenwheel.dev/linenwheel/internal/duty"
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
 )
 
 // ratersEvery is the time in milliseconds between two counts of the raters for the figures.
@@ -82,7 +82,7 @@
 }
 
 // inventory takes news of the list: the module sees it without the raters that are out by hand.
-func (n *Node) inventory(from pilot.Source, list []pilot.Host) {
+func (n *Node) inventory(from dispatch.Source, list []dispatch.Host) {
 	n.orders.mu.Lock()
 	n.tell(from, n.orders.book.Take(from, list))
 	n.orders.mu.Unlock()
@@ -109,7 +109,7 @@
 	was := n.orders.book.Out(o.Rater)
 	change, err := n.orders.book.Resume, error(nil)
 	if o.Do == Suspend {
-		change = func(_ float64, rater string) ([]pilot.Host, error) { return n.orders.book.Suspend(rater) }
+		change = func(_ float64, rater string) ([]dispatch.Host, error) { return n.orders.book.Suspend(rater) }
 	}
 	changed, err := change(n.clock.Now(), o.Rater)
 	if errors.Is(err, ban.ErrUnknown) {
@@ -119,7 +119,7 @@
 		return err
 	}
 	if len(changed) > 0 {
-		n.tell(pilot.Changes, changed)
+		n.tell(dispatch.Changes, changed)
 	}
 	if was == n.orders.book.Out(o.Rater) {
 		return nil // it was told before
@@ -137,7 +137,7 @@
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
 	if changed := n.orders.book.Fleet(n.clock.Now(), names); len(changed) > 0 {
-		n.tell(pilot.Changes, changed)
+		n.tell(dispatch.Changes, changed)
 		n.log.Info("raters are out or back by the options", "out", len(names))
 	}
 }
@@ -178,9 +178,9 @@
 		return
 	}
 	excluded := 0
-	count := func(p *pilot.Pilot) {
+	count := func(p *dispatch.Pilot) {
 		for _, h := range p.View().Hosts {
-			if n.orders.book.Out(h.Name) || h.Status == pilot.Ready && h.Module.Away {
+			if n.orders.book.Out(h.Name) || h.Status == dispatch.Ready && h.Module.Away {
 				excluded++
 			}
 		}
@@ -242,7 +242,7 @@
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
 	if changed := n.orders.book.Recall(k.Bans); len(changed) > 0 {
-		n.tell(pilot.Changes, changed)
+		n.tell(dispatch.Changes, changed)
 	}
 }
 
--- a/node/handover.go
+++ b/node/handover.go
@@ -10,17 +10,17 @@
 
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/quota"
-	"linenwheel.dev/linenwheel/internal/pilot"
 	"linenwheel.dev/linenwheel/internal/service"
 )
 
 // Knowledge is what a node knows of its hosts, as plain data for the process that comes after it.
 type Knowledge struct {
-	Node  string       `json:"node"`
-	Index int64        `json:"index"` // that discovery told last, 0 = none
-	At    float64      `json:"at"`    // when this was so
-	Pilot pilot.Memory `json:"pilot"`
+	Node  string          `json:"node"`
+	Index int64           `json:"index"` // that discovery told last, 0 = none
+	At    float64         `json:"at"`    // when this was so
+	Pilot dispatch.Memory `json:"pilot"`
 
 	// What operators have ordered.
 	Bans    ban.Memory `json:"bans"`
@@ -67,8 +67,8 @@
 		return fmt.Errorf("recalling what was known: it is node %q's", k.Node)
 	}
 	for i := range k.Pilot.Hosts { // as the list has them
-		if h := &k.Pilot.Hosts[i]; h.Status == pilot.Draining && slices.Contains(k.Bans.Out, h.Name) {
-			h.Status = pilot.Ready
+		if h := &k.Pilot.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
+			h.Status = dispatch.Ready
 		}
 	}
 	n.recallOrders(k)
@@ -78,7 +78,7 @@
 	if n.lists != nil {
 		n.lists.offer(k.Pilot.List(), k.At)
 	} else if _, at := n.watch.Seen(); at == 0 && len(k.Pilot.Hosts) > 0 {
-		n.inventory(pilot.Stored, k.Pilot.List())
+		n.inventory(dispatch.Stored, k.Pilot.List())
 	}
 	return n.pilot.Recall(k.Pilot)
 }
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -17,21 +17,21 @@
 	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
 )
 
 // plain hands discovery's list to the pilot as it is. The guard is not asked: by the platform's rules a drain has been
 // told once discovery has written it, so one that is held would only be a rule broken later.
 type plain struct {
-	give func(pilot.Source, []pilot.Host)
+	give func(dispatch.Source, []dispatch.Host)
 }
 
 // Take passes a list on.
 func (p plain) Take(l discovery.List) error {
-	kind := pilot.Changes
+	kind := dispatch.Changes
 	if l.Whole {
-		kind = pilot.Whole
+		kind = dispatch.Whole
 	}
 	p.give(kind, l.Hosts)
 	return nil
@@ -97,7 +97,7 @@
 }
 
 // gather makes the list of the sources that the options name. Discovery is asked by watch, which has what all watches need.
-func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(pilot.Source, []pilot.Host)) (*lists, error) {
+func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
 	set := inventory.Settings{Settings: set.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
@@ -191,7 +191,7 @@
 }
 
 // offer begins with a list that another process had at a time, if none is newer.
-func (l *lists) offer(hosts []pilot.Host, at float64) { l.keeper.Offer(hosts, at, l.judge, nil) }
+func (l *lists) offer(hosts []dispatch.Host, at float64) { l.keeper.Offer(hosts, at, l.judge, nil) }
 
 // status tells how the list is made up.
 func (l *lists) status(s *ListStatus, now float64) {
@@ -235,7 +235,7 @@
 }
 
 // NewSources makes the list, which give is handed in steps, one after the other, once Run is called.
-func NewSources(conf *Config, o *Options, log *slog.Logger, give func(pilot.Source, []pilot.Host)) (*Sources, error) {
+func NewSources(conf *Config, o *Options, log *slog.Logger, give func(dispatch.Source, []dispatch.Host)) (*Sources, error) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0") // the loop wants one; nobody is let in
 	if err != nil {
 		return nil, err
@@ -276,13 +276,13 @@
 func (s *Sources) View() set.View { return s.lists.keeper.View() }
 
 // Hosts is the list.
-func (s *Sources) Hosts() []pilot.Host { return s.lists.keeper.Hosts() }
+func (s *Sources) Hosts() []dispatch.Host { return s.lists.keeper.Hosts() }
 
 // Known is what a file of a list is held against by a node of this configuration.
 func Known(conf *Config, o *Options) files.Known { return known(conf, &o.Inventory) }
 
 // Judge tells what the guard would say, by these options, of a step from one list to another, and counts what it does.
-func Judge(o *Options, from, to []pilot.Host) (guard.Verdict, guard.Change, error) {
+func Judge(o *Options, from, to []dispatch.Host) (guard.Verdict, guard.Change, error) {
 	g, err := guard.New(guardOf(&o.Inventory))
 	if err != nil {
 		return guard.Take, guard.Change{}, err
--- a/node/inventory_test.go
+++ b/node/inventory_test.go
@@ -16,7 +16,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/agent"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/script"
 )
 
@@ -62,20 +62,20 @@
 	o.Inventory.Etcd.Agent = strings.TrimPrefix(server.URL, "http://")
 	o.Inventory.Files.Path, o.Inventory.Last.Path = filepath.Join(dir, "list.json"), filepath.Join(dir, "last")
 	s, n := startNode(t, Extras{Options: &o}, 1024, []string{"h1", "h2"})
-	host := func(name string, status pilot.Status) pilot.Host {
-		return pilot.Host{Name: name, Address: s.Hosts[name], Zone: "z", Kind: "k", Status: status, Weight: 1}
+	host := func(name string, status dispatch.Status) dispatch.Host {
+		return dispatch.Host{Name: name, Address: s.Hosts[name], Zone: "z", Kind: "k", Status: status, Weight: 1}
 	}
-	book.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []pilot.Host{host("h1", pilot.Ready), host("h2", pilot.Ready)}})
+	book.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
 	book.Alive(1)
 	soon(t, s, func() bool { return n.Status().List.Serving == 2 })
-	book.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []pilot.Host{host("h1", pilot.Draining)}})
+	book.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
 	soon(t, s, func() bool { return n.Status().List.Serving == 1 })
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
 		r expect POST /pay/1 host=h2
 		r send 200
 		a expect 200`)
-	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []form.Entry{form.Of(host("h1", pilot.Ready)), form.Of(host("h2", pilot.Draining))}})
+	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []form.Entry{form.Of(host("h1", dispatch.Ready)), form.Of(host("h2", dispatch.Draining))}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.Inventory.Files.Path, text, 0o600))
 	soon(t, s, func() bool { return n.Status().List.Serving == 0 })
@@ -83,7 +83,7 @@
 		wait 5
 		a send POST /pay/1 id=q2 deadline=900
 		a expect 503`)
-	book.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []pilot.Host{host("h1", pilot.Ready)}})
+	book.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
 	soon(t, s, func() bool { return n.Status().List.Serving == 1 })
 	soon(t, s, func() bool {
 		kept, err := os.ReadFile(o.Inventory.Last.Path)
--- a/node/lesson.go
+++ b/node/lesson.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/store"
 )
 
@@ -47,7 +47,7 @@
 		return l, fmt.Errorf("its clock is %.0f ms ahead of this node's", s.Saved-now)
 	case m.Zone != zone:
 		return l, fmt.Errorf("it is of zone %q", m.Zone)
-	case pilot.Heard(m) == 0:
+	case dispatch.Heard(m) == 0:
 		return l, errors.New("it has heard no answer")
 	case l.age(now) > useFor:
 		return l, fmt.Errorf("it has heard nothing for %.0f ms", l.age(now))
@@ -56,7 +56,9 @@
 }
 
 // age is how many milliseconds ago a rater answered last.
-func (l *Lesson) age(now float64) float64 { return now - pilot.Heard(&l.Pilot.Module).Seconds()*1000 }
+func (l *Lesson) age(now float64) float64 {
+	return now - dispatch.Heard(&l.Pilot.Module).Seconds()*1000
+}
 
 // learn takes the lessons, of each host and kind what rests on most. It is called once, when the list is there and before the
 // first client.
--- a/node/node.go
+++ b/node/node.go
@@ -25,6 +25,7 @@
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
@@ -33,7 +34,6 @@
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/north/httpfront"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/stop"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
@@ -129,7 +129,7 @@
 	log    *slog.Logger
 	level  *slog.LevelVar // of what the node logs, nil where that is not its own
 	flood  log.Interval   // of what clients, hosts and discovery can make many of
-	pilot  *pilot.Pilot
+	pilot  *dispatch.Pilot
 	gate   *gate.Gate
 	core   *core.Core
 	loop   *loop.Loop
@@ -200,7 +200,7 @@
 	if n.fleet, n.phase = set.Nodes, chances(conf, set.Nodes); n.phase != nil {
 		seed ^= nameHash(conf.Name)
 	}
-	n.pilot, err = pilot.New(set, seed, n.clock, sparse.With("part", "pilot"), n.wake)
+	n.pilot, err = dispatch.New(set, seed, n.clock, sparse.With("part", "pilot"), n.wake)
 	if err != nil {
 		return nil, err
 	}
@@ -480,7 +480,7 @@
 	if n.lists != nil {
 		n.lists.start(n.conf)
 	} else if len(n.conf.Known.Hosts) > 0 {
-		n.inventory(pilot.Stored, n.conf.Known.Hosts)
+		n.inventory(dispatch.Stored, n.conf.Known.Hosts)
 	}
 	if n.known != nil {
 		if err := n.Recall(*n.known); err != nil {
--- a/node/status.go
+++ b/node/status.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/quota"
-	"linenwheel.dev/linenwheel/internal/pilot"
 )
 
 // Status is how a node does, for people and programs. Times are milliseconds, points in time since the Unix epoch.
@@ -101,7 +101,7 @@
 	Last   uint64 `json:"last"` // the number of the last of them among all answers
 }
 
-var statusWords = map[pilot.Status]string{pilot.Ready: "ready", pilot.Draining: "draining", pilot.Gone: "gone"}
+var statusWords = map[dispatch.Status]string{dispatch.Ready: "ready", dispatch.Draining: "draining", dispatch.Gone: "gone"}
 
 // Status gives how the node does now. Release, PID, From, Last and Stuck are for whoever runs the process to set.
 func (n *Node) Status() Status {
@@ -141,7 +141,7 @@
 	return s
 }
 
-func (n *Node) hostStatus(h pilot.HostView, now float64) HostStatus {
+func (n *Node) hostStatus(h dispatch.HostView, now float64) HostStatus {
 	m := h.Module
 	s := HostStatus{Name: h.Name, Address: h.Address, Status: statusWords[h.Status], Health: "well", Warm: m.Cold,
 		Share: m.Share, Rate: m.Rate, Idle: float64(m.Idle) / 1e6, Latency: float64(m.Latency) / 1e6, Slow: m.Slow,
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -8,10 +8,10 @@
 	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/north/lobby"
 	"linenwheel.dev/linenwheel/internal/north/thriftfront"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
 	"linenwheel.dev/linenwheel/internal/south/thrifthost"
@@ -25,7 +25,7 @@
 // of their own, with a pilot and a core of its own, so that the module never weighs a host that a call does not fit.
 type thriftSide struct {
 	kinds []string // types of machines that speak it
-	pilot *pilot.Pilot
+	pilot *dispatch.Pilot
 	core  *core.Core
 	front *thriftfront.Side // nil = no listener
 	loop  *loop.Loop
@@ -77,7 +77,7 @@
 	}
 	var err error
 	if !o.South.Thrift.Cross {
-		if t.pilot, err = pilot.New(set, seed+1, n.clock, log.With("part", "pilot"), n.wake); err != nil {
+		if t.pilot, err = dispatch.New(set, seed+1, n.clock, log.With("part", "pilot"), n.wake); err != nil {
 			return err
 		}
 		t.core = core.New(calls, t.pilot, n.pool, log.With("part", "core"))
@@ -117,7 +117,7 @@
 }
 
 // tell gives a list to the pilots, each the hosts of its own fleet.
-func (n *Node) tell(from pilot.Source, list []pilot.Host) {
+func (n *Node) tell(from dispatch.Source, list []dispatch.Host) {
 	t := n.thrift
 	if t == nil {
 		if !n.opts.Load().South.Thrift.Cross && slices.ContainsFunc(list, needsThrift) {
@@ -127,7 +127,7 @@
 		n.pilot.Inventory(from, list)
 		return
 	}
-	var first, second []pilot.Host
+	var first, second []dispatch.Host
 	for _, h := range list {
 		if slices.Contains(t.kinds, h.Kind) {
 			h.Protocol = speaksThrift
@@ -137,7 +137,7 @@
 		} else {
 			first = append(first, h)
 		}
-		if h.Status == pilot.Gone && t.pilot != n.pilot { // an entry that says no more than the name
+		if h.Status == dispatch.Gone && t.pilot != n.pilot { // an entry that says no more than the name
 			second = append(second, h)
 		}
 	}
@@ -147,7 +147,9 @@
 	}
 }
 
-func needsThrift(h pilot.Host) bool { return h.Protocol == speaksThrift && h.Status != pilot.Gone }
+func needsThrift(h dispatch.Host) bool {
+	return h.Protocol == speaksThrift && h.Status != dispatch.Gone
+}
 
 // ticks runs the timers of all pilots and gives when the next is due.
 func (n *Node) ticks() float64 {
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
 	"linenwheel.dev/linenwheel/internal/script"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -27,14 +27,14 @@
 		{Name: "note", Class: "pay", OneWay: true}}
 	o.South.Thrift.Protocol, o.South.Thrift.Transport, o.South.Thrift.Cross = south.Protocol, south.Transport, cross
 	s, n := startNode(t, Extras{Options: &o}, 1024, []string{"h1"})
-	var list []pilot.Host
+	var list []dispatch.Host
 	for address, protocol := range hosts {
 		if address == "h1" {
 			address = s.Hosts["h1"]
 		}
-		list = append(list, pilot.Host{Name: "host " + address, Address: address, Zone: "z", Kind: "k", Protocol: protocol, Weight: 1})
+		list = append(list, dispatch.Host{Name: "host " + address, Address: address, Zone: "z", Kind: "k", Protocol: protocol, Weight: 1})
 	}
-	n.inventory(pilot.Stored, list)
+	n.inventory(dispatch.Stored, list)
 	return s, n
 }
 
