--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
--- a/internal/node/idempotency/middleware/edge.go
+++ b/internal/node/idempotency/middleware/edge.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 )
--- a/internal/node/idempotency/middleware/handover.go
+++ b/internal/node/idempotency/middleware/handover.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
--- a/internal/node/idempotency/middleware/naming.go
+++ b/internal/node/idempotency/middleware/naming.go
@@ -7,7 +7,7 @@
 	"hash"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
--- a/internal/node/idempotency/transfer/handover_test.go
+++ b/internal/node/idempotency/transfer/handover_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 )
--- a/internal/node/quota/middleware/edge.go
+++ b/internal/node/quota/middleware/edge.go
@@ -12,7 +12,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
--- a/internal/north/httpfront/crossing_test.go
+++ b/internal/north/httpfront/crossing_test.go
@@ -13,11 +13,11 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/duty"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 )
 
--- a/internal/north/httpfront/flow.go
+++ b/internal/north/httpfront/flow.go
@@ -3,9 +3,9 @@
 import (
 	"io"
 
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/core"
 )
 
 // flow passes on an answer whose body is still coming, under the lock, which it gives up meanwhile.
--- a/internal/north/thriftfront/front.go
+++ b/internal/north/thriftfront/front.go
@@ -12,9 +12,9 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/north/lobby"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 	"linenwheel.dev/linenwheel/internal/thrift"
--- a/internal/south/carrier/carrier_test.go
+++ b/internal/south/carrier/carrier_test.go
@@ -15,8 +15,8 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
--- a/internal/south/carrier/crossing_test.go
+++ b/internal/south/carrier/crossing_test.go
@@ -18,10 +18,10 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
--- a/internal/south/carrier/pool.go
+++ b/internal/south/carrier/pool.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
--- a/internal/south/httphost/httphost.go
+++ b/internal/south/httphost/httphost.go
@@ -5,9 +5,9 @@
 import (
 	"errors"
 
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/thrift"
--- a/internal/south/thrifthost/thrifthost.go
+++ b/internal/south/thrifthost/thrifthost.go
@@ -6,8 +6,8 @@
 	"errors"
 	"sync/atomic"
 
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/thrift"
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/core"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/north/lobby"
 	"linenwheel.dev/linenwheel/internal/north/thriftfront"
