--- a/internal/north/httpfront/crossing_test.go
+++ b/internal/node/downstream/httpserver/crossing_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"context"
--- a/internal/north/httpfront/front.go
+++ b/internal/node/downstream/httpserver/front.go
@@ -1,7 +1,7 @@
-// Package httpfront is the front for clients that speak HTTP/1.1: it reads requests, has the core serve each and
+// Package httpserver is the front for clients that speak HTTP/1.1: it reads requests, has the core serve each and
 // writes its answer. It owns the clients' connections: how many there are, which one makes room, what is read until
 // when, and how they end.
-package httpfront
+package httpserver
 
 import (
 	"bytes"
--- a/node/node.go
+++ b/node/node.go
@@ -26,13 +26,13 @@
 	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/downstream/httpserver"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
-	"linenwheel.dev/linenwheel/internal/north/httpfront"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/stop"
@@ -133,7 +133,7 @@
 	gate   *gate.Gate
 	core   *core.Core
 	loop   *loop.Loop
-	north  *httpfront.Side
+	north  *httpserver.Side
 	pool   *carrier.Pool
 	watch  *discovery.Watcher
 	lists  *lists      // of several sources; nil = the list is discovery's, as it is
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	room := o.Room(conf)
-	var side *httpfront.Side
+	var side *httpserver.Side
 	ready := make(chan struct{}) // a client may connect before the rest stands
 	n.loop, err = listen(&extra, conf.Listen, room.Clients+room.Spare, func(c *loop.Conn) loop.Handler {
 		<-ready
@@ -255,7 +255,7 @@
 	}
 	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
 	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
-	n.north = httpfront.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
+	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
 	side = n.north
 	n.gate.Hook(gate.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
 	close(ready)
@@ -408,9 +408,9 @@
 	return list
 }
 
-func northLimits(o *Options) httpfront.Limits {
+func northLimits(o *Options) httpserver.Limits {
 	h := &o.North.HTTP
-	return httpfront.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
+	return httpserver.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
 		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, Whole: h.RetryAfter == "whole"}
 }
 
@@ -436,15 +436,15 @@
 	return l
 }
 
-func frontSettings(conf *Config, o *Options, room options.Room, budget *flow.Budget) httpfront.Settings {
-	set := httpfront.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
+func frontSettings(conf *Config, o *Options, room options.Room, budget *flow.Budget) httpserver.Settings {
+	set := httpserver.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
 		Crowded: room.Crowded, Limits: northLimits(o)}
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
 		if c.Effect == decide.Safe {
 			method = "GET"
 		}
-		set.Classes = append(set.Classes, httpfront.Class{Method: method, Keyed: c.Effect == decide.Keyed})
+		set.Classes = append(set.Classes, httpserver.Class{Method: method, Keyed: c.Effect == decide.Keyed})
 		set.ByName[c.Name] = i
 	}
 	for i, t := range conf.Settings.Tenants {
