--- a/internal/north/thriftfront/crossing_test.go
+++ b/internal/node/downstream/thriftserver/crossing_test.go
@@ -1,4 +1,4 @@
-package thriftfront
+package thriftserver
 
 import (
 	"context"
--- a/internal/north/thriftfront/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -1,8 +1,8 @@
-// Package thriftfront is the front for clients that speak Thrift, in every form: it reads calls, has the core serve each and
+// Package thriftserver is the front for clients that speak Thrift, in every form: it reads calls, has the core serve each and
 // writes its result. Clients whose messages are framed may have several calls open on a connection and get their results in
 // any order; others get them in the order of their calls. Two calls with one sequence id, which could not be told apart, are
 // served one after the other.
-package thriftfront
+package thriftserver
 
 import (
 	"bytes"
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -9,8 +9,8 @@
 	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
 	"linenwheel.dev/linenwheel/internal/north/lobby"
-	"linenwheel.dev/linenwheel/internal/north/thriftfront"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
@@ -27,7 +27,7 @@
 	kinds []string // types of machines that speak it
 	pilot *dispatch.Pilot
 	core  *core.Core
-	front *thriftfront.Side // nil = no listener
+	front *thriftserver.Side // nil = no listener
 	loop  *loop.Loop
 }
 
@@ -86,16 +86,16 @@
 	if front.Listen == "" {
 		return nil
 	}
-	fs := thriftfront.Settings{Methods: map[string]thriftfront.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), Open: front.Open,
+	fs := thriftserver.Settings{Methods: map[string]thriftserver.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), Open: front.Open,
 		Pipeline: front.PipelineMost.Bytes, Backlog: front.BacklogMost.Bytes, Linger: front.Linger.Ms, Stall: o.North.HTTP.Stall.Ms,
 		Lobby: lobby.Settings{Connections: room.Thrift, Crowded: room.Thrift, Limits: lobby.Limits{Idle: front.IdleAfter.Ms,
 			Read: front.ReadLimit.Ms, First: front.FirstLimit.Ms, Settle: front.Settle.Ms}}}
 	for i, c := range n.conf.Settings.Classes {
-		fs.Classes = append(fs.Classes, thriftfront.Class{Keyed: c.Effect == decide.Keyed})
+		fs.Classes = append(fs.Classes, thriftserver.Class{Keyed: c.Effect == decide.Keyed})
 		for _, m := range front.Methods {
 			if m.Class == c.Name {
-				for _, name := range thriftfront.MethodNames(front.Service, m.Name) {
-					fs.Methods[name] = thriftfront.Method{Class: i, OneWay: m.OneWay}
+				for _, name := range thriftserver.MethodNames(front.Service, m.Name) {
+					fs.Methods[name] = thriftserver.Method{Class: i, OneWay: m.OneWay}
 				}
 			}
 		}
@@ -103,7 +103,7 @@
 	for i, tenant := range n.conf.Settings.Tenants {
 		fs.Tenants[tenant.Name] = i
 	}
-	t.front = thriftfront.New(fs, n.clock, t.core, n.gate, log.With("part", "north"))
+	t.front = thriftserver.New(fs, n.clock, t.core, n.gate, log.With("part", "north"))
 	t.loop, err = loop.Listen(front.Listen, room.Thrift, t.front.Accept)
 	return err
 }
@@ -172,7 +172,7 @@
 // content shows a payload to stages, whatever front or carrier it is from.
 func content(payload any) core.Content {
 	if m, ok := payload.(*thrift.Message); ok {
-		return thriftfront.Content{Message: m}
+		return thriftserver.Content{Message: m}
 	}
 	return http1.Content{Message: payload.(*http1.Message)}
 }
