--- a/internal/north/lobby/lobby.go
+++ b/internal/node/downstream/connlimit/lobby.go
@@ -1,9 +1,9 @@
-// Package lobby keeps account of one front's connections of clients, whatever they speak: how many there are, which one makes
+// Package connlimit keeps account of one front's connections of clients, whatever they speak: how many there are, which one makes
 // room for another, which have carried nothing for too long, and whether it is so crowded that an answer is to end its
 // connection. It reads no bytes.
 //
 // Bounds: one Seat a connection; at most Settings.Connections of them but for those that end with their first answer.
-package lobby
+package connlimit
 
 import (
 	"sync"
--- a/internal/node/downstream/thriftserver/crossing_test.go
+++ b/internal/node/downstream/thriftserver/crossing_test.go
@@ -14,7 +14,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/duty"
 	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/north/lobby"
+	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -43,7 +43,7 @@
 func TestSweepLooksAgain(t *testing.T) {
 	w := warned{slog.NewTextHandler(io.Discard, nil), make(chan string), make(chan struct{})}
 	c, accepted := clock.NewManual(1e6), make(chan *conn, 1)
-	side := New(Settings{Lobby: lobby.Settings{Connections: 9, Crowded: 9, Limits: lobby.Limits{Idle: 60_000, Read: 2500, First: 2800}},
+	side := New(Settings{Lobby: connlimit.Settings{Connections: 9, Crowded: 9, Limits: connlimit.Limits{Idle: 60_000, Read: 2500, First: 2800}},
 		Messages: thrift.DefaultLimits, Open: 9, Pipeline: 9999, Backlog: 9999, Linger: 600_000, Stall: 600_000}, c, nil,
 		gate.New(nil, duty.Times{}, c), slog.New(w))
 	l, err := loop.Listen("127.0.0.1:0", 9, func(n *loop.Conn) loop.Handler {
--- a/internal/node/downstream/thriftserver/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -15,7 +15,7 @@
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
-	"linenwheel.dev/linenwheel/internal/north/lobby"
+	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -37,7 +37,7 @@
 	Classes  []Class
 	Methods  map[string]Method // by their names as they are on the wire
 	Tenants  map[string]int
-	Lobby    lobby.Settings
+	Lobby    connlimit.Settings
 	Messages thrift.Limits
 	Open     int     // calls open on one connection
 	Pipeline int     // bytes kept of what comes behind
@@ -52,13 +52,13 @@
 	clock clock.Clock
 	core  *core.Core
 	gate  *gate.Gate
-	lobby *lobby.Lobby
+	lobby *connlimit.Lobby
 	log   *slog.Logger
 }
 
 // New makes a front.
 func New(set Settings, c clock.Clock, to *core.Core, g *gate.Gate, log *slog.Logger) *Side {
-	return &Side{set: set, clock: c, core: to, gate: g, lobby: lobby.New(set.Lobby, c), log: log}
+	return &Side{set: set, clock: c, core: to, gate: g, lobby: connlimit.New(set.Lobby, c), log: log}
 }
 
 // Connections is how many connections of clients are open.
@@ -92,7 +92,7 @@
 type conn struct {
 	side *Side
 	net  *loop.Conn
-	seat *lobby.Seat
+	seat *connlimit.Seat
 	once bool // it ends with its first result
 
 	mu     sync.Mutex
@@ -158,17 +158,17 @@
 	switch {
 	case c.ended:
 	case len(c.open) > 0:
-		c.seat.Enter(lobby.Busy, c.came)
+		c.seat.Enter(connlimit.Busy, c.came)
 	case !c.reader.Idle():
-		c.seat.Enter(lobby.Reading, c.came)
+		c.seat.Enter(connlimit.Reading, c.came)
 	default:
-		c.seat.Enter(lobby.Idle, c.came)
+		c.seat.Enter(connlimit.Idle, c.came)
 	}
 }
 
 // call handles one call under the lock.
 func (c *conn) call(m *thrift.Message) {
-	c.seat.Enter(lobby.Busy, c.came)
+	c.seat.Enter(connlimit.Busy, c.came)
 	if m.Type != thrift.Call && m.Type != thrift.OneWay {
 		c.write(m, mapping.Fault(m.Name, mapping.InvalidMessageType, "a client sends calls"))
 		return
@@ -285,7 +285,7 @@
 // end closes the connection when all is written.
 func (c *conn) end() {
 	c.ended = true
-	c.seat.Enter(lobby.Leaving, c.came)
+	c.seat.Enter(connlimit.Leaving, c.came)
 	c.net.End(c.side.set.Linger, c.side.set.Stall)
 }
 
@@ -300,7 +300,7 @@
 func (c *conn) unreadable(err error) {
 	c.ended = true
 	c.side.log.Warn("a client sent what cannot be read", "client", c.net.Peer(), "status", "thrift", "error", err)
-	c.seat.Enter(lobby.Leaving, c.came)
+	c.seat.Enter(connlimit.Leaving, c.came)
 	defer c.net.End(c.side.set.Linger, c.side.set.Stall)
 	if errors.Is(err, thrift.ErrNotThrift) {
 		_ = c.net.Write(http1.AppendResponse(nil, http1.Reply{Status: 400, Body: []byte("Thrift is spoken here\n"), Close: true}))
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -9,8 +9,8 @@
 	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
-	"linenwheel.dev/linenwheel/internal/north/lobby"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
@@ -88,7 +88,7 @@
 	}
 	fs := thriftserver.Settings{Methods: map[string]thriftserver.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), Open: front.Open,
 		Pipeline: front.PipelineMost.Bytes, Backlog: front.BacklogMost.Bytes, Linger: front.Linger.Ms, Stall: o.North.HTTP.Stall.Ms,
-		Lobby: lobby.Settings{Connections: room.Thrift, Crowded: room.Thrift, Limits: lobby.Limits{Idle: front.IdleAfter.Ms,
+		Lobby: connlimit.Settings{Connections: room.Thrift, Crowded: room.Thrift, Limits: connlimit.Limits{Idle: front.IdleAfter.Ms,
 			Read: front.ReadLimit.Ms, First: front.FirstLimit.Ms, Settle: front.Settle.Ms}}}
 	for i, c := range n.conf.Settings.Classes {
 		fs.Classes = append(fs.Classes, thriftserver.Class{Keyed: c.Effect == decide.Keyed})
