--- a/internal/south/carrier/body_test.go
+++ b/internal/node/upstream/connpool/body_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package connpool_test
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
 )
 
@@ -108,7 +108,7 @@
 			_, ended = b.attempt("2", nil)
 			b.serve(b.accept())
 			assert.Equal(t, result{dispatch.Served, "/look/2"}, <-ended)
-			assert.Equal(t, map[string]carrier.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
+			assert.Equal(t, map[string]connpool.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 		})
 	}
 }
--- a/internal/south/carrier/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package connpool_test
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
 )
 
@@ -32,13 +32,13 @@
 	t          *testing.T
 	clock      *clock.Manual
 	loop       *loop.Loop
-	pool       *carrier.Pool
+	pool       *connpool.Pool
 	rater      net.Listener
 	front      string
 	conns      chan *loop.Conn // of clients
 	came, free chan struct{}   // what clients send holds the poller until free is closed
 	dialling   func()          // called before a connection is opened
-	protocol   carrier.Protocol
+	protocol   connpool.Protocol
 	asking     func() // called right before a request is written, if protocol is a hooked one
 	sent       func() // called once its last byte has gone out
 	budget     *flow.Budget
@@ -57,8 +57,8 @@
 	b.rater, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = b.rater.Close() })
-	b.pool = carrier.New(carrier.Settings{Connections: 8, ConnectTimeout: 60_000, Settle: 5, Limits: carrier.Limits{Idle: 30_000}, Budget: b.budget, Sent: func() { b.sent() },
-		Protocol: func(core.Host) carrier.Protocol { b.dialling(); return b.protocol }}, b.clock, l, slog.New(slog.DiscardHandler))
+	b.pool = connpool.New(connpool.Settings{Connections: 8, ConnectTimeout: 60_000, Settle: 5, Limits: connpool.Limits{Idle: 30_000}, Budget: b.budget, Sent: func() { b.sent() },
+		Protocol: func(core.Host) connpool.Protocol { b.dialling(); return b.protocol }}, b.clock, l, slog.New(slog.DiscardHandler))
 	return b
 }
 
@@ -173,14 +173,14 @@
 
 // hooked is a protocol that tells when a request is about to be written.
 type hooked struct {
-	carrier.Protocol
+	connpool.Protocol
 	b *bench
 }
 
-func (h hooked) Answers() carrier.Answers { return hookedAnswers{h.Protocol.Answers(), h.b} }
+func (h hooked) Answers() connpool.Answers { return hookedAnswers{h.Protocol.Answers(), h.b} }
 
 type hookedAnswers struct {
-	carrier.Answers
+	connpool.Answers
 	b *bench
 }
 
@@ -262,7 +262,7 @@
 			call, ended := b.attempt("2", client)
 			assert.Equal(t, result{dispatch.Unsent, ""}, <-ended)
 			assert.True(t, call.HasLeft())
-			assert.Equal(t, map[string]carrier.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
+			assert.Equal(t, map[string]connpool.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 			close(b.free)
 		}
 	}
--- a/internal/south/carrier/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -1,6 +1,6 @@
-// Package carrier carries relays to the south side hosts, whatever protocol they speak: connections, the idle pool, time
+// Package connpool carries relays to the south side hosts, whatever protocol they speak: connections, the idle pool, time
 // limits and outcomes. What the bytes mean is a Protocol's.
-package carrier
+package connpool
 
 import (
 	"context"
--- a/internal/south/carrier/wear_test.go
+++ b/internal/node/upstream/connpool/wear_test.go
@@ -1,4 +1,4 @@
-package carrier
+package connpool
 
 import (
 	"flag"
--- a/internal/south/httphost/httphost.go
+++ b/internal/south/httphost/httphost.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
 )
@@ -46,7 +46,7 @@
 		}
 		return http1.AppendRequest(dst, m, host.Address, http1.DeadlineField, left), nil, nil
 	}
-	body := &carrier.Body{First: m.Body, Rest: m.Rest, Left: max(0, m.Length-len(m.Body)), Chunked: m.Rest != nil && m.Length < 0}
+	body := &connpool.Body{First: m.Body, Rest: m.Rest, Left: max(0, m.Length-len(m.Body)), Chunked: m.Rest != nil && m.Length < 0}
 	return http1.AppendRequestHead(dst, m, host.Address, http1.DeadlineField, left), body, nil
 }
 
@@ -68,7 +68,7 @@
 }
 
 // Answers is that of carrier.Protocol.
-func (p Protocol) Answers() carrier.Answers {
+func (p Protocol) Answers() connpool.Answers {
 	if !p.Flows {
 		return answers{http1.NewResponses()}
 	}
@@ -88,16 +88,16 @@
 
 func (a answers) Expect(any) {}
 
-func (a answers) Next() (carrier.Answer, bool, error) {
+func (a answers) Next() (connpool.Answer, bool, error) {
 	m, err := a.Parser.Next()
 	if m == nil || err != nil {
-		return carrier.Answer{}, false, err
+		return connpool.Answer{}, false, err
 	}
 	return a.answer(m), true, nil
 }
 
-func (a answers) answer(m *http1.Message) carrier.Answer {
-	answer := carrier.Answer{Outcome: outcome(m), Payload: m, Last: m.Close}
+func (a answers) answer(m *http1.Message) connpool.Answer {
+	answer := connpool.Answer{Outcome: outcome(m), Payload: m, Last: m.Close}
 	if a.Flowing() {
 		answer.Attach = func(p *flow.Pipe) { m.Rest = p }
 	}
@@ -105,10 +105,10 @@
 }
 
 // End takes the end of the connection, with which an answer may be whole.
-func (a answers) End() (carrier.Answer, bool) {
+func (a answers) End() (connpool.Answer, bool) {
 	m, ok := a.Parser.End()
 	if m == nil {
-		return carrier.Answer{}, ok
+		return connpool.Answer{}, ok
 	}
 	return a.answer(m), ok
 }
--- a/internal/south/thrifthost/thrifthost.go
+++ b/internal/south/thrifthost/thrifthost.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
 )
@@ -85,7 +85,7 @@
 }
 
 // Answers is that of carrier.Protocol.
-func (p *Protocol) Answers() carrier.Answers {
+func (p *Protocol) Answers() connpool.Answers {
 	return &answers{Reader: thrift.NewReaderOf(p.set.Form, p.set.Limits)}
 }
 
@@ -99,17 +99,17 @@
 
 var errOther = errors.New("an answer to another call")
 
-func (a *answers) Next() (carrier.Answer, bool, error) {
+func (a *answers) Next() (connpool.Answer, bool, error) {
 	m, err := a.Reader.Next()
 	if m == nil || err != nil {
-		return carrier.Answer{}, false, err
+		return connpool.Answer{}, false, err
 	}
 	want := a.about
 	if want == nil || m.Seq != want.seq || string(m.Name) != string(want.method) ||
 		m.Type != thrift.Reply && m.Type != thrift.Exception {
-		return carrier.Answer{}, false, errOther
+		return connpool.Answer{}, false, errOther
 	}
-	answer := carrier.Answer{Outcome: outcomes[mapping.Tell(m)]}
+	answer := connpool.Answer{Outcome: outcomes[mapping.Tell(m)]}
 	if answer.Outcome == dispatch.Served {
 		answer.Payload = want.back(m)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -33,8 +33,8 @@
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/stop"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 )
@@ -134,7 +134,7 @@
 	core   *core.Core
 	loop   *loop.Loop
 	north  *httpserver.Side
-	pool   *carrier.Pool
+	pool   *connpool.Pool
 	watch  *discovery.Watcher
 	lists  *lists      // of several sources; nil = the list is discovery's, as it is
 	thrift *thriftSide // nil = Thrift is not spoken
@@ -214,7 +214,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.pool = carrier.New(carrier.Settings{Protocol: protocols(conf, &o),
+	n.pool = connpool.New(connpool.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
 		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.Attempt, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
 	n.gate = gate.New(worthFor(conf), drainTimes(&o), c)
@@ -414,9 +414,9 @@
 		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, Whole: h.RetryAfter == "whole"}
 }
 
-func southLimits(conf *Config, o *Options) carrier.Limits {
+func southLimits(conf *Config, o *Options) connpool.Limits {
 	w := &o.South.Wear
-	return carrier.Limits{Idle: o.South.IdlePart * conf.ConnIdle, Wear: carrier.Wear{Memory: w.Memory.Ms,
+	return connpool.Limits{Idle: o.South.IdlePart * conf.ConnIdle, Wear: connpool.Wear{Memory: w.Memory.Ms,
 		Quick: w.Quick.Ms, Least: w.Least, Deviations: w.Deviations, Hold: w.Hold.Ms, Usual: w.Usual}}
 }
 
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -11,8 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
 	"linenwheel.dev/linenwheel/internal/south/httphost"
 	"linenwheel.dev/linenwheel/internal/south/thrifthost"
 	"linenwheel.dev/linenwheel/internal/thrift"
@@ -32,7 +32,7 @@
 }
 
 // protocols says what is spoken with a host.
-func protocols(conf *Config, o *Options) func(core.Host) carrier.Protocol {
+func protocols(conf *Config, o *Options) func(core.Host) connpool.Protocol {
 	s := &o.South.Thrift
 	plain := httphost.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: flows(o)}
 	methods := make([]string, len(conf.Settings.Classes))
@@ -54,7 +54,7 @@
 	transports := map[string]thrift.Transport{"framed": thrift.Framed, "unframed": thrift.Unframed, "header": thrift.Header}
 	second := thrifthost.New(thrifthost.Settings{Form: thrift.Form{Protocol: forms[s.Protocol], Transport: transports[s.Transport]},
 		Limits: messageLimits(o), Methods: methods, Tenants: plain.Tenants})
-	return func(h core.Host) carrier.Protocol {
+	return func(h core.Host) connpool.Protocol {
 		if h.Protocol == speaksThrift {
 			return second
 		}
