--- a/internal/node/upstream/connpool/body_test.go
+++ b/internal/node/upstream/connpool/body_test.go
@@ -18,7 +18,7 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
-	"linenwheel.dev/linenwheel/internal/south/httphost"
+	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 )
 
 // post is a call whose body flows: first is there, rest is still to come of length bytes in all, -1 = in chunks.
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			b.protocol = httphost.Protocol{Flows: true, Most: 1 << 20}
+			b.protocol = httpbackend.Protocol{Flows: true, Most: 1 << 20}
 			taken := make(chan struct{}, 1)
 			rest := flow.New(flow.NewBudget(1), func(on bool) {
 				if !on {
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -24,7 +24,7 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
-	"linenwheel.dev/linenwheel/internal/south/httphost"
+	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 )
 
 // bench is a pool whose poller can be held, between a rater and clients.
@@ -49,7 +49,7 @@
 
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, clock: clock.NewManual(1000), conns: make(chan *loop.Conn, 8), came: make(chan struct{}, 8), free: make(chan struct{}),
-		dialling: func() {}, asking: func() {}, sent: func() {}, protocol: httphost.Protocol{}, budget: flow.NewBudget(1 << 20)}
+		dialling: func() {}, asking: func() {}, sent: func() {}, protocol: httpbackend.Protocol{}, budget: flow.NewBudget(1 << 20)}
 	l, err := loop.Listen("127.0.0.1:0", 8, func(c *loop.Conn) loop.Handler { b.conns <- c; return b })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
--- a/internal/south/httphost/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -1,6 +1,6 @@
-// Package httphost is the protocol of hosts that speak HTTP/1.1, for the carrier: how a relay is written and what an answer
+// Package httpbackend is the protocol of hosts that speak HTTP/1.1, for the carrier: how a relay is written and what an answer
 // says, as the platform's table of outcomes has it.
-package httphost
+package httpbackend
 
 import (
 	"errors"
--- a/internal/south/httphost/httphost_test.go
+++ b/internal/node/upstream/httpbackend/httphost_test.go
@@ -1,4 +1,4 @@
-package httphost
+package httpbackend
 
 import (
 	"testing"
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -12,8 +12,8 @@
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
+	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/south/httphost"
 	"linenwheel.dev/linenwheel/internal/south/thrifthost"
 	"linenwheel.dev/linenwheel/internal/thrift"
 )
@@ -34,14 +34,14 @@
 // protocols says what is spoken with a host.
 func protocols(conf *Config, o *Options) func(core.Host) connpool.Protocol {
 	s := &o.South.Thrift
-	plain := httphost.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: flows(o)}
+	plain := httpbackend.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: flows(o)}
 	methods := make([]string, len(conf.Settings.Classes))
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
 		if c.Effect == decide.Safe {
 			method = "GET"
 		}
-		plain.Classes = append(plain.Classes, httphost.Class{Name: c.Name, Method: method})
+		plain.Classes = append(plain.Classes, httpbackend.Class{Name: c.Name, Method: method})
 		if at := slices.IndexFunc(o.North.Thrift.Methods, func(m options.ThriftMethod) bool { return m.Class == c.Name }); at >= 0 &&
 			s.Cross {
 			methods[i] = o.North.Thrift.Methods[at].Name
