--- a/internal/south/thrifthost/thrifthost.go
+++ b/internal/node/upstream/thriftbackend/thrifthost.go
@@ -1,6 +1,6 @@
-// Package thrifthost is the protocol of hosts that speak Thrift, for the carrier. A call that came in Thrift goes on as it
+// Package thriftbackend is the protocol of hosts that speak Thrift, for the carrier. A call that came in Thrift goes on as it
 // came, in the host's form; one that came over HTTP/1.1 is put into the method of its class, if calls may cross.
-package thrifthost
+package thriftbackend
 
 import (
 	"errors"
--- a/internal/south/thrifthost/thrifthost_test.go
+++ b/internal/node/upstream/thriftbackend/thrifthost_test.go
@@ -1,4 +1,4 @@
-package thrifthost
+package thriftbackend
 
 import (
 	"context"
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -13,8 +13,8 @@
 	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
+	"linenwheel.dev/linenwheel/internal/node/upstream/thriftbackend"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/south/thrifthost"
 	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
@@ -52,7 +52,7 @@
 	}
 	forms := map[string]thrift.Protocol{"binary": thrift.Binary, "compact": thrift.Compact}
 	transports := map[string]thrift.Transport{"framed": thrift.Framed, "unframed": thrift.Unframed, "header": thrift.Header}
-	second := thrifthost.New(thrifthost.Settings{Form: thrift.Form{Protocol: forms[s.Protocol], Transport: transports[s.Transport]},
+	second := thriftbackend.New(thriftbackend.Settings{Form: thrift.Form{Protocol: forms[s.Protocol], Transport: transports[s.Transport]},
 		Limits: messageLimits(o), Methods: methods, Tenants: plain.Tenants})
 	return func(h core.Host) connpool.Protocol {
 		if h.Protocol == speaksThrift {
