--- a/internal/inventory/discovery/discovery.go
+++ b/internal/inventory/discovery/discovery.go
@@ -16,8 +16,8 @@
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/inventory/pace"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
 // Limits are the times of the calls, in milliseconds.
@@ -96,7 +96,7 @@
 type Watcher struct {
 	Address string // of discovery at the start; Move changes it
 	Limits  Limits // at the start; Limit changes them
-	Loop    *loop.Loop
+	Loop    *netpoll.Loop
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Sink    Sink
@@ -355,7 +355,7 @@
 		w.drop()
 		// It holds what ends with its connection, too, and gives nothing before it is whole.
 		c := &conn{parser: http1.NewFlowing(true, w.Most, http1.Flow{Whole: w.Most + 1}), came: make(chan struct{}, 1)}
-		_, err := w.Loop.Dial(ctx, address, limit, func(n *loop.Conn) loop.Handler {
+		_, err := w.Loop.Dial(ctx, address, limit, func(n *netpoll.Conn) netpoll.Handler {
 			c.net = n
 			n.ReadToEnd()
 			return c
@@ -397,7 +397,7 @@
 
 // conn is the connection to discovery.
 type conn struct {
-	net    *loop.Conn
+	net    *netpoll.Conn
 	came   chan struct{} // something has changed
 	mu     sync.Mutex
 	parser *http1.Parser
--- a/internal/inventory/discovery/discovery_test.go
+++ b/internal/inventory/discovery/discovery_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/script"
 )
 
@@ -43,7 +43,7 @@
 // whole list that they have already, sooner and sooner after failures, or by leaving a call that waits there in turn.
 func TestCallsThatCostAreSpread(t *testing.T) {
 	s := script.New(t, "h1")
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	asked := make(chan struct{})
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 1000, Told: 6000},
@@ -75,7 +75,7 @@
 // nothing: however often it has failed, the next call comes within the last pause, whatever chance says.
 func TestAnAgentThatIsBackIsAskedWithinThePause(t *testing.T) {
 	s := script.New(t, "h1")
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 150, Told: 6000},
 		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: nowhere{}, Most: 1 << 20, Known: -1,
@@ -96,7 +96,7 @@
 // against one that a reset has cut short being taken for whole.
 func TestAListThatEndsWithItsConnection(t *testing.T) {
 	s := script.New(t, "h1")
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	took := &taken{}
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 25, Told: 6000},
--- a/internal/node/downstream/httpserver/crossing_test.go
+++ b/internal/node/downstream/httpserver/crossing_test.go
@@ -16,8 +16,8 @@
 	"linenwheel.dev/linenwheel/internal/duty"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 )
 
@@ -44,7 +44,7 @@
 	*Side
 	t     *testing.T
 	clock *clock.Manual
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 	came  chan *conn
 }
 
@@ -58,7 +58,7 @@
 		Classes: []Class{{Method: "POST"}}}, b.clock, to, gate.New(nil, duty.Times{}, b.clock), slog.New(log))
 	b.Ready()
 	var err error
-	b.loop, err = loop.Listen("127.0.0.1:0", 64, func(n *loop.Conn) loop.Handler {
+	b.loop, err = netpoll.Listen("127.0.0.1:0", 64, func(n *netpoll.Conn) netpoll.Handler {
 		h := b.Accept(n)
 		b.came <- h.(*conn)
 		return h
--- a/internal/node/downstream/httpserver/front.go
+++ b/internal/node/downstream/httpserver/front.go
@@ -18,8 +18,8 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 )
 
@@ -126,7 +126,7 @@
 
 // Accept takes a new connection. Over the cap, another one makes room; where none can, the new one is served once
 // and ends.
-func (s *Side) Accept(n *loop.Conn) loop.Handler {
+func (s *Side) Accept(n *netpoll.Conn) netpoll.Handler {
 	s.gate.Connected(true)
 	now := s.clock.Now()
 	c := &conn{side: s, net: n, parser: s.parser(), state: silent, since: now, accepted: now}
@@ -278,7 +278,7 @@
 // conn is a client's connection.
 type conn struct {
 	side     *Side
-	net      *loop.Conn
+	net      *netpoll.Conn
 	once     bool    // it ends with its first answer
 	accepted float64 // when it came
 
@@ -570,7 +570,7 @@
 }
 
 // read finds what the core has to know, or the answer where the request cannot be served.
-func (s *Side) read(m *http1.Message, path []byte, came float64, client *loop.Conn) (call *core.Call, refusal http1.Reply) {
+func (s *Side) read(m *http1.Message, path []byte, came float64, client *netpoll.Conn) (call *core.Call, refusal http1.Reply) {
 	name, _, _ := bytes.Cut(path[1:], []byte("/"))
 	class, ok := s.set.ByName[string(name)]
 	if !ok {
--- a/internal/node/downstream/thriftserver/crossing_test.go
+++ b/internal/node/downstream/thriftserver/crossing_test.go
@@ -13,8 +13,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/duty"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -46,7 +46,7 @@
 	side := New(Settings{Lobby: connlimit.Settings{Connections: 9, Crowded: 9, Limits: connlimit.Limits{Idle: 60_000, Read: 2500, First: 2800}},
 		Messages: thrift.DefaultLimits, Open: 9, Pipeline: 9999, Backlog: 9999, Linger: 600_000, Stall: 600_000}, c, nil,
 		gate.New(nil, duty.Times{}, c), slog.New(w))
-	l, err := loop.Listen("127.0.0.1:0", 9, func(n *loop.Conn) loop.Handler {
+	l, err := netpoll.Listen("127.0.0.1:0", 9, func(n *netpoll.Conn) netpoll.Handler {
 		h := side.Accept(n)
 		accepted <- h.(*conn)
 		return h
--- a/internal/node/downstream/thriftserver/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -13,9 +13,9 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
@@ -81,7 +81,7 @@
 }
 
 // Accept takes a new connection.
-func (s *Side) Accept(n *loop.Conn) loop.Handler {
+func (s *Side) Accept(n *netpoll.Conn) netpoll.Handler {
 	c := &conn{side: s, net: n, reader: thrift.NewReader(s.set.Messages), open: map[int32]*core.Call{}}
 	s.gate.Connected(false)
 	c.seat, c.once = s.lobby.Sit(c)
@@ -91,7 +91,7 @@
 // conn is a client's connection.
 type conn struct {
 	side *Side
-	net  *loop.Conn
+	net  *netpoll.Conn
 	seat *connlimit.Seat
 	once bool // it ends with its first result
 
@@ -187,7 +187,7 @@
 }
 
 // read finds what the core has to know, or the application exception where the call cannot be served.
-func (s *Side) read(m *thrift.Message, came float64, client *loop.Conn) (call *core.Call, fault *thrift.Message) {
+func (s *Side) read(m *thrift.Message, came float64, client *netpoll.Conn) (call *core.Call, fault *thrift.Message) {
 	method, ok := s.set.Methods[string(m.Name)]
 	if !ok {
 		return nil, mapping.Fault(m.Name, mapping.UnknownMethod, "unknown method")
--- a/internal/loop/listener_test.go
+++ b/internal/node/netpoll/listener_test.go
@@ -1,4 +1,4 @@
-package loop
+package netpoll
 
 import (
 	"io"
--- a/internal/loop/loop.go
+++ b/internal/node/netpoll/loop.go
@@ -1,5 +1,5 @@
-// Package loop is the node's socket layer: one nbio engine whose connections are handed to a Handler each.
-package loop
+// Package netpoll is the node's socket layer: one nbio engine whose connections are handed to a Handler each.
+package netpoll
 
 import (
 	"context"
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -15,9 +15,9 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
 // Guards against a host put away because a request's time, or the node's room, ran out before anything was sent.
@@ -100,7 +100,7 @@
 
 // silent makes a pool that must say nothing to a host.
 func silent(t *testing.T, c clock.Clock) (*Pool, core.Host) {
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	host, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -20,9 +20,9 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 )
@@ -31,13 +31,13 @@
 type bench struct {
 	t          *testing.T
 	clock      *clock.Manual
-	loop       *loop.Loop
+	loop       *netpoll.Loop
 	pool       *connpool.Pool
 	rater      net.Listener
 	front      string
-	conns      chan *loop.Conn // of clients
-	came, free chan struct{}   // what clients send holds the poller until free is closed
-	dialling   func()          // called before a connection is opened
+	conns      chan *netpoll.Conn // of clients
+	came, free chan struct{}      // what clients send holds the poller until free is closed
+	dialling   func()             // called before a connection is opened
 	protocol   connpool.Protocol
 	asking     func() // called right before a request is written, if protocol is a hooked one
 	sent       func() // called once its last byte has gone out
@@ -48,9 +48,9 @@
 func (b *bench) Closed(error) {}
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, clock: clock.NewManual(1000), conns: make(chan *loop.Conn, 8), came: make(chan struct{}, 8), free: make(chan struct{}),
+	b := &bench{t: t, clock: clock.NewManual(1000), conns: make(chan *netpoll.Conn, 8), came: make(chan struct{}, 8), free: make(chan struct{}),
 		dialling: func() {}, asking: func() {}, sent: func() {}, protocol: httpbackend.Protocol{}, budget: flow.NewBudget(1 << 20)}
-	l, err := loop.Listen("127.0.0.1:0", 8, func(c *loop.Conn) loop.Handler { b.conns <- c; return b })
+	l, err := netpoll.Listen("127.0.0.1:0", 8, func(c *netpoll.Conn) netpoll.Handler { b.conns <- c; return b })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	b.front, b.loop = l.Addr(), l
@@ -63,7 +63,7 @@
 }
 
 // client gives both ends of a client's connection.
-func (b *bench) client() (*net.TCPConn, *loop.Conn) {
+func (b *bench) client() (*net.TCPConn, *netpoll.Conn) {
 	raw, err := net.Dial("tcp", b.front)
 	require.NoError(b.t, err)
 	b.t.Cleanup(func() { _ = raw.Close() })
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -15,9 +15,9 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
 // Protocol is what is spoken with a host. Its methods may be called from any goroutine.
@@ -91,7 +91,7 @@
 type Pool struct {
 	set   Settings
 	clock clock.Clock
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 	log   *slog.Logger
 
 	limits atomic.Pointer[Limits]
@@ -104,7 +104,7 @@
 }
 
 // New makes an empty pool.
-func New(set Settings, c clock.Clock, l *loop.Loop, log *slog.Logger) *Pool {
+func New(set Settings, c clock.Clock, l *netpoll.Loop, log *slog.Logger) *Pool {
 	p := &Pool{set: set, clock: c, loop: l, log: log, idle: map[core.Host][]*conn{}, to: map[core.Host]int{}, wear: newWear(set.Settle)}
 	p.Limit(set.Limits)
 	return p
@@ -134,7 +134,7 @@
 type conn struct {
 	pool   *Pool
 	host   core.Host
-	net    *loop.Conn
+	net    *netpoll.Conn
 	since  float64 // idle since then
 	band   int     // of how long it was, 0 for a new one
 	mu     sync.Mutex
@@ -449,7 +449,7 @@
 // final answer is given, the host departs, the client is there, and nothing has come on the connection. err is that of the first write.
 func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan end, off <-chan struct{}) (c *conn, about any, o dispatch.Outcome,
 	err error) {
-	client, _ := call.Client.(*loop.Conn)
+	client, _ := call.Client.(*netpoll.Conn)
 	for {
 		c, err := p.get(host, until, done, off)
 		if err != nil {
@@ -601,7 +601,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	_, err := p.loop.Dial(ctx, host.Address, min(p.set.ConnectTimeout, until-now), func(n *loop.Conn) loop.Handler {
+	_, err := p.loop.Dial(ctx, host.Address, min(p.set.ConnectTimeout, until-now), func(n *netpoll.Conn) netpoll.Handler {
 		c.net = n
 		return c
 	})
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"linenwheel.dev/linenwheel/internal/loop"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
 // stuck holds the node's poller until it is freed.
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	defer l.Close()
 	h := stuck{make(chan struct{}), make(chan struct{})}
-	_, err = n.loop.Dial(t.Context(), l.Addr().String(), 60000, func(*loop.Conn) loop.Handler { return h })
+	_, err = n.loop.Dial(t.Context(), l.Addr().String(), 60000, func(*netpoll.Conn) netpoll.Handler { return h })
 	require.NoError(t, err)
 	c, err := l.Accept()
 	require.NoError(t, err)
--- a/node/handover.go
+++ b/node/handover.go
@@ -9,8 +9,8 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/service"
 )
@@ -133,13 +133,13 @@
 }
 
 // listen makes the node's loop: on the socket that it was given, or on one of its own.
-func listen(extra *Extras, address string, most int, accept func(*loop.Conn) loop.Handler) (*loop.Loop, error) {
-	var l *loop.Loop
+func listen(extra *Extras, address string, most int, accept func(*netpoll.Conn) netpoll.Handler) (*netpoll.Loop, error) {
+	var l *netpoll.Loop
 	var err error
 	if extra.Listener != nil {
-		l, err = loop.On(extra.Listener, most, accept)
+		l, err = netpoll.On(extra.Listener, most, accept)
 	} else {
-		l, err = loop.Hold(address, most, accept)
+		l, err = netpoll.Hold(address, most, accept)
 	}
 	if err == nil && !extra.Hold {
 		l.StartAccepting()
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -16,8 +16,8 @@
 	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/options"
 )
 
@@ -228,7 +228,7 @@
 
 // Sources is the list that options make of the sources that they name, without a node: for those who want to look.
 type Sources struct {
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 	lists *lists
 	conf  *Config
 	asked chan struct{}
@@ -241,7 +241,7 @@
 		return nil, err
 	}
 	s := &Sources{conf: conf, asked: make(chan struct{})}
-	if s.loop, err = loop.On(socket, 1, func(*loop.Conn) loop.Handler { return nil }); err != nil {
+	if s.loop, err = netpoll.On(socket, 1, func(*netpoll.Conn) netpoll.Handler { return nil }); err != nil {
 		return nil, err
 	}
 	left := new(atomic.Int32)
--- a/node/node.go
+++ b/node/node.go
@@ -23,13 +23,13 @@
 	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/httpserver"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
@@ -132,7 +132,7 @@
 	pilot  *dispatch.Pilot
 	gate   *gate.Gate
 	core   *core.Core
-	loop   *loop.Loop
+	loop   *netpoll.Loop
 	north  *httpserver.Side
 	pool   *connpool.Pool
 	watch  *discovery.Watcher
@@ -207,7 +207,7 @@
 	room := o.Room(conf)
 	var side *httpserver.Side
 	ready := make(chan struct{}) // a client may connect before the rest stands
-	n.loop, err = listen(&extra, conf.Listen, room.Clients+room.Spare, func(c *loop.Conn) loop.Handler {
+	n.loop, err = listen(&extra, conf.Listen, room.Clients+room.Spare, func(c *netpoll.Conn) netpoll.Handler {
 		<-ready
 		return side.Accept(c)
 	})
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -6,11 +6,11 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 	"linenwheel.dev/linenwheel/internal/node/upstream/thriftbackend"
@@ -28,7 +28,7 @@
 	pilot *dispatch.Pilot
 	core  *core.Core
 	front *thriftserver.Side // nil = no listener
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 }
 
 // protocols says what is spoken with a host.
@@ -104,7 +104,7 @@
 		fs.Tenants[tenant.Name] = i
 	}
 	t.front = thriftserver.New(fs, n.clock, t.core, n.gate, log.With("part", "north"))
-	t.loop, err = loop.Listen(front.Listen, room.Thrift, t.front.Accept)
+	t.loop, err = netpoll.Listen(front.Listen, room.Thrift, t.front.Accept)
 	return err
 }
 
