--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/flow"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 )
 
 // The most that a message may hold.
@@ -66,10 +66,10 @@
 	Status         int    // of a response
 	Fields         []Field
 	Body           []byte
-	Rest           *flow.Pipe // more of the body, which flows; nil = Body is all
-	Length         int        // of a body that flows, -1 = not known
-	Close          bool       // the sender ends the connection after it
-	Old            bool       // the sender speaks HTTP/1.0
+	Rest           *bodypipe.Pipe // more of the body, which flows; nil = Body is all
+	Length         int            // of a body that flows, -1 = not known
+	Close          bool           // the sender ends the connection after it
+	Old            bool           // the sender speaks HTTP/1.0
 
 	host  []byte // of the target, where that names one
 	names bool   // Connection names more than what becomes of the connection
--- a/internal/flow/flow.go
+++ b/internal/node/bodypipe/flow.go
@@ -1,4 +1,4 @@
-// Package flow carries a body from the connection that it comes on to the one that it goes out on, piece by piece, so that a
+// Package bodypipe carries a body from the connection that it comes on to the one that it goes out on, piece by piece, so that a
 // long one is never in memory as a whole. It does no I/O and reads no clock.
 //
 // The producer is a poller: Put never blocks. A pipe that holds its window asks for the source to be throttled, and lets it go
@@ -7,7 +7,7 @@
 //
 // Bounds: a Budget counts what all pipes of the process and the bodies that are held whole may have. The window of each pipe is
 // a part of it that shrinks with their number, never below one piece; what comes in one read may be added to it.
-package flow
+package bodypipe
 
 import (
 	"errors"
--- a/internal/flow/flow_test.go
+++ b/internal/node/bodypipe/flow_test.go
@@ -1,4 +1,4 @@
-package flow
+package bodypipe
 
 import (
 	"errors"
--- a/internal/node/downstream/httpserver/crossing_test.go
+++ b/internal/node/downstream/httpserver/crossing_test.go
@@ -14,8 +14,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/duty"
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
@@ -257,7 +257,7 @@
 	require.NoError(t, err)
 	b.until(func() bool { return b.stateOf(c) == leaving })
 	dropped := false
-	rest := flow.New(flow.NewBudget(1<<20), func(bool) {}, func() { dropped = true })
+	rest := bodypipe.New(bodypipe.NewBudget(1<<20), func(bool) {}, func() { dropped = true })
 	c.mu.Lock()
 	c.flow(&http1.Message{}, &core.Call{}, &http1.Message{Status: 200, Rest: rest})
 	c.mu.Unlock()
--- a/internal/node/downstream/httpserver/flow.go
+++ b/internal/node/downstream/httpserver/flow.go
@@ -3,8 +3,8 @@
 import (
 	"io"
 
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 )
 
@@ -110,7 +110,7 @@
 }
 
 // await waits for the host; it fails when the client has gone, or nothing comes for too long.
-func (w bodyWriter) await(rest *flow.Pipe) bool {
+func (w bodyWriter) await(rest *bodypipe.Pipe) bool {
 	late := make(chan struct{})
 	stop := w.c.side.clock.At(w.c.side.clock.Now()+w.c.side.limits.Load().Stall, func() { close(late) })
 	defer stop()
--- a/internal/node/downstream/httpserver/front.go
+++ b/internal/node/downstream/httpserver/front.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/stop/gate"
@@ -42,9 +42,9 @@
 
 // Bodies says what bodies a request may have.
 type Bodies struct {
-	Most   int          // bytes, 0 = that of internal/http1, held whole
-	Whole  int          // up to so many bytes one is held until it is whole; a longer one flows
-	Budget *flow.Budget // of what is held, and of what flows
+	Most   int              // bytes, 0 = that of internal/http1, held whole
+	Whole  int              // up to so many bytes one is held until it is whole; a longer one flows
+	Budget *bodypipe.Budget // of what is held, and of what flows
 }
 
 // Limits are what can change while the front serves, times in milliseconds, sizes in bytes.
@@ -294,15 +294,15 @@
 
 	mu     sync.Mutex
 	parser *http1.Parser
-	came   float64       // when bytes came last
-	busy   bool          // a request is being handled
-	deaf   bool          // more came behind it than is kept: its answer is the last
-	ended  bool          // nothing more is read
-	call   *core.Call    // that request
-	upload *flow.Pipe    // the rest of its body, which is still coming
-	held   int           // bytes of the budget reserved for its body
-	closes bool          // the answer that was begun last ends the connection
-	gone   chan struct{} // closed when the connection has ended; made when an answer flows
+	came   float64        // when bytes came last
+	busy   bool           // a request is being handled
+	deaf   bool           // more came behind it than is kept: its answer is the last
+	ended  bool           // nothing more is read
+	call   *core.Call     // that request
+	upload *bodypipe.Pipe // the rest of its body, which is still coming
+	held   int            // bytes of the budget reserved for its body
+	closes bool           // the answer that was begun last ends the connection
+	gone   chan struct{}  // closed when the connection has ended; made when an answer flows
 }
 
 // enter notes what the connection is about from now on, or that it still is.
@@ -540,7 +540,7 @@
 		return
 	}
 	if c.parser.Flowing() {
-		c.upload = flow.New(c.side.set.Bodies.Budget, c.hold, c.net.Resume)
+		c.upload = bodypipe.New(c.side.set.Bodies.Budget, c.hold, c.net.Resume)
 		m.Rest = c.upload
 	}
 	if a, ok := c.side.core.Take(call); !ok {
--- a/internal/node/upstream/connpool/body_test.go
+++ b/internal/node/upstream/connpool/body_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
@@ -22,7 +22,7 @@
 )
 
 // post is a call whose body flows: first is there, rest is still to come of length bytes in all, -1 = in chunks.
-func post(first string, rest *flow.Pipe, length int) *core.Call {
+func post(first string, rest *bodypipe.Pipe, length int) *core.Call {
 	return &core.Call{ID: "q", Tenant: -1, Deadline: 1e9, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q"),
 		Body: []byte(first), Rest: rest, Length: length}}
 }
@@ -45,7 +45,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			rest := flow.New(b.budget, func(bool) {}, func() {})
+			rest := bodypipe.New(b.budget, func(bool) {}, func() {})
 			rest.Put([]byte(body[1:c.came]))
 			off := make(chan struct{})
 			ended := b.relay(post(body[:1], rest, size), off) // nobody has told the end of rest
@@ -85,12 +85,12 @@
 			b := newBench(t)
 			b.protocol = httpbackend.Protocol{Flows: true, Most: 1 << 20}
 			taken := make(chan struct{}, 1)
-			rest := flow.New(flow.NewBudget(1), func(on bool) {
+			rest := bodypipe.New(bodypipe.NewBudget(1), func(on bool) {
 				if !on {
 					taken <- struct{}{}
 				}
 			}, func() {})
-			rest.Put(make([]byte, flow.Piece))
+			rest.Put(make([]byte, bodypipe.Piece))
 			ended := b.relay(post(strings.Repeat("x", 6<<20), rest, c.length), make(chan struct{}))
 			host := b.accept()
 			_, err := http.ReadRequest(bufio.NewReader(host)) // and no more
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -18,8 +18,8 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
@@ -41,7 +41,7 @@
 	protocol   connpool.Protocol
 	asking     func() // called right before a request is written, if protocol is a hooked one
 	sent       func() // called once its last byte has gone out
-	budget     *flow.Budget
+	budget     *bodypipe.Budget
 }
 
 func (b *bench) Data([]byte)  { b.came <- struct{}{}; <-b.free }
@@ -49,7 +49,7 @@
 
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, clock: clock.NewManual(1000), conns: make(chan *netpoll.Conn, 8), came: make(chan struct{}, 8), free: make(chan struct{}),
-		dialling: func() {}, asking: func() {}, sent: func() {}, protocol: httpbackend.Protocol{}, budget: flow.NewBudget(1 << 20)}
+		dialling: func() {}, asking: func() {}, sent: func() {}, protocol: httpbackend.Protocol{}, budget: bodypipe.NewBudget(1 << 20)}
 	l, err := netpoll.Listen("127.0.0.1:0", 8, func(c *netpoll.Conn) netpoll.Handler { b.conns <- c; return b })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
@@ -46,7 +46,7 @@
 	Payload any  // with Served
 	Last    bool // the host ends the connection after it
 	// Attach, if not nil, is to be given the rest of the body, which flows.
-	Attach func(*flow.Pipe)
+	Attach func(*bodypipe.Pipe)
 }
 
 // Flowing is what Answers have besides if some of them flow.
@@ -60,9 +60,9 @@
 // Body is what Request may return beside, for a body that is to be written after it.
 type Body struct {
 	First   []byte
-	Rest    *flow.Pipe // which only one relay can take; nil = First is all
-	Left    int        // bytes of Rest, if not Chunked
-	Chunked bool       // nobody knows how many those are
+	Rest    *bodypipe.Pipe // which only one relay can take; nil = First is all
+	Left    int            // bytes of Rest, if not Chunked
+	Chunked bool           // nobody knows how many those are
 }
 
 // Settings describe the south side, times in milliseconds.
@@ -76,7 +76,7 @@
 	// answer, does so before the next relay could take that for its own.
 	Settle float64
 	Limits Limits
-	Budget *flow.Budget // of bodies that flow; nil = none does
+	Budget *bodypipe.Budget // of bodies that flow; nil = none does
 	// Sent is told of each relay whose last byte has gone out; nil = nobody.
 	Sent func()
 }
@@ -140,13 +140,13 @@
 	mu     sync.Mutex
 	speaks Protocol
 	reader Answers
-	done   chan end     // of the relay that it carries, nil while idle
-	asked  bool         // that relay is being written: what comes may be its answer
-	alone  bool         // its request is written at once
-	need   atomic.Int64 // bytes written once all of that relay's request is
-	known  int64        // of them, those that are known before a body in chunks is
-	body   *flow.Pipe   // the rest of its answer, which goes on after its end
-	last   bool         // the host ends the connection after that
+	done   chan end       // of the relay that it carries, nil while idle
+	asked  bool           // that relay is being written: what comes may be its answer
+	alone  bool           // its request is written at once
+	need   atomic.Int64   // bytes written once all of that relay's request is
+	known  int64          // of them, those that are known before a body in chunks is
+	body   *bodypipe.Pipe // the rest of its answer, which goes on after its end
+	last   bool           // the host ends the connection after that
 	broken bool
 	freed  sync.Once
 }
@@ -229,7 +229,7 @@
 		return
 	}
 	if err == nil && answer.Attach != nil {
-		c.body, c.last = flow.New(c.pool.set.Budget, c.hold, c.forgo), answer.Last
+		c.body, c.last = bodypipe.New(c.pool.set.Budget, c.hold, c.forgo), answer.Last
 		answer.Attach(c.body)
 		c.finish(end{answer, whole, err})
 		fit := c.pieces()
--- a/internal/node/upstream/httpbackend/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -5,8 +5,8 @@
 import (
 	"errors"
 
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
@@ -99,7 +99,7 @@
 func (a answers) answer(m *http1.Message) connpool.Answer {
 	answer := connpool.Answer{Outcome: outcome(m), Payload: m, Last: m.Close}
 	if a.Flowing() {
-		answer.Attach = func(p *flow.Pipe) { m.Rest = p }
+		answer.Attach = func(p *bodypipe.Pipe) { m.Rest = p }
 	}
 	return answer
 }
--- a/node/node.go
+++ b/node/node.go
@@ -20,9 +20,9 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/figures"
-	"linenwheel.dev/linenwheel/internal/flow"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/httpserver"
@@ -153,8 +153,8 @@
 	doc   rollout.Document  // the fleet's policy, Number 0 = none; under reload
 
 	figures *figures.Set
-	budget  *flow.Budget // of bodies
-	door    *admin.Door  // nil = operators have none
+	budget  *bodypipe.Budget // of bodies
+	door    *admin.Door      // nil = operators have none
 	orders  orders
 
 	since     float64            // when it was made
@@ -192,7 +192,7 @@
 	}
 	logger = log.On(logger, c).With("node", conf.Name)
 	n.log = logger.With("part", "node")
-	n.figures, n.budget = figures.New(classNames(conf)), flow.NewBudget(bodiesBudget(conf, &o))
+	n.figures, n.budget = figures.New(classNames(conf)), bodypipe.NewBudget(bodiesBudget(conf, &o))
 	sparse := log.Sparse(logger, c, &n.flood)
 	var err error
 	set, seed := conf.Settings, conf.Seed
@@ -436,7 +436,7 @@
 	return l
 }
 
-func frontSettings(conf *Config, o *Options, room options.Room, budget *flow.Budget) httpserver.Settings {
+func frontSettings(conf *Config, o *Options, room options.Room, budget *bodypipe.Budget) httpserver.Settings {
 	set := httpserver.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
 		Crowded: room.Crowded, Limits: northLimits(o)}
 	for i, c := range conf.Settings.Classes {
