--- a/cmd/linenwheel/repeats.go
+++ b/cmd/linenwheel/repeats.go
@@ -13,7 +13,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 var errDamaged = errors.New("the journal is damaged")
@@ -21,23 +21,23 @@
 // repeatsCommand looks after a journal of repeats.
 func (s *shell) repeatsCommand() *ffcli.Command {
 	folder, asJSON, keep := "", false, time.Duration(0)
-	sub := func(name, help string, exec func(segments.Disk) error) *ffcli.Command {
+	sub := func(name, help string, exec func(wal.Disk) error) *ffcli.Command {
 		c := s.command(name, help, false, func(context.Context) error {
 			if folder == "" {
 				fmt.Fprintln(s.errs, "linenwheel: repeats: -journal is missing")
 				return flag.ErrHelp
 			}
-			return exec(segments.Disk{Path: folder})
+			return exec(wal.Disk{Path: folder})
 		})
 		c.ShortUsage = "linenwheel repeats " + name + " -journal FOLDER [flags]"
 		c.FlagSet.StringVar(&folder, "journal", "", "the `folder` that the option repeats.journal names")
 		return c
 	}
-	show := sub("show", "print what a journal holds", func(d segments.Disk) error { return s.showJournal(d, asJSON) })
+	show := sub("show", "print what a journal holds", func(d wal.Disk) error { return s.showJournal(d, asJSON) })
 	show.FlagSet.BoolVar(&asJSON, "json", false, "as JSON")
 	verify := sub("verify", "read all of a journal and print what is damaged; status 1 if anything is", s.verifyJournal)
 	compact := sub("compact", "write what is of use into one file and remove the others; no node may use it",
-		func(d segments.Disk) error { return s.compactJournal(d, keep) })
+		func(d wal.Disk) error { return s.compactJournal(d, keep) })
 	compact.FlagSet.DurationVar(&keep, "keep", time.Hour, "how long a record is of use: the longest window and deadline")
 	c := s.command("repeats", "look after a journal of repeats", false, func(context.Context) error { return flag.ErrHelp })
 	c.ShortUsage = "linenwheel repeats show|verify|compact -journal FOLDER [flags]"
@@ -45,7 +45,7 @@
 	return c
 }
 
-func (s *shell) showJournal(d segments.Disk, asJSON bool) error {
+func (s *shell) showJournal(d wal.Disk, asJSON bool) error {
 	r, err := journal.Inspect(d)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return err
 }
 
-func (s *shell) verifyJournal(d segments.Disk) error {
+func (s *shell) verifyJournal(d wal.Disk) error {
 	r, err := journal.Inspect(d)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return err
 }
 
-func (s *shell) compactJournal(d segments.Disk, keep time.Duration) error {
+func (s *shell) compactJournal(d wal.Disk, keep time.Duration) error {
 	lock, err := d.Lock()
 	if err != nil {
 		return err
--- a/internal/node/consensus/replica/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -25,8 +25,8 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/storage"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/segments"
 )
 
 // MostClients is how many connections of clients a keeper has at once.
@@ -57,7 +57,7 @@
 	ImageEvery int               // bytes
 	Trail      int               // entries
 	Release    string
-	Wrap       func(segments.Folder) segments.Folder // of the disk, for rigs; nil = none
+	Wrap       func(wal.Folder) wal.Folder // of the disk, for rigs; nil = none
 }
 
 // Keeper is one running member.
--- a/internal/node/consensus/storage/store.go
+++ b/internal/node/consensus/storage/store.go
@@ -21,8 +21,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/wal"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/segments"
 )
 
 // Version is that of the files' form; one release reads its own and the one before. This is the first.
@@ -35,8 +35,8 @@
 var ErrForeign = errors.New("the directory belongs to another fleet or keeper")
 
 var (
-	logForm   = segments.Form{Magic: "lwagreed", Prefix: "log"}
-	imageForm = segments.Form{Magic: "lwimage", Prefix: "image"}
+	logForm   = wal.Form{Magic: "lwagreed", Prefix: "log"}
+	imageForm = wal.Form{Magic: "lwimage", Prefix: "image"}
 )
 
 const (
@@ -68,9 +68,9 @@
 // Store is open for one process.
 type Store struct {
 	Identity
-	disk    segments.Disk
-	folder  segments.Folder
-	log     segments.Writer
+	disk    wal.Disk
+	folder  wal.Folder
+	log     wal.Writer
 	lock    *os.File
 	next    int // number of the next image
 	saved   group.Saved
@@ -80,8 +80,8 @@
 
 // Open makes or opens the folder of a keeper, and counts the start. The folder's File operations are wrapped by wrap, if it
 // is not nil: for tests and rigs whose disk fails where they want.
-func Open(path, fleet, name string, synced bool, wrap func(segments.Folder) segments.Folder) (*Store, error) {
-	s := &Store{disk: segments.Disk{Path: path}, next: 1}
+func Open(path, fleet, name string, synced bool, wrap func(wal.Folder) wal.Folder) (*Store, error) {
+	s := &Store{disk: wal.Disk{Path: path}, next: 1}
 	s.folder = s.disk
 	if wrap != nil {
 		s.folder = wrap(s.folder)
@@ -245,10 +245,10 @@
 		}
 		return nil
 	}, s.take)
-	if errors.Is(err, segments.ErrTorn) && !goesOn(text[offset:]) {
+	if errors.Is(err, wal.ErrTorn) && !goesOn(text[offset:]) {
 		return nil
 	}
-	if errors.Is(err, segments.ErrTorn) {
+	if errors.Is(err, wal.ErrTorn) {
 		err = ErrDamaged
 	}
 	if err != nil {
@@ -260,7 +260,7 @@
 // goesOn tells whether a whole record stands anywhere behind the one that b begins with.
 func goesOn(b []byte) bool {
 	for i := 1; i < len(b); i++ {
-		if content, _, err := segments.Next(b[i:]); err == nil && len(content) > 1 {
+		if content, _, err := wal.Next(b[i:]); err == nil && len(content) > 1 {
 			return true
 		}
 	}
@@ -380,7 +380,7 @@
 
 func record(dst []byte, kind byte, m proto.Message) ([]byte, error) {
 	var err error
-	dst = segments.Append(dst, func(b []byte) []byte {
+	dst = wal.Append(dst, func(b []byte) []byte {
 		b, err = proto.MarshalOptions{}.MarshalAppend(append(b, kind), m)
 		return b
 	})
@@ -433,16 +433,16 @@
 }
 
 func (s *Store) writeImage(image *pb.Snapshot) error {
-	w := segments.Writer{Folder: s.folder, Form: imageForm, Header: s.log.Header, Most: 1 << 62, Number: s.next, Synced: true}
+	w := wal.Writer{Folder: s.folder, Form: imageForm, Header: s.log.Header, Most: 1 << 62, Number: s.next, Synced: true}
 	s.next++
 	b, err := record(nil, kindMeta, image.GetMetadata())
 	if err != nil {
 		return err
 	}
 	for part := range slices.Chunk(image.GetData(), piece) {
-		b = segments.Append(b, func(b []byte) []byte { return append(append(b, kindPiece), part...) })
+		b = wal.Append(b, func(b []byte) []byte { return append(append(b, kindPiece), part...) })
 	}
-	b = segments.Append(b, func(b []byte) []byte { return append(b, kindEnd) })
+	b = wal.Append(b, func(b []byte) []byte { return append(b, kindEnd) })
 	if err := w.Write(b); err != nil {
 		return err
 	}
--- a/internal/node/consensus/storage/store_test.go
+++ b/internal/node/consensus/storage/store_test.go
@@ -11,25 +11,25 @@
 	"github.com/stretchr/testify/require"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"linenwheel.dev/linenwheel/internal/node/wal"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/segments"
 )
 
 var errDisk = errors.New("the disk failed")
 
 // faulty is a folder whose disk is full after so many bytes.
 type faulty struct {
-	segments.Folder
+	wal.Folder
 	room *int
 }
 
-func (f faulty) Create(name string) (segments.File, error) {
+func (f faulty) Create(name string) (wal.File, error) {
 	out, err := f.Folder.Create(name)
 	return faultyFile{out, f.room}, err
 }
 
 type faultyFile struct {
-	segments.File
+	wal.File
 	room *int
 }
 
@@ -122,7 +122,7 @@
 	for step := range steps {
 		for room := 0; ; room += 3 {
 			dir, left := t.TempDir(), 1<<30
-			s, err := Open(dir, "f", "a", true, func(f segments.Folder) segments.Folder { return faulty{f, &left} })
+			s, err := Open(dir, "f", "a", true, func(f wal.Folder) wal.Folder { return faulty{f, &left} })
 			require.NoError(t, err)
 			for _, do := range steps[:step] {
 				require.NoError(t, do(s))
@@ -177,7 +177,7 @@
 	}
 	dir, s := fill()
 	_, err := Open(dir, "f", "a", false, nil)
-	require.ErrorIs(t, err, segments.ErrInUse)
+	require.ErrorIs(t, err, wal.ErrInUse)
 	require.NoError(t, s.Close())
 	_, err = Open(dir, "other", "a", false, nil)
 	require.ErrorIs(t, err, ErrForeign)
--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 // Segment describes one file of a journal.
@@ -28,7 +28,7 @@
 }
 
 // Inspect reads a folder without changing it.
-func Inspect(f segments.Folder) (r Report, err error) {
+func Inspect(f wal.Folder) (r Report, err error) {
 	names, err := f.List()
 	if err != nil {
 		return r, fmt.Errorf("reading the journal: %w", err)
@@ -95,7 +95,7 @@
 
 // Compact writes what is of use at a time into one new segment and removes the others. Nothing may have the folder open.
 // A damaged segment stays, so that a person can look at it.
-func Compact(f segments.Folder, keep, now float64) (kept int, err error) {
+func Compact(f wal.Folder, keep, now float64) (kept int, err error) {
 	r, err := Inspect(f)
 	if err != nil {
 		return 0, err
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -25,7 +25,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 // Version is that of the form. One release reads its own and the one before; this is the first.
@@ -49,7 +49,7 @@
 )
 
 // form is that of the files.
-var form = segments.Form{Magic: "lwrepeat", Prefix: "repeats"}
+var form = wal.Form{Magic: "lwrepeat", Prefix: "repeats"}
 
 // kind is what a record tells.
 type kind uint8
@@ -80,7 +80,7 @@
 )
 
 func (r *record) append(dst []byte) []byte {
-	return segments.Append(dst, func(dst []byte) []byte {
+	return wal.Append(dst, func(dst []byte) []byte {
 		dst = append(dst, byte(r.kind), byte(r.how), r.class)
 		dst = binary.BigEndian.AppendUint16(dst, r.tenant)
 		dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.at))
@@ -96,7 +96,7 @@
 
 func parse(b []byte) (r record, err error) {
 	if len(b) < recordLength || b[0] != byte(began) && b[0] != byte(ended) || b[1] > byte(idempotency.EndInDoubt) {
-		return r, segments.ErrTorn
+		return r, wal.ErrTorn
 	}
 	r = record{kind: kind(b[0]), how: idempotency.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
 		at: math.Float64frombits(binary.BigEndian.Uint64(b[5:]))}
@@ -110,11 +110,11 @@
 		w := idempotency.Windows{Answered: math.Float64frombits(binary.BigEndian.Uint64(rest)),
 			Doubt: math.Float64frombits(binary.BigEndian.Uint64(rest[8:]))}
 		if !(w.Answered >= 0 && w.Doubt >= 0) || math.IsInf(w.Longest(), 1) {
-			return r, segments.ErrTorn
+			return r, wal.ErrTorn
 		}
 		r.windows = &w
 	case len(rest) > 0:
-		return r, segments.ErrTorn
+		return r, wal.ErrTorn
 	}
 	return r, nil
 }
@@ -135,7 +135,7 @@
 // Journal is open for writing. All of its methods may be called from any goroutine.
 type Journal struct {
 	set    Settings
-	folder segments.Folder
+	folder wal.Folder
 
 	mu      sync.Mutex
 	wake    *sync.Cond
@@ -145,7 +145,7 @@
 	keep    float64 // ms for which records are of use; never less than before
 
 	// Of the goroutine that writes.
-	out  segments.Writer
+	out  wal.Writer
 	last float64 // when the last record of the present segment was made
 	old  []segment
 }
@@ -291,7 +291,7 @@
 
 // Read reads a folder without changing it: what is known of each name at a time, in the order of their ends, and what is
 // wrong. Of a damaged file what stands before the damage counts. A call that had begun and not ended was running.
-func Read(f segments.Folder, set Settings, now float64) (list []idempotency.Known, found []Finding, err error) {
+func Read(f wal.Folder, set Settings, now float64) (list []idempotency.Known, found []Finding, err error) {
 	names, err := f.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the journal: %w", err)
@@ -388,7 +388,7 @@
 
 // Open reads a folder and makes a journal that goes on in it, in a segment of its own. Findings are not errors: what is
 // damaged stays as it is until its time is over.
-func Open(f segments.Folder, set Settings, now float64) (j *Journal, list []idempotency.Known, found []Finding, err error) {
+func Open(f wal.Folder, set Settings, now float64) (j *Journal, list []idempotency.Known, found []Finding, err error) {
 	list, found, err = Read(f, set, now)
 	if err != nil {
 		return nil, nil, nil, err
@@ -402,7 +402,7 @@
 		j.keep = max(j.keep, set.keeps(k.Windows))
 	}
 	j.wake = sync.NewCond(&j.mu)
-	j.out = segments.Writer{Folder: f, Form: form, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.sweep,
+	j.out = wal.Writer{Folder: f, Form: form, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.sweep,
 		Ended: func(_ int, name string) { j.old = append(j.old, segment{name, j.last}) }}
 	names, err := f.List()
 	if err != nil {
--- a/internal/node/idempotency/journal/journal_test.go
+++ b/internal/node/idempotency/journal/journal_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 var set = Settings{Classes: []string{"post-charge", "cap-alert"}, Tenants: []string{"morava", "vltava"}, SegmentBytes: 600,
@@ -49,7 +49,7 @@
 	return nil, fs.ErrNotExist
 }
 
-func (m *memory) Create(name string) (segments.File, error) {
+func (m *memory) Create(name string) (wal.File, error) {
 	if m.files[name] != nil || m.room == 0 {
 		return nil, errDisk
 	}
@@ -96,7 +96,7 @@
 func (h *handle) Close() error { return nil }
 
 // begin opens a journal on a folder and runs it; stop ends it.
-func begin(t *testing.T, f segments.Folder, now float64) (j *Journal, list []idempotency.Known, found []Finding, stop func()) {
+func begin(t *testing.T, f wal.Folder, now float64) (j *Journal, list []idempotency.Known, found []Finding, stop func()) {
 	j, list, found, err := Open(f, set, now)
 	require.NoError(t, err)
 	over := make(chan struct{})
@@ -214,7 +214,7 @@
 	}
 	text, err := json.Marshal(header{Version: Version + 1})
 	require.NoError(t, err)
-	m.files[form.Name(2)] = segments.Append([]byte(form.Magic), func(b []byte) []byte { return append(b, text...) })
+	m.files[form.Name(2)] = wal.Append([]byte(form.Magic), func(b []byte) []byte { return append(b, text...) })
 	m.files["notes.txt"], m.files["repeats-1.log"] = []byte("x"), []byte("y")
 	other := set
 	other.Classes, other.Tenants = []string{"cap-alert", "new"}, []string{"vltava"}
@@ -239,7 +239,7 @@
 // Guards against segments that are kept for ever, or removed while they are of use, and against a read-only disk that goes
 // unnoticed.
 func TestOnDisk(t *testing.T) {
-	dir := segments.Disk{Path: t.TempDir()}
+	dir := wal.Disk{Path: t.TempDir()}
 	j, _, _, stop := begin(t, dir, 0)
 	for i := range 200 {
 		ticket, err := j.Began(float64(i)*100, call(i))
@@ -256,7 +256,7 @@
 	assert.Len(t, list, 11)
 	_, err = dir.Create(names[0])
 	require.ErrorIs(t, err, fs.ErrExist)
-	_, _, _, err = Open(segments.Disk{Path: dir.Path + "/none"}, set, 0)
+	_, _, _, err = Open(wal.Disk{Path: dir.Path + "/none"}, set, 0)
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
@@ -278,7 +278,7 @@
 		b.Run(fmt.Sprint(many), func(b *testing.B) {
 			big := set
 			big.SegmentBytes, big.Queue = 8<<20, 1<<20
-			j, _, _, err := Open(segments.Disk{Path: b.TempDir()}, big, 0)
+			j, _, _, err := Open(wal.Disk{Path: b.TempDir()}, big, 0)
 			require.NoError(b, err)
 			over := make(chan struct{})
 			go func() { j.Run(); close(over) }()
--- a/internal/node/idempotency/middleware/edge_test.go
+++ b/internal/node/idempotency/middleware/edge_test.go
@@ -19,7 +19,7 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 // text is a payload.
@@ -198,7 +198,7 @@
 // Guards against a charge that runs though the disk does not have it, and against a repeat after a restart that runs again
 // or gets another answer.
 func TestJournal(t *testing.T) {
-	disk := segments.Disk{Path: t.TempDir()}
+	disk := wal.Disk{Path: t.TempDir()}
 	set := settings()
 	keep := journal.Settings{Classes: []string{"a", "b", "c", "d", "e"}, SegmentBytes: 1 << 20, Keep: 2000, Queue: 10}
 	open := func() (over chan struct{}) {
--- a/internal/segments/folder.go
+++ b/internal/node/wal/folder.go
@@ -1,4 +1,4 @@
-package segments
+package wal
 
 import (
 	"errors"
--- a/internal/segments/segments.go
+++ b/internal/node/wal/segments.go
@@ -1,4 +1,4 @@
-// Package segments keeps records on a disk in files that are only appended to.
+// Package wal keeps records on a disk in files that are only appended to.
 //
 // A segment begins with its form's magic word and a header; header and records each carry their length and a checksum
 // (xxHash64). A write that is cut off leaves a torn tail, which Read names: what stands before it counts. Nothing is ever
@@ -6,7 +6,7 @@
 // of a failed sync is not known.
 //
 // Bounds: a segment ends at the size that its Writer is given, or a record beyond; a record has 1 MiB at the most.
-package segments
+package wal
 
 import (
 	"encoding/binary"
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -14,8 +14,8 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/segments"
 )
 
 // leastSecret is how many bytes a secret must have: fewer could be guessed.
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	if o.Journal != "" {
-		disk := segments.Disk{Path: o.Journal}
+		disk := wal.Disk{Path: o.Journal}
 		if err = disk.Make(); err != nil {
 			return nil, fmt.Errorf("repeats.journal: %w", err)
 		}
