--- a/cmd/linenwheel/newcomer_test.go
+++ b/cmd/linenwheel/newcomer_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 	"linenwheel.dev/linenwheel/node"
 )
 
@@ -82,7 +82,7 @@
 	require.Equal(t, 200, code, said)
 	code, state := s.call(door, "GET", "/v1/node/knowledge")
 	require.Equal(t, 200, code)
-	known, err := store.Decode([]byte(state))
+	known, err := statedir.Decode([]byte(state))
 	require.NoError(t, err)
 
 	empty, _ := s.another("n2", "")
@@ -109,7 +109,7 @@
 	k.Pilot.Module.Zones = nil
 	known.Knowledge = must(json.Marshal(k))
 	dir := t.TempDir()
-	require.NoError(t, store.Replace(filepath.Join(dir, "state"), must(store.Encode(known))))
+	require.NoError(t, statedir.Replace(filepath.Join(dir, "state"), must(statedir.Encode(known))))
 	learned, _ = s.another("n4", fmt.Sprintf("directory = %q\n%s", dir, from), "how the last process ended", begins)
 	require.NotEqual(t, "well", learned["dead"].Health)
 
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -8,14 +8,14 @@
 	"os"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 	"linenwheel.dev/linenwheel/node"
 )
 
 // keeper keeps what the node knows. A nil one keeps nothing.
 type keeper struct {
 	d     *daemon
-	store *store.Store
+	store *statedir.Store
 	known *node.Knowledge // what the last process kept, nil if that is of no use
 
 	mu   sync.Mutex
@@ -26,7 +26,7 @@
 // in the log, and nothing is kept.
 func newKeeper(d *daemon) *keeper {
 	dir := d.set.Options.State.Directory
-	s, last, err := store.Open(dir, d.set.Config.Name)
+	s, last, err := statedir.Open(dir, d.set.Config.Name)
 	if s == nil {
 		d.log.Error("nothing is kept for the next start", "error", err)
 		return nil
@@ -40,7 +40,7 @@
 	}
 	age := d.clock.Now() - last.Saved
 	word := fmt.Sprintf("%s, %.0f s after its last word, with %d calls open then", last.End, age/1000, last.Open)
-	if last.End == store.Clean || last.End == store.Handed {
+	if last.End == statedir.Clean || last.End == statedir.Handed {
 		word = string(last.End)
 	}
 	d.mu.Lock()
@@ -51,7 +51,7 @@
 	switch {
 	case age > d.set.Options.State.UseFor.Ms:
 		d.log.Info("what was kept is too old to be used", "age_ms", age)
-	case last.End != store.Handed: // else it was handed over by word of mouth
+	case last.End != statedir.Handed: // else it was handed over by word of mouth
 		k.known = d.knowledge(last.Knowledge)
 	}
 	return k
@@ -60,14 +60,14 @@
 // run writes snapshots until ctx ends: one at once, by which a kill is told from the end before, and the others at a phase
 // of this process's own.
 func (k *keeper) run(ctx context.Context) {
-	k.save(store.Unknown, 0)
+	k.save(statedir.Unknown, 0)
 	every := k.d.set.Options.State.Every.Ms
 	for next := k.d.clock.Now() + rand.Float64()*every; ; next = max(next+every, k.d.clock.Now()) {
 		over := make(chan struct{})
 		stop := k.d.clock.At(next, func() { close(over) })
 		select {
 		case <-over:
-			k.save(store.Unknown, k.d.node.Status().Open)
+			k.save(statedir.Unknown, k.d.node.Status().Open)
 		case <-ctx.Done():
 			stop()
 			return
@@ -76,14 +76,14 @@
 }
 
 // save writes a snapshot, with the end that it tells of.
-func (k *keeper) save(end store.End, open int) {
+func (k *keeper) save(end statedir.End, open int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.write(end, open)
 }
 
 // write is save under the lock.
-func (k *keeper) write(end store.End, open int) {
+func (k *keeper) write(end statedir.End, open int) {
 	if !k.mine {
 		return
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	s := k.d.node.Status()
-	state := store.State{Node: s.Name, PID: os.Getpid(), Release: k.d.set.Release, Started: s.Since, Saved: s.Now, End: end,
+	state := statedir.State{Node: s.Name, PID: os.Getpid(), Release: k.d.set.Release, Started: s.Since, Saved: s.Now, End: end,
 		Open: open}
 	var err error
 	if state.Counts, err = json.Marshal(s.Endings); err == nil {
@@ -113,15 +113,15 @@
 	if k == nil {
 		return
 	}
-	end := store.Clean
+	end := statedir.Clean
 	if unanswered > 0 {
-		end = store.Unanswered
+		end = statedir.Unanswered
 	}
 	k.letGo(end, unanswered)
 }
 
 // letGo writes the last snapshot of this process: none comes after it.
-func (k *keeper) letGo(end store.End, open int) {
+func (k *keeper) letGo(end statedir.End, open int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.write(end, open)
@@ -134,7 +134,7 @@
 	if k == nil {
 		return
 	}
-	k.letGo(store.Handed, k.d.node.Status().Open)
+	k.letGo(statedir.Handed, k.d.node.Status().Open)
 }
 
 // regain keeps the state here again.
@@ -145,5 +145,5 @@
 	k.mu.Lock()
 	k.mine = true
 	k.mu.Unlock()
-	k.save(store.Unknown, k.d.node.Status().Open)
+	k.save(statedir.Unknown, k.d.node.Status().Open)
 }
--- a/internal/inventory/last/last.go
+++ b/internal/inventory/last/last.go
@@ -18,12 +18,12 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
 const maxBytes = 64 << 20
 
-var fileForm = store.Form{Magic: "linenwheel inventory", What: "list of a node", Version: 1}
+var fileForm = statedir.Form{Magic: "linenwheel inventory", What: "list of a node", Version: 1}
 
 // Record is what is kept.
 type Record struct {
@@ -63,7 +63,7 @@
 
 // Load reads a node's record; nil if there is none.
 func Load(path, node string) (*Record, error) {
-	text, err := store.ReadFile(path, maxBytes)
+	text, err := statedir.ReadFile(path, maxBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return store.Replace(path, fileForm.Seal(body))
+	return statedir.Replace(path, fileForm.Seal(body))
 }
 
 // Writer keeps what changes.
--- a/internal/store/store.go
+++ b/internal/node/statedir/store.go
@@ -1,10 +1,10 @@
-// Package store keeps what a node knows in a directory that outlives its process, and tells after the next start how
+// Package statedir keeps what a node knows in a directory that outlives its process, and tells after the next start how
 // the last process ended.
 //
 // The directory holds three files. `state` is a line of text, which names the form, the length and the checksum, and one
 // JSON object; it is replaced as a whole, by way of `state.new`. `crash` gets what the runtime writes when the process
 // dies of a fault of its own. `lock` is locked by the process that writes. A file is at most maxState bytes.
-package store
+package statedir
 
 import (
 	"encoding/json"
--- a/node/lesson.go
+++ b/node/lesson.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
 // clocksApart is by how many milliseconds the clocks of two nodes may differ.
@@ -27,13 +27,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return store.Encode(store.State{Node: n.conf.Name, PID: os.Getpid(), Started: n.since, Saved: k.At, Open: n.core.Unanswered(), Knowledge: text})
+	return statedir.Encode(statedir.State{Node: n.conf.Name, PID: os.Getpid(), Started: n.since, Saved: k.At, Open: n.core.Unanswered(), Knowledge: text})
 }
 
 // ReadLesson reads what another node's door gave at a time, and says why it is of no use to a node with this configuration:
 // it is of another form, of another zone, of a clock that differs, or rests on no answer in the last useFor milliseconds.
 func ReadLesson(text []byte, from string, conf *Config, now, useFor float64) (l Lesson, err error) {
-	s, err := store.Decode(text)
+	s, err := statedir.Decode(text)
 	if err != nil {
 		return l, err
 	}
--- a/node/lesson_test.go
+++ b/node/lesson_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
 // Guards against bad news of another node that is taken: of another form, zone or clock, too old, or of a node that knows nothing;
@@ -38,12 +38,12 @@
 	assert.Zero(t, l.Life)
 	assert.Empty(t, l.Pilot.Module.Quota)
 
-	state, err := store.Decode(text)
+	state, err := statedir.Decode(text)
 	require.NoError(t, err)
 	with := func(knowledge string) []byte {
 		other := state
 		other.Knowledge = json.RawMessage(knowledge)
-		text, err := store.Encode(other)
+		text, err := statedir.Encode(other)
 		require.NoError(t, err)
 		return text
 	}
