--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -21,8 +21,8 @@
 	"linenwheel.dev/linenwheel/internal/inventory/agent"
 	"linenwheel.dev/linenwheel/internal/inventory/etcd"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/systemd"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/service"
 )
 
 const optionsVariable = "LINENWHEEL_OPTIONS"
@@ -188,7 +188,7 @@
 // serve works until ctx ends. A signal has it read the options again.
 func (a *program) serve(ctx context.Context, o *options.Options, set *etcd.Settings, errs io.Writer, again <-chan os.Signal) error {
 	a.log = a.logger(o, errs)
-	manager, err := service.Adopt(func(err error) { a.log.Warn("the service manager cannot be told", "error", err) })
+	manager, err := systemd.Adopt(func(err error) { a.log.Warn("the service manager cannot be told", "error", err) })
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 		return fmt.Errorf("listening on %s: %w", o.Inventory.Etcd.Agent, err)
 	}
 	book := agent.NewBook(options.SourceEtcd)
-	ready := sync.OnceFunc(func() { manager.Ready(service.Serving) })
+	ready := sync.OnceFunc(func() { manager.Ready(systemd.Serving) })
 	source := etcd.New(*set, a.clock, a.log, told{book, a.clock, ready})
 	server := &http.Server{Handler: (&agent.Server{Book: book, Clock: a.clock, Look: source.Look}).Handler(),
 		ReadHeaderTimeout: headLimit, ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,8 +20,8 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/control"
+	"linenwheel.dev/linenwheel/internal/node/systemd"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/service"
 	"linenwheel.dev/linenwheel/internal/takeover"
 	"linenwheel.dev/linenwheel/node"
 )
@@ -51,7 +51,7 @@
 	set     Settings
 	log     *slog.Logger
 	clock   clock.Clock
-	manager *service.Manager
+	manager *systemd.Manager
 	node    *node.Node
 	take    *control.Take // nil = no takeover was asked for, or there was nobody to take over from
 	keeper  *keeper       // nil = nothing is kept
@@ -88,17 +88,17 @@
 	d := &daemon{set: set, log: set.Log.With("node", set.Config.Name, "part", "daemon"), clock: clock.NewSystem(), owner: make(chan struct{}), made: make(chan struct{}),
 		fail: make(chan error, 1)}
 	var err error
-	d.manager, err = service.Adopt(func(err error) {
+	d.manager, err = systemd.Adopt(func(err error) {
 		d.log.Warn("the service manager cannot be told", "error", err)
 	})
 	if err != nil {
 		d.log.Warn("the service manager's variables are bad", "error", err)
 	}
-	handed, err := service.Listeners()
+	handed, err := systemd.Listeners()
 	if err != nil {
 		d.log.Warn("a socket of the service manager is no use", "error", err)
 	}
-	listener, rest := service.Pick(handed, north, set.Config.Listen)
+	listener, rest := systemd.Pick(handed, north, set.Config.Listen)
 	for _, l := range rest {
 		d.log.Warn("the service manager handed in a socket that is not in the configuration", "name", l.Name,
 			"address", l.Addr().String())
@@ -385,7 +385,7 @@
 }
 
 // serving tells the manager that the process serves, unless it was told to end.
-func (d *daemon) serving() { d.unlessTold(func() { d.manager.Ready(service.Serving) }) }
+func (d *daemon) serving() { d.unlessTold(func() { d.manager.Ready(systemd.Serving) }) }
 
 func (d *daemon) unlessTold(tell func()) {
 	d.telling.Lock()
@@ -401,7 +401,7 @@
 		if d.set.Options.State.Directory != "" {
 			d.keeper = newKeeper(d)
 		}
-		defer d.manager.Tell(fmt.Sprintf("MAINPID=%d", os.Getpid()), "READY=1", "STATUS="+service.Serving)
+		defer d.manager.Tell(fmt.Sprintf("MAINPID=%d", os.Getpid()), "READY=1", "STATUS="+systemd.Serving)
 	}
 	if d.keeper != nil {
 		go d.keeper.run(ctx)
@@ -445,7 +445,7 @@
 		d.log.Error("the watchdog cannot be fed", "error", err)
 		return
 	}
-	h := &service.Heart{Manager: d.manager, Clock: d.clock, Stations: stations, Late: func(name string, ms float64) {
+	h := &systemd.Heart{Manager: d.manager, Clock: d.clock, Stations: stations, Late: func(name string, ms float64) {
 		d.stuck.Store(&name)
 		d.log.Error("a part of the node does not answer its watchdog", "station", name, "ms", ms)
 	}, Well: func() { d.stuck.Store(nil) }}
--- a/internal/service/heart.go
+++ b/internal/node/systemd/heart.go
@@ -1,4 +1,4 @@
-package service
+package systemd
 
 import (
 	"context"
--- a/internal/service/service.go
+++ b/internal/node/systemd/service.go
@@ -1,9 +1,9 @@
-// Package service speaks the protocols of the host's service manager: notification, listeners by descriptor, watchdog.
+// Package systemd speaks the protocols of the host's service manager: notification, listeners by descriptor, watchdog.
 // Without the manager's variables it does nothing.
 //
 // Adopt reads the variables once and takes them out of the environment, so that a child that the node starts neither
 // speaks in its name nor takes its listeners.
-package service
+package systemd
 
 import (
 	"cmp"
--- a/node/handover.go
+++ b/node/handover.go
@@ -12,7 +12,7 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/quota"
-	"linenwheel.dev/linenwheel/internal/service"
+	"linenwheel.dev/linenwheel/internal/node/systemd"
 )
 
 // Knowledge is what a node knows of its hosts, as plain data for the process that comes after it.
@@ -108,12 +108,12 @@
 
 // Stations are the loops that have to work for a request to be served, for a watchdog: the poller that reads all
 // sockets, the timers and the module behind the pilot's lock, and the locks of the front and the core.
-func (n *Node) Stations() ([]service.Station, error) {
+func (n *Node) Stations() ([]systemd.Station, error) {
 	pulse, err := n.loop.Pulse()
 	if err != nil {
 		return nil, err
 	}
-	return []service.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
+	return []systemd.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
 		{Name: "the front", Pass: func(context.Context) { n.north.Connections() }},
 		{Name: "the core", Pass: func(context.Context) { n.unanswered() }}}, nil
 }
