--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/takeover"
+	"linenwheel.dev/linenwheel/internal/node/hotrestart"
 )
 
 const deathLimit = 1000 // milliseconds for a process that has closed its connection to turn out dead
@@ -38,7 +38,7 @@
 
 // ask says hello and reads the answer.
 func (w wire) ask(want, release string) (message, []*os.File, error) {
-	hello := message{Type: takeover.Hello.String(), Min: lowest, Max: highest, Want: want, Release: release,
+	hello := message{Type: hotrestart.Hello.String(), Min: lowest, Max: highest, Want: want, Release: release,
 		PID: os.Getpid()}
 	if err := w.write(hello, writeLimit); err != nil {
 		return message{}, nil, err
@@ -83,7 +83,7 @@
 	pidfd int // -1 = none
 
 	mu      sync.Mutex
-	machine *takeover.Taker
+	machine *hotrestart.Taker
 	yours   json.RawMessage
 	alarm   func()
 	ended   bool
@@ -93,8 +93,8 @@
 }
 
 // Begin asks the process at a path to hand over. The hooks are called from here on.
-func Begin(path, release string, limits takeover.Limits, c clock.Clock, hooks Hooks) *Take {
-	t := &Take{hooks: hooks, clock: c, pidfd: -1, alarm: func() {}, machine: takeover.NewTaker(c.Now(), limits)}
+func Begin(path, release string, limits hotrestart.Limits, c clock.Clock, hooks Hooks) *Take {
+	t := &Take{hooks: hooks, clock: c, pidfd: -1, alarm: func() {}, machine: hotrestart.NewTaker(c.Now(), limits)}
 	go t.run(path, release)
 	return t
 }
@@ -113,7 +113,7 @@
 
 // Prepared tells that this process could serve.
 func (t *Take) Prepared() {
-	t.event(func(now float64) []takeover.Action { return t.machine.Prepared(now) })
+	t.event(func(now float64) []hotrestart.Action { return t.machine.Prepared(now) })
 }
 
 func (t *Take) run(path, release string) {
@@ -141,7 +141,7 @@
 			defer unix.Close(t.pidfd)
 		}
 	}
-	hello := message{Type: takeover.Hello.String(), Min: lowest, Max: highest, Want: wantTakeover, Release: release,
+	hello := message{Type: hotrestart.Hello.String(), Min: lowest, Max: highest, Want: wantTakeover, Release: release,
 		PID: os.Getpid(), Mark: t.hooks.Mark}
 	if err := t.wire.write(hello, writeLimit); err == nil {
 		t.event(nil)
@@ -155,7 +155,7 @@
 		t.hooks.Died()
 	}
 	alive := t.alive()
-	t.event(func(float64) []takeover.Action { return t.machine.Lost(alive) })
+	t.event(func(float64) []hotrestart.Action { return t.machine.Lost(alive) })
 	if t.hooks.Cut != nil {
 		t.hooks.Cut(alive)
 	}
@@ -178,8 +178,8 @@
 		if err != nil {
 			return
 		}
-		kind, ok := takeover.Parse(m.Type)
-		if !ok || kind != takeover.State {
+		kind, ok := hotrestart.Parse(m.Type)
+		if !ok || kind != hotrestart.State {
 			closeAll(files)
 		}
 		switch m.Type {
@@ -196,11 +196,11 @@
 		}
 		switch {
 		case !ok:
-		case kind == takeover.State && agree(m.Version, m.Version) == 0:
+		case kind == hotrestart.State && agree(m.Version, m.Version) == 0:
 			closeAll(files)
 			t.refuse(fmt.Sprintf("the running process speaks version %d", m.Version))
 			return
-		case kind == takeover.State:
+		case kind == hotrestart.State:
 			heritage, err := inherit(m, files)
 			t.mu.Lock()
 			t.version = m.Version
@@ -209,21 +209,21 @@
 				t.refuse(err.Error())
 				return
 			}
-			t.event(func(float64) []takeover.Action {
+			t.event(func(float64) []hotrestart.Action {
 				list := t.machine.Told(kind, "")
 				if len(list) == 0 {
 					heritage.close()
 				}
 				return list
 			}, heritage)
-		case kind == takeover.Ended:
+		case kind == hotrestart.Ended:
 			t.mu.Lock()
 			t.ended = true
 			t.mu.Unlock()
 			t.hooks.Ended(m.Unanswered)
 		default:
-			t.event(func(float64) []takeover.Action {
-				if kind == takeover.Yours {
+			t.event(func(float64) []hotrestart.Action {
+				if kind == hotrestart.Yours {
 					t.yours = m.Knowledge
 				}
 				return t.machine.Told(kind, m.Reason)
@@ -234,7 +234,7 @@
 
 // refuse gives up, since what the running process said is of no use.
 func (t *Take) refuse(reason string) {
-	t.event(func(float64) []takeover.Action { return t.machine.Told(takeover.Refused, reason) })
+	t.event(func(float64) []hotrestart.Action { return t.machine.Told(hotrestart.Refused, reason) })
 }
 
 // inherit makes listeners of the descriptors that came.
@@ -263,9 +263,9 @@
 }
 
 // event has the machine take something and does what follows. Without f it only sets the alarm.
-func (t *Take) event(f func(now float64) []takeover.Action, heritage ...Inheritance) {
+func (t *Take) event(f func(now float64) []hotrestart.Action, heritage ...Inheritance) {
 	t.mu.Lock()
-	var list []takeover.Action
+	var list []hotrestart.Action
 	if f != nil {
 		list = f(t.clock.Now())
 	}
@@ -273,26 +273,26 @@
 	t.alarm = func() {}
 	if next := t.machine.Next(); next <= maxTime {
 		t.alarm = t.clock.At(next, func() {
-			t.event(func(now float64) []takeover.Action { return t.machine.Tick(now) })
+			t.event(func(now float64) []hotrestart.Action { return t.machine.Tick(now) })
 		})
 	}
 	yours := t.yours
 	t.mu.Unlock()
 	for _, a := range list {
 		switch a.Do {
-		case takeover.Prepare:
+		case hotrestart.Prepare:
 			t.hooks.Prepare(heritage[0])
-		case takeover.StartAlone:
+		case hotrestart.StartAlone:
 			t.hooks.Alone()
-		case takeover.Accept:
+		case hotrestart.Accept:
 			t.hooks.Accept(yours)
-		case takeover.Send:
+		case hotrestart.Send:
 			_ = t.wire.write(message{Type: a.Message.String()}, writeLimit) // an end shows to the reader
-		case takeover.GiveUp:
+		case hotrestart.GiveUp:
 			t.hooks.GiveUp(a.Reason)
-		case takeover.Leave:
+		case hotrestart.Leave:
 			t.hooks.Leave(a.Reason)
-		case takeover.HangUp:
+		case hotrestart.HangUp:
 			_ = t.wire.conn.Close()
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/takeover"
+	"linenwheel.dev/linenwheel/internal/node/hotrestart"
 )
 
 // node is a stand-in for a running node that notes what it is told.
@@ -56,7 +56,7 @@
 	return err2
 }
 
-var limits = takeover.Limits{Answer: 5000, Prepare: 60000}
+var limits = hotrestart.Limits{Answer: 5000, Prepare: 60000}
 
 // running starts a node's server; the clock stands.
 func running(t *testing.T) (path string, n node, s *Server, c *clock.Manual) {
@@ -92,7 +92,7 @@
 	take, events, heritage := taker(path, c)
 	require.Equal(t, `prepare {"k":1}`, <-events)
 	_, second, _ := taker(path, c)
-	require.Equal(t, "give up: "+takeover.ReasonBusy, <-second)
+	require.Equal(t, "give up: "+hotrestart.ReasonBusy, <-second)
 	text, err := Ask(path, "2")
 	require.NoError(t, err)
 	require.Equal(t, `{"s":2}`, string(text))
@@ -151,11 +151,11 @@
 	take, events, _ := taker(path, c)
 	require.Equal(t, `prepare {"k":1}`, <-events)
 	c.Advance(limits.Prepare)
-	require.Equal(t, "give up: "+takeover.ReasonLate, <-events)
+	require.Equal(t, "give up: "+hotrestart.ReasonLate, <-events)
 	take.Prepared()
 	take, events, _ = taker(path, c)
 	for e := <-events; e != `prepare {"k":1}`; e = <-events {
-		require.Equal(t, "give up: "+takeover.ReasonBusy, e, "the first one has not gone yet")
+		require.Equal(t, "give up: "+hotrestart.ReasonBusy, e, "the first one has not gone yet")
 		take, events, _ = taker(path, c)
 	}
 	require.NoError(t, take.wire.write(message{Type: "ready"}, time.Second))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/takeover"
+	"linenwheel.dev/linenwheel/internal/node/hotrestart"
 )
 
 // Times for a peer.
@@ -56,8 +56,8 @@
 // Settings describe a server.
 type Settings struct {
 	Path    string
-	Release string          // of the program, for people
-	Limits  takeover.Limits // milliseconds
+	Release string            // of the program, for people
+	Limits  hotrestart.Limits // milliseconds
 }
 
 // Server answers on a node's socket.
@@ -68,7 +68,7 @@
 	log   *slog.Logger
 
 	mu     sync.Mutex // of the machine and of what follows from it
-	giver  *takeover.Giver
+	giver  *hotrestart.Giver
 	peers  map[int]*peer
 	number int
 	alarm  func()
@@ -107,7 +107,7 @@
 
 // Inherit is Serve for a process that has taken over from the one that listens at the path.
 func Inherit(set Settings, n Node, c clock.Clock, log *slog.Logger) (*Server, error) {
-	s := &Server{set: set, node: n, clock: c, log: log, giver: takeover.NewGiver(set.Limits), peers: map[int]*peer{},
+	s := &Server{set: set, node: n, clock: c, log: log, giver: hotrestart.NewGiver(set.Limits), peers: map[int]*peer{},
 		alarm: func() {}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,7 @@
 		return
 	}
 	for _, p := range s.peers {
-		_ = p.write(message{Type: takeover.Ended.String(), Unanswered: unanswered}, writeLimit)
+		_ = p.write(message{Type: hotrestart.Ended.String(), Unanswered: unanswered}, writeLimit)
 	}
 }
 
@@ -256,13 +256,13 @@
 		return fmt.Errorf("process %d said nothing that is understood: %w", who.Pid, err)
 	}
 	refuse := func(reason string) error {
-		_ = p.write(message{Type: takeover.Refused.String(), Reason: reason}, writeLimit)
+		_ = p.write(message{Type: hotrestart.Refused.String(), Reason: reason}, writeLimit)
 		return fmt.Errorf("process %d: %s", who.Pid, reason)
 	}
 	mine := int(who.Uid) == os.Geteuid()
 	p.version = agree(hello.Min, hello.Max)
 	switch {
-	case hello.Type != takeover.Hello.String():
+	case hello.Type != hotrestart.Hello.String():
 		return refuse("hello was wanted first")
 	case !mine && !(hello.Want == wantStatus && who.Uid == 0):
 		return refuse(fmt.Sprintf("it runs as user %d", who.Uid))
@@ -286,7 +286,7 @@
 	}
 	s.log.Info("another process asks to take over", "pid", who.Pid, "release", hello.Release)
 	p.pid = int(who.Pid)
-	s.told(number, takeover.Hello)
+	s.told(number, hotrestart.Hello)
 	for {
 		m, files, err := p.read(0)
 		closeAll(files)
@@ -302,24 +302,24 @@
 		if m.Type == typeOrder || m.Type == typeObeyed {
 			s.orders.told(p.wire, m, s.node.Obey)
 		}
-		if kind, ok := takeover.Parse(m.Type); ok && kind != takeover.Hello {
+		if kind, ok := hotrestart.Parse(m.Type); ok && kind != hotrestart.Hello {
 			s.told(number, kind)
 		}
 	}
 }
 
-func (s *Server) told(number int, m takeover.Message) {
+func (s *Server) told(number int, m hotrestart.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.carryOut(s.giver.Told(s.clock.Now(), number, m))
 }
 
 // carryOut does what the machine asks for, under the lock, and keeps its alarm.
-func (s *Server) carryOut(list []takeover.Action) {
+func (s *Server) carryOut(list []hotrestart.Action) {
 	for _, a := range list {
 		p := s.peers[a.Peer]
 		switch a.Do {
-		case takeover.Send:
+		case hotrestart.Send:
 			if p == nil {
 				break
 			}
@@ -327,18 +327,18 @@
 				s.log.Warn("a takeover broke off", "error", err)
 				_ = p.conn.Close() // its end is told by its reader
 			}
-		case takeover.HangUp:
+		case hotrestart.HangUp:
 			if p != nil {
 				_ = p.conn.CloseWrite() // what was sent still arrives
 				_ = p.conn.CloseRead()
 			}
-		case takeover.Lend:
+		case hotrestart.Lend:
 			s.node.Lend()
-		case takeover.Retake:
+		case hotrestart.Retake:
 			s.node.Retake()
-		case takeover.Release:
+		case hotrestart.Release:
 			s.node.Release() // the path is taken by the other one, and answered here until then
-		case takeover.Regain:
+		case hotrestart.Regain:
 			s.node.Regain()
 			if s.mine() || s.closed {
 				break
@@ -347,7 +347,7 @@
 			if err := s.bind(); err != nil {
 				s.log.Error("the control socket is lost", "error", err)
 			}
-		case takeover.StopAccept:
+		case hotrestart.StopAccept:
 			s.log.Info("another process has taken over")
 			if s.node.Mark() != "" {
 				s.node.GiveNames(s.to.names)
@@ -406,16 +406,16 @@
 }
 
 // send writes what the machine has to say.
-func (s *Server) send(p *peer, a takeover.Action) error {
+func (s *Server) send(p *peer, a hotrestart.Action) error {
 	m := message{Type: a.Message.String(), Version: p.version, Reason: a.Reason, Release: s.set.Release, PID: os.Getpid()}
-	if a.Message != takeover.State && a.Message != takeover.Yours {
+	if a.Message != hotrestart.State && a.Message != hotrestart.Yours {
 		return p.write(m, writeLimit)
 	}
 	var err error
 	if m.Knowledge, err = s.node.Knowledge(); err != nil {
 		s.log.Error("what is known cannot be given away", "error", err) // the sockets still can
 	}
-	if a.Message == takeover.Yours {
+	if a.Message == hotrestart.Yours {
 		s.heir, s.to = p.pid, p
 		return p.write(m, writeLimit)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,9 +20,9 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/control"
+	"linenwheel.dev/linenwheel/internal/node/hotrestart"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/takeover"
 	"linenwheel.dev/linenwheel/node"
 )
 
@@ -174,7 +174,7 @@
 		return nil, nil
 	}
 	gift, alone := make(chan control.Inheritance, 1), make(chan struct{}, 1)
-	limits := takeover.Limits{Answer: d.set.Options.Takeover.AnswerLimit.Ms, Shared: d.shared}
+	limits := hotrestart.Limits{Answer: d.set.Options.Takeover.AnswerLimit.Ms, Shared: d.shared}
 	if d.shared {
 		limits.Answer = min(limits.Answer, sharedAnswer)
 	}
@@ -416,7 +416,7 @@
 	}
 	o := &d.set.Options.Takeover
 	set := control.Settings{Path: path, Release: d.set.Release,
-		Limits: takeover.Limits{Answer: o.AnswerLimit.Ms, Prepare: o.ReadyLimit.Ms}}
+		Limits: hotrestart.Limits{Answer: o.AnswerLimit.Ms, Prepare: o.ReadyLimit.Ms}}
 	listen := control.Serve
 	if d.shared || d.take != nil && samePath(path, d.set.Path) { // one that does not answer there has no use for it
 		listen = control.Inherit
--- a/internal/takeover/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -1,4 +1,4 @@
-// Package takeover decides how a new process takes a running one's place, for both sides. It does no input or output
+// Package hotrestart decides how a new process takes a running one's place, for both sides. It does no input or output
 // and reads no clock: events go in with the time in milliseconds, actions come out. A side holds a few words of state
 // whatever its peers do.
 //
@@ -19,7 +19,7 @@
 // them accepts, unless all that did were killed. Until then the giver goes on as if nothing had been if the taker dies,
 // breaks off or takes too long; withdrawn tells a taker that is still there. A giver that dies makes the taker its heir:
 // the sockets that it holds are open already. A giver that is told to stop meanwhile gives everything away at once.
-package takeover
+package hotrestart
 
 import "math"
 
--- a/internal/takeover/takeover_test.go
+++ b/internal/node/hotrestart/takeover_test.go
@@ -1,4 +1,4 @@
-package takeover
+package hotrestart
 
 import (
 	"slices"
