--- a/internal/duty/duty.go
+++ b/internal/node/drain/duty.go
@@ -1,10 +1,10 @@
-// Package duty decides what the clients of a drained node get: one that its operators have taken out of the front's hands, and
+// Package drain decides what the clients of a drained node get: one that its operators have taken out of the front's hands, and
 // that goes on running. It is pure: no clock, no lock, no I/O; its state is one time. The end of the process is package stop's.
 //
 // From the drain on the front is told no. For a while all else stays, for the front goes on sending until it has noticed; then
 // each answer ends its connection, then idle connections end, and at last a call that still comes is refused. So, at the time
 // by which a drain has to be over, no connection is idle or carries a call of the time before.
-package duty
+package drain
 
 // Times are milliseconds after the drain.
 type Times struct {
--- a/internal/duty/duty_test.go
+++ b/internal/node/drain/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package drain
 
 import (
 	"testing"
--- a/internal/stop/gate/gate.go
+++ b/internal/stop/gate/gate.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/duty"
+	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/stop"
 )
 
@@ -30,8 +30,8 @@
 
 	mu      sync.Mutex
 	machine *stop.Machine
-	duty    duty.Duty
-	drain   duty.Times
+	duty    drain.Duty
+	drain   drain.Times
 	timer   func() // stops the timer
 	due     float64
 	orders  []stop.Orders // not carried out yet,
@@ -39,7 +39,7 @@
 }
 
 // New makes the gate of a node that serves; see stop.New for usual.
-func New(usual []float64, drain duty.Times, c clock.Clock) *Gate {
+func New(usual []float64, drain drain.Times, c clock.Clock) *Gate {
 	return &Gate{clock: c, drain: drain, machine: stop.New(usual), ended: make(chan struct{}), timer: func() {}}
 }
 
--- a/internal/stop/gate/gate_test.go
+++ b/internal/stop/gate/gate_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/duty"
+	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/stop"
 )
 
@@ -18,7 +18,7 @@
 // hooked gives a gate whose orders are told on a channel, and the clock it goes by.
 func hooked(c clock.Clock) (*Gate, chan string) {
 	did := make(chan string, 8)
-	g := New([]float64{600}, duty.Times{}, c)
+	g := New([]float64{600}, drain.Times{}, c)
 	tell := func(what string) func() { return func() { did <- what } }
 	g.Hook(Hooks{Announce: tell("announce"), Refuse: tell("refuse"), CloseIdle: tell("idle"), Finish: tell("finish")})
 	return g, did
--- a/node/door.go
+++ b/node/door.go
@@ -8,9 +8,9 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/admin"
-	"linenwheel.dev/linenwheel/internal/duty"
 	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/options"
 )
 
@@ -41,10 +41,10 @@
 
 // drainTimes are those of a drain. The front learns of it with its next question and sends no new connections soon after; by
 // the platform's drain_over no connection may be idle, or carry a request that came in the last drain_quiet.
-func drainTimes(o *Options) duty.Times {
+func drainTimes(o *Options) drain.Times {
 	p := &o.Platform
 	refuse := max(0, p.DrainOver.Ms-p.DrainQuiet.Ms-o.North.HTTP.SweepEvery.Ms)
-	return duty.Times{EndAnswered: refuse / 2, EndIdle: refuse * 3 / 4, Refuse: refuse}
+	return drain.Times{EndAnswered: refuse / 2, EndIdle: refuse * 3 / 4, Refuse: refuse}
 }
 
 // open opens the operators' door, where the platform names one.
