--- a/internal/node/downstream/httpserver/crossing_test.go
+++ b/internal/node/downstream/httpserver/crossing_test.go
@@ -18,7 +18,7 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
 // warned is a log whose warnings wait.
@@ -55,7 +55,7 @@
 	b := &bench{t: t, clock: clock.NewManual(1e6), came: make(chan *conn, 64)}
 	to := core.New(core.Settings{}, nil, nil, slog.New(log)) // which nothing is given to serve
 	b.Side = New(Settings{Connections: connections, Crowded: 1000, Limits: limits, ByName: map[string]int{"pay": 0},
-		Classes: []Class{{Method: "POST"}}}, b.clock, to, gate.New(nil, drain.Times{}, b.clock), slog.New(log))
+		Classes: []Class{{Method: "POST"}}}, b.clock, to, driver.New(nil, drain.Times{}, b.clock), slog.New(log))
 	b.Ready()
 	var err error
 	b.loop, err = netpoll.Listen("127.0.0.1:0", 64, func(n *netpoll.Conn) netpoll.Handler {
--- a/internal/node/downstream/httpserver/front.go
+++ b/internal/node/downstream/httpserver/front.go
@@ -20,7 +20,7 @@
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
 // Class is what the front has to know of a class of requests.
@@ -85,7 +85,7 @@
 	set   Settings
 	clock clock.Clock
 	core  *core.Core
-	gate  *gate.Gate
+	gate  *driver.Gate
 	log   *slog.Logger
 
 	limits atomic.Pointer[Limits]
@@ -100,7 +100,7 @@
 }
 
 // New makes a front that is not ready yet.
-func New(set Settings, c clock.Clock, to *core.Core, g *gate.Gate, log *slog.Logger) *Side {
+func New(set Settings, c clock.Clock, to *core.Core, g *driver.Gate, log *slog.Logger) *Side {
 	s := &Side{set: set, clock: c, core: to, gate: g, log: log, conns: map[*conn]struct{}{}}
 	s.Limit(set.Limits)
 	return s
--- a/internal/node/downstream/thriftserver/crossing_test.go
+++ b/internal/node/downstream/thriftserver/crossing_test.go
@@ -15,7 +15,7 @@
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
 )
@@ -45,7 +45,7 @@
 	c, accepted := clock.NewManual(1e6), make(chan *conn, 1)
 	side := New(Settings{Lobby: connlimit.Settings{Connections: 9, Crowded: 9, Limits: connlimit.Limits{Idle: 60_000, Read: 2500, First: 2800}},
 		Messages: thrift.DefaultLimits, Open: 9, Pipeline: 9999, Backlog: 9999, Linger: 600_000, Stall: 600_000}, c, nil,
-		gate.New(nil, drain.Times{}, c), slog.New(w))
+		driver.New(nil, drain.Times{}, c), slog.New(w))
 	l, err := netpoll.Listen("127.0.0.1:0", 9, func(n *netpoll.Conn) netpoll.Handler {
 		h := side.Accept(n)
 		accepted <- h.(*conn)
--- a/internal/node/downstream/thriftserver/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -16,7 +16,7 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
 )
@@ -51,13 +51,13 @@
 	set   Settings
 	clock clock.Clock
 	core  *core.Core
-	gate  *gate.Gate
+	gate  *driver.Gate
 	lobby *connlimit.Lobby
 	log   *slog.Logger
 }
 
 // New makes a front.
-func New(set Settings, c clock.Clock, to *core.Core, g *gate.Gate, log *slog.Logger) *Side {
+func New(set Settings, c clock.Clock, to *core.Core, g *driver.Gate, log *slog.Logger) *Side {
 	return &Side{set: set, clock: c, core: to, gate: g, lobby: connlimit.New(set.Lobby, c), log: log}
 }
 
--- a/internal/stop/gate/gate.go
+++ b/internal/node/shutdown/driver/gate.go
@@ -1,7 +1,7 @@
-// Package gate is the node's side of package stop: it owns the machine's lock, its clock and its timers, and has its
+// Package driver is the node's side of package stop: it owns the machine's lock, its clock and its timers, and has its
 // orders carried out. Fronts tell it of connections, the core asks it about calls. It holds one timer and, while a stop
 // is on, two goroutines at the most.
-package gate
+package driver
 
 import (
 	"math"
--- a/internal/stop/gate/gate_test.go
+++ b/internal/node/shutdown/driver/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package driver
 
 import (
 	"math"
--- a/node/node.go
+++ b/node/node.go
@@ -33,10 +33,10 @@
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/internal/stop"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
 )
 
 // Config is all that a node is told.
@@ -130,7 +130,7 @@
 	level  *slog.LevelVar // of what the node logs, nil where that is not its own
 	flood  log.Interval   // of what clients, hosts and discovery can make many of
 	pilot  *dispatch.Pilot
-	gate   *gate.Gate
+	gate   *driver.Gate
 	core   *core.Core
 	loop   *netpoll.Loop
 	north  *httpserver.Side
@@ -217,7 +217,7 @@
 	n.pool = connpool.New(connpool.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
 		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.Attempt, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
-	n.gate = gate.New(worthFor(conf), drainTimes(&o), c)
+	n.gate = driver.New(worthFor(conf), drainTimes(&o), c)
 	stages := core.Stages{First: extra.First, Last: extra.Last}
 	if o.Quota.On {
 		if n.quota, err = n.divide(&o.Quota, sparse.With("part", "quota")); err != nil {
@@ -257,7 +257,7 @@
 	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
 	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
 	side = n.north
-	n.gate.Hook(gate.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
+	n.gate.Hook(driver.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
 	close(ready)
 	if err := n.secondSide(set, seed, &o, room, calls, sparse); err != nil {
 		n.loop.Stop()
