--- a/internal/node/shutdown/driver/gate.go
+++ b/internal/node/shutdown/driver/gate.go
@@ -9,7 +9,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/drain"
-	"linenwheel.dev/linenwheel/internal/stop"
+	"linenwheel.dev/linenwheel/internal/node/shutdown"
 )
 
 // Hooks carry out orders. They are called one after the other, from a goroutine of their own: what they do may well
@@ -29,28 +29,28 @@
 	ended chan struct{} // closed when the node is to end
 
 	mu      sync.Mutex
-	machine *stop.Machine
+	machine *shutdown.Machine
 	duty    drain.Duty
 	drain   drain.Times
 	timer   func() // stops the timer
 	due     float64
-	orders  []stop.Orders // not carried out yet,
-	working bool          // but somebody is at it
+	orders  []shutdown.Orders // not carried out yet,
+	working bool              // but somebody is at it
 }
 
 // New makes the gate of a node that serves; see stop.New for usual.
 func New(usual []float64, drain drain.Times, c clock.Clock) *Gate {
-	return &Gate{clock: c, drain: drain, machine: stop.New(usual), ended: make(chan struct{}), timer: func() {}}
+	return &Gate{clock: c, drain: drain, machine: shutdown.New(usual), ended: make(chan struct{}), timer: func() {}}
 }
 
 // Hook sets who carries out orders, before the first signal.
 func (g *Gate) Hook(h Hooks) { g.hooks = h }
 
 // Stop takes the signal to stop. A further one changes nothing.
-func (g *Gate) Stop(t stop.Times) { g.event(func(now float64) { g.machine.Stop(now, t) }) }
+func (g *Gate) Stop(t shutdown.Times) { g.event(func(now float64) { g.machine.Stop(now, t) }) }
 
 // Yield takes the news that another process accepts.
-func (g *Gate) Yield(t stop.Times) { g.event(func(now float64) { g.machine.Yield(now, t) }) }
+func (g *Gate) Yield(t shutdown.Times) { g.event(func(now float64) { g.machine.Yield(now, t) }) }
 
 // Ended is closed when the node is to end.
 func (g *Gate) Ended() <-chan struct{} { return g.ended }
@@ -76,7 +76,7 @@
 
 // Policy is how the connections of clients are to be treated now, for the stop and for the node's duty.
 type Policy struct {
-	stop.Policy
+	shutdown.Policy
 	Up bool // the front may be told to send clients
 }
 
@@ -123,11 +123,11 @@
 	g.mu.Lock()
 	now := g.clock.Now()
 	what(now)
-	if g.machine.Phase() == stop.Serving {
+	if g.machine.Phase() == shutdown.Serving {
 		g.mu.Unlock()
 		return
 	}
-	if orders := g.machine.Step(now); orders != (stop.Orders{}) {
+	if orders := g.machine.Step(now); orders != (shutdown.Orders{}) {
 		g.orders = append(g.orders, orders)
 		if !g.working {
 			g.working = true
@@ -166,7 +166,7 @@
 }
 
 // carryOut does what the machine orders.
-func (g *Gate) carryOut(o stop.Orders) {
+func (g *Gate) carryOut(o shutdown.Orders) {
 	for _, order := range []struct {
 		given bool
 		hook  func()
--- a/internal/node/shutdown/driver/gate_test.go
+++ b/internal/node/shutdown/driver/gate_test.go
@@ -10,10 +10,10 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/drain"
-	"linenwheel.dev/linenwheel/internal/stop"
+	"linenwheel.dev/linenwheel/internal/node/shutdown"
 )
 
-var times = stop.Times{Accept: 500, Kill: 2700, Answers: 150, End: 50}
+var times = shutdown.Times{Accept: 500, Kill: 2700, Answers: 150, End: 50}
 
 // hooked gives a gate whose orders are told on a channel, and the clock it goes by.
 func hooked(c clock.Clock) (*Gate, chan string) {
--- a/internal/stop/stop.go
+++ b/internal/node/shutdown/stop.go
@@ -1,4 +1,4 @@
-// Package stop decides how a node stops: how long it takes connections, until when it takes calls and of which class,
+// Package shutdown decides how a node stops: how long it takes connections, until when it takes calls and of which class,
 // which answers end their connection, when all that is still open gets its final answer, and when the node ends.
 //
 // It is pure: no clock, no lock, no goroutine, no I/O. Times are milliseconds of one clock and are passed in. Its state is
@@ -10,7 +10,7 @@
 //   - a call that Take lets in is answered before the kill: by itself, or by the final answers;
 //   - a call that Take does not let in has to be refused at once;
 //   - the node ends before the kill, and as soon as nothing is left to do for anyone.
-package stop
+package shutdown
 
 import "math"
 
--- a/internal/stop/stop_test.go
+++ b/internal/node/shutdown/stop_test.go
@@ -1,4 +1,4 @@
-package stop
+package shutdown
 
 import (
 	"flag"
--- a/node/node.go
+++ b/node/node.go
@@ -33,10 +33,10 @@
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown"
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/stop"
 )
 
 // Config is all that a node is told.
@@ -569,16 +569,16 @@
 }
 
 // times are those of a stop that begins now.
-func (n *Node) times() stop.Times {
+func (n *Node) times() shutdown.Times {
 	o := n.opts.Load()
-	return stop.Times{Sure: o.Platform.ConnectSure.Ms, Accept: o.Service.AcceptFor.Ms,
+	return shutdown.Times{Sure: o.Platform.ConnectSure.Ms, Accept: o.Service.AcceptFor.Ms,
 		Answers: o.Service.AnswersAhead.Ms, End: o.Service.EndAhead.Ms,
 		Kill: min(n.conf.MaxDeadline, o.Platform.LongestCounted.Ms) + o.Platform.KillAfter.Ms}
 }
 
 // yieldTimes are those of a handover that begins now: nobody kills the node, and clients leave as they find that their
 // connections end.
-func (n *Node) yieldTimes() stop.Times {
+func (n *Node) yieldTimes() shutdown.Times {
 	t, o := n.times(), n.opts.Load()
 	t.Accept, t.Kill = 0, o.North.HTTP.IdleAfter.Ms+n.conf.MaxDeadline+o.Service.YieldRest.Ms+t.Answers
 	return t
