--- a/internal/node/core/call.go
+++ b/internal/node/core/call.go
@@ -10,8 +10,8 @@
 import (
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/figures"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/metrics"
 )
 
 // Call is one request of a client. What a front has set does not change while the call is served, but for stages that
@@ -157,8 +157,8 @@
 func (k Kind) String() string { return kindNames[k] }
 
 // figure is how a kind is counted.
-func (k Kind) figure() figures.Kind {
-	return [...]figures.Kind{Served: figures.Served, Refused: figures.Refused, Failed: figures.Failed, Left: figures.Left}[k]
+func (k Kind) figure() metrics.Kind {
+	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, Left: metrics.Left}[k]
 }
 
 // Fault tells a front how to word a refusal or a failure in its protocol.
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -8,8 +8,8 @@
 	"slices"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/figures"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/metrics"
 )
 
 // Handler serves a call and blocks until its final answer. A stage that waits must end when Call.Left is closed, and
@@ -65,7 +65,7 @@
 	Gate   Gate // nil = it stands open
 	Stages Stages
 	// Figures counts calls by class; nil = nobody asks.
-	Figures *figures.Set
+	Figures *metrics.Set
 }
 
 // The reasons that this package gives itself.
--- a/internal/figures/figures.go
+++ b/internal/node/metrics/figures.go
@@ -1,4 +1,4 @@
-// Package figures counts what a node does, for whoever asks: one set of counters for the door, the status and the log. They
+// Package metrics counts what a node does, for whoever asks: one set of counters for the door, the status and the log. They
 // are written where the event is, on a call's way, and read without a lock, so that no reader ever holds up a call.
 //
 // Where each event is counted:
@@ -9,7 +9,7 @@
 //   - attempts: the last byte of a relay has gone to the socket.
 //
 // So at any quiet moment taken = served + refused + failed + left + in flight. Bounds: four counters a class and five more.
-package figures
+package metrics
 
 import (
 	"strconv"
--- a/node/node.go
+++ b/node/node.go
@@ -19,7 +19,6 @@
 	"linenwheel.dev/linenwheel/internal/admin"
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/figures"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
@@ -29,6 +28,7 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
+	"linenwheel.dev/linenwheel/internal/node/metrics"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
@@ -152,7 +152,7 @@
 	own   Options           // of this machine, without the fleet's policy; under reload
 	doc   rollout.Document  // the fleet's policy, Number 0 = none; under reload
 
-	figures *figures.Set
+	figures *metrics.Set
 	budget  *bodypipe.Budget // of bodies
 	door    *admin.Door      // nil = operators have none
 	orders  orders
@@ -192,7 +192,7 @@
 	}
 	logger = log.On(logger, c).With("node", conf.Name)
 	n.log = logger.With("part", "node")
-	n.figures, n.budget = figures.New(classNames(conf)), bodypipe.NewBudget(bodiesBudget(conf, &o))
+	n.figures, n.budget = metrics.New(classNames(conf)), bodypipe.NewBudget(bodiesBudget(conf, &o))
 	sparse := log.Sparse(logger, c, &n.flood)
 	var err error
 	set, seed := conf.Settings, conf.Seed
