--- a/cmd/linenwheel/deploy_test.go
+++ b/cmd/linenwheel/deploy_test.go
@@ -66,7 +66,7 @@
 // Guards against a node that carries what only tests need.
 func TestNodeIsFreeOfTests(t *testing.T) {
 	for _, p := range linkedFrom(t, "cmd/linenwheel") {
-		for _, no := range []string{module + "internal/script", module + "lab", "testing", "github.com/stretchr/testify",
+		for _, no := range []string{module + "internal/node/scenario", module + "lab", "testing", "github.com/stretchr/testify",
 			"pgregory.net/rapid"} {
 			assert.False(t, p == no || strings.HasPrefix(p, no+"/"), "%s is linked", p)
 		}
--- a/internal/inventory/discovery/discovery_test.go
+++ b/internal/inventory/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
-	"linenwheel.dev/linenwheel/internal/script"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
 // Guards against one bad entry costing the others, and against half-read lists.
@@ -42,7 +42,7 @@
 // Guards against nodes that bury the service that has the list for all of them: by asking in step when they start, for the
 // whole list that they have already, sooner and sooner after failures, or by leaving a call that waits there in turn.
 func TestCallsThatCostAreSpread(t *testing.T) {
-	s := script.New(t, "h1")
+	s := scenario.New(t, "h1")
 	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	asked := make(chan struct{})
@@ -74,7 +74,7 @@
 // Guards against pauses that go on after the agent of the machine is back, where what it has counts as told at once and a call costs
 // nothing: however often it has failed, the next call comes within the last pause, whatever chance says.
 func TestAnAgentThatIsBackIsAskedWithinThePause(t *testing.T) {
-	s := script.New(t, "h1")
+	s := scenario.New(t, "h1")
 	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 150, Told: 6000},
@@ -95,7 +95,7 @@
 // Guards against a list that is never had because the answer tells no length and ends with its connection, which HTTP/1.1 allows, and
 // against one that a reset has cut short being taken for whole.
 func TestAListThatEndsWithItsConnection(t *testing.T) {
-	s := script.New(t, "h1")
+	s := scenario.New(t, "h1")
 	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	took := &taken{}
--- a/internal/script/script.go
+++ b/internal/node/scenario/script.go
@@ -1,4 +1,4 @@
-// Package script is the one language and helper of the node's scenarios. A scenario is a list of steps, one a line:
+// Package scenario is the one language and helper of the node's scenarios. A scenario is a list of steps, one a line:
 //
 //	a send POST /pay/1 id=1 deadline=900 key=k body=hi   client a sends a request on its connection
 //	a send raw "GET / HTTP/1.1\r\n"                      or any bytes
@@ -19,7 +19,7 @@
 //
 // Clients are a, b, c, e, f and g, relays r, s and t, with digits behind if there are many. An expect blocks until it is met;
 // whatever else comes fails it. While a step expects a connection to end, the clock goes on.
-package script
+package scenario
 
 import (
 	"errors"
--- a/node/inventory_test.go
+++ b/node/inventory_test.go
@@ -17,11 +17,11 @@
 	"linenwheel.dev/linenwheel/internal/inventory/agent"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/script"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
 // soon lets the node's clock go on until something holds.
-func soon(t *testing.T, s *script.Stage, holds func() bool) {
+func soon(t *testing.T, s *scenario.Stage, holds func() bool) {
 	for end := time.Now().Add(time.Minute); !holds(); s.Clock.Advance(5) {
 		require.True(t, time.Now().Before(end), "it never holds")
 		time.Sleep(time.Millisecond)
--- a/node/moments_test.go
+++ b/node/moments_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/script"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
 // Each of these crosses a signal to end with what a client does just then. By the platform's times the node stops as follows:
@@ -155,7 +155,7 @@
 	} {
 		for _, known := range [][]string{nil, {"h1"}} {
 			t.Run(fmt.Sprint(c.discovery, c.ask, known), func(t *testing.T) {
-				s, n := startTuned(t, Extras{}, 1024, func(s *script.Stage, conf map[string]any) {
+				s, n := startTuned(t, Extras{}, 1024, func(s *scenario.Stage, conf map[string]any) {
 					if c.discovery == "down" {
 						s.Discovery = s.Hosts["dead"]
 					}
@@ -192,7 +192,7 @@
 // Guards against nodes that wait for each other's calls when many are started at once while discovery is silent.
 func TestManyNodesAreReadyWhileDiscoveryIsSilent(t *testing.T) {
 	for i := range 20 {
-		s, n := startTuned(t, Extras{}, 256, func(s *script.Stage, conf map[string]any) {
+		s, n := startTuned(t, Extras{}, 256, func(s *scenario.Stage, conf map[string]any) {
 			conf["name"] = fmt.Sprint("n", i)
 			conf["settings"] = json.RawMessage(strings.Replace(asking(settings), `"my_number":0`, fmt.Sprintf(`"my_number":%d`, i), 1))
 		}, nil)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/script"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
 const settings = `{"group_size":1,"my_number":0,"locality":"z","zones":["z"],"machine_types":["k"],"weights":"nominal",
@@ -44,20 +44,20 @@
 }
 
 // start brings up a node on a stage with hosts; known are those that its configuration lists.
-func start(t *testing.T, sockets int, hosts []string, known ...string) *script.Stage {
+func start(t *testing.T, sockets int, hosts []string, known ...string) *scenario.Stage {
 	s, _ := startNode(t, Extras{}, sockets, hosts, known...)
 	return s
 }
 
 // startNode is start for a node with what an embedder adds; without a log it is the test's own.
-func startNode(t *testing.T, extra Extras, sockets int, hosts []string, known ...string) (*script.Stage, *Node) {
-	return startTuned(t, extra, sockets, func(*script.Stage, map[string]any) {}, hosts, known...)
+func startNode(t *testing.T, extra Extras, sockets int, hosts []string, known ...string) (*scenario.Stage, *Node) {
+	return startTuned(t, extra, sockets, func(*scenario.Stage, map[string]any) {}, hosts, known...)
 }
 
 // startTuned is startNode for a node whose configuration is changed first.
-func startTuned(t *testing.T, extra Extras, sockets int, tune func(*script.Stage, map[string]any), hosts []string,
-	known ...string) (*script.Stage, *Node) {
-	s := script.New(t, hosts...)
+func startTuned(t *testing.T, extra Extras, sockets int, tune func(*scenario.Stage, map[string]any), hosts []string,
+	known ...string) (*scenario.Stage, *Node) {
+	s := scenario.New(t, hosts...)
 	list := []map[string]any{}
 	for _, name := range known {
 		list = append(list, map[string]any{"name": name, "address": s.Hosts[name], "zone": "z", "type": "k",
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/script"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
 // classesOf are n classes of every effect and group in turn.
@@ -71,7 +71,7 @@
 		"two zones":                {map[string]any{"classes": classesOf(3), "zones": []string{"y", "z"}, "machine_types": []string{"j", "k"}}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := script.New(t, "h1")
+			s := scenario.New(t, "h1")
 			conf, err := configOf(t, s.Discovery, "z", c.other)
 			require.NoError(t, err)
 			runNode(t, s, conf)
@@ -87,7 +87,7 @@
 }
 
 // runNode has a node of its own configuration serve on a stage until the test ends.
-func runNode(t *testing.T, s *script.Stage, conf *Config) {
+func runNode(t *testing.T, s *scenario.Stage, conf *Config) {
 	n, err := newNode(conf, Extras{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, s.Clock)
 	require.NoError(t, err)
 	s.Address = n.loop.Addr
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/script"
 	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/internal/thrift/mapping"
 	"linenwheel.dev/linenwheel/lab/thriftpeers"
 )
 
 // startThrift brings up a node that speaks Thrift on both sides, with hosts by their addresses and protocols.
-func startThrift(t *testing.T, south thriftpeers.Form, cross bool, hosts map[string]string) (*script.Stage, *Node) {
+func startThrift(t *testing.T, south thriftpeers.Form, cross bool, hosts map[string]string) (*scenario.Stage, *Node) {
 	o := DefaultOptions()
 	o.North.Thrift.Listen, o.North.Thrift.Service = "127.0.0.1:0", "Rating"
 	o.North.Thrift.Methods = []options.ThriftMethod{{Name: "postCharge", Class: "pay"}, {Name: "capAlert", Class: "alert"},
