--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // lived gives a world after some random traffic, with nothing open.
--- a/internal/inventory/guard/guard_test.go
+++ b/internal/inventory/guard/guard_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // Guards against a guard that allows more or less than its settings say, that counts a host twice or after it is back,
--- a/internal/node/dispatch/lesson_test.go
+++ b/internal/node/dispatch/lesson_test.go
@@ -13,7 +13,7 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // taught gives what a node knows of a fleet in which dead refuses connections and the others serve, when it has heard nothing for
--- a/internal/node/hotrestart/takeover_test.go
+++ b/internal/node/hotrestart/takeover_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // A play has one giver and up to three takers, messages between them that arrive late or never, processes that are
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/internal/node/quota"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 func tree(number uint64, burst float64, nodes ...quota.Node) Tree {
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // settings are those of a fleet that can do 100 requests a second; the second priority is that of spending-cap blocks.
--- a/internal/node/rollout/policy_test.go
+++ b/internal/node/rollout/policy_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // wrong is a fault that is planted in a member or in the machine, for the check to find.
--- a/internal/node/statedir/store_test.go
+++ b/internal/node/statedir/store_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 var some = State{Node: "n1", PID: 7, Started: 1, Saved: 2, Open: 3, Knowledge: []byte(`{"a":1}`)}
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -12,7 +12,7 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/config"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // load reads a text and gives its faults, one a line, without the name of the file.
--- a/internal/seeded/seeded.go
+++ b/internal/rapidseed/seeded.go
@@ -1,10 +1,10 @@
-// Package seeded has the property tests of a package draw the same histories every time, so that they give the same verdict
+// Package rapidseed has the property tests of a package draw the same histories every time, so that they give the same verdict
 // every time. A test imports it for that alone:
 //
 //	import _ "linenwheel.dev/linenwheel/internal/seeded"
 //
 // Other histories are drawn with the flags -rapid.seed and -rapid.checks.
-package seeded
+package rapidseed
 
 import (
 	"flag"
--- a/lab/load/answer/answer_test.go
+++ b/lab/load/answer/answer_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // Guards the reader against where the network cuts: each answer, in any pieces, ends at the same byte with the same
--- a/lab/record/record_test.go
+++ b/lab/record/record_test.go
@@ -7,7 +7,7 @@
 	"unsafe"
 
 	"github.com/stretchr/testify/require"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 	"linenwheel.dev/linenwheel/lab/record"
 	"pgregory.net/rapid"
 )
--- a/lab/rivals/rivals_test.go
+++ b/lab/rivals/rivals_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/decide"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // stage is a node that carries nothing out: it notes what a policy asks for.
--- a/lab/sim/queue_test.go
+++ b/lab/sim/queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // Guards the order of the simulation: whatever is put in, far ahead or for this very moment, comes out by time, and of one
--- a/lab/world/rater_test.go
+++ b/lab/world/rater_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 	"linenwheel.dev/linenwheel/lab/world"
 	"pgregory.net/rapid"
 )
