--- a/internal/inventory/ban/ban.go
+++ b/internal/node/endpoints/cordon/ban.go
@@ -1,10 +1,10 @@
-// Package ban decides what of the list the module is shown while raters are out by hand. It stands after every source and the
+// Package cordon decides what of the list the module is shown while raters are out by hand. It stands after every source and the
 // guard: whatever they list, a rater that is out is shown draining, and one that was called back as started in that moment, for
 // it was restarted meanwhile and is cold.
 //
 // It is pure: no clock, no lock, no I/O. Bounds: one entry for each rater that is listed, and mostOut that are out, which may
 // have left the list.
-package ban
+package cordon
 
 import (
 	"errors"
--- a/internal/inventory/ban/ban_test.go
+++ b/internal/node/endpoints/cordon/ban_test.go
@@ -1,4 +1,4 @@
-package ban
+package cordon
 
 import (
 	"flag"
--- a/node/door.go
+++ b/node/door.go
@@ -8,9 +8,9 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/admin"
-	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/drain"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
 	"linenwheel.dev/linenwheel/internal/options"
 )
 
@@ -34,7 +34,7 @@
 // orders is what operators have told the node.
 type orders struct {
 	mu   sync.Mutex // of the book, and orders what the module is told of the list
-	book ban.Book
+	book cordon.Book
 	// pass has the node's other process obey too, while there is one; nil = there is none.
 	pass func(Order) error
 }
@@ -112,7 +112,7 @@
 		change = func(_ float64, rater string) ([]dispatch.Host, error) { return n.orders.book.Suspend(rater) }
 	}
 	changed, err := change(n.clock.Now(), o.Rater)
-	if errors.Is(err, ban.ErrUnknown) {
+	if errors.Is(err, cordon.ErrUnknown) {
 		return fmt.Errorf("%w: %q", admin.ErrUnknown, o.Rater)
 	}
 	if err != nil {
--- a/node/handover.go
+++ b/node/handover.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
@@ -23,8 +23,8 @@
 	Pilot dispatch.Memory `json:"pilot"`
 
 	// What operators have ordered.
-	Bans    ban.Memory `json:"bans"`
-	Drained *float64   `json:"drained,omitempty"` // since when; nil = it is not
+	Bans    cordon.Memory `json:"bans"`
+	Drained *float64      `json:"drained,omitempty"` // since when; nil = it is not
 
 	// Quota is what tenants have saved up.
 	Quota []quota.Balance `json:"quota,omitempty"`
--- a/node/peers.go
+++ b/node/peers.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/inventory/ban"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
@@ -117,7 +117,7 @@
 
 // obeyHeld lets what is held for this node be in force.
 func (n *Node) obeyHeld(held statemachine.Ordered) {
-	k := Knowledge{Bans: ban.Memory{Out: held.Out}}
+	k := Knowledge{Bans: cordon.Memory{Out: held.Out}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
 		if !drained {
