--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -19,8 +19,8 @@
 
 	"linenwheel.dev/linenwheel/internal/inventory/files"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/node"
 )
@@ -272,11 +272,11 @@
 	}
 	fmt.Fprintf(s.out, "of %d that serve %d would drain and %d leave or move, %d come or are back\n", c.Serving, c.Drains, c.Leaves, c.Arrives)
 	switch {
-	case verdict == guard.Take:
+	case verdict == removalguard.Take:
 		fmt.Fprintln(s.out, "the guard would take it at once")
 	case meant:
 		fmt.Fprintln(s.out, "the guard would take it at once, because it is confirmed")
-	case verdict == guard.Look:
+	case verdict == removalguard.Look:
 		fmt.Fprintf(s.out, "the guard would hold the departures for a second look after %s: more than %g of the hosts depart\n",
 			o.Inventory.Guard.Wait, o.Inventory.Guard.Share)
 	default:
--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -18,9 +18,9 @@
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/files"
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
 // fileText is version i of a list: four hosts, at addresses that only this version has, of which one changes each time.
@@ -54,7 +54,7 @@
 	var faults []string
 	last, taken := -1, 0
 	k, err := New(Settings{Settings: set.Settings{Sources: []set.Source{{Name: "files", Keep: 1e6, Expect: path}},
-		Guard: guard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
+		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
 		Give: func(kind dispatch.Source, list []dispatch.Host) { p.Inventory(kind, list) }}, c, discard)
 	require.NoError(t, err)
 	w := &files.Watcher{Path: path, Single: true, Known: files.Known{Zones: []string{"z"}, Kinds: []string{"k"}, Most: 9}, Most: 1 << 20,
--- a/internal/inventory/keeper.go
+++ b/internal/inventory/keeper.go
@@ -12,10 +12,10 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
 // Settings say what a keeper is made of.
@@ -59,7 +59,7 @@
 func (k *Keeper) Asks(source int, look func()) { k.looks[source] = look }
 
 // Tune changes the guard, the wait and the sources' own settings from now on.
-func (k *Keeper) Tune(g guard.Settings, wait float64, sources []set.Source) {
+func (k *Keeper) Tune(g removalguard.Settings, wait float64, sources []set.Source) {
 	k.do(func(float64) { k.set.Tune(g, wait, sources) })
 }
 
--- a/internal/inventory/set/set.go
+++ b/internal/inventory/set/set.go
@@ -22,8 +22,8 @@
 	"slices"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
 // Times that nobody sets, in milliseconds.
@@ -38,7 +38,7 @@
 // Settings say what a set is made of.
 type Settings struct {
 	Sources      []Source // in the order of trust
-	Guard        guard.Settings
+	Guard        removalguard.Settings
 	Wait         float64  // before a second look, milliseconds
 	Most         int      // hosts in a list
 	Zones, Kinds []string // that there are
@@ -148,7 +148,7 @@
 
 	hosts    map[string]dispatch.Host
 	serving  int
-	guard    *guard.Guard
+	guard    *removalguard.Guard
 	baseTill float64 // until when the list from before is one to judge by
 	based    bool    // there is a later one
 
@@ -177,7 +177,7 @@
 		held: map[string]dispute{}, look: math.Inf(1), pause: set.Wait, kind: dispatch.Whole,
 		dirty: map[string]had{}}
 	var err error
-	if s.guard, err = guard.New(set.Guard); err != nil {
+	if s.guard, err = removalguard.New(set.Guard); err != nil {
 		return nil, err
 	}
 	switch {
@@ -208,7 +208,7 @@
 
 // Tune changes what may change while a node runs: the guard, the wait, and of each source Keep, Free and Expect. An
 // epoch that is expected is a way from one history to another: the first whole list of it is taken as a new beginning.
-func (s *Set) Tune(g guard.Settings, wait float64, sources []Source) {
+func (s *Set) Tune(g removalguard.Settings, wait float64, sources []Source) {
 	s.guard.Set(g)
 	s.set.Wait = wait
 	for i, to := range sources {
@@ -585,7 +585,7 @@
 }
 
 // Compare counts what it would do to the hosts that serve if one list were followed by another.
-func Compare(from, to []dispatch.Host) (c guard.Change) {
+func Compare(from, to []dispatch.Host) (c removalguard.Change) {
 	var sum shift
 	next := map[string]dispatch.Host{}
 	for _, h := range to {
@@ -639,8 +639,8 @@
 		one, _ := s.change(name)
 		sum.add(one, 1)
 	}
-	if v := s.verdict(now, sum); !free && v != guard.Take {
-		s.hold(now, of, touched, v == guard.Floor)
+	if v := s.verdict(now, sum); !free && v != removalguard.Take {
+		s.hold(now, of, touched, v == removalguard.Floor)
 		return
 	}
 	for _, name := range touched {
@@ -652,7 +652,7 @@
 // reconsider takes what is held once the guard would take it: what came since may make up for it, and departures leave
 // the window.
 func (s *Set) reconsider(now float64) {
-	if len(s.held) == 0 || s.verdict(now, s.shift) != guard.Take {
+	if len(s.held) == 0 || s.verdict(now, s.shift) != removalguard.Take {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.held)) {
@@ -662,10 +662,10 @@
 }
 
 // verdict asks the guard. Without a list to judge by, all may depart, but some must serve.
-func (s *Set) verdict(now float64, sh shift) guard.Verdict {
-	v := s.guard.Judge(now, guard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
-	if v == guard.Look && !s.based && now > s.baseTill {
-		return guard.Take
+func (s *Set) verdict(now float64, sh shift) removalguard.Verdict {
+	v := s.guard.Judge(now, removalguard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
+	if v == removalguard.Look && !s.based && now > s.baseTill {
+		return removalguard.Take
 	}
 	return v
 }
@@ -797,7 +797,7 @@
 			}
 		}
 	}
-	if len(list) == 0 || looked && s.verdict(now, sum) == guard.Floor {
+	if len(list) == 0 || looked && s.verdict(now, sum) == removalguard.Floor {
 		return
 	}
 	slices.Sort(list)
--- a/internal/inventory/set/set_test.go
+++ b/internal/inventory/set/set_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
 // The histories are the same ones each time, unless -rapid.seed asks for others.
@@ -25,13 +25,13 @@
 
 const epoch = 1.7e12
 
-var half = guard.Settings{Share: 0.5, Window: 30e3, Floor: 1}
+var half = removalguard.Settings{Share: 0.5, Window: 30e3, Floor: 1}
 
 func host(name string, status dispatch.Status) dispatch.Host {
 	return dispatch.Host{Name: name, Address: name + ":1", Zone: "z", Kind: "k", Status: status}
 }
 
-func newSet(t require.TestingT, g guard.Settings, sources ...Source) *Set {
+func newSet(t require.TestingT, g removalguard.Settings, sources ...Source) *Set {
 	s, err := New(Settings{Sources: sources, Guard: g, Wait: 1000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}})
 	require.NoError(t, err)
 	return s
@@ -62,7 +62,7 @@
 }
 
 // shiftOf works out anew what the guard is asked.
-func shiftOf(have, want map[string]dispatch.Host) (c guard.Change, same bool) {
+func shiftOf(have, want map[string]dispatch.Host) (c removalguard.Change, same bool) {
 	c.Serving = ready(have)
 	for name, h := range have {
 		next, ok := want[name]
@@ -155,7 +155,7 @@
 			if c, same := shiftOf(s.hosts, said); len(s.held) == 0 {
 				require.True(t, same)
 			} else {
-				require.NotEqual(t, guard.Take, s.guard.Judge(now, c), "held for nothing")
+				require.NotEqual(t, removalguard.Take, s.guard.Judge(now, c), "held for nothing")
 			}
 			require.Equal(t, dispatch.Ready+dispatch.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "half a version")
 			require.Equal(t, ready(s.hosts), s.serving)
@@ -183,7 +183,7 @@
 func TestHistoriesOfSeveralSources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := []float64{3000, 1000, 2000}
-		s := newSet(t, guard.Settings{Share: 1}, Source{Name: "a", Keep: keep[0]}, Source{Name: "b", Keep: keep[1]}, Source{Name: "c", Keep: keep[2]})
+		s := newSet(t, removalguard.Settings{Share: 1}, Source{Name: "a", Keep: keep[0]}, Source{Name: "b", Keep: keep[1]}, Source{Name: "c", Keep: keep[2]})
 		now, lead := epoch, -1
 		var lists [3]map[string]dispatch.Host
 		var left [3]map[string]float64
@@ -337,7 +337,7 @@
 // Guards against a second look that admits what has not been held for the wait, that comes unasked, that comes again and
 // again for what cannot be admitted, or that empties the fleet; and against a confirmation of something else.
 func TestSecondLook(t *testing.T) {
-	quarter := guard.Settings{Share: 0.25, Floor: 3}
+	quarter := removalguard.Settings{Share: 0.25, Floor: 3}
 	s := newSet(t, quarter, Source{Name: "a"})
 	all := letters(12)
 	tell := func(ms float64, v Version) {
@@ -384,7 +384,7 @@
 // Guards against a change of the source that is followed by which the fleet shrinks unseen, against the guard holding
 // what the platform has told already, and against a drain lost because it was told in a version that was held.
 func TestChangeOfSourceIsJudged(t *testing.T) {
-	few := guard.Settings{Share: 0.1, Floor: 1}
+	few := removalguard.Settings{Share: 0.1, Floor: 1}
 	s := newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b", Keep: 1000, Free: true})
 	all := letters(8)
 	take := func(ms float64, of int, whole bool, hosts ...dispatch.Host) {
@@ -456,7 +456,7 @@
 	all := append(letters(2), one)
 	next := append(letters(1), two) // one leaves and two comes, at once; b leaves, too
 	begin := func() (*Set, func(ms float64, of int, v Version)) {
-		s := newSet(t, guard.Settings{Share: 0.4, Floor: 1}, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
+		s := newSet(t, removalguard.Settings{Share: 0.4, Floor: 1}, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
 		take := func(ms float64, of int, v Version) {
 			v.Whole = v.Whole || len(v.Hosts) != 1
 			require.NoError(t, s.Take(epoch+ms, of, v))
@@ -504,7 +504,7 @@
 	take(1250, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Look: true})
 	assert.NotContains(t, names(s), "one two")
 
-	s = newSet(t, guard.Settings{Share: 0.1, Floor: 1}, Source{Name: "a"})
+	s = newSet(t, removalguard.Settings{Share: 0.1, Floor: 1}, Source{Name: "a"})
 	gone := func(ms float64, names ...string) {
 		var list []dispatch.Host
 		for _, name := range names {
@@ -528,7 +528,7 @@
 
 // Guards against memory that grows with every host that a source ends, and against one forgotten that another still lists.
 func TestEndedHostsAreForgotten(t *testing.T) {
-	s := newSet(t, guard.Settings{Share: 1}, Source{Name: "a"}, Source{Name: "b"})
+	s := newSet(t, removalguard.Settings{Share: 1}, Source{Name: "a"}, Source{Name: "b"})
 	stays := host("stays", dispatch.Ready)
 	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
 	require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
--- a/internal/inventory/guard/guard.go
+++ b/internal/node/endpoints/removalguard/guard.go
@@ -1,9 +1,9 @@
-// Package guard decides how much of a fleet may depart at once. A host departs when it served and is to drain, to leave
+// Package removalguard decides how much of a fleet may depart at once. A host departs when it served and is to drain, to leave
 // or to move to another address. Whoever keeps the list asks before it takes a version and tells what it took.
 //
 // The package is pure: no I/O, no goroutine, no lock, no clock. Time is in milliseconds. State: the names of the hosts
 // that have departed within the window and are not back, mostNames at the most; beyond that the oldest are forgotten.
-package guard
+package removalguard
 
 import (
 	"fmt"
--- a/internal/inventory/guard/guard_test.go
+++ b/internal/node/endpoints/removalguard/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package removalguard
 
 import (
 	"fmt"
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -13,10 +13,10 @@
 	"linenwheel.dev/linenwheel/internal/inventory"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/inventory/files"
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
 	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/options"
 )
@@ -92,8 +92,8 @@
 	return list
 }
 
-func guardOf(o *options.Inventory) guard.Settings {
-	return guard.Settings{Share: o.Guard.Share, Window: o.Guard.Window.Ms, Floor: o.Guard.Floor}
+func guardOf(o *options.Inventory) removalguard.Settings {
+	return removalguard.Settings{Share: o.Guard.Share, Window: o.Guard.Window.Ms, Floor: o.Guard.Floor}
 }
 
 // gather makes the list of the sources that the options name. Discovery is asked by watch, which has what all watches need.
@@ -282,10 +282,10 @@
 func Known(conf *Config, o *Options) files.Known { return known(conf, &o.Inventory) }
 
 // Judge tells what the guard would say, by these options, of a step from one list to another, and counts what it does.
-func Judge(o *Options, from, to []dispatch.Host) (guard.Verdict, guard.Change, error) {
-	g, err := guard.New(guardOf(&o.Inventory))
+func Judge(o *Options, from, to []dispatch.Host) (removalguard.Verdict, removalguard.Change, error) {
+	g, err := removalguard.New(guardOf(&o.Inventory))
 	if err != nil {
-		return guard.Take, guard.Change{}, err
+		return removalguard.Take, removalguard.Change{}, err
 	}
 	c := set.Compare(from, to)
 	return g.Judge(0, c), c, nil
