--- a/internal/inventory/files/files_test.go
+++ b/internal/inventory/files/files_test.go
@@ -18,8 +18,8 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
 // The histories are the same ones each time, unless -rapid.seed asks for others.
@@ -206,7 +206,7 @@
 // told passes on what a sink is told.
 type told chan string
 
-func (c told) Take(versions ...set.Version) error {
+func (c told) Take(versions ...merge.Version) error {
 	v := versions[0]
 	names := ""
 	for _, h := range v.Hosts {
--- a/internal/inventory/files/shelf.go
+++ b/internal/inventory/files/shelf.go
@@ -20,8 +20,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
 // MostFiles is how many files a folder may hold.
@@ -35,10 +35,10 @@
 
 // Reading is what becomes of what was read.
 type Reading struct {
-	Version *set.Version // to be taken; Taken or Refused is to be told then
-	Err     error        // it cannot be used, told once
-	Since   float64      // with Err, or while that lasts: when it was first so; else 0
-	Again   float64      // when it is to be read again, whatever is heard of it; +Inf = not for this
+	Version *merge.Version // to be taken; Taken or Refused is to be told then
+	Err     error          // it cannot be used, told once
+	Since   float64        // with Err, or while that lasts: when it was first so; else 0
+	Again   float64        // when it is to be read again, whatever is heard of it; +Inf = not for this
 }
 
 // Shelf remembers what was read.
@@ -65,7 +65,7 @@
 	since  float64
 	good   bool // it was put together
 	next   map[string]mark
-	v      set.Version
+	v      merge.Version
 	sealed bool
 	err    error
 	told   bool // its fault was
@@ -144,7 +144,7 @@
 func (s *Shelf) gather(c *candidate, parts []Part) error {
 	c.next = map[string]mark{}
 	c.sealed = true
-	c.v = set.Version{Whole: true}
+	c.v = merge.Version{Whole: true}
 	meant, changed := true, false
 	from := map[string]string{}
 	for _, p := range parts {
--- a/internal/inventory/files/watch.go
+++ b/internal/inventory/files/watch.go
@@ -10,13 +10,13 @@
 	"github.com/fsnotify/fsnotify"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
 // Sink is who takes what a source says.
 type Sink interface {
-	Take(...set.Version) error // an error = refused for good
-	Present(away float64)      // nothing new; since a time there was no word, 0 = there is
+	Take(...merge.Version) error // an error = refused for good
+	Present(away float64)        // nothing new; since a time there was no word, 0 = there is
 	Away(since float64)
 }
 
--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -18,8 +18,8 @@
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/files"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
@@ -53,7 +53,7 @@
 	var mu sync.Mutex
 	var faults []string
 	last, taken := -1, 0
-	k, err := New(Settings{Settings: set.Settings{Sources: []set.Source{{Name: "files", Keep: 1e6, Expect: path}},
+	k, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", Keep: 1e6, Expect: path}},
 		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
 		Give: func(kind dispatch.Source, list []dispatch.Host) { p.Inventory(kind, list) }}, c, discard)
 	require.NoError(t, err)
--- a/internal/inventory/keeper.go
+++ b/internal/inventory/keeper.go
@@ -13,14 +13,14 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/inventory/last"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
 // Settings say what a keeper is made of.
 type Settings struct {
-	set.Settings
+	merge.Settings
 	Node string
 	Give func(dispatch.Source, []dispatch.Host) // gets each step, one after the other
 	Last func()                                 // called when the list has changed; may be nil
@@ -33,25 +33,25 @@
 	log      *slog.Logger
 
 	mu      sync.Mutex
-	set     *set.Set
-	looks   []func()       // by source: asks for a second look
-	begun   bool           // a source has given a list
-	offered float64        // when the list was made that stands until then
-	reached []set.Revision // what the sources had come to, as far as that was told
-	changed float64        // when the list changed last
-	alarm   func()         // stops the one that is set
+	set     *merge.Set
+	looks   []func()         // by source: asks for a second look
+	begun   bool             // a source has given a list
+	offered float64          // when the list was made that stands until then
+	reached []merge.Revision // what the sources had come to, as far as that was told
+	changed float64          // when the list changed last
+	alarm   func()           // stops the one that is set
 
 	giving sync.Mutex // held while a step is handed on, so that they come in order
 }
 
 // New makes a keeper without a list.
 func New(settings Settings, c clock.Clock, log *slog.Logger) (*Keeper, error) {
-	s, err := set.New(settings.Settings)
+	s, err := merge.New(settings.Settings)
 	if err != nil {
 		return nil, err
 	}
 	return &Keeper{settings: settings, clock: c, log: log, set: s, looks: make([]func(), len(settings.Sources)),
-		reached: make([]set.Revision, len(settings.Sources)),
+		reached: make([]merge.Revision, len(settings.Sources)),
 		offered: math.Inf(-1), alarm: func() {}}, nil
 }
 
@@ -59,7 +59,7 @@
 func (k *Keeper) Asks(source int, look func()) { k.looks[source] = look }
 
 // Tune changes the guard, the wait and the sources' own settings from now on.
-func (k *Keeper) Tune(g removalguard.Settings, wait float64, sources []set.Source) {
+func (k *Keeper) Tune(g removalguard.Settings, wait float64, sources []merge.Source) {
 	k.do(func(float64) { k.set.Tune(g, wait, sources) })
 }
 
@@ -75,7 +75,7 @@
 		for i, src := range k.settings.Sources {
 			for _, p := range positions {
 				if p.Source == src.Name {
-					k.reached[i] = set.Revision{Epoch: p.Epoch, Number: p.Number}
+					k.reached[i] = merge.Revision{Epoch: p.Epoch, Number: p.Number}
 				}
 			}
 		}
@@ -143,7 +143,7 @@
 }
 
 // View gives how the list is made up.
-func (k *Keeper) View() set.View {
+func (k *Keeper) View() merge.View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.set.View(k.clock.Now())
@@ -165,7 +165,7 @@
 		if src.Followed {
 			r.Followed = src.Name
 		}
-		if src.Revision != (set.Revision{}) {
+		if src.Revision != (merge.Revision{}) {
 			r.Sources = append(r.Sources, last.Position{Source: src.Name, Epoch: src.Revision.Epoch, Number: src.Revision.Number})
 		}
 	}
@@ -183,7 +183,7 @@
 func (k *Keeper) Feed(source int) Feed { return Feed{k, source} }
 
 // Take takes versions, one after the other. It stops at the first that is refused for good.
-func (f Feed) Take(versions ...set.Version) (err error) {
+func (f Feed) Take(versions ...merge.Version) (err error) {
 	k := f.k
 	k.do(func(now float64) {
 		for _, v := range versions {
@@ -230,9 +230,9 @@
 }
 
 // versions takes an answer apart: what changed at one revision is one version.
-func (a Asked) versions(l discovery.List) (list []set.Version) {
+func (a Asked) versions(l discovery.List) (list []merge.Version) {
 	away := a.away(l)
-	at := set.Revision{Number: uint64(max(l.Index, 0))}
+	at := merge.Revision{Number: uint64(max(l.Index, 0))}
 	if l.Origin != nil {
 		at.Epoch = l.Origin.Epoch
 	}
@@ -241,15 +241,15 @@
 		for to < len(l.Hosts) && l.Revisions[to] == l.Revisions[from] {
 			to++
 		}
-		list = append(list, set.Version{Revision: set.Revision{Epoch: at.Epoch, Number: l.Revisions[from]}, Hosts: l.Hosts[from:to],
+		list = append(list, merge.Version{Revision: merge.Revision{Epoch: at.Epoch, Number: l.Revisions[from]}, Hosts: l.Hosts[from:to],
 			Away: -1})
 		from = to
 	}
 	if list != nil {
-		return append(list, set.Version{Revision: at, Away: away}) // what is not listed changed up to there
+		return append(list, merge.Version{Revision: at, Away: away}) // what is not listed changed up to there
 	}
 	look := l.Look && (l.Origin == nil || l.Origin.Looked)
-	return []set.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Look: look, Away: away}}
+	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Look: look, Away: away}}
 }
 
 // away is since when the source behind an answer has not been heard, 0 = it has.
@@ -272,10 +272,10 @@
 func (a Asked) Away(since float64) { a.Feed.Away(cmp.Or(since, a.Start)) }
 
 // tell logs a note.
-func (k *Keeper) tell(n *set.Note) {
+func (k *Keeper) tell(n *merge.Note) {
 	revision := n.Revision.String()
 	switch n.Kind {
-	case set.Held:
+	case merge.Held:
 		if n.Floor {
 			k.log.Error("departures leave too few hosts: they count once they are confirmed", "source", n.Source, "revision", revision,
 				"count", n.Count, "serving", n.Serving, "first", n.Names)
@@ -283,26 +283,26 @@
 		}
 		k.log.Warn("many hosts depart at once: they count after a second look", "source", n.Source, "revision", revision,
 			"count", n.Count, "serving", n.Serving, "first", n.Names)
-	case set.Admitted:
+	case merge.Admitted:
 		by := "confirmation"
 		if n.Looked {
 			by = "second look"
 		}
 		k.log.Warn("departures that were held count now", "source", n.Source, "revision", revision, "count", n.Count,
 			"serving", n.Serving, "first", n.Names, "by", by)
-	case set.Resolved:
+	case merge.Resolved:
 		k.log.Info("no departure is held any more", "source", n.Source, "revision", revision)
-	case set.Lead:
+	case merge.Lead:
 		k.log.Info("the list follows another source", "source", n.Source, "before", n.Other, "revision", revision)
-	case set.Aged:
+	case merge.Aged:
 		k.log.Error("every source of the list is away: the last list stays", "source", n.Source, "age_ms", n.Age)
-	case set.Fresh:
+	case merge.Fresh:
 		k.log.Info("a source of the list is there again", "source", n.Source)
-	case set.Differ:
+	case merge.Differ:
 		k.log.Warn("two sources of the list disagree", "source", n.Source, "followed", n.Other, "count", n.Count, "first", n.Names)
-	case set.Agree:
+	case merge.Agree:
 		k.log.Info("two sources of the list agree again", "source", n.Source, "followed", n.Other)
-	case set.Unusable:
+	case merge.Unusable:
 		k.log.Warn("hosts without a name, or of a zone or kind that the settings do not name: they stay as they were", "source", n.Source,
 			"count", n.Count, "first", n.Names)
 	}
--- a/internal/inventory/keeper_test.go
+++ b/internal/inventory/keeper_test.go
@@ -25,8 +25,8 @@
 	"linenwheel.dev/linenwheel/internal/inventory/etcd"
 	"linenwheel.dev/linenwheel/internal/inventory/files"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
@@ -237,7 +237,7 @@
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
-	f.keeper, err = New(Settings{Settings: set.Settings{Sources: []set.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
+	f.keeper, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
 		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, Wait: 2000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
 		Give: f.give}, f.clock, discard)
 	require.NoError(t, err)
--- a/internal/inventory/set/notes.go
+++ b/internal/node/endpoints/merge/notes.go
@@ -1,4 +1,4 @@
-package set
+package merge
 
 import (
 	"slices"
--- a/internal/inventory/set/set.go
+++ b/internal/node/endpoints/merge/set.go
@@ -1,4 +1,4 @@
-// Package set holds the one list of hosts that a node works with, made of what several sources say.
+// Package merge holds the one list of hosts that a node works with, made of what several sources say.
 //
 // Each source gives versions: its whole list, or what changed, with a revision. The list follows the source that stands
 // first in the order of trust among those that have given one and are not away for too long. From the others comes one
@@ -12,7 +12,7 @@
 // results. State: each source's list and the hosts that it has ended in the last ten minutes; the set's list, what of it
 // is held and what was not handed on yet. A list of more than Settings.Most hosts is refused, and twice as many hosts are
 // remembered as ended.
-package set
+package merge
 
 import (
 	"errors"
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -14,8 +14,8 @@
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/inventory/files"
 	"linenwheel.dev/linenwheel/internal/inventory/last"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/options"
@@ -76,9 +76,9 @@
 }
 
 // sourcesOf is how the options have each source taken, in the order of trust.
-func sourcesOf(o *options.Inventory) (list []set.Source) {
+func sourcesOf(o *options.Inventory) (list []merge.Source) {
 	for _, name := range o.Sources() {
-		one := set.Source{Name: name}
+		one := merge.Source{Name: name}
 		switch name {
 		case options.SourceDiscovery:
 			one.Keep, one.Free, one.Anew = o.Discovery.Keep.Ms, !o.Guard.Discovery, true
@@ -100,7 +100,7 @@
 func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
-	set := inventory.Settings{Settings: set.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
+	set := inventory.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
 		l.writer = &last.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() last.Record { return l.keeper.Record() },
@@ -273,7 +273,7 @@
 func (s *Sources) Asked() <-chan struct{} { return s.asked }
 
 // View tells how the list is made up.
-func (s *Sources) View() set.View { return s.lists.keeper.View() }
+func (s *Sources) View() merge.View { return s.lists.keeper.View() }
 
 // Hosts is the list.
 func (s *Sources) Hosts() []dispatch.Host { return s.lists.keeper.Hosts() }
@@ -287,6 +287,6 @@
 	if err != nil {
 		return removalguard.Take, removalguard.Change{}, err
 	}
-	c := set.Compare(from, to)
+	c := merge.Compare(from, to)
 	return g.Judge(0, c), c, nil
 }
