--- a/internal/inventory/keeper.go
+++ b/internal/inventory/keeper.go
@@ -12,8 +12,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
-	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/lastgood"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
@@ -66,7 +66,7 @@
 // Offer gives the keeper a list from before, of a time, that stands until a source says something. The newest counts.
 // Departures are judged by it if that is no longer than judge milliseconds ago. Positions are what the sources had come to,
 // nil = nothing is known of that.
-func (k *Keeper) Offer(hosts []dispatch.Host, at, judge float64, positions []last.Position) {
+func (k *Keeper) Offer(hosts []dispatch.Host, at, judge float64, positions []lastgood.Position) {
 	k.do(func(float64) {
 		if k.begun || at < k.offered || len(hosts) == 0 {
 			return
@@ -157,16 +157,16 @@
 }
 
 // Record is what is kept of the list for a start without a source.
-func (k *Keeper) Record() last.Record {
+func (k *Keeper) Record() lastgood.Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r := last.Record{Node: k.settings.Node, Changed: k.changed}
+	r := lastgood.Record{Node: k.settings.Node, Changed: k.changed}
 	for _, src := range k.set.View(k.clock.Now()).Sources {
 		if src.Followed {
 			r.Followed = src.Name
 		}
 		if src.Revision != (merge.Revision{}) {
-			r.Sources = append(r.Sources, last.Position{Source: src.Name, Epoch: src.Revision.Epoch, Number: src.Revision.Number})
+			r.Sources = append(r.Sources, lastgood.Position{Source: src.Name, Epoch: src.Revision.Epoch, Number: src.Revision.Number})
 		}
 	}
 	r.Set(k.set.Hosts())
--- a/internal/inventory/last/last.go
+++ b/internal/node/endpoints/lastgood/last.go
@@ -1,8 +1,8 @@
-// Package last keeps the last good list of hosts in a file, for a start at which no source of the list can be asked.
+// Package lastgood keeps the last good list of hosts in a file, for a start at which no source of the list can be asked.
 //
 // The file is one line that names the form, its version, the length and the checksum (see store.Form), and one JSON object. It
 // is replaced as a whole. A list is at most maxBytes long; that of a fleet of ten thousand takes 1.5 MB.
-package last
+package lastgood
 
 import (
 	"context"
--- a/internal/inventory/last/last_test.go
+++ b/internal/node/endpoints/lastgood/last_test.go
@@ -1,4 +1,4 @@
-package last
+package lastgood
 
 import (
 	"context"
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -13,8 +13,8 @@
 	"linenwheel.dev/linenwheel/internal/inventory"
 	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/inventory/files"
-	"linenwheel.dev/linenwheel/internal/inventory/last"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/lastgood"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
@@ -65,7 +65,7 @@
 	judge   float64
 	path    string // of the last good list, empty = none
 	every   atomic.Pointer[options.Duration]
-	writer  *last.Writer
+	writer  *lastgood.Writer
 	sources []source // in the order of trust
 }
 
@@ -103,7 +103,7 @@
 	set := inventory.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
-		l.writer = &last.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() last.Record { return l.keeper.Record() },
+		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.keeper.Record() },
 			Every: func() float64 { return l.every.Load().Ms }}
 		set.Last = l.writer.Changed
 	}
@@ -167,7 +167,7 @@
 	if l.path == "" {
 		return
 	}
-	r, err := last.Load(l.path, conf.Name)
+	r, err := lastgood.Load(l.path, conf.Name)
 	if err != nil {
 		l.log.Warn("the list that was kept is not used", "path", l.path, "error", err)
 	}
@@ -181,7 +181,7 @@
 }
 
 // older tells whether the list of the configuration, which is discovery's, is newer than one that was kept.
-func older(r *last.Record, conf *Config) bool {
+func older(r *lastgood.Record, conf *Config) bool {
 	for _, p := range r.Sources {
 		if p.Source == options.SourceDiscovery && r.Followed == p.Source {
 			return uint64(max(conf.Known.Index, 0)) > p.Number
