--- a/internal/inventory/discovery/discovery.go
+++ b/internal/inventory/discovery/discovery.go
@@ -15,8 +15,8 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/http1"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/inventory/pace"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/backoff"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
@@ -173,13 +173,13 @@
 )
 
 // paced is when calls are made: moved tells that none has been answered since the watch moved.
-func (w *Watcher) paced(moved bool) pace.Settings {
+func (w *Watcher) paced(moved bool) backoff.Settings {
 	set := w.limits()
 	told := set.Told
 	if moved && set.ToldMoved > 0 {
 		told = min(told, set.ToldMoved)
 	}
-	return pace.Settings{Spread: w.Spread, First: set.FirstPause, Last: set.LastPause, Told: told}
+	return backoff.Settings{Spread: w.Spread, First: set.FirstPause, Last: set.LastPause, Told: told}
 }
 
 // spread varies a time.
@@ -212,7 +212,7 @@
 // watch fetches the whole list from an address, to which it may have moved, then watches until ctx ends.
 func (w *Watcher) watch(ctx context.Context, address string, moved bool) {
 	index, known, epoch, open := int64(0), false, "", false
-	calls := pace.Pace{Chance: w.Chance}
+	calls := backoff.Pace{Chance: w.Chance}
 	hosts, doubted := w.Known >= 0, false // whether the last list named some, and an empty one is asked for again
 	if w.Spread > 0 && w.Known >= 0 && w.First != nil {
 		index, known = w.Known, true
--- a/internal/inventory/pace/pace.go
+++ b/internal/node/endpoints/backoff/pace.go
@@ -1,4 +1,4 @@
-// Package pace decides when a node calls for the list and how long a call may take. It is pure: no clock, no I/O, no goroutine.
+// Package backoff decides when a node calls for the list and how long a call may take. It is pure: no clock, no I/O, no goroutine.
 //
 // Two things pull at it. Where a call costs the one service that has the list for all nodes, nodes share nothing, so that what keeps
 // all of them together within what the service can answer is each one's own chance, spread over a time that follows from the
@@ -10,7 +10,7 @@
 // together; a node's k-th failure in a row keeps it away for 2^(k-2) to 3 * 2^(k-2) quarters of Spread, MostSpreads
 // and a half of it at the most, so calls grow fewer, never more, while the trouble lasts; but never for longer than leaves the
 // next call its Limit before Told has passed since the one that failed began.
-package pace
+package backoff
 
 // MostSpreads is where the doubling of pauses ends, in spreads.
 const MostSpreads = 2.0
--- a/internal/inventory/pace/pace_test.go
+++ b/internal/node/endpoints/backoff/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package backoff
 
 import (
 	"flag"
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/inventory/pace"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/backoff"
 	"linenwheel.dev/linenwheel/lab/record"
 	"linenwheel.dev/linenwheel/lab/rivals"
 	"linenwheel.dev/linenwheel/lab/world"
@@ -30,7 +30,7 @@
 	held     int               // and that it knows
 	unsent   []decide.Outcome
 	watching bool // where the list must be asked for: the watch is open
-	pace     pace.Pace
+	pace     backoff.Pace
 	called   float64 // when it called for the list last
 	asking   bool    // a call to discovery that broke off is to be repeated
 	spent    time.Duration
@@ -67,7 +67,7 @@
 	}
 	if g.service != nil {
 		n.watching = false
-		n.pace = pace.Pace{Chance: rand.New(rand.NewPCG(g.day.Seed, uint64(n.number)<<16|uint64(n.life))).Float64}
+		n.pace = backoff.Pace{Chance: rand.New(rand.NewPCG(g.day.Seed, uint64(n.number)<<16|uint64(n.life))).Float64}
 		n.later(n.pace.Begin(n.calls()), askList)
 	}
 	return nil
@@ -77,9 +77,9 @@
 const callUsual = 1000
 
 // calls is when a node calls for the list, with the pauses that it has without options of its own.
-func (n *node) calls() pace.Settings {
+func (n *node) calls() backoff.Settings {
 	set := Settings(n.engine.day, n.number)
-	return pace.Settings{Spread: set.AskSpread().Seconds() * 1000, First: 25, Last: 1000, Told: 6000}
+	return backoff.Settings{Spread: set.AskSpread().Seconds() * 1000, First: 25, Last: 1000, Told: 6000}
 }
 
 func (n *node) later(ms float64, k kind) {
