--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -17,8 +17,8 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/files"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
