--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/inventory/discovery"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
 )
 
 // Config is all that a node is told.
--- a/internal/inventory/keeper.go
+++ b/internal/inventory/keeper.go
@@ -11,8 +11,8 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/lastgood"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
