--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -18,8 +18,8 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/inventory/agent"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/etcd"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
 	"linenwheel.dev/linenwheel/internal/options"
--- a/cmd/linenwheel-etcd/run_test.go
+++ b/cmd/linenwheel-etcd/run_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/goleak"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/agent"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
 
--- a/internal/inventory/keeper_test.go
+++ b/internal/inventory/keeper_test.go
@@ -20,9 +20,9 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/agent"
 	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/etcd"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
