--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -17,9 +17,9 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/node"
--- a/internal/node/endpoints/agent/book.go
+++ b/internal/node/endpoints/agent/book.go
@@ -15,8 +15,8 @@
 	"slices"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 )
 
 // mostChanges bounds what is kept of the past.
--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -14,9 +14,9 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/backoff"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
--- a/internal/node/endpoints/etcd/track.go
+++ b/internal/node/endpoints/etcd/track.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 	"go.etcd.io/etcd/api/v3/mvccpb"
 
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 )
 
 // ConfirmKey is the name under the prefix whose value, a revision in decimal digits, confirms what was held up to it.
--- a/internal/node/endpoints/files/list.go
+++ b/internal/node/endpoints/files/list.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pelletier/go-toml/v2"
 
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 )
 
 // Known is what a list is held against.
--- a/internal/inventory/files_test.go
+++ b/internal/node/endpoints/files_test.go
@@ -1,4 +1,4 @@
-package inventory
+package endpoints
 
 import (
 	"context"
--- a/internal/inventory/keeper.go
+++ b/internal/node/endpoints/keeper.go
@@ -1,7 +1,7 @@
-// Package inventory feeds the pilot one list of hosts from several sources: package set decides what is in it, a Keeper
+// Package endpoints feeds the pilot one list of hosts from several sources: package set decides what is in it, a Keeper
 // has the lock, the clock, the log and the file of the last good list. A node whose list comes from discovery alone, without
 // a guard and a file, does without it.
-package inventory
+package endpoints
 
 import (
 	"cmp"
--- a/internal/inventory/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -1,4 +1,4 @@
-package inventory
+package endpoints
 
 import (
 	"context"
@@ -20,12 +20,12 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/etcd"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
--- a/internal/node/endpoints/lastgood/last.go
+++ b/internal/node/endpoints/lastgood/last.go
@@ -16,8 +16,8 @@
 	"syscall"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -10,8 +10,8 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/lastgood"
@@ -59,7 +59,7 @@
 
 // lists is a list of several sources, or one that is guarded or kept.
 type lists struct {
-	keeper  *inventory.Keeper
+	keeper  *endpoints.Keeper
 	clock   clock.Clock
 	log     *slog.Logger
 	judge   float64
@@ -100,7 +100,7 @@
 func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
-	set := inventory.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
+	set := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
 		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.keeper.Record() },
@@ -108,13 +108,13 @@
 		set.Last = l.writer.Changed
 	}
 	var err error
-	if l.keeper, err = inventory.New(set, l.clock, l.log); err != nil {
+	if l.keeper, err = endpoints.New(set, l.clock, l.log); err != nil {
 		return nil, err
 	}
 	first := watch.First
 	for i, src := range set.Sources {
 		feed := l.keeper.Feed(i)
-		asked := inventory.Asked{Feed: feed, Start: l.clock.Now()}
+		asked := endpoints.Asked{Feed: feed, Start: l.clock.Now()}
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
--- a/node/inventory_test.go
+++ b/node/inventory_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/form"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
