--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
 // Descriptors is how many the door holds at most.
--- a/internal/admin/fetch.go
+++ b/internal/admin/fetch.go
@@ -8,7 +8,7 @@
 	"io"
 	"net"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
 // KnowledgePath is the call for what a node knows of its raters.
--- a/internal/node/downstream/httpserver/date.go
+++ b/internal/node/downstream/httpserver/date.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
 // dates makes the text of the Date field, once a second.
--- a/internal/node/downstream/httpserver/flow.go
+++ b/internal/node/downstream/httpserver/flow.go
@@ -3,7 +3,7 @@
 import (
 	"io"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 )
--- a/internal/node/downstream/thriftserver/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -12,7 +12,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -13,7 +13,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/backoff"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
--- a/internal/node/scenario/script.go
+++ b/internal/node/scenario/script.go
@@ -35,7 +35,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
 // patience is how long a step may take in real time before the scenario fails.
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
--- a/internal/node/upstream/connpool/upload.go
+++ b/internal/node/upstream/connpool/upload.go
@@ -4,7 +4,7 @@
 	"errors"
 	"io"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
 var (
--- a/internal/node/upstream/httpbackend/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -5,7 +5,7 @@
 import (
 	"errors"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
--- a/internal/node/upstream/httpbackend/httphost_test.go
+++ b/internal/node/upstream/httpbackend/httphost_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
--- a/internal/node/upstream/thriftbackend/thrifthost.go
+++ b/internal/node/upstream/thriftbackend/thrifthost.go
@@ -6,7 +6,7 @@
 	"errors"
 	"sync/atomic"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
--- a/internal/node/upstream/thriftbackend/thrifthost_test.go
+++ b/internal/node/upstream/thriftbackend/thrifthost_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/thrift"
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
