--- a/internal/codec/thrift/mapping/mapping.go
+++ b/internal/codec/thrift/mapping/mapping.go
@@ -9,7 +9,7 @@
 	"math"
 	"strconv"
 
-	"linenwheel.dev/linenwheel/internal/thrift"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 )
 
 // The fields of CallInfo, which is the first argument of each method.
--- a/internal/node/downstream/thriftserver/crossing_test.go
+++ b/internal/node/downstream/thriftserver/crossing_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
-	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
 // warned is a log whose warnings wait.
--- a/internal/node/downstream/thriftserver/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -13,12 +13,12 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
-	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
 // Class is what the front has to know of a class.
--- a/internal/node/upstream/httpbackend/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -6,12 +6,12 @@
 	"errors"
 
 	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
-	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
 // Protocol is carrier.Protocol: the payloads of calls and of outcomes Served are *http1.Message. A call that came in Thrift
--- a/internal/node/upstream/thriftbackend/thrifthost.go
+++ b/internal/node/upstream/thriftbackend/thrifthost.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
-	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
 // Settings describe the hosts.
--- a/internal/node/upstream/thriftbackend/thrifthost_test.go
+++ b/internal/node/upstream/thriftbackend/thrifthost_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
 var (
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -6,6 +6,7 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
@@ -15,7 +16,6 @@
 	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 	"linenwheel.dev/linenwheel/internal/node/upstream/thriftbackend"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/thrift"
 )
 
 // speaksThrift is what a host's protocol is called in the list.
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/thrift"
 	"linenwheel.dev/linenwheel/lab/thriftpeers"
 )
 
