--- a/cmd/drill/serve.go
+++ b/cmd/drill/serve.go
@@ -9,20 +9,20 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/wire"
+	"linenwheel.dev/linenwheel/internal/codec/simline"
 )
 
 // instance is one hosted Balancer with the names of its settings.
 type instance struct {
 	balancer *decide.Balancer
-	names    *wire.Names
+	names    *simline.Names
 }
 
 // server is the state of the adapter between lines.
 type server struct {
 	nodes  map[int]*instance
-	fields wire.Fields
-	reply  wire.Reply
+	fields simline.Fields
+	reply  simline.Reply
 
 	now     time.Duration
 	inBatch bool
@@ -124,7 +124,7 @@
 	return false, s.event(name, f, inst)
 }
 
-func (s *server) enlist(f *wire.Fields) error {
+func (s *server) enlist(f *simline.Fields) error {
 	settings, seed, names := f.Enlist()
 	if f.Err() != nil {
 		return f.Err()
@@ -138,7 +138,7 @@
 }
 
 // event hands one event to its instance. Nothing reaches a Balancer from a line that could not be read.
-func (s *server) event(name string, f *wire.Fields, inst *instance) error {
+func (s *server) event(name string, f *simline.Fields, inst *instance) error {
 	b := inst.balancer
 	switch name {
 	case "KNOCK":
@@ -188,7 +188,7 @@
 	return f.Err()
 }
 
-func (s *server) finishList(f *wire.Fields, inst *instance) {
+func (s *server) finishList(f *simline.Fields, inst *instance) {
 	if s.left == 0 && f.Err() == nil {
 		inst.balancer.List(s.now, s.list, s.have)
 	}
--- a/internal/wire/reply.go
+++ b/internal/codec/simline/reply.go
@@ -1,4 +1,4 @@
-package wire
+package simline
 
 import (
 	"strconv"
--- a/internal/wire/wire.go
+++ b/internal/codec/simline/wire.go
@@ -1,6 +1,6 @@
-// Package wire is the codec for the line protocol of the bench: it turns lines into the events of package
+// Package simline is the codec for the line protocol of the bench: it turns lines into the events of package
 // decide and writes actions as lines. It decides nothing.
-package wire
+package simline
 
 import (
 	"bytes"
