--- a/internal/daemon/learn.go
+++ b/internal/daemon/learn.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/admin"
+	"linenwheel.dev/linenwheel/internal/node/admin"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -14,8 +14,8 @@
 	"fmt"
 	"math"
 
-	"linenwheel.dev/linenwheel/internal/admin"
 	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/admin"
 )
 
 //go:generate go run ./gen
--- a/node/door.go
+++ b/node/door.go
@@ -7,7 +7,7 @@
 	"runtime/debug"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/admin"
+	"linenwheel.dev/linenwheel/internal/node/admin"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
--- a/node/node.go
+++ b/node/node.go
@@ -16,10 +16,10 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/admin"
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/admin"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
