--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/log"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/etcd"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
--- a/cmd/linenwheel-etcd/soak_test.go
+++ b/cmd/linenwheel-etcd/soak_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/goleak"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 	"linenwheel.dev/linenwheel/node"
--- a/cmd/linenwheel/command.go
+++ b/cmd/linenwheel/command.go
@@ -9,7 +9,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/options"
 )
 
--- a/cmd/linenwheel/command_test.go
+++ b/cmd/linenwheel/command_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 const good = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"cores":1,"memory_mb":192,"sockets":1024},
--- a/cmd/linenwheel/config.go
+++ b/cmd/linenwheel/config.go
@@ -9,7 +9,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 // effective is what a node works with, each part in the order of its file.
--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -17,7 +17,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
--- a/internal/daemon/beside.go
+++ b/internal/daemon/beside.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/control"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/hotrestart"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
 	"linenwheel.dev/linenwheel/internal/options"
--- a/internal/daemon/learn_test.go
+++ b/internal/daemon/learn_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/node"
 )
--- a/internal/daemon/signal_test.go
+++ b/internal/daemon/signal_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/options"
 )
 
--- a/internal/options/daemon.go
+++ b/internal/options/daemon.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 // Takeover is how a running process can be asked how it does, and how a new one takes its place.
--- a/internal/options/load.go
+++ b/internal/options/load.go
@@ -17,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 // Bounds of what is read and told of a file.
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -14,8 +14,8 @@
 	"fmt"
 	"math"
 
-	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/node/admin"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 //go:generate go run ./gen
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
--- a/internal/options/policy.go
+++ b/internal/options/policy.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 // Policy has the whole fleet judge calls by one document, which takes hold everywhere or nowhere: linenwheel policy.
--- a/internal/options/quota.go
+++ b/internal/options/quota.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
--- a/internal/options/repeats.go
+++ b/internal/options/repeats.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
--- a/internal/options/thrift.go
+++ b/internal/options/thrift.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/config"
+	"linenwheel.dev/linenwheel/internal/node/config"
 )
 
 // NorthThrift are clients that speak Thrift, on a listener of their own.
--- a/node/node.go
+++ b/node/node.go
@@ -17,10 +17,10 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/node/admin"
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
+	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/core"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/downstream/httpserver"
