--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -21,8 +21,8 @@
 	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/etcd"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 const optionsVariable = "LINENWHEEL_OPTIONS"
--- a/cmd/linenwheel-keep/main.go
+++ b/cmd/linenwheel-keep/main.go
@@ -21,8 +21,8 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/log"
 	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // version is that of the node's program, too.
--- a/cmd/linenwheel/command.go
+++ b/cmd/linenwheel/command.go
@@ -10,7 +10,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/node/config"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // The variables that name the two files, each in place of a flag.
--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -21,7 +21,7 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -16,8 +16,8 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // lookEvery is the time between two looks at a change of members that is under way.
--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -19,9 +19,9 @@
 
 	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // errUndecided is what a proposal ends with of which it is not known yet what became of it.
--- a/cmd/linenwheel/process_test.go
+++ b/cmd/linenwheel/process_test.go
@@ -21,7 +21,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/cmd/linenwheel/quota.go
+++ b/cmd/linenwheel/quota.go
@@ -11,10 +11,10 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/control"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/cmd/linenwheel/status.go
+++ b/cmd/linenwheel/status.go
@@ -17,7 +17,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/control"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,8 +21,8 @@
 	"linenwheel.dev/linenwheel/internal/control"
 	"linenwheel.dev/linenwheel/internal/node/config"
 	"linenwheel.dev/linenwheel/internal/node/hotrestart"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
-	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/internal/daemon/learn_test.go
+++ b/internal/daemon/learn_test.go
@@ -7,7 +7,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/config"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/node"
 )
 
--- a/internal/daemon/signal_test.go
+++ b/internal/daemon/signal_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/node/config"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // Guards against a signal to end that came before there was a node and is taken for one that broke a takeover off: the
--- a/internal/node/options/gen/main.go
+++ b/internal/node/options/gen/main.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // Where things are, from the folder of the options.
@@ -114,7 +114,7 @@
 
 const pageHead = `# The options file
 
-This page is generated from the types in ` + "`internal/options`" + `; ` + "`go generate ./internal/options`" + ` writes it.
+This page is generated from the types in ` + "`internal/node/options`" + `; ` + "`go generate ./internal/node/options`" + ` writes it.
 [operate/configuration.md](operate/configuration.md) tells how the file is named, checked and read again.
 
 A time is written with its unit (` + "`\"250ms\"`, `\"2s\"`, `\"1m30s\"`" + `), a size in ` + "`B`, `KiB`, `MiB` or `GiB`" + `
--- a/lab/thriftplay/play.go
+++ b/lab/thriftplay/play.go
@@ -19,7 +19,7 @@
 
 	"github.com/apache/thrift/lib/go/thrift"
 
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/lab/thriftpeers"
 	"linenwheel.dev/linenwheel/node"
 )
--- a/node/door.go
+++ b/node/door.go
@@ -11,7 +11,7 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/drain"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // ratersEvery is the time in milliseconds between two counts of the raters for the figures.
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // Guards against copies of one configuration that move in step, or all keep to one part of a large fleet, and against a
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -18,7 +18,7 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // plain hands discovery's list to the pilot as it is. The guard is not asked: by the platform's rules a drain has been
--- a/node/node.go
+++ b/node/node.go
@@ -30,13 +30,13 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
 	"linenwheel.dev/linenwheel/internal/node/metrics"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/node/shutdown"
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // Config is all that a node is told.
--- a/node/peers.go
+++ b/node/peers.go
@@ -12,8 +12,8 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // orderLimit is how long operators wait for an order to be agreed.
--- a/node/policy.go
+++ b/node/policy.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"log/slog"
 
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 	"linenwheel.dev/linenwheel/internal/node/rollout/gate"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // policyName stands for the file in faults of a policy's text.
--- a/node/policy_test.go
+++ b/node/policy_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // Guards against a call that waits for room under one number of the policy and gets it under the next, where another call of its
--- a/node/quota.go
+++ b/node/quota.go
@@ -7,11 +7,11 @@
 	"log/slog"
 	"slices"
 
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 	"linenwheel.dev/linenwheel/internal/node/quota/middleware"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // divide makes the stage that holds calls to their tenants' quotas.
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // Guards against a tenant beyond its quota that reaches a host or is told the wrong thing, against quotas that hold others
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -14,8 +14,8 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/wal"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // leastSecret is how many bytes a secret must have: fewer could be guessed.
--- a/node/repeats_test.go
+++ b/node/repeats_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/rollout"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // knowing are options that recognise repeats of charges by a header and of alerts by their key.
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -12,10 +12,10 @@
 	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
 	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 	"linenwheel.dev/linenwheel/internal/node/upstream/thriftbackend"
-	"linenwheel.dev/linenwheel/internal/options"
 )
 
 // speaksThrift is what a host's protocol is called in the list.
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -14,8 +14,8 @@
 	"linenwheel.dev/linenwheel/internal/codec/thrift"
 	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/scenario"
-	"linenwheel.dev/linenwheel/internal/options"
 	"linenwheel.dev/linenwheel/lab/thriftpeers"
 )
 
