--- a/cmd/linenwheel/main.go
+++ b/cmd/linenwheel/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"linenwheel.dev/linenwheel/internal/daemon"
+	"linenwheel.dev/linenwheel/internal/node/daemon"
 )
 
 func main() {
--- a/cmd/linenwheel/serve.go
+++ b/cmd/linenwheel/serve.go
@@ -9,7 +9,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/daemon"
+	"linenwheel.dev/linenwheel/internal/node/daemon"
 	"linenwheel.dev/linenwheel/node"
 )
 
