--- a/cmd/linenwheel/quota.go
+++ b/cmd/linenwheel/quota.go
@@ -10,7 +10,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"linenwheel.dev/linenwheel/internal/control"
+	"linenwheel.dev/linenwheel/internal/node/control"
 	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/quota"
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/control"
 	"linenwheel.dev/linenwheel/internal/node/config"
+	"linenwheel.dev/linenwheel/internal/node/control"
 	"linenwheel.dev/linenwheel/internal/node/hotrestart"
 	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/internal/node/systemd"
--- a/internal/node/daemon/host.go
+++ b/internal/node/daemon/host.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"os"
 
-	"linenwheel.dev/linenwheel/internal/control"
+	"linenwheel.dev/linenwheel/internal/node/control"
 )
 
 // host is the process as its control socket sees it.
