--- a/internal/peers/client/client.go
+++ b/internal/node/consensus/client/client.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // Keeper is one that can be asked.
@@ -91,7 +91,7 @@
 func (s *session) take() (n uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for !s.lost && s.next >= s.done+ledger.Window {
+	for !s.lost && s.next >= s.done+statemachine.Window {
 		s.free.Wait()
 	}
 	if s.lost {
@@ -140,15 +140,17 @@
 			return s, nil
 		}
 	}
-	body, err := json.Marshal(ledger.Opening{Name: c.set.Name})
+	body, err := json.Marshal(statemachine.Opening{Name: c.set.Name})
 	if err != nil {
 		return nil, err
 	}
-	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Do, Number: rand.Uint64()>>1 | 1, Body: body} })
+	a, _, err := c.ask(ctx, func() protocol.Request {
+		return protocol.Request{Want: protocol.Do, Number: rand.Uint64()>>1 | 1, Body: body}
+	})
 	if err != nil { // a session that nobody uses does no harm
 		return nil, untaken(err)
 	}
-	if a.Reply.Code != ledger.OK {
+	if a.Reply.Code != statemachine.OK {
 		return nil, fmt.Errorf("%w: %s", ErrRefused, a.Reply.Text)
 	}
 	s = &session{id: a.Reply.Index, told: map[uint64]bool{}}
@@ -161,50 +163,50 @@
 
 // Do has a command agreed and gives its reply. It is tried until ctx ends; the error then wraps ErrNobody or ErrRefused where it
 // was certainly not applied, and ErrUnknown where it may have been.
-func (c *Client) Do(ctx context.Context, part string, body any) (ledger.Reply, error) {
+func (c *Client) Do(ctx context.Context, part string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	for {
 		s, err := c.open(ctx)
 		if err != nil {
-			return ledger.Reply{}, err
+			return statemachine.Reply{}, err
 		}
 		n, ok := s.take()
 		if !ok {
 			continue
 		}
-		a, taken, err := c.ask(ctx, func() talk.Request {
-			return talk.Request{Want: talk.Do, Session: s.id, Number: n, Done: s.confirmed(), Part: part, Body: text}
+		a, taken, err := c.ask(ctx, func() protocol.Request {
+			return protocol.Request{Want: protocol.Do, Session: s.id, Number: n, Done: s.confirmed(), Part: part, Body: text}
 		})
 		if err != nil {
 			s.giveUp()
 			if taken {
-				return ledger.Reply{}, errors.Join(ErrUnknown, err)
+				return statemachine.Reply{}, errors.Join(ErrUnknown, err)
 			}
-			return ledger.Reply{}, untaken(err)
+			return statemachine.Reply{}, untaken(err)
 		}
 		s.tell(n)
-		if a.Reply.Code != ledger.Lost {
+		if a.Reply.Code != statemachine.Lost {
 			return *a.Reply, nil
 		}
 		s.giveUp()
 		if taken {
-			return ledger.Reply{}, ErrUnknown
+			return statemachine.Reply{}, ErrUnknown
 		}
 	}
 }
 
 // Read asks a part a question, answered by what holds at some moment from now on.
-func (c *Client) Read(ctx context.Context, part string, body any) (ledger.Reply, error) {
+func (c *Client) Read(ctx context.Context, part string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
-	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Read, Part: part, Body: text} })
+	a, _, err := c.ask(ctx, func() protocol.Request { return protocol.Request{Want: protocol.Read, Part: part, Body: text} })
 	if err != nil {
-		return ledger.Reply{}, untaken(err)
+		return statemachine.Reply{}, untaken(err)
 	}
 	return *a.Reply, nil
 }
@@ -220,34 +222,34 @@
 // Wait asks the keeper that was asked last a question, and waits until the answer is not what is known, or ctx ends. It is a hint: the
 // answer holds at that keeper, which may not lead any more. It costs no entry, and an error costs nothing: no keeper or connection is
 // given up for it, which is for whoever asks something next.
-func (c *Client) Wait(ctx context.Context, part string, question, known any) (ledger.Reply, error) {
+func (c *Client) Wait(ctx context.Context, part string, question, known any) (statemachine.Reply, error) {
 	body, err := json.Marshal(question)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	have, err := json.Marshal(known)
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	c.mu.Lock()
 	k := c.conn
 	c.mu.Unlock()
 	if k == nil {
-		return ledger.Reply{}, errors.New("there is no connection")
+		return statemachine.Reply{}, errors.New("there is no connection")
 	}
-	a, _, err := k.ask(ctx, talk.Request{Want: talk.Wait, Part: part, Body: body, Known: have})
+	a, _, err := k.ask(ctx, protocol.Request{Want: protocol.Wait, Part: part, Body: body, Known: have})
 	if err == nil && a.Reply == nil {
 		err = fmt.Errorf("no hint: %s", a.Text)
 	}
 	if err != nil {
-		return ledger.Reply{}, err
+		return statemachine.Reply{}, err
 	}
 	return *a.Reply, nil
 }
 
 // Copy gives all that whoever leads holds, as it was at an entry.
 func (c *Client) Copy(ctx context.Context) (index uint64, image []byte, err error) {
-	a, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: talk.Copy} })
+	a, _, err := c.ask(ctx, func() protocol.Request { return protocol.Request{Want: protocol.Copy} })
 	if err == nil {
 		index, err = a.Reply.Index, json.Unmarshal(a.Reply.Body, &image)
 	}
@@ -255,14 +257,14 @@
 }
 
 // Change asks whoever leads to change the members.
-func (c *Client) Change(ctx context.Context, want string, m ledger.Member) error {
-	_, _, err := c.ask(ctx, func() talk.Request { return talk.Request{Want: want, Members: []ledger.Member{m}} })
+func (c *Client) Change(ctx context.Context, want string, m statemachine.Member) error {
+	_, _, err := c.ask(ctx, func() protocol.Request { return protocol.Request{Want: want, Members: []statemachine.Member{m}} })
 	return err
 }
 
 // ask sends a request to one keeper after the other until one answers it for good. taken tells whether one that did not
 // answer may have passed it on before.
-func (c *Client) ask(ctx context.Context, request func() talk.Request) (a talk.Answer, taken bool, err error) {
+func (c *Client) ask(ctx context.Context, request func() protocol.Request) (a protocol.Answer, taken bool, err error) {
 	last := errors.New("no keeper is configured")
 	pause := 5 * time.Millisecond
 	if early := time.Until(c.from); early > 0 {
@@ -289,12 +291,12 @@
 				c.turn(at, "")
 			case a.Fault == "":
 				return a, taken, nil
-			case a.Fault == talk.Refused:
+			case a.Fault == protocol.Refused:
 				return a, taken, fmt.Errorf("%w: %s", ErrRefused, a.Text)
 			default:
 				last = fmt.Errorf("%s: %s", c.set.Keepers[at].Name, a.Text)
-				taken = taken || a.Fault == talk.Later
-				if a.Fault == talk.Elsewhere || a.Leader != "" {
+				taken = taken || a.Fault == protocol.Later
+				if a.Fault == protocol.Elsewhere || a.Leader != "" {
 					if c.turn(at, a.Leader); try < 2 {
 						continue // at once: somebody leads
 					}
@@ -373,10 +375,10 @@
 }
 
 // Ask puts one request to one keeper, for what is not the log's: how it does, or to found it.
-func Ask(ctx context.Context, set Settings, to Keeper, r talk.Request) (talk.Answer, error) {
+func Ask(ctx context.Context, set Settings, to Keeper, r protocol.Request) (protocol.Answer, error) {
 	k, err := dial(to, &set, set.Try)
 	if err != nil {
-		return talk.Answer{}, err
+		return protocol.Answer{}, err
 	}
 	defer k.raw.Close()
 	ctx, cancel := context.WithTimeout(ctx, set.Try)
@@ -390,12 +392,12 @@
 
 // conn is a connection on which many requests are under way.
 type conn struct {
-	raw   *link.Conn
+	raw   *transport.Conn
 	try   time.Duration
 	write sync.Mutex
 	mu    sync.Mutex
 	next  uint64
-	open  map[uint64]chan talk.Answer
+	open  map[uint64]chan protocol.Answer
 	left  bool // nothing more is asked on it
 	ended chan struct{}
 }
@@ -410,11 +412,11 @@
 }
 
 func dial(to Keeper, set *Settings, within time.Duration) (*conn, error) {
-	raw, _, err := link.Dial(to.Address, link.Hello{Fleet: set.Fleet, Release: set.Release, Name: set.Name, To: to.Name}, within)
+	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Release: set.Release, Name: set.Name, To: to.Name}, within)
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{raw: raw, try: within, open: map[uint64]chan talk.Answer{}, ended: make(chan struct{})}
+	k := &conn{raw: raw, try: within, open: map[uint64]chan protocol.Answer{}, ended: make(chan struct{})}
 	go k.hear()
 	return k, nil
 }
@@ -433,8 +435,8 @@
 	defer k.raw.Close()
 	for {
 		kind, text, err := k.raw.Read()
-		var a talk.Answer
-		if err != nil || kind != link.KindAnswer || json.Unmarshal(text, &a) != nil {
+		var a protocol.Answer
+		if err != nil || kind != transport.KindAnswer || json.Unmarshal(text, &a) != nil {
 			return
 		}
 		k.mu.Lock()
@@ -448,8 +450,8 @@
 }
 
 // ask sends one request and waits for its answer. sent tells whether the keeper may have it.
-func (k *conn) ask(ctx context.Context, r talk.Request) (a talk.Answer, sent bool, err error) {
-	to := make(chan talk.Answer, 1)
+func (k *conn) ask(ctx context.Context, r protocol.Request) (a protocol.Answer, sent bool, err error) {
+	to := make(chan protocol.Answer, 1)
 	k.mu.Lock()
 	k.next++
 	r.ID = k.next
@@ -468,11 +470,11 @@
 	if err != nil {
 		return a, false, err
 	}
-	if len(text) > ledger.MostCommand {
-		return talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", ledger.MostCommand)}, false, nil
+	if len(text) > statemachine.MostCommand {
+		return protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MostCommand)}, false, nil
 	}
 	k.write.Lock()
-	err = k.raw.Write(link.KindAsk, text, k.try)
+	err = k.raw.Write(transport.KindAsk, text, k.try)
 	k.write.Unlock()
 	if err != nil {
 		return a, true, err
--- a/internal/peers/keeper/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -1,9 +1,9 @@
-// Package keeper runs one member of the agreed log: its state machine, disk, links and clock. What it decides is in package
+// Package replica runs one member of the agreed log: its state machine, disk, links and clock. What it decides is in package
 // group; here are a goroutine that owns the state machine, one that writes to the disk, one a connection, one a sender.
 //
 // Bounds: MostClients connections of clients with mostWaiting requests and one wait for a hint each; a sender holds slowMost bytes
 // for a slow member; what waits to be agreed is bounded by uncommitted.
-package keeper
+package replica
 
 import (
 	"context"
@@ -21,19 +21,19 @@
 	"google.golang.org/protobuf/proto"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/storage"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/store"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
-	"linenwheel.dev/linenwheel/internal/segments"
 )
 
 // MostClients is how many connections of clients a keeper has at once.
 const MostClients = 1024
 
 const (
-	mostWaiting = ledger.Window
+	mostWaiting = statemachine.Window
 	slowMost    = 8 << 20
 	uncommitted = 16 << 20
 	inbox       = 1024
@@ -57,7 +57,7 @@
 	ImageEvery int               // bytes
 	Trail      int               // entries
 	Release    string
-	Wrap       func(segments.Folder) segments.Folder // of the disk, for rigs; nil = none
+	Wrap       func(wal.Folder) wal.Folder // of the disk, for rigs; nil = none
 }
 
 // Keeper is one running member.
@@ -65,7 +65,7 @@
 	set    Settings
 	log    *slog.Logger
 	clock  clock.Clock
-	store  *store.Store
+	store  *storage.Store
 	listen net.Listener
 	events chan func()
 	disk   chan job
@@ -82,7 +82,7 @@
 
 	// Of the goroutine that owns the state machine.
 	group   *group.Group
-	senders map[uint64]*link.Sender
+	senders map[uint64]*transport.Sender
 	names   map[uint64]string // of keepers that have connected, by number
 	starts  map[uint64]uint64
 	speaks  map[uint64]int    // the version of the ledger that members know
@@ -90,7 +90,7 @@
 	dialled map[uint64]uint64 // of keepers since their last start, the latest that was heard
 	waiting map[key][]*waiter
 	reads   map[uint64]*waiter
-	waits   map[*link.Conn]*waiter // for hints: one a connection
+	waits   map[*transport.Conn]*waiter // for hints: one a connection
 	number  uint64
 	tick    uint64
 	leader  uint64
@@ -98,15 +98,15 @@
 	todo    []job // for the disk, which is behind
 
 	mu    sync.Mutex
-	conns map[*link.Conn]uint64 // that were accepted, with the keeper's number
+	conns map[*transport.Conn]uint64 // that were accepted, with the keeper's number
 }
 
 type key struct{ session, number uint64 }
 
 // waiter is a client's request that is under way.
 type waiter struct {
-	ask    *talk.Request
-	answer func(talk.Answer)
+	ask    *protocol.Request
+	answer func(protocol.Answer)
 	since  uint64 // tick
 }
 
@@ -119,11 +119,11 @@
 // New opens the directory and listens.
 func New(set Settings, log *slog.Logger) (*Keeper, error) {
 	k := &Keeper{set: set, log: log, clock: clock.NewSystem(), events: make(chan func(), inbox), disk: make(chan job, inbox),
-		ended: make(chan struct{}), refusals: make(chan error, 1), senders: map[uint64]*link.Sender{}, names: map[uint64]string{},
+		ended: make(chan struct{}), refusals: make(chan error, 1), senders: map[uint64]*transport.Sender{}, names: map[uint64]string{},
 		starts: map[uint64]uint64{}, speaks: map[uint64]int{}, dialled: map[uint64]uint64{}, lives: map[uint64]uint64{}, life: rand.Uint64()>>1 | 1,
-		waiting: map[key][]*waiter{}, reads: map[uint64]*waiter{}, waits: map[*link.Conn]*waiter{}, conns: map[*link.Conn]uint64{}}
+		waiting: map[key][]*waiter{}, reads: map[uint64]*waiter{}, waits: map[*transport.Conn]*waiter{}, conns: map[*transport.Conn]uint64{}}
 	var err error
-	if k.store, err = store.Open(set.Directory, set.Fleet, set.Name, set.Synced, set.Wrap); err != nil {
+	if k.store, err = storage.Open(set.Directory, set.Fleet, set.Name, set.Synced, set.Wrap); err != nil {
 		return nil, fmt.Errorf("peers.directory %s: %w", set.Directory, err)
 	}
 	if err = k.begin(); err == nil {
@@ -291,7 +291,7 @@
 	for c, w := range k.waits {
 		if k.tick-w.since > waitTicks {
 			delete(k.waits, c)
-			w.answer(talk.Answer{Fault: talk.Later, Text: "there is nothing new"})
+			w.answer(protocol.Answer{Fault: protocol.Later, Text: "there is nothing new"})
 		}
 	}
 	for id, list := range k.waiting {
@@ -305,12 +305,12 @@
 // noteStarts has it agreed how often members have started, so that a copy of an older directory is known by all, and what they know,
 // so that nothing is written that one of them cannot read.
 func (k *Keeper) noteStarts() {
-	k.starts[k.store.ID], k.speaks[k.store.ID] = k.store.Starts, ledger.Version
+	k.starts[k.store.ID], k.speaks[k.store.ID] = k.store.Starts, statemachine.Version
 	for id, n := range k.starts {
 		m, ok := k.group.Ledger().Members().Get(id)
 		if speaks := k.speaks[id]; ok && (m.Starts < n || speaks > 0 && m.Speaks != speaks) {
-			_ = k.group.Propose(k.clock.Now(), ledger.Command{Part: ledger.PartMembers,
-				Body: encode(ledger.Started{ID: id, Starts: n, Speaks: speaks})}) // it is tried again
+			_ = k.group.Propose(k.clock.Now(), statemachine.Command{Part: statemachine.PartMembers,
+				Body: encode(statemachine.Started{ID: id, Starts: n, Speaks: speaks})}) // it is tried again
 		}
 	}
 }
@@ -318,7 +318,7 @@
 // passOn sends those who wait here to whoever leads now. What they asked may have been agreed, or be lost with this keeper's lead: asked
 // again under its number it is applied once.
 func (k *Keeper) passOn(text string) {
-	a := talk.Answer{Fault: talk.Later, Text: text, Leader: k.nameOf(k.leader)}
+	a := protocol.Answer{Fault: protocol.Later, Text: text, Leader: k.nameOf(k.leader)}
 	for id, list := range k.waiting {
 		delete(k.waiting, id)
 		for _, w := range list {
@@ -353,8 +353,8 @@
 	for _, r := range work.Reads {
 		if w := k.reads[r.Number]; w != nil {
 			delete(k.reads, r.Number)
-			reply := k.group.Query(ledger.Ask{Part: w.ask.Part, Body: w.ask.Body})
-			w.answer(talk.Answer{Reply: &reply})
+			reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
+			w.answer(protocol.Answer{Reply: &reply})
 		}
 	}
 	for _, w := range work.Write {
@@ -391,7 +391,7 @@
 		k.passOn("another keeper leads since it was asked")
 	}
 	for id, s := range k.senders { // to one that was replaced another answers under its address
-		if m, ok := k.group.Ledger().Members().Get(id); ok && m.Role == ledger.Gone {
+		if m, ok := k.group.Ledger().Members().Get(id); ok && m.Role == statemachine.Gone {
 			s.Close()
 			delete(k.senders, id)
 		}
@@ -408,7 +408,7 @@
 func (k *Keeper) applied(a group.Applied) {
 	id := key{a.Command.Session, a.Command.Number}
 	for _, w := range k.waiting[id] {
-		w.answer(talk.Answer{Reply: &a.Reply})
+		w.answer(protocol.Answer{Reply: &a.Reply})
 	}
 	delete(k.waiting, id)
 }
@@ -448,13 +448,13 @@
 		if m.GetType() == pb.MsgSnap {
 			sent = func(ok bool) { go k.tell(func() { k.group.ImageSent(id, ok) }) }
 		}
-		s.Send(link.KindRaft, text, sent)
+		s.Send(transport.KindRaft, text, sent)
 	}
 }
 
 // sender gives the one to a member, nil if it cannot be reached. A member that is slow to answer is given twice the time with each
 // attempt, up to dialMost: else two that are both slow would never meet.
-func (k *Keeper) sender(id uint64) *link.Sender {
+func (k *Keeper) sender(id uint64) *transport.Sender {
 	if s := k.senders[id]; s != nil {
 		return s
 	}
@@ -463,11 +463,11 @@
 		return nil
 	}
 	within := time.Duration(max(k.set.Election, 100) * 1e6)
-	limits := link.Limits{Bytes: slowMost, Write: max(2*time.Second, within), FirstPause: 50 * time.Millisecond,
+	limits := transport.Limits{Bytes: slowMost, Write: max(2*time.Second, within), FirstPause: 50 * time.Millisecond,
 		LastPause: time.Second}
 	patience := within
-	s := link.NewSender(limits,
-		func() (*link.Conn, error) {
+	s := transport.NewSender(limits,
+		func() (*transport.Conn, error) {
 			c, err := k.dial(address, name, id, patience)
 			if patience = min(2*patience, max(within, dialMost)); err == nil {
 				patience = within
@@ -491,11 +491,11 @@
 	return s
 }
 
-func (k *Keeper) dial(address, name string, id uint64, within time.Duration) (*link.Conn, error) {
-	c, w, err := link.Dial(address, link.Hello{Fleet: k.set.Fleet, Release: k.set.Release, Name: k.set.Name, To: name, Want: id, ID: k.store.ID,
-		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), Ledger: ledger.Version}, within)
+func (k *Keeper) dial(address, name string, id uint64, within time.Duration) (*transport.Conn, error) {
+	c, w, err := transport.Dial(address, transport.Hello{Fleet: k.set.Fleet, Release: k.set.Release, Name: k.set.Name, To: name, Want: id, ID: k.store.ID,
+		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), Ledger: statemachine.Version}, within)
 	switch {
-	case errors.Is(err, link.ErrRefused) && w.Final:
+	case errors.Is(err, transport.ErrRefused) && w.Final:
 		select {
 		case k.refusals <- err:
 		default:
--- a/internal/peers/keeper/serve.go
+++ b/internal/node/consensus/replica/serve.go
@@ -1,4 +1,4 @@
-package keeper
+package replica
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/peers/group"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
 )
 
 const answerLimit = 5 * time.Second // for a client to take an answer
@@ -38,12 +38,12 @@
 			time.Sleep(50 * time.Millisecond) // out of descriptors for a moment
 			continue
 		}
-		go k.serve(link.NewConn(raw))
+		go k.serve(transport.NewConn(raw))
 	}
 }
 
 // serve hears one connection to its end.
-func (k *Keeper) serve(c *link.Conn) {
+func (k *Keeper) serve(c *transport.Conn) {
 	defer c.Close()
 	k.mu.Lock()
 	full := len(k.conns) >= MostClients
@@ -72,13 +72,13 @@
 		k.alone(c, hello.ID)
 		err = k.hearKeeper(c, hello.ID)
 	}
-	if errors.Is(err, link.ErrFrame) {
+	if errors.Is(err, transport.ErrFrame) {
 		k.log.Warn("a peer was turned away", "peer", hello.Name, "remote", c.Remote(), "error", err)
 	}
 }
 
 // alone ends an earlier connection of a keeper: it has none but the last.
-func (k *Keeper) alone(c *link.Conn, id uint64) {
+func (k *Keeper) alone(c *transport.Conn, id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for other, of := range k.conns {
@@ -90,21 +90,21 @@
 }
 
 // judge says whether whoever connects is welcome.
-func (k *Keeper) judge(h link.Hello) link.Welcome {
-	answer := make(chan link.Welcome, 1)
+func (k *Keeper) judge(h transport.Hello) transport.Welcome {
+	answer := make(chan transport.Welcome, 1)
 	if !k.tell(func() { answer <- k.look(h) }) {
-		return link.Welcome{Reason: "this keeper ends"}
+		return transport.Welcome{Reason: "this keeper ends"}
 	}
 	select {
 	case w := <-answer:
 		return w
 	case <-k.ended:
-		return link.Welcome{Reason: "this keeper ends"}
+		return transport.Welcome{Reason: "this keeper ends"}
 	}
 }
 
-func (k *Keeper) look(h link.Hello) link.Welcome {
-	w := link.Welcome{Name: k.set.Name, ID: k.store.ID}
+func (k *Keeper) look(h transport.Hello) transport.Welcome {
+	w := transport.Welcome{Name: k.set.Name, ID: k.store.ID}
 	if h.To != "" && h.To != k.set.Name {
 		w.Reason = fmt.Sprintf("this is %q, not %q", k.set.Name, h.To)
 		return w
@@ -120,7 +120,7 @@
 	match, _ := k.group.Behind(h.ID)
 	_, committed, applied := k.group.Position()
 	switch {
-	case known && m.Role == ledger.Gone:
+	case known && m.Role == statemachine.Gone:
 		w.Reason, w.Final = "it was taken out or replaced: its directory is to be emptied", true
 	case !known && applied > 0 && h.Applied <= applied: // else it may have joined since: who was away must hear of it from it
 		w.Reason = "it is no member (yet)"
@@ -151,15 +151,15 @@
 }
 
 // hearKeeper passes on what a member says.
-func (k *Keeper) hearKeeper(c *link.Conn, id uint64) error {
+func (k *Keeper) hearKeeper(c *transport.Conn, id uint64) error {
 	for {
 		kind, text, err := c.Read()
 		if err != nil {
 			return err
 		}
 		m := &pb.Message{}
-		if kind != link.KindRaft || proto.Unmarshal(text, m) != nil || m.GetFrom() != id || m.GetTo() != k.store.ID {
-			return link.ErrFrame
+		if kind != transport.KindRaft || proto.Unmarshal(text, m) != nil || m.GetFrom() != id || m.GetTo() != k.store.ID {
+			return transport.ErrFrame
 		}
 		if !k.tell(func() { k.group.Step(m) }) {
 			return nil
@@ -168,8 +168,8 @@
 }
 
 // hearClient answers the requests of a client of the log.
-func (k *Keeper) hearClient(c *link.Conn) error {
-	out, over := make(chan talk.Answer, 2*mostWaiting), make(chan struct{})
+func (k *Keeper) hearClient(c *transport.Conn) error {
+	out, over := make(chan protocol.Answer, 2*mostWaiting), make(chan struct{})
 	defer close(over)
 	defer k.tell(func() { delete(k.waits, c) })
 	go func() {
@@ -178,7 +178,7 @@
 			select {
 			case a := <-out:
 				text, err := json.Marshal(a)
-				if err != nil || c.Write(link.KindAnswer, text, answerLimit) != nil {
+				if err != nil || c.Write(transport.KindAnswer, text, answerLimit) != nil {
 					return
 				}
 			case <-over:
@@ -191,11 +191,11 @@
 		if err != nil {
 			return err
 		}
-		ask := &talk.Request{}
-		if kind != link.KindAsk || len(text) > ledger.MostCommand || json.Unmarshal(text, ask) != nil {
-			return link.ErrFrame
+		ask := &protocol.Request{}
+		if kind != transport.KindAsk || len(text) > statemachine.MostCommand || json.Unmarshal(text, ask) != nil {
+			return transport.ErrFrame
 		}
-		answer := func(a talk.Answer) {
+		answer := func(a protocol.Answer) {
 			a.ID = ask.ID
 			select {
 			case out <- a:
@@ -204,7 +204,7 @@
 			}
 		}
 		do := func() { k.answer(ask, answer) }
-		if ask.Want == talk.Wait {
+		if ask.Want == protocol.Wait {
 			do = func() { k.wait(c, &waiter{ask, answer, k.tick}) }
 		}
 		if !k.tell(do) {
@@ -215,17 +215,17 @@
 
 // wait has a question answered once the answer is not what the asker knows. It is a hint and no more: nobody is asked whether this
 // keeper still leads, and it costs no entry. A later one on the connection takes the place of an earlier, which nobody hears any more.
-func (k *Keeper) wait(c *link.Conn, w *waiter) {
+func (k *Keeper) wait(c *transport.Conn, w *waiter) {
 	if earlier := k.waits[c]; earlier != nil {
-		earlier.answer(talk.Answer{Fault: talk.Later, Text: "a later one has come"})
+		earlier.answer(protocol.Answer{Fault: protocol.Later, Text: "a later one has come"})
 	}
 	delete(k.waits, c)
 	if !k.group.Leads() {
 		w.answer(k.fault(group.ErrNotLeader))
 		return
 	}
-	if reply := k.group.Query(ledger.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
-		w.answer(talk.Answer{Reply: &reply})
+	if reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
+		w.answer(protocol.Answer{Reply: &reply})
 		return
 	}
 	k.waits[c] = w
@@ -233,39 +233,39 @@
 
 // hint answers those who wait for what has come to be.
 func (k *Keeper) hint() {
-	var asked *talk.Request
-	var reply ledger.Reply
+	var asked *protocol.Request
+	var reply statemachine.Reply
 	for c, w := range k.waits {
 		if asked == nil || asked.Part != w.ask.Part || !bytes.Equal(asked.Body, w.ask.Body) { // most ask the same
-			asked, reply = w.ask, k.group.Query(ledger.Ask{Part: w.ask.Part, Body: w.ask.Body})
+			asked, reply = w.ask, k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
 		}
 		if !bytes.Equal(reply.Body, w.ask.Known) {
 			delete(k.waits, c)
-			w.answer(talk.Answer{Reply: &reply})
+			w.answer(protocol.Answer{Reply: &reply})
 		}
 	}
 }
 
 // answer does what a client asks for, on the goroutine of the state machine.
-func (k *Keeper) answer(ask *talk.Request, answer func(talk.Answer)) {
+func (k *Keeper) answer(ask *protocol.Request, answer func(protocol.Answer)) {
 	var err error
 	switch ask.Want {
-	case talk.Status:
-		answer(talk.Answer{State: k.state()})
+	case protocol.Status:
+		answer(protocol.Answer{State: k.state()})
 		return
-	case talk.Picture:
-		reply := k.group.Query(ledger.Ask{Part: ledger.PartRegister, Body: encode(ledger.Get{})})
-		answer(talk.Answer{Reply: &reply})
+	case protocol.Picture:
+		reply := k.group.Query(statemachine.Ask{Part: statemachine.PartRegister, Body: encode(statemachine.Get{})})
+		answer(protocol.Answer{Reply: &reply})
 		return
-	case talk.Found:
+	case protocol.Found:
 		if err := k.found(ask); err != nil {
-			answer(talk.Answer{Fault: talk.Refused, Text: err.Error()})
+			answer(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
 			return
 		}
-		answer(talk.Answer{State: k.state()})
+		answer(protocol.Answer{State: k.state()})
 		return
-	case talk.Do:
-		c := ledger.Command{Session: ask.Session, Number: ask.Number, Done: ask.Done, Part: ask.Part, Body: ask.Body}
+	case protocol.Do:
+		c := statemachine.Command{Session: ask.Session, Number: ask.Number, Done: ask.Done, Part: ask.Part, Body: ask.Body}
 		if c.Session == 0 {
 			c.Part = "" // nobody speaks for the group itself
 		}
@@ -274,68 +274,68 @@
 			k.waiting[id] = append(k.waiting[id], &waiter{ask, answer, k.tick})
 			return
 		}
-	case talk.Read:
+	case protocol.Read:
 		k.number++
 		if err = k.group.Read(k.number); err == nil {
 			k.reads[k.number] = &waiter{ask, answer, k.tick}
 			return
 		}
-	case talk.Copy:
+	case protocol.Copy:
 		if err = group.ErrNotLeader; k.group.Leads() {
 			freeze, index := k.group.Ledger().Freeze(), k.group.Ledger().Index()
 			go func() { // it may take its time
 				image, err := freeze()
 				if err != nil {
-					answer(talk.Answer{Fault: talk.Refused, Text: err.Error()})
+					answer(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
 					return
 				}
-				answer(talk.Answer{Reply: &ledger.Reply{Code: ledger.OK, Index: index, Body: encode(image)}})
+				answer(protocol.Answer{Reply: &statemachine.Reply{Code: statemachine.OK, Index: index, Body: encode(image)}})
 			}()
 			return
 		}
-	case talk.Learn, talk.Remove:
+	case protocol.Learn, protocol.Remove:
 		if len(ask.Members) != 1 {
-			answer(talk.Answer{Fault: talk.Refused, Text: "want one member"})
+			answer(protocol.Answer{Fault: protocol.Refused, Text: "want one member"})
 			return
 		}
-		if ask.Want == talk.Learn {
+		if ask.Want == protocol.Learn {
 			err = k.learn(ask.Members[0])
 		} else {
 			err = k.remove(ask.Members[0])
 		}
 		if err == nil {
-			answer(talk.Answer{State: k.state()})
+			answer(protocol.Answer{State: k.state()})
 			return
 		}
 	default:
-		answer(talk.Answer{Fault: talk.Refused, Text: fmt.Sprintf("nobody wants %q", ask.Want)})
+		answer(protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("nobody wants %q", ask.Want)})
 		return
 	}
 	answer(k.fault(err))
 }
 
 // fault is the answer to what cannot be done here.
-func (k *Keeper) fault(err error) talk.Answer {
-	a := talk.Answer{Fault: talk.Refused, Text: err.Error(), Leader: k.nameOf(k.leader)}
+func (k *Keeper) fault(err error) protocol.Answer {
+	a := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.nameOf(k.leader)}
 	switch {
 	case errors.Is(err, group.ErrNotLeader) && k.group.Leader() == 0:
-		a.Fault = talk.Nobody
+		a.Fault = protocol.Nobody
 	case errors.Is(err, group.ErrNotLeader):
-		a.Fault = talk.Elsewhere
+		a.Fault = protocol.Elsewhere
 	case errors.Is(err, group.ErrBacklog), errors.Is(err, group.ErrBusy):
-		a.Fault = talk.Later
+		a.Fault = protocol.Later
 	}
 	return a
 }
 
 // learn takes a member in, unless it is one.
-func (k *Keeper) learn(m ledger.Member) error {
+func (k *Keeper) learn(m statemachine.Member) error {
 	list := k.group.Ledger().Members()
 	have, known := list.Get(m.ID)
 	switch {
 	case !k.group.Leads():
 		return group.ErrNotLeader
-	case known && have.Role != ledger.Gone:
+	case known && have.Role != statemachine.Gone:
 		return nil
 	case known:
 		return fmt.Errorf("number %x was taken out: empty the directory of %q", m.ID, m.Name)
@@ -352,21 +352,21 @@
 
 // remove takes a member out, unless it is the last. One that leads hands its lead on first and is asked again: else nobody would lead until
 // the others miss it.
-func (k *Keeper) remove(m ledger.Member) error {
+func (k *Keeper) remove(m statemachine.Member) error {
 	list := k.group.Ledger().Members()
 	have, known := list.Get(m.ID)
 	voters := 0
 	for _, other := range list.List() {
-		if other.Role == ledger.Voter {
+		if other.Role == statemachine.Voter {
 			voters++
 		}
 	}
 	switch {
 	case !k.group.Leads():
 		return group.ErrNotLeader
-	case !known || have.Role == ledger.Gone:
+	case !known || have.Role == statemachine.Gone:
 		return nil
-	case have.Role == ledger.Voter && voters == 1:
+	case have.Role == statemachine.Voter && voters == 1:
 		return errors.New("it is the last that votes")
 	case m.ID == k.ID() && k.group.Hand():
 		return group.ErrBusy
@@ -375,7 +375,7 @@
 }
 
 // found makes this keeper one of the first members. Asked again, it says that it is.
-func (k *Keeper) found(ask *talk.Request) error {
+func (k *Keeper) found(ask *protocol.Request) error {
 	own := false
 	for _, m := range ask.Members {
 		own = own || m.ID == k.store.ID && m.Name == k.set.Name
@@ -408,9 +408,9 @@
 }
 
 // state is how the keeper does.
-func (k *Keeper) state() *talk.State {
+func (k *Keeper) state() *protocol.State {
 	l := k.group.Ledger()
-	s := &talk.State{Fleet: k.set.Fleet, Name: k.set.Name, ID: k.store.ID, Release: k.set.Release, Starts: k.store.Starts,
+	s := &protocol.State{Fleet: k.set.Fleet, Name: k.set.Name, ID: k.store.ID, Release: k.set.Release, Starts: k.store.Starts,
 		Leader: k.nameOf(k.group.Leader()), Time: l.Now(), Changing: k.group.Changing(), Synced: k.set.Synced, Sessions: l.Sessions(),
 		Images: k.images, Writes: k.writes.Load(), Clients: int(k.clients.Load())}
 	s.Term, s.Committed, s.Applied = k.group.Position()
@@ -425,7 +425,7 @@
 		s.Role = "blank"
 	}
 	for _, m := range l.Members().List() {
-		v := talk.Member{Member: m}
+		v := protocol.Member{Member: m}
 		if sender := k.senders[m.ID]; sender != nil {
 			v.Up, v.Bytes = sender.Up()
 		}
--- a/internal/peers/keeper/serve_test.go
+++ b/internal/node/consensus/replica/serve_test.go
@@ -1,4 +1,4 @@
-package keeper
+package replica
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
-	"linenwheel.dev/linenwheel/internal/policy"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // Guards against a keeper that is told for good to stay away because an earlier connection of its own came late, and against an
@@ -25,14 +25,14 @@
 	c := client.New(set)
 	defer c.Close()
 	for range 20 {
-		_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+		_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 		require.NoError(t, err)
 	}
-	var lead, other *talk.State
+	var lead, other *protocol.State
 	for lead == nil || other == nil { // none may lead at the moment
 		lead, other = nil, nil
 		for _, k := range set.Keepers {
-			a, err := client.Ask(t.Context(), set, k, talk.Request{Want: talk.Status})
+			a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status})
 			require.NoError(t, err)
 			if a.State.Role == "leader" {
 				lead = a.State
@@ -47,10 +47,10 @@
 			address = k.Address
 		}
 	}
-	as := func(change func(*link.Hello)) (link.Welcome, error) {
-		h := link.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
+	as := func(change func(*transport.Hello)) (transport.Welcome, error) {
+		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
 		change(&h)
-		conn, w, err := link.Dial(address, h, set.Try)
+		conn, w, err := transport.Dial(address, h, set.Try)
 		if err == nil {
 			require.NoError(t, conn.Close())
 		}
@@ -58,33 +58,33 @@
 	}
 	for _, x := range []struct {
 		what   string
-		change func(*link.Hello)
+		change func(*transport.Hello)
 		ok     bool
 		final  bool
 	}{
-		{"itself", func(*link.Hello) {}, true, false},
-		{"an earlier connection that comes late", func(h *link.Hello) { h.Dial, h.Last = 1, 0 }, false, false},
-		{"an older copy by its entries", func(h *link.Hello) { h.Dial++; h.Last = 3 }, false, true},
-		{"an older copy that has come to the same start", func(h *link.Hello) { h.Life = 8 }, false, true},
-		{"an older copy by its starts", func(h *link.Hello) { h.Starts = 0 }, false, true},
-		{"another fleet", func(h *link.Hello) { h.Fleet = "g" }, false, true},
-		{"a stranger", func(h *link.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
-		{"a member under another name", func(h *link.Hello) { h.Name = "x" }, false, false},
-		{"one that wants another number under this address", func(h *link.Hello) { h.Want, h.Last = 5, 0 }, false, false},
-		{"one that wants another", func(h *link.Hello) { h.To = "x" }, false, false},
+		{"itself", func(*transport.Hello) {}, true, false},
+		{"an earlier connection that comes late", func(h *transport.Hello) { h.Dial, h.Last = 1, 0 }, false, false},
+		{"an older copy by its entries", func(h *transport.Hello) { h.Dial++; h.Last = 3 }, false, true},
+		{"an older copy that has come to the same start", func(h *transport.Hello) { h.Life = 8 }, false, true},
+		{"an older copy by its starts", func(h *transport.Hello) { h.Starts = 0 }, false, true},
+		{"another fleet", func(h *transport.Hello) { h.Fleet = "g" }, false, true},
+		{"a stranger", func(h *transport.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
+		{"a member under another name", func(h *transport.Hello) { h.Name = "x" }, false, false},
+		{"one that wants another number under this address", func(h *transport.Hello) { h.Want, h.Last = 5, 0 }, false, false},
+		{"one that wants another", func(h *transport.Hello) { h.To = "x" }, false, false},
 	} {
 		w, err := as(x.change)
 		assert.Equal(t, x.ok, err == nil, "%s: %v", x.what, err)
 		assert.Equal(t, x.final, w.Final, x.what)
 	}
-	gone := ledger.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
-	require.NoError(t, c.Change(t.Context(), talk.Remove, gone))
-	_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
+	gone := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
+	require.NoError(t, c.Change(t.Context(), protocol.Remove, gone))
+	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
 	require.NoError(t, err)
-	w, err := as(func(h *link.Hello) { h.Dial++ })
+	w, err := as(func(h *transport.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
 	assert.True(t, w.Final)
-	assert.ErrorContains(t, c.Change(t.Context(), talk.Learn, gone), "was taken out")
+	assert.ErrorContains(t, c.Change(t.Context(), protocol.Learn, gone), "was taken out")
 }
 
 // Guards against a client whose session was pushed out by those of others, and that goes on with it: nothing that it asks would be
@@ -93,13 +93,13 @@
 	set := fleet(t, 1, 1500, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	var wait sync.WaitGroup
 	for i := range 16 {
 		wait.Go(func() {
-			for j := range ledger.MostSessions / 16 {
-				open := talk.Request{Want: talk.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
+			for j := range statemachine.MostSessions / 16 {
+				open := protocol.Request{Want: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
 					if _, err := client.Ask(t.Context(), set, set.Keepers[0], open); err == nil {
 						break
@@ -109,37 +109,37 @@
 		})
 	}
 	wait.Wait()
-	r, err := c.Do(t.Context(), ledger.PartRegister, ledger.Set{Name: "a", Value: "c"})
+	r, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"})
 	require.NoError(t, err)
-	assert.Equal(t, ledger.OK, r.Code, r.Text)
+	assert.Equal(t, statemachine.OK, r.Code, r.Text)
 }
 
 // asker is a connection of a client whose requests come in the order in which they are asked.
 type asker struct {
 	t    *testing.T
-	raw  *link.Conn
+	raw  *transport.Conn
 	last uint64
 }
 
 func connect(t *testing.T, set client.Settings, to client.Keeper) *asker {
-	raw, _, err := link.Dial(to.Address, link.Hello{Fleet: set.Fleet, Name: set.Name, To: to.Name}, time.Minute)
+	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Name: set.Name, To: to.Name}, time.Minute)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = raw.Close() })
 	return &asker{t: t, raw: raw}
 }
 
-func (a *asker) ask(r talk.Request) uint64 {
+func (a *asker) ask(r protocol.Request) uint64 {
 	a.last++
 	r.ID = a.last
-	require.NoError(a.t, a.raw.Write(link.KindAsk, encode(r), time.Minute))
+	require.NoError(a.t, a.raw.Write(transport.KindAsk, encode(r), time.Minute))
 	return a.last
 }
 
-func (a *asker) wait(known policy.News) uint64 {
-	return a.ask(talk.Request{Want: talk.Wait, Part: ledger.PartPolicy, Body: encode(ledger.PolicyQuestion{News: true}), Known: encode(known)})
+func (a *asker) wait(known rollout.News) uint64 {
+	return a.ask(protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
 }
 
-func (a *asker) hear() (said talk.Answer) {
+func (a *asker) hear() (said protocol.Answer) {
 	_, text, err := a.raw.Read()
 	require.NoError(a.t, err)
 	require.NoError(a.t, json.Unmarshal(text, &said))
@@ -154,37 +154,37 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	wait := func(ctx context.Context, known policy.News) (n policy.News, err error) {
-		reply, err := c.Wait(ctx, ledger.PartPolicy, ledger.PolicyQuestion{News: true}, known)
+	wait := func(ctx context.Context, known rollout.News) (n rollout.News, err error) {
+		reply, err := c.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
 		if err == nil {
 			require.NoError(t, json.Unmarshal(reply.Body, &n))
 		}
 		return n, err
 	}
-	_, err := wait(ctx, policy.News{})
+	_, err := wait(ctx, rollout.News{})
 	require.ErrorContains(t, err, "no connection")
-	propose := func(number uint64) policy.News { // nobody has to look at it: it holds at once
-		p := policy.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
-		_, err := c.Do(ctx, ledger.PartPolicy, ledger.PolicyCommand{Propose: &p})
+	propose := func(number uint64) rollout.News { // nobody has to look at it: it holds at once
+		p := rollout.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
+		_, err := c.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
-		return policy.News{Number: number, Hash: policy.Hash(p.Text)}
+		return rollout.News{Number: number, Hash: rollout.Hash(p.Text)}
 	}
 	first := propose(1)
-	now, err := wait(ctx, policy.News{})
+	now, err := wait(ctx, rollout.News{})
 	require.NoError(t, err)
 	assert.Equal(t, first, now, "it is another at once")
 
 	one := connect(t, set, set.Keepers[0])
-	one.ask(talk.Request{Want: talk.Status})
+	one.ask(protocol.Request{Want: protocol.Status})
 	before, last := one.hear().State.Committed, one.wait(first)
 	for range 100 {
 		earlier := last
 		last = one.wait(first)
 		said := one.hear()
 		require.Equal(t, earlier, said.ID)
-		require.Equal(t, talk.Later, said.Fault)
+		require.Equal(t, protocol.Later, said.Fault)
 	}
-	one.ask(talk.Request{Want: talk.Status})
+	one.ask(protocol.Request{Want: protocol.Status})
 	assert.Less(t, one.hear().State.Committed, before+50, "they cost no entries")
 	second := propose(2)
 	said := one.hear()
@@ -206,19 +206,19 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	_, err := c.Do(ctx, ledger.PartRegister, ledger.Set{Name: "a", Value: "b"})
+	_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	elsewhere, lost := 0, false
 	for !lost {
 		for _, k := range set.Keepers {
 			one := connect(t, set, k)
-			one.ask(talk.Request{Want: talk.Status})
+			one.ask(protocol.Request{Want: protocol.Status})
 			state := one.hear().State
-			waits := one.wait(policy.News{})
-			status := one.ask(talk.Request{Want: talk.Status})
+			waits := one.wait(rollout.News{})
+			status := one.ask(protocol.Request{Want: protocol.Status})
 			said := one.hear()
 			if said.ID == waits { // it does not lead
-				require.Contains(t, []string{talk.Elsewhere, talk.Nobody, talk.Later}, said.Fault)
+				require.Contains(t, []string{protocol.Elsewhere, protocol.Nobody, protocol.Later}, said.Fault)
 				elsewhere++
 				continue
 			}
@@ -226,10 +226,10 @@
 			if lost {
 				continue
 			}
-			require.NoError(t, c.Change(ctx, talk.Remove, ledger.Member{ID: state.ID, Name: state.Name}))
+			require.NoError(t, c.Change(ctx, protocol.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
 			said = one.hear()
 			require.Equal(t, waits, said.ID)
-			assert.Equal(t, talk.Later, said.Fault)
+			assert.Equal(t, protocol.Later, said.Fault)
 			assert.Contains(t, said.Text, "lead")
 			lost = true
 		}
--- a/internal/north/httpfront/crossing_test.go
+++ b/internal/node/downstream/httpserver/crossing_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/duty"
-	"linenwheel.dev/linenwheel/internal/flow"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/drain"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
 // warned is a log whose warnings wait.
@@ -44,7 +44,7 @@
 	*Side
 	t     *testing.T
 	clock *clock.Manual
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 	came  chan *conn
 }
 
@@ -55,10 +55,10 @@
 	b := &bench{t: t, clock: clock.NewManual(1e6), came: make(chan *conn, 64)}
 	to := core.New(core.Settings{}, nil, nil, slog.New(log)) // which nothing is given to serve
 	b.Side = New(Settings{Connections: connections, Crowded: 1000, Limits: limits, ByName: map[string]int{"pay": 0},
-		Classes: []Class{{Method: "POST"}}}, b.clock, to, gate.New(nil, duty.Times{}, b.clock), slog.New(log))
+		Classes: []Class{{Method: "POST"}}}, b.clock, to, driver.New(nil, drain.Times{}, b.clock), slog.New(log))
 	b.Ready()
 	var err error
-	b.loop, err = loop.Listen("127.0.0.1:0", 64, func(n *loop.Conn) loop.Handler {
+	b.loop, err = netpoll.Listen("127.0.0.1:0", 64, func(n *netpoll.Conn) netpoll.Handler {
 		h := b.Accept(n)
 		b.came <- h.(*conn)
 		return h
@@ -257,7 +257,7 @@
 	require.NoError(t, err)
 	b.until(func() bool { return b.stateOf(c) == leaving })
 	dropped := false
-	rest := flow.New(flow.NewBudget(1<<20), func(bool) {}, func() { dropped = true })
+	rest := bodypipe.New(bodypipe.NewBudget(1<<20), func(bool) {}, func() { dropped = true })
 	c.mu.Lock()
 	c.flow(&http1.Message{}, &core.Call{}, &http1.Message{Status: 200, Rest: rest})
 	c.mu.Unlock()
--- a/internal/north/httpfront/front.go
+++ b/internal/node/downstream/httpserver/front.go
@@ -1,7 +1,7 @@
-// Package httpfront is the front for clients that speak HTTP/1.1: it reads requests, has the core serve each and
+// Package httpserver is the front for clients that speak HTTP/1.1: it reads requests, has the core serve each and
 // writes its answer. It owns the clients' connections: how many there are, which one makes room, what is read until
 // when, and how they end.
-package httpfront
+package httpserver
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/flow"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
 // Class is what the front has to know of a class of requests.
@@ -42,9 +42,9 @@
 
 // Bodies says what bodies a request may have.
 type Bodies struct {
-	Most   int          // bytes, 0 = that of internal/http1, held whole
-	Whole  int          // up to so many bytes one is held until it is whole; a longer one flows
-	Budget *flow.Budget // of what is held, and of what flows
+	Most   int              // bytes, 0 = that of internal/http1, held whole
+	Whole  int              // up to so many bytes one is held until it is whole; a longer one flows
+	Budget *bodypipe.Budget // of what is held, and of what flows
 }
 
 // Limits are what can change while the front serves, times in milliseconds, sizes in bytes.
@@ -85,7 +85,7 @@
 	set   Settings
 	clock clock.Clock
 	core  *core.Core
-	gate  *gate.Gate
+	gate  *driver.Gate
 	log   *slog.Logger
 
 	limits atomic.Pointer[Limits]
@@ -100,7 +100,7 @@
 }
 
 // New makes a front that is not ready yet.
-func New(set Settings, c clock.Clock, to *core.Core, g *gate.Gate, log *slog.Logger) *Side {
+func New(set Settings, c clock.Clock, to *core.Core, g *driver.Gate, log *slog.Logger) *Side {
 	s := &Side{set: set, clock: c, core: to, gate: g, log: log, conns: map[*conn]struct{}{}}
 	s.Limit(set.Limits)
 	return s
@@ -126,7 +126,7 @@
 
 // Accept takes a new connection. Over the cap, another one makes room; where none can, the new one is served once
 // and ends.
-func (s *Side) Accept(n *loop.Conn) loop.Handler {
+func (s *Side) Accept(n *netpoll.Conn) netpoll.Handler {
 	s.gate.Connected(true)
 	now := s.clock.Now()
 	c := &conn{side: s, net: n, parser: s.parser(), state: silent, since: now, accepted: now}
@@ -278,7 +278,7 @@
 // conn is a client's connection.
 type conn struct {
 	side     *Side
-	net      *loop.Conn
+	net      *netpoll.Conn
 	once     bool    // it ends with its first answer
 	accepted float64 // when it came
 
@@ -294,15 +294,15 @@
 
 	mu     sync.Mutex
 	parser *http1.Parser
-	came   float64       // when bytes came last
-	busy   bool          // a request is being handled
-	deaf   bool          // more came behind it than is kept: its answer is the last
-	ended  bool          // nothing more is read
-	call   *core.Call    // that request
-	upload *flow.Pipe    // the rest of its body, which is still coming
-	held   int           // bytes of the budget reserved for its body
-	closes bool          // the answer that was begun last ends the connection
-	gone   chan struct{} // closed when the connection has ended; made when an answer flows
+	came   float64        // when bytes came last
+	busy   bool           // a request is being handled
+	deaf   bool           // more came behind it than is kept: its answer is the last
+	ended  bool           // nothing more is read
+	call   *core.Call     // that request
+	upload *bodypipe.Pipe // the rest of its body, which is still coming
+	held   int            // bytes of the budget reserved for its body
+	closes bool           // the answer that was begun last ends the connection
+	gone   chan struct{}  // closed when the connection has ended; made when an answer flows
 }
 
 // enter notes what the connection is about from now on, or that it still is.
@@ -540,7 +540,7 @@
 		return
 	}
 	if c.parser.Flowing() {
-		c.upload = flow.New(c.side.set.Bodies.Budget, c.hold, c.net.Resume)
+		c.upload = bodypipe.New(c.side.set.Bodies.Budget, c.hold, c.net.Resume)
 		m.Rest = c.upload
 	}
 	if a, ok := c.side.core.Take(call); !ok {
@@ -570,7 +570,7 @@
 }
 
 // read finds what the core has to know, or the answer where the request cannot be served.
-func (s *Side) read(m *http1.Message, path []byte, came float64, client *loop.Conn) (call *core.Call, refusal http1.Reply) {
+func (s *Side) read(m *http1.Message, path []byte, came float64, client *netpoll.Conn) (call *core.Call, refusal http1.Reply) {
 	name, _, _ := bytes.Cut(path[1:], []byte("/"))
 	class, ok := s.set.ByName[string(name)]
 	if !ok {
--- a/internal/north/thriftfront/front.go
+++ b/internal/node/downstream/thriftserver/front.go
@@ -1,8 +1,8 @@
-// Package thriftfront is the front for clients that speak Thrift, in every form: it reads calls, has the core serve each and
+// Package thriftserver is the front for clients that speak Thrift, in every form: it reads calls, has the core serve each and
 // writes its result. Clients whose messages are framed may have several calls open on a connection and get their results in
 // any order; others get them in the order of their calls. Two calls with one sequence id, which could not be told apart, are
 // served one after the other.
-package thriftfront
+package thriftserver
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/north/lobby"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
-	"linenwheel.dev/linenwheel/internal/thrift"
-	"linenwheel.dev/linenwheel/internal/thrift/mapping"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
+	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
 // Class is what the front has to know of a class.
@@ -37,7 +37,7 @@
 	Classes  []Class
 	Methods  map[string]Method // by their names as they are on the wire
 	Tenants  map[string]int
-	Lobby    lobby.Settings
+	Lobby    connlimit.Settings
 	Messages thrift.Limits
 	Open     int     // calls open on one connection
 	Pipeline int     // bytes kept of what comes behind
@@ -51,14 +51,14 @@
 	set   Settings
 	clock clock.Clock
 	core  *core.Core
-	gate  *gate.Gate
-	lobby *lobby.Lobby
+	gate  *driver.Gate
+	lobby *connlimit.Lobby
 	log   *slog.Logger
 }
 
 // New makes a front.
-func New(set Settings, c clock.Clock, to *core.Core, g *gate.Gate, log *slog.Logger) *Side {
-	return &Side{set: set, clock: c, core: to, gate: g, lobby: lobby.New(set.Lobby, c), log: log}
+func New(set Settings, c clock.Clock, to *core.Core, g *driver.Gate, log *slog.Logger) *Side {
+	return &Side{set: set, clock: c, core: to, gate: g, lobby: connlimit.New(set.Lobby, c), log: log}
 }
 
 // Connections is how many connections of clients are open.
@@ -81,7 +81,7 @@
 }
 
 // Accept takes a new connection.
-func (s *Side) Accept(n *loop.Conn) loop.Handler {
+func (s *Side) Accept(n *netpoll.Conn) netpoll.Handler {
 	c := &conn{side: s, net: n, reader: thrift.NewReader(s.set.Messages), open: map[int32]*core.Call{}}
 	s.gate.Connected(false)
 	c.seat, c.once = s.lobby.Sit(c)
@@ -91,8 +91,8 @@
 // conn is a client's connection.
 type conn struct {
 	side *Side
-	net  *loop.Conn
-	seat *lobby.Seat
+	net  *netpoll.Conn
+	seat *connlimit.Seat
 	once bool // it ends with its first result
 
 	mu     sync.Mutex
@@ -158,17 +158,17 @@
 	switch {
 	case c.ended:
 	case len(c.open) > 0:
-		c.seat.Enter(lobby.Busy, c.came)
+		c.seat.Enter(connlimit.Busy, c.came)
 	case !c.reader.Idle():
-		c.seat.Enter(lobby.Reading, c.came)
+		c.seat.Enter(connlimit.Reading, c.came)
 	default:
-		c.seat.Enter(lobby.Idle, c.came)
+		c.seat.Enter(connlimit.Idle, c.came)
 	}
 }
 
 // call handles one call under the lock.
 func (c *conn) call(m *thrift.Message) {
-	c.seat.Enter(lobby.Busy, c.came)
+	c.seat.Enter(connlimit.Busy, c.came)
 	if m.Type != thrift.Call && m.Type != thrift.OneWay {
 		c.write(m, mapping.Fault(m.Name, mapping.InvalidMessageType, "a client sends calls"))
 		return
@@ -187,7 +187,7 @@
 }
 
 // read finds what the core has to know, or the application exception where the call cannot be served.
-func (s *Side) read(m *thrift.Message, came float64, client *loop.Conn) (call *core.Call, fault *thrift.Message) {
+func (s *Side) read(m *thrift.Message, came float64, client *netpoll.Conn) (call *core.Call, fault *thrift.Message) {
 	method, ok := s.set.Methods[string(m.Name)]
 	if !ok {
 		return nil, mapping.Fault(m.Name, mapping.UnknownMethod, "unknown method")
@@ -285,7 +285,7 @@
 // end closes the connection when all is written.
 func (c *conn) end() {
 	c.ended = true
-	c.seat.Enter(lobby.Leaving, c.came)
+	c.seat.Enter(connlimit.Leaving, c.came)
 	c.net.End(c.side.set.Linger, c.side.set.Stall)
 }
 
@@ -300,7 +300,7 @@
 func (c *conn) unreadable(err error) {
 	c.ended = true
 	c.side.log.Warn("a client sent what cannot be read", "client", c.net.Peer(), "status", "thrift", "error", err)
-	c.seat.Enter(lobby.Leaving, c.came)
+	c.seat.Enter(connlimit.Leaving, c.came)
 	defer c.net.End(c.side.set.Linger, c.side.set.Stall)
 	if errors.Is(err, thrift.ErrNotThrift) {
 		_ = c.net.Write(http1.AppendResponse(nil, http1.Reply{Status: 400, Body: []byte("Thrift is spoken here\n"), Close: true}))
--- a/internal/inventory/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -13,11 +13,11 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/inventory/pace"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/backoff"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
 // Limits are the times of the calls, in milliseconds.
@@ -38,7 +38,7 @@
 type List struct {
 	Index int64
 	Whole bool
-	Hosts []pilot.Host
+	Hosts []dispatch.Host
 
 	Look      bool     // it was asked for as a second look
 	Revisions []uint64 // at which each of the hosts changed; nil where that is not said
@@ -96,7 +96,7 @@
 type Watcher struct {
 	Address string // of discovery at the start; Move changes it
 	Limits  Limits // at the start; Limit changes them
-	Loop    *loop.Loop
+	Loop    *netpoll.Loop
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Sink    Sink
@@ -173,13 +173,13 @@
 )
 
 // paced is when calls are made: moved tells that none has been answered since the watch moved.
-func (w *Watcher) paced(moved bool) pace.Settings {
+func (w *Watcher) paced(moved bool) backoff.Settings {
 	set := w.limits()
 	told := set.Told
 	if moved && set.ToldMoved > 0 {
 		told = min(told, set.ToldMoved)
 	}
-	return pace.Settings{Spread: w.Spread, First: set.FirstPause, Last: set.LastPause, Told: told}
+	return backoff.Settings{Spread: w.Spread, First: set.FirstPause, Last: set.LastPause, Told: told}
 }
 
 // spread varies a time.
@@ -212,7 +212,7 @@
 // watch fetches the whole list from an address, to which it may have moved, then watches until ctx ends.
 func (w *Watcher) watch(ctx context.Context, address string, moved bool) {
 	index, known, epoch, open := int64(0), false, "", false
-	calls := pace.Pace{Chance: w.Chance}
+	calls := backoff.Pace{Chance: w.Chance}
 	hosts, doubted := w.Known >= 0, false // whether the last list named some, and an empty one is asked for again
 	if w.Spread > 0 && w.Known >= 0 && w.First != nil {
 		index, known = w.Known, true
@@ -355,7 +355,7 @@
 		w.drop()
 		// It holds what ends with its connection, too, and gives nothing before it is whole.
 		c := &conn{parser: http1.NewFlowing(true, w.Most, http1.Flow{Whole: w.Most + 1}), came: make(chan struct{}, 1)}
-		_, err := w.Loop.Dial(ctx, address, limit, func(n *loop.Conn) loop.Handler {
+		_, err := w.Loop.Dial(ctx, address, limit, func(n *netpoll.Conn) netpoll.Handler {
 			c.net = n
 			n.ReadToEnd()
 			return c
@@ -397,7 +397,7 @@
 
 // conn is the connection to discovery.
 type conn struct {
-	net    *loop.Conn
+	net    *netpoll.Conn
 	came   chan struct{} // something has changed
 	mu     sync.Mutex
 	parser *http1.Parser
--- a/internal/inventory/discovery/discovery_test.go
+++ b/internal/node/endpoints/discovery/discovery_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/script"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
 // Guards against one bad entry costing the others, and against half-read lists.
@@ -23,9 +23,9 @@
 		{"name":"e","address":"127.0.0.1:80","status":"Ready","since_ms":-1}, {"name":5}, 6]}`))
 	require.NoError(t, err)
 	assert.Len(t, odd, 6)
-	assert.Equal(t, List{Index: 4, Whole: true, Hosts: []pilot.Host{
+	assert.Equal(t, List{Index: 4, Whole: true, Hosts: []dispatch.Host{
 		{Name: "a", Address: "127.0.0.1:80", Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Since: 7},
-		{Name: "b", Status: pilot.Gone}}}, l)
+		{Name: "b", Status: dispatch.Gone}}}, l)
 	for _, text := range []string{"", "{x}", "[]", "{}", `{"index":"4"}`, `{"index":1,"endpoints":{}}`} {
 		_, _, err := Decode([]byte(text))
 		assert.Error(t, err, text)
@@ -42,8 +42,8 @@
 // Guards against nodes that bury the service that has the list for all of them: by asking in step when they start, for the
 // whole list that they have already, sooner and sooner after failures, or by leaving a call that waits there in turn.
 func TestCallsThatCostAreSpread(t *testing.T) {
-	s := script.New(t, "h1")
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	s := scenario.New(t, "h1")
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	asked := make(chan struct{})
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 1000, Told: 6000},
@@ -74,8 +74,8 @@
 // Guards against pauses that go on after the agent of the machine is back, where what it has counts as told at once and a call costs
 // nothing: however often it has failed, the next call comes within the last pause, whatever chance says.
 func TestAnAgentThatIsBackIsAskedWithinThePause(t *testing.T) {
-	s := script.New(t, "h1")
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	s := scenario.New(t, "h1")
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 150, Told: 6000},
 		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: nowhere{}, Most: 1 << 20, Known: -1,
@@ -95,8 +95,8 @@
 // Guards against a list that is never had because the answer tells no length and ends with its connection, which HTTP/1.1 allows, and
 // against one that a reset has cut short being taken for whole.
 func TestAListThatEndsWithItsConnection(t *testing.T) {
-	s := script.New(t, "h1")
-	l, err := loop.Listen("127.0.0.1:0", 1, func(*loop.Conn) loop.Handler { return nil })
+	s := scenario.New(t, "h1")
+	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	took := &taken{}
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 25, Told: 6000},
--- a/internal/inventory/last/last.go
+++ b/internal/node/endpoints/lastgood/last.go
@@ -1,8 +1,8 @@
-// Package last keeps the last good list of hosts in a file, for a start at which no source of the list can be asked.
+// Package lastgood keeps the last good list of hosts in a file, for a start at which no source of the list can be asked.
 //
 // The file is one line that names the form, its version, the length and the checksum (see store.Form), and one JSON object. It
 // is replaced as a whole. A list is at most maxBytes long; that of a fleet of ten thousand takes 1.5 MB.
-package last
+package lastgood
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"syscall"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory/form"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
 const maxBytes = 64 << 20
 
-var fileForm = store.Form{Magic: "linenwheel inventory", What: "list of a node", Version: 1}
+var fileForm = statedir.Form{Magic: "linenwheel inventory", What: "list of a node", Version: 1}
 
 // Record is what is kept.
 type Record struct {
@@ -42,7 +42,7 @@
 }
 
 // Set gives the record a list of hosts.
-func (r *Record) Set(hosts []pilot.Host) {
+func (r *Record) Set(hosts []dispatch.Host) {
 	r.Entries = make([]form.Entry, len(hosts))
 	for i, h := range hosts {
 		r.Entries[i] = form.Of(h)
@@ -50,7 +50,7 @@
 }
 
 // Hosts gives the list.
-func (r *Record) Hosts() (hosts []pilot.Host, err error) {
+func (r *Record) Hosts() (hosts []dispatch.Host, err error) {
 	for i := range r.Entries {
 		h, err := r.Entries[i].Host()
 		if err != nil {
@@ -63,7 +63,7 @@
 
 // Load reads a node's record; nil if there is none.
 func Load(path, node string) (*Record, error) {
-	text, err := store.ReadFile(path, maxBytes)
+	text, err := statedir.ReadFile(path, maxBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return store.Replace(path, fileForm.Seal(body))
+	return statedir.Replace(path, fileForm.Seal(body))
 }
 
 // Writer keeps what changes.
--- a/internal/repeats/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -6,8 +6,8 @@
 	"math"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 // Segment describes one file of a journal.
@@ -28,13 +28,13 @@
 }
 
 // Inspect reads a folder without changing it.
-func Inspect(f segments.Folder) (r Report, err error) {
+func Inspect(f wal.Folder) (r Report, err error) {
 	names, err := f.List()
 	if err != nil {
 		return r, fmt.Errorf("reading the journal: %w", err)
 	}
 	slices.Sort(names)
-	know := map[repeats.Name]*entry{}
+	know := map[idempotency.Name]*entry{}
 	r.Names = map[string]int{}
 	for _, name := range names {
 		if _, ok := form.Number(name); !ok {
@@ -65,9 +65,9 @@
 		switch {
 		case e.Running:
 			r.Names["running"]++
-		case e.how == repeats.EndServed:
+		case e.how == idempotency.EndServed:
 			r.Names["answered"]++
-		case e.how == repeats.EndInDoubt:
+		case e.how == idempotency.EndInDoubt:
 			r.Names["in doubt"]++
 		default:
 			r.Names["not run"]++
@@ -95,7 +95,7 @@
 
 // Compact writes what is of use at a time into one new segment and removes the others. Nothing may have the folder open.
 // A damaged segment stays, so that a person can look at it.
-func Compact(f segments.Folder, keep, now float64) (kept int, err error) {
+func Compact(f wal.Folder, keep, now float64) (kept int, err error) {
 	r, err := Inspect(f)
 	if err != nil {
 		return 0, err
@@ -111,9 +111,9 @@
 		if k.Body != nil {
 			body = k.Body.([]byte)
 		}
-		how := repeats.EndInDoubt
+		how := idempotency.EndInDoubt
 		if k.Served {
-			how = repeats.EndServed
+			how = idempotency.EndServed
 		}
 		if last, err = j.Began(at, k.Call); err == nil && !k.Running {
 			last, err = j.Ended(at, k.Call, how, body)
--- a/internal/repeats/fleet/fleet_test.go
+++ b/internal/node/idempotency/replicated/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package replicated
 
 import (
 	"bytes"
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/keeper"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
-	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/replica"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // lone runs a fleet's only keeper, which ends with ctx; work is done when it has ended.
@@ -29,12 +29,12 @@
 	require.NoError(t, err)
 	to := client.Keeper{Name: "k", Address: l.Addr().String()}
 	require.NoError(t, l.Close())
-	k, err := keeper.New(keeper.Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Addresses: map[string]string{to.Name: to.Address},
+	k, err := replica.New(replica.Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Addresses: map[string]string{to.Name: to.Address},
 		Heartbeat: 25, Election: 250, ImageEvery: 4 << 20, Trail: 1000}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	work.Go(func() { _ = k.Run(ctx) })
 	ask := client.Settings{Fleet: "f", Name: "n", Try: time.Minute, Keepers: []client.Keeper{to}}
-	_, err = client.Ask(ctx, ask, to, talk.Request{Want: talk.Found, Members: []ledger.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
+	_, err = client.Ask(ctx, ask, to, protocol.Request{Want: protocol.Found, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
 	require.NoError(t, err)
 	return ask
 }
@@ -79,10 +79,10 @@
 	case <-time.After(time.Minute):
 		require.Fail(t, "it does not say so")
 	}
-	call := repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
-	assert.Equal(t, edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
+	call := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	assert.Equal(t, middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
 	assert.False(t, other.Up())
-	assert.Equal(t, repeats.Run, first.Take(call, real.Now()+20000, nil).Verdict)
+	assert.Equal(t, idempotency.Run, first.Take(call, real.Now()+20000, nil).Verdict)
 	same := begin("b", "the secret of the fleet", slog.New(slog.DiscardHandler))
 	<-same.Begun()
 }
@@ -107,12 +107,12 @@
 		<-n.Begun()
 		return n
 	}
-	heir, call := begin(false), repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
+	heir, call := begin(false), idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
 	t1 := heir.Take(call, real.Now()+120000, nil)
-	require.Equal(t, repeats.Run, t1.Verdict)
+	require.Equal(t, idempotency.Run, t1.Verdict)
 	begin(true)
-	heir.Ended(call, t1, repeats.EndServed, []byte("answer"))
+	heir.Ended(call, t1, idempotency.EndServed, []byte("answer"))
 	t2 := heir.Take(call, real.Now()+120000, nil)
-	assert.Equal(t, repeats.Replay, t2.Verdict)
+	assert.Equal(t, idempotency.Replay, t2.Verdict)
 	assert.Equal(t, "answer", string(t2.Body))
 }
--- a/internal/repeats/fleet/late_test.go
+++ b/internal/node/idempotency/replicated/late_test.go
@@ -1,4 +1,4 @@
-package fleet
+package replicated
 
 import (
 	"bytes"
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // alone is a keeper that agrees with itself, and lets the first claim come late: after the word that nothing ran was refused.
 type alone struct {
 	t     *testing.T
-	log   *ledger.Ledger
+	log   *statemachine.Ledger
 	late  []byte // the first claim
 	first bool   // it has come
 	came  chan struct{}
@@ -41,7 +41,7 @@
 			if err != nil {
 				return
 			}
-			go k.serve(link.NewConn(raw), asks)
+			go k.serve(transport.NewConn(raw), asks)
 		}
 	}()
 	go func() { // the ledger is one goroutine's
@@ -57,28 +57,28 @@
 	return l.Addr().String()
 }
 
-func (k *alone) serve(c *link.Conn, asks chan func()) {
+func (k *alone) serve(c *transport.Conn, asks chan func()) {
 	defer c.Close()
-	if _, err := c.Accept("f", func(link.Hello) link.Welcome { return link.Welcome{Name: "k"} }); err != nil {
+	if _, err := c.Accept("f", func(transport.Hello) transport.Welcome { return transport.Welcome{Name: "k"} }); err != nil {
 		return
 	}
 	for {
 		_, text, err := c.Read()
-		var r talk.Request
+		var r protocol.Request
 		if err != nil || json.Unmarshal(text, &r) != nil {
 			return
 		}
-		answer := make(chan *ledger.Reply, 1)
+		answer := make(chan *statemachine.Reply, 1)
 		asks <- func() { answer <- k.take(r) }
 		if reply := <-answer; reply != nil {
-			text, _ = json.Marshal(talk.Answer{ID: r.ID, Reply: reply}) // of types that can be written
-			_ = c.Write(link.KindAnswer, text, time.Second)             // or it has left
+			text, _ = json.Marshal(protocol.Answer{ID: r.ID, Reply: reply}) // of types that can be written
+			_ = c.Write(transport.KindAnswer, text, time.Second)            // or it has left
 		}
 	}
 }
 
-func (k *alone) take(r talk.Request) *ledger.Reply {
-	data, _ := json.Marshal(ledger.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
+func (k *alone) take(r protocol.Request) *statemachine.Reply {
+	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
 	claim, end := bytes.Contains(r.Body, []byte(`"take"`)), bytes.Contains(r.Body, []byte(`"ended"`))
 	if claim && (!k.first || k.late != nil) {
 		if !k.first {
@@ -89,16 +89,16 @@
 	}
 	reply := k.apply(data)
 	if end && k.late != nil {
-		assert.Equal(k.t, ledger.Conflict, reply.Code)
+		assert.Equal(k.t, statemachine.Conflict, reply.Code)
 		k.apply(k.late)
 		k.late = nil
-	} else if end && reply.Code == ledger.OK {
+	} else if end && reply.Code == statemachine.OK {
 		close(k.freed)
 	}
 	return reply
 }
 
-func (k *alone) apply(data []byte) *ledger.Reply {
+func (k *alone) apply(data []byte) *statemachine.Reply {
 	_, reply, err := k.log.Apply(k.log.Index()+1, data)
 	assert.NoError(k.t, err)
 	return &reply
@@ -106,18 +106,18 @@
 
 // Guards against a claim that is agreed after its node gave it up: nothing ran, and every repeat would be told that it may have.
 func TestLateClaimIsTakenBack(t *testing.T) {
-	k := &alone{t: t, log: ledger.New(), came: make(chan struct{}), freed: make(chan struct{})}
+	k := &alone{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
 	log := client.New(client.Settings{Fleet: "f", Name: "n", Keepers: []client.Keeper{{Name: "k", Address: k.listen()}}, Try: 250 * time.Millisecond})
 	defer log.Close()
 	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
 		log, clock.NewSystem(), slog.New(slog.DiscardHandler))
-	c := repeats.Call{Name: repeats.Name{1}, Tenant: -1, Windows: &repeats.Windows{Answered: 60000, Doubt: 60000}}
-	take := func() repeats.Verdict {
+	c := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	take := func() idempotency.Verdict {
 		n.up.Store(true)
 		return n.Take(c, n.clock.Now()+60000, nil).Verdict
 	}
 	for came := false; !came; { // on a slow machine its time may be up before it is sent
-		require.Equal(t, repeats.Full, take(), "refused, for nobody knows whether it was agreed")
+		require.Equal(t, idempotency.Full, take(), "refused, for nobody knows whether it was agreed")
 		select {
 		case <-k.came:
 			came = true
@@ -130,8 +130,8 @@
 		require.Fail(t, "the name stays one that may have run")
 	}
 	last := take()
-	for last == repeats.Full { // as clients do that are told to come back
+	for last == idempotency.Full { // as clients do that are told to come back
 		last = take()
 	}
-	assert.Equal(t, repeats.Run, last)
+	assert.Equal(t, idempotency.Run, last)
 }
--- a/internal/repeats/handover/handover.go
+++ b/internal/node/idempotency/transfer/handover.go
@@ -1,10 +1,10 @@
-// Package handover hands the names of calls from a process to the one that takes its place, over the channel of the takeover.
+// Package transfer hands the names of calls from a process to the one that takes its place, over the channel of the takeover.
 //
 // There is one book at each moment: the old process's until the other one has said that it accepts, then that one's. The old one
 // gives it away whole, and asks for each new name from then on; what it runs already runs in the other's book too, and it tells each
 // end before it tells its client. When the channel breaks, the old one refuses new names, and the other takes what it was not told the
 // end of for something that may have run.
-package handover
+package transfer
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 )
 
 // Send tells the other process something, in order. After an error the channel is broken, and its end is told.
@@ -46,7 +46,7 @@
 	Class  int    `json:"class"`
 	Tenant int    `json:"tenant"`
 	// Windows are those that were promised to it; a release that does not tell them goes by its class's, as this one then does.
-	Windows *repeats.Windows `json:"windows,omitempty"`
+	Windows *idempotency.Windows `json:"windows,omitempty"`
 }
 
 type known struct {
@@ -64,22 +64,22 @@
 }
 
 type told struct {
-	Seq     uint64          `json:"seq"`
-	Verdict repeats.Verdict `json:"verdict"`
-	Reason  string          `json:"reason,omitempty"`
-	Wait    float64         `json:"wait,omitempty"` // milliseconds
-	Body    []byte          `json:"body,omitempty"`
+	Seq     uint64              `json:"seq"`
+	Verdict idempotency.Verdict `json:"verdict"`
+	Reason  string              `json:"reason,omitempty"`
+	Wait    float64             `json:"wait,omitempty"` // milliseconds
+	Body    []byte              `json:"body,omitempty"`
 }
 
 type end struct {
 	call
-	How  repeats.End `json:"how"`
-	Body []byte      `json:"body,omitempty"`
+	How  idempotency.End `json:"how"`
+	Body []byte          `json:"body,omitempty"`
 }
 
-func wired(c repeats.Call) call { return call{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows} }
+func wired(c idempotency.Call) call { return call{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows} }
 
-func (c call) call() (out repeats.Call) {
+func (c call) call() (out idempotency.Call) {
 	out.Class, out.Tenant, out.Windows = c.Class, c.Tenant, c.Windows
 	copy(out.Name[:], c.Name)
 	copy(out.Print[:], c.Print)
@@ -96,7 +96,7 @@
 
 // Giver is the old process's side: the edge.Fleet of its stage from the hand-over on.
 type Giver struct {
-	stage *edge.Stage
+	stage *middleware.Stage
 	clock clock.Clock
 	log   *slog.Logger
 	send  Send
@@ -111,12 +111,12 @@
 
 // asked is a name that the heir was asked for.
 type asked struct {
-	call   repeats.Call
-	answer chan edge.Taken // nobody waits for one that is nil
+	call   idempotency.Call
+	answer chan middleware.Taken // nobody waits for one that is nil
 }
 
 // NewGiver makes the side that gives a stage's book away once it runs.
-func NewGiver(stage *edge.Stage, c clock.Clock, log *slog.Logger, send Send) *Giver {
+func NewGiver(stage *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Giver {
 	return &Giver{stage: stage, clock: c, log: log, send: send, given: make(chan struct{}), waiting: map[uint64]*asked{}}
 }
 
@@ -154,18 +154,18 @@
 }
 
 // Take has the heir asked.
-func (g *Giver) Take(c repeats.Call, deadline float64, left <-chan struct{}) edge.Taken {
+func (g *Giver) Take(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
 	late := make(chan struct{})
 	stop := g.clock.At(deadline, func() { close(late) })
 	defer stop()
 	select {
 	case <-g.given:
 	case <-late:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	case <-left:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	}
-	a := &asked{c, make(chan edge.Taken, 1)}
+	a := &asked{c, make(chan middleware.Taken, 1)}
 	answer := a.answer
 	g.mu.Lock()
 	if g.broken {
@@ -192,20 +192,20 @@
 	case t := <-answer:
 		return t
 	default:
-		return edge.Taken{Verdict: repeats.Join}
+		return middleware.Taken{Verdict: idempotency.Join}
 	}
 }
 
 // refused is the answer where the heir cannot be asked. A call that may run twice runs, and is not recognised.
-func (g *Giver) refused(c repeats.Call) edge.Taken {
+func (g *Giver) refused(c idempotency.Call) middleware.Taken {
 	if !g.stage.Once(c.Class) {
-		return edge.Taken{Verdict: repeats.Pass}
+		return middleware.Taken{Verdict: idempotency.Pass}
 	}
-	return edge.Taken{Verdict: repeats.Full, Reason: edge.ReasonHeirGone}
+	return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonHeirGone}
 }
 
 // Ended tells the heir. What is written before the client is told is read by the heir though this process dies.
-func (g *Giver) Ended(c repeats.Call, _ edge.Taken, how repeats.End, body []byte) {
+func (g *Giver) Ended(c idempotency.Call, _ middleware.Taken, how idempotency.End, body []byte) {
 	<-g.given
 	g.mu.Lock()
 	broken := g.broken
@@ -224,7 +224,7 @@
 	if m.Told == nil {
 		return nil
 	}
-	t := edge.Taken{Verdict: m.Told.Verdict, Reason: m.Told.Reason, Wait: m.Told.Wait, Body: m.Told.Body}
+	t := middleware.Taken{Verdict: m.Told.Verdict, Reason: m.Told.Reason, Wait: m.Told.Wait, Body: m.Told.Body}
 	g.mu.Lock()
 	a := g.waiting[m.Told.Seq]
 	delete(g.waiting, m.Told.Seq)
@@ -233,8 +233,8 @@
 		a.answer <- t
 	}
 	g.mu.Unlock()
-	if unwanted && t.Verdict == repeats.Run {
-		g.Ended(a.call, t, repeats.EndNotRun, nil)
+	if unwanted && t.Verdict == idempotency.Run {
+		g.Ended(a.call, t, idempotency.EndNotRun, nil)
 	}
 	return nil
 }
@@ -263,16 +263,16 @@
 
 // Heir is the new process's side. Its methods are called one after the other.
 type Heir struct {
-	stage *edge.Stage
+	stage *middleware.Stage
 	clock clock.Clock
 	log   *slog.Logger
 	send  Send
-	book  []repeats.Known // that has come
-	gone  chan struct{}   // closed when the channel has broken
+	book  []idempotency.Known // that has come
+	gone  chan struct{}       // closed when the channel has broken
 }
 
 // Await has a stage wait for the names of the process before.
-func Await(stage *edge.Stage, c clock.Clock, log *slog.Logger, send Send) *Heir {
+func Await(stage *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Heir {
 	stage.Await()
 	return &Heir{stage: stage, clock: c, log: log, send: send, gone: make(chan struct{})}
 }
@@ -286,7 +286,7 @@
 	switch {
 	case m.Book != nil:
 		for _, k := range m.Book.Known {
-			in := repeats.Known{Call: k.call.call(), Running: k.Running, Served: k.Served, Age: k.Age}
+			in := idempotency.Known{Call: k.call.call(), Running: k.Running, Served: k.Served, Age: k.Age}
 			if k.Body != nil {
 				in.Body = k.Body
 			}
@@ -299,7 +299,7 @@
 	case m.Ask != nil:
 		go h.answer(*m.Ask) // there are as many as the other process has calls
 	case m.End != nil:
-		h.stage.Ended(m.End.call.call(), edge.Taken{}, m.End.How, m.End.Body)
+		h.stage.Ended(m.End.call.call(), middleware.Taken{}, m.End.How, m.End.Body)
 	}
 	return nil
 }
--- a/internal/options/options_test.go
+++ b/internal/node/options/options_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/config"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	"linenwheel.dev/linenwheel/internal/node/config"
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 // load reads a text and gives its faults, one a line, without the name of the file.
--- a/internal/options/quota.go
+++ b/internal/node/options/quota.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/config"
+	"linenwheel.dev/linenwheel/internal/node/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
 // Quota divides what the fleet can do among nested tenants. A tenant of the platform has the node of its name.
--- a/internal/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"linenwheel.dev/linenwheel/internal/quota"
-	_ "linenwheel.dev/linenwheel/internal/seeded" // the same histories every time
+	"linenwheel.dev/linenwheel/internal/node/quota"
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
 func tree(number uint64, burst float64, nodes ...quota.Node) Tree {
--- a/internal/quota/edge/edge_test.go
+++ b/internal/node/quota/middleware/edge_test.go
@@ -1,4 +1,4 @@
-package edge
+package middleware
 
 import (
 	"log/slog"
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/quota"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
 // head is a payload whose gateway is its text.
--- a/internal/quota/edge/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -1,4 +1,4 @@
-package edge
+package middleware
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
 // agreed is a fleet of one machine of package lease, whose answers can be lost.
--- a/internal/ledger/ledger.go
+++ b/internal/node/statemachine/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is the machine that the agreed log's entries are applied to, the same on every member that keeps copies.
+// Package statemachine is the machine that the agreed log's entries are applied to, the same on every member that keeps copies.
 // It has a part for each thing that is held: members, sessions, the register. It is pure: no I/O, goroutine, lock or
 // clock; the same entries give the same state, replies and images.
 //
@@ -10,7 +10,7 @@
 //
 // Bounds: MostSessions sessions, of each Window replies that were not confirmed yet; what a part holds, by its constants;
 // a command of MostCommand bytes.
-package ledger
+package statemachine
 
 import (
 	"bytes"
@@ -20,8 +20,8 @@
 	"maps"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/policy"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 // Version is that of the commands and images which this release writes. It reads those up to it; a command of a later one
@@ -128,7 +128,7 @@
 func New() *Ledger {
 	l := &Ledger{sessions: map[uint64]*session{}, members: &Members{list: map[uint64]Member{}}}
 	l.parts = map[string]Part{PartMembers: l.members, PartRegister: newRegister(), PartCalls: newCalls(), PartOrders: newOrders(),
-		PartPolicy: policies{policy.New()}, PartRoom: room{lease.New()}}
+		PartPolicy: policies{rollout.New()}, PartRoom: room{lease.New()}}
 	return l
 }
 
--- a/internal/south/carrier/body_test.go
+++ b/internal/node/upstream/connpool/body_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package connpool_test
 
 import (
 	"bufio"
@@ -13,16 +13,16 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/flow"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
-	"linenwheel.dev/linenwheel/internal/south/httphost"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
+	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 )
 
 // post is a call whose body flows: first is there, rest is still to come of length bytes in all, -1 = in chunks.
-func post(first string, rest *flow.Pipe, length int) *core.Call {
+func post(first string, rest *bodypipe.Pipe, length int) *core.Call {
 	return &core.Call{ID: "q", Tenant: -1, Deadline: 1e9, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q"),
 		Body: []byte(first), Rest: rest, Length: length}}
 }
@@ -35,17 +35,17 @@
 	for name, c := range map[string]struct {
 		came int // bytes of it
 		end  func(b *bench, host net.Conn, off chan struct{})
-		want pilot.Outcome
+		want dispatch.Outcome
 	}{
-		"reset":                      {size, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, pilot.Reset},
-		"called off":                 {size, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, pilot.CalledOff},
-		"out of time":                {size, func(b *bench, _ net.Conn, _ chan struct{}) { b.clock.Advance(1e9) }, pilot.Late},
-		"called off before the last": {size - 1, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, pilot.Unsent},
-		"reset before the last":      {size - 1, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, pilot.NoConnect},
+		"reset":                      {size, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.Reset},
+		"called off":                 {size, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.CalledOff},
+		"out of time":                {size, func(b *bench, _ net.Conn, _ chan struct{}) { b.clock.Advance(1e9) }, dispatch.Late},
+		"called off before the last": {size - 1, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.Unsent},
+		"reset before the last":      {size - 1, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.NoConnect},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			rest := flow.New(b.budget, func(bool) {}, func() {})
+			rest := bodypipe.New(b.budget, func(bool) {}, func() {})
 			rest.Put([]byte(body[1:c.came]))
 			off := make(chan struct{})
 			ended := b.relay(post(body[:1], rest, size), off) // nobody has told the end of rest
@@ -74,23 +74,23 @@
 	for name, c := range map[string]struct {
 		length int // of the request's body
 		answer string
-		want   pilot.Outcome
+		want   dispatch.Outcome
 	}{
-		"declined":           {32 << 20, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", pilot.Declined},
-		"declined in chunks": {-1, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", pilot.Declined},
-		"long":               {32 << 20, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, pilot.Served},
-		"long, for chunks":   {-1, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, pilot.Served},
+		"declined":           {32 << 20, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Declined},
+		"declined in chunks": {-1, "503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Declined},
+		"long":               {32 << 20, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, dispatch.Served},
+		"long, for chunks":   {-1, "200 OK\r\nContent-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long, dispatch.Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			b.protocol = httphost.Protocol{Flows: true, Most: 1 << 20}
+			b.protocol = httpbackend.Protocol{Flows: true, Most: 1 << 20}
 			taken := make(chan struct{}, 1)
-			rest := flow.New(flow.NewBudget(1), func(on bool) {
+			rest := bodypipe.New(bodypipe.NewBudget(1), func(on bool) {
 				if !on {
 					taken <- struct{}{}
 				}
 			}, func() {})
-			rest.Put(make([]byte, flow.Piece))
+			rest.Put(make([]byte, bodypipe.Piece))
 			ended := b.relay(post(strings.Repeat("x", 6<<20), rest, c.length), make(chan struct{}))
 			host := b.accept()
 			_, err := http.ReadRequest(bufio.NewReader(host)) // and no more
@@ -107,8 +107,8 @@
 			require.Eventually(t, func() bool { return len(b.pool.Uses()) == 0 }, time.Minute, time.Millisecond, "it is closed")
 			_, ended = b.attempt("2", nil)
 			b.serve(b.accept())
-			assert.Equal(t, result{pilot.Served, "/look/2"}, <-ended)
-			assert.Equal(t, map[string]carrier.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
+			assert.Equal(t, result{dispatch.Served, "/look/2"}, <-ended)
+			assert.Equal(t, map[string]connpool.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 		})
 	}
 }
--- a/internal/south/carrier/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -1,6 +1,6 @@
-// Package carrier carries relays to the south side hosts, whatever protocol they speak: connections, the idle pool, time
+// Package connpool carries relays to the south side hosts, whatever protocol they speak: connections, the idle pool, time
 // limits and outcomes. What the bytes mean is a Protocol's.
-package carrier
+package connpool
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/flow"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
 // Protocol is what is spoken with a host. Its methods may be called from any goroutine.
@@ -42,11 +42,11 @@
 
 // Answer is a host's whole answer.
 type Answer struct {
-	Outcome pilot.Outcome
+	Outcome dispatch.Outcome
 	Payload any  // with Served
 	Last    bool // the host ends the connection after it
 	// Attach, if not nil, is to be given the rest of the body, which flows.
-	Attach func(*flow.Pipe)
+	Attach func(*bodypipe.Pipe)
 }
 
 // Flowing is what Answers have besides if some of them flow.
@@ -60,9 +60,9 @@
 // Body is what Request may return beside, for a body that is to be written after it.
 type Body struct {
 	First   []byte
-	Rest    *flow.Pipe // which only one relay can take; nil = First is all
-	Left    int        // bytes of Rest, if not Chunked
-	Chunked bool       // nobody knows how many those are
+	Rest    *bodypipe.Pipe // which only one relay can take; nil = First is all
+	Left    int            // bytes of Rest, if not Chunked
+	Chunked bool           // nobody knows how many those are
 }
 
 // Settings describe the south side, times in milliseconds.
@@ -76,7 +76,7 @@
 	// answer, does so before the next relay could take that for its own.
 	Settle float64
 	Limits Limits
-	Budget *flow.Budget // of bodies that flow; nil = none does
+	Budget *bodypipe.Budget // of bodies that flow; nil = none does
 	// Sent is told of each relay whose last byte has gone out; nil = nobody.
 	Sent func()
 }
@@ -91,7 +91,7 @@
 type Pool struct {
 	set   Settings
 	clock clock.Clock
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 	log   *slog.Logger
 
 	limits atomic.Pointer[Limits]
@@ -104,7 +104,7 @@
 }
 
 // New makes an empty pool.
-func New(set Settings, c clock.Clock, l *loop.Loop, log *slog.Logger) *Pool {
+func New(set Settings, c clock.Clock, l *netpoll.Loop, log *slog.Logger) *Pool {
 	p := &Pool{set: set, clock: c, loop: l, log: log, idle: map[core.Host][]*conn{}, to: map[core.Host]int{}, wear: newWear(set.Settle)}
 	p.Limit(set.Limits)
 	return p
@@ -134,19 +134,19 @@
 type conn struct {
 	pool   *Pool
 	host   core.Host
-	net    *loop.Conn
+	net    *netpoll.Conn
 	since  float64 // idle since then
 	band   int     // of how long it was, 0 for a new one
 	mu     sync.Mutex
 	speaks Protocol
 	reader Answers
-	done   chan end     // of the relay that it carries, nil while idle
-	asked  bool         // that relay is being written: what comes may be its answer
-	alone  bool         // its request is written at once
-	need   atomic.Int64 // bytes written once all of that relay's request is
-	known  int64        // of them, those that are known before a body in chunks is
-	body   *flow.Pipe   // the rest of its answer, which goes on after its end
-	last   bool         // the host ends the connection after that
+	done   chan end       // of the relay that it carries, nil while idle
+	asked  bool           // that relay is being written: what comes may be its answer
+	alone  bool           // its request is written at once
+	need   atomic.Int64   // bytes written once all of that relay's request is
+	known  int64          // of them, those that are known before a body in chunks is
+	body   *bodypipe.Pipe // the rest of its answer, which goes on after its end
+	last   bool           // the host ends the connection after that
 	broken bool
 	freed  sync.Once
 }
@@ -229,7 +229,7 @@
 		return
 	}
 	if err == nil && answer.Attach != nil {
-		c.body, c.last = flow.New(c.pool.set.Budget, c.hold, c.forgo), answer.Last
+		c.body, c.last = bodypipe.New(c.pool.set.Budget, c.hold, c.forgo), answer.Last
 		answer.Attach(c.body)
 		c.finish(end{answer, whole, err})
 		fit := c.pieces()
@@ -347,7 +347,7 @@
 }
 
 // Relay is that of core.Carrier.
-func (p *Pool) Relay(host core.Host, call *core.Call, until float64, off <-chan struct{}) (pilot.Outcome, any) {
+func (p *Pool) Relay(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
 	done := make(chan end, 1)
 	late := make(chan struct{})
 	c, about, o, err := p.begin(host, call, until, done, off)
@@ -377,17 +377,17 @@
 		broke = true
 		c.giveUp(done)
 		if whole() {
-			return pilot.Reset, nil
+			return dispatch.Reset, nil
 		}
-		return pilot.NoConnect, nil
+		return dispatch.NoConnect, nil
 	}
 	if s, ok := about.(Silent); ok && s.Silent() {
 		c.disarm()
 		now := whole()
 		if p.put(c, now); !now && !whole() { // closed, its last byte never goes out
-			return pilot.NoConnect, nil
+			return dispatch.NoConnect, nil
 		}
-		return pilot.Served, nil
+		return dispatch.Served, nil
 	}
 	var e end
 	if body != nil && body.Rest != nil {
@@ -398,9 +398,9 @@
 			case e.whole: // it ended the connection after an answer
 				done <- e
 			case errors.Is(err, errHost): // the last byte never went out
-				return pilot.NoConnect, nil
+				return dispatch.NoConnect, nil
 			default:
-				return pilot.Unsent, nil
+				return dispatch.Unsent, nil
 			}
 		}
 		if more > 0 {
@@ -414,29 +414,29 @@
 	case <-off:
 		if e = c.giveUp(done); !e.whole {
 			if !whole() {
-				return pilot.Unsent, nil
+				return dispatch.Unsent, nil
 			}
-			return pilot.CalledOff, nil
+			return dispatch.CalledOff, nil
 		}
 	case <-late:
 		if e = c.giveUp(done); !e.whole {
 			if !whole() {
-				return pilot.NoConnect, nil
+				return dispatch.NoConnect, nil
 			}
-			return pilot.Late, nil
+			return dispatch.Late, nil
 		}
 	}
 	if e.err != nil {
 		broke = errors.Is(e.err, errBroken) && p.clock.Now()-sent < p.limits.Load().Wear.Quick
 		c.net.Close()
 		if !whole() {
-			return pilot.NoConnect, nil
+			return dispatch.NoConnect, nil
 		}
 		if !errors.Is(e.err, errBroken) {
 			p.log.Warn("a host's answer cannot be read", "host", host.Name, "address", host.Address, "error", e.err)
-			return pilot.Failed, nil
+			return dispatch.Failed, nil
 		}
-		return pilot.Reset, nil
+		return dispatch.Reset, nil
 	}
 	if e.answer.Attach == nil {
 		p.put(c, whole())
@@ -447,9 +447,9 @@
 // begin finds a connection for an attempt and writes the first bytes of its request, or tells why nothing is to go out. What may have
 // changed since the attempt was decided is asked here, last before its first byte: whether it was called off or its time is up, the
 // final answer is given, the host departs, the client is there, and nothing has come on the connection. err is that of the first write.
-func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan end, off <-chan struct{}) (c *conn, about any, o pilot.Outcome,
+func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan end, off <-chan struct{}) (c *conn, about any, o dispatch.Outcome,
 	err error) {
-	client, _ := call.Client.(*loop.Conn)
+	client, _ := call.Client.(*netpoll.Conn)
 	for {
 		c, err := p.get(host, until, done, off)
 		if err != nil {
@@ -458,18 +458,18 @@
 		select {
 		case <-off:
 			c.giveUp(done)
-			return nil, nil, pilot.Unsent, nil
+			return nil, nil, dispatch.Unsent, nil
 		default:
 		}
 		left := int(until - p.clock.Now()) // never more than there is
 		if left <= 0 {
 			c.giveUp(done)
-			return nil, nil, pilot.Unsent, nil
+			return nil, nil, dispatch.Unsent, nil
 		}
-		back := func() (*conn, any, pilot.Outcome, error) {
+		back := func() (*conn, any, dispatch.Outcome, error) {
 			c.disarm()
 			p.put(c, true)
-			return nil, nil, pilot.Unsent, nil
+			return nil, nil, dispatch.Unsent, nil
 		}
 		if !call.Standing() { // the node stood still for longer than its claim: another may have it
 			return back()
@@ -493,7 +493,7 @@
 		}
 		c.giveUp(done)
 		if c.since == 0 {
-			return nil, nil, pilot.NoConnect, nil
+			return nil, nil, dispatch.NoConnect, nil
 		}
 	}
 }
@@ -529,17 +529,17 @@
 }
 
 // unsent tells why no connection could be had. The host is to blame only if it had its full time.
-func (p *Pool) unsent(err error, until float64, off <-chan struct{}) pilot.Outcome {
+func (p *Pool) unsent(err error, until float64, off <-chan struct{}) dispatch.Outcome {
 	select {
 	case <-off:
-		return pilot.Unsent
+		return dispatch.Unsent
 	default:
 	}
 	var timeout net.Error
 	if errors.Is(err, errFull) || errors.As(err, &timeout) && timeout.Timeout() && p.clock.Now() >= until-1 {
-		return pilot.Unsent
+		return dispatch.Unsent
 	}
-	return pilot.NoConnect
+	return dispatch.NoConnect
 }
 
 // giveUp closes a connection whose relay ends. An answer that came in the same moment is returned.
@@ -601,7 +601,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	_, err := p.loop.Dial(ctx, host.Address, min(p.set.ConnectTimeout, until-now), func(n *loop.Conn) loop.Handler {
+	_, err := p.loop.Dial(ctx, host.Address, min(p.set.ConnectTimeout, until-now), func(n *netpoll.Conn) netpoll.Handler {
 		c.net = n
 		return c
 	})
--- a/internal/south/carrier/upload.go
+++ b/internal/node/upstream/connpool/upload.go
@@ -1,10 +1,10 @@
-package carrier
+package connpool
 
 import (
 	"errors"
 	"io"
 
-	"linenwheel.dev/linenwheel/internal/http1"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
 var (
--- a/internal/south/thrifthost/thrifthost.go
+++ b/internal/node/upstream/thriftbackend/thrifthost.go
@@ -1,17 +1,17 @@
-// Package thrifthost is the protocol of hosts that speak Thrift, for the carrier. A call that came in Thrift goes on as it
+// Package thriftbackend is the protocol of hosts that speak Thrift, for the carrier. A call that came in Thrift goes on as it
 // came, in the host's form; one that came over HTTP/1.1 is put into the method of its class, if calls may cross.
-package thrifthost
+package thriftbackend
 
 import (
 	"errors"
 	"sync/atomic"
 
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
-	"linenwheel.dev/linenwheel/internal/thrift"
-	"linenwheel.dev/linenwheel/internal/thrift/mapping"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
+	"linenwheel.dev/linenwheel/internal/codec/thrift/mapping"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 )
 
 // Settings describe the hosts.
@@ -85,7 +85,7 @@
 }
 
 // Answers is that of carrier.Protocol.
-func (p *Protocol) Answers() carrier.Answers {
+func (p *Protocol) Answers() connpool.Answers {
 	return &answers{Reader: thrift.NewReaderOf(p.set.Form, p.set.Limits)}
 }
 
@@ -99,22 +99,22 @@
 
 var errOther = errors.New("an answer to another call")
 
-func (a *answers) Next() (carrier.Answer, bool, error) {
+func (a *answers) Next() (connpool.Answer, bool, error) {
 	m, err := a.Reader.Next()
 	if m == nil || err != nil {
-		return carrier.Answer{}, false, err
+		return connpool.Answer{}, false, err
 	}
 	want := a.about
 	if want == nil || m.Seq != want.seq || string(m.Name) != string(want.method) ||
 		m.Type != thrift.Reply && m.Type != thrift.Exception {
-		return carrier.Answer{}, false, errOther
+		return connpool.Answer{}, false, errOther
 	}
-	answer := carrier.Answer{Outcome: outcomes[mapping.Tell(m)]}
-	if answer.Outcome == pilot.Served {
+	answer := connpool.Answer{Outcome: outcomes[mapping.Tell(m)]}
+	if answer.Outcome == dispatch.Served {
 		answer.Payload = want.back(m)
 	}
 	return answer, true, nil
 }
 
-var outcomes = [...]pilot.Outcome{mapping.Served: pilot.Served, mapping.TurnedAway: pilot.Declined,
-	mapping.Error: pilot.Failed, mapping.Rejected: pilot.Rejected}
+var outcomes = [...]dispatch.Outcome{mapping.Served: dispatch.Served, mapping.TurnedAway: dispatch.Declined,
+	mapping.Error: dispatch.Failed, mapping.Rejected: dispatch.Rejected}
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -6,16 +6,16 @@
 	"slices"
 	"strings"
 
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
-	"linenwheel.dev/linenwheel/internal/policy"
-	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Times of a node, ms: those of internal/peers/client, internal/repeats/fleet, internal/quota/edge and internal/policy/gate, and of
+// Times of a node, ms: those of internal/peers/client, internal/node/idempotency/fleet, internal/node/quota/edge and internal/node/rollout/gate, and of
 // options that are not set.
 const (
 	try          = 1000.0
@@ -76,7 +76,7 @@
 	holds   uint64
 	hurry   func()
 
-	policy *policy.Holder
+	policy *rollout.Holder
 	looked string // hash of the document that it looked at last
 }
 
@@ -85,13 +85,13 @@
 	node    *node
 	life    int
 	word    string // what it is for
-	request talk.Request
+	request protocol.Request
 	command bool
 	began   float64
 	tries   int
 	pause   float64
 	over    bool
-	done    func(*ledger.Reply) // nil = none came in time
+	done    func(*statemachine.Reply) // nil = none came in time
 }
 
 func newNode(w *fleet, number int) *node {
@@ -122,7 +122,7 @@
 	n.session, n.opening, n.openers, n.held = 0, false, nil, nil
 	n.ordered, n.begun, n.named, n.policed, n.leased = false, false, false, false, false
 	n.demand, n.parts, n.holds, n.hurry = lease.NewDemand(n.w.now, 1/n.tree.Set.Root[quota.Requests]), nil, 0, nil
-	n.policy, n.looked = policy.NewHolder(n.name, n.process, policyLease, false), ""
+	n.policy, n.looked = rollout.NewHolder(n.name, n.process, policyLease, false), ""
 	if fresh && n.w.upAt == 0 {
 		n.w.upAt = n.w.now
 	}
@@ -165,7 +165,7 @@
 
 // orders asks what operators had ordered.
 func (n *node) orders() {
-	n.read("orders", ledger.PartOrders, ledger.OrdersOf{Node: n.name}, ordersLimit, func(r *ledger.Reply) {
+	n.read("orders", statemachine.PartOrders, statemachine.OrdersOf{Node: n.name}, ordersLimit, func(r *statemachine.Reply) {
 		if r == nil {
 			n.orders()
 			return
@@ -187,7 +187,7 @@
 	if !n.named {
 		within = lostWait
 	}
-	heard := func(r *ledger.Reply) {
+	heard := func(r *statemachine.Reply) {
 		if r == nil {
 			n.named = false
 			n.w.result.Counts["met: a look that found no majority"]++
@@ -200,10 +200,10 @@
 	}
 	if !told {
 		secret := make([]byte, 32)
-		n.do("begun", ledger.PartCalls, ledger.FreshCommand(ledger.Fresh{Node: n.name, Life: n.process, Secret: secret}), within, heard)
+		n.do("begun", statemachine.PartCalls, statemachine.FreshCommand(statemachine.Fresh{Node: n.name, Life: n.process, Secret: secret}), within, heard)
 		return
 	}
-	n.read("look", ledger.PartCalls, ledger.Look{Name: make([]byte, 16)}, within, heard)
+	n.read("look", statemachine.PartCalls, statemachine.Look{Name: make([]byte, 16)}, within, heard)
 }
 
 // play has the calls of the rhythm come.
@@ -239,16 +239,16 @@
 	for i := range name {
 		name[i], print[i] = byte(n.w.luck.Uint32()), byte(n.w.luck.Uint32())
 	}
-	take := ledger.TakeCommand(ledger.Take{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
+	take := statemachine.TakeCommand(statemachine.Take{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
 		Run: claim + 5000, Node: n.name, Life: n.process, Token: token})
-	n.do("name", ledger.PartCalls, take, takeLimit, func(r *ledger.Reply) {
-		var o ledger.Outcome
+	n.do("name", statemachine.PartCalls, take, takeLimit, func(r *statemachine.Reply) {
+		var o statemachine.Outcome
 		if r == nil {
 			n.named = false
 			n.w.result.Refused++
 			return
 		}
-		if r.Code != ledger.OK || json.Unmarshal(r.Body, &o) != nil || o.Taken != ledger.TakenRun {
+		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Taken != statemachine.TakenRun {
 			n.w.fault("%s could not take a name: %s %s %s", n.name, r.Code, r.Text, o.Taken)
 			return
 		}
@@ -257,9 +257,9 @@
 			for i := range body {
 				body[i] = byte(n.w.luck.Uint32())
 			}
-			n.do("end", ledger.PartCalls, ledger.EndedCommand(ledger.Ended{Name: name, Token: token, How: ledger.HowServed, Body: body}), endLimit,
-				func(r *ledger.Reply) {
-					if r != nil && r.Code == ledger.OK {
+			n.do("end", statemachine.PartCalls, statemachine.EndedCommand(statemachine.Ended{Name: name, Token: token, How: statemachine.HowServed, Body: body}), endLimit,
+				func(r *statemachine.Reply) {
+					if r != nil && r.Code == statemachine.OK {
 						n.w.result.Counts["met: a charge agreed to its end"]++
 					}
 				})
@@ -287,14 +287,14 @@
 			n.after(max(0, n.around(pause-hasten)), renew)
 		})
 	}
-	n.do("room", ledger.PartRoom, ledger.RoomCommand{Report: &report}, roomLease, func(r *ledger.Reply) {
+	n.do("room", statemachine.PartRoom, statemachine.RoomCommand{Report: &report}, roomLease, func(r *statemachine.Reply) {
 		var g lease.Grant
-		if r == nil || r.Code != ledger.OK || json.Unmarshal(r.Body, &g) != nil {
+		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &g) != nil {
 			next(roomPause)
 			return
 		}
 		if g.Number == 0 {
-			n.do("tree", ledger.PartRoom, ledger.RoomCommand{Tree: &n.tree}, roomLease, func(*ledger.Reply) { next(0) })
+			n.do("tree", statemachine.PartRoom, statemachine.RoomCommand{Tree: &n.tree}, roomLease, func(*statemachine.Reply) { next(0) })
 			return
 		}
 		n.holds, n.parts = g.Number, map[int]bool{}
@@ -309,9 +309,9 @@
 // renewPolicy reports once, and obeys.
 func (n *node) renewPolicy() {
 	report, asked := n.policy.Report(), n.w.now
-	n.do("policy", ledger.PartPolicy, ledger.PolicyCommand{Report: &report}, policyLease, func(r *ledger.Reply) {
-		var o policy.Order
-		if r == nil || r.Code != ledger.OK || json.Unmarshal(r.Body, &o) != nil {
+	n.do("policy", statemachine.PartPolicy, statemachine.PolicyCommand{Report: &report}, policyLease, func(r *statemachine.Reply) {
+		var o rollout.Order
+		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.restPolicy(n.policy.Again())
 			return
 		}
@@ -323,8 +323,8 @@
 		case s.Take:
 			n.takePolicy(s)
 		case s.Look != "":
-			n.read("document", ledger.PartPolicy, ledger.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *ledger.Reply) {
-				var d policy.Document
+			n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *statemachine.Reply) {
+				var d rollout.Document
 				unseen := r == nil || json.Unmarshal(r.Body, &d) != nil
 				if !unseen {
 					n.looked = d.Hash
@@ -349,7 +349,7 @@
 }
 
 // takePolicy has a number in force, whose document it has looked at or asks for.
-func (n *node) takePolicy(s policy.Step) {
+func (n *node) takePolicy(s rollout.Step) {
 	took := func() {
 		n.policy.Took(s.Number, s.Hash)
 		n.w.result.Counts["met: a policy taken"]++
@@ -359,7 +359,7 @@
 		took()
 		return
 	}
-	n.read("document", ledger.PartPolicy, ledger.PolicyQuestion{Document: &s.Number}, policyLease, func(r *ledger.Reply) {
+	n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Document: &s.Number}, policyLease, func(r *statemachine.Reply) {
 		if r == nil {
 			n.restPolicy(n.policy.Again())
 			return
@@ -370,10 +370,10 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := talk.Request{Want: talk.Wait, Part: ledger.PartPolicy, Body: body(ledger.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
+	r := protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
-	a.done = func(r *ledger.Reply) {
-		var news policy.News
+	a.done = func(r *statemachine.Reply) {
+		var news rollout.News
 		if r == nil || json.Unmarshal(r.Body, &news) != nil {
 			n.restPolicy(pause)
 			return
@@ -406,16 +406,16 @@
 // propose has a policy changed, and asks until it holds.
 func (n *node) propose(id string) {
 	began := n.w.now
-	p := policy.Proposal{ID: id, Text: strings.Repeat("# a policy of some lines\n", 80), By: "an operator"}
-	n.do("propose", ledger.PartPolicy, ledger.PolicyCommand{Propose: &p}, endLimit, func(*ledger.Reply) {
+	p := rollout.Proposal{ID: id, Text: strings.Repeat("# a policy of some lines\n", 80), By: "an operator"}
+	n.do("propose", statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p}, endLimit, func(*statemachine.Reply) {
 		var again func()
 		again = func() {
-			n.read("propose", ledger.PartPolicy, ledger.PolicyQuestion{Outcome: id}, endLimit, func(r *ledger.Reply) {
-				var o policy.Outcome
+			n.read("propose", statemachine.PartPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
+				var o rollout.Outcome
 				switch {
-				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == policy.Looking || o.Stage == policy.Pausing:
+				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Looking || o.Stage == rollout.Pausing:
 					n.after(lookingPause, again)
-				case o.Stage == policy.Agreed:
+				case o.Stage == rollout.Agreed:
 					n.w.result.Took = n.w.now - began
 				default:
 					n.w.fault("the change of policy was refused: %s", o.Reason)
@@ -435,18 +435,18 @@
 }
 
 // do has a command agreed.
-func (n *node) do(word, part string, v any, within float64, done func(*ledger.Reply)) {
-	a := n.make(word, talk.Request{Want: talk.Do, Part: part, Body: body(v)}, within, done)
+func (n *node) do(word, part string, v any, within float64, done func(*statemachine.Reply)) {
+	a := n.make(word, protocol.Request{Want: protocol.Do, Part: part, Body: body(v)}, within, done)
 	a.command = true
 	n.enter(a)
 }
 
 // read asks a question.
-func (n *node) read(word, part string, v any, within float64, done func(*ledger.Reply)) {
-	n.make(word, talk.Request{Want: talk.Read, Part: part, Body: body(v)}, within, done).send()
+func (n *node) read(word, part string, v any, within float64, done func(*statemachine.Reply)) {
+	n.make(word, protocol.Request{Want: protocol.Read, Part: part, Body: body(v)}, within, done).send()
 }
 
-func (n *node) make(word string, r talk.Request, within float64, done func(*ledger.Reply)) *asking {
+func (n *node) make(word string, r protocol.Request, within float64, done func(*statemachine.Reply)) *asking {
 	a := &asking{node: n, life: n.life, word: word, request: r, began: n.w.now, pause: firstPause, done: done}
 	n.asked = append(n.asked, a)
 	n.w.after(within, func() {
@@ -463,7 +463,7 @@
 	case n.session == 0:
 		n.openers = append(n.openers, a)
 		n.open()
-	case n.next >= n.done+ledger.Window:
+	case n.next >= n.done+statemachine.Window:
 		n.held = append(n.held, a)
 	default:
 		n.next++
@@ -478,12 +478,12 @@
 		return
 	}
 	n.opening = true
-	r := talk.Request{Want: talk.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(ledger.Opening{Name: n.name})}
-	n.make("session", r, lostWait, func(r *ledger.Reply) {
+	r := protocol.Request{Want: protocol.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
+	n.make("session", r, lostWait, func(r *statemachine.Reply) {
 		n.opening = false
 		waiting := n.openers
 		n.openers = nil
-		if r != nil && r.Code == ledger.OK {
+		if r != nil && r.Code == statemachine.OK {
 			n.session, n.next, n.done, n.told = r.Index, 0, 0, map[uint64]bool{}
 		}
 		for _, a := range waiting {
@@ -501,7 +501,7 @@
 		n.done++
 		delete(n.told, n.done)
 	}
-	for len(n.held) > 0 && n.next < n.done+ledger.Window {
+	for len(n.held) > 0 && n.next < n.done+statemachine.Window {
 		a := n.held[0]
 		if n.held = n.held[1:]; !a.over {
 			n.enter(a)
@@ -563,7 +563,7 @@
 	if err != nil {
 		panic(err) // of types that can be written
 	}
-	n.w.carried(a.word, link.KindAsk, text)
+	n.w.carried(a.word, transport.KindAsk, text)
 	k, this := n.conn, a.tries
 	n.lines[0].after(n.w, func() {
 		if n.w.cut && k.far != n.far {
@@ -595,7 +595,7 @@
 	}
 	n.dialing = true
 	from, k := n.at, n.w.keepers[n.at]
-	n.w.carried("hello", link.KindHello, body(link.Hello{Fleet: "a fleet", Min: 1, Max: link.Version, Name: n.name, To: k.name}))
+	n.w.carried("hello", transport.KindHello, body(transport.Hello{Fleet: "a fleet", Min: 1, Max: transport.Version, Name: n.name, To: k.name}))
 	up := func(ok bool) {
 		n.dialing = false
 		waiting := n.dialers
@@ -624,7 +624,7 @@
 			if n.fresh && !n.policed && !n.ordered && !n.begun && !n.leased {
 				n.w.firsts = append(n.w.firsts, n.w.now)
 			}
-			n.w.carried("hello", link.KindHello, body(link.Welcome{Version: link.Version, Name: k.name, ID: k.id}))
+			n.w.carried("hello", transport.KindHello, body(transport.Welcome{Version: transport.Version, Name: k.name, ID: k.id}))
 			n.after(n.w.way(), func() { up(k.group != nil) })
 		}
 	})
@@ -660,7 +660,7 @@
 	if a.over || n.life != a.life || a.tries != this {
 		return
 	}
-	if a.request.Want == talk.Wait { // whoever asks something next finds another
+	if a.request.Want == protocol.Wait { // whoever asks something next finds another
 		a.end()
 		a.done(nil)
 		return
@@ -674,38 +674,38 @@
 }
 
 // heard is an answer.
-func (a *asking) heard(this int, answer talk.Answer) {
+func (a *asking) heard(this int, answer protocol.Answer) {
 	n := a.node
 	if a.over || n.life != a.life || a.tries != this {
 		return
 	}
 	from := n.at
 	switch {
-	case a.request.Want == talk.Wait:
+	case a.request.Want == protocol.Wait:
 		a.end()
 		a.done(answer.Reply)
-	case answer.Fault == talk.Refused:
+	case answer.Fault == protocol.Refused:
 		n.w.fault("%s: %s was refused: %s", n.name, a.word, answer.Text)
 		a.fail()
 	case answer.Fault != "":
-		if answer.Fault == talk.Elsewhere {
+		if answer.Fault == protocol.Elsewhere {
 			n.w.result.Counts["met: another keeper leads"]++
 		}
-		elsewhere := answer.Fault == talk.Elsewhere || answer.Leader != ""
+		elsewhere := answer.Fault == protocol.Elsewhere || answer.Leader != ""
 		n.turn(from, answer.Leader)
 		if elsewhere && a.tries <= 2 {
 			a.send()
 		} else {
 			a.again()
 		}
-	case answer.Reply.Code == ledger.Lost && a.command:
+	case answer.Reply.Code == statemachine.Lost && a.command:
 		n.giveUp(a.request.Session)
 		n.enter(a)
 	default:
 		a.end()
 		took := n.w.now - a.began
 		if n.w.count && a.word != "propose" {
-			if a.request.Want == talk.Do {
+			if a.request.Want == protocol.Do {
 				n.w.agreed = append(n.w.agreed, took)
 				if !n.fresh {
 					n.w.settled = append(n.w.settled, took)
--- a/node/door.go
+++ b/node/door.go
@@ -7,11 +7,11 @@
 	"runtime/debug"
 	"sync"
 
-	"linenwheel.dev/linenwheel/internal/admin"
-	"linenwheel.dev/linenwheel/internal/duty"
-	"linenwheel.dev/linenwheel/internal/inventory/ban"
-	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/admin"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/drain"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // ratersEvery is the time in milliseconds between two counts of the raters for the figures.
@@ -34,17 +34,17 @@
 // orders is what operators have told the node.
 type orders struct {
 	mu   sync.Mutex // of the book, and orders what the module is told of the list
-	book ban.Book
+	book cordon.Book
 	// pass has the node's other process obey too, while there is one; nil = there is none.
 	pass func(Order) error
 }
 
 // drainTimes are those of a drain. The front learns of it with its next question and sends no new connections soon after; by
 // the platform's drain_over no connection may be idle, or carry a request that came in the last drain_quiet.
-func drainTimes(o *Options) duty.Times {
+func drainTimes(o *Options) drain.Times {
 	p := &o.Platform
 	refuse := max(0, p.DrainOver.Ms-p.DrainQuiet.Ms-o.North.HTTP.SweepEvery.Ms)
-	return duty.Times{EndAnswered: refuse / 2, EndIdle: refuse * 3 / 4, Refuse: refuse}
+	return drain.Times{EndAnswered: refuse / 2, EndIdle: refuse * 3 / 4, Refuse: refuse}
 }
 
 // open opens the operators' door, where the platform names one.
@@ -82,7 +82,7 @@
 }
 
 // inventory takes news of the list: the module sees it without the raters that are out by hand.
-func (n *Node) inventory(from pilot.Source, list []pilot.Host) {
+func (n *Node) inventory(from dispatch.Source, list []dispatch.Host) {
 	n.orders.mu.Lock()
 	n.tell(from, n.orders.book.Take(from, list))
 	n.orders.mu.Unlock()
@@ -109,17 +109,17 @@
 	was := n.orders.book.Out(o.Rater)
 	change, err := n.orders.book.Resume, error(nil)
 	if o.Do == Suspend {
-		change = func(_ float64, rater string) ([]pilot.Host, error) { return n.orders.book.Suspend(rater) }
+		change = func(_ float64, rater string) ([]dispatch.Host, error) { return n.orders.book.Suspend(rater) }
 	}
 	changed, err := change(n.clock.Now(), o.Rater)
-	if errors.Is(err, ban.ErrUnknown) {
+	if errors.Is(err, cordon.ErrUnknown) {
 		return fmt.Errorf("%w: %q", admin.ErrUnknown, o.Rater)
 	}
 	if err != nil {
 		return err
 	}
 	if len(changed) > 0 {
-		n.tell(pilot.Changes, changed)
+		n.tell(dispatch.Changes, changed)
 	}
 	if was == n.orders.book.Out(o.Rater) {
 		return nil // it was told before
@@ -137,7 +137,7 @@
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
 	if changed := n.orders.book.Fleet(n.clock.Now(), names); len(changed) > 0 {
-		n.tell(pilot.Changes, changed)
+		n.tell(dispatch.Changes, changed)
 		n.log.Info("raters are out or back by the options", "out", len(names))
 	}
 }
@@ -178,9 +178,9 @@
 		return
 	}
 	excluded := 0
-	count := func(p *pilot.Pilot) {
+	count := func(p *dispatch.Pilot) {
 		for _, h := range p.View().Hosts {
-			if n.orders.book.Out(h.Name) || h.Status == pilot.Ready && h.Module.Away {
+			if n.orders.book.Out(h.Name) || h.Status == dispatch.Ready && h.Module.Away {
 				excluded++
 			}
 		}
@@ -242,7 +242,7 @@
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
 	if changed := n.orders.book.Recall(k.Bans); len(changed) > 0 {
-		n.tell(pilot.Changes, changed)
+		n.tell(dispatch.Changes, changed)
 	}
 }
 
--- a/node/handover.go
+++ b/node/handover.go
@@ -8,23 +8,23 @@
 	"math/rand/v2"
 	"slices"
 
-	"linenwheel.dev/linenwheel/internal/inventory/ban"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/service"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/quota"
+	"linenwheel.dev/linenwheel/internal/node/systemd"
 )
 
 // Knowledge is what a node knows of its hosts, as plain data for the process that comes after it.
 type Knowledge struct {
-	Node  string       `json:"node"`
-	Index int64        `json:"index"` // that discovery told last, 0 = none
-	At    float64      `json:"at"`    // when this was so
-	Pilot pilot.Memory `json:"pilot"`
+	Node  string          `json:"node"`
+	Index int64           `json:"index"` // that discovery told last, 0 = none
+	At    float64         `json:"at"`    // when this was so
+	Pilot dispatch.Memory `json:"pilot"`
 
 	// What operators have ordered.
-	Bans    ban.Memory `json:"bans"`
-	Drained *float64   `json:"drained,omitempty"` // since when; nil = it is not
+	Bans    cordon.Memory `json:"bans"`
+	Drained *float64      `json:"drained,omitempty"` // since when; nil = it is not
 
 	// Quota is what tenants have saved up.
 	Quota []quota.Balance `json:"quota,omitempty"`
@@ -67,8 +67,8 @@
 		return fmt.Errorf("recalling what was known: it is node %q's", k.Node)
 	}
 	for i := range k.Pilot.Hosts { // as the list has them
-		if h := &k.Pilot.Hosts[i]; h.Status == pilot.Draining && slices.Contains(k.Bans.Out, h.Name) {
-			h.Status = pilot.Ready
+		if h := &k.Pilot.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
+			h.Status = dispatch.Ready
 		}
 	}
 	n.recallOrders(k)
@@ -78,7 +78,7 @@
 	if n.lists != nil {
 		n.lists.offer(k.Pilot.List(), k.At)
 	} else if _, at := n.watch.Seen(); at == 0 && len(k.Pilot.Hosts) > 0 {
-		n.inventory(pilot.Stored, k.Pilot.List())
+		n.inventory(dispatch.Stored, k.Pilot.List())
 	}
 	return n.pilot.Recall(k.Pilot)
 }
@@ -108,12 +108,12 @@
 
 // Stations are the loops that have to work for a request to be served, for a watchdog: the poller that reads all
 // sockets, the timers and the module behind the pilot's lock, and the locks of the front and the core.
-func (n *Node) Stations() ([]service.Station, error) {
+func (n *Node) Stations() ([]systemd.Station, error) {
 	pulse, err := n.loop.Pulse()
 	if err != nil {
 		return nil, err
 	}
-	return []service.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
+	return []systemd.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
 		{Name: "the front", Pass: func(context.Context) { n.north.Connections() }},
 		{Name: "the core", Pass: func(context.Context) { n.unanswered() }}}, nil
 }
@@ -133,13 +133,13 @@
 }
 
 // listen makes the node's loop: on the socket that it was given, or on one of its own.
-func listen(extra *Extras, address string, most int, accept func(*loop.Conn) loop.Handler) (*loop.Loop, error) {
-	var l *loop.Loop
+func listen(extra *Extras, address string, most int, accept func(*netpoll.Conn) netpoll.Handler) (*netpoll.Loop, error) {
+	var l *netpoll.Loop
 	var err error
 	if extra.Listener != nil {
-		l, err = loop.On(extra.Listener, most, accept)
+		l, err = netpoll.On(extra.Listener, most, accept)
 	} else {
-		l, err = loop.Hold(address, most, accept)
+		l, err = netpoll.Hold(address, most, accept)
 	}
 	if err == nil && !extra.Hold {
 		l.StartAccepting()
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -10,28 +10,28 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/inventory"
-	"linenwheel.dev/linenwheel/internal/inventory/discovery"
-	"linenwheel.dev/linenwheel/internal/inventory/files"
-	"linenwheel.dev/linenwheel/internal/inventory/guard"
-	"linenwheel.dev/linenwheel/internal/inventory/last"
-	"linenwheel.dev/linenwheel/internal/inventory/set"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/lastgood"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
 // plain hands discovery's list to the pilot as it is. The guard is not asked: by the platform's rules a drain has been
 // told once discovery has written it, so one that is held would only be a rule broken later.
 type plain struct {
-	give func(pilot.Source, []pilot.Host)
+	give func(dispatch.Source, []dispatch.Host)
 }
 
 // Take passes a list on.
 func (p plain) Take(l discovery.List) error {
-	kind := pilot.Changes
+	kind := dispatch.Changes
 	if l.Whole {
-		kind = pilot.Whole
+		kind = dispatch.Whole
 	}
 	p.give(kind, l.Hosts)
 	return nil
@@ -59,13 +59,13 @@
 
 // lists is a list of several sources, or one that is guarded or kept.
 type lists struct {
-	keeper  *inventory.Keeper
+	keeper  *endpoints.Keeper
 	clock   clock.Clock
 	log     *slog.Logger
 	judge   float64
 	path    string // of the last good list, empty = none
 	every   atomic.Pointer[options.Duration]
-	writer  *last.Writer
+	writer  *lastgood.Writer
 	sources []source // in the order of trust
 }
 
@@ -76,9 +76,9 @@
 }
 
 // sourcesOf is how the options have each source taken, in the order of trust.
-func sourcesOf(o *options.Inventory) (list []set.Source) {
+func sourcesOf(o *options.Inventory) (list []merge.Source) {
 	for _, name := range o.Sources() {
-		one := set.Source{Name: name}
+		one := merge.Source{Name: name}
 		switch name {
 		case options.SourceDiscovery:
 			one.Keep, one.Free, one.Anew = o.Discovery.Keep.Ms, !o.Guard.Discovery, true
@@ -92,29 +92,29 @@
 	return list
 }
 
-func guardOf(o *options.Inventory) guard.Settings {
-	return guard.Settings{Share: o.Guard.Share, Window: o.Guard.Window.Ms, Floor: o.Guard.Floor}
+func guardOf(o *options.Inventory) removalguard.Settings {
+	return removalguard.Settings{Share: o.Guard.Share, Window: o.Guard.Window.Ms, Floor: o.Guard.Floor}
 }
 
 // gather makes the list of the sources that the options name. Discovery is asked by watch, which has what all watches need.
-func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(pilot.Source, []pilot.Host)) (*lists, error) {
+func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
-	set := inventory.Settings{Settings: set.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
+	set := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
-		l.writer = &last.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() last.Record { return l.keeper.Record() },
+		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.keeper.Record() },
 			Every: func() float64 { return l.every.Load().Ms }}
 		set.Last = l.writer.Changed
 	}
 	var err error
-	if l.keeper, err = inventory.New(set, l.clock, l.log); err != nil {
+	if l.keeper, err = endpoints.New(set, l.clock, l.log); err != nil {
 		return nil, err
 	}
 	first := watch.First
 	for i, src := range set.Sources {
 		feed := l.keeper.Feed(i)
-		asked := inventory.Asked{Feed: feed, Start: l.clock.Now()}
+		asked := endpoints.Asked{Feed: feed, Start: l.clock.Now()}
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
@@ -167,7 +167,7 @@
 	if l.path == "" {
 		return
 	}
-	r, err := last.Load(l.path, conf.Name)
+	r, err := lastgood.Load(l.path, conf.Name)
 	if err != nil {
 		l.log.Warn("the list that was kept is not used", "path", l.path, "error", err)
 	}
@@ -181,7 +181,7 @@
 }
 
 // older tells whether the list of the configuration, which is discovery's, is newer than one that was kept.
-func older(r *last.Record, conf *Config) bool {
+func older(r *lastgood.Record, conf *Config) bool {
 	for _, p := range r.Sources {
 		if p.Source == options.SourceDiscovery && r.Followed == p.Source {
 			return uint64(max(conf.Known.Index, 0)) > p.Number
@@ -191,7 +191,7 @@
 }
 
 // offer begins with a list that another process had at a time, if none is newer.
-func (l *lists) offer(hosts []pilot.Host, at float64) { l.keeper.Offer(hosts, at, l.judge, nil) }
+func (l *lists) offer(hosts []dispatch.Host, at float64) { l.keeper.Offer(hosts, at, l.judge, nil) }
 
 // status tells how the list is made up.
 func (l *lists) status(s *ListStatus, now float64) {
@@ -228,20 +228,20 @@
 
 // Sources is the list that options make of the sources that they name, without a node: for those who want to look.
 type Sources struct {
-	loop  *loop.Loop
+	loop  *netpoll.Loop
 	lists *lists
 	conf  *Config
 	asked chan struct{}
 }
 
 // NewSources makes the list, which give is handed in steps, one after the other, once Run is called.
-func NewSources(conf *Config, o *Options, log *slog.Logger, give func(pilot.Source, []pilot.Host)) (*Sources, error) {
+func NewSources(conf *Config, o *Options, log *slog.Logger, give func(dispatch.Source, []dispatch.Host)) (*Sources, error) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0") // the loop wants one; nobody is let in
 	if err != nil {
 		return nil, err
 	}
 	s := &Sources{conf: conf, asked: make(chan struct{})}
-	if s.loop, err = loop.On(socket, 1, func(*loop.Conn) loop.Handler { return nil }); err != nil {
+	if s.loop, err = netpoll.On(socket, 1, func(*netpoll.Conn) netpoll.Handler { return nil }); err != nil {
 		return nil, err
 	}
 	left := new(atomic.Int32)
@@ -273,20 +273,20 @@
 func (s *Sources) Asked() <-chan struct{} { return s.asked }
 
 // View tells how the list is made up.
-func (s *Sources) View() set.View { return s.lists.keeper.View() }
+func (s *Sources) View() merge.View { return s.lists.keeper.View() }
 
 // Hosts is the list.
-func (s *Sources) Hosts() []pilot.Host { return s.lists.keeper.Hosts() }
+func (s *Sources) Hosts() []dispatch.Host { return s.lists.keeper.Hosts() }
 
 // Known is what a file of a list is held against by a node of this configuration.
 func Known(conf *Config, o *Options) files.Known { return known(conf, &o.Inventory) }
 
 // Judge tells what the guard would say, by these options, of a step from one list to another, and counts what it does.
-func Judge(o *Options, from, to []pilot.Host) (guard.Verdict, guard.Change, error) {
-	g, err := guard.New(guardOf(&o.Inventory))
+func Judge(o *Options, from, to []dispatch.Host) (removalguard.Verdict, removalguard.Change, error) {
+	g, err := removalguard.New(guardOf(&o.Inventory))
 	if err != nil {
-		return guard.Take, guard.Change{}, err
+		return removalguard.Take, removalguard.Change{}, err
 	}
-	c := set.Compare(from, to)
+	c := merge.Compare(from, to)
 	return g.Judge(0, c), c, nil
 }
--- a/node/lesson.go
+++ b/node/lesson.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/store"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
 // clocksApart is by how many milliseconds the clocks of two nodes may differ.
@@ -27,13 +27,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return store.Encode(store.State{Node: n.conf.Name, PID: os.Getpid(), Started: n.since, Saved: k.At, Open: n.core.Unanswered(), Knowledge: text})
+	return statedir.Encode(statedir.State{Node: n.conf.Name, PID: os.Getpid(), Started: n.since, Saved: k.At, Open: n.core.Unanswered(), Knowledge: text})
 }
 
 // ReadLesson reads what another node's door gave at a time, and says why it is of no use to a node with this configuration:
 // it is of another form, of another zone, of a clock that differs, or rests on no answer in the last useFor milliseconds.
 func ReadLesson(text []byte, from string, conf *Config, now, useFor float64) (l Lesson, err error) {
-	s, err := store.Decode(text)
+	s, err := statedir.Decode(text)
 	if err != nil {
 		return l, err
 	}
@@ -47,7 +47,7 @@
 		return l, fmt.Errorf("its clock is %.0f ms ahead of this node's", s.Saved-now)
 	case m.Zone != zone:
 		return l, fmt.Errorf("it is of zone %q", m.Zone)
-	case pilot.Heard(m) == 0:
+	case dispatch.Heard(m) == 0:
 		return l, errors.New("it has heard no answer")
 	case l.age(now) > useFor:
 		return l, fmt.Errorf("it has heard nothing for %.0f ms", l.age(now))
@@ -56,7 +56,9 @@
 }
 
 // age is how many milliseconds ago a rater answered last.
-func (l *Lesson) age(now float64) float64 { return now - pilot.Heard(&l.Pilot.Module).Seconds()*1000 }
+func (l *Lesson) age(now float64) float64 {
+	return now - dispatch.Heard(&l.Pilot.Module).Seconds()*1000
+}
 
 // learn takes the lessons, of each host and kind what rests on most. It is called once, when the list is there and before the
 // first client.
--- a/node/node.go
+++ b/node/node.go
@@ -16,27 +16,27 @@
 	"sync/atomic"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/admin"
 	"linenwheel.dev/linenwheel/internal/clock"
-	"linenwheel.dev/linenwheel/internal/config"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/figures"
-	"linenwheel.dev/linenwheel/internal/flow"
-	"linenwheel.dev/linenwheel/internal/inventory/discovery"
 	"linenwheel.dev/linenwheel/internal/log"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/north/httpfront"
-	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/policy"
-	policygate "linenwheel.dev/linenwheel/internal/policy/gate"
-	quotaedge "linenwheel.dev/linenwheel/internal/quota/edge"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
-	"linenwheel.dev/linenwheel/internal/repeats/fleet"
-	"linenwheel.dev/linenwheel/internal/repeats/journal"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
-	"linenwheel.dev/linenwheel/internal/stop"
-	"linenwheel.dev/linenwheel/internal/stop/gate"
+	"linenwheel.dev/linenwheel/internal/node/admin"
+	"linenwheel.dev/linenwheel/internal/node/bodypipe"
+	"linenwheel.dev/linenwheel/internal/node/config"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/downstream/httpserver"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
+	"linenwheel.dev/linenwheel/internal/node/metrics"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/options"
+	quotaedge "linenwheel.dev/linenwheel/internal/node/quota/middleware"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
+	policygate "linenwheel.dev/linenwheel/internal/node/rollout/gate"
+	"linenwheel.dev/linenwheel/internal/node/shutdown"
+	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 )
 
 // Config is all that a node is told.
@@ -129,32 +129,32 @@
 	log    *slog.Logger
 	level  *slog.LevelVar // of what the node logs, nil where that is not its own
 	flood  log.Interval   // of what clients, hosts and discovery can make many of
-	pilot  *pilot.Pilot
-	gate   *gate.Gate
+	pilot  *dispatch.Pilot
+	gate   *driver.Gate
 	core   *core.Core
-	loop   *loop.Loop
-	north  *httpfront.Side
-	pool   *carrier.Pool
+	loop   *netpoll.Loop
+	north  *httpserver.Side
+	pool   *connpool.Pool
 	watch  *discovery.Watcher
 	lists  *lists      // of several sources; nil = the list is discovery's, as it is
 	thrift *thriftSide // nil = Thrift is not spoken
 	poke   chan struct{}
 
-	quota   *quotaedge.Stage // nil = calls are not held to quotas
-	repeats *edge.Stage      // nil = repeats are not recognised
-	pass    passing          // of its names to another process, or from one
-	journal *journal.Journal // of them, nil = none
-	locked  *os.File         // keeps other processes from the journal
-
-	peers *peers           // what the fleet holds for this node and its clients; nil = the node shares nothing
-	names *fleet.Names     // of calls, held by the fleet; nil = by this node alone
-	guide *policygate.Gate // of calls, by the fleet's policy; nil = by this node's file alone
-	own   Options          // of this machine, without the fleet's policy; under reload
-	doc   policy.Document  // the fleet's policy, Number 0 = none; under reload
-
-	figures *figures.Set
-	budget  *flow.Budget // of bodies
-	door    *admin.Door  // nil = operators have none
+	quota   *quotaedge.Stage  // nil = calls are not held to quotas
+	repeats *middleware.Stage // nil = repeats are not recognised
+	pass    passing           // of its names to another process, or from one
+	journal *journal.Journal  // of them, nil = none
+	locked  *os.File          // keeps other processes from the journal
+
+	peers *peers            // what the fleet holds for this node and its clients; nil = the node shares nothing
+	names *replicated.Names // of calls, held by the fleet; nil = by this node alone
+	guide *policygate.Gate  // of calls, by the fleet's policy; nil = by this node's file alone
+	own   Options           // of this machine, without the fleet's policy; under reload
+	doc   rollout.Document  // the fleet's policy, Number 0 = none; under reload
+
+	figures *metrics.Set
+	budget  *bodypipe.Budget // of bodies
+	door    *admin.Door      // nil = operators have none
 	orders  orders
 
 	since     float64            // when it was made
@@ -192,7 +192,7 @@
 	}
 	logger = log.On(logger, c).With("node", conf.Name)
 	n.log = logger.With("part", "node")
-	n.figures, n.budget = figures.New(classNames(conf)), flow.NewBudget(bodiesBudget(conf, &o))
+	n.figures, n.budget = metrics.New(classNames(conf)), bodypipe.NewBudget(bodiesBudget(conf, &o))
 	sparse := log.Sparse(logger, c, &n.flood)
 	var err error
 	set, seed := conf.Settings, conf.Seed
@@ -200,24 +200,24 @@
 	if n.fleet, n.phase = set.Nodes, chances(conf, set.Nodes); n.phase != nil {
 		seed ^= nameHash(conf.Name)
 	}
-	n.pilot, err = pilot.New(set, seed, n.clock, sparse.With("part", "pilot"), n.wake)
+	n.pilot, err = dispatch.New(set, seed, n.clock, sparse.With("part", "pilot"), n.wake)
 	if err != nil {
 		return nil, err
 	}
 	room := o.Room(conf)
-	var side *httpfront.Side
+	var side *httpserver.Side
 	ready := make(chan struct{}) // a client may connect before the rest stands
-	n.loop, err = listen(&extra, conf.Listen, room.Clients+room.Spare, func(c *loop.Conn) loop.Handler {
+	n.loop, err = listen(&extra, conf.Listen, room.Clients+room.Spare, func(c *netpoll.Conn) netpoll.Handler {
 		<-ready
 		return side.Accept(c)
 	})
 	if err != nil {
 		return nil, err
 	}
-	n.pool = carrier.New(carrier.Settings{Protocol: protocols(conf, &o),
+	n.pool = connpool.New(connpool.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
 		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.Attempt, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
-	n.gate = gate.New(worthFor(conf), drainTimes(&o), c)
+	n.gate = driver.New(worthFor(conf), drainTimes(&o), c)
 	stages := core.Stages{First: extra.First, Last: extra.Last}
 	if o.Quota.On {
 		if n.quota, err = n.divide(&o.Quota, sparse.With("part", "quota")); err != nil {
@@ -255,9 +255,9 @@
 	}
 	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
 	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
-	n.north = httpfront.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
+	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
 	side = n.north
-	n.gate.Hook(gate.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
+	n.gate.Hook(driver.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
 	close(ready)
 	if err := n.secondSide(set, seed, &o, room, calls, sparse); err != nil {
 		n.loop.Stop()
@@ -408,15 +408,15 @@
 	return list
 }
 
-func northLimits(o *Options) httpfront.Limits {
+func northLimits(o *Options) httpserver.Limits {
 	h := &o.North.HTTP
-	return httpfront.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
+	return httpserver.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
 		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, Whole: h.RetryAfter == "whole"}
 }
 
-func southLimits(conf *Config, o *Options) carrier.Limits {
+func southLimits(conf *Config, o *Options) connpool.Limits {
 	w := &o.South.Wear
-	return carrier.Limits{Idle: o.South.IdlePart * conf.ConnIdle, Wear: carrier.Wear{Memory: w.Memory.Ms,
+	return connpool.Limits{Idle: o.South.IdlePart * conf.ConnIdle, Wear: connpool.Wear{Memory: w.Memory.Ms,
 		Quick: w.Quick.Ms, Least: w.Least, Deviations: w.Deviations, Hold: w.Hold.Ms, Usual: w.Usual}}
 }
 
@@ -436,15 +436,15 @@
 	return l
 }
 
-func frontSettings(conf *Config, o *Options, room options.Room, budget *flow.Budget) httpfront.Settings {
-	set := httpfront.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
+func frontSettings(conf *Config, o *Options, room options.Room, budget *bodypipe.Budget) httpserver.Settings {
+	set := httpserver.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
 		Crowded: room.Crowded, Limits: northLimits(o)}
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
 		if c.Effect == decide.Safe {
 			method = "GET"
 		}
-		set.Classes = append(set.Classes, httpfront.Class{Method: method, Keyed: c.Effect == decide.Keyed})
+		set.Classes = append(set.Classes, httpserver.Class{Method: method, Keyed: c.Effect == decide.Keyed})
 		set.ByName[c.Name] = i
 	}
 	for i, t := range conf.Settings.Tenants {
@@ -480,7 +480,7 @@
 	if n.lists != nil {
 		n.lists.start(n.conf)
 	} else if len(n.conf.Known.Hosts) > 0 {
-		n.inventory(pilot.Stored, n.conf.Known.Hosts)
+		n.inventory(dispatch.Stored, n.conf.Known.Hosts)
 	}
 	if n.known != nil {
 		if err := n.Recall(*n.known); err != nil {
@@ -569,16 +569,16 @@
 }
 
 // times are those of a stop that begins now.
-func (n *Node) times() stop.Times {
+func (n *Node) times() shutdown.Times {
 	o := n.opts.Load()
-	return stop.Times{Sure: o.Platform.ConnectSure.Ms, Accept: o.Service.AcceptFor.Ms,
+	return shutdown.Times{Sure: o.Platform.ConnectSure.Ms, Accept: o.Service.AcceptFor.Ms,
 		Answers: o.Service.AnswersAhead.Ms, End: o.Service.EndAhead.Ms,
 		Kill: min(n.conf.MaxDeadline, o.Platform.LongestCounted.Ms) + o.Platform.KillAfter.Ms}
 }
 
 // yieldTimes are those of a handover that begins now: nobody kills the node, and clients leave as they find that their
 // connections end.
-func (n *Node) yieldTimes() stop.Times {
+func (n *Node) yieldTimes() shutdown.Times {
 	t, o := n.times(), n.opts.Load()
 	t.Accept, t.Kill = 0, o.North.HTTP.IdleAfter.Ms+n.conf.MaxDeadline+o.Service.YieldRest.Ms+t.Answers
 	return t
--- a/node/peers.go
+++ b/node/peers.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"linenwheel.dev/linenwheel/internal/inventory/ban"
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/peers/client"
-	"linenwheel.dev/linenwheel/internal/repeats/edge"
-	"linenwheel.dev/linenwheel/internal/repeats/fleet"
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/cordon"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/replicated"
+	"linenwheel.dev/linenwheel/internal/node/options"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // orderLimit is how long operators wait for an order to be agreed.
@@ -38,8 +38,8 @@
 }
 
 // names has names of calls agreed with the fleet.
-func (p *peers) names(n *Node, set *edge.Settings, log *slog.Logger) *fleet.Names {
-	names := fleet.Settings{Node: n.conf.Name, Secret: set.Secret, Claim: p.set.Claim.Ms,
+func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *replicated.Names {
+	names := replicated.Settings{Node: n.conf.Name, Secret: set.Secret, Claim: p.set.Claim.Ms,
 		Longest: n.conf.MaxDeadline, Take: 2 * p.set.Try.Ms, End: p.set.EndWait.Ms}
 	if n.known != nil {
 		names.Before = n.known.Life
@@ -47,15 +47,15 @@
 	for _, t := range n.conf.Settings.Tenants {
 		names.Tenants = append(names.Tenants, t.Name)
 	}
-	return fleet.New(names, p.log, n.clock, log)
+	return replicated.New(names, p.log, n.clock, log)
 }
 
 // hold has an order agreed under the node's name.
 func (p *peers) hold(node string, o Order) error {
 	ctx, stop := context.WithTimeout(context.Background(), orderLimit)
 	defer stop()
-	r, err := p.log.Do(ctx, ledger.PartOrders, ledger.Order{Node: node, Do: o.Do, Rater: o.Rater})
-	if err == nil && r.Code != ledger.OK {
+	r, err := p.log.Do(ctx, statemachine.PartOrders, statemachine.Order{Node: node, Do: o.Do, Rater: o.Rater})
+	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
 	return err
@@ -106,8 +106,8 @@
 	defer n.peers.mu.Unlock()
 	ctx, stop := context.WithTimeout(ctx, orderLimit)
 	defer stop()
-	r, err := n.peers.log.Read(ctx, ledger.PartOrders, ledger.OrdersOf{Node: n.conf.Name})
-	var held ledger.Ordered
+	r, err := n.peers.log.Read(ctx, statemachine.PartOrders, statemachine.OrdersOf{Node: n.conf.Name})
+	var held statemachine.Ordered
 	if err != nil || json.Unmarshal(r.Body, &held) != nil {
 		return false
 	}
@@ -116,8 +116,8 @@
 }
 
 // obeyHeld lets what is held for this node be in force.
-func (n *Node) obeyHeld(held ledger.Ordered) {
-	k := Knowledge{Bans: ban.Memory{Out: held.Out}}
+func (n *Node) obeyHeld(held statemachine.Ordered) {
+	k := Knowledge{Bans: cordon.Memory{Out: held.Out}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
 		if !drained {
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -5,17 +5,17 @@
 	"slices"
 
 	"linenwheel.dev/linenwheel/decide"
-	"linenwheel.dev/linenwheel/internal/core"
-	"linenwheel.dev/linenwheel/internal/http1"
-	"linenwheel.dev/linenwheel/internal/loop"
-	"linenwheel.dev/linenwheel/internal/north/lobby"
-	"linenwheel.dev/linenwheel/internal/north/thriftfront"
-	"linenwheel.dev/linenwheel/internal/options"
-	"linenwheel.dev/linenwheel/internal/pilot"
-	"linenwheel.dev/linenwheel/internal/south/carrier"
-	"linenwheel.dev/linenwheel/internal/south/httphost"
-	"linenwheel.dev/linenwheel/internal/south/thrifthost"
-	"linenwheel.dev/linenwheel/internal/thrift"
+	"linenwheel.dev/linenwheel/internal/codec/http1"
+	"linenwheel.dev/linenwheel/internal/codec/thrift"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/downstream/connlimit"
+	"linenwheel.dev/linenwheel/internal/node/downstream/thriftserver"
+	"linenwheel.dev/linenwheel/internal/node/netpoll"
+	"linenwheel.dev/linenwheel/internal/node/options"
+	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
+	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
+	"linenwheel.dev/linenwheel/internal/node/upstream/thriftbackend"
 )
 
 // speaksThrift is what a host's protocol is called in the list.
@@ -25,23 +25,23 @@
 // of their own, with a pilot and a core of its own, so that the module never weighs a host that a call does not fit.
 type thriftSide struct {
 	kinds []string // types of machines that speak it
-	pilot *pilot.Pilot
+	pilot *dispatch.Pilot
 	core  *core.Core
-	front *thriftfront.Side // nil = no listener
-	loop  *loop.Loop
+	front *thriftserver.Side // nil = no listener
+	loop  *netpoll.Loop
 }
 
 // protocols says what is spoken with a host.
-func protocols(conf *Config, o *Options) func(core.Host) carrier.Protocol {
+func protocols(conf *Config, o *Options) func(core.Host) connpool.Protocol {
 	s := &o.South.Thrift
-	plain := httphost.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: flows(o)}
+	plain := httpbackend.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: flows(o)}
 	methods := make([]string, len(conf.Settings.Classes))
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
 		if c.Effect == decide.Safe {
 			method = "GET"
 		}
-		plain.Classes = append(plain.Classes, httphost.Class{Name: c.Name, Method: method})
+		plain.Classes = append(plain.Classes, httpbackend.Class{Name: c.Name, Method: method})
 		if at := slices.IndexFunc(o.North.Thrift.Methods, func(m options.ThriftMethod) bool { return m.Class == c.Name }); at >= 0 &&
 			s.Cross {
 			methods[i] = o.North.Thrift.Methods[at].Name
@@ -52,9 +52,9 @@
 	}
 	forms := map[string]thrift.Protocol{"binary": thrift.Binary, "compact": thrift.Compact}
 	transports := map[string]thrift.Transport{"framed": thrift.Framed, "unframed": thrift.Unframed, "header": thrift.Header}
-	second := thrifthost.New(thrifthost.Settings{Form: thrift.Form{Protocol: forms[s.Protocol], Transport: transports[s.Transport]},
+	second := thriftbackend.New(thriftbackend.Settings{Form: thrift.Form{Protocol: forms[s.Protocol], Transport: transports[s.Transport]},
 		Limits: messageLimits(o), Methods: methods, Tenants: plain.Tenants})
-	return func(h core.Host) carrier.Protocol {
+	return func(h core.Host) connpool.Protocol {
 		if h.Protocol == speaksThrift {
 			return second
 		}
@@ -77,7 +77,7 @@
 	}
 	var err error
 	if !o.South.Thrift.Cross {
-		if t.pilot, err = pilot.New(set, seed+1, n.clock, log.With("part", "pilot"), n.wake); err != nil {
+		if t.pilot, err = dispatch.New(set, seed+1, n.clock, log.With("part", "pilot"), n.wake); err != nil {
 			return err
 		}
 		t.core = core.New(calls, t.pilot, n.pool, log.With("part", "core"))
@@ -86,16 +86,16 @@
 	if front.Listen == "" {
 		return nil
 	}
-	fs := thriftfront.Settings{Methods: map[string]thriftfront.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), Open: front.Open,
+	fs := thriftserver.Settings{Methods: map[string]thriftserver.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), Open: front.Open,
 		Pipeline: front.PipelineMost.Bytes, Backlog: front.BacklogMost.Bytes, Linger: front.Linger.Ms, Stall: o.North.HTTP.Stall.Ms,
-		Lobby: lobby.Settings{Connections: room.Thrift, Crowded: room.Thrift, Limits: lobby.Limits{Idle: front.IdleAfter.Ms,
+		Lobby: connlimit.Settings{Connections: room.Thrift, Crowded: room.Thrift, Limits: connlimit.Limits{Idle: front.IdleAfter.Ms,
 			Read: front.ReadLimit.Ms, First: front.FirstLimit.Ms, Settle: front.Settle.Ms}}}
 	for i, c := range n.conf.Settings.Classes {
-		fs.Classes = append(fs.Classes, thriftfront.Class{Keyed: c.Effect == decide.Keyed})
+		fs.Classes = append(fs.Classes, thriftserver.Class{Keyed: c.Effect == decide.Keyed})
 		for _, m := range front.Methods {
 			if m.Class == c.Name {
-				for _, name := range thriftfront.MethodNames(front.Service, m.Name) {
-					fs.Methods[name] = thriftfront.Method{Class: i, OneWay: m.OneWay}
+				for _, name := range thriftserver.MethodNames(front.Service, m.Name) {
+					fs.Methods[name] = thriftserver.Method{Class: i, OneWay: m.OneWay}
 				}
 			}
 		}
@@ -103,8 +103,8 @@
 	for i, tenant := range n.conf.Settings.Tenants {
 		fs.Tenants[tenant.Name] = i
 	}
-	t.front = thriftfront.New(fs, n.clock, t.core, n.gate, log.With("part", "north"))
-	t.loop, err = loop.Listen(front.Listen, room.Thrift, t.front.Accept)
+	t.front = thriftserver.New(fs, n.clock, t.core, n.gate, log.With("part", "north"))
+	t.loop, err = netpoll.Listen(front.Listen, room.Thrift, t.front.Accept)
 	return err
 }
 
@@ -117,7 +117,7 @@
 }
 
 // tell gives a list to the pilots, each the hosts of its own fleet.
-func (n *Node) tell(from pilot.Source, list []pilot.Host) {
+func (n *Node) tell(from dispatch.Source, list []dispatch.Host) {
 	t := n.thrift
 	if t == nil {
 		if !n.opts.Load().South.Thrift.Cross && slices.ContainsFunc(list, needsThrift) {
@@ -127,7 +127,7 @@
 		n.pilot.Inventory(from, list)
 		return
 	}
-	var first, second []pilot.Host
+	var first, second []dispatch.Host
 	for _, h := range list {
 		if slices.Contains(t.kinds, h.Kind) {
 			h.Protocol = speaksThrift
@@ -137,7 +137,7 @@
 		} else {
 			first = append(first, h)
 		}
-		if h.Status == pilot.Gone && t.pilot != n.pilot { // an entry that says no more than the name
+		if h.Status == dispatch.Gone && t.pilot != n.pilot { // an entry that says no more than the name
 			second = append(second, h)
 		}
 	}
@@ -147,7 +147,9 @@
 	}
 }
 
-func needsThrift(h pilot.Host) bool { return h.Protocol == speaksThrift && h.Status != pilot.Gone }
+func needsThrift(h dispatch.Host) bool {
+	return h.Protocol == speaksThrift && h.Status != dispatch.Gone
+}
 
 // ticks runs the timers of all pilots and gives when the next is due.
 func (n *Node) ticks() float64 {
@@ -170,7 +172,7 @@
 // content shows a payload to stages, whatever front or carrier it is from.
 func content(payload any) core.Content {
 	if m, ok := payload.(*thrift.Message); ok {
-		return thriftfront.Content{Message: m}
+		return thriftserver.Content{Message: m}
 	}
 	return http1.Content{Message: payload.(*http1.Message)}
 }
