--- a/internal/node/consensus/backup/copies_test.go
+++ b/internal/node/consensus/backup/copies_test.go
@@ -1,4 +1,4 @@
-package copies
+package backup
 
 import (
 	"os"
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/golden"
-	"linenwheel.dev/linenwheel/internal/ledger"
-	"linenwheel.dev/linenwheel/internal/peers/link"
-	"linenwheel.dev/linenwheel/internal/peers/talk"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
 // drawn is the number under which a session is opened, which is drawn by chance.
@@ -34,9 +34,9 @@
 			if err != nil {
 				return err
 			}
-			c := link.NewConn(raw)
+			c := transport.NewConn(raw)
 			defer c.Close()
-			hello, err := c.Accept("morava", func(link.Hello) link.Welcome { return link.Welcome{Name: "keeper-1", ID: 7} })
+			hello, err := c.Accept("morava", func(transport.Hello) transport.Welcome { return transport.Welcome{Name: "keeper-1", ID: 7} })
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 					return err
 				}
 				answer := fmt.Appendf(nil, `{"id":%d,"reply":{"code":"ok","text":"t","body":"Y29weQ==","index":12}}`, r.ID)
-				if err := c.Write(link.KindAnswer, answer, time.Second); err != nil {
+				if err := c.Write(transport.KindAnswer, answer, time.Second); err != nil {
 					return err
 				}
 			}
@@ -67,24 +67,24 @@
 		Keepers: []Keeper{{Name: "keeper-1", Address: listen.Addr().String()}}})
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
-	want := ledger.Reply{Code: ledger.OK, Text: "t", Body: json.RawMessage(`"Y29weQ=="`), Index: 12}
+	want := statemachine.Reply{Code: statemachine.OK, Text: "t", Body: json.RawMessage(`"Y29weQ=="`), Index: 12}
 	for range 2 {
-		r, err := c.Do(ctx, ledger.PartRegister, ledger.Set{Name: "a", Value: "b", Was: new(uint64(3))})
+		r, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b", Was: new(uint64(3))})
 		require.NoError(t, err)
 		require.Equal(t, want, r)
 	}
-	r, err := c.Read(ctx, ledger.PartRegister, ledger.Get{Name: "a"})
+	r, err := c.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "a"})
 	require.NoError(t, err)
 	require.Equal(t, want, r)
-	r, err = c.Wait(ctx, ledger.PartPolicy, ledger.PolicyQuestion{News: true}, "known")
+	r, err = c.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, "known")
 	require.NoError(t, err)
 	require.Equal(t, want, r)
 	index, image, err := c.Copy(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(12), index)
 	require.Equal(t, "copy", string(image))
-	for _, change := range []string{talk.Learn, talk.Remove} {
-		require.NoError(t, c.Change(ctx, change, ledger.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: ledger.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
+	for _, change := range []string{protocol.Learn, protocol.Remove} {
+		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
 	}
 	c.Close()
 	require.NoError(t, <-over)
--- a/internal/node/consensus/protocol/golden_test.go
+++ b/internal/node/consensus/protocol/golden_test.go
@@ -1,4 +1,4 @@
-package talk
+package protocol
 
 import (
 	"fmt"
--- a/internal/node/consensus/storage/golden_test.go
+++ b/internal/node/consensus/storage/golden_test.go
@@ -1,4 +1,4 @@
-package store
+package storage
 
 import (
 	"encoding/json"
--- a/internal/node/consensus/transport/golden_test.go
+++ b/internal/node/consensus/transport/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
--- a/internal/node/endpoints/lastgood/golden_test.go
+++ b/internal/node/endpoints/lastgood/golden_test.go
@@ -1,4 +1,4 @@
-package last
+package lastgood
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/golden"
-	"linenwheel.dev/linenwheel/internal/pilot"
+	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
 // Guards against a list that this build reads or writes otherwise than an earlier one of the release: with hosts of each status, and
@@ -16,10 +16,10 @@
 func TestReadsAndWritesTheListOfAnEarlierBuild(t *testing.T) {
 	golden.JSON[Record](t, "record")
 	want := Record{Node: "node-1", Changed: 1e12, Followed: "etcd", Sources: []Position{{Source: "etcd", Epoch: "e7", Number: 41}, {Source: "files", Number: 2}}}
-	hosts := []pilot.Host{
-		{Name: "a", Address: "10.0.0.1:80", Zone: "z1", Kind: "large", Cell: 3, Status: pilot.Ready, Weight: 1.5, Since: 9e11},
-		{Name: "b", Address: "10.0.0.2:80", Zone: "z2", Kind: "small", Protocol: "thrift", Cell: 4, Status: pilot.Draining, Weight: 2},
-		{Name: "c", Address: "10.0.0.3:80", Zone: "z3", Kind: "small", Status: pilot.Gone, Weight: 1},
+	hosts := []dispatch.Host{
+		{Name: "a", Address: "10.0.0.1:80", Zone: "z1", Kind: "large", Cell: 3, Status: dispatch.Ready, Weight: 1.5, Since: 9e11},
+		{Name: "b", Address: "10.0.0.2:80", Zone: "z2", Kind: "small", Protocol: "thrift", Cell: 4, Status: dispatch.Draining, Weight: 2},
+		{Name: "c", Address: "10.0.0.3:80", Zone: "z3", Kind: "small", Status: dispatch.Gone, Weight: 1},
 	}
 	want.Set(hosts)
 	path := filepath.Join(t.TempDir(), "list")
--- a/internal/node/idempotency/journal/golden_test.go
+++ b/internal/node/idempotency/journal/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/golden"
-	"linenwheel.dev/linenwheel/internal/repeats"
-	"linenwheel.dev/linenwheel/internal/segments"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
 // history writes records of all kinds to a journal: calls that end in each way, with and without an answer, one that still runs, with
@@ -18,13 +18,13 @@
 	for i := range 8 {
 		c := call(i + 1)
 		if i%2 == 1 {
-			c.Windows = &repeats.Windows{Answered: 500 + float64(i), Doubt: 800}
+			c.Windows = &idempotency.Windows{Answered: 500 + float64(i), Doubt: 800}
 		}
 		at := 100 * float64(i)
 		ticket, err := j.Began(at, c)
 		require.NoError(t, err)
 		require.NoError(t, ticket.Wait())
-		ends := []repeats.End{repeats.EndServed, repeats.EndServed, repeats.EndNotRun, repeats.EndInDoubt}
+		ends := []idempotency.End{idempotency.EndServed, idempotency.EndServed, idempotency.EndNotRun, idempotency.EndInDoubt}
 		if i >= 6 {
 			continue // these run
 		}
@@ -39,12 +39,12 @@
 }
 
 // known is what the golden directory tells at 800 ms, in the order of the ends.
-func known() (list []repeats.Known) {
-	windows := func(a float64) *repeats.Windows { return &repeats.Windows{Answered: a, Doubt: 800} }
-	of := func(i int, w *repeats.Windows, age float64, running, served bool, body string) {
+func known() (list []idempotency.Known) {
+	windows := func(a float64) *idempotency.Windows { return &idempotency.Windows{Answered: a, Doubt: 800} }
+	of := func(i int, w *idempotency.Windows, age float64, running, served bool, body string) {
 		c := call(i)
 		c.Windows = w
-		k := repeats.Known{Call: c, Running: running, Served: served, Age: age}
+		k := idempotency.Known{Call: c, Running: running, Served: served, Age: age}
 		if body != "" {
 			k.Body, k.Size = []byte(body), len(body)
 		}
@@ -63,7 +63,7 @@
 // Guards against a journal that this build reads otherwise than the earlier one of the release that wrote it, or writes otherwise.
 func TestReadsAndWritesTheJournalOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
-	disk := segments.Disk{Path: dir}
+	disk := wal.Disk{Path: dir}
 	require.NoError(t, disk.Make())
 	j, _, _, stop := begin(t, disk, 0)
 	history(t, j)
@@ -82,7 +82,7 @@
 
 	copied := t.TempDir()
 	require.NoError(t, os.CopyFS(copied, os.DirFS(filepath.Join("testdata", "golden", "journal"))))
-	_, list, found, stop := begin(t, segments.Disk{Path: copied}, 800)
+	_, list, found, stop := begin(t, wal.Disk{Path: copied}, 800)
 	stop()
 	require.Empty(t, found)
 	require.Equal(t, known(), list)
--- a/internal/node/idempotency/transfer/golden_test.go
+++ b/internal/node/idempotency/transfer/golden_test.go
@@ -1,17 +1,17 @@
-package handover
+package transfer
 
 import (
 	"fmt"
 	"testing"
 
 	"linenwheel.dev/linenwheel/internal/golden"
-	"linenwheel.dev/linenwheel/internal/repeats"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
 // Guards against messages between the processes of a node whose JSON, or whose numbers for verdicts and ends, have changed.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[message](t, "message")
-	verdicts := []repeats.Verdict{repeats.Run, repeats.Pass, repeats.Join, repeats.Replay, repeats.Spent, repeats.Doubt, repeats.Mismatch, repeats.Full}
-	ends := []repeats.End{repeats.EndServed, repeats.EndNotRun, repeats.EndInDoubt}
+	verdicts := []idempotency.Verdict{idempotency.Run, idempotency.Pass, idempotency.Join, idempotency.Replay, idempotency.Spent, idempotency.Doubt, idempotency.Mismatch, idempotency.Full}
+	ends := []idempotency.End{idempotency.EndServed, idempotency.EndNotRun, idempotency.EndInDoubt}
 	golden.Check(t, "numbers", fmt.Appendf(nil, "%d %d", verdicts, ends))
 }
--- a/internal/node/rollout/golden_test.go
+++ b/internal/node/rollout/golden_test.go
@@ -1,4 +1,4 @@
-package policy
+package rollout
 
 import (
 	"testing"
--- a/internal/node/statedir/golden_test.go
+++ b/internal/node/statedir/golden_test.go
@@ -1,4 +1,4 @@
-package store
+package statedir
 
 import (
 	"fmt"
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statemachine
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 
 	"linenwheel.dev/linenwheel/internal/golden"
-	"linenwheel.dev/linenwheel/internal/policy"
-	"linenwheel.dev/linenwheel/internal/quota"
-	"linenwheel.dev/linenwheel/internal/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/quota"
+	"linenwheel.dev/linenwheel/internal/node/quota/lease"
+	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
 // Guards against a command, question, reply or image whose JSON has changed, in any of its fields.
@@ -44,7 +44,7 @@
 func TestEncodedWordsKeepTheirForm(t *testing.T) {
 	words := []any{PartMembers, PartRegister, PartCalls, PartOrders, PartPolicy, PartRoom, OK, Conflict, Faulty, Full, Lost, Voter, Learner, Gone,
 		TakenRun, TakenElse, TakenReplay, TakenSpent, TakenDoubt, TakenMismatch, TakenFull, TakenUnknown, HowServed, HowNotRun, HowDoubt,
-		policy.Looking, policy.Pausing, policy.Agreed, policy.Refused}
+		rollout.Looking, rollout.Pausing, rollout.Agreed, rollout.Refused}
 	golden.Check(t, "words", fmt.Append(nil, words))
 }
 
@@ -78,22 +78,22 @@
 		e.Name, e.Token = name(byte(b+1)), uint64(b)+41
 		do(1_001_000+float64(b), 2, PartCalls, EndedCommand(e))
 	}
-	report := func(at float64, r policy.Report) {
+	report := func(at float64, r rollout.Report) {
 		do(at, 1, PartPolicy, PolicyCommand{Report: &r})
 	}
-	propose := func(at float64, p policy.Proposal) { do(at, 2, PartPolicy, PolicyCommand{Propose: &p}) }
-	propose(1_001_100, policy.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
-	propose(1_001_110, policy.Proposal{ID: "late", Text: "another", By: "bob"})
-	report(1_001_120, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000})
-	report(1_001_130, policy.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true})
-	report(1_001_135, policy.Report{Node: "node-3", Life: 7, Holds: 1, Lease: 8000})
-	propose(1_001_140, policy.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
-	report(1_001_150, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
+	propose := func(at float64, p rollout.Proposal) { do(at, 2, PartPolicy, PolicyCommand{Propose: &p}) }
+	propose(1_001_100, rollout.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
+	propose(1_001_110, rollout.Proposal{ID: "late", Text: "another", By: "bob"})
+	report(1_001_120, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000})
+	report(1_001_130, rollout.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true})
+	report(1_001_135, rollout.Report{Node: "node-3", Life: 7, Holds: 1, Lease: 8000})
+	propose(1_001_140, rollout.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
+	report(1_001_150, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
 	do(1_001_160, 1, PartPolicy, PolicyCommand{Dead: "node-3"})
-	propose(1_001_170, policy.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
-	report(1_001_180, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second"})
-	report(1_001_190, policy.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true, Looked: "second"})
-	report(1_001_200, policy.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second", Paused: "second"})
+	propose(1_001_170, rollout.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
+	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second"})
+	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true, Looked: "second"})
+	report(1_001_200, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second", Paused: "second"})
 	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Kept: .1,
 		Memory: 30, PayBack: 10, PayPart: .25, MostWait: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}, Burst: 2},
 			{Name: "c", Share: .1, Alone: true}, {Name: "d", Parent: "a", Share: .4, Long: quota.Amount{30}, Keep: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
--- a/internal/rapidseed/seeded.go
+++ b/internal/rapidseed/seeded.go
@@ -1,7 +1,7 @@
 // Package rapidseed has the property tests of a package draw the same histories every time, so that they give the same verdict
 // every time. A test imports it for that alone:
 //
-//	import _ "linenwheel.dev/linenwheel/internal/seeded"
+//	import _ "linenwheel.dev/linenwheel/internal/rapidseed"
 //
 // Other histories are drawn with the flags -rapid.seed and -rapid.checks.
 package rapidseed
