--- a/lab/circle/virtual/clients.go
+++ b/lab/circle/virtual/clients.go
@@ -137,7 +137,7 @@
 }
 
 // hear is an ask at a member.
-func (m *member) hear(a *ask) {
+func (m *simulatedMember) hear(a *ask) {
 	if !a.by.wants(a) {
 		return
 	}
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -229,7 +229,7 @@
 }
 
 // owe holds debts against those before: they fade over the memory and are paid at a rate, and go no other way.
-func (r *rooms) owe(m *member) {
+func (r *rooms) owe(m *simulatedMember) {
 	var v lease.View
 	reply := m.group.Query(statemachine.Ask{Part: statemachine.PartRoom})
 	if err := json.Unmarshal(reply.Body, &v); err != nil {
--- a/lab/circle/virtual/trouble.go
+++ b/lab/circle/virtual/trouble.go
@@ -20,8 +20,8 @@
 }
 
 // some draws a member that is up, preferably the one that leads.
-func (w *world) some() *member {
-	var up []*member
+func (w *world) some() *simulatedMember {
+	var up []*simulatedMember
 	for _, m := range w.members {
 		if m.group == nil {
 			continue
@@ -38,7 +38,7 @@
 	return up[w.luck.IntN(len(up))]
 }
 
-func (m *member) crash() {
+func (m *simulatedMember) crash() {
 	if m.group != nil {
 		m.group = nil
 		m.life++
@@ -186,7 +186,7 @@
 // replace burns a member with its disk and puts an empty machine in its place, as the operators' command does.
 func (w *world) replace() {
 	old := w.some()
-	if old == nil || slices.ContainsFunc(w.members, func(m *member) bool { return m.group == nil }) {
+	if old == nil || slices.ContainsFunc(w.members, func(m *simulatedMember) bool { return m.group == nil }) {
 		return // one loss at a time: a majority could live
 	}
 	if !w.knows(old.id) || w.burnt {
@@ -196,14 +196,14 @@
 	w.counts["fault: a machine burnt and replaced"]++
 	old.crash()
 	delete(w.ids, old.id)
-	w.members = slices.DeleteFunc(w.members, func(m *member) bool { return m == old })
+	w.members = slices.DeleteFunc(w.members, func(m *simulatedMember) bool { return m == old })
 	m := w.join(old.name)
 	m.start()
 	w.enrol(m, old.id)
 }
 
 // enrol asks whoever leads to take a member in, until it is.
-func (w *world) enrol(m *member, in uint64) {
+func (w *world) enrol(m *simulatedMember, in uint64) {
 	for _, lead := range w.members {
 		if lead.group == nil || lead.paused || !lead.group.Leads() {
 			continue
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -87,8 +87,8 @@
 	luck     *rand.Rand
 	now      float64
 	events   agenda.Agenda
-	members  []*member
-	ids      map[uint64]*member
+	members  []*simulatedMember
+	ids      map[uint64]*simulatedMember
 	links    map[[2]uint64]*wire
 	clients  []*client
 	counts   map[string]int
@@ -121,8 +121,8 @@
 	loss  float64
 }
 
-// member is one machine with its disk.
-type member struct {
+// simulatedMember is one machine with its disk.
+type simulatedMember struct {
 	w        *world
 	id       uint64
 	name     string
@@ -151,7 +151,7 @@
 
 // Play plays one history.
 func Play(set Settings) Result {
-	w := &world{set: set, luck: rand.New(rand.NewPCG(set.Seed, 27)), ids: map[uint64]*member{}, links: map[[2]uint64]*wire{},
+	w := &world{set: set, luck: rand.New(rand.NewPCG(set.Seed, 27)), ids: map[uint64]*simulatedMember{}, links: map[[2]uint64]*wire{},
 		counts: map[string]int{}, entries: map[uint64]string{}, fresh: 100}
 	var voters []statemachine.Member
 	for i := range set.Members {
@@ -272,9 +272,9 @@
 	}
 }
 
-func (w *world) join(name string) *member {
+func (w *world) join(name string) *simulatedMember {
 	w.fresh++
-	m := &member{w: w, id: w.fresh, name: name, skew: (w.luck.Float64() - 0.5) * 7.2e6}
+	m := &simulatedMember{w: w, id: w.fresh, name: name, skew: (w.luck.Float64() - 0.5) * 7.2e6}
 	if len(w.members) >= w.set.Quick {
 		m.always = w.set.Slow
 	}
@@ -294,7 +294,7 @@
 }
 
 // start lets a member come up with what its disk holds.
-func (m *member) start() {
+func (m *simulatedMember) start() {
 	m.life++
 	if len(m.w.nodes) > 0 && m.life > 1 { // a clock may be another after a start; in between it goes on evenly
 		m.skew = (m.w.luck.Float64() - 0.5) * 7.2e6
@@ -333,7 +333,7 @@
 }
 
 // run has a member do something, once it is not paused any more.
-func (m *member) run(do func()) {
+func (m *simulatedMember) run(do func()) {
 	life := m.life
 	if m.paused {
 		if len(m.held) < 4096 {
@@ -349,7 +349,7 @@
 }
 
 // flush carries out what the member wants.
-func (m *member) flush() {
+func (m *simulatedMember) flush() {
 	if m.group == nil {
 		return
 	}
@@ -380,7 +380,7 @@
 }
 
 // write lets the disk do what waits for it, all at once as the keeper's does.
-func (m *member) write() {
+func (m *simulatedMember) write() {
 	if m.busy || len(m.queue) == 0 {
 		return
 	}
@@ -423,7 +423,7 @@
 }
 
 // store is what lasts.
-func (m *member) store(job group.Write) {
+func (m *simulatedMember) store(job group.Write) {
 	s := &m.saved
 	if job.Image != nil {
 		s.Image, s.From, s.Entries = proto.Clone(job.Image).(*pb.Snapshot), nil, nil
@@ -452,7 +452,7 @@
 }
 
 // keep makes an image last, after what the disk has to do anyway.
-func (m *member) keep(i *group.Image) {
+func (m *simulatedMember) keep(i *group.Image) {
 	life := m.life
 	snapshot, err := i.Make()
 	if err != nil {
@@ -515,7 +515,7 @@
 }
 
 // send passes messages on, as the links let them.
-func (m *member) send(list []*pb.Message) {
+func (m *simulatedMember) send(list []*pb.Message) {
 	for _, msg := range list {
 		to, l := m.w.ids[msg.GetTo()], m.w.wire(m.id, msg.GetTo())
 		if to == nil {
@@ -554,7 +554,7 @@
 }
 
 // applied notes what a member carried out: all must do the same at the same place.
-func (m *member) applied(a group.Applied) {
+func (m *simulatedMember) applied(a group.Applied) {
 	text, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
