--- a/internal/peers/group/group.go
+++ b/internal/node/consensus/member/group.go
@@ -1,10 +1,10 @@
-// Package group is one member of the agreed log, without its disk, links and clock: the consensus library's state machine,
+// Package member is one member of the agreed log, without its disk, links and clock: the consensus library's state machine,
 // the copy of the log in memory, and the ledger that its entries are applied to. It is pure: what is to be written, sent and
 // answered is taken out with Take, and what came of it is told; the same calls and seed give the same decisions.
 //
 // Bounds: entries in memory are those since the last image, Settings.ImageEvery bytes of them, and Settings.Trail behind it
 // for members that are a little late; proposals that are not agreed yet hold Settings.Uncommitted bytes.
-package group
+package member
 
 import (
 	"encoding/binary"
--- a/internal/peers/group/group_test.go
+++ b/internal/node/consensus/member/group_test.go
@@ -1,4 +1,4 @@
-package group
+package member
 
 import (
 	"testing"
--- a/internal/node/consensus/replica/keeper.go
+++ b/internal/node/consensus/replica/keeper.go
@@ -21,12 +21,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/storage"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 	"linenwheel.dev/linenwheel/internal/node/wal"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 )
 
 // MostClients is how many connections of clients a keeper has at once.
@@ -81,7 +81,7 @@
 	refusals chan error // final ones
 
 	// Of the goroutine that owns the state machine.
-	group   *group.Group
+	group   *member.Group
 	senders map[uint64]*transport.Sender
 	names   map[uint64]string // of keepers that have connected, by number
 	starts  map[uint64]uint64
@@ -112,8 +112,8 @@
 
 // job is work for the disk.
 type job struct {
-	write group.Write
-	image *group.Image
+	write member.Write
+	image *member.Image
 }
 
 // New opens the directory and listens.
@@ -146,13 +146,13 @@
 func (k *Keeper) begin() (err error) {
 	saved := k.store.Saved()
 	k.last.Store(lastOf(saved))
-	k.group, err = group.New(group.Settings{ID: k.store.ID, Election: max(3, int(k.set.Election/k.set.Heartbeat)), Heartbeat: 1,
+	k.group, err = member.New(member.Settings{ID: k.store.ID, Election: max(3, int(k.set.Election/k.set.Heartbeat)), Heartbeat: 1,
 		ImageEvery: k.set.ImageEvery, Trail: k.set.Trail, Uncommitted: uncommitted, Seed: k.store.Starts,
-		Logger: group.Quiet{Warn: func(text string) { k.log.Warn("the consensus library warns", "text", text) }}}, saved)
+		Logger: member.Quiet{Warn: func(text string) { k.log.Warn("the consensus library warns", "text", text) }}}, saved)
 	return err
 }
 
-func lastOf(s group.Saved) uint64 {
+func lastOf(s member.Saved) uint64 {
 	if n := len(s.Entries); n > 0 {
 		return s.Entries[n-1].GetIndex()
 	}
@@ -405,7 +405,7 @@
 	}
 }
 
-func (k *Keeper) applied(a group.Applied) {
+func (k *Keeper) applied(a member.Applied) {
 	id := key{a.Command.Session, a.Command.Number}
 	for _, w := range k.waiting[id] {
 		w.answer(protocol.Answer{Reply: &a.Reply})
@@ -510,7 +510,7 @@
 // write does the disk's work, what waits together at once.
 func (k *Keeper) write() error {
 	for first := range k.disk {
-		jobs, image := []group.Write{}, first.image
+		jobs, image := []member.Write{}, first.image
 		if image == nil {
 			jobs = append(jobs, first.write)
 		}
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -10,9 +10,9 @@
 	"os"
 
 	"linenwheel.dev/linenwheel/internal/node/consensus/backup"
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/consensus/storage"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 )
 
 // Rest is what the folder of one keeper holds, where a majority of a fleet's keepers is lost for good.
@@ -50,7 +50,7 @@
 	r.Agreed = max(hard.GetCommit(), saved.Image.GetMetadata().GetIndex())
 	// What it holds beyond may have been promised to somebody: it counts.
 	saved.Hard = &pb.HardState{Term: new(max(1, hard.GetTerm())), Vote: hard.Vote, Commit: new(r.Last)}
-	g, err := group.New(group.Settings{ID: s.ID, Election: 10, Heartbeat: 1, ImageEvery: 1 << 40, Trail: 0, Uncommitted: 1, Logger: group.Quiet{}}, saved)
+	g, err := member.New(member.Settings{ID: s.ID, Election: 10, Heartbeat: 1, ImageEvery: 1 << 40, Trail: 0, Uncommitted: 1, Logger: member.Quiet{}}, saved)
 	if err != nil {
 		return r, err
 	}
--- a/internal/node/consensus/replica/serve.go
+++ b/internal/node/consensus/replica/serve.go
@@ -12,10 +12,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 )
 
 const answerLimit = 5 * time.Second // for a client to take an answer
@@ -221,7 +221,7 @@
 	}
 	delete(k.waits, c)
 	if !k.group.Leads() {
-		w.answer(k.fault(group.ErrNotLeader))
+		w.answer(k.fault(member.ErrNotLeader))
 		return
 	}
 	if reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
@@ -281,7 +281,7 @@
 			return
 		}
 	case protocol.Copy:
-		if err = group.ErrNotLeader; k.group.Leads() {
+		if err = member.ErrNotLeader; k.group.Leads() {
 			freeze, index := k.group.Ledger().Freeze(), k.group.Ledger().Index()
 			go func() { // it may take its time
 				image, err := freeze()
@@ -318,11 +318,11 @@
 func (k *Keeper) fault(err error) protocol.Answer {
 	a := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.nameOf(k.leader)}
 	switch {
-	case errors.Is(err, group.ErrNotLeader) && k.group.Leader() == 0:
+	case errors.Is(err, member.ErrNotLeader) && k.group.Leader() == 0:
 		a.Fault = protocol.Nobody
-	case errors.Is(err, group.ErrNotLeader):
+	case errors.Is(err, member.ErrNotLeader):
 		a.Fault = protocol.Elsewhere
-	case errors.Is(err, group.ErrBacklog), errors.Is(err, group.ErrBusy):
+	case errors.Is(err, member.ErrBacklog), errors.Is(err, member.ErrBusy):
 		a.Fault = protocol.Later
 	}
 	return a
@@ -334,7 +334,7 @@
 	have, known := list.Get(m.ID)
 	switch {
 	case !k.group.Leads():
-		return group.ErrNotLeader
+		return member.ErrNotLeader
 	case known && have.Role != statemachine.Gone:
 		return nil
 	case known:
@@ -363,13 +363,13 @@
 	}
 	switch {
 	case !k.group.Leads():
-		return group.ErrNotLeader
+		return member.ErrNotLeader
 	case !known || have.Role == statemachine.Gone:
 		return nil
 	case have.Role == statemachine.Voter && voters == 1:
 		return errors.New("it is the last that votes")
 	case m.ID == k.ID() && k.group.Hand():
-		return group.ErrBusy
+		return member.ErrBusy
 	}
 	return k.group.Remove(m.ID)
 }
@@ -394,7 +394,7 @@
 	case term > 0 || len(k.names) > 0:
 		return nil // those that were founded before lead already, and teach it
 	}
-	image, err := group.Found(ask.Members, ask.Now)
+	image, err := member.Found(ask.Members, ask.Now)
 	if err == nil {
 		err = k.store.Begin(image)
 	}
--- a/internal/node/consensus/storage/golden_test.go
+++ b/internal/node/consensus/storage/golden_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"linenwheel.dev/linenwheel/internal/golden"
-	"linenwheel.dev/linenwheel/internal/peers/group"
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 )
 
 // identityText is how the first release wrote who a member is, before its second start.
@@ -31,32 +31,32 @@
 // directories are those kept in testdata, with what they hold. Together they have every kind of record.
 var directories = map[string]struct {
 	steps []func(*Store) error
-	want  group.Saved
+	want  member.Saved
 }{
 	"trimmed": {[]func(*Store) error{
 		func(s *Store) error { return s.Begin(fullImage(1, 1)) },
 		func(s *Store) error {
-			return s.Write([]group.Write{{Hard: hard(2, 8, 3), Entries: []*pb.Entry{entry(2, 1), entry(3, 2), fullEntry(4, 2), entry(5, 2), entry(6, 2)}}})
+			return s.Write([]member.Write{{Hard: hard(2, 8, 3), Entries: []*pb.Entry{entry(2, 1), entry(3, 2), fullEntry(4, 2), entry(5, 2), entry(6, 2)}}})
 		},
 		func(s *Store) error { return s.Keep(fullImage(5, 2), 2) },
 		func(s *Store) error {
-			return s.Write([]group.Write{{Entries: []*pb.Entry{fullEntry(7, 2)}, Hard: hard(2, 8, 7)}})
+			return s.Write([]member.Write{{Entries: []*pb.Entry{fullEntry(7, 2)}, Hard: hard(2, 8, 7)}})
 		},
-	}, group.Saved{Image: fullImage(5, 2), Hard: hard(2, 8, 7), From: &pb.Entry{Index: proto.Uint64(3), Term: proto.Uint64(2)},
+	}, member.Saved{Image: fullImage(5, 2), Hard: hard(2, 8, 7), From: &pb.Entry{Index: proto.Uint64(3), Term: proto.Uint64(2)},
 		Entries: []*pb.Entry{fullEntry(4, 2), entry(5, 2), entry(6, 2), fullEntry(7, 2)}}},
 	"reset": {[]func(*Store) error{
 		func(s *Store) error { return s.Begin(fullImage(1, 1)) },
 		func(s *Store) error {
-			return s.Write([]group.Write{{Hard: hard(1, 7, 1), Entries: []*pb.Entry{entry(2, 1)}}})
+			return s.Write([]member.Write{{Hard: hard(1, 7, 1), Entries: []*pb.Entry{entry(2, 1)}}})
 		},
 		func(s *Store) error {
-			return s.Write([]group.Write{{Image: fullImage(20, 3), Hard: hard(3, 9, 20), Entries: []*pb.Entry{entry(21, 3)}}})
+			return s.Write([]member.Write{{Image: fullImage(20, 3), Hard: hard(3, 9, 20), Entries: []*pb.Entry{entry(21, 3)}}})
 		},
-	}, group.Saved{Image: fullImage(20, 3), Hard: hard(3, 9, 20), From: &pb.Entry{Index: proto.Uint64(20), Term: proto.Uint64(3)},
+	}, member.Saved{Image: fullImage(20, 3), Hard: hard(3, 9, 20), From: &pb.Entry{Index: proto.Uint64(20), Term: proto.Uint64(3)},
 		Entries: []*pb.Entry{entry(21, 3)}}},
 }
 
-func requireSaved(t *testing.T, want, got group.Saved) {
+func requireSaved(t *testing.T, want, got member.Saved) {
 	t.Helper()
 	require.True(t, proto.Equal(want.Image, got.Image), "image %v, want %v", got.Image, want.Image)
 	require.True(t, proto.Equal(want.Hard, got.Hard), "hard state %v, want %v", got.Hard, want.Hard)
--- a/internal/node/consensus/storage/store.go
+++ b/internal/node/consensus/storage/store.go
@@ -21,8 +21,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/wal"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 )
 
 // Version is that of the files' form; one release reads its own and the one before. This is the first.
@@ -73,7 +73,7 @@
 	log     wal.Writer
 	lock    *os.File
 	next    int // number of the next image
-	saved   group.Saved
+	saved   member.Saved
 	ended   []string // segments of the log that are not written to
 	pending []byte
 }
@@ -117,7 +117,7 @@
 }
 
 // Saved is what the folder holds of the member.
-func (s *Store) Saved() group.Saved { return s.saved }
+func (s *Store) Saved() member.Saved { return s.saved }
 
 // Close lets another process have the folder.
 func (s *Store) Close() error {
@@ -388,7 +388,7 @@
 }
 
 // Write makes jobs last together, in their order.
-func (s *Store) Write(jobs []group.Write) (err error) {
+func (s *Store) Write(jobs []member.Write) (err error) {
 	for _, job := range jobs {
 		if job.Image != nil {
 			if err := s.flush(); err != nil {
--- a/internal/node/consensus/storage/store_test.go
+++ b/internal/node/consensus/storage/store_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/wal"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 )
 
 var errDisk = errors.New("the disk failed")
@@ -59,21 +59,21 @@
 var steps = []func(*Store) error{
 	func(s *Store) error { return s.Begin(image(1, 1)) },
 	func(s *Store) error {
-		return s.Write([]group.Write{{Hard: hard(1, 7, 1), Entries: []*pb.Entry{entry(2, 1), entry(3, 1)}}, {Entries: []*pb.Entry{entry(4, 1)}}})
+		return s.Write([]member.Write{{Hard: hard(1, 7, 1), Entries: []*pb.Entry{entry(2, 1), entry(3, 1)}}, {Entries: []*pb.Entry{entry(4, 1)}}})
 	},
-	func(s *Store) error { return s.Write([]group.Write{{Hard: hard(2, 8, 2)}}) },
+	func(s *Store) error { return s.Write([]member.Write{{Hard: hard(2, 8, 2)}}) },
 	func(s *Store) error {
-		return s.Write([]group.Write{{Entries: []*pb.Entry{entry(3, 2)}, Hard: hard(2, 8, 3)}})
+		return s.Write([]member.Write{{Entries: []*pb.Entry{entry(3, 2)}, Hard: hard(2, 8, 3)}})
 	},
 	func(s *Store) error {
-		return s.Write([]group.Write{{Entries: []*pb.Entry{entry(4, 2), entry(5, 2), entry(6, 2)}}})
+		return s.Write([]member.Write{{Entries: []*pb.Entry{entry(4, 2), entry(5, 2), entry(6, 2)}}})
 	},
 	func(s *Store) error { return s.Keep(image(5, 2), 2) },
 	func(s *Store) error {
-		return s.Write([]group.Write{{Entries: []*pb.Entry{entry(7, 2)}, Hard: hard(2, 8, 7)}})
+		return s.Write([]member.Write{{Entries: []*pb.Entry{entry(7, 2)}, Hard: hard(2, 8, 7)}})
 	},
-	func(s *Store) error { return s.Write([]group.Write{{Image: image(20, 3), Hard: hard(3, 9, 20)}}) },
-	func(s *Store) error { return s.Write([]group.Write{{Entries: []*pb.Entry{entry(21, 3)}}}) },
+	func(s *Store) error { return s.Write([]member.Write{{Image: image(20, 3), Hard: hard(3, 9, 20)}}) },
+	func(s *Store) error { return s.Write([]member.Write{{Entries: []*pb.Entry{entry(21, 3)}}}) },
 	func(s *Store) error { return s.Keep(image(21, 3), 100) },
 }
 
@@ -83,7 +83,7 @@
 	entries                         [][2]uint64
 }
 
-func of(s group.Saved) (p picture) {
+func of(s member.Saved) (p picture) {
 	p.image, p.from = s.Image.GetMetadata().GetIndex(), s.From.GetIndex()
 	p.term, p.vote, p.commit = s.Hard.GetTerm(), s.Hard.GetVote(), s.Hard.GetCommit()
 	for _, e := range s.Entries {
@@ -150,7 +150,7 @@
 				if n := len(got.entries); n > 0 {
 					last = got.entries[n-1][0]
 				}
-				require.NoError(t, again.Write([]group.Write{{Entries: []*pb.Entry{entry(last+1, 9)}}}))
+				require.NoError(t, again.Write([]member.Write{{Entries: []*pb.Entry{entry(last+1, 9)}}}))
 				require.NoError(t, again.Close())
 				third, err := Open(dir, "f", "a", true, nil)
 				require.NoError(t, err)
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -9,10 +9,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
 	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 )
 
 // keeper is one member with its disk. It deals with what comes one after the other, a batch at a time, as a keeper does.
@@ -20,11 +20,11 @@
 	w       *fleet
 	id      uint64
 	name    string
-	group   *group.Group // nil while it is down
+	group   *member.Group // nil while it is down
 	life    int
 	far     bool
-	saved   group.Saved
-	disk    []group.Write
+	saved   member.Saved
+	disk    []member.Write
 	writing bool
 	inbox   []task
 	working bool
@@ -57,8 +57,8 @@
 	if saved.Hard != nil {
 		saved.Hard = proto.Clone(saved.Hard).(*pb.HardState)
 	}
-	g, err := group.New(group.Settings{ID: k.id, Election: election, Heartbeat: 1, ImageEvery: imageEvery, Trail: trail, Uncommitted: 16 << 20,
-		Seed: k.w.luck.Uint64(), Logger: group.Quiet{}}, saved)
+	g, err := member.New(member.Settings{ID: k.id, Election: election, Heartbeat: 1, ImageEvery: imageEvery, Trail: trail, Uncommitted: 16 << 20,
+		Seed: k.w.luck.Uint64(), Logger: member.Quiet{}}, saved)
 	if err != nil {
 		k.w.fault("%s does not start: %v", k.name, err)
 		return
@@ -215,7 +215,7 @@
 }
 
 // store is what lasts.
-func (k *keeper) store(job group.Write) {
+func (k *keeper) store(job member.Write) {
 	s := &k.saved
 	if job.Image != nil {
 		s.Image, s.From, s.Entries = proto.Clone(job.Image).(*pb.Snapshot), nil, nil
@@ -236,7 +236,7 @@
 }
 
 // keep makes an image last.
-func (k *keeper) keep(i *group.Image) {
+func (k *keeper) keep(i *member.Image) {
 	life := k.life
 	snapshot, err := i.Make()
 	if err != nil {
@@ -314,7 +314,7 @@
 			return
 		}
 	} else if r.Want == protocol.Wait {
-		if err = group.ErrNotLeader; k.group.Leads() {
+		if err = member.ErrNotLeader; k.group.Leads() {
 			k.waits = append(slices.DeleteFunc(k.waits, func(earlier *asking) bool { return earlier.node == a.node }), a)
 			k.hint()
 			return
@@ -328,11 +328,11 @@
 	}
 	fault := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.w.nameOf(k.group.Leader())}
 	switch {
-	case errors.Is(err, group.ErrNotLeader) && fault.Leader == "":
+	case errors.Is(err, member.ErrNotLeader) && fault.Leader == "":
 		fault.Fault = protocol.Nobody
-	case errors.Is(err, group.ErrNotLeader):
+	case errors.Is(err, member.ErrNotLeader):
 		fault.Fault = protocol.Elsewhere
-	case errors.Is(err, group.ErrBacklog):
+	case errors.Is(err, member.ErrBacklog):
 		fault.Fault = protocol.Later
 	}
 	k.answer(a, fault)
@@ -353,7 +353,7 @@
 	})
 }
 
-func (k *keeper) applied(a group.Applied) {
+func (k *keeper) applied(a member.Applied) {
 	id := key{a.Command.Session, a.Command.Number}
 	if ask := k.waiting[id]; ask != nil {
 		delete(k.waiting, id)
--- a/lab/circle/size/size.go
+++ b/lab/circle/size/size.go
@@ -20,8 +20,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/lab/agenda"
 )
 
@@ -150,7 +150,7 @@
 		w.keepers = append(w.keepers, k)
 		voters = append(voters, statemachine.Member{ID: k.id, Name: k.name, Address: k.name + ".example:7070", Speaks: statemachine.Version})
 	}
-	image, err := group.Found(voters, 1e6)
+	image, err := member.Found(voters, 1e6)
 	if err != nil {
 		panic(err) // the members are sound
 	}
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -12,8 +12,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
-	"linenwheel.dev/linenwheel/internal/peers/group"
 	"linenwheel.dev/linenwheel/lab/agenda"
 )
 
@@ -126,10 +126,10 @@
 	w        *world
 	id       uint64
 	name     string
-	group    *group.Group // nil while it is down
+	group    *member.Group // nil while it is down
 	life     int
-	saved    group.Saved
-	queue    []group.Write
+	saved    member.Saved
+	queue    []member.Write
 	busy     bool
 	slow     float64 // ms that a write takes more now,
 	always   float64 // and when nothing else is wrong
@@ -158,7 +158,7 @@
 		m := w.join(fmt.Sprintf("k%d", i))
 		voters = append(voters, statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Speaks: set.Speaks})
 	}
-	image, err := group.Found(voters, 1e6)
+	image, err := member.Found(voters, 1e6)
 	if err != nil {
 		panic(err) // the members are sound
 	}
@@ -308,8 +308,8 @@
 			saved.Hard.Vote = new(uint64(0))
 		}
 	}
-	g, err := group.New(group.Settings{ID: m.id, Election: election, Heartbeat: 1, ImageEvery: imageEvery, Trail: trail,
-		Uncommitted: 1 << 20, Seed: m.w.luck.Uint64(), Logger: group.Quiet{}}, saved)
+	g, err := member.New(member.Settings{ID: m.id, Election: election, Heartbeat: 1, ImageEvery: imageEvery, Trail: trail,
+		Uncommitted: 1 << 20, Seed: m.w.luck.Uint64(), Logger: member.Quiet{}}, saved)
 	if err != nil {
 		m.w.fault("%s does not start: %v", m.name, err)
 		return
@@ -423,7 +423,7 @@
 }
 
 // store is what lasts.
-func (m *simulatedMember) store(job group.Write) {
+func (m *simulatedMember) store(job member.Write) {
 	s := &m.saved
 	if job.Image != nil {
 		s.Image, s.From, s.Entries = proto.Clone(job.Image).(*pb.Snapshot), nil, nil
@@ -452,7 +452,7 @@
 }
 
 // keep makes an image last, after what the disk has to do anyway.
-func (m *simulatedMember) keep(i *group.Image) {
+func (m *simulatedMember) keep(i *member.Image) {
 	life := m.life
 	snapshot, err := i.Make()
 	if err != nil {
@@ -554,7 +554,7 @@
 }
 
 // applied notes what a member carried out: all must do the same at the same place.
-func (m *simulatedMember) applied(a group.Applied) {
+func (m *simulatedMember) applied(a member.Applied) {
 	text, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
