--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -18,8 +18,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/internal/node/options"
 	"linenwheel.dev/linenwheel/node"
@@ -84,10 +84,10 @@
 
 // shown is what show prints for programs. Times are milliseconds.
 type shown struct {
-	Sources []shownSource `json:"sources"`
-	Serving int           `json:"serving"`
-	Held    int           `json:"held"`
-	Hosts   []form.Entry  `json:"endpoints"`
+	Sources []shownSource       `json:"sources"`
+	Serving int                 `json:"serving"`
+	Held    int                 `json:"held"`
+	Hosts   []entryformat.Entry `json:"endpoints"`
 }
 
 type shownSource struct {
@@ -110,7 +110,7 @@
 	case <-time.After(showFor):
 	}
 	v := src.View()
-	out := shown{Serving: v.Serving, Held: v.Held, Hosts: []form.Entry{}}
+	out := shown{Serving: v.Serving, Held: v.Held, Hosts: []entryformat.Entry{}}
 	for _, one := range v.Sources {
 		row := shownSource{Name: one.Name, Known: one.Known, Followed: one.Followed, Revision: one.Revision.String(), Hosts: one.Hosts}
 		if !math.IsInf(one.Away, 1) {
@@ -119,7 +119,7 @@
 		out.Sources = append(out.Sources, row)
 	}
 	for _, h := range src.Hosts() {
-		out.Hosts = append(out.Hosts, form.Of(h))
+		out.Hosts = append(out.Hosts, entryformat.Of(h))
 	}
 	if asJSON {
 		enc := json.NewEncoder(s.out)
@@ -259,7 +259,7 @@
 }
 
 func describe(h dispatch.Host) string {
-	e := form.Of(h)
+	e := entryformat.Of(h)
 	return fmt.Sprintf("%s at %s, zone %s, type %s, group %d, weight %g, since %.0f", e.Status, e.Address, e.Zone, e.Type, e.Group,
 		e.Weight, e.Since)
 }
--- a/internal/node/endpoints/agent/book.go
+++ b/internal/node/endpoints/agent/book.go
@@ -16,7 +16,7 @@
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
 // mostChanges bounds what is kept of the past.
@@ -24,7 +24,7 @@
 
 // Entry is a host with the revision at which it changed.
 type Entry struct {
-	form.Entry
+	entryformat.Entry
 	Revision uint64 `json:"revision,omitempty"`
 }
 
@@ -130,7 +130,7 @@
 		default:
 			b.hosts[h.Name] = entry{h, c.Revision}
 		}
-		b.changes = append(b.changes, Entry{form.Of(h), c.Revision})
+		b.changes = append(b.changes, Entry{entryformat.Of(h), c.Revision})
 		changed = true
 	}
 	if over := len(b.changes) - mostChanges; over > mostChanges/2 { // not for each one
@@ -227,7 +227,7 @@
 	a := Answer{Index: b.index, Endpoints: []Entry{}, Origin: &o}
 	if a.Snapshot = whole || epoch != b.epoch || index < b.from || index > b.index; a.Snapshot {
 		for _, e := range b.hosts {
-			a.Endpoints = append(a.Endpoints, Entry{form.Of(e.Host), e.revision})
+			a.Endpoints = append(a.Endpoints, Entry{entryformat.Of(e.Host), e.revision})
 		}
 	} else {
 		first, _ := slices.BinarySearchFunc(b.changes, index+1, func(e Entry, rev uint64) int { return cmp.Compare(e.Revision, rev) })
--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -16,7 +16,7 @@
 	"linenwheel.dev/linenwheel/internal/codec/http1"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/backoff"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
@@ -79,7 +79,7 @@
 	}
 	l.Index, l.Whole, l.Origin = *raw.Index, raw.Snapshot, raw.Origin
 	for i, text := range raw.Endpoints {
-		h, revision, err := form.JSON(text)
+		h, revision, err := entryformat.JSON(text)
 		if err != nil {
 			odd = append(odd, fmt.Sprintf("entry %d: %v", i, err))
 			continue
--- a/internal/node/endpoints/form/form.go
+++ b/internal/node/endpoints/entryformat/form.go
@@ -1,5 +1,5 @@
-// Package form reads one entry of a list of hosts, as discovery, files and etcd write it.
-package form
+// Package entryformat reads one entry of a list of hosts, as discovery, files and etcd write it.
+package entryformat
 
 import (
 	"encoding/json"
--- a/internal/node/endpoints/etcd/track.go
+++ b/internal/node/endpoints/etcd/track.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
 // ConfirmKey is the name under the prefix whose value, a revision in decimal digits, confirms what was held up to it.
@@ -160,7 +160,7 @@
 	if name == ConfirmKey {
 		return k, ""
 	}
-	h, _, err := form.JSON(kv.Value)
+	h, _, err := entryformat.JSON(kv.Value)
 	switch {
 	case err != nil:
 	case h.Name != name:
--- a/internal/node/endpoints/files/list.go
+++ b/internal/node/endpoints/files/list.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
 // Known is what a list is held against.
@@ -148,7 +148,7 @@
 }
 
 func (e *entry) host() (dispatch.Host, error) {
-	full := form.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Speaks: e.Speaks, Group: e.Group, Status: e.Status,
+	full := entryformat.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Speaks: e.Speaks, Group: e.Group, Status: e.Status,
 		Weight: 1, Since: e.Since}
 	if e.Status == "" {
 		full.Status = "Ready"
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -23,9 +23,9 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/discovery"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/etcd"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/files"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 	"linenwheel.dev/linenwheel/lab/etcdtest"
@@ -368,7 +368,7 @@
 	}
 	have := map[string]string{}
 	for name, h := range f.hosts {
-		e := form.Of(h)
+		e := entryformat.Of(h)
 		have[name] = entry(name, e.Address, e.Status)
 	}
 	if !maps.Equal(want, have) {
--- a/internal/node/endpoints/lastgood/last.go
+++ b/internal/node/endpoints/lastgood/last.go
@@ -17,7 +17,7 @@
 
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
@@ -27,11 +27,11 @@
 
 // Record is what is kept.
 type Record struct {
-	Node     string       `json:"node"`
-	Changed  float64      `json:"changed"`  // when the list was changed last, milliseconds since the Unix epoch
-	Followed string       `json:"followed"` // the source that it came from
-	Sources  []Position   `json:"sources"`  // what each had come to
-	Entries  []form.Entry `json:"endpoints"`
+	Node     string              `json:"node"`
+	Changed  float64             `json:"changed"`  // when the list was changed last, milliseconds since the Unix epoch
+	Followed string              `json:"followed"` // the source that it came from
+	Sources  []Position          `json:"sources"`  // what each had come to
+	Entries  []entryformat.Entry `json:"endpoints"`
 }
 
 // Position is a source's place in its history.
@@ -43,9 +43,9 @@
 
 // Set gives the record a list of hosts.
 func (r *Record) Set(hosts []dispatch.Host) {
-	r.Entries = make([]form.Entry, len(hosts))
+	r.Entries = make([]entryformat.Entry, len(hosts))
 	for i, h := range hosts {
-		r.Entries[i] = form.Of(h)
+		r.Entries[i] = entryformat.Of(h)
 	}
 }
 
--- a/node/inventory_test.go
+++ b/node/inventory_test.go
@@ -16,7 +16,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 	"linenwheel.dev/linenwheel/internal/node/endpoints/agent"
-	"linenwheel.dev/linenwheel/internal/node/endpoints/form"
+	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
@@ -75,7 +75,7 @@
 		r expect POST /pay/1 host=h2
 		r send 200
 		a expect 200`)
-	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []form.Entry{form.Of(host("h1", dispatch.Ready)), form.Of(host("h2", dispatch.Draining))}})
+	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []entryformat.Entry{entryformat.Of(host("h1", dispatch.Ready)), entryformat.Of(host("h2", dispatch.Draining))}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.Inventory.Files.Path, text, 0o600))
 	soon(t, s, func() bool { return n.Status().List.Serving == 0 })
