--- a/internal/node/options/gen/main.go
+++ b/internal/node/options/gen/main.go
@@ -19,8 +19,8 @@
 
 // Where things are, from the folder of the options.
 const (
-	pagePath    = "../../docs/configuration.md"
-	examplePath = "../../deploy/linenwheel.toml"
+	pagePath    = "../../../docs/configuration.md"
+	examplePath = "../../../deploy/linenwheel.toml"
 )
 
 func main() {
--- a/internal/node/options/options_test.go
+++ b/internal/node/options/options_test.go
@@ -29,7 +29,7 @@
 
 // Guards against an example that cannot be used, that leaves a field out, or that does something to a node.
 func TestExampleIsTheDefaults(t *testing.T) {
-	f, faults := Load("../../deploy/linenwheel.toml")
+	f, faults := Load("../../../deploy/linenwheel.toml")
 	require.Empty(t, faults)
 	assert.Equal(t, Default(), f.Options)
 	lists := map[string]bool{}
