--- a/internal/fleet/controlplane/events.go
+++ b/internal/fleet/controlplane/events.go
@@ -10,10 +10,10 @@
 
 // The figures of events of attempts.
 const (
-	eventLife   = 2 * time.Second
-	relayWait   = 200 * time.Millisecond
-	relayGather = 8 * time.Millisecond // that events wait for more before they are handed on
-	mostRelayed = 512                  // announcements that wait to be handed on
+	eventTTL        = 2 * time.Second
+	forwardTimeout  = 200 * time.Millisecond
+	forwardDelay    = 8 * time.Millisecond // that events wait for more before they are handed on
+	maxForwardQueue = 512                  // announcements that wait to be handed on
 )
 
 // loggedEvent is an event with the node that told of it and the time at which it happened.
@@ -25,37 +25,37 @@
 
 // eventLog keeps the newest events of attempts, for the nodes of the data plane that poll here.
 type eventLog struct {
-	last uint64 // the number of the newest event; those before it have the numbers before
-	list []loggedEvent
+	lastSeq uint64 // the number of the newest event; those before it have the numbers before
+	events  []loggedEvent
 }
 
-func (l *eventLog) add(now time.Duration, announcement *distribution.Announcement) error {
+func (l *eventLog) append(now time.Duration, announcement *distribution.Announcement) error {
 	old := 0
-	for old < len(l.list) && now-l.list[old].at >= eventLife {
+	for old < len(l.events) && now-l.events[old].at >= eventTTL {
 		old++
 	}
-	l.list = l.list[old:]
+	l.events = l.events[old:]
 	events, err := routing.UnpackEvents(announcement.Events)
 	if err != nil {
 		return err
 	}
 	for _, event := range events {
-		l.last++
-		l.list = append(l.list, loggedEvent{announcement.Session, now - event.Age, event})
+		l.lastSeq++
+		l.events = append(l.events, loggedEvent{announcement.Session, now - event.Age, event})
 	}
 	return nil
 }
 
 // after gives the events that came after a number.
 func (l *eventLog) after(since uint64) []loggedEvent {
-	if since >= l.last {
+	if since >= l.lastSeq {
 		return nil
 	}
-	return l.list[len(l.list)-int(min(l.last-since, uint64(len(l.list)))):]
+	return l.events[len(l.events)-int(min(l.lastSeq-since, uint64(len(l.events)))):]
 }
 
-// news tells whether there is an event for a node after the last one that it had.
-func (l *eventLog) news(since, session uint64) bool {
+// hasNewFor tells whether there is an event for a node after the last one that it had.
+func (l *eventLog) hasNewFor(since, session uint64) bool {
 	for _, one := range l.after(since) {
 		if one.session != session {
 			return true
@@ -64,8 +64,8 @@
 	return false
 }
 
-// since gives the packed events for a node after the last one that it had.
-func (l *eventLog) since(now time.Duration, since, session uint64) []byte {
+// packNewFor gives the packed events for a node after the last one that it had.
+func (l *eventLog) packNewFor(now time.Duration, since, session uint64) []byte {
 	var packed []byte
 	for _, one := range l.after(since) {
 		if one.session != session {
@@ -77,44 +77,44 @@
 	return packed
 }
 
-// relay hands announcements on to the other control processes, to each in their order.
-type relay struct {
-	mu    sync.Mutex
-	lanes map[string]*relayLane
+// forwarder hands announcements on to the other control processes, to each in their order.
+type forwarder struct {
+	mu     sync.Mutex
+	queues map[string]*forwardQueue
 }
 
-// relayLane is what waits to be handed on to one process.
-type relayLane struct {
-	waiting []distribution.Announcement
+// forwardQueue is what waits to be handed on to one process.
+type forwardQueue struct {
+	pending []distribution.Announcement
 	running bool
 }
 
-// put adds an announcement for a process. It tells whether nobody is handing on to that process yet.
-func (r *relay) put(address string, announcement *distribution.Announcement) (idle bool) {
+// enqueue adds an announcement for a process. It tells whether nobody is handing on to that process yet.
+func (r *forwarder) enqueue(address string, announcement *distribution.Announcement) (idle bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lane := r.lanes[address]
+	lane := r.queues[address]
 	if lane == nil {
-		lane = &relayLane{}
-		r.lanes[address] = lane
+		lane = &forwardQueue{}
+		r.queues[address] = lane
 	}
-	if len(lane.waiting) < mostRelayed { // what is lost costs little
-		lane.waiting = append(lane.waiting, *announcement)
+	if len(lane.pending) < maxForwardQueue { // what is lost costs little
+		lane.pending = append(lane.pending, *announcement)
 	}
 	idle = !lane.running
 	lane.running = true
 	return idle
 }
 
-// take gives what waits for a process. Where nothing does, the lane is forgotten.
-func (r *relay) take(address string) []distribution.Announcement {
+// drain gives what waits for a process. Where nothing does, the lane is forgotten.
+func (r *forwarder) drain(address string) []distribution.Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lane := r.lanes[address]
-	waiting := lane.waiting
-	lane.waiting = nil
+	lane := r.queues[address]
+	waiting := lane.pending
+	lane.pending = nil
 	if len(waiting) == 0 {
-		delete(r.lanes, address)
+		delete(r.queues, address)
 	}
 	return waiting
 }
@@ -122,46 +122,46 @@
 // Announce takes a node's events and hands them on to the other control processes, together with others that come soon.
 func (s *distributionService) Announce(announcement *distribution.Announcement, _ *struct{}) error {
 	n := s.node
-	if err := n.takeEvents(announcement); err != nil {
+	if err := n.applyEvents(announcement); err != nil {
 		return err
 	}
-	for _, address := range n.peers.others() {
-		if n.relay.put(address, announcement) {
-			go n.handOn(address)
+	for _, address := range n.gossip.peers() {
+		if n.forwarder.enqueue(address, announcement) {
+			go n.forwardTo(address)
 		}
 	}
 	return nil
 }
 
-// handOn sends what waits for another control process until nothing does.
-func (n *Node) handOn(address string) {
+// forwardTo sends what waits for another control process until nothing does.
+func (n *Node) forwardTo(address string) {
 	for {
-		time.Sleep(relayGather)
-		request := distribution.RelayRequest{Announcements: n.relay.take(address)}
+		time.Sleep(forwardDelay)
+		request := distribution.RelayRequest{Announcements: n.forwarder.drain(address)}
 		if len(request.Announcements) == 0 {
 			return
 		}
 		var none struct{}
-		_ = n.pool.Call(address, distribution.MethodRelay, &request, &none, relayWait) // what is lost costs little
+		_ = n.pool.Call(address, distribution.MethodRelay, &request, &none, forwardTimeout) // what is lost costs little
 	}
 }
 
 // Relay takes events from another control process.
 func (s *distributionService) Relay(request *distribution.RelayRequest, _ *struct{}) error {
 	for i := range request.Announcements {
-		if err := s.node.takeEvents(&request.Announcements[i]); err != nil {
+		if err := s.node.applyEvents(&request.Announcements[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *Node) takeEvents(announcement *distribution.Announcement) error {
+func (n *Node) applyEvents(announcement *distribution.Announcement) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.events.add(n.now(), announcement); err != nil {
+	if err := n.events.append(n.now(), announcement); err != nil {
 		return err
 	}
-	n.announce()
+	n.notifyChanged()
 	return nil
 }
--- a/internal/fleet/controlplane/gossip.go
+++ b/internal/fleet/controlplane/gossip.go
@@ -11,10 +11,10 @@
 
 // The figures of the exchange of registries.
 const (
-	gossipEvery  = 400 * time.Millisecond
-	gossipWait   = 350 * time.Millisecond
-	callerLife   = 3 * time.Second
-	methodGossip = "Registry.Exchange"
+	gossipInterval = 400 * time.Millisecond
+	gossipTimeout  = 350 * time.Millisecond
+	callerTTL      = 3 * time.Second
+	methodGossip   = "Registry.Exchange"
 )
 
 // ExchangeRequest hands over records and asks for those that changed.
@@ -38,37 +38,37 @@
 type gossiper struct {
 	node *Node
 
-	mu     sync.Mutex
-	zone   map[string]string
-	owner  map[string]uint64
-	since  map[string]uint64
-	calls  map[string]time.Duration // when another process last called
-	silent string                   // the raters that were last logged as not heard
-	begun  time.Duration            // when this process began to exchange
+	mu                 sync.Mutex
+	zones              map[string]string
+	registryOwners     map[string]uint64
+	registryVersions   map[string]uint64
+	lastCalls          map[string]time.Duration // when another process last called
+	loggedUnresponsive string                   // the raters that were last logged as not heard
+	started            time.Duration            // when this process began to exchange
 
 	// exchanged is when the newest exchange began that another process answered: what that process had then is here too.
-	exchanged map[string]time.Duration
-	spreading map[string]bool // the processes to which an exchange of the ordinary round is under way
-	told      map[string]bool // the raters whose leaving was acknowledged
+	lastExchanges map[string]time.Duration
+	inFlight      map[string]bool // the processes to which an exchange of the ordinary round is under way
+	acknowledged  map[string]bool // the raters whose leaving was acknowledged
 }
 
 func newGossiper(n *Node) *gossiper {
-	g := &gossiper{node: n, zone: map[string]string{}, owner: map[string]uint64{}, since: map[string]uint64{},
-		calls: map[string]time.Duration{}, exchanged: map[string]time.Duration{}, spreading: map[string]bool{}, told: map[string]bool{},
-		begun: n.now()}
-	g.zone[n.settings.SelfInternal()] = n.settings.Zone
+	g := &gossiper{node: n, zones: map[string]string{}, registryOwners: map[string]uint64{}, registryVersions: map[string]uint64{},
+		lastCalls: map[string]time.Duration{}, lastExchanges: map[string]time.Duration{}, inFlight: map[string]bool{}, acknowledged: map[string]bool{},
+		started: n.now()}
+	g.zones[n.settings.SelfInternal()] = n.settings.Zone
 	return g
 }
 
 func (g *gossiper) zoneOf(address string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.zone[address]
+	return g.zones[address]
 }
 
-// others are the internal addresses of the other control processes.
-func (g *gossiper) others() []string {
-	published, _ := g.node.core.Published()
+// peers are the internal addresses of the other control processes.
+func (g *gossiper) peers() []string {
+	published, _ := g.node.replicator.Published()
 	var others []string
 	for _, member := range published.View.Voters {
 		if member.Address != published.Self.Address {
@@ -80,17 +80,17 @@
 			others = append(others, seed)
 		}
 	}
-	return g.withCallers(others)
+	return g.withRecentCallers(others)
 }
 
-// withCallers adds the processes that are neither voters nor seeds and have called not long ago.
-func (g *gossiper) withCallers(others []string) []string {
+// withRecentCallers adds the processes that are neither voters nor seeds and have called not long ago.
+func (g *gossiper) withRecentCallers(others []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for address, at := range g.calls {
+	for address, at := range g.lastCalls {
 		switch {
-		case g.node.now()-at > callerLife:
-			delete(g.calls, address)
+		case g.node.now()-at > callerTTL:
+			delete(g.lastCalls, address)
 		case !slices.Contains(others, address):
 			others = append(others, address)
 		}
@@ -99,7 +99,7 @@
 }
 
 func (g *gossiper) run() {
-	ticker := time.NewTicker(gossipEvery)
+	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for range ticker.C {
 		g.round()
@@ -110,46 +110,46 @@
 func (g *gossiper) round() {
 	n := g.node
 	n.mu.Lock()
-	fresh := n.raters.DrainUpdates(n.now())
-	if n.raters.Expire(n.now()) {
-		n.announce()
-		g.logSilent()
+	fresh := n.registry.DrainUpdates(n.now())
+	if n.registry.Expire(n.now()) {
+		n.notifyChanged()
+		g.logUnresponsive()
 	}
 	n.expireSessions()
 	n.mu.Unlock()
-	for _, address := range g.others() {
-		if g.enter(address) {
+	for _, address := range g.peers() {
+		if g.beginExchange(address) {
 			go func() {
-				defer g.exit(address)
-				g.exchange(address, fresh, gossipWait)
+				defer g.endExchange(address)
+				g.exchange(address, fresh, gossipTimeout)
 			}()
 		}
 	}
-	g.forgetTold()
+	g.pruneAcknowledged()
 }
 
-// enter notes that an exchange of the ordinary round is under way; false: the one before has not ended.
-func (g *gossiper) enter(address string) bool {
+// beginExchange notes that an exchange of the ordinary round is under way; false: the one before has not ended.
+func (g *gossiper) beginExchange(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.spreading[address] {
+	if g.inFlight[address] {
 		return false
 	}
-	g.spreading[address] = true
+	g.inFlight[address] = true
 	return true
 }
 
-func (g *gossiper) exit(address string) {
+func (g *gossiper) endExchange(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.spreading, address)
+	delete(g.inFlight, address)
 }
 
-// logSilent logs which raters have been silent for long, when they are others than before. The lock is held.
-func (g *gossiper) logSilent() {
-	late, silent := g.node.raters.Unresponsive()
-	if names := strings.Join(silent, " "); names != g.silent {
-		g.silent = names
+// logUnresponsive logs which raters have been silent for long, when they are others than before. The lock is held.
+func (g *gossiper) logUnresponsive() {
+	late, silent := g.node.registry.Unresponsive()
+	if names := strings.Join(silent, " "); names != g.loggedUnresponsive {
+		g.loggedUnresponsive = names
 		g.node.log.Info("raters not heard", "silent", silent, "late", late)
 	}
 }
@@ -157,7 +157,7 @@
 // expireSessions forgets nodes of the data plane that have not polled for a while. The lock is held.
 func (n *Node) expireSessions() {
 	for session, polled := range n.sessions {
-		if n.now()-polled > sessionLife {
+		if n.now()-polled > sessionTTL {
 			delete(n.sessions, session)
 		}
 	}
@@ -169,45 +169,45 @@
 	began := n.now()
 	g.mu.Lock()
 	request := ExchangeRequest{Address: n.settings.SelfInternal(), Zone: n.settings.Zone, Records: records,
-		Owner: g.owner[address], Since: g.since[address]}
+		Owner: g.registryOwners[address], Since: g.registryVersions[address]}
 	g.mu.Unlock()
 	var reply ExchangeReply
 	if err := n.pool.Call(address, methodGossip, &request, &reply, wait); err != nil {
 		return false
 	}
-	n.merge(reply.Records)
+	n.mergeRecords(reply.Records)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.zone[address], g.owner[address], g.since[address] = reply.Zone, reply.Owner, reply.Version
-	g.exchanged[address] = max(g.exchanged[address], began)
+	g.zones[address], g.registryOwners[address], g.registryVersions[address] = reply.Zone, reply.Owner, reply.Version
+	g.lastExchanges[address] = max(g.lastExchanges[address], began)
 	return true
 }
 
-// answer answers another copy's exchange.
-func (g *gossiper) answer(request *ExchangeRequest, reply *ExchangeReply) {
+// handleExchange answers another copy's exchange.
+func (g *gossiper) handleExchange(request *ExchangeRequest, reply *ExchangeReply) {
 	n := g.node
 	g.mu.Lock()
-	g.zone[request.Address] = request.Zone
-	g.calls[request.Address] = n.now()
+	g.zones[request.Address] = request.Zone
+	g.lastCalls[request.Address] = n.now()
 	g.mu.Unlock()
-	n.merge(request.Records)
+	n.mergeRecords(request.Records)
 	since := request.Since
-	if request.Owner != n.owner {
+	if request.Owner != n.registryOwner {
 		since = 0
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reply.Zone, reply.Owner, reply.Version = n.settings.Zone, n.owner, n.raters.Version()
-	reply.Records = n.raters.ChangedSince(n.now(), since)
+	reply.Zone, reply.Owner, reply.Version = n.settings.Zone, n.registryOwner, n.registry.Version()
+	reply.Records = n.registry.ChangedSince(n.now(), since)
 }
 
-func (n *Node) merge(records []registry.Record) {
+func (n *Node) mergeRecords(records []registry.Record) {
 	if len(records) == 0 {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.raters.Merge(n.now(), records) {
-		n.announce()
+	if n.registry.Merge(n.now(), records) {
+		n.notifyChanged()
 	}
 }
--- a/internal/fleet/controlplane/http.go
+++ b/internal/fleet/controlplane/http.go
@@ -21,21 +21,21 @@
 
 // The figures of the operator's calls. The operator turns to another process after a second of silence.
 const (
-	submitWait   = 750 * time.Millisecond // that one try at the head may take
-	orderWait    = 900 * time.Millisecond // that a call may take in all
-	orderPause   = 60 * time.Millisecond  // between tries
-	bodyLimit    = 64 << 20
-	heartbeatMax = 64 << 10
+	submitTimeout         = 750 * time.Millisecond // that one try at the head may take
+	operatorTimeout       = 900 * time.Millisecond // that a call may take in all
+	operatorRetryInterval = 60 * time.Millisecond  // between tries
+	maxBodyBytes          = 64 << 20
+	maxHeartbeatBytes     = 64 << 10
 )
 
 func (n *Node) router() http.Handler {
 	r := chi.NewRouter()
-	r.Put("/-/config", n.order)
-	r.Patch("/-/config", n.order)
-	r.Get("/-/config", n.readConfig)
-	r.Put("/-/instances/{id}", n.heartbeat)
-	r.Delete("/-/instances/{id}", n.instanceLeaves)
-	r.Get("/-/status", n.status)
+	r.Put("/-/config", n.handleOrder)
+	r.Patch("/-/config", n.handleOrder)
+	r.Get("/-/config", n.handleReadConfig)
+	r.Put("/-/instances/{id}", n.handleHeartbeat)
+	r.Delete("/-/instances/{id}", n.handleDeregister)
+	r.Get("/-/status", n.handleStatus)
 	return r
 }
 
@@ -43,58 +43,58 @@
 	Error string
 }
 
-func answerJSON(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func answerError(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	answer := errkind.KindOf(err).Response()
-	answerJSON(w, answer.Status, errorBody{Error: err.Error()})
+	writeJSON(w, answer.Status, errorBody{Error: err.Error()})
 }
 
-// order takes a call that changes the configuration.
-func (n *Node) order(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit+1))
-	if err != nil || len(body) > bodyLimit {
-		answerError(w, errkind.New(errkind.BadRequest, "the body could not be read whole"))
+// handleOrder takes a call that changes the configuration.
+func (n *Node) handleOrder(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(body) > maxBodyBytes {
+		writeError(w, errkind.New(errkind.BadRequest, "the body could not be read whole"))
 		return
 	}
 	base, err := strconv.ParseInt(strings.Trim(r.Header.Get("If-Match"), `" `), 10, 64)
 	if err != nil {
-		answerError(w, errkind.New(errkind.InvalidConfig, "header If-Match: a version number is wanted"))
+		writeError(w, errkind.New(errkind.InvalidConfig, "header If-Match: a version number is wanted"))
 		return
 	}
 	revision, err := n.submit(operator.Order{Method: r.Method, Base: base, Body: body})
 	if err != nil {
 		n.log.Info("order not taken", "base", base, "err", err)
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	answerJSON(w, http.StatusOK, struct{ Revision int64 }{revision})
+	writeJSON(w, http.StatusOK, struct{ Revision int64 }{revision})
 }
 
 // submit brings an order to the head, and to the next one where the view changes meanwhile.
 func (n *Node) submit(order operator.Order) (int64, error) {
-	deadline := time.Now().Add(orderWait)
+	deadline := time.Now().Add(operatorTimeout)
 	for {
 		revision, err := n.submitOnce(order, time.Until(deadline))
-		if err == nil || errkind.KindOf(err) != errkind.OutcomeUnknown || time.Until(deadline) < 2*orderPause {
+		if err == nil || errkind.KindOf(err) != errkind.OutcomeUnknown || time.Until(deadline) < 2*operatorRetryInterval {
 			return revision, err
 		}
-		time.Sleep(orderPause)
+		time.Sleep(operatorRetryInterval)
 	}
 }
 
 func (n *Node) submitOnce(order operator.Order, wait time.Duration) (int64, error) {
-	published, _ := n.core.Published()
+	published, _ := n.replicator.Published()
 	head := published.View.Head()
 	switch head {
 	case replica.Member{}:
 		return 0, errkind.New(errkind.OutcomeUnknown, "there is no view yet")
 	case published.Self:
-		return n.core.Submit(order, wait)
+		return n.replicator.Submit(order, wait)
 	}
 	var reply SubmitReply
 	if err := n.pool.Call(head.Address, methodSubmit, &order, &reply, wait); err != nil {
@@ -106,9 +106,9 @@
 	return reply.Revision, nil
 }
 
-// readConfig answers with the newest configuration.
-func (n *Node) readConfig(w http.ResponseWriter, _ *http.Request) {
-	deadline := time.Now().Add(orderWait)
+// handleReadConfig answers with the newest configuration.
+func (n *Node) handleReadConfig(w http.ResponseWriter, _ *http.Request) {
+	deadline := time.Now().Add(operatorTimeout)
 	for {
 		document, err := n.readOnce()
 		if err == nil {
@@ -116,22 +116,22 @@
 			_, _ = w.Write(document)
 			return
 		}
-		if time.Until(deadline) < 2*orderPause {
-			answerError(w, err)
+		if time.Until(deadline) < 2*operatorRetryInterval {
+			writeError(w, err)
 			return
 		}
-		time.Sleep(orderPause)
+		time.Sleep(operatorRetryInterval)
 	}
 }
 
 func (n *Node) readOnce() ([]byte, error) {
-	published, _ := n.core.Published()
+	published, _ := n.replicator.Published()
 	tail := published.View.Tail()
 	switch tail {
 	case replica.Member{}:
 		return nil, errkind.New(errkind.OutcomeUnknown, "there is no view yet")
 	case published.Self:
-		state, err := n.core.Read()
+		state, err := n.replicator.Read()
 		if err != nil {
 			return nil, err
 		}
@@ -139,66 +139,66 @@
 	}
 	var none struct{}
 	var reply ReadReply
-	if err := n.pool.Call(tail.Address, methodRead, &none, &reply, submitWait); err != nil {
+	if err := n.pool.Call(tail.Address, methodRead, &none, &reply, submitTimeout); err != nil {
 		return nil, &errkind.Error{Kind: errkind.OutcomeUnknown, Detail: "the tail does not answer", Err: err}
 	}
 	return reply.Document, nil
 }
 
-// heartbeat takes a rater's heartbeat. That a rater leaves is acknowledged only once the rest of the control plane knows it.
-func (n *Node) heartbeat(w http.ResponseWriter, r *http.Request) {
-	record, err := readHeartbeat(chi.URLParam(r, "id"), io.LimitReader(r.Body, heartbeatMax))
+// handleHeartbeat takes a rater's heartbeat. That a rater leaves is acknowledged only once the rest of the control plane knows it.
+func (n *Node) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	record, err := parseHeartbeat(chi.URLParam(r, "id"), io.LimitReader(r.Body, maxHeartbeatBytes))
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	n.mu.Lock()
-	news := n.raters.Heartbeat(n.now(), record)
+	news := n.registry.Heartbeat(n.now(), record)
 	n.mu.Unlock()
-	n.answerRater(w, news, record.ID)
+	n.acknowledge(w, news, record.ID)
 }
 
-func (n *Node) instanceLeaves(w http.ResponseWriter, r *http.Request) {
+func (n *Node) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	n.mu.Lock()
-	news := n.raters.Deregister(n.now(), id)
+	news := n.registry.Deregister(n.now(), id)
 	n.mu.Unlock()
-	n.answerRater(w, news, id)
+	n.acknowledge(w, news, id)
 }
 
-// answerRater acknowledges what a rater told of itself.
-func (n *Node) answerRater(w http.ResponseWriter, news bool, id string) {
+// acknowledge acknowledges what a rater told of itself.
+func (n *Node) acknowledge(w http.ResponseWriter, news bool, id string) {
 	n.mu.Lock()
 	if news {
-		n.announce()
+		n.notifyChanged()
 	}
-	record, known := n.raters.Get(n.now(), id)
+	record, known := n.registry.Get(n.now(), id)
 	n.mu.Unlock()
 	var err error
 	switch {
 	case !known:
 	case record.State != registry.Ready:
-		err = n.peers.spreadLeaving(record)
+		err = n.gossip.replicateDeregistration(record)
 	case news:
-		n.peers.exchangeAll(n.peers.others(), []registry.Record{record})
+		n.gossip.exchangeAll(n.gossip.peers(), []registry.Record{record})
 	}
 	if err != nil {
 		n.log.Info("leaving not acknowledged", "rater", id, "err", err)
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	answerJSON(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-var heartbeatReading = protojson.UnmarshalOptions{DiscardUnknown: true}
+var heartbeatOptions = protojson.UnmarshalOptions{DiscardUnknown: true}
 
-func readHeartbeat(id string, body io.Reader) (registry.Record, error) {
+func parseHeartbeat(id string, body io.Reader) (registry.Record, error) {
 	content, err := io.ReadAll(body)
 	if err != nil {
 		return registry.Record{}, errkind.New(errkind.BadRequest, "the body could not be read whole")
 	}
 	var rater operatorpb.Rater
-	if err := heartbeatReading.Unmarshal(content, &rater); err != nil {
+	if err := heartbeatOptions.Unmarshal(content, &rater); err != nil {
 		return registry.Record{}, &errkind.Error{Kind: errkind.BadRequest, Detail: "heartbeat", Err: err}
 	}
 	if rater.Backend == "" || rater.Address == "" {
@@ -229,11 +229,11 @@
 	Sessions      int
 }
 
-func (n *Node) status(w http.ResponseWriter, _ *http.Request) {
-	published, _ := n.core.Published()
+func (n *Node) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	published, _ := n.replicator.Published()
 	now := n.now()
 	n.mu.Lock()
-	raters, sessions := n.raters.Size(), len(n.sessions)
+	raters, sessions := n.registry.Size(), len(n.sessions)
 	n.mu.Unlock()
 	confirmed := "never"
 	if published.ViewConfirmed > 0 {
@@ -243,7 +243,7 @@
 	for _, member := range published.View.Chain {
 		inChain = inChain || member == published.Self
 	}
-	answerJSON(w, http.StatusOK, statusBody{Member: published.Self.Address, Epoch: published.View.Epoch,
+	writeJSON(w, http.StatusOK, statusBody{Member: published.Self.Address, Epoch: published.View.Epoch,
 		Chain: addresses(published.View.Chain), Voters: addresses(published.View.Voters), Standby: addresses(published.Standby),
 		InChain: inChain, CaughtUp: published.CaughtUp,
 		Healthy: published.Healthy, Revision: published.State.Document.Revision, Seq: published.Seq, ViewConfirmed: confirmed,
--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -25,38 +25,38 @@
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
 
-// sessionLife is how long a node of the data plane counts as live after its last poll.
-const sessionLife = 3 * time.Second
+// sessionTTL is how long a node of the data plane counts as live after its last poll.
+const sessionTTL = 3 * time.Second
 
 // Node is one control process.
 type Node struct {
-	settings *settings.Settings
-	log      *log.Logger
-	begin    time.Time
-	pool     *transport.Pool
-	store    *storage.Store
-	core     *Replicator
-	peers    *gossiper
-	owner    uint64 // names this process's copy of the registry
-	updates  updates
-
-	mu       sync.Mutex
-	raters   *registry.Registry
-	news     chan struct{} // closed when the registry has news
-	sessions map[uint64]time.Duration
-	rooms    *quota.Owner
-	roomFrom map[string]ownership
-	events   eventLog
-	relay    relay
-	leaving  bool
+	settings      *settings.Settings
+	log           *log.Logger
+	started       time.Time
+	pool          *transport.Pool
+	store         *storage.Store
+	replicator    *Replicator
+	gossip        *gossiper
+	registryOwner uint64 // names this process's copy of the registry
+	updates       updateCache
+
+	mu         sync.Mutex
+	registry   *registry.Registry
+	changed    chan struct{} // closed when the registry has news
+	sessions   map[uint64]time.Duration
+	buckets    *quota.Owner
+	ownerships map[string]ownership
+	events     eventLog
+	forwarder  forwarder
+	leaving    bool
 }
 
 // New makes a control process from its settings.
 func New(set *settings.Settings, logger *log.Logger) (*Node, error) {
-	n := &Node{settings: set, log: logger, begin: time.Now(), pool: transport.NewPool(), owner: randomNumber(),
-		raters: registry.New(set.Heartbeat), news: make(chan struct{}), sessions: map[uint64]time.Duration{},
-		relay: relay{lanes: map[string]*relayLane{}},
-		rooms: quota.NewOwner(tolerance(set)), roomFrom: map[string]ownership{}}
+	n := &Node{settings: set, log: logger, started: time.Now(), pool: transport.NewPool(), registryOwner: randomID(),
+		registry: registry.New(set.Heartbeat), changed: make(chan struct{}), sessions: map[uint64]time.Duration{},
+		forwarder: forwarder{queues: map[string]*forwardQueue{}},
+		buckets:   quota.NewOwner(quotaTolerance(set)), ownerships: map[string]ownership{}}
 	var stored replica.Stored
 	if set.DataDir != "" {
 		store, found, err := storage.Open(set.DataDir)
@@ -65,23 +65,23 @@
 		}
 		n.store, stored = store, found
 	}
-	machine, err := n.machine(stored)
+	machine, err := n.newMachine(stored)
 	if err != nil {
 		return nil, err
 	}
-	n.core = NewReplicator(n.now, logger, n.pool, n.store, machine)
-	n.peers = newGossiper(n)
+	n.replicator = NewReplicator(n.now, logger, n.pool, n.store, machine)
+	n.gossip = newGossiper(n)
 	return n, nil
 }
 
-func tolerance(set *settings.Settings) quota.Tolerance {
+func quotaTolerance(set *settings.Settings) quota.Tolerance {
 	return quota.Tolerance{Window: set.Bounds.QuotaWindow, Over: set.Bounds.QuotaOver, Slack: set.Bounds.QuotaSlack}
 }
 
 // now is the steady clock of the process. It begins above 0, which stands for "never".
-func (n *Node) now() time.Duration { return time.Since(n.begin) + time.Millisecond }
+func (n *Node) now() time.Duration { return time.Since(n.started) + time.Millisecond }
 
-func randomNumber() uint64 {
+func randomID() uint64 {
 	var bytes [8]byte
 	if _, err := rand.Read(bytes[:]); err != nil {
 		panic(err)
@@ -91,17 +91,17 @@
 
 // The part of a machine's link that a snapshot on its way may take.
 const (
-	transferPart    = 0.3
-	bytesPerMegabit = 1e6 / 8
+	snapshotLinkShare = 0.3
+	bytesPerMegabit   = 1e6 / 8
 )
 
-// machine makes the replica. A disk that is empty makes it a new member; it may found the first view only where the
+// newMachine makes the replica. A disk that is empty makes it a new member; it may found the first view only where the
 // platform says that the whole system starts for the first time.
-func (n *Node) machine(stored replica.Stored) (*replica.Machine, error) {
+func (n *Node) newMachine(stored replica.Stored) (*replica.Machine, error) {
 	set := n.settings
 	seeds := n.seedAddresses(set)
 	if stored.Self.Address != set.SelfInternal() {
-		stored = replica.Stored{Self: replica.Member{Address: set.SelfInternal(), Incarnation: randomNumber(), Domain: set.FailureDomain()}}
+		stored = replica.Stored{Self: replica.Member{Address: set.SelfInternal(), Incarnation: randomID(), Domain: set.FailureDomain()}}
 		stored.Founder = set.Bootstrap && slices.Contains(seeds, set.SelfInternal())
 		if stored.Founder {
 			stored.Founders = seeds
@@ -118,7 +118,7 @@
 	options.Seeds = seeds
 	options.CanVote = set.Counts || set.DataDir != ""
 	if set.LinkMbps > 0 {
-		options.TransferRate = int(set.LinkMbps * transferPart * bytesPerMegabit)
+		options.TransferRate = int(set.LinkMbps * snapshotLinkShare * bytesPerMegabit)
 	}
 	return replica.New(options, stored, n.now())
 }
@@ -149,9 +149,9 @@
 	server := &http.Server{Handler: n.router(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second,
 		ErrorLog: n.log.StandardLog()}
 	go func() { failed <- server.Serve(outer) }()
-	go n.core.Run()
-	go n.peers.run()
-	go n.watchOwnership()
+	go n.replicator.Run()
+	go n.gossip.run()
+	go n.runOwnership()
 	n.log.Info("control process serves", "control", n.settings.Control, "internal", n.settings.SelfInternal())
 	select {
 	case <-ctx.Done():
@@ -163,10 +163,10 @@
 
 // The figures of the planned stop.
 const (
-	leaveLeast = 300 * time.Millisecond // for nodes to turn to others
-	leavePause = 25 * time.Millisecond
-	graceKept  = 2 * time.Second // of the time until the process is killed, for what comes after the hand-over
-	closeFor   = 500 * time.Millisecond
+	drainDelay              = 300 * time.Millisecond // for nodes to turn to others
+	replacementPollInterval = 25 * time.Millisecond
+	graceReserve            = 2 * time.Second // of the time until the process is killed, for what comes after the hand-over
+	shutdownTimeout         = 500 * time.Millisecond
 )
 
 // leave hands over: the chain goes on without this member, nodes turn to others, then calls end.
@@ -174,55 +174,55 @@
 	n.log.Info("leaving the control plane")
 	n.mu.Lock()
 	n.leaving = true
-	n.announce()
+	n.notifyChanged()
 	n.mu.Unlock()
-	n.core.Leave()
-	n.awaitRelease()
-	ctx, cancel := context.WithTimeout(context.Background(), closeFor)
+	n.replicator.Leave()
+	n.awaitReplacement()
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	err := server.Shutdown(ctx)
-	n.core.Stop()
+	n.replicator.Stop()
 	if errors.Is(err, context.DeadlineExceeded) {
 		err = nil
 	}
 	return errors.Join(err, internal.Close())
 }
 
-// awaitRelease waits until the other members go on without this one. A member that is one of the last copies, or whose vote
+// awaitReplacement waits until the other members go on without this one. A member that is one of the last copies, or whose vote
 // nobody can take, stays for as long as the platform lets it.
-func (n *Node) awaitRelease() {
-	time.Sleep(leaveLeast)
-	deadline := time.Now().Add(n.settings.Bounds.Grace - graceKept - leaveLeast)
+func (n *Node) awaitReplacement() {
+	time.Sleep(drainDelay)
+	deadline := time.Now().Add(n.settings.Bounds.Grace - graceReserve - drainDelay)
 	for time.Now().Before(deadline) {
-		if published, _ := n.core.Published(); published.Released {
+		if published, _ := n.replicator.Published(); published.Released {
 			n.log.Info("the other members go on without this one")
 			return
 		}
-		time.Sleep(leavePause)
+		time.Sleep(replacementPollInterval)
 	}
 	n.log.Warn("leaving without having been replaced: the time is over")
 }
 
 // ApplySettings takes a settings file that has changed while the process runs: the seeds may be others.
 func (n *Node) ApplySettings(set *settings.Settings) {
-	n.core.SetSeeds(n.seedAddresses(set))
+	n.replicator.SetSeeds(n.seedAddresses(set))
 }
 
-// announce wakes the polls that wait for news. The lock is held.
-func (n *Node) announce() {
-	close(n.news)
-	n.news = make(chan struct{})
+// notifyChanged wakes the polls that wait for news. The lock is held.
+func (n *Node) notifyChanged() {
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// members are the processes of the control plane, the chain first.
-func (n *Node) members(view replica.View) []distribution.ControlMember {
+// controlMembers are the processes of the control plane, the chain first.
+func (n *Node) controlMembers(view replica.View) []distribution.ControlMember {
 	var members []distribution.ControlMember
 	for _, member := range view.Chain {
-		members = append(members, distribution.ControlMember{Address: member.Address, Zone: n.peers.zoneOf(member.Address), InChain: true})
+		members = append(members, distribution.ControlMember{Address: member.Address, Zone: n.gossip.zoneOf(member.Address), InChain: true})
 	}
 	for _, member := range view.Voters {
 		if !slices.Contains(view.Chain, member) {
-			members = append(members, distribution.ControlMember{Address: member.Address, Zone: n.peers.zoneOf(member.Address)})
+			members = append(members, distribution.ControlMember{Address: member.Address, Zone: n.gossip.zoneOf(member.Address)})
 		}
 	}
 	return members
--- a/internal/fleet/controlplane/node_test.go
+++ b/internal/fleet/controlplane/node_test.go
@@ -18,7 +18,7 @@
 
 func TestHeartbeatsThatCannotBeReadAreRefusedAndChangeNothing(t *testing.T) {
 	n := newAlone(t, 0, 1)
-	version := n.raters.Version()
+	version := n.registry.Version()
 	for name, body := range map[string]string{
 		"no JSON":    `{"Backend":`,
 		"no backend": `{"Address":"10.0.0.1:1"}`,
@@ -29,7 +29,7 @@
 		require.Equal(t, http.StatusBadRequest, answer.Code, name)
 		require.Contains(t, answer.Body.String(), "Error", name)
 	}
-	require.Equal(t, version, n.raters.Version())
+	require.Equal(t, version, n.registry.Version())
 }
 
 func TestARaterDrainsAndLeaves(t *testing.T) {
@@ -80,7 +80,7 @@
 	document, patches := contentOf(t, next)
 	require.Empty(t, document)
 	require.Len(t, patches, 3)
-	for revision := 5; revision < 5+2*mostPatches; revision++ {
+	for revision := 5; revision < 5+2*maxPatches; revision++ {
 		require.Equal(t, http.StatusOK, order(n, revision-1, fmt.Sprintf(`{"Revision":%d}`, revision)))
 	}
 	far, _ := poll(t, n, first)
@@ -102,18 +102,18 @@
 	var l eventLog
 	one := routing.AppendEvent(nil, routing.Event{Kind: routing.EventEnded, Backend: 1})
 	two := routing.AppendEvent(one, routing.Event{Kind: routing.EventFailed, Backend: 2})
-	require.NoError(t, l.add(time.Second, &distribution.Announcement{Session: 1, Events: two}))
-	require.NoError(t, l.add(2*time.Second, &distribution.Announcement{Session: 2, Events: one}))
-	require.True(t, l.news(0, 1))
-	require.Len(t, eventsOf(t, l.since(2*time.Second, 0, 1)), 1)
-	require.Len(t, eventsOf(t, l.since(2*time.Second, 0, 2)), 2)
-	require.Equal(t, time.Second, eventsOf(t, l.since(2*time.Second, 0, 2))[0].Age)
-	require.False(t, l.news(3, 9))
-	require.False(t, l.news(3, 1))
-	require.NoError(t, l.add(time.Minute, &distribution.Announcement{Session: 1}))
-	require.Empty(t, l.list, "old ones are dropped")
-	require.False(t, l.news(0, 9), "one that asks late gets what is left")
-	require.Error(t, l.add(time.Minute, &distribution.Announcement{Session: 1, Events: []byte{99}}))
+	require.NoError(t, l.append(time.Second, &distribution.Announcement{Session: 1, Events: two}))
+	require.NoError(t, l.append(2*time.Second, &distribution.Announcement{Session: 2, Events: one}))
+	require.True(t, l.hasNewFor(0, 1))
+	require.Len(t, eventsOf(t, l.packNewFor(2*time.Second, 0, 1)), 1)
+	require.Len(t, eventsOf(t, l.packNewFor(2*time.Second, 0, 2)), 2)
+	require.Equal(t, time.Second, eventsOf(t, l.packNewFor(2*time.Second, 0, 2))[0].Age)
+	require.False(t, l.hasNewFor(3, 9))
+	require.False(t, l.hasNewFor(3, 1))
+	require.NoError(t, l.append(time.Minute, &distribution.Announcement{Session: 1}))
+	require.Empty(t, l.events, "old ones are dropped")
+	require.False(t, l.hasNewFor(0, 9), "one that asks late gets what is left")
+	require.Error(t, l.append(time.Minute, &distribution.Announcement{Session: 1, Events: []byte{99}}))
 }
 
 func eventsOf(t *testing.T, packed []byte) []routing.Event {
@@ -124,50 +124,50 @@
 }
 
 func TestEventsAreHandedOnInTheirOrder(t *testing.T) {
-	r := relay{lanes: map[string]*relayLane{}}
-	require.True(t, r.put("a", &distribution.Announcement{Session: 1}), "nobody hands on to it yet")
-	require.False(t, r.put("a", &distribution.Announcement{Session: 2}), "one is at it: two at once could pass each other")
-	require.True(t, r.put("b", &distribution.Announcement{Session: 1}), "a process that does not answer holds up no other")
-	taken := r.take("a")
+	r := forwarder{queues: map[string]*forwardQueue{}}
+	require.True(t, r.enqueue("a", &distribution.Announcement{Session: 1}), "nobody hands on to it yet")
+	require.False(t, r.enqueue("a", &distribution.Announcement{Session: 2}), "one is at it: two at once could pass each other")
+	require.True(t, r.enqueue("b", &distribution.Announcement{Session: 1}), "a process that does not answer holds up no other")
+	taken := r.drain("a")
 	require.Equal(t, []uint64{1, 2}, []uint64{taken[0].Session, taken[1].Session})
-	require.False(t, r.put("a", &distribution.Announcement{Session: 3}))
-	require.Len(t, r.take("a"), 1)
-	require.Empty(t, r.take("a"))
-	require.True(t, r.put("a", &distribution.Announcement{Session: 4}), "the lane has ended")
-	for range 2 * mostRelayed {
-		r.put("a", &distribution.Announcement{})
+	require.False(t, r.enqueue("a", &distribution.Announcement{Session: 3}))
+	require.Len(t, r.drain("a"), 1)
+	require.Empty(t, r.drain("a"))
+	require.True(t, r.enqueue("a", &distribution.Announcement{Session: 4}), "the lane has ended")
+	for range 2 * maxForwardQueue {
+		r.enqueue("a", &distribution.Announcement{})
 	}
-	require.Len(t, r.take("a"), mostRelayed, "what waits is bounded")
+	require.Len(t, r.drain("a"), maxForwardQueue, "what waits is bounded")
 }
 
 func TestAnOwnerThatIsNotConfirmedGivesNothing(t *testing.T) {
 	n := newAlone(t, 0, 0)
-	published, _ := n.core.Published()
+	published, _ := n.replicator.Published()
 	now := n.now()
 	published.ViewConfirmed = now
 	published.AllVotersInView = true
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	require.False(t, n.mayGive(published, "t", now), "the one before may still hand its bucket over")
-	require.True(t, n.mayGive(published, "t", now+handOverWait))
-	require.False(t, n.mayGive(published, "t", now+ownerConfirmed+time.Millisecond))
+	require.False(t, n.mayGrant(published, "t", now), "the one before may still hand its bucket over")
+	require.True(t, n.mayGrant(published, "t", now+bucketTransferTimeout))
+	require.False(t, n.mayGrant(published, "t", now+maxViewAge+time.Millisecond))
 	published.ViewConfirmed = now + time.Second
 	published.AllVotersInView = false
-	require.False(t, n.mayGive(published, "u", now+time.Second), "another may still give")
-	published.ViewConfirmed += ownerWait
-	require.True(t, n.mayGive(published, "u", now+time.Second+ownerWait))
+	require.False(t, n.mayGrant(published, "u", now+time.Second), "another may still give")
+	published.ViewConfirmed += takeoverDelay
+	require.True(t, n.mayGrant(published, "u", now+time.Second+takeoverDelay))
 	published.View.Chain = []replica.Member{{Address: "another"}}
-	require.False(t, n.mayGive(published, "t", now+time.Second))
+	require.False(t, n.mayGrant(published, "t", now+time.Second))
 }
 
 func TestABucketThatIsHandedOverIsTakenByANewerViewOnly(t *testing.T) {
 	n := newAlone(t, 0, 0)
-	service := &allowanceService{n}
-	published, _ := n.core.Published()
+	service := &quotaService{n}
+	published, _ := n.replicator.Published()
 	handed := quota.HandOver{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
 	require.NoError(t, service.HandOver(&handed, &struct{}{}))
-	require.False(t, n.rooms.Owns("t"))
+	require.False(t, n.buckets.Owns("t"))
 	handed.Epoch++
 	require.NoError(t, service.HandOver(&handed, &struct{}{}))
-	require.True(t, n.rooms.Owns("t"))
+	require.True(t, n.buckets.Owns("t"))
 }
--- a/internal/fleet/controlplane/outbox.go
+++ b/internal/fleet/controlplane/outbox.go
@@ -10,14 +10,14 @@
 
 // The figures of the messages between members.
 const (
-	laneSize    = 64
-	votesWait   = time.Second     // that a small message may take
-	ordersWait  = 2 * time.Second // that one with orders or a piece of a snapshot may take over a small, busy link
-	laneIdleFor = 10 * time.Second
+	queueSize        = 64
+	controlTimeout   = time.Second     // that a small message may take
+	bulkTimeout      = 2 * time.Second // that one with orders or a piece of a snapshot may take over a small, busy link
+	queueIdleTimeout = 10 * time.Second
 )
 
-// lane orders the messages to one peer. Those with orders do not hold up heartbeats and votes.
-type lane struct {
+// queueKey orders the messages to one peer. Those with orders do not hold up heartbeats and votes.
+type queueKey struct {
 	address string
 	bulk    bool
 }
@@ -29,11 +29,11 @@
 
 	mu     sync.Mutex
 	closed bool
-	lanes  map[lane]chan replica.Envelope
+	queues map[queueKey]chan replica.Envelope
 }
 
 func newOutbox(pool *transport.Pool) *outbox {
-	return &outbox{pool: pool, lanes: map[lane]chan replica.Envelope{}}
+	return &outbox{pool: pool, queues: map[queueKey]chan replica.Envelope{}}
 }
 
 func isBulk(message replica.Message) bool {
@@ -44,18 +44,18 @@
 	return false
 }
 
-// post queues a message.
-func (o *outbox) post(envelope replica.Envelope) {
-	key := lane{envelope.To.Address, isBulk(envelope.Body)}
+// send queues a message.
+func (o *outbox) send(envelope replica.Envelope) {
+	key := queueKey{envelope.To.Address, isBulk(envelope.Body)}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return
 	}
-	queue := o.lanes[key]
+	queue := o.queues[key]
 	if queue == nil {
-		queue = make(chan replica.Envelope, laneSize)
-		o.lanes[key] = queue
+		queue = make(chan replica.Envelope, queueSize)
+		o.queues[key] = queue
 		go o.run(key, queue)
 	}
 	select {
@@ -65,12 +65,12 @@
 }
 
 // run sends the messages of a lane, one after the other.
-func (o *outbox) run(key lane, queue chan replica.Envelope) {
-	wait := votesWait
+func (o *outbox) run(key queueKey, queue chan replica.Envelope) {
+	wait := controlTimeout
 	if key.bulk {
-		wait = ordersWait
+		wait = bulkTimeout
 	}
-	idle := time.NewTimer(laneIdleFor)
+	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -80,24 +80,24 @@
 			}
 			var none struct{}
 			_ = o.pool.Call(envelope.To.Address, MethodDeliver, &envelope, &none, wait)
-			idle.Reset(laneIdleFor)
+			idle.Reset(queueIdleTimeout)
 		case <-idle.C:
-			if o.retire(key, queue) {
+			if o.removeIfEmpty(key, queue) {
 				return
 			}
-			idle.Reset(laneIdleFor)
+			idle.Reset(queueIdleTimeout)
 		}
 	}
 }
 
-// retire forgets a lane whose queue is empty.
-func (o *outbox) retire(key lane, queue chan replica.Envelope) bool {
+// removeIfEmpty forgets a lane whose queue is empty.
+func (o *outbox) removeIfEmpty(key queueKey, queue chan replica.Envelope) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(queue) > 0 {
 		return false
 	}
-	delete(o.lanes, key)
+	delete(o.queues, key)
 	return true
 }
 
@@ -106,8 +106,8 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
-	for key, queue := range o.lanes {
+	for key, queue := range o.queues {
 		close(queue)
-		delete(o.lanes, key)
+		delete(o.queues, key)
 	}
 }
--- a/internal/fleet/controlplane/quotaservice.go
+++ b/internal/fleet/controlplane/quotaservice.go
@@ -11,98 +11,98 @@
 
 // The ages that fence the ownership of allowances.
 const (
-	ownerConfirmed = 600 * time.Millisecond   // an owner whose view was confirmed longer ago gives out nothing
-	ownerWait      = ownerConfirmed * 12 / 10 // after which the owner of an earlier view has stopped, wherever it is
-	handOverWait   = 150 * time.Millisecond   // that a bucket may take to come from an owner that is there
-	watchRooms     = 100 * time.Millisecond
+	maxViewAge            = 600 * time.Millisecond // an owner whose view was confirmed longer ago gives out nothing
+	takeoverDelay         = maxViewAge * 12 / 10   // after which the owner of an earlier view has stopped, wherever it is
+	bucketTransferTimeout = 150 * time.Millisecond // that a bucket may take to come from an owner that is there
+	ownershipInterval     = 100 * time.Millisecond
 )
 
-type allowanceService struct{ node *Node }
+type quotaService struct{ node *Node }
 
 // Take answers a node's request for room.
-func (s *allowanceService) Take(request *quota.TakeRequest, reply *quota.TakeReply) error {
+func (s *quotaService) Take(request *quota.TakeRequest, reply *quota.TakeReply) error {
 	n := s.node
-	published, _ := n.core.Published()
+	published, _ := n.replicator.Published()
 	now := n.now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.mayGive(published, request.Tenant, now):
-		*reply = n.rooms.Acquire(now, request)
+	case n.mayGrant(published, request.Tenant, now):
+		*reply = n.buckets.Acquire(now, request)
 	case request.Deputy || QuotaOwner(published.View.Chain, request.Tenant) == published.Self.Address:
-		*reply = n.rooms.AcquireAsDeputy(now, request) // also while the owner before may not have stopped yet
+		*reply = n.buckets.AcquireAsDeputy(now, request) // also while the owner before may not have stopped yet
 	}
 	return nil
 }
 
 // Reflect takes what the owner of some tenants' allowances shows of them.
-func (s *allowanceService) Reflect(reflection *quota.Reflection, _ *struct{}) error {
+func (s *quotaService) Reflect(reflection *quota.Reflection, _ *struct{}) error {
 	n := s.node
-	published, _ := n.core.Published()
+	published, _ := n.replicator.Published()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if reflection.Epoch >= published.View.Epoch {
-		n.rooms.UpdateMirrors(n.now(), reflection.Buckets)
+		n.buckets.UpdateMirrors(n.now(), reflection.Buckets)
 	}
 	return nil
 }
 
 // HandOver takes a bucket from the owner before. Where this process does not know yet that it is the owner, it soon will.
-func (s *allowanceService) HandOver(handed *quota.HandOver, _ *struct{}) error {
+func (s *quotaService) HandOver(handed *quota.HandOver, _ *struct{}) error {
 	n := s.node
-	published, _ := n.core.Published()
+	published, _ := n.replicator.Published()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if handed.Epoch >= published.View.Epoch {
-		n.rooms.AcceptTransfer(n.now(), handed)
+		n.buckets.AcceptTransfer(n.now(), handed)
 	}
 	return nil
 }
 
-// mayGive tells whether this process owns a tenant's allowance and may give out room. The lock is held.
-func (n *Node) mayGive(published Published, tenant string, now time.Duration) bool {
+// mayGrant tells whether this process owns a tenant's allowance and may give out room. The lock is held.
+func (n *Node) mayGrant(published Published, tenant string, now time.Duration) bool {
 	if QuotaOwner(published.View.Chain, tenant) != published.Self.Address {
-		delete(n.roomFrom, tenant)
+		delete(n.ownerships, tenant)
 		return false
 	}
-	if now-published.ViewConfirmed > ownerConfirmed || !slices.Contains(published.View.Chain, published.Self) {
+	if now-published.ViewConfirmed > maxViewAge || !slices.Contains(published.View.Chain, published.Self) {
 		return false
 	}
-	return n.rooms.Owns(tenant) || n.mayBegin(published, tenant, now)
+	return n.buckets.Owns(tenant) || n.mayTakeOver(published, tenant, now)
 }
 
-// mayBegin tells whether no other process can still give out a tenant's room: all have gone over to this view and have had
+// mayTakeOver tells whether no other process can still give out a tenant's room: all have gone over to this view and have had
 // time to hand the bucket over, or so much time has passed that none of them can be confirmed. The lock is held.
-func (n *Node) mayBegin(published Published, tenant string, now time.Duration) bool {
-	from, known := n.roomFrom[tenant]
+func (n *Node) mayTakeOver(published Published, tenant string, now time.Duration) bool {
+	from, known := n.ownerships[tenant]
 	if !known || from.epoch != published.View.Epoch {
 		from = ownership{epoch: published.View.Epoch, since: now}
 	}
 	if !published.AllVotersInView {
-		from.allSince = 0
-	} else if from.allSince == 0 {
-		from.allSince = now
+		from.allInViewSince = 0
+	} else if from.allInViewSince == 0 {
+		from.allInViewSince = now
 	}
-	n.roomFrom[tenant] = from
-	return from.allSince > 0 && now-from.allSince >= handOverWait || now-from.since >= ownerWait
+	n.ownerships[tenant] = from
+	return from.allInViewSince > 0 && now-from.allInViewSince >= bucketTransferTimeout || now-from.since >= takeoverDelay
 }
 
 // ownership is since when this process is the owner of a tenant's allowance.
 type ownership struct {
-	epoch    uint64
-	since    time.Duration
-	allSince time.Duration // since when all other voters are known to be in this view; 0 = not yet
+	epoch          uint64
+	since          time.Duration
+	allInViewSince time.Duration // since when all other voters are known to be in this view; 0 = not yet
 }
 
-// watchOwnership makes the buckets of the tenants that this process owns and hands over those that it no longer does.
-func (n *Node) watchOwnership() {
+// runOwnership makes the buckets of the tenants that this process owns and hands over those that it no longer does.
+func (n *Node) runOwnership() {
 	for {
-		published, changed := n.core.Published()
-		for _, handed := range n.arrangeRooms(published) {
-			go n.handOver(QuotaOwner(published.View.Chain, handed.Tenant), handed)
+		published, changed := n.replicator.Published()
+		for _, handed := range n.reconcileBuckets(published) {
+			go n.transferBucket(QuotaOwner(published.View.Chain, handed.Tenant), handed)
 		}
-		n.showRooms(published)
-		timer := time.NewTimer(watchRooms)
+		n.mirrorBuckets(published)
+		timer := time.NewTimer(ownershipInterval)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -111,22 +111,22 @@
 	}
 }
 
-func (n *Node) arrangeRooms(published Published) []quota.HandOver {
+func (n *Node) reconcileBuckets(published Published) []quota.HandOver {
 	now := n.now()
 	document := published.State.Document
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, tenant := range document.Tenants() {
-		if tenant.Rate > 0 && n.mayGive(published, tenant.Name, now) {
-			n.rooms.EnsureBucket(now, tenant.Name, tenant.Rate, tenant.Burst, document.Revision)
+		if tenant.Rate > 0 && n.mayGrant(published, tenant.Name, now) {
+			n.buckets.EnsureBucket(now, tenant.Name, tenant.Rate, tenant.Burst, document.Revision)
 		}
 	}
 	var handed []quota.HandOver
-	for _, tenant := range n.rooms.Tenants() {
+	for _, tenant := range n.buckets.Tenants() {
 		if QuotaOwner(published.View.Chain, tenant) == published.Self.Address {
 			continue
 		}
-		if bucket, held := n.rooms.Release(now, tenant); held {
+		if bucket, held := n.buckets.Release(now, tenant); held {
 			bucket.Epoch = published.View.Epoch
 			handed = append(handed, bucket)
 		}
@@ -134,28 +134,28 @@
 	return handed
 }
 
-// showRooms shows the buckets of this process to the other members of the chain.
-func (n *Node) showRooms(published Published) {
+// mirrorBuckets shows the buckets of this process to the other members of the chain.
+func (n *Node) mirrorBuckets(published Published) {
 	n.mu.Lock()
-	reflection := quota.Reflection{Epoch: published.View.Epoch, Buckets: n.rooms.Buckets(n.now())}
+	reflection := quota.Reflection{Epoch: published.View.Epoch, Buckets: n.buckets.Buckets(n.now())}
 	n.mu.Unlock()
-	if len(reflection.Buckets) == 0 || n.now()-published.ViewConfirmed > ownerConfirmed {
+	if len(reflection.Buckets) == 0 || n.now()-published.ViewConfirmed > maxViewAge {
 		return
 	}
 	for _, member := range published.View.Chain {
 		if member != published.Self {
 			go func() {
 				var none struct{}
-				_ = n.pool.Call(member.Address, quota.MethodReflect, &reflection, &none, watchRooms) // the next one follows soon
+				_ = n.pool.Call(member.Address, quota.MethodReflect, &reflection, &none, ownershipInterval) // the next one follows soon
 			}()
 		}
 	}
 }
 
-// handOver hands a bucket to its new owner. One that is lost is begun anew there.
-func (n *Node) handOver(owner string, handed quota.HandOver) {
+// transferBucket hands a bucket to its new owner. One that is lost is begun anew there.
+func (n *Node) transferBucket(owner string, handed quota.HandOver) {
 	var none struct{}
-	if err := n.pool.Call(owner, quota.MethodHandOver, &handed, &none, handOverWait); err != nil {
+	if err := n.pool.Call(owner, quota.MethodHandOver, &handed, &none, bucketTransferTimeout); err != nil {
 		n.log.Info("allowance not handed over", "tenant", handed.Tenant, "to", owner, "err", err)
 	}
 }
--- a/internal/fleet/controlplane/replicator.go
+++ b/internal/fleet/controlplane/replicator.go
@@ -16,12 +16,12 @@
 
 // The figures of the replicator.
 const (
-	tickEvery       = 50 * time.Millisecond
-	startTick       = 15 * time.Millisecond // the same while a process that has just started is not confirmed yet
-	startingFor     = 2 * time.Second       // but no longer
-	inboxSize       = 512
-	confirmWait     = 700 * time.Millisecond // after which a refusal or a read that cannot be confirmed is given up
-	recoverInterval = 500 * time.Millisecond // between attempts to write to a disk that failed
+	tickInterval        = 50 * time.Millisecond
+	startupTickInterval = 15 * time.Millisecond // the same while a process that has just started is not confirmed yet
+	maxStartup          = 2 * time.Second       // but no longer
+	inboxSize           = 512
+	confirmTimeout      = 700 * time.Millisecond // after which a refusal or a read that cannot be confirmed is given up
+	diskRetryInterval   = 500 * time.Millisecond // between attempts to write to a disk that failed
 )
 
 // errDiskFailed says that the disk refused a write and has not been tried again yet.
@@ -43,11 +43,11 @@
 	Released        bool // this member may end: the others go on without it
 	Standby         []replica.Member
 	CaughtUp        bool // this member has the state with which the view began, and what followed as far as it knows
-	copied          replica.Log
+	log             replica.Log
 }
 
-// orderResult is the end of an order.
-type orderResult struct {
+// submitResult is the end of an order.
+type submitResult struct {
 	revision int64
 	err      error
 }
@@ -63,10 +63,10 @@
 	stopped chan struct{}
 
 	// Of the goroutine.
-	waiting  map[uint64]chan<- orderResult
-	pending  confirmations
-	lastID   uint64
-	failedAt time.Duration
+	submissions   map[uint64]chan<- submitResult
+	confirmations confirmations
+	lastID        uint64
+	diskFailedAt  time.Duration
 
 	mu        sync.Mutex
 	published Published
@@ -77,14 +77,14 @@
 func NewReplicator(clock func() time.Duration, logger *log.Logger, pool *transport.Pool, store *storage.Store,
 	machine *replica.Machine) *Replicator {
 	r := &Replicator{clock: clock, log: logger, outbox: newOutbox(pool), store: store, machine: machine, inbox: make(chan func(), inboxSize),
-		stopped: make(chan struct{}), waiting: map[uint64]chan<- orderResult{}, changed: make(chan struct{})}
+		stopped: make(chan struct{}), submissions: map[uint64]chan<- submitResult{}, changed: make(chan struct{})}
 	r.publish()
 	return r
 }
 
 // Run drives the replica until Stop.
 func (r *Replicator) Run() {
-	ticker := time.NewTicker(startTick)
+	ticker := time.NewTicker(startupTickInterval)
 	defer ticker.Stop()
 	begin := r.clock()
 	r.outbox.pool.SetEager(true)
@@ -98,12 +98,12 @@
 		case <-r.stopped:
 			return
 		}
-		r.settle()
+		r.resolveConfirmed()
 		r.publish()
-		if starting && (r.machine.StateConfirmed() > 0 || r.clock()-begin > startingFor) {
+		if starting && (r.machine.StateConfirmed() > 0 || r.clock()-begin > maxStartup) {
 			starting = false
 			r.outbox.pool.SetEager(false)
-			ticker.Reset(tickEvery)
+			ticker.Reset(tickInterval)
 		}
 	}
 }
@@ -141,24 +141,24 @@
 		if err := r.write(out.Records); err != nil {
 			if !errors.Is(err, errDiskFailed) {
 				r.log.Error("disk write failed; leaving the chain until it works again", "err", err)
-				r.failedAt = r.clock()
+				r.diskFailedAt = r.clock()
 			}
 			r.machine.Rollback(before)
 			continue
 		}
-		r.logViews(out.Records)
+		r.logRecords(out.Records)
 		for _, envelope := range out.Messages {
 			if envelope.To.Address == r.machine.Self().Address {
 				pending = append(pending, func(now time.Duration) replica.Ready { return r.machine.Step(now, envelope) })
 				continue
 			}
-			r.outbox.post(envelope)
+			r.outbox.send(envelope)
 		}
 		if len(out.Replies) > 0 {
 			r.publish() // who hears that an order was taken finds it here
 		}
 		for _, reply := range out.Replies {
-			r.end(reply)
+			r.resolve(reply)
 		}
 	}
 }
@@ -175,10 +175,10 @@
 
 // recoverDisk tries whether a disk that failed takes writes again.
 func (r *Replicator) recoverDisk() {
-	if r.machine.Healthy() || r.clock()-r.failedAt < recoverInterval {
+	if r.machine.Healthy() || r.clock()-r.diskFailedAt < diskRetryInterval {
 		return
 	}
-	r.failedAt = r.clock()
+	r.diskFailedAt = r.clock()
 	if r.store != nil {
 		if err := r.store.Recover(); err != nil {
 			return
@@ -188,8 +188,8 @@
 	r.machine.SetHealthy()
 }
 
-// logViews logs the views that were stored.
-func (r *Replicator) logViews(records []replica.Record) {
+// logRecords logs the views that were stored.
+func (r *Replicator) logRecords(records []replica.Record) {
 	for _, record := range records {
 		switch record := record.(type) {
 		case replica.SaveView:
@@ -213,7 +213,7 @@
 	seq, state := r.machine.Committed()
 	next := Published{Self: r.machine.Self(), View: r.machine.View(), Healthy: r.machine.Healthy(), Seq: seq, State: state,
 		ViewConfirmed: r.machine.ViewConfirmed(), StateConfirmed: r.machine.StateConfirmed(), AllVotersInView: r.machine.AllVotersInView(), Released: r.machine.Released(),
-		Standby: r.machine.Standby(), CaughtUp: r.machine.Status().Holds, copied: r.machine.Log()}
+		Standby: r.machine.Standby(), CaughtUp: r.machine.Status().Holds, log: r.machine.Log()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	news := next.Seq != r.published.Seq || next.View.Epoch != r.published.View.Epoch ||
@@ -234,7 +234,7 @@
 
 // OrdersSince gives the committed orders that lead from one place to another, nil where they are not all kept.
 func (p *Published) OrdersSince(from, to uint64) []operator.Order {
-	entries := p.copied.Entries(from, to)
+	entries := p.log.Entries(from, to)
 	if entries == nil {
 		return nil
 	}
@@ -247,12 +247,12 @@
 
 // Submit has an order taken by this member as the head.
 func (r *Replicator) Submit(order operator.Order, wait time.Duration) (int64, error) {
-	done := make(chan orderResult, 1)
+	done := make(chan submitResult, 1)
 	var id uint64
 	queued := r.enqueue(func() {
 		r.lastID++
 		id = r.lastID
-		r.waiting[id] = done
+		r.submissions[id] = done
 		r.step(func(now time.Duration) replica.Ready { return r.machine.Submit(now, id, order) })
 	})
 	if !queued {
@@ -265,7 +265,7 @@
 		return result.revision, result.err
 	case <-timer.C:
 		r.enqueue(func() {
-			delete(r.waiting, id)
+			delete(r.submissions, id)
 			r.machine.Withdraw(id)
 		})
 		return 0, errkind.New(errkind.OutcomeUnknown, "not committed in time")
--- a/internal/fleet/controlplane/services.go
+++ b/internal/fleet/controlplane/services.go
@@ -18,14 +18,14 @@
 // services are the internal calls that this process answers.
 func (n *Node) services() map[string]any {
 	return map[string]any{"Peer": &peerService{n}, "Registry": &registryService{n}, "Operator": &operatorService{n},
-		"Distribution": &distributionService{n}, "Allowance": &allowanceService{n}}
+		"Distribution": &distributionService{n}, "Allowance": &quotaService{n}}
 }
 
 type peerService struct{ node *Node }
 
 // Deliver takes a message of another member.
 func (s *peerService) Deliver(envelope *replica.Envelope, _ *struct{}) error {
-	s.node.core.Deliver(*envelope)
+	s.node.replicator.Deliver(*envelope)
 	return nil
 }
 
@@ -33,7 +33,7 @@
 
 // Exchange takes and gives records of raters.
 func (s *registryService) Exchange(request *ExchangeRequest, reply *ExchangeReply) error {
-	s.node.peers.answer(request, reply)
+	s.node.gossip.handleExchange(request, reply)
 	return nil
 }
 
@@ -49,7 +49,7 @@
 
 // Submit has an order taken by this process, as the head.
 func (s *operatorService) Submit(order *operator.Order, reply *SubmitReply) error {
-	revision, err := s.node.core.Submit(*order, submitWait)
+	revision, err := s.node.replicator.Submit(*order, submitTimeout)
 	reply.Revision = revision
 	if err != nil {
 		reply.Failed, reply.Kind, reply.Detail = true, errkind.KindOf(err), err.Error()
@@ -62,7 +62,7 @@
 
 // Read gives the newest configuration, as the tail.
 func (s *operatorService) Read(_ *struct{}, reply *ReadReply) error {
-	state, err := s.node.core.Read()
+	state, err := s.node.replicator.Read()
 	if err != nil {
 		return err
 	}
@@ -74,25 +74,25 @@
 
 // The figures of the long poll.
 const (
-	mostHold    = 2 * time.Second       // that an answer waits for news
-	eventGather = 30 * time.Millisecond // that one with events of attempts waits for more of them
-	mostPatches = 64                    // orders in one answer; a node that is further behind gets the whole document
+	maxPollWait = 2 * time.Second       // that an answer waits for news
+	eventDelay  = 30 * time.Millisecond // that one with events of attempts waits for more of them
+	maxPatches  = 64                    // orders in one answer; a node that is further behind gets the whole document
 )
 
 // Poll answers a node of the data plane as soon as there is news for it.
 func (s *distributionService) Poll(request *distribution.PollRequest, reply *distribution.PollReply) error {
 	n := s.node
-	deadline := time.NewTimer(min(request.Hold, mostHold))
+	deadline := time.NewTimer(min(request.Hold, maxPollWait))
 	defer deadline.Stop()
 	for waiting := true; waiting; {
-		published, changed := n.core.Published()
+		published, changed := n.replicator.Published()
 		n.mu.Lock()
-		news := n.news
-		fresh := request.RegistryOwner != n.owner || request.RegistryVersion != n.raters.Version() || n.leaving
-		events := n.events.news(request.EventSeq, request.Session)
+		news := n.changed
+		fresh := request.RegistryOwner != n.registryOwner || request.RegistryVersion != n.registry.Version() || n.leaving
+		events := n.events.hasNewFor(request.EventSeq, request.Session)
 		n.mu.Unlock()
 		if events && !fresh {
-			time.Sleep(eventGather)
+			time.Sleep(eventDelay)
 			break
 		}
 		if fresh || published.Seq > request.ConfigSeq && published.StateConfirmed > 0 {
@@ -105,40 +105,40 @@
 			waiting = false
 		}
 	}
-	n.fill(request, reply)
+	n.fillReply(request, reply)
 	return nil
 }
 
-// fill writes the answer to a poll.
-func (n *Node) fill(request *distribution.PollRequest, reply *distribution.PollReply) {
-	published, _ := n.core.Published()
+// fillReply writes the answer to a poll.
+func (n *Node) fillReply(request *distribution.PollRequest, reply *distribution.PollReply) {
+	published, _ := n.replicator.Published()
 	now := n.now()
-	reply.Epoch, reply.Members = published.View.Epoch, n.members(published.View)
+	reply.Epoch, reply.Members = published.View.Epoch, n.controlMembers(published.View)
 	reply.Confirmed = published.StateConfirmed > 0
 	reply.ConfirmedAgo = now - published.StateConfirmed
 	reply.ConfigSeq = request.ConfigSeq
 	if reply.Confirmed && published.Seq > request.ConfigSeq {
 		n.fillConfig(&published, request, reply)
 	}
-	reply.ListConfirmed, reply.ListConfirmedAgo = n.listAge(&published, now)
+	reply.ListConfirmed, reply.ListConfirmedAgo = n.registryAge(&published, now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sessions[request.Session] = now
 	reply.Sessions, reply.Leaving = len(n.sessions)*max(1, len(published.View.Chain)), n.leaving
-	reply.RegistryOwner, reply.RegistryVersion, reply.RegistryAge = n.owner, n.raters.Version(), now
+	reply.RegistryOwner, reply.RegistryVersion, reply.RegistryAge = n.registryOwner, n.registry.Version(), now
 	since := request.RegistryVersion
-	if request.RegistryOwner != n.owner {
+	if request.RegistryOwner != n.registryOwner {
 		since, reply.Whole = 0, true
 	} else {
-		reply.Events = n.events.since(now, request.EventSeq, request.Session)
+		reply.Events = n.events.packNewFor(now, request.EventSeq, request.Session)
 	}
-	reply.EventSeq = n.events.last
-	reply.Records = n.raters.ChangedSince(now, since)
+	reply.EventSeq = n.events.lastSeq
+	reply.Records = n.registry.ChangedSince(now, since)
 }
 
-// listAge tells how long ago this process's list of raters was certainly whole.
-func (n *Node) listAge(published *Published, now time.Duration) (confirmed bool, ago time.Duration) {
-	at := n.peers.listConfirmed(&published.View, published.Self)
+// registryAge tells how long ago this process's list of raters was certainly whole.
+func (n *Node) registryAge(published *Published, now time.Duration) (confirmed bool, ago time.Duration) {
+	at := n.gossip.registryConfirmedAt(&published.View, published.Self)
 	return at > 0, max(0, now-at)
 }
 
--- a/internal/fleet/controlplane/slope_test.go
+++ b/internal/fleet/controlplane/slope_test.go
@@ -27,12 +27,12 @@
 	n, err := New(set, log.New(io.Discard))
 	require.NoError(t, err)
 	// The replica's goroutine does not run: time is played.
-	for now := time.Duration(0); now < 5*time.Second; now += tickEvery {
-		n.core.step(func(time.Duration) replica.Ready { return n.core.machine.Tick(now) })
+	for now := time.Duration(0); now < 5*time.Second; now += tickInterval {
+		n.replicator.step(func(time.Duration) replica.Ready { return n.replicator.machine.Tick(now) })
 	}
-	n.core.publish()
-	go n.core.Run()
-	t.Cleanup(n.core.Stop)
+	n.replicator.publish()
+	go n.replicator.Run()
+	t.Cleanup(n.replicator.Stop)
 	body := `{"Revision":1,"Backends":[{"Name":"llm"}]}`
 	require.Equal(t, http.StatusOK, call(n, http.MethodPut, "/-/config", body).Code)
 	for i := range raters {
@@ -68,7 +68,7 @@
 		request.ConfigSeq, request.RegistryOwner, request.RegistryVersion = last.ConfigSeq, last.RegistryOwner, last.RegistryVersion
 	}
 	var reply distribution.PollReply
-	n.fill(request, &reply)
+	n.fillReply(request, &reply)
 	var buffer bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&buffer).Encode(reply))
 	return &reply, buffer.Len()
@@ -103,7 +103,7 @@
 			RegistryVersion: reply.RegistryVersion}
 		return testing.AllocsPerRun(100, func() {
 			var answer distribution.PollReply
-			n.fill(request, &answer)
+			n.fillReply(request, &answer)
 		})
 	}
 	require.LessOrEqual(t, allocations(500, 1000), allocations(5, 10)+1)
--- a/internal/fleet/controlplane/spread.go
+++ b/internal/fleet/controlplane/spread.go
@@ -11,36 +11,36 @@
 
 // The figures of acknowledging that a rater leaves. A node of the data plane turns away from a control process whose list of
 // raters was certainly whole longer ago than distribution.MaxRegistryAge, at its next answer to a poll. So a process that has been
-// silent for listQuiet is followed by no node any more, or has the news from others.
+// silent for unresponsiveAfter is followed by no node any more, or has the news from others.
 const (
-	leaveWait   = 850 * time.Millisecond // in which the others must have the news; a rater waits for a second
-	spreadWait  = 250 * time.Millisecond // that one exchange may take
-	spreadPause = 20 * time.Millisecond
-	listQuiet   = 2 * time.Second
+	replicateTimeout       = 850 * time.Millisecond // in which the others must have the news; a rater waits for a second
+	replicateCallTimeout   = 250 * time.Millisecond // that one exchange may take
+	replicateRetryInterval = 20 * time.Millisecond
+	unresponsiveAfter      = 2 * time.Second
 )
 
-// spreadLeaving has the news that a rater leaves known before it is acknowledged: by a majority of the voters, and by every
+// replicateDeregistration has the news that a rater leaves known before it is acknowledged: by a majority of the voters, and by every
 // control process that a node of the data plane may be following.
-func (g *gossiper) spreadLeaving(record registry.Record) error {
-	if g.wasTold(record.ID) {
+func (g *gossiper) replicateDeregistration(record registry.Record) error {
+	if g.isAcknowledged(record.ID) {
 		return nil
 	}
 	began := g.node.now()
-	waiting := g.others()
+	waiting := g.peers()
 	knows := map[string]bool{}
 	for {
 		for _, address := range g.exchangeAll(waiting, []registry.Record{record}) {
 			knows[address] = true
 		}
 		waiting = slices.DeleteFunc(waiting, func(address string) bool { return knows[address] })
-		if g.knownWidely(knows, waiting) {
-			g.noteTold(record.ID)
+		if g.replicatedWidely(knows, waiting) {
+			g.setAcknowledged(record.ID)
 			return nil
 		}
-		if g.node.now()-began > leaveWait-spreadWait {
+		if g.node.now()-began > replicateTimeout-replicateCallTimeout {
 			return errkind.New(errkind.OutcomeUnknown, "not enough of the control plane has the news that rater %s leaves", record.ID)
 		}
-		time.Sleep(spreadPause)
+		time.Sleep(replicateRetryInterval)
 	}
 }
 
@@ -49,7 +49,7 @@
 	answers := make(chan string, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			if !g.exchange(address, records, spreadWait) {
+			if !g.exchange(address, records, replicateCallTimeout) {
 				address = ""
 			}
 			answers <- address
@@ -64,9 +64,9 @@
 	return answered
 }
 
-// knownWidely tells whether a majority of the voters has some news, and all others that do not have been silent for long.
-func (g *gossiper) knownWidely(knows map[string]bool, waiting []string) bool {
-	published, _ := g.node.core.Published()
+// replicatedWidely tells whether a majority of the voters has some news, and all others that do not have been silent for long.
+func (g *gossiper) replicatedWidely(knows map[string]bool, waiting []string) bool {
+	published, _ := g.node.replicator.Published()
 	voters := 0
 	for _, voter := range published.View.Voters {
 		if voter == published.Self || knows[voter.Address] {
@@ -80,41 +80,41 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, address := range waiting {
-		if now-max(g.exchanged[address], g.begun) < listQuiet {
+		if now-max(g.lastExchanges[address], g.started) < unresponsiveAfter {
 			return false
 		}
 	}
 	return true
 }
 
-func (g *gossiper) wasTold(id string) bool {
+func (g *gossiper) isAcknowledged(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.told[id]
+	return g.acknowledged[id]
 }
 
-func (g *gossiper) noteTold(id string) {
+func (g *gossiper) setAcknowledged(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told[id] = true
+	g.acknowledged[id] = true
 }
 
-// forgetTold forgets the raters that the registry has forgotten.
-func (g *gossiper) forgetTold() {
+// pruneAcknowledged forgets the raters that the registry has forgotten.
+func (g *gossiper) pruneAcknowledged() {
 	g.node.mu.Lock()
 	defer g.node.mu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id := range g.told {
-		if _, known := g.node.raters.Get(0, id); !known {
-			delete(g.told, id)
+	for id := range g.acknowledged {
+		if _, known := g.node.registry.Get(0, id); !known {
+			delete(g.acknowledged, id)
 		}
 	}
 }
 
-// listConfirmed is the newest time at which this process's list of raters certainly held everything that was acknowledged: it
+// registryConfirmedAt is the newest time at which this process's list of raters certainly held everything that was acknowledged: it
 // has since exchanged with a majority of the voters. 0 = never.
-func (g *gossiper) listConfirmed(view *replica.View, self replica.Member) time.Duration {
+func (g *gossiper) registryConfirmedAt(view *replica.View, self replica.Member) time.Duration {
 	if len(view.Voters) == 0 {
 		return 0
 	}
@@ -127,7 +127,7 @@
 			times = append(times, now)
 			continue
 		}
-		times = append(times, g.exchanged[voter.Address])
+		times = append(times, g.lastExchanges[voter.Address])
 	}
 	slices.Sort(times)
 	return times[(len(times)-1)/2]
--- a/internal/fleet/controlplane/spread_test.go
+++ b/internal/fleet/controlplane/spread_test.go
@@ -21,15 +21,15 @@
 
 func TestWhoHasTheNewsBeforeARatersLeavingIsAcknowledged(t *testing.T) {
 	n := newAlone(t, 0, 0)
-	self := n.core.machine.Self()
+	self := n.replicator.machine.Self()
 	voters := []replica.Member{self, {Address: "b"}, {Address: "c"}, {Address: "d"}, {Address: "e"}}
-	n.core.mu.Lock()
-	n.core.published.View.Voters = voters
-	n.core.mu.Unlock()
+	n.replicator.mu.Lock()
+	n.replicator.published.View.Voters = voters
+	n.replicator.mu.Unlock()
 	now := n.now()
-	g := n.peers
-	g.begun = now - time.Minute
-	g.exchanged = map[string]time.Duration{"b": now, "c": now, "d": now - listQuiet, "e": now - listQuiet}
+	g := n.gossip
+	g.started = now - time.Minute
+	g.lastExchanges = map[string]time.Duration{"b": now, "c": now, "d": now - unresponsiveAfter, "e": now - unresponsiveAfter}
 	knows := func(addresses ...string) map[string]bool {
 		set := map[string]bool{}
 		for _, address := range addresses {
@@ -37,25 +37,25 @@
 		}
 		return set
 	}
-	require.False(t, g.knownWidely(knows(), []string{"b", "c", "d", "e"}), "alone")
-	require.False(t, g.knownWidely(knows("b"), []string{"c", "d", "e"}), "no majority")
-	require.True(t, g.knownWidely(knows("b", "c"), []string{"d", "e"}), "the others have been silent for long")
-	require.False(t, g.knownWidely(knows("b", "d"), []string{"c", "e"}), "c was heard just now: nodes may follow it")
-	g.begun = now
-	require.False(t, g.knownWidely(knows("b", "c"), []string{"x"}), "this process is too young to know who is silent")
+	require.False(t, g.replicatedWidely(knows(), []string{"b", "c", "d", "e"}), "alone")
+	require.False(t, g.replicatedWidely(knows("b"), []string{"c", "d", "e"}), "no majority")
+	require.True(t, g.replicatedWidely(knows("b", "c"), []string{"d", "e"}), "the others have been silent for long")
+	require.False(t, g.replicatedWidely(knows("b", "d"), []string{"c", "e"}), "c was heard just now: nodes may follow it")
+	g.started = now
+	require.False(t, g.replicatedWidely(knows("b", "c"), []string{"x"}), "this process is too young to know who is silent")
 }
 
 func TestAListIsAsOldAsTheMajoritysExchanges(t *testing.T) {
 	n := newAlone(t, 0, 0)
 	self := replica.Member{Address: "a"}
 	view := &replica.View{Voters: []replica.Member{self, {Address: "b"}, {Address: "c"}}}
-	n.peers.exchanged = map[string]time.Duration{"b": 5, "c": 3}
-	require.EqualValues(t, 5, n.peers.listConfirmed(view, self))
-	require.EqualValues(t, 3, n.peers.listConfirmed(view, replica.Member{Address: "learner"}))
-	n.peers.exchanged = map[string]time.Duration{"b": 5}
-	require.EqualValues(t, 5, n.peers.listConfirmed(view, self))
-	require.Zero(t, n.peers.listConfirmed(view, replica.Member{Address: "learner"}))
-	require.Zero(t, n.peers.listConfirmed(&replica.View{}, self), "no view")
+	n.gossip.lastExchanges = map[string]time.Duration{"b": 5, "c": 3}
+	require.EqualValues(t, 5, n.gossip.registryConfirmedAt(view, self))
+	require.EqualValues(t, 3, n.gossip.registryConfirmedAt(view, replica.Member{Address: "learner"}))
+	n.gossip.lastExchanges = map[string]time.Duration{"b": 5}
+	require.EqualValues(t, 5, n.gossip.registryConfirmedAt(view, self))
+	require.Zero(t, n.gossip.registryConfirmedAt(view, replica.Member{Address: "learner"}))
+	require.Zero(t, n.gossip.registryConfirmedAt(&replica.View{}, self), "no view")
 }
 
 // cuttable breaks the connections of one end while it is cut off.
@@ -116,8 +116,8 @@
 	})
 	for _, n := range fleet.nodes {
 		require.Eventually(t, func() bool {
-			published, _ := n.core.Published()
-			at := n.peers.listConfirmed(&published.View, published.Self)
+			published, _ := n.replicator.Published()
+			at := n.gossip.registryConfirmedAt(&published.View, published.Self)
 			return len(published.View.Chain) == 3 && at > 0
 		}, 10*time.Second, 10*time.Millisecond)
 	}
