--- a/internal/fleet/distribution/clientstate.go
+++ b/internal/fleet/distribution/clientstate.go
@@ -11,12 +11,12 @@
 
 // The figures of a node's copy.
 const (
-	leasePart      = 0.9              // part of RevokeMs for which a confirmed configuration may be used
-	forgetUnlisted = 15 * time.Second // a copy of the registry that is older and does not list a rater knows that it is gone
+	leaseFraction = 0.9              // part of RevokeMs for which a confirmed configuration may be used
+	unlistedTTL   = 15 * time.Second // a copy of the registry that is older and does not list a rater knows that it is gone
 )
 
-// errNoBase says that patches came for a configuration that the node does not have.
-var errNoBase = errors.New("patches without the configuration that they build on")
+// errMissingBase says that patches came for a configuration that the node does not have.
+var errMissingBase = errors.New("patches without the configuration that they build on")
 
 // ClientState is a node's copy of what the control plane gives out. It is pure and not safe for concurrent use.
 type ClientState struct {
@@ -24,12 +24,12 @@
 	needFullDocument bool // a patch did not fit: the next answer must bring the whole document
 	state            *operator.State
 	table            *operator.Table
-	leaseFor         time.Duration
-	closed           bool
+	leaseDuration    time.Duration
+	failClosed       bool
 	leaseEnd         time.Duration
-	owner            uint64
-	version          uint64
-	events           uint64
+	registryOwner    uint64
+	registryVersion  uint64
+	eventSeq         uint64
 	backends         map[string]registry.Record
 	epoch            uint64
 	members          []ControlMember
@@ -40,13 +40,13 @@
 // NewClientState makes an empty copy. Where closed is set, a configuration may be used only while it is known that no newer one
 // was acknowledged more than revoke ago.
 func NewClientState(closed bool, revoke time.Duration) *ClientState {
-	return &ClientState{closed: closed, leaseFor: time.Duration(leasePart * float64(revoke)), backends: map[string]registry.Record{}}
+	return &ClientState{failClosed: closed, leaseDuration: time.Duration(leaseFraction * float64(revoke)), backends: map[string]registry.Record{}}
 }
 
 // Request gives the next poll.
 func (c *ClientState) Request(node string, session uint64, hold time.Duration) PollRequest {
-	request := PollRequest{Node: node, Session: session, ConfigSeq: c.seq, RegistryOwner: c.owner, RegistryVersion: c.version,
-		EventSeq: c.events, Hold: hold}
+	request := PollRequest{Node: node, Session: session, ConfigSeq: c.seq, RegistryOwner: c.registryOwner, RegistryVersion: c.registryVersion,
+		EventSeq: c.eventSeq, Hold: hold}
 	if c.needFullDocument {
 		request.ConfigSeq = 0
 	}
@@ -68,7 +68,7 @@
 	c.confirmed = reply.Confirmed && reply.ConfigSeq == c.seq
 	if c.confirmed {
 		// The configuration was the newest at some time no earlier than so long before the poll was sent.
-		c.leaseEnd = max(c.leaseEnd, sent-reply.ConfirmedAgo+c.leaseFor)
+		c.leaseEnd = max(c.leaseEnd, sent-reply.ConfirmedAgo+c.leaseDuration)
 	}
 	if reply.Epoch >= c.epoch && len(reply.Members) > 0 {
 		c.epoch, c.members = reply.Epoch, reply.Members
@@ -98,7 +98,7 @@
 	} else {
 		if state == nil {
 			c.needFullDocument = true
-			return errNoBase
+			return errMissingBase
 		}
 		for _, order := range patches {
 			next, err := state.ApplyCommitted(order)
@@ -123,7 +123,7 @@
 	if reply.Whole {
 		changed = c.dropUnlisted(reply) || changed
 	}
-	c.owner, c.version, c.events = reply.RegistryOwner, reply.RegistryVersion, reply.EventSeq
+	c.registryOwner, c.registryVersion, c.eventSeq = reply.RegistryOwner, reply.RegistryVersion, reply.EventSeq
 	return changed
 }
 
@@ -148,7 +148,7 @@
 // dropUnlisted forgets raters that a copy of the registry does not list although it has been there for long. One that was
 // begun just now does not know them yet.
 func (c *ClientState) dropUnlisted(reply *PollReply) bool {
-	if reply.RegistryAge < forgetUnlisted {
+	if reply.RegistryAge < unlistedTTL {
 		return false
 	}
 	dropped := false
@@ -166,7 +166,7 @@
 
 // LeaseEnd is until when the configuration may be used; it never ends where that need not be confirmed.
 func (c *ClientState) LeaseEnd() time.Duration {
-	if !c.closed {
+	if !c.failClosed {
 		return time.Duration(1<<63 - 1)
 	}
 	return c.leaseEnd
--- a/internal/fleet/distribution/clientstate_test.go
+++ b/internal/fleet/distribution/clientstate_test.go
@@ -40,7 +40,7 @@
 	c := NewClientState(true, revoke)
 	require.Zero(t, c.LeaseEnd())
 	take(t, c, 10*time.Second, reply(1, `{"Revision":1}`, 300*time.Millisecond))
-	lease := time.Duration(leasePart * float64(revoke))
+	lease := time.Duration(leaseFraction * float64(revoke))
 	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd())
 	take(t, c, 10*time.Second, reply(1, "", 2*time.Second))
 	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd(), "an older confirmation does not shorten it")
@@ -110,7 +110,7 @@
 	take(t, c, 2*time.Second, empty)
 	require.Len(t, c.Backends(), 2)
 	old := reply(1, "", 0)
-	old.Whole, old.RegistryOwner, old.RegistryAge = true, 3, forgetUnlisted
+	old.Whole, old.RegistryOwner, old.RegistryAge = true, 3, unlistedTTL
 	old.Records = []registry.Record{rater("a", 5, registry.Ready)}
 	require.True(t, take(t, c, 3*time.Second, old).Backends)
 	require.Len(t, c.Backends(), 1, "a copy that has been there for long knows who is gone")
@@ -149,7 +149,7 @@
 	patched := reply(2, "", 0)
 	patched.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3}`)})
 	_, err := c.Apply(time.Second, patched)
-	require.ErrorIs(t, err, errNoBase)
+	require.ErrorIs(t, err, errMissingBase)
 	require.Nil(t, c.Table())
 	take(t, c, time.Second, reply(2, `{"Revision":3}`, 0))
 	require.EqualValues(t, 3, c.Table().Revision)
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -37,17 +37,17 @@
 // The parts of a heartbeat interval after which a silent rater is late, after which it is taken for lost, and after which it
 // is forgotten.
 const (
-	lateIntervals   = 1.8
-	silentIntervals = 12
-	forgetIntervals = 100
-	leastChanges    = 64               // that are kept before those that count no more are dropped
-	goneKept        = 30 * time.Second // so long a rater that left is remembered, against late heartbeats
+	overdueIntervals = 1.8
+	lostIntervals    = 12
+	forgetIntervals  = 100
+	minChanges       = 64               // that are kept before those that count no more are dropped
+	removedTTL       = 30 * time.Second // so long a rater that left is remembered, against late heartbeats
 )
 
 type entry struct {
-	record  Record
-	heard   time.Duration
-	version uint64
+	record        Record
+	lastHeartbeat time.Duration
+	version       uint64
 }
 
 // change is that an entry changed.
@@ -62,12 +62,12 @@
 	version  uint64
 	entries  map[string]*entry
 	changes  []change        // in the order of their versions; only an entry's newest one counts
-	fresh    map[string]bool // heard since the last call of Fresh
+	updated  map[string]bool // heard since the last call of Fresh
 }
 
 // New makes an empty registry for raters that send heartbeats at an interval.
 func New(interval time.Duration) *Registry {
-	return &Registry{interval: interval, entries: map[string]*entry{}, fresh: map[string]bool{}}
+	return &Registry{interval: interval, entries: map[string]*entry{}, updated: map[string]bool{}}
 }
 
 // Version counts the changes that others want to hear of.
@@ -76,22 +76,22 @@
 // Heartbeat takes a heartbeat, and tells whether it changed what others want to hear of.
 func (r *Registry) Heartbeat(now time.Duration, record Record) bool {
 	record.HeardAgo, record.Late, record.Silent = 0, false, false
-	r.fresh[record.ID] = true
-	return r.put(now, record)
+	r.updated[record.ID] = true
+	return r.upsert(now, record)
 }
 
 // Deregister takes the news that a rater ends. It tells whether that is news.
 func (r *Registry) Deregister(now time.Duration, id string) bool {
-	r.fresh[id] = true
+	r.updated[id] = true
 	e := r.entries[id]
 	if e == nil {
-		r.entries[id] = &entry{record: Record{ID: id, State: Removed}, heard: now, version: r.next(id)}
+		r.entries[id] = &entry{record: Record{ID: id, State: Removed}, lastHeartbeat: now, version: r.nextVersion(id)}
 		return true
 	}
 	if e.record.State == Removed {
 		return false
 	}
-	e.record.State, e.heard, e.version = Removed, now, r.next(id)
+	e.record.State, e.lastHeartbeat, e.version = Removed, now, r.nextVersion(id)
 	return true
 }
 
@@ -101,16 +101,16 @@
 	for _, record := range records {
 		heard := now - record.HeardAgo
 		record.HeardAgo = 0
-		changed = r.put(heard, record) || changed
+		changed = r.upsert(heard, record) || changed
 	}
 	return changed
 }
 
-// next gives the version of a change of an entry.
-func (r *Registry) next(id string) uint64 {
+// nextVersion gives the version of a change of an entry.
+func (r *Registry) nextVersion(id string) uint64 {
 	r.version++
 	r.changes = append(r.changes, change{r.version, id})
-	if len(r.changes) > 2*len(r.entries)+leastChanges {
+	if len(r.changes) > 2*len(r.entries)+minChanges {
 		r.changes = slices.DeleteFunc(r.changes, func(c change) bool {
 			e := r.entries[c.id]
 			return c.version != r.version && (e == nil || e.version != c.version)
@@ -119,44 +119,44 @@
 	return r.version
 }
 
-func (r *Registry) put(heard time.Duration, record Record) bool {
+func (r *Registry) upsert(lastHeartbeat time.Duration, record Record) bool {
 	e := r.entries[record.ID]
 	if e == nil {
 		record.Late, record.Silent = false, false
-		r.entries[record.ID] = &entry{record: record, heard: heard, version: r.next(record.ID)}
-		r.displace(&record)
+		r.entries[record.ID] = &entry{record: record, lastHeartbeat: lastHeartbeat, version: r.nextVersion(record.ID)}
+		r.removeDisplaced(&record)
 		return true
 	}
 	if e.record.State == Removed || record.Sequence < e.record.Sequence && record.State <= e.record.State {
 		return false
 	}
-	e.heard = max(e.heard, heard)
-	was := e.record
-	state := max(record.State, was.State) // one that leaves does not come back under the same id
+	e.lastHeartbeat = max(e.lastHeartbeat, lastHeartbeat)
+	previous := e.record
+	state := max(record.State, previous.State) // one that leaves does not come back under the same id
 	if record.State == Removed && record.Backend == "" {
-		record = was
+		record = previous
 	}
-	stale := heard < e.heard
-	record.State, record.Late, record.Silent = state, was.Late && stale, was.Silent && stale
-	record.Sequence = max(record.Sequence, was.Sequence)
+	stale := lastHeartbeat < e.lastHeartbeat
+	record.State, record.Late, record.Silent = state, previous.Late && stale, previous.Silent && stale
+	record.Sequence = max(record.Sequence, previous.Sequence)
 	e.record = record
-	same := was.State == record.State && was.Address == record.Address && was.Backend == record.Backend &&
-		was.Late == record.Late && was.Silent == record.Silent && was.Slots == record.Slots && (was.WarmupLeft > 0) == (record.WarmupLeft > 0)
-	if same {
+	unchanged := previous.State == record.State && previous.Address == record.Address && previous.Backend == record.Backend &&
+		previous.Late == record.Late && previous.Silent == record.Silent && previous.Slots == record.Slots && (previous.WarmupLeft > 0) == (record.WarmupLeft > 0)
+	if unchanged {
 		return false
 	}
-	e.version = r.next(record.ID)
+	e.version = r.nextVersion(record.ID)
 	return true
 }
 
-// displace notes that the raters that had an address before have gone.
-func (r *Registry) displace(newcomer *Record) {
+// removeDisplaced notes that the raters that had an address before have gone.
+func (r *Registry) removeDisplaced(newcomer *Record) {
 	if newcomer.State != Ready {
 		return
 	}
 	for _, e := range r.entries {
 		if e.record.Address == newcomer.Address && e.record.ID != newcomer.ID && e.record.State != Removed && newcomer.Address != "" {
-			e.record.State, e.version = Removed, r.next(e.record.ID)
+			e.record.State, e.version = Removed, r.nextVersion(e.record.ID)
 		}
 	}
 }
@@ -166,31 +166,31 @@
 func (r *Registry) Expire(now time.Duration) bool {
 	before := r.version
 	for id, e := range r.entries {
-		silent := now - e.heard
+		silent := now - e.lastHeartbeat
 		switch {
 		case e.record.State == Removed:
-			if silent > goneKept+silentIntervals*r.interval {
+			if silent > removedTTL+lostIntervals*r.interval {
 				delete(r.entries, id)
 			}
 		case silent > forgetIntervals*r.interval: // other copies may have heard it: that it left is not to be told
 			delete(r.entries, id)
-		case silent > silentIntervals*r.interval:
-			r.mark(e, true, true)
-		case silent > time.Duration(lateIntervals*float64(r.interval)):
-			r.mark(e, true, false)
+		case silent > lostIntervals*r.interval:
+			r.setOverdue(e, true, true)
+		case silent > time.Duration(overdueIntervals*float64(r.interval)):
+			r.setOverdue(e, true, false)
 		default:
-			r.mark(e, false, false)
+			r.setOverdue(e, false, false)
 		}
 	}
 	return r.version != before
 }
 
-// mark notes how long a rater has been silent. A silent one that is heard again is as before.
-func (r *Registry) mark(e *entry, late, silent bool) {
+// setOverdue notes how long a rater has been silent. A silent one that is heard again is as before.
+func (r *Registry) setOverdue(e *entry, late, silent bool) {
 	if e.record.Late == late && e.record.Silent == silent {
 		return
 	}
-	e.record.Late, e.record.Silent, e.version = late, silent, r.next(e.record.ID)
+	e.record.Late, e.record.Silent, e.version = late, silent, r.nextVersion(e.record.ID)
 }
 
 // Unresponsive gives the ids of the raters that are late or silent.
@@ -217,7 +217,7 @@
 	var records []Record
 	for _, c := range r.changes[first:] {
 		if e := r.entries[c.id]; e != nil && e.version == c.version {
-			records = append(records, e.copy(now))
+			records = append(records, e.snapshot(now))
 		}
 	}
 	slices.SortFunc(records, compareRecords)
@@ -226,13 +226,13 @@
 
 // DrainUpdates gives the records that were heard from here since the last call.
 func (r *Registry) DrainUpdates(now time.Duration) []Record {
-	records := make([]Record, 0, len(r.fresh))
-	for id := range r.fresh {
+	records := make([]Record, 0, len(r.updated))
+	for id := range r.updated {
 		if e := r.entries[id]; e != nil {
-			records = append(records, e.copy(now))
+			records = append(records, e.snapshot(now))
 		}
 	}
-	clear(r.fresh)
+	clear(r.updated)
 	slices.SortFunc(records, compareRecords)
 	return records
 }
@@ -246,12 +246,12 @@
 	if e == nil {
 		return Record{}, false
 	}
-	return e.copy(now), true
+	return e.snapshot(now), true
 }
 
-func (e *entry) copy(now time.Duration) Record {
+func (e *entry) snapshot(now time.Duration) Record {
 	record := e.record
-	record.HeardAgo = max(0, now-e.heard)
+	record.HeardAgo = max(0, now-e.lastHeartbeat)
 	return record
 }
 
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -116,7 +116,7 @@
 	require.Len(t, r.ChangedSince(0, 0), 2)
 	require.Len(t, r.ChangedSince(0, r.Version()-1), 1)
 	require.Empty(t, r.ChangedSince(0, r.Version()))
-	require.LessOrEqual(t, len(r.changes), 2*2+leastChanges+1)
+	require.LessOrEqual(t, len(r.changes), 2*2+minChanges+1)
 }
 
 func TestACopyThatDoesNotHearARaterDoesNotSpeakForTheOthers(t *testing.T) {
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -17,10 +17,10 @@
 
 // The figures of connections.
 const (
-	dialTimeout  = 400 * time.Millisecond
-	dialEager    = 100 * time.Millisecond // the same for a process that has just started: its peers may be starting too
-	userTimeout  = time.Second            // after which unacknowledged bytes end a connection
-	stalledAfter = 250 * time.Millisecond // without a byte, after which a large answer is taken to have stalled
+	dialTimeout      = 400 * time.Millisecond
+	eagerDialTimeout = 100 * time.Millisecond // the same for a process that has just started: its peers may be starting too
+	userTimeout      = time.Second            // after which unacknowledged bytes end a connection
+	stallTimeout     = 250 * time.Millisecond // without a byte, after which a large answer is taken to have stalled
 )
 
 // ErrTimeout says that a call was not answered in time: whether it was carried out is not known.
@@ -36,7 +36,7 @@
 
 	eager atomic.Bool
 	mu    sync.Mutex
-	peers map[string]*peer
+	peers map[string]*peerConn
 }
 
 // SetEager makes connections be given up and tried again soon. Packets to a machine that is not up yet are lost, and are
@@ -45,24 +45,24 @@
 
 func (p *Pool) dialTimeout() time.Duration {
 	if p.eager.Load() {
-		return dialEager
+		return eagerDialTimeout
 	}
 	return dialTimeout
 }
 
-type peer struct {
+type peerConn struct {
 	mu     sync.Mutex
 	client *rpc.Client
 	readAt atomic.Int64 // when bytes last came, in nanoseconds
 }
 
-// watched notes when bytes come.
-type watched struct {
+// timedConn notes when bytes come.
+type timedConn struct {
 	net.Conn
 	readAt *atomic.Int64
 }
 
-func (w watched) Read(into []byte) (int, error) {
+func (w timedConn) Read(into []byte) (int, error) {
 	n, err := w.Conn.Read(into)
 	if n > 0 {
 		w.readAt.Store(time.Now().UnixNano())
@@ -71,14 +71,14 @@
 }
 
 // NewPool makes an empty pool.
-func NewPool() *Pool { return &Pool{peers: map[string]*peer{}} }
+func NewPool() *Pool { return &Pool{peers: map[string]*peerConn{}} }
 
-func (p *Pool) peer(address string) *peer {
+func (p *Pool) peerConn(address string) *peerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one := p.peers[address]
 	if one == nil {
-		one = &peer{}
+		one = &peerConn{}
 		p.peers[address] = one
 	}
 	return one
@@ -96,7 +96,7 @@
 }
 
 func (p *Pool) call(address, method string, args, reply any, wait, more time.Duration) error {
-	one := p.peer(address)
+	one := p.peerConn(address)
 	client, err := one.connect(address, p.dialTimeout(), p.Wrap)
 	if err != nil {
 		return err
@@ -113,24 +113,24 @@
 			}
 			return call.Error
 		case <-timer.C:
-			if more <= 0 || !one.receiving() {
+			if more <= 0 || !one.receivedRecently() {
 				one.drop(client)
 				return ErrTimeout
 			}
-			more -= stalledAfter
-			timer.Reset(stalledAfter)
+			more -= stallTimeout
+			timer.Reset(stallTimeout)
 		}
 	}
 }
 
-// receiving tells whether bytes came not long ago.
-func (one *peer) receiving() bool {
-	return time.Since(time.Unix(0, one.readAt.Load())) < stalledAfter
+// receivedRecently tells whether bytes came not long ago.
+func (one *peerConn) receivedRecently() bool {
+	return time.Since(time.Unix(0, one.readAt.Load())) < stallTimeout
 }
 
 // Forget closes the connection to a peer.
 func (p *Pool) Forget(address string) {
-	one := p.peer(address)
+	one := p.peerConn(address)
 	one.mu.Lock()
 	client := one.client
 	one.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-func (one *peer) connect(address string, timeout time.Duration, wrap func(net.Conn) net.Conn) (*rpc.Client, error) {
+func (one *peerConn) connect(address string, timeout time.Duration, wrap func(net.Conn) net.Conn) (*rpc.Client, error) {
 	if !one.mu.TryLock() {
 		return nil, ErrBusy
 	}
@@ -154,11 +154,11 @@
 	if wrap != nil {
 		connection = wrap(connection)
 	}
-	one.client = rpc.NewClient(watched{connection, &one.readAt})
+	one.client = rpc.NewClient(timedConn{connection, &one.readAt})
 	return one.client, nil
 }
 
-func (one *peer) drop(client *rpc.Client) {
+func (one *peerConn) drop(client *rpc.Client) {
 	one.mu.Lock()
 	if one.client == client {
 		one.client = nil
@@ -169,12 +169,12 @@
 
 // Dial makes a TCP connection that ends when its bytes are not acknowledged for so long.
 func Dial(address string, timeout, unacknowledged time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: userTimeoutOf(unacknowledged)}
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout(unacknowledged)}
 	return dialer.Dial("tcp4", address)
 }
 
-// userTimeoutOf sets the time for which bytes of a socket may stay unacknowledged.
-func userTimeoutOf(unacknowledged time.Duration) func(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets the time for which bytes of a socket may stay unacknowledged.
+func setUserTimeout(unacknowledged time.Duration) func(_, _ string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
@@ -186,7 +186,7 @@
 
 // Listen opens a listener whose connections end when their bytes are not acknowledged for a while.
 func Listen(address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1, Control: userTimeoutOf(userTimeout)}
+	config := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout(userTimeout)}
 	return config.Listen(context.Background(), "tcp4", address)
 }
 
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -76,7 +76,7 @@
 	pool := NewPool()
 	require.Equal(t, dialTimeout, pool.dialTimeout())
 	pool.SetEager(true)
-	require.Equal(t, dialEager, pool.dialTimeout())
+	require.Equal(t, eagerDialTimeout, pool.dialTimeout())
 	pool.SetEager(false)
 	require.Equal(t, dialTimeout, pool.dialTimeout())
 }
