--- /dev/null
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -0,0 +1,71 @@
+package controlplane
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"slices"
+
+	"linenwheel.dev/linenwheel/internal/fleet/replica"
+	"linenwheel.dev/linenwheel/internal/fleet/settings"
+)
+
+const (
+	snapshotLinkShare = 0.3     // of the machine's link, that a snapshot transfer may use
+	bytesPerMegabit   = 1e6 / 8 // for LinkMbps
+)
+
+// newMachine returns the replica's state machine, restored from what was stored. Without stored state, or where that belongs
+// to another address, this process is a new member and stores its identity before it takes part: it would otherwise come back
+// under another incarnation after having voted. Only a founder may propose the first view, and only where the platform says
+// that the whole system starts for the first time: two founding views would be two control planes.
+func (n *Node) newMachine(stored replica.Stored) (*replica.Machine, error) {
+	set := n.settings
+	seeds := seedAddresses(set)
+	if stored.Self.Address != set.SelfInternal() {
+		stored = replica.Stored{Self: replica.Member{Address: set.SelfInternal(), Incarnation: randomID(), Domain: set.FailureDomain()}}
+		stored.Founder = set.Bootstrap && slices.Contains(seeds, set.SelfInternal())
+		if stored.Founder {
+			stored.Founders = seeds
+		}
+		if n.store != nil {
+			identity := replica.SaveIdentity{Self: stored.Self, Founder: stored.Founder, Founders: stored.Founders}
+			if err := n.store.Write([]replica.Record{identity}); err != nil {
+				return nil, err
+			}
+		}
+	}
+	config := replica.DefaultConfig()
+	config.MaxFailures = set.MaxFailures()
+	config.Seeds = seeds
+	config.CanVote = set.Counts || set.DataDir != ""
+	if set.LinkMbps > 0 {
+		config.TransferRate = int(set.LinkMbps * snapshotLinkShare * bytesPerMegabit)
+	}
+	return replica.New(config, stored, n.now())
+}
+
+// seedAddresses returns the internal addresses of the seeds, sorted and without doubles.
+func seedAddresses(set *settings.Settings) []string {
+	var addresses []string
+	for _, seed := range set.Seeds {
+		if address := set.InternalAddress(seed); address != "" && !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
+		}
+	}
+	slices.Sort(addresses)
+	return addresses
+}
+
+// ApplySettings applies a settings file that was changed while the process runs: the seeds may have changed.
+func (n *Node) ApplySettings(set *settings.Settings) {
+	n.replicator.SetSeeds(seedAddresses(set))
+}
+
+// randomID returns a random number of 63 bits that is not 0.
+func randomID() uint64 {
+	var bytes [8]byte
+	if _, err := rand.Read(bytes[:]); err != nil {
+		panic(err)
+	}
+	return binary.BigEndian.Uint64(bytes[:])>>1 + 1
+}
--- a/internal/fleet/controlplane/spread.go
+++ b/internal/fleet/controlplane/deregistration.go
@@ -9,31 +9,31 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// The figures of acknowledging that a rater leaves. A node of the data plane turns away from a control process whose list of
-// raters was certainly whole longer ago than distribution.MaxRegistryAge, at its next answer to a poll. So a process that has been
-// silent for unresponsiveAfter is followed by no node any more, or has the news from others.
+// Parameters of the acknowledgement of a deregistration. At its next answer to a poll, a node of the data plane turns away from
+// a control process whose registry was confirmed longer ago than distribution.MaxRegistryAge. So no node follows a process any
+// more that has been unresponsive for unresponsiveAfter, unless that has the deregistration from others.
 const (
-	replicateTimeout       = 850 * time.Millisecond // in which the others must have the news; a rater waits for a second
-	replicateCallTimeout   = 250 * time.Millisecond // that one exchange may take
+	replicateTimeout       = 850 * time.Millisecond // with all attempts; a backend waits for a second
+	replicateCallTimeout   = 250 * time.Millisecond // of one exchange
 	replicateRetryInterval = 20 * time.Millisecond
 	unresponsiveAfter      = 2 * time.Second
 )
 
-// replicateDeregistration has the news that a rater leaves known before it is acknowledged: by a majority of the voters, and by every
-// control process that a node of the data plane may be following.
+// replicateDeregistration returns nil when the record of a backend that drains or has ended is known to a majority of the
+// voters and to every control process that a node of the data plane may follow. The kind of its error is OutcomeUnknown.
 func (g *gossiper) replicateDeregistration(record registry.Record) error {
 	if g.isAcknowledged(record.ID) {
 		return nil
 	}
 	began := g.node.now()
-	waiting := g.peers()
-	knows := map[string]bool{}
+	pending := g.peers()
+	replicated := map[string]bool{}
 	for {
-		for _, address := range g.exchangeAll(waiting, []registry.Record{record}) {
-			knows[address] = true
+		for _, address := range g.exchangeAll(pending, []registry.Record{record}) {
+			replicated[address] = true
 		}
-		waiting = slices.DeleteFunc(waiting, func(address string) bool { return knows[address] })
-		if g.replicatedWidely(knows, waiting) {
+		pending = slices.DeleteFunc(pending, func(address string) bool { return replicated[address] })
+		if g.replicatedWidely(replicated, pending) {
 			g.setAcknowledged(record.ID)
 			return nil
 		}
@@ -44,32 +44,33 @@
 	}
 }
 
-// exchangeAll exchanges with several processes at once, and gives those that answered.
+// exchangeAll exchanges with several processes at once and returns the addresses of those that answered.
 func (g *gossiper) exchangeAll(addresses []string, records []registry.Record) []string {
-	answers := make(chan string, len(addresses))
+	results := make(chan string, len(addresses))
 	for _, address := range addresses {
 		go func() {
 			if !g.exchange(address, records, replicateCallTimeout) {
 				address = ""
 			}
-			answers <- address
+			results <- address
 		}()
 	}
 	var answered []string
 	for range addresses {
-		if address := <-answers; address != "" {
+		if address := <-results; address != "" {
 			answered = append(answered, address)
 		}
 	}
 	return answered
 }
 
-// replicatedWidely tells whether a majority of the voters has some news, and all others that do not have been silent for long.
-func (g *gossiper) replicatedWidely(knows map[string]bool, waiting []string) bool {
+// replicatedWidely reports whether a majority of the voters has a record, and all other processes that do not have it have
+// been unresponsive for so long that no node of the data plane follows them.
+func (g *gossiper) replicatedWidely(replicated map[string]bool, pending []string) bool {
 	published, _ := g.node.replicator.Published()
 	voters := 0
 	for _, voter := range published.View.Voters {
-		if voter == published.Self || knows[voter.Address] {
+		if voter == published.Self || replicated[voter.Address] {
 			voters++
 		}
 	}
@@ -79,7 +80,8 @@
 	now := g.node.now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, address := range waiting {
+	for _, address := range pending {
+		// A process that has just started does not know yet when the others were last responsive.
 		if now-max(g.lastExchanges[address], g.started) < unresponsiveAfter {
 			return false
 		}
@@ -99,7 +101,7 @@
 	g.acknowledged[id] = true
 }
 
-// pruneAcknowledged forgets the raters that the registry has forgotten.
+// pruneAcknowledged removes the backends that the registry no longer has.
 func (g *gossiper) pruneAcknowledged() {
 	g.node.mu.Lock()
 	defer g.node.mu.Unlock()
@@ -112,8 +114,9 @@
 	}
 }
 
-// registryConfirmedAt is the newest time at which this process's list of raters certainly held everything that was acknowledged: it
-// has since exchanged with a majority of the voters. 0 = never.
+// registryConfirmedAt returns the newest time at which this process's registry certainly had every acknowledged
+// deregistration, 0 for never. Each of those is known to a majority of the voters, and so to one at least of any majority that
+// this process has exchanged with since: the median of the voters' exchanges is that time.
 func (g *gossiper) registryConfirmedAt(view *replica.View, self replica.Member) time.Duration {
 	if len(view.Voters) == 0 {
 		return 0
--- a/internal/fleet/controlplane/gossip.go
+++ b/internal/fleet/controlplane/gossip.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"context"
 	"slices"
 	"strings"
 	"sync"
@@ -9,24 +10,23 @@
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 )
 
-// The figures of the exchange of registries.
+// Parameters of the exchange of registries.
 const (
 	gossipInterval = 400 * time.Millisecond
-	gossipTimeout  = 350 * time.Millisecond
-	callerTTL      = 3 * time.Second
-	methodGossip   = "Registry.Exchange"
+	gossipTimeout  = 350 * time.Millisecond // of one exchange of the periodic round
+	callerTTL      = 3 * time.Second        // how long a process that is neither voter nor seed counts as a peer after its last call
 )
 
-// ExchangeRequest hands over records and asks for those that changed.
+// ExchangeRequest sends records and requests those that changed at the receiver.
 type ExchangeRequest struct {
-	Address string
-	Zone    string
+	Address string // internal address of the sender
+	Zone    string // of the sender
 	Records []registry.Record
-	Owner   uint64 // the copy that Since counts in
-	Since   uint64
+	Owner   uint64 // the registry whose versions Since counts; 0 or another than the receiver's: all records are requested
+	Since   uint64 // the version that the sender has
 }
 
-// ExchangeReply brings records.
+// ExchangeReply returns the changed records and the version that they lead to.
 type ExchangeReply struct {
 	Zone    string
 	Owner   uint64
@@ -34,83 +34,98 @@
 	Records []registry.Record
 }
 
-// gossiper keeps the copies of the registry alike.
+// gossiper keeps the control processes' replicas of the registry alike: each process pushes what it received from backends to
+// all others in rounds, and pulls what changed there.
 type gossiper struct {
-	node *Node
-
-	mu                 sync.Mutex
-	zones              map[string]string
-	registryOwners     map[string]uint64
-	registryVersions   map[string]uint64
-	lastCalls          map[string]time.Duration // when another process last called
-	loggedUnresponsive string                   // the raters that were last logged as not heard
-	started            time.Duration            // when this process began to exchange
-
-	// exchanged is when the newest exchange began that another process answered: what that process had then is here too.
+	node    *Node
+	started time.Duration // when this process began to gossip
+
+	loggedUnresponsive string // the backends that were last logged as unresponsive; guarded by Node.mu
+
+	mu               sync.Mutex
+	zones            map[string]string        // by address, as the three below
+	registryOwners   map[string]uint64        // the registry whose versions registryVersions counts
+	registryVersions map[string]uint64        // the version that was received last
+	lastCalls        map[string]time.Duration // when another process last called this one
+	// lastExchanges is when the newest exchange began that another process answered. This replica has all that the other had
+	// then, which is why the begin counts and not the end.
 	lastExchanges map[string]time.Duration
-	inFlight      map[string]bool // the processes to which an exchange of the ordinary round is under way
-	acknowledged  map[string]bool // the raters whose leaving was acknowledged
+	inFlight      map[string]bool // addresses with an exchange of the periodic round under way
+	acknowledged  map[string]bool // backends whose deregistration was acknowledged, by ID
 }
 
 func newGossiper(n *Node) *gossiper {
-	g := &gossiper{node: n, zones: map[string]string{}, registryOwners: map[string]uint64{}, registryVersions: map[string]uint64{},
-		lastCalls: map[string]time.Duration{}, lastExchanges: map[string]time.Duration{}, inFlight: map[string]bool{}, acknowledged: map[string]bool{},
-		started: n.now()}
-	g.zones[n.settings.SelfInternal()] = n.settings.Zone
-	return g
+	return &gossiper{
+		node:             n,
+		started:          n.now(),
+		zones:            map[string]string{n.settings.SelfInternal(): n.settings.Zone},
+		registryOwners:   map[string]uint64{},
+		registryVersions: map[string]uint64{},
+		lastCalls:        map[string]time.Duration{},
+		lastExchanges:    map[string]time.Duration{},
+		inFlight:         map[string]bool{},
+		acknowledged:     map[string]bool{},
+	}
 }
 
+// zoneOf returns a control process's zone, empty where it is not known.
 func (g *gossiper) zoneOf(address string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.zones[address]
 }
 
-// peers are the internal addresses of the other control processes.
+// peers returns the internal addresses of the other control processes: voters, seeds, and those that called recently.
 func (g *gossiper) peers() []string {
 	published, _ := g.node.replicator.Published()
-	var others []string
+	var peers []string
 	for _, member := range published.View.Voters {
 		if member.Address != published.Self.Address {
-			others = append(others, member.Address)
+			peers = append(peers, member.Address)
 		}
 	}
-	for _, seed := range g.node.seedAddresses(g.node.settings) {
-		if seed != published.Self.Address && !slices.Contains(others, seed) {
-			others = append(others, seed)
+	for _, seed := range seedAddresses(g.node.settings) {
+		if seed != published.Self.Address && !slices.Contains(peers, seed) {
+			peers = append(peers, seed)
 		}
 	}
-	return g.withRecentCallers(others)
+	return g.withRecentCallers(peers)
 }
 
-// withRecentCallers adds the processes that are neither voters nor seeds and have called not long ago.
-func (g *gossiper) withRecentCallers(others []string) []string {
+// withRecentCallers appends the processes that called within callerTTL, and forgets those that did not.
+func (g *gossiper) withRecentCallers(peers []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for address, at := range g.lastCalls {
 		switch {
 		case g.node.now()-at > callerTTL:
 			delete(g.lastCalls, address)
-		case !slices.Contains(others, address):
-			others = append(others, address)
+		case !slices.Contains(peers, address):
+			peers = append(peers, address)
 		}
 	}
-	return others
+	return peers
 }
 
-func (g *gossiper) run() {
+// run gossips until the context ends. It does not wait for exchanges under way: they end within gossipTimeout.
+func (g *gossiper) run(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
-	for range ticker.C {
-		g.round()
+	for {
+		select {
+		case <-ticker.C:
+			g.round()
+		case <-ctx.Done():
+			return
+		}
 	}
 }
 
-// round exchanges what was heard since the last one, and looks for raters that have fallen silent.
+// round expires what is too old and exchanges the records that backends have updated here since the last round.
 func (g *gossiper) round() {
 	n := g.node
 	n.mu.Lock()
-	fresh := n.registry.DrainUpdates(n.now())
+	updates := n.registry.DrainUpdates(n.now())
 	if n.registry.Expire(n.now()) {
 		n.notifyChanged()
 		g.logUnresponsive()
@@ -121,14 +136,14 @@
 		if g.beginExchange(address) {
 			go func() {
 				defer g.endExchange(address)
-				g.exchange(address, fresh, gossipTimeout)
+				g.exchange(address, updates, gossipTimeout)
 			}()
 		}
 	}
 	g.pruneAcknowledged()
 }
 
-// beginExchange notes that an exchange of the ordinary round is under way; false: the one before has not ended.
+// beginExchange reports whether an exchange of the periodic round may begin: the one before has ended.
 func (g *gossiper) beginExchange(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,26 +160,18 @@
 	delete(g.inFlight, address)
 }
 
-// logUnresponsive logs which raters have been silent for long, when they are others than before. The lock is held.
+// logUnresponsive logs the lost backends when they are not the same as before. Node.mu is held.
 func (g *gossiper) logUnresponsive() {
-	late, silent := g.node.registry.Unresponsive()
-	if names := strings.Join(silent, " "); names != g.loggedUnresponsive {
+	overdue, lost := g.node.registry.Unresponsive()
+	if names := strings.Join(lost, " "); names != g.loggedUnresponsive {
 		g.loggedUnresponsive = names
-		g.node.log.Info("raters not heard", "silent", silent, "late", late)
-	}
-}
-
-// expireSessions forgets nodes of the data plane that have not polled for a while. The lock is held.
-func (n *Node) expireSessions() {
-	for session, polled := range n.sessions {
-		if n.now()-polled > sessionTTL {
-			delete(n.sessions, session)
-		}
+		g.node.log.Info("unresponsive raters changed", "lost", lost, "overdue", overdue)
 	}
 }
 
-// exchange hands records to another process and takes its news; it tells whether that answered.
-func (g *gossiper) exchange(address string, records []registry.Record, wait time.Duration) bool {
+// exchange sends records to another process and merges what changed there. It reports whether the other answered in time: it
+// then has the records, and this process has all that the other had when the exchange began.
+func (g *gossiper) exchange(address string, records []registry.Record, timeout time.Duration) bool {
 	n := g.node
 	began := n.now()
 	g.mu.Lock()
@@ -172,7 +179,7 @@
 		Owner: g.registryOwners[address], Since: g.registryVersions[address]}
 	g.mu.Unlock()
 	var reply ExchangeReply
-	if err := n.pool.Call(address, methodGossip, &request, &reply, wait); err != nil {
+	if err := n.pool.Call(address, methodGossip, &request, &reply, timeout); err != nil {
 		return false
 	}
 	n.mergeRecords(reply.Records)
@@ -183,7 +190,7 @@
 	return true
 }
 
-// handleExchange answers another copy's exchange.
+// handleExchange answers another process's exchange.
 func (g *gossiper) handleExchange(request *ExchangeRequest, reply *ExchangeReply) {
 	n := g.node
 	g.mu.Lock()
@@ -201,6 +208,7 @@
 	reply.Records = n.registry.ChangedSince(n.now(), since)
 }
 
+// mergeRecords merges records of another process's registry and wakes the polls where that changed anything.
 func (n *Node) mergeRecords(records []registry.Record) {
 	if len(records) == 0 {
 		return
--- a/internal/fleet/controlplane/outbox.go
+++ b/internal/fleet/controlplane/outbox.go
@@ -8,22 +8,24 @@
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
 
-// The figures of the messages between members.
+// Parameters of the messages between members.
 const (
-	queueSize        = 64
-	controlTimeout   = time.Second     // that a small message may take
-	bulkTimeout      = 2 * time.Second // that one with orders or a piece of a snapshot may take over a small, busy link
+	queueSize        = 64              // messages
+	controlTimeout   = time.Second     // of a heartbeat, a vote or another small message
+	bulkTimeout      = 2 * time.Second // of a message with orders or a chunk of a snapshot, over a small and busy link
 	queueIdleTimeout = 10 * time.Second
 )
 
-// queueKey orders the messages to one peer. Those with orders do not hold up heartbeats and votes.
+// queueKey identifies a queue. A peer has two, so that messages with orders do not delay heartbeats and votes: late ones would
+// look like a failed member.
 type queueKey struct {
 	address string
 	bulk    bool
 }
 
-// outbox sends messages: for each lane there is one goroutine, which ends when there is nothing to do, and a bounded queue.
-// What finds no place is dropped; the machine sends again what matters.
+// outbox sends the replica's messages. Each queue is bounded and has one goroutine, which sends in order and ends when the
+// queue has been empty for queueIdleTimeout. What exceeds a queue is dropped, and lost messages are not repeated here: the
+// replica sends again what matters.
 type outbox struct {
 	pool *transport.Pool
 
@@ -36,6 +38,7 @@
 	return &outbox{pool: pool, queues: map[queueKey]chan replica.Envelope{}}
 }
 
+// isBulk reports whether a message may be large.
 func isBulk(message replica.Message) bool {
 	switch message.(type) {
 	case replica.Append, replica.FetchReply, replica.SnapshotChunk:
@@ -44,7 +47,7 @@
 	return false
 }
 
-// send queues a message.
+// send queues a message. It does not block.
 func (o *outbox) send(envelope replica.Envelope) {
 	key := queueKey{envelope.To.Address, isBulk(envelope.Body)}
 	o.mu.Lock()
@@ -64,11 +67,11 @@
 	}
 }
 
-// run sends the messages of a lane, one after the other.
+// run sends the messages of a queue, one after the other.
 func (o *outbox) run(key queueKey, queue chan replica.Envelope) {
-	wait := controlTimeout
+	timeout := controlTimeout
 	if key.bulk {
-		wait = bulkTimeout
+		timeout = bulkTimeout
 	}
 	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
@@ -79,7 +82,7 @@
 				return
 			}
 			var none struct{}
-			_ = o.pool.Call(envelope.To.Address, MethodDeliver, &envelope, &none, wait)
+			_ = o.pool.Call(envelope.To.Address, MethodDeliver, &envelope, &none, timeout)
 			idle.Reset(queueIdleTimeout)
 		case <-idle.C:
 			if o.removeIfEmpty(key, queue) {
@@ -90,7 +93,7 @@
 	}
 }
 
-// removeIfEmpty forgets a lane whose queue is empty.
+// removeIfEmpty removes a queue without messages. It reports whether it did, and its goroutine then has to end.
 func (o *outbox) removeIfEmpty(key queueKey, queue chan replica.Envelope) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -101,7 +104,7 @@
 	return true
 }
 
-// close ends the goroutines once their queues are empty.
+// close lets the goroutines send what is queued and then end. It does not wait for them.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- /dev/null
+++ b/internal/fleet/controlplane/published.go
@@ -0,0 +1,74 @@
+package controlplane
+
+import (
+	"time"
+
+	"linenwheel.dev/linenwheel/internal/fleet/operator"
+	"linenwheel.dev/linenwheel/internal/fleet/replica"
+)
+
+// Published is a copy of the replica's state for the rest of the process. It is read only. Its times are those of the
+// replicator's clock, 0 for never.
+type Published struct {
+	Self            replica.Member
+	View            replica.View
+	Healthy         bool   // the disk can be written to
+	Seq             uint64 // of State
+	State           *operator.State
+	ViewConfirmed   time.Duration // when the view was certainly the newest one
+	StateConfirmed  time.Duration // when State was certainly the newest committed one
+	AllVotersInView bool          // every other voter is known to be in this view
+	Released        bool          // this member has been replaced and may end
+	Standby         []replica.Member
+	CaughtUp        bool // this member has the state with which the view began, and what followed as far as it knows
+	log             replica.Log
+}
+
+// OrdersSince returns the committed orders after one sequence number up to another, nil where the log no longer has them all.
+func (p *Published) OrdersSince(from, to uint64) []operator.Order {
+	entries := p.log.Entries(from, to)
+	if entries == nil {
+		return nil
+	}
+	orders := make([]operator.Order, len(entries))
+	for i, entry := range entries {
+		orders[i] = entry.Order
+	}
+	return orders
+}
+
+// Published returns the newest published state, and a channel that is closed when another configuration or view is published,
+// or when the state is confirmed for the first time.
+func (r *Replicator) Published() (Published, <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.published, r.changed
+}
+
+// publish publishes the machine's state. It is called by the goroutine of Run, and before that starts.
+func (r *Replicator) publish() {
+	seq, state := r.machine.Committed()
+	next := Published{
+		Self:            r.machine.Self(),
+		View:            r.machine.View(),
+		Healthy:         r.machine.Healthy(),
+		Seq:             seq,
+		State:           state,
+		ViewConfirmed:   r.machine.ViewConfirmed(),
+		StateConfirmed:  r.machine.StateConfirmed(),
+		AllVotersInView: r.machine.AllVotersInView(),
+		Released:        r.machine.Released(),
+		Standby:         r.machine.Standby(),
+		CaughtUp:        r.machine.Status().Holds,
+		log:             r.machine.Log(),
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	changed := next.Seq != r.published.Seq || next.View.Epoch != r.published.View.Epoch ||
+		(next.StateConfirmed > 0) != (r.published.StateConfirmed > 0)
+	r.published = next
+	if changed {
+		close(r.changed)
+		r.changed = make(chan struct{})
+	}
+}
--- a/internal/fleet/controlplane/replicator.go
+++ b/internal/fleet/controlplane/replicator.go
@@ -7,77 +7,61 @@
 
 	"github.com/charmbracelet/log"
 
-	"linenwheel.dev/linenwheel/internal/fleet/errkind"
-	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 	"linenwheel.dev/linenwheel/internal/fleet/storage"
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
 
-// The figures of the replicator.
+// Parameters of the replicator.
 const (
 	tickInterval        = 50 * time.Millisecond
-	startupTickInterval = 15 * time.Millisecond // the same while a process that has just started is not confirmed yet
-	maxStartup          = 2 * time.Second       // but no longer
+	startupTickInterval = 15 * time.Millisecond // until the state is confirmed for the first time,
+	maxStartup          = 2 * time.Second       // but no longer than this
 	inboxSize           = 512
-	confirmTimeout      = 700 * time.Millisecond // after which a refusal or a read that cannot be confirmed is given up
 	diskRetryInterval   = 500 * time.Millisecond // between attempts to write to a disk that failed
 )
 
-// errDiskFailed says that the disk refused a write and has not been tried again yet.
+// errDiskFailed says that an earlier write to the disk failed and that the disk has not recovered yet.
 var errDiskFailed = errors.New("the disk refuses writes")
 
-// MethodDeliver is the method by which members hand each other messages.
-const MethodDeliver = "Peer.Deliver"
-
-// Published is what the rest of the process sees of the replica.
-type Published struct {
-	Self            replica.Member
-	View            replica.View
-	Healthy         bool
-	Seq             uint64
-	State           *operator.State
-	ViewConfirmed   time.Duration
-	StateConfirmed  time.Duration
-	AllVotersInView bool // every other voter is known to be in this view
-	Released        bool // this member may end: the others go on without it
-	Standby         []replica.Member
-	CaughtUp        bool // this member has the state with which the view began, and what followed as far as it knows
-	log             replica.Log
-}
-
-// submitResult is the end of an order.
-type submitResult struct {
-	revision int64
-	err      error
-}
-
-// Replicator drives one replica: it owns its goroutine, its disk and its messages.
+// Replicator drives one replica.Machine: it gives it ticks, messages and orders, stores its records, and then sends its
+// messages. All calls of the machine are made by the goroutine of Run; the methods below pass their work to it, or read the
+// published copy of its state.
 type Replicator struct {
 	clock   func() time.Duration
 	log     *log.Logger
 	outbox  *outbox
-	store   *storage.Store // nil: nothing is kept over the end of the process
+	store   *storage.Store // nil: the state does not outlive the process
 	machine *replica.Machine
 	inbox   chan func()
 	stopped chan struct{}
 
-	// Of the goroutine.
-	submissions   map[uint64]chan<- submitResult
+	// Owned by the goroutine of Run.
+	submissions   map[uint64]chan<- submitResult // orders without a result, by their IDs
 	confirmations confirmations
 	lastID        uint64
-	diskFailedAt  time.Duration
+	diskFailedAt  time.Duration // the last failure or attempt to recover
 
 	mu        sync.Mutex
 	published Published
-	changed   chan struct{}
+	changed   chan struct{} // closed and replaced by publish
 }
 
-// NewReplicator makes a replicator; Run drives it.
+// NewReplicator returns a replicator that Run drives. The clock is monotonic and always above 0. A nil store stands for a
+// member without a disk.
 func NewReplicator(clock func() time.Duration, logger *log.Logger, pool *transport.Pool, store *storage.Store,
 	machine *replica.Machine) *Replicator {
-	r := &Replicator{clock: clock, log: logger, outbox: newOutbox(pool), store: store, machine: machine, inbox: make(chan func(), inboxSize),
-		stopped: make(chan struct{}), submissions: map[uint64]chan<- submitResult{}, changed: make(chan struct{})}
+	r := &Replicator{
+		clock:       clock,
+		log:         logger,
+		outbox:      newOutbox(pool),
+		store:       store,
+		machine:     machine,
+		inbox:       make(chan func(), inboxSize),
+		stopped:     make(chan struct{}),
+		submissions: map[uint64]chan<- submitResult{},
+		changed:     make(chan struct{}),
+	}
 	r.publish()
 	return r
 }
@@ -86,7 +70,7 @@
 func (r *Replicator) Run() {
 	ticker := time.NewTicker(startupTickInterval)
 	defer ticker.Stop()
-	begin := r.clock()
+	began := r.clock()
 	r.outbox.pool.SetEager(true)
 	for starting := true; ; {
 		select {
@@ -100,7 +84,7 @@
 		}
 		r.resolveConfirmed()
 		r.publish()
-		if starting && (r.machine.StateConfirmed() > 0 || r.clock()-begin > maxStartup) {
+		if starting && (r.machine.StateConfirmed() > 0 || r.clock()-began > maxStartup) {
 			starting = false
 			r.outbox.pool.SetEager(false)
 			ticker.Reset(tickInterval)
@@ -108,13 +92,13 @@
 	}
 }
 
-// Stop ends Run.
+// Stop ends Run. It may be called once.
 func (r *Replicator) Stop() {
 	close(r.stopped)
 	r.outbox.close()
 }
 
-// enqueue hands work to the goroutine; false: it is too far behind.
+// enqueue passes work to the goroutine of Run. It returns false, and drops the work, where too much is queued already.
 func (r *Replicator) enqueue(work func()) bool {
 	select {
 	case r.inbox <- work:
@@ -124,45 +108,58 @@
 	}
 }
 
-// Deliver takes a message of another member.
+// Deliver passes another member's message to the replica. It may be dropped: the replicas send again what matters.
 func (r *Replicator) Deliver(envelope replica.Envelope) {
 	r.enqueue(func() {
 		r.step(func(now time.Duration) replica.Ready { return r.machine.Step(now, envelope) })
 	})
 }
 
-// step runs the machine, stores what it wants stored and then sends.
+// SetSeeds replaces the addresses of the seeds.
+func (r *Replicator) SetSeeds(addresses []string) {
+	r.enqueue(func() { r.machine.SetSeeds(addresses) })
+}
+
+// Leave makes the other members replace this one. Published.Released reports when they have.
+func (r *Replicator) Leave() {
+	r.enqueue(func() { r.step(r.machine.Leave) })
+}
+
+// step runs the machine, stores the records that it returns, and only then sends its messages and replies: a message may
+// promise what must survive a crash. Where the write fails, the step is rolled back and nothing is sent, as if it had not
+// been made. Messages to this member itself are further steps.
 func (r *Replicator) step(run func(now time.Duration) replica.Ready) {
 	pending := []func(time.Duration) replica.Ready{run}
 	for len(pending) > 0 {
-		before := r.machine.Checkpoint()
-		out := pending[0](r.clock())
+		checkpoint := r.machine.Checkpoint()
+		ready := pending[0](r.clock())
 		pending = pending[1:]
-		if err := r.write(out.Records); err != nil {
+		if err := r.write(ready.Records); err != nil {
 			if !errors.Is(err, errDiskFailed) {
-				r.log.Error("disk write failed; leaving the chain until it works again", "err", err)
+				r.log.Error("failed to write to disk", "err", err)
 				r.diskFailedAt = r.clock()
 			}
-			r.machine.Rollback(before)
+			r.machine.Rollback(checkpoint)
 			continue
 		}
-		r.logRecords(out.Records)
-		for _, envelope := range out.Messages {
+		r.logRecords(ready.Records)
+		for _, envelope := range ready.Messages {
 			if envelope.To.Address == r.machine.Self().Address {
 				pending = append(pending, func(now time.Duration) replica.Ready { return r.machine.Step(now, envelope) })
 				continue
 			}
 			r.outbox.send(envelope)
 		}
-		if len(out.Replies) > 0 {
-			r.publish() // who hears that an order was taken finds it here
+		if len(ready.Replies) > 0 {
+			r.publish() // before the replies: whoever learns that an order was committed must find it in Published
 		}
-		for _, reply := range out.Replies {
+		for _, reply := range ready.Replies {
 			r.resolve(reply)
 		}
 	}
 }
 
+// write stores records. It returns errDiskFailed without an attempt while the disk has not recovered from a failure.
 func (r *Replicator) write(records []replica.Record) error {
 	switch {
 	case r.store == nil || len(records) == 0:
@@ -173,7 +170,7 @@
 	return r.store.Write(records)
 }
 
-// recoverDisk tries whether a disk that failed takes writes again.
+// recoverDisk checks every diskRetryInterval whether a disk that failed can be written to, and then lets the machine go on.
 func (r *Replicator) recoverDisk() {
 	if r.machine.Healthy() || r.clock()-r.diskFailedAt < diskRetryInterval {
 		return
@@ -184,100 +181,28 @@
 			return
 		}
 	}
-	r.log.Info("disk takes writes again")
+	r.log.Info("disk recovered")
 	r.machine.SetHealthy()
 }
 
-// logRecords logs the views that were stored.
+// logRecords logs the views and snapshots that were stored.
 func (r *Replicator) logRecords(records []replica.Record) {
 	for _, record := range records {
 		switch record := record.(type) {
 		case replica.SaveView:
-			r.log.Info("view", "epoch", record.Proposal.View.Epoch, "chain", addresses(record.Proposal.View.Chain),
+			r.log.Info("view installed", "epoch", record.Proposal.View.Epoch, "chain", addresses(record.Proposal.View.Chain),
 				"voters", addresses(record.Proposal.View.Voters), "seq", record.Proposal.Base.Seq)
 		case replica.SaveSnapshot:
-			r.log.Info("snapshot taken over", "seq", record.Snapshot.Seq)
+			r.log.Info("snapshot installed", "seq", record.Snapshot.Seq)
 		}
 	}
 }
 
+// addresses returns the members' addresses.
 func addresses(members []replica.Member) []string {
-	list := make([]string, len(members))
+	result := make([]string, len(members))
 	for i, member := range members {
-		list[i] = member.Address
-	}
-	return list
-}
-
-func (r *Replicator) publish() {
-	seq, state := r.machine.Committed()
-	next := Published{Self: r.machine.Self(), View: r.machine.View(), Healthy: r.machine.Healthy(), Seq: seq, State: state,
-		ViewConfirmed: r.machine.ViewConfirmed(), StateConfirmed: r.machine.StateConfirmed(), AllVotersInView: r.machine.AllVotersInView(), Released: r.machine.Released(),
-		Standby: r.machine.Standby(), CaughtUp: r.machine.Status().Holds, log: r.machine.Log()}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	news := next.Seq != r.published.Seq || next.View.Epoch != r.published.View.Epoch ||
-		(next.StateConfirmed > 0) != (r.published.StateConfirmed > 0)
-	r.published = next
-	if news {
-		close(r.changed)
-		r.changed = make(chan struct{})
-	}
-}
-
-// Published is the newest published state, and a channel that is closed when there is a newer version or view.
-func (r *Replicator) Published() (Published, <-chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.published, r.changed
-}
-
-// OrdersSince gives the committed orders that lead from one place to another, nil where they are not all kept.
-func (p *Published) OrdersSince(from, to uint64) []operator.Order {
-	entries := p.log.Entries(from, to)
-	if entries == nil {
-		return nil
-	}
-	orders := make([]operator.Order, len(entries))
-	for i, entry := range entries {
-		orders[i] = entry.Order
+		result[i] = member.Address
 	}
-	return orders
-}
-
-// Submit has an order taken by this member as the head.
-func (r *Replicator) Submit(order operator.Order, wait time.Duration) (int64, error) {
-	done := make(chan submitResult, 1)
-	var id uint64
-	queued := r.enqueue(func() {
-		r.lastID++
-		id = r.lastID
-		r.submissions[id] = done
-		r.step(func(now time.Duration) replica.Ready { return r.machine.Submit(now, id, order) })
-	})
-	if !queued {
-		return 0, errkind.New(errkind.OutcomeUnknown, "too many orders are waiting")
-	}
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case result := <-done:
-		return result.revision, result.err
-	case <-timer.C:
-		r.enqueue(func() {
-			delete(r.submissions, id)
-			r.machine.Withdraw(id)
-		})
-		return 0, errkind.New(errkind.OutcomeUnknown, "not committed in time")
-	}
-}
-
-// SetSeeds takes seeds that were exchanged.
-func (r *Replicator) SetSeeds(addresses []string) {
-	r.enqueue(func() { r.machine.SetSeeds(addresses) })
-}
-
-// Leave has the other members go on without this one. Published tells when they do.
-func (r *Replicator) Leave() {
-	r.enqueue(func() { r.step(r.machine.Leave) })
+	return result
 }
--- a/internal/fleet/controlplane/services.go
+++ b/internal/fleet/controlplane/services.go
@@ -1,29 +1,36 @@
 package controlplane
 
 import (
-	"time"
-
-	"linenwheel.dev/linenwheel/internal/fleet/distribution"
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// The methods by which control processes hand on the operator's calls.
+// The methods of the internal calls between control processes. These names, those of the services and those of the fields
+// below are on the wire: another version of this program uses them too.
 const (
+	// MethodDeliver is the method by which members send each other the replica's messages.
+	MethodDeliver = "Peer.Deliver"
+
 	methodSubmit = "Operator.Submit"
 	methodRead   = "Operator.Read"
+	methodGossip = "Registry.Exchange"
 )
 
-// services are the internal calls that this process answers.
+// services returns the services that this process serves on its internal port, by name.
 func (n *Node) services() map[string]any {
-	return map[string]any{"Peer": &peerService{n}, "Registry": &registryService{n}, "Operator": &operatorService{n},
-		"Distribution": &distributionService{n}, "Allowance": &quotaService{n}}
+	return map[string]any{
+		"Peer":         &peerService{n},
+		"Registry":     &registryService{n},
+		"Operator":     &operatorService{n},
+		"Distribution": &distributionService{n},
+		"Allowance":    &quotaService{n},
+	}
 }
 
 type peerService struct{ node *Node }
 
-// Deliver takes a message of another member.
+// Deliver passes another member's message to the replica.
 func (s *peerService) Deliver(envelope *replica.Envelope, _ *struct{}) error {
 	s.node.replicator.Deliver(*envelope)
 	return nil
@@ -31,7 +38,7 @@
 
 type registryService struct{ node *Node }
 
-// Exchange takes and gives records of raters.
+// Exchange merges another control process's records and returns those that changed here.
 func (s *registryService) Exchange(request *ExchangeRequest, reply *ExchangeReply) error {
 	s.node.gossip.handleExchange(request, reply)
 	return nil
@@ -39,7 +46,7 @@
 
 type operatorService struct{ node *Node }
 
-// SubmitReply is the end of an order.
+// SubmitReply is the outcome of an order. An error is sent as its kind and text, since net/rpc would keep the text only.
 type SubmitReply struct {
 	Revision int64
 	Failed   bool
@@ -47,7 +54,7 @@
 	Detail   string
 }
 
-// Submit has an order taken by this process, as the head.
+// Submit submits an order to this process as the head of the chain.
 func (s *operatorService) Submit(order *operator.Order, reply *SubmitReply) error {
 	revision, err := s.node.replicator.Submit(*order, submitTimeout)
 	reply.Revision = revision
@@ -57,10 +64,10 @@
 	return nil
 }
 
-// ReadReply is the newest configuration.
+// ReadReply is the newest configuration, as JSON.
 type ReadReply struct{ Document []byte }
 
-// Read gives the newest configuration, as the tail.
+// Read returns the newest configuration, read from this process as the tail of the chain.
 func (s *operatorService) Read(_ *struct{}, reply *ReadReply) error {
 	state, err := s.node.replicator.Read()
 	if err != nil {
@@ -69,85 +76,3 @@
 	reply.Document = state.Document.JSON()
 	return nil
 }
-
-type distributionService struct{ node *Node }
-
-// The figures of the long poll.
-const (
-	maxPollWait = 2 * time.Second       // that an answer waits for news
-	eventDelay  = 30 * time.Millisecond // that one with events of attempts waits for more of them
-	maxPatches  = 64                    // orders in one answer; a node that is further behind gets the whole document
-)
-
-// Poll answers a node of the data plane as soon as there is news for it.
-func (s *distributionService) Poll(request *distribution.PollRequest, reply *distribution.PollReply) error {
-	n := s.node
-	deadline := time.NewTimer(min(request.Hold, maxPollWait))
-	defer deadline.Stop()
-	for waiting := true; waiting; {
-		published, changed := n.replicator.Published()
-		n.mu.Lock()
-		news := n.changed
-		fresh := request.RegistryOwner != n.registryOwner || request.RegistryVersion != n.registry.Version() || n.leaving
-		events := n.events.hasNewFor(request.EventSeq, request.Session)
-		n.mu.Unlock()
-		if events && !fresh {
-			time.Sleep(eventDelay)
-			break
-		}
-		if fresh || published.Seq > request.ConfigSeq && published.StateConfirmed > 0 {
-			break
-		}
-		select {
-		case <-changed:
-		case <-news:
-		case <-deadline.C:
-			waiting = false
-		}
-	}
-	n.fillReply(request, reply)
-	return nil
-}
-
-// fillReply writes the answer to a poll.
-func (n *Node) fillReply(request *distribution.PollRequest, reply *distribution.PollReply) {
-	published, _ := n.replicator.Published()
-	now := n.now()
-	reply.Epoch, reply.Members = published.View.Epoch, n.controlMembers(published.View)
-	reply.Confirmed = published.StateConfirmed > 0
-	reply.ConfirmedAgo = now - published.StateConfirmed
-	reply.ConfigSeq = request.ConfigSeq
-	if reply.Confirmed && published.Seq > request.ConfigSeq {
-		n.fillConfig(&published, request, reply)
-	}
-	reply.ListConfirmed, reply.ListConfirmedAgo = n.registryAge(&published, now)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.sessions[request.Session] = now
-	reply.Sessions, reply.Leaving = len(n.sessions)*max(1, len(published.View.Chain)), n.leaving
-	reply.RegistryOwner, reply.RegistryVersion, reply.RegistryAge = n.registryOwner, n.registry.Version(), now
-	since := request.RegistryVersion
-	if request.RegistryOwner != n.registryOwner {
-		since, reply.Whole = 0, true
-	} else {
-		reply.Events = n.events.packNewFor(now, request.EventSeq, request.Session)
-	}
-	reply.EventSeq = n.events.lastSeq
-	reply.Records = n.registry.ChangedSince(now, since)
-}
-
-// registryAge tells how long ago this process's list of raters was certainly whole.
-func (n *Node) registryAge(published *Published, now time.Duration) (confirmed bool, ago time.Duration) {
-	at := n.gossip.registryConfirmedAt(&published.View, published.Self)
-	return at > 0, max(0, now-at)
-}
-
-// fillConfig writes what leads to the newest configuration.
-func (n *Node) fillConfig(published *Published, request *distribution.PollRequest, reply *distribution.PollReply) {
-	update, err := n.updates.get(published, request.ConfigSeq)
-	if err != nil {
-		n.log.Error("configuration not given out", "err", err)
-		return
-	}
-	reply.ConfigSeq, reply.Update = published.Seq, update
-}
--- /dev/null
+++ b/internal/fleet/controlplane/submit.go
@@ -0,0 +1,145 @@
+package controlplane
+
+import (
+	"time"
+
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
+	"linenwheel.dev/linenwheel/internal/fleet/operator"
+	"linenwheel.dev/linenwheel/internal/fleet/replica"
+)
+
+// confirmTimeout is how long a rejection or a read waits for its confirmation.
+const confirmTimeout = 700 * time.Millisecond
+
+// submitResult is the outcome of an order.
+type submitResult struct {
+	revision int64
+	err      error
+}
+
+// Submit submits an order to this member as the head of the chain, and returns the revision when it is committed. An error of
+// the kind OutcomeUnknown says that the order may have been committed or may still be.
+func (r *Replicator) Submit(order operator.Order, timeout time.Duration) (int64, error) {
+	result := make(chan submitResult, 1)
+	var id uint64 // read and written by the goroutine of Run only
+	queued := r.enqueue(func() {
+		r.lastID++
+		id = r.lastID
+		r.submissions[id] = result
+		r.step(func(now time.Duration) replica.Ready { return r.machine.Submit(now, id, order) })
+	})
+	if !queued {
+		return 0, errkind.New(errkind.OutcomeUnknown, "too many orders are waiting")
+	}
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case result := <-result:
+		return result.revision, result.err
+	case <-timer.C:
+		r.enqueue(func() {
+			delete(r.submissions, id)
+			r.machine.Withdraw(id)
+		})
+		return 0, errkind.New(errkind.OutcomeUnknown, "not committed in time")
+	}
+}
+
+// Read returns the newest committed state, confirmed after this call began, from this member as the tail of the chain. Its
+// errors have the kind OutcomeUnknown.
+func (r *Replicator) Read() (*operator.State, error) {
+	result := make(chan *operator.State, 1)
+	queued := r.enqueue(func() {
+		r.confirmations.reads = append(r.confirmations.reads, pendingRead{r.clock(), result})
+		r.step(r.machine.Heartbeat)
+	})
+	if !queued {
+		return nil, errkind.New(errkind.OutcomeUnknown, "this member is behind")
+	}
+	timer := time.NewTimer(confirmTimeout + tickInterval*2)
+	defer timer.Stop()
+	select {
+	case state := <-result:
+		if state == nil {
+			return nil, errkind.New(errkind.OutcomeUnknown, "the state could not be confirmed")
+		}
+		return state, nil
+	case <-timer.C:
+		return nil, errkind.New(errkind.OutcomeUnknown, "this member is behind")
+	}
+}
+
+// confirmations are the answers that wait until a majority of the voters has confirmed that this member's view is the newest
+// one, at a time after the call came. A member that has been replaced without knowing it must neither reject an order nor
+// answer a read from its old state. They are owned by the goroutine of Run.
+type confirmations struct {
+	rejections []pendingRejection
+	reads      []pendingRead
+}
+
+type pendingRejection struct {
+	reply replica.Reply
+	since time.Duration
+}
+
+type pendingRead struct {
+	since  time.Duration
+	result chan<- *operator.State // receives nil where the state could not be confirmed in time
+}
+
+// resolve sends an order's result to Submit. A rejection that is not confirmed yet is kept until it is, and a heartbeat is
+// sent so that this comes soon.
+func (r *Replicator) resolve(reply replica.Reply) {
+	if reply.Unconfirmed {
+		r.confirmations.rejections = append(r.confirmations.rejections, pendingRejection{reply, r.clock()})
+		r.step(r.machine.Heartbeat)
+		return
+	}
+	if result := r.submissions[reply.ID]; result != nil {
+		result <- submitResult{reply.Revision, reply.Err}
+		delete(r.submissions, reply.ID)
+	}
+}
+
+// resolveConfirmed resolves the rejections and reads that have been confirmed or whose time is over.
+func (r *Replicator) resolveConfirmed() {
+	r.resolveRejections()
+	r.resolveReads()
+}
+
+func (r *Replicator) resolveRejections() {
+	now, confirmed := r.clock(), r.machine.ViewConfirmed()
+	rejections := r.confirmations.rejections
+	r.confirmations.rejections = nil
+	for _, rejection := range rejections {
+		reply := rejection.reply
+		switch {
+		case r.machine.View().Epoch != reply.Epoch: // the state that it was decided on may not have been the newest one
+			r.resolve(replica.Reply{ID: reply.ID, Err: errkind.New(errkind.OutcomeUnknown, "the view changed meanwhile")})
+		case confirmed > rejection.since:
+			reply.Unconfirmed = false
+			r.resolve(reply)
+		case now-rejection.since > confirmTimeout:
+			r.resolve(replica.Reply{ID: reply.ID, Err: errkind.New(errkind.OutcomeUnknown, "the view could not be confirmed")})
+		default:
+			r.confirmations.rejections = append(r.confirmations.rejections, rejection)
+		}
+	}
+}
+
+func (r *Replicator) resolveReads() {
+	now, confirmed := r.clock(), r.machine.StateConfirmed()
+	reads := r.confirmations.reads
+	r.confirmations.reads = nil
+	for _, read := range reads {
+		switch {
+		case confirmed > read.since:
+			_, state := r.machine.Committed()
+			read.result <- state
+		case now-read.since > confirmTimeout:
+			read.result <- nil
+		default:
+			r.confirmations.reads = append(r.confirmations.reads, read)
+		}
+	}
+}
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -185,9 +185,9 @@
 }
 
 // Listen opens a listener whose connections end when their bytes are not acknowledged for a while.
-func Listen(address string) (net.Listener, error) {
+func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout(userTimeout)}
-	return config.Listen(context.Background(), "tcp4", address)
+	return config.Listen(ctx, "tcp4", address)
 }
 
 // Serve answers the calls of every connection that a listener accepts, until the listener is closed.
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -32,7 +32,7 @@
 
 func serve(t *testing.T) (string, *Pool) {
 	t.Helper()
-	listener, err := Listen("127.0.0.1:0")
+	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	service := &Service{hang: make(chan struct{})}
 	go func() { _ = Serve(listener, map[string]any{"Test": service}) }()
@@ -64,7 +64,7 @@
 }
 
 func TestAPeerThatIsNotThere(t *testing.T) {
-	listener, err := Listen("127.0.0.1:0")
+	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
