--- a/internal/fleet/controlplane/spread_test.go
+++ b/internal/fleet/controlplane/deregistration_test.go
@@ -19,8 +19,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-func TestWhoHasTheNewsBeforeARatersLeavingIsAcknowledged(t *testing.T) {
-	n := newAlone(t, 0, 0)
+func TestDeregistrationNeedsMajorityAndEveryResponsiveProcess(t *testing.T) {
+	n := newSingleNode(t, 0, 0)
 	self := n.replicator.machine.Self()
 	voters := []replica.Member{self, {Address: "b"}, {Address: "c"}, {Address: "d"}, {Address: "e"}}
 	n.replicator.mu.Lock()
@@ -39,14 +39,14 @@
 	}
 	require.False(t, g.replicatedWidely(knows(), []string{"b", "c", "d", "e"}), "alone")
 	require.False(t, g.replicatedWidely(knows("b"), []string{"c", "d", "e"}), "no majority")
-	require.True(t, g.replicatedWidely(knows("b", "c"), []string{"d", "e"}), "the others have been silent for long")
-	require.False(t, g.replicatedWidely(knows("b", "d"), []string{"c", "e"}), "c was heard just now: nodes may follow it")
+	require.True(t, g.replicatedWidely(knows("b", "c"), []string{"d", "e"}), "the others are unresponsive")
+	require.False(t, g.replicatedWidely(knows("b", "d"), []string{"c", "e"}), "c answered just now: nodes may follow it")
 	g.started = now
-	require.False(t, g.replicatedWidely(knows("b", "c"), []string{"x"}), "this process is too young to know who is silent")
+	require.False(t, g.replicatedWidely(knows("b", "c"), []string{"x"}), "this process started too recently to know which are unresponsive")
 }
 
-func TestAListIsAsOldAsTheMajoritysExchanges(t *testing.T) {
-	n := newAlone(t, 0, 0)
+func TestRegistryIsConfirmedByMajorityOfExchanges(t *testing.T) {
+	n := newSingleNode(t, 0, 0)
 	self := replica.Member{Address: "a"}
 	view := &replica.View{Voters: []replica.Member{self, {Address: "b"}, {Address: "c"}}}
 	n.gossip.lastExchanges = map[string]time.Duration{"b": 5, "c": 3}
@@ -58,38 +58,38 @@
 	require.Zero(t, n.gossip.registryConfirmedAt(&replica.View{}, self), "no view")
 }
 
-// cuttable breaks the connections of one end while it is cut off.
-type cuttable struct {
+// partitionedConn loses what is written and read while the partition lasts.
+type partitionedConn struct {
 	net.Conn
-	cut *atomic.Bool
+	partitioned *atomic.Bool
 }
 
-func (c cuttable) Write(bytes []byte) (int, error) {
-	if c.cut.Load() {
+func (c partitionedConn) Write(bytes []byte) (int, error) {
+	if c.partitioned.Load() {
 		return len(bytes), nil // lost on the way
 	}
 	return c.Conn.Write(bytes)
 }
 
-func (c cuttable) Read(into []byte) (int, error) {
+func (c partitionedConn) Read(into []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(into)
-		if err != nil || !c.cut.Load() {
+		if err != nil || !c.partitioned.Load() {
 			return n, err
 		}
 	}
 }
 
-// trio is three control processes on loopback, the third of which can be cut off from the others.
-type trio struct {
-	nodes []*Node
-	cut   *atomic.Bool
+// cluster is three control processes on loopback, the third of which can be partitioned from the others.
+type cluster struct {
+	nodes       []*Node
+	partitioned *atomic.Bool
 }
 
-func newTrio(t *testing.T) *trio {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	replica.RegisterMessages()
-	fleet := &trio{cut: &atomic.Bool{}}
+	fleet := &cluster{partitioned: &atomic.Bool{}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 3)
 	for i := range 3 {
@@ -101,7 +101,7 @@
 		require.NoError(t, err)
 		n.pool.Wrap = func(conn net.Conn) net.Conn {
 			if i == 2 || strings.HasPrefix(conn.RemoteAddr().String(), "127.7.1.3:") {
-				return cuttable{conn, fleet.cut}
+				return partitionedConn{conn, fleet.partitioned}
 			}
 			return conn
 		}
@@ -124,28 +124,29 @@
 	return fleet
 }
 
-const drains = `{"Backend":"llm","Address":"10.0.0.1:1","State":"draining","Sequence":7}`
+const drainingHeartbeat = `{"Backend":"llm","Address":"10.0.0.1:1","State":"draining","Sequence":7}`
 
-// Point C of the review: a process that is cut off acknowledges no leaving; the others do once no node can follow it any more.
-func TestAProcessThatIsCutOffAcknowledgesNoLeaving(t *testing.T) {
-	fleet := newTrio(t)
-	require.Equal(t, http.StatusOK, call(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drains).Code)
+// TestPartitionedProcessAcknowledgesNoDeregistration shows also that the others acknowledge one as soon as no node of the data
+// plane can follow the partitioned process any more.
+func TestPartitionedProcessAcknowledgesNoDeregistration(t *testing.T) {
+	fleet := newCluster(t)
+	require.Equal(t, http.StatusOK, do(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code)
 	for _, n := range fleet.nodes {
 		reply, _ := poll(t, n, nil)
-		require.Len(t, reply.Records, 1, "everybody knew before it was acknowledged")
+		require.Len(t, reply.Records, 1, "every process had the record before it was acknowledged")
 		require.True(t, reply.ListConfirmed)
 		require.Less(t, reply.ListConfirmedAgo, distribution.MaxRegistryAge)
 	}
-	fleet.cut.Store(true)
-	cutAt := time.Now()
-	require.Equal(t, http.StatusServiceUnavailable, call(fleet.nodes[2], http.MethodPut, "/-/instances/i1", drains).Code)
-	require.Equal(t, http.StatusServiceUnavailable, call(fleet.nodes[2], http.MethodDelete, "/-/instances/i2", "").Code)
-	require.Equal(t, http.StatusOK, call(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drains).Code, "that was known already")
-	for call(fleet.nodes[0], http.MethodPut, "/-/instances/i1", drains).Code != http.StatusOK {
-		require.Less(t, time.Since(cutAt), 6*time.Second)
+	fleet.partitioned.Store(true)
+	partitionedAt := time.Now()
+	require.Equal(t, http.StatusServiceUnavailable, do(fleet.nodes[2], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code)
+	require.Equal(t, http.StatusServiceUnavailable, do(fleet.nodes[2], http.MethodDelete, "/-/instances/i2", "").Code)
+	require.Equal(t, http.StatusOK, do(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code, "acknowledged before the partition")
+	for do(fleet.nodes[0], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code != http.StatusOK {
+		require.Less(t, time.Since(partitionedAt), 6*time.Second)
 	}
 	stale, _ := poll(t, fleet.nodes[2], nil)
-	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryAge, "nodes have left it by now")
+	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryAge, "nodes have turned to other processes by now")
 	known, _ := poll(t, fleet.nodes[1], nil)
 	require.Len(t, known.Records, 2)
 }
--- /dev/null
+++ b/internal/fleet/controlplane/operatorapi_test.go
@@ -0,0 +1,30 @@
+package controlplane
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func submitOrder(n *Node, base int, body string) int {
+	request := fmt.Sprint(base)
+	recorder := doIfMatch(n, http.MethodPatch, "/-/config", body, request)
+	return recorder.Code
+}
+
+func TestOrderIsCommittedOnceAndConflictsAreRejected(t *testing.T) {
+	n := newSingleNode(t, 0, 0)
+	require.Equal(t, http.StatusOK, submitOrder(n, 1, `{"Revision":3}`))
+	require.Equal(t, http.StatusOK, submitOrder(n, 1, `{"Revision":3}`), "repeated")
+	require.Equal(t, http.StatusPreconditionFailed, submitOrder(n, 1, `{"Revision":4}`))
+	require.Equal(t, http.StatusBadRequest, submitOrder(n, 3, `{"Revision":3}`))
+	require.Equal(t, http.StatusBadRequest, submitOrder(n, 3, `{`))
+	require.Equal(t, http.StatusBadRequest, doIfMatch(n, http.MethodPatch, "/-/config", `{"Revision":5}`, "x").Code, "If-Match")
+	require.Equal(t, http.StatusOK, submitOrder(n, 1, `{"Revision":3}`), "repeated after conflicts")
+	read := do(n, http.MethodGet, "/-/config", "")
+	require.Equal(t, http.StatusOK, read.Code)
+	require.JSONEq(t, `{"Revision":3,"Backends":[{"Name":"llm"}]}`, read.Body.String())
+	require.Contains(t, do(n, http.MethodGet, "/-/status", "").Body.String(), `"Revision":3`)
+}
