--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,5 +1,9 @@
-// Package registry keeps the raters that registered themselves. It is pure and soft: it is rebuilt from heartbeats, and
-// copies in several control processes are merged record by record, the higher sequence number first.
+// Package registry keeps the backends (raters) that registered themselves with the control plane. It is pure: time is an
+// argument, and nothing is stored or sent. Its state is soft: it is rebuilt from heartbeats.
+//
+// Each control process has a replica. Records of other replicas are merged one by one, the higher sequence number wins, and
+// the lifecycle only goes forward: a backend that drains or has ended never comes back under the same ID. That is what makes
+// the order of the merges irrelevant.
 package registry
 
 import (
@@ -8,79 +12,66 @@
 	"time"
 )
 
-// State is what is known of a rater's life.
-type State uint8
-
-// The states, each later one wins over an earlier one of the same sequence number.
+// Parameters of the expiry of records, in heartbeat intervals without a heartbeat where not said otherwise.
 const (
-	Ready    State = iota
-	Draining       // it leaves: nothing new is sent to it
-	Removed        // it has left, or its address was taken by another
+	overdueIntervals = 1.8 // after which a backend is overdue
+	lostIntervals    = 12  // after which it counts as lost
+	forgetIntervals  = 100 // after which its record is dropped
+	removedTTL       = 30 * time.Second
+	minChanges       = 64 // changes that are kept before the outdated ones are dropped
 )
 
-// Record is one rater, that is one start of its process.
-type Record struct {
-	ID         string
-	Backend    string
-	Address    string
-	Zone       string
-	Revision   string
-	Slots      int
-	State      State
-	Late       bool // no heartbeat for longer than usual
-	Silent     bool // none for so long that it is taken for lost, until one comes
-	WarmupLeft time.Duration
-	Sequence   int64
-	HeardAgo   time.Duration // when copied: since its last heartbeat
+// Registry is one replica. It is not safe for concurrent use.
+type Registry struct {
+	interval time.Duration // between a backend's heartbeats
+	version  uint64
+	entries  map[string]*entry // by ID
+	changes  []change          // in the order of their versions; of an entry's changes only the newest counts
+	updated  map[string]bool   // IDs with a heartbeat or deregistration since the last DrainUpdates
 }
 
-// The parts of a heartbeat interval after which a silent rater is late, after which it is taken for lost, and after which it
-// is forgotten.
-const (
-	overdueIntervals = 1.8
-	lostIntervals    = 12
-	forgetIntervals  = 100
-	minChanges       = 64               // that are kept before those that count no more are dropped
-	removedTTL       = 30 * time.Second // so long a rater that left is remembered, against late heartbeats
-)
-
+// entry is a record with what this replica knows about it.
 type entry struct {
 	record        Record
-	lastHeartbeat time.Duration
-	version       uint64
+	lastHeartbeat time.Duration // by this replica's clock
+	version       uint64        // of the entry's newest change
 }
 
-// change is that an entry changed.
+// change says that an entry changed.
 type change struct {
 	version uint64
 	id      string
 }
 
-// Registry is one copy.
-type Registry struct {
-	interval time.Duration
-	version  uint64
-	entries  map[string]*entry
-	changes  []change        // in the order of their versions; only an entry's newest one counts
-	updated  map[string]bool // heard since the last call of Fresh
-}
-
-// New makes an empty registry for raters that send heartbeats at an interval.
+// New returns an empty registry for backends that send heartbeats at an interval.
 func New(interval time.Duration) *Registry {
 	return &Registry{interval: interval, entries: map[string]*entry{}, updated: map[string]bool{}}
 }
 
-// Version counts the changes that others want to hear of.
+// Version returns the number of changes so far. A heartbeat that changes nothing but its age and sequence is not one.
 func (r *Registry) Version() uint64 { return r.version }
 
-// Heartbeat takes a heartbeat, and tells whether it changed what others want to hear of.
+// Size returns the number of records, those of backends that have ended included.
+func (r *Registry) Size() int { return len(r.entries) }
+
+// Get returns the record with an ID.
+func (r *Registry) Get(now time.Duration, id string) (Record, bool) {
+	e := r.entries[id]
+	if e == nil {
+		return Record{}, false
+	}
+	return e.snapshot(now), true
+}
+
+// Heartbeat applies a heartbeat that a backend sent to this replica. It reports whether that is a change.
 func (r *Registry) Heartbeat(now time.Duration, record Record) bool {
 	record.HeardAgo, record.Late, record.Silent = 0, false, false
 	r.updated[record.ID] = true
 	return r.upsert(now, record)
 }
 
-// Deregister takes the news that a rater ends. It tells whether that is news.
+// Deregister applies a backend's call that it has ended, also where no heartbeat of it was received. It reports whether that
+// is a change.
 func (r *Registry) Deregister(now time.Duration, id string) bool {
 	r.updated[id] = true
 	e := r.entries[id]
@@ -95,18 +86,18 @@
 	return true
 }
 
-// Merge takes records of another copy and tells whether anything changed that others want to hear of.
+// Merge applies records of another replica. It reports whether any of them is a change.
 func (r *Registry) Merge(now time.Duration, records []Record) bool {
 	changed := false
 	for _, record := range records {
-		heard := now - record.HeardAgo
+		lastHeartbeat := now - record.HeardAgo
 		record.HeardAgo = 0
-		changed = r.upsert(heard, record) || changed
+		changed = r.upsert(lastHeartbeat, record) || changed
 	}
 	return changed
 }
 
-// nextVersion gives the version of a change of an entry.
+// nextVersion logs a change of an entry, and returns its version. Outdated changes are dropped when they are the majority.
 func (r *Registry) nextVersion(id string) uint64 {
 	r.version++
 	r.changes = append(r.changes, change{r.version, id})
@@ -119,12 +110,13 @@
 	return r.version
 }
 
+// upsert applies a record, unless it is older than the one that is known. It reports whether that is a change.
 func (r *Registry) upsert(lastHeartbeat time.Duration, record Record) bool {
 	e := r.entries[record.ID]
 	if e == nil {
 		record.Late, record.Silent = false, false
 		r.entries[record.ID] = &entry{record: record, lastHeartbeat: lastHeartbeat, version: r.nextVersion(record.ID)}
-		r.removeDisplaced(&record)
+		r.removePredecessors(&record)
 		return true
 	}
 	if e.record.State == Removed || record.Sequence < e.record.Sequence && record.State <= e.record.State {
@@ -132,16 +124,19 @@
 	}
 	e.lastHeartbeat = max(e.lastHeartbeat, lastHeartbeat)
 	previous := e.record
-	state := max(record.State, previous.State) // one that leaves does not come back under the same id
+	state := max(record.State, previous.State) // a backend that drains does not come back under the same ID
 	if record.State == Removed && record.Backend == "" {
-		record = previous
+		record = previous // the other replica knows only the ID
 	}
+	// Whether a backend is overdue is each replica's own conclusion: only a newer heartbeat ends it, another's opinion does not
+	// count.
 	stale := lastHeartbeat < e.lastHeartbeat
 	record.State, record.Late, record.Silent = state, previous.Late && stale, previous.Silent && stale
 	record.Sequence = max(record.Sequence, previous.Sequence)
 	e.record = record
 	unchanged := previous.State == record.State && previous.Address == record.Address && previous.Backend == record.Backend &&
-		previous.Late == record.Late && previous.Silent == record.Silent && previous.Slots == record.Slots && (previous.WarmupLeft > 0) == (record.WarmupLeft > 0)
+		previous.Late == record.Late && previous.Silent == record.Silent && previous.Slots == record.Slots &&
+		(previous.WarmupLeft > 0) == (record.WarmupLeft > 0)
 	if unchanged {
 		return false
 	}
@@ -149,34 +144,36 @@
 	return true
 }
 
-// removeDisplaced notes that the raters that had an address before have gone.
-func (r *Registry) removeDisplaced(newcomer *Record) {
-	if newcomer.State != Ready {
+// removePredecessors marks the backends that had a new one's address before as removed: an address belongs to one process.
+func (r *Registry) removePredecessors(successor *Record) {
+	if successor.State != Ready {
 		return
 	}
 	for _, e := range r.entries {
-		if e.record.Address == newcomer.Address && e.record.ID != newcomer.ID && e.record.State != Removed && newcomer.Address != "" {
+		if e.record.Address == successor.Address && e.record.ID != successor.ID && e.record.State != Removed && successor.Address != "" {
 			e.record.State, e.version = Removed, r.nextVersion(e.record.ID)
 		}
 	}
 }
 
-// Expire notes raters that have been silent for too long and forgets those that left long ago. It tells whether anything
-// changed that others want to hear of.
+// Expire marks the backends that are overdue or lost, and drops the records that have expired. It reports whether that changed
+// anything.
 func (r *Registry) Expire(now time.Duration) bool {
 	before := r.version
 	for id, e := range r.entries {
-		silent := now - e.lastHeartbeat
+		age := now - e.lastHeartbeat
 		switch {
 		case e.record.State == Removed:
-			if silent > removedTTL+lostIntervals*r.interval {
+			// The record is kept for removedTTL more, so that a delayed heartbeat does not bring the backend back.
+			if age > removedTTL+lostIntervals*r.interval {
 				delete(r.entries, id)
 			}
-		case silent > forgetIntervals*r.interval: // other copies may have heard it: that it left is not to be told
+		case age > forgetIntervals*r.interval:
+			// Without a change: another replica may receive its heartbeats, and must not learn of a removal from here.
 			delete(r.entries, id)
-		case silent > lostIntervals*r.interval:
+		case age > lostIntervals*r.interval:
 			r.setOverdue(e, true, true)
-		case silent > time.Duration(overdueIntervals*float64(r.interval)):
+		case age > time.Duration(overdueIntervals*float64(r.interval)):
 			r.setOverdue(e, true, false)
 		default:
 			r.setOverdue(e, false, false)
@@ -185,31 +182,30 @@
 	return r.version != before
 }
 
-// setOverdue notes how long a rater has been silent. A silent one that is heard again is as before.
-func (r *Registry) setOverdue(e *entry, late, silent bool) {
-	if e.record.Late == late && e.record.Silent == silent {
+func (r *Registry) setOverdue(e *entry, overdue, lost bool) {
+	if e.record.Late == overdue && e.record.Silent == lost {
 		return
 	}
-	e.record.Late, e.record.Silent, e.version = late, silent, r.nextVersion(e.record.ID)
+	e.record.Late, e.record.Silent, e.version = overdue, lost, r.nextVersion(e.record.ID)
 }
 
-// Unresponsive gives the ids of the raters that are late or silent.
-func (r *Registry) Unresponsive() (late, silent []string) {
+// Unresponsive returns the IDs of the backends that are overdue and of those that are lost, each sorted.
+func (r *Registry) Unresponsive() (overdue, lost []string) {
 	for id, e := range r.entries {
 		switch {
 		case e.record.State == Removed:
 		case e.record.Silent:
-			silent = append(silent, id)
+			lost = append(lost, id)
 		case e.record.Late:
-			late = append(late, id)
+			overdue = append(overdue, id)
 		}
 	}
-	slices.Sort(late)
-	slices.Sort(silent)
-	return late, silent
+	slices.Sort(overdue)
+	slices.Sort(lost)
+	return overdue, lost
 }
 
-// ChangedSince gives the records that changed after a version, in the order of their ids.
+// ChangedSince returns the records that changed after a version, sorted by ID.
 func (r *Registry) ChangedSince(now time.Duration, version uint64) []Record {
 	first, _ := slices.BinarySearchFunc(r.changes, version, func(c change, version uint64) int {
 		return cmp.Compare(c.version, version+1)
@@ -224,7 +220,8 @@
 	return records
 }
 
-// DrainUpdates gives the records that were heard from here since the last call.
+// DrainUpdates returns the records whose backends have called this replica since the last DrainUpdates, sorted by ID. They
+// include heartbeats that are no change: the other replicas need their age.
 func (r *Registry) DrainUpdates(now time.Duration) []Record {
 	records := make([]Record, 0, len(r.updated))
 	for id := range r.updated {
@@ -237,22 +234,9 @@
 	return records
 }
 
-// Size is the number of raters that are known.
-func (r *Registry) Size() int { return len(r.entries) }
-
-// Get gives one record.
-func (r *Registry) Get(now time.Duration, id string) (Record, bool) {
-	e := r.entries[id]
-	if e == nil {
-		return Record{}, false
-	}
-	return e.snapshot(now), true
-}
-
+// snapshot returns a copy of the record with its age.
 func (e *entry) snapshot(now time.Duration) Record {
 	record := e.record
 	record.HeardAgo = max(0, now-e.lastHeartbeat)
 	return record
 }
-
-func compareRecords(a, b Record) int { return cmp.Compare(a.ID, b.ID) }
