--- a/internal/fleet/distribution/clientstate.go
+++ b/internal/fleet/distribution/clientstate.go
@@ -1,7 +1,9 @@
 package distribution
 
 import (
+	"cmp"
 	"errors"
+	"math"
 	"slices"
 	"time"
 
@@ -9,57 +11,63 @@
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 )
 
-// The figures of a node's copy.
 const (
-	leaseFraction = 0.9              // part of RevokeMs for which a confirmed configuration may be used
-	unlistedTTL   = 15 * time.Second // a copy of the registry that is older and does not list a rater knows that it is gone
+	leaseFraction = 0.9              // of the revocation time, for which a confirmed configuration may be used
+	unlistedTTL   = 15 * time.Second // the age of a registry from which on a backend that it does not list has ended
 )
 
 // errMissingBase says that patches came for a configuration that the node does not have.
 var errMissingBase = errors.New("patches without the configuration that they build on")
 
-// ClientState is a node's copy of what the control plane gives out. It is pure and not safe for concurrent use.
+// ClientState is a node's replica of what the control plane distributes, built from the replies to its polls. It is pure, and
+// not safe for concurrent use. The configuration never goes backward in it, and neither does the lifecycle of a backend that
+// it has, whichever control processes the node polls.
 type ClientState struct {
-	seq              uint64
-	needFullDocument bool // a patch did not fit: the next answer must bring the whole document
+	failClosed    bool
+	leaseDuration time.Duration
+
+	seq              uint64 // of the configuration
 	state            *operator.State
-	table            *operator.Table
-	leaseDuration    time.Duration
-	failClosed       bool
+	table            *operator.Table // state, compiled
+	needFullDocument bool            // an update could not be applied: the next poll requests the whole document
+	confirmed        bool            // by the last reply
 	leaseEnd         time.Duration
-	registryOwner    uint64
-	registryVersion  uint64
-	eventSeq         uint64
-	backends         map[string]registry.Record
-	epoch            uint64
-	members          []ControlMember
-	sessions         int
-	confirmed        bool
+
+	registryOwner   uint64 // the replica of the registry whose changes registryVersion and eventSeq count
+	registryVersion uint64
+	eventSeq        uint64
+	backends        map[string]registry.Record // by ID
+
+	epoch    uint64
+	members  []ControlMember
+	sessions int
 }
 
-// NewClientState makes an empty copy. Where closed is set, a configuration may be used only while it is known that no newer one
-// was acknowledged more than revoke ago.
-func NewClientState(closed bool, revoke time.Duration) *ClientState {
-	return &ClientState{failClosed: closed, leaseDuration: time.Duration(leaseFraction * float64(revoke)), backends: map[string]registry.Record{}}
+// NewClientState returns an empty state. With failClosed, a configuration may be used only while it is known that no newer one
+// was acknowledged longer than revokeAfter ago.
+func NewClientState(failClosed bool, revokeAfter time.Duration) *ClientState {
+	return &ClientState{failClosed: failClosed, leaseDuration: time.Duration(leaseFraction * float64(revokeAfter)),
+		backends: map[string]registry.Record{}}
 }
 
-// Request gives the next poll.
-func (c *ClientState) Request(node string, session uint64, hold time.Duration) PollRequest {
-	request := PollRequest{Node: node, Session: session, ConfigSeq: c.seq, RegistryOwner: c.registryOwner, RegistryVersion: c.registryVersion,
-		EventSeq: c.eventSeq, Hold: hold}
+// Request returns the next poll, whose answer may wait for so long.
+func (c *ClientState) Request(node string, session uint64, maxWait time.Duration) PollRequest {
+	request := PollRequest{Node: node, Session: session, ConfigSeq: c.seq, RegistryOwner: c.registryOwner,
+		RegistryVersion: c.registryVersion, EventSeq: c.eventSeq, Hold: maxWait}
 	if c.needFullDocument {
 		request.ConfigSeq = 0
 	}
 	return request
 }
 
-// Change tells what an answer changed.
+// Change says what a reply changed.
 type Change struct {
 	Config   bool
 	Backends bool
 }
 
-// Apply takes the answer to a poll that was sent at a time. An answer never takes the configuration back.
+// Apply applies the reply to a poll that was sent at a time. Where the configuration cannot be applied, it returns the error,
+// keeps the rest as it is, and the next poll requests the whole document where a patch or the encoding was at fault.
 func (c *ClientState) Apply(sent time.Duration, reply *PollReply) (Change, error) {
 	var change Change
 	if err := c.applyConfig(reply, &change); err != nil {
@@ -67,8 +75,9 @@
 	}
 	c.confirmed = reply.Confirmed && reply.ConfigSeq == c.seq
 	if c.confirmed {
-		// The configuration was the newest at some time no earlier than so long before the poll was sent.
-		c.leaseEnd = max(c.leaseEnd, sent-reply.ConfirmedAgo+c.leaseDuration)
+		// The reply was written after the poll was sent: the configuration was the newest one at this time or later.
+		newestAt := sent - reply.ConfirmedAgo
+		c.leaseEnd = max(c.leaseEnd, newestAt+c.leaseDuration)
 	}
 	if reply.Epoch >= c.epoch && len(reply.Members) > 0 {
 		c.epoch, c.members = reply.Epoch, reply.Members
@@ -78,36 +87,19 @@
 	return change, nil
 }
 
+// applyConfig applies the reply's update, unless the configuration is as new already.
 func (c *ClientState) applyConfig(reply *PollReply, change *Change) error {
 	if reply.ConfigSeq < c.seq || reply.ConfigSeq == c.seq && !c.needFullDocument {
 		return nil
 	}
-	whole, patches, err := reply.Update.Read()
+	document, patches, err := reply.Update.Read()
 	if err != nil {
 		c.needFullDocument = true
 		return err
 	}
-	state := c.state
-	if whole != nil {
-		document, err := operator.ParseDocument(whole)
-		if err != nil {
-			return err
-		}
-		state = operator.NewState()
-		state.Document = document
-	} else {
-		if state == nil {
-			c.needFullDocument = true
-			return errMissingBase
-		}
-		for _, order := range patches {
-			next, err := state.ApplyCommitted(order)
-			if err != nil {
-				c.needFullDocument = true
-				return err
-			}
-			state = next
-		}
+	state, err := c.updatedState(document, patches)
+	if err != nil {
+		return err
 	}
 	c.seq, c.state, c.table = reply.ConfigSeq, state, state.Document.Compile()
 	c.needFullDocument = false
@@ -115,6 +107,34 @@
 	return nil
 }
 
+// updatedState returns the state of a whole document, or else the present state with patches.
+func (c *ClientState) updatedState(document []byte, patches []operator.Order) (*operator.State, error) {
+	if document != nil {
+		parsed, err := operator.ParseDocument(document)
+		if err != nil {
+			return nil, err // the next poll requests the same update again
+		}
+		state := operator.NewState()
+		state.Document = parsed
+		return state, nil
+	}
+	if c.state == nil {
+		c.needFullDocument = true
+		return nil, errMissingBase
+	}
+	state := c.state
+	for _, order := range patches {
+		next, err := state.ApplyCommitted(order)
+		if err != nil {
+			c.needFullDocument = true
+			return nil, err
+		}
+		state = next
+	}
+	return state, nil
+}
+
+// applyBackends applies the reply's records, and reports whether that changes what Backends returns.
 func (c *ClientState) applyBackends(reply *PollReply) bool {
 	changed := false
 	for _, record := range reply.Records {
@@ -133,20 +153,19 @@
 		c.backends[record.ID] = record
 		return record.State != registry.Removed
 	}
-	if record.Sequence < known.Sequence || record.State < known.State { // a copy that is behind
+	if record.Sequence < known.Sequence || record.State < known.State { // from a registry that is behind
 		return false
 	}
-	if record.Address == "" { // it left, and the copy knew it only by its id
-		gone := known
-		gone.State = registry.Removed
-		record = gone
+	if record.Address == "" { // it has ended, and the registry knows only its ID
+		record = known
+		record.State = registry.Removed
 	}
 	c.backends[record.ID] = record
 	return known.State != record.State || known.Late != record.Late || known.Silent != record.Silent || known.Address != record.Address
 }
 
-// dropUnlisted forgets raters that a copy of the registry does not list although it has been there for long. One that was
-// begun just now does not know them yet.
+// dropUnlisted removes the backends that the registry does not list, once that has been there for unlistedTTL: a younger one,
+// of a process that has just started, has not received all heartbeats yet. It reports whether there were any.
 func (c *ClientState) dropUnlisted(reply *PollReply) bool {
 	if reply.RegistryAge < unlistedTTL {
 		return false
@@ -161,51 +180,43 @@
 	return dropped
 }
 
-// Table is the compiled configuration, nil before the first.
+// Table returns the compiled configuration, nil before the first.
 func (c *ClientState) Table() *operator.Table { return c.table }
 
-// LeaseEnd is until when the configuration may be used; it never ends where that need not be confirmed.
+// LeaseEnd returns the time until which the configuration may be used. It is beyond all times unless the state fails closed.
 func (c *ClientState) LeaseEnd() time.Duration {
 	if !c.failClosed {
-		return time.Duration(1<<63 - 1)
+		return math.MaxInt64
 	}
 	return c.leaseEnd
 }
 
-// Confirmed tells whether the last answer confirmed the configuration.
+// Confirmed reports whether the last reply confirmed the configuration.
 func (c *ClientState) Confirmed() bool { return c.confirmed }
 
-// Backends are the raters that have not left and have been heard. Where control has heard of less than half of them, it is
-// taken to be at fault: then all count.
+// Backends returns the backends that have not ended and are not lost, sorted by ID. Where more than half count as lost, the
+// fault is taken to be the control plane's, and they are returned too.
 func (c *ClientState) Backends() []registry.Record {
-	raters := make([]registry.Record, 0, len(c.backends))
-	silent := 0
+	backends := make([]registry.Record, 0, len(c.backends))
+	lost := 0
 	for _, record := range c.backends {
 		if record.State == registry.Removed {
 			continue
 		}
-		raters = append(raters, record)
+		backends = append(backends, record)
 		if record.Silent {
-			silent++
+			lost++
 		}
 	}
-	if 2*silent <= len(raters) {
-		raters = slices.DeleteFunc(raters, func(r registry.Record) bool { return r.Silent })
+	if 2*lost <= len(backends) {
+		backends = slices.DeleteFunc(backends, func(r registry.Record) bool { return r.Silent })
 	}
-	slices.SortFunc(raters, func(a, b registry.Record) int {
-		switch {
-		case a.ID < b.ID:
-			return -1
-		case a.ID > b.ID:
-			return 1
-		}
-		return 0
-	})
-	return raters
+	slices.SortFunc(backends, func(a, b registry.Record) int { return cmp.Compare(a.ID, b.ID) })
+	return backends
 }
 
-// Members are the control processes, the chain first, and the epoch in which they were.
-func (c *ClientState) Members() (uint64, []ControlMember) { return c.epoch, c.members }
+// Members returns the epoch of the newest known view and its control processes: the chain, head first, then the other voters.
+func (c *ClientState) Members() (epoch uint64, members []ControlMember) { return c.epoch, c.members }
 
-// Nodes is about how many nodes of the data plane there are.
+// Nodes returns about how many nodes of the data plane are live, 1 at least.
 func (c *ClientState) Nodes() int { return max(1, c.sessions) }
--- a/internal/fleet/distribution/clientstate_test.go
+++ b/internal/fleet/distribution/clientstate_test.go
@@ -11,17 +11,17 @@
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 )
 
-const revoke = 5 * time.Second
+const revokeAfter = 5 * time.Second
 
 func reply(seq uint64, document string, ago time.Duration) *PollReply {
 	r := &PollReply{Confirmed: true, ConfirmedAgo: ago, ConfigSeq: seq, Members: []ControlMember{{Address: "a", InChain: true}}, Epoch: 1}
 	if document != "" {
-		r.Update = encoded([]byte(document))
+		r.Update = mustEncode([]byte(document))
 	}
 	return r
 }
 
-func encoded(document []byte, patches ...operator.Order) Update {
+func mustEncode(document []byte, patches ...operator.Order) Update {
 	update, err := NewUpdate(document, patches)
 	if err != nil {
 		panic(err)
@@ -29,135 +29,135 @@
 	return update
 }
 
-func take(t *testing.T, c *ClientState, sent time.Duration, r *PollReply) Change {
+func mustApply(t *testing.T, c *ClientState, sent time.Duration, r *PollReply) Change {
 	t.Helper()
 	change, err := c.Apply(sent, r)
 	require.NoError(t, err)
 	return change
 }
 
-func TestTheLeaseRunsFromWhenThePollWasSentAndTheViewConfirmed(t *testing.T) {
-	c := NewClientState(true, revoke)
+func TestLeaseRunsFromPollSentAndViewConfirmed(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
 	require.Zero(t, c.LeaseEnd())
-	take(t, c, 10*time.Second, reply(1, `{"Revision":1}`, 300*time.Millisecond))
-	lease := time.Duration(leaseFraction * float64(revoke))
+	mustApply(t, c, 10*time.Second, reply(1, `{"Revision":1}`, 300*time.Millisecond))
+	lease := time.Duration(leaseFraction * float64(revokeAfter))
 	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd())
-	take(t, c, 10*time.Second, reply(1, "", 2*time.Second))
-	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd(), "an older confirmation does not shorten it")
+	mustApply(t, c, 10*time.Second, reply(1, "", 2*time.Second))
+	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd(), "an older confirmation does not shorten the lease")
 	unconfirmed := reply(1, "", 0)
 	unconfirmed.Confirmed = false
-	take(t, c, 12*time.Second, unconfirmed)
-	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd(), "nor does one that confirms nothing lengthen it")
+	mustApply(t, c, 12*time.Second, unconfirmed)
+	require.Equal(t, 10*time.Second-300*time.Millisecond+lease, c.LeaseEnd(), "an unconfirmed reply does not extend the lease")
 }
 
-func TestWithoutClosedTheLeaseNeverEnds(t *testing.T) {
-	c := NewClientState(false, revoke)
+func TestLeaseNeverEndsUnlessFailClosed(t *testing.T) {
+	c := NewClientState(false, revokeAfter)
 	require.Greater(t, c.LeaseEnd(), 1000*time.Hour)
 }
 
-func TestAnOlderVersionIsNotTaken(t *testing.T) {
-	c := NewClientState(true, revoke)
-	take(t, c, time.Second, reply(5, `{"Revision":9}`, 0))
-	change := take(t, c, time.Second, reply(4, `{"Revision":7}`, 0))
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
+	mustApply(t, c, time.Second, reply(5, `{"Revision":9}`, 0))
+	change := mustApply(t, c, time.Second, reply(4, `{"Revision":7}`, 0))
 	require.False(t, change.Config)
 	require.EqualValues(t, 9, c.Table().Revision)
 }
 
-func TestPatchesLeadToTheNewVersionAndOneThatDoesNotFitAsksForTheWhole(t *testing.T) {
-	c := NewClientState(true, revoke)
-	take(t, c, time.Second, reply(1, `{"Revision":1,"Backends":[{"Name":"b"}]}`, 0))
+func TestPatchesAreAppliedAndBadPatchRequestsFullDocument(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
+	mustApply(t, c, time.Second, reply(1, `{"Revision":1,"Backends":[{"Name":"b"}]}`, 0))
 	patched := reply(2, "", 0)
-	patched.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3,"Upsert":{"Backends":[{"Name":"c"}]}}`)})
-	require.True(t, take(t, c, time.Second, patched).Config)
+	patched.Update = mustEncode(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3,"Upsert":{"Backends":[{"Name":"c"}]}}`)})
+	require.True(t, mustApply(t, c, time.Second, patched).Config)
 	require.Contains(t, c.Table().Services, "b")
 	require.Contains(t, c.Table().Services, "c")
 	broken := reply(3, "", 0)
-	broken.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 3, Body: []byte(`{`)})
+	broken.Update = mustEncode(nil, operator.Order{Method: http.MethodPatch, Base: 3, Body: []byte(`{`)})
 	_, err := c.Apply(time.Second, broken)
 	require.Error(t, err)
-	require.EqualValues(t, 3, c.Table().Revision, "the version in force stays")
-	require.Zero(t, c.Request("n", 1, 0).ConfigSeq, "the whole document is asked for")
-	older := reply(1, `{"Revision":1}`, 0)
-	take(t, c, time.Second, older)
-	require.EqualValues(t, 3, c.Table().Revision, "also then an older version is not taken")
-	take(t, c, time.Second, reply(3, `{"Revision":4}`, 0))
+	require.EqualValues(t, 3, c.Table().Revision, "the configuration stays")
+	require.Zero(t, c.Request("n", 1, 0).ConfigSeq, "the full document is requested")
+	stale := reply(1, `{"Revision":1}`, 0)
+	mustApply(t, c, time.Second, stale)
+	require.EqualValues(t, 3, c.Table().Revision, "an older configuration is ignored then too")
+	mustApply(t, c, time.Second, reply(3, `{"Revision":4}`, 0))
 	require.EqualValues(t, 4, c.Table().Revision)
 	require.EqualValues(t, 3, c.Request("n", 1, 0).ConfigSeq)
 }
 
-func rater(id string, sequence int64, state registry.State) registry.Record {
+func backendRecord(id string, sequence int64, state registry.State) registry.Record {
 	return registry.Record{ID: id, Backend: "b", Address: id + ":1", Sequence: sequence, State: state}
 }
 
-func TestARaterThatDrainsDoesNotComeBackFromACopyThatIsBehind(t *testing.T) {
-	c := NewClientState(true, revoke)
+func TestStaleRegistryDoesNotRevertDraining(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
 	first := reply(1, `{"Revision":1}`, 0)
-	first.Records, first.Whole, first.RegistryOwner = []registry.Record{rater("a", 4, registry.Draining)}, true, 1
-	take(t, c, time.Second, first)
+	first.Records, first.Whole, first.RegistryOwner = []registry.Record{backendRecord("a", 4, registry.Draining)}, true, 1
+	mustApply(t, c, time.Second, first)
 	behind := reply(1, "", 0)
-	behind.Records, behind.Whole, behind.RegistryOwner = []registry.Record{rater("a", 3, registry.Ready)}, true, 2
-	require.False(t, take(t, c, time.Second, behind).Backends)
+	behind.Records, behind.Whole, behind.RegistryOwner = []registry.Record{backendRecord("a", 3, registry.Ready)}, true, 2
+	require.False(t, mustApply(t, c, time.Second, behind).Backends)
 	require.Equal(t, registry.Draining, c.Backends()[0].State)
 }
 
-func TestAControlPlaneThatRestartedEmptyIsNotAnEmptyFleet(t *testing.T) {
-	c := NewClientState(true, revoke)
+func TestEmptyRegistryOfRestartedControlPlaneRemovesNoBackend(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
 	first := reply(1, `{"Revision":1}`, 0)
-	first.Records, first.Whole = []registry.Record{rater("a", 4, registry.Ready), rater("b", 4, registry.Ready)}, true
-	take(t, c, time.Second, first)
+	first.Records, first.Whole = []registry.Record{backendRecord("a", 4, registry.Ready), backendRecord("b", 4, registry.Ready)}, true
+	mustApply(t, c, time.Second, first)
 	empty := reply(1, "", 0)
 	empty.Whole, empty.RegistryOwner, empty.RegistryAge = true, 2, time.Second
-	take(t, c, 2*time.Second, empty)
+	mustApply(t, c, 2*time.Second, empty)
 	require.Len(t, c.Backends(), 2)
 	old := reply(1, "", 0)
 	old.Whole, old.RegistryOwner, old.RegistryAge = true, 3, unlistedTTL
-	old.Records = []registry.Record{rater("a", 5, registry.Ready)}
-	require.True(t, take(t, c, 3*time.Second, old).Backends)
-	require.Len(t, c.Backends(), 1, "a copy that has been there for long knows who is gone")
+	old.Records = []registry.Record{backendRecord("a", 5, registry.Ready)}
+	require.True(t, mustApply(t, c, 3*time.Second, old).Backends)
+	require.Len(t, c.Backends(), 1, "a registry of that age lists every live backend")
 }
 
-func TestSilentRatersAreLeftOutUnlessMostAreSilent(t *testing.T) {
-	c := NewClientState(true, revoke)
+func TestLostBackendsAreExcludedUnlessMajorityIsLost(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
 	first := reply(1, `{"Revision":1}`, 0)
 	first.Whole, first.RegistryOwner = true, 1
 	for _, id := range []string{"a", "b", "c", "d"} {
-		first.Records = append(first.Records, rater(id, 1, registry.Ready))
+		first.Records = append(first.Records, backendRecord(id, 1, registry.Ready))
 	}
-	take(t, c, time.Second, first)
-	quiet := func(ids ...string) *PollReply {
+	mustApply(t, c, time.Second, first)
+	lostReply := func(ids ...string) *PollReply {
 		r := reply(1, "", 0)
 		r.RegistryOwner = 1
 		for _, id := range ids {
-			one := rater(id, 1, registry.Ready)
+			one := backendRecord(id, 1, registry.Ready)
 			one.Silent = true
 			r.Records = append(r.Records, one)
 		}
 		return r
 	}
-	require.True(t, take(t, c, time.Second, quiet("a", "b")).Backends)
+	require.True(t, mustApply(t, c, time.Second, lostReply("a", "b")).Backends)
 	require.Len(t, c.Backends(), 2)
-	take(t, c, time.Second, quiet("c"))
-	require.Len(t, c.Backends(), 4, "it is the control plane that does not hear")
+	mustApply(t, c, time.Second, lostReply("c"))
+	require.Len(t, c.Backends(), 4, "the fault is the control plane's")
 	back := reply(1, "", 0)
-	back.Records = []registry.Record{rater("a", 2, registry.Ready)}
+	back.Records = []registry.Record{backendRecord("a", 2, registry.Ready)}
 	back.RegistryOwner = 1
-	require.True(t, take(t, c, time.Second, back).Backends, "one that is heard again is back")
+	require.True(t, mustApply(t, c, time.Second, back).Backends, "a heartbeat brings it back")
 }
 
-func TestPatchesWithoutTheirBaseAskForTheWhole(t *testing.T) {
-	c := NewClientState(true, revoke)
+func TestPatchesWithoutBaseRequestFullDocument(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
 	patched := reply(2, "", 0)
-	patched.Update = encoded(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3}`)})
+	patched.Update = mustEncode(nil, operator.Order{Method: http.MethodPatch, Base: 1, Body: []byte(`{"Revision":3}`)})
 	_, err := c.Apply(time.Second, patched)
 	require.ErrorIs(t, err, errMissingBase)
 	require.Nil(t, c.Table())
-	take(t, c, time.Second, reply(2, `{"Revision":3}`, 0))
+	mustApply(t, c, time.Second, reply(2, `{"Revision":3}`, 0))
 	require.EqualValues(t, 3, c.Table().Revision)
 }
 
-func TestAnUpdateThatCannotBeReadAsksForTheWhole(t *testing.T) {
-	c := NewClientState(true, revoke)
-	take(t, c, time.Second, reply(1, `{"Revision":1}`, 0))
+func TestUndecodableUpdateRequestsFullDocument(t *testing.T) {
+	c := NewClientState(true, revokeAfter)
+	mustApply(t, c, time.Second, reply(1, `{"Revision":1}`, 0))
 	spoiled := reply(2, `{"Revision":2}`, 0)
 	spoiled.Update = spoiled.Update[:len(spoiled.Update)/2]
 	_, err := c.Apply(time.Second, spoiled)
