--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Service answers with as many bytes as it is asked for, or never.
+// Service answers with as many bytes as requested, or not before the end of the test.
 type Service struct{ hang chan struct{} }
 
-// Bytes answers with so many bytes.
+// Bytes returns count bytes, or hangs where that is negative.
 func (s *Service) Bytes(count int, reply *[]byte) error {
 	if count < 0 {
 		<-s.hang
@@ -22,12 +22,12 @@
 	return nil
 }
 
-// slow lets bytes through in small pieces, as a small link does.
-type slow struct{ net.Conn }
+// slowConn reads small chunks with pauses, as over a small link.
+type slowConn struct{ net.Conn }
 
-func (s slow) Read(into []byte) (int, error) {
+func (c slowConn) Read(into []byte) (int, error) {
 	time.Sleep(5 * time.Millisecond)
-	return s.Conn.Read(into[:min(len(into), 4096)])
+	return c.Conn.Read(into[:min(len(into), 4096)])
 }
 
 func serve(t *testing.T) (string, *Pool) {
@@ -43,10 +43,10 @@
 	return listener.Addr().String(), NewPool()
 }
 
-func TestALargeAnswerOverASmallLinkIsWaitedForWhileItsBytesCome(t *testing.T) {
+func TestCallLargeWaitsWhileBytesArrive(t *testing.T) {
 	const size, wait = 400_000, 50 * time.Millisecond // about half a second over the link below
 	address, pool := serve(t)
-	pool.Wrap = func(c net.Conn) net.Conn { return slow{c} }
+	pool.Wrap = func(conn net.Conn) net.Conn { return slowConn{conn} }
 	var reply []byte
 	require.ErrorIs(t, pool.Call(address, "Test.Bytes", size, &reply, wait), ErrTimeout)
 	reply = nil
@@ -54,7 +54,7 @@
 	require.Len(t, reply, size)
 }
 
-func TestAPeerThatSaysNothingIsGivenUpInTime(t *testing.T) {
+func TestUnresponsivePeerTimesOut(t *testing.T) {
 	address, pool := serve(t)
 	var reply []byte
 	begin := time.Now()
@@ -63,7 +63,7 @@
 	require.NoError(t, pool.Call(address, "Test.Bytes", 3, &reply, time.Minute), "the next call has a connection of its own")
 }
 
-func TestAPeerThatIsNotThere(t *testing.T) {
+func TestCallToClosedPortFails(t *testing.T) {
 	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -72,7 +72,7 @@
 	require.Error(t, NewPool().Call(address, "Test.Bytes", 3, &reply, time.Minute))
 }
 
-func TestAProcessThatHasJustStartedGivesUpConnectionsSooner(t *testing.T) {
+func TestEagerPoolDialsWithShorterTimeout(t *testing.T) {
 	pool := NewPool()
 	require.Equal(t, dialTimeout, pool.dialTimeout())
 	pool.SetEager(true)
