--- a/internal/fleet/controlplane/poll.go
+++ b/internal/fleet/controlplane/poll.go
@@ -68,7 +68,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sessions[request.Session] = now
-	// A node polls one of the chain's members: the others have about as many sessions.
+	// An estimate: every member of the chain is taken to have as many sessions as this process.
 	reply.Sessions, reply.Leaving = len(n.sessions)*max(1, len(published.View.Chain)), n.leaving
 	reply.RegistryOwner, reply.RegistryVersion = n.registryOwner, n.registry.Version()
 	reply.RegistryAge = now // the registry is as old as the process, and so is its clock
