--- a/internal/fleet/transport/pool.go
+++ b/internal/fleet/transport/pool.go
@@ -66,17 +66,6 @@
 	}
 }
 
-// Forget closes the connection to a peer. Calls under way on it fail.
-func (p *Pool) Forget(address string) {
-	peer := p.peerConn(address)
-	peer.mu.Lock()
-	client := peer.client
-	peer.mu.Unlock()
-	if client != nil {
-		peer.drop(client)
-	}
-}
-
 func (p *Pool) dialTimeout() time.Duration {
 	if p.eager.Load() {
 		return eagerDialTimeout
