--- a/internal/fleet/controlplane/deregistration.go
+++ b/internal/fleet/controlplane/deregistration.go
@@ -14,7 +14,7 @@
 // more that has been unresponsive for unresponsiveAfter, unless that has the deregistration from others.
 const (
 	replicateTimeout       = 850 * time.Millisecond // with all attempts; a backend waits for a second
-	replicateCallTimeout   = 250 * time.Millisecond // of one exchange
+	exchangeTimeout        = 250 * time.Millisecond // of one exchange
 	replicateRetryInterval = 20 * time.Millisecond
 	unresponsiveAfter      = 2 * time.Second
 )
@@ -37,7 +37,7 @@
 			g.setAcknowledged(record.ID)
 			return nil
 		}
-		if g.node.now()-began > replicateTimeout-replicateCallTimeout {
+		if g.node.now()-began > replicateTimeout-exchangeTimeout {
 			return errkind.New(errkind.OutcomeUnknown, "not enough of the control plane has the news that rater %s leaves", record.ID)
 		}
 		time.Sleep(replicateRetryInterval)
@@ -49,7 +49,7 @@
 	results := make(chan string, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			if !g.exchange(address, records, replicateCallTimeout) {
+			if !g.exchange(address, records, exchangeTimeout) {
 				address = ""
 			}
 			results <- address
--- a/internal/fleet/controlplane/ownership.go
+++ b/internal/fleet/controlplane/ownership.go
@@ -43,12 +43,12 @@
 	if now-published.ViewConfirmed > maxViewAge || !slices.Contains(published.View.Chain, published.Self) {
 		return false
 	}
-	return n.buckets.Owns(tenant) || n.mayTakeOver(published, tenant, now)
+	return n.buckets.Owns(tenant) || n.mayAssumeOwnership(published, tenant, now)
 }
 
-// mayTakeOver reports whether no other process can still grant from a tenant's bucket: all are in this view and have had time
+// mayAssumeOwnership reports whether no other process can still grant from a tenant's bucket: all are in this view and have had time
 // to transfer the bucket, or so much time has passed that none of them can be confirmed in an earlier view. Node.mu is held.
-func (n *Node) mayTakeOver(published Published, tenant string, now time.Duration) bool {
+func (n *Node) mayAssumeOwnership(published Published, tenant string, now time.Duration) bool {
 	owned, known := n.ownerships[tenant]
 	if !known || owned.epoch != published.View.Epoch {
 		owned = ownership{epoch: published.View.Epoch, since: now}
