--- /dev/null
+++ b/internal/fleet/controlplane/deregistration_test.go
@@ -0,0 +1,152 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/charmbracelet/log"
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/fleet/distribution"
+	"linenwheel.dev/linenwheel/internal/fleet/replica"
+	"linenwheel.dev/linenwheel/internal/fleet/settings"
+)
+
+func TestDeregistrationNeedsMajorityAndEveryResponsiveProcess(t *testing.T) {
+	n := newSingleNode(t, 0, 0)
+	self := n.replicator.machine.Self()
+	voters := []replica.Member{self, {Address: "b"}, {Address: "c"}, {Address: "d"}, {Address: "e"}}
+	n.replicator.mu.Lock()
+	n.replicator.published.View.Voters = voters
+	n.replicator.mu.Unlock()
+	now := n.now()
+	g := n.gossip
+	g.started = now - time.Minute
+	g.lastExchanges = map[string]time.Duration{"b": now, "c": now, "d": now - unresponsiveAfter, "e": now - unresponsiveAfter}
+	knows := func(addresses ...string) map[string]bool {
+		set := map[string]bool{}
+		for _, address := range addresses {
+			set[address] = true
+		}
+		return set
+	}
+	require.False(t, g.replicatedWidely(knows(), []string{"b", "c", "d", "e"}), "alone")
+	require.False(t, g.replicatedWidely(knows("b"), []string{"c", "d", "e"}), "no majority")
+	require.True(t, g.replicatedWidely(knows("b", "c"), []string{"d", "e"}), "the others are unresponsive")
+	require.False(t, g.replicatedWidely(knows("b", "d"), []string{"c", "e"}), "c answered just now: nodes may follow it")
+	g.started = now
+	require.False(t, g.replicatedWidely(knows("b", "c"), []string{"x"}), "this process started too recently to know which are unresponsive")
+}
+
+func TestRegistryIsConfirmedByMajorityOfExchanges(t *testing.T) {
+	n := newSingleNode(t, 0, 0)
+	self := replica.Member{Address: "a"}
+	view := &replica.View{Voters: []replica.Member{self, {Address: "b"}, {Address: "c"}}}
+	n.gossip.lastExchanges = map[string]time.Duration{"b": 5, "c": 3}
+	require.EqualValues(t, 5, n.gossip.registryConfirmedAt(view, self))
+	require.EqualValues(t, 3, n.gossip.registryConfirmedAt(view, replica.Member{Address: "learner"}))
+	n.gossip.lastExchanges = map[string]time.Duration{"b": 5}
+	require.EqualValues(t, 5, n.gossip.registryConfirmedAt(view, self))
+	require.Zero(t, n.gossip.registryConfirmedAt(view, replica.Member{Address: "learner"}))
+	require.Zero(t, n.gossip.registryConfirmedAt(&replica.View{}, self), "no view")
+}
+
+// partitionedConn loses what is written and read while the partition lasts.
+type partitionedConn struct {
+	net.Conn
+	partitioned *atomic.Bool
+}
+
+func (c partitionedConn) Write(bytes []byte) (int, error) {
+	if c.partitioned.Load() {
+		return len(bytes), nil // lost on the way
+	}
+	return c.Conn.Write(bytes)
+}
+
+func (c partitionedConn) Read(into []byte) (int, error) {
+	for {
+		n, err := c.Conn.Read(into)
+		if err != nil || !c.partitioned.Load() {
+			return n, err
+		}
+	}
+}
+
+// cluster is three control processes on loopback, the third of which can be partitioned from the others.
+type cluster struct {
+	nodes       []*Node
+	partitioned *atomic.Bool
+}
+
+func newCluster(t *testing.T) *cluster {
+	t.Helper()
+	replica.RegisterMessages()
+	fleet := &cluster{partitioned: &atomic.Bool{}}
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan error, 3)
+	for i := range 3 {
+		text := fmt.Sprintf("Ip=127.7.1.%d\nListen.Control=127.7.1.%d:7001\nInternalPorts=7002,7003\nBootstrap=true\nCountsForQuorum=true\n"+
+			"Seeds=127.7.1.1:7001,127.7.1.2:7001,127.7.1.3:7001\nFaultTolerance.Machines=1\nDataDir=%s\nBounds.GraceS=3\n", i+1, i+1, t.TempDir())
+		set, err := settings.Parse("boot.conf", text)
+		require.NoError(t, err)
+		n, err := New(set, log.New(io.Discard))
+		require.NoError(t, err)
+		n.pool.Wrap = func(conn net.Conn) net.Conn {
+			if i == 2 || strings.HasPrefix(conn.RemoteAddr().String(), "127.7.1.3:") {
+				return partitionedConn{conn, fleet.partitioned}
+			}
+			return conn
+		}
+		fleet.nodes = append(fleet.nodes, n)
+		go func() { ended <- n.Run(ctx) }()
+	}
+	t.Cleanup(func() {
+		stop()
+		for range fleet.nodes {
+			require.NoError(t, <-ended)
+		}
+	})
+	for _, n := range fleet.nodes {
+		require.Eventually(t, func() bool {
+			published, _ := n.replicator.Published()
+			at := n.gossip.registryConfirmedAt(&published.View, published.Self)
+			return len(published.View.Chain) == 3 && at > 0
+		}, 10*time.Second, 10*time.Millisecond)
+	}
+	return fleet
+}
+
+const drainingHeartbeat = `{"Backend":"llm","Address":"10.0.0.1:1","State":"draining","Sequence":7}`
+
+// TestPartitionedProcessAcknowledgesNoDeregistration shows also that the others acknowledge one as soon as no node of the data
+// plane can follow the partitioned process any more.
+func TestPartitionedProcessAcknowledgesNoDeregistration(t *testing.T) {
+	fleet := newCluster(t)
+	require.Equal(t, http.StatusOK, do(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code)
+	for _, n := range fleet.nodes {
+		reply, _ := poll(t, n, nil)
+		require.Len(t, reply.Records, 1, "every process had the record before it was acknowledged")
+		require.True(t, reply.ListConfirmed)
+		require.Less(t, reply.ListConfirmedAgo, distribution.MaxRegistryAge)
+	}
+	fleet.partitioned.Store(true)
+	partitionedAt := time.Now()
+	require.Equal(t, http.StatusServiceUnavailable, do(fleet.nodes[2], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code)
+	require.Equal(t, http.StatusServiceUnavailable, do(fleet.nodes[2], http.MethodDelete, "/-/instances/i2", "").Code)
+	require.Equal(t, http.StatusOK, do(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code, "acknowledged before the partition")
+	for do(fleet.nodes[0], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code != http.StatusOK {
+		require.Less(t, time.Since(partitionedAt), 6*time.Second)
+	}
+	stale, _ := poll(t, fleet.nodes[2], nil)
+	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryAge, "nodes have turned to other processes by now")
+	known, _ := poll(t, fleet.nodes[1], nil)
+	require.Len(t, known.Records, 2)
+}
--- a/internal/fleet/controlplane/events.go
+++ b/internal/fleet/controlplane/events.go
@@ -1,167 +1,86 @@
 package controlplane
 
 import (
-	"sync"
 	"time"
 
 	"linenwheel.dev/linenwheel/internal/fleet/distribution"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// The figures of events of attempts.
-const (
-	eventLife   = 2 * time.Second
-	relayWait   = 200 * time.Millisecond
-	relayGather = 8 * time.Millisecond // that events wait for more before they are handed on
-	mostRelayed = 512                  // announcements that wait to be handed on
-)
+// eventTTL is how long an event of an attempt is of use to the nodes of the data plane.
+const eventTTL = 2 * time.Second
 
-// loggedEvent is an event with the node that told of it and the time at which it happened.
+// loggedEvent is an event of an attempt.
 type loggedEvent struct {
-	session uint64
-	at      time.Duration
+	session uint64        // of the node that made the attempt
+	at      time.Duration // when it happened, by this process's clock
 	event   routing.Event
 }
 
-// eventLog keeps the newest events of attempts, for the nodes of the data plane that poll here.
+// eventLog keeps the newest events of attempts for the nodes of the data plane that poll here. It is guarded by Node.mu.
 type eventLog struct {
-	last uint64 // the number of the newest event; those before it have the numbers before
-	list []loggedEvent
+	lastSeq uint64        // the sequence number of the newest event
+	events  []loggedEvent // with consecutive sequence numbers up to lastSeq
 }
 
-func (l *eventLog) add(now time.Duration, announcement *distribution.Announcement) error {
-	old := 0
-	for old < len(l.list) && now-l.list[old].at >= eventLife {
-		old++
+// append adds the events of an announcement and drops those that have expired. It returns an error where the announcement
+// cannot be decoded.
+func (l *eventLog) append(now time.Duration, announcement *distribution.Announcement) error {
+	expired := 0
+	for expired < len(l.events) && now-l.events[expired].at >= eventTTL {
+		expired++
 	}
-	l.list = l.list[old:]
+	l.events = l.events[expired:]
 	events, err := routing.UnpackEvents(announcement.Events)
 	if err != nil {
 		return err
 	}
 	for _, event := range events {
-		l.last++
-		l.list = append(l.list, loggedEvent{announcement.Session, now - event.Age, event})
+		l.lastSeq++
+		l.events = append(l.events, loggedEvent{announcement.Session, now - event.Age, event})
 	}
 	return nil
 }
 
-// after gives the events that came after a number.
-func (l *eventLog) after(since uint64) []loggedEvent {
-	if since >= l.last {
+// after returns the kept events with higher sequence numbers.
+func (l *eventLog) after(seq uint64) []loggedEvent {
+	if seq >= l.lastSeq {
 		return nil
 	}
-	return l.list[len(l.list)-int(min(l.last-since, uint64(len(l.list)))):]
+	return l.events[len(l.events)-int(min(l.lastSeq-seq, uint64(len(l.events)))):]
 }
 
-// news tells whether there is an event for a node after the last one that it had.
-func (l *eventLog) news(since, session uint64) bool {
-	for _, one := range l.after(since) {
-		if one.session != session {
+// hasNewFor reports whether another node than the one with this session made an event after a sequence number.
+func (l *eventLog) hasNewFor(seq, session uint64) bool {
+	for _, logged := range l.after(seq) {
+		if logged.session != session {
 			return true
 		}
 	}
 	return false
 }
 
-// since gives the packed events for a node after the last one that it had.
-func (l *eventLog) since(now time.Duration, since, session uint64) []byte {
+// packNewFor returns the events after a sequence number that other nodes than the one with this session made, encoded with
+// their ages.
+func (l *eventLog) packNewFor(now time.Duration, seq, session uint64) []byte {
 	var packed []byte
-	for _, one := range l.after(since) {
-		if one.session != session {
-			event := one.event
-			event.Age = now - one.at
+	for _, logged := range l.after(seq) {
+		if logged.session != session {
+			event := logged.event
+			event.Age = now - logged.at
 			packed = routing.AppendEvent(packed, event)
 		}
 	}
 	return packed
 }
 
-// relay hands announcements on to the other control processes, to each in their order.
-type relay struct {
-	mu    sync.Mutex
-	lanes map[string]*relayLane
-}
-
-// relayLane is what waits to be handed on to one process.
-type relayLane struct {
-	waiting []distribution.Announcement
-	running bool
-}
-
-// put adds an announcement for a process. It tells whether nobody is handing on to that process yet.
-func (r *relay) put(address string, announcement *distribution.Announcement) (idle bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	lane := r.lanes[address]
-	if lane == nil {
-		lane = &relayLane{}
-		r.lanes[address] = lane
-	}
-	if len(lane.waiting) < mostRelayed { // what is lost costs little
-		lane.waiting = append(lane.waiting, *announcement)
-	}
-	idle = !lane.running
-	lane.running = true
-	return idle
-}
-
-// take gives what waits for a process. Where nothing does, the lane is forgotten.
-func (r *relay) take(address string) []distribution.Announcement {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	lane := r.lanes[address]
-	waiting := lane.waiting
-	lane.waiting = nil
-	if len(waiting) == 0 {
-		delete(r.lanes, address)
-	}
-	return waiting
-}
-
-// Announce takes a node's events and hands them on to the other control processes, together with others that come soon.
-func (s *distributionService) Announce(announcement *distribution.Announcement, _ *struct{}) error {
-	n := s.node
-	if err := n.takeEvents(announcement); err != nil {
-		return err
-	}
-	for _, address := range n.peers.others() {
-		if n.relay.put(address, announcement) {
-			go n.handOn(address)
-		}
-	}
-	return nil
-}
-
-// handOn sends what waits for another control process until nothing does.
-func (n *Node) handOn(address string) {
-	for {
-		time.Sleep(relayGather)
-		request := distribution.RelayRequest{Announcements: n.relay.take(address)}
-		if len(request.Announcements) == 0 {
-			return
-		}
-		var none struct{}
-		_ = n.pool.Call(address, distribution.MethodRelay, &request, &none, relayWait) // what is lost costs little
-	}
-}
-
-// Relay takes events from another control process.
-func (s *distributionService) Relay(request *distribution.RelayRequest, _ *struct{}) error {
-	for i := range request.Announcements {
-		if err := s.node.takeEvents(&request.Announcements[i]); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (n *Node) takeEvents(announcement *distribution.Announcement) error {
+// applyEvents logs an announcement's events and wakes the polls.
+func (n *Node) applyEvents(announcement *distribution.Announcement) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.events.add(n.now(), announcement); err != nil {
+	if err := n.events.append(n.now(), announcement); err != nil {
 		return err
 	}
-	n.announce()
+	n.notifyChanged()
 	return nil
 }
--- a/internal/fleet/controlplane/outbox.go
+++ b/internal/fleet/controlplane/outbox.go
@@ -8,34 +8,37 @@
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
 
-// The figures of the messages between members.
+// Parameters of the messages between members.
 const (
-	laneSize    = 64
-	votesWait   = time.Second     // that a small message may take
-	ordersWait  = 2 * time.Second // that one with orders or a piece of a snapshot may take over a small, busy link
-	laneIdleFor = 10 * time.Second
+	queueSize        = 64              // messages
+	controlTimeout   = time.Second     // of a heartbeat, a vote or another small message
+	bulkTimeout      = 2 * time.Second // of a message with orders or a chunk of a snapshot, over a small and busy link
+	queueIdleTimeout = 10 * time.Second
 )
 
-// lane orders the messages to one peer. Those with orders do not hold up heartbeats and votes.
-type lane struct {
+// queueKey identifies a queue. A peer has two, so that messages with orders do not delay heartbeats and votes: late ones would
+// look like a failed member.
+type queueKey struct {
 	address string
 	bulk    bool
 }
 
-// outbox sends messages: for each lane there is one goroutine, which ends when there is nothing to do, and a bounded queue.
-// What finds no place is dropped; the machine sends again what matters.
+// outbox sends the replica's messages. Each queue is bounded and has one goroutine, which sends in order and ends when the
+// queue has been empty for queueIdleTimeout. What exceeds a queue is dropped, and lost messages are not repeated here: the
+// replica sends again what matters.
 type outbox struct {
 	pool *transport.Pool
 
 	mu     sync.Mutex
 	closed bool
-	lanes  map[lane]chan replica.Envelope
+	queues map[queueKey]chan replica.Envelope
 }
 
 func newOutbox(pool *transport.Pool) *outbox {
-	return &outbox{pool: pool, lanes: map[lane]chan replica.Envelope{}}
+	return &outbox{pool: pool, queues: map[queueKey]chan replica.Envelope{}}
 }
 
+// isBulk reports whether a message may be large.
 func isBulk(message replica.Message) bool {
 	switch message.(type) {
 	case replica.Append, replica.FetchReply, replica.SnapshotChunk:
@@ -44,18 +47,18 @@
 	return false
 }
 
-// post queues a message.
-func (o *outbox) post(envelope replica.Envelope) {
-	key := lane{envelope.To.Address, isBulk(envelope.Body)}
+// send queues a message. It does not block.
+func (o *outbox) send(envelope replica.Envelope) {
+	key := queueKey{envelope.To.Address, isBulk(envelope.Body)}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return
 	}
-	queue := o.lanes[key]
+	queue := o.queues[key]
 	if queue == nil {
-		queue = make(chan replica.Envelope, laneSize)
-		o.lanes[key] = queue
+		queue = make(chan replica.Envelope, queueSize)
+		o.queues[key] = queue
 		go o.run(key, queue)
 	}
 	select {
@@ -64,13 +67,13 @@
 	}
 }
 
-// run sends the messages of a lane, one after the other.
-func (o *outbox) run(key lane, queue chan replica.Envelope) {
-	wait := votesWait
+// run sends the messages of a queue, one after the other.
+func (o *outbox) run(key queueKey, queue chan replica.Envelope) {
+	timeout := controlTimeout
 	if key.bulk {
-		wait = ordersWait
+		timeout = bulkTimeout
 	}
-	idle := time.NewTimer(laneIdleFor)
+	idle := time.NewTimer(queueIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -79,35 +82,35 @@
 				return
 			}
 			var none struct{}
-			_ = o.pool.Call(envelope.To.Address, MethodDeliver, &envelope, &none, wait)
-			idle.Reset(laneIdleFor)
+			_ = o.pool.Call(envelope.To.Address, MethodDeliver, &envelope, &none, timeout)
+			idle.Reset(queueIdleTimeout)
 		case <-idle.C:
-			if o.retire(key, queue) {
+			if o.removeIfEmpty(key, queue) {
 				return
 			}
-			idle.Reset(laneIdleFor)
+			idle.Reset(queueIdleTimeout)
 		}
 	}
 }
 
-// retire forgets a lane whose queue is empty.
-func (o *outbox) retire(key lane, queue chan replica.Envelope) bool {
+// removeIfEmpty removes a queue without messages. It reports whether it did, and its goroutine then has to end.
+func (o *outbox) removeIfEmpty(key queueKey, queue chan replica.Envelope) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(queue) > 0 {
 		return false
 	}
-	delete(o.lanes, key)
+	delete(o.queues, key)
 	return true
 }
 
-// close ends the goroutines once their queues are empty.
+// close lets the goroutines send what is queued and then end. It does not wait for them.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
-	for key, queue := range o.lanes {
+	for key, queue := range o.queues {
 		close(queue)
-		delete(o.lanes, key)
+		delete(o.queues, key)
 	}
 }
--- a/internal/fleet/dataplane/quotaclient_test.go
+++ b/internal/fleet/dataplane/quotaclient_test.go
@@ -49,7 +49,7 @@
 func owned(t *testing.T, answer func(*quota.TakeRequest) quota.TakeReply) (*quotaClient, *Owner) {
 	t.Helper()
 	o := &Owner{answer: answer}
-	listener, err := transport.Listen("127.0.0.1:0")
+	listener, err := transport.Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() { _ = transport.Serve(listener, map[string]any{"Allowance": o}) }()
--- a/internal/node/options/gen/main.go
+++ b/internal/node/options/gen/main.go
@@ -146,7 +146,7 @@
 	return strings.TrimSpace(cmp.Or(f.Min, "any") + ", " + cmp.Or(f.Max, "any"))
 }
 
-const exampleHead = `# Every option of linenwheel at its default. This file is generated (go generate ./internal/options).
+const exampleHead = `# Every option of linenwheel at its default. This file is generated (go generate ./internal/node/options).
 # In a file of your own, keep only the fields that you change. docs/configuration.md has their bounds.
 `
 
