--- a/cmd/linenwheel-keep/main.go
+++ b/cmd/linenwheel-keep/main.go
@@ -69,9 +69,9 @@
 	}
 	logger := log.On(log.New(errs, format, level), clock.NewSystem()).With("node", set.Name, "part", "keeper")
 	if *before != "" || *from != "" {
-		look := func() (replica.Rest, error) { return replica.LookAtRest(set, *before) }
+		look := func() (replica.Leftover, error) { return replica.InspectDisk(set, *before) }
 		if *from != "" {
-			look = func() (replica.Rest, error) { return replica.LookAtCopy(*from) }
+			look = func() (replica.Leftover, error) { return replica.InspectBackup(*from) }
 		}
 		if err := recoverFleet(set, look, *yes, logger, errs); err != nil {
 			fmt.Fprintln(errs, "linenwheel: keep: recover:", err)
@@ -121,7 +121,7 @@
 }
 
 // recoverFleet tells what one keeper has left of a fleet, and goes on with it where that is wanted.
-func recoverFleet(set replica.Settings, look func() (replica.Rest, error), yes bool, log *slog.Logger, out io.Writer) error {
+func recoverFleet(set replica.Settings, look func() (replica.Leftover, error), yes bool, log *slog.Logger, out io.Writer) error {
 	r, err := look()
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 	fmt.Fprintf(out, "It was so at %s. Held: %d names of charges, %d of them running (they count as such that may have run); policy %d.\n",
 		time.UnixMilli(int64(r.At)).UTC().Format(time.RFC3339), r.Calls.Names, r.Calls.Running, r.Policy)
 	for _, m := range r.Members {
-		if m.Role != statemachine.Gone && m.Name != set.Name {
+		if m.Role != statemachine.Removed && m.Name != set.Name {
 			fmt.Fprintf(out, "%s, number %x, is out for good: it is turned away if it comes back. Make sure that it is not running.\n", m.Name, m.ID)
 		}
 	}
--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -42,11 +42,11 @@
 // to, that loses what its last keeper held, and against keepers of the fleet before that come back and vote.
 func TestRecover(t *testing.T) {
 	dir, members := t.TempDir(), ""
-	set := client.Settings{Name: "test", Try: 10 * time.Second}
+	set := client.Config{Name: "test", AttemptTimeout: 10 * time.Second}
 	for _, name := range []string{"a", "b", "c"} {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.11:0", 128+os.Getpid()>>8&63, os.Getpid()&255)) // where no other takes the port
 		require.NoError(t, err)
-		set.Keepers = append(set.Keepers, client.Keeper{Name: name, Address: l.Addr().String()})
+		set.Replicas = append(set.Replicas, client.Replica{Name: name, Address: l.Addr().String()})
 		require.NoError(t, l.Close())
 		members += fmt.Sprintf("[[peers.member]]\nname = %q\naddress = %q\n", name, l.Addr())
 	}
@@ -75,9 +75,9 @@
 	defer cancel()
 	ask := func(fleet, name string, r protocol.Request) *protocol.State {
 		set.Fleet = fleet
-		for _, k := range set.Keepers {
+		for _, k := range set.Replicas {
 			for k.Name == name && ctx.Err() == nil {
-				if a, err := client.Ask(ctx, set, k, r); err == nil {
+				if a, err := client.Call(ctx, set, k, r); err == nil {
 					return a.State
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -88,15 +88,15 @@
 	}
 	var stops []func() string
 	var founders []statemachine.Member
-	for _, k := range set.Keepers {
+	for _, k := range set.Replicas {
 		stops = append(stops, start("old", k.Name))
 		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, protocol.Request{Want: protocol.Status}).ID, Name: k.Name, Address: k.Address})
 	}
-	for _, k := range set.Keepers {
+	for _, k := range set.Replicas {
 		ask("old", k.Name, protocol.Request{Want: protocol.Found, Members: founders, Now: 1e12})
 	}
 	old := client.New(set)
-	_, err := old.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Brno"})
+	_, err := old.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Brno"})
 	require.NoError(t, err)
 	index, image, err := old.Copy(ctx)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 	require.NoError(t, backup.Write(copied, "old", index, image))
 	require.Error(t, backup.Write(copied, "old", index, image), "it is there")
 	stops[2]() // c does not hear of what comes now
-	_, err = old.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Brno again"})
+	_, err = old.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Brno again"})
 	require.NoError(t, err)
 	old.Close()
 	for _, stop := range stops[:2] {
@@ -127,8 +127,8 @@
 	assert.Contains(t, rescue(1, "old", "a", "-yes"), "needs another name")
 	rescue(0, "wrong", "c", "-yes") // the one that holds less is gone on with by mistake
 	stop := start("wrong", "c")
-	mistaken := client.New(client.Settings{Fleet: "wrong", Name: "test", Keepers: set.Keepers, Try: time.Second})
-	reply, err := mistaken.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
+	mistaken := client.New(client.Config{Fleet: "wrong", Name: "test", Replicas: set.Replicas, AttemptTimeout: time.Second})
+	reply, err := mistaken.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	mistaken.Close()
 	assert.Contains(t, string(reply.Body), `"Brno"`, "what was agreed last is missing, and it was told so")
@@ -139,37 +139,37 @@
 	assert.Contains(t, said, "goes on with this keeper alone")
 	assert.Contains(t, said, "is out for good")
 	defer start("new", "a")()
-	now := client.New(client.Settings{Fleet: "new", Name: "test", Keepers: set.Keepers, Try: 10 * time.Second})
+	now := client.New(client.Config{Fleet: "new", Name: "test", Replicas: set.Replicas, AttemptTimeout: 10 * time.Second})
 	defer now.Close()
 	index, image, err = now.Copy(ctx)
 	require.NoError(t, err)
 	running := filepath.Join(dir, "copy-of-new")
 	require.NoError(t, backup.Write(running, "new", index, image))
-	r, err := now.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
+	r, err := now.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), "Brno again")
 	assert.Contains(t, start("new", "b")(), `it is "b" of "old"`, "a folder of the fleet before")
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
-	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Want: protocol.Status}).ID, Name: "b", Address: set.Keepers[1].Address}
+	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Want: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
 	require.NoError(t, now.Change(ctx, protocol.Learn, fresh))
 	for ctx.Err() == nil && ask("new", "b", protocol.Request{Want: protocol.Status}).Applied == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
-	_, err = now.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Praha"})
+	_, err = now.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Praha"})
 	require.NoError(t, err)
 	var errs bytes.Buffer // one more fleet, from a copy of the one that runs beside it
 	raise := []string{"-options", options("third"), "-name", "c", "-raise", running, "-yes"}
 	assert.Equal(t, 0, run(ctx, raise, func(string) string { return "" }, &errs), errs.String())
 	defer start("third", "c")()
-	third := client.New(client.Settings{Fleet: "third", Name: "test", Keepers: set.Keepers, Try: 10 * time.Second})
+	third := client.New(client.Config{Fleet: "third", Name: "test", Replicas: set.Replicas, AttemptTimeout: 10 * time.Second})
 	defer third.Close()
-	r, err = third.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
+	r, err = third.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), `"Brno again"`)
-	_, err = third.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "city", Value: "Ostrava"})
+	_, err = third.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Ostrava"})
 	require.NoError(t, err)
-	r, err = now.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "city"})
+	r, err = now.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), `"Praha"`, "each is a fleet of its own")
 	image[len(image)/2]++
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -70,7 +70,7 @@
 // fleet is what the sub-commands work with.
 type fleet struct {
 	options  options.Peers
-	set      client.Settings
+	set      client.Config
 	log      *client.Client
 	patience time.Duration
 }
@@ -86,9 +86,9 @@
 		return nil, errors.New("peers: name an options file with a table peers")
 	}
 	f := &fleet{options: p, patience: time.Duration(p.Patience.Ms * 1e6),
-		set: client.Settings{Fleet: p.Fleet, Name: "peers", Release: version, Try: time.Duration(p.Try.Ms * 1e6)}}
+		set: client.Config{Fleet: p.Fleet, Name: "peers", Release: version, AttemptTimeout: time.Duration(p.Try.Ms * 1e6)}}
 	for _, m := range p.Members {
-		f.set.Keepers = append(f.set.Keepers, client.Keeper{Name: m.Name, Address: m.Address})
+		f.set.Replicas = append(f.set.Replicas, client.Replica{Name: m.Name, Address: m.Address})
 	}
 	f.log = client.New(f.set)
 	return f, nil
@@ -100,7 +100,7 @@
 	if address == "" {
 		return nil, fmt.Errorf("peers.member has no %q", name)
 	}
-	a, err := client.Ask(ctx, f.set, client.Keeper{Name: name, Address: address}, protocol.Request{Want: protocol.Status})
+	a, err := client.Call(ctx, f.set, client.Replica{Name: name, Address: address}, protocol.Request{Want: protocol.Status})
 	if err != nil {
 		return nil, fmt.Errorf("%s at %s: %w", name, address, err)
 	}
@@ -208,7 +208,7 @@
 			if m.Heard || m.ID == lead.ID {
 				heard = "yes"
 			}
-			if m.Role == statemachine.Gone {
+			if m.Role == statemachine.Removed {
 				holds, heard = "-", "-"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%x\n", m.Name, m.Role, heard, holds, m.Bytes, m.Address, m.ID)
@@ -235,7 +235,7 @@
 	}
 	now := float64(time.Now().UnixMilli())
 	for _, m := range members {
-		_, err := client.Ask(ctx, f.set, client.Keeper{Name: m.Name, Address: m.Address},
+		_, err := client.Call(ctx, f.set, client.Replica{Name: m.Name, Address: m.Address},
 			protocol.Request{Want: protocol.Found, Members: members, Now: now})
 		if err != nil {
 			return fmt.Errorf("peers: %s: %w", m.Name, err)
@@ -339,14 +339,14 @@
 		return fmt.Errorf("peers: nothing was changed: %w", err)
 	}
 	for _, m := range lead.Members {
-		if m.Name != args[0] || m.Role == statemachine.Gone {
+		if m.Name != args[0] || m.Role == statemachine.Removed {
 			continue
 		}
 		if err := f.log.Change(ctx, protocol.Remove, m.Member); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
 		return s.settled(ctx, f, func(lead *protocol.State) (string, bool) {
-			return fmt.Sprintf("%s, number %x, is taken out", m.Name, m.ID), find(lead, m.ID).Role == statemachine.Gone
+			return fmt.Sprintf("%s, number %x, is taken out", m.Name, m.ID), find(lead, m.ID).Role == statemachine.Removed
 		})
 	}
 	return fmt.Errorf("peers: nothing was changed: no member is called %q", args[0])
@@ -360,7 +360,7 @@
 	if len(args) == 1 {
 		g.Name = args[0]
 	}
-	r, err := f.log.Read(ctx, statemachine.PartRegister, g)
+	r, err := f.log.Read(ctx, statemachine.ComponentRegister, g)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
@@ -390,7 +390,7 @@
 	if was >= 0 {
 		set.Was = new(uint64(was))
 	}
-	r, err := f.log.Do(ctx, statemachine.PartRegister, set)
+	r, err := f.log.Do(ctx, statemachine.ComponentRegister, set)
 	switch {
 	case err != nil:
 		return fmt.Errorf("peers: %w", err)
@@ -406,7 +406,7 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	r, err := f.log.Do(ctx, statemachine.PartMembers, statemachine.Raise{Raise: statemachine.Version})
+	r, err := f.log.Do(ctx, statemachine.ComponentMembers, statemachine.Raise{Raise: statemachine.Version})
 	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
@@ -423,7 +423,7 @@
 		return flag.ErrHelp
 	}
 	patient := f.set
-	patient.Try = f.patience // there may be much of it
+	patient.AttemptTimeout = f.patience // there may be much of it
 	log := client.New(patient)
 	defer log.Close()
 	index, image, err := log.Copy(ctx)
--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -86,13 +86,13 @@
 
 // ask has a command agreed and gives what it came to.
 func ask[T any](ctx context.Context, f *fleet, c statemachine.PolicyCommand) (v T, err error) {
-	r, err := f.log.Do(ctx, statemachine.PartPolicy, c)
+	r, err := f.log.Do(ctx, statemachine.ComponentPolicy, c)
 	return v, answered(r, err, &v)
 }
 
 // question asks what is agreed.
 func question[T any](ctx context.Context, f *fleet, q statemachine.PolicyQuestion) (v T, err error) {
-	r, err := f.log.Read(ctx, statemachine.PartPolicy, q)
+	r, err := f.log.Read(ctx, statemachine.ComponentPolicy, q)
 	return v, answered(r, err, &v)
 }
 
@@ -148,8 +148,8 @@
 		base = int64(v.Number)
 	}
 	p.Base = uint64(base)
-	if n := len(p.Text); n > rollout.MostDocument { // the log does not take a command of that size
-		return s.outcome(rollout.Outcome{Stage: rollout.Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, rollout.MostDocument)})
+	if n := len(p.Text); n > rollout.MaxDocumentBytes { // the log does not take a command of that size
+		return s.outcome(rollout.Outcome{Stage: rollout.Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, rollout.MaxDocumentBytes)})
 	}
 	o, err := ask[rollout.Outcome](ctx, f, statemachine.PolicyCommand{Propose: &p})
 	if err != nil && !errors.Is(err, client.ErrUnknown) {
@@ -294,8 +294,8 @@
 				return fmt.Errorf("policy: %w", err)
 			}
 			_, found := options.Overlay(file.Options, args[0], text, conf, nil)
-			if len(text) > rollout.MostDocument {
-				found = append(found, &config.FieldError{File: args[0], Err: fmt.Errorf("has %d bytes, %d at the most", len(text), rollout.MostDocument)})
+			if len(text) > rollout.MaxDocumentBytes {
+				found = append(found, &config.FieldError{File: args[0], Err: fmt.Errorf("has %d bytes, %d at the most", len(text), rollout.MaxDocumentBytes)})
 			}
 			if len(found) > 0 {
 				return badConfiguration(found)
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -50,7 +50,7 @@
 		got := run(append([]string{group, command, "-options", file}, args...), func(string) string { return "" }, &out, &errs)
 		assert.Equal(t, status, got, "%s %v: %s%s", command, args, out.String(), errs.String())
 		assert.Contains(t, out.String()+errs.String(), want, "%s %v", command, args)
-		assert.NotContains(t, errs.String(), client.ErrNobody.Error())
+		assert.NotContains(t, errs.String(), client.ErrNoQuorum.Error())
 	}
 	call(0, "1 keepers are founded", "peers", "found")
 	one, two := write("1.toml", "[quota]\nrequests = 5\n"), write("2.toml", "[quota]\nrequests = 6\n")
@@ -73,11 +73,11 @@
 	call(1, "nothing has changed: policy: refused: a request has", "policy", "propose", escaped)
 	call(2, "has 1048575 bytes", "policy", "check", "-config", write("c.json", good), long)
 
-	log := client.New(client.Settings{Fleet: "f", Name: "n", Keepers: []client.Keeper{{Name: "a", Address: address}}, Try: lookEvery * 20})
+	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "a", Address: address}}, AttemptTimeout: lookEvery * 20})
 	defer log.Close()
 	say := func(r rollout.Report) {
-		r.Node, r.Life, r.Holds, r.Lease, r.GoesOn = "n", 1, 4, rollout.MostLease, true // it does not go, however slow this machine is
-		_, err := log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &r})
+		r.Node, r.Life, r.Holds, r.Lease, r.GoesOn = "n", 1, 4, rollout.MaxLease, true // it does not go, however slow this machine is
+		_, err := log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &r})
 		require.NoError(t, err)
 	}
 	say(rollout.Report{})
--- a/cmd/linenwheel/quota.go
+++ b/cmd/linenwheel/quota.go
@@ -60,7 +60,7 @@
 	if len(args) > 0 {
 		return flag.ErrHelp
 	}
-	r, err := f.log.Read(ctx, statemachine.PartRoom, struct{}{})
+	r, err := f.log.Read(ctx, statemachine.ComponentQuotaLeases, struct{}{})
 	var v lease.View
 	if err == nil {
 		err = json.Unmarshal(r.Body, &v)
--- a/internal/node/consensus/client/client.go
+++ b/internal/node/consensus/client/client.go
@@ -18,17 +18,17 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Keeper is one that can be asked.
-type Keeper struct{ Name, Address string }
-
-// Settings describe a client.
-type Settings struct {
-	Fleet   string
-	Name    string // of this client, for people
-	Release string
-	Keepers []Keeper
-	Try     time.Duration // for one keeper to answer before another is asked
-	Spread  time.Duration // over which its first word may come, by chance; 0 = at once
+// Replica is one that can be asked.
+type Replica struct{ Name, Address string }
+
+// Config describe a client.
+type Config struct {
+	Fleet          string
+	Name           string // of this client, for people
+	Release        string
+	Replicas       []Replica
+	AttemptTimeout time.Duration // for one keeper to answer before another is asked
+	Spread         time.Duration // over which its first word may come, by chance; 0 = at once
 }
 
 // Spread is the time over which as many nodes that start together spread their first words to the keepers: the first words of one
@@ -39,8 +39,8 @@
 
 // What can go wrong.
 var (
-	// ErrNobody says that the command was taken by nobody: no majority of keepers can be reached, and it was not applied.
-	ErrNobody = errors.New("no majority of keepers can be reached: nothing was changed")
+	// ErrNoQuorum says that the command was taken by nobody: no majority of keepers can be reached, and it was not applied.
+	ErrNoQuorum = errors.New("no majority of keepers can be reached: nothing was changed")
 	// ErrUnknown says that the command may have been applied, or may yet be.
 	ErrUnknown = errors.New("no answer came in time: whether it was agreed is not known")
 	// ErrRefused says that a keeper refused it for a reason that stays.
@@ -49,7 +49,7 @@
 
 // Client is one client of the log.
 type Client struct {
-	set  Settings
+	set  Config
 	from time.Time // nothing is asked before
 
 	mu      sync.Mutex
@@ -62,8 +62,8 @@
 }
 
 // New makes a client; it connects when it is asked for something.
-func New(set Settings) *Client {
-	return &Client{set: set, from: time.Now().Add(rand.N(max(1, set.Spread))), at: rand.IntN(max(1, len(set.Keepers)))}
+func New(set Config) *Client {
+	return &Client{set: set, from: time.Now().Add(rand.N(max(1, set.Spread))), at: rand.IntN(max(1, len(set.Replicas)))}
 }
 
 // Close ends it.
@@ -161,7 +161,7 @@
 	return s, nil
 }
 
-// Do has a command agreed and gives its reply. It is tried until ctx ends; the error then wraps ErrNobody or ErrRefused where it
+// Do has a command agreed and gives its reply. It is tried until ctx ends; the error then wraps ErrNoQuorum or ErrRefused where it
 // was certainly not applied, and ErrUnknown where it may have been.
 func (c *Client) Do(ctx context.Context, part string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
@@ -216,7 +216,7 @@
 	if errors.Is(err, ErrRefused) {
 		return err
 	}
-	return errors.Join(ErrNobody, err)
+	return errors.Join(ErrNoQuorum, err)
 }
 
 // Wait asks the keeper that was asked last a question, and waits until the answer is not what is known, or ctx ends. It is a hint: the
@@ -280,12 +280,12 @@
 			c.turn(at, "")
 		} else {
 			r := request()
-			one, cancel := context.WithTimeout(ctx, c.set.Try)
+			one, cancel := context.WithTimeout(ctx, c.set.AttemptTimeout)
 			a, sent, err := k.ask(one, r)
 			cancel()
 			switch {
 			case err != nil:
-				last = fmt.Errorf("%s: %w", c.set.Keepers[at].Name, err)
+				last = fmt.Errorf("%s: %w", c.set.Replicas[at].Name, err)
 				taken = taken || sent
 				c.drop(k)
 				c.turn(at, "")
@@ -294,7 +294,7 @@
 			case a.Fault == protocol.Refused:
 				return a, taken, fmt.Errorf("%w: %s", ErrRefused, a.Text)
 			default:
-				last = fmt.Errorf("%s: %s", c.set.Keepers[at].Name, a.Text)
+				last = fmt.Errorf("%s: %s", c.set.Replicas[at].Name, a.Text)
 				taken = taken || a.Fault == protocol.Later
 				if a.Fault == protocol.Elsewhere || a.Leader != "" {
 					if c.turn(at, a.Leader); try < 2 {
@@ -324,11 +324,11 @@
 func (c *Client) turn(from int, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.at != from || len(c.set.Keepers) == 0 {
+	if c.at != from || len(c.set.Replicas) == 0 {
 		return
 	}
-	c.at = (c.at + 1) % len(c.set.Keepers)
-	for i, k := range c.set.Keepers {
+	c.at = (c.at + 1) % len(c.set.Replicas)
+	for i, k := range c.set.Replicas {
 		if k.Name == name {
 			c.at = i
 		}
@@ -355,14 +355,14 @@
 func (c *Client) connect(ctx context.Context) (k *conn, at int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.set.Keepers) == 0 {
+	if c.closed || len(c.set.Replicas) == 0 {
 		return nil, c.at, errors.New("there is nobody to ask")
 	}
 	if c.conn != nil && !c.conn.over() {
 		return c.conn, c.at, nil
 	}
-	keeper := c.set.Keepers[c.at]
-	within := c.set.Try << min(mostLate, c.late/len(c.set.Keepers)) // twice as long once each has been tried
+	keeper := c.set.Replicas[c.at]
+	within := c.set.AttemptTimeout << min(mostLate, c.late/len(c.set.Replicas)) // twice as long once each has been tried
 	if end, ok := ctx.Deadline(); ok {
 		within = min(within, max(time.Millisecond, time.Until(end)))
 	}
@@ -374,14 +374,14 @@
 	return c.conn, c.at, nil
 }
 
-// Ask puts one request to one keeper, for what is not the log's: how it does, or to found it.
-func Ask(ctx context.Context, set Settings, to Keeper, r protocol.Request) (protocol.Answer, error) {
-	k, err := dial(to, &set, set.Try)
+// Call puts one request to one keeper, for what is not the log's: how it does, or to found it.
+func Call(ctx context.Context, set Config, to Replica, r protocol.Request) (protocol.Answer, error) {
+	k, err := dial(to, &set, set.AttemptTimeout)
 	if err != nil {
 		return protocol.Answer{}, err
 	}
 	defer k.raw.Close()
-	ctx, cancel := context.WithTimeout(ctx, set.Try)
+	ctx, cancel := context.WithTimeout(ctx, set.AttemptTimeout)
 	defer cancel()
 	a, _, err := k.ask(ctx, r)
 	if err == nil && a.Fault != "" {
@@ -411,7 +411,7 @@
 	}
 }
 
-func dial(to Keeper, set *Settings, within time.Duration) (*conn, error) {
+func dial(to Replica, set *Config, within time.Duration) (*conn, error) {
 	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Release: set.Release, Name: set.Name, To: to.Name}, within)
 	if err != nil {
 		return nil, err
@@ -470,11 +470,11 @@
 	if err != nil {
 		return a, false, err
 	}
-	if len(text) > statemachine.MostCommand {
-		return protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MostCommand)}, false, nil
+	if len(text) > statemachine.MaxCommandBytes {
+		return protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MaxCommandBytes)}, false, nil
 	}
 	k.write.Lock()
-	err = k.raw.Write(transport.KindAsk, text, k.try)
+	err = k.raw.Write(transport.KindRequest, text, k.try)
 	k.write.Unlock()
 	if err != nil {
 		return a, true, err
--- a/internal/node/consensus/client/client_test.go
+++ b/internal/node/consensus/client/client_test.go
@@ -17,7 +17,7 @@
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listen.Close()
-	set := Settings{Keepers: []Keeper{{Name: "k0", Address: listen.Addr().String()}}, Try: time.Second, Spread: time.Hour}
+	set := Config{Replicas: []Replica{{Name: "k0", Address: listen.Addr().String()}}, AttemptTimeout: time.Second, Spread: time.Hour}
 	begun := time.Now()
 	first, last := time.Hour, time.Duration(0)
 	for range 100 {
@@ -30,8 +30,8 @@
 	c.from = time.Now().Add(time.Hour)
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer stop()
-	_, err = c.Read(ctx, statemachine.PartCalls, statemachine.Look{})
-	require.ErrorIs(t, err, ErrNobody)
+	_, err = c.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{})
+	require.ErrorIs(t, err, ErrNoQuorum)
 	require.NoError(t, listen.(*net.TCPListener).SetDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err = listen.Accept()
 	assert.ErrorContains(t, err, "timeout", "it has connected")
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -63,20 +63,20 @@
 			}
 		}()
 	}()
-	c := New(Settings{Fleet: "morava", Name: "node-1", Release: "r1", Try: 10 * time.Second,
-		Keepers: []Keeper{{Name: "keeper-1", Address: listen.Addr().String()}}})
+	c := New(Config{Fleet: "morava", Name: "node-1", Release: "r1", AttemptTimeout: 10 * time.Second,
+		Replicas: []Replica{{Name: "keeper-1", Address: listen.Addr().String()}}})
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	want := statemachine.Reply{Code: statemachine.OK, Text: "t", Body: json.RawMessage(`"Y29weQ=="`), Index: 12}
 	for range 2 {
-		r, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b", Was: new(uint64(3))})
+		r, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b", Was: new(uint64(3))})
 		require.NoError(t, err)
 		require.Equal(t, want, r)
 	}
-	r, err := c.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: "a"})
+	r, err := c.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "a"})
 	require.NoError(t, err)
 	require.Equal(t, want, r)
-	r, err = c.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, "known")
+	r, err = c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{News: true}, "known")
 	require.NoError(t, err)
 	require.Equal(t, want, r)
 	index, image, err := c.Copy(ctx)
--- a/internal/node/consensus/member/group.go
+++ b/internal/node/consensus/member/member.go
@@ -104,12 +104,12 @@
 	return nil, raft.ErrSnapshotTemporarilyUnavailable
 }
 
-// Group is one member.
-type Group struct {
+// Member is one member.
+type Member struct {
 	set      Settings
 	node     *raft.RawNode
 	log      *held
-	ledger   *statemachine.Ledger
+	state    *statemachine.Machine
 	conf     *pb.ConfState
 	applied  uint64
 	size     int              // bytes of entries applied since the last image was begun
@@ -129,9 +129,9 @@
 	at       float64 // and when that was here
 }
 
-// Found gives what each of the first voters begins with.
-func Found(voters []statemachine.Member, now float64) (*pb.Snapshot, error) {
-	data, err := statemachine.Found(voters, now).Freeze()()
+// Bootstrap gives what each of the first voters begins with.
+func Bootstrap(voters []statemachine.Member, now float64) (*pb.Snapshot, error) {
+	data, err := statemachine.Bootstrap(voters, now).Freeze()()
 	if err != nil {
 		return nil, err
 	}
@@ -143,8 +143,8 @@
 }
 
 // New makes a member from what its disk holds.
-func New(set Settings, saved Saved) (*Group, error) {
-	g := &Group{set: set, log: &held{MemoryStorage: raft.NewMemoryStorage()}, ledger: statemachine.New(), conf: &pb.ConfState{},
+func New(set Settings, saved Saved) (*Member, error) {
+	g := &Member{set: set, log: &held{MemoryStorage: raft.NewMemoryStorage()}, state: statemachine.New(), conf: &pb.ConfState{},
 		luck: rand.New(rand.NewPCG(set.Seed, set.ID))}
 	g.rest()
 	if len(saved.Image.GetData()) > 0 {
@@ -182,8 +182,8 @@
 	return g, err
 }
 
-func (g *Group) restore(s *pb.Snapshot) error {
-	if err := g.ledger.Restore(s.GetData()); err != nil {
+func (g *Member) restore(s *pb.Snapshot) error {
+	if err := g.state.Restore(s.GetData()); err != nil {
 		return err
 	}
 	g.conf, g.applied = s.GetMetadata().GetConfState(), s.GetMetadata().GetIndex()
@@ -200,7 +200,7 @@
 // A vote counts once the disk has it. So that disks slower than an election's time do not keep a group from ever having a leader, no
 // tick counts while this member's own disk is at work, and who asked for votes that did not come in time waits twice as long each
 // time, up to 1 << mostSpoilt times.
-func (g *Group) Tick() {
+func (g *Member) Tick() {
 	if g.role == raft.StateLeader {
 		g.quiet, g.spoilt = 0, 0
 		g.node.Tick()
@@ -223,13 +223,13 @@
 const mostSpoilt = 4
 
 // rest begins the time without word from a leader anew.
-func (g *Group) rest() {
+func (g *Member) rest() {
 	most := g.set.Election << g.spoilt
 	g.quiet, g.patience = 0, most+g.luck.IntN(most)
 }
 
 // Step takes a message of another member. One that cannot be taken is dropped, as links may drop it.
-func (g *Group) Step(m *pb.Message) {
+func (g *Member) Step(m *pb.Message) {
 	// A leader tells in its heartbeat what is agreed of that which this member has acknowledged.
 	if last, _ := g.log.LastIndex(); m.GetType() == pb.MsgHeartbeat && m.GetCommit() > last {
 		g.failed = ErrLost
@@ -246,10 +246,10 @@
 }
 
 // Unreachable tells that messages to a member are lost; Image tells what became of an image on its way there.
-func (g *Group) Unreachable(id uint64) { g.node.ReportUnreachable(id) }
+func (g *Member) Unreachable(id uint64) { g.node.ReportUnreachable(id) }
 
 // ImageSent tells whether an image has reached its member.
-func (g *Group) ImageSent(id uint64, ok bool) {
+func (g *Member) ImageSent(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
@@ -260,13 +260,13 @@
 // Propose has a command agreed if this member leads; it is told by Applied, wherever it came from. Its time is the group's as
 // this member last heard it before it led, and what has gone by since on its own clock: a clock that is set wrong changes nothing,
 // and the group's time never runs ahead of a clock that runs evenly.
-func (g *Group) Propose(now float64, c statemachine.Command) error {
+func (g *Member) Propose(now float64, c statemachine.Command) error {
 	if g.role != raft.StateLeader {
 		return ErrNotLeader
 	}
-	most := g.ledger.Members().Speaks()
-	if c.Part == statemachine.PartMembers { // what raises it
-		most = g.ledger.Members().Known()
+	most := g.state.Members().Speaks()
+	if c.Part == statemachine.ComponentMembers { // what raises it
+		most = g.state.Members().Known()
 	}
 	if statemachine.VersionOf(c.Part, c.Body) > most {
 		return ErrYoung
@@ -283,7 +283,7 @@
 }
 
 // Read asks whether this member still leads; a Read with this number allows to answer. One that is lost is never allowed.
-func (g *Group) Read(number uint64) error {
+func (g *Member) Read(number uint64) error {
 	if g.role != raft.StateLeader {
 		return ErrNotLeader
 	}
@@ -292,15 +292,15 @@
 }
 
 // Query answers a question from what is held here, after a Read has allowed it.
-func (g *Group) Query(a statemachine.Ask) statemachine.Reply { return g.ledger.Query(a) }
+func (g *Member) Query(a statemachine.Request) statemachine.Reply { return g.state.Query(a) }
 
-// Learn takes in a member that learns, to vote later: in place of the one whose number it has in Replaces, or as one more.
-func (g *Group) Learn(m statemachine.Member) error {
+// AddLearner takes in a member that learns, to vote later: in place of the one whose number it has in Replaces, or as one more.
+func (g *Member) AddLearner(m statemachine.Member) error {
 	return g.change(m, &pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeAddLearnerNode, m.ID)}})
 }
 
 // Remove takes a member out.
-func (g *Group) Remove(id uint64) error {
+func (g *Member) Remove(id uint64) error {
 	return g.change(statemachine.Member{ID: id}, &pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeRemoveNode, id)}})
 }
 
@@ -308,7 +308,7 @@
 	return &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)}
 }
 
-func (g *Group) change(m statemachine.Member, cc *pb.ConfChangeV2) error {
+func (g *Member) change(m statemachine.Member, cc *pb.ConfChangeV2) error {
 	if g.role != raft.StateLeader {
 		return ErrNotLeader
 	}
@@ -327,12 +327,12 @@
 
 // Promote has a member that has learnt what is agreed vote, if there is one; whoever took it in need not be there any more. It
 // is to be called now and then.
-func (g *Group) Promote() {
+func (g *Member) Promote() {
 	if g.role != raft.StateLeader || g.Changing() {
 		return
 	}
 	status := g.node.Status()
-	for _, m := range g.ledger.Members().List() {
+	for _, m := range g.state.Members().All() {
 		p, ok := status.Progress[m.ID]
 		// The library takes a newcomer for active at first, and in a young group nobody is behind: one that has acknowledged nothing
 		// may not run at all.
@@ -352,7 +352,7 @@
 const lateBy = 100
 
 // Hand gives the lead to the member that holds most, if this one leads and there is such a member.
-func (g *Group) Hand() bool {
+func (g *Member) Hand() bool {
 	to, most := uint64(0), uint64(0)
 	g.node.WithProgress(func(id uint64, kind raft.ProgressType, p raftProgress) {
 		if kind == raft.ProgressTypePeer && id != g.set.ID && p.RecentActive && (p.Match > most || p.Match == most && id < to) {
@@ -366,9 +366,9 @@
 	return false
 }
 
-// Take gives all that is to be done at a time, ms of any clock that goes on evenly. An error is one after which the member
+// TakeWork gives all that is to be done at a time, ms of any clock that goes on evenly. An error is one after which the member
 // must end.
-func (g *Group) Take(now float64) (w Work, err error) {
+func (g *Member) TakeWork(now float64) (w Work, err error) {
 	for g.failed == nil && g.node.HasReady() {
 		r := g.node.Ready()
 		if r.SoftState != nil {
@@ -400,7 +400,7 @@
 		g.reads = g.reads[1:]
 	}
 	// While it leads, a member goes on from where it began: what an entry takes to be agreed must not be lost with each.
-	if then := g.ledger.Now(); g.at == 0 || then != g.time && g.role != raft.StateLeader || then > g.time+now-g.at {
+	if then := g.state.Now(); g.at == 0 || then != g.time && g.role != raft.StateLeader || then > g.time+now-g.at {
 		g.time, g.at = then, now
 	}
 	w.Image = g.image()
@@ -419,7 +419,7 @@
 }
 
 // apply carries out entries that are agreed.
-func (g *Group) apply(entries []*pb.Entry, w *Work) error {
+func (g *Member) apply(entries []*pb.Entry, w *Work) error {
 	for _, e := range entries {
 		g.applied = e.GetIndex()
 		g.size += len(e.GetData())
@@ -429,7 +429,7 @@
 				return err
 			}
 		case len(e.GetData()) > 0: // else a new leader's first
-			c, reply, err := g.ledger.Apply(e.GetIndex(), e.GetData())
+			c, reply, err := g.state.Apply(e.GetIndex(), e.GetData())
 			if err != nil {
 				return err
 			}
@@ -440,7 +440,7 @@
 }
 
 // reform carries out a change of the members.
-func (g *Group) reform(e *pb.Entry) error {
+func (g *Member) reform(e *pb.Entry) error {
 	var cc pb.ConfChangeV2
 	if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
@@ -454,19 +454,19 @@
 	for _, c := range cc.GetChanges() {
 		switch c.GetType() {
 		case pb.ConfChangeAddLearnerNode:
-			g.ledger.Learns(e.GetIndex(), m)
+			g.state.Learns(e.GetIndex(), m)
 		case pb.ConfChangeAddNode:
-			g.ledger.Votes(e.GetIndex(), c.GetNodeId())
+			g.state.Votes(e.GetIndex(), c.GetNodeId())
 		case pb.ConfChangeRemoveNode:
-			g.ledger.Leaves(e.GetIndex(), c.GetNodeId())
+			g.state.Leaves(e.GetIndex(), c.GetNodeId())
 		}
 	}
 	g.conf, g.log.least = g.node.ApplyConfChange(&cc), e.GetIndex()
 	return nil
 }
 
-// Done tells that a write lasts.
-func (g *Group) Done(w Write) error {
+// WriteDone tells that a write lasts.
+func (g *Member) WriteDone(w Write) error {
 	g.writing--
 	if w.Image != nil {
 		if err := g.log.ApplySnapshot(w.Image); err != nil {
@@ -504,7 +504,7 @@
 }
 
 // image begins one where it is due.
-func (g *Group) image() *Image {
+func (g *Member) image() *Image {
 	first, _ := g.log.FirstIndex()                      // of memory, which does not fail
 	due := g.size >= max(g.set.ImageEvery, g.weight) || // a large state is not written again for a few entries
 		g.log.least > g.begun
@@ -516,11 +516,11 @@
 		return nil
 	}
 	g.imaging, g.size, g.begun = true, 0, g.applied
-	return &Image{index: g.applied, term: term, conf: proto.Clone(g.conf).(*pb.ConfState), freeze: g.ledger.Freeze()}
+	return &Image{index: g.applied, term: term, conf: proto.Clone(g.conf).(*pb.ConfState), freeze: g.state.Freeze()}
 }
 
 // Kept tells that an image lasts on the disk: entries that it makes needless are let go.
-func (g *Group) Kept(s *pb.Snapshot) {
+func (g *Member) Kept(s *pb.Snapshot) {
 	g.imaging, g.weight = false, len(s.GetData())
 	index := s.GetMetadata().GetIndex()
 	if _, err := g.log.CreateSnapshot(index, s.GetMetadata().GetConfState(), s.GetData()); err != nil {
@@ -530,13 +530,13 @@
 }
 
 // Leads tells whether this member leads; Leader is who does, 0 = nobody that it knows.
-func (g *Group) Leads() bool { return g.role == raft.StateLeader }
+func (g *Member) Leads() bool { return g.role == raft.StateLeader }
 
 // Leader is the member that leads, 0 = none that is known.
-func (g *Group) Leader() uint64 { return g.lead }
+func (g *Member) Leader() uint64 { return g.lead }
 
 // Voter tells whether this member votes.
-func (g *Group) Voter() bool {
+func (g *Member) Voter() bool {
 	for _, list := range [][]uint64{g.conf.GetVoters(), g.conf.GetVotersOutgoing()} {
 		for _, id := range list {
 			if id == g.set.ID {
@@ -548,19 +548,19 @@
 }
 
 // Changing tells whether a change of the voters is under way: until it is over, the ones before are needed too.
-func (g *Group) Changing() bool { return len(g.conf.GetVotersOutgoing()) > 0 }
+func (g *Member) Changing() bool { return len(g.conf.GetVotersOutgoing()) > 0 }
 
-// Ledger is the state that is agreed, as far as it is known here. It is only read.
-func (g *Group) Ledger() *statemachine.Ledger { return g.ledger }
+// State is the state that is agreed, as far as it is known here. It is only read.
+func (g *Member) State() *statemachine.Machine { return g.state }
 
 // Position tells how far the log has come here.
-func (g *Group) Position() (term, committed, applied uint64) {
+func (g *Member) Position() (term, committed, applied uint64) {
 	s := g.node.BasicStatus()
 	return s.HardState.GetTerm(), s.HardState.GetCommit(), g.applied
 }
 
 // Behind tells, where this member leads, up to which entry another one holds the log, and whether it was heard of lately.
-func (g *Group) Behind(id uint64) (match uint64, heard bool) {
+func (g *Member) Behind(id uint64) (match uint64, heard bool) {
 	g.node.WithProgress(func(other uint64, _ raft.ProgressType, p raftProgress) {
 		if other == id {
 			match, heard = p.Match, p.RecentActive
--- a/internal/node/consensus/member/group_test.go
+++ b/internal/node/consensus/member/member_test.go
@@ -14,7 +14,7 @@
 // windows and leases would last for ever, or end before the node that counts on them; and against a command that a member of an older
 // release could not read.
 func TestTimeUnderLoad(t *testing.T) {
-	image, err := Found([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
+	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
 	g, err := New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
 		Saved{Image: image})
@@ -22,7 +22,7 @@
 	now := 100.0
 	var wait []Write
 	take := func() {
-		w, err := g.Take(now)
+		w, err := g.TakeWork(now)
 		require.NoError(t, err)
 		wait = append(wait, w.Write...)
 	}
@@ -30,7 +30,7 @@
 		for len(wait) > 0 {
 			w := wait[0]
 			wait = wait[1:]
-			require.NoError(t, g.Done(w))
+			require.NoError(t, g.WriteDone(w))
 			take()
 		}
 	}
@@ -46,12 +46,12 @@
 		take()
 		now += 1.5 // until the disk has it, with the next one proposed right after
 		lasts()
-		assert.LessOrEqual(t, g.Ledger().Now(), 5000+now-begin, "it runs ahead")
+		assert.LessOrEqual(t, g.State().Now(), 5000+now-begin, "it runs ahead")
 	}
-	assert.InDelta(t, 5000+now-begin, g.Ledger().Now(), 3)
-	room := statemachine.Command{Part: statemachine.PartRoom, Body: []byte(`{}`)}
+	assert.InDelta(t, 5000+now-begin, g.State().Now(), 3)
+	room := statemachine.Command{Part: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
 	assert.ErrorIs(t, g.Propose(now, room), ErrYoung, "not before all members are known to know it")
-	require.NoError(t, g.Propose(now, statemachine.Command{Part: statemachine.PartMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
+	require.NoError(t, g.Propose(now, statemachine.Command{Part: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
 	take()
 	lasts()
 	assert.NoError(t, g.Propose(now, room))
@@ -59,7 +59,7 @@
 
 // Guards against a member that goes on voting though the leader knows it to hold entries that it does not have.
 func TestLacksWhatItAcknowledged(t *testing.T) {
-	image, err := Found([]statemachine.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}, 5000)
+	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}, 5000)
 	require.NoError(t, err)
 	g, err := New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
 		Saved{Image: image})
@@ -67,7 +67,7 @@
 	_, held, _ := g.Position()
 	beat := func(commit uint64) error {
 		g.Step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: new(uint64(2)), To: new(uint64(1)), Term: new(uint64(5)), Commit: &commit})
-		_, err := g.Take(100)
+		_, err := g.TakeWork(100)
 		return err
 	}
 	require.NoError(t, beat(held))
@@ -85,29 +85,29 @@
 	g, err := New(set, Saved{})
 	require.NoError(t, err)
 	g.Step(&pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(4)), Snapshot: image})
-	w, err := g.Take(1)
+	w, err := g.TakeWork(1)
 	require.NoError(t, err)
 	require.Len(t, w.Write, 1)
 	require.NotNil(t, w.Write[0].Image)
-	require.ErrorIs(t, g.Done(w.Write[0]), statemachine.ErrVersion)
+	require.ErrorIs(t, g.WriteDone(w.Write[0]), statemachine.ErrVersion)
 }
 
 // lone is a group of one member that leads, and what carries out all that it wants.
-func lone(t *testing.T) (g *Group, settle func()) {
-	image, err := Found([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
+func lone(t *testing.T) (g *Member, settle func()) {
+	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
 	g, err = New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
 		Saved{Image: image})
 	require.NoError(t, err)
 	settle = func() {
 		for {
-			w, err := g.Take(100)
+			w, err := g.TakeWork(100)
 			require.NoError(t, err)
 			if len(w.Write) == 0 {
 				return
 			}
 			for _, write := range w.Write {
-				require.NoError(t, g.Done(write))
+				require.NoError(t, g.WriteDone(write))
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // acknowledge has a member say that it has all that is agreed.
-func acknowledge(g *Group, id uint64) {
+func acknowledge(g *Member, id uint64) {
 	term, committed, _ := g.Position()
 	g.Step(&pb.Message{Type: pb.MsgAppResp.Enum(), From: &id, To: new(uint64(1)), Term: &term, Index: &committed})
 }
@@ -130,10 +130,10 @@
 func TestNoVoteBeforeAWord(t *testing.T) {
 	g, settle := lone(t)
 	role := func() statemachine.Role {
-		m, _ := g.Ledger().Members().Get(2)
+		m, _ := g.State().Members().Get(2)
 		return m.Role
 	}
-	require.NoError(t, g.Learn(statemachine.Member{ID: 2, Name: "b"}))
+	require.NoError(t, g.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
 	settle()
 	_, heard := g.Behind(2)
 	require.True(t, heard, "it is taken for active")
@@ -149,7 +149,7 @@
 // Guards against an order about members that is refused for good because it comes while the lead is handed on: it is to be given again.
 func TestOrderWhileTheLeadIsHandedOn(t *testing.T) {
 	g, settle := lone(t)
-	require.NoError(t, g.Learn(statemachine.Member{ID: 2, Name: "b"}))
+	require.NoError(t, g.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
 	settle()
 	acknowledge(g, 2)
 	g.Promote()
@@ -159,5 +159,5 @@
 	require.True(t, g.Hand())
 	require.True(t, g.Leads())
 	require.ErrorIs(t, g.Remove(2), ErrBusy)
-	require.ErrorIs(t, g.Learn(statemachine.Member{ID: 3, Name: "c"}), ErrBusy)
+	require.ErrorIs(t, g.AddLearner(statemachine.Member{ID: 3, Name: "c"}), ErrBusy)
 }
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -15,21 +15,21 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Rest is what the folder of one keeper holds, where a majority of a fleet's keepers is lost for good.
-type Rest struct {
+// Leftover is what the folder of one keeper holds, where a majority of a fleet's keepers is lost for good.
+type Leftover struct {
 	Fleet   string
 	Name    string
 	Agreed  uint64                // entry up to which this keeper knew that a majority had agreed
 	Last    uint64                // the last entry that it holds; those after Agreed may have been agreed, or not
 	At      float64               // ms of the fleet's time at the last entry
 	Members []statemachine.Member // as of then
-	Calls   statemachine.Held
+	Calls   statemachine.Usage
 	Policy  uint64 // number of the policy that holds
-	state   *statemachine.Ledger
+	state   *statemachine.Machine
 }
 
-// LookAtRest reads what a keeper that is down has left. The folder stays as it is, but for one more start.
-func LookAtRest(set Settings, fleet string) (r Rest, err error) {
+// InspectDisk reads what a keeper that is down has left. The folder stays as it is, but for one more start.
+func InspectDisk(set Settings, fleet string) (r Leftover, err error) {
 	s, err := storage.Open(set.Directory, fleet, set.Name, true, nil)
 	if err != nil {
 		return r, err
@@ -39,7 +39,7 @@
 	if saved.Image == nil {
 		return r, fmt.Errorf("%s holds nothing", set.Directory)
 	}
-	r = Rest{Fleet: fleet, Name: set.Name, Last: saved.Image.GetMetadata().GetIndex()}
+	r = Leftover{Fleet: fleet, Name: set.Name, Last: saved.Image.GetMetadata().GetIndex()}
 	if n := len(saved.Entries); n > 0 {
 		r.Last = max(r.Last, saved.Entries[n-1].GetIndex())
 	}
@@ -55,12 +55,12 @@
 		return r, err
 	}
 	for {
-		work, err := g.Take(0)
+		work, err := g.TakeWork(0)
 		if err != nil {
 			return r, err
 		}
 		for _, w := range work.Write {
-			if err := g.Done(w); err != nil {
+			if err := g.WriteDone(w); err != nil {
 				return r, err
 			}
 		}
@@ -70,18 +70,18 @@
 			return r, fmt.Errorf("its entries end at %d, not at %d", at, r.Last)
 		}
 	}
-	r.state = g.Ledger()
+	r.state = g.State()
 	return r, r.describe()
 }
 
 // describe reads from the state what is told of it.
-func (r *Rest) describe() error {
-	r.At, r.Members = r.state.Now(), r.state.Members().List()
+func (r *Leftover) describe() error {
+	r.At, r.Members = r.state.Now(), r.state.Members().All()
 	var view struct {
 		Number uint64 `json:"number"`
 	}
-	for part, to := range map[string]any{statemachine.PartCalls: &r.Calls, statemachine.PartPolicy: &view} {
-		if reply := r.state.Query(statemachine.Ask{Part: part, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
+	for part, to := range map[string]any{statemachine.ComponentCalls: &r.Calls, statemachine.ComponentPolicy: &view} {
+		if reply := r.state.Query(statemachine.Request{Part: part, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
 			return fmt.Errorf("its part %s cannot be read", part)
 		}
 	}
@@ -89,13 +89,13 @@
 	return nil
 }
 
-// LookAtCopy reads a copy that linenwheel peers copy has made.
-func LookAtCopy(file string) (r Rest, err error) {
+// InspectBackup reads a copy that linenwheel peers copy has made.
+func InspectBackup(file string) (r Leftover, err error) {
 	fleet, index, image, err := backup.Read(file)
 	if err != nil {
 		return r, err
 	}
-	r = Rest{Fleet: fleet, Name: "the copy", Agreed: index, Last: index, state: statemachine.New()}
+	r = Leftover{Fleet: fleet, Name: "the copy", Agreed: index, Last: index, state: statemachine.New()}
 	if err := r.state.Restore(image); err != nil {
 		return r, err
 	}
@@ -104,7 +104,7 @@
 
 // Recover founds a fleet of another name with what one keeper had left, that keeper its only member; the folder as it was is kept
 // beside. Keepers of the fleet before are no members of this one, and their folders are another fleet's.
-func Recover(set Settings, r Rest, log *slog.Logger) (kept string, err error) {
+func Recover(set Settings, r Leftover, log *slog.Logger) (kept string, err error) {
 	if set.Fleet == r.Fleet {
 		return "", errors.New("the fleet that goes on needs another name than the one that was lost: else machines that come back could agree without it")
 	}
--- a/internal/node/consensus/replica/keeper.go
+++ b/internal/node/consensus/replica/replica.go
@@ -1,7 +1,7 @@
 // Package replica runs one member of the agreed log: its state machine, disk, links and clock. What it decides is in package
 // group; here are a goroutine that owns the state machine, one that writes to the disk, one a connection, one a sender.
 //
-// Bounds: MostClients connections of clients with mostWaiting requests and one wait for a hint each; a sender holds slowMost bytes
+// Bounds: MaxClients connections of clients with mostWaiting requests and one wait for a hint each; a sender holds slowMost bytes
 // for a slow member; what waits to be agreed is bounded by uncommitted.
 package replica
 
@@ -29,8 +29,8 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// MostClients is how many connections of clients a keeper has at once.
-const MostClients = 1024
+// MaxClients is how many connections of clients a keeper has at once.
+const MaxClients = 1024
 
 const (
 	mostWaiting = statemachine.Window
@@ -60,8 +60,8 @@
 	Wrap       func(wal.Folder) wal.Folder // of the disk, for rigs; nil = none
 }
 
-// Keeper is one running member.
-type Keeper struct {
+// Replica is one running member.
+type Replica struct {
 	set    Settings
 	log    *slog.Logger
 	clock  clock.Clock
@@ -81,7 +81,7 @@
 	refusals chan error // final ones
 
 	// Of the goroutine that owns the state machine.
-	group   *member.Group
+	group   *member.Member
 	senders map[uint64]*transport.Sender
 	names   map[uint64]string // of keepers that have connected, by number
 	starts  map[uint64]uint64
@@ -117,8 +117,8 @@
 }
 
 // New opens the directory and listens.
-func New(set Settings, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{set: set, log: log, clock: clock.NewSystem(), events: make(chan func(), inbox), disk: make(chan job, inbox),
+func New(set Settings, log *slog.Logger) (*Replica, error) {
+	k := &Replica{set: set, log: log, clock: clock.NewSystem(), events: make(chan func(), inbox), disk: make(chan job, inbox),
 		ended: make(chan struct{}), refusals: make(chan error, 1), senders: map[uint64]*transport.Sender{}, names: map[uint64]string{},
 		starts: map[uint64]uint64{}, speaks: map[uint64]int{}, dialled: map[uint64]uint64{}, lives: map[uint64]uint64{}, life: rand.Uint64()>>1 | 1,
 		waiting: map[key][]*waiter{}, reads: map[uint64]*waiter{}, waits: map[*transport.Conn]*waiter{}, conns: map[*transport.Conn]uint64{}}
@@ -137,13 +137,13 @@
 }
 
 // Addr is where it listens.
-func (k *Keeper) Addr() string { return k.listen.Addr().String() }
+func (k *Replica) Addr() string { return k.listen.Addr().String() }
 
 // ID is its number.
-func (k *Keeper) ID() uint64 { return k.store.ID }
+func (k *Replica) ID() uint64 { return k.store.ID }
 
 // begin makes the state machine from what the disk holds.
-func (k *Keeper) begin() (err error) {
+func (k *Replica) begin() (err error) {
 	saved := k.store.Saved()
 	k.last.Store(lastOf(saved))
 	k.group, err = member.New(member.Settings{ID: k.store.ID, Election: max(3, int(k.set.Election/k.set.Heartbeat)), Heartbeat: 1,
@@ -160,9 +160,9 @@
 }
 
 // Run keeps copies until ctx ends, then hands the lead on and ends; an error is why it had to end before.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Replica) Run(ctx context.Context) error {
 	k.log.Info("the keeper has started", "address", k.Addr(), "id", fmt.Sprintf("%x", k.store.ID), "starts", k.store.Starts,
-		"applied", k.group.Ledger().Index())
+		"applied", k.group.State().Index())
 	var work sync.WaitGroup
 	failed := make(chan error, 1)
 	work.Go(k.accept)
@@ -204,7 +204,7 @@
 }
 
 // loop owns the state machine.
-func (k *Keeper) loop(ctx context.Context, ticks <-chan time.Time, failed <-chan error) error {
+func (k *Replica) loop(ctx context.Context, ticks <-chan time.Time, failed <-chan error) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -237,7 +237,7 @@
 }
 
 // part hands the lead on, and waits for another to have it.
-func (k *Keeper) part() {
+func (k *Replica) part() {
 	if !k.group.Leads() || !k.group.Hand() {
 		return
 	}
@@ -266,7 +266,7 @@
 }
 
 // tell has the owner of the state machine do something; false once the keeper has ended.
-func (k *Keeper) tell(do func()) bool {
+func (k *Replica) tell(do func()) bool {
 	select {
 	case k.events <- do:
 		return true
@@ -276,7 +276,7 @@
 }
 
 // beat is a tick of the clock.
-func (k *Keeper) beat() {
+func (k *Replica) beat() {
 	k.tick++
 	k.group.Tick()
 	if k.group.Leads() {
@@ -304,12 +304,12 @@
 
 // noteStarts has it agreed how often members have started, so that a copy of an older directory is known by all, and what they know,
 // so that nothing is written that one of them cannot read.
-func (k *Keeper) noteStarts() {
+func (k *Replica) noteStarts() {
 	k.starts[k.store.ID], k.speaks[k.store.ID] = k.store.Starts, statemachine.Version
 	for id, n := range k.starts {
-		m, ok := k.group.Ledger().Members().Get(id)
+		m, ok := k.group.State().Members().Get(id)
 		if speaks := k.speaks[id]; ok && (m.Starts < n || speaks > 0 && m.Speaks != speaks) {
-			_ = k.group.Propose(k.clock.Now(), statemachine.Command{Part: statemachine.PartMembers,
+			_ = k.group.Propose(k.clock.Now(), statemachine.Command{Part: statemachine.ComponentMembers,
 				Body: encode(statemachine.Started{ID: id, Starts: n, Speaks: speaks})}) // it is tried again
 		}
 	}
@@ -317,7 +317,7 @@
 
 // passOn sends those who wait here to whoever leads now. What they asked may have been agreed, or be lost with this keeper's lead: asked
 // again under its number it is applied once.
-func (k *Keeper) passOn(text string) {
+func (k *Replica) passOn(text string) {
 	a := protocol.Answer{Fault: protocol.Later, Text: text, Leader: k.nameOf(k.leader)}
 	for id, list := range k.waiting {
 		delete(k.waiting, id)
@@ -336,8 +336,8 @@
 }
 
 // flush carries out what the state machine wants.
-func (k *Keeper) flush() error {
-	work, err := k.group.Take(k.clock.Now())
+func (k *Replica) flush() error {
+	work, err := k.group.TakeWork(k.clock.Now())
 	if err != nil {
 		return err
 	}
@@ -353,7 +353,7 @@
 	for _, r := range work.Reads {
 		if w := k.reads[r.Number]; w != nil {
 			delete(k.reads, r.Number)
-			reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
+			reply := k.group.Query(statemachine.Request{Part: w.ask.Part, Body: w.ask.Body})
 			w.answer(protocol.Answer{Reply: &reply})
 		}
 	}
@@ -377,7 +377,7 @@
 }
 
 // watch logs who leads, and lets those go who waited for this one while it led.
-func (k *Keeper) watch() {
+func (k *Replica) watch() {
 	if now := k.group.Leader(); now != k.leader {
 		k.leader = now
 		term, _, _ := k.group.Position()
@@ -391,7 +391,7 @@
 		k.passOn("another keeper leads since it was asked")
 	}
 	for id, s := range k.senders { // to one that was replaced another answers under its address
-		if m, ok := k.group.Ledger().Members().Get(id); ok && m.Role == statemachine.Gone {
+		if m, ok := k.group.State().Members().Get(id); ok && m.Role == statemachine.Removed {
 			s.Close()
 			delete(k.senders, id)
 		}
@@ -405,7 +405,7 @@
 	}
 }
 
-func (k *Keeper) applied(a member.Applied) {
+func (k *Replica) applied(a member.Applied) {
 	id := key{a.Command.Session, a.Command.Number}
 	for _, w := range k.waiting[id] {
 		w.answer(protocol.Answer{Reply: &a.Reply})
@@ -414,24 +414,24 @@
 }
 
 // nameOf is a member's name, as far as it is known.
-func (k *Keeper) nameOf(id uint64) string {
-	if m, ok := k.group.Ledger().Members().Get(id); ok {
+func (k *Replica) nameOf(id uint64) string {
+	if m, ok := k.group.State().Members().Get(id); ok {
 		return m.Name
 	}
 	return k.names[id]
 }
 
 // addressOf is where a member is reached: as this keeper's own file says, else as was agreed.
-func (k *Keeper) addressOf(id uint64) string {
+func (k *Replica) addressOf(id uint64) string {
 	if a := k.set.Addresses[k.nameOf(id)]; a != "" {
 		return a
 	}
-	m, _ := k.group.Ledger().Members().Get(id)
+	m, _ := k.group.State().Members().Get(id)
 	return m.Address
 }
 
 // send gives messages to the senders.
-func (k *Keeper) send(list []*pb.Message) {
+func (k *Replica) send(list []*pb.Message) {
 	for _, m := range list {
 		id := m.GetTo()
 		s := k.sender(id)
@@ -454,7 +454,7 @@
 
 // sender gives the one to a member, nil if it cannot be reached. A member that is slow to answer is given twice the time with each
 // attempt, up to dialMost: else two that are both slow would never meet.
-func (k *Keeper) sender(id uint64) *transport.Sender {
+func (k *Replica) sender(id uint64) *transport.Sender {
 	if s := k.senders[id]; s != nil {
 		return s
 	}
@@ -491,9 +491,9 @@
 	return s
 }
 
-func (k *Keeper) dial(address, name string, id uint64, within time.Duration) (*transport.Conn, error) {
+func (k *Replica) dial(address, name string, id uint64, within time.Duration) (*transport.Conn, error) {
 	c, w, err := transport.Dial(address, transport.Hello{Fleet: k.set.Fleet, Release: k.set.Release, Name: k.set.Name, To: name, Want: id, ID: k.store.ID,
-		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), Ledger: statemachine.Version}, within)
+		Starts: k.store.Starts, Life: k.life, Dial: k.dials.Add(1), Last: k.last.Load(), Applied: k.known.Load(), StateVersion: statemachine.Version}, within)
 	switch {
 	case errors.Is(err, transport.ErrRefused) && w.Final:
 		select {
@@ -508,7 +508,7 @@
 }
 
 // write does the disk's work, what waits together at once.
-func (k *Keeper) write() error {
+func (k *Replica) write() error {
 	for first := range k.disk {
 		jobs, image := []member.Write{}, first.image
 		if image == nil {
@@ -531,7 +531,7 @@
 			k.last.Store(lastOf(k.store.Saved()))
 			k.tell(func() {
 				for _, w := range jobs {
-					if err := k.group.Done(w); err != nil {
+					if err := k.group.WriteDone(w); err != nil {
 						k.log.Error("what was written cannot be taken", "error", err)
 					}
 					k.send(w.Answers(k.store.ID))
--- a/internal/node/consensus/replica/keeper_test.go
+++ b/internal/node/consensus/replica/replica_test.go
@@ -26,15 +26,15 @@
 
 // fleet runs founded keepers in this process that miss a leader after so many ms, and reach each other over what way gives for an
 // address, nil = straight; it ends with the test.
-func fleet(t testing.TB, n int, election float64, way func(address string) string) client.Settings {
-	set := client.Settings{Fleet: "f", Name: "test", Try: 10 * time.Second}
+func fleet(t testing.TB, n int, election float64, way func(address string) string) client.Config {
+	set := client.Config{Fleet: "f", Name: "test", AttemptTimeout: 10 * time.Second}
 	addresses := map[string]string{}
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.9:0", 128+os.Getpid()>>8&63, os.Getpid()&255)) // where no other takes the port
 		require.NoError(t, err)
 		name := fmt.Sprint("k", i)
 		addresses[name] = l.Addr().String()
-		set.Keepers = append(set.Keepers, client.Keeper{Name: name, Address: addresses[name]})
+		set.Replicas = append(set.Replicas, client.Replica{Name: name, Address: addresses[name]})
 		require.NoError(t, l.Close())
 		if way != nil {
 			addresses[name] = way(addresses[name])
@@ -43,7 +43,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	var members []statemachine.Member
-	for _, to := range set.Keepers {
+	for _, to := range set.Replicas {
 		k, err := New(Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Synced: true, Addresses: addresses,
 			Heartbeat: election / 10, Election: election, ImageEvery: 4 << 20, Trail: 1000}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
@@ -51,8 +51,8 @@
 		run.Go(func() { _ = k.Run(ctx) })
 	}
 	t.Cleanup(func() { stop(); run.Wait() })
-	for _, to := range set.Keepers {
-		_, err := client.Ask(ctx, set, to, protocol.Request{Want: protocol.Found, Members: members, Now: 1})
+	for _, to := range set.Replicas {
+		_, err := client.Call(ctx, set, to, protocol.Request{Want: protocol.Found, Members: members, Now: 1})
 		require.NoError(t, err)
 	}
 	return set
@@ -97,7 +97,7 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute) // it only ends what hangs
 	defer stop()
-	_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
+	_, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 }
 
@@ -110,7 +110,7 @@
 	for range 64 {
 		wait.Go(func() {
 			for i := range work {
-				if _, err := c.Do(context.Background(), statemachine.PartRegister, statemachine.Set{Name: fmt.Sprint(i % 100), Value: "x"}); err != nil {
+				if _, err := c.Do(context.Background(), statemachine.ComponentRegister, statemachine.Set{Name: fmt.Sprint(i % 100), Value: "x"}); err != nil {
 					b.Error(err)
 				}
 			}
@@ -135,7 +135,7 @@
 	for i := range 64 {
 		wait.Go(func() {
 			for j := range 192 {
-				_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: fmt.Sprint(i), Value: strings.Repeat(fmt.Sprint(j%10), 4<<10)})
+				_, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: fmt.Sprint(i), Value: strings.Repeat(fmt.Sprint(j%10), 4<<10)})
 				if !assert.NoError(t, err) {
 					return
 				}
@@ -168,12 +168,12 @@
 	set := fleet(t, 3, 1500, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
-	leads := func() (client.Keeper, *protocol.State) {
+	leads := func() (client.Replica, *protocol.State) {
 		for {
-			for _, k := range set.Keepers {
-				if a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status}); err == nil && a.State.Role == "leader" {
+			for _, k := range set.Replicas {
+				if a, err := client.Call(t.Context(), set, k, protocol.Request{Want: protocol.Status}); err == nil && a.State.Role == "leader" {
 					return k, a.State
 				}
 			}
@@ -189,7 +189,7 @@
 	}
 	at, first := leads()
 	old := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
-	_, err = client.Ask(t.Context(), set, at, protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{old}})
+	_, err = client.Call(t.Context(), set, at, protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{old}})
 	require.Error(t, err, "it is to be asked again")
 	next := first
 	for next.ID == first.ID {
@@ -197,7 +197,7 @@
 	}
 	require.Equal(t, statemachine.Voter, role(next, first.ID), "another leads before it is out")
 	require.NoError(t, c.Change(t.Context(), protocol.Remove, old))
-	for role(next, first.ID) != statemachine.Gone {
+	for role(next, first.ID) != statemachine.Removed {
 		_, next = leads()
 	}
 }
@@ -208,7 +208,7 @@
 	set := fleet(t, 3, 250, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	for id := range uint64(2) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -217,8 +217,8 @@
 		m := statemachine.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
 		for silent := false; !silent; { // until the leader has noticed
 			require.NoError(t, c.Change(t.Context(), protocol.Learn, m)) // an order may be lost with a leader
-			for _, k := range set.Keepers {
-				a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status})
+			for _, k := range set.Replicas {
+				a, err := client.Call(t.Context(), set, k, protocol.Request{Want: protocol.Status})
 				require.NoError(t, err)
 				for _, have := range a.State.Members {
 					if have.ID == m.ID {
--- a/internal/node/consensus/replica/serve.go
+++ b/internal/node/consensus/replica/serve.go
@@ -28,7 +28,7 @@
 	return text
 }
 
-func (k *Keeper) accept() {
+func (k *Replica) accept() {
 	for {
 		raw, err := k.listen.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -43,10 +43,10 @@
 }
 
 // serve hears one connection to its end.
-func (k *Keeper) serve(c *transport.Conn) {
+func (k *Replica) serve(c *transport.Conn) {
 	defer c.Close()
 	k.mu.Lock()
-	full := len(k.conns) >= MostClients
+	full := len(k.conns) >= MaxClients
 	k.conns[c] = 0
 	k.mu.Unlock()
 	defer func() {
@@ -78,7 +78,7 @@
 }
 
 // alone ends an earlier connection of a keeper: it has none but the last.
-func (k *Keeper) alone(c *transport.Conn, id uint64) {
+func (k *Replica) alone(c *transport.Conn, id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for other, of := range k.conns {
@@ -90,7 +90,7 @@
 }
 
 // judge says whether whoever connects is welcome.
-func (k *Keeper) judge(h transport.Hello) transport.Welcome {
+func (k *Replica) judge(h transport.Hello) transport.Welcome {
 	answer := make(chan transport.Welcome, 1)
 	if !k.tell(func() { answer <- k.look(h) }) {
 		return transport.Welcome{Reason: "this keeper ends"}
@@ -103,7 +103,7 @@
 	}
 }
 
-func (k *Keeper) look(h transport.Hello) transport.Welcome {
+func (k *Replica) look(h transport.Hello) transport.Welcome {
 	w := transport.Welcome{Name: k.set.Name, ID: k.store.ID}
 	if h.To != "" && h.To != k.set.Name {
 		w.Reason = fmt.Sprintf("this is %q, not %q", k.set.Name, h.To)
@@ -116,11 +116,11 @@
 	if h.ID == 0 {
 		return w
 	}
-	m, known := k.group.Ledger().Members().Get(h.ID)
+	m, known := k.group.State().Members().Get(h.ID)
 	match, _ := k.group.Behind(h.ID)
 	_, committed, applied := k.group.Position()
 	switch {
-	case known && m.Role == statemachine.Gone:
+	case known && m.Role == statemachine.Removed:
 		w.Reason, w.Final = "it was taken out or replaced: its directory is to be emptied", true
 	case !known && applied > 0 && h.Applied <= applied: // else it may have joined since: who was away must hear of it from it
 		w.Reason = "it is no member (yet)"
@@ -140,10 +140,10 @@
 	}
 	if w.Reason == "" {
 		k.names[h.ID], k.starts[h.ID], k.dialled[h.ID], k.lives[h.ID] = h.Name, h.Starts, h.Dial, h.Life
-		k.speaks[h.ID] = max(1, h.Ledger)
+		k.speaks[h.ID] = max(1, h.StateVersion)
 		if s := k.senders[h.ID]; s != nil {
 			if up, _ := s.Up(); !up { // its pause may be long, and it is there
-				s.Again()
+				s.Retry()
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // hearKeeper passes on what a member says.
-func (k *Keeper) hearKeeper(c *transport.Conn, id uint64) error {
+func (k *Replica) hearKeeper(c *transport.Conn, id uint64) error {
 	for {
 		kind, text, err := c.Read()
 		if err != nil {
@@ -168,7 +168,7 @@
 }
 
 // hearClient answers the requests of a client of the log.
-func (k *Keeper) hearClient(c *transport.Conn) error {
+func (k *Replica) hearClient(c *transport.Conn) error {
 	out, over := make(chan protocol.Answer, 2*mostWaiting), make(chan struct{})
 	defer close(over)
 	defer k.tell(func() { delete(k.waits, c) })
@@ -192,7 +192,7 @@
 			return err
 		}
 		ask := &protocol.Request{}
-		if kind != transport.KindAsk || len(text) > statemachine.MostCommand || json.Unmarshal(text, ask) != nil {
+		if kind != transport.KindRequest || len(text) > statemachine.MaxCommandBytes || json.Unmarshal(text, ask) != nil {
 			return transport.ErrFrame
 		}
 		answer := func(a protocol.Answer) {
@@ -215,7 +215,7 @@
 
 // wait has a question answered once the answer is not what the asker knows. It is a hint and no more: nobody is asked whether this
 // keeper still leads, and it costs no entry. A later one on the connection takes the place of an earlier, which nobody hears any more.
-func (k *Keeper) wait(c *transport.Conn, w *waiter) {
+func (k *Replica) wait(c *transport.Conn, w *waiter) {
 	if earlier := k.waits[c]; earlier != nil {
 		earlier.answer(protocol.Answer{Fault: protocol.Later, Text: "a later one has come"})
 	}
@@ -224,7 +224,7 @@
 		w.answer(k.fault(member.ErrNotLeader))
 		return
 	}
-	if reply := k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
+	if reply := k.group.Query(statemachine.Request{Part: w.ask.Part, Body: w.ask.Body}); !bytes.Equal(reply.Body, w.ask.Known) {
 		w.answer(protocol.Answer{Reply: &reply})
 		return
 	}
@@ -232,12 +232,12 @@
 }
 
 // hint answers those who wait for what has come to be.
-func (k *Keeper) hint() {
+func (k *Replica) hint() {
 	var asked *protocol.Request
 	var reply statemachine.Reply
 	for c, w := range k.waits {
 		if asked == nil || asked.Part != w.ask.Part || !bytes.Equal(asked.Body, w.ask.Body) { // most ask the same
-			asked, reply = w.ask, k.group.Query(statemachine.Ask{Part: w.ask.Part, Body: w.ask.Body})
+			asked, reply = w.ask, k.group.Query(statemachine.Request{Part: w.ask.Part, Body: w.ask.Body})
 		}
 		if !bytes.Equal(reply.Body, w.ask.Known) {
 			delete(k.waits, c)
@@ -247,14 +247,14 @@
 }
 
 // answer does what a client asks for, on the goroutine of the state machine.
-func (k *Keeper) answer(ask *protocol.Request, answer func(protocol.Answer)) {
+func (k *Replica) answer(ask *protocol.Request, answer func(protocol.Answer)) {
 	var err error
 	switch ask.Want {
 	case protocol.Status:
 		answer(protocol.Answer{State: k.state()})
 		return
 	case protocol.Picture:
-		reply := k.group.Query(statemachine.Ask{Part: statemachine.PartRegister, Body: encode(statemachine.Get{})})
+		reply := k.group.Query(statemachine.Request{Part: statemachine.ComponentRegister, Body: encode(statemachine.Get{})})
 		answer(protocol.Answer{Reply: &reply})
 		return
 	case protocol.Found:
@@ -282,7 +282,7 @@
 		}
 	case protocol.Copy:
 		if err = member.ErrNotLeader; k.group.Leads() {
-			freeze, index := k.group.Ledger().Freeze(), k.group.Ledger().Index()
+			freeze, index := k.group.State().Freeze(), k.group.State().Index()
 			go func() { // it may take its time
 				image, err := freeze()
 				if err != nil {
@@ -315,7 +315,7 @@
 }
 
 // fault is the answer to what cannot be done here.
-func (k *Keeper) fault(err error) protocol.Answer {
+func (k *Replica) fault(err error) protocol.Answer {
 	a := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.nameOf(k.leader)}
 	switch {
 	case errors.Is(err, member.ErrNotLeader) && k.group.Leader() == 0:
@@ -329,13 +329,13 @@
 }
 
 // learn takes a member in, unless it is one.
-func (k *Keeper) learn(m statemachine.Member) error {
-	list := k.group.Ledger().Members()
+func (k *Replica) learn(m statemachine.Member) error {
+	list := k.group.State().Members()
 	have, known := list.Get(m.ID)
 	switch {
 	case !k.group.Leads():
 		return member.ErrNotLeader
-	case known && have.Role != statemachine.Gone:
+	case known && have.Role != statemachine.Removed:
 		return nil
 	case known:
 		return fmt.Errorf("number %x was taken out: empty the directory of %q", m.ID, m.Name)
@@ -347,16 +347,16 @@
 	case m.Replaces != 0 && (!taken || named.ID != m.Replaces):
 		return fmt.Errorf("number %x is not that of %q any more", m.Replaces, m.Name)
 	}
-	return k.group.Learn(m)
+	return k.group.AddLearner(m)
 }
 
 // remove takes a member out, unless it is the last. One that leads hands its lead on first and is asked again: else nobody would lead until
 // the others miss it.
-func (k *Keeper) remove(m statemachine.Member) error {
-	list := k.group.Ledger().Members()
+func (k *Replica) remove(m statemachine.Member) error {
+	list := k.group.State().Members()
 	have, known := list.Get(m.ID)
 	voters := 0
-	for _, other := range list.List() {
+	for _, other := range list.All() {
 		if other.Role == statemachine.Voter {
 			voters++
 		}
@@ -364,7 +364,7 @@
 	switch {
 	case !k.group.Leads():
 		return member.ErrNotLeader
-	case !known || have.Role == statemachine.Gone:
+	case !known || have.Role == statemachine.Removed:
 		return nil
 	case have.Role == statemachine.Voter && voters == 1:
 		return errors.New("it is the last that votes")
@@ -375,7 +375,7 @@
 }
 
 // found makes this keeper one of the first members. Asked again, it says that it is.
-func (k *Keeper) found(ask *protocol.Request) error {
+func (k *Replica) found(ask *protocol.Request) error {
 	own := false
 	for _, m := range ask.Members {
 		own = own || m.ID == k.store.ID && m.Name == k.set.Name
@@ -384,7 +384,7 @@
 	switch {
 	case applied > 0:
 		for _, m := range ask.Members {
-			if have, ok := k.group.Ledger().Members().Get(m.ID); !ok || have.Name != m.Name {
+			if have, ok := k.group.State().Members().Get(m.ID); !ok || have.Name != m.Name {
 				return errors.New("it has been founded before, with other members")
 			}
 		}
@@ -394,7 +394,7 @@
 	case term > 0 || len(k.names) > 0:
 		return nil // those that were founded before lead already, and teach it
 	}
-	image, err := member.Found(ask.Members, ask.Now)
+	image, err := member.Bootstrap(ask.Members, ask.Now)
 	if err == nil {
 		err = k.store.Begin(image)
 	}
@@ -408,8 +408,8 @@
 }
 
 // state is how the keeper does.
-func (k *Keeper) state() *protocol.State {
-	l := k.group.Ledger()
+func (k *Replica) state() *protocol.State {
+	l := k.group.State()
 	s := &protocol.State{Fleet: k.set.Fleet, Name: k.set.Name, ID: k.store.ID, Release: k.set.Release, Starts: k.store.Starts,
 		Leader: k.nameOf(k.group.Leader()), Time: l.Now(), Changing: k.group.Changing(), Synced: k.set.Synced, Sessions: l.Sessions(),
 		Images: k.images, Writes: k.writes.Load(), Clients: int(k.clients.Load())}
@@ -424,7 +424,7 @@
 	default:
 		s.Role = "blank"
 	}
-	for _, m := range l.Members().List() {
+	for _, m := range l.Members().All() {
 		v := protocol.Member{Member: m}
 		if sender := k.senders[m.ID]; sender != nil {
 			v.Up, v.Bytes = sender.Up()
--- a/internal/node/consensus/replica/serve_test.go
+++ b/internal/node/consensus/replica/serve_test.go
@@ -25,14 +25,14 @@
 	c := client.New(set)
 	defer c.Close()
 	for range 20 {
-		_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
+		_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 		require.NoError(t, err)
 	}
 	var lead, other *protocol.State
 	for lead == nil || other == nil { // none may lead at the moment
 		lead, other = nil, nil
-		for _, k := range set.Keepers {
-			a, err := client.Ask(t.Context(), set, k, protocol.Request{Want: protocol.Status})
+		for _, k := range set.Replicas {
+			a, err := client.Call(t.Context(), set, k, protocol.Request{Want: protocol.Status})
 			require.NoError(t, err)
 			if a.State.Role == "leader" {
 				lead = a.State
@@ -42,7 +42,7 @@
 		}
 	}
 	address := ""
-	for _, k := range set.Keepers {
+	for _, k := range set.Replicas {
 		if k.Name == lead.Name {
 			address = k.Address
 		}
@@ -50,7 +50,7 @@
 	as := func(change func(*transport.Hello)) (transport.Welcome, error) {
 		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
 		change(&h)
-		conn, w, err := transport.Dial(address, h, set.Try)
+		conn, w, err := transport.Dial(address, h, set.AttemptTimeout)
 		if err == nil {
 			require.NoError(t, conn.Close())
 		}
@@ -79,7 +79,7 @@
 	}
 	gone := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
 	require.NoError(t, c.Change(t.Context(), protocol.Remove, gone))
-	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
 	require.NoError(t, err)
 	w, err := as(func(h *transport.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
@@ -93,15 +93,15 @@
 	set := fleet(t, 1, 1500, nil)
 	c := client.New(set)
 	defer c.Close()
-	_, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	var wait sync.WaitGroup
 	for i := range 16 {
 		wait.Go(func() {
-			for j := range statemachine.MostSessions / 16 {
+			for j := range statemachine.MaxSessions / 16 {
 				open := protocol.Request{Want: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
-					if _, err := client.Ask(t.Context(), set, set.Keepers[0], open); err == nil {
+					if _, err := client.Call(t.Context(), set, set.Replicas[0], open); err == nil {
 						break
 					}
 				}
@@ -109,7 +109,7 @@
 		})
 	}
 	wait.Wait()
-	r, err := c.Do(t.Context(), statemachine.PartRegister, statemachine.Set{Name: "a", Value: "c"})
+	r, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"})
 	require.NoError(t, err)
 	assert.Equal(t, statemachine.OK, r.Code, r.Text)
 }
@@ -121,7 +121,7 @@
 	last uint64
 }
 
-func connect(t *testing.T, set client.Settings, to client.Keeper) *asker {
+func connect(t *testing.T, set client.Config, to client.Replica) *asker {
 	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Name: set.Name, To: to.Name}, time.Minute)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = raw.Close() })
@@ -131,12 +131,12 @@
 func (a *asker) ask(r protocol.Request) uint64 {
 	a.last++
 	r.ID = a.last
-	require.NoError(a.t, a.raw.Write(transport.KindAsk, encode(r), time.Minute))
+	require.NoError(a.t, a.raw.Write(transport.KindRequest, encode(r), time.Minute))
 	return a.last
 }
 
-func (a *asker) wait(known rollout.News) uint64 {
-	return a.ask(protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
+func (a *asker) wait(known rollout.Progress) uint64 {
+	return a.ask(protocol.Request{Want: protocol.Wait, Part: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
 }
 
 func (a *asker) hear() (said protocol.Answer) {
@@ -154,27 +154,27 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	wait := func(ctx context.Context, known rollout.News) (n rollout.News, err error) {
-		reply, err := c.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
+	wait := func(ctx context.Context, known rollout.Progress) (n rollout.Progress, err error) {
+		reply, err := c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{News: true}, known)
 		if err == nil {
 			require.NoError(t, json.Unmarshal(reply.Body, &n))
 		}
 		return n, err
 	}
-	_, err := wait(ctx, rollout.News{})
+	_, err := wait(ctx, rollout.Progress{})
 	require.ErrorContains(t, err, "no connection")
-	propose := func(number uint64) rollout.News { // nobody has to look at it: it holds at once
+	propose := func(number uint64) rollout.Progress { // nobody has to look at it: it holds at once
 		p := rollout.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
-		_, err := c.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p})
+		_, err := c.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
-		return rollout.News{Number: number, Hash: rollout.Hash(p.Text)}
+		return rollout.Progress{Number: number, Hash: rollout.Hash(p.Text)}
 	}
 	first := propose(1)
-	now, err := wait(ctx, rollout.News{})
+	now, err := wait(ctx, rollout.Progress{})
 	require.NoError(t, err)
 	assert.Equal(t, first, now, "it is another at once")
 
-	one := connect(t, set, set.Keepers[0])
+	one := connect(t, set, set.Replicas[0])
 	one.ask(protocol.Request{Want: protocol.Status})
 	before, last := one.hear().State.Committed, one.wait(first)
 	for range 100 {
@@ -206,15 +206,15 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
-	_, err := c.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "a", Value: "b"})
+	_, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	elsewhere, lost := 0, false
 	for !lost {
-		for _, k := range set.Keepers {
+		for _, k := range set.Replicas {
 			one := connect(t, set, k)
 			one.ask(protocol.Request{Want: protocol.Status})
 			state := one.hear().State
-			waits := one.wait(rollout.News{})
+			waits := one.wait(rollout.Progress{})
 			status := one.ask(protocol.Request{Want: protocol.Status})
 			said := one.hear()
 			if said.ID == waits { // it does not lead
--- a/internal/node/consensus/transport/golden_test.go
+++ b/internal/node/consensus/transport/golden_test.go
@@ -19,8 +19,8 @@
 // Guards against frames that an earlier build of this release does not read, or that it wrote and this one does not read: one of each
 // kind, and a message of two parts.
 func TestFramesOfAnEarlierBuild(t *testing.T) {
-	kinds := []Kind{KindHello, KindAnswer, KindRaft, KindAsk, KindRaft}
-	messages := [][]byte{[]byte(`{"fleet":"morava"}`), []byte("an answer"), {0, 1, 2, 255}, {}, bytes.Repeat([]byte("part"), mostFrame/4+1)}
+	kinds := []Kind{KindHello, KindAnswer, KindRaft, KindRequest, KindRaft}
+	messages := [][]byte{[]byte(`{"fleet":"morava"}`), []byte("an answer"), {0, 1, 2, 255}, {}, bytes.Repeat([]byte("part"), maxFrame/4+1)}
 	var frames []byte
 	for i, kind := range kinds {
 		frames = Append(frames, kind, messages[i])
--- a/internal/node/consensus/transport/sender.go
+++ b/internal/node/consensus/transport/sender.go
@@ -80,8 +80,8 @@
 // Up tells whether there is a connection, and how many bytes went out.
 func (s *Sender) Up() (up bool, bytes uint64) { return s.up.Load(), s.passed.Load() }
 
-// Again ends the pause between two attempts to connect: the peer has been heard of.
-func (s *Sender) Again() {
+// Retry ends the pause between two attempts to connect: the peer has been heard of.
+func (s *Sender) Retry() {
 	select {
 	case s.again <- struct{}{}:
 	default:
@@ -182,7 +182,7 @@
 		list := s.take()
 		for len(list) > 0 {
 			n := 0
-			for frames = frames[:0]; n < len(list) && (n == 0 || len(frames) < mostFrame); n++ {
+			for frames = frames[:0]; n < len(list) && (n == 0 || len(frames) < maxFrame); n++ {
 				frames = Append(frames, list[n].kind, list[n].message)
 			}
 			if err := s.write(c, frames); err != nil {
@@ -198,7 +198,7 @@
 			}
 			list = list[n:]
 		}
-		if cap(frames) > 4*mostFrame {
+		if cap(frames) > 4*maxFrame {
 			frames = nil
 		}
 	}
@@ -207,7 +207,7 @@
 // write sends frames in pieces, each within the limit: a slow peer is waited for as long as it takes something.
 func (s *Sender) write(c *Conn, frames []byte) error {
 	for len(frames) > 0 {
-		n := min(len(frames), mostFrame)
+		n := min(len(frames), maxFrame)
 		if err := c.write(frames[:n], s.limits.Write); err != nil {
 			return errors.Join(err, c.Close())
 		}
--- a/internal/node/consensus/transport/sender_test.go
+++ b/internal/node/consensus/transport/sender_test.go
@@ -35,6 +35,6 @@
 	defer s.Close()
 	for range 3 {
 		<-dialled
-		s.Again()
+		s.Retry()
 	}
 }
--- a/internal/node/consensus/transport/link.go
+++ b/internal/node/consensus/transport/transport.go
@@ -22,12 +22,12 @@
 const Version = 1
 
 const (
-	lowest      = 1
-	mostFrame   = 64 << 10
-	mostMessage = 64 << 20
-	headLength  = 13 // length, checksum, kind
-	helloLimit  = 3 * time.Second
-	firstRoom   = 4 << 10
+	lowest     = 1
+	maxFrame   = 64 << 10
+	maxMessage = 64 << 20
+	headLength = 13 // length, checksum, kind
+	helloLimit = 3 * time.Second
+	firstRoom  = 4 << 10
 )
 
 // Kind is what a message is.
@@ -35,11 +35,11 @@
 
 // The kinds. A part is a piece of a message that goes on with the next frame.
 const (
-	KindHello  Kind = 1
-	KindAnswer Kind = 2
-	KindRaft   Kind = 3
-	KindAsk    Kind = 4
-	part       Kind = 0x80
+	KindHello   Kind = 1
+	KindAnswer  Kind = 2
+	KindRaft    Kind = 3
+	KindRequest Kind = 4
+	part        Kind = 0x80
 )
 
 // What ends a connection.
@@ -50,20 +50,20 @@
 
 // Hello is the first word of whoever connects.
 type Hello struct {
-	Fleet   string `json:"fleet"`
-	Min     int    `json:"min"` // versions spoken
-	Max     int    `json:"max"`
-	Release string `json:"release"` // for people
-	Name    string `json:"name"`
-	To      string `json:"to,omitempty"`      // the name of whom it wants, empty = whoever is there
-	Want    uint64 `json:"want,omitempty"`    // and the number of it, 0 = any
-	ID      uint64 `json:"id,omitempty"`      // of a keeper, 0 = a client of the log
-	Starts  uint64 `json:"starts,omitempty"`  // how often it has started
-	Life    uint64 `json:"life,omitempty"`    // drawn by its process: one start has one life
-	Dial    uint64 `json:"dial,omitempty"`    // how often it has connected since its start: one that comes late counts for nothing
-	Last    uint64 `json:"last,omitempty"`    // the last entry that its disk holds,
-	Applied uint64 `json:"applied,omitempty"` // and up to which it knows what was agreed
-	Ledger  int    `json:"ledger,omitempty"`  // the version of the ledger that a keeper knows, 0 = the first
+	Fleet        string `json:"fleet"`
+	Min          int    `json:"min"` // versions spoken
+	Max          int    `json:"max"`
+	Release      string `json:"release"` // for people
+	Name         string `json:"name"`
+	To           string `json:"to,omitempty"`      // the name of whom it wants, empty = whoever is there
+	Want         uint64 `json:"want,omitempty"`    // and the number of it, 0 = any
+	ID           uint64 `json:"id,omitempty"`      // of a keeper, 0 = a client of the log
+	Starts       uint64 `json:"starts,omitempty"`  // how often it has started
+	Life         uint64 `json:"life,omitempty"`    // drawn by its process: one start has one life
+	Dial         uint64 `json:"dial,omitempty"`    // how often it has connected since its start: one that comes late counts for nothing
+	Last         uint64 `json:"last,omitempty"`    // the last entry that its disk holds,
+	Applied      uint64 `json:"applied,omitempty"` // and up to which it knows what was agreed
+	StateVersion int    `json:"ledger,omitempty"`  // the version of the ledger that a keeper knows, 0 = the first
 }
 
 // Welcome answers it.
@@ -83,7 +83,7 @@
 }
 
 // NewConn wraps a connection that was accepted.
-func NewConn(raw net.Conn) *Conn { return &Conn{raw: raw, in: bufio.NewReaderSize(raw, mostFrame/2)} }
+func NewConn(raw net.Conn) *Conn { return &Conn{raw: raw, in: bufio.NewReaderSize(raw, maxFrame/2)} }
 
 // Close ends it.
 func (c *Conn) Close() error { return c.raw.Close() }
@@ -95,8 +95,8 @@
 func Append(dst []byte, kind Kind, message []byte) []byte {
 	for {
 		k, n := kind, len(message)
-		if n > mostFrame {
-			k, n = kind|part, mostFrame
+		if n > maxFrame {
+			k, n = kind|part, maxFrame
 		}
 		start := len(dst)
 		dst = append(dst, make([]byte, headLength)...)
@@ -118,7 +118,7 @@
 			return 0, nil, err
 		}
 		n, k := binary.BigEndian.Uint32(head[:]), Kind(head[12])
-		if n > mostFrame || len(message)+int(n) > mostMessage || kind != 0 && k&^part != kind {
+		if n > maxFrame || len(message)+int(n) > maxMessage || kind != 0 && k&^part != kind {
 			return 0, nil, fmt.Errorf("%w: one of %d bytes", ErrFrame, n)
 		}
 		kind = k &^ part
--- a/internal/node/consensus/transport/link_test.go
+++ b/internal/node/consensus/transport/transport_test.go
@@ -25,7 +25,7 @@
 		kind, message, err := NewConn(near).Read()
 		return kind, string(message), err
 	}
-	for _, n := range []int{0, 1, mostFrame - 1, mostFrame, mostFrame + 1, 3*mostFrame + 5} {
+	for _, n := range []int{0, 1, maxFrame - 1, maxFrame, maxFrame + 1, 3*maxFrame + 5} {
 		sent := strings.Repeat("linenwheel", n/10+1)[:n]
 		raw := Append(nil, KindRaft, []byte(sent))
 		kind, got, err := read(raw)
@@ -41,7 +41,7 @@
 			require.Error(t, err, "cut at %d of %d", at, len(raw))
 		}
 	}
-	frame := Append(nil, KindRaft|part, make([]byte, mostFrame))
+	frame := Append(nil, KindRaft|part, make([]byte, maxFrame))
 	claim := append(binary.BigEndian.AppendUint32(nil, 2<<30), make([]byte, 9)...)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -49,7 +49,7 @@
 	runtime.ReadMemStats(&after)
 	require.ErrorIs(t, err, ErrFrame)
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(10<<20), "2 GB claimed")
-	_, _, err = read(append(append([]byte{}, frame...), Append(nil, KindAsk, nil)...))
+	_, _, err = read(append(append([]byte{}, frame...), Append(nil, KindRequest, nil)...))
 	require.ErrorIs(t, err, ErrFrame, "another kind goes on")
 
 	near, far := net.Pipe()
--- a/internal/node/idempotency/replicated/fleet.go
+++ b/internal/node/idempotency/replicated/fleet.go
@@ -82,7 +82,7 @@
 	defer close(n.ending)
 	sum := hmac.New(sha256.New, n.set.Secret)
 	_, _ = sum.Write([]byte("linenwheel names of a fleet")) // it does not fail
-	fresh := statemachine.Fresh{Node: n.set.Node, Life: n.life, Secret: sum.Sum(nil), Before: n.set.Before}
+	fresh := statemachine.ProcessStart{Node: n.set.Node, Life: n.life, Secret: sum.Sum(nil), Before: n.set.Before}
 	told, warned, alone, first := false, false, n.alone, true
 	if fresh.Before == 0 {
 		alone = nil
@@ -98,7 +98,7 @@
 		if !told && n.own.Err() == nil { // a later process would count as an earlier one whose runs nobody answers for
 			unhook := context.AfterFunc(n.own, stop)
 			var r statemachine.Reply
-			if r, err = n.client.Do(one, statemachine.PartCalls, statemachine.FreshCommand(fresh)); err == nil && r.Code == statemachine.Conflict {
+			if r, err = n.client.Do(one, statemachine.ComponentCalls, statemachine.ProcessStartCommand(fresh)); err == nil && r.Code == statemachine.Conflict {
 				if !warned {
 					n.log.Error("this node hashes names under another secret than its fleet: it takes none", "error", r.Text)
 				}
@@ -107,7 +107,7 @@
 			told = err == nil
 			unhook()
 		} else {
-			_, err = n.client.Read(one, statemachine.PartCalls, statemachine.Look{Name: make([]byte, 16)})
+			_, err = n.client.Read(one, statemachine.ComponentCalls, statemachine.Lookup{Name: make([]byte, 16)})
 		}
 		stop()
 		switch {
@@ -170,20 +170,20 @@
 	if err != nil {
 		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 	}
-	if o.Taken == statemachine.TakenElse {
+	if o.Result == statemachine.ClaimRunning {
 		o = n.await(c, deadline, left, firstPoll)
 	}
-	if o.Taken == statemachine.TakenUnknown {
+	if o.Result == statemachine.ClaimUnknown {
 		return middleware.Taken{Verdict: idempotency.Run}
 	}
 	return told(o)
 }
 
 // see asks once how a name stands.
-func (n *Names) see(c idempotency.Call, deadline float64) (o statemachine.Outcome, err error) {
+func (n *Names) see(c idempotency.Call, deadline float64) (o statemachine.ClaimReply, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), n.span(max(0, min(n.set.Take, deadline-n.clock.Now()))))
 	defer stop()
-	r, err := n.client.Read(ctx, statemachine.PartCalls, statemachine.Look{Name: c.Name[:], Print: c.Print[:]})
+	r, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: c.Name[:], Print: c.Print[:]})
 	switch {
 	case err != nil:
 		return o, err
@@ -194,17 +194,17 @@
 }
 
 // told is what an outcome other than a run of one's own comes to.
-func told(o statemachine.Outcome) middleware.Taken {
-	switch o.Taken {
-	case statemachine.TakenReplay:
+func told(o statemachine.ClaimReply) middleware.Taken {
+	switch o.Result {
+	case statemachine.ClaimReplayed:
 		return middleware.Taken{Verdict: idempotency.Replay, Body: o.Body}
-	case statemachine.TakenSpent:
+	case statemachine.ClaimExecuted:
 		return middleware.Taken{Verdict: idempotency.Spent}
-	case statemachine.TakenMismatch:
+	case statemachine.ClaimMismatch:
 		return middleware.Taken{Verdict: idempotency.Mismatch}
-	case statemachine.TakenDoubt:
+	case statemachine.ClaimInDoubt:
 		return middleware.Taken{Verdict: idempotency.Doubt}
-	case statemachine.TakenElse:
+	case statemachine.ClaimRunning:
 		return middleware.Taken{Verdict: idempotency.Join}
 	}
 	return middleware.Taken{Verdict: idempotency.Full, Wait: o.Wait}
@@ -220,7 +220,7 @@
 		tenant = n.set.Tenants[c.Tenant]
 	}
 	t := middleware.Taken{Token: rand.Uint64()>>1 | 1}
-	take := statemachine.TakeCommand(statemachine.Take{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered,
+	take := statemachine.ClaimCommand(statemachine.Claim{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered,
 		Doubt: c.Windows.Doubt, Run: n.set.Claim + n.set.Longest, Node: n.set.Node, Life: n.life, Token: t.Token})
 	for poll := firstPoll; ; poll = min(2*poll, lastPoll) {
 		asked := n.clock.Now()
@@ -228,27 +228,29 @@
 			return middleware.Taken{Verdict: idempotency.Join}
 		}
 		ctx, stop := context.WithTimeout(context.Background(), n.span(min(n.set.Take, deadline-asked)))
-		r, err := n.client.Do(ctx, statemachine.PartCalls, take)
+		r, err := n.client.Do(ctx, statemachine.ComponentCalls, take)
 		stop()
 		if err != nil {
 			n.lost(err)
 			if errors.Is(err, client.ErrUnknown) { // nothing was sent, and nothing will be
-				n.work.Go(func() { n.takeBack(statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowNotRun}) })
+				n.work.Go(func() {
+					n.takeBack(statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeNotExecuted})
+				})
 			}
 			return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
 		}
 		n.seen.Add(1)
-		var o statemachine.Outcome
+		var o statemachine.ClaimReply
 		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.log.Error("a name could not be taken", "error", r.Text)
 			return middleware.Taken{Verdict: idempotency.Full, Wait: comeBack}
 		}
-		if o.Taken == statemachine.TakenElse {
-			if o = n.await(c, deadline, left, poll); o.Taken == statemachine.TakenUnknown {
+		if o.Result == statemachine.ClaimRunning {
+			if o = n.await(c, deadline, left, poll); o.Result == statemachine.ClaimUnknown {
 				continue // it did not run: this one may be the next
 			}
 		}
-		if o.Taken == statemachine.TakenRun {
+		if o.Result == statemachine.ClaimGranted {
 			t.Stands = func() bool { return n.clock.Now() < asked+n.set.Claim }
 			return t
 		}
@@ -257,8 +259,8 @@
 }
 
 // await asks how a run elsewhere ended until it has. TakenElse = it had not when the time was up.
-func (n *Names) await(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.Outcome {
-	running := statemachine.Outcome{Taken: statemachine.TakenElse}
+func (n *Names) await(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.ClaimReply {
+	running := statemachine.ClaimReply{Result: statemachine.ClaimRunning}
 	for ; ; poll = min(2*poll, lastPoll) {
 		now := n.clock.Now()
 		wait := make(chan struct{})
@@ -272,7 +274,7 @@
 		if now = n.clock.Now(); now >= deadline {
 			return running
 		}
-		if o, err := n.see(c, deadline); err == nil && o.Taken != statemachine.TakenElse {
+		if o, err := n.see(c, deadline); err == nil && o.Result != statemachine.ClaimRunning {
 			return o
 		}
 	}
@@ -280,14 +282,14 @@
 
 // Ended has it agreed how a run ended, and returns once it is, or after Settings.End: it then goes on for a while.
 func (n *Names) Ended(c idempotency.Call, t middleware.Taken, how idempotency.End, body []byte) {
-	e := statemachine.Ended{Name: c.Name[:], Token: t.Token, How: statemachine.HowDoubt}
+	e := statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeInDoubt}
 	switch how {
 	case idempotency.EndServed:
-		e.How, e.Body = statemachine.HowServed, body
+		e.Outcome, e.Body = statemachine.OutcomeServed, body
 	case idempotency.EndNotRun:
-		e.How = statemachine.HowNotRun
+		e.Outcome = statemachine.OutcomeNotExecuted
 	}
-	if len(body) > statemachine.MostBody {
+	if len(body) > statemachine.MaxOneBodyBytes {
 		e.Body = nil // known without
 	}
 	select {
@@ -314,10 +316,10 @@
 }
 
 // tell has an end agreed, and gives the reply; false where it was not before ctx ended.
-func (n *Names) tell(ctx context.Context, e statemachine.Ended) (r statemachine.Reply, ok bool) {
+func (n *Names) tell(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
 	for ctx.Err() == nil {
 		one, stop := context.WithTimeout(ctx, n.span(n.set.Take))
-		r, err := n.client.Do(one, statemachine.PartCalls, statemachine.EndedCommand(e))
+		r, err := n.client.Do(one, statemachine.ComponentCalls, statemachine.CompletionCommand(e))
 		stop()
 		if err == nil {
 			n.seen.Add(1)
@@ -329,7 +331,7 @@
 
 // takeBack gives up a name of which it is not known whether it was taken: a claim that is still on its way may be agreed after the
 // word that nothing ran, so that it is said again, less and less often, until it is heard or no longer to be expected.
-func (n *Names) takeBack(e statemachine.Ended) {
+func (n *Names) takeBack(e statemachine.Completion) {
 	select {
 	case n.after <- struct{}{}:
 		defer func() { <-n.after }()
--- a/internal/node/idempotency/replicated/fleet_test.go
+++ b/internal/node/idempotency/replicated/fleet_test.go
@@ -24,17 +24,17 @@
 )
 
 // lone runs a fleet's only keeper, which ends with ctx; work is done when it has ended.
-func lone(ctx context.Context, t *testing.T, work *sync.WaitGroup) client.Settings {
+func lone(ctx context.Context, t *testing.T, work *sync.WaitGroup) client.Config {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.17:0", 128+os.Getpid()>>8&63, os.Getpid()&255)) // where no other takes the port
 	require.NoError(t, err)
-	to := client.Keeper{Name: "k", Address: l.Addr().String()}
+	to := client.Replica{Name: "k", Address: l.Addr().String()}
 	require.NoError(t, l.Close())
 	k, err := replica.New(replica.Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Addresses: map[string]string{to.Name: to.Address},
 		Heartbeat: 25, Election: 250, ImageEvery: 4 << 20, Trail: 1000}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	work.Go(func() { _ = k.Run(ctx) })
-	ask := client.Settings{Fleet: "f", Name: "n", Try: time.Minute, Keepers: []client.Keeper{to}}
-	_, err = client.Ask(ctx, ask, to, protocol.Request{Want: protocol.Found, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
+	ask := client.Config{Fleet: "f", Name: "n", AttemptTimeout: time.Minute, Replicas: []client.Replica{to}}
+	_, err = client.Call(ctx, ask, to, protocol.Request{Want: protocol.Found, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
 	require.NoError(t, err)
 	return ask
 }
--- a/internal/node/idempotency/replicated/late_test.go
+++ b/internal/node/idempotency/replicated/late_test.go
@@ -22,7 +22,7 @@
 // alone is a keeper that agrees with itself, and lets the first claim come late: after the word that nothing ran was refused.
 type alone struct {
 	t     *testing.T
-	log   *statemachine.Ledger
+	log   *statemachine.Machine
 	late  []byte // the first claim
 	first bool   // it has come
 	came  chan struct{}
@@ -107,7 +107,7 @@
 // Guards against a claim that is agreed after its node gave it up: nothing ran, and every repeat would be told that it may have.
 func TestLateClaimIsTakenBack(t *testing.T) {
 	k := &alone{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
-	log := client.New(client.Settings{Fleet: "f", Name: "n", Keepers: []client.Keeper{{Name: "k", Address: k.listen()}}, Try: 250 * time.Millisecond})
+	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "k", Address: k.listen()}}, AttemptTimeout: 250 * time.Millisecond})
 	defer log.Close()
 	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
 		log, clock.NewSystem(), slog.New(slog.DiscardHandler))
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -23,22 +23,22 @@
 	// Document gives one by its number, or by its proposal where id is not empty.
 	Document(ctx context.Context, number uint64, id string) (rollout.Document, error)
 	// News tells how far the fleet is once that is not what is known; an error = it cannot be waited for now.
-	News(ctx context.Context, known rollout.News) (rollout.News, error)
+	Progress(ctx context.Context, known rollout.Progress) (rollout.Progress, error)
 }
 
 // Node is what the policy is for.
 type Node interface {
-	Check(d rollout.Document) error // whether the node can take it
-	Take(d rollout.Document) error  // have it in force from now on
+	Check(d rollout.Document) error    // whether the node can take it
+	Activate(d rollout.Document) error // have it in force from now on
 }
 
 // Settings describe the gate. Times are milliseconds.
 type Settings struct {
-	Name   string
-	Lease  float64
-	Hold   float64 // that a call waits at the most
-	GoesOn bool    // calls begin without a lease, too
-	Heard  func()  // called once the first policy is in force
+	Name    string
+	Lease   float64
+	MaxWait float64 // that a call waits at the most
+	GoesOn  bool    // calls begin without a lease, too
+	Ready   func()  // called once the first policy is in force
 }
 
 // ReasonPolicy is why a call is turned away.
@@ -54,15 +54,15 @@
 
 	looked rollout.Document // at last; of Run alone
 
-	mu     sync.Mutex
-	holder *rollout.Holder // Run alone changes it, with the lock; it reads it without
-	opened chan struct{}   // closed when calls may begin that might not before, or the other way round
+	mu          sync.Mutex
+	leaseHolder *rollout.LeaseHolder // Run alone changes it, with the lock; it reads it without
+	opened      chan struct{}        // closed when calls may begin that might not before, or the other way round
 }
 
 // New makes a gate that lets no call begin before Run has heard from the fleet.
 func New(set Settings, f Fleet, n Node, c clock.Clock, log *slog.Logger) *Gate {
 	return &Gate{set: set, fleet: f, node: n, clock: c, log: log, opened: make(chan struct{}),
-		holder: rollout.NewHolder(set.Name, rand.Uint64()>>1|1, set.Lease, set.GoesOn)}
+		leaseHolder: rollout.NewLeaseHolder(set.Name, rand.Uint64()>>1|1, set.Lease, set.GoesOn)}
 }
 
 // Wrap is the core.Stage.
@@ -78,17 +78,17 @@
 // enter waits until the call may begin.
 func (g *Gate) enter(call *core.Call) (a core.Answer, ok bool) {
 	g.mu.Lock()
-	open := g.holder.Open(g.clock.Now())
+	open := g.leaseHolder.Open(g.clock.Now())
 	g.mu.Unlock()
 	if open {
 		return a, true
 	}
 	late := make(chan struct{})
-	stop := g.clock.At(min(call.Deadline, g.clock.Now()+g.set.Hold), func() { close(late) })
+	stop := g.clock.At(min(call.Deadline, g.clock.Now()+g.set.MaxWait), func() { close(late) })
 	defer stop()
 	for {
 		g.mu.Lock()
-		open, opened := g.holder.Open(g.clock.Now()), g.opened
+		open, opened := g.leaseHolder.Open(g.clock.Now()), g.opened
 		g.mu.Unlock()
 		if open {
 			return a, true
@@ -103,18 +103,18 @@
 	}
 }
 
-// Holds tells which number calls begin under, its document's hash, and until when on the node's clock; +Inf = whatever comes.
-func (g *Gate) Holds() (number uint64, hash string, until float64) {
+// InForce tells which number calls begin under, its document's hash, and until when on the node's clock; +Inf = whatever comes.
+func (g *Gate) InForce() (number uint64, hash string, until float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.holder.Holds()
+	return g.leaseHolder.InForce()
 }
 
 // change has the holder take something in, and wakes the calls that wait.
-func (g *Gate) change(do func(h *rollout.Holder)) {
+func (g *Gate) change(do func(h *rollout.LeaseHolder)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	do(g.holder)
+	do(g.leaseHolder)
 	close(g.opened)
 	g.opened = make(chan struct{})
 }
@@ -138,7 +138,7 @@
 		stop()
 	}
 	var leaves rollout.Report
-	g.change(func(h *rollout.Holder) { leaves = h.Leave() })
+	g.change(func(h *rollout.LeaseHolder) { leaves = h.Leave() })
 	last, stop := context.WithTimeout(context.WithoutCancel(ctx), 200*time.Millisecond)
 	defer stop()
 	_, _ = g.fleet.Report(last, leaves) // else its lease runs out
@@ -150,12 +150,12 @@
 // wait waits for a hint, at the most until a report is due; it gives the time until then. pause is that where no hint can be waited for.
 func (g *Gate) wait(ctx context.Context, most, pause float64) float64 {
 	due := g.clock.Now() + around(most)
-	var news rollout.News
+	var news rollout.Progress
 	for late := true; late; { // one that was lost is not waited for until then
 		one, over := context.WithCancel(ctx)
-		stop := g.clock.At(min(due, g.clock.Now()+g.holder.Again()), over)
+		stop := g.clock.At(min(due, g.clock.Now()+g.leaseHolder.RetryAfter()), over)
 		var err error
-		news, err = g.fleet.News(one, g.holder.Knows())
+		news, err = g.fleet.Progress(one, g.leaseHolder.Known())
 		late = one.Err() != nil
 		stop()
 		over()
@@ -167,11 +167,11 @@
 		}
 	}
 	var next rollout.Step
-	g.change(func(h *rollout.Holder) { next = h.Hear(news) })
-	if next.Held {
+	g.change(func(h *rollout.LeaseHolder) { next = h.Observe(news) })
+	if next.Paused {
 		g.held(news.Change)
 	}
-	if next.Take {
+	if next.Activate {
 		take, stop := context.WithTimeout(ctx, time.Duration(g.set.Lease*1e6))
 		defer stop()
 		return g.take(take, next.Number, next.Hash)
@@ -189,34 +189,34 @@
 	asked := g.clock.Now()
 	one, stop := context.WithTimeout(ctx, time.Duration(g.set.Lease*1e6))
 	defer stop()
-	o, err := g.fleet.Report(one, g.holder.Report())
+	o, err := g.fleet.Report(one, g.leaseHolder.Report())
 	lapsed, number := false, uint64(0)
 	g.mu.Lock()
-	if lapsed = g.holder.Lapsed(g.clock.Now()); lapsed {
-		number, _, _ = g.holder.Holds()
+	if lapsed = g.leaseHolder.Lapsed(g.clock.Now()); lapsed {
+		number, _, _ = g.leaseHolder.InForce()
 	}
 	g.mu.Unlock()
 	if lapsed {
 		g.log.Warn("the lease on the policy has run out: calls are turned away", "number", number)
 	}
 	if err != nil {
-		return g.holder.Again(), 0
+		return g.leaseHolder.RetryAfter(), 0
 	}
 	var next rollout.Step
-	g.change(func(h *rollout.Holder) { next = h.Obey(asked, o) })
+	g.change(func(h *rollout.LeaseHolder) { next = h.Obey(asked, o) })
 	if next.Renewed {
 		g.log.Info("the lease on the policy is renewed: calls begin again", "number", o.Number)
 	}
 	if next.Known {
 		g.log.Info("the fleet's policy is known", "number", o.Number, "hash", o.Hash)
-		g.set.Heard()
+		g.set.Ready()
 	}
 	switch {
-	case next.Take:
+	case next.Activate:
 		return g.take(one, next.Number, next.Hash), 0
 	case next.Look != "":
 		return g.look(one, next.Look), 0
-	case next.Held:
+	case next.Paused:
 		g.held(o.Change)
 	}
 	return next.Pause, next.Wait
@@ -234,7 +234,7 @@
 			g.log.Info("this node can take a policy that was proposed", "proposal", id, "hash", d.Hash)
 		}
 	}
-	g.change(func(h *rollout.Holder) { pause = h.Saw(id, unseen, err) })
+	g.change(func(h *rollout.LeaseHolder) { pause = h.Saw(id, unseen, err) })
 	return pause
 }
 
@@ -248,15 +248,15 @@
 	} else if number > 0 {
 		var err error
 		if d, err = g.fleet.Document(ctx, number, ""); err != nil {
-			return g.holder.Again()
+			return g.leaseHolder.RetryAfter()
 		}
 	}
-	if err := g.node.Take(d); err != nil {
+	if err := g.node.Activate(d); err != nil {
 		g.log.Error("this node cannot take the policy that holds: it begins no calls", "number", number, "error", err)
-		g.change(func(h *rollout.Holder) { pause = h.Failed(number) })
+		g.change(func(h *rollout.LeaseHolder) { pause = h.Failed(number) })
 		return pause
 	}
-	g.change(func(h *rollout.Holder) { h.Took(number, d.Hash) })
+	g.change(func(h *rollout.LeaseHolder) { h.Activated(number, d.Hash) })
 	g.log.Info("a policy is in force", "number", number, "hash", d.Hash, "by", d.By)
 	return 0
 }
--- a/internal/node/rollout/gate/gate_test.go
+++ b/internal/node/rollout/gate/gate_test.go
@@ -21,7 +21,7 @@
 	orders []rollout.Order
 	said   []rollout.Report
 	fault  error
-	hints  chan rollout.News // closed = it cannot be waited for
+	hints  chan rollout.Progress // closed = it cannot be waited for
 	taken  []uint64
 	asked  int // for documents
 	waits  int
@@ -43,7 +43,7 @@
 	return rollout.Document{Number: number, ID: id, Hash: "x", Text: "x"}, nil
 }
 
-func (s *scripted) News(ctx context.Context, _ rollout.News) (rollout.News, error) {
+func (s *scripted) Progress(ctx context.Context, _ rollout.Progress) (rollout.Progress, error) {
 	s.waits++
 	select {
 	case n, ok := <-s.hints:
@@ -52,12 +52,12 @@
 		}
 		return n, nil
 	case <-ctx.Done():
-		return rollout.News{}, ctx.Err()
+		return rollout.Progress{}, ctx.Err()
 	}
 }
 
 func (s *scripted) Check(rollout.Document) error { return s.fault }
-func (s *scripted) Take(d rollout.Document) error {
+func (s *scripted) Activate(d rollout.Document) error {
 	s.taken = append(s.taken, d.Number)
 	return s.cannot
 }
@@ -67,7 +67,7 @@
 // does not suit the node and is not said to.
 func TestGate(t *testing.T) {
 	c, s, heard := clock.NewManual(1000), &scripted{fault: errors.New("line 3")}, 0
-	g := New(Settings{Name: "n", Lease: 100, Hold: 50, Heard: func() { heard++ }}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	g := New(Settings{Name: "n", Lease: 100, MaxWait: 50, Ready: func() { heard++ }}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	next := g.Wrap(func(*core.Call) core.Answer { return core.Answer{Kind: core.Served} })
 	try := func() core.Answer { // a call at this moment, which waits for as long as it may
 		done := make(chan core.Answer, 1)
@@ -104,10 +104,10 @@
 	assert.Equal(t, ReasonPolicy, a.Reason)
 	assert.Equal(t, 100.0, a.Wait)
 	step(rollout.Order{Number: 4, Lease: 100, Change: "p", Stage: rollout.Looking})
-	assert.Equal(t, "line 3", g.holder.Report().Fault)
+	assert.Equal(t, "line 3", g.leaseHolder.Report().Fault)
 	s.fault = nil
 	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
-	assert.Empty(t, g.holder.Report().Fault)
+	assert.Empty(t, g.leaseHolder.Report().Fault)
 	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
 	assert.Equal(t, "q", s.said[len(s.said)-1].Looked)
 	assert.Equal(t, core.Served, try().Kind, "while it is looked at")
@@ -121,11 +121,11 @@
 	s.cannot = errors.New("line 7")
 	require.Positive(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
 	require.Zero(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
-	assert.Equal(t, "r", g.holder.Report().Looked, "what could take the place of a number that it cannot take")
+	assert.Equal(t, "r", g.leaseHolder.Report().Looked, "what could take the place of a number that it cannot take")
 	pause, wait := g.step(context.Background())
 	require.Positive(t, pause, "nobody answers: it is asked again after a while")
 	require.Zero(t, wait)
-	g.change(func(h *rollout.Holder) { h.Leave() })
+	g.change(func(h *rollout.LeaseHolder) { h.Leave() })
 	call := &core.Call{Deadline: c.Now() + 1000}
 	call.Leave()
 	assert.Equal(t, core.Left, next(call).Kind)
@@ -135,26 +135,26 @@
 // holds; that asks for a document that it has; that waits on for a hint that was lost, or when a report is due; and that asks keepers of
 // the release before, which know no waits, over and over without a pause.
 func TestHint(t *testing.T) {
-	c, s := clock.NewManual(1000), &scripted{hints: make(chan rollout.News, 1)}
-	g := New(Settings{Name: "n", Lease: 100, Hold: 50, Heard: func() {}}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, s := clock.NewManual(1000), &scripted{hints: make(chan rollout.Progress, 1)}
+	g := New(Settings{Name: "n", Lease: 100, MaxWait: 50, Ready: func() {}}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.orders = []rollout.Order{{Lease: 100, Change: "p", Stage: rollout.Looking}, {Lease: 100, Change: "p", Stage: rollout.Looking}}
 	g.step(context.Background())
 	pause, most := g.step(context.Background())
 	require.Equal(t, 20.0, pause)
 	require.InDelta(t, 100.0/3, most, 0.01)
-	hear := func(n rollout.News) float64 {
+	hear := func(n rollout.Progress) float64 {
 		s.hints <- n
 		return g.wait(context.Background(), most, pause)
 	}
-	assert.Zero(t, hear(rollout.News{Change: "q", Stage: rollout.Looking}), "it reports at once")
-	assert.True(t, g.holder.Open(c.Now()))
-	assert.Zero(t, hear(rollout.News{Change: "p", Stage: rollout.Pausing}))
-	assert.False(t, g.holder.Open(c.Now()))
-	assert.Equal(t, "p", g.holder.Report().Paused)
-	assert.Zero(t, hear(rollout.News{Number: 1, Hash: "x"}))
+	assert.Zero(t, hear(rollout.Progress{Change: "q", Stage: rollout.Looking}), "it reports at once")
+	assert.True(t, g.leaseHolder.Open(c.Now()))
+	assert.Zero(t, hear(rollout.Progress{Change: "p", Stage: rollout.Pausing}))
+	assert.False(t, g.leaseHolder.Open(c.Now()))
+	assert.Equal(t, "p", g.leaseHolder.Report().Paused)
+	assert.Zero(t, hear(rollout.Progress{Number: 1, Hash: "x"}))
 	assert.Equal(t, []uint64{1}, s.taken)
 	assert.Equal(t, 1, s.asked, "it has looked at that document")
-	assert.False(t, g.holder.Open(c.Now()), "it has no lease on it")
+	assert.False(t, g.leaseHolder.Open(c.Now()), "it has no lease on it")
 	done := make(chan float64)
 	go func() { done <- g.wait(context.Background(), most, pause) }()
 	for over := false; !over; {
--- a/internal/node/rollout/golden_test.go
+++ b/internal/node/rollout/golden_test.go
@@ -16,7 +16,7 @@
 	golden.JSON[Member](t, "member")
 	golden.JSON[Report](t, "report")
 	golden.JSON[Order](t, "order")
-	golden.JSON[News](t, "news")
+	golden.JSON[Progress](t, "news")
 	golden.JSON[Proposal](t, "proposal")
 	golden.JSON[View](t, "view")
 	golden.JSON[image](t, "image")
--- a/internal/node/rollout/policy.go
+++ b/internal/node/rollout/policy.go
@@ -14,7 +14,7 @@
 // under a number once one has begun under the next. A member that hangs before the pause costs nothing: it is no longer live
 // when its lease has run out; one that hangs in the pause makes the others wait for the rest of its lease.
 //
-// Bounds: MostMembers members, MostDocument bytes a document, Kept documents, Remembered outcomes.
+// Bounds: MaxMembers members, MaxDocumentBytes bytes a document, Kept documents, Remembered outcomes.
 package rollout
 
 import (
@@ -30,15 +30,15 @@
 
 // Bounds.
 const (
-	MostMembers  = 4096
-	MostDocument = 128 << 10 // bytes
-	Kept         = 16        // documents
-	Remembered   = 64        // outcomes of proposals
-	LeastLease   = 100.0     // ms
-	MostLease    = 8000.0
-	lookLimit    = 15000.0 // ms in which every live member must have looked at a document,
-	pauseLimit   = 10000.0 // and have stopped: beyond, the change is given up and the old number goes on
-	mostName     = 128
+	MaxMembers       = 4096
+	MaxDocumentBytes = 128 << 10 // bytes
+	Kept             = 16        // documents
+	Remembered       = 64        // outcomes of proposals
+	MinLease         = 100.0     // ms
+	MaxLease         = 8000.0
+	lookLimit        = 15000.0 // ms in which every live member must have looked at a document,
+	pauseLimit       = 10000.0 // and have stopped: beyond, the change is given up and the old number goes on
+	mostName         = 128
 )
 
 // Document is a policy with its number.
@@ -117,9 +117,9 @@
 	Soon   bool    `json:"soon,omitempty"` // few members have not looked at it yet: calls will be held soon
 }
 
-// News is how far the fleet is. A member that has nothing to say waits for it to become another: it is a hint, which may be old or
+// Progress is how far the fleet is. A member that has nothing to say waits for it to become another: it is a hint, which may be old or
 // never come, and lets no call begin.
-type News struct {
+type Progress struct {
 	Number uint64 `json:"number"`
 	Hash   string `json:"hash,omitempty"`
 	Change string `json:"change,omitempty"`
@@ -151,13 +151,13 @@
 
 // Report takes a member's word.
 func (m *Machine) Report(now float64, r Report) (Order, error) {
-	if r.Node == "" || len(r.Node) > mostName || r.Lease != 0 && !(r.Lease >= LeastLease && r.Lease <= MostLease) {
-		return Order{}, fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", mostName, LeastLease, MostLease)
+	if r.Node == "" || len(r.Node) > mostName || r.Lease != 0 && !(r.Lease >= MinLease && r.Lease <= MaxLease) {
+		return Order{}, fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", mostName, MinLease, MaxLease)
 	}
 	m.Tick(now)
 	id := key(r.Node, r.Life)
 	have, known := m.members[id]
-	if !known && len(m.members) >= MostMembers {
+	if !known && len(m.members) >= MaxMembers {
 		return Order{}, fmt.Errorf("there are %d members", len(m.members))
 	}
 	have.Node, have.Life, have.Holds = r.Node, r.Life, r.Holds
@@ -206,8 +206,8 @@
 	switch {
 	case p.ID == "" || len(p.ID) > mostName || len(p.By) > mostName:
 		return Outcome{ID: p.ID, Stage: Refused, Reason: "a proposal wants an id"}
-	case len(p.Text) > MostDocument:
-		return m.end(Outcome{ID: p.ID, Stage: Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", len(p.Text), MostDocument)})
+	case len(p.Text) > MaxDocumentBytes:
+		return m.end(Outcome{ID: p.ID, Stage: Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", len(p.Text), MaxDocumentBytes)})
 	case p.Base != m.number:
 		last := "nothing"
 		if n := len(m.docs); n > 0 {
@@ -384,9 +384,9 @@
 	return ""
 }
 
-// News is how far the fleet is.
-func (m *Machine) News() News {
-	n := News{Number: m.number, Hash: m.hash()}
+// Progress is how far the fleet is.
+func (m *Machine) Progress() Progress {
+	n := Progress{Number: m.number, Hash: m.hash()}
 	if m.change != nil {
 		n.Change, n.Stage = m.change.ID, m.change.Stage
 	}
--- a/internal/node/rollout/policy_test.go
+++ b/internal/node/rollout/policy_test.go
@@ -211,8 +211,8 @@
 	}
 	o, _ = m.Outcome("5")
 	assert.Contains(t, o.Reason, "a has not looked at it in 15 s")
-	assert.Contains(t, m.Propose(20001, Proposal{ID: "6", Text: string(make([]byte, MostDocument+1)), Base: 1}).Reason, "bytes")
-	_, err := m.Report(20002, Report{Node: "c", Life: 1, Lease: MostLease + 1})
+	assert.Contains(t, m.Propose(20001, Proposal{ID: "6", Text: string(make([]byte, MaxDocumentBytes+1)), Base: 1}).Reason, "bytes")
+	_, err := m.Report(20002, Report{Node: "c", Life: 1, Lease: MaxLease + 1})
 	require.Error(t, err)
 }
 
@@ -248,20 +248,20 @@
 // Guards against a member that cannot take what holds, and for that looks at no document that is proposed in its place: no change
 // could end while it is there.
 func TestLooksThoughItCannotTake(t *testing.T) {
-	h := NewHolder("a", 1, 1000, false)
-	assert.Equal(t, Step{Take: true, Number: 2}, h.Obey(0, Order{Number: 2, Change: "p", Stage: Looking}))
-	assert.Equal(t, h.Again(), h.Failed(2))
+	h := NewLeaseHolder("a", 1, 1000, false)
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(0, Order{Number: 2, Change: "p", Stage: Looking}))
+	assert.Equal(t, h.RetryAfter(), h.Failed(2))
 	assert.Equal(t, Step{Look: "p"}, h.Obey(1, Order{Number: 2, Change: "p", Stage: Looking}))
 	assert.Zero(t, h.Saw("p", false, nil))
 	assert.Equal(t, "p", h.Report().Looked)
-	assert.Equal(t, Step{Take: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Looking}), "what holds is tried again")
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Looking}), "what holds is tried again")
 	assert.False(t, h.Open(3))
 }
 
 // Guards against calls that are held for as long as the slowest report of those who have looked takes: when few have not looked
 // yet, all ask quickly.
 func TestAsksQuicklyBeforeThePause(t *testing.T) {
-	h := NewHolder("a", 1, 1000, false)
+	h := NewLeaseHolder("a", 1, 1000, false)
 	h.Saw("p", false, nil)
 	assert.Equal(t, lookingPause, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking}).Pause)
 	assert.Equal(t, pausingPause, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking, Soon: true}).Pause)
@@ -283,44 +283,44 @@
 // only hear the same; and against a member that is told nothing new again and again and reports each time at once.
 func TestHint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, now, change := NewHolder("n", 1, 1000, rapid.Bool().Draw(t, "goes on")), 0.0, rapid.SampledFrom([]string{"", "p", "q"})
+		h, now, change := NewLeaseHolder("n", 1, 1000, rapid.Bool().Draw(t, "goes on")), 0.0, rapid.SampledFrom([]string{"", "p", "q"})
 		stage, number := rapid.SampledFrom([]Stage{"", Looking, Pausing}), rapid.Uint64Range(0, 2)
 		for range 20 {
 			now += rapid.Float64Range(0, 400).Draw(t, "time")
-			_, _, until := h.Holds()
+			_, _, until := h.InForce()
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				h.Obey(now, Order{Number: number.Draw(t, "number"), Change: change.Draw(t, "change"), Stage: stage.Draw(t, "stage"), Lease: 1000})
 			case 1:
-				h.Took(number.Draw(t, "number"), "")
+				h.Activated(number.Draw(t, "number"), "")
 			case 2:
 				h.Saw(change.Draw(t, "change"), false, nil)
 			default:
-				h.Hear(News{number.Draw(t, "number"), "", change.Draw(t, "change"), stage.Draw(t, "stage")})
-				_, _, after := h.Holds()
+				h.Observe(Progress{number.Draw(t, "number"), "", change.Draw(t, "change"), stage.Draw(t, "stage")})
+				_, _, after := h.InForce()
 				assert.LessOrEqual(t, after, until)
 			}
 		}
 	})
-	h := NewHolder("n", 1, 1000, false)
+	h := NewLeaseHolder("n", 1, 1000, false)
 	h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking})
 	h.Saw("p", false, nil)
 	s := h.Obey(1, Order{Lease: 1000, Change: "p", Stage: Looking})
 	assert.Greater(t, s.Wait, 300.0)
-	assert.Equal(t, News{0, "", "p", Looking}, h.Knows())
-	assert.Equal(t, Step{Pause: lookingPause}, h.Hear(h.Knows()))
-	assert.Equal(t, Step{}, h.Hear(News{0, "", "q", Pausing}), "it has not looked at that one")
-	assert.Equal(t, Step{}, h.Hear(News{1, "", "", ""}), "it has not stopped")
+	assert.Equal(t, Progress{0, "", "p", Looking}, h.Known())
+	assert.Equal(t, Step{Pause: lookingPause}, h.Observe(h.Known()))
+	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "q", Pausing}), "it has not looked at that one")
+	assert.Equal(t, Step{}, h.Observe(Progress{1, "", "", ""}), "it has not stopped")
 	assert.True(t, h.Open(2))
-	assert.Equal(t, Step{Held: true}, h.Hear(News{0, "", "p", Pausing}))
+	assert.Equal(t, Step{Paused: true}, h.Observe(Progress{0, "", "p", Pausing}))
 	assert.Equal(t, "p", h.Report().Paused)
 	assert.False(t, h.Open(2))
 	s = h.Obey(3, Order{Change: "p", Stage: Pausing})
 	assert.Equal(t, Step{Pause: pausingPause, Wait: 100}, s)
-	assert.Equal(t, Step{Pause: pausingPause}, h.Hear(h.Knows()))
-	assert.Equal(t, Step{Take: true, Number: 1, Hash: "x"}, h.Hear(News{1, "x", "", ""}))
+	assert.Equal(t, Step{Pause: pausingPause}, h.Observe(h.Known()))
+	assert.Equal(t, Step{Activate: true, Number: 1, Hash: "x"}, h.Observe(Progress{1, "x", "", ""}))
 	assert.False(t, h.Open(4))
-	assert.Equal(t, Step{}, h.Hear(News{0, "", "", ""}), "it was refused: a report gives the lease")
+	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "", ""}), "it was refused: a report gives the lease")
 }
 
 // Guards against a report that costs a look at every other member: a fleet's reports would cost its keepers the square of its size.
--- a/internal/node/statemachine/calls.go
+++ b/internal/node/statemachine/calls.go
@@ -12,36 +12,36 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// PartCalls is the name of the part that holds calls which must not run twice.
-const PartCalls = "calls"
+// ComponentCalls is the name of the part that holds calls which must not run twice.
+const ComponentCalls = "calls"
 
 // Bounds of the calls that are held.
 const (
-	MostCalls  = 200_000
-	MostBodies = 32 << 20 // bytes of answers; the oldest go first
-	MostBody   = 96 << 10 // bytes of one, in the nodes' form; a longer one is known without
-	payers     = 64       // that tenants are counted under: one may hold callsAlpha times the room that nobody holds
-	callsAlpha = 4
-	mostWindow = 7 * 24 * 3.6e6 // ms
+	MaxCalls        = 200_000
+	MaxBodyBytes    = 32 << 20 // bytes of answers; the oldest go first
+	MaxOneBodyBytes = 96 << 10 // bytes of one, in the nodes' form; a longer one is known without
+	payers          = 64       // that tenants are counted under: one may hold callsAlpha times the room that nobody holds
+	callsAlpha      = 4
+	maxRetention    = 7 * 24 * 3.6e6 // ms
 )
 
-// Taken is what became of a name that was to be taken.
-type Taken string
+// ClaimResult is what became of a name that was to be taken.
+type ClaimResult string
 
 // What may become of it.
 const (
-	TakenRun      Taken = "run"      // it is the asker's: it may run
-	TakenElse     Taken = "else"     // it runs elsewhere: ask again how it ended
-	TakenReplay   Taken = "replay"   // it was answered so
-	TakenSpent    Taken = "spent"    // it has run, and its answer is not kept
-	TakenDoubt    Taken = "doubt"    // it may have run
-	TakenMismatch Taken = "mismatch" // another content under the name
-	TakenFull     Taken = "full"     // no room, ask again after Wait
-	TakenUnknown  Taken = "unknown"  // nobody has it: the answer to a look alone
+	ClaimGranted  ClaimResult = "run"      // it is the asker's: it may run
+	ClaimRunning  ClaimResult = "else"     // it runs elsewhere: ask again how it ended
+	ClaimReplayed ClaimResult = "replay"   // it was answered so
+	ClaimExecuted ClaimResult = "spent"    // it has run, and its answer is not kept
+	ClaimInDoubt  ClaimResult = "doubt"    // it may have run
+	ClaimMismatch ClaimResult = "mismatch" // another content under the name
+	ClaimFull     ClaimResult = "full"     // no room, ask again after Wait
+	ClaimUnknown  ClaimResult = "unknown"  // nobody has it: the answer to a look alone
 )
 
-// Take has a name taken for a run.
-type Take struct {
+// Claim has a name taken for a run.
+type Claim struct {
 	Name     []byte  `json:"name"`  // 16 bytes
 	Print    []byte  `json:"print"` // 16 bytes
 	Tenant   string  `json:"tenant,omitempty"`
@@ -53,23 +53,23 @@
 	Token    uint64  `json:"token"` // of this run, drawn by the node
 }
 
-// Ended tells how a run ended.
-type Ended struct {
-	Name  []byte `json:"name"`
-	Token uint64 `json:"token"`
-	How   string `json:"how"` // served, not run, in doubt
-	Body  []byte `json:"body,omitempty"`
+// Completion tells how a run ended.
+type Completion struct {
+	Name    []byte `json:"name"`
+	Token   uint64 `json:"token"`
+	Outcome string `json:"how"` // served, not run, in doubt
+	Body    []byte `json:"body,omitempty"`
 }
 
 // How a run ended.
 const (
-	HowServed = "served"
-	HowNotRun = "not run"
-	HowDoubt  = "in doubt"
+	OutcomeServed      = "served"
+	OutcomeNotExecuted = "not run"
+	OutcomeInDoubt     = "in doubt"
 )
 
-// Fresh tells that a node's process has begun: what an earlier one had taken may have run.
-type Fresh struct {
+// ProcessStart tells that a node's process has begun: what an earlier one had taken may have run.
+type ProcessStart struct {
 	Node   string `json:"node"`
 	Life   uint64 `json:"life"`
 	Secret []byte `json:"secret"` // a digest of what names are hashed under: the first one's holds for the fleet
@@ -79,39 +79,39 @@
 
 // callsCommand is one of these.
 type callsCommand struct {
-	Take  *Take  `json:"take,omitempty"`
-	Ended *Ended `json:"ended,omitempty"`
-	Fresh *Fresh `json:"fresh,omitempty"`
+	Claim      *Claim        `json:"take,omitempty"`
+	Completion *Completion   `json:"ended,omitempty"`
+	Start      *ProcessStart `json:"fresh,omitempty"`
 }
 
-// TakeCommand, EndedCommand and FreshCommand are the bodies of commands for the part.
-func TakeCommand(t Take) any   { return callsCommand{Take: &t} }
-func EndedCommand(e Ended) any { return callsCommand{Ended: &e} }
-func FreshCommand(f Fresh) any { return callsCommand{Fresh: &f} }
+// ClaimCommand, CompletionCommand and ProcessStartCommand are the bodies of commands for the part.
+func ClaimCommand(t Claim) any               { return callsCommand{Claim: &t} }
+func CompletionCommand(e Completion) any     { return callsCommand{Completion: &e} }
+func ProcessStartCommand(f ProcessStart) any { return callsCommand{Start: &f} }
 
-// Held is how much the part holds: the answer to a Look without a name.
-type Held struct {
+// Usage is how much the part holds: the answer to a Look without a name.
+type Usage struct {
 	Names   int `json:"names"`
 	Running int `json:"running"` // of them
 	Bytes   int `json:"bytes"`   // of answers
 }
 
-// Look asks how a name stands.
-type Look struct {
+// Lookup asks how a name stands.
+type Lookup struct {
 	Name  []byte `json:"name"`
 	Print []byte `json:"print"`
 }
 
-// Outcome answers a Take or a Look.
-type Outcome struct {
-	Taken Taken   `json:"taken"`
-	Body  []byte  `json:"body,omitempty"`
-	Wait  float64 `json:"wait,omitempty"` // ms
-	Node  string  `json:"node,omitempty"` // that has it
+// ClaimReply answers a Take or a Look.
+type ClaimReply struct {
+	Result ClaimResult `json:"taken"`
+	Body   []byte      `json:"body,omitempty"`
+	Wait   float64     `json:"wait,omitempty"` // ms
+	Node   string      `json:"node,omitempty"` // that has it
 }
 
-// holder is who runs a name.
-type holder struct {
+// claimOwner is who runs a name.
+type claimOwner struct {
 	Ref   idempotency.Ref `json:"-"`
 	Node  string          `json:"node"`
 	Life  uint64          `json:"life"`
@@ -123,14 +123,14 @@
 type calls struct {
 	book    *idempotency.Book
 	classes []idempotency.Class
-	running map[idempotency.Name]holder
+	running map[idempotency.Name]claimOwner
 	next    float64 // when the first of them counts as one that may have run
 	secret  []byte
-	room    int // names at the most: MostCalls
+	room    int // names at the most: MaxCalls
 }
 
-// versionOfCall is 2 for what the first release of the log did not know.
-func versionOfCall(body json.RawMessage) int {
+// callCommandVersion is 2 for what the first release of the log did not know.
+func callCommandVersion(body json.RawMessage) int {
 	var c struct {
 		Fresh *struct {
 			Before uint64 `json:"before"`
@@ -143,13 +143,13 @@
 }
 
 func newCalls() *calls {
-	c := &calls{running: map[idempotency.Name]holder{}, next: math.Inf(1), classes: []idempotency.Class{{Once: true}}, room: MostCalls}
-	c.book = newBook(c.classes, c.room)
+	c := &calls{running: map[idempotency.Name]claimOwner{}, next: math.Inf(1), classes: []idempotency.Class{{Once: true}}, room: MaxCalls}
+	c.book = newOrderTable(c.classes, c.room)
 	return c
 }
 
-func newBook(classes []idempotency.Class, room int) *idempotency.Book {
-	book, err := idempotency.New(idempotency.Settings{Classes: classes, Tenants: payers, Entries: room, Bytes: MostBodies, Alpha: callsAlpha})
+func newOrderTable(classes []idempotency.Class, room int) *idempotency.Book {
+	book, err := idempotency.New(idempotency.Settings{Classes: classes, Tenants: payers, Entries: room, Bytes: MaxBodyBytes, Alpha: callsAlpha})
 	if err != nil {
 		panic(err) // the settings above can work
 	}
@@ -181,12 +181,12 @@
 	now = math.Floor(now) // whole ms: an image gives back just the same times
 	c.expire(now)
 	switch {
-	case cmd.Take != nil:
-		return c.take(now, cmd.Take)
-	case cmd.Ended != nil:
-		return c.ended(now, cmd.Ended)
-	case cmd.Fresh != nil:
-		return c.fresh(now, cmd.Fresh)
+	case cmd.Claim != nil:
+		return c.take(now, cmd.Claim)
+	case cmd.Completion != nil:
+		return c.ended(now, cmd.Completion)
+	case cmd.Start != nil:
+		return c.fresh(now, cmd.Start)
 	}
 	return Reply{Code: Faulty, Text: "want take, ended or fresh"}
 }
@@ -197,11 +197,11 @@
 	if now < c.next {
 		return
 	}
-	c.doubt(now, func(h holder) bool { return h.Until <= now })
+	c.doubt(now, func(h claimOwner) bool { return h.Until <= now })
 }
 
 // doubt ends the runs that are picked, in the order of their names, so that all members do alike.
-func (c *calls) doubt(now float64, pick func(holder) bool) (n int) {
+func (c *calls) doubt(now float64, pick func(claimOwner) bool) (n int) {
 	var names []idempotency.Name
 	for name, h := range c.running {
 		if pick(h) {
@@ -220,10 +220,10 @@
 	return len(names)
 }
 
-func (c *calls) take(now float64, t *Take) Reply {
+func (c *calls) take(now float64, t *Claim) Reply {
 	name, ok := toName(t.Name)
 	print, ok2 := toName(t.Print)
-	if !ok || !ok2 || !(t.Answered >= 0 && t.Answered <= mostWindow && t.Doubt >= 0 && t.Doubt <= mostWindow && t.Run > 0 && t.Run <= mostWindow) {
+	if !ok || !ok2 || !(t.Answered >= 0 && t.Answered <= maxRetention && t.Doubt >= 0 && t.Doubt <= maxRetention && t.Run > 0 && t.Run <= maxRetention) {
 		return Reply{Code: Faulty, Text: "want a name, a print and windows"}
 	}
 	class, ok := c.class(t.Answered, t.Doubt)
@@ -231,12 +231,12 @@
 		return Reply{Code: Full, Text: "too many different windows"}
 	}
 	if h, held := c.running[name]; held && h.Token == t.Token { // the same run, asked again in another session
-		return Reply{Code: OK, Body: encode(Outcome{Taken: TakenRun})}
+		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimGranted})}
 	}
 	d := c.book.Ask(now, idempotency.Call{Name: name, Print: idempotency.Print(print), Class: c.classOf(name, class),
 		Tenant: int(xxhash.Sum64String(t.Tenant) % payers)})
 	if d.Verdict == idempotency.Run {
-		h := holder{Ref: d.Ref, Node: t.Node, Life: t.Life, Token: t.Token, Until: now + math.Ceil(t.Run)}
+		h := claimOwner{Ref: d.Ref, Node: t.Node, Life: t.Life, Token: t.Token, Until: now + math.Ceil(t.Run)}
 		c.running[name] = h
 		c.next = min(c.next, h.Until)
 	}
@@ -251,41 +251,41 @@
 	return class
 }
 
-func (c *calls) outcome(name idempotency.Name, d idempotency.Decision) Outcome {
-	o := Outcome{Wait: d.Wait}
+func (c *calls) outcome(name idempotency.Name, d idempotency.Decision) ClaimReply {
+	o := ClaimReply{Wait: d.Wait}
 	switch d.Verdict {
 	case idempotency.Run, idempotency.Pass:
-		o.Taken = TakenRun
+		o.Result = ClaimGranted
 	case idempotency.Join:
-		o.Taken, o.Node = TakenElse, c.running[name].Node
+		o.Result, o.Node = ClaimRunning, c.running[name].Node
 	case idempotency.Replay:
-		o.Taken, o.Body = TakenReplay, d.Body.([]byte)
+		o.Result, o.Body = ClaimReplayed, d.Body.([]byte)
 	case idempotency.Spent:
-		o.Taken = TakenSpent
+		o.Result = ClaimExecuted
 	case idempotency.Doubt:
-		o.Taken = TakenDoubt
+		o.Result = ClaimInDoubt
 	case idempotency.Mismatch:
-		o.Taken = TakenMismatch
+		o.Result = ClaimMismatch
 	case idempotency.Full:
-		o.Taken = TakenFull
+		o.Result = ClaimFull
 	}
 	return o
 }
 
-func (c *calls) ended(now float64, e *Ended) Reply {
+func (c *calls) ended(now float64, e *Completion) Reply {
 	name, ok := toName(e.Name)
 	h, held := c.running[name]
 	if !ok || !held || h.Token != e.Token {
 		return Reply{Code: Conflict, Text: "the run is not known, or counts as one that may have run"}
 	}
 	how, body, size := idempotency.EndInDoubt, any(nil), 0
-	switch e.How {
-	case HowServed:
-		how, size = idempotency.EndServed, MostBodies+1
-		if len(e.Body) > 0 && len(e.Body) <= MostBody {
+	switch e.Outcome {
+	case OutcomeServed:
+		how, size = idempotency.EndServed, MaxBodyBytes+1
+		if len(e.Body) > 0 && len(e.Body) <= MaxOneBodyBytes {
 			body, size = e.Body, len(e.Body)
 		}
-	case HowNotRun:
+	case OutcomeNotExecuted:
 		how = idempotency.EndNotRun
 	}
 	c.book.End(now, h.Ref, how, body, size)
@@ -293,24 +293,24 @@
 	return Reply{Code: OK}
 }
 
-func (c *calls) fresh(now float64, f *Fresh) Reply {
+func (c *calls) fresh(now float64, f *ProcessStart) Reply {
 	if c.secret == nil {
 		c.secret = f.Secret
 	}
 	if !bytes.Equal(c.secret, f.Secret) {
 		return Reply{Code: Conflict, Text: "names are hashed under another secret in this fleet"}
 	}
-	n := c.doubt(now, func(h holder) bool { return h.Node == f.Node && h.Life != f.Life && h.Life != f.Before })
+	n := c.doubt(now, func(h claimOwner) bool { return h.Node == f.Node && h.Life != f.Life && h.Life != f.Before })
 	return Reply{Code: OK, Text: fmt.Sprint(n)}
 }
 
 // Query answers a Look. It changes nothing: what has run out since the last entry shows with the next.
 func (c *calls) Query(body json.RawMessage) Reply {
-	var l Look
+	var l Lookup
 	err := json.Unmarshal(body, &l)
 	if err == nil && l.Name == nil {
 		u := c.book.Counts()
-		return Reply{Code: OK, Body: encode(Held{Names: u.Entries, Running: len(c.running), Bytes: u.Bytes})}
+		return Reply{Code: OK, Body: encode(Usage{Names: u.Entries, Running: len(c.running), Bytes: u.Bytes})}
 	}
 	name, ok := toName(l.Name)
 	if err != nil || !ok {
@@ -318,7 +318,7 @@
 	}
 	class, known := c.book.ClassOf(name)
 	if !known {
-		return Reply{Code: OK, Body: encode(Outcome{Taken: TakenUnknown})}
+		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimUnknown})}
 	}
 	print, _ := toName(l.Print)
 	d := c.book.Peek(idempotency.Call{Name: name, Print: idempotency.Print(print), Class: class})
@@ -327,11 +327,11 @@
 
 // callsImage is the form of the part's image.
 type callsImage struct {
-	Now     float64       `json:"now"`
-	Classes [][2]float64  `json:"classes"`
-	Secret  []byte        `json:"secret,omitempty"`
-	Known   []knownImage  `json:"known"`
-	Running []holderImage `json:"running"`
+	Now     float64           `json:"now"`
+	Classes [][2]float64      `json:"classes"`
+	Secret  []byte            `json:"secret,omitempty"`
+	Known   []knownImage      `json:"known"`
+	Running []claimOwnerImage `json:"running"`
 }
 
 type knownImage struct {
@@ -344,14 +344,14 @@
 	Body   []byte  `json:"b,omitempty"`
 }
 
-type holderImage struct {
+type claimOwnerImage struct {
 	Known  knownImage `json:"known"`
-	Holder holder     `json:"holder"`
+	Holder claimOwner `json:"holder"`
 }
 
 // Freeze gives what makes the image. Names are copied, bodies are not: they do not change.
 func (c *calls) Freeze() func() (json.RawMessage, error) {
-	i := callsImage{Now: c.book.Now(), Secret: c.secret, Known: []knownImage{}, Running: []holderImage{}}
+	i := callsImage{Now: c.book.Now(), Secret: c.secret, Known: []knownImage{}, Running: []claimOwnerImage{}}
 	for _, k := range c.classes {
 		i.Classes = append(i.Classes, [2]float64{k.Answered, k.Doubt})
 	}
@@ -361,12 +361,12 @@
 			v.Body = text
 		}
 		if k.Running {
-			i.Running = append(i.Running, holderImage{v, c.running[k.Name]})
+			i.Running = append(i.Running, claimOwnerImage{v, c.running[k.Name]})
 		} else {
 			i.Known = append(i.Known, v)
 		}
 	}
-	slices.SortFunc(i.Running, func(a, b holderImage) int { return bytes.Compare(a.Known.Name, b.Known.Name) })
+	slices.SortFunc(i.Running, func(a, b claimOwnerImage) int { return bytes.Compare(a.Known.Name, b.Known.Name) })
 	if math.IsInf(i.Now, 0) {
 		i.Now = 0
 	}
@@ -404,7 +404,7 @@
 	if len(c.classes) == 0 {
 		return fmt.Errorf("it has no classes")
 	}
-	c.book, c.secret = newBook(c.classes, c.room), i.Secret
+	c.book, c.secret = newOrderTable(c.classes, c.room), i.Secret
 	c.book.Tick(i.Now)
 	return nil
 }
@@ -426,7 +426,7 @@
 	return nil
 }
 
-func (c *calls) rerun(now float64, k *knownImage, h holder) error {
+func (c *calls) rerun(now float64, k *knownImage, h claimOwner) error {
 	call := k.call()
 	ref, ok := c.book.Resume(now, call) // it was admitted, whatever its tenant holds by now
 	if !ok {
--- a/internal/node/statemachine/calls_test.go
+++ b/internal/node/statemachine/calls_test.go
@@ -21,7 +21,7 @@
 		now, number := 0.0, uint64(0)
 		do := func(body any) Reply {
 			number++
-			c := Command{At: now, Session: opened, Number: number, Done: number - 1, Part: PartCalls, Body: encode(body)}
+			c := Command{At: now, Session: opened, Number: number, Done: number - 1, Part: ComponentCalls, Body: encode(body)}
 			r := apply(t, a, c)
 			assert.Equal(t, r, apply(t, b, c))
 			return r
@@ -44,41 +44,41 @@
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1:
 				token, window := uint64(step+1), rapid.SampledFrom([]float64{1000, 100, 3000}).Draw(t, "window")
-				r := do(TakeCommand(Take{Name: name(i), Print: name(9), Answered: window, Doubt: window, Run: 500, Node: fmt.Sprint(step % 2),
+				r := do(ClaimCommand(Claim{Name: name(i), Print: name(9), Answered: window, Doubt: window, Run: 500, Node: fmt.Sprint(step % 2),
 					Life: 1, Token: token}))
 				require.Equal(t, OK, r.Code, r.Text)
-				var o Outcome
+				var o ClaimReply
 				require.NoError(t, json.Unmarshal(r.Body, &o))
 				had, known := ran[i]
 				if known && now-had.since > had.window-2 { // the least that a run is known, to whole ms
 					forget(i)
 					known = false
 				}
-				switch o.Taken {
-				case TakenRun:
+				switch o.Result {
+				case ClaimGranted:
 					assert.False(t, known, "it ran %f ms ago", now-had.since)
 					forget(i)
 					ran[i] = run{token, now, window}
-				case TakenReplay:
+				case ClaimReplayed:
 					if first, ok := answer[i]; ok {
 						assert.Equal(t, first, string(o.Body))
 					}
 				}
 			case 2:
 				if r, ok := ran[i]; ok && answer[i] == "" {
-					how := rapid.SampledFrom([]string{HowServed, HowNotRun, HowDoubt}).Draw(t, "how")
+					how := rapid.SampledFrom([]string{OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt}).Draw(t, "how")
 					body := fmt.Sprint("answer ", step)
-					if do(EndedCommand(Ended{Name: name(i), Token: r.token, How: how, Body: []byte(body)})).Code == OK {
+					if do(CompletionCommand(Completion{Name: name(i), Token: r.token, Outcome: how, Body: []byte(body)})).Code == OK {
 						switch how {
-						case HowNotRun:
+						case OutcomeNotExecuted:
 							forget(i)
-						case HowServed:
+						case OutcomeServed:
 							answer[i] = body
 						}
 					}
 				}
 			case 3:
-				do(FreshCommand(Fresh{Node: fmt.Sprint(step % 2), Life: uint64(step + 2)}))
+				do(ProcessStartCommand(ProcessStart{Node: fmt.Sprint(step % 2), Life: uint64(step + 2)}))
 			default: // one member goes on from an image
 				text, fresh := picture(t, b), New()
 				require.NoError(t, fresh.Restore([]byte(text)))
@@ -98,33 +98,33 @@
 	n := uint64(0)
 	do := func(at float64, body any) Reply {
 		n++
-		return apply(t, l, Command{At: at, Session: s, Number: n, Done: n - 1, Part: PartCalls, Body: encode(body)})
+		return apply(t, l, Command{At: at, Session: s, Number: n, Done: n - 1, Part: ComponentCalls, Body: encode(body)})
 	}
-	take := Take{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "a", Life: 1, Token: 7}
-	outcome := func(r Reply) (o Outcome) {
+	take := Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "a", Life: 1, Token: 7}
+	outcome := func(r Reply) (o ClaimReply) {
 		require.Equal(t, OK, r.Code, r.Text)
 		require.NoError(t, json.Unmarshal(r.Body, &o))
 		return o
 	}
-	assert.Equal(t, OK, do(1, FreshCommand(Fresh{Node: "a", Life: 1, Secret: []byte("x")})).Code)
-	assert.Equal(t, Conflict, do(1, FreshCommand(Fresh{Node: "b", Life: 1, Secret: []byte("y")})).Code)
-	assert.Equal(t, TakenRun, outcome(do(2, TakeCommand(take))).Taken)
-	assert.Equal(t, TakenRun, outcome(do(2, TakeCommand(take))).Taken, "the same run asked again")
+	assert.Equal(t, OK, do(1, ProcessStartCommand(ProcessStart{Node: "a", Life: 1, Secret: []byte("x")})).Code)
+	assert.Equal(t, Conflict, do(1, ProcessStartCommand(ProcessStart{Node: "b", Life: 1, Secret: []byte("y")})).Code)
+	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(take))).Result)
+	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(take))).Result, "the same run asked again")
 	other := take
 	other.Token, other.Node = 8, "b"
-	assert.Equal(t, Outcome{Taken: TakenElse, Node: "a"}, outcome(do(3, TakeCommand(other))))
-	assert.Equal(t, Conflict, do(3, EndedCommand(Ended{Name: name(1), Token: 8, How: HowNotRun})).Code)
-	assert.Equal(t, OK, do(4, FreshCommand(Fresh{Node: "a", Life: 2, Secret: []byte("x")})).Code)
-	assert.Equal(t, TakenDoubt, outcome(do(5, TakeCommand(other))).Taken, "its node has begun anew")
-	assert.Equal(t, TakenDoubt, outcome(l.Query(Ask{PartCalls, encode(Look{Name: name(1), Print: name(1)})})).Taken)
+	assert.Equal(t, ClaimReply{Result: ClaimRunning, Node: "a"}, outcome(do(3, ClaimCommand(other))))
+	assert.Equal(t, Conflict, do(3, CompletionCommand(Completion{Name: name(1), Token: 8, Outcome: OutcomeNotExecuted})).Code)
+	assert.Equal(t, OK, do(4, ProcessStartCommand(ProcessStart{Node: "a", Life: 2, Secret: []byte("x")})).Code)
+	assert.Equal(t, ClaimInDoubt, outcome(do(5, ClaimCommand(other))).Result, "its node has begun anew")
+	assert.Equal(t, ClaimInDoubt, outcome(l.Query(Request{ComponentCalls, encode(Lookup{Name: name(1), Print: name(1)})})).Result)
 	other.Print = name(2)
-	assert.Equal(t, TakenMismatch, outcome(do(6, TakeCommand(other))).Taken)
+	assert.Equal(t, ClaimMismatch, outcome(do(6, ClaimCommand(other))).Result)
 	other.Name, other.Print = name(3), name(3)
-	assert.Equal(t, TakenRun, outcome(do(7, TakeCommand(other))).Taken)
-	assert.Equal(t, OK, do(8, EndedCommand(Ended{Name: name(3), Token: 8, How: HowServed, Body: make([]byte, MostBody+1)})).Code)
-	assert.Equal(t, TakenSpent, outcome(do(9, TakeCommand(other))).Taken)
-	assert.Equal(t, Faulty, do(9, TakeCommand(Take{Name: []byte("short")})).Code)
-	assert.Equal(t, TakenUnknown, outcome(l.Query(Ask{PartCalls, encode(Look{Name: name(4), Print: name(4)})})).Taken)
+	assert.Equal(t, ClaimGranted, outcome(do(7, ClaimCommand(other))).Result)
+	assert.Equal(t, OK, do(8, CompletionCommand(Completion{Name: name(3), Token: 8, Outcome: OutcomeServed, Body: make([]byte, MaxOneBodyBytes+1)})).Code)
+	assert.Equal(t, ClaimExecuted, outcome(do(9, ClaimCommand(other))).Result)
+	assert.Equal(t, Faulty, do(9, ClaimCommand(Claim{Name: []byte("short")})).Code)
+	assert.Equal(t, ClaimUnknown, outcome(l.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Print: name(4)})})).Result)
 }
 
 // Guards against keepers whose book is full: against a name that is turned away without a time to come back, a run that is forgotten,
@@ -134,38 +134,38 @@
 	fresh := func() *calls {
 		c := newCalls()
 		c.room = room
-		c.book = newBook(c.classes, room)
+		c.book = newOrderTable(c.classes, room)
 		return c
 	}
 	c, now := fresh(), 1000.0
 	named := func(i int) []byte { return fmt.Appendf(nil, "%016d", i) }
-	take := func(i int, tenant string, token uint64) (o Outcome) {
-		r := c.Apply(0, now, 0, encode(TakeCommand(Take{Name: named(i), Print: named(i), Tenant: tenant, Answered: 60000, Doubt: 60000, Run: 30000,
+	take := func(i int, tenant string, token uint64) (o ClaimReply) {
+		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: named(i), Print: named(i), Tenant: tenant, Answered: 60000, Doubt: 60000, Run: 30000,
 			Node: "n", Life: 1, Token: token})))
 		require.Equal(t, OK, r.Code, r.Text)
 		require.NoError(t, json.Unmarshal(r.Body, &o))
 		return o
 	}
 	end := func(i int, token uint64, body string) Code {
-		return c.Apply(0, now, 0, encode(EndedCommand(Ended{Name: named(i), Token: token, How: HowServed, Body: []byte(body)}))).Code
+		return c.Apply(0, now, 0, encode(CompletionCommand(Completion{Name: named(i), Token: token, Outcome: OutcomeServed, Body: []byte(body)}))).Code
 	}
 	at := 10
-	fill := func(tenant string) (n int, o Outcome) {
+	fill := func(tenant string) (n int, o ClaimReply) {
 		for ; at < 2*room; at, n = at+1, n+1 {
-			if o = take(at, tenant, 9); o.Taken != TakenRun {
+			if o = take(at, tenant, 9); o.Result != ClaimGranted {
 				break
 			}
 			require.Equal(t, OK, end(at, 9, ""))
 		}
 		return n, o
 	}
-	require.Equal(t, TakenRun, take(1, "large", 7).Taken)
+	require.Equal(t, ClaimGranted, take(1, "large", 7).Result)
 	n, o := fill("large")
 	assert.Greater(t, n, room/2, "it may have four times the room that nobody has")
-	assert.Equal(t, Outcome{Taken: TakenFull, Wait: 60000}, o)
+	assert.Equal(t, ClaimReply{Result: ClaimFull, Wait: 60000}, o)
 	for i := range 10 {
 		_, o = fill(fmt.Sprint("another ", i))
-		assert.Equal(t, TakenFull, o.Taken)
+		assert.Equal(t, ClaimFull, o.Result)
 	}
 	assert.Greater(t, c.book.Counts().Entries, room-10)
 	for _, compact := range []bool{false, true} { // members go on from its image
@@ -184,27 +184,27 @@
 		require.Equal(t, string(text), string(again))
 		c = other
 	}
-	assert.Equal(t, TakenFull, take(2, "large", 8).Taken)
-	assert.Equal(t, TakenElse, take(1, "large", 8).Taken)
-	assert.Equal(t, TakenRun, take(1, "large", 7).Taken, "the same run asked again")
+	assert.Equal(t, ClaimFull, take(2, "large", 8).Result)
+	assert.Equal(t, ClaimRunning, take(1, "large", 8).Result)
+	assert.Equal(t, ClaimGranted, take(1, "large", 7).Result, "the same run asked again")
 	assert.Equal(t, OK, end(1, 7, "answer"))
-	assert.Equal(t, Outcome{Taken: TakenReplay, Body: []byte("answer")}, take(1, "large", 8))
+	assert.Equal(t, ClaimReply{Result: ClaimReplayed, Body: []byte("answer")}, take(1, "large", 8))
 	now += 60001
-	assert.Equal(t, TakenRun, take(2, "large", 8).Taken, "windows are over")
+	assert.Equal(t, ClaimGranted, take(2, "large", 8).Result, "windows are over")
 }
 
 // Guards against a run of which nobody says how it ended that counts as one that runs for ever, or is forgotten before its window.
 func TestRunThatNobodyEnds(t *testing.T) {
 	c := newCalls()
-	at := func(now float64, token uint64) (o Outcome) {
-		r := c.Apply(0, now, 0, encode(TakeCommand(Take{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "n", Life: 1, Token: token})))
+	at := func(now float64, token uint64) (o ClaimReply) {
+		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "n", Life: 1, Token: token})))
 		require.NoError(t, json.Unmarshal(r.Body, &o))
 		return o
 	}
-	assert.Equal(t, TakenRun, at(1000, 1).Taken)
-	assert.Equal(t, TakenElse, at(1499, 2).Taken)
-	assert.Equal(t, TakenDoubt, at(1500, 2).Taken)
-	assert.Equal(t, Conflict, c.Apply(0, 1501, 0, encode(EndedCommand(Ended{Name: name(1), Token: 1, How: HowServed}))).Code)
-	assert.Equal(t, TakenDoubt, at(2499, 2).Taken)
-	assert.Equal(t, TakenRun, at(2500, 2).Taken)
+	assert.Equal(t, ClaimGranted, at(1000, 1).Result)
+	assert.Equal(t, ClaimRunning, at(1499, 2).Result)
+	assert.Equal(t, ClaimInDoubt, at(1500, 2).Result)
+	assert.Equal(t, Conflict, c.Apply(0, 1501, 0, encode(CompletionCommand(Completion{Name: name(1), Token: 1, Outcome: OutcomeServed}))).Code)
+	assert.Equal(t, ClaimInDoubt, at(2499, 2).Result)
+	assert.Equal(t, ClaimGranted, at(2500, 2).Result)
 }
--- a/internal/node/statemachine/compact.go
+++ b/internal/node/statemachine/compact.go
@@ -84,7 +84,7 @@
 		}
 		return order(a) - order(b)
 	})
-	var running []holder
+	var running []claimOwner
 	for _, k := range list {
 		if size += 56; k.Running {
 			running = append(running, c.running[k.Name])
@@ -169,7 +169,7 @@
 		if n < known {
 			err = c.restore(i.Now, &k)
 		} else {
-			err = c.rerun(i.Now, &k, holder{Node: string(r.bytes()), Life: r.number(), Token: r.number(), Until: r.float()})
+			err = c.rerun(i.Now, &k, claimOwner{Node: string(r.bytes()), Life: r.number(), Token: r.number(), Until: r.float()})
 		}
 		if err != nil {
 			return err
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -18,7 +18,7 @@
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Command](t, "command")
 	golden.JSON[Reply](t, "reply")
-	golden.JSON[Ask](t, "ask")
+	golden.JSON[Request](t, "ask")
 	golden.JSON[Opening](t, "opening")
 	golden.JSON[image](t, "image")
 	golden.JSON[Member](t, "member")
@@ -31,19 +31,19 @@
 	golden.JSON[Order](t, "orders-order")
 	golden.JSON[OrdersOf](t, "orders-of")
 	golden.JSON[callsCommand](t, "calls-command")
-	golden.JSON[Held](t, "calls-held")
-	golden.JSON[Look](t, "calls-look")
-	golden.JSON[Outcome](t, "calls-outcome")
+	golden.JSON[Usage](t, "calls-held")
+	golden.JSON[Lookup](t, "calls-look")
+	golden.JSON[ClaimReply](t, "calls-outcome")
 	golden.JSON[callsImage](t, "calls-image")
 	golden.JSON[PolicyCommand](t, "policy-command")
 	golden.JSON[PolicyQuestion](t, "policy-question")
-	golden.JSON[RoomCommand](t, "room-command")
+	golden.JSON[QuotaLeaseCommand](t, "room-command")
 }
 
 // Guards against names of parts, codes, roles and verdicts that are on disks and between processes and have changed.
 func TestEncodedWordsKeepTheirForm(t *testing.T) {
-	words := []any{PartMembers, PartRegister, PartCalls, PartOrders, PartPolicy, PartRoom, OK, Conflict, Faulty, Full, Lost, Voter, Learner, Gone,
-		TakenRun, TakenElse, TakenReplay, TakenSpent, TakenDoubt, TakenMismatch, TakenFull, TakenUnknown, HowServed, HowNotRun, HowDoubt,
+	words := []any{ComponentMembers, ComponentRegister, ComponentCalls, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, OK, Conflict, Faulty, Full, Lost, Voter, Learner, Removed,
+		ClaimGranted, ClaimRunning, ClaimReplayed, ClaimExecuted, ClaimInDoubt, ClaimMismatch, ClaimFull, ClaimUnknown, OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt,
 		rollout.Looking, rollout.Pausing, rollout.Agreed, rollout.Refused}
 	golden.Check(t, "words", fmt.Append(nil, words))
 }
@@ -56,32 +56,32 @@
 	name := func(b byte) []byte { return bytes.Repeat([]byte{b}, 16) }
 	say(1_000_100, 0, 71, "", Opening{Name: "node-1"})
 	say(1_000_200, 0, 72, "", Opening{Name: "node-2"})
-	say(1_000_300, 0, 0, PartMembers, Started{ID: 11, Starts: 4, Speaks: 2})
+	say(1_000_300, 0, 0, ComponentMembers, Started{ID: 11, Starts: 4, Speaks: 2})
 	n := map[uint64]uint64{}
 	do := func(at float64, session uint64, part string, body any) {
 		n[session]++
 		say(at, session, n[session], part, body)
 	}
-	do(1_000_400, 1, PartRegister, Set{Name: "colour", Value: "blue"})
-	do(1_000_500, 2, PartRegister, Set{Name: "colour", Value: "red", Was: new(uint64(4))})
-	do(1_000_600, 1, PartRegister, Set{Name: "size", Value: "large"})
+	do(1_000_400, 1, ComponentRegister, Set{Name: "colour", Value: "blue"})
+	do(1_000_500, 2, ComponentRegister, Set{Name: "colour", Value: "red", Was: new(uint64(4))})
+	do(1_000_600, 1, ComponentRegister, Set{Name: "size", Value: "large"})
 	for _, o := range []Order{{"node-1", "drain", ""}, {"node-1", "suspend", "rater-2"}, {"node-2", "suspend", "rater-3"}, {"node-2", "suspend", "rater-4"},
 		{"node-2", "resume", "rater-3"}, {"node-3", "drain", ""}, {"node-3", "activate", ""}} {
-		do(1_000_700, 1, PartOrders, o)
+		do(1_000_700, 1, ComponentOrders, o)
 	}
-	do(1_000_800, 1, PartCalls, FreshCommand(Fresh{Node: "node-1", Life: 5, Secret: []byte("secret"), Before: 4}))
+	do(1_000_800, 1, ComponentCalls, ProcessStartCommand(ProcessStart{Node: "node-1", Life: 5, Secret: []byte("secret"), Before: 4}))
 	for b := byte(1); b <= 6; b++ {
-		do(1_000_900+float64(b), 2, PartCalls, TakeCommand(Take{Name: name(b), Print: name(b + 100), Tenant: fmt.Sprint("tenant ", b), Answered: 60_000 + float64(b%2),
+		do(1_000_900+float64(b), 2, ComponentCalls, ClaimCommand(Claim{Name: name(b), Print: name(b + 100), Tenant: fmt.Sprint("tenant ", b), Answered: 60_000 + float64(b%2),
 			Doubt: 90_000, Run: 30_000, Node: fmt.Sprint("node-", b%2+1), Life: 5, Token: uint64(b) + 40}))
 	}
-	for b, e := range []Ended{{How: HowServed, Body: []byte("an answer")}, {How: HowServed}, {How: HowDoubt}, {How: HowNotRun}} {
+	for b, e := range []Completion{{Outcome: OutcomeServed, Body: []byte("an answer")}, {Outcome: OutcomeServed}, {Outcome: OutcomeInDoubt}, {Outcome: OutcomeNotExecuted}} {
 		e.Name, e.Token = name(byte(b+1)), uint64(b)+41
-		do(1_001_000+float64(b), 2, PartCalls, EndedCommand(e))
+		do(1_001_000+float64(b), 2, ComponentCalls, CompletionCommand(e))
 	}
 	report := func(at float64, r rollout.Report) {
-		do(at, 1, PartPolicy, PolicyCommand{Report: &r})
+		do(at, 1, ComponentPolicy, PolicyCommand{Report: &r})
 	}
-	propose := func(at float64, p rollout.Proposal) { do(at, 2, PartPolicy, PolicyCommand{Propose: &p}) }
+	propose := func(at float64, p rollout.Proposal) { do(at, 2, ComponentPolicy, PolicyCommand{Propose: &p}) }
 	propose(1_001_100, rollout.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
 	propose(1_001_110, rollout.Proposal{ID: "late", Text: "another", By: "bob"})
 	report(1_001_120, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000})
@@ -89,7 +89,7 @@
 	report(1_001_135, rollout.Report{Node: "node-3", Life: 7, Holds: 1, Lease: 8000})
 	propose(1_001_140, rollout.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
 	report(1_001_150, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
-	do(1_001_160, 1, PartPolicy, PolicyCommand{Dead: "node-3"})
+	do(1_001_160, 1, ComponentPolicy, PolicyCommand{Dead: "node-3"})
 	propose(1_001_170, rollout.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
 	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second"})
 	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true, Looked: "second"})
@@ -97,11 +97,11 @@
 	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Kept: .1,
 		Memory: 30, PayBack: 10, PayPart: .25, MostWait: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}, Burst: 2},
 			{Name: "c", Share: .1, Alone: true}, {Name: "d", Parent: "a", Share: .4, Long: quota.Amount{30}, Keep: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
-	do(1_001_300, 1, PartRoom, RoomCommand{Tree: &tree})
+	do(1_001_300, 1, ComponentQuotaLeases, QuotaLeaseCommand{Tree: &tree})
 	for i := range 6 {
 		at := 1_001_400 + 500*float64(i)
 		for j := range 2 {
-			do(at+float64(j), uint64(j+1), PartRoom, RoomCommand{Report: &lease.Report{Node: fmt.Sprint("node-", j+1), Life: uint64(j + 5), Tree: tree.Hash(), Length: 8000,
+			do(at+float64(j), uint64(j+1), ComponentQuotaLeases, QuotaLeaseCommand{Report: &lease.Report{Node: fmt.Sprint("node-", j+1), Life: uint64(j + 5), Tree: tree.Hash(), Length: 8000,
 				Holds: uint64(2*(i-1) + j + 1), Asked: []lease.Asked{{At: 1, Want: .1 * float64(i), Used: .05}, {At: 2, Want: .9, Used: .4 * float64(j)}, {At: 4, Want: .02, Used: .01}}}})
 		}
 	}
@@ -109,24 +109,24 @@
 }
 
 // questions are one of each kind for each part.
-func questions() (list []Ask) {
+func questions() (list []Request) {
 	for part, bodies := range map[string][]any{
-		PartMembers:  {struct{}{}},
-		PartRegister: {Get{}, Get{Name: "colour"}},
-		PartOrders:   {OrdersOf{Node: "node-1"}, OrdersOf{Node: "node-2"}},
-		PartCalls: {Look{}, Look{Name: bytes.Repeat([]byte{1}, 16), Print: bytes.Repeat([]byte{101}, 16)}, Look{Name: bytes.Repeat([]byte{2}, 16), Print: bytes.Repeat([]byte{102}, 16)},
-			Look{Name: bytes.Repeat([]byte{3}, 16), Print: bytes.Repeat([]byte{103}, 16)}, Look{Name: bytes.Repeat([]byte{5}, 16), Print: bytes.Repeat([]byte{105}, 16)}},
-		PartPolicy: {PolicyQuestion{}, PolicyQuestion{News: true}, PolicyQuestion{Outcome: "faulty"}, PolicyQuestion{Proposed: "second"}, PolicyQuestion{Document: new(uint64(1))}},
-		PartRoom:   {struct{}{}},
+		ComponentMembers:  {struct{}{}},
+		ComponentRegister: {Get{}, Get{Name: "colour"}},
+		ComponentOrders:   {OrdersOf{Node: "node-1"}, OrdersOf{Node: "node-2"}},
+		ComponentCalls: {Lookup{}, Lookup{Name: bytes.Repeat([]byte{1}, 16), Print: bytes.Repeat([]byte{101}, 16)}, Lookup{Name: bytes.Repeat([]byte{2}, 16), Print: bytes.Repeat([]byte{102}, 16)},
+			Lookup{Name: bytes.Repeat([]byte{3}, 16), Print: bytes.Repeat([]byte{103}, 16)}, Lookup{Name: bytes.Repeat([]byte{5}, 16), Print: bytes.Repeat([]byte{105}, 16)}},
+		ComponentPolicy:      {PolicyQuestion{}, PolicyQuestion{News: true}, PolicyQuestion{Outcome: "faulty"}, PolicyQuestion{Proposed: "second"}, PolicyQuestion{Document: new(uint64(1))}},
+		ComponentQuotaLeases: {struct{}{}},
 	} {
 		for _, b := range bodies {
-			list = append(list, Ask{Part: part, Body: encode(b)})
+			list = append(list, Request{Part: part, Body: encode(b)})
 		}
 	}
 	return list
 }
 
-func answers(l *Ledger) map[string]Reply {
+func answers(l *Machine) map[string]Reply {
 	out := map[string]Reply{}
 	for _, q := range questions() {
 		out[q.Part+" "+string(q.Body)] = l.Query(q)
@@ -143,7 +143,7 @@
 	}
 	golden.Check(t, "history.jsonl", text.Bytes())
 
-	l := Found([]Member{{ID: 11, Name: "k0", Address: "h0:1", Speaks: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, Speaks: 2}}, 1e6)
+	l := Bootstrap([]Member{{ID: 11, Name: "k0", Address: "h0:1", Speaks: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, Speaks: 2}}, 1e6)
 	l.Learns(0, Member{ID: 13, Name: "k2", Address: "h2:1", Replaces: 12, Speaks: 2})
 	l.Learns(0, Member{ID: 14, Name: "k3", Address: "h3:1", Speaks: 2})
 	l.Leaves(0, 14)
@@ -176,10 +176,10 @@
 			again, err := other.Freeze()()
 			require.NoError(t, err)
 			require.Equal(t, frozen, again)
-			for _, part := range []string{PartMembers, PartRegister, PartOrders, PartPolicy, PartRoom, PartCalls} {
-				want, err := l.parts[part].Freeze()()
+			for _, part := range []string{ComponentMembers, ComponentRegister, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, ComponentCalls} {
+				want, err := l.components[part].Freeze()()
 				require.NoError(t, err)
-				got, err := other.parts[part].Freeze()()
+				got, err := other.components[part].Freeze()()
 				require.NoError(t, err)
 				require.Equal(t, string(want), string(got), part)
 				require.Greater(t, len(want), 50, "%s is not empty", part)
--- a/internal/node/statemachine/ledger.go
+++ b/internal/node/statemachine/machine.go
@@ -8,8 +8,8 @@
 // applied once and gets the reply that it had. A session that was given up to make room refuses all further commands, and
 // says that it is not known whether they were applied.
 //
-// Bounds: MostSessions sessions, of each Window replies that were not confirmed yet; what a part holds, by its constants;
-// a command of MostCommand bytes.
+// Bounds: MaxSessions sessions, of each Window replies that were not confirmed yet; what a part holds, by its constants;
+// a command of MaxCommandBytes bytes.
 package statemachine
 
 import (
@@ -32,23 +32,23 @@
 // written so that it can read it.
 func VersionOf(part string, body json.RawMessage) int {
 	switch part {
-	case PartRoom:
+	case ComponentQuotaLeases:
 		return 2
-	case PartMembers:
+	case ComponentMembers:
 		if bytes.Contains(body, []byte(`"raise"`)) {
 			return 2
 		}
-	case PartCalls:
-		return versionOfCall(body)
+	case ComponentCalls:
+		return callCommandVersion(body)
 	}
 	return 1
 }
 
 // Bounds.
 const (
-	MostSessions = 1024
-	Window       = 128       // commands of a session that are under way at once
-	MostCommand  = 256 << 10 // bytes
+	MaxSessions     = 1024
+	Window          = 128       // commands of a session that are under way at once
+	MaxCommandBytes = 256 << 10 // bytes
 )
 
 // What makes a member stop rather than go on with another state than the others.
@@ -88,14 +88,14 @@
 	Body    json.RawMessage `json:"b,omitempty"`
 }
 
-// Ask is a question or a command for a part.
-type Ask struct {
+// Request is a question or a command for a part.
+type Request struct {
 	Part string          `json:"part"`
 	Body json.RawMessage `json:"body"`
 }
 
-// Part is one kind of thing that is held.
-type Part interface {
+// Component is one kind of thing that is held.
+type Component interface {
 	// Apply carries out a command of a session at a time of the group's.
 	Apply(index uint64, now float64, session uint64, body json.RawMessage) Reply
 	// Query answers a question from what holds.
@@ -106,13 +106,13 @@
 	Load(image json.RawMessage) error
 }
 
-// Ledger is the whole state.
-type Ledger struct {
-	now      float64
-	index    uint64
-	sessions map[uint64]*session
-	parts    map[string]Part
-	members  *Members
+// Machine is the whole state.
+type Machine struct {
+	now        float64
+	index      uint64
+	sessions   map[uint64]*session
+	components map[string]Component
+	members    *Members
 }
 
 // session is a client of the log.
@@ -125,31 +125,31 @@
 }
 
 // New makes an empty ledger.
-func New() *Ledger {
-	l := &Ledger{sessions: map[uint64]*session{}, members: &Members{list: map[uint64]Member{}}}
-	l.parts = map[string]Part{PartMembers: l.members, PartRegister: newRegister(), PartCalls: newCalls(), PartOrders: newOrders(),
-		PartPolicy: policies{rollout.New()}, PartRoom: room{lease.New()}}
+func New() *Machine {
+	l := &Machine{sessions: map[uint64]*session{}, members: &Members{list: map[uint64]Member{}}}
+	l.components = map[string]Component{ComponentMembers: l.members, ComponentRegister: newRegister(), ComponentCalls: newCalls(), ComponentOrders: newOrders(),
+		ComponentPolicy: policies{rollout.New()}, ComponentQuotaLeases: quotaLeases{lease.New()}}
 	return l
 }
 
 // Now is the group's time, milliseconds.
-func (l *Ledger) Now() float64 { return l.now }
+func (l *Machine) Now() float64 { return l.now }
 
 // Index is that of the last entry applied.
-func (l *Ledger) Index() uint64 { return l.index }
+func (l *Machine) Index() uint64 { return l.index }
 
 // Members gives the part that holds them.
-func (l *Ledger) Members() *Members { return l.members }
+func (l *Machine) Members() *Members { return l.members }
 
 // Opening is the body of a command that opens a session.
 type Opening struct {
 	Name string `json:"name"`
 }
 
-const mostName = 128
+const maxNameBytes = 128
 
 // Apply carries out an entry. The error is one after which this member must not go on.
-func (l *Ledger) Apply(index uint64, data []byte) (c Command, r Reply, err error) {
+func (l *Machine) Apply(index uint64, data []byte) (c Command, r Reply, err error) {
 	if err := json.Unmarshal(data, &c); err != nil {
 		return c, r, fmt.Errorf("entry %d: %w", index, err)
 	}
@@ -158,7 +158,7 @@
 	}
 	l.index, l.now = index, max(l.now, c.At)
 	switch {
-	case c.Session == 0 && c.Part == PartMembers: // of the group itself; applied twice it does no harm
+	case c.Session == 0 && c.Part == ComponentMembers: // of the group itself; applied twice it does no harm
 		return c, l.members.Apply(index, l.now, 0, c.Body), nil
 	case c.Session == 0:
 		return c, l.open(index, &c), nil
@@ -182,7 +182,7 @@
 	case c.Number > s.Done+Window:
 		return c, Reply{Code: Full, Text: "too many commands of the session are under way"}, nil
 	}
-	part := l.parts[c.Part]
+	part := l.components[c.Part]
 	if part == nil {
 		r = Reply{Code: Faulty, Text: fmt.Sprintf("there is no part %q", c.Part)}
 	} else {
@@ -195,12 +195,12 @@
 
 // open makes a session with the entry's index as its number, in place of the one that was used longest ago where there are
 // too many.
-func (l *Ledger) open(index uint64, c *Command) Reply {
+func (l *Machine) open(index uint64, c *Command) Reply {
 	var o Opening
-	if json.Unmarshal(c.Body, &o) != nil || len(o.Name) > mostName {
+	if json.Unmarshal(c.Body, &o) != nil || len(o.Name) > maxNameBytes {
 		return Reply{Code: Faulty, Text: "a session wants a name of 128 bytes at most"}
 	}
-	if len(l.sessions) >= MostSessions {
+	if len(l.sessions) >= MaxSessions {
 		oldest := index
 		for id, s := range l.sessions {
 			if at, ok := l.sessions[oldest]; !ok || s.Used < at.Used {
@@ -214,8 +214,8 @@
 }
 
 // Query answers a question from what holds here.
-func (l *Ledger) Query(a Ask) Reply {
-	part := l.parts[a.Part]
+func (l *Machine) Query(a Request) Reply {
+	part := l.components[a.Part]
 	if part == nil {
 		return Reply{Code: Faulty, Text: fmt.Sprintf("there is no part %q", a.Part)}
 	}
@@ -225,7 +225,7 @@
 }
 
 // Sessions counts those that are known.
-func (l *Ledger) Sessions() int { return len(l.sessions) }
+func (l *Machine) Sessions() int { return len(l.sessions) }
 
 // image is the form of the state on a disk and between members.
 type image struct {
@@ -245,7 +245,7 @@
 }
 
 // Freeze gives what makes the image of the state as it is now. The image may be made at any time, on any goroutine.
-func (l *Ledger) Freeze() func() ([]byte, error) {
+func (l *Machine) Freeze() func() ([]byte, error) {
 	i := image{Version: 1, Raised: l.members.raised, Index: l.index, Now: l.now, Sessions: map[uint64]session{}, Parts: map[string]json.RawMessage{}}
 	for id, s := range l.sessions {
 		c := *s
@@ -253,7 +253,7 @@
 		i.Sessions[id] = c
 	}
 	later, tight := map[string]func() (json.RawMessage, error){}, map[string]func() ([]byte, error){}
-	for name, p := range l.parts {
+	for name, p := range l.components {
 		if c, ok := p.(compact); ok && l.members.Speaks() >= 2 {
 			i.Version = 2
 			tight[name] = c.FreezeCompact()
@@ -296,7 +296,7 @@
 }
 
 // Restore takes an image in place of all that is held.
-func (l *Ledger) Restore(text []byte) error {
+func (l *Machine) Restore(text []byte) error {
 	var i image
 	head := json.NewDecoder(bytes.NewReader(text))
 	if err := head.Decode(&i); err != nil {
@@ -314,7 +314,7 @@
 		fresh.sessions[id] = &s
 	}
 	for name, text := range i.Parts {
-		p := fresh.parts[name]
+		p := fresh.components[name]
 		if p == nil {
 			return ErrVersion
 		}
@@ -327,7 +327,7 @@
 		if n == 0 {
 			rest = bytes.TrimPrefix(rest, []byte("\n"))
 		}
-		p, ok := fresh.parts[b.Part].(compact)
+		p, ok := fresh.components[b.Part].(compact)
 		switch {
 		case !ok:
 			return ErrVersion
--- a/internal/node/statemachine/ledger_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -13,7 +13,7 @@
 )
 
 // apply carries out a command as an entry.
-func apply(t require.TestingT, l *Ledger, c Command) Reply {
+func apply(t require.TestingT, l *Machine, c Command) Reply {
 	c.Version = Version
 	text, err := json.Marshal(c)
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 	return r
 }
 
-func picture(t require.TestingT, l *Ledger) string {
+func picture(t require.TestingT, l *Machine) string {
 	text, err := l.Freeze()()
 	require.NoError(t, err)
 	return string(text)
@@ -47,7 +47,7 @@
 					done[s]++
 				}
 				set := Set{Name: fmt.Sprint("r", i%3), Value: fmt.Sprint("v", i)}
-				r := apply(t, l, Command{At: at, Session: s, Number: n, Done: done[s], Part: PartRegister, Body: encode(set)})
+				r := apply(t, l, Command{At: at, Session: s, Number: n, Done: done[s], Part: ComponentRegister, Body: encode(set)})
 				if first, again := sets[[2]uint64{s, n}]; again && r.Code != Lost {
 					assert.Equal(t, first, r, "the reply that it had")
 				} else if !again {
@@ -72,34 +72,34 @@
 func TestBounds(t *testing.T) {
 	l := New()
 	first := apply(t, l, Command{Body: encode(Opening{Name: "first"})}).Index
-	for range MostSessions {
+	for range MaxSessions {
 		apply(t, l, Command{Body: encode(Opening{Name: "more"})})
 	}
-	assert.Equal(t, MostSessions, l.Sessions())
-	assert.Equal(t, Lost, apply(t, l, Command{Session: first, Number: 1, Part: PartRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
+	assert.Equal(t, MaxSessions, l.Sessions())
+	assert.Equal(t, Lost, apply(t, l, Command{Session: first, Number: 1, Part: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
 	s := apply(t, l, Command{Body: encode(Opening{Name: "s"})}).Index
-	assert.Equal(t, Full, apply(t, l, Command{Session: s, Number: Window + 1, Part: PartRegister}).Code)
-	for i := range MostNames {
-		r := apply(t, l, Command{Session: s, Number: uint64(i + 1), Done: uint64(i), Part: PartRegister,
+	assert.Equal(t, Full, apply(t, l, Command{Session: s, Number: Window + 1, Part: ComponentRegister}).Code)
+	for i := range MaxNames {
+		r := apply(t, l, Command{Session: s, Number: uint64(i + 1), Done: uint64(i), Part: ComponentRegister,
 			Body: encode(Set{Name: fmt.Sprint(i), Value: "x"})})
 		require.Equal(t, OK, r.Code, r.Text)
 	}
-	n := uint64(MostNames)
+	n := uint64(MaxNames)
 	for _, c := range []struct {
 		set  Set
 		want Code
 	}{{Set{Name: "new", Value: "x"}, Full}, {Set{Name: "1", Value: ""}, OK}, {Set{Name: "new", Value: "x"}, OK},
 		{Set{Name: "", Value: "x"}, Faulty}, {Set{Name: "new", Value: "y", Was: new(uint64(3))}, Conflict}} {
 		n++
-		assert.Equal(t, c.want, apply(t, l, Command{Session: s, Number: n, Done: n - 1, Part: PartRegister, Body: encode(c.set)}).Code)
+		assert.Equal(t, c.want, apply(t, l, Command{Session: s, Number: n, Done: n - 1, Part: ComponentRegister, Body: encode(c.set)}).Code)
 	}
 	assert.Equal(t, Faulty, apply(t, l, Command{Session: s, Number: n + 1, Part: "none"}).Code)
 	big := New()
-	for i := range uint64(3 * MostMembers) {
+	for i := range uint64(3 * MaxMembers) {
 		big.Learns(i+1, Member{ID: i + 1, Name: "k"})
 		big.Leaves(i+1, i+1)
 	}
-	assert.LessOrEqual(t, len(big.Members().List()), MostMembers)
+	assert.LessOrEqual(t, len(big.Members().All()), MaxMembers)
 }
 
 // Guards against a member that passes over what a later release wrote, and goes on with another state than the others.
--- a/internal/node/statemachine/members.go
+++ b/internal/node/statemachine/members.go
@@ -6,11 +6,11 @@
 	"maps"
 )
 
-// PartMembers is the name of the part that holds the members.
-const PartMembers = "members"
+// ComponentMembers is the name of the part that holds the members.
+const ComponentMembers = "members"
 
-// MostMembers bounds the members that are known, those that have left included.
-const MostMembers = 256
+// MaxMembers bounds the members that are known, those that have left included.
+const MaxMembers = 256
 
 // Role is what a member does.
 type Role string
@@ -20,7 +20,7 @@
 const (
 	Voter   Role = "voter"
 	Learner Role = "learner"
-	Gone    Role = "gone"
+	Removed Role = "gone"
 )
 
 // Member is a process that keeps copies.
@@ -41,8 +41,8 @@
 	raised int // the version up to which operators have said that no member goes back to an older release
 }
 
-// Found makes the ledger that a group begins with.
-func Found(voters []Member, now float64) *Ledger {
+// Bootstrap makes the ledger that a group begins with.
+func Bootstrap(voters []Member, now float64) *Machine {
 	l := New()
 	l.now, l.members.raised = now, Version
 	for _, m := range voters {
@@ -53,9 +53,9 @@
 }
 
 // Alone has a member be the only one, after all others are lost for good.
-func (l *Ledger) Alone(m Member) {
+func (l *Machine) Alone(m Member) {
 	for id, other := range l.members.list {
-		other.Role, other.Replaces = Gone, 0
+		other.Role, other.Replaces = Removed, 0
 		l.members.list[id] = other
 	}
 	m.Role = Voter
@@ -63,10 +63,10 @@
 }
 
 // Learns takes a member in that learns.
-func (l *Ledger) Learns(index uint64, m Member) {
+func (l *Machine) Learns(index uint64, m Member) {
 	l.index = index
 	m.Role = Learner
-	if _, known := l.members.list[m.ID]; !known && len(l.members.list) >= MostMembers {
+	if _, known := l.members.list[m.ID]; !known && len(l.members.list) >= MaxMembers {
 		l.members.forget()
 	}
 	l.members.list[m.ID] = m
@@ -75,7 +75,7 @@
 // forget drops the one of those that have left whose number is the least: it is turned away as a stranger from now on.
 func (m *Members) forget() {
 	for _, old := range list(m.list) {
-		if old.Role == Gone {
+		if old.Role == Removed {
 			delete(m.list, old.ID)
 			return
 		}
@@ -83,7 +83,7 @@
 }
 
 // Votes has a member vote.
-func (l *Ledger) Votes(index, id uint64) {
+func (l *Machine) Votes(index, id uint64) {
 	l.index = index
 	if m, ok := l.members.list[id]; ok {
 		m.Role, m.Replaces = Voter, 0
@@ -92,10 +92,10 @@
 }
 
 // Leaves takes a member out.
-func (l *Ledger) Leaves(index, id uint64) {
+func (l *Machine) Leaves(index, id uint64) {
 	l.index = index
 	if m, ok := l.members.list[id]; ok {
-		m.Role, m.Replaces = Gone, 0
+		m.Role, m.Replaces = Removed, 0
 		l.members.list[id] = m
 	}
 }
@@ -107,7 +107,7 @@
 func (m *Members) Known() int {
 	least := Version
 	for _, other := range m.list {
-		if other.Role != Gone {
+		if other.Role != Removed {
 			least = min(least, max(1, other.Speaks))
 		}
 	}
@@ -123,15 +123,15 @@
 // Named gives the member that bears a name now: a voter before a learner.
 func (m *Members) Named(name string) (found Member, ok bool) {
 	for _, other := range list(m.list) {
-		if other.Name == name && other.Role != Gone && (!ok || other.Role == Voter) {
+		if other.Name == name && other.Role != Removed && (!ok || other.Role == Voter) {
 			found, ok = other, true
 		}
 	}
 	return found, ok
 }
 
-// List gives all members, by number.
-func (m *Members) List() []Member { return list(m.list) }
+// All gives all members, by number.
+func (m *Members) All() []Member { return list(m.list) }
 
 // Started is a command of a member's leader: it was seen to have started so often.
 type Started struct {
@@ -147,8 +147,8 @@
 
 // raise carries it out.
 func (m *Members) raise(r Raise) Reply {
-	for _, other := range m.List() {
-		if other.Role != Gone && max(1, other.Speaks) < r.Raise {
+	for _, other := range m.All() {
+		if other.Role != Removed && max(1, other.Speaks) < r.Raise {
 			return Reply{Code: Conflict, Text: fmt.Sprintf("%s runs a release that knows version %d, not %d", other.Name, max(1, other.Speaks), r.Raise)}
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 // Query gives all members.
-func (m *Members) Query(json.RawMessage) Reply { return Reply{Code: OK, Body: encode(m.List())} }
+func (m *Members) Query(json.RawMessage) Reply { return Reply{Code: OK, Body: encode(m.All())} }
 
 // Freeze gives what makes the image.
 func (m *Members) Freeze() func() (json.RawMessage, error) {
--- a/internal/node/statemachine/orders.go
+++ b/internal/node/statemachine/orders.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// PartOrders is the name of the part that holds what operators have ordered nodes.
-const PartOrders = "orders"
+// ComponentOrders is the name of the part that holds what operators have ordered nodes.
+const ComponentOrders = "orders"
 
 // Bounds of the orders: nodes that have any, and raters out at one of them.
 const (
-	MostOrdered = 1024
-	MostOut     = 1024
+	MaxOrdered  = 1024
+	MaxCordoned = 1024
 )
 
 // Ordered is what holds for a node, by its name: a replacement on an empty machine has it too.
@@ -48,9 +48,9 @@
 	at, out := slices.BinarySearch(have.Out, c.Rater)
 	raters := c.Do == "suspend" || c.Do == "resume"
 	switch {
-	case c.Node == "" || len(c.Node) > mostName || raters && (c.Rater == "" || len(c.Rater) > mostName):
-		return Reply{Code: Faulty, Text: fmt.Sprintf("a node and a rater have names of 1 to %d bytes", mostName)}
-	case !known && len(o.nodes) >= MostOrdered || c.Do == "suspend" && !out && len(have.Out) >= MostOut:
+	case c.Node == "" || len(c.Node) > maxNameBytes || raters && (c.Rater == "" || len(c.Rater) > maxNameBytes):
+		return Reply{Code: Faulty, Text: fmt.Sprintf("a node and a rater have names of 1 to %d bytes", maxNameBytes)}
+	case !known && len(o.nodes) >= MaxOrdered || c.Do == "suspend" && !out && len(have.Out) >= MaxCordoned:
 		return Reply{Code: Full, Text: "too much is ordered"}
 	}
 	switch c.Do {
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -6,8 +6,8 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// PartPolicy is the name of the part that holds the fleet's policy.
-const PartPolicy = "policy"
+// ComponentPolicy is the name of the part that holds the fleet's policy.
+const ComponentPolicy = "policy"
 
 // PolicyCommand is one of the part's commands.
 type PolicyCommand struct {
@@ -70,7 +70,7 @@
 		return Reply{Code: Faulty, Text: "no such document is kept"}
 	}
 	if q.News {
-		return Reply{Code: OK, Body: encode(p.News())}
+		return Reply{Code: OK, Body: encode(p.Progress())}
 	}
 	return Reply{Code: OK, Body: encode(p.View())}
 }
--- a/internal/node/statemachine/room.go
+++ b/internal/node/statemachine/quotaleases.go
@@ -6,20 +6,20 @@
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
-// PartRoom is the name of the part that divides the fleet's room among its nodes.
-const PartRoom = "room"
+// ComponentQuotaLeases is the name of the part that divides the fleet's room among its nodes.
+const ComponentQuotaLeases = "room"
 
-// RoomCommand is one of the part's commands.
-type RoomCommand struct {
+// QuotaLeaseCommand is one of the part's commands.
+type QuotaLeaseCommand struct {
 	Report *lease.Report `json:"report,omitempty"`
 	Tree   *lease.Tree   `json:"tree,omitempty"`
 }
 
-// room is the part.
-type room struct{ *lease.Machine }
+// quotaLeases is the part.
+type quotaLeases struct{ *lease.Machine }
 
-func (r room) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
-	var c RoomCommand
+func (r quotaLeases) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
+	var c QuotaLeaseCommand
 	if err := json.Unmarshal(body, &c); err != nil {
 		return Reply{Code: Faulty, Text: err.Error()}
 	}
@@ -40,4 +40,4 @@
 }
 
 // Query gives what is leased, owed and due.
-func (r room) Query(json.RawMessage) Reply { return Reply{Code: OK, Body: encode(r.View())} }
+func (r quotaLeases) Query(json.RawMessage) Reply { return Reply{Code: OK, Body: encode(r.View())} }
--- a/internal/node/statemachine/register.go
+++ b/internal/node/statemachine/register.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// PartRegister is the name of the register's part.
-const PartRegister = "register"
+// ComponentRegister is the name of the register's part.
+const ComponentRegister = "register"
 
 // Bounds of the register.
 const (
-	MostNames = 1024
-	MostValue = 4096 // bytes; a name has 128 at the most
+	MaxNames      = 1024
+	MaxValueBytes = 4096 // bytes; a name has 128 at the most
 )
 
 // Value is what the register holds under a name.
@@ -49,11 +49,11 @@
 	have := r.values[s.Name]
 	have.Name = s.Name
 	switch {
-	case s.Name == "" || len(s.Name) > mostName || len(s.Value) > MostValue:
-		return Reply{Code: Faulty, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", mostName, MostValue)}
+	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Value) > MaxValueBytes:
+		return Reply{Code: Faulty, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", maxNameBytes, MaxValueBytes)}
 	case s.Was != nil && *s.Was != have.Number:
 		return Reply{Code: Conflict, Text: fmt.Sprintf("number %d holds", have.Number), Body: encode(have)}
-	case s.Value != "" && have.Number == 0 && len(r.values) >= MostNames:
+	case s.Value != "" && have.Number == 0 && len(r.values) >= MaxNames:
 		return Reply{Code: Full, Text: fmt.Sprintf("%d names are held", len(r.values))}
 	}
 	v := Value{Name: s.Name, Value: s.Value, Number: index, At: now}
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -21,18 +21,18 @@
 	text, err := os.ReadFile("testdata/entries-1.jsonl")
 	require.NoError(t, err)
 	founders := []Member{{ID: 11, Name: "k0", Address: "h0:1"}, {ID: 12, Name: "k1", Address: "h1:1"}, {ID: 13, Name: "k2", Address: "h2:1"}}
-	replay := func(l *Ledger) {
+	replay := func(l *Machine) {
 		for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 			_, r, err := l.Apply(l.Index()+1, lines.Bytes())
 			require.NoError(t, err)
 			require.NotEqual(t, Faulty, r.Code, r.Text)
 		}
 	}
-	l := Found(founders, 1e6)
+	l := Bootstrap(founders, 1e6)
 	replay(l)
-	assert.Equal(t, Conflict, apply(t, l, Command{Part: PartMembers, Body: encode(Raise{Raise: 2})}).Code)
+	assert.Equal(t, Conflict, apply(t, l, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})}).Code)
 	assert.Equal(t, 1, l.Members().Speaks())
-	l = Found(founders, 1e6)
+	l = Bootstrap(founders, 1e6)
 	l.members.raised = 0 // as the first release founds it
 	replay(l)
 	assert.Equal(t, string(image), picture(t, l))
@@ -41,11 +41,11 @@
 	assert.Equal(t, string(image), picture(t, other))
 	for _, id := range []uint64{11, 12, 13} {
 		assert.Equal(t, 1, other.Members().Speaks())
-		apply(t, other, Command{Part: PartMembers, Body: encode(Started{ID: id, Starts: 1, Speaks: 2})})
+		apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, Speaks: 2})})
 	}
 	assert.Equal(t, 1, other.Members().Speaks(), "one of them may go back")
 	assert.Equal(t, string(image[:12]), picture(t, other)[:12])
-	apply(t, other, Command{Part: PartMembers, Body: encode(Raise{Raise: 2})})
+	apply(t, other, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})})
 	assert.Equal(t, 2, other.Members().Speaks())
 	compact := picture(t, other)
 	assert.Contains(t, compact, `"version":2`)
@@ -57,15 +57,15 @@
 			assert.Fail(t, "a cut image was taken", "at byte %d of %d", cut, len(compact))
 		}
 	}
-	apply(t, other, Command{Part: PartMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release has it
+	apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release has it
 	assert.Equal(t, string(image[:12]), picture(t, other)[:12], "it is written as the first release does again")
 }
 
 // Guards against commands of this release that are told to be of the first.
 func TestVersions(t *testing.T) {
 	for want, list := range map[int][]Command{
-		1: {{Part: PartRegister}, {Part: PartCalls, Body: encode(FreshCommand(Fresh{Node: "before", Life: 1}))}, {Part: PartPolicy}},
-		2: {{Part: PartRoom, Body: encode(RoomCommand{Report: &lease.Report{}})}, {Part: PartCalls, Body: encode(FreshCommand(Fresh{Life: 2, Before: 1}))}},
+		1: {{Part: ComponentRegister}, {Part: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Life: 1}))}, {Part: ComponentPolicy}},
+		2: {{Part: ComponentQuotaLeases, Body: encode(QuotaLeaseCommand{Report: &lease.Report{}})}, {Part: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Life: 2, Before: 1}))}},
 	} {
 		for _, c := range list {
 			assert.Equal(t, want, VersionOf(c.Part, c.Body), string(c.Body))
--- a/lab/circle/circle.go
+++ b/lab/circle/circle.go
@@ -215,7 +215,7 @@
 	}
 	for _, name := range voters {
 		for { // asked again, a keeper says that it is founded
-			_, err := client.Ask(ctx, c.look(), client.Keeper{Name: name, Address: c.find(name).address},
+			_, err := client.Call(ctx, c.look(), client.Replica{Name: name, Address: c.find(name).address},
 				protocol.Request{Want: protocol.Found, Members: members, Now: 1e12})
 			if err == nil {
 				break
@@ -230,25 +230,25 @@
 }
 
 // settings are those of a client that reaches all keepers.
-func (c *Circle) settings(name string) client.Settings {
-	set := client.Settings{Fleet: fleet, Name: name, Try: try}
+func (c *Circle) settings(name string) client.Config {
+	set := client.Config{Fleet: fleet, Name: name, AttemptTimeout: try}
 	for _, k := range c.keepers {
-		set.Keepers = append(set.Keepers, client.Keeper{Name: k.name, Address: k.address})
+		set.Replicas = append(set.Replicas, client.Replica{Name: k.name, Address: k.address})
 	}
 	return set
 }
 
 // look are the settings of the rig's own questions to one keeper.
-func (c *Circle) look() client.Settings {
+func (c *Circle) look() client.Config {
 	set := c.settings("rig")
-	set.Try = patience
+	set.AttemptTimeout = patience
 	return set
 }
 
 // state asks a keeper how it does.
 func (c *Circle) state(ctx context.Context, name string) (*protocol.State, error) {
 	k := c.find(name)
-	a, err := client.Ask(ctx, c.look(), client.Keeper{Name: name, Address: k.address}, protocol.Request{Want: protocol.Status})
+	a, err := client.Call(ctx, c.look(), client.Replica{Name: name, Address: k.address}, protocol.Request{Want: protocol.Status})
 	if err != nil {
 		return nil, err
 	}
@@ -381,9 +381,9 @@
 		}
 		gone := true
 		for _, m := range lead.Members {
-			if m.Name == name && m.Role != statemachine.Gone {
+			if m.Name == name && m.Role != statemachine.Removed {
 				gone = false
-				_, _ = client.Ask(ctx, c.look(), client.Keeper{Name: lead.Name, Address: c.find(lead.Name).address},
+				_, _ = client.Call(ctx, c.look(), client.Replica{Name: lead.Name, Address: c.find(lead.Name).address},
 					protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{m.Member}}) // it is tried again
 			}
 		}
@@ -521,7 +521,7 @@
 				return nil
 			}
 		case "":
-			_, _ = client.Ask(ctx, c.look(), client.Keeper{Name: lead.Name, Address: c.find(lead.Name).address},
+			_, _ = client.Call(ctx, c.look(), client.Replica{Name: lead.Name, Address: c.find(lead.Name).address},
 				protocol.Request{Want: protocol.Learn, Members: []statemachine.Member{m}}) // it is tried again
 		}
 		select {
@@ -533,21 +533,21 @@
 }
 
 // Settings are those of a client of the log that reaches all keepers, under a name.
-func (c *Circle) Settings(name string) client.Settings { return c.settings(name) }
+func (c *Circle) Settings(name string) client.Config { return c.settings(name) }
 
 // Wired are the settings of a client that reaches each keeper over a wire of its own.
-func (c *Circle) Wired(name string) (client.Settings, error) {
+func (c *Circle) Wired(name string) (client.Config, error) {
 	set := c.settings(name)
 	if c.clients == nil {
 		c.clients = map[string][]*wire{}
 	}
-	for i := range set.Keepers {
-		w, err := newWire(set.Keepers[i].Address, c.counts.add)
+	for i := range set.Replicas {
+		w, err := newWire(set.Replicas[i].Address, c.counts.add)
 		if err != nil {
 			return set, err
 		}
 		c.clients[name] = append(c.clients[name], w)
-		set.Keepers[i].Address = w.listener.Addr().String()
+		set.Replicas[i].Address = w.listener.Addr().String()
 	}
 	return set, nil
 }
--- a/lab/circle/measure.go
+++ b/lab/circle/measure.go
@@ -73,7 +73,7 @@
 	for i := range loadClients {
 		log := client.New(c.settings(fmt.Sprintf("load%d", i)))
 		defer log.Close()
-		if _, err := log.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "first", Value: "x"}); err != nil {
+		if _, err := log.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "first", Value: "x"}); err != nil {
 			return m, err
 		}
 		for j := range loadWorkers {
@@ -81,7 +81,7 @@
 			work.Go(func() {
 				for at := range due {
 					one, stop := context.WithTimeout(ctx, 5*time.Second)
-					_, err := log.Do(one, statemachine.PartRegister, statemachine.Set{Name: name, Value: value})
+					_, err := log.Do(one, statemachine.ComponentRegister, statemachine.Set{Name: name, Value: value})
 					stop()
 					if err != nil {
 						lost.Add(1)
@@ -169,7 +169,7 @@
 				default:
 				}
 				asked := time.Now()
-				if _, err := log.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: "gap", Value: "x"}); err == nil {
+				if _, err := log.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "gap", Value: "x"}); err == nil {
 					mu.Lock()
 					all = append(all, told{asked, time.Now()})
 					mu.Unlock()
@@ -253,7 +253,7 @@
 	for range loadWorkers {
 		work.Go(func() {
 			for i := range due {
-				_, _ = log.Do(ctx, statemachine.PartRegister, statemachine.Set{Name: fmt.Sprint("n", i%500), Value: fmt.Sprintf("%0100d", i)}) // counted below
+				_, _ = log.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: fmt.Sprint("n", i%500), Value: fmt.Sprintf("%0100d", i)}) // counted below
 			}
 		})
 	}
@@ -350,11 +350,11 @@
 		binary.BigEndian.PutUint64(name, uint64(i))
 		one, stop := context.WithTimeout(ctx, 10*time.Second)
 		defer stop()
-		if _, err := log.Do(one, statemachine.PartCalls, statemachine.TakeCommand(statemachine.Take{Name: name, Print: name, Tenant: fmt.Sprint(i % 20),
+		if _, err := log.Do(one, statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: name, Tenant: fmt.Sprint(i % 20),
 			Answered: 3.6e6, Doubt: 3.6e6, Run: 60000, Node: "n", Life: 1, Token: uint64(i)})); err != nil {
 			return err
 		}
-		_, err := log.Do(one, statemachine.PartCalls, statemachine.EndedCommand(statemachine.Ended{Name: name, Token: uint64(i), How: statemachine.HowServed, Body: body}))
+		_, err := log.Do(one, statemachine.ComponentCalls, statemachine.CompletionCommand(statemachine.Completion{Name: name, Token: uint64(i), Outcome: statemachine.OutcomeServed, Body: body}))
 		return err
 	})
 	b.Seconds, b.Longest = time.Since(began).Seconds(), float64(longest.Load())/1e6
@@ -390,7 +390,7 @@
 		err := do(endless/4, func(log *client.Client, i int) error {
 			one, stop := context.WithTimeout(ctx, 10*time.Second)
 			defer stop()
-			_, err := log.Do(one, statemachine.PartRegister, statemachine.Set{Name: fmt.Sprint("e", i%100), Value: "x"})
+			_, err := log.Do(one, statemachine.ComponentRegister, statemachine.Set{Name: fmt.Sprint("e", i%100), Value: "x"})
 			return err
 		})
 		if err == nil {
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -180,7 +180,7 @@
 		var r statemachine.Reply
 		var err error
 		if a.Read = luck.IntN(3) == 0; a.Read {
-			r, err = log.Read(ctx, statemachine.PartRegister, statemachine.Get{Name: a.Name})
+			r, err = log.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: a.Name})
 		} else {
 			a.Value = fmt.Sprintf("c%d-%d", number, i)
 			set := statemachine.Set{Name: a.Name, Value: a.Value}
@@ -188,12 +188,12 @@
 				a.Was = seen[a.Name]
 				set.Was = &a.Was
 			}
-			r, err = log.Do(ctx, statemachine.PartRegister, set)
+			r, err = log.Do(ctx, statemachine.ComponentRegister, set)
 		}
 		stop()
 		var v statemachine.Value
 		switch {
-		case errors.Is(err, client.ErrNobody):
+		case errors.Is(err, client.ErrNoQuorum):
 			p.counts.add("met: an ask that nobody took")
 			continue // it changed nothing, and told nothing
 		case err != nil:
@@ -415,7 +415,7 @@
 		have := slices.IndexFunc(lead.Members, func(have protocol.Member) bool { return have.ID == m.ID })
 		switch {
 		case have < 0:
-			_, _ = client.Ask(p.ctx, p.settings("rig"), client.Keeper{Name: lead.Name, Address: p.find(lead.Name).address},
+			_, _ = client.Call(p.ctx, p.settings("rig"), client.Replica{Name: lead.Name, Address: p.find(lead.Name).address},
 				protocol.Request{Want: protocol.Learn, Members: []statemachine.Member{m}}) // it is tried again
 		case lead.Members[have].Role != statemachine.Learner: // to wait on would be for ever
 			return fmt.Errorf("%s stands still and has learnt nothing, and its role is %q", n, lead.Members[have].Role)
@@ -610,7 +610,7 @@
 				p.fault("after the faults: %v", err)
 				return
 			}
-			a, err := client.Ask(p.ctx, p.look(), client.Keeper{Name: n, Address: p.find(n).address},
+			a, err := client.Call(p.ctx, p.look(), client.Replica{Name: n, Address: p.find(n).address},
 				protocol.Request{Want: protocol.Picture})
 			if err != nil { // it is slow to answer: the look is made again
 				p.counts.add("met: a keeper that was slow to answer")
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -65,7 +65,7 @@
 		for i := range partners {
 			report.Asked = append(report.Asked, lease.Asked{At: 1 + i, Want: 0.001, Used: 0.001})
 		}
-		reply, us, err := apply(number, statemachine.PartRoom, statemachine.RoomCommand{Report: &report})
+		reply, us, err := apply(number, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report})
 		if err != nil {
 			return c, err
 		}
@@ -75,13 +75,13 @@
 		}
 		holds, rooms = g.Number, append(rooms, us)
 		number++
-		if _, us, err = apply(number, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &rollout.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
+		if _, us, err = apply(number, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &rollout.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
 			return c, err
 		}
 		policies = append(policies, us)
 		number++
 		name := fmt.Appendf(nil, "%016d", number)
-		if _, us, err = apply(number, statemachine.PartCalls, statemachine.TakeCommand(statemachine.Take{Name: name, Print: name, Tenant: "partner-0", Answered: 60000,
+		if _, us, err = apply(number, statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: name, Tenant: "partner-0", Answered: 60000,
 			Doubt: 60000, Run: claim, Node: "costs", Life: 1, Token: number})); err != nil {
 			return c, err
 		}
