--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -76,7 +76,7 @@
 	holds   uint64
 	hurry   func()
 
-	policy *rollout.Holder
+	policy *rollout.LeaseHolder
 	looked string // hash of the document that it looked at last
 }
 
@@ -122,7 +122,7 @@
 	n.session, n.opening, n.openers, n.held = 0, false, nil, nil
 	n.ordered, n.begun, n.named, n.policed, n.leased = false, false, false, false, false
 	n.demand, n.parts, n.holds, n.hurry = lease.NewDemand(n.w.now, 1/n.tree.Set.Root[quota.Requests]), nil, 0, nil
-	n.policy, n.looked = rollout.NewHolder(n.name, n.process, policyLease, false), ""
+	n.policy, n.looked = rollout.NewLeaseHolder(n.name, n.process, policyLease, false), ""
 	if fresh && n.w.upAt == 0 {
 		n.w.upAt = n.w.now
 	}
@@ -165,7 +165,7 @@
 
 // orders asks what operators had ordered.
 func (n *node) orders() {
-	n.read("orders", statemachine.PartOrders, statemachine.OrdersOf{Node: n.name}, ordersLimit, func(r *statemachine.Reply) {
+	n.read("orders", statemachine.ComponentOrders, statemachine.OrdersOf{Node: n.name}, ordersLimit, func(r *statemachine.Reply) {
 		if r == nil {
 			n.orders()
 			return
@@ -200,10 +200,10 @@
 	}
 	if !told {
 		secret := make([]byte, 32)
-		n.do("begun", statemachine.PartCalls, statemachine.FreshCommand(statemachine.Fresh{Node: n.name, Life: n.process, Secret: secret}), within, heard)
+		n.do("begun", statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Life: n.process, Secret: secret}), within, heard)
 		return
 	}
-	n.read("look", statemachine.PartCalls, statemachine.Look{Name: make([]byte, 16)}, within, heard)
+	n.read("look", statemachine.ComponentCalls, statemachine.Lookup{Name: make([]byte, 16)}, within, heard)
 }
 
 // play has the calls of the rhythm come.
@@ -239,17 +239,17 @@
 	for i := range name {
 		name[i], print[i] = byte(n.w.luck.Uint32()), byte(n.w.luck.Uint32())
 	}
-	take := statemachine.TakeCommand(statemachine.Take{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
+	take := statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
 		Run: claim + 5000, Node: n.name, Life: n.process, Token: token})
-	n.do("name", statemachine.PartCalls, take, takeLimit, func(r *statemachine.Reply) {
-		var o statemachine.Outcome
+	n.do("name", statemachine.ComponentCalls, take, takeLimit, func(r *statemachine.Reply) {
+		var o statemachine.ClaimReply
 		if r == nil {
 			n.named = false
 			n.w.result.Refused++
 			return
 		}
-		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Taken != statemachine.TakenRun {
-			n.w.fault("%s could not take a name: %s %s %s", n.name, r.Code, r.Text, o.Taken)
+		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Result != statemachine.ClaimGranted {
+			n.w.fault("%s could not take a name: %s %s %s", n.name, r.Code, r.Text, o.Result)
 			return
 		}
 		n.after(c.End-c.At, func() {
@@ -257,7 +257,7 @@
 			for i := range body {
 				body[i] = byte(n.w.luck.Uint32())
 			}
-			n.do("end", statemachine.PartCalls, statemachine.EndedCommand(statemachine.Ended{Name: name, Token: token, How: statemachine.HowServed, Body: body}), endLimit,
+			n.do("end", statemachine.ComponentCalls, statemachine.CompletionCommand(statemachine.Completion{Name: name, Token: token, Outcome: statemachine.OutcomeServed, Body: body}), endLimit,
 				func(r *statemachine.Reply) {
 					if r != nil && r.Code == statemachine.OK {
 						n.w.result.Counts["met: a charge agreed to its end"]++
@@ -287,14 +287,14 @@
 			n.after(max(0, n.around(pause-hasten)), renew)
 		})
 	}
-	n.do("room", statemachine.PartRoom, statemachine.RoomCommand{Report: &report}, roomLease, func(r *statemachine.Reply) {
+	n.do("room", statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report}, roomLease, func(r *statemachine.Reply) {
 		var g lease.Grant
 		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &g) != nil {
 			next(roomPause)
 			return
 		}
 		if g.Number == 0 {
-			n.do("tree", statemachine.PartRoom, statemachine.RoomCommand{Tree: &n.tree}, roomLease, func(*statemachine.Reply) { next(0) })
+			n.do("tree", statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Tree: &n.tree}, roomLease, func(*statemachine.Reply) { next(0) })
 			return
 		}
 		n.holds, n.parts = g.Number, map[int]bool{}
@@ -309,10 +309,10 @@
 // renewPolicy reports once, and obeys.
 func (n *node) renewPolicy() {
 	report, asked := n.policy.Report(), n.w.now
-	n.do("policy", statemachine.PartPolicy, statemachine.PolicyCommand{Report: &report}, policyLease, func(r *statemachine.Reply) {
+	n.do("policy", statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &report}, policyLease, func(r *statemachine.Reply) {
 		var o rollout.Order
 		if r == nil || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
-			n.restPolicy(n.policy.Again())
+			n.restPolicy(n.policy.RetryAfter())
 			return
 		}
 		s := n.policy.Obey(asked, o)
@@ -320,10 +320,10 @@
 			n.got(&n.policed)
 		}
 		switch {
-		case s.Take:
+		case s.Activate:
 			n.takePolicy(s)
 		case s.Look != "":
-			n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *statemachine.Reply) {
+			n.read("document", statemachine.ComponentPolicy, statemachine.PolicyQuestion{Proposed: s.Look}, policyLease, func(r *statemachine.Reply) {
 				var d rollout.Document
 				unseen := r == nil || json.Unmarshal(r.Body, &d) != nil
 				if !unseen {
@@ -351,7 +351,7 @@
 // takePolicy has a number in force, whose document it has looked at or asks for.
 func (n *node) takePolicy(s rollout.Step) {
 	took := func() {
-		n.policy.Took(s.Number, s.Hash)
+		n.policy.Activated(s.Number, s.Hash)
 		n.w.result.Counts["met: a policy taken"]++
 		n.renewPolicy()
 	}
@@ -359,9 +359,9 @@
 		took()
 		return
 	}
-	n.read("document", statemachine.PartPolicy, statemachine.PolicyQuestion{Document: &s.Number}, policyLease, func(r *statemachine.Reply) {
+	n.read("document", statemachine.ComponentPolicy, statemachine.PolicyQuestion{Document: &s.Number}, policyLease, func(r *statemachine.Reply) {
 		if r == nil {
-			n.restPolicy(n.policy.Again())
+			n.restPolicy(n.policy.RetryAfter())
 			return
 		}
 		took()
@@ -370,15 +370,15 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := protocol.Request{Want: protocol.Wait, Part: statemachine.PartPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Knows())}
+	r := protocol.Request{Want: protocol.Wait, Part: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Known())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
 	a.done = func(r *statemachine.Reply) {
-		var news rollout.News
+		var news rollout.Progress
 		if r == nil || json.Unmarshal(r.Body, &news) != nil {
 			n.restPolicy(pause)
 			return
 		}
-		if s := n.policy.Hear(news); s.Take {
+		if s := n.policy.Observe(news); s.Activate {
 			n.takePolicy(s)
 		} else {
 			n.restPolicy(s.Pause)
@@ -389,7 +389,7 @@
 		return
 	}
 	n.asked = append(n.asked, a)
-	n.after(min(due-n.w.now, n.policy.Again()), func() {
+	n.after(min(due-n.w.now, n.policy.RetryAfter()), func() {
 		switch {
 		case a.over:
 			return
@@ -407,10 +407,10 @@
 func (n *node) propose(id string) {
 	began := n.w.now
 	p := rollout.Proposal{ID: id, Text: strings.Repeat("# a policy of some lines\n", 80), By: "an operator"}
-	n.do("propose", statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p}, endLimit, func(*statemachine.Reply) {
+	n.do("propose", statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p}, endLimit, func(*statemachine.Reply) {
 		var again func()
 		again = func() {
-			n.read("propose", statemachine.PartPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
+			n.read("propose", statemachine.ComponentPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
 				var o rollout.Outcome
 				switch {
 				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Looking || o.Stage == rollout.Pausing:
@@ -563,7 +563,7 @@
 	if err != nil {
 		panic(err) // of types that can be written
 	}
-	n.w.carried(a.word, transport.KindAsk, text)
+	n.w.carried(a.word, transport.KindRequest, text)
 	k, this := n.conn, a.tries
 	n.lines[0].after(n.w, func() {
 		if n.w.cut && k.far != n.far {
--- a/lab/circle/size/size.go
+++ b/lab/circle/size/size.go
@@ -150,7 +150,7 @@
 		w.keepers = append(w.keepers, k)
 		voters = append(voters, statemachine.Member{ID: k.id, Name: k.name, Address: k.name + ".example:7070", Speaks: statemachine.Version})
 	}
-	image, err := member.Found(voters, 1e6)
+	image, err := member.Bootstrap(voters, 1e6)
 	if err != nil {
 		panic(err) // the members are sound
 	}
@@ -270,11 +270,11 @@
 		if k.group == nil || !k.group.Leads() {
 			continue
 		}
-		text, err := k.group.Ledger().Freeze()()
+		text, err := k.group.State().Freeze()()
 		if err != nil {
 			w.fault("%s: %v", k.name, err)
 		}
-		r.Image, r.Sessions = text, k.group.Ledger().Sessions()
+		r.Image, r.Sessions = text, k.group.State().Sessions()
 		for _, e := range k.saved.Entries {
 			r.LogBytes += proto.Size(e)
 		}
--- a/lab/circle/virtual/charges.go
+++ b/lab/circle/virtual/charges.go
@@ -187,11 +187,11 @@
 	}
 	switch {
 	case n.told || n.heir != nil && n.w.set.Wrong != OldSpeaks:
-		n.read(begun+takeFor, statemachine.Look{Name: make([]byte, 16)}, after)
+		n.read(begun+takeFor, statemachine.Lookup{Name: make([]byte, 16)}, after)
 	case n.w.set.Wrong == ForgetsLives:
 		after(statemachine.Reply{Text: "0"}, agreed)
 	default:
-		n.do(begun+lastPoll*10, statemachine.PartCalls, statemachine.FreshCommand(statemachine.Fresh{Node: n.name, Life: uint64(life), Before: uint64(before), Secret: []byte("s")}), asking{life: true}, after)
+		n.do(begun+lastPoll*10, statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Life: uint64(life), Before: uint64(before), Secret: []byte("s")}), asking{life: true}, after)
 	}
 }
 
@@ -240,7 +240,7 @@
 	claimed := t.p.Claimed
 	t.p.Claimed = true
 	lose := w.luck.IntN(12) == 0
-	n.do(min(t.asked+takeFor, t.deadline), statemachine.PartCalls, statemachine.TakeCommand(statemachine.Take{Name: chargeName(t.p.Name), Print: make([]byte, 16), Answered: known,
+	n.do(min(t.asked+takeFor, t.deadline), statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: chargeName(t.p.Name), Print: make([]byte, 16), Answered: known,
 		Doubt: known, Run: claimFor + longest, Node: n.name, Life: uint64(t.life), Token: t.token}), asking{lose: lose}, func(r statemachine.Reply, how outcome) {
 		if how != agreed {
 			n.up = false
@@ -251,7 +251,7 @@
 			case how == unknown: // nothing was sent, and nothing will be
 				w.counts["met: a claim whose acknowledgement never came"]++
 				t.hold(true)
-				t.ended(statemachine.HowNotRun, nil, func() {})
+				t.ended(statemachine.OutcomeNotExecuted, nil, func() {})
 			default:
 				t.p.Claimed = claimed
 			}
@@ -263,12 +263,12 @@
 		if lose {
 			w.counts["met: a claim asked again and acknowledged"]++
 		}
-		var o statemachine.Outcome
+		var o statemachine.ClaimReply
 		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			w.fault("a name could not be taken: %s %s", r.Code, r.Text)
 			return
 		}
-		if o.Taken == statemachine.TakenElse {
+		if o.Result == statemachine.ClaimRunning {
 			t.p.Claimed = claimed
 			t.joined = true
 			t.await(poll)
@@ -291,12 +291,12 @@
 			t.tell(judge.Waited, 0)
 			return
 		}
-		n.read(min(w.now+takeFor, t.deadline), statemachine.Look{Name: chargeName(t.p.Name), Print: make([]byte, 16)}, func(r statemachine.Reply, how outcome) {
-			var o statemachine.Outcome
+		n.read(min(w.now+takeFor, t.deadline), statemachine.Lookup{Name: chargeName(t.p.Name), Print: make([]byte, 16)}, func(r statemachine.Reply, how outcome) {
+			var o statemachine.ClaimReply
 			switch {
-			case how != agreed || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Taken == statemachine.TakenElse:
+			case how != agreed || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Result == statemachine.ClaimRunning:
 				t.await(min(2*poll, lastPoll))
-			case o.Taken == statemachine.TakenUnknown: // it did not run: this one may be the next
+			case o.Result == statemachine.ClaimUnknown: // it did not run: this one may be the next
 				t.take(min(2*poll, lastPoll))
 			default:
 				t.come(o, t.p.Claimed)
@@ -306,9 +306,9 @@
 }
 
 // come carries out what the fleet says of the name.
-func (t *try) come(o statemachine.Outcome, claimed bool) {
+func (t *try) come(o statemachine.ClaimReply, claimed bool) {
 	w := t.n.w
-	if o.Taken != statemachine.TakenRun {
+	if o.Result != statemachine.ClaimGranted {
 		t.p.Claimed = claimed
 	}
 	for _, s := range w.charges.stays {
@@ -317,13 +317,13 @@
 			break
 		}
 	}
-	switch o.Taken {
-	case statemachine.TakenRun:
+	switch o.Result {
+	case statemachine.ClaimGranted:
 		t.hold(false)
 		if t.n.fate(pointTaken) {
 			t.n.later(w.luck.Float64()*3, t.look)
 		}
-	case statemachine.TakenReplay:
+	case statemachine.ClaimReplayed:
 		var run int
 		if err := json.Unmarshal(o.Body, &run); err != nil {
 			w.fault("an answer that cannot be read: %s", o.Body)
@@ -334,10 +334,10 @@
 			w.counts["met: a replay"]++
 		}
 		t.tell(judge.Answered, run)
-	case statemachine.TakenDoubt:
+	case statemachine.ClaimInDoubt:
 		t.tell(judge.MayHave, 0)
 	default:
-		w.fault("name %d: %s", t.p.Name, o.Taken)
+		w.fault("name %d: %s", t.p.Name, o.Result)
 	}
 }
 
@@ -347,13 +347,13 @@
 	if w.now >= t.asked+claimFor {
 		w.counts["met: a claim that ran out before its first byte"]++
 		if w.set.Wrong != NoLastLook {
-			t.ended(statemachine.HowNotRun, nil, func() { t.tell(judge.Refused, 0) })
+			t.ended(statemachine.OutcomeNotExecuted, nil, func() { t.tell(judge.Refused, 0) })
 			return
 		}
 	}
 	if w.luck.IntN(12) == 0 {
 		w.counts["met: a rater that did not take it"]++
-		t.ended(statemachine.HowNotRun, nil, func() { t.tell(judge.Refused, 0) })
+		t.ended(statemachine.OutcomeNotExecuted, nil, func() { t.tell(judge.Refused, 0) })
 		return
 	}
 	t.send()
@@ -391,7 +391,7 @@
 			if w.set.Wrong == FalseRefusal {
 				what = judge.Refused
 			}
-			t.ended(statemachine.HowDoubt, nil, func() { t.tell(what, 0) })
+			t.ended(statemachine.OutcomeInDoubt, nil, func() { t.tell(what, 0) })
 		}
 	})
 	t.n.later(r.Ended-w.now+w.luck.Float64(), func() {
@@ -402,9 +402,9 @@
 		if !t.n.fate(pointReplied) {
 			return
 		}
-		how, number := statemachine.HowServed, r.Number
+		how, number := statemachine.OutcomeServed, r.Number
 		if w.set.Wrong == ReleasesEnds && w.luck.IntN(4) == 0 {
-			how = statemachine.HowNotRun
+			how = statemachine.OutcomeNotExecuted
 		}
 		if w.set.Wrong == TwoAnswers && w.luck.IntN(4) == 0 {
 			number = len(w.charges.runs) + 1000
@@ -420,7 +420,7 @@
 // ended has it agreed how a run ended, and goes on once it is or after endFor: it then is still told for a while.
 func (t *try) ended(how string, body []byte, then func()) {
 	n, w := t.n, t.n.w
-	e := statemachine.EndedCommand(statemachine.Ended{Name: chargeName(t.p.Name), Token: t.token, How: how, Body: body})
+	e := statemachine.CompletionCommand(statemachine.Completion{Name: chargeName(t.p.Name), Token: t.token, Outcome: how, Body: body})
 	gone, begun, times := false, w.now, 0
 	on := func(agreed bool) {
 		if !gone {
@@ -434,7 +434,7 @@
 	tell = func() {
 		lose := w.luck.IntN(12) == 0
 		times++
-		n.do(w.now+takeFor, statemachine.PartCalls, e, asking{lose: lose}, func(r statemachine.Reply, was outcome) {
+		n.do(w.now+takeFor, statemachine.ComponentCalls, e, asking{lose: lose}, func(r statemachine.Reply, was outcome) {
 			if was != agreed {
 				if w.now < begun+endTries {
 					n.later(1, tell)
@@ -449,7 +449,7 @@
 				if times == 1 && t.stay != nil && !t.stay.loose && n.heir == nil && w.now < t.asked+claimFor+longest {
 					w.fault("name %d was put in doubt while node %s life %d held it", t.p.Name, n.name, t.life)
 				}
-			} else if how == statemachine.HowNotRun {
+			} else if how == statemachine.OutcomeNotExecuted {
 				t.p.Claimed = false
 			}
 			if t.stay != nil && (!t.stay.loose || r.Code != statemachine.Conflict) {
--- a/lab/circle/virtual/clients.go
+++ b/lab/circle/virtual/clients.go
@@ -54,7 +54,7 @@
 // next begins the next ask.
 func (c *client) next() {
 	w := c.w
-	a := &ask{by: c, part: statemachine.PartRegister, op: judge.Ask{Client: c.number, Called: w.now, Told: math.Inf(1)}}
+	a := &ask{by: c, part: statemachine.ComponentRegister, op: judge.Ask{Client: c.number, Called: w.now, Told: math.Inf(1)}}
 	switch {
 	case c.session == 0:
 		w.fresh++
@@ -142,7 +142,7 @@
 		return
 	}
 	if a.read && (m.w.set.Wrong == ReadsStale || m.w.set.Wrong == StaleLook) {
-		m.w.answer(a, m.group.Query(statemachine.Ask{Part: a.part, Body: a.body}))
+		m.w.answer(a, m.group.Query(statemachine.Request{Part: a.part, Body: a.body}))
 		return
 	}
 	var err error
--- a/lab/circle/virtual/nodes.go
+++ b/lab/circle/virtual/nodes.go
@@ -81,7 +81,7 @@
 // takeOver has a further process take the node's place: this one answers what it has, for a while.
 func (n *node) takeOver() {
 	w := n.w
-	if n.life == 0 || n.heir != nil || w.members[0].group == nil || w.members[0].group.Ledger().Members().Speaks() < 2 {
+	if n.life == 0 || n.heir != nil || w.members[0].group == nil || w.members[0].group.State().Members().Speaks() < 2 {
 		return
 	}
 	w.counts["fault: a node taken over"]++
@@ -198,7 +198,7 @@
 func (n *node) read(until float64, body any, then func(statemachine.Reply, outcome)) {
 	n.w.fresh++
 	c := &call{n: n, life: n.life, then: then}
-	c.begin(until, &ask{by: c, number: n.w.fresh, read: true, part: statemachine.PartCalls, body: encode(body)})
+	c.begin(until, &ask{by: c, number: n.w.fresh, read: true, part: statemachine.ComponentCalls, body: encode(body)})
 }
 
 func (c *call) begin(until float64, a *ask) {
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -184,14 +184,14 @@
 	}
 	r.lapse(asked)
 	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, Holds: r.holds, Asked: r.demand.Take(asked)}
-	n.do(w.now+leaseFor, statemachine.PartRoom, statemachine.RoomCommand{Report: &report}, asking{}, func(reply statemachine.Reply, how outcome) {
+	n.do(w.now+leaseFor, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report}, asking{}, func(reply statemachine.Reply, how outcome) {
 		var g lease.Grant
 		switch {
 		case how != agreed:
 		case reply.Code != statemachine.OK || json.Unmarshal(reply.Body, &g) != nil:
 			w.fault("a report got %s %s", reply.Code, reply.Text)
 		case g.Number == 0:
-			n.do(w.now+leaseFor, statemachine.PartRoom, statemachine.RoomCommand{Tree: &w.rooms.tree}, asking{}, func(statemachine.Reply, outcome) { r.renew() })
+			n.do(w.now+leaseFor, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Tree: &w.rooms.tree}, asking{}, func(statemachine.Reply, outcome) { r.renew() })
 			return
 		default:
 			r.take(asked, g)
@@ -231,12 +231,12 @@
 // owe holds debts against those before: they fade over the memory and are paid at a rate, and go no other way.
 func (r *rooms) owe(m *simulatedMember) {
 	var v lease.View
-	reply := m.group.Query(statemachine.Ask{Part: statemachine.PartRoom})
+	reply := m.group.Query(statemachine.Request{Part: statemachine.ComponentQuotaLeases})
 	if err := json.Unmarshal(reply.Body, &v); err != nil {
 		m.w.fault("what is owed cannot be read: %v", err)
 		return
 	}
-	now, owed := m.group.Ledger().Now(), map[string]float64{}
+	now, owed := m.group.State().Now(), map[string]float64{}
 	for _, h := range v.Held {
 		if h.Debt > 0 {
 			owed[h.Name] = h.Debt
@@ -268,7 +268,7 @@
 	var image, parts, room map[string]json.RawMessage
 	var accounts []map[string]json.RawMessage
 	head := json.NewDecoder(bytes.NewReader(data))
-	if head.Decode(&image) != nil || json.Unmarshal(image["parts"], &parts) != nil || json.Unmarshal(parts[statemachine.PartRoom], &room) != nil ||
+	if head.Decode(&image) != nil || json.Unmarshal(image["parts"], &parts) != nil || json.Unmarshal(parts[statemachine.ComponentQuotaLeases], &room) != nil ||
 		json.Unmarshal(room["accounts"], &accounts) != nil {
 		return data
 	}
@@ -276,7 +276,7 @@
 		a["debt"] = json.RawMessage("0")
 	}
 	room["accounts"] = encode(accounts)
-	parts[statemachine.PartRoom] = encode(room)
+	parts[statemachine.ComponentQuotaLeases] = encode(room)
 	image["parts"] = encode(parts)
 	return append(encode(image), data[head.InputOffset():]...)
 }
--- a/lab/circle/virtual/trouble.go
+++ b/lab/circle/virtual/trouble.go
@@ -208,13 +208,13 @@
 		if lead.group == nil || lead.paused || !lead.group.Leads() {
 			continue
 		}
-		if have, ok := lead.group.Ledger().Members().Get(m.id); ok && have.Role == statemachine.Voter && !lead.group.Changing() {
+		if have, ok := lead.group.State().Members().Get(m.id); ok && have.Role == statemachine.Voter && !lead.group.Changing() {
 			w.counts["met: a replacement that votes"]++
 			w.burnt = false
 			return
 		} else if !ok {
 			lead.run(func() {
-				_ = lead.group.Learn(statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Replaces: in, Speaks: w.set.Speaks}) // it is tried again
+				_ = lead.group.AddLearner(statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Replaces: in, Speaks: w.set.Speaks}) // it is tried again
 			})
 		}
 	}
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -126,7 +126,7 @@
 	w        *world
 	id       uint64
 	name     string
-	group    *member.Group // nil while it is down
+	group    *member.Member // nil while it is down
 	life     int
 	saved    member.Saved
 	queue    []member.Write
@@ -158,7 +158,7 @@
 		m := w.join(fmt.Sprintf("k%d", i))
 		voters = append(voters, statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Speaks: set.Speaks})
 	}
-	image, err := member.Found(voters, 1e6)
+	image, err := member.Bootstrap(voters, 1e6)
 	if err != nil {
 		panic(err) // the members are sound
 	}
@@ -246,8 +246,8 @@
 func (w *world) knows(id uint64) bool {
 	for _, m := range w.members {
 		if m.group != nil && m.group.Leads() {
-			other, ok := m.group.Ledger().Members().Get(id)
-			return ok && other.Role != statemachine.Gone
+			other, ok := m.group.State().Members().Get(id)
+			return ok && other.Role != statemachine.Removed
 		}
 	}
 	return true
@@ -261,7 +261,7 @@
 			continue
 		}
 		_, _, at := m.group.Position()
-		text, err := m.group.Ledger().Freeze()()
+		text, err := m.group.State().Freeze()()
 		if err != nil {
 			w.fault("%s: %v", m.name, err)
 		}
@@ -353,7 +353,7 @@
 	if m.group == nil {
 		return
 	}
-	work, err := m.group.Take(m.w.now + m.skew)
+	work, err := m.group.TakeWork(m.w.now + m.skew)
 	if err != nil {
 		m.w.fault("%s: %v", m.name, err)
 		return
@@ -365,7 +365,7 @@
 	for _, r := range work.Reads {
 		if a := m.reads[r.Number]; a != nil {
 			delete(m.reads, r.Number)
-			m.w.answer(a, m.group.Query(statemachine.Ask{Part: a.part, Body: a.body}))
+			m.w.answer(a, m.group.Query(statemachine.Request{Part: a.part, Body: a.body}))
 		}
 	}
 	if m.group.Leads() && !m.led {
@@ -400,7 +400,7 @@
 		m.run(func() {
 			m.busy = false
 			for _, job := range jobs {
-				if err := m.group.Done(job); err != nil {
+				if err := m.group.WriteDone(job); err != nil {
 					m.w.fault("%s: %v", m.name, err)
 				}
 			}
@@ -442,7 +442,7 @@
 	if m.w.set.Wrong == AnswersEarly {
 		for _, e := range job.Entries {
 			var c statemachine.Command
-			if json.Unmarshal(e.GetData(), &c) == nil && c.Part == statemachine.PartRegister && m.group.Leads() {
+			if json.Unmarshal(e.GetData(), &c) == nil && c.Part == statemachine.ComponentRegister && m.group.Leads() {
 				if a := m.waiting[key{c.Session, c.Number}]; a != nil {
 					m.w.answer(a, statemachine.Reply{Code: statemachine.OK, Index: e.GetIndex()})
 				}
@@ -493,14 +493,14 @@
 	var parts map[string]json.RawMessage
 	var values []statemachine.Value
 	if json.Unmarshal(data, &image) != nil || json.Unmarshal(image["parts"], &parts) != nil ||
-		json.Unmarshal(parts[statemachine.PartRegister], &values) != nil || len(values) == 0 {
+		json.Unmarshal(parts[statemachine.ComponentRegister], &values) != nil || len(values) == 0 {
 		return data
 	}
 	for _, put := range []struct {
 		in    map[string]json.RawMessage
 		name  string
 		value any
-	}{{parts, statemachine.PartRegister, values[1:]}, {image, "parts", parts}} {
+	}{{parts, statemachine.ComponentRegister, values[1:]}, {image, "parts", parts}} {
 		text, err := json.Marshal(put.value)
 		if err != nil {
 			panic(err) // it was read from such a text
--- a/lab/duplicates/fleet.go
+++ b/lab/duplicates/fleet.go
@@ -86,7 +86,7 @@
 	if f.OrdersWait != "" {
 		text += fmt.Sprintf("orders_wait = %q\n", f.OrdersWait)
 	}
-	for _, k := range ask.Keepers {
+	for _, k := range ask.Replicas {
 		text += fmt.Sprintf("[[peers.member]]\nname = %q\naddress = %q\n", k.Name, k.Address)
 	}
 	w.set.Options = filepath.Join(dir, "node.toml")
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -403,7 +403,7 @@
 		end := time.Now().Add(settles)
 		for {
 			one, stop := context.WithTimeout(p.ctx, 2*time.Second)
-			r, err := p.log.Do(one, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
+			r, err := p.log.Do(one, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
 			stop()
 			var o rollout.Outcome
 			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == rollout.Agreed || o.Stage == rollout.Refused) {
@@ -551,7 +551,7 @@
 func (p *play) settled() {
 	end := time.Now().Add(settles)
 	for {
-		r, err := p.log.Read(p.ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{})
+		r, err := p.log.Read(p.ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{})
 		var v rollout.View
 		if err == nil && json.Unmarshal(r.Body, &v) == nil && v.Change == nil {
 			holds := map[string]bool{}
@@ -606,7 +606,7 @@
 		if _, err := fmt.Sscan(key, &node, &rater); err != nil || do == "" {
 			continue
 		}
-		reply, err := p.log.Read(p.ctx, statemachine.PartOrders, statemachine.OrdersOf{Node: node})
+		reply, err := p.log.Read(p.ctx, statemachine.ComponentOrders, statemachine.OrdersOf{Node: node})
 		var held statemachine.Ordered
 		if err == nil {
 			err = json.Unmarshal(reply.Body, &held)
--- a/lab/points/points.go
+++ b/lab/points/points.go
@@ -283,10 +283,10 @@
 }
 
 // held asks how much the fleet holds.
-func (r *rig) held() (h statemachine.Held) {
-	reply, err := r.log.Read(r.ctx, statemachine.PartCalls, statemachine.Look{})
+func (r *rig) held() (h statemachine.Usage) {
+	reply, err := r.log.Read(r.ctx, statemachine.ComponentCalls, statemachine.Lookup{})
 	if err != nil || json.Unmarshal(reply.Body, &h) != nil {
-		return statemachine.Held{Running: -1}
+		return statemachine.Usage{Running: -1}
 	}
 	return h
 }
--- a/lab/policies/documents_test.go
+++ b/lab/policies/documents_test.go
@@ -46,7 +46,7 @@
 	propose := func(text string) (o rollout.Outcome) {
 		p := rollout.Proposal{ID: fmt.Sprint("p", time.Now().UnixNano()), Text: text, Base: number, By: "the lab"}
 		for o.Stage = rollout.Looking; (o.Stage == rollout.Looking || o.Stage == rollout.Pausing) && ctx.Err() == nil; {
-			r, err := log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &p})
+			r, err := log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p})
 			require.NoError(t, err)
 			require.NoError(t, json.Unmarshal(r.Body, &o))
 		}
@@ -82,7 +82,7 @@
 	}
 	require.Equal(t, rollout.Agreed, propose(document(1)).Stage)
 	all("the first", oneOf(1))
-	_, err = log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &rollout.Proposal{ID: "long", Text: strings.Repeat("#", 1<<20), Base: 1}})
+	_, err = log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &rollout.Proposal{ID: "long", Text: strings.Repeat("#", 1<<20), Base: 1}})
 	require.ErrorIs(t, err, client.ErrRefused)
 	o := propose("[quota]\n\nrequests = -1\n")
 	assert.Equal(t, rollout.Refused, o.Stage)
--- a/lab/policies/policies.go
+++ b/lab/policies/policies.go
@@ -248,7 +248,7 @@
 			return fmt.Errorf("%s does not come to an end", id)
 		}
 		one, stop := context.WithTimeout(ctx, 2*time.Second)
-		r, err := log.Do(one, statemachine.PartPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
+		r, err := log.Do(one, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
 		stop()
 		var o rollout.Outcome
 		if err != nil || json.Unmarshal(r.Body, &o) != nil {
--- a/lab/policies/virtual/log.go
+++ b/lab/policies/virtual/log.go
@@ -47,11 +47,11 @@
 	busy     float64
 	next     float64 // when the last entry will be agreed
 	pending  []*command
-	waits    []*hintWait    // one a node
-	news     []rollout.News // all that were agreed, one after the other
-	old      [keepers]bool  // of the release before, which knows no waits
-	deaf     bool           // the leader's answers are lost
-	disk     float64        // ms that an entry takes more
+	waits    []*hintWait        // one a node
+	news     []rollout.Progress // all that were agreed, one after the other
+	old      [keepers]bool      // of the release before, which knows no waits
+	deaf     bool               // the leader's answers are lost
+	disk     float64            // ms that an entry takes more
 	stage    rollout.Stage
 	pausedAt float64
 	heldAt   float64            // when the number came to hold
@@ -75,7 +75,7 @@
 		l.rates[i] = w.between(0.995, 1.005)
 		l.old[i] = w.set.Faults > 0 && w.luck.IntN(4) == 0
 	}
-	l.news = []rollout.News{l.machine.News()}
+	l.news = []rollout.Progress{l.machine.Progress()}
 	return l
 }
 
@@ -130,7 +130,7 @@
 	}
 	c.applied = true
 	l.watch(before, c)
-	if now := l.machine.News(); now != l.news[len(l.news)-1] {
+	if now := l.machine.Progress(); now != l.news[len(l.news)-1] {
 		l.news = append(l.news, now)
 		l.hint()
 	}
@@ -139,8 +139,8 @@
 // hintWait is a wait for a hint.
 type hintWait struct {
 	node  *node
-	known rollout.News
-	heard func(n rollout.News, ok bool)
+	known rollout.Progress
+	heard func(n rollout.Progress, ok bool)
 }
 
 // wait has heard told once how far the fleet is, if that is not what is known; not ok = the keeper does not tell. Either may be lost.
@@ -156,9 +156,9 @@
 			case l.epoch != epoch:
 			case l.old[l.leader]:
 				l.w.count("met: a wait that a keeper of the release before refused")
-				l.told(x, rollout.News{}, false)
-			case l.machine.News() != x.known:
-				l.told(x, l.machine.News(), true)
+				l.told(x, rollout.Progress{}, false)
+			case l.machine.Progress() != x.known:
+				l.told(x, l.machine.Progress(), true)
 			default:
 				l.waits = append(slices.DeleteFunc(l.waits, func(earlier *hintWait) bool { return earlier.node == x.node }), x)
 			}
@@ -168,7 +168,7 @@
 
 // hint tells those who wait.
 func (l *agreed) hint() {
-	now := l.machine.News()
+	now := l.machine.Progress()
 	rest := l.waits[:0]
 	for _, x := range l.waits {
 		if x.known == now {
@@ -182,7 +182,7 @@
 }
 
 // told passes a hint on: some are lost, late or old.
-func (l *agreed) told(x *hintWait, n rollout.News, ok bool) {
+func (l *agreed) told(x *hintWait, n rollout.Progress, ok bool) {
 	if l.deaf && l.w.luck.IntN(4) > 0 || x.node.in {
 		return
 	}
@@ -210,7 +210,7 @@
 // noteLate notes who says its first word while calls are held, which that very word may have begun: it found that another's time is over.
 func (l *agreed) noteLate(r *rollout.Report) {
 	id := fmt.Sprint(r.Node, r.Life)
-	if l.machine.News().Stage == rollout.Pausing && l.live[id] <= l.time {
+	if l.machine.Progress().Stage == rollout.Pausing && l.live[id] <= l.time {
 		l.late[id] = true
 	}
 	l.live[id] = max(l.live[id], l.time+r.Lease)
@@ -311,7 +311,7 @@
 	}
 	for _, x := range l.waits {
 		if l.w.luck.IntN(2) == 0 { // the connection breaks; the others hear nothing
-			l.told(x, rollout.News{}, false)
+			l.told(x, rollout.Progress{}, false)
 		}
 	}
 	l.waits = nil
--- a/lab/policies/virtual/node.go
+++ b/lab/policies/virtual/node.go
@@ -14,7 +14,7 @@
 type node struct {
 	w        *world
 	name     string
-	holder   *rollout.Holder
+	holder   *rollout.LeaseHolder
 	life     int
 	up       bool
 	stopped  bool
@@ -44,7 +44,7 @@
 
 // left is how long calls can go on to begin, ms of true time.
 func (n *node) left() float64 {
-	_, _, until := n.holder.Holds()
+	_, _, until := n.holder.InForce()
 	switch {
 	case n.early:
 		return math.Inf(1)
@@ -69,7 +69,7 @@
 	if to <= from {
 		return
 	}
-	number, _, _ := n.holder.Holds()
+	number, _, _ := n.holder.InForce()
 	number = max(number, n.receipt)
 	if n.early {
 		number = n.disk
@@ -99,7 +99,7 @@
 	n.up, n.stopped, n.woke, n.settled, n.closed, n.receipt, n.looked = true, false, nil, n.w.now, 0, 0, ""
 	n.early = n.w.set.Wrong == ReadyEarly
 	n.floor = n.w.log.machine.Number()
-	n.holder = rollout.NewHolder(n.name, uint64(n.life), n.w.set.Lease, false)
+	n.holder = rollout.NewLeaseHolder(n.name, uint64(n.life), n.w.set.Lease, false)
 	n.step()
 }
 
@@ -149,7 +149,7 @@
 		if !c.over {
 			c.over = true
 			n.lapse()
-			n.after(n.holder.Again(), n.step)
+			n.after(n.holder.RetryAfter(), n.step)
 		}
 	})
 }
@@ -190,12 +190,12 @@
 		n.w.count("met: a lease renewed")
 	}
 	if s.Known {
-		if number, _, _ := n.holder.Holds(); number < n.floor {
+		if number, _, _ := n.holder.InForce(); number < n.floor {
 			n.w.fault("%s is ready under number %d, and %d held when it started", n.name, number, n.floor)
 		}
 	}
 	switch {
-	case s.Take:
+	case s.Activate:
 		n.take(s.Number, s.Hash)
 	case s.Look != "":
 		n.look(s.Look)
@@ -211,7 +211,7 @@
 		return
 	}
 	life, over, due := n.life, false, n.w.now+most*n.w.between(0.75, 1.25)
-	heard := func(news rollout.News, ok bool) {
+	heard := func(news rollout.Progress, ok bool) {
 		n.run(life, func() {
 			switch {
 			case over:
@@ -229,11 +229,11 @@
 		if over {
 			return
 		}
-		n.w.log.wait(&hintWait{n, n.holder.Knows(), heard})
+		n.w.log.wait(&hintWait{n, n.holder.Known(), heard})
 		if n.w.set.Wrong == HintAlone {
 			return
 		}
-		if again := n.w.now + n.holder.Again(); again < due {
+		if again := n.w.now + n.holder.RetryAfter(); again < due {
 			n.after(again-n.w.now, wait)
 			return
 		}
@@ -248,17 +248,17 @@
 }
 
 // hear takes a hint.
-func (n *node) hear(news rollout.News) {
+func (n *node) hear(news rollout.Progress) {
 	if n.w.set.Wrong == HintRenews {
 		n.holder.Obey(n.clock(), rollout.Order{Number: news.Number, Lease: n.w.set.Lease, Change: news.Change, Stage: news.Stage})
 	}
-	s := n.holder.Hear(news)
+	s := n.holder.Observe(news)
 	switch {
-	case s.Take:
+	case s.Activate:
 		n.w.count("met: a number taken by a hint")
 		n.take(s.Number, s.Hash)
 		return
-	case s.Held:
+	case s.Paused:
 		n.w.count("met: calls held by a hint")
 	}
 	n.rest(s.Pause, 0)
@@ -303,7 +303,7 @@
 				n.looked = d.Text
 			}
 			if ok && n.w.set.Wrong == OnReceipt {
-				holds, _, _ := n.holder.Holds()
+				holds, _, _ := n.holder.InForce()
 				n.receipt = holds + 1
 			}
 			n.after(n.holder.Saw(id, !ok, err), n.step)
@@ -332,7 +332,7 @@
 				n.w.count("met: a node that died after it looked and came back after the next change but one")
 			}
 			n.stopping, n.missed, n.disk, n.receipt = 0, 0, number, 0
-			n.holder.Took(number, d.Hash)
+			n.holder.Activated(number, d.Hash)
 			n.step()
 		})
 	}
@@ -346,7 +346,7 @@
 	}
 	n.ask(number, "", func(d rollout.Document, ok bool) {
 		if !ok {
-			n.after(n.holder.Again(), n.step)
+			n.after(n.holder.RetryAfter(), n.step)
 			return
 		}
 		done(d)
@@ -366,7 +366,7 @@
 func (n *node) stop() {
 	n.settle()
 	n.stopped, n.sound = true, false
-	n.stopping, _, _ = n.holder.Holds()
+	n.stopping, _, _ = n.holder.InForce()
 }
 
 // wake lets a stopped process go on with all that came meanwhile.
--- a/lab/policies/virtual/trouble.go
+++ b/lab/policies/virtual/trouble.go
@@ -54,7 +54,7 @@
 		return
 	}
 	w.count("fault: a node stopped for three numbers")
-	holds, _, _ := n.holder.Holds()
+	holds, _, _ := n.holder.InForce()
 	var look func()
 	look = func() {
 		if n.stopped && w.log.machine.Number() < holds+3 {
--- a/lab/policies/virtual/virtual.go
+++ b/lab/policies/virtual/virtual.go
@@ -195,7 +195,7 @@
 	}
 	for _, n := range w.nodes {
 		n.settle()
-		if holds, hash, _ := n.holder.Holds(); holds != w.log.machine.Number() || hash != rollout.Hash(w.texts[holds]) || !n.open() {
+		if holds, hash, _ := n.holder.InForce(); holds != w.log.machine.Number() || hash != rollout.Hash(w.texts[holds]) || !n.open() {
 			w.fault("%s holds number %d (%s) and calls begin: %v; number %d holds", n.name, holds, hash, n.open(), w.log.machine.Number())
 		}
 	}
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -362,7 +362,7 @@
 			return nil, err
 		}
 		n.peers += fmt.Sprintf("\n[peers]\nfleet = %q\nkeepers = [\"k0\"]\ntry = \"400ms\"\n%s\n", ask.Fleet, s.o.Peers)
-		for _, k := range ask.Keepers {
+		for _, k := range ask.Replicas {
 			n.peers += fmt.Sprintf("[[peers.member]]\nname = %q\naddress = %q\n", k.Name, k.Address)
 		}
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -30,9 +30,9 @@
 
 // join makes the way to the agreed log; it connects when something is asked.
 func join(conf *Config, p *options.Peers) *peers {
-	ask := client.Settings{Fleet: p.Fleet, Name: conf.Name, Try: time.Duration(p.Try.Ms * 1e6), Spread: client.Spread(conf.Settings.Nodes)}
+	ask := client.Config{Fleet: p.Fleet, Name: conf.Name, AttemptTimeout: time.Duration(p.Try.Ms * 1e6), Spread: client.Spread(conf.Settings.Nodes)}
 	for _, m := range p.Members {
-		ask.Keepers = append(ask.Keepers, client.Keeper{Name: m.Name, Address: m.Address})
+		ask.Replicas = append(ask.Replicas, client.Replica{Name: m.Name, Address: m.Address})
 	}
 	return &peers{set: p, log: client.New(ask)}
 }
@@ -54,7 +54,7 @@
 func (p *peers) hold(node string, o Order) error {
 	ctx, stop := context.WithTimeout(context.Background(), orderLimit)
 	defer stop()
-	r, err := p.log.Do(ctx, statemachine.PartOrders, statemachine.Order{Node: node, Do: o.Do, Rater: o.Rater})
+	r, err := p.log.Do(ctx, statemachine.ComponentOrders, statemachine.Order{Node: node, Do: o.Do, Rater: o.Rater})
 	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
@@ -106,7 +106,7 @@
 	defer n.peers.mu.Unlock()
 	ctx, stop := context.WithTimeout(ctx, orderLimit)
 	defer stop()
-	r, err := n.peers.log.Read(ctx, statemachine.PartOrders, statemachine.OrdersOf{Node: n.conf.Name})
+	r, err := n.peers.log.Read(ctx, statemachine.ComponentOrders, statemachine.OrdersOf{Node: n.conf.Name})
 	var held statemachine.Ordered
 	if err != nil || json.Unmarshal(r.Body, &held) != nil {
 		return false
--- a/node/policy.go
+++ b/node/policy.go
@@ -24,7 +24,7 @@
 		}
 		first()
 	}
-	return gate.New(gate.Settings{Name: n.conf.Name, Lease: o.Lease.Ms, Hold: o.Hold.Ms, GoesOn: o.Without == "go-on", Heard: heard},
+	return gate.New(gate.Settings{Name: n.conf.Name, Lease: o.Lease.Ms, MaxWait: o.Hold.Ms, GoesOn: o.Without == "go-on", Ready: heard},
 		policyLog{n.peers}, policyNode{n}, n.clock, log)
 }
 
@@ -32,7 +32,7 @@
 type policyLog struct{ *peers }
 
 func (p policyLog) Report(ctx context.Context, r rollout.Report) (o rollout.Order, err error) {
-	reply, err := p.log.Do(ctx, statemachine.PartPolicy, statemachine.PolicyCommand{Report: &r})
+	reply, err := p.log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &r})
 	return o, decoded(reply, err, &o)
 }
 
@@ -41,12 +41,12 @@
 	if id == "" {
 		q.Document = &number
 	}
-	reply, err := p.log.Read(ctx, statemachine.PartPolicy, q)
+	reply, err := p.log.Read(ctx, statemachine.ComponentPolicy, q)
 	return d, decoded(reply, err, &d)
 }
 
-func (p policyLog) News(ctx context.Context, known rollout.News) (n rollout.News, err error) {
-	reply, err := p.log.Wait(ctx, statemachine.PartPolicy, statemachine.PolicyQuestion{News: true}, known)
+func (p policyLog) Progress(ctx context.Context, known rollout.Progress) (n rollout.Progress, err error) {
+	reply, err := p.log.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{News: true}, known)
 	return n, decoded(reply, err, &n)
 }
 
@@ -72,7 +72,7 @@
 }
 
 // Take has it in force.
-func (p policyNode) Take(d rollout.Document) error {
+func (p policyNode) Activate(d rollout.Document) error {
 	n := p.n
 	n.reload.Lock()
 	defer n.reload.Unlock()
--- a/node/policy_test.go
+++ b/node/policy_test.go
@@ -31,7 +31,7 @@
 		}
 		return false
 	}, time.Minute, time.Millisecond)
-	require.NoError(t, policyNode{n}.Take(rollout.Document{Number: 1, Text: "[quota]\nrequests = 1000\n"}))
+	require.NoError(t, policyNode{n}.Activate(rollout.Document{Number: 1, Text: "[quota]\nrequests = 1000\n"}))
 	s.Run(`
 		a expect 429
 		wait 5
--- a/node/quota.go
+++ b/node/quota.go
@@ -68,12 +68,12 @@
 type roomLog struct{ *peers }
 
 func (p roomLog) Report(ctx context.Context, r lease.Report) (g lease.Grant, err error) {
-	reply, err := p.log.Do(ctx, statemachine.PartRoom, statemachine.RoomCommand{Report: &r})
+	reply, err := p.log.Do(ctx, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &r})
 	return g, decoded(reply, err, &g)
 }
 
 func (p roomLog) Bring(ctx context.Context, t lease.Tree) error {
-	reply, err := p.log.Do(ctx, statemachine.PartRoom, statemachine.RoomCommand{Tree: &t})
+	reply, err := p.log.Do(ctx, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Tree: &t})
 	switch {
 	case err != nil:
 		return err
--- a/node/status.go
+++ b/node/status.go
@@ -128,7 +128,7 @@
 	slices.SortFunc(s.Endings, func(a, b EndingStatus) int { return cmp.Compare(b.Last, a.Last) })
 	s.Quotas = n.Quotas()
 	if n.guide != nil {
-		number, hash, until := n.guide.Holds()
+		number, hash, until := n.guide.InForce()
 		if s.Policy = (&PolicyStatus{number, hash, max(0, until-n.clock.Now())}); math.IsInf(until, 1) {
 			s.Policy.Lease = -1
 		}
