--- a/lab/thriftplay/play.go
+++ b/lab/thriftplay/play.go
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	running := false
-	stop = func() {
+	end := func() { // not stop, which a return with an error sets to nil
 		cancel()
 		if running {
 			<-ended
@@ -160,7 +160,7 @@
 	}
 	defer func() {
 		if err != nil {
-			stop()
+			end()
 		}
 	}()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": inner.Addr().String(),
@@ -192,5 +192,5 @@
 	case <-time.After(10 * time.Second):
 		return "", nil, errors.New("the node is not ready after 10 s")
 	}
-	return n.ThriftAddress(), stop, nil
+	return n.ThriftAddress(), end, nil
 }
