--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -57,7 +57,10 @@
 		return 2
 	}
 	if *check {
-		fmt.Fprintln(out, "linenwheel-etcd: the configuration is good")
+		if _, err := fmt.Fprintln(out, "linenwheel-etcd: the configuration is good"); err != nil {
+			fmt.Fprintln(errs, "linenwheel-etcd:", err)
+			return 1
+		}
 		return 0
 	}
 	if err := a.serve(ctx, o, set, errs, again); err != nil {
--- a/cmd/linenwheel-etcd/run_test.go
+++ b/cmd/linenwheel-etcd/run_test.go
@@ -63,6 +63,10 @@
 	for args, status := range map[string]int{"-check": 0, "-h": 0, "-x": 2, "dance": 2} {
 		assert.Equal(t, status, run(t.Context(), strings.Fields(args), func(string) string { return path }, io.Discard, io.Discard, nil), args)
 	}
+	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
+	require.NoError(t, err)
+	defer func() { _ = full.Close() }()
+	assert.Equal(t, 1, run(t.Context(), []string{"-check"}, func(string) string { return path }, full, io.Discard, nil), "a verdict that is lost")
 }
 
 // Guards against a list that does not come from the cluster to a node's calls, against a reload that is not taken or that takes
--- a/cmd/linenwheel-lab/main.go
+++ b/cmd/linenwheel-lab/main.go
@@ -12,6 +12,8 @@
 	"syscall"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"linenwheel.dev/linenwheel/internal/output"
 )
 
 func main() {
@@ -60,6 +62,8 @@
 
 // run carries out one command line and gives the exit status.
 func run(ctx context.Context, args []string, to streams) int {
+	out := output.On(to.out)
+	to.out = out
 	root := &ffcli.Command{
 		Name:       "linenwheel-lab",
 		ShortUsage: "linenwheel-lab <command> [flags]",
@@ -77,6 +81,9 @@
 		return 2
 	}
 	err := root.Run(ctx)
+	if err == nil {
+		err = out.Err()
+	}
 	switch {
 	case err == nil:
 		return 0
--- a/cmd/linenwheel/command.go
+++ b/cmd/linenwheel/command.go
@@ -11,6 +11,7 @@
 
 	"linenwheel.dev/linenwheel/internal/config"
 	"linenwheel.dev/linenwheel/internal/options"
+	"linenwheel.dev/linenwheel/internal/output"
 )
 
 // The variables that name the two files, each in place of a flag.
@@ -30,7 +31,8 @@
 // run carries out one command line and returns the exit status: 1 for a failure, 2 for a bad command line or
 // configuration.
 func run(args []string, getenv func(string) string, out, errs io.Writer) int {
-	s := &shell{getenv: getenv, out: out, errs: errs}
+	to := output.On(out)
+	s := &shell{getenv: getenv, out: to, errs: errs}
 	root := s.command("linenwheel", "run one node, or look at its configuration", true, s.serve)
 	root.ShortUsage = "linenwheel [serve|check|config|inventory|quota|repeats|status|peers|policy|raters|keep|lab|version] [flags]"
 	root.Subcommands = []*ffcli.Command{
@@ -55,6 +57,9 @@
 		return 2 // the flag set has said why
 	}
 	err := root.Run(context.Background())
+	if err == nil {
+		err = to.Err()
+	}
 	var faults badConfiguration
 	var fault *config.FieldError
 	switch {
--- a/lab/holiday/main.go
+++ b/lab/holiday/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"flag"
 	"fmt"
@@ -12,6 +13,7 @@
 	"strings"
 	"time"
 
+	"linenwheel.dev/linenwheel/internal/output"
 	"linenwheel.dev/linenwheel/lab/experiments"
 	"linenwheel.dev/linenwheel/lab/live"
 	"linenwheel.dev/linenwheel/lab/live/nodes"
@@ -67,11 +69,14 @@
 	linenwheel := flag.String("node", "bin/linenwheel", "the node")
 	inParts := flag.Bool("parts", false, "tell instead how many nodes use a rater, in virtual time")
 	flag.Parse()
+	out := output.On(os.Stdout)
+	var err error
 	if *inParts {
-		fleetParts(os.Stdout)
-		return
+		fleetParts(out)
+	} else {
+		err = run(out, *seeds, *only, *rate, *linenwheel)
 	}
-	if err := run(os.Stdout, *seeds, *only, *rate, *linenwheel); err != nil {
+	if err = cmp.Or(err, out.Err()); err != nil {
 		fmt.Fprintln(os.Stderr, "holiday:", err)
 		os.Exit(1)
 	}
