--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -15,7 +15,7 @@
 )
 
 // lived gives a world after some random traffic, with nothing open.
-func lived(t *testing.T, set Settings, seed uint64, ticks int) (*world, []Backend) {
+func lived(t *testing.T, set Settings, seed uint64, ticks int) *world {
 	w, list := newWorld(t, set, seed, 0.15), mixed(12)
 	w.list(ListStored, list...)
 	for i := range ticks {
@@ -28,7 +28,7 @@
 	for len(w.b.requests) > 0 {
 		w.step(5 * time.Millisecond)
 	}
-	return w, list
+	return w
 }
 
 // heir gives a world with the same backends at the same time, whose Balancer remembers what that of w knew. With the
@@ -59,7 +59,7 @@
 	all := variants()
 	rapid.Check(t, func(r *rapid.T) {
 		set := all[rapid.SampledFrom([]string{"copies", "single", "zone group", "many nodes"}).Draw(r, "variant")]
-		w, _ := lived(t, set, rapid.Uint64().Draw(r, "seed"), rapid.IntRange(0, 1500).Draw(r, "ticks"))
+		w := lived(t, set, rapid.Uint64().Draw(r, "seed"), rapid.IntRange(0, 1500).Draw(r, "ticks"))
 		v, err := heir(t, w, set, 0)
 		require.NoError(t, err)
 		for range 400 {
@@ -76,7 +76,7 @@
 // Guards against old knowledge that weighs like fresh: a backend that was slow or away a minute ago may be well, and
 // a node that remembers otherwise sends it nothing.
 func TestAgeWeighs(t *testing.T) {
-	w, _ := lived(t, settings(), 3, 600)
+	w := lived(t, settings(), 3, 600)
 	bad := w.b.servers[0]
 	bad.slow, bad.n, bad.y, bad.expect = 6, 16, 6*16*bad.pool.idle, 16*bad.pool.idle
 	w.b.putAway(bad)
@@ -101,7 +101,7 @@
 // Guards against knowledge of what is no longer there being given to something else: another process of a backend,
 // another kind under its id, a class, a zone.
 func TestForeignPartsAreLeftOut(t *testing.T) {
-	w, _ := lived(t, settings(), 3, 600)
+	w := lived(t, settings(), 3, 600)
 	m := w.b.Snapshot(w.now)
 	for i := range m.Backends {
 		m.Backends[i].Slow, m.Backends[i].Away = 7, true
@@ -128,7 +128,7 @@
 // Guards against a damaged or made-up memory that is half taken, that makes the Balancer panic, break a rule or go on
 // with figures that are none.
 func TestHostileMemory(t *testing.T) {
-	first, _ := lived(t, settings(), 5, 800)
+	first := lived(t, settings(), 5, 800)
 	base, err := json.Marshal(first.b.Snapshot(first.now))
 	require.NoError(t, err)
 	odd := []string{"-1", "1e300", "0", "null", "1e-300", "9e18", "true", `""`, "[]", "1048577", "4e9", "0.5"}
--- a/decide/parts_test.go
+++ b/decide/parts_test.go
@@ -33,7 +33,7 @@
 		}
 		return mine
 	},
-	"rendezvous": func(node, nodes int, ids []BackendID, k int) map[BackendID]bool {
+	"rendezvous": func(node, _ int, ids []BackendID, k int) map[BackendID]bool {
 		sorted := slices.Clone(ids)
 		slices.SortFunc(sorted, func(a, b BackendID) int {
 			return cmp.Compare(hashed(uint64(a), uint64(node)), hashed(uint64(b), uint64(node)))
@@ -41,7 +41,7 @@
 		return chosen(sorted[:k])
 	},
 	// Of Google's book on site reliability: rounds of nodes deal the backends out, shuffled anew in each.
-	"deterministic": func(node, nodes int, ids []BackendID, k int) map[BackendID]bool {
+	"deterministic": func(node, _ int, ids []BackendID, k int) map[BackendID]bool {
 		each := len(ids) / k
 		round := slices.Clone(ids)
 		slices.Sort(round)
--- a/decide/solve_test.go
+++ b/decide/solve_test.go
@@ -58,7 +58,7 @@
 func (b *Balancer) optimum(need float64) float64 {
 	at := func(s *server, price float64) float64 {
 		room := price - s.price - s.risk - s.slow*s.pool.idle
-		return min(s.top, s.size*math.Sqrt(max(0, room)/(3*s.pool.bend*math.Pow(s.slow, 3))))
+		return min(s.top, s.size*math.Sqrt(max(0, room)/(3*s.pool.bend*math.Pow(s.slow, 3)))) //nolint:staticcheck // QF1005: a product would round elsewhere
 	}
 	low, high := 0.0, 1e6
 	for range 200 {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	w := wireOn(c)
 	m, files, err := w.ask(wantStatus, release)
 	closeAll(files)
@@ -126,7 +126,7 @@
 		t.hooks.GiveUp(err.Error())
 		return
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	t.wire = wireOn(conn)
 	who, err := credentials(conn)
 	if err == nil && int(who.Uid) != os.Geteuid() {
@@ -138,7 +138,7 @@
 	}
 	if t.pid = int(who.Pid); t.pid > 0 {
 		if t.pidfd, err = unix.PidfdOpen(t.pid, 0); err == nil {
-			defer unix.Close(t.pidfd)
+			defer func() { _ = unix.Close(t.pidfd) }()
 		}
 	}
 	hello := message{Type: takeover.Hello.String(), Min: lowest, Max: highest, Want: wantTakeover, Release: release,
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -198,7 +198,7 @@
 	say := func(b ...[]byte) message {
 		conn, _, err := dial(path)
 		require.NoError(t, err)
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		for _, b := range b {
 			_, _ = conn.Write(b)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -317,7 +317,7 @@
 
 // run runs the node and all that is round it.
 func (d *daemon) run(ctx context.Context, stop func(), signals Signals) error {
-	back, done := context.WithCancel(context.Background())
+	back, done := context.WithCancel(context.WithoutCancel(ctx))
 	defer done()
 	ended := make(chan error, 1)
 	go func() { ended <- d.node.Run(ctx) }()
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -157,7 +157,7 @@
 	var c Chunk
 	var err error
 	switch {
-	case p.err != nil && p.err != io.EOF:
+	case p.err != nil && p.err != io.EOF: //nolint:errorlint // this very value says whole, a wrapped one would be of a body that broke off
 		err = p.err
 	case len(p.queue) > 0:
 		c = p.queue[0]
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -48,7 +48,7 @@
 			case 2:
 				n, err := take()
 				held -= n
-				require.Equal(t, over && n == 0, err == io.EOF)
+				require.Equal(t, over && n == 0, err == io.EOF) //nolint:errorlint // this very value
 			case 3:
 				if rapid.IntRange(0, 9).Draw(t, "end") == 0 {
 					p.End(io.EOF)
@@ -124,7 +124,7 @@
 		}()
 		for got := 0; ; {
 			c, err := p.Next()
-			if got += len(c.Bytes); err == io.EOF {
+			if got += len(c.Bytes); err == io.EOF { //nolint:errorlint // this very value
 				require.Equal(t, 50*Piece, got)
 				break
 			}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -37,18 +37,18 @@
 
 // Status is what a server answers to a request with an error.
 func Status(err error) int {
-	switch err {
-	case ErrTooLarge, ErrOver:
+	switch {
+	case errors.Is(err, ErrTooLarge), errors.Is(err, ErrOver):
 		return 413
-	case ErrTarget:
+	case errors.Is(err, ErrTarget):
 		return 414
-	case ErrExpect:
+	case errors.Is(err, ErrExpect):
 		return 417
-	case ErrHead:
+	case errors.Is(err, ErrHead):
 		return 431
-	case ErrCoding:
+	case errors.Is(err, ErrCoding):
 		return 501
-	case ErrVersion:
+	case errors.Is(err, ErrVersion):
 		return 505
 	}
 	return 400
--- a/internal/inventory/files_test.go
+++ b/internal/inventory/files_test.go
@@ -107,16 +107,16 @@
 	}
 	for i := 1; i < versions; i++ {
 		text, _ := fileText(i)
-		switch {
-		case i%5 == 1: // cut off at some place, in place, and left so for a moment
+		switch i % 5 {
+		case 1: // cut off at some place, in place, and left so for a moment
 			require.NoError(t, os.WriteFile(path, []byte(text[:i%len(text)]), 0o600))
-		case i%5 == 2: // half of it, then the rest
+		case 2: // half of it, then the rest
 			f, err := os.OpenFile(path, os.O_WRONLY|os.O_TRUNC, 0)
 			require.NoError(t, err)
 			_, _ = f.WriteString(text[:len(text)/2])
 			_, _ = f.WriteString(text[len(text)/2:])
 			require.NoError(t, f.Close())
-		case i%5 == 3: // bad in one of several ways
+		case 3: // bad in one of several ways
 			bad := []string{"", strings.Replace(text, "h1", "h2", 1), strings.Replace(text, `"z"`, `"y"`, 1), "index = 1\nendpoints = []\n",
 				strings.Replace(text, fmt.Sprintf("index = %d", i+1), "index = 1", 1), text + "x"}[i/5%6]
 			require.NoError(t, os.WriteFile(path+".new", []byte(bad), 0o600))
--- a/internal/inventory/keeper_test.go
+++ b/internal/inventory/keeper_test.go
@@ -261,11 +261,11 @@
 	f.keeper.Asks(1, func() { work.Go(func() { list.read(true) }) })
 
 	turn, away := 0, new(atomic.Bool)
-	put := func(name, status string) string { // each time at another address
+	put := func(name string) string { // each time at another address
 		turn++
-		return entry(name, fmt.Sprintf("10.0.%d.%d:80", turn/250, turn%250), status)
+		return entry(name, fmt.Sprintf("10.0.%d.%d:80", turn/250, turn%250), "Ready")
 	}
-	c.Write(map[string]string{"r/one": put("one", "Ready"), "r/a": put("a", "Ready"), "r/b": put("b", "Ready"), "r/c": put("c", "Ready")})
+	c.Write(map[string]string{"r/one": put("one"), "r/a": put("a"), "r/b": put("b"), "r/c": put("c")})
 	ctx, cancel := context.WithCancel(t.Context())
 	work.Go(func() { source.Run(ctx) })
 	work.Go(func() { f.watch(ctx, server, Asked{f.keeper.Feed(0), f.clock.Now()}, look, away) })
@@ -287,7 +287,7 @@
 		m, key := c.Members[one.member], "r/"+one.name
 		switch one.what {
 		case "put":
-			c.Put(key, put(one.name, "Ready"))
+			c.Put(key, put(one.name))
 		case "drain":
 			if value := c.Values("r/")[key]; value != "" {
 				c.Put(key, strings.Replace(value, "Ready", "Terminating", 1))
@@ -299,7 +299,7 @@
 			if c.Values("r/")["r/two"] != "" {
 				from, to = to, from
 			}
-			c.Write(map[string]string{"r/" + from: "", "r/" + to: put(to, "Ready")})
+			c.Write(map[string]string{"r/" + from: "", "r/" + to: put(to)})
 		case "wipe":
 			gone := map[string]string{}
 			for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -307,7 +307,7 @@
 			}
 			c.Write(gone)
 		case "lease":
-			c.PutFor(1500, key, put(one.name, "Ready"))
+			c.PutFor(1500, key, put(one.name))
 		case "compact":
 			c.Compact()
 		case "drop":
--- a/internal/log/sparse.go
+++ b/internal/log/sparse.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 	"math"
+	"slices"
 	"sync"
 	"sync/atomic"
 
@@ -147,7 +148,7 @@
 func (s *sparse) with(base slog.Handler, f func(slog.Handler) slog.Handler) slog.Handler {
 	next := &sparse{counts: s.counts, inner: f(s.inner), base: base}
 	if base != nil {
-		next.then = append(s.then[:len(s.then):len(s.then)], f)
+		next.then = append(slices.Clip(s.then), f)
 	}
 	return next
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -174,13 +174,13 @@
 	l := listening(t, 4)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // has a port and does not listen
 	require.NoError(t, err)
-	defer unix.Close(fd)
+	defer func() { _ = unix.Close(fd) }()
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	at, err := unix.Getsockname(fd)
 	require.NoError(t, err)
 	_, err = l.Dial(context.Background(), fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port), 60000, func(c *Conn) Handler { return echo{c} })
 	assert.ErrorContains(t, err, "refused")
-	c, err := l.Dial(context.Background(), l.Addr(), 1000, func(c *Conn) Handler { return silent{} })
+	c, err := l.Dial(context.Background(), l.Addr(), 1000, func(*Conn) Handler { return silent{} })
 	require.NoError(t, err)
 	require.NoError(t, c.Write([]byte("abc")))
 	assert.EqualValues(t, 3, c.Written())
@@ -236,7 +236,7 @@
 // Guards against a pulse that goes on while the poller is stuck in a handler.
 func TestPulseStopsWithThePoller(t *testing.T) {
 	stuck, free := make(chan struct{}), make(chan struct{})
-	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler { return holder{stuck, free} })
+	l, err := Listen("127.0.0.1:0", 1, func(*Conn) Handler { return holder{stuck, free} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	p, err := l.Pulse()
--- a/internal/north/httpfront/flow.go
+++ b/internal/north/httpfront/flow.go
@@ -54,7 +54,7 @@
 			good = w.write(chunk.Bytes)
 			chunk.Free()
 			good = good && w.room()
-		case err == io.EOF:
+		case err == io.EOF: //nolint:errorlint // this very value says whole, a wrapped one would be of a body that broke off
 			if w.chunks {
 				_ = c.net.Write([]byte(http1.LastChunk))
 			}
--- a/internal/options/gen/main_test.go
+++ b/internal/options/gen/main_test.go
@@ -21,5 +21,5 @@
 		assert.Equal(t, want, string(got), "run go generate ./internal/options")
 	}
 	each(docs, func(table options.Table, doc string) { assert.NotEmpty(t, doc, table.Path) },
-		func(name, doc string, f options.Field) { assert.NotEmpty(t, doc, f.Path) })
+		func(_, doc string, f options.Field) { assert.NotEmpty(t, doc, f.Path) })
 }
--- a/internal/options/load.go
+++ b/internal/options/load.go
@@ -69,7 +69,7 @@
 		}
 		return nil, err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }() // it was only read
 	text, err := io.ReadAll(io.LimitReader(in, mostBytes+1))
 	if err == nil && len(text) > mostBytes {
 		err = fmt.Errorf("is over %d bytes", mostBytes)
@@ -244,16 +244,17 @@
 		err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(d.root)
 		var unknown *toml.StrictMissingError
 		var wrong *toml.DecodeError
-		if errors.As(err, &unknown) {
+		switch {
+		case errors.As(err, &unknown):
 			for i := range unknown.Errors {
 				d.decodeFault(&unknown.Errors[i])
 			}
-		} else if errors.As(err, &wrong) {
+		case errors.As(err, &wrong):
 			d.decodeFault(wrong)
 			if blank(text, lines, d.offset(wrong)) {
 				continue
 			}
-		} else if err != nil {
+		case err != nil:
 			d.fault("", config.Place{}, err)
 		}
 		break
--- a/internal/options/policy.go
+++ b/internal/options/policy.go
@@ -81,7 +81,7 @@
 	if len(d.faults) == 0 && !reflect.DeepEqual(next, own) {
 		both := &document{path: name, places: d.places, root: &next}
 		both.check()
-		d.faults = append(both.faults, against(&next, c, name, d.places)...)
+		d.faults = slices.Concat(both.faults, against(&next, c, name, d.places))
 		if _, named := d.places[classesField]; named && fits != nil && len(d.faults) == 0 {
 			fits(&next, func(reason string, names ...string) { d.combination("", reason, names) })
 		}
--- a/internal/options/quota.go
+++ b/internal/options/quota.go
@@ -1,6 +1,7 @@
 package options
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 
@@ -114,7 +115,7 @@
 // Check reports a tree that cannot work.
 func (q *Quota) Check(report Report) {
 	_, err := quota.New(q.Tree(), 0)
-	if wrong, ok := err.(*quota.FieldError); ok {
+	if wrong := (*quota.FieldError)(nil); errors.As(err, &wrong) {
 		field := "requests"
 		at := slices.IndexFunc(q.Nodes, func(n QuotaNode) bool { return n.Name == wrong.Node })
 		if at >= 0 {
--- a/internal/pilot/pilot.go
+++ b/internal/pilot/pilot.go
@@ -164,8 +164,8 @@
 }
 
 // New makes the pilot of one node. What the module says is logged past log's rule against floods. wake, if not nil, is called when Tick is wanted earlier than it said.
-func New(set decide.Settings, seed uint64, c clock.Clock, log *slog.Logger, wake func()) (*Pilot, error) {
-	p := &Pilot{clock: c, log: log, wake: wake, grace: set.Rules.DrainGrace.Seconds() * 1000,
+func New(set decide.Settings, seed uint64, c clock.Clock, logger *slog.Logger, wake func()) (*Pilot, error) {
+	p := &Pilot{clock: c, log: logger, wake: wake, grace: set.Rules.DrainGrace.Seconds() * 1000,
 		zones: places(set.Zones), kinds: places(set.Kinds), hosts: map[decide.BackendID]*host{},
 		ids: map[string]decide.BackendID{}, tickets: map[decide.RequestID]*Ticket{},
 		coldTime: set.Rules.ColdTime, chance: rand.New(rand.NewPCG(seed, 0x6c6573736f6e))}
--- a/internal/quota/edge/edge.go
+++ b/internal/quota/edge/edge.go
@@ -35,7 +35,7 @@
 	Every   float64                           // ms between two looks at that
 }
 
-// The reasons that this stage gives.
+// ReasonQuota is the reason that this stage gives.
 const ReasonQuota = "the tenant has no room"
 
 // pause is how long those that wait are left before room is looked for again, ms.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -337,7 +337,7 @@
 		}
 		b := newBook(t, settings(nodes...))
 		got := map[string][]string{}
-		stream(b, 9, 30, flows, func(at float64, c Call, d Decision) {
+		stream(b, 9, 30, flows, func(_ float64, c Call, d Decision) {
 			name := b.Name(c.Leaf)
 			got[name] = append(got[name], fmt.Sprint(d.Verdict, d.Reason))
 		})
--- a/internal/repeats/edge/handover.go
+++ b/internal/repeats/edge/handover.go
@@ -155,8 +155,8 @@
 func (s *Stage) Ended(c repeats.Call, _ Taken, how repeats.End, body []byte) {
 	payload, size := any(nil), 0
 	a := core.Answer{Kind: core.Left} // it did not run: one of those that wait may be the next
-	switch {
-	case how == repeats.EndServed:
+	switch how {
+	case repeats.EndServed:
 		a = core.Fail(core.Known, ReasonSpent)
 		if len(body) > 0 {
 			payload = s.set.Decode(body)
@@ -166,7 +166,7 @@
 		} else {
 			size = s.set.Book.Bytes + 1 // known without
 		}
-	case how == repeats.EndInDoubt:
+	case repeats.EndInDoubt:
 		a = core.Fail(core.Known, ReasonDoubt)
 	}
 	s.mu.Lock()
--- a/internal/repeats/fleet/fleet.go
+++ b/internal/repeats/fleet/fleet.go
@@ -96,7 +96,7 @@
 		one, stop := context.WithTimeout(ctx, n.span(patience))
 		var err error
 		if !told && n.own.Err() == nil { // a later process would count as an earlier one whose runs nobody answers for
-			unhook := context.AfterFunc(n.own, stop)
+			unhook := context.AfterFunc(n.own, stop) //nolint:contextcheck // n.own ends with Yield, before ctx
 			var r ledger.Reply
 			if r, err = n.client.Do(one, ledger.PartCalls, ledger.FreshCommand(fresh)); err == nil && r.Code == ledger.Conflict {
 				if !warned {
--- a/internal/repeats/fleet/late_test.go
+++ b/internal/repeats/fleet/late_test.go
@@ -58,7 +58,7 @@
 }
 
 func (k *alone) serve(c *link.Conn, asks chan func()) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if _, err := c.Accept("f", func(link.Hello) link.Welcome { return link.Welcome{Name: "k"} }); err != nil {
 		return
 	}
--- a/internal/repeats/journal/journal_test.go
+++ b/internal/repeats/journal/journal_test.go
@@ -96,12 +96,12 @@
 func (h *handle) Close() error { return nil }
 
 // begin opens a journal on a folder and runs it; stop ends it.
-func begin(t *testing.T, f segments.Folder, now float64) (j *Journal, list []repeats.Known, found []Finding, stop func()) {
-	j, list, found, err := Open(f, set, now)
+func begin(t *testing.T, f segments.Folder, now float64) (j *Journal, list []repeats.Known, stop func()) {
+	j, list, _, err := Open(f, set, now)
 	require.NoError(t, err)
 	over := make(chan struct{})
 	go func() { j.Run(); close(over) }()
-	return j, list, found, func() { j.Close(); <-over }
+	return j, list, func() { j.Close(); <-over }
 }
 
 // play makes calls that begin and end, and gives those that are sure to be known after a restart.
@@ -125,7 +125,7 @@
 func TestEveryCut(t *testing.T) {
 	const calls = 12
 	whole := newMemory()
-	j, _, _, stop := begin(t, whole, 0)
+	j, _, stop := begin(t, whole, 0)
 	play(j, calls)
 	stop()
 	size := 0
@@ -134,7 +134,7 @@
 	}
 	require.Greater(t, len(whole.files), 2, "it goes over several segments")
 	check := func(m *memory, what string) {
-		j, _, _, stop := begin(t, m, 0)
+		j, _, stop := begin(t, m, 0)
 		begun, ended := play(j, calls)
 		stop()
 		for _, lost := range []int{0, 1, 17, 1 << 20} {
@@ -151,7 +151,7 @@
 				require.False(t, ended[name] && (k.Running || !k.Served || string(k.Body.([]byte)) != "body"), what)
 			}
 			after := m.crash(lost)
-			j, again, _, stop := begin(t, after, float64(calls))
+			j, again, stop := begin(t, after, float64(calls))
 			require.Equal(t, list, again)
 			ticket, err := j.Began(float64(calls), call(50))
 			require.NoError(t, err)
@@ -175,7 +175,7 @@
 func TestGoesOnAfterFailure(t *testing.T) {
 	m := newMemory()
 	m.syncs = 0
-	j, _, _, stop := begin(t, m, 0)
+	j, _, stop := begin(t, m, 0)
 	first, err := j.Began(0, call(1))
 	require.NoError(t, err)
 	require.ErrorIs(t, first.Wait(), errDisk)
@@ -198,7 +198,7 @@
 // read or changed, and against classes and tenants taken for others when the settings have changed their order.
 func TestForeignAndDamaged(t *testing.T) {
 	m := newMemory()
-	j, _, _, stop := begin(t, m, 0)
+	j, _, stop := begin(t, m, 0)
 	play(j, 3)
 	stop()
 	good := slices.Clone(m.files[form.Name(1)])
@@ -228,7 +228,7 @@
 	list, _, err = Read(m, set, 3+set.Keep+0.5)
 	require.NoError(t, err)
 	assert.Empty(t, list, "too old")
-	j, _, _, stop = begin(t, m, 3+3*set.Keep)
+	j, _, stop = begin(t, m, 3+3*set.Keep)
 	defer stop()
 	ticket, err := j.Began(3+3*set.Keep, call(9))
 	require.NoError(t, err)
@@ -240,7 +240,7 @@
 // unnoticed.
 func TestOnDisk(t *testing.T) {
 	dir := segments.Disk{Path: t.TempDir()}
-	j, _, _, stop := begin(t, dir, 0)
+	j, _, stop := begin(t, dir, 0)
 	for i := range 200 {
 		ticket, err := j.Began(float64(i)*100, call(i))
 		require.NoError(t, err)
@@ -309,7 +309,7 @@
 // removed while what they hold was promised; and against records of the release before, which say nothing of windows.
 func TestWindowsOverARestart(t *testing.T) {
 	m := newMemory()
-	j, _, _, stop := begin(t, m, 0)
+	j, _, stop := begin(t, m, 0)
 	long := call(0)
 	long.Windows = &repeats.Windows{Answered: 5000, Doubt: 70}
 	for _, c := range []repeats.Call{long, call(2)} {
@@ -329,7 +329,7 @@
 			assert.Equal(t, "body", string(list[0].Body.([]byte)))
 		}
 	}
-	j, _, _, stop = begin(t, m, 1500)
+	j, _, stop = begin(t, m, 1500)
 	for i := range 30 {
 		ticket, err := j.Began(1500+100*float64(i), call(10+i))
 		require.NoError(t, err)
--- a/internal/repeats/repeats_test.go
+++ b/internal/repeats/repeats_test.go
@@ -173,7 +173,7 @@
 	owed []func()
 }
 
-func (l *late) End(now float64, ref Ref, how End, body any, size int) {
+func (l *late) End(now float64, ref Ref, how End, _ any, size int) {
 	l.owed = append(l.owed, func() { l.Book.End(now, ref, how, "another", size) })
 }
 
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -222,11 +222,11 @@
 		return s.peers[who].net.Close()
 	case who == "d":
 		return s.list(rest)
-	case strings.Contains("rst", who[:1]) && verb == "expect" && rest != "close":
+	case strings.IndexByte("rst", who[0]) >= 0 && verb == "expect" && rest != "close":
 		return s.expectCall(who, s.calls, rest)
-	case strings.Contains("abcefg", who[:1]) && rest == "refused":
+	case strings.IndexByte("abcefg", who[0]) >= 0 && rest == "refused":
 		return s.refused()
-	case strings.Contains("abcefg", who[:1]) && verb == "send":
+	case strings.IndexByte("abcefg", who[0]) >= 0 && verb == "send":
 		return s.request(who, rest)
 	}
 	p := s.peers[who]
@@ -349,7 +349,7 @@
 	for end := time.Now().Add(patience); time.Now().Before(end); {
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
-			return nil
+			return nil //nolint:nilerr // to be refused is what is waited for
 		}
 		_ = c.Close()
 		time.Sleep(time.Millisecond) // many at once would have others make room
--- a/internal/south/carrier/upload.go
+++ b/internal/south/carrier/upload.go
@@ -56,7 +56,7 @@
 				return 0, nil
 			}
 			continue
-		case err == io.EOF:
+		case err == io.EOF: //nolint:errorlint // this very value says whole, a wrapped one would be of a body that broke off
 			if body.Chunked && !write([]byte(http1.LastChunk)) {
 				return 0, errHost
 			}
--- a/internal/south/thrifthost/thrifthost_test.go
+++ b/internal/south/thrifthost/thrifthost_test.go
@@ -77,10 +77,11 @@
 	p := peer(f, buf)
 	do := func(err error) { require.NoError(t, err) }
 	do(p.WriteMessageBegin(ctx, method, kind, seq))
-	if kind == official.EXCEPTION {
+	switch {
+	case kind == official.EXCEPTION:
 		x := official.NewTApplicationException(int32(field), "no")
 		do(x.Write(ctx, p))
-	} else if field >= 0 {
+	case field >= 0:
 		if field == 0 {
 			do(p.WriteFieldBegin(ctx, "", official.STRING, 0))
 		} else {
@@ -88,7 +89,7 @@
 		}
 		write(p)
 		do(p.WriteFieldStop(ctx))
-	} else {
+	default:
 		do(p.WriteFieldStop(ctx))
 	}
 	do(p.Flush(ctx))
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -112,14 +112,15 @@
 			x.toGiver = x.toGiver[:rapid.IntRange(0, len(x.toGiver)).Draw(p.t, "arrives")]
 		}
 	case 14:
-		if rapid.IntRange(0, 3).Draw(p.t, "kill giver") == 0 {
+		switch {
+		case rapid.IntRange(0, 3).Draw(p.t, "kill giver") == 0:
 			p.giverDead, p.accepts, p.holds = true, false, false
 			for _, x := range p.takers {
 				x.up, x.toGiver = false, nil
 			}
-		} else if rapid.IntRange(0, 3).Draw(p.t, "stop") == 0 && !p.giverDead {
+		case rapid.IntRange(0, 3).Draw(p.t, "stop") == 0 && !p.giverDead:
 			p.giverDoes(p.giver.Stop(p.now))
-		} else if p.giver.Stopping() && rapid.Bool().Draw(p.t, "close") {
+		case p.giver.Stopping() && rapid.Bool().Draw(p.t, "close"):
 			p.accepts, p.gone = false, true
 		}
 	case 15:
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -83,7 +83,7 @@
 	Depth   int // structs, lists, sets and maps within each other
 }
 
-// The limits of the platform's messages.
+// DefaultLimits are the limits of the platform's messages.
 var DefaultLimits = Limits{Message: 64<<10 + 4<<10, Header: 16 << 10, Depth: 64}
 
 // What can be wrong with a message.
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -22,8 +22,8 @@
 
 // peer is the official library's protocol over a buffer, in a form.
 func peer(f Form, buf *official.TMemoryBuffer) official.TProtocol {
-	conf := &official.TConfiguration{TBinaryStrictRead: official.BoolPtr(f.Protocol == Binary),
-		TBinaryStrictWrite: official.BoolPtr(f.Protocol == Binary)}
+	conf := &official.TConfiguration{TBinaryStrictRead: new(f.Protocol == Binary),
+		TBinaryStrictWrite: new(f.Protocol == Binary)}
 	var t official.TTransport = buf
 	switch {
 	case f.Transport == Header && f.Protocol == Compact:
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -100,19 +100,19 @@
 func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(pilot.Source, []pilot.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
-	set := inventory.Settings{Settings: set.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
+	settings := inventory.Settings{Settings: set.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
 		l.writer = &last.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() last.Record { return l.keeper.Record() },
 			Every: func() float64 { return l.every.Load().Ms }}
-		set.Last = l.writer.Changed
+		settings.Last = l.writer.Changed
 	}
 	var err error
-	if l.keeper, err = inventory.New(set, l.clock, l.log); err != nil {
+	if l.keeper, err = inventory.New(settings, l.clock, l.log); err != nil {
 		return nil, err
 	}
 	first := watch.First
-	for i, src := range set.Sources {
+	for i, src := range settings.Sources {
 		feed := l.keeper.Feed(i)
 		asked := inventory.Asked{Feed: feed, Start: l.clock.Now()}
 		switch src.Name {
@@ -145,11 +145,11 @@
 
 // callSpread is the time in milliseconds over which the calls for the list of all nodes are spread, where it comes only
 // when asked for and one service has it for all of them.
-func callSpread(set *decide.Settings) float64 {
-	if !set.Ask || set.Nodes < 2 {
+func callSpread(s *decide.Settings) float64 {
+	if !s.Ask || s.Nodes < 2 {
 		return 0
 	}
-	return set.AskSpread().Seconds() * 1000
+	return s.AskSpread().Seconds() * 1000
 }
 
 // tune lets options hold from now on.
@@ -266,7 +266,7 @@
 	s.lists.writer = nil // the file of the last good list is the node's
 	s.lists.run(ctx, &work)
 	work.Wait()
-	s.loop.Stop()
+	s.loop.Stop() //nolint:contextcheck // it waits for its goroutines, whatever ended ctx
 }
 
 // Asked is closed once each source was asked first, well or not.
--- a/node/moments_test.go
+++ b/node/moments_test.go
@@ -192,7 +192,7 @@
 // Guards against nodes that wait for each other's calls when many are started at once while discovery is silent.
 func TestManyNodesAreReadyWhileDiscoveryIsSilent(t *testing.T) {
 	for i := range 20 {
-		s, n := startTuned(t, Extras{}, 256, func(s *script.Stage, conf map[string]any) {
+		s, n := startTuned(t, Extras{}, 256, func(_ *script.Stage, conf map[string]any) {
 			conf["name"] = fmt.Sprint("n", i)
 			conf["settings"] = json.RawMessage(strings.Replace(asking(settings), `"my_number":0`, fmt.Sprintf(`"my_number":%d`, i), 1))
 		}, nil)
--- a/node/node.go
+++ b/node/node.go
@@ -71,12 +71,15 @@
 	return file, nil
 }
 
-// The life of a call, for an embedder that adds stages of its own.
+// Call and the types beside it are the life of a call, for an embedder that adds stages of its own.
 type (
-	Call    = core.Call
-	Answer  = core.Answer
+	Call = core.Call
+	// Answer is what a call ends with.
+	Answer = core.Answer
+	// Handler takes a call and gives its answer.
 	Handler = core.Handler
-	Stage   = core.Stage
+	// Stage wraps a handler.
+	Stage = core.Stage
 )
 
 // The kinds of answer, and whose fault one is that was not served; see core.
@@ -633,14 +636,14 @@
 			close(beat)
 			beat = nil
 		}
-		stop := n.clock.At(min(next, n.clock.Now()+longestNap), n.wake)
+		quiet := n.clock.At(min(next, n.clock.Now()+longestNap), n.wake)
 		select {
 		case <-n.poke:
-			stop()
+			quiet()
 		case beat = <-n.beats:
-			stop()
+			quiet()
 		case <-ctx.Done():
-			stop()
+			quiet()
 			return
 		}
 	}
