--- a/cmd/drill/serve.go
+++ b/cmd/drill/serve.go
@@ -50,13 +50,13 @@
 	var long []byte
 	for n := 1; ; n++ {
 		line, err := readLine(r, &long)
-		if err == io.EOF && len(line) == 0 {
+		if errors.Is(err, io.EOF) && len(line) == 0 {
 			if s.inBatch {
 				return fmt.Errorf("line %d: %w", n, errCutOff)
 			}
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: reading: %w", n, err)
 		}
 		flush, err := s.line(line)
@@ -74,9 +74,9 @@
 // readLine returns the next line without its end; it lives until the next call.
 func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
-	if err == bufio.ErrBufferFull {
+	if errors.Is(err, bufio.ErrBufferFull) {
 		*long = (*long)[:0]
-		for err == bufio.ErrBufferFull {
+		for errors.Is(err, bufio.ErrBufferFull) {
 			*long = append(*long, line...)
 			line, err = r.ReadSlice('\n')
 		}
--- a/cmd/linenwheel-etcd/main.go
+++ b/cmd/linenwheel-etcd/main.go
@@ -11,7 +11,6 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
 	again := make(chan os.Signal, 1) // a signal that comes while one waits here is the same news
 	signal.Notify(again, syscall.SIGHUP)
 	status := run(ctx, os.Args[1:], os.Getenv, os.Stdout, os.Stderr, again)
--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -222,7 +222,7 @@
 			return fmt.Errorf("answering nodes: %w", err)
 		case <-ctx.Done():
 			manager.Stopping("ending")
-			end, stop := context.WithTimeout(context.Background(), endLimit)
+			end, stop := context.WithTimeout(context.WithoutCancel(ctx), endLimit)
 			defer stop()
 			if server.Shutdown(end) != nil { // calls that wait for changes
 				_ = server.Close()
--- a/cmd/linenwheel-keep/main.go
+++ b/cmd/linenwheel-keep/main.go
@@ -121,7 +121,7 @@
 }
 
 // recoverFleet tells what one keeper has left of a fleet, and goes on with it where that is wanted.
-func recoverFleet(set keeper.Settings, look func() (keeper.Rest, error), yes bool, log *slog.Logger, out io.Writer) error {
+func recoverFleet(set keeper.Settings, look func() (keeper.Rest, error), yes bool, logger *slog.Logger, out io.Writer) error {
 	r, err := look()
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		fmt.Fprintf(out, "Nothing was done. With -yes the fleet %q goes on with this; then give its name to all nodes, and add keepers.\n", set.Fleet)
 		return nil
 	}
-	kept, err := keeper.Recover(set, r, log)
+	kept, err := keeper.Recover(set, r, logger)
 	if err == nil {
 		fmt.Fprintf(out, "The fleet %q goes on with this keeper alone.\n", set.Fleet)
 	}
--- a/cmd/linenwheel-keep/page_test.go
+++ b/cmd/linenwheel-keep/page_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, built.Look())
 	programs, err := built.Programs(false, "linenwheel", "linenwheel-keep")
 	require.NoError(t, err)
-	defer os.RemoveAll(programs)
+	defer func() { _ = os.RemoveAll(programs) }()
 	read := func(path string) string {
 		text, err := os.ReadFile(filepath.Join("..", "..", path))
 		require.NoError(t, err)
--- a/cmd/linenwheel-lab/load_test.go
+++ b/cmd/linenwheel-lab/load_test.go
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	go server.Serve(l)
+	go func() { _ = server.Serve(l) }() // until Close
 	var out, errs bytes.Buffer
 	status := run(context.Background(), []string{"load", "-to", "http://" + l.Addr().String() + "/x?y=1", "-clients", "2",
 		"-requests", "50", "-warmup", "0", "-late", "1h", "-json", "-"}, streams{&out, &errs})
--- a/cmd/linenwheel-lab/policies.go
+++ b/cmd/linenwheel-lab/policies.go
@@ -59,7 +59,7 @@
 			if set.Dir, err = os.MkdirTemp("", "policies"); err != nil {
 				return err
 			}
-			defer os.RemoveAll(set.Dir)
+			defer func() { _ = os.RemoveAll(set.Dir) }()
 			r, err := policies.Play(ctx, set)
 			if err != nil {
 				return err
--- a/cmd/linenwheel-lab/refereecheck.go
+++ b/cmd/linenwheel-lab/refereecheck.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(dir)
+			defer func() { _ = os.RemoveAll(dir) }()
 			bad := 0
 			report := func(r check.Result) {
 				word := "ok   "
--- a/cmd/linenwheel-lab/report.go
+++ b/cmd/linenwheel-lab/report.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	r, err := report.ReadJSON(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
--- a/cmd/linenwheel-lab/run.go
+++ b/cmd/linenwheel-lab/run.go
@@ -249,7 +249,7 @@
 		if dir, err = os.MkdirTemp("", "linenwheel-lab-"); err != nil {
 			return run, err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }()
 	} else {
 		dir = filepath.Join(dir, fmt.Sprintf("%s-%d", e.Name, seed))
 	}
--- a/cmd/linenwheel-lab/run_test.go
+++ b/cmd/linenwheel-lab/run_test.go
@@ -24,7 +24,6 @@
 		os.Exit(m.Run())
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	defer stop()
 	conf, err := node.Load(os.Getenv)
 	if err == nil {
 		var n *node.Node
@@ -32,6 +31,7 @@
 			err = n.Run(ctx)
 		}
 	}
+	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -90,14 +90,14 @@
 // TestCommandLines guards against a wrong file or flag that is taken for a run that failed, or passes in silence.
 func TestCommandLines(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
-	require.NoError(t, os.WriteFile(bad, []byte("site = \"rating\"\nnodes = 2\nlenght = \"4s\"\n"), 0o600))
+	require.NoError(t, os.WriteFile(bad, []byte("site = \"rating\"\nnodes = 2\nlenght = \"4s\"\n"), 0o600)) //nolint:misspell // it is meant to be wrong
 	for _, c := range []struct {
 		args   []string
 		status int
 		says   string
 	}{
 		{[]string{"list"}, 0, "shared_slow"},
-		{[]string{"run", bad}, 2, "bad.toml:3: lenght: unknown field"},
+		{[]string{"run", bad}, 2, "bad.toml:3: lenght: unknown field"}, //nolint:misspell // it is meant to be wrong
 		{[]string{"run", "no-such"}, 2, "no experiment"},
 		{[]string{"run", "calm", "-seed", "x"}, 2, "no seed"},
 		{[]string{"run", "calm", "slow"}, 2, "one experiment"},
--- a/cmd/linenwheel-lab/selfcheck.go
+++ b/cmd/linenwheel-lab/selfcheck.go
@@ -101,7 +101,7 @@
 	line, err := bufio.NewReader(out).ReadString('\n')
 	target, ok := strings.CutPrefix(strings.TrimSpace(line), nullReady)
 	if err != nil || !ok {
-		return nil, 0, fmt.Errorf("the null server said %q (%v)", line, err)
+		return nil, 0, fmt.Errorf("the null server said %q (%v)", line, err) //nolint:errorlint // there may be none
 	}
 	if r, err = drive.Run(ctx, p, drive.Settings{Target: target, Spin: 0.05}); err != nil {
 		return nil, 0, err
--- a/cmd/linenwheel/newcomer_test.go
+++ b/cmd/linenwheel/newcomer_test.go
@@ -27,7 +27,7 @@
 
 // withDead has discovery name a further rater, which refuses connections.
 func (s *site) withDead() {
-	r := must(http.Get("http://" + s.discovery))
+	r := must(http.Get("http://" + s.discovery)) //nolint:bodyclose // it is closed below; must hides it
 	text := string(must(io.ReadAll(r.Body)))
 	_ = r.Body.Close()
 	text = strings.Replace(text, `"endpoints":[`, fmt.Sprintf(`"endpoints":[{"name":"dead","address":%q,"zone":"z","type":"k",
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -321,10 +321,10 @@
 			m.Replaces = old.ID
 		}
 	}
-	switch {
-	case m.Replaces == 0:
+	switch m.Replaces {
+	case 0:
 		return fmt.Errorf("peers: nothing was changed: no keeper votes as %q: add it", m.Name)
-	case m.Replaces == m.ID:
+	case m.ID:
 		return fmt.Errorf("peers: nothing was changed: %s still has its directory, and votes", m.Name)
 	}
 	return s.enrol(ctx, f, m)
--- a/cmd/linenwheel/process_test.go
+++ b/cmd/linenwheel/process_test.go
@@ -319,7 +319,7 @@
 func TestUnderAManager(t *testing.T) {
 	s := newSite(t)
 	l := must(net.ListenUnixgram("unixgram", &net.UnixAddr{Net: "unixgram", Name: filepath.Join(s.dir, "notify")}))
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	told := func(want string) {
 		b := make([]byte, 4096)
 		for {
--- a/cmd/linenwheel/serve.go
+++ b/cmd/linenwheel/serve.go
@@ -46,6 +46,7 @@
 			}
 		}
 	}
+	//nolint:contextcheck // a node ends by its signals, for a command's context is never done
 	return daemon.Run(set, daemon.Signals{End: signals(syscall.SIGTERM, syscall.SIGINT), Reload: reload, Roll: roll})
 }
 
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -307,19 +307,20 @@
 func (k *keeper) deal(a *asking) {
 	r := &a.request
 	var err error
-	if r.Want == talk.Do {
+	switch r.Want {
+	case talk.Do:
 		c := ledger.Command{Session: r.Session, Number: r.Number, Done: r.Done, Part: r.Part, Body: r.Body}
 		if err = k.group.Propose(k.w.now, c); err == nil {
 			k.waiting[key{r.Session, r.Number}] = a
 			return
 		}
-	} else if r.Want == talk.Wait {
+	case talk.Wait:
 		if err = group.ErrNotLeader; k.group.Leads() {
 			k.waits = append(slices.DeleteFunc(k.waits, func(earlier *asking) bool { return earlier.node == a.node }), a)
 			k.hint()
 			return
 		}
-	} else {
+	default:
 		k.number++
 		if err = k.group.Read(k.number); err == nil {
 			k.reads[k.number] = a
--- a/lab/duplicates/fleet.go
+++ b/lab/duplicates/fleet.go
@@ -131,6 +131,7 @@
 	}
 }
 
+//nolint:funlen // one case a kind, each a few lines
 func (w *world) strike(kind string, f *Fleet, c *circle.Circle, nodes []*child, luck *rand.Rand, pause func(time.Duration)) error {
 	ctx, stop := context.WithTimeout(context.Background(), faultLimit) // faults are ended even when the play is over
 	defer stop()
--- a/lab/etcdtest/etcdtest_test.go
+++ b/lab/etcdtest/etcdtest_test.go
@@ -51,7 +51,7 @@
 }
 
 // gather gives so many things that a watch says, in however many responses.
-func gather(t *testing.T, w clientv3.WatchChan, n int) (list []string) {
+func gather(t *testing.T, w clientv3.WatchChan, n int) (list []string) { //nolint:unparam // how many is part of what each test says
 	for len(list) < n {
 		list = append(list, said(next(t, w))...)
 	}
--- a/lab/heirs/heirs.go
+++ b/lab/heirs/heirs.go
@@ -184,13 +184,13 @@
 			late := t.before && t.began.After(p.over)
 			here = here || running && t.before
 			there = there || running && !t.before && t.began.After(p.over)
-			switch {
-			case t.Status == 200:
+			switch t.Status {
+			case 200:
 				o.Told++
 				bodies[t.Body] = true
-			case t.Status == 409:
+			case 409:
 				o.Doubtful++
-			case t.Status == 503 || t.Status == 429:
+			case 503, 429:
 				o.Refused++
 				if p.Ran(t.name) {
 					o.Untrue++
--- a/lab/holiday/main.go
+++ b/lab/holiday/main.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	// The lab goes before the nodes where both want a core: it is the clock.
 	command := "nice -n 10 " + linenwheel + ` serve -takeover "${ROUTER_CONFIG%config.json}s"`
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Minute)
@@ -247,18 +247,18 @@
 }
 
 // between compares nodes by what they send each rater: the deviation beyond what chance gives, in parts of the mean.
-func between(sends []float64, nodes int) float64 {
+func between(sends []float64, count int) float64 {
 	total, sum := 0.0, 0.0
-	for r := 0; r < len(sends); r += nodes {
+	for r := 0; r < len(sends); r += count {
 		n, squares := 0.0, 0.0
-		for _, x := range sends[r : r+nodes] {
+		for _, x := range sends[r : r+count] {
 			n, squares = n+x, squares+x*x
 		}
 		if n == 0 {
 			continue
 		}
-		mean := n / float64(nodes)
-		total, sum = total+n, sum+n*math.Sqrt(max(0, squares/float64(nodes)-mean*mean-mean))/mean
+		mean := n / float64(count)
+		total, sum = total+n, sum+n*math.Sqrt(max(0, squares/float64(count)-mean*mean-mean))/mean
 	}
 	return sum / max(total, 1)
 }
--- a/lab/life/courses.go
+++ b/lab/life/courses.go
@@ -92,6 +92,8 @@
 }
 
 // step makes one of a course's.
+//
+//nolint:funlen // one case a kind, each a few lines
 func (p *play) step(ctx context.Context, s Step) error {
 	n, keeper, wait := p.node(s.Luck>>8), fmt.Sprint("k", s.Luck%uint64(p.set.Keepers)), time.Duration(s.For*1e6)
 	switch s.Kind {
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -430,6 +430,8 @@
 }
 
 // strike makes one fault and ends it.
+//
+//nolint:funlen // one case a kind, each a few lines
 func (p *play) strike(s Step) error {
 	ctx, stop := context.WithTimeout(p.ctx, settles)
 	defer stop()
--- a/lab/live/agents/agents.go
+++ b/lab/live/agents/agents.go
@@ -259,7 +259,7 @@
 func (a *agent) accept(o *door, raw net.Conn) {
 	d := a.all
 	c := d.stage.Net.Link(world.Party{Kind: world.DiscoveryParty}, nodeParty(a.node)).Wrap(raw)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	o.mu.Lock()
 	o.open[c] = struct{}{}
 	o.mu.Unlock()
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -53,6 +53,8 @@
 )
 
 // Play plays a day until its last request is settled, or ctx ends.
+//
+//nolint:funlen // what a day needs, set up in order and taken down
 func Play(ctx context.Context, day *world.Day, o Options) (*Outcome, error) {
 	st := stage.New(day)
 	ip, err := newNetwork(day)
--- a/lab/live/proc/proc.go
+++ b/lab/live/proc/proc.go
@@ -199,7 +199,7 @@
 	if err != nil {
 		return u, err
 	}
-	defer open.Close()
+	defer func() { _ = open.Close() }() // it was only read
 	names, err := open.Readdirnames(-1)
 	u.Descriptors = len(names)
 	return u, err
--- a/lab/live/raters/raters.go
+++ b/lab/live/raters/raters.go
@@ -136,7 +136,7 @@
 	h := f.hosts[s.Rater]
 	switch s.Do {
 	case world.StartRater:
-		f.each(h, func(node int, sp *spot) {
+		f.each(h, func(node int, _ *spot) {
 			l := f.link(h, node)
 			l.Reset() // a machine that is back knows none of its old connections
 			if h.muted {
--- a/lab/live/rude/rude.go
+++ b/lab/live/rude/rude.go
@@ -183,9 +183,10 @@
 	class := &d.Classes[0]
 	r := &stage.Request{ID: v.c.id(), Rude: true, Class: class.Name, Method: "POST", Target: "/" + class.Name + "/rude",
 		Body: []byte(`{"rude":1}`)}
-	if class.Effect == world.Safe {
+	switch class.Effect {
+	case world.Safe:
 		r.Method, r.Body = "GET", nil
-	} else if class.Effect == world.Keyed {
+	case world.Keyed:
 		r.Key = stage.ID(r.ID) + stage.ID(r.ID)
 	}
 	return r
--- a/lab/load/drive/drive_linux_test.go
+++ b/lab/load/drive/drive_linux_test.go
@@ -61,7 +61,7 @@
 	require.NoError(t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	go server.Serve(l)
+	go func() { _ = server.Serve(l) }() // until Close
 	r := play(t, clients(t, 8, 400, nil), l.Addr().String())
 	require.NoError(t, server.Close())
 	require.Empty(t, r.Void)
@@ -92,7 +92,7 @@
 		switch n {
 		case 1: // answers once, then reads the next one and closes
 			read(c)
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			second.Store(read(c).Header.Get("Req-Id"))
 		case 2:
 			third.Store(read(c).Header.Get("Req-Id"))
@@ -113,12 +113,12 @@
 // Guards the names of errors: each way in which a server can fail is told as what it is.
 func TestErrorsByKind(t *testing.T) {
 	for want, handle := range map[string]func(net.Conn){
-		"reset":     func(c net.Conn) { c.Read(make([]byte, 1)) },
-		"garbled":   func(c net.Conn) { io.WriteString(c, "220 mail ready\r\n\r\n"); io.Copy(io.Discard, c) },
-		"timed out": func(c net.Conn) { io.Copy(io.Discard, c) },
+		"reset":     func(c net.Conn) { _, _ = c.Read(make([]byte, 1)) },
+		"garbled":   func(c net.Conn) { _, _ = io.WriteString(c, "220 mail ready\r\n\r\n"); _, _ = io.Copy(io.Discard, c) },
+		"timed out": func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
 		"": func(c net.Conn) {
-			c.Read(make([]byte, 1))
-			io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+			_, _ = c.Read(make([]byte, 1))
+			_, _ = io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 		},
 	} {
 		target := serve(t, func(_ int, c net.Conn) { handle(c) })
@@ -143,9 +143,9 @@
 func TestInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	target := serve(t, func(_ int, c net.Conn) {
-		c.Read(make([]byte, 1))
+		_, _ = c.Read(make([]byte, 1))
 		cancel()
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 	})
 	p := clients(t, 1, 0, func(p *load.Plan) { p.Mix.Classes = p.Mix.Classes[:1] })
 	r, err := Run(ctx, p, Settings{Target: target, Workers: 1})
--- a/lab/load/drive/worker_linux.go
+++ b/lab/load/drive/worker_linux.go
@@ -138,7 +138,7 @@
 			w.drop(c)
 		}
 	}
-	unix.Close(w.poller)
+	_ = unix.Close(w.poller)
 }
 
 func (w *worker) now() float64 { return since(w.started) }
@@ -284,13 +284,13 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	err = unix.Connect(fd, w.address)
 	if err != nil && !errors.Is(err, unix.EINPROGRESS) {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 		w.refused(f)
 		return
 	}
 	c := w.register(fd)
 	if c == nil {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 		w.refused(f)
 		return
 	}
@@ -330,7 +330,7 @@
 	if c.fd < 0 {
 		return
 	}
-	unix.Close(c.fd)
+	_ = unix.Close(c.fd)
 	c.fd, c.flight = -1, nil
 	w.open--
 	w.unused = append(w.unused, c.slot)
--- a/lab/load/result.go
+++ b/lab/load/result.go
@@ -218,7 +218,7 @@
 	}
 	row("taken up late", r.Lateness.Own)
 	row("sent late", r.Lateness.Sent)
-	table.Flush()
+	_ = table.Flush() // into a buffer
 
 	for _, class := range r.Classes {
 		for k := range kinds {
--- a/lab/long/main.go
+++ b/lab/long/main.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	rater, err := serve(http.HandlerFunc(r.answer))
 	if err != nil {
 		return err
--- a/lab/points/points.go
+++ b/lab/points/points.go
@@ -294,7 +294,7 @@
 func (r *rig) runs(n int) func() bool { return func() bool { return r.held().Running == n } }
 
 // burn ends a node outright, with all that it had, and starts it on an empty machine.
-func (r *rig) burn(at int) {
+func (r *rig) burn(at int) { //nolint:unparam // which node is part of what each point says
 	if err := r.nodes[at].Burn(); err != nil {
 		r.fault("%v", err)
 	}
--- a/lab/policies/policies.go
+++ b/lab/policies/policies.go
@@ -282,6 +282,8 @@
 	"leader deaf", "all nodes killed", "keeper's older copy"}
 
 // strike makes one fault and waits until it is over.
+//
+//nolint:funlen // one case a kind, each a few lines
 func (p *play) strike(ctx context.Context, luck *rand.Rand) {
 	kinds := p.set.Kinds
 	if kinds == nil {
@@ -395,10 +397,10 @@
 			continue
 		}
 		c := call{began, p.ms(), odd, at}
-		switch {
-		case said.Status == 200:
+		switch said.Status {
+		case 200:
 			p.note("admitted", c, c.ended-wanted)
-		case said.Status == 429:
+		case 429:
 			c.odd = !odd // the other one is admitted
 			p.note("refused", c, c.ended-wanted)
 		default:
--- a/lab/referee/play_test.go
+++ b/lab/referee/play_test.go
@@ -219,11 +219,12 @@
 	delete(p.calls, e.Tag)
 	p.held[c.node][rater]--
 	r.Kind, r.How = record.Answered, record.AnswerServed
-	if e.What == world.Turned {
+	switch e.What {
+	case world.Turned:
 		r.How = record.AnswerTurned
-	} else if e.What == world.Failed {
+	case world.Failed:
 		r.How = record.AnswerError
-	} else {
+	default:
 		r.Value = c.try.ID ^ 99
 	}
 	p.saw(r)
--- a/lab/referee/tries.go
+++ b/lab/referee/tries.go
@@ -146,11 +146,12 @@
 			f.Work += a.work
 		case record.Answered:
 			a.answered, a.how, a.end = true, e.How, e.At
-			if e.How == record.AnswerServed || e.How == record.AnswerSurplus {
+			switch e.How {
+			case record.AnswerServed, record.AnswerSurplus:
 				f.Served++
-			} else if e.How == record.AnswerTurned {
+			case record.AnswerTurned:
 				f.Turned++
-			} else {
+			default:
 				f.Failed++
 			}
 			if a.end >= a.whole {
--- a/lab/report/chart/chart.go
+++ b/lab/report/chart/chart.go
@@ -458,7 +458,7 @@
 		panic(err) // a bytes.Buffer takes all
 	}
 	svg := b.String()
-	svg = svg[strings.Index(svg, "<svg "):]
+	svg = svg[max(0, strings.Index(svg, "<svg ")):]
 	head, rest, _ := strings.Cut(svg, ">")
 	// Where the font is missing, these have the same widths.
 	rest = strings.ReplaceAll(rest, "font-family:Liberation Sans;font-variant:normal;font-weight:normal;font-style:normal;",
@@ -524,9 +524,10 @@
 					{X: x + sampleWidth, Y: y + 4}, {X: x, Y: y + 4}})
 			default:
 				line := draw.LineStyle{Color: e.color, Width: 1.6}
-				if e.how == dashes {
+				switch e.how {
+				case dashes:
 					line.Dashes = []vg.Length{4, 2}
-				} else if e.how == dots {
+				case dots:
 					line.Dashes = []vg.Length{1, 2}
 				}
 				c.StrokeLine2(line, x, y, x+sampleWidth, y)
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -428,8 +428,8 @@
 
 // drained tells of a node that is ready and sends its clients away, as operators had ordered it.
 func (n *Node) drained() bool {
-	log := n.Log()
-	return bytes.Contains(log, []byte("drained=true")) && bytes.Contains(log, []byte("the node is ready"))
+	text := n.Log()
+	return bytes.Contains(text, []byte("drained=true")) && bytes.Contains(text, []byte("the node is ready"))
 }
 
 // Log is what the node has said since it was started last.
--- a/lab/thriftpeers/peers.go
+++ b/lab/thriftpeers/peers.go
@@ -135,7 +135,7 @@
 
 // Read is that of the library's TStruct.
 func (r *Result) Read(ctx context.Context, p thrift.TProtocol) error {
-	return fields(ctx, p, func(kind thrift.TType, id int16) (err error) {
+	return fields(ctx, p, func(_ thrift.TType, id int16) (err error) {
 		if id == 0 {
 			r.Value, err = p.ReadString(ctx)
 			return err
--- a/lab/world/arrivals.go
+++ b/lab/world/arrivals.go
@@ -183,7 +183,7 @@
 	var list []Arrival
 	for {
 		f, err := r.Read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		row, _ := r.FieldPos(0)
--- a/lab/world/fleet.go
+++ b/lab/world/fleet.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// Offer, Cancel, Connect, Disconnect are those of [Rater]. The fleet must have been advanced to now.
+// Offer is that of [Rater], as Cancel, Connect and Disconnect are. The fleet must have been advanced to now.
 func (f *Fleet) Offer(now float64, rater int, a Attempt) Ticket {
 	t := f.raters[rater].Offer(now, a)
 	f.moved(int32(rater))
--- a/lab/world/plan.go
+++ b/lab/world/plan.go
@@ -52,7 +52,8 @@
 	}
 	part := or(s.Part, k.part).Draw(rng)
 	var err error
-	if k.whom == RaterParty {
+	switch k.whom {
+	case RaterParty:
 		named := s.Raters
 		if s.Zone != "" {
 			if named, err = d.inZone(s.Zone); err != nil {
@@ -60,7 +61,7 @@
 			}
 		}
 		t.Raters, err = chosen(rng, named, part, d.AtStart, "raters")
-	} else if k.whom == NodeParty {
+	case NodeParty:
 		t.Nodes, err = chosen(rng, s.Nodes, part, d.Nodes, "nodes")
 	}
 	if err != nil || len(k.between) == 0 {
@@ -128,6 +129,8 @@
 }
 
 // compile adds a trouble's steps to the plan, and to the lists of what has no steps.
+//
+//nolint:funlen // one case a kind, each a few lines
 func (d *Day) compile(rng *rand.Rand, n int) {
 	t := &d.Troubles[n]
 	step := func(at float64, do Do, rater, node int, size float64) {
@@ -138,9 +141,10 @@
 	switch t.Kind {
 	case Slow, SharedSlow, Errors:
 		do, on, off := SetSlow, t.Size, 1.0
-		if t.Kind == SharedSlow {
+		switch t.Kind {
+		case SharedSlow:
 			do = SetShared
-		} else if t.Kind == Errors {
+		case Errors:
 			do, on, off = SetErrors, t.Share, 0
 		}
 		for _, r := range t.Raters {
--- a/lab/world/rater.go
+++ b/lab/world/rater.go
@@ -157,10 +157,14 @@
 // Share is the part of its capacity that it has at this moment: below 1 while it is cold.
 func (r *Rater) Share() float64 { return r.share }
 
-// Held is the number of requests that run, Waiting that of those in the waiting room, Conns that of connections.
-func (r *Rater) Held() int    { return r.held }
+// Held is the number of requests that run.
+func (r *Rater) Held() int { return r.held }
+
+// Waiting is the number of requests in the waiting room.
 func (r *Rater) Waiting() int { return r.waitq.len() }
-func (r *Rater) Conns() int   { return r.conns }
+
+// Conns is the number of connections.
+func (r *Rater) Conns() int { return r.conns }
 
 // Ability is the work that it does in a millisecond if enough requests run now, in yardstick cores: what a balancer
 // that saw everything would go by. 0 while it is down or stands still.
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -56,7 +56,7 @@
 	SlowReader = "slow_reader" // the first party reads Rate bytes a second
 )
 
-// Ways of rude clients.
+// RudeWays are the ways of rude clients.
 var RudeWays = []string{"unreadable", "endless", "too_large", "half", "flood", "silent", "wrong_length",
 	"no_id", "stolen_id", "no_class", "bad_deadline", "smuggled", "again"}
 
--- a/lab/wrong/wrong.go
+++ b/lab/wrong/wrong.go
@@ -373,7 +373,7 @@
 	case <-ctx.Done():
 	}
 	if fault == Drops {
-		os.Exit(0)
+		os.Exit(0) //nolint:gocritic // this fault is to end outright
 	}
 	n.mu.Lock()
 	n.stopping = true
--- a/test/peers/clients.go
+++ b/test/peers/clients.go
@@ -345,7 +345,7 @@
 
 // told adds what a program wrote about its error.
 func told(err error) error {
-	if e, ok := err.(*exec.ExitError); ok {
+	if e := (*exec.ExitError)(nil); errors.As(err, &e) {
 		return fmt.Errorf("%w: %s", err, bytes.TrimSpace(e.Stderr))
 	}
 	return err
