--- a/lab/circle/circle_test.go
+++ b/lab/circle/circle_test.go
@@ -82,16 +82,16 @@
 	}
 	assert.Equal(t, "k3: it is down", r.States[3])
 
-	c, err := New([]string{"still", "ended"}, Options{Program: program, Dir: t.TempDir()})
+	c, err := New([]string{"still", "ended", "down"}, Options{Program: program, Dir: t.TempDir()}) // two would be refused, and end
 	require.NoError(t, err)
 	defer c.Close()
-	c.founders = []string{"still", "ended"}
-	for _, k := range c.keepers {
+	c.founders = []string{"still", "ended", "down"}
+	for _, k := range c.keepers[:2] {
 		require.NoError(t, c.Start(k.name))
 	}
 	c.Pause("still", true)
 	c.find("ended").process.Kill()
-	assert.Equal(t, []string{"still: it stands still", "ended: it was ended by killed"}, c.states())
+	assert.Equal(t, []string{"still: it stands still", "ended: it was ended by killed", "down: it is down"}, c.states())
 
 	stop() // before the keepers are founded
 	r, err = Play(ctx, s, Options{Program: program, Dir: t.TempDir()})
