--- a/node/node.go
+++ b/node/node.go
@@ -177,7 +177,7 @@
 // New makes a node and listens; it serves once Run is called.
 func New(conf *Config, extra Extras) (*Node, error) { return newNode(conf, extra, clock.NewSystem()) }
 
-func newNode(conf *Config, extra Extras, c clock.Clock) (*Node, error) {
+func newNode(conf *Config, extra Extras, c clock.Clock) (made *Node, err error) {
 	o := DefaultOptions()
 	if extra.Options != nil {
 		o = *extra.Options
@@ -197,7 +197,6 @@
 	n.log = logger.With("part", "node")
 	n.figures, n.budget = figures.New(classNames(conf)), flow.NewBudget(bodiesBudget(conf, &o))
 	sparse := log.Sparse(logger, c, &n.flood)
-	var err error
 	set, seed := conf.Settings, conf.Seed
 	set.Nodes, set.Node = o.Fleet.Place(conf.Name, set.Nodes, set.Node)
 	if n.fleet, n.phase = set.Nodes, chances(conf, set.Nodes); n.phase != nil {
@@ -217,21 +216,62 @@
 	if err != nil {
 		return nil, err
 	}
+	defer func() {
+		if err != nil {
+			n.abandon()
+		}
+	}()
 	n.pool = carrier.New(carrier.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
 		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.Attempt, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
 	n.gate = gate.New(worthFor(conf), drainTimes(&o), c)
+	stages, first, err := n.stages(&extra, &o, sparse)
+	if err != nil {
+		return nil, err
+	}
+	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
+	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
+	n.north = httpfront.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
+	side = n.north
+	n.gate.Hook(gate.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
+	close(ready)
+	if err := n.secondSide(set, seed, &o, room, calls, sparse); err != nil {
+		return nil, err
+	}
+	n.watch = &discovery.Watcher{Address: conf.Discovery, Limits: listLimits(conf, &o), Loop: n.loop, Clock: n.clock,
+		Log: sparse.With("part", "inventory"), Sink: plain{n.inventory}, Most: o.Inventory.Discovery.ListMost.Bytes,
+		Chance: chances(conf, n.fleet), Spread: callSpread(&set), Known: -1, First: first}
+	if len(conf.Known.Hosts) > 0 {
+		n.watch.Known = conf.Known.Index
+	}
+	if !o.Inventory.Plain() {
+		if n.lists, err = gather(conf, &o.Inventory, n.watch, n.inventory); err != nil {
+			return nil, err
+		}
+	}
+	n.apply(o)
+	if n.repeats != nil && n.guide == nil { // else no call begins before the first policy is known
+		n.repeats.Settle()
+	}
+	if err := n.open(); err != nil {
+		return nil, err
+	}
+	return n, nil
+}
+
+// stages makes what calls pass before they are decided, and what is told once each source and part of the fleet was heard.
+func (n *Node) stages(extra *Extras, o *Options, sparse *slog.Logger) (core.Stages, func(), error) {
 	stages := core.Stages{First: extra.First, Last: extra.Last}
+	var err error
 	if o.Quota.On {
 		if n.quota, err = n.divide(&o.Quota, sparse.With("part", "quota")); err != nil {
-			n.loop.Stop()
-			return nil, err
+			return stages, nil, err
 		}
 		stages.Quota = n.quota.Wrap
 	}
 	sources := len(o.Inventory.Sources())
 	if o.Peers.Fleet != "" {
-		n.peers = join(conf, &o.Peers)
+		n.peers = join(n.conf, &o.Peers)
 		sources++ // of what the node must have heard before it is ready
 		if n.quota != nil {
 			n.lease(&o.Quota)
@@ -244,49 +284,32 @@
 	if n.peers != nil {
 		n.peers.heard = first
 	}
-	n.own = o
+	n.own = *o
 	if o.Policy.On {
 		n.guide = n.guided(&o.Policy, first, sparse.With("part", "policy"))
 		stages.First = append([]Stage{n.guide.Wrap}, stages.First...)
 	}
 	if o.Repeats.On {
 		if n.repeats, err = n.recognise(&o.Repeats, sparse.With("part", "repeats")); err != nil {
-			n.loop.Stop()
-			return nil, err
+			return stages, nil, err
 		}
 		stages.Repeats = n.repeats.Wrap
 	}
-	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
-	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
-	n.north = httpfront.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
-	side = n.north
-	n.gate.Hook(gate.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
-	close(ready)
-	if err := n.secondSide(set, seed, &o, room, calls, sparse); err != nil {
-		n.loop.Stop()
-		return nil, err
-	}
-	n.watch = &discovery.Watcher{Address: conf.Discovery, Limits: listLimits(conf, &o), Loop: n.loop, Clock: n.clock,
-		Log: sparse.With("part", "inventory"), Sink: plain{n.inventory}, Most: o.Inventory.Discovery.ListMost.Bytes,
-		Chance: chances(conf, n.fleet), Spread: callSpread(&set), Known: -1, First: first}
-	if len(conf.Known.Hosts) > 0 {
-		n.watch.Known = conf.Known.Index
-	}
-	if !o.Inventory.Plain() {
-		if n.lists, err = gather(conf, &o.Inventory, n.watch, n.inventory); err != nil {
-			n.loop.Stop()
-			return nil, err
-		}
+	return stages, first, nil
+}
+
+// abandon lets go of what a node that was not made whole holds by now.
+func (n *Node) abandon() {
+	n.loop.Stop()
+	if n.thrift != nil && n.thrift.loop != nil {
+		n.thrift.loop.Stop()
 	}
-	n.apply(o)
-	if n.repeats != nil && n.guide == nil { // else no call begins before the first policy is known
-		n.repeats.Settle()
+	if n.peers != nil {
+		n.peers.log.Close()
 	}
-	if err := n.open(); err != nil {
-		n.loop.Stop()
-		return nil, err
+	if n.locked != nil {
+		_ = n.locked.Close() // it is empty
 	}
-	return n, nil
 }
 
 // Endings counts the final answers given so far, by kind and reason.
@@ -492,23 +515,9 @@
 	}
 	back, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var work, writing sync.WaitGroup
-	defer func() {
+	defer func() { //nolint:contextcheck // it waits for what ctx has ended
 		cancel()
-		n.shut()
-		n.pass.work.Wait()
-		work.Wait()
-		if n.peers != nil {
-			n.peers.log.Close()
-		}
-		n.loop.Stop()
-		if n.thrift != nil && n.thrift.loop != nil {
-			n.thrift.loop.Stop()
-		}
-		if n.journal != nil { // what is recorded last is the end of the last call
-			n.journal.Close()
-			writing.Wait()
-			_ = n.locked.Close() // it is empty
-		}
+		n.close(&work, &writing)
 	}()
 	if n.journal != nil {
 		writing.Go(n.journal.Run)
@@ -571,6 +580,25 @@
 	}
 }
 
+// close ends what Run has begun, of which work is told to end, and writing is the journal's.
+func (n *Node) close(work, writing *sync.WaitGroup) {
+	n.shut()
+	n.pass.work.Wait()
+	work.Wait()
+	if n.peers != nil {
+		n.peers.log.Close()
+	}
+	n.loop.Stop()
+	if n.thrift != nil && n.thrift.loop != nil {
+		n.thrift.loop.Stop()
+	}
+	if n.journal != nil { // what is recorded last is the end of the last call
+		n.journal.Close()
+		writing.Wait()
+		_ = n.locked.Close() // it is empty
+	}
+}
+
 // times are those of a stop that begins now.
 func (n *Node) times() stop.Times {
 	o := n.opts.Load()
--- /dev/null
+++ b/node/refused_test.go
@@ -0,0 +1,47 @@
+package node
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/options"
+)
+
+// Guards against a node that could not be made, whose operators' door is taken, and that keeps its sockets and the lock of its
+// journal all the same: its embedder could not try again.
+func TestNodeThatIsNotMadeHoldsNothing(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = taken.Close() }()
+	free := func() string {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		defer func() { _ = l.Close() }()
+		return l.Addr().String()
+	}
+	dir := t.TempDir()
+	o := DefaultOptions()
+	o.Repeats.On = true
+	o.Repeats.Journal, o.Repeats.SecretFile = filepath.Join(dir, "journal"), filepath.Join(dir, "secret")
+	require.NoError(t, os.Mkdir(o.Repeats.Journal, 0o700))
+	require.NoError(t, os.WriteFile(o.Repeats.SecretFile, []byte("0123456789abcdef"), 0o600))
+	o.North.Thrift.Listen, o.North.Thrift.Service = free(), "Rating"
+	o.North.Thrift.Methods = []options.ThriftMethod{{Name: "postCharge", Class: "pay"}}
+	conf, err := configOf(t, "127.0.0.1:1", nil)
+	require.NoError(t, err)
+	conf.Listen, conf.Control = free(), taken.Addr().String()
+	extra := Extras{Options: &o, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	_, err = New(conf, extra)
+	require.ErrorContains(t, err, "in use")
+	require.NoError(t, taken.Close())
+	n, err := New(conf, extra)
+	require.NoError(t, err)
+	n.shut()
+	n.abandon()
+}
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -29,7 +29,7 @@
 }
 
 // configOf writes a configuration whose settings are the test's own but for those that are given, and loads it.
-func configOf(t *testing.T, discovery, zone string, other map[string]any) (*Config, error) {
+func configOf(t *testing.T, discovery string, other map[string]any) (*Config, error) {
 	var set map[string]any
 	require.NoError(t, json.Unmarshal([]byte(settings), &set))
 	for name, value := range other {
@@ -44,7 +44,7 @@
 			delete(set, name)
 		}
 	}
-	set["locality"] = zone
+	set["locality"] = "z"
 	text, err := json.MarshalIndent(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": set}, "", " ")
 	require.NoError(t, err)
@@ -72,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := script.New(t, "h1")
-			conf, err := configOf(t, s.Discovery, "z", c.other)
+			conf, err := configOf(t, s.Discovery, c.other)
 			require.NoError(t, err)
 			runNode(t, s, conf)
 			s.Run(begin("h1"))
@@ -151,7 +151,7 @@
 		{limits("connect_timeout_s", 0), "settings.limits.connect_timeout_s: must be above 0"},
 		{map[string]any{"projects": []map[string]any{{"name": "t"}, {"name": "t"}}}, "settings.projects.1.name: "},
 	} {
-		_, err := configOf(t, "127.0.0.1:1", "z", c.other)
+		_, err := configOf(t, "127.0.0.1:1", c.other)
 		require.ErrorContains(t, err, c.field)
 		require.Regexp(t, `config\.json:\d+:\d+: settings\.`, err.Error())
 		require.NotContains(t, strings.TrimSpace(err.Error()), "\n")
@@ -174,7 +174,7 @@
 		"asked for":        {map[string]any{"discovery": "ask", "safety": map[string]any{"ask_within_s": 30}}, 1000, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conf, err := configOf(t, "127.0.0.1:1", "z", c.settings)
+			conf, err := configOf(t, "127.0.0.1:1", c.settings)
 			require.NoError(t, err)
 			o := DefaultOptions()
 			o.Inventory.Discovery.LastPause.Ms = c.option
