--- a/cmd/linenwheel-lab/circle.go
+++ b/cmd/linenwheel-lab/circle.go
@@ -20,114 +20,34 @@
 	"linenwheel.dev/linenwheel/lab/circle/virtual"
 )
 
+// circleFlags are the flags of circle's sub-commands.
+type circleFlags struct {
+	to                     streams
+	program, before, dir   string
+	asJSON                 bool
+	seed                   uint64
+	length                 time.Duration
+	keepers, faults, lanes int
+	charges, rooms         bool
+	histories              uint64
+}
+
 // circleCommand plays keepers with faults between them.
 func circleCommand(to streams) *ffcli.Command {
-	program, before, dir, asJSON, charges, rooms := "", "", "", false, false, false
-	seed, length, keepers, faults, histories, lanes := uint64(1), time.Duration(0), 5, 12, uint64(0), 2
-	sub := func(name, usage, help string, exec func(context.Context, circle.Options, []string) error) *ffcli.Command {
-		flags := flagSet(name, to)
-		flags.StringVar(&program, "program", "", "the keeper's `program`; empty = linenwheel-keep beside this one")
-		flags.StringVar(&before, "before", "", "the keeper's `program` of the release before, for schedules that change releases")
-		flags.StringVar(&dir, "dir", "", "the `folder` for what keepers write, made if it is not there; empty = one that is deleted afterwards")
-		flags.BoolVar(&asJSON, "json", false, "print JSON")
-		return &ffcli.Command{Name: name, ShortUsage: "linenwheel-lab circle " + usage, ShortHelp: help, FlagSet: flags,
-			Exec: func(ctx context.Context, args []string) error {
-				o := circle.Options{Program: program, Before: before, Dir: dir}
-				if o.Program == "" {
-					self, err := os.Executable()
-					if err != nil {
-						return err
-					}
-					o.Program = filepath.Join(filepath.Dir(self), "linenwheel-keep")
-				}
-				if o.Dir != "" {
-					if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-						return err
-					}
-					return exec(ctx, o, args)
-				}
-				made, err := os.MkdirTemp("", "circle")
-				if err != nil {
-					return err
-				}
-				o.Dir = made
-				if err = exec(ctx, o, args); errors.Is(err, errVerdict) {
-					fmt.Fprintln(to.errs, "what keepers wrote in the broken plays is kept in", made)
-					return err
-				}
-				return errors.Join(err, os.RemoveAll(made))
-			}}
-	}
-	play := sub("play", "play [flags] SCHEDULE...", "play shipped schedules, or files, on real processes",
-		func(ctx context.Context, o circle.Options, args []string) error {
-			sum := sums{counts: map[string]int{}}
-			for _, name := range args {
-				s, err := schedule(name)
-				if err != nil {
-					return usage(err)
-				}
-				if err := sum.play(ctx, to, s, o, name); err != nil {
-					return err
-				}
-			}
-			return sum.tell(to, asJSON)
-		})
-	drawn := sub("random", "random [flags]", "play schedules drawn from seeds on real processes, for a time",
-		func(ctx context.Context, o circle.Options, args []string) error {
-			if err := noArgs(args); err != nil {
-				return err
-			}
-			sum := sums{counts: map[string]int{}}
-			end, next := time.Now().Add(length), atomic.Uint64{}
-			next.Store(seed)
-			var all sync.WaitGroup
-			for range lanes {
-				all.Go(func() {
-					inRow := 0 // plays that did not begin
-					for first := true; ctx.Err() == nil && (first || time.Now().Before(end)) && inRow < mostUnplayed; first = false {
-						i := next.Add(1) - 1
-						n := keepers
-						if n == 0 {
-							n = 3 + 2*int(i%2)
-						}
-						if err := sum.play(ctx, to, circle.Draw(i, n, faults), o, fmt.Sprint("seed ", i)); err != nil {
-							sum.unplayed(to, err)
-							inRow++
-							continue
-						}
-						inRow = 0
-					}
-				})
-			}
-			all.Wait()
-			return sum.tell(to, asJSON)
-		})
-	drawn.FlagSet.Uint64Var(&seed, "seed", 1, "the first `seed`")
-	drawn.FlagSet.DurationVar(&length, "for", time.Minute, "no play begins after this `time`")
-	drawn.FlagSet.IntVar(&keepers, "keepers", 0, "`number` of keepers; 0 = three and five in turn")
-	drawn.FlagSet.IntVar(&faults, "faults", 12, "`number` of faults a play")
-	drawn.FlagSet.IntVar(&lanes, "lanes", 2, "`number` of plays at once")
-	simulated := sub("virtual", "virtual [flags]", "play histories in virtual time",
-		func(ctx context.Context, _ circle.Options, args []string) error {
-			if err := noArgs(args); err != nil {
-				return err
-			}
-			of := virtual.Register
-			switch {
-			case charges && rooms:
-				return usage(errors.New("want -charges or -rooms"))
-			case charges:
-				of = virtual.Charges
-			case rooms:
-				of = virtual.Rooms
-			}
-			return playVirtual(ctx, to, of, seed, histories, asJSON)
-		})
-	simulated.FlagSet.BoolVar(&rooms, "rooms", false, "of leases of the fleet's room")
-	simulated.FlagSet.BoolVar(&charges, "charges", false, "of charges posted at nodes, in place of a register's clients")
-	simulated.FlagSet.Uint64Var(&seed, "seed", 1, "the first `seed`")
-	simulated.FlagSet.Uint64Var(&histories, "histories", 2000, "`number` of histories")
-	measure := sub("measure", "measure [flags]", "time to agree by load, keepers and syncing; time without a leader; catching up",
+	f := &circleFlags{to: to}
+	play := f.sub("play", "play [flags] SCHEDULE...", "play shipped schedules, or files, on real processes", f.play)
+	drawn := f.sub("random", "random [flags]", "play schedules drawn from seeds on real processes, for a time", f.random)
+	drawn.FlagSet.Uint64Var(&f.seed, "seed", 1, "the first `seed`")
+	drawn.FlagSet.DurationVar(&f.length, "for", time.Minute, "no play begins after this `time`")
+	drawn.FlagSet.IntVar(&f.keepers, "keepers", 0, "`number` of keepers; 0 = three and five in turn")
+	drawn.FlagSet.IntVar(&f.faults, "faults", 12, "`number` of faults a play")
+	drawn.FlagSet.IntVar(&f.lanes, "lanes", 2, "`number` of plays at once")
+	simulated := f.sub("virtual", "virtual [flags]", "play histories in virtual time", f.virtual)
+	simulated.FlagSet.BoolVar(&f.rooms, "rooms", false, "of leases of the fleet's room")
+	simulated.FlagSet.BoolVar(&f.charges, "charges", false, "of charges posted at nodes, in place of a register's clients")
+	simulated.FlagSet.Uint64Var(&f.seed, "seed", 1, "the first `seed`")
+	simulated.FlagSet.Uint64Var(&f.histories, "histories", 2000, "`number` of histories")
+	measure := f.sub("measure", "measure [flags]", "time to agree by load, keepers and syncing; time without a leader; catching up",
 		func(ctx context.Context, o circle.Options, args []string) error {
 			if err := noArgs(args); err != nil {
 				return err
@@ -142,6 +62,102 @@
 		}}
 }
 
+// sub makes a sub-command that has a folder for what keepers write.
+func (f *circleFlags) sub(name, usage, help string, exec func(context.Context, circle.Options, []string) error) *ffcli.Command {
+	flags := flagSet(name, f.to)
+	flags.StringVar(&f.program, "program", "", "the keeper's `program`; empty = linenwheel-keep beside this one")
+	flags.StringVar(&f.before, "before", "", "the keeper's `program` of the release before, for schedules that change releases")
+	flags.StringVar(&f.dir, "dir", "", "the `folder` for what keepers write, made if it is not there; empty = one that is deleted afterwards")
+	flags.BoolVar(&f.asJSON, "json", false, "print JSON")
+	return &ffcli.Command{Name: name, ShortUsage: "linenwheel-lab circle " + usage, ShortHelp: help, FlagSet: flags,
+		Exec: func(ctx context.Context, args []string) error {
+			o := circle.Options{Program: f.program, Before: f.before, Dir: f.dir}
+			if o.Program == "" {
+				self, err := os.Executable()
+				if err != nil {
+					return err
+				}
+				o.Program = filepath.Join(filepath.Dir(self), "linenwheel-keep")
+			}
+			if o.Dir != "" {
+				if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+					return err
+				}
+				return exec(ctx, o, args)
+			}
+			made, err := os.MkdirTemp("", "circle")
+			if err != nil {
+				return err
+			}
+			o.Dir = made
+			if err = exec(ctx, o, args); errors.Is(err, errVerdict) {
+				fmt.Fprintln(f.to.errs, "what keepers wrote in the broken plays is kept in", made)
+				return err
+			}
+			return errors.Join(err, os.RemoveAll(made))
+		}}
+}
+
+func (f *circleFlags) play(ctx context.Context, o circle.Options, args []string) error {
+	sum := sums{counts: map[string]int{}}
+	for _, name := range args {
+		s, err := schedule(name)
+		if err != nil {
+			return usage(err)
+		}
+		if err := sum.play(ctx, f.to, s, o, name); err != nil {
+			return err
+		}
+	}
+	return sum.tell(f.to, f.asJSON)
+}
+
+func (f *circleFlags) random(ctx context.Context, o circle.Options, args []string) error {
+	if err := noArgs(args); err != nil {
+		return err
+	}
+	sum := sums{counts: map[string]int{}}
+	end, next := time.Now().Add(f.length), atomic.Uint64{}
+	next.Store(f.seed)
+	var all sync.WaitGroup
+	for range f.lanes {
+		all.Go(func() {
+			inRow := 0 // plays that did not begin
+			for first := true; ctx.Err() == nil && (first || time.Now().Before(end)) && inRow < mostUnplayed; first = false {
+				i := next.Add(1) - 1
+				n := f.keepers
+				if n == 0 {
+					n = 3 + 2*int(i%2)
+				}
+				if err := sum.play(ctx, f.to, circle.Draw(i, n, f.faults), o, fmt.Sprint("seed ", i)); err != nil {
+					sum.unplayed(f.to, err)
+					inRow++
+					continue
+				}
+				inRow = 0
+			}
+		})
+	}
+	all.Wait()
+	return sum.tell(f.to, f.asJSON)
+}
+
+func (f *circleFlags) virtual(ctx context.Context, _ circle.Options, args []string) error {
+	if err := noArgs(args); err != nil {
+		return err
+	}
+	of := virtual.Register
+	switch {
+	case f.charges && f.rooms:
+		return usage(errors.New("want -charges or -rooms"))
+	case f.charges:
+		of = virtual.Charges
+	case f.rooms:
+		of = virtual.Rooms
+	}
+	return playVirtual(ctx, f.to, of, f.seed, f.histories, f.asJSON)
+}
+
 // schedule reads a file, or a shipped schedule.
 func schedule(name string) (*circle.Schedule, error) {
 	if !strings.HasSuffix(name, ".toml") {
--- a/cmd/linenwheel-lab/duplicates.go
+++ b/cmd/linenwheel-lab/duplicates.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"slices"
@@ -90,29 +91,36 @@
 			if err != nil {
 				return err
 			}
-			if *asJSON {
-				out := json.NewEncoder(to.out)
-				out.SetIndent("", "  ")
-				err = out.Encode(r)
-			} else {
-				_, err = fmt.Fprintf(to.out, "%d posts of %d names in %.1f s, %d kills; 99%% of sends within %.1f ms of their time\n"+
-					"%d names ran, %d relays; answers: %v\nran twice %d, different answers %d, untrue refusals %d\n"+
-					"the node: peak %.1f MB, %.2f s of processor time\n", r.Posts, r.Names, r.Seconds, r.Kills, r.LateMs, r.Ran, r.Relays,
-					r.Status, len(r.Twice), len(r.Differing), len(r.Untrue), r.PeakMB, r.CPU)
-			}
-			if err == nil && set.Fleet != nil && !*asJSON {
-				_, err = fmt.Fprintf(to.out, "%d of %d names told their result (%.2f%%); answers in %.1f ms, 99%% in %.1f ms; longest without one "+
-					"while refusing %.0f ms\nfaults %v\ntrouble %v\n", r.Told, r.Names, 100*float64(r.Told)/float64(max(1, r.Names)), r.Median,
-					r.P99, r.Refused, r.Faults, r.Trouble)
+			if err := printDuplicates(to.out, r, *asJSON, set.Fleet != nil); err != nil {
+				return err
 			}
-			if err == nil && r.Broken() {
-				err = errVerdict
+			if r.Broken() {
+				return errVerdict
 			}
-			return err
+			return nil
 		},
 	}
 }
 
+// printDuplicates tells what came of a run, of a fleet or of one node.
+func printDuplicates(to io.Writer, r *duplicates.Result, asJSON, fleet bool) error {
+	if asJSON {
+		out := json.NewEncoder(to)
+		out.SetIndent("", "  ")
+		return out.Encode(r)
+	}
+	_, err := fmt.Fprintf(to, "%d posts of %d names in %.1f s, %d kills; 99%% of sends within %.1f ms of their time\n"+
+		"%d names ran, %d relays; answers: %v\nran twice %d, different answers %d, untrue refusals %d\n"+
+		"the node: peak %.1f MB, %.2f s of processor time\n", r.Posts, r.Names, r.Seconds, r.Kills, r.LateMs, r.Ran, r.Relays,
+		r.Status, len(r.Twice), len(r.Differing), len(r.Untrue), r.PeakMB, r.CPU)
+	if err == nil && fleet {
+		_, err = fmt.Fprintf(to, "%d of %d names told their result (%.2f%%); answers in %.1f ms, 99%% in %.1f ms; longest without one "+
+			"while refusing %.0f ms\nfaults %v\ntrouble %v\n", r.Told, r.Names, 100*float64(r.Told)/float64(max(1, r.Names)), r.Median,
+			r.P99, r.Refused, r.Faults, r.Trouble)
+	}
+	return err
+}
+
 // writeRecognising writes the node's options and gives their path; none for a node that knows nothing of repeats.
 func writeRecognising(dir, mode string) (path string, err error) {
 	if mode == "off" {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -485,25 +485,14 @@
 			coding = f.Value
 			codings++
 		case equalFold(f.Name, "Connection"):
-			for part := range bytes.SplitSeq(f.Value, []byte(",")) {
-				switch part = bytes.TrimSpace(part); {
-				case equalFold(part, "close"):
-					closes = true
-				case equalFold(part, "keep-alive"):
-					keeps = true
-				default:
-					m.names = true
-				}
-			}
+			c, k := m.connection(f.Value)
+			closes, keeps = closes || c, keeps || k
 		case equalFold(f.Name, "Expect") && !p.response && !m.Old:
-			for part := range bytes.SplitSeq(f.Value, []byte(",")) {
-				switch part = bytes.TrimSpace(part); {
-				case equalFold(part, "100-continue"):
-					waits = true
-				case len(part) > 0:
-					return ErrExpect
-				}
+			w, err := expectation(f.Value)
+			if err != nil {
+				return err
 			}
+			waits = waits || w
 		}
 	}
 	switch {
@@ -523,14 +512,10 @@
 	}
 	switch {
 	case codings == 1:
-		if m.Old {
-			return ErrMalformed
-		}
-		if !equalFold(coding, "chunked") {
-			return unknownCoding(coding)
+		if err := m.coded(coding); err != nil {
+			return err
 		}
-		p.chunked = true
-		p.awaits = waits
+		p.chunked, p.awaits = true, waits
 	case lengths == 1:
 		n, err := p.readNumber(length, 10)
 		if err != nil {
@@ -549,6 +534,45 @@
 	return nil
 }
 
+// connection reads a field Connection.
+func (m *Message) connection(value []byte) (closes, keeps bool) {
+	for part := range bytes.SplitSeq(value, []byte(",")) {
+		switch part = bytes.TrimSpace(part); {
+		case equalFold(part, "close"):
+			closes = true
+		case equalFold(part, "keep-alive"):
+			keeps = true
+		default:
+			m.names = true
+		}
+	}
+	return closes, keeps
+}
+
+// expectation reads a field Expect: whether the sender waits for the word to go on.
+func expectation(value []byte) (waits bool, err error) {
+	for part := range bytes.SplitSeq(value, []byte(",")) {
+		switch part = bytes.TrimSpace(part); {
+		case equalFold(part, "100-continue"):
+			waits = true
+		case len(part) > 0:
+			return false, ErrExpect
+		}
+	}
+	return waits, nil
+}
+
+// coded tells what is wrong with a transfer coding.
+func (m *Message) coded(coding []byte) error {
+	switch {
+	case m.Old:
+		return ErrMalformed
+	case !equalFold(coding, "chunked"):
+		return unknownCoding(coding)
+	}
+	return nil
+}
+
 // unknownCoding tells what is wrong with a coding that is not chunked alone: where chunked is not the last, and only the
 // last, it would not even tell where the body ends.
 func unknownCoding(coding []byte) error {
--- a/internal/inventory/discovery/discovery.go
+++ b/internal/inventory/discovery/discovery.go
@@ -230,14 +230,8 @@
 		case look && epoch != "":
 			path = "/discovery/hosts?look=1"
 		case known && !look:
-			wait := w.spread(set.Wait, 1-waitSpread, waitSpread)
-			if w.Spread > 0 && !open {
-				wait = openWait
-			}
-			path = fmt.Sprintf("/discovery/hosts?index=%d&wait=%.0f", index, wait)
-			if epoch != "" {
-				path += "&epoch=" + epoch
-			}
+			var wait float64
+			path, wait = w.change(set.Wait, index, epoch, open)
 			limit = wait + paced.Limit(set.Slack)
 		}
 		began := w.Clock.Now()
@@ -260,12 +254,8 @@
 		}
 		if err == nil {
 			hosts = len(l.Hosts) > 0 || hosts && !l.Whole
-			if l.Whole || len(l.Hosts) > 0 {
-				if err = w.Sink.Take(l); err != nil {
-					known = false
-				}
-			} else {
-				w.Sink.Same(l)
+			if err = w.give(l); err != nil {
+				known = false
 			}
 		}
 		if err == nil {
@@ -282,11 +272,7 @@
 		}
 		open = err == nil
 		if err != nil {
-			if look {
-				w.again()
-			}
-			_, at := w.Seen()
-			w.Sink.Away(at)
+			w.away(look)
 		}
 		w.asked()
 		if err != nil {
@@ -298,6 +284,37 @@
 	}
 }
 
+// change is the path that asks for what follows an index, and how long, ms, the service may take over it.
+func (w *Watcher) change(longest float64, index int64, epoch string, open bool) (path string, wait float64) {
+	wait = w.spread(longest, 1-waitSpread, waitSpread)
+	if w.Spread > 0 && !open {
+		wait = openWait
+	}
+	path = fmt.Sprintf("/discovery/hosts?index=%d&wait=%.0f", index, wait)
+	if epoch != "" {
+		path += "&epoch=" + epoch
+	}
+	return path, wait
+}
+
+// away tells that a call, or a look, had no list.
+func (w *Watcher) away(look bool) {
+	if look {
+		w.again()
+	}
+	_, at := w.Seen()
+	w.Sink.Away(at)
+}
+
+// give hands on what a call said.
+func (w *Watcher) give(l List) error {
+	if l.Whole || len(l.Hosts) > 0 {
+		return w.Sink.Take(l)
+	}
+	w.Sink.Same(l)
+	return nil
+}
+
 // asked tells that the first call has ended, or that the node begins with what it knows.
 func (w *Watcher) asked() {
 	if w.First != nil {
--- a/internal/inventory/etcd/source.go
+++ b/internal/inventory/etcd/source.go
@@ -292,19 +292,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	words, proofs := make(chan heard), make(chan proof)
-	go func() {
-		for {
-			r, err := w.Recv()
-			select {
-			case words <- heard{r, err}:
-			case <-ctx.Done():
-				return
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
+	go receive(ctx, w, words)
 	ask, stopAsk := s.tick(set.Ask)
 	defer func() { stopAsk() }()
 	check, stopCheck := s.tick(set.CheckEvery)
@@ -376,6 +364,21 @@
 	}
 }
 
+// receive hands on what a watch says until it breaks or ctx ends.
+func receive(ctx context.Context, w etcdserverpb.Watch_WatchClient, words chan<- heard) {
+	for {
+		r, err := w.Recv()
+		select {
+		case words <- heard{r, err}:
+		case <-ctx.Done():
+			return
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
 // tick gives a channel that is closed after so many milliseconds.
 func (s *Source) tick(ms float64) (<-chan struct{}, func()) {
 	c := make(chan struct{})
--- a/internal/south/carrier/pool.go
+++ b/internal/south/carrier/pool.go
@@ -382,12 +382,7 @@
 		return pilot.NoConnect, nil
 	}
 	if s, ok := about.(Silent); ok && s.Silent() {
-		c.disarm()
-		now := whole()
-		if p.put(c, now); !now && !whole() { // closed, its last byte never goes out
-			return pilot.NoConnect, nil
-		}
-		return pilot.Served, nil
+		return p.silent(c, whole), nil
 	}
 	var e end
 	if body != nil && body.Rest != nil {
@@ -413,17 +408,11 @@
 	case e = <-done:
 	case <-off:
 		if e = c.giveUp(done); !e.whole {
-			if !whole() {
-				return pilot.Unsent, nil
-			}
-			return pilot.CalledOff, nil
+			return cut(whole, pilot.Unsent, pilot.CalledOff), nil
 		}
 	case <-late:
 		if e = c.giveUp(done); !e.whole {
-			if !whole() {
-				return pilot.NoConnect, nil
-			}
-			return pilot.Late, nil
+			return cut(whole, pilot.NoConnect, pilot.Late), nil
 		}
 	}
 	if e.err != nil {
@@ -432,11 +421,7 @@
 		if !whole() {
 			return pilot.NoConnect, nil
 		}
-		if !errors.Is(e.err, errBroken) {
-			p.log.Warn("a host's answer cannot be read", "host", host.Name, "address", host.Address, "error", e.err)
-			return pilot.Failed, nil
-		}
-		return pilot.Reset, nil
+		return p.unread(host, e.err), nil
 	}
 	if e.answer.Attach == nil {
 		p.put(c, whole())
@@ -444,6 +429,33 @@
 	return e.answer.Outcome, e.answer.Payload
 }
 
+// cut is the outcome of an attempt that was given up before its answer, by whether its request had gone out whole.
+func cut(whole func() bool, before, after pilot.Outcome) pilot.Outcome {
+	if whole() {
+		return after
+	}
+	return before
+}
+
+// silent is the outcome of an attempt that wants no answer.
+func (p *Pool) silent(c *conn, whole func() bool) pilot.Outcome {
+	c.disarm()
+	now := whole()
+	if p.put(c, now); !now && !whole() { // closed, its last byte never goes out
+		return pilot.NoConnect
+	}
+	return pilot.Served
+}
+
+// unread is the outcome of an attempt whose answer broke off or cannot be read.
+func (p *Pool) unread(host core.Host, err error) pilot.Outcome {
+	if errors.Is(err, errBroken) {
+		return pilot.Reset
+	}
+	p.log.Warn("a host's answer cannot be read", "host", host.Name, "address", host.Address, "error", err)
+	return pilot.Failed
+}
+
 // begin finds a connection for an attempt and writes the first bytes of its request, or tells why nothing is to go out. What may have
 // changed since the attempt was decided is asked here, last before its first byte: whether it was called off or its time is up, the
 // final answer is given, the host departs, the client is there, and nothing has come on the connection. err is that of the first write.
--- a/lab/circle/measure.go
+++ b/lab/circle/measure.go
@@ -329,11 +329,7 @@
 						if each(log, int(i)) != nil {
 							failed.Add(1)
 						}
-						for took := int64(time.Since(at)); ; {
-							if was := longest.Load(); took <= was || longest.CompareAndSwap(was, took) {
-								break
-							}
-						}
+						raise(&longest, int64(time.Since(at)))
 					}
 				})
 			}
@@ -371,17 +367,8 @@
 	}
 	b.Memory = b.MemoryBy[0]
 	for _, k := range c.keepers {
-		size := int64(0)
-		if err := filepath.WalkDir(k.dir, func(_ string, d fs.DirEntry, err error) error {
-			if err != nil || d.IsDir() {
-				return err
-			}
-			info, err := d.Info()
-			if err == nil {
-				size += info.Size()
-			}
-			return nil // a file that has just gone is no matter
-		}); err != nil {
+		size, err := bytesIn(k.dir)
+		if err != nil {
 			return b, err
 		}
 		b.Disk = max(b.Disk, float64(size)/(1<<20))
@@ -402,3 +389,24 @@
 	}
 	return b, nil
 }
+
+// raise sets the highest value so far.
+func raise(highest *atomic.Int64, v int64) {
+	for was := highest.Load(); v > was && !highest.CompareAndSwap(was, v); was = highest.Load() {
+	}
+}
+
+// bytesIn is the size of all files in a folder.
+func bytesIn(dir string) (size int64, err error) {
+	err = filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() {
+			return err
+		}
+		info, err := d.Info()
+		if err == nil {
+			size += info.Size()
+		}
+		return nil // a file that has just gone is no matter
+	})
+	return size, err
+}
--- a/lab/duplicates/duplicates.go
+++ b/lab/duplicates/duplicates.go
@@ -112,6 +112,8 @@
 }
 
 // Run plays a run.
+//
+//nolint:funlen // what a run needs, set up in order and taken down
 func Run(ctx context.Context, set Settings) (*Result, error) {
 	w := &world{set: set, charges: map[string]*charge{}, result: Result{Status: map[string]int{}, Kills: set.Kills, Faults: map[string]int{}}}
 	rng := rand.New(rand.NewPCG(set.Seed, 0xd0b1e))
--- a/lab/heirs/heirs.go
+++ b/lab/heirs/heirs.go
@@ -277,13 +277,8 @@
 		for k, after := range []time.Duration{0, 8, 40, 250} {
 			var web *http.Client
 			if i >= o.Charges/3 && (i+k)%2 == 0 && len(old) > 0 {
-				select {
-				case <-moved: // what comes to the old process from here on it must ask the other one for
+				if due(moved, len(old)) {
 					web, old = old[0], old[1:]
-				default:
-					if len(old) > warmest/2 {
-						web, old = old[0], old[1:]
-					}
 				}
 			}
 			tries.Go(func() {
@@ -313,6 +308,16 @@
 	return p.judge(), nil
 }
 
+// due tells whether a try goes over one of so many connections that the old process has left.
+func due(moved <-chan struct{}, left int) bool {
+	select {
+	case <-moved: // what comes to the old process from here on it must ask the other one for
+		return true
+	default:
+		return left > warmest/2
+	}
+}
+
 // held are charges that stand at a rater until let go.
 type held struct {
 	at   chan struct{} // one comes for each
