--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -57,7 +57,10 @@
 		return 2
 	}
 	if *check {
-		fmt.Fprintln(out, "linenwheel-etcd: the configuration is good")
+		if _, err := fmt.Fprintln(out, "linenwheel-etcd: the configuration is good"); err != nil {
+			fmt.Fprintln(errs, "linenwheel-etcd:", err)
+			return 1
+		}
 		return 0
 	}
 	if err := a.serve(ctx, o, set, errs, again); err != nil {
@@ -219,7 +222,7 @@
 			return fmt.Errorf("answering nodes: %w", err)
 		case <-ctx.Done():
 			manager.Stopping("ending")
-			end, stop := context.WithTimeout(context.Background(), endLimit)
+			end, stop := context.WithTimeout(context.WithoutCancel(ctx), endLimit)
 			defer stop()
 			if server.Shutdown(end) != nil { // calls that wait for changes
 				_ = server.Close()
--- a/internal/node/idempotency/middleware/handover.go
+++ b/internal/node/idempotency/middleware/handover.go
@@ -155,8 +155,8 @@
 func (s *Stage) Ended(c idempotency.Call, _ Taken, how idempotency.End, body []byte) {
 	payload, size := any(nil), 0
 	a := core.Answer{Kind: core.Left} // it did not run: one of those that wait may be the next
-	switch {
-	case how == idempotency.EndServed:
+	switch how {
+	case idempotency.EndServed:
 		a = core.Fail(core.Known, ReasonSpent)
 		if len(body) > 0 {
 			payload = s.set.Decode(body)
@@ -166,7 +166,7 @@
 		} else {
 			size = s.set.Book.Bytes + 1 // known without
 		}
-	case how == idempotency.EndInDoubt:
+	case idempotency.EndInDoubt:
 		a = core.Fail(core.Known, ReasonDoubt)
 	}
 	s.mu.Lock()
