--- a/internal/fleet/dataplane/configwatcher.go
+++ b/internal/fleet/dataplane/configwatcher.go
@@ -1,6 +1,7 @@
 package dataplane
 
 import (
+	"context"
 	"errors"
 	"math/rand/v2"
 	"slices"
@@ -13,189 +14,196 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// The figures of the long poll.
+// Parameters of the long poll.
 const (
-	pollHold     = 700 * time.Millisecond
-	pollGrace    = 400 * time.Millisecond // beyond the hold after which a control process counts as silent
-	pollMost     = 5 * time.Second        // that an answer may take while its bytes come
-	staleAfter   = 800 * time.Millisecond // a control process that confirmed its view longer ago is cut off
-	avoidFor     = 3 * time.Second
-	pauseMin     = 20 * time.Millisecond
-	pauseMax     = 200 * time.Millisecond
-	startHold    = 150 * time.Millisecond // that a control process may wait for its own confirmation before it answers a new node
-	homeInterval = 5 * time.Second        // after which a node that had to turn elsewhere tries its own zone again
+	longPollTimeout    = 700 * time.Millisecond // for which a control process may keep a poll open while nothing changes
+	startupPollTimeout = 150 * time.Millisecond // the same for a node without a configuration: it must not wait for a view to be confirmed
+	pollGrace          = 400 * time.Millisecond // beyond the poll's own timeout, after which a control process counts as unresponsive
+	maxReplyTransfer   = 5 * time.Second        // that a reply may take in all, as long as its bytes keep coming
+	maxConfirmationAge = 800 * time.Millisecond // a control process that confirmed its view longer ago is partitioned
+	avoidDuration      = 3 * time.Second        // for which a control process is not polled again after a failed poll
+	minBackoff         = 20 * time.Millisecond  // between failed polls, doubled each time
+	maxBackoff         = 200 * time.Millisecond
 )
 
-var errStale = errors.New("the control process cannot confirm its view")
-var errStaleList = errors.New("the control process cannot confirm its list of raters")
-var errLeaving = errors.New("the control process is about to end")
+// Reasons to poll another control process although this one replied.
+var (
+	errStaleView     = errors.New("the control process cannot confirm its view")
+	errStaleRegistry = errors.New("the control process cannot confirm its registry of backends")
+	errShuttingDown  = errors.New("the control process is shutting down")
+)
 
-// configWatcher keeps the node's copy of what the control plane gives out.
+// configWatcher follows the control plane by long poll and holds what it publishes: the configuration, the registry of backends
+// and the control plane's own members. One goroutine runs it; the other methods may be called at any time.
 type configWatcher struct {
-	node       *Node
-	table      atomic.Pointer[operator.Table]
-	leaseEnd   atomic.Int64
-	configured chan struct{}
-	current    atomic.Pointer[string] // the control process that is being asked
-	nodesHint  atomic.Int64           // about how many nodes of the data plane there are
-
-	mu    sync.Mutex
-	copy  *distribution.ClientState
-	seeds []string
-	avoid map[string]time.Duration // until when a control process is left alone
+	node          *Node
+	table         atomic.Pointer[operator.Table] // the configuration in force, nil before the first
+	leaseEnd      atomic.Int64                   // on the node's clock, in nanoseconds
+	configured    chan struct{}                  // closed once there is a configuration
+	polledAddress atomic.Pointer[string]         // the control process that is being polled
+	nodesEstimate atomic.Int64                   // number of nodes of the data plane, as state has it, to be read without the lock
+
+	mu         sync.Mutex
+	state      *distribution.ClientState
+	seeds      []string                 // addresses of control processes from the settings
+	avoidUntil map[string]time.Duration // by address of a control process, on the node's clock
 }
 
 func newConfigWatcher(n *Node) *configWatcher {
-	f := &configWatcher{node: n, copy: distribution.NewClientState(n.settings.Bounds.Closed, n.settings.Bounds.Revoke),
-		configured: make(chan struct{}), avoid: map[string]time.Duration{}}
-	f.nodesHint.Store(1)
-	f.setSeeds(n.settings)
-	return f
+	w := &configWatcher{node: n, state: distribution.NewClientState(n.settings.Bounds.Closed, n.settings.Bounds.Revoke),
+		configured: make(chan struct{}), avoidUntil: map[string]time.Duration{}}
+	w.nodesEstimate.Store(1)
+	w.setSeeds(n.settings)
+	return w
 }
 
-func (f *configWatcher) setSeeds(set *settings.Settings) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.seeds = nil
-	for _, seed := range set.Seeds {
-		if address := set.InternalAddress(seed); address != "" {
-			f.seeds = append(f.seeds, address)
+// setSeeds replaces the addresses that are polled before, and beside, the members that the control plane names.
+func (w *configWatcher) setSeeds(loaded *settings.Settings) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.seeds = nil
+	for _, seed := range loaded.Seeds {
+		if address := loaded.InternalAddress(seed); address != "" {
+			w.seeds = append(w.seeds, address)
 		}
 	}
 }
 
-// run polls, always one control process at a time.
-func (f *configWatcher) run() {
-	pause := pauseMin
-	for {
-		address := f.choose()
-		f.current.Store(&address)
-		if address != "" && f.poll(address) == nil {
-			pause = pauseMin
+// run polls one control process at a time until the context ends.
+func (w *configWatcher) run(ctx context.Context) {
+	backoff := minBackoff
+	for ctx.Err() == nil {
+		address := w.chooseAddress()
+		w.polledAddress.Store(&address)
+		if address != "" && w.poll(address) == nil {
+			backoff = minBackoff
 			continue
 		}
-		time.Sleep(time.Duration((0.5 + rand.Float64()) * float64(pause)))
-		if f.table.Load() != nil { // one that cannot serve yet asks on as soon as it may
-			pause = min(2*pause, pauseMax)
+		sleep(ctx, time.Duration((0.5+rand.Float64())*float64(backoff)))
+		if w.table.Load() != nil { // a node that cannot serve yet keeps polling as often as it may
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// choose gives the control process to ask: one of the chain, in the own zone if there is one.
-func (f *configWatcher) choose() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.node.now()
-	var near, chain, others []string
-	_, members := f.copy.Members()
+// chooseAddress returns the control process to poll: a random one of the chain in this node's zone, else of the chain, else of
+// the other members and the seeds. It returns "" where none is known.
+func (w *configWatcher) chooseAddress() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := w.node.now()
+	var sameZone, otherZones, others []string
+	_, members := w.state.Members()
 	for _, member := range members {
 		switch {
-		case member.InChain && member.Zone == f.node.settings.Zone:
-			near = append(near, member.Address)
+		case member.InChain && member.Zone == w.node.settings.Zone:
+			sameZone = append(sameZone, member.Address)
 		case member.InChain:
-			chain = append(chain, member.Address)
+			otherZones = append(otherZones, member.Address)
 		default:
 			others = append(others, member.Address)
 		}
 	}
-	for _, seed := range f.seeds {
-		if !slices.Contains(near, seed) && !slices.Contains(chain, seed) && !slices.Contains(others, seed) {
+	for _, seed := range w.seeds {
+		if !slices.Contains(sameZone, seed) && !slices.Contains(otherZones, seed) && !slices.Contains(others, seed) {
 			others = append(others, seed)
 		}
 	}
-	for _, group := range [][]string{near, chain, others} {
+	for _, group := range [][]string{sameZone, otherZones, others} {
 		rand.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
 		for _, address := range group {
-			if now >= f.avoid[address] {
+			if now >= w.avoidUntil[address] {
 				return address
 			}
 		}
 	}
-	return f.leastAvoided(slices.Concat(near, chain, others))
+	return w.firstAvailable(slices.Concat(sameZone, otherZones, others))
 }
 
-// leastAvoided gives the process whose time to be left alone ends first.
-func (f *configWatcher) leastAvoided(addresses []string) string {
+// firstAvailable returns the address that is avoided for the shortest time. The caller holds the lock.
+func (w *configWatcher) firstAvailable(addresses []string) string {
 	best := ""
 	for _, address := range addresses {
-		if best == "" || f.avoid[address] < f.avoid[best] {
+		if best == "" || w.avoidUntil[address] < w.avoidUntil[best] {
 			best = address
 		}
 	}
 	return best
 }
 
-func (f *configWatcher) poll(address string) error {
-	f.mu.Lock()
-	hold := pollHold
+// poll sends one long poll and applies its reply. It returns an error where another control process should be polled next; it
+// avoids this one for a while if the node has a configuration and can afford to.
+func (w *configWatcher) poll(address string) error {
+	w.mu.Lock()
+	timeout := longPollTimeout
 	switch {
-	case f.copy.Table() == nil:
-		hold = startHold
-	case !f.copy.Confirmed():
-		hold = 0
+	case w.state.Table() == nil:
+		timeout = startupPollTimeout
+	case !w.state.Confirmed():
+		timeout = 0
 	}
-	request := f.copy.Request(f.node.settings.NodeName, f.node.session, hold)
-	f.mu.Unlock()
-	sent := f.node.now()
+	request := w.state.Request(w.node.settings.NodeName, w.node.session, timeout)
+	w.mu.Unlock()
+	sentAt := w.node.now()
 	var reply distribution.PollReply
-	err := f.node.pool.CallLarge(address, distribution.MethodPoll, &request, &reply, hold+pollGrace, pollMost)
+	err := w.node.pool.CallLarge(address, distribution.MethodPoll, &request, &reply, timeout+pollGrace, maxReplyTransfer)
 	if err == nil {
-		err = f.take(sent, &reply)
+		err = w.apply(sentAt, &reply)
 	}
-	if err != nil && f.table.Load() != nil {
-		f.mu.Lock()
-		f.avoid[address] = f.node.now() + avoidFor
-		f.mu.Unlock()
+	if err != nil && w.table.Load() != nil {
+		w.mu.Lock()
+		w.avoidUntil[address] = w.node.now() + avoidDuration
+		w.mu.Unlock()
 	}
 	return err
 }
 
-func (f *configWatcher) take(sent time.Duration, reply *distribution.PollReply) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	hadTable := f.copy.Table() != nil
-	change, err := f.copy.Apply(sent, reply)
+// apply takes the reply to a poll that was sent at a time of the node's clock: leases run from there. It returns an error where
+// the reply could not be applied, or where the control process says that it is not one to rely on.
+func (w *configWatcher) apply(sentAt time.Duration, reply *distribution.PollReply) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	hadTable := w.state.Table() != nil
+	change, err := w.state.Apply(sentAt, reply)
 	if err != nil {
-		f.node.log.Error("configuration from the control plane not taken", "err", err)
+		w.node.log.Error("failed to apply configuration from the control plane", "err", err)
 		return err
 	}
 	if change.Config {
-		f.table.Store(f.copy.Table())
+		w.table.Store(w.state.Table())
 	}
-	f.leaseEnd.Store(int64(f.copy.LeaseEnd()))
-	f.node.retries.setNodes(f.copy.Nodes())
-	f.nodesHint.Store(int64(f.copy.Nodes()))
+	w.leaseEnd.Store(int64(w.state.LeaseEnd()))
+	w.node.retries.setNodes(w.state.Nodes())
+	w.nodesEstimate.Store(int64(w.state.Nodes()))
 	if change.Backends || change.Config {
-		f.node.picker.update(f.copy.Table(), f.copy.Backends(), f.copy.Nodes())
+		w.node.picker.update(w.state.Table(), w.state.Backends(), w.state.Nodes())
 	}
-	f.node.picker.heard(reply.Events)
-	if !hadTable && f.copy.Table() != nil {
-		close(f.configured)
-		f.node.pool.SetEager(false)
+	w.node.picker.observe(reply.Events)
+	if !hadTable && w.state.Table() != nil {
+		close(w.configured)
+		w.node.pool.SetEager(false)
 	}
 	switch {
 	case reply.Leaving:
-		return errLeaving
-	case !reply.Confirmed || reply.ConfirmedAgo > staleAfter:
-		return errStale
+		return errShuttingDown
+	case !reply.Confirmed || reply.ConfirmedAgo > maxConfirmationAge:
+		return errStaleView
 	case !reply.ListConfirmed || reply.ListConfirmedAgo > distribution.MaxRegistryAge:
-		return errStaleList
+		return errStaleRegistry
 	}
 	return nil
 }
 
-// members are the control processes and the epoch in which they were.
-func (f *configWatcher) members() (uint64, []distribution.ControlMember) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.copy.Members()
+// members returns the control processes and the epoch of the view that names them.
+func (w *configWatcher) members() (uint64, []distribution.ControlMember) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.state.Members()
 }
 
-func (f *configWatcher) nodes() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.copy.Nodes()
+// nodeCount returns about how many nodes of the data plane there are, at least 1.
+func (w *configWatcher) nodeCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.state.Nodes()
 }
-
-// ApplySettings takes a settings file that has changed while the process runs: the seeds may be others.
-func (n *Node) ApplySettings(set *settings.Settings) { n.watcher.setSeeds(set) }
--- a/internal/fleet/dataplane/idle.go
+++ b/internal/fleet/dataplane/idle.go
@@ -1,58 +1,57 @@
 package dataplane
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"sync"
 	"time"
 )
 
-// The figures of clients' idle connections.
+// Parameters of clients' idle connections.
 const (
-	idleSlack    = 1.25 // lengthens the time after which they are closed, beyond what clients were promised
-	idleInterval = time.Second
+	idleTimeoutFactor = 1.25 // times the configured idle timeout after which a connection is closed: clients may be a little late
+	idleCheckInterval = time.Second
 )
 
 // idleConnections closes the clients' connections that have carried no request for longer than the configuration in force
-// allows. The server's own limit is set once at its start, and the configuration may change while it runs.
+// allows. http.Server's own IdleTimeout is fixed when the server starts, while the configuration may change as it runs.
 type idleConnections struct {
-	limit func() time.Duration // of the configuration in force
+	timeout func() time.Duration // from the configuration in force
 
-	mu    sync.Mutex
-	since map[net.Conn]time.Time
+	mu        sync.Mutex
+	idleSince map[net.Conn]time.Time
 }
 
-func newIdleConnections(limit func() time.Duration) *idleConnections {
-	return &idleConnections{limit: limit, since: map[net.Conn]time.Time{}}
+func newIdleConnections(timeout func() time.Duration) *idleConnections {
+	return &idleConnections{timeout: timeout, idleSince: map[net.Conn]time.Time{}}
 }
 
-// note takes a change of a connection's state.
-func (i *idleConnections) note(connection net.Conn, state http.ConnState) {
+// recordState is the server's ConnState hook.
+func (i *idleConnections) recordState(connection net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if state == http.StateIdle {
-		i.since[connection] = time.Now()
+		i.idleSince[connection] = time.Now()
 		return
 	}
-	delete(i.since, connection)
+	delete(i.idleSince, connection)
 }
 
-// closeOld closes those that have been idle for too long.
-func (i *idleConnections) closeOld(now time.Time) {
-	limit := time.Duration(idleSlack * float64(i.limit()))
+// closeExpired closes the connections that have been idle for too long at a time.
+func (i *idleConnections) closeExpired(now time.Time) {
+	timeout := time.Duration(idleTimeoutFactor * float64(i.timeout()))
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for connection, since := range i.since {
-		if now.Sub(since) > limit {
+	for connection, since := range i.idleSince {
+		if now.Sub(since) > timeout {
 			_ = connection.Close()
-			delete(i.since, connection)
+			delete(i.idleSince, connection)
 		}
 	}
 }
 
-// run closes old connections from time to time.
-func (i *idleConnections) run() {
-	for now := range time.Tick(idleInterval) {
-		i.closeOld(now)
-	}
+// run closes expired connections at every interval until the context ends.
+func (i *idleConnections) run(ctx context.Context) {
+	every(ctx, idleCheckInterval, i.closeExpired)
 }
--- a/internal/fleet/dataplane/listen_test.go
+++ b/internal/fleet/dataplane/listen_test.go
@@ -13,7 +13,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// freeAddress is an address that nobody listens on.
+// freeAddress returns an address that nobody listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -22,12 +22,12 @@
 	return listener.Addr().String()
 }
 
-// listening starts a node's listener and gives the channel on which it comes once the node is configured.
-func listening(t *testing.T, n *Node, ahead time.Duration) <-chan net.Listener {
+// startListening starts a node's listener and returns the channel on which it comes once the node is configured.
+func startListening(t *testing.T, n *Node, accept time.Duration) <-chan net.Listener {
 	t.Helper()
 	opened := make(chan net.Listener, 1)
 	go func() {
-		listener, err := n.listen(context.Background(), nil, ahead)
+		listener, err := n.listen(context.Background(), nil, accept)
 		if err != nil {
 			t.Error(err)
 		}
@@ -36,9 +36,9 @@
 	return opened
 }
 
-func TestClientsOfANodeThatIsNotConfiguredYetWaitForIt(t *testing.T) {
+func TestConnectionsWaitUntilTheNodeIsConfigured(t *testing.T) {
 	n := New(&settings.Settings{Front: freeAddress(t)}, log.New(io.Discard))
-	opened := listening(t, n, time.Minute)
+	opened := startListening(t, n, time.Minute)
 	var client net.Conn
 	require.Eventually(t, func() bool {
 		var err error
@@ -54,15 +54,15 @@
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
 	defer func() { _ = accepted.Close() }()
-	said := make([]byte, 5)
-	_, err = io.ReadFull(accepted, said)
+	received := make([]byte, 5)
+	_, err = io.ReadFull(accepted, received)
 	require.NoError(t, err)
-	require.Equal(t, "hello", string(said))
+	require.Equal(t, "hello", string(received))
 }
 
-func TestClientsOfANodeThatGetsNoConfigurationAreRefused(t *testing.T) {
+func TestConnectionsAreRefusedAfterTheStartupTimeout(t *testing.T) {
 	n := New(&settings.Settings{Front: freeAddress(t)}, log.New(io.Discard))
-	opened := listening(t, n, time.Millisecond)
+	opened := startListening(t, n, time.Millisecond)
 	require.Eventually(t, func() bool {
 		client, err := net.Dial("tcp4", n.settings.Front)
 		if err == nil {
--- a/internal/fleet/dataplane/loadreporter.go
+++ b/internal/fleet/dataplane/loadreporter.go
@@ -1,6 +1,7 @@
 package dataplane
 
 import (
+	"context"
 	"sync"
 	"time"
 
@@ -8,26 +9,27 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// The figures of announcing.
+// Parameters of load reports.
 const (
-	mostWaiting   = 1024
-	announceWait  = 150 * time.Millisecond
-	gatherFor     = 8 * time.Millisecond // events that come so close together go out together
-	fleetAttempts = 1500.0               // that all nodes together announce in a second: each goes to every node
-	savedAttempts = 1.0                  // seconds of a node's part that may come at once
-	thresholdUp   = 1.10                 // a prompt that finds no room raises the size from which on attempts are announced,
-	thresholdDown = 0.97                 // one that does, or that is too short while there is room, lowers it
-	mostTold      = 4096                 // attempts whose ends are still to be announced
+	maxQueuedEvents       = 1024
+	announceTimeout       = 150 * time.Millisecond
+	batchInterval         = 8 * time.Millisecond // events that come this close together go out in one report
+	fleetReportsPerSecond = 1500.0               // attempts that all nodes together report: each report goes to every node
+	burstSeconds          = 1.0                  // for which a node may save up its share of the reports
+	thresholdRaise        = 1.10                 // by which a prompt that finds no credit raises the size from which on attempts are reported
+	thresholdDecay        = 0.97                 // by which one that finds credit, or that is too short while credit is full, lowers it
+	maxReported           = 4096                 // reported attempts whose ends are still to come
 )
 
-// waitingEvent is an event and when it happened.
-type waitingEvent struct {
+// queuedEvent is an event and the time on the node's clock at which it happened.
+type queuedEvent struct {
 	event routing.Event
 	at    time.Duration
 }
 
-// loadReporter hands the events of the node's attempts to the control process that it polls. What all nodes together announce
-// is bounded: the larger the fleet, the longer a prompt must be for its attempt to be announced.
+// loadReporter sends the events of this node's attempts to the control process that it polls, which passes them on to all other
+// nodes. What all nodes together report is bounded: the larger the fleet, the longer a prompt must be for its attempt to be
+// reported. It is safe for concurrent use.
 type loadReporter struct {
 	node  *Node
 	now   func() time.Duration
@@ -35,105 +37,113 @@
 	wake  chan struct{}
 
 	mu        sync.Mutex
-	waiting   []waitingEvent
-	threshold float64
-	room      float64
-	roomAt    time.Duration
-	told      map[uint32]bool // attempts that were announced and have not ended
+	queue     []queuedEvent
+	minTokens float64         // prompt size, in tokens, from which on attempts are reported
+	credit    float64         // attempts that may be reported now: a token bucket
+	creditAt  time.Duration   // when credit was last filled
+	reported  map[uint32]bool // attempts that were reported and have not ended
 }
 
 func newLoadReporter(n *Node) *loadReporter {
-	return &loadReporter{node: n, now: n.now, nodes: func() int64 { return n.watcher.nodesHint.Load() }, wake: make(chan struct{}, 1),
-		told: map[uint32]bool{}}
+	return &loadReporter{node: n, now: n.now, nodes: func() int64 { return n.watcher.nodesEstimate.Load() }, wake: make(chan struct{}, 1),
+		reported: map[uint32]bool{}}
 }
 
-// add queues the events that are worth telling. What finds no place is dropped: it would be too late.
-func (a *loadReporter) add(events []routing.Event) {
-	now := a.now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// enqueue queues the events that are to be reported. What does not fit into the queue is dropped: it would arrive too late.
+func (r *loadReporter) enqueue(events []routing.Event) {
+	now := r.now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, event := range events {
-		if a.worth(now, &event) && len(a.waiting) < mostWaiting {
-			a.waiting = append(a.waiting, waitingEvent{event, now})
+		if r.reportable(now, &event) && len(r.queue) < maxQueuedEvents {
+			r.queue = append(r.queue, queuedEvent{event, now})
 		}
 	}
-	if len(a.waiting) == 0 {
+	if len(r.queue) == 0 {
 		return
 	}
 	select {
-	case a.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// worth tells whether other nodes are told of an event: of whole attempts or not at all. The lock is held.
-func (a *loadReporter) worth(now time.Duration, event *routing.Event) bool {
+// reportable reports whether an event goes to the other nodes: all events of an attempt do, or none. It keeps account of the
+// attempts, so it must see each event once. The caller holds the lock.
+func (r *loadReporter) reportable(now time.Duration, event *routing.Event) bool {
 	switch event.Kind {
 	case routing.EventSent:
-		return a.admit(now, event)
+		return r.admit(now, event)
 	case routing.EventFirstToken:
-		told := a.told[event.Attempt]
-		if !event.Long { // its end is not told
-			delete(a.told, event.Attempt)
+		reported := r.reported[event.Attempt]
+		if !event.Long { // no event of its end follows
+			delete(r.reported, event.Attempt)
 		}
-		return told
+		return reported
 	case routing.EventEnded, routing.EventFailed, routing.EventPaused:
-		told := a.told[event.Attempt]
-		delete(a.told, event.Attempt)
-		return told
+		reported := r.reported[event.Attempt]
+		delete(r.reported, event.Attempt)
+		return reported
 	}
 	return true
 }
 
-// admit decides whether an attempt is announced, by the size of its prompt and the node's part of what the fleet may tell.
-func (a *loadReporter) admit(now time.Duration, event *routing.Event) bool {
-	rate := fleetAttempts / float64(a.nodes())
-	full := max(1, savedAttempts*rate)
-	a.room = min(a.room+rate*(now-a.roomAt).Seconds(), full)
-	a.roomAt = now
-	if event.Tokens < a.threshold {
-		if a.room >= full {
-			a.threshold *= thresholdDown
+// admit reports whether an attempt is to be reported, by the size of its prompt and this node's share of the fleet's reports.
+// The caller holds the lock.
+func (r *loadReporter) admit(now time.Duration, event *routing.Event) bool {
+	rate := fleetReportsPerSecond / float64(r.nodes())
+	capacity := max(1, burstSeconds*rate)
+	r.credit = min(r.credit+rate*(now-r.creditAt).Seconds(), capacity)
+	r.creditAt = now
+	if event.Tokens < r.minTokens {
+		if r.credit >= capacity {
+			r.minTokens *= thresholdDecay
 		}
 		return false
 	}
-	if a.room < 1 {
-		a.threshold = max(a.threshold, event.Tokens*(thresholdUp-1)) * thresholdUp
+	if r.credit < 1 {
+		r.minTokens = max(r.minTokens, event.Tokens*(thresholdRaise-1)) * thresholdRaise
 		return false
 	}
-	a.room--
-	a.threshold *= thresholdDown
-	if len(a.told) >= mostTold {
-		clear(a.told)
+	r.credit--
+	r.minTokens *= thresholdDecay
+	if len(r.reported) >= maxReported {
+		clear(r.reported)
 	}
-	a.told[event.Attempt] = true
+	r.reported[event.Attempt] = true
 	return true
 }
 
-// take gives the waiting events in their packed form.
-func (a *loadReporter) take() []byte {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.now()
+// drain empties the queue and returns its events in their packed form, with their ages.
+func (r *loadReporter) drain() []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
 	var packed []byte
-	for _, one := range a.waiting {
-		one.event.Age = now - one.at
-		packed = routing.AppendEvent(packed, one.event)
+	for _, queued := range r.queue {
+		queued.event.Age = now - queued.at
+		packed = routing.AppendEvent(packed, queued.event)
 	}
-	a.waiting = a.waiting[:0]
+	r.queue = r.queue[:0]
 	return packed
 }
 
-func (a *loadReporter) run() {
-	for range a.wake {
-		time.Sleep(gatherFor)
-		address := a.node.watcher.current.Load()
-		packed := a.take()
+// run sends reports until the context ends. One that cannot be delivered is not sent again: it would be too old.
+func (r *loadReporter) run(ctx context.Context) {
+	for {
+		select {
+		case <-r.wake:
+		case <-ctx.Done():
+			return
+		}
+		sleep(ctx, batchInterval)
+		address := r.node.watcher.polledAddress.Load()
+		packed := r.drain()
 		if address == nil || *address == "" || len(packed) == 0 {
 			continue
 		}
-		announcement := distribution.Announcement{Session: a.node.session, Events: packed}
+		announcement := distribution.Announcement{Session: r.node.session, Events: packed}
 		var none struct{}
-		_ = a.node.pool.Call(*address, distribution.MethodAnnounce, &announcement, &none, announceWait)
+		_ = r.node.pool.Call(*address, distribution.MethodAnnounce, &announcement, &none, announceTimeout)
 	}
 }
--- a/internal/fleet/dataplane/quotaclient.go
+++ b/internal/fleet/dataplane/quotaclient.go
@@ -12,82 +12,86 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// The figures of asking for allowance.
+// Parameters of quota requests.
 const (
-	takeWait      = 100 * time.Millisecond
-	returnEvery   = 500 * time.Millisecond
-	silentFor     = 500 * time.Millisecond // an owner that did not answer is not asked again for so long
-	mostQuotaWait = 5 * time.Second
-	askTries      = 4
-	askPause      = 25 * time.Millisecond
-	shortWait     = 5 * time.Millisecond // up to which a request waits for allowance here: its client's way back takes longer
+	acquireTimeout       = 100 * time.Millisecond // of one call to a quota owner
+	returnInterval       = 500 * time.Millisecond // at which unused quota goes back to its owner
+	unresponsiveTimeout  = 500 * time.Millisecond // for which an owner that did not respond is not called again
+	maxRetryAfter        = 5 * time.Second
+	maxRequestRounds     = 4                     // of calls to owner and deputy while neither says that it owns the bucket
+	requestRoundInterval = 25 * time.Millisecond // between rounds
+	maxInlineWait        = 5 * time.Millisecond  // up to which a request waits here for quota: its client's way back takes longer
 )
 
-var errSilent = errors.New("the control process was found silent just now")
+var errUnresponsive = errors.New("the control process did not respond a moment ago")
 
-// quotaClient keeps the node's part of the tenants' allowances.
+// quotaClient holds this node's local buckets of the tenants' quotas and fills them from the quota owners. It is the proxy's
+// Quotas and safe for concurrent use.
 type quotaClient struct {
 	node        *Node
 	callTimeout time.Duration
 
-	mu      sync.Mutex
-	wallets map[string]*wallet
-	silent  map[string]time.Duration // until when an owner is not asked
+	mu                sync.Mutex
+	buckets           map[string]*tenantBucket // by tenant; the lock guards the buckets too
+	unresponsiveUntil map[string]time.Duration // by address of an owner, on the node's clock
 }
 
-type wallet struct {
+// tenantBucket is a tenant's local bucket with the limit that it was last used under.
+type tenantBucket struct {
 	quota.LocalBucket
 	tenant   *operator.Tenant
-	revision int64
+	revision int64 // of the configuration that tenant is from
 }
 
 func newQuotaClient(n *Node) *quotaClient {
-	return &quotaClient{node: n, callTimeout: takeWait, wallets: map[string]*wallet{}, silent: map[string]time.Duration{}}
+	return &quotaClient{node: n, callTimeout: acquireTimeout, buckets: map[string]*tenantBucket{}, unresponsiveUntil: map[string]time.Duration{}}
 }
 
-// Acquire takes an amount from a tenant's allowance: from what is held, else from its owner, else from the owner's deputy,
-// else from this node's even part of the limit. Where the owner will very soon have enough, it is asked once more: the bucket
-// of one that has just begun may be empty though the tenant is far below its limit.
-func (r *quotaClient) Acquire(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
+// Acquire takes an amount of a tenant's quota: from the local bucket, else from the quota owner, else from the owner's deputy,
+// else from this node's even share of the limit. Where the owner will have enough within maxInlineWait it is called once more:
+// the bucket of an owner that has just started may be empty though the tenant is far below its limit.
+//
+// It reports whether the amount was acquired and, where it was not, after how long the client should retry.
+func (c *quotaClient) Acquire(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
 	for retried := false; ; retried = true {
-		now := r.node.now()
-		r.mu.Lock()
-		w := r.wallet(tenant, revision)
-		if w.TryAcquire(now, amount) {
-			r.mu.Unlock()
+		now := c.node.now()
+		c.mu.Lock()
+		bucket := c.bucket(tenant, revision)
+		if bucket.TryAcquire(now, amount) {
+			c.mu.Unlock()
 			return true, 0
 		}
-		need, ahead := w.Demand(amount)
-		r.mu.Unlock()
+		need, ahead := bucket.Demand(amount)
+		c.mu.Unlock()
 		request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
 			Revision: revision, Urgent: urgent}
-		reply := r.ask(&request)
+		reply := c.requestGrant(&request)
 		if !reply.Owner {
-			return r.fallBack(w, tenant, amount)
+			return c.acquireFallback(bucket, tenant, amount)
 		}
-		if r.acquireGranted(w, reply.Granted, amount) {
+		if c.acquireGranted(bucket, reply.Granted, amount) {
 			return true, 0
 		}
-		if retried || !waitShortly(ctx, reply.Wait) {
-			r.node.log.Debug("over quota", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
-			return false, min(reply.Wait, mostQuotaWait)
+		if retried || !waitInline(ctx, reply.Wait) {
+			c.node.log.Debug("quota exceeded", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "burst", tenant.Burst, "wait", reply.Wait)
+			return false, min(reply.Wait, maxRetryAfter)
 		}
 	}
 }
 
-// acquireGranted takes an owner's answer and an amount from what is then held.
-func (r *quotaClient) acquireGranted(w *wallet, granted, amount float64) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	w.AddGrant(r.node.now(), granted)
-	return w.TryAcquire(r.node.now(), amount)
+// acquireGranted adds an owner's grant to a bucket and reports whether the amount could then be taken from it.
+func (c *quotaClient) acquireGranted(bucket *tenantBucket, granted, amount float64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	bucket.AddGrant(c.node.now(), granted)
+	return bucket.TryAcquire(c.node.now(), amount)
 }
 
-// waitShortly waits and tells whether it did: not where the time is longer than shortWait or than the request has left, and
-// only as long as the request's context lasts.
-func waitShortly(ctx context.Context, wait time.Duration) bool {
+// waitInline waits and reports whether it did. It does not where the time is longer than maxInlineWait or than the request has
+// left, and stops when the request's context ends.
+func waitInline(ctx context.Context, wait time.Duration) bool {
 	deadline, limited := ctx.Deadline()
-	if wait > shortWait || limited && wait >= time.Until(deadline) {
+	if wait > maxInlineWait || limited && wait >= time.Until(deadline) {
 		return false
 	}
 	timer := time.NewTimer(wait)
@@ -100,90 +104,92 @@
 	}
 }
 
-// ask asks the owner, and its deputy where the owner is silent. While the ownership moves from one process to another that are
-// both there, neither gives for some milliseconds: then both are asked again.
-func (r *quotaClient) ask(request *quota.TakeRequest) quota.TakeReply {
-	for try := range askTries {
-		reply, answered := r.askInTurn(request)
-		if reply.Owner || !answered || try == askTries-1 {
+// requestGrant calls the owner, and its deputy where the owner does not respond. While the ownership moves between two processes
+// that are both up, neither grants for some milliseconds: then both are called again. The reply's Owner is false where no
+// owner was found.
+func (c *quotaClient) requestGrant(request *quota.TakeRequest) quota.TakeReply {
+	for round := range maxRequestRounds {
+		reply, responded := c.requestFromChain(request)
+		if reply.Owner || !responded || round == maxRequestRounds-1 {
 			return reply
 		}
-		time.Sleep(askPause)
+		time.Sleep(requestRoundInterval)
 	}
 	return quota.TakeReply{}
 }
 
-// askInTurn asks owner and deputy once. It also tells whether any of them answered at all.
-func (r *quotaClient) askInTurn(request *quota.TakeRequest) (reply quota.TakeReply, answered bool) {
-	chain := r.chain()
-	asked := *request
+// requestFromChain calls owner and deputy once each. It also reports whether any of them responded.
+func (c *quotaClient) requestFromChain(request *quota.TakeRequest) (reply quota.TakeReply, responded bool) {
+	chain := c.chain()
+	current := *request
 	for range 2 {
-		owner := routing.Rendezvous(asked.Tenant, chain)
+		owner := routing.Rendezvous(current.Tenant, chain)
 		if owner == "" {
 			break
 		}
-		reply, err := r.askOne(owner, &asked)
+		reply, err := c.requestFrom(owner, &current)
 		if reply.Owner {
 			return reply, true
 		}
-		answered = answered || err == nil
-		asked.Deputy, asked.Ahead = true, 0
+		responded = responded || err == nil
+		current.Deputy, current.Ahead = true, 0
 		chain = slices.DeleteFunc(chain, func(address string) bool { return address == owner })
 	}
-	return quota.TakeReply{}, answered
+	return quota.TakeReply{}, responded
 }
 
-// askOne asks one control process, unless it was found silent just now.
-func (r *quotaClient) askOne(address string, request *quota.TakeRequest) (quota.TakeReply, error) {
-	r.mu.Lock()
-	silent := r.node.now() < r.silent[address]
-	r.mu.Unlock()
-	if silent {
-		return quota.TakeReply{}, errSilent
+// requestFrom calls one control process. It returns errUnresponsive at once where that did not respond a moment ago.
+func (c *quotaClient) requestFrom(address string, request *quota.TakeRequest) (quota.TakeReply, error) {
+	c.mu.Lock()
+	unresponsive := c.node.now() < c.unresponsiveUntil[address]
+	c.mu.Unlock()
+	if unresponsive {
+		return quota.TakeReply{}, errUnresponsive
 	}
 	var reply quota.TakeReply
-	err := r.node.pool.Call(address, quota.MethodTake, request, &reply, r.callTimeout)
+	err := c.node.pool.Call(address, quota.MethodTake, request, &reply, c.callTimeout)
 	if err != nil {
-		r.mu.Lock()
-		r.silent[address] = r.node.now() + silentFor
-		r.mu.Unlock()
+		c.mu.Lock()
+		c.unresponsiveUntil[address] = c.node.now() + unresponsiveTimeout
+		c.mu.Unlock()
 	}
 	return reply, err
 }
 
-// fallBack spends from this node's even part of the limit, while the owner does not answer.
-func (r *quotaClient) fallBack(w *wallet, tenant *operator.Tenant, amount float64) (bool, time.Duration) {
-	nodes := r.node.watcher.nodes()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.node.log.Debug("no owner of the allowance answers", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "nodes", nodes)
-	return w.TryAcquireFallback(r.node.now(), tenant.Rate, nodes, amount), silentFor
+// acquireFallback takes an amount from this node's even share of the limit while no owner responds.
+func (c *quotaClient) acquireFallback(bucket *tenantBucket, tenant *operator.Tenant, amount float64) (bool, time.Duration) {
+	nodes := c.node.watcher.nodeCount()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.node.log.Debug("no quota owner responded", "tenant", tenant.Name, "amount", amount, "rate", tenant.Rate, "nodes", nodes)
+	return bucket.TryAcquireFallback(c.node.now(), tenant.Rate, nodes, amount), unresponsiveTimeout
 }
 
-// Refund gives back what a request that did not run took.
-func (r *quotaClient) Refund(tenant *operator.Tenant, amount float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if w := r.wallets[tenant.Name]; w != nil {
-		w.Refund(amount)
+// Refund gives back what was acquired for a request that has not run.
+func (c *quotaClient) Refund(tenant *operator.Tenant, amount float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if bucket := c.buckets[tenant.Name]; bucket != nil {
+		bucket.Refund(amount)
 	}
 }
 
-func (r *quotaClient) wallet(tenant *operator.Tenant, revision int64) *wallet {
-	w := r.wallets[tenant.Name]
-	if w == nil {
-		w = &wallet{}
-		r.wallets[tenant.Name] = w
+// bucket returns a tenant's bucket and brings its limit up to date. The caller holds the lock.
+func (c *quotaClient) bucket(tenant *operator.Tenant, revision int64) *tenantBucket {
+	bucket := c.buckets[tenant.Name]
+	if bucket == nil {
+		bucket = &tenantBucket{}
+		c.buckets[tenant.Name] = bucket
 	}
-	if revision >= w.revision {
-		w.tenant, w.revision = tenant, revision
+	if revision >= bucket.revision {
+		bucket.tenant, bucket.revision = tenant, revision
 	}
-	return w
+	return bucket
 }
 
-// chain are the members of the chain as far as is known here.
-func (r *quotaClient) chain() []string {
-	_, members := r.node.watcher.members()
+// chain returns the addresses of the control plane's chain, as far as this node knows it. Quota owners are chosen among them.
+func (c *quotaClient) chain() []string {
+	_, members := c.node.watcher.members()
 	var chain []string
 	for _, member := range members {
 		if member.InChain {
@@ -193,24 +199,26 @@
 	return chain
 }
 
-// run gives back what was granted and not used.
-func (r *quotaClient) run() {
-	for range time.Tick(returnEvery) {
-		for _, request := range r.unused() {
+// run returns unused quota to its owners at every interval until the context ends. What cannot be returned is lost to the tenant
+// until its bucket fills again.
+func (c *quotaClient) run(ctx context.Context) {
+	every(ctx, returnInterval, func(time.Time) {
+		for _, request := range c.collectUnused() {
 			var reply quota.TakeReply
-			_ = r.node.pool.Call(routing.Rendezvous(request.Tenant, r.chain()), quota.MethodTake, &request, &reply, r.callTimeout)
+			_ = c.node.pool.Call(routing.Rendezvous(request.Tenant, c.chain()), quota.MethodTake, &request, &reply, c.callTimeout)
 		}
-	}
+	})
 }
 
-func (r *quotaClient) unused() []quota.TakeRequest {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// collectUnused empties the buckets of what was granted and not used and returns the requests that give it back.
+func (c *quotaClient) collectUnused() []quota.TakeRequest {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var requests []quota.TakeRequest
-	for name, w := range r.wallets {
-		if amount := w.ReleaseUnused(r.node.now()); amount > 0 {
-			requests = append(requests, quota.TakeRequest{Tenant: name, Rate: w.tenant.Rate, Burst: w.tenant.Burst,
-				Returned: amount, Revision: w.revision})
+	for name, bucket := range c.buckets {
+		if amount := bucket.ReleaseUnused(c.node.now()); amount > 0 {
+			requests = append(requests, quota.TakeRequest{Tenant: name, Rate: bucket.tenant.Rate, Burst: bucket.tenant.Burst,
+				Returned: amount, Revision: bucket.revision})
 		}
 	}
 	return requests
--- a/internal/fleet/dataplane/retrybudget.go
+++ b/internal/fleet/dataplane/retrybudget.go
@@ -6,48 +6,50 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// The parts of the fleet's retry budget that are used: nodes know nothing of each other, so each keeps to its own part.
+// Fractions of the fleet's retry budget that are used. Nodes know nothing of each other's retries, so each keeps to its share.
 const (
-	ratioPart = 0.5
-	slackPart = 0.4
+	ratioFraction = 0.5
+	slackFraction = 0.4
 )
 
-// retryBudget bounds the sends beyond the first to each service. Each first send earns a part of a further one; what is
-// saved up is bounded by this node's part of the slack.
+// retryBudget bounds the retries to each service: a token bucket in which each first attempt deposits a fraction of a retry, and
+// which holds no more than this node's share of the slack. It is safe for concurrent use.
 type retryBudget struct {
-	ratio float64
-	slack float64
+	ratio float64 // retries earned by a first attempt
+	slack float64 // retries that all nodes together may save up
 
 	mu     sync.Mutex
 	nodes  int
-	tokens map[string]float64
+	tokens map[string]float64 // retries that may be made now, by service
 }
 
 func newRetryBudget(bounds settings.Bounds) *retryBudget {
-	return &retryBudget{ratio: ratioPart * bounds.RetryBudgetRatio, slack: slackPart * bounds.BudgetSlack, nodes: 1,
+	return &retryBudget{ratio: ratioFraction * bounds.RetryBudgetRatio, slack: slackFraction * bounds.BudgetSlack, nodes: 1,
 		tokens: map[string]float64{}}
 }
 
+// setNodes sets the number of nodes that share the slack.
 func (b *retryBudget) setNodes(nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.nodes = max(1, nodes)
 }
 
-func (b *retryBudget) most() float64 { return max(1, b.slack/float64(b.nodes)) }
+// maxTokens returns what a service's bucket holds at most. The caller holds the lock.
+func (b *retryBudget) maxTokens() float64 { return max(1, b.slack/float64(b.nodes)) }
 
-// Deposit notes the first send of a request.
+// Deposit records the first attempt of a request. A service's first request finds a full bucket.
 func (b *retryBudget) Deposit(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	saved, known := b.tokens[service]
+	tokens, known := b.tokens[service]
 	if !known {
-		saved = b.most()
+		tokens = b.maxTokens()
 	}
-	b.tokens[service] = min(saved+b.ratio, b.most())
+	b.tokens[service] = min(tokens+b.ratio, b.maxTokens())
 }
 
-// TryWithdraw takes a further send, if there is one.
+// TryWithdraw reports whether a retry may be made, and takes it from the budget.
 func (b *retryBudget) TryWithdraw(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
