--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -4,239 +4,170 @@
 	"context"
 	"errors"
 	"net/http"
-	"slices"
-	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/fleet/backend"
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
-	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// mostUnsent bounds the raters that are tried for one request without a byte sent.
-const mostUnsent = 4
+// maxUnsent bounds the attempts of one request to which no byte was sent.
+const maxUnsent = 4
 
-// hopHeaders concern a single connection and are not passed on.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
-	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
-
-// verdict is what is to be done after an attempt.
-type verdict uint8
+// attemptResult is what is to be done after an attempt.
+type attemptResult uint8
 
 const (
-	done      verdict = iota // the client has its answer
-	elsewhere                // another rater may be tried
-	failed                   // no further attempt may be made
+	attemptDone      attemptResult = iota // the client has its response
+	attemptRetryable                      // another backend may be tried
+	attemptFailed                         // no further attempt may be made
 )
 
-// serve sends the request to raters until it has an answer or may not be sent again.
-func (c *call) serve() {
-	c.handler.Retries.Deposit(c.service)
-	fault := errkind.New(errkind.NoBackend, "")
-	for unsent := 0; unsent < mostUnsent; {
-		ticket := c.place()
-		if ticket == nil {
+// serve makes attempts until the client has a response or no further one may be made.
+func (e *exchange) serve(ctx context.Context) {
+	e.handler.Retries.Deposit(e.service)
+	lastErr := errkind.New(errkind.NoBackend, "")
+	for unsent := 0; unsent < maxUnsent; {
+		attempt := e.pick()
+		if attempt == nil {
 			break
 		}
-		outcome, err := c.attempt(ticket)
-		switch outcome {
-		case done:
+		result, err := e.send(ctx, attempt)
+		switch result {
+		case attemptDone:
 			return
-		case failed:
-			c.refuse(err)
+		case attemptFailed:
+			e.reject(err)
 			return
 		}
-		fault = err
-		c.tried = append(c.tried, ticket.Backend.ID)
-		if fault.Kind == errkind.NoBackend {
+		lastErr = err
+		e.excluded = append(e.excluded, attempt.Backend.ID)
+		if lastErr.Kind == errkind.NoBackend {
 			unsent++
 			continue
 		}
-		if !c.mayRetry() {
+		if !e.withdrawRetry() {
 			break
 		}
 	}
-	if c.mayRun && fault.Kind.Response().NotExecuted {
-		fault = errkind.New(errkind.BackendLost, "")
+	if e.mayHaveRun && lastErr.Kind.Response().NotExecuted { // the last attempt did not run the request, an earlier one may have
+		lastErr = errkind.New(errkind.BackendLost, "")
 	}
-	c.refuse(fault)
+	e.reject(lastErr)
 }
 
-// place chooses the next rater; nil where there is none or no time.
-func (c *call) place() *routing.Attempt {
-	if time.Until(c.deadline) <= 0 || c.clientGone() {
+// pick returns the next attempt, nil where there is no backend for it, no time, or no client.
+func (e *exchange) pick() *routing.Attempt {
+	if time.Until(e.deadline) <= 0 || e.clientDisconnected() {
 		return nil
 	}
-	request := &routing.Request{Cost: c.prompt.cost(), Deadline: time.Until(c.deadline), Exclude: c.tried, OwnTokens: c.prompt.own,
-		SharedTokens: max(0, c.prompt.input-c.prompt.own), Target: c.route.Target,
-		Long: c.prompt.long(), Route: c.route.Name}
-	if c.route.Affinity {
-		request.Prefix = c.prompt.shared
+	request := &routing.Request{Cost: e.prompt.cost(), Deadline: time.Until(e.deadline), Exclude: e.excluded, OwnTokens: e.prompt.ownTokens,
+		SharedTokens: max(0, e.prompt.inputTokens-e.prompt.ownTokens), Target: e.route.Target,
+		Long: e.prompt.long(), Route: e.route.Name}
+	if e.route.Affinity {
+		request.Prefix = e.prompt.prefix
 	}
-	c.placed = time.Now()
-	return c.handler.Picker.Pick(c.service, request)
+	e.pickedAt = time.Now()
+	return e.handler.Picker.Pick(e.service, request)
 }
 
-// mayRetry tells whether a request that a rater has had may be sent to another one.
-func (c *call) mayRetry() bool {
-	if c.mayRun && !c.route.Idempotent() {
+// withdrawRetry reports whether a request that has reached a backend may be sent to another one, and takes the retry from the
+// budget.
+func (e *exchange) withdrawRetry() bool {
+	if e.mayHaveRun && !e.route.Idempotent() {
 		return false
 	}
-	return c.sends < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.handler.Retries.TryWithdraw(c.service)
+	return e.attempts < e.route.MaxAttempts && time.Until(e.deadline) > 0 && e.handler.Retries.TryWithdraw(e.service)
 }
 
-// attempt sends the request to one rater.
-func (c *call) attempt(ticket *routing.Attempt) (verdict, *errkind.Error) {
-	if c.tenant != nil && !c.handler.Config.Leased() {
-		c.end(ticket, decide.NotSent, routing.Load{})
-		return failed, errkind.New(errkind.StaleConfig, "")
+// send sends the request to an attempt's backend and forwards the response. The error is nil where the client has its response.
+func (e *exchange) send(ctx context.Context, attempt *routing.Attempt) (attemptResult, *errkind.Error) {
+	if e.tenant != nil && !e.handler.Config.Leased() {
+		e.reportDone(attempt, decide.NotSent, routing.Load{})
+		return attemptFailed, errkind.New(errkind.StaleConfig, "")
 	}
-	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
+	ctx, cancel := context.WithDeadline(ctx, e.deadline)
 	defer cancel()
-	answer, err := c.handler.Backends.Do(ctx, ticket.Backend.Address, c.outgoing(ticket))
+	response, err := e.handler.Backends.Do(ctx, attempt.Backend.Address, e.upstreamRequest(attempt))
 	if err != nil {
-		return c.noAnswer(ctx, ticket, err)
-	}
-	defer answer.Close()
-	c.sends++
-	if answer.NotExecuted() {
-		c.end(ticket, decide.Full, answer.Load)
-		if answer.Status == http.StatusMisdirectedRequest {
-			return elsewhere, errkind.New(errkind.Rejected, "another rater has the address")
+		return e.handleError(ctx, attempt, err)
+	}
+	defer response.Close()
+	e.attempts++
+	if response.NotExecuted() {
+		e.reportDone(attempt, decide.Full, response.Load)
+		if response.Status == http.StatusMisdirectedRequest {
+			return attemptRetryable, errkind.New(errkind.Rejected, "another backend has the address")
 		}
-		return elsewhere, errkind.New(errkind.Rejected, "")
+		return attemptRetryable, errkind.New(errkind.Rejected, "")
 	}
-	c.mayRun = true
-	if answer.Status >= http.StatusInternalServerError && c.route.Idempotent() && c.sends < c.route.MaxAttempts {
-		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, errkind.New(errkind.BackendLost, "")
+	e.mayHaveRun = true
+	if response.Status >= http.StatusInternalServerError && e.route.Idempotent() && e.attempts < e.route.MaxAttempts {
+		e.reportDone(attempt, decide.Failed, response.Load)
+		return attemptRetryable, errkind.New(errkind.BackendLost, "")
 	}
-	return c.pass(ctx, ticket, answer)
+	return e.forward(ctx, attempt, response)
 }
 
-// noAnswer decides what becomes of a request whose rater gave no answer.
-func (c *call) noAnswer(ctx context.Context, ticket *routing.Attempt, err error) (verdict, *errkind.Error) {
-	fate := backend.MayHaveRun
-	var exchange *backend.Error
-	if errors.As(err, &exchange) {
-		fate = exchange.Outcome
-	}
-	if fate == backend.NotSent {
-		result := decide.NoConnect
-		if ctx.Err() != nil {
-			result = decide.NotSent
-		}
-		c.end(ticket, result, routing.Load{})
-		if !c.clientGone() {
-			c.handler.Picker.Unreachable(c.service, ticket)
-		}
-		if ctx.Err() != nil {
-			return failed, errkind.New(c.outOfTime(), "")
-		}
-		return elsewhere, errkind.New(errkind.NoBackend, "")
+// handleError decides what follows an attempt that brought no response, by what the error says of whether the request may have
+// run.
+func (e *exchange) handleError(ctx context.Context, attempt *routing.Attempt, err error) (attemptResult, *errkind.Error) {
+	outcome := backend.MayHaveRun
+	var failed *backend.Error
+	if errors.As(err, &failed) {
+		outcome = failed.Outcome
 	}
-	c.sends++
-	c.mayRun = true
-	c.handler.Backends.CloseIdle(ticket.Backend.Address)
+	if outcome == backend.NotSent {
+		return e.handleNotSent(ctx, attempt)
+	}
+	e.attempts++
+	e.mayHaveRun = true
+	e.handler.Backends.CloseIdle(attempt.Backend.Address)
 	if errors.Is(err, syscall.ETIMEDOUT) {
-		c.handler.Picker.Unreachable(c.service, ticket)
+		e.handler.Picker.Unreachable(e.service, attempt)
 	}
 	switch {
-	case c.clientGone():
-		c.end(ticket, decide.Cancelled, routing.Load{})
-		return failed, errkind.New(errkind.BackendLost, "")
+	case e.clientDisconnected():
+		e.reportDone(attempt, decide.Cancelled, routing.Load{})
+		return attemptFailed, errkind.New(errkind.BackendLost, "")
 	case ctx.Err() != nil:
-		c.end(ticket, decide.Late, routing.Load{})
-		return failed, errkind.New(errkind.DeadlineExceededInFlight, "")
-	case fate == backend.Malformed:
-		c.end(ticket, decide.Failed, routing.Load{})
-		return elsewhere, errkind.New(errkind.MalformedResponse, "")
-	}
-	c.end(ticket, decide.Reset, routing.Load{})
-	return elsewhere, errkind.New(errkind.BackendLost, "")
-}
-
-func (c *call) outOfTime() errkind.Kind {
-	if c.mayRun {
-		return errkind.DeadlineExceededInFlight
-	}
-	return errkind.DeadlineExceeded
-}
-
-func (c *call) end(ticket *routing.Attempt, result routing.Result, load routing.Load) {
-	c.handler.Picker.Done(c.service, ticket, result, load)
-}
-
-// outgoing is the request as the rater gets it.
-func (c *call) outgoing(ticket *routing.Attempt) *backend.Request {
-	header := c.request.Header.Clone()
-	dropHopHeaders(header)
-	for _, name := range []string{backend.HeaderKey, backend.HeaderTenant, backend.HeaderExpect, backend.HeaderPriority, backend.HeaderDeadline} {
-		header.Del(name)
-	}
-	left := max(1, time.Until(c.deadline).Milliseconds())
-	header.Set(backend.HeaderDeadline, strconv.FormatInt(left, 10))
-	header.Set(backend.HeaderExpect, ticket.Backend.ID)
-	header.Set(backend.HeaderPriority, strconv.Itoa(c.priority()))
-	if c.tenant != nil {
-		header.Set(backend.HeaderTenant, c.tenant.Name)
-	}
-	if c.stream.lastID != "" {
-		header.Set(backend.HeaderLastID, c.stream.lastID)
-	}
-	return &backend.Request{Method: c.request.Method, Target: c.request.RequestURI, Host: c.request.Host, Header: header, Body: c.body}
+		e.reportDone(attempt, decide.Late, routing.Load{})
+		return attemptFailed, errkind.New(errkind.DeadlineExceededInFlight, "")
+	case outcome == backend.Malformed:
+		e.reportDone(attempt, decide.Failed, routing.Load{})
+		return attemptRetryable, errkind.New(errkind.MalformedResponse, "")
+	}
+	e.reportDone(attempt, decide.Reset, routing.Load{})
+	return attemptRetryable, errkind.New(errkind.BackendLost, "")
 }
 
-// lowestPriority is the last rank that a rater knows.
-const lowestPriority = 9
-
-// priority is the request's rank: a tenant's own goes before the route's.
-func (c *call) priority() int {
-	rank := c.route.Priority
-	if c.tenant != nil && c.tenant.HasPriority {
-		rank = c.tenant.Priority
+// handleNotSent decides what follows an attempt to which no byte was sent.
+func (e *exchange) handleNotSent(ctx context.Context, attempt *routing.Attempt) (attemptResult, *errkind.Error) {
+	result := decide.NoConnect
+	if ctx.Err() != nil {
+		result = decide.NotSent
 	}
-	return min(max(rank, 0), lowestPriority)
-}
-
-func dropHopHeaders(header http.Header) {
-	for _, list := range header.Values("Connection") {
-		for name := range strings.SplitSeq(list, ",") {
-			header.Del(strings.TrimSpace(name))
-		}
+	e.reportDone(attempt, result, routing.Load{})
+	if !e.clientDisconnected() {
+		e.handler.Picker.Unreachable(e.service, attempt)
 	}
-	for _, name := range hopHeaders {
-		header.Del(name)
+	if ctx.Err() != nil {
+		return attemptFailed, errkind.New(e.deadlineKind(), "")
 	}
+	return attemptRetryable, errkind.New(errkind.NoBackend, "")
 }
 
-// ownHeaders are those of a rater's answer that are for the system alone.
-var ownHeaders = []string{"Instance-Id", backend.HeaderLoad, backend.HeaderNotExecuted}
-
-// writeHead gives the client the head of a rater's answer.
-func (c *call) writeHead(answer *backend.Response) {
-	header := c.writer.Header()
-	closing := header.Get("Connection")
-	for name, values := range answer.Header {
-		if !slices.Contains(hopHeaders, name) && !slices.Contains(ownHeaders, name) {
-			header[name] = values
-		}
-	}
-	if closing != "" {
-		header.Set("Connection", closing)
-	}
-	if answer.Length >= 0 && !c.resumable() {
-		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
-	}
-	if header.Get("Content-Type") == "" {
-		header["Content-Type"] = nil // nothing is guessed from the body
+// deadlineKind returns the kind of error of a request whose deadline has passed while no attempt was in flight.
+func (e *exchange) deadlineKind() errkind.Kind {
+	if e.mayHaveRun {
+		return errkind.DeadlineExceededInFlight
 	}
-	c.writer.WriteHeader(answer.Status)
-	c.stream.headSent = true
+	return errkind.DeadlineExceeded
 }
 
-func (c *call) resumable() bool { return c.route.Type == operator.Streaming && c.route.Resume }
+// reportDone ends an attempt with the picker. It is called once for each.
+func (e *exchange) reportDone(attempt *routing.Attempt, result routing.Result, load routing.Load) {
+	e.handler.Picker.Done(e.service, attempt, result, load)
+}
--- /dev/null
+++ b/internal/fleet/proxy/exchange.go
@@ -0,0 +1,137 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"linenwheel.dev/linenwheel/internal/fleet/backend"
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
+	"linenwheel.dev/linenwheel/internal/fleet/operator"
+)
+
+// exchange is the state of one client's request and its response. Only the goroutine that serves the request uses it.
+type exchange struct {
+	handler    *Handler
+	writer     http.ResponseWriter
+	request    *http.Request
+	receivedAt time.Time
+
+	// Set by prepare.
+	route    *operator.Route
+	tenant   *operator.Tenant // nil where the route needs none
+	service  string
+	deadline time.Time
+	body     []byte
+	prompt   prompt
+	acquired float64 // of the tenant's quota, and not refunded
+
+	// Set by the attempts.
+	pickedAt   time.Time // when the last backend was picked
+	excluded   []string  // ids of the backends of earlier attempts
+	attempts   int       // that reached a backend
+	mayHaveRun bool      // one of them may have run the request
+	stream     streamState
+}
+
+// prepare reads the request and finds all that is needed to forward it. An error is an *errkind.Error that says why the request
+// is rejected.
+func (e *exchange) prepare(ctx context.Context) error {
+	table := e.handler.Config.Table()
+	if table == nil {
+		return errkind.New(errkind.NotConfigured, "")
+	}
+	e.route = table.Route(e.request.Host, pathOf(e.request.RequestURI))
+	if e.route == nil {
+		return errkind.New(errkind.NoRoute, "")
+	}
+	if err := e.authenticate(table); err != nil {
+		return err
+	}
+	e.setDeadline()
+	if e.mayOutliveProcess() {
+		return errkind.New(errkind.ShuttingDown, "")
+	}
+	if err := e.readBody(table.Limits.BodyBytes); err != nil {
+		return err
+	}
+	e.service = e.route.Pick(rand.Float64())
+	e.prompt = parsePrompt(e.request.Header)
+	return e.acquireQuota(ctx, table)
+}
+
+// mayOutliveProcess reports whether the process may end before the request's deadline: another node can give the complete
+// response. How long responses have taken so far is no guide, as the long ones are not known before they have ended.
+func (e *exchange) mayOutliveProcess() bool {
+	left, stopping := e.handler.TimeLeft()
+	return stopping && time.Until(e.deadline) > left
+}
+
+// pathOf returns the path of a request target as the client wrote it, without decoding.
+func pathOf(target string) string {
+	if rest, found := strings.CutPrefix(target, "http://"); found {
+		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
+			target = rest[slash:]
+		} else {
+			target = "/"
+		}
+	}
+	path, _, _ := strings.Cut(target, "?")
+	return path
+}
+
+// authenticate finds the tenant by the request's API key, where the route needs one.
+func (e *exchange) authenticate(table *operator.Table) error {
+	if !table.HasTenant || e.route.Anonymous {
+		return nil
+	}
+	if !e.handler.Config.Leased() {
+		return errkind.New(errkind.StaleConfig, "")
+	}
+	keys := e.request.Header.Values(backend.HeaderKey)
+	if len(keys) != 1 {
+		return errkind.New(errkind.UnknownKey, "")
+	}
+	e.tenant = table.Tenant(keys[0])
+	if e.tenant == nil {
+		return errkind.New(errkind.UnknownKey, "")
+	}
+	return nil
+}
+
+// setDeadline sets the deadline to the route's timeout or, if that is sooner, the time that the client states in milliseconds.
+func (e *exchange) setDeadline() {
+	timeout := e.route.Timeout
+	stated, err := strconv.ParseFloat(e.request.Header.Get(backend.HeaderDeadline), 64)
+	if err == nil && stated > 0 {
+		timeout = min(timeout, time.Duration(stated*float64(time.Millisecond)))
+	}
+	e.deadline = e.receivedAt.Add(timeout)
+}
+
+// readBody reads the body, of at most so many bytes, as it may have to be sent more than once.
+func (e *exchange) readBody(limit int64) error {
+	if e.request.ContentLength > limit {
+		return errkind.New(errkind.TooLarge, "")
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(e.writer, e.request.Body, limit))
+	if err == nil {
+		e.body = body
+		return nil
+	}
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return errkind.New(errkind.TooLarge, "")
+	}
+	return &errkind.Error{Kind: errkind.BadRequest, Err: err}
+}
+
+// clientDisconnected reports whether the client has closed its connection.
+func (e *exchange) clientDisconnected() bool {
+	return errors.Is(e.request.Context().Err(), context.Canceled)
+}
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -1,56 +1,63 @@
-// Package proxy carries one request's life: it reads it, finds route and tenant, has it placed, sends it on, passes the
-// answer on as it comes, and gives every request exactly one answer that is true.
+// Package proxy carries a client's request through the data plane: it finds route and tenant, acquires quota, has a backend
+// picked, forwards the request and streams the response back. Every request gets exactly one response, and one that says truly
+// whether the request may have run.
+//
+// Handler is the entry. An exchange is the state of one request; its methods stand in files by concern: exchange.go (reading the
+// request), quota.go, attempt.go (attempts and retries), headers.go, stream.go (forwarding the response) and reject.go.
 package proxy
 
 import (
 	"context"
-	"errors"
-	"io"
-	"math/rand/v2"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/charmbracelet/log"
 
 	"linenwheel.dev/linenwheel/internal/fleet/backend"
-	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// Configuration gives the configuration in force.
+// Configuration is the configuration in force. Implementations are safe for concurrent use.
 type Configuration interface {
-	// Table is the compiled configuration, nil before the first.
+	// Table returns the compiled configuration, nil before the first.
 	Table() *operator.Table
-	// Leased tells whether the configuration may be used now.
+	// Leased reports whether the configuration may be used now.
 	Leased() bool
 }
 
-// Picker chooses raters.
+// Picker picks backends and learns what became of the attempts. Each Attempt that Pick returns is ended by one call of Done.
+// Implementations are safe for concurrent use.
 type Picker interface {
+	// Pick returns an attempt at a backend of a service, nil where none may get the request. It may change the request.
 	Pick(service string, request *routing.Request) *routing.Attempt
-	FirstToken(service string, ticket *routing.Attempt)
-	Done(service string, ticket *routing.Attempt, result routing.Result, load routing.Load)
-	Unreachable(service string, ticket *routing.Attempt)
+	// FirstToken records that the first part of the response's body has come. It is called once for a request at most.
+	FirstToken(service string, attempt *routing.Attempt)
+	// Done records how an attempt ended, and the load that its backend stated, if any.
+	Done(service string, attempt *routing.Attempt, result routing.Result, load routing.Load)
+	// Unreachable records, beside Done, that the backend could not be reached.
+	Unreachable(service string, attempt *routing.Attempt)
 }
 
-// Quotas keep the tenants' limits.
+// Quotas keeps the tenants' limits. Implementations are safe for concurrent use.
 type Quotas interface {
-	// Acquire takes an amount from a tenant's allowance. Where there is not enough it tells when to come back. It waits no longer
-	// than the context lasts, which ends with the request or at its deadline.
-	Acquire(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (ok bool, wait time.Duration)
+	// Acquire takes an amount, in the tenant's unit, from its quota. Where there is not enough it returns after how long the
+	// client should retry. It waits no longer than the context lasts, which ends with the request or at its deadline. Revision is
+	// that of the configuration that the tenant is from; urgent requests go before others.
+	Acquire(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (ok bool, retryAfter time.Duration)
+	// Refund gives back what was acquired for a request that has not run.
 	Refund(tenant *operator.Tenant, amount float64)
 }
 
-// RetryBudget bounds the sends beyond the first.
+// RetryBudget bounds the retries. Implementations are safe for concurrent use.
 type RetryBudget interface {
+	// Deposit records the first attempt of a request to a service.
 	Deposit(service string)
+	// TryWithdraw reports whether a retry may be made, and takes it from the budget.
 	TryWithdraw(service string) bool
 }
 
-// Handler answers the clients of one node.
+// Handler is the http.Handler for the clients of one node. All its fields are required; none may change once it serves.
 type Handler struct {
 	Config   Configuration
 	Picker   Picker
@@ -59,204 +66,22 @@
 	Backends *backend.Client
 	Metrics  *Metrics
 	Log      *log.Logger
-	Closing  func() bool // the process is about to end: connections are not to be kept
-	// TimeLeft tells how long what is under way may still take, where the process is about to end.
-	TimeLeft func() (left time.Duration, ending bool)
+	// Closing reports whether clients are to close their connections, as the node is about to stop serving them.
+	Closing func() bool
+	// TimeLeft reports whether the process is stopping and, if so, how long requests in flight may still take.
+	TimeLeft func() (left time.Duration, stopping bool)
 }
 
-// call is the state of one request.
-type call struct {
-	handler  *Handler
-	writer   http.ResponseWriter
-	request  *http.Request
-	route    *operator.Route
-	tenant   *operator.Tenant
-	service  string
-	arrived  time.Time
-	placed   time.Time // when the last rater was chosen
-	deadline time.Time
-	body     []byte
-	amount   float64 // taken from the tenant's allowance
-	prompt   prompt
-	tried    []string
-	sends    int
-	mayRun   bool // a send may have run
-	stream   stream
-}
-
-// ServeHTTP answers one request.
+// ServeHTTP serves one request. It panics with http.ErrAbortHandler where a response that has begun cannot be completed.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{handler: h, writer: w, request: r, arrived: time.Now()}
+	e := &exchange{handler: h, writer: w, request: r, receivedAt: time.Now()}
 	if h.Closing() {
 		w.Header().Set("Connection", "close")
 	}
-	if err := c.prepare(); err != nil {
-		c.refuse(err)
+	ctx := r.Context()
+	if err := e.prepare(ctx); err != nil {
+		e.reject(err)
 		return
 	}
-	c.serve()
-}
-
-// prepare finds everything that is needed to send the request on.
-func (c *call) prepare() error {
-	table := c.handler.Config.Table()
-	if table == nil {
-		return errkind.New(errkind.NotConfigured, "")
-	}
-	c.route = table.Route(c.request.Host, pathOf(c.request.RequestURI))
-	if c.route == nil {
-		return errkind.New(errkind.NoRoute, "")
-	}
-	if err := c.authenticate(table); err != nil {
-		return err
-	}
-	c.setDeadline()
-	if c.mayBeCut() {
-		return errkind.New(errkind.ShuttingDown, "")
-	}
-	if err := c.readBody(table.Limits.BodyBytes); err != nil {
-		return err
-	}
-	c.service = c.route.Pick(rand.Float64())
-	c.prompt = parsePrompt(c.request.Header)
-	return c.spend(table)
-}
-
-// mayBeCut tells whether the process ends before the request's time does: another node can give the whole answer. How long
-// answers take so far is no guide, as those that take long are not known before they have.
-func (c *call) mayBeCut() bool {
-	left, ending := c.handler.TimeLeft()
-	return ending && time.Until(c.deadline) > left
-}
-
-// pathOf is the path of a request target as the client wrote it.
-func pathOf(target string) string {
-	if rest, found := strings.CutPrefix(target, "http://"); found {
-		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
-			target = rest[slash:]
-		} else {
-			target = "/"
-		}
-	}
-	path, _, _ := strings.Cut(target, "?")
-	return path
-}
-
-func (c *call) authenticate(table *operator.Table) error {
-	if !table.HasTenant || c.route.Anonymous {
-		return nil
-	}
-	if !c.handler.Config.Leased() {
-		return errkind.New(errkind.StaleConfig, "")
-	}
-	keys := c.request.Header.Values(backend.HeaderKey)
-	if len(keys) != 1 {
-		return errkind.New(errkind.UnknownKey, "")
-	}
-	c.tenant = table.Tenant(keys[0])
-	if c.tenant == nil {
-		return errkind.New(errkind.UnknownKey, "")
-	}
-	return nil
-}
-
-func (c *call) setDeadline() {
-	within := c.route.Timeout
-	stated, err := strconv.ParseFloat(c.request.Header.Get(backend.HeaderDeadline), 64)
-	if err == nil && stated > 0 {
-		within = min(within, time.Duration(stated*float64(time.Millisecond)))
-	}
-	c.deadline = c.arrived.Add(within)
-}
-
-func (c *call) readBody(limit int64) error {
-	if c.request.ContentLength > limit {
-		return errkind.New(errkind.TooLarge, "")
-	}
-	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, limit))
-	if err == nil {
-		c.body = body
-		return nil
-	}
-	var tooLarge *http.MaxBytesError
-	if errors.As(err, &tooLarge) {
-		return errkind.New(errkind.TooLarge, "")
-	}
-	return &errkind.Error{Kind: errkind.BadRequest, Err: err}
+	e.serve(ctx)
 }
-
-// spend takes the request from its tenant's allowance.
-func (c *call) spend(table *operator.Table) error {
-	if c.tenant == nil || c.tenant.Rate <= 0 {
-		return nil
-	}
-	c.amount = 1
-	if c.tenant.ByTokens {
-		c.amount = c.prompt.usage()
-		if c.amount == 0 {
-			c.amount = c.tenant.PlainTokens
-		}
-	}
-	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
-	defer cancel()
-	if ok, wait := c.handler.Quotas.Acquire(ctx, c.tenant, table.Revision, c.amount, c.route.Priority == 0); !ok {
-		c.amount = 0
-		c.writer.Header().Set("Retry-After", retryAfter(wait))
-		return errkind.New(errkind.OverQuota, "")
-	}
-	return nil
-}
-
-// refund gives the allowance of a request back that did not run.
-func (c *call) refund() {
-	if c.amount > 0 && !c.mayRun {
-		c.handler.Quotas.Refund(c.tenant, c.amount)
-		c.amount = 0
-	}
-}
-
-// refuse ends a request without a rater's answer.
-func (c *call) refuse(err error) {
-	kind := errkind.KindOf(err)
-	c.handler.Metrics.Ended(kind)
-	if c.stream.headSent {
-		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
-	}
-	c.refund()
-	answer := kind.Response()
-	header := c.writer.Header()
-	if kind == errkind.ShuttingDown {
-		header.Set("Connection", "close")
-	}
-	if answer.NotExecuted && header.Get("Retry-After") == "" {
-		header.Set("Retry-After", retryAfter(c.comeBack()))
-	}
-	if id := c.request.Header.Get(backend.HeaderAttempt); id != "" {
-		header.Set(backend.HeaderAttempt, id)
-	}
-	header.Set("Content-Type", "text/plain; charset=utf-8")
-	c.writer.WriteHeader(answer.Status)
-	_, _ = io.WriteString(c.writer, answer.Text+"\n")
-}
-
-// The figures of refusals.
-const (
-	leastWait = 20 * time.Millisecond
-	aimPart   = 0.15 // part of the latency objective after which a client is told to come back, spread
-)
-
-// comeBack is when a client that was refused should try again: soon enough to be served in time, spread over a while.
-func (c *call) comeBack() time.Duration {
-	wait := leastWait
-	if c.route != nil {
-		wait += time.Duration(aimPart * float64(c.route.Target))
-	}
-	return time.Duration((0.5 + rand.Float64()) * float64(wait))
-}
-
-func retryAfter(wait time.Duration) string {
-	return strconv.FormatFloat(max(wait, leastWait).Seconds(), 'f', 3, 64)
-}
-
-// clientGone tells whether the client has closed its connection.
-func (c *call) clientGone() bool { return errors.Is(c.request.Context().Err(), context.Canceled) }
--- a/internal/fleet/proxy/metrics.go
+++ b/internal/fleet/proxy/metrics.go
@@ -1,45 +1,45 @@
 package proxy
 
 import (
+	"maps"
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
-// Metrics count how requests ended.
+// Metrics counts how requests ended. It is safe for concurrent use.
 type Metrics struct {
-	mu     sync.Mutex
-	ended  map[errkind.Kind]int
-	passed map[int]int
+	mu        sync.Mutex
+	rejected  map[errkind.Kind]int
+	forwarded map[int]int // by status
 }
 
-// NewMetrics makes counters at 0.
-func NewMetrics() *Metrics { return &Metrics{ended: map[errkind.Kind]int{}, passed: map[int]int{}} }
+// NewMetrics returns counters at 0.
+func NewMetrics() *Metrics {
+	return &Metrics{rejected: map[errkind.Kind]int{}, forwarded: map[int]int{}}
+}
 
-// Ended counts a request that ended without a rater's answer.
-func (f *Metrics) Ended(kind errkind.Kind) {
-	f.mu.Lock()
-	f.ended[kind]++
-	f.mu.Unlock()
+// CountRejected counts a request that ended without a complete response of a backend.
+func (m *Metrics) CountRejected(kind errkind.Kind) {
+	m.mu.Lock()
+	m.rejected[kind]++
+	m.mu.Unlock()
 }
 
-// Passed counts a rater's answer by its status.
-func (f *Metrics) Passed(status int) {
-	f.mu.Lock()
-	f.passed[status]++
-	f.mu.Unlock()
+// CountForwarded counts a backend's response that was forwarded, by its status.
+func (m *Metrics) CountForwarded(status int) {
+	m.mu.Lock()
+	m.forwarded[status]++
+	m.mu.Unlock()
 }
 
-// Counts gives the counters by name.
-func (f *Metrics) Counts() (ended map[string]int, passed map[int]int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	ended, passed = make(map[string]int, len(f.ended)), make(map[int]int, len(f.passed))
-	for kind, count := range f.ended {
-		ended[kind.String()] = count
-	}
-	for status, count := range f.passed {
-		passed[status] = count
+// Counts returns the rejected requests by kind of error and the forwarded responses by status.
+func (m *Metrics) Counts() (rejected map[string]int, forwarded map[int]int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	rejected = make(map[string]int, len(m.rejected))
+	for kind, count := range m.rejected {
+		rejected[kind.String()] = count
 	}
-	return ended, passed
+	return rejected, maps.Clone(m.forwarded)
 }
--- a/internal/fleet/proxy/prompt.go
+++ b/internal/fleet/proxy/prompt.go
@@ -6,64 +6,67 @@
 	"strings"
 )
 
-// The headers that describe a request to a model.
+// Headers in which a client describes a request to a model.
 const (
-	headerUsage  = "Token-Usage"
-	headerPrefix = "Prompt-Prefix"
+	headerUsage  = "Token-Usage"   // tokens of the prompt, most tokens generated
+	headerPrefix = "Prompt-Prefix" // blocks of the prompt from its start, each id:tokens
 )
 
-// prompt is what a request says of its prompt.
+// Parameters of prompts.
+const (
+	prefillBaseTokens = 4000 // fixed part of the cost of the first token, as the tokens whose prefill costs as much
+	minLongOutput     = 100  // generated tokens from which on a response lasts long after its first token
+	maxTokens         = 1e9  // larger numbers count as not stated
+)
+
+// prompt is what a request states of its prompt. Numbers that are not stated are 0.
 type prompt struct {
-	input  float64 // tokens of the prompt
-	output float64 // most tokens generated
-	shared string  // the id of the last part that other requests share; empty = none
-	own    float64 // tokens of the last part
+	inputTokens  float64 // of the prompt
+	outputTokens float64 // generated at most
+	prefix       string  // id of the last block that other requests share, "" = none
+	ownTokens    float64 // of the last block
 }
 
-// usage is what the request takes of an allowance in tokens, 0 = not stated.
-func (p *prompt) usage() float64 { return p.input + p.output }
+// usage returns the tokens that the request takes of a quota, 0 = not stated.
+func (p *prompt) usage() float64 { return p.inputTokens + p.outputTokens }
 
-// cost is the expected work in the rater, in tokens read: one token out takes about as long as this many tokens in.
+// cost returns the expected work of the backend, in prefilled tokens, 0 = not known.
 func (p *prompt) cost() float64 {
-	if p.input == 0 {
+	if p.inputTokens == 0 {
 		return 0
 	}
-	return p.own + readingBase
+	return p.ownTokens + prefillBaseTokens
 }
 
-// longOutput is the number of tokens from which on an answer lasts long after its first token.
-const longOutput = 100
-
-func (p *prompt) long() bool { return p.output >= longOutput }
-
-// readingBase is the fixed part of the cost of the first token, in tokens read.
-const readingBase = 4000
+// long reports whether the response lasts long after its first token.
+func (p *prompt) long() bool { return p.outputTokens >= minLongOutput }
 
-// parsePrompt reads what the headers say. What is not as the protocol has it is taken as not stated.
+// parsePrompt reads a prompt's description from a request's header. What is not well formed counts as not stated.
 func parsePrompt(header http.Header) prompt {
 	var p prompt
-	in, out, _ := strings.Cut(header.Get(headerUsage), ",")
-	p.input, p.output = count(in), count(out)
-	parts := strings.Split(header.Get(headerPrefix), ",")
-	if len(parts) == 0 || parts[0] == "" {
+	input, output, _ := strings.Cut(header.Get(headerUsage), ",")
+	p.inputTokens, p.outputTokens = parseTokens(input), parseTokens(output)
+	blocks := strings.Split(header.Get(headerPrefix), ",")
+	if len(blocks) == 0 || blocks[0] == "" {
 		return p
 	}
-	_, tokens := part(parts[len(parts)-1])
-	p.own = tokens
-	place := max(0, len(parts)-2)
-	p.shared, _ = part(parts[place])
+	_, p.ownTokens = parsePrefixBlock(blocks[len(blocks)-1])
+	lastShared := max(0, len(blocks)-2)
+	p.prefix, _ = parsePrefixBlock(blocks[lastShared])
 	return p
 }
 
-func part(text string) (id string, tokens float64) {
+// parsePrefixBlock reads a block of the form id:tokens.
+func parsePrefixBlock(text string) (id string, tokens float64) {
 	id, size, _ := strings.Cut(strings.TrimSpace(text), ":")
-	return id, count(size)
+	return id, parseTokens(size)
 }
 
-func count(text string) float64 {
-	value, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || value < 0 || value > 1e9 {
+// parseTokens reads a number of tokens, 0 where there is none.
+func parseTokens(text string) float64 {
+	tokens, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	if err != nil || tokens < 0 || tokens > maxTokens {
 		return 0
 	}
-	return value
+	return tokens
 }
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -16,117 +16,126 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// stream is how far an answer has been passed on.
-type stream struct {
-	headSent bool
-	lastID   string // of the last event that the client has
-	lastSeen int64
-	begun    bool
-	cameAt   time.Time // when the last part of the answer came
+// chunkSize is the most that is read from a backend at once, in bytes.
+const chunkSize = 16 << 10
+
+// eventEnd ends a server-sent event.
+var eventEnd = []byte("\n\n")
+
+// streamState is how far a response has been forwarded, over all attempts.
+type streamState struct {
+	headerWritten   bool
+	started         bool      // the first part of a body has come
+	lastChunkAt     time.Time // when the last part of a body came
+	lastEventID     string    // of the last event that the client has, "" = none
+	lastEventNumber int64     // lastEventID as a number
 }
 
-// pieceSize is the size of the pieces in which answers are passed on.
-const pieceSize = 16 << 10
+// clientError says that the client takes no more of its response.
+type clientError struct{ err error }
+
+func (e *clientError) Error() string { return "write to the client: " + e.err.Error() }
+
+func (e *clientError) Unwrap() error { return e.err }
 
-// pass gives the client a rater's answer as it comes.
-func (c *call) pass(ctx context.Context, ticket *routing.Attempt, answer *backend.Response) (verdict, *errkind.Error) {
-	if answer.Status < http.StatusMultipleChoices && answer.Header.Get(backend.HeaderSeal) == "" {
-		c.end(ticket, decide.Failed, answer.Load)
-		return elsewhere, errkind.New(errkind.MalformedResponse, "a success without its seal")
+// resumable reports whether a response that breaks off may be continued by another backend.
+func (e *exchange) resumable() bool {
+	return e.route.Type == operator.Streaming && e.route.Resume
+}
+
+// forward forwards a backend's response to the client as it comes, and ends the attempt.
+func (e *exchange) forward(ctx context.Context, attempt *routing.Attempt, response *backend.Response) (attemptResult, *errkind.Error) {
+	if response.Status < http.StatusMultipleChoices && response.Header.Get(backend.HeaderSeal) == "" {
+		e.reportDone(attempt, decide.Failed, response.Load)
+		return attemptRetryable, errkind.New(errkind.MalformedResponse, "a success without its seal")
 	}
 	var err error
 	switch {
-	case c.route.Type != operator.Streaming:
-		err = c.passWhole(ticket, answer)
-	case c.resumable() && answer.Status < http.StatusMultipleChoices:
-		err = c.passEvents(ticket, answer)
+	case e.route.Type != operator.Streaming:
+		err = e.forwardBuffered(attempt, response)
+	case e.resumable() && response.Status < http.StatusMultipleChoices:
+		err = e.forwardEvents(attempt, response)
 	default:
-		err = c.passPieces(ticket, answer)
+		err = e.forwardChunks(attempt, response)
 	}
-	return c.passed(ctx, ticket, answer, err)
+	return e.finishForward(ctx, attempt, response, err)
 }
 
-// passed ends an attempt whose answer was passed on, as far as it came.
-func (c *call) passed(ctx context.Context, ticket *routing.Attempt, answer *backend.Response, err error) (verdict, *errkind.Error) {
-	var gone *clientError
+// finishForward ends an attempt whose response was forwarded, completely or up to an error.
+func (e *exchange) finishForward(ctx context.Context, attempt *routing.Attempt, response *backend.Response, err error) (attemptResult, *errkind.Error) {
+	var clientFailed *clientError
 	switch {
-	case err == nil && answer.Status >= http.StatusInternalServerError:
-		c.end(ticket, decide.Failed, answer.Load)
-		c.handler.Metrics.Passed(answer.Status)
-		return done, nil
+	case err == nil && response.Status >= http.StatusInternalServerError:
+		e.reportDone(attempt, decide.Failed, response.Load)
+		e.handler.Metrics.CountForwarded(response.Status)
+		return attemptDone, nil
 	case err == nil:
-		c.end(ticket, decide.Good, answer.Load)
-		c.handler.Metrics.Passed(answer.Status)
-		return done, nil
-	case errors.As(err, &gone) || c.clientGone():
-		c.end(ticket, decide.Cancelled, answer.Load)
-		return failed, errkind.New(errkind.BackendLost, "")
+		e.reportDone(attempt, decide.Good, response.Load)
+		e.handler.Metrics.CountForwarded(response.Status)
+		return attemptDone, nil
+	case errors.As(err, &clientFailed) || e.clientDisconnected():
+		e.reportDone(attempt, decide.Cancelled, response.Load)
+		return attemptFailed, errkind.New(errkind.BackendLost, "")
 	case ctx.Err() != nil:
-		c.end(ticket, decide.Cancelled, answer.Load)
-		return failed, errkind.New(errkind.DeadlineExceededInFlight, "")
+		e.reportDone(attempt, decide.Cancelled, response.Load)
+		return attemptFailed, errkind.New(errkind.DeadlineExceededInFlight, "")
 	}
-	c.end(ticket, decide.Reset, answer.Load)
-	if c.resumable() {
-		return elsewhere, errkind.New(errkind.BackendLost, "")
+	e.reportDone(attempt, decide.Reset, response.Load)
+	if e.resumable() {
+		return attemptRetryable, errkind.New(errkind.BackendLost, "")
 	}
-	return failed, errkind.New(errkind.BackendLost, "")
+	return attemptFailed, errkind.New(errkind.BackendLost, "")
 }
 
-// clientError is a client that takes no more.
-type clientError struct{ err error }
-
-func (e *clientError) Error() string { return e.err.Error() }
-
-func (c *call) begun(ticket *routing.Attempt) {
-	if !c.stream.begun {
-		c.stream.begun = true
-		c.handler.Picker.FirstToken(c.service, ticket)
-		c.handler.Log.Debug("answer begins", "route", c.route.Name, "rater", ticket.Backend.ID, "why", ticket.Reason,
-			"kept", ticket.PrefixCached, "home_expected", ticket.HomeExpected, "expected", ticket.Expected, "took", time.Since(c.arrived), "since_sent", time.Since(c.placed), "target", c.route.Target,
-			"input", c.prompt.input, "own", c.prompt.own, "sends", c.sends)
+// recordFirstToken reports the first part of the first response's body to the picker.
+func (e *exchange) recordFirstToken(attempt *routing.Attempt) {
+	if !e.stream.started {
+		e.stream.started = true
+		e.handler.Picker.FirstToken(e.service, attempt)
+		e.handler.Log.Debug("response started", "route", e.route.Name, "backend", attempt.Backend.ID, "reason", attempt.Reason,
+			"prefix_cached", attempt.PrefixCached, "home_expected", attempt.HomeExpected, "expected", attempt.Expected,
+			"elapsed", time.Since(e.receivedAt), "since_sent", time.Since(e.pickedAt), "target", e.route.Target,
+			"input_tokens", e.prompt.inputTokens, "own_tokens", e.prompt.ownTokens, "attempts", e.attempts)
 	}
 }
 
-// came notes that a part of an answer came.
-func (c *call) came(ticket *routing.Attempt) {
+// recordChunk records that a part of a body has come, and a pause before it that is longer than the route's gap target.
+func (e *exchange) recordChunk(attempt *routing.Attempt) {
 	now := time.Now()
-	if c.route.GapTarget > 0 && !c.stream.cameAt.IsZero() && now.Sub(c.stream.cameAt) > c.route.GapTarget {
-		ticket.RecordPause()
+	if e.route.GapTarget > 0 && !e.stream.lastChunkAt.IsZero() && now.Sub(e.stream.lastChunkAt) > e.route.GapTarget {
+		attempt.RecordPause()
 	}
-	c.stream.cameAt = now
+	e.stream.lastChunkAt = now
 }
 
-// passWhole reads an answer to its end before the client gets any of it: one that is broken off is then no answer.
-func (c *call) passWhole(ticket *routing.Attempt, answer *backend.Response) error {
-	body, err := io.ReadAll(answer)
+// forwardBuffered reads a response to its end before the client gets any of it: one that breaks off can be replaced by another.
+func (e *exchange) forwardBuffered(attempt *routing.Attempt, response *backend.Response) error {
+	body, err := io.ReadAll(response)
 	if err != nil {
 		return err
 	}
-	c.begun(ticket)
-	c.writeHead(answer)
-	if _, err := c.writer.Write(body); err != nil {
+	e.recordFirstToken(attempt)
+	e.writeHeader(response)
+	if _, err := e.writer.Write(body); err != nil {
 		return &clientError{err}
 	}
 	return nil
 }
 
-// passPieces passes bytes on as they come.
-func (c *call) passPieces(ticket *routing.Attempt, answer *backend.Response) error {
-	piece := make([]byte, pieceSize)
+// forwardChunks forwards bytes as they come.
+func (e *exchange) forwardChunks(attempt *routing.Attempt, response *backend.Response) error {
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := answer.Read(piece)
+		n, err := response.Read(chunk)
 		if n > 0 {
-			c.begun(ticket)
-			c.came(ticket)
-			if err := c.write(answer, piece[:n]); err != nil {
+			e.recordFirstToken(attempt)
+			e.recordChunk(attempt)
+			if err := e.writeBody(response, chunk[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if !c.stream.headSent {
-				c.writeHead(answer)
-			}
-			return nil
+			return e.finishBody(response, nil)
 		}
 		if err != nil {
 			return err
@@ -134,40 +143,50 @@
 	}
 }
 
-func (c *call) write(answer *backend.Response, bytes []byte) error {
-	if !c.stream.headSent {
-		c.writeHead(answer)
+// writeBody writes a part of a body to the client, after the header where that has not been written, and flushes it.
+func (e *exchange) writeBody(response *backend.Response, data []byte) error {
+	if !e.stream.headerWritten {
+		e.writeHeader(response)
 	}
-	if _, err := c.writer.Write(bytes); err != nil {
+	if _, err := e.writer.Write(data); err != nil {
 		return &clientError{err}
 	}
-	if err := http.NewResponseController(c.writer).Flush(); err != nil {
+	if err := http.NewResponseController(e.writer).Flush(); err != nil {
 		return &clientError{err}
 	}
 	return nil
 }
 
-var eventEnd = []byte("\n\n")
+// finishBody writes what is left of a complete body, and at least the header.
+func (e *exchange) finishBody(response *backend.Response, rest []byte) error {
+	if len(rest) > 0 {
+		return e.writeBody(response, rest)
+	}
+	if !e.stream.headerWritten {
+		e.writeHeader(response)
+	}
+	return nil
+}
 
-// passEvents passes whole events on, each once: what is broken off in the middle of an event is continued at another
-// rater after the last whole one.
-func (c *call) passEvents(ticket *routing.Attempt, answer *backend.Response) error {
-	var held []byte
-	piece := make([]byte, pieceSize)
+// forwardEvents forwards complete server-sent events, each once: a response that breaks off within an event is continued by
+// another backend after the last complete one.
+func (e *exchange) forwardEvents(attempt *routing.Attempt, response *backend.Response) error {
+	var buffered []byte
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := answer.Read(piece)
-		held = append(held, piece[:n]...)
-		whole := bytes.LastIndex(held, eventEnd) + len(eventEnd)
-		if whole >= len(eventEnd) {
-			c.begun(ticket)
-			c.came(ticket)
-			if err := c.writeEvents(answer, held[:whole]); err != nil {
+		n, err := response.Read(chunk)
+		buffered = append(buffered, chunk[:n]...)
+		complete := bytes.LastIndex(buffered, eventEnd) + len(eventEnd)
+		if complete >= len(eventEnd) {
+			e.recordFirstToken(attempt)
+			e.recordChunk(attempt)
+			if err := e.writeNewEvents(response, buffered[:complete]); err != nil {
 				return err
 			}
-			held = append(held[:0], held[whole:]...)
+			buffered = append(buffered[:0], buffered[complete:]...)
 		}
 		if errors.Is(err, io.EOF) {
-			return c.endEvents(answer, held)
+			return e.finishBody(response, buffered)
 		}
 		if err != nil {
 			return err
@@ -175,45 +194,35 @@
 	}
 }
 
-func (c *call) endEvents(answer *backend.Response, rest []byte) error {
-	if len(rest) > 0 {
-		return c.write(answer, rest)
-	}
-	if !c.stream.headSent {
-		c.writeHead(answer)
-	}
-	return nil
-}
-
-// writeEvents gives the client the events that it does not have yet.
-func (c *call) writeEvents(answer *backend.Response, events []byte) error {
+// writeNewEvents writes the events that the client does not have yet.
+func (e *exchange) writeNewEvents(response *backend.Response, events []byte) error {
 	var fresh []byte
 	for len(events) > 0 {
 		end := bytes.Index(events, eventEnd) + len(eventEnd)
 		event := events[:end]
 		events = events[end:]
-		if id, number, found := eventID(event); found {
-			if c.stream.lastID != "" && number <= c.stream.lastSeen {
+		if id, number, found := parseEventID(event); found {
+			if e.stream.lastEventID != "" && number <= e.stream.lastEventNumber {
 				continue
 			}
-			c.stream.lastID, c.stream.lastSeen = id, number
+			e.stream.lastEventID, e.stream.lastEventNumber = id, number
 		}
 		fresh = append(fresh, event...)
 	}
 	if len(fresh) == 0 {
 		return nil
 	}
-	return c.write(answer, fresh)
+	return e.writeBody(response, fresh)
 }
 
-// eventID reads the id of an event, which is a rising number.
-func eventID(event []byte) (string, int64, bool) {
+// parseEventID returns the id of an event, which is a number that rises along the stream. It reports false where there is none.
+func parseEventID(event []byte) (id string, number int64, found bool) {
 	for line := range bytes.Lines(event) {
-		value, found := bytes.CutPrefix(line, []byte("id:"))
-		if !found {
+		value, isID := bytes.CutPrefix(line, []byte("id:"))
+		if !isID {
 			continue
 		}
-		id := string(bytes.TrimSpace(value))
+		id = string(bytes.TrimSpace(value))
 		number, err := strconv.ParseInt(id, 10, 64)
 		return id, number, err == nil
 	}
