--- a/internal/fleet/dataplane/picker.go
+++ b/internal/fleet/dataplane/picker.go
@@ -184,8 +184,8 @@
 		for _, view := range balancer.View(p.now()).Backends {
 			id := balancer.BackendName(view.ID)
 			load := balancer.Load(p.now(), id)
-			all[service] = append(all[service], backendStatus{ID: id, Share: view.Share, Prefilling: load.Reading,
-				Decoding: load.Running, QueueDelay: load.Wait.Round(time.Millisecond).String(), Slowdown: load.Pace, FailureRate: load.Failing,
+			all[service] = append(all[service], backendStatus{ID: id, Share: view.Share, Prefilling: load.Prefilling,
+				Decoding: load.Decoding, QueueDelay: load.QueueDelay.Round(time.Millisecond).String(), Slowdown: load.Slowdown, FailureRate: load.FailureRate,
 				Latency: view.Latency.Round(time.Microsecond).String(), Slow: view.Slow, Ejected: view.Away, InFlight: view.Out})
 		}
 	}
--- a/internal/fleet/routing/event_test.go
+++ b/internal/fleet/routing/event_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEventsAreUnpackedAsTheyWerePacked(t *testing.T) {
+func TestPackedEventsRoundTrip(t *testing.T) {
 	events := []Event{
 		{Kind: EventSent, Backend: 1 << 31, Attempt: 7, Age: 15 * time.Millisecond, Tokens: 54_600, Prefix: 99, Long: true},
 		{Kind: EventSent, Backend: 2, Attempt: 8, Tokens: 12},
@@ -34,13 +34,13 @@
 	require.ErrorIs(t, err, errPackedEvent)
 }
 
-func TestAnAgeBeyondWhatIsPackedIsTheOldest(t *testing.T) {
+func TestPackedAgeSaturates(t *testing.T) {
 	unpacked, err := UnpackEvents(AppendEvent(nil, Event{Kind: EventEnded, Age: time.Hour}))
 	require.NoError(t, err)
 	require.Equal(t, maxEventAge*time.Millisecond, unpacked[0].Age)
 }
 
-func TestNoPrefixHasNoTag(t *testing.T) {
+func TestTagOfNoPrefixIsZero(t *testing.T) {
 	require.Zero(t, TagOf(""))
 	require.NotZero(t, TagOf("a"))
 	require.NotEqual(t, TagOf("a"), TagOf("b"))
--- a/internal/fleet/routing/load.go
+++ b/internal/fleet/routing/load.go
@@ -6,85 +6,102 @@
 	"time"
 )
 
-// The figures of what is known of a rater's load.
+// Parameters of what is known of a backend's load.
 const (
-	prefillMaxAge         = 4 * time.Second        // after which a prompt counts as read, whatever was heard of it
+	prefillMaxAge         = 4 * time.Second        // after which a prompt counts as prefilled, whatever events have come
 	streamMaxAge          = 10 * time.Second       // after which a stream counts as ended
-	minRemainingPrefill   = 60 * time.Millisecond  // what a prompt that takes longer than expected is taken to need at the least
-	eventDelay            = 120 * time.Millisecond // within which other nodes' news arrives
-	slowdownWindow        = 2 * time.Second        // after which an answer's time weighs 1/e
-	slowdownPrior         = 6.0                    // answers at the usual pace that are taken as seen
-	maxSlowdownSample     = 10.0                   // times the expected time that one answer counts as at the most
-	minSlowdownSample     = 0.5                    // and at the least
-	overdueFactor         = 2.0                    // times its expected time after which a missing answer tells of the pace,
+	minRemainingPrefill   = 60 * time.Millisecond  // that a prompt whose prefill is overdue is taken to need at least
+	eventDelay            = 120 * time.Millisecond // within which other nodes' events arrive
+	slowdownWindow        = 2 * time.Second        // after which the time of a response weighs 1/e
+	slowdownPrior         = 6.0                    // responses at the usual speed that are taken as seen
+	minSlowdownSample     = 0.5                    // times the expected time that one response counts as at least
+	maxSlowdownSample     = 10.0                   // and at most
+	overdueFactor         = 2.0                    // times its expected time after which a missing response counts as slow
 	unresponsiveFactor    = 6.0                    // and after which it counts as a failure,
 	minUnresponsive       = time.Second            // but no sooner
 	failureWindow         = 3 * time.Second        // after which a failure weighs 1/e
 	failurePrior          = 3.0                    // attempts without a failure that are taken as seen
-	streamDurationGain    = 0.02                   // part of a stream's duration that goes into the learned one
+	streamDurationGain    = 0.02                   // fraction by which a stream moves the learned duration
 	initialStreamDuration = time.Second            // before any stream has ended
 )
 
 // prefillingAttempt is an attempt whose first token has not come.
 type prefillingAttempt struct {
-	attempt  uint32
+	attempt  uint32 // Event.Attempt
 	tokens   float64
-	sent     time.Duration
-	expected time.Duration // expected time to the first token at a rater of the usual pace
-	alone    bool          // the rater had nothing else to read
+	sentAt   time.Duration
+	expected time.Duration // time to the first token at a backend of the usual speed
+	alone    bool          // the backend had nothing else to prefill
 	long     bool
-	local    bool // this node's
+	local    bool // of this node
 }
 
-// waited is how long the first token has certainly not come: of other nodes' attempts the news is late.
-func (o *prefillingAttempt) waited(now time.Duration) time.Duration {
-	if o.local {
-		return now - o.sent
+// waited returns for how long the first token has certainly not come: events of other nodes are late.
+func (p *prefillingAttempt) waited(now time.Duration) time.Duration {
+	if p.local {
+		return now - p.sentAt
 	}
-	return now - o.sent - eventDelay
+	return now - p.sentAt - eventDelay
 }
 
-// decodingAttempt is a long answer whose first token has come.
+// decodingAttempt is a long response whose first token has come.
 type decodingAttempt struct {
-	attempt uint32
-	sent    time.Duration
+	attempt uint32 // Event.Attempt
+	sentAt  time.Duration
 }
 
-// backendLoad is what is known of one rater: its attempts under way and how its answers were of late.
+// backendLoad is what is known of one backend: its attempts in flight and how it has responded of late.
 type backendLoad struct {
-	prefilling      []prefillingAttempt // in the order of their sending
+	prefilling      []prefillingAttempt // in the order in which they were sent
 	decoding        []decodingAttempt
-	kvTokens        float64 // in tokens, 0 = not known
-	prefilledTokens float64 // tokens that it was sent
-	slowdown        decayed // expected and true times to the first token
-	failures        decayed // attempts and failures
-	stalls          decayed // long answers, and those that were held up on their way
+	kvTokens        float64      // size of its KV cache, 0 = not known
+	prefilledTokens float64      // that it has been sent in all
+	slowdown        decayedRatio // of true to expected times to the first token, in seconds
+	failures        decayedRatio // of failures to attempts
+	stalls          decayedRatio // of streams that paused for too long to streams
 }
 
-// decayed are two sums that fade.
-type decayed struct {
-	base, extra float64
-	at          time.Duration
+// removePrefilling forgets an attempt whose first token has not come.
+func (b *backendLoad) removePrefilling(attempt uint32) {
+	b.prefilling = slices.DeleteFunc(b.prefilling, func(p prefillingAttempt) bool { return p.attempt == attempt })
 }
 
-func (d *decayed) fade(now, memory time.Duration) {
-	if now > d.at {
-		keep := math.Exp(-float64(now-d.at) / float64(memory))
-		d.base, d.extra, d.at = d.base*keep, d.extra*keep, now
+// findPrefilling returns the index of an attempt whose first token has not come, -1 where it is not known.
+func (b *backendLoad) findPrefilling(attempt uint32) int {
+	return slices.IndexFunc(b.prefilling, func(p prefillingAttempt) bool { return p.attempt == attempt })
+}
+
+// findDecoding returns the index of a stream, -1 where it is not known.
+func (b *backendLoad) findDecoding(attempt uint32) int {
+	return slices.IndexFunc(b.decoding, func(d decodingAttempt) bool { return d.attempt == attempt })
+}
+
+// decayedRatio is a ratio of two sums whose samples lose weight exponentially with time.
+type decayedRatio struct {
+	denominator, numerator float64
+	decayedAt              time.Duration
+}
+
+// decay brings the sums to a time; a sample weighs 1/e after the window.
+func (r *decayedRatio) decay(now, window time.Duration) {
+	if now > r.decayedAt {
+		weight := math.Exp(-float64(now-r.decayedAt) / float64(window))
+		r.denominator, r.numerator, r.decayedAt = r.denominator*weight, r.numerator*weight, now
 	}
 }
 
-func (d *decayed) add(now, memory time.Duration, base, extra float64) {
-	d.fade(now, memory)
-	d.base += base
-	d.extra += extra
+// add decays the sums and adds a sample.
+func (r *decayedRatio) add(now, window time.Duration, denominator, numerator float64) {
+	r.decay(now, window)
+	r.denominator += denominator
+	r.numerator += numerator
 }
 
-// loadTable knows the load of all raters of a service from this node's attempts and from those that other nodes told of.
+// loadTable holds the load of all backends of a service, from the attempts of this node and from the events of others.
 type loadTable struct {
-	backends       map[uint32]*backendLoad
+	backends       map[uint32]*backendLoad // by tag
 	prefill        prefillCurve
-	streamDuration time.Duration // how long a long answer keeps its slot, learned
+	streamDuration time.Duration // for which a long response holds its slot, learned
 	prefixes       prefixCache
 }
 
@@ -92,126 +109,128 @@
 	return &loadTable{backends: map[uint32]*backendLoad{}, prefill: newPrefillCurve(), streamDuration: initialStreamDuration, prefixes: newPrefixCache()}
 }
 
-func (l *loadTable) backend(rater uint32) *backendLoad {
-	load := l.backends[rater]
+// backend returns the load of the backend with a tag, which it adds where it is not known.
+func (l *loadTable) backend(tag uint32) *backendLoad {
+	load := l.backends[tag]
 	if load == nil {
 		load = &backendLoad{}
-		l.backends[rater] = load
+		l.backends[tag] = load
 	}
 	return load
 }
 
-// cachedAt tells which of the raters that were sent a shared part are likely to have it still.
-func (l *loadTable) cachedAt(now time.Duration, part uint32) []uint32 {
-	var raters []uint32
-	if part == 0 {
+// cachedAt returns the tags of the backends that are likely to have a prefix in their caches.
+func (l *loadTable) cachedAt(now time.Duration, prefix uint32) []uint32 {
+	var tags []uint32
+	if prefix == 0 {
 		return nil
 	}
-	places := l.prefixes.locations(part)
-	for i := range places {
-		load := l.backends[places[i].backend]
-		if load != nil && places[i].likelyCached(now, load.prefilledTokens, load.kvTokens) {
-			raters = append(raters, places[i].backend)
+	locations := l.prefixes.locations(prefix)
+	for i := range locations {
+		load := l.backends[locations[i].backend]
+		if load != nil && locations[i].likelyCached(now, load.prefilledTokens, load.kvTokens) {
+			tags = append(tags, locations[i].backend)
 		}
 	}
-	return raters
+	return tags
 }
 
-// retain forgets the raters that have left.
-func (l *loadTable) retain(present map[uint32]*member) {
-	for rater := range l.backends {
-		if present[rater] == nil {
-			delete(l.backends, rater)
+// retain forgets the backends that are not members any more.
+func (l *loadTable) retain(members map[uint32]*member) {
+	for tag := range l.backends {
+		if members[tag] == nil {
+			delete(l.backends, tag)
 		}
 	}
 }
 
-// apply takes an event that happened at a time.
-func (l *loadTable) apply(now time.Duration, event *Event, own bool) {
+// apply applies an event, of this node's attempts or another's. It happened event.Age ago.
+func (l *loadTable) apply(now time.Duration, event *Event, local bool) {
 	load := l.backend(event.Backend)
 	at := now - event.Age
 	switch event.Kind {
 	case EventSent:
-		l.start(at, load, event, own)
+		l.recordSent(at, load, event, local)
 	case EventFirstToken:
-		l.firstToken(now, load, event)
+		l.recordFirstToken(now, load, event)
 	case EventEnded, EventPaused:
-		l.end(now, load, event.Attempt, event.Kind == EventPaused)
+		l.recordEnd(now, load, event.Attempt, event.Kind == EventPaused)
 	case EventFailed:
 		load.failures.add(now, failureWindow, 1, 1)
-		load.prefilling = slices.DeleteFunc(load.prefilling, func(o prefillingAttempt) bool { return o.attempt == event.Attempt })
-		load.decoding = slices.DeleteFunc(load.decoding, func(r decodingAttempt) bool { return r.attempt == event.Attempt })
+		load.removePrefilling(event.Attempt)
+		load.decoding = slices.DeleteFunc(load.decoding, func(d decodingAttempt) bool { return d.attempt == event.Attempt })
 	}
 }
 
-func (l *loadTable) start(at time.Duration, load *backendLoad, event *Event, own bool) {
+func (l *loadTable) recordSent(at time.Duration, load *backendLoad, event *Event, local bool) {
 	expected := l.queueDelay(at, load) + l.prefillTime(at, load, event.Tokens)
-	entry := prefillingAttempt{attempt: event.Attempt, tokens: event.Tokens, sent: at, alone: len(load.prefilling) == 0, long: event.Long, local: own,
+	entry := prefillingAttempt{attempt: event.Attempt, tokens: event.Tokens, sentAt: at, alone: len(load.prefilling) == 0, long: event.Long, local: local,
 		expected: time.Duration(float64(expected) / l.slowdown(at, load))}
 	load.prefilling = append(load.prefilling, entry)
 	load.prefilledTokens += event.Tokens
 	l.prefixes.record(at, event.Prefix, event.Backend, load.prefilledTokens)
 }
 
-func (l *loadTable) firstToken(now time.Duration, load *backendLoad, event *Event) {
-	i := slices.IndexFunc(load.prefilling, func(o prefillingAttempt) bool { return o.attempt == event.Attempt })
+func (l *loadTable) recordFirstToken(now time.Duration, load *backendLoad, event *Event) {
+	i := load.findPrefilling(event.Attempt)
 	if i < 0 {
 		return
 	}
-	one := load.prefilling[i]
+	entry := load.prefilling[i]
 	load.prefilling = slices.Delete(load.prefilling, i, i+1)
-	if one.alone {
-		l.prefill.observe(one.tokens, event.TimeToFirstToken)
+	if entry.alone {
+		l.prefill.observe(entry.tokens, event.TimeToFirstToken)
 	}
-	if one.expected > 0 {
-		nominal := one.expected.Seconds()
-		took := min(max(event.TimeToFirstToken.Seconds(), minSlowdownSample*nominal), maxSlowdownSample*nominal)
-		load.slowdown.add(now, slowdownWindow, nominal, took)
+	if entry.expected > 0 {
+		expected := entry.expected.Seconds()
+		elapsed := min(max(event.TimeToFirstToken.Seconds(), minSlowdownSample*expected), maxSlowdownSample*expected)
+		load.slowdown.add(now, slowdownWindow, expected, elapsed)
 	}
 	load.failures.add(now, failureWindow, 1, 0)
-	if one.long {
-		load.decoding = append(load.decoding, decodingAttempt{one.attempt, one.sent})
+	if entry.long {
+		load.decoding = append(load.decoding, decodingAttempt{entry.attempt, entry.sentAt})
 	}
 }
 
-func (l *loadTable) end(now time.Duration, load *backendLoad, attempt uint32, paused bool) {
-	load.prefilling = slices.DeleteFunc(load.prefilling, func(o prefillingAttempt) bool { return o.attempt == attempt })
-	i := slices.IndexFunc(load.decoding, func(r decodingAttempt) bool { return r.attempt == attempt })
+func (l *loadTable) recordEnd(now time.Duration, load *backendLoad, attempt uint32, paused bool) {
+	load.removePrefilling(attempt)
+	i := load.findDecoding(attempt)
 	if i < 0 {
 		return
 	}
-	held := 0.0
+	stalls := 0.0
 	if paused {
-		held = 1
+		stalls = 1
 	}
-	load.stalls.add(now, failureWindow, 1, held)
-	l.streamDuration += time.Duration(streamDurationGain * float64(now-load.decoding[i].sent-l.streamDuration))
+	load.stalls.add(now, failureWindow, 1, stalls)
+	l.streamDuration += time.Duration(streamDurationGain * float64(now-load.decoding[i].sentAt-l.streamDuration))
 	load.decoding = slices.Delete(load.decoding, i, i+1)
 }
 
-// slowdown is how many times slower than usual a rater answers. Answers that are overdue tell of it before they come.
+// slowdown returns how many times slower than usual a backend responds, 1 at least. Responses that are overdue count before they
+// come.
 func (l *loadTable) slowdown(now time.Duration, load *backendLoad) float64 {
-	load.slowdown.fade(now, slowdownWindow)
-	expected, took := load.slowdown.base, load.slowdown.extra
+	load.slowdown.decay(now, slowdownWindow)
+	expected, elapsed := load.slowdown.denominator, load.slowdown.numerator
 	for i := range load.prefilling {
-		one := &load.prefilling[i]
-		waited := one.waited(now)
-		if float64(waited) > overdueFactor*float64(one.expected) && one.expected > 0 {
-			expected += one.expected.Seconds()
-			took += min(waited.Seconds(), maxSlowdownSample*one.expected.Seconds())
+		entry := &load.prefilling[i]
+		waited := entry.waited(now)
+		if float64(waited) > overdueFactor*float64(entry.expected) && entry.expected > 0 {
+			expected += entry.expected.Seconds()
+			elapsed += min(waited.Seconds(), maxSlowdownSample*entry.expected.Seconds())
 		}
 	}
 	prior := slowdownPrior * l.prefill.base.Seconds()
-	return max(1, (took+prior)/(expected+prior))
+	return max(1, (elapsed+prior)/(expected+prior))
 }
 
-// failureRate is the part of a rater's attempts that fail.
+// failureRate returns the fraction of a backend's attempts that fail. Those without a response for very long count as failures.
 func (l *loadTable) failureRate(now time.Duration, load *backendLoad) float64 {
-	load.failures.fade(now, failureWindow)
-	attempts, failures := load.failures.base, load.failures.extra
+	load.failures.decay(now, failureWindow)
+	attempts, failures := load.failures.denominator, load.failures.numerator
 	for i := range load.prefilling {
-		one := &load.prefilling[i]
-		if one.waited(now) > max(minUnresponsive, time.Duration(unresponsiveFactor*float64(one.expected))) {
+		entry := &load.prefilling[i]
+		if entry.waited(now) > max(minUnresponsive, time.Duration(unresponsiveFactor*float64(entry.expected))) {
 			attempts++
 			failures++
 		}
@@ -219,41 +238,43 @@
 	return failures / (attempts + failurePrior)
 }
 
-// stallRate is the part of a rater's long answers that are held up on their way.
+// stallRate returns the fraction of a backend's streams that pause for too long.
 func (l *loadTable) stallRate(now time.Duration, load *backendLoad) float64 {
-	load.stalls.fade(now, failureWindow)
-	return load.stalls.extra / (load.stalls.base + failurePrior)
+	load.stalls.decay(now, failureWindow)
+	return load.stalls.numerator / (load.stalls.denominator + failurePrior)
 }
 
-// prefillTime is how long a rater takes to the first token of a prompt once it has come to it.
+// prefillTime returns how long a backend takes to the first token of a prompt, from when it begins with its prefill.
 func (l *loadTable) prefillTime(now time.Duration, load *backendLoad, tokens float64) time.Duration {
 	return time.Duration(l.slowdown(now, load) * float64(l.prefill.base+l.prefill.time(tokens)))
 }
 
-// queueDelay is how long a rater is expected to be busy with the prompts that it has to read.
+// queueDelay returns for how long a backend is expected to be busy with the prompts that it has. It forgets those that are too
+// old.
 func (l *loadTable) queueDelay(now time.Duration, load *backendLoad) time.Duration {
-	load.prefilling = slices.DeleteFunc(load.prefilling, func(o prefillingAttempt) bool { return now-o.sent > prefillMaxAge })
-	pace := l.slowdown(now, load)
-	var free time.Duration // when the rater is done with those before
-	for _, one := range load.prefilling {
-		free = max(free, one.sent) + time.Duration(pace*float64(l.prefill.time(one.tokens)))
-		late := free
-		if !one.local {
-			late += eventDelay
+	load.prefilling = slices.DeleteFunc(load.prefilling, func(p prefillingAttempt) bool { return now-p.sentAt > prefillMaxAge })
+	slowdown := l.slowdown(now, load)
+	var idleAt time.Duration // when the backend is done with the prompts looked at so far
+	for _, entry := range load.prefilling {
+		idleAt = max(idleAt, entry.sentAt) + time.Duration(slowdown*float64(l.prefill.time(entry.tokens)))
+		doneBy := idleAt
+		if !entry.local {
+			doneBy += eventDelay
 		}
-		if late < now {
-			free = now + minRemainingPrefill
+		if doneBy < now { // it should be done, and is not
+			idleAt = now + minRemainingPrefill
 		}
 	}
-	return max(0, free-now)
+	return max(0, idleAt-now)
 }
 
-// slotDelay is how long a request waits for a slot of a rater.
+// slotDelay returns for how long a request waits for one of a backend's slots, 0 where their number is not known. It forgets
+// streams that are too old.
 func (l *loadTable) slotDelay(now time.Duration, load *backendLoad, slots int) time.Duration {
-	load.decoding = slices.DeleteFunc(load.decoding, func(r decodingAttempt) bool { return now-r.sent > streamMaxAge })
-	beyond := len(load.prefilling) + len(load.decoding) + 1 - slots
-	if slots <= 0 || beyond <= 0 {
+	load.decoding = slices.DeleteFunc(load.decoding, func(d decodingAttempt) bool { return now-d.sentAt > streamMaxAge })
+	waiting := len(load.prefilling) + len(load.decoding) + 1 - slots
+	if slots <= 0 || waiting <= 0 {
 		return 0
 	}
-	return time.Duration(float64(beyond) / float64(slots) * float64(l.streamDuration))
+	return time.Duration(float64(waiting) / float64(slots) * float64(l.streamDuration))
 }
--- a/internal/fleet/routing/prefixcache.go
+++ b/internal/fleet/routing/prefixcache.go
@@ -2,73 +2,74 @@
 
 import "time"
 
-// The figures of where shared parts are kept.
+// Parameters of the prefix cache.
 const (
-	prefixMaxAge         = 20 * time.Second // for which a part counts as kept where a rater's memory is not known
-	cacheFraction        = 0.5              // of a rater's memory: so many tokens may it read until a part that is not used gives way
-	maxBackendsPerPrefix = 8                // of one part that are remembered
+	prefixMaxAge         = 20 * time.Second // for which a prefix counts as cached where the size of a backend's KV cache is not known
+	cacheFraction        = 0.5              // of a KV cache that a backend may prefill until an unused prefix is taken to be evicted
+	maxBackendsPerPrefix = 8                // that are remembered
 	maxPrefixes          = 8192             // that are remembered, in two generations
 )
 
-// cachedPrefix is one rater that has a shared part.
+// cachedPrefix says that a prefix was sent to a backend.
 type cachedPrefix struct {
-	backend         uint32
-	sentAt          time.Duration // when it was last sent there,
-	prefilledTokens float64       // and how many tokens the rater had read by then
+	backend         uint32        // tag of the backend
+	sentAt          time.Duration // last
+	prefilledTokens float64       // that the backend had been sent by then
 }
 
-// prefixCache remembers which raters were sent which shared parts of prompts, by this node or by others. The older generation
-// is forgotten when the younger one is full.
+// prefixCache remembers which backends were sent which prefixes, by this node or by others. Prefixes are kept in two generations:
+// when the younger one is full, the older one is dropped.
 type prefixCache struct {
-	young, old map[uint32][]cachedPrefix
+	young, old map[uint32][]cachedPrefix // by tag of the prefix
 }
 
 func newPrefixCache() prefixCache { return prefixCache{young: map[uint32][]cachedPrefix{}} }
 
-// record takes that a rater that had read so many tokens was sent a part.
-func (k *prefixCache) record(at time.Duration, part, rater uint32, read float64) {
-	if part == 0 {
+// record remembers that a prefix was sent to a backend, which had been sent so many tokens by then. Prefix 0 stands for none.
+func (c *prefixCache) record(at time.Duration, prefix, backend uint32, prefilledTokens float64) {
+	if prefix == 0 {
 		return
 	}
-	places := k.locations(part)
-	for i := range places {
-		if places[i].backend == rater {
-			places[i].sentAt, places[i].prefilledTokens = max(places[i].sentAt, at), read
+	locations := c.locations(prefix)
+	for i := range locations {
+		if locations[i].backend == backend {
+			locations[i].sentAt, locations[i].prefilledTokens = max(locations[i].sentAt, at), prefilledTokens
 			return
 		}
 	}
-	if len(places) == maxBackendsPerPrefix {
+	if len(locations) == maxBackendsPerPrefix {
 		oldest := 0
-		for i := range places {
-			if places[i].sentAt < places[oldest].sentAt {
+		for i := range locations {
+			if locations[i].sentAt < locations[oldest].sentAt {
 				oldest = i
 			}
 		}
-		places[oldest] = cachedPrefix{rater, at, read}
+		locations[oldest] = cachedPrefix{backend, at, prefilledTokens}
 		return
 	}
-	k.young[part] = append(places, cachedPrefix{rater, at, read})
+	c.young[prefix] = append(locations, cachedPrefix{backend, at, prefilledTokens})
 }
 
-// locations gives where a part was sent, after moving it to the younger generation.
-func (k *prefixCache) locations(part uint32) []cachedPrefix {
-	if places, found := k.young[part]; found {
-		return places
+// locations returns the backends that a prefix was sent to, and moves the prefix to the younger generation.
+func (c *prefixCache) locations(prefix uint32) []cachedPrefix {
+	if locations, found := c.young[prefix]; found {
+		return locations
 	}
-	if len(k.young) >= maxPrefixes/2 {
-		k.young, k.old = make(map[uint32][]cachedPrefix, maxPrefixes/2), k.young
+	if len(c.young) >= maxPrefixes/2 {
+		c.young, c.old = make(map[uint32][]cachedPrefix, maxPrefixes/2), c.young
 	}
-	places, found := k.old[part]
+	locations, found := c.old[prefix]
 	if found {
-		k.young[part] = places
+		c.young[prefix] = locations
 	}
-	return places
+	return locations
 }
 
-// likelyCached tells whether a rater with a memory for so many tokens, 0 = not known, is likely to have a part still.
-func (p *cachedPrefix) likelyCached(now time.Duration, read, memory float64) bool {
-	if memory <= 0 {
+// likelyCached reports whether a backend is likely to have the prefix still, by the tokens that it has been sent since and the
+// size of its KV cache in tokens, 0 = not known.
+func (p *cachedPrefix) likelyCached(now time.Duration, prefilledTokens, kvTokens float64) bool {
+	if kvTokens <= 0 {
 		return now-p.sentAt <= prefixMaxAge
 	}
-	return read-p.prefilledTokens <= cacheFraction*memory
+	return prefilledTokens-p.prefilledTokens <= cacheFraction*kvTokens
 }
--- a/internal/fleet/routing/promptsizes.go
+++ b/internal/fleet/routing/promptsizes.go
@@ -1,16 +1,17 @@
 package routing
 
-// The figures of what a request is worth beside others of its route.
+// Parameters of the value of a request beside others of its route.
 const (
-	sizeGain  = 0.02 // part by which a request moves the mean of its route
-	baseValue = 0.3  // of a request's worth that its size does not matter for
-	maxValue  = 4.0  // times the worth of a request of mean size
+	sizeGain  = 0.02 // fraction by which a request moves its route's mean size
+	baseValue = 0.3  // part of the value of a request of mean size that does not depend on its size
+	maxValue  = 4.0  // times the value of a request of mean size
 )
 
-// meanSizes are the mean sizes of the prompts of each route, in tokens.
-type meanSizes map[string]float64
+// meanPromptSizes holds the mean size of the prompts of each route, in tokens.
+type meanPromptSizes map[string]float64
 
-func (s meanSizes) record(request *Request) {
+// record moves the mean of a request's route towards its size.
+func (s meanPromptSizes) record(request *Request) {
 	size := request.OwnTokens + request.SharedTokens
 	mean, known := s[request.Route]
 	if !known {
@@ -20,8 +21,8 @@
 	s[request.Route] = mean + sizeGain*(size-mean)
 }
 
-// value is what a request is worth beside one of mean size: operators value long prompts higher.
-func (s meanSizes) value(request *Request) float64 {
+// value returns the value of a request beside one of its route's mean size, which is 1: operators value long prompts higher.
+func (s meanPromptSizes) value(request *Request) float64 {
 	mean := s[request.Route]
 	if mean <= 0 {
 		return 1
--- a/internal/fleet/routing/rendezvous.go
+++ b/internal/fleet/routing/rendezvous.go
@@ -1,20 +1,10 @@
-// Package routing chooses the rater of a request. It is pure: time comes from outside.
-//
-// Each service has a decide.Balancer, which learns each rater's latency over its share (time to the first token) and
-// re-solves the shares; requests without a shared prompt prefix are placed by its weighted round robin, and raters that
-// are new or were away come in by its search. A request with a prefix goes to the rater that the prefix's rendezvous
-// hash names, its home, so that all nodes read a shared part at the same place; a rater that the balancer has put away, or
-// that holds more than its part of this node's work, passes the request on to the next one in the hash's order, and so does
-// one at which more of the request's worth is expected to be lost (Service.loss): what raters read and run, how fast they
-// are and whether they fail, all nodes tell each other (event.go, load.go). The curve's shares are no weights of the hash:
-// each node learns its own from few answers, and weights that differ scatter the prefixes.
 package routing
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// hashUnit draws a number in (0, 1) for a key at a place.
+// hashUnit returns a number in (0, 1) that depends on a key and a node only.
 func hashUnit(key, node string) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -24,7 +14,8 @@
 	return (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
 }
 
-// Rendezvous gives the place of a key among places of equal weight; empty where there is none.
+// Rendezvous returns the node that owns a key, by highest random weight: where a node is added or removed, only the keys that it
+// owns move. All nodes weigh the same. It returns "" where there are none.
 func Rendezvous(key string, nodes []string) string {
 	best, highest := "", -1.0
 	for _, node := range nodes {
--- a/internal/fleet/routing/unreachable.go
+++ b/internal/fleet/routing/unreachable.go
@@ -2,57 +2,61 @@
 
 import "time"
 
-// The figures of suspicion.
+// Parameters of the avoidance of unreachable backends.
 const (
-	initialAvoidance  = 800 * time.Millisecond // that a rater gets nothing after it was found unreachable, doubled each time
+	initialAvoidance  = 800 * time.Millisecond // doubled each time that the backend is found unreachable again
 	maxAvoidance      = 2 * time.Second
-	ownEvidenceMaxAge = 300 * time.Millisecond // an answer of the rater to this node so short ago weighs more than another's notice
+	maxDoublings      = 4
+	ownEvidenceMaxAge = 300 * time.Millisecond // a response to this node so short ago outweighs another node's report
 )
 
-// avoidance is that a rater cannot be reached. A balancer puts a rater away after failures beyond chance, of which each node
-// sees few; that a connection could not be made is told to the other nodes at once and keeps requests away for a while.
+// avoidance keeps requests from a backend that could not be reached. decide ejects a backend after more failures than chance
+// explains, of which each node sees few; that a connection could not be made is reported to all nodes at once and keeps requests
+// away for a while.
 type avoidance struct {
 	until    time.Duration
-	failures int
+	failures int // in a row
 }
 
+// avoided reports whether requests are to go elsewhere.
 func (m *member) avoided(now time.Duration) bool { return now < m.avoidance.until }
 
-// recordResponse ends a suspicion.
+// recordResponse records a sign of life, which ends an avoidance.
 func (m *member) recordResponse(now time.Duration) {
 	m.respondedAt = now
 	m.avoidance = avoidance{}
 }
 
+// avoid starts an avoidance. During one, attempts that were sent before it tell nothing new.
 func (m *member) avoid(now time.Duration) {
-	if m.avoided(now) { // what was sent before tells nothing new
+	if m.avoided(now) {
 		return
 	}
-	m.avoidance.until = now + min(initialAvoidance<<min(m.avoidance.failures, 4), maxAvoidance)
+	m.avoidance.until = now + min(initialAvoidance<<min(m.avoidance.failures, maxDoublings), maxAvoidance)
 	m.avoidance.failures++
 }
 
-// Unreachable notes that this node could not reach the rater of an attempt.
-func (s *Balancer) Unreachable(now time.Duration, t *Attempt) {
-	if m := s.members[t.Backend.ID]; m != nil {
+// Unreachable records that this node could not reach the backend of an attempt. It comes beside Done.
+func (b *Balancer) Unreachable(now time.Duration, attempt *Attempt) {
+	if m := b.members[attempt.Backend.ID]; m != nil {
 		m.avoid(now)
-		s.events = append(s.events, Event{Kind: EventUnreachable, Backend: m.tag})
+		b.events = append(b.events, Event{Kind: EventUnreachable, Backend: m.tag})
 	}
 }
 
-// observeUnreachable takes another node's notice that it could not reach a rater. A node whose own links are at fault tells so of
-// many: what this node hears from a rater, and notices about more than half of them, go before it.
-func (s *Balancer) observeUnreachable(now time.Duration, m *member) {
+// observeUnreachable applies another node's report that it could not reach a member. A node whose own links are at fault reports
+// many members: so a recent response to this node outweighs the report, and no more than half of the members are avoided.
+func (b *Balancer) observeUnreachable(now time.Duration, m *member) {
 	if m.respondedAt > 0 && now-m.respondedAt < ownEvidenceMaxAge {
 		return
 	}
-	suspected := 1
-	for _, other := range s.members {
+	avoided := 1
+	for _, other := range b.members {
 		if other.avoided(now) {
-			suspected++
+			avoided++
 		}
 	}
-	if 2*suspected <= len(s.members) {
+	if 2*avoided <= len(b.members) {
 		m.avoid(now)
 	}
 }
