--- a/internal/fleet/backend/attribution.go
+++ b/internal/fleet/backend/attribution.go
@@ -6,84 +6,87 @@
 	"net/http"
 )
 
-// Outcome is what is known of a request that brought no answer.
+// Outcome is what is known of a request that brought no response.
 type Outcome uint8
 
-// The fates.
+// The outcomes.
 const (
-	NotSent    Outcome = iota // no connection was made, or nothing was written
+	NotSent    Outcome = iota // no connection was made, or nothing was written: it has not run
 	MayHaveRun                // some of it was written
-	Malformed                 // bytes came that are not an answer to it
+	Malformed                 // what came is not a response to it: it may have run
 )
 
-// Error is an exchange without an answer.
+// Error is an exchange without a response.
 type Error struct {
 	Outcome Outcome
 	Err     error
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("rater: %v", e.Err) }
+func (e *Error) Error() string { return fmt.Sprintf("exchange with backend: %v", e.Err) }
 
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// errNotAttributable says that an answer came that may be to this request or to an earlier one.
-var errNotAttributable = errors.New("an answer that may be to another request")
+// errNotAttributable says that a response came that may be to this request or to an earlier one.
+var errNotAttributable = errors.New("response cannot be attributed to the request")
 
-// maxStaleResponses bounds the answers of earlier requests that are passed over on a connection.
+// maxStaleResponses bounds the responses of earlier requests that are skipped on a connection.
 const maxStaleResponses = 4
 
-// attribution is to which request an answer belongs.
+// attribution says to which request a response belongs.
 type attribution uint8
 
 const (
 	ownResponse            attribution = iota
-	staleResponse                      // to an earlier request on the connection: it is passed over
-	unattributableResponse             // nobody can tell: the request may have run
+	staleResponse                      // to an earlier request on the connection: it is skipped
+	unattributableResponse             // not certain: the request may have run
 )
 
-// exchangeState decides what each event in the life of one request on a connection proves. It is pure.
+// exchangeState decides what each event of one exchange on a connection proves. It is pure.
 //
-//	event                                               conclusion
-//	no connection, or the first write took nothing      not sent: it has not run
-//	a write broke off, a reset, a close, silence        may have run, also where a part of the answer came
-//	an answer with the request's id                     its answer; Not-Executed or 421 in it: has not run
-//	an answer with another id                           stray: passed over, and the next one is looked at
-//	one whose end is the connection's, or too many      may have run
-//	an answer without an id, the first thing that ever
-//	came on the connection, a refusal                   its answer: no other request was sent there
-//	any other answer without an id                      may have run: a late refusal of an earlier request looks the same
+//	event                                                conclusion
+//	no connection, or the first write took nothing       not sent: it has not run
+//	a write broke off, a reset, a close, a timeout       may have run, also where a part of the response came
+//	a response with the request's id                     its response; Not-Executed or 421 in it: has not run
+//	a response with another id                           stale: skipped, and the next one is looked at
+//	one that ends with the connection, or too many       may have run
+//	a response without an id, the first bytes that ever
+//	came on the connection, a rejection                  its response: no other request was sent there
+//	any other response without an id                     may have run: a late rejection of an earlier request looks the same
 type exchangeState struct {
 	fresh          bool   // no request was sent on the connection before
 	id             string // of the request
 	size           int    // of the request, in bytes
-	written        int
-	staleResponses int
+	written        int    // bytes of it
+	staleResponses int    // that were skipped
 }
 
-func (j *exchangeState) recordWrite(bytes int) { j.written = bytes }
+// recordWrite records how many bytes of the request were written.
+func (s *exchangeState) recordWrite(bytes int) { s.written = bytes }
 
-// failed gives what is known where a write or a read failed.
-func (j *exchangeState) failed(err error) *Error {
-	if j.written == 0 {
+// errorFor returns the error of an exchange in which a write or a read failed.
+func (s *exchangeState) errorFor(err error) *Error {
+	if s.written == 0 {
 		return &Error{NotSent, err}
 	}
 	return &Error{MayHaveRun, err}
 }
 
-// attribute tells to which request an answer belongs.
-func (j *exchangeState) attribute(status int, id string, bounded bool) attribution {
+// attribute decides to which request a response belongs, by its status, its id ("" = none), and whether its end shows without the
+// end of the connection.
+func (s *exchangeState) attribute(status int, id string, selfDelimited bool) attribution {
 	switch {
-	case j.written < j.size:
+	case s.written < s.size:
 		return unattributableResponse
-	case id != "" && id == j.id:
+	case id != "" && id == s.id:
 		return ownResponse
 	case id != "":
-		j.staleResponses++
-		if !bounded || j.staleResponses >= maxStaleResponses {
+		s.staleResponses++
+		if !selfDelimited || s.staleResponses >= maxStaleResponses {
 			return unattributableResponse
 		}
 		return staleResponse
-	case j.fresh && j.staleResponses == 0 && status >= http.StatusBadRequest:
+	case s.fresh && s.staleResponses == 0 && status >= http.StatusBadRequest:
 		return ownResponse
 	}
 	return unattributableResponse
--- a/internal/fleet/backend/attribution_test.go
+++ b/internal/fleet/backend/attribution_test.go
@@ -7,216 +7,216 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatEachEventProves(t *testing.T) {
+func TestAttributionOfEachEvent(t *testing.T) {
 	reset := errors.New("reset")
 	sent := exchangeState{id: "a", size: 10, written: 10}
-	require.Equal(t, NotSent, (&exchangeState{id: "a", size: 10}).failed(reset).Outcome, "nothing was written")
-	require.Equal(t, MayHaveRun, (&exchangeState{id: "a", size: 10, written: 1}).failed(reset).Outcome, "a part was written")
-	require.Equal(t, MayHaveRun, sent.failed(reset).Outcome)
-	for name, one := range map[string]struct {
-		fresh   bool
-		strays  int
-		status  int
-		id      string
-		bounded bool
-		want    attribution
+	require.Equal(t, NotSent, (&exchangeState{id: "a", size: 10}).errorFor(reset).Outcome, "nothing was written")
+	require.Equal(t, MayHaveRun, (&exchangeState{id: "a", size: 10, written: 1}).errorFor(reset).Outcome, "a part was written")
+	require.Equal(t, MayHaveRun, sent.errorFor(reset).Outcome)
+	for name, test := range map[string]struct {
+		fresh          bool
+		staleResponses int
+		status         int
+		id             string
+		selfDelimited  bool
+		want           attribution
 	}{
-		"its id":                                    {false, 0, 200, "a", true, ownResponse},
-		"its id, a refusal":                         {false, 0, 503, "a", true, ownResponse},
-		"its id, after others":                      {false, 3, 503, "a", true, ownResponse},
-		"its id, ended by the connection":           {false, 0, 200, "a", false, ownResponse},
-		"another id":                                {false, 0, 200, "b", true, staleResponse},
-		"another id, a refusal":                     {false, 0, 503, "b", true, staleResponse},
-		"another id, ended by the connection":       {false, 0, 200, "b", false, unattributableResponse},
-		"another id, one too many":                  {false, maxStaleResponses - 1, 200, "b", true, unattributableResponse},
-		"no id, a refusal, kept connection":         {false, 0, 503, "", true, unattributableResponse},
-		"no id, a refusal, the first ever":          {true, 0, 400, "", true, ownResponse},
-		"no id, a refusal, after another one":       {true, 1, 400, "", true, unattributableResponse},
-		"no id, a success, the first ever":          {true, 0, 200, "", true, unattributableResponse},
-		"no id, a success, kept connection":         {false, 0, 200, "", true, unattributableResponse},
-		"no id, a refusal, ended by the connection": {true, 0, 400, "", false, ownResponse},
+		"its id":                                      {false, 0, 200, "a", true, ownResponse},
+		"its id, a rejection":                         {false, 0, 503, "a", true, ownResponse},
+		"its id, after others":                        {false, 3, 503, "a", true, ownResponse},
+		"its id, ended by the connection":             {false, 0, 200, "a", false, ownResponse},
+		"another id":                                  {false, 0, 200, "b", true, staleResponse},
+		"another id, a rejection":                     {false, 0, 503, "b", true, staleResponse},
+		"another id, ended by the connection":         {false, 0, 200, "b", false, unattributableResponse},
+		"another id, one too many":                    {false, maxStaleResponses - 1, 200, "b", true, unattributableResponse},
+		"no id, a rejection, kept connection":         {false, 0, 503, "", true, unattributableResponse},
+		"no id, a rejection, the first ever":          {true, 0, 400, "", true, ownResponse},
+		"no id, a rejection, after another one":       {true, 1, 400, "", true, unattributableResponse},
+		"no id, a success, the first ever":            {true, 0, 200, "", true, unattributableResponse},
+		"no id, a success, kept connection":           {false, 0, 200, "", true, unattributableResponse},
+		"no id, a rejection, ended by the connection": {true, 0, 400, "", false, ownResponse},
 	} {
-		judge := exchangeState{fresh: one.fresh, id: "a", size: 10, written: 10, staleResponses: one.strays}
-		require.Equal(t, one.want, judge.attribute(one.status, one.id, one.bounded), name)
+		state := exchangeState{fresh: test.fresh, id: "a", size: 10, written: 10, staleResponses: test.staleResponses}
+		require.Equal(t, test.want, state.attribute(test.status, test.id, test.selfDelimited), name)
 	}
 	half := exchangeState{fresh: true, id: "a", size: 10, written: 9}
-	require.Equal(t, unattributableResponse, half.attribute(200, "a", true), "an answer to a request that is not written whole")
+	require.Equal(t, unattributableResponse, half.attribute(200, "a", true), "a response to a request that is not written completely")
 }
 
 // ---- All interleavings of two calls on one connection ----
 
-// frame is something that a rater puts on the connection.
+// frame is something that a backend puts on the connection.
 type frame struct {
-	owner  string // of the request that it truly belongs to
-	id     string // that it carries
-	status int
-	notRun bool
-	half   bool // it breaks off
+	owner       string // of the request that it truly belongs to
+	id          string // that it carries
+	status      int
+	notExecuted bool
+	truncated   bool // it breaks off
 }
 
-// conduct is what a rater does with a request.
-type conduct struct {
-	name    string
-	runs    bool
-	answers []func(owner string) frame // in order; those after the first may come late
-	breaks  bool                       // then the connection breaks
+// behaviour is what a backend does with a request.
+type behaviour struct {
+	name        string
+	runs        bool
+	responses   []func(owner string) frame // in order; those after the first may come late
+	disconnects bool                       // then the connection breaks
 }
 
-func stamped(status int, notRun bool) func(string) frame {
-	return func(owner string) frame { return frame{owner, owner, status, notRun, false} }
+func withID(status int, notExecuted bool) func(string) frame {
+	return func(owner string) frame { return frame{owner, owner, status, notExecuted, false} }
 }
 
-func unstamped(status int, notRun bool) func(string) frame {
-	return func(owner string) frame { return frame{owner, "", status, notRun, false} }
+func withoutID(status int, notExecuted bool) func(string) frame {
+	return func(owner string) frame { return frame{owner, "", status, notExecuted, false} }
 }
 
-func broken(owner string) frame { return frame{owner, owner, 200, false, true} }
-
-func foreign(string) frame { return frame{"x", "x", 200, false, false} }
-
-var conducts = []conduct{
-	{"answers", true, []func(string) frame{stamped(200, false)}, false},
-	{"refuses", false, []func(string) frame{stamped(503, true)}, false},
-	{"fails", true, []func(string) frame{stamped(500, false)}, false},
-	{"refuses without an id", false, []func(string) frame{unstamped(400, true)}, false},
-	{"answers twice", true, []func(string) frame{stamped(200, false), stamped(200, false)}, false},
-	{"answers, then refuses", true, []func(string) frame{stamped(200, false), stamped(503, true)}, false},
-	{"answers, then refuses without an id", true, []func(string) frame{stamped(200, false), unstamped(503, true)}, false},
-	{"answers, then fails without an id", true, []func(string) frame{stamped(200, false), unstamped(500, false)}, false},
-	{"answers another one first", true, []func(string) frame{foreign, stamped(200, false)}, false},
-	{"breaks off", true, []func(string) frame{broken}, true},
+func truncatedResponse(owner string) frame { return frame{owner, owner, 200, false, true} }
+
+func staleFrame(string) frame { return frame{"x", "x", 200, false, false} }
+
+var behaviours = []behaviour{
+	{"responses", true, []func(string) frame{withID(200, false)}, false},
+	{"rejects", false, []func(string) frame{withID(503, true)}, false},
+	{"fails", true, []func(string) frame{withID(500, false)}, false},
+	{"rejects without an id", false, []func(string) frame{withoutID(400, true)}, false},
+	{"responses twice", true, []func(string) frame{withID(200, false), withID(200, false)}, false},
+	{"responses, then rejects", true, []func(string) frame{withID(200, false), withID(503, true)}, false},
+	{"responses, then rejects without an id", true, []func(string) frame{withID(200, false), withoutID(503, true)}, false},
+	{"responses, then fails without an id", true, []func(string) frame{withID(200, false), withoutID(500, false)}, false},
+	{"responses another one first", true, []func(string) frame{staleFrame, withID(200, false)}, false},
+	{"breaks off", true, []func(string) frame{truncatedResponse}, true},
 	{"runs and resets", true, nil, true},
 	{"resets unseen", false, nil, true},
-	{"runs in silence", true, nil, false},
+	{"runs without a response", true, nil, false},
 }
 
-// arrival is when the frames of a call that come after the first one arrive.
-type arrival int
+// lateArrival is when the frames of a call that come after the first one arrive.
+type lateArrival int
 
 const (
-	atOnce      arrival = iota // before the connection is given back
-	whileIdle                  // before it is looked at
-	afterLook                  // before the answer to the next call
-	afterAnswer                // after it
-	arrivals
+	beforeReuse    lateArrival = iota // before the connection is put back
+	whileIdle                         // before it is checked
+	afterIdleCheck                    // before the response to the next call
+	afterResponse                     // after it
+	lateArrivals
 )
 
 // modelClient is the client's side as the code has it, or with a fault planted.
 type modelClient struct {
-	believesUnstamped  bool // takes any refusal without an id for its own
-	reusesUnseen       bool // does not look at a kept connection
-	reusesLeftOver     bool // gives a connection back on which more has come
-	reusesBroken       bool // gives a connection back whose answer broke off
-	repeatsAfterReset  bool // takes a reset to mean that the request has not run
-	repeatsAfterSilent bool // takes silence to mean that
-	takesAnyID         bool // takes an answer with another id
+	trustsMissingID       bool // takes any rejection without an id for its own
+	skipsIdleCheck        bool // does not check a kept connection
+	reusesWithUnreadBytes bool // gives a connection back on which more has come
+	reusesAfterTruncation bool // gives a connection back whose response broke off
+	retriesAfterReset     bool // takes a reset to mean that the request has not run
+	retriesAfterTimeout   bool // takes a timeout to mean that
+	trustsAnyID           bool // takes a response with another id
 }
 
-// wire is the connection between them.
-type wire struct {
+// modelConnection is the connection between them.
+type modelConnection struct {
 	client modelClient
 	buffer []frame
 	used   bool
 	reset  bool
 }
 
-// outcome is how a call ends for its caller.
-type outcome struct {
-	from    string // whose answer it got; empty = none
-	notRun  bool   // it is told that it has not run
-	repeats bool   // the client may send it again although it must not run twice
+// callResult is how a call ends for its caller.
+type callResult struct {
+	responseOf  string // whose response it got; empty = none
+	notExecuted bool   // it learns that the request has not run
+	mayRetry    bool   // the client may send it again although it must not run twice
 }
 
-// call plays one call to its end, and tells whether the connection may be used again.
-func (w *wire) call(id string, how conduct) (outcome, bool) {
-	judge := exchangeState{fresh: !w.used, id: id, size: 1}
-	w.used = true
-	if w.reset {
-		return outcome{notRun: true, repeats: judge.failed(nil).Outcome == NotSent}, false
+// call plays one call to its end and reports whether the connection may be used again.
+func (m *modelConnection) call(id string, b behaviour) (callResult, bool) {
+	state := exchangeState{fresh: !m.used, id: id, size: 1}
+	m.used = true
+	if m.reset {
+		return callResult{notExecuted: true, mayRetry: state.errorFor(nil).Outcome == NotSent}, false
 	}
-	judge.recordWrite(1)
-	if len(how.answers) > 0 {
-		w.buffer = append(w.buffer, how.answers[0](id))
-		if first := how.answers[0](id); first.owner != id {
-			w.buffer = append(w.buffer, how.answers[1](id))
+	state.recordWrite(1)
+	if len(b.responses) > 0 {
+		m.buffer = append(m.buffer, b.responses[0](id))
+		if first := b.responses[0](id); first.owner != id {
+			m.buffer = append(m.buffer, b.responses[1](id))
 		}
 	}
-	for len(w.buffer) > 0 {
-		next := w.buffer[0]
-		w.buffer = w.buffer[1:]
-		verdict := judge.attribute(next.status, next.id, true)
-		if w.client.believesUnstamped && next.id == "" && next.status >= 400 || w.client.takesAnyID {
-			verdict = ownResponse
+	for len(m.buffer) > 0 {
+		next := m.buffer[0]
+		m.buffer = m.buffer[1:]
+		attributed := state.attribute(next.status, next.id, true)
+		if m.client.trustsMissingID && next.id == "" && next.status >= 400 || m.client.trustsAnyID {
+			attributed = ownResponse
 		}
 		switch {
-		case verdict == unattributableResponse:
-			return outcome{}, false
-		case verdict == staleResponse:
+		case attributed == unattributableResponse:
+			return callResult{}, false
+		case attributed == staleResponse:
 			continue
-		case next.half:
-			return outcome{from: next.owner}, w.client.reusesBroken
+		case next.truncated:
+			return callResult{responseOf: next.owner}, m.client.reusesAfterTruncation
 		}
-		return outcome{from: next.owner, notRun: next.notRun, repeats: next.notRun}, true
+		return callResult{responseOf: next.owner, notExecuted: next.notExecuted, mayRetry: next.notExecuted}, true
 	}
-	silent := !how.breaks
-	repeats := w.client.repeatsAfterReset && !silent || w.client.repeatsAfterSilent && silent
-	return outcome{notRun: repeats, repeats: repeats}, false
+	timedOut := !b.disconnects
+	mayRetry := m.client.retriesAfterReset && !timedOut || m.client.retriesAfterTimeout && timedOut
+	return callResult{notExecuted: mayRetry, mayRetry: mayRetry}, false
 }
 
-// playTwo plays two calls, the second on the first one's connection if that is kept. The late frames of the first arrive at
-// a point in between. It gives what is wrong.
-func playTwo(client modelClient, first, second conduct, late arrival) string {
-	w := &wire{client: client}
-	one, reusable := w.call("a", first)
-	if wrong := check("a", first, one); wrong != "" {
+// playTwoCalls plays two calls, the second on the first one's connection if that is kept. The late frames of the first arrive at
+// a point in between. It returns what is wrong.
+func playTwoCalls(client modelClient, first, second behaviour, late lateArrival) string {
+	m := &modelConnection{client: client}
+	firstResult, reusable := m.call("a", first)
+	if wrong := checkResult("a", first, firstResult); wrong != "" {
 		return wrong
 	}
 	var rest []frame
-	if len(first.answers) > 1 && first.answers[0]("a").owner == "a" {
-		rest = append(rest, first.answers[1]("a"))
+	if len(first.responses) > 1 && first.responses[0]("a").owner == "a" {
+		rest = append(rest, first.responses[1]("a"))
 	}
-	if late == atOnce {
-		w.buffer = append(w.buffer, rest...)
+	if late == beforeReuse {
+		m.buffer = append(m.buffer, rest...)
 	}
-	if !reusable || len(w.buffer) > 0 && !client.reusesLeftOver {
-		w = &wire{client: client} // a fresh connection
+	if !reusable || len(m.buffer) > 0 && !client.reusesWithUnreadBytes {
+		m = &modelConnection{client: client} // a fresh connection
 		rest = nil
 	}
 	if late == whileIdle {
-		w.buffer = append(w.buffer, rest...)
-		if len(rest) > 0 && !client.reusesUnseen {
-			w = &wire{client: client}
+		m.buffer = append(m.buffer, rest...)
+		if len(rest) > 0 && !client.skipsIdleCheck {
+			m = &modelConnection{client: client}
 		}
 	}
-	if late == afterLook {
-		w.buffer = append(w.buffer, rest...)
+	if late == afterIdleCheck {
+		m.buffer = append(m.buffer, rest...)
 	}
-	if w.used && first.breaks {
-		w.buffer = append(w.buffer, frame{"a", "a", 200, false, true}) // the rest of an answer that broke off
+	if m.used && first.disconnects {
+		m.buffer = append(m.buffer, frame{"a", "a", 200, false, true}) // the rest of a response that broke off
 	}
-	two, _ := w.call("b", second)
-	return check("b", second, two)
+	secondResult, _ := m.call("b", second)
+	return checkResult("b", second, secondResult)
 }
 
-func check(id string, how conduct, got outcome) string {
+func checkResult(id string, b behaviour, got callResult) string {
 	switch {
-	case got.from != "" && got.from != id:
-		return "call " + id + " got the answer of " + got.from
-	case got.notRun && how.runs:
+	case got.responseOf != "" && got.responseOf != id:
+		return "call " + id + " got the response of " + got.responseOf
+	case got.notExecuted && b.runs:
 		return "call " + id + " ran and is said not to have"
-	case got.repeats && how.runs:
+	case got.mayRetry && b.runs:
 		return "call " + id + " ran and may be sent again"
 	}
 	return ""
 }
 
-// eachInterleaving plays all of them and gives the number that were played and what went wrong.
-func eachInterleaving(client modelClient) (played int, wrong []string) {
-	for _, first := range conducts {
-		for _, second := range conducts {
-			for late := range arrivals {
+// playAllInterleavings plays all pairs of calls and returns how many there were and what went wrong.
+func playAllInterleavings(client modelClient) (played int, wrong []string) {
+	for _, first := range behaviours {
+		for _, second := range behaviours {
+			for late := range lateArrivals {
 				played++
-				if problem := playTwo(client, first, second, late); problem != "" {
+				if problem := playTwoCalls(client, first, second, late); problem != "" {
 					wrong = append(wrong, first.name+", "+second.name+": "+problem)
 				}
 			}
@@ -225,24 +225,24 @@
 	return played, wrong
 }
 
-func TestTwoCallsOnOneConnectionNeverGetEachOthersAnswers(t *testing.T) {
-	played, wrong := eachInterleaving(modelClient{})
+func TestExchangesOnOneConnectionNeverGetEachOthersResponses(t *testing.T) {
+	played, wrong := playAllInterleavings(modelClient{})
 	require.Empty(t, wrong)
 	t.Logf("%d interleavings", played)
 }
 
-func TestFaultsPlantedInTheClientAreCaught(t *testing.T) {
+func TestInterleavingsCatchPlantedFaults(t *testing.T) {
 	for name, client := range map[string]modelClient{
-		"a refusal without an id is believed":       {believesUnstamped: true},
-		"an answer with another id is taken":        {takesAnyID: true},
-		"a request is repeated after a reset":       {repeatsAfterReset: true},
-		"a request is repeated after silence":       {repeatsAfterSilent: true},
-		"a kept connection is not looked at":        {reusesUnseen: true, believesUnstamped: true},
-		"one on which more has come is kept":        {reusesLeftOver: true, takesAnyID: true},
-		"one whose answer broke off is given back":  {reusesBroken: true, takesAnyID: true},
-		"one that was not looked at, with its rest": {reusesUnseen: true, takesAnyID: true},
+		"a rejection without an id is trusted":     {trustsMissingID: true},
+		"a response with another id is taken":      {trustsAnyID: true},
+		"a request is repeated after a reset":      {retriesAfterReset: true},
+		"a request is repeated after a timeout":    {retriesAfterTimeout: true},
+		"a kept connection is not checked":         {skipsIdleCheck: true, trustsMissingID: true},
+		"one on which more has come is kept":       {reusesWithUnreadBytes: true, trustsAnyID: true},
+		"one whose response broke off is put back": {reusesAfterTruncation: true, trustsAnyID: true},
+		"one that was not checked, with its rest":  {skipsIdleCheck: true, trustsAnyID: true},
 	} {
-		played, wrong := eachInterleaving(client)
+		played, wrong := playAllInterleavings(client)
 		require.NotEmpty(t, wrong, name)
 		t.Logf("%s: %d of %d interleavings", name, len(wrong), played)
 	}
--- a/internal/fleet/backend/exchange_test.go
+++ b/internal/fleet/backend/exchange_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script is what a stand-in rater does with the requests of one connection, one after the other.
+// script is what a stand-in backend does with the requests of one connection, one after the other.
 type script func(t *testing.T, conn net.Conn, next func() *http.Request)
 
-// listen starts a rater that plays a script on each connection, the first one on the first, and so on.
+// listen starts a backend that plays a script on each connection, the first one on the first, and so on.
 func listen(t *testing.T, scripts ...script) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return listener.Addr().String()
 }
 
-func answerText(id string, status int, fields, body string) string {
+func responseText(id string, status int, fields, body string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s", status, len(body), fields)
 	if id != "" {
 		text += "Attempt-Id: " + id + "\r\n"
@@ -59,141 +59,141 @@
 	return &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{HeaderAttempt: {id}}, Body: []byte("body")}
 }
 
-// ask sends a request and gives status, body and whether the rater says that it has not run.
-func ask(client *Client, address, id string) (status int, body string, notRun bool, err error) {
+// doRequest sends a request and returns status, body, and whether the backend says that it has not run.
+func doRequest(client *Client, address, id string) (status int, body string, notExecuted bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	answer, err := client.Do(ctx, address, requestOf(id))
+	response, err := client.Do(ctx, address, requestOf(id))
 	if err != nil {
 		return 0, "", false, err
 	}
-	defer answer.Close()
-	content, err := io.ReadAll(answer)
-	return answer.Status, string(content), answer.NotExecuted(), err
+	defer response.Close()
+	content, err := io.ReadAll(response)
+	return response.Status, string(content), response.NotExecuted(), err
 }
 
-func fateOf(t *testing.T, err error) Outcome {
+func outcomeOf(t *testing.T, err error) Outcome {
 	t.Helper()
 	var failed *Error
 	require.ErrorAs(t, err, &failed)
 	return failed.Outcome
 }
 
-// hangUp ends a connection with a reset.
-func hangUp(conn net.Conn) {
+// resetConnection ends a connection with a reset.
+func resetConnection(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
-func TestALateRefusalWithoutAnIDIsNotBelieved(t *testing.T) {
+func TestLateRejectionWithoutIDIsNotAttributed(t *testing.T) {
 	between := make(chan struct{})
-	address := listen(t, func(t *testing.T, conn net.Conn, next func() *http.Request) {
+	address := listen(t, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, answerText("a", 200, "", "for a"))
-		next() // the second request runs, and then the first one's refusal comes
-		_, _ = io.WriteString(conn, answerText("", 503, "Not-Executed: 1\r\n", ""))
+		_, _ = io.WriteString(conn, responseText("a", 200, "", "for a"))
+		next() // the second request runs, and then the first one's rejection comes
+		_, _ = io.WriteString(conn, responseText("", 503, "Not-Executed: 1\r\n", ""))
 		<-between
 	})
 	defer close(between)
 	client := NewClient()
-	status, body, _, err := ask(client, address, "a")
+	status, body, _, err := doRequest(client, address, "a")
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	require.Equal(t, "for a", body)
-	_, _, _, err = ask(client, address, "b")
-	require.Equal(t, Malformed, fateOf(t, err), "b may have run")
+	_, _, _, err = doRequest(client, address, "b")
+	require.Equal(t, Malformed, outcomeOf(t, err), "b may have run")
 }
 
-func TestARefusalWithoutAnIDIsBelievedAsTheFirstThingOnAConnection(t *testing.T) {
-	address := listen(t, func(t *testing.T, conn net.Conn, next func() *http.Request) {
+func TestRejectionWithoutIDIsAttributedOnAFreshConnection(t *testing.T) {
+	address := listen(t, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, answerText("", 400, "Not-Executed: 1\r\n", ""))
+		_, _ = io.WriteString(conn, responseText("", 400, "Not-Executed: 1\r\n", ""))
 		next()
 	})
-	status, _, notRun, err := ask(NewClient(), address, "a")
+	status, _, notExecuted, err := doRequest(NewClient(), address, "a")
 	require.NoError(t, err)
 	require.Equal(t, 400, status)
-	require.True(t, notRun)
+	require.True(t, notExecuted)
 }
 
-func TestStrayAnswersArePassedOver(t *testing.T) {
-	address := listen(t, func(t *testing.T, conn net.Conn, next func() *http.Request) {
+func TestStaleResponsesAreSkipped(t *testing.T) {
+	address := listen(t, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, answerText("a", 200, "", "for a"))
+		_, _ = io.WriteString(conn, responseText("a", 200, "", "for a"))
 		next()
-		_, _ = io.WriteString(conn, answerText("a", 200, "", "for a, once more")+answerText("a", 503, "Not-Executed: 1\r\n", "")+
-			answerText("b", 200, "", "for b"))
+		_, _ = io.WriteString(conn, responseText("a", 200, "", "for a, once more")+responseText("a", 503, "Not-Executed: 1\r\n", "")+
+			responseText("b", 200, "", "for b"))
 		next()
 	})
 	client := NewClient()
-	_, _, _, err := ask(client, address, "a")
+	_, _, _, err := doRequest(client, address, "a")
 	require.NoError(t, err)
-	status, body, notRun, err := ask(client, address, "b")
+	status, body, notExecuted, err := doRequest(client, address, "b")
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	require.Equal(t, "for b", body)
-	require.False(t, notRun)
+	require.False(t, notExecuted)
 }
 
-func TestAConnectionOnWhichMoreHasComeIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	address := listen(t, func(t *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, answerText("a", 200, "", "for a")+answerText("a", 200, "", "once more"))
+		_, _ = io.WriteString(conn, responseText("a", 200, "", "for a")+responseText("a", 200, "", "once more"))
 		require.Nil(t, next(), "no second request comes here")
-	}, func(t *testing.T, conn net.Conn, next func() *http.Request) {
+	}, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, answerText("b", 200, "", "for b"))
+		_, _ = io.WriteString(conn, responseText("b", 200, "", "for b"))
 		next()
 	})
 	client := NewClient()
-	_, _, _, err := ask(client, address, "a")
+	_, _, _, err := doRequest(client, address, "a")
 	require.NoError(t, err)
-	_, body, _, err := ask(client, address, "b")
+	_, body, _, err := doRequest(client, address, "b")
 	require.NoError(t, err)
 	require.Equal(t, "for b", body)
 }
 
-func TestWhatIsKnownWhenTheConnectionEnds(t *testing.T) {
+func TestOutcomeWhenTheConnectionEnds(t *testing.T) {
 	for name, play := range map[string]script{
 		"reset before the first byte": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
-			hangUp(conn)
+			resetConnection(conn)
 		},
 		"closed before the first byte": func(_ *testing.T, _ net.Conn, next func() *http.Request) { next() },
 		"reset in the head": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 X\r\nNot-Exec")
 			time.Sleep(20 * time.Millisecond)
-			hangUp(conn)
+			resetConnection(conn)
 		},
-		"no answer in the protocol": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
+		"no response in the protocol": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
-			_, _ = io.WriteString(conn, "this is no answer\r\n\r\n")
+			_, _ = io.WriteString(conn, "this is no response\r\n\r\n")
 		},
-		"an answer to another request that ends with the connection": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
+		"a response to another request that ends with the connection": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 X\r\nAttempt-Id: z\r\n\r\nfor z")
 		},
 		"a success without an id": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
-			_, _ = io.WriteString(conn, answerText("", 200, "", "whose?"))
+			_, _ = io.WriteString(conn, responseText("", 200, "", "whose?"))
 			next()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, _, err := ask(NewClient(), listen(t, play), "a")
-			require.NotEqual(t, NotSent, fateOf(t, err))
+			_, _, _, err := doRequest(NewClient(), listen(t, play), "a")
+			require.NotEqual(t, NotSent, outcomeOf(t, err))
 		})
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	_, _, _, err = ask(NewClient(), closed, "a")
-	require.Equal(t, NotSent, fateOf(t, err), "refused")
+	_, _, _, err = doRequest(NewClient(), closed, "a")
+	require.Equal(t, NotSent, outcomeOf(t, err), "refused")
 }
 
-func TestHalfAnAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"with a length":  "HTTP/1.1 200 X\r\nAttempt-Id: a\r\nContent-Length: 100\r\n\r\nhalf",
 		"in chunks":      "HTTP/1.1 200 X\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -203,14 +203,14 @@
 			next()
 			_, _ = io.WriteString(conn, text)
 			time.Sleep(30 * time.Millisecond)
-			hangUp(conn)
+			resetConnection(conn)
 		})
-		_, _, _, err := ask(NewClient(), address, "a")
+		_, _, _, err := doRequest(NewClient(), address, "a")
 		require.Error(t, err, name)
 	}
 }
 
-func TestACancelledExchangeLeavesNoConnectionBehind(t *testing.T) {
+func TestCancelledExchangeClosesItsConnection(t *testing.T) {
 	arrived := make(chan struct{})
 	address := listen(t, func(t *testing.T, _ net.Conn, next func() *http.Request) {
 		next()
@@ -218,7 +218,7 @@
 		require.Nil(t, next(), "the connection ends with its request")
 	}, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
-		_, _ = io.WriteString(conn, answerText("b", 200, "", "for b"))
+		_, _ = io.WriteString(conn, responseText("b", 200, "", "for b"))
 		next()
 	})
 	client := NewClient()
@@ -228,18 +228,18 @@
 		cancel()
 	}()
 	_, err := client.Do(ctx, address, requestOf("a"))
-	require.Equal(t, MayHaveRun, fateOf(t, err))
-	_, body, _, err := ask(client, address, "b")
+	require.Equal(t, MayHaveRun, outcomeOf(t, err))
+	_, body, _, err := doRequest(client, address, "b")
 	require.NoError(t, err)
 	require.Equal(t, "for b", body)
 }
 
-func TestALongBodyIsSentWholeAlsoToOneThatAnswersEarly(t *testing.T) {
+func TestLongBodyIsSentCompletelyDespiteAnEarlyResponse(t *testing.T) {
 	got := make(chan string, 1)
 	address := listen(t, func(_ *testing.T, conn net.Conn, _ func() *http.Request) {
 		head := make([]byte, 64)
 		_, _ = io.ReadFull(conn, head)
-		_, _ = io.WriteString(conn, answerText("a", 503, "Not-Executed: 1\r\n", ""))
+		_, _ = io.WriteString(conn, responseText("a", 503, "Not-Executed: 1\r\n", ""))
 		time.Sleep(50 * time.Millisecond)
 		var rest strings.Builder
 		_ = conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -250,16 +250,16 @@
 	request.Body = []byte(strings.Repeat("long ", 1<<18))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	answer, err := NewClient().Do(ctx, address, request)
+	response, err := NewClient().Do(ctx, address, request)
 	require.NoError(t, err)
-	require.True(t, answer.NotExecuted())
-	_, _ = io.Copy(io.Discard, answer)
-	answer.Close()
+	require.True(t, response.NotExecuted())
+	_, _ = io.Copy(io.Discard, response)
+	response.Close()
 	sent := <-got
 	require.True(t, strings.HasSuffix(sent, string(request.Body)), "nothing else stands where the rest of the body is due")
 }
 
-func TestErrorsTellTheirCause(t *testing.T) {
+func TestErrorUnwrapsItsCause(t *testing.T) {
 	cause := errors.New("cause")
 	require.ErrorIs(t, &Error{MayHaveRun, cause}, cause)
 }
