--- a/internal/fleet/dataplane/status.go
+++ b/internal/fleet/dataplane/status.go
@@ -60,6 +60,7 @@
 	Services       map[string][]backendStatus `json:"Services"`
 }
 
+// serveStatus writes the statusBody.
 func (n *Node) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	body := statusBody{Node: n.settings.NodeName, Ready: n.ready(), InFlight: n.inFlight.Load(), Services: n.picker.status()}
 	if table := n.Table(); table != nil {
--- a/internal/fleet/routing/balancer.go
+++ b/internal/fleet/routing/balancer.go
@@ -98,15 +98,21 @@
 	found    bool // chosen was set
 }
 
+// Send notes the backend that decide has chosen.
 func (d *decisionSink) Send(_ decide.RequestID, to decide.BackendID, _ time.Duration) {
 	d.chosen, d.found = to, true
 }
+
+// The other decisions do not arise or are the proxy's to make.
+
 func (d *decisionSink) Refuse(decide.RequestID, time.Duration) {}
 func (d *decisionSink) Fail(decide.RequestID)                  {}
 func (d *decisionSink) Cancel(decide.RequestID, int)           {}
 func (d *decisionSink) Probe(decide.BackendID)                 {}
 func (d *decisionSink) Watch()                                 {}
 func (d *decisionSink) Log(string)                             {}
+
+// Wake sets a timer of decide.
 func (d *decisionSink) Wake(after time.Duration, token uint64) {
 	d.balancer.timers = append(d.balancer.timers, timer{d.now + after, token})
 }
--- a/internal/fleet/routing/load.go
+++ b/internal/fleet/routing/load.go
@@ -162,6 +162,7 @@
 	}
 }
 
+// recordSent adds an attempt to those whose first token has not come, with the time that is expected for it.
 func (l *loadTable) recordSent(at time.Duration, load *backendLoad, event *Event, local bool) {
 	expected := l.queueDelay(at, load) + l.prefillTime(at, load, event.Tokens)
 	entry := prefillingAttempt{attempt: event.Attempt, tokens: event.Tokens, sentAt: at, alone: len(load.prefilling) == 0, long: event.Long, local: local,
@@ -171,6 +172,8 @@
 	l.prefixes.record(at, event.Prefix, event.Backend, load.prefilledTokens)
 }
 
+// recordFirstToken learns from the time to an attempt's first token; a long response becomes a stream. Of attempts that were never
+// reported, or have expired, nothing is learned.
 func (l *loadTable) recordFirstToken(now time.Duration, load *backendLoad, event *Event) {
 	i := load.findPrefilling(event.Attempt)
 	if i < 0 {
@@ -192,6 +195,7 @@
 	}
 }
 
+// recordEnd forgets an attempt and learns from a stream how long it lasted and whether it paused for too long.
 func (l *loadTable) recordEnd(now time.Duration, load *backendLoad, attempt uint32, paused bool) {
 	load.removePrefilling(attempt)
 	i := load.findDecoding(attempt)
