--- a/Makefile
+++ b/Makefile
@@ -30,8 +30,8 @@
 
 fuzz:
 	@for f in FuzzParser FuzzRequests FuzzAnswers; do \
-		go test -run '^$$' -fuzz "$$f\$$" -fuzztime $(FUZZTIME) ./internal/http1 || exit 1; done
-	go test -run '^$$' -fuzz 'FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/thrift
+		go test -run '^$$' -fuzz "$$f\$$" -fuzztime $(FUZZTIME) ./internal/codec/http1 || exit 1; done
+	go test -run '^$$' -fuzz 'FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/codec/thrift
 
 run: build
 	exec bin/linenwheel serve
--- a/node/inventory_test.go
+++ b/node/inventory_test.go
@@ -103,7 +103,7 @@
 func TestNodeIsFreeOfGRPC(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "linenwheel.dev/linenwheel/cmd/linenwheel").Output()
 	require.NoError(t, err)
-	assert.Contains(t, string(out), "\nlinenwheel.dev/linenwheel/internal/inventory/discovery\n")
+	assert.Contains(t, string(out), "\nlinenwheel.dev/linenwheel/internal/node/endpoints/discovery\n")
 	for _, much := range []string{"google.golang.org/grpc", "google.golang.org/protobuf", "go.etcd.io/etcd", "net/http\n"} {
 		assert.NotContains(t, string(out), "\n"+much)
 	}
