--- a/internal/fleet/backend/exchange.go
+++ b/internal/fleet/backend/exchange.go
@@ -41,7 +41,7 @@
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, state.errorFor(err)
 	}
-	received, err := http.ReadResponse(c.reader, &http.Request{Method: method}) //nolint:bodyclose // Response.Close ends or keeps the connection
+	received, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		var failed net.Error
 		if errors.As(err, &failed) || errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/fleet/wiretest/describe.go
+++ b/internal/fleet/wiretest/describe.go
@@ -29,7 +29,7 @@
 	}
 	commonType struct {
 		Name string
-		Id   int
+		Id   int //nolint:revive // gob encodes this field by this name
 	}
 	arrayType struct {
 		CommonType commonType
