--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -16,7 +16,7 @@
 		return Ready{Replies: []Reply{{ID: id, Err: errkind.New(errkind.OutcomeUnknown, "this member is not the head")}}}
 	}
 	m.queue = append(m.queue, submission{id, order})
-	return m.serve()
+	return m.processQueue()
 }
 
 // Withdraw forgets an order whose caller has gone. It may still be committed.
@@ -24,12 +24,12 @@
 	m.queue = slices.DeleteFunc(m.queue, func(s submission) bool { return s.id == id })
 }
 
-// serve takes orders from the queue until one is under way.
-func (m *Machine) serve() Ready {
+// processQueue takes orders from the queue until one is under way.
+func (m *Machine) processQueue() Ready {
 	var out Ready
-	for len(m.queue) > 0 && m.takesOrders() {
+	for len(m.queue) > 0 && m.acceptsOrders() {
 		next := m.queue[0]
-		if revision, taken := m.log.agreed.Accepted(next.order.Digest()); taken {
+		if revision, taken := m.log.committedState.Accepted(next.order.Digest()); taken {
 			m.queue = m.queue[1:]
 			out.Replies = append(out.Replies, Reply{ID: next.id, Revision: revision})
 			continue
@@ -40,26 +40,26 @@
 			out.Replies = append(out.Replies, Reply{ID: next.id, Err: err, Unconfirmed: true, Epoch: m.view.Epoch})
 			continue
 		}
-		stored, _ := m.store(Entry{Epoch: m.view.Epoch, Seq: m.log.seq + 1, Order: next.order, History: state.History()})
+		stored, _ := m.appendEntry(Entry{Epoch: m.view.Epoch, Seq: m.log.seq + 1, Order: next.order, History: state.History()})
 		out.add(stored)
 	}
 	return out
 }
 
-// takesOrders tells whether this member may take an order now: it is the head of a chain with copies enough, and has none
+// acceptsOrders tells whether this member may take an order now: it is the head of a chain with copies enough, and has none
 // under way.
-func (m *Machine) takesOrders() bool {
-	return !m.log.pending() && m.holds && !m.sealed() && m.view.Head() == m.self && len(m.view.Chain) > m.config.MaxFailures
+func (m *Machine) acceptsOrders() bool {
+	return !m.log.hasPending() && m.hasBase && !m.sealed() && m.view.Head() == m.self && len(m.view.Chain) > m.config.MaxFailures
 }
 
-// store takes an entry into this member's copy and hands it on; false: it does not follow this copy.
-func (m *Machine) store(entry Entry) (Ready, bool) {
-	next, err := m.log.add(entry)
+// appendEntry takes an entry into this member's copy and hands it on; false: it does not follow this copy.
+func (m *Machine) appendEntry(entry Entry) (Ready, bool) {
+	next, err := m.log.withEntry(entry)
 	if err != nil {
 		return Ready{}, false
 	}
 	m.log = next
-	m.pendingSince, m.sentAt = m.now, m.now
+	m.pendingSince, m.appendSentAt = m.now, m.now
 	out := Ready{Records: []Record{SaveEntry{Entry: entry}}}
 	out.add(m.forward())
 	return out, true
@@ -68,7 +68,7 @@
 // forward hands the newest entry to the next member, or tells that it is committed.
 func (m *Machine) forward() Ready {
 	place := slices.Index(m.view.Chain, m.self)
-	last, kept := m.log.last()
+	last, kept := m.log.lastEntry()
 	if !kept || place < 0 || last.Epoch != m.view.Epoch || last.Seq != m.log.seq {
 		return Ready{}
 	}
@@ -79,21 +79,21 @@
 	for _, member := range m.view.Chain[:place] {
 		out.Messages = append(out.Messages, m.send(member, Committed{Epoch: m.view.Epoch, Seq: m.log.seq}))
 	}
-	out.add(m.commit(m.log.seq))
+	out.add(m.markCommitted(m.log.seq))
 	return out
 }
 
 func (m *Machine) onAppend(entry Entry) Ready {
-	if entry.Epoch != m.view.Epoch || m.sealed() || !m.follows() || !m.healthy {
+	if entry.Epoch != m.view.Epoch || m.sealed() || !m.inSync() || !m.healthy {
 		return Ready{}
 	}
 	switch {
 	case entry.Seq == m.log.seq+1:
-		out := m.commit(m.log.seq) // the head sends one entry at a time
-		stored, _ := m.store(entry)
+		out := m.markCommitted(m.log.seq) // the head sends one entry at a time
+		stored, _ := m.appendEntry(entry)
 		out.add(stored)
 		return out
-	case entry.position() == m.log.newest():
+	case entry.position() == m.log.lastPosition():
 		return m.forward()
 	}
 	return Ready{}
@@ -103,23 +103,23 @@
 	if body.Epoch != m.view.Epoch {
 		return Ready{}
 	}
-	return m.commit(body.Seq)
+	return m.markCommitted(body.Seq)
 }
 
-// commit notes that an entry is on every member of the chain.
-func (m *Machine) commit(seq uint64) Ready {
-	if seq != m.log.seq || !m.log.pending() {
+// markCommitted notes that an entry is on every member of the chain.
+func (m *Machine) markCommitted(seq uint64) Ready {
+	if seq != m.log.seq || !m.log.hasPending() {
 		return Ready{}
 	}
-	m.log, m.pendingSince = m.log.commit(seq), 0
-	return m.serve()
+	m.log, m.pendingSince = m.log.withCommitted(seq), 0
+	return m.processQueue()
 }
 
-// learnCommitted finds, after a start, that the whole chain has the newest entry. A member that has promised the next epoch may
+// inferCommitted finds, after a start, that the whole chain has the newest entry. A member that has promised the next epoch may
 // have pulled the entry after it told the proposer what it has: the next view then begins without the entry, so that from such
 // a member nothing is learned.
-func (m *Machine) learnCommitted() {
-	if !m.log.pending() || !m.follows() || m.sealed() {
+func (m *Machine) inferCommitted() {
+	if !m.log.hasPending() || !m.inSync() || m.sealed() {
 		return
 	}
 	for _, member := range m.view.Chain {
@@ -132,26 +132,26 @@
 			return
 		}
 	}
-	m.log, m.pendingSince = m.log.commit(m.log.seq), 0
+	m.log, m.pendingSince = m.log.withCommitted(m.log.seq), 0
 }
 
-// resend hands an entry down again that is not committed yet, and takes orders that had to wait.
-func (m *Machine) resend() Ready {
+// retransmit hands an entry down again that is not committed yet, and takes orders that had to wait.
+func (m *Machine) retransmit() Ready {
 	if m.view.Head() != m.self {
-		return m.refuseQueue()
+		return m.failQueue()
 	}
-	if !m.log.pending() {
-		return m.serve()
+	if !m.log.hasPending() {
+		return m.processQueue()
 	}
-	if m.sealed() || m.now-m.sentAt < m.config.RetryInterval {
+	if m.sealed() || m.now-m.appendSentAt < m.config.RetryInterval {
 		return Ready{}
 	}
-	m.sentAt = m.now
+	m.appendSentAt = m.now
 	return m.forward()
 }
 
-// refuseQueue ends the orders of a member that is no longer the head: whether one of them was taken is not known here.
-func (m *Machine) refuseQueue() Ready {
+// failQueue ends the orders of a member that is no longer the head: whether one of them was taken is not known here.
+func (m *Machine) failQueue() Ready {
 	var out Ready
 	for _, waiting := range m.queue {
 		err := errkind.New(errkind.OutcomeUnknown, "this member is no longer the head")
--- a/internal/fleet/replica/exhaustive_test.go
+++ b/internal/fleet/replica/exhaustive_test.go
@@ -104,7 +104,7 @@
 	}
 	if m.attempt != nil {
 		attempt := *m.attempt
-		attempt.promises, attempt.installed, attempt.accepts = maps.Clone(attempt.promises), maps.Clone(attempt.installed), maps.Clone(attempt.accepts)
+		attempt.promises, attempt.installedBy, attempt.acceptedBy = maps.Clone(attempt.promises), maps.Clone(attempt.installedBy), maps.Clone(attempt.acceptedBy)
 		next.attempt = &attempt
 	}
 	if m.transfer.install != nil {
@@ -136,7 +136,7 @@
 		}
 		for _, reply := range out.Replies {
 			if reply.Err == nil {
-				at := machine.log.settled()
+				at := machine.log.committedPosition()
 				s.acked[at.History] = at
 			}
 		}
@@ -167,10 +167,10 @@
 }
 
 func (e *explorer) noteHistory(m *Machine) {
-	if last, kept := m.log.last(); kept {
-		before := m.log.keptAfter
-		if m.log.kept.Len() > 1 {
-			previous := m.log.kept.Get(m.log.kept.Len() - 2)
+	if last, kept := m.log.lastEntry(); kept {
+		before := m.log.basePosition
+		if m.log.entries.Len() > 1 {
+			previous := m.log.entries.Get(m.log.entries.Len() - 2)
 			before = previous.position()
 		}
 		e.parents[last.History] = before
@@ -259,16 +259,16 @@
 		next = append(next, n)
 	}
 	machine := s.members[i].machine
-	if s.left.orders > 0 && machine.view.Head() == machine.self && machine.takesOrders() {
+	if s.left.orders > 0 && machine.view.Head() == machine.self && machine.acceptsOrders() {
 		move("order", func(n *explored) {
 			n.left.orders--
 			n.ids++
-			base := machine.log.agreed.Document.Revision
+			base := machine.log.committedState.Document.Revision
 			order := operator.Order{Method: "PATCH", Base: base, Body: fmt.Appendf(nil, `{"Revision":%d,"By":"m%d"}`, base+1, i)}
 			e.step(n, i, func(m *Machine) Ready { return m.Submit(1, n.ids, order) })
 		})
 	}
-	if s.left.attempts > 0 && machine.isVoter() && machine.holdsAll() && machine.attempt == nil {
+	if s.left.attempts > 0 && machine.isVoter() && machine.hasAllCommitted() && machine.attempt == nil {
 		for without := range s.members {
 			if without != i {
 				move(fmt.Sprintf("propose without m%d", without), func(n *explored) {
@@ -335,7 +335,7 @@
 			return fmt.Sprintf("epoch %d has two views", m.view.Epoch)
 		}
 		s.views[m.view.Epoch], s.bases[m.view.Epoch] = text, m.base
-		if slices.Contains(m.view.Chain, m.self) && !m.holds {
+		if slices.Contains(m.view.Chain, m.self) && !m.hasBase {
 			return "a member of a chain does not hold its base"
 		}
 	}
@@ -353,7 +353,7 @@
 		}
 		for _, member := range s.members {
 			m := member.machine
-			if m.view.Epoch == newest && m.follows() && !e.leadsTo(m.log.newest(), order) {
+			if m.view.Epoch == newest && m.inSync() && !e.leadsTo(m.log.lastPosition(), order) {
 				return fmt.Sprintf("%s, in the chain of the newest view, lacks order %d", m.self.Address, order.Seq)
 			}
 		}
@@ -366,10 +366,10 @@
 	var text strings.Builder
 	for _, member := range s.members {
 		m := member.machine
-		fmt.Fprintln(&text, m.self, m.view, m.base, m.holds, m.log.newest(), m.log.settled(), m.promised, describeAccepted(m.accepted),
-			m.round, len(m.queue))
+		fmt.Fprintln(&text, m.self, m.view, m.base, m.hasBase, m.log.lastPosition(), m.log.committedPosition(), m.promised, describeAccepted(m.accepted),
+			m.maxRound, len(m.queue))
 		if a := m.attempt; a != nil {
-			fmt.Fprintln(&text, a.ballot, a.view, a.base, a.begun > 0, a.installed, a.accepts, a.proposal != nil)
+			fmt.Fprintln(&text, a.ballot, a.view, a.base, a.installStartedAt > 0, a.installedBy, a.acceptedBy, a.proposal != nil)
 			var promises []string
 			for voter, promise := range a.promises {
 				promises = append(promises, fmt.Sprint(voter, promise.Position, promise.Holds, describeAccepted(promise.Accepted)))
@@ -378,7 +378,7 @@
 			fmt.Fprintln(&text, promises)
 		}
 		if install := m.transfer.install; install != nil {
-			fmt.Fprintln(&text, install.request, install.proposer, m.transfer.asked)
+			fmt.Fprintln(&text, install.request, install.proposer, m.transfer.inFlight)
 		}
 	}
 	flying := make([]string, len(s.flying))
--- a/internal/fleet/replica/failuredetector.go
+++ b/internal/fleet/replica/failuredetector.go
@@ -8,9 +8,9 @@
 // Heartbeat sends a heartbeat to every known control process.
 func (m *Machine) Heartbeat(now time.Duration) Ready {
 	m.now = max(now, m.now)
-	m.beatAt = m.now
+	m.heartbeatSentAt = m.now
 	var out Ready
-	body := Heartbeat{Stamp: m.now, Status: m.Status(), Learned: m.addresses()}
+	body := Heartbeat{Stamp: m.now, Status: m.Status(), Learned: m.knownAddresses()}
 	for _, address := range m.peerAddresses() {
 		out.Messages = append(out.Messages, m.send(Member{Address: address}, body))
 	}
@@ -20,14 +20,14 @@
 func (m *Machine) onHeartbeat(from Member, body Heartbeat) Ready {
 	m.AddPeers([]string{from.Address})
 	m.AddPeers(body.Learned)
-	reply := HeartbeatReply{Stamp: body.Stamp, Status: m.Status(), Learned: m.addresses()}
+	reply := HeartbeatReply{Stamp: body.Stamp, Status: m.Status(), Learned: m.knownAddresses()}
 	out := Ready{Messages: []Envelope{m.send(from, reply)}}
-	out.add(m.bringUp(from, body.Status))
+	out.add(m.sendViewIfBehind(from, body.Status))
 	return out
 }
 
-// bringUp tells a peer that is behind of the present view.
-func (m *Machine) bringUp(to Member, status Status) Ready {
+// sendViewIfBehind tells a peer that is behind of the present view.
+func (m *Machine) sendViewIfBehind(to Member, status Status) Ready {
 	if m.view.Epoch == 0 || status.Epoch >= m.view.Epoch {
 		return Ready{}
 	}
@@ -47,26 +47,26 @@
 		return Ready{}
 	}
 	if p.member.Incarnation != from.Incarnation {
-		p.confirmedAt, p.liveSince = 0, 0
+		p.confirmedAt, p.reachableSince = 0, 0
 	}
 	p.member, p.status, p.answeredAt = from, body.Status, m.now
-	if p.liveSince == 0 {
-		p.liveSince = m.now
+	if p.reachableSince == 0 {
+		p.reachableSince = m.now
 	}
 	if body.Status.Epoch == m.view.Epoch && !body.Status.Sealed {
 		p.confirmedAt = max(p.confirmedAt, body.Stamp)
 	}
-	m.learnCommitted()
-	out := m.bringUp(from, body.Status)
-	out.add(m.pull())
+	m.inferCommitted()
+	out := m.sendViewIfBehind(from, body.Status)
+	out.add(m.fetch())
 	return out
 }
 
-// watchPeers notes which peers have stopped answering.
-func (m *Machine) watchPeers() {
+// detectFailures notes which peers have stopped answering.
+func (m *Machine) detectFailures() {
 	for _, p := range m.peers {
-		if p.liveSince > 0 && m.now-p.answeredAt > m.config.FailureTimeout {
-			p.liveSince, p.goneSince = 0, m.now
+		if p.reachableSince > 0 && m.now-p.answeredAt > m.config.FailureTimeout {
+			p.reachableSince, p.unreachableSince = 0, m.now
 		}
 	}
 }
@@ -77,41 +77,41 @@
 		return true
 	}
 	p := m.peers[member.Address]
-	return p != nil && p.liveSince > 0 && (p.member == member || member.Incarnation == 0)
+	return p != nil && p.reachableSince > 0 && (p.member == member || member.Incarnation == 0)
 }
 
-// able tells whether a member answers and takes writes. Those of the chain are given time to answer after a start.
-func (m *Machine) able(member Member) bool {
+// canServe tells whether a member answers and takes writes. Those of the chain are given time to answer after a start.
+func (m *Machine) canServe(member Member) bool {
 	if member == m.self {
 		return m.healthy
 	}
-	if m.justStarted(member) {
+	if m.awaitingFirstReply(member) {
 		return true
 	}
 	return m.reachable(member) && m.peers[member.Address].status.Healthy
 }
 
-// justStarted tells whether this process is too young to expect an answer from a member of the chain.
-func (m *Machine) justStarted(member Member) bool {
+// awaitingFirstReply tells whether this process is too young to expect an answer from a member of the chain.
+func (m *Machine) awaitingFirstReply(member Member) bool {
 	p := m.peers[member.Address]
-	return p != nil && p.answeredAt == 0 && m.now-m.started < m.config.FailureTimeout && slices.Contains(m.view.Chain, member)
+	return p != nil && p.answeredAt == 0 && m.now-m.startedAt < m.config.FailureTimeout && slices.Contains(m.view.Chain, member)
 }
 
-// settled tells whether a member has been reachable for long enough to be taken in.
-func (m *Machine) settled(member Member) bool {
+// isStable tells whether a member has been reachable for long enough to be taken in.
+func (m *Machine) isStable(member Member) bool {
 	if member == m.self {
 		return true
 	}
-	return m.reachable(member) && m.now-m.peers[member.Address].liveSince >= m.config.JoinDelay
+	return m.reachable(member) && m.now-m.peers[member.Address].reachableSince >= m.config.JoinDelay
 }
 
-// see tells whether two members reach each other, as far as is known here.
-func (m *Machine) see(a, b Member) bool {
-	return m.sees(a, b) && m.sees(b, a)
+// mutuallyReachable tells whether two members reach each other, as far as is known here.
+func (m *Machine) mutuallyReachable(a, b Member) bool {
+	return m.reaches(a, b) && m.reaches(b, a)
 }
 
-func (m *Machine) sees(a, b Member) bool {
-	if m.justStarted(a) || m.justStarted(b) {
+func (m *Machine) reaches(a, b Member) bool {
+	if m.awaitingFirstReply(a) || m.awaitingFirstReply(b) {
 		return true
 	}
 	if a == m.self {
@@ -158,10 +158,10 @@
 // StateConfirmed is the newest time at which Agreed was certainly the newest committed state, 0 = unknown. A member of
 // the chain has every order that is committed; one that it does not know to be committed may have been since it came.
 func (m *Machine) StateConfirmed() time.Duration {
-	if !m.follows() {
+	if !m.inSync() {
 		return 0
 	}
-	if !m.log.pending() {
+	if !m.log.hasPending() {
 		return m.confirmed()
 	}
 	return min(m.confirmed(), m.pendingSince)
@@ -170,7 +170,7 @@
 func (m *Machine) peerAddresses() []string {
 	addresses := make([]string, 0, len(m.peers))
 	for address, p := range m.peers {
-		if m.wanted(address, p) {
+		if m.shouldContact(address, p) {
 			addresses = append(addresses, address)
 		}
 	}
@@ -178,23 +178,23 @@
 	return addresses
 }
 
-// forgetAfter is how long a process that is neither voter nor seed may be silent before it is asked no more.
-const forgetAfter = 30 * time.Second
+// peerExpiry is how long a process that is neither voter nor seed may be silent before it is asked no more.
+const peerExpiry = 30 * time.Second
 
-func (m *Machine) wanted(address string, p *peer) bool {
-	if p.liveSince > 0 || containsAddress(m.view.Voters, address) || slices.Contains(m.config.Seeds, address) ||
+func (m *Machine) shouldContact(address string, p *peer) bool {
+	if p.reachableSince > 0 || containsAddress(m.view.Voters, address) || slices.Contains(m.config.Seeds, address) ||
 		m.view.Epoch == 0 && slices.Contains(m.founders, address) {
 		return true
 	}
-	return m.now-p.goneSince < forgetAfter
+	return m.now-p.unreachableSince < peerExpiry
 }
 
-func (m *Machine) addresses() []string { return append(m.peerAddresses(), m.self.Address) }
+func (m *Machine) knownAddresses() []string { return append(m.peerAddresses(), m.self.Address) }
 
-func (m *Machine) liveAddresses() []string {
+func (m *Machine) reachableAddresses() []string {
 	var live []string
 	for address, p := range m.peers {
-		if p.liveSince > 0 {
+		if p.reachableSince > 0 {
 			live = append(live, address)
 		}
 	}
@@ -220,7 +220,7 @@
 	if m.view.Epoch == 0 || !m.config.CanVote {
 		return true
 	}
-	if m.InChain() || m.sealed() || m.isVoter() && m.mayBeFollowed() {
+	if m.InChain() || m.sealed() || m.isVoter() && m.hasSuccessor() {
 		return false
 	}
 	here := 0
@@ -232,10 +232,10 @@
 	return here >= majority(len(m.view.Voters))
 }
 
-// mayBeFollowed tells whether another process is there that could take this member's vote.
-func (m *Machine) mayBeFollowed() bool {
+// hasSuccessor tells whether another process is there that could take this member's vote.
+func (m *Machine) hasSuccessor() bool {
 	for _, p := range m.peers {
-		if p.liveSince > 0 && p.status.Core && !p.status.Leaving && !slices.Contains(m.view.Voters, p.member) {
+		if p.reachableSince > 0 && p.status.Core && !p.status.Leaving && !slices.Contains(m.view.Voters, p.member) {
 			return true
 		}
 	}
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -44,11 +44,11 @@
 	stored := Stored{Self: Member{Address: "10.0.0.1:7680", Incarnation: 42}, Snapshot: &Snapshot{Seq: 7, State: snapshot}}
 	m, err := New(DefaultConfig(), stored, time.Second)
 	require.NoError(t, err)
-	fresh := m.snapshot().bytes
+	fresh := m.currentSnapshot().encoded
 	golden := wiretest.Golden(t, "snapshot-in-pieces", fresh)
 
 	half := len(golden) / 2
-	incoming := incomingSnapshot{pieces: [][]byte{golden[:half], golden[half:]}, whole: sha256.Sum256(golden)}
+	incoming := incomingSnapshot{chunks: [][]byte{golden[:half], golden[half:]}, checksum: sha256.Sum256(golden)}
 	read, err := incoming.decode()
 	require.NoError(t, err)
 	require.Equal(t, snapshot, read)
--- a/internal/fleet/replica/machine.go
+++ b/internal/fleet/replica/machine.go
@@ -38,7 +38,7 @@
 	founder  bool
 	view     View
 	base     Position // with which the view's chain begins
-	holds    bool     // the copy has passed through the base
+	hasBase  bool     // the copy has passed through the base
 	log      Log
 	promised Ballot
 	accepted *Accepted
@@ -50,32 +50,32 @@
 type Machine struct {
 	config Config
 	durable
-	founders     []string // the addresses whose majority agrees on the first view
-	healthy      bool
-	leaving      bool
-	now          time.Duration
-	started      time.Duration
-	sentAt       time.Duration // when the uncommitted entry was last sent
-	sealedAt     time.Duration
-	beatAt       time.Duration // when heartbeats were last sent
-	peers        map[string]*peer
-	attempt      *attempt
-	attemptAfter time.Duration // no proposal before then
-	wishSince    time.Duration // since when another view is wanted
-	round        uint64        // the highest round seen for the next epoch
-	queue        []submission
-	transfer     transfer
+	founders          []string // the addresses whose majority agrees on the first view
+	healthy           bool
+	leaving           bool
+	now               time.Duration
+	startedAt         time.Duration
+	appendSentAt      time.Duration // when the uncommitted entry was last sent
+	sealedAt          time.Duration
+	heartbeatSentAt   time.Duration // when heartbeats were last sent
+	peers             map[string]*peer
+	attempt           *attempt
+	nextAttemptAt     time.Duration // no proposal before then
+	changeWantedSince time.Duration // since when another view is wanted
+	maxRound          uint64        // the highest round seen for the next epoch
+	queue             []submission
+	transfer          transfer
 }
 
 // peer is what a member knows of another control process.
 type peer struct {
-	member      Member // its incarnation is 0 until it has answered
-	status      Status
-	answeredAt  time.Duration
-	liveSince   time.Duration // 0 = not reachable
-	confirmedAt time.Duration // when the newest heartbeat was sent that it answered from our epoch, not sealed
-	goneSince   time.Duration
-	slowUntil   time.Duration // it was to take a place and did not store the state in time
+	member           Member // its incarnation is 0 until it has answered
+	status           Status
+	answeredAt       time.Duration
+	reachableSince   time.Duration // 0 = not reachable
+	confirmedAt      time.Duration // when the newest heartbeat was sent that it answered from our epoch, not sealed
+	unreachableSince time.Duration
+	excludedUntil    time.Duration // it was to take a place and did not store the state in time
 }
 
 type submission struct {
@@ -85,42 +85,42 @@
 
 // New makes a member from what is on its disk.
 func New(options Config, stored Stored, now time.Duration) (*Machine, error) {
-	m := &Machine{config: options, healthy: true, now: now, started: now, peers: map[string]*peer{}}
+	m := &Machine{config: options, healthy: true, now: now, startedAt: now, peers: map[string]*peer{}}
 	m.self, m.founder, m.promised, m.accepted = stored.Self, stored.Founder, stored.Promised, stored.Accepted
 	m.founders = stored.Founders
 	if stored.View != nil {
 		m.view, m.base = stored.View.View, stored.View.Base
 	}
-	if err := m.load(&stored); err != nil {
+	if err := m.restoreLog(&stored); err != nil {
 		return nil, err
 	}
-	m.round = m.promised.Round
+	m.maxRound = m.promised.Round
 	m.AddPeers(options.Seeds)
 	m.AddPeers(m.founders)
-	m.knowView()
+	m.addVoterPeers()
 	return m, nil
 }
 
-// load makes the copy from what is on the disk. Entries that another view has replaced are passed over.
-func (m *Machine) load(stored *Stored) error {
+// restoreLog makes the copy from what is on the disk. Entries that another view has replaced are passed over.
+func (m *Machine) restoreLog(stored *Stored) error {
 	copied, err := newLog(stored.Snapshot)
 	if err != nil {
 		return err
 	}
 	m.log = copied
-	m.holds = m.log.passes(m.base)
+	m.hasBase = m.log.passedThrough(m.base)
 	for i := range stored.Entries {
 		entry := stored.Entries[i]
-		if entry.Seq > m.base.Seq && (entry.Epoch != m.view.Epoch || !m.holds) {
+		if entry.Seq > m.base.Seq && (entry.Epoch != m.view.Epoch || !m.hasBase) {
 			break
 		}
-		next, err := m.log.add(entry)
+		next, err := m.log.withEntry(entry)
 		if err != nil { // it follows an entry that was replaced
 			break
 		}
 		m.log = next
-		if m.log.newest() == m.base {
-			m.log, m.holds = m.log.commit(m.base.Seq), true
+		if m.log.lastPosition() == m.base {
+			m.log, m.hasBase = m.log.withCommitted(m.base.Seq), true
 		}
 	}
 	return nil
@@ -130,12 +130,12 @@
 func (m *Machine) AddPeers(addresses []string) {
 	for _, address := range addresses {
 		if address != m.self.Address && address != "" && m.peers[address] == nil {
-			m.peers[address] = &peer{member: Member{Address: address}, goneSince: m.now}
+			m.peers[address] = &peer{member: Member{Address: address}, unreachableSince: m.now}
 		}
 	}
 }
 
-func (m *Machine) knowView() {
+func (m *Machine) addVoterPeers() {
 	for _, voter := range m.view.Voters {
 		m.AddPeers([]string{voter.Address})
 	}
@@ -151,23 +151,23 @@
 func (m *Machine) Healthy() bool { return m.healthy }
 
 // Committed is the newest state that this member knows to be committed, with its place.
-func (m *Machine) Committed() (uint64, *operator.State) { return m.log.committed, m.log.agreed }
+func (m *Machine) Committed() (uint64, *operator.State) { return m.log.committed, m.log.committedState }
 
 // Log is this member's copy of the replicated state.
 func (m *Machine) Log() Log { return m.log }
 
 // Status is what this member tells of itself.
 func (m *Machine) Status() Status {
-	return Status{Epoch: m.view.Epoch, Sealed: m.sealed(), Holds: m.view.Epoch > 0 && m.holds, Seq: m.log.seq,
+	return Status{Epoch: m.view.Epoch, Sealed: m.sealed(), Holds: m.view.Epoch > 0 && m.hasBase, Seq: m.log.seq,
 		Committed: m.log.committed, Healthy: m.healthy, Core: m.config.CanVote, Founder: m.founder, Leaving: m.leaving,
-		Young: m.now-m.started < m.config.FailureTimeout, Live: m.liveAddresses()}
+		Young: m.now-m.startedAt < m.config.FailureTimeout, Live: m.reachableAddresses()}
 }
 
 // InChain tells whether this member is in the chain of its view.
 func (m *Machine) InChain() bool { return slices.Contains(m.view.Chain, m.self) }
 
-// follows tells whether this member gets the orders of its view down the chain, rather than by pulling them.
-func (m *Machine) follows() bool { return m.InChain() && m.holds }
+// inSync tells whether this member gets the orders of its view down the chain, rather than by pulling them.
+func (m *Machine) inSync() bool { return m.InChain() && m.hasBase }
 
 func (m *Machine) sealed() bool { return m.promised.Round > 0 }
 
@@ -239,11 +239,11 @@
 	case Committed:
 		return m.onCommitted(body)
 	case FetchRequest:
-		return m.onPull(envelope.From, body)
+		return m.onFetchRequest(envelope.From, body)
 	case FetchReply:
-		return m.onOrders(envelope.From, body)
+		return m.onFetchReply(envelope.From, body)
 	case SnapshotChunk:
-		return m.onPiece(envelope.From, body)
+		return m.onSnapshotChunk(envelope.From, body)
 	}
 	return Ready{}
 }
@@ -252,13 +252,13 @@
 func (m *Machine) Tick(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	var out Ready
-	m.watchPeers()
-	if m.now-m.beatAt >= m.config.HeartbeatInterval {
+	m.detectFailures()
+	if m.now-m.heartbeatSentAt >= m.config.HeartbeatInterval {
 		out.add(m.Heartbeat(now))
 	}
-	out.add(m.resend())
+	out.add(m.retransmit())
 	out.add(m.reconfigure())
-	out.add(m.pull())
+	out.add(m.fetch())
 	return out
 }
 
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -344,8 +344,8 @@
 	for tolerated := range 4 {
 		m := &Machine{config: Config{MaxFailures: tolerated}}
 		for voters := 1; voters <= 13; voters++ {
-			require.Greater(t, m.leastChain(voters)+majority(voters), voters)
-			require.LessOrEqual(t, m.leastChain(voters), voters)
+			require.Greater(t, m.minChainLength(voters)+majority(voters), voters)
+			require.LessOrEqual(t, m.minChainLength(voters), voters)
 		}
 	}
 }
@@ -384,7 +384,7 @@
 	w.step(n, func() Ready {
 		return n.machine.Step(w.now, Envelope{From: view.Head(), To: n.machine.Self(), Body: Append{Entry: entry}})
 	})
-	require.True(t, n.machine.log.pending())
+	require.True(t, n.machine.log.hasPending())
 	others = map[Member]Status{}
 	for _, member := range view.Chain {
 		if member != n.machine.Self() {
@@ -407,7 +407,7 @@
 func TestAnEntryThatTheWholeChainHasIsCommitted(t *testing.T) {
 	w, n, others := pendingMember(t)
 	w.hear(n, others)
-	require.False(t, n.machine.log.pending())
+	require.False(t, n.machine.log.hasPending())
 }
 
 // A member that promised the next epoch told what it had then. An entry that it pulls afterwards may be on the whole chain and
@@ -420,7 +420,7 @@
 		return n.machine.Step(w.now, Envelope{From: proposer, To: n.machine.Self(), Body: prepare})
 	})
 	w.hear(n, others)
-	require.True(t, n.machine.log.pending(), "it has promised itself")
+	require.True(t, n.machine.log.hasPending(), "it has promised itself")
 
 	w, n, others = pendingMember(t)
 	for member, status := range others {
@@ -429,5 +429,5 @@
 		break
 	}
 	w.hear(n, others)
-	require.True(t, n.machine.log.pending(), "another member of the chain has promised")
+	require.True(t, n.machine.log.hasPending(), "another member of the chain has promised")
 }
--- a/internal/fleet/replica/second_loss_test.go
+++ b/internal/fleet/replica/second_loss_test.go
@@ -178,7 +178,7 @@
 		w.runUntil(w.now + time.Second)
 		w.start(victim)
 		w.runUntil(w.now + time.Duration(200+w.rand.IntN(600))*time.Millisecond)
-		if len(victim.machine.transfer.incoming.pieces) > 0 {
+		if len(victim.machine.transfer.incoming.chunks) > 0 {
 			halfway++
 		}
 		second := w.nodes[(seed+1+seed/3%2)%3]
@@ -197,7 +197,7 @@
 func (w *world) takeLarge(t *testing.T) {
 	t.Helper()
 	const orders, size = 6, 400 << 10
-	require.Greater(t, orders*size, mostKeptBytes)
+	require.Greater(t, orders*size, maxEntryBytes)
 	for range orders {
 		base := w.newest()
 		order := w.order(base, base+1, w.noise(size))
--- a/internal/fleet/replica/world_test.go
+++ b/internal/fleet/replica/world_test.go
@@ -323,7 +323,7 @@
 		}
 		if w.planted.anotherOrder && w.rand.IntN(5) == 0 {
 			body.Entry.Order.Body = append(slices.Clone(body.Entry.Order.Body), ' ')
-			next, err := from.machine.log.drop().state.Apply(body.Entry.Order)
+			next, err := from.machine.log.withoutPending().state.Apply(body.Entry.Order)
 			if err == nil {
 				body.Entry.History = next.History()
 				envelope.Body = body
--- a/internal/fleet/replica/worst_days_test.go
+++ b/internal/fleet/replica/worst_days_test.go
@@ -228,7 +228,7 @@
 				require.Less(t, w.now-began, w.catchUp, "%d changes, wiped %v", changes, wiped)
 			}
 			t.Logf("%d changes, wiped %v: in the chain with everything after %v", changes, wiped, w.now-began)
-			require.LessOrEqual(t, away.machine.log.kept.Len(), mostKept)
+			require.LessOrEqual(t, away.machine.log.entries.Len(), maxEntries)
 			require.Empty(t, w.problems())
 		}
 	}
@@ -253,7 +253,7 @@
 		w.heal()
 		w.runUntil(w.now + w.catchUp)
 		require.NotContains(t, w.acked, lost.Digest(), "seed %d", seed)
-		require.Equal(t, w.nodes[0].machine.Log().newest(), w.nodes[1].machine.Log().newest())
+		require.Equal(t, w.nodes[0].machine.Log().lastPosition(), w.nodes[1].machine.Log().lastPosition())
 		requireGoesOn(t, w, 2*time.Second, "seed %d", seed)
 	}
 }
@@ -315,7 +315,7 @@
 	}
 	last := len(n.disk.Entries) - 1
 	for _, entry := range n.disk.Entries[:last] {
-		if state, err = state.add(entry); err != nil {
+		if state, err = state.withEntry(entry); err != nil {
 			panic(err)
 		}
 	}
--- a/internal/fleet/storage/damage.go
+++ b/internal/fleet/storage/damage.go
@@ -21,13 +21,13 @@
 	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, payload)
 }
 
-func sealValue(key string, payload []byte) string {
+func appendChecksum(key string, payload []byte) string {
 	value := binary.BigEndian.AppendUint32(nil, checksum(key, payload))
 	return string(append(value, payload...))
 }
 
-// openValue gives the payload of a value and whether key and value are as they were written.
-func openValue(key, value string) ([]byte, bool) {
+// verifyChecksum gives the payload of a value and whether key and value are as they were written.
+func verifyChecksum(key, value string) ([]byte, bool) {
 	if len(value) < checksumSize {
 		return nil, false
 	}
@@ -35,8 +35,8 @@
 	return payload, binary.BigEndian.Uint32([]byte(value[:checksumSize])) == checksum(key, payload)
 }
 
-// cutAtDamage shortens a database file to its longest beginning of whole, intact commands. What follows was never synced.
-func cutAtDamage(path string) error {
+// truncateAtDamage shortens a database file to its longest beginning of whole, intact commands. What follows was never synced.
+func truncateAtDamage(path string) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("storage: %w", err)
@@ -57,10 +57,10 @@
 	for {
 		parts, err := scanner.command()
 		if err != nil || parts[0] != setCommand {
-			return len(content) - len(scanner.whole())
+			return len(content) - len(scanner.unaccepted())
 		}
-		if _, intact := openValue(parts[1], parts[2]); !intact {
-			return len(content) - len(scanner.whole())
+		if _, intact := verifyChecksum(parts[1], parts[2]); !intact {
+			return len(content) - len(scanner.unaccepted())
 		}
 		scanner.accept()
 	}
@@ -72,33 +72,33 @@
 type commandScanner struct {
 	rest     []byte
 	accepted []byte // what follows the last command that was accepted
-	begun    bool
+	started  bool
 }
 
-func (s *commandScanner) whole() []byte {
-	if !s.begun {
+func (s *commandScanner) unaccepted() []byte {
+	if !s.started {
 		return s.rest
 	}
 	return s.accepted
 }
 
-func (s *commandScanner) accept() { s.begun, s.accepted = true, s.rest }
+func (s *commandScanner) accept() { s.started, s.accepted = true, s.rest }
 
 // A set command has these parts: its name, a key and a value.
 const (
-	setParts   = 3
-	setCommand = "set"
+	setArguments = 3
+	setCommand   = "set"
 )
 
-func (s *commandScanner) command() (parts [setParts]string, err error) {
-	if !s.begun {
+func (s *commandScanner) command() (parts [setArguments]string, err error) {
+	if !s.started {
 		s.accept()
 	}
 	count, err := s.number('*')
 	if err != nil {
 		return parts, err
 	}
-	if count != setParts {
+	if count != setArguments {
 		return parts, errDamaged
 	}
 	for i := range parts {
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -105,7 +105,7 @@
 // describeDisk gives the types of the values by their keys.
 func describeDisk(t *testing.T, store *Store) map[string][]string {
 	t.Helper()
-	values, err := store.read(store.generation)
+	values, err := store.readGeneration(store.generation)
 	require.NoError(t, err)
 	described := map[string][]string{}
 	for key, value := range values {
--- a/internal/fleet/storage/records.go
+++ b/internal/fleet/storage/records.go
@@ -20,8 +20,8 @@
 	Founders []string
 }
 
-// place gives a record its key and value.
-func place(record replica.Record) (string, any) {
+// keyValue gives a record its key and value.
+func keyValue(record replica.Record) (string, any) {
 	switch record := record.(type) {
 	case replica.SaveIdentity:
 		return keyIdentity, identity(record)
@@ -39,8 +39,8 @@
 	panic(fmt.Sprintf("storage: record %T", record))
 }
 
-// apply notes a record that was stored.
-func apply(held *replica.Stored, record replica.Record) {
+// applyRecord notes a record that was stored.
+func applyRecord(held *replica.Stored, record replica.Record) {
 	switch record := record.(type) {
 	case replica.SaveIdentity:
 		held.Self, held.Founder, held.Founders = record.Self, record.Founder, record.Founders
@@ -54,17 +54,17 @@
 	case replica.SaveSnapshot:
 		held.Snapshot, held.Entries = &record.Snapshot, nil
 	case replica.SaveEntry:
-		held.Entries = append(beforeSeq(held.Entries, record.Entry.Seq), record.Entry)
+		held.Entries = append(entriesBefore(held.Entries, record.Entry.Seq), record.Entry)
 	}
 }
 
-// beforeSeq gives a copy of the entries that come before a place.
-func beforeSeq(entries []replica.Entry, seq uint64) []replica.Entry {
+// entriesBefore gives a copy of the entries that come before a place.
+func entriesBefore(entries []replica.Entry, seq uint64) []replica.Entry {
 	return slices.DeleteFunc(slices.Clone(entries), func(e replica.Entry) bool { return e.Seq >= seq })
 }
 
-// records gives what is held as records.
-func records(held *replica.Stored) []replica.Record {
+// recordsOf gives what is held as records.
+func recordsOf(held *replica.Stored) []replica.Record {
 	var all []replica.Record
 	if held.Self.Address != "" {
 		all = append(all, replica.SaveIdentity{Self: held.Self, Founder: held.Founder, Founders: held.Founders})
@@ -94,8 +94,8 @@
 	return held.View.View.Epoch + 1
 }
 
-// decodeAll gives what the values of a generation hold. Records of earlier epochs are void.
-func decodeAll(values map[string][]byte) (replica.Stored, error) {
+// decodeStored gives what the values of a generation hold. Records of earlier epochs are void.
+func decodeStored(values map[string][]byte) (replica.Stored, error) {
 	var held replica.Stored
 	var who identity
 	if err := decode(values, keyIdentity, &who); err != nil {
@@ -113,7 +113,7 @@
 
 func decodeView(values map[string][]byte, held *replica.Stored) error {
 	if _, present := values[keyEarlierView]; present {
-		return errEarlierFormat
+		return errObsoleteFormat
 	}
 	if _, present := values[keyView]; present {
 		held.View = &replica.Proposal{}
@@ -174,7 +174,7 @@
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
 		return "", fmt.Errorf("storage: %w", err)
 	}
-	return sealValue(key, buffer.Bytes()), nil
+	return appendChecksum(key, buffer.Bytes()), nil
 }
 
 func decode(values map[string][]byte, key string, into any) error {
--- a/internal/fleet/storage/storage.go
+++ b/internal/fleet/storage/storage.go
@@ -20,11 +20,11 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// compactAt is the size of a generation beyond which it is compacted.
-const compactAt = 4 << 20
+// maxGenerationBytes is the size of a generation beyond which it is compacted.
+const maxGenerationBytes = 4 << 20
 
-// mostEntries is the number of entries beyond which they are folded into their base.
-const mostEntries = 256
+// maxEntries is the number of entries beyond which they are folded into their base.
+const maxEntries = 256
 
 // The keys of the database.
 const (
@@ -39,18 +39,18 @@
 	keyEarlierView = "view" // of the format in which a view carried the state
 )
 
-// errEarlierFormat says that a disk was written before views and states were kept apart.
-var errEarlierFormat = errors.New(`key view: written by an earlier version; read the configuration back from the fleet in service, ` +
+// errObsoleteFormat says that a disk was written before views and states were kept apart.
+var errObsoleteFormat = errors.New(`key view: written by an earlier version; read the configuration back from the fleet in service, ` +
 	`start the new one on empty disks and send it the configuration`)
 
 // Store is one process's disk. It is not safe for concurrent use.
 type Store struct {
-	dir        string
-	database   *buntdb.DB
-	file       *os.File // the database's file, to sync it
-	generation int
-	written    int
-	held       replica.Stored // what is on the disk
+	dir          string
+	database     *buntdb.DB
+	file         *os.File // the database's file, to sync it
+	generation   int
+	writtenBytes int
+	durable      replica.Stored // what is on the disk
 }
 
 // Open reads what is in a folder; an empty folder gives a Stored with no identity.
@@ -62,7 +62,7 @@
 	if err := s.load(); err != nil {
 		return nil, replica.Stored{}, err
 	}
-	return s, s.held, nil
+	return s, s.durable, nil
 }
 
 // load reads the newest complete generation.
@@ -71,17 +71,17 @@
 	if err != nil {
 		return err
 	}
-	s.held = replica.Stored{}
+	s.durable = replica.Stored{}
 	for _, generation := range slices.Backward(generations) {
 		s.generation = max(s.generation, generation)
-		values, err := s.read(generation)
+		values, err := s.readGeneration(generation)
 		if err != nil {
 			return err
 		}
 		if _, complete := values[keyComplete]; !complete {
 			continue
 		}
-		if s.held, err = decodeAll(values); err != nil {
+		if s.durable, err = decodeStored(values); err != nil {
 			return fmt.Errorf("storage: %s: %w", s.path(generation), err)
 		}
 		return nil
@@ -110,10 +110,10 @@
 	return filepath.Join(s.dir, fmt.Sprintf("control-%06d.db", generation))
 }
 
-// read gives the values of a generation up to the first damage.
-func (s *Store) read(generation int) (map[string][]byte, error) {
+// readGeneration gives the values of a generation up to the first damage.
+func (s *Store) readGeneration(generation int) (map[string][]byte, error) {
 	path := s.path(generation)
-	if err := cutAtDamage(path); err != nil {
+	if err := truncateAtDamage(path); err != nil {
 		return nil, err
 	}
 	database, err := openDatabase(path)
@@ -123,7 +123,7 @@
 	values := make(map[string][]byte)
 	err = database.View(func(tx *buntdb.Tx) error {
 		return tx.Ascend("", func(key, value string) bool {
-			if payload, intact := openValue(key, value); intact {
+			if payload, intact := verifyChecksum(key, value); intact {
 				values[key] = payload
 			}
 			return true
@@ -155,29 +155,29 @@
 			return err
 		}
 	}
-	next := s.held
+	next := s.durable
 	for _, record := range records {
-		key, value := place(record)
-		if err := s.set(key, value); err != nil {
+		key, value := keyValue(record)
+		if err := s.setValue(key, value); err != nil {
 			s.close()
 			return err
 		}
-		apply(&next, record)
+		applyRecord(&next, record)
 	}
 	if err := s.file.Sync(); err != nil {
 		s.close()
 		return fmt.Errorf("storage: %w", err)
 	}
-	s.held = next
-	if s.written > compactAt || len(s.held.Entries) > mostEntries {
+	s.durable = next
+	if s.writtenBytes > maxGenerationBytes || len(s.durable.Entries) > maxEntries {
 		return s.compact()
 	}
 	return nil
 }
 
-// set puts one value into the database's file. The database gives up the process where it cannot undo half a write; here
+// setValue puts one value into the database's file. The database gives up the process where it cannot undo half a write; here
 // that is an error, as the file is cut at its damage when it is next read.
-func (s *Store) set(key string, value any) (err error) {
+func (s *Store) setValue(key string, value any) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			err = fmt.Errorf("storage: %v", recovered)
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	s.written += len(text)
+	s.writtenBytes += len(text)
 	return s.database.Update(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(key, text, nil)
 		return err
@@ -204,7 +204,7 @@
 // generation may go.
 func (s *Store) compact() (err error) {
 	s.close()
-	if err := fold(&s.held); err != nil {
+	if err := foldEntries(&s.durable); err != nil {
 		return err
 	}
 	old, err := s.generations()
@@ -225,23 +225,23 @@
 	if s.file, err = os.OpenFile(path, os.O_RDWR, 0); err != nil {
 		return fmt.Errorf("storage: %w", err)
 	}
-	s.written = 0
-	for _, record := range records(&s.held) {
-		key, value := place(record)
-		if err := s.set(key, value); err != nil {
+	s.writtenBytes = 0
+	for _, record := range recordsOf(&s.durable) {
+		key, value := keyValue(record)
+		if err := s.setValue(key, value); err != nil {
 			return err
 		}
 	}
-	if err := s.set(keyComplete, true); err != nil {
+	if err := s.setValue(keyComplete, true); err != nil {
 		return err
 	}
 	if err := s.file.Sync(); err != nil {
 		return fmt.Errorf("storage: %w", err)
 	}
-	if err := s.syncFolder(); err != nil {
+	if err := s.syncDirectory(); err != nil {
 		return err
 	}
-	s.written = 0
+	s.writtenBytes = 0
 	for _, generation := range old {
 		if err := os.Remove(s.path(generation)); err != nil {
 			return fmt.Errorf("storage: %w", err)
@@ -250,9 +250,9 @@
 	return nil
 }
 
-// fold applies all entries but the newest to the snapshot. That there is a newer one shows that they are committed.
-func fold(held *replica.Stored) error {
-	if len(held.Entries) <= mostEntries {
+// foldEntries applies all entries but the newest to the snapshot. That there is a newer one shows that they are committed.
+func foldEntries(held *replica.Stored) error {
+	if len(held.Entries) <= maxEntries {
 		return nil
 	}
 	state, err := snapshotState(held.Snapshot)
@@ -277,7 +277,7 @@
 	return operator.FromSnapshot(snapshot.State)
 }
 
-func (s *Store) syncFolder() error {
+func (s *Store) syncDirectory() error {
 	folder, err := os.Open(s.dir)
 	if err != nil {
 		return fmt.Errorf("storage: %w", err)
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -85,7 +85,7 @@
 func held(records []replica.Record) replica.Stored {
 	var stored replica.Stored
 	for _, record := range records {
-		apply(&stored, record)
+		applyRecord(&stored, record)
 	}
 	return stored
 }
@@ -214,13 +214,13 @@
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord())
-	require.NoError(t, store.set(keyEarlierView, true))
+	require.NoError(t, store.setValue(keyEarlierView, true))
 	require.NoError(t, store.file.Sync())
 	store.Close()
 	before, err := os.ReadFile(store.path(store.generation))
 	require.NoError(t, err)
 	_, _, err = Open(dir)
-	require.ErrorIs(t, err, errEarlierFormat)
+	require.ErrorIs(t, err, errObsoleteFormat)
 	require.ErrorContains(t, err, "control-000001.db: key view")
 	after, err := os.ReadFile(store.path(store.generation))
 	require.NoError(t, err)
@@ -244,11 +244,11 @@
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord(), viewRecord(1, 0))
-	const orders = 3*mostEntries + 5
+	const orders = 3*maxEntries + 5
 	for seq := uint64(1); seq <= orders; seq++ {
 		write(t, store, entryRecord(1, seq))
 	}
-	require.LessOrEqual(t, len(store.held.Entries), mostEntries)
+	require.LessOrEqual(t, len(store.durable.Entries), maxEntries)
 	store.Close()
 	_, stored := open(t, dir)
 	machine, err := replica.New(replica.DefaultConfig(), stored, 1)
