--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -9,7 +9,14 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// Submit takes an order of the operator. Its end comes as a Reply with the same id.
+// submission is an order that waits for the one before it to be committed.
+type submission struct {
+	id    uint64
+	order operator.Order
+}
+
+// Submit submits an operator's order. Its outcome is returned as a Reply with the same id, by this call or by a later one.
+// A member that is not the head replies with OutcomeUnknown: the order may have been accepted when it was sent before.
 func (m *Machine) Submit(now time.Duration, id uint64, order operator.Order) Ready {
 	m.now = max(now, m.now)
 	if m.view.Head() != m.self || !m.healthy {
@@ -19,17 +26,18 @@
 	return m.processQueue()
 }
 
-// Withdraw forgets an order whose caller has gone. It may still be committed.
+// Withdraw removes an order whose caller has gone from the queue. It may still be committed.
 func (m *Machine) Withdraw(id uint64) {
 	m.queue = slices.DeleteFunc(m.queue, func(s submission) bool { return s.id == id })
 }
 
-// processQueue takes orders from the queue until one is under way.
+// processQueue accepts orders from the queue until one is uncommitted. An order stays queued until a later call finds it in
+// the committed state; one that was committed before is acknowledged again with the same revision.
 func (m *Machine) processQueue() Ready {
 	var out Ready
 	for len(m.queue) > 0 && m.acceptsOrders() {
 		next := m.queue[0]
-		if revision, taken := m.log.committedState.Accepted(next.order.Digest()); taken {
+		if revision, committed := m.log.committedState.Accepted(next.order.Digest()); committed {
 			m.queue = m.queue[1:]
 			out.Replies = append(out.Replies, Reply{ID: next.id, Revision: revision})
 			continue
@@ -40,44 +48,44 @@
 			out.Replies = append(out.Replies, Reply{ID: next.id, Err: err, Unconfirmed: true, Epoch: m.view.Epoch})
 			continue
 		}
-		stored, _ := m.appendEntry(Entry{Epoch: m.view.Epoch, Seq: m.log.seq + 1, Order: next.order, History: state.History()})
-		out.add(stored)
+		out.add(m.appendEntry(Entry{Epoch: m.view.Epoch, Seq: m.log.seq + 1, Order: next.order, History: state.History()}))
 	}
 	return out
 }
 
-// acceptsOrders tells whether this member may take an order now: it is the head of a chain with copies enough, and has none
-// under way.
+// acceptsOrders reports whether this member may append an order now: it is the head of a chain with more than MaxFailures
+// replicas, and has no uncommitted entry.
 func (m *Machine) acceptsOrders() bool {
 	return !m.log.hasPending() && m.hasBase && !m.sealed() && m.view.Head() == m.self && len(m.view.Chain) > m.config.MaxFailures
 }
 
-// appendEntry takes an entry into this member's copy and hands it on; false: it does not follow this copy.
-func (m *Machine) appendEntry(entry Entry) (Ready, bool) {
+// appendEntry appends an entry and forwards it. One that does not follow this log is ignored.
+func (m *Machine) appendEntry(entry Entry) Ready {
 	next, err := m.log.withEntry(entry)
 	if err != nil {
-		return Ready{}, false
+		return Ready{}
 	}
 	m.log = next
 	m.pendingSince, m.appendSentAt = m.now, m.now
 	out := Ready{Records: []Record{SaveEntry{Entry: entry}}}
 	out.add(m.forward())
-	return out, true
+	return out
 }
 
-// forward hands the newest entry to the next member, or tells that it is committed.
+// forward sends the last entry to the next member of the chain; the tail commits it instead. The caller of the machine stores
+// the entry before it sends the message, so an entry that reached the tail is stored by the whole chain.
 func (m *Machine) forward() Ready {
-	place := slices.Index(m.view.Chain, m.self)
-	last, kept := m.log.lastEntry()
-	if !kept || place < 0 || last.Epoch != m.view.Epoch || last.Seq != m.log.seq {
+	index := slices.Index(m.view.Chain, m.self)
+	last, present := m.log.lastEntry()
+	if !present || index < 0 || last.Epoch != m.view.Epoch || last.Seq != m.log.seq {
 		return Ready{}
 	}
-	if place+1 < len(m.view.Chain) {
-		return Ready{Messages: []Envelope{m.send(m.view.Chain[place+1], Append{Entry: last})}}
+	if index+1 < len(m.view.Chain) {
+		return Ready{Messages: []Envelope{m.envelope(m.view.Chain[index+1], Append{Entry: last})}}
 	}
 	var out Ready
-	for _, member := range m.view.Chain[:place] {
-		out.Messages = append(out.Messages, m.send(member, Committed{Epoch: m.view.Epoch, Seq: m.log.seq}))
+	for _, member := range m.view.Chain[:index] {
+		out.Messages = append(out.Messages, m.envelope(member, Committed{Epoch: m.view.Epoch, Seq: m.log.seq}))
 	}
 	out.add(m.markCommitted(m.log.seq))
 	return out
@@ -89,9 +97,8 @@
 	}
 	switch {
 	case entry.Seq == m.log.seq+1:
-		out := m.markCommitted(m.log.seq) // the head sends one entry at a time
-		stored, _ := m.appendEntry(entry)
-		out.add(stored)
+		out := m.markCommitted(m.log.seq) // the head sends an entry only once the previous one is committed
+		out.add(m.appendEntry(entry))
 		return out
 	case entry.position() == m.log.lastPosition():
 		return m.forward()
@@ -106,7 +113,7 @@
 	return m.markCommitted(body.Seq)
 }
 
-// markCommitted notes that an entry is on every member of the chain.
+// markCommitted records that the entry with index seq is stored by the whole chain, if it is the uncommitted one.
 func (m *Machine) markCommitted(seq uint64) Ready {
 	if seq != m.log.seq || !m.log.hasPending() {
 		return Ready{}
@@ -115,9 +122,9 @@
 	return m.processQueue()
 }
 
-// inferCommitted finds, after a start, that the whole chain has the newest entry. A member that has promised the next epoch may
-// have pulled the entry after it told the proposer what it has: the next view then begins without the entry, so that from such
-// a member nothing is learned.
+// inferCommitted commits the last entry after a start, when all members of the chain have reported that they have it. A member
+// that has promised the next epoch may have fetched the entry after it reported its log to the proposer: the next view then
+// begins without the entry, so nothing is inferred from such a member.
 func (m *Machine) inferCommitted() {
 	if !m.log.hasPending() || !m.inSync() || m.sealed() {
 		return
@@ -135,7 +142,7 @@
 	m.log, m.pendingSince = m.log.withCommitted(m.log.seq), 0
 }
 
-// retransmit hands an entry down again that is not committed yet, and takes orders that had to wait.
+// retransmit sends an entry again that is not committed after RetryInterval, and accepts queued orders.
 func (m *Machine) retransmit() Ready {
 	if m.view.Head() != m.self {
 		return m.failQueue()
@@ -150,19 +157,20 @@
 	return m.forward()
 }
 
-// failQueue ends the orders of a member that is no longer the head: whether one of them was taken is not known here.
+// failQueue replies to the queued orders of a member that is no longer the head. Whether one of them was committed is not
+// known here.
 func (m *Machine) failQueue() Ready {
 	var out Ready
-	for _, waiting := range m.queue {
+	for _, s := range m.queue {
 		err := errkind.New(errkind.OutcomeUnknown, "this member is no longer the head")
-		out.Replies = append(out.Replies, Reply{ID: waiting.id, Err: err})
+		out.Replies = append(out.Replies, Reply{ID: s.id, Err: err})
 	}
 	m.queue = nil
 	return out
 }
 
-// IsRejection tells whether an error refuses an order for good.
+// IsRejection reports whether an error rejects an order for good, so that sending it again cannot succeed.
 func IsRejection(err error) bool {
-	var fault *errkind.Error
-	return errors.As(err, &fault) && (fault.Kind == errkind.InvalidConfig || fault.Kind == errkind.VersionConflict)
+	var kindErr *errkind.Error
+	return errors.As(err, &kindErr) && (kindErr.Kind == errkind.InvalidConfig || kindErr.Kind == errkind.VersionConflict)
 }
--- /dev/null
+++ b/internal/fleet/replica/departure.go
@@ -0,0 +1,49 @@
+package replica
+
+import (
+	"slices"
+	"time"
+)
+
+// Leave announces to the other members that this one is about to shut down for good, so that they replace it.
+func (m *Machine) Leave(now time.Duration) Ready {
+	m.leaving = true
+	return m.Heartbeat(now)
+}
+
+// Released reports whether a leaving member may shut down: it is not in the chain, no other process can take its vote now or
+// once it has caught up, and a majority of the voters has adopted the view.
+func (m *Machine) Released() bool {
+	if m.view.Epoch == 0 || !m.config.CanVote {
+		return true
+	}
+	if m.InChain() || m.sealed() || m.isVoter() && m.hasSuccessor() {
+		return false
+	}
+	adopted := 0
+	for _, voter := range m.view.Voters {
+		if voter != m.self && m.reachable(voter) && m.peers[voter.Address].status.Epoch >= m.view.Epoch {
+			adopted++
+		}
+	}
+	return adopted >= majority(len(m.view.Voters))
+}
+
+// hasSuccessor reports whether there is another process that could take this member's vote.
+func (m *Machine) hasSuccessor() bool {
+	for _, p := range m.peers {
+		if p.reachableSince > 0 && p.status.Core && !p.status.Leaving && !slices.Contains(m.view.Voters, p.member) {
+			return true
+		}
+	}
+	return false
+}
+
+// isLeaving reports whether a member has announced that it is about to shut down for good.
+func (m *Machine) isLeaving(member Member) bool {
+	if member == m.self {
+		return m.leaving
+	}
+	p := m.peers[member.Address]
+	return p != nil && p.member == member && p.status.Leaving
+}
--- a/internal/fleet/replica/failuredetector.go
+++ b/internal/fleet/replica/failuredetector.go
@@ -5,14 +5,18 @@
 	"time"
 )
 
-// Heartbeat sends a heartbeat to every known control process.
+// startupTimeouts is the number of FailureTimeouts after its start for which a member does not replace a voter that has
+// never answered it.
+const startupTimeouts = 2
+
+// Heartbeat returns a heartbeat to every known control process.
 func (m *Machine) Heartbeat(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	m.heartbeatSentAt = m.now
 	var out Ready
 	body := Heartbeat{Stamp: m.now, Status: m.Status(), Learned: m.knownAddresses()}
 	for _, address := range m.peerAddresses() {
-		out.Messages = append(out.Messages, m.send(Member{Address: address}, body))
+		out.Messages = append(out.Messages, m.envelope(Member{Address: address}, body))
 	}
 	return out
 }
@@ -21,24 +25,11 @@
 	m.AddPeers([]string{from.Address})
 	m.AddPeers(body.Learned)
 	reply := HeartbeatReply{Stamp: body.Stamp, Status: m.Status(), Learned: m.knownAddresses()}
-	out := Ready{Messages: []Envelope{m.send(from, reply)}}
-	out.add(m.sendViewIfBehind(from, body.Status))
+	out := Ready{Messages: []Envelope{m.envelope(from, reply)}}
+	out.add(m.sendViewIfBehind(from, body.Status.Epoch))
 	return out
 }
 
-// sendViewIfBehind tells a peer that is behind of the present view.
-func (m *Machine) sendViewIfBehind(to Member, status Status) Ready {
-	if m.view.Epoch == 0 || status.Epoch >= m.view.Epoch {
-		return Ready{}
-	}
-	return Ready{Messages: []Envelope{m.send(to, Decided{Proposal: m.proposal()})}}
-}
-
-// proposal is the present view as it was agreed.
-func (m *Machine) proposal() Proposal {
-	return Proposal{View: m.view, Base: m.base}
-}
-
 func (m *Machine) onHeartbeatReply(from Member, body HeartbeatReply) Ready {
 	m.AddPeers([]string{from.Address})
 	m.AddPeers(body.Learned)
@@ -57,12 +48,21 @@
 		p.confirmedAt = max(p.confirmedAt, body.Stamp)
 	}
 	m.inferCommitted()
-	out := m.sendViewIfBehind(from, body.Status)
+	out := m.sendViewIfBehind(from, body.Status.Epoch)
 	out.add(m.fetch())
 	return out
 }
 
-// detectFailures notes which peers have stopped answering.
+// sendViewIfBehind sends the present view to a member that is in an earlier epoch.
+func (m *Machine) sendViewIfBehind(to Member, epoch uint64) Ready {
+	if m.view.Epoch == 0 || epoch >= m.view.Epoch {
+		return Ready{}
+	}
+	decided := Decided{Proposal: Proposal{View: m.view, Base: m.base}}
+	return Ready{Messages: []Envelope{m.envelope(to, decided)}}
+}
+
+// detectFailures marks the peers that have not answered within FailureTimeout as unreachable.
 func (m *Machine) detectFailures() {
 	for _, p := range m.peers {
 		if p.reachableSince > 0 && m.now-p.answeredAt > m.config.FailureTimeout {
@@ -71,7 +71,7 @@
 	}
 }
 
-// reachable tells whether a member answers, as that incarnation.
+// reachable reports whether a member answers, as that incarnation.
 func (m *Machine) reachable(member Member) bool {
 	if member == m.self {
 		return true
@@ -80,7 +80,17 @@
 	return p != nil && p.reachableSince > 0 && (p.member == member || member.Incarnation == 0)
 }
 
-// canServe tells whether a member answers and takes writes. Those of the chain are given time to answer after a start.
+// failed reports whether a voter is unreachable, and this process has run for long enough to know.
+func (m *Machine) failed(voter Member) bool {
+	p := m.peers[voter.Address]
+	if p != nil && p.answeredAt == 0 && m.now-m.startedAt < startupTimeouts*m.config.FailureTimeout {
+		return false
+	}
+	return !m.reachable(voter)
+}
+
+// canServe reports whether a member answers and can write to its disk. Those of the chain are given time to answer after
+// a start of this process.
 func (m *Machine) canServe(member Member) bool {
 	if member == m.self {
 		return m.healthy
@@ -91,13 +101,13 @@
 	return m.reachable(member) && m.peers[member.Address].status.Healthy
 }
 
-// awaitingFirstReply tells whether this process is too young to expect an answer from a member of the chain.
+// awaitingFirstReply reports whether this process started too recently to expect a reply from a member of the chain.
 func (m *Machine) awaitingFirstReply(member Member) bool {
 	p := m.peers[member.Address]
 	return p != nil && p.answeredAt == 0 && m.now-m.startedAt < m.config.FailureTimeout && slices.Contains(m.view.Chain, member)
 }
 
-// isStable tells whether a member has been reachable for long enough to be taken in.
+// isStable reports whether a member has been reachable for JoinDelay.
 func (m *Machine) isStable(member Member) bool {
 	if member == m.self {
 		return true
@@ -105,11 +115,12 @@
 	return m.reachable(member) && m.now-m.peers[member.Address].reachableSince >= m.config.JoinDelay
 }
 
-// mutuallyReachable tells whether two members reach each other, as far as is known here.
+// mutuallyReachable reports whether two members reach each other, as far as this one knows.
 func (m *Machine) mutuallyReachable(a, b Member) bool {
 	return m.reaches(a, b) && m.reaches(b, a)
 }
 
+// reaches reports whether member a reaches member b, as a reported with its last heartbeat.
 func (m *Machine) reaches(a, b Member) bool {
 	if m.awaitingFirstReply(a) || m.awaitingFirstReply(b) {
 		return true
@@ -121,123 +132,13 @@
 	return p != nil && (p.status.Young || slices.Contains(p.status.Live, b.Address))
 }
 
-// confirmed is the newest time at which the present view was certainly the newest one: a majority of its voters
-// answered, from this epoch and with no promise for the next, to heartbeats sent then or later.
-func (m *Machine) confirmed() time.Duration {
-	if m.view.Epoch == 0 || m.sealed() || !m.isVoter() {
-		return 0
-	}
-	var times []time.Duration
-	for _, voter := range m.view.Voters {
-		switch p := m.peers[voter.Address]; {
-		case voter == m.self:
-			times = append(times, m.now)
-		case p != nil && p.member == voter:
-			times = append(times, p.confirmedAt)
-		default:
-			times = append(times, 0)
-		}
-	}
-	slices.Sort(times)
-	return times[len(times)-majority(len(times))]
-}
-
-// AllVotersInView tells whether every other voter is reachable and has told that it is in this member's view.
-func (m *Machine) AllVotersInView() bool {
-	for _, voter := range m.view.Voters {
-		if voter != m.self && (!m.reachable(voter) || m.peers[voter.Address].status.Epoch != m.view.Epoch) {
-			return false
-		}
-	}
-	return m.view.Epoch > 0
-}
-
-// ViewConfirmed is the newest time at which this member's view was certainly the newest one, 0 = unknown.
-func (m *Machine) ViewConfirmed() time.Duration { return m.confirmed() }
-
-// StateConfirmed is the newest time at which Agreed was certainly the newest committed state, 0 = unknown. A member of
-// the chain has every order that is committed; one that it does not know to be committed may have been since it came.
-func (m *Machine) StateConfirmed() time.Duration {
-	if !m.inSync() {
-		return 0
-	}
-	if !m.log.hasPending() {
-		return m.confirmed()
-	}
-	return min(m.confirmed(), m.pendingSince)
-}
-
-func (m *Machine) peerAddresses() []string {
-	addresses := make([]string, 0, len(m.peers))
-	for address, p := range m.peers {
-		if m.shouldContact(address, p) {
-			addresses = append(addresses, address)
-		}
-	}
-	slices.Sort(addresses)
-	return addresses
-}
-
-// peerExpiry is how long a process that is neither voter nor seed may be silent before it is asked no more.
-const peerExpiry = 30 * time.Second
-
-func (m *Machine) shouldContact(address string, p *peer) bool {
-	if p.reachableSince > 0 || containsAddress(m.view.Voters, address) || slices.Contains(m.config.Seeds, address) ||
-		m.view.Epoch == 0 && slices.Contains(m.founders, address) {
-		return true
-	}
-	return m.now-p.unreachableSince < peerExpiry
-}
-
-func (m *Machine) knownAddresses() []string { return append(m.peerAddresses(), m.self.Address) }
-
-func (m *Machine) reachableAddresses() []string {
-	var live []string
-	for address, p := range m.peers {
-		if p.reachableSince > 0 {
-			live = append(live, address)
-		}
-	}
-	slices.Sort(live)
-	return live
-}
-
-// SetSeeds takes seeds that were exchanged. They are asked from now on; they found nothing.
-func (m *Machine) SetSeeds(addresses []string) {
-	m.config.Seeds = addresses
-	m.AddPeers(addresses)
-}
-
-// Leave tells the other members that this one is about to end for good, so that they go on without it.
-func (m *Machine) Leave(now time.Duration) Ready {
-	m.leaving = true
-	return m.Heartbeat(now)
-}
-
-// Released tells whether a member that leaves is needed no more: it is no copy of the chain, it has no vote that another
-// could take, now or once that has caught up, and a majority of the voters has gone over to that view.
-func (m *Machine) Released() bool {
-	if m.view.Epoch == 0 || !m.config.CanVote {
-		return true
-	}
-	if m.InChain() || m.sealed() || m.isVoter() && m.hasSuccessor() {
-		return false
-	}
-	here := 0
-	for _, voter := range m.view.Voters {
-		if voter != m.self && m.reachable(voter) && m.peers[voter.Address].status.Epoch >= m.view.Epoch {
-			here++
-		}
-	}
-	return here >= majority(len(m.view.Voters))
-}
-
-// hasSuccessor tells whether another process is there that could take this member's vote.
-func (m *Machine) hasSuccessor() bool {
-	for _, p := range m.peers {
-		if p.reachableSince > 0 && p.status.Core && !p.status.Leaving && !slices.Contains(m.view.Voters, p.member) {
-			return true
+// reachesMajority reports whether this member reaches a majority of the voters, itself included.
+func (m *Machine) reachesMajority() bool {
+	reached := 0
+	for _, voter := range m.voters() {
+		if voter.Address == m.self.Address || m.reachable(voter) {
+			reached++
 		}
 	}
-	return false
+	return reached >= majority(len(m.voters()))
 }
--- /dev/null
+++ b/internal/fleet/replica/fetch.go
@@ -0,0 +1,208 @@
+package replica
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/gob"
+	"errors"
+	"slices"
+	"time"
+
+	"linenwheel.dev/linenwheel/internal/fleet/operator"
+)
+
+// errChecksum means that the chunks of a snapshot do not add up to what their sender encoded.
+var errChecksum = errors.New("replica: the snapshot does not match its checksum")
+
+// maxFetchTimeouts is the number of consecutive fetches without a reply after which another source is asked.
+const maxFetchTimeouts = 3
+
+const checksumSize = sha256.Size
+
+// transfer is the state of what a member fetches, and the snapshot that it serves. At most one fetch is in flight.
+type transfer struct {
+	install       *pendingInstall
+	source        Member
+	inFlight      bool
+	requestSentAt time.Duration
+	nextRequestAt time.Duration // no fetch before then: limits the rate
+	timeouts      int           // consecutive fetches without a reply
+	incoming      incomingSnapshot
+	outgoing      *encodedSnapshot
+}
+
+// incomingSnapshot collects the chunks of a snapshot. It is kept when a source stops answering and another one, or the same
+// one later, has the rest.
+type incomingSnapshot struct {
+	position Position
+	checksum [checksumSize]byte // of all chunks together
+	count    int
+	chunks   [][]byte
+}
+
+// fetchTarget returns the state that this member lacks, the zero position for the last committed one, and the members that
+// have it. It reports whether there is anything to fetch.
+func (m *Machine) fetchTarget() (want Position, sources []Member, needed bool) {
+	if install := m.transfer.install; install != nil {
+		if m.now-install.receivedAt < installExpiry && !m.log.hasPosition(install.request.Base) {
+			return install.request.Base, []Member{install.request.Source}, true
+		}
+		m.transfer.install = nil
+	}
+	if m.view.Epoch == 0 || m.inSync() {
+		return Position{}, nil, false
+	}
+	for _, member := range m.view.Chain {
+		p := m.peers[member.Address]
+		if p == nil || !m.reachable(member) || p.status.Epoch < m.view.Epoch || !p.status.Holds {
+			continue
+		}
+		if p.status.Committed > m.log.committed {
+			sources = append(sources, member)
+		}
+	}
+	return Position{}, sources, len(sources) > 0
+}
+
+// fetch requests what this member lacks, one message at a time.
+func (m *Machine) fetch() Ready {
+	t := &m.transfer
+	want, sources, needed := m.fetchTarget()
+	if !needed {
+		t.inFlight, t.timeouts = false, 0
+		return Ready{}
+	}
+	if t.inFlight && m.now-t.requestSentAt >= m.config.RetryInterval {
+		t.inFlight = false
+		t.timeouts++
+	}
+	if t.inFlight || m.now < t.nextRequestAt {
+		return Ready{}
+	}
+	if !slices.Contains(sources, t.source) || t.timeouts >= maxFetchTimeouts {
+		t.source = m.nextSource(sources)
+		t.timeouts = 0
+	}
+	t.inFlight, t.requestSentAt = true, m.now
+	body := FetchRequest{Have: m.log.committedPosition(), Want: want, Snapshot: t.incoming.position, Piece: len(t.incoming.chunks)}
+	return Ready{Messages: []Envelope{m.envelope(t.source, body)}}
+}
+
+// nextSource returns the member before the present source, the last one if there is none: the head has the most to do.
+func (m *Machine) nextSource(sources []Member) Member {
+	index := slices.Index(sources, m.transfer.source)
+	if index < 0 {
+		index = len(sources)
+	}
+	return sources[(index+len(sources)-1)%len(sources)]
+}
+
+// matchReply ends the fetch in flight and reports whether a reply is from its source.
+func (m *Machine) matchReply(from Member) bool {
+	t := &m.transfer
+	if !t.inFlight || t.source != from {
+		return false
+	}
+	t.inFlight, t.timeouts = false, 0
+	return true
+}
+
+func (m *Machine) onFetchReply(from Member, body FetchReply) Ready {
+	if !m.matchReply(from) || body.From != m.log.committedPosition() {
+		return Ready{}
+	}
+	var out Ready
+	for _, entry := range body.Entries {
+		saved, ok := m.acceptEntry(entry)
+		if !ok {
+			m.transfer.nextRequestAt = m.now + m.config.RetryInterval
+			break
+		}
+		out.Records = append(out.Records, saved...)
+	}
+	m.advanceCommitted(body.Committed)
+	out.add(m.sendInstalled())
+	out.add(m.fetch())
+	return out
+}
+
+// acceptEntry appends an entry that was fetched, in place of an uncommitted one with its index. It returns what is to be
+// stored, and reports whether the entry is in the log now.
+func (m *Machine) acceptEntry(entry Entry) ([]Record, bool) {
+	if last, present := m.log.lastEntry(); present && last.position() == entry.position() {
+		return nil, true
+	}
+	if entry.Seq == m.log.seq {
+		m.log = m.log.withoutPending()
+	}
+	next, err := m.log.withEntry(entry)
+	if err != nil {
+		return nil, false
+	}
+	m.log = next
+	return []Record{SaveEntry{Entry: entry}}, true
+}
+
+// advanceCommitted records the last index that the source of entries knows to be committed.
+func (m *Machine) advanceCommitted(committed uint64) {
+	if committed >= m.log.seq {
+		m.log = m.log.withCommitted(committed)
+		m.pendingSince = 0
+	}
+	m.hasBase = m.hasBase || m.log.passedThrough(m.base)
+}
+
+func (m *Machine) onSnapshotChunk(from Member, body SnapshotChunk) Ready {
+	if !m.matchReply(from) || sha256.Sum256(body.Bytes) != body.Sum {
+		return Ready{}
+	}
+	incoming := &m.transfer.incoming
+	if incoming.position != body.Snapshot || incoming.checksum != body.Whole {
+		*incoming = incomingSnapshot{position: body.Snapshot, checksum: body.Whole, count: body.Count}
+	}
+	if body.Index == len(incoming.chunks) {
+		incoming.chunks = append(incoming.chunks, body.Bytes)
+	}
+	m.transfer.nextRequestAt = m.now + time.Duration(len(body.Bytes))*time.Second/time.Duration(m.config.TransferRate)
+	var out Ready
+	if len(incoming.chunks) == incoming.count {
+		out = m.installSnapshot()
+	}
+	out.add(m.fetch())
+	return out
+}
+
+// installSnapshot replaces the log by a snapshot whose chunks are complete, if it is later than what is committed here and its
+// digests are right.
+func (m *Machine) installSnapshot() Ready {
+	incoming := m.transfer.incoming
+	m.transfer.incoming = incomingSnapshot{}
+	snapshot, err := incoming.decode()
+	if err != nil || incoming.position.Seq <= m.log.committed {
+		return Ready{}
+	}
+	state, err := operator.FromSnapshot(snapshot)
+	if err != nil || state.History() != incoming.position.History {
+		return Ready{}
+	}
+	m.log = newLogAt(incoming.position.Seq, state)
+	m.pendingSince = 0
+	m.hasBase = m.hasBase || m.log.passedThrough(m.base)
+	out := Ready{Records: []Record{SaveSnapshot{Snapshot{Seq: incoming.position.Seq, State: snapshot}}}}
+	out.add(m.sendInstalled())
+	return out
+}
+
+// decode returns the snapshot whose chunks are complete. It returns errChecksum if they are not those that were encoded.
+func (s *incomingSnapshot) decode() (operator.Snapshot, error) {
+	var snapshot operator.Snapshot
+	compressed := slices.Concat(s.chunks...)
+	if sha256.Sum256(compressed) != s.checksum {
+		return snapshot, errChecksum
+	}
+	encoded, err := operator.Decompress(compressed)
+	if err != nil {
+		return snapshot, err
+	}
+	return snapshot, gob.NewDecoder(bytes.NewReader(encoded)).Decode(&snapshot)
+}
--- a/internal/fleet/replica/log.go
+++ b/internal/fleet/replica/log.go
@@ -8,29 +8,29 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// The bounds of the entries that are kept in memory for members and nodes that are behind.
+// errDiverged means that an entry does not follow the state to which it is to be applied.
+var errDiverged = errors.New("replica: the entry does not follow this log")
+
+// The limits of the entries that are kept in memory for members and data nodes that are behind.
 const (
 	maxEntries    = 1024
 	maxEntryBytes = 2 << 20
 )
 
-// errDiverged says that an entry does not follow the state that is there.
-var errDiverged = errors.New("replica: the entry does not follow this copy")
-
-// Log is a member's copy of the replicated state: the newest state that it stored, which is at most one order ahead
-// of the newest one that it knows to be committed, and the entries that led there, as far as they are kept. It is never
-// changed in place.
+// Log is a member's replica of the replicated state: the last state that it stored, which is at most one order ahead of the
+// last one that it knows to be committed, and the latest entries that led there. It is immutable: the methods that change it
+// return another value.
 type Log struct {
 	seq            uint64
 	state          *operator.State
 	committed      uint64
-	committedState *operator.State // at committed
-	basePosition   Position        // of the state before the first entry that is kept
+	committedState *operator.State
+	basePosition   Position // of the state before the first of entries
 	entries        *immutable.List[Entry]
-	entryBytes     int
+	entryBytes     int // of the bodies of the orders in entries
 }
 
-// newLog makes a copy from a snapshot; nil stands for the state before the first order.
+// newLog returns a log that begins with a snapshot; nil stands for the state before the first order.
 func newLog(snapshot *Snapshot) (Log, error) {
 	if snapshot == nil {
 		return newLogAt(0, operator.NewState()), nil
@@ -42,110 +42,128 @@
 	return newLogAt(snapshot.Seq, state), nil
 }
 
-// newLogAt makes a copy that is at a committed state.
+// newLogAt returns a log without entries that is at a committed state.
 func newLogAt(seq uint64, state *operator.State) Log {
 	return Log{seq: seq, state: state, committed: seq, committedState: state, basePosition: positionOf(seq, state),
 		entries: immutable.NewList[Entry]()}
 }
 
-// lastPosition is the position of the newest state that is stored.
-func (c Log) lastPosition() Position { return positionOf(c.seq, c.state) }
+// lastPosition returns the position of the last state that is stored.
+func (l Log) lastPosition() Position { return positionOf(l.seq, l.state) }
 
-// committedPosition is the position of the newest state that is known to be committed.
-func (c Log) committedPosition() Position { return positionOf(c.committed, c.committedState) }
+// committedPosition returns the position of the last state that is known to be committed.
+func (l Log) committedPosition() Position { return positionOf(l.committed, l.committedState) }
 
-// hasPending tells whether there is an entry that is not known to be committed.
-func (c Log) hasPending() bool { return c.seq > c.committed }
+// hasPending reports whether there is an entry that is not known to be committed.
+func (l Log) hasPending() bool { return l.seq > l.committed }
 
-// hasPosition tells whether the copy is at a position, or was before the entry that is not known to be committed.
-func (c Log) hasPosition(at Position) bool {
-	return c.lastPosition() == at || c.committedPosition() == at
+// hasPosition reports whether the log is at a position, or was before the entry that is not known to be committed.
+func (l Log) hasPosition(position Position) bool {
+	return l.lastPosition() == position || l.committedPosition() == position
 }
 
-// passedThrough tells whether the committed part of the copy has gone through a committed position.
-func (c Log) passedThrough(at Position) bool {
-	return c.committed > at.Seq || c.committedPosition() == at
+// passedThrough reports whether the committed part of the log contains a committed position.
+func (l Log) passedThrough(position Position) bool {
+	return l.committed > position.Seq || l.committedPosition() == position
 }
 
-// withEntry gives the copy with one more entry. The one before is committed then: an order is handed on only after that.
-func (c Log) withEntry(entry Entry) (Log, error) {
-	if entry.Seq != c.seq+1 {
-		return c, errDiverged
+// withEntry returns the log with one more entry, and everything before it committed: an order is forwarded only after that.
+// It returns errDiverged if the entry does not follow the log, or why its order cannot be applied.
+func (l Log) withEntry(entry Entry) (Log, error) {
+	if entry.Seq != l.seq+1 {
+		return l, errDiverged
 	}
-	state, err := c.state.Apply(entry.Order)
+	state, err := l.state.Apply(entry.Order)
 	if err != nil {
-		return c, err
+		return l, err
 	}
 	if state.History() != entry.History {
-		return c, errDiverged
+		return l, errDiverged
 	}
-	c = c.withCommitted(c.seq)
-	c.seq, c.state = entry.Seq, state
-	c.entries = c.entries.Append(entry)
-	c.entryBytes += len(entry.Order.Body)
-	return c.trim(), nil
+	l = l.withCommitted(l.seq)
+	l.seq, l.state = entry.Seq, state
+	l.entries = l.entries.Append(entry)
+	l.entryBytes += len(entry.Order.Body)
+	return l.trimmed(), nil
 }
 
-// trim forgets the oldest entries beyond the bounds, never the newest one.
-func (c Log) trim() Log {
-	for c.entries.Len() > 1 && (c.entries.Len() > maxEntries || c.entryBytes > maxEntryBytes) {
-		first := c.entries.Get(0)
-		c.basePosition = first.position()
-		c.entryBytes -= len(first.Order.Body)
-		c.entries = c.entries.Slice(1, c.entries.Len())
+// trimmed returns the log without the oldest entries beyond the limits, but always with the last one.
+func (l Log) trimmed() Log {
+	for l.entries.Len() > 1 && (l.entries.Len() > maxEntries || l.entryBytes > maxEntryBytes) {
+		first := l.entries.Get(0)
+		l.basePosition = first.position()
+		l.entryBytes -= len(first.Order.Body)
+		l.entries = l.entries.Slice(1, l.entries.Len())
 	}
-	return c
+	return l
 }
 
-// withCommitted gives the copy with everything up to a place committed. Only the newest entry can be uncommitted.
-func (c Log) withCommitted(seq uint64) Log {
-	if seq >= c.seq {
-		c.committed, c.committedState = c.seq, c.state
+// withCommitted returns the log with everything up to an index committed. Only the last entry can be uncommitted.
+func (l Log) withCommitted(seq uint64) Log {
+	if seq >= l.seq {
+		l.committed, l.committedState = l.seq, l.state
 	}
-	return c
+	return l
 }
 
-// withoutPending gives the copy without the entry that is not known to be committed.
-func (c Log) withoutPending() Log {
-	if !c.hasPending() {
-		return c
+// withoutPending returns the log without the entry that is not known to be committed.
+func (l Log) withoutPending() Log {
+	if !l.hasPending() {
+		return l
 	}
-	last := c.entries.Get(c.entries.Len() - 1)
-	c.entryBytes -= len(last.Order.Body)
-	c.entries = c.entries.Slice(0, c.entries.Len()-1)
-	c.seq, c.state = c.committed, c.committedState
-	return c
+	last := l.entries.Get(l.entries.Len() - 1)
+	l.entryBytes -= len(last.Order.Body)
+	l.entries = l.entries.Slice(0, l.entries.Len()-1)
+	l.seq, l.state = l.committed, l.committedState
+	return l
 }
 
-// lastEntry is the newest entry, if it is kept.
-func (c Log) lastEntry() (Entry, bool) {
-	if c.entries.Len() == 0 {
+// lastEntry returns the last entry, if it is in memory.
+func (l Log) lastEntry() (Entry, bool) {
+	if l.entries.Len() == 0 {
 		return Entry{}, false
 	}
-	return c.entries.Get(c.entries.Len() - 1), true
+	return l.entries.Get(l.entries.Len() - 1), true
 }
 
-// indexAfter gives the place among the kept entries of the first one after a position of this copy's past.
-func (c Log) indexAfter(from Position) (int, bool) {
-	if from == c.basePosition {
+// indexAfter returns the index in entries of the first one after a position, and reports whether the log has passed through
+// that position with entries that are in memory.
+func (l Log) indexAfter(position Position) (int, bool) {
+	if position == l.basePosition {
 		return 0, true
 	}
-	if from.Seq <= c.basePosition.Seq || from.Seq > c.seq {
+	if position.Seq <= l.basePosition.Seq || position.Seq > l.seq {
 		return 0, false
 	}
-	place := int(from.Seq - c.basePosition.Seq)
-	previous := c.entries.Get(place - 1)
-	return place, previous.History == from.History
+	index := int(position.Seq - l.basePosition.Seq)
+	previous := l.entries.Get(index - 1)
+	return index, previous.History == position.History
+}
+
+// batch returns the entries from an index of entries on, up to a position in the log: as many as fit into maxBytes of
+// orders, but at least one.
+func (l Log) batch(first int, lastSeq uint64, maxBytes int) []Entry {
+	var batch []Entry
+	size := 0
+	for i := first; i < l.entries.Len(); i++ {
+		entry := l.entries.Get(i)
+		size += len(entry.Order.Body)
+		if entry.Seq > lastSeq || len(batch) > 0 && size > maxBytes {
+			break
+		}
+		batch = append(batch, entry)
+	}
+	return batch
 }
 
-// Entries gives the committed entries after one place up to another, nil where they are not all kept.
-func (c Log) Entries(from, to uint64) []Entry {
-	if from < c.basePosition.Seq || to > c.committed || from >= to {
+// Entries returns the committed entries with indexes in (from, to], nil if not all of them are in memory.
+func (l Log) Entries(from, to uint64) []Entry {
+	if from < l.basePosition.Seq || to > l.committed || from >= to {
 		return nil
 	}
 	entries := make([]Entry, 0, to-from)
-	for place := from - c.basePosition.Seq; place < to-c.basePosition.Seq; place++ {
-		entries = append(entries, c.entries.Get(int(place)))
+	for i := from - l.basePosition.Seq; i < to-l.basePosition.Seq; i++ {
+		entries = append(entries, l.entries.Get(int(i)))
 	}
 	return entries
 }
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -247,7 +247,7 @@
 	w.start(successor)
 	w.runUntil(w.now + 2*time.Second)
 	require.Len(t, w.view().Voters, 3, "it stands by, and is no fourth voter")
-	require.Contains(t, w.nodes[0].machine.standby(), successor.disk.Self)
+	require.Contains(t, w.nodes[0].machine.Standby(), successor.disk.Self)
 	w.crash(w.nodes[1])
 	w.runUntil(w.now + time.Second)
 	require.Len(t, w.view().Voters, 3)
