--- a/internal/fleet/storage/records.go
+++ b/internal/fleet/storage/records.go
@@ -1,27 +1,39 @@
 package storage
 
-// This file says how records are written under keys, and what the values of a generation hold.
-
 import (
 	"bytes"
 	"encoding/gob"
 	"errors"
 	"fmt"
-	"slices"
 	"strings"
 
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// identity is what keyIdentity holds.
+// The keys of the database. They are part of the format of the disk.
+const (
+	keyIdentity = "identity"
+	keyPromise  = "promise"
+	keyAccepted = "accepted"
+	keyView     = "agreed-view"
+	keySnapshot = "snapshot"
+	keyComplete = "complete" // the last one that a compaction writes
+	keyEntry    = "entry/"   // followed by the index in 20 digits
+
+	keyObsoleteView = "view" // of the format in which a view contained the state
+)
+
+// identity is the value of keyIdentity. Its fields are encoded by name.
 type identity struct {
 	Self     replica.Member
 	Founder  bool
 	Founders []string
 }
 
-// keyValue gives a record its key and value.
-func keyValue(record replica.Record) (string, any) {
+func entryKey(seq uint64) string { return fmt.Sprintf("%s%020d", keyEntry, seq) }
+
+// keyValue returns the key under which a record is stored and the value to encode.
+func keyValue(record replica.Record) (key string, value any) {
 	switch record := record.(type) {
 	case replica.SaveIdentity:
 		return keyIdentity, identity(record)
@@ -36,120 +48,98 @@
 	case replica.SaveEntry:
 		return entryKey(record.Entry.Seq), record.Entry
 	}
-	panic(fmt.Sprintf("storage: record %T", record))
+	panic(fmt.Sprintf("storage: unknown record %T", record))
 }
 
-// applyRecord notes a record that was stored.
-func applyRecord(held *replica.Stored, record replica.Record) {
-	switch record := record.(type) {
-	case replica.SaveIdentity:
-		held.Self, held.Founder, held.Founders = record.Self, record.Founder, record.Founders
-	case replica.SavePromise:
-		held.Promised = record.Ballot
-	case replica.SaveAccepted:
-		held.Accepted = &record.Accepted
-	case replica.SaveView:
-		held.View = &record.Proposal
-		held.Promised, held.Accepted = replica.Ballot{}, nil
-	case replica.SaveSnapshot:
-		held.Snapshot, held.Entries = &record.Snapshot, nil
-	case replica.SaveEntry:
-		held.Entries = append(entriesBefore(held.Entries, record.Entry.Seq), record.Entry)
+// recordsOf returns the records that make up a stored state.
+func recordsOf(stored *replica.Stored) []replica.Record {
+	var records []replica.Record
+	if stored.Self.Address != "" {
+		records = append(records, replica.SaveIdentity{Self: stored.Self, Founder: stored.Founder, Founders: stored.Founders})
 	}
-}
-
-// entriesBefore gives a copy of the entries that come before a place.
-func entriesBefore(entries []replica.Entry, seq uint64) []replica.Entry {
-	return slices.DeleteFunc(slices.Clone(entries), func(e replica.Entry) bool { return e.Seq >= seq })
-}
-
-// recordsOf gives what is held as records.
-func recordsOf(held *replica.Stored) []replica.Record {
-	var all []replica.Record
-	if held.Self.Address != "" {
-		all = append(all, replica.SaveIdentity{Self: held.Self, Founder: held.Founder, Founders: held.Founders})
-	}
-	if held.View != nil {
-		all = append(all, replica.SaveView{Proposal: *held.View})
+	if stored.View != nil {
+		records = append(records, replica.SaveView{Proposal: *stored.View})
 	}
-	if held.Promised.Round > 0 {
-		all = append(all, replica.SavePromise{Epoch: nextEpoch(held), Ballot: held.Promised})
+	if stored.Promised.Round > 0 {
+		records = append(records, replica.SavePromise{Epoch: nextEpoch(stored), Ballot: stored.Promised})
 	}
-	if held.Accepted != nil {
-		all = append(all, replica.SaveAccepted{Accepted: *held.Accepted})
+	if stored.Accepted != nil {
+		records = append(records, replica.SaveAccepted{Accepted: *stored.Accepted})
 	}
-	if held.Snapshot != nil {
-		all = append(all, replica.SaveSnapshot{Snapshot: *held.Snapshot})
+	if stored.Snapshot != nil {
+		records = append(records, replica.SaveSnapshot{Snapshot: *stored.Snapshot})
 	}
-	for _, entry := range held.Entries {
-		all = append(all, replica.SaveEntry{Entry: entry})
+	for _, entry := range stored.Entries {
+		records = append(records, replica.SaveEntry{Entry: entry})
 	}
-	return all
+	return records
 }
 
-func nextEpoch(held *replica.Stored) uint64 {
-	if held.View == nil {
+// nextEpoch returns the epoch that a promise and an accepted proposal of a stored state are for.
+func nextEpoch(stored *replica.Stored) uint64 {
+	if stored.View == nil {
 		return 1
 	}
-	return held.View.View.Epoch + 1
+	return stored.View.View.Epoch + 1
 }
 
-// decodeStored gives what the values of a generation hold. Records of earlier epochs are void.
+// decodeStored returns the state that the values of a generation make up. Records of earlier epochs are void.
 func decodeStored(values map[string][]byte) (replica.Stored, error) {
-	var held replica.Stored
-	var who identity
-	if err := decode(values, keyIdentity, &who); err != nil {
-		return held, err
+	var stored replica.Stored
+	var self identity
+	if err := decode(values, keyIdentity, &self); err != nil {
+		return stored, err
 	}
-	held.Self, held.Founder, held.Founders = who.Self, who.Founder, who.Founders
-	if err := decodeView(values, &held); err != nil {
-		return held, err
+	stored.Self, stored.Founder, stored.Founders = self.Self, self.Founder, self.Founders
+	if err := decodeView(values, &stored); err != nil {
+		return stored, err
 	}
-	if err := decodeVote(values, &held); err != nil {
-		return held, err
+	if err := decodeVote(values, &stored); err != nil {
+		return stored, err
 	}
-	return held, decodeEntries(values, &held)
+	return stored, decodeEntries(values, &stored)
 }
 
-func decodeView(values map[string][]byte, held *replica.Stored) error {
-	if _, present := values[keyEarlierView]; present {
+func decodeView(values map[string][]byte, stored *replica.Stored) error {
+	if _, present := values[keyObsoleteView]; present {
 		return errObsoleteFormat
 	}
 	if _, present := values[keyView]; present {
-		held.View = &replica.Proposal{}
-		if err := decode(values, keyView, held.View); err != nil {
+		stored.View = &replica.Proposal{}
+		if err := decode(values, keyView, stored.View); err != nil {
 			return err
 		}
 	}
 	if _, present := values[keySnapshot]; present {
-		held.Snapshot = &replica.Snapshot{}
-		return decode(values, keySnapshot, held.Snapshot)
+		stored.Snapshot = &replica.Snapshot{}
+		return decode(values, keySnapshot, stored.Snapshot)
 	}
 	return nil
 }
 
-func decodeVote(values map[string][]byte, held *replica.Stored) error {
+// decodeVote decodes the promise and the accepted proposal, unless they are for an epoch that was decided since.
+func decodeVote(values map[string][]byte, stored *replica.Stored) error {
 	var promise replica.SavePromise
 	var accepted replica.Accepted
 	if err := errors.Join(decode(values, keyPromise, &promise), decode(values, keyAccepted, &accepted)); err != nil {
 		return err
 	}
-	if promise.Epoch == nextEpoch(held) {
-		held.Promised = promise.Ballot
+	if promise.Epoch == nextEpoch(stored) {
+		stored.Promised = promise.Ballot
 	}
-	if accepted.Proposal.View.Epoch == nextEpoch(held) {
-		held.Accepted = &accepted
-		held.Promised = replica.MaxBallot(held.Promised, accepted.Ballot)
+	if accepted.Proposal.View.Epoch == nextEpoch(stored) {
+		stored.Accepted = &accepted
+		stored.Promised = replica.MaxBallot(stored.Promised, accepted.Ballot)
 	}
 	return nil
 }
 
-// decodeEntries gives the entries after the snapshot, up to the first one that does not follow: it is of an epoch that ended
-// before it was committed, and was replaced. The replica looks at the digests too.
-func decodeEntries(values map[string][]byte, held *replica.Stored) error {
+// decodeEntries decodes the entries after the snapshot, up to the first one that does not follow: it is of an epoch that ended
+// before it was committed, and was replaced. The replica verifies the digests too.
+func decodeEntries(values map[string][]byte, stored *replica.Stored) error {
 	seq := uint64(1)
-	if held.Snapshot != nil {
-		seq = held.Snapshot.Seq + 1
+	if stored.Snapshot != nil {
+		seq = stored.Snapshot.Seq + 1
 	}
 	for ; ; seq++ {
 		var entry replica.Entry
@@ -160,23 +150,23 @@
 		if err := decode(values, key, &entry); err != nil {
 			return err
 		}
-		if held.View == nil || entry.Seq > held.View.Base.Seq && entry.Epoch != held.View.View.Epoch {
+		if stored.View == nil || entry.Seq > stored.View.Base.Seq && entry.Epoch != stored.View.View.Epoch {
 			return nil
 		}
-		held.Entries = append(held.Entries, entry)
+		stored.Entries = append(stored.Entries, entry)
 	}
 }
 
-func entryKey(seq uint64) string { return fmt.Sprintf("%s%020d", keyEntry, seq) }
-
+// encode returns a value in the form in which it is stored: its gob after a checksum.
 func encode(key string, value any) (string, error) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
-		return "", fmt.Errorf("storage: %w", err)
+		return "", fmt.Errorf("storage: key %s: %w", key, err)
 	}
-	return appendChecksum(key, buffer.Bytes()), nil
+	return prependChecksum(key, buffer.Bytes()), nil
 }
 
+// decode decodes the value of a key into what into points at; a key that is absent leaves that as it is.
 func decode(values map[string][]byte, key string, into any) error {
 	payload, present := values[key]
 	if !present {
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -85,7 +85,7 @@
 func held(records []replica.Record) replica.Stored {
 	var stored replica.Stored
 	for _, record := range records {
-		applyRecord(&stored, record)
+		stored.Apply(record)
 	}
 	return stored
 }
@@ -214,7 +214,7 @@
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord())
-	require.NoError(t, store.setValue(keyEarlierView, true))
+	require.NoError(t, store.setValue(keyObsoleteView, true))
 	require.NoError(t, store.file.Sync())
 	store.Close()
 	before, err := os.ReadFile(store.path(store.generation))
--- /dev/null
+++ b/internal/fleet/storage/truncate.go
@@ -0,0 +1,108 @@
+package storage
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strconv"
+)
+
+// errDamaged means that a command does not have the form in which the database writes it.
+var errDamaged = errors.New("storage: damaged command")
+
+// A set command has these arguments: its name, a key and a value.
+const (
+	setCommand   = "set"
+	setArguments = 3
+)
+
+// truncateAtDamage truncates a database file after its longest prefix of complete, intact commands. What follows was never
+// synced.
+func truncateAtDamage(path string) error {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return fmt.Errorf("storage: %w", err)
+	}
+	intact := intactLength(content)
+	if intact == len(content) {
+		return nil
+	}
+	if err := os.Truncate(path, int64(intact)); err != nil {
+		return fmt.Errorf("storage: %w", err)
+	}
+	return nil
+}
+
+// intactLength returns the length in bytes of the complete, intact commands with which a database file begins.
+func intactLength(content []byte) int {
+	scanner := commandScanner{remaining: content}
+	for {
+		intact := len(content) - len(scanner.remaining)
+		arguments, err := scanner.command()
+		if err != nil || arguments[0] != setCommand {
+			return intact
+		}
+		if _, valid := verifyChecksum(arguments[1], arguments[2]); !valid {
+			return intact
+		}
+	}
+}
+
+// commandScanner reads the commands of a database file: arrays of length-prefixed strings, each a "set" of key and value.
+type commandScanner struct {
+	remaining []byte
+}
+
+// command reads the next command. It returns io.ErrUnexpectedEOF at the end of the file and in a torn command, errDamaged in
+// one that is not a set.
+func (s *commandScanner) command() (arguments [setArguments]string, err error) {
+	count, err := s.number('*')
+	if err != nil {
+		return arguments, err
+	}
+	if count != setArguments {
+		return arguments, errDamaged
+	}
+	for i := range arguments {
+		if arguments[i], err = s.text(); err != nil {
+			return arguments, err
+		}
+	}
+	return arguments, nil
+}
+
+// number reads a line of a prefix byte and a number that is not negative.
+func (s *commandScanner) number(prefix byte) (int, error) {
+	line, remaining, found := bytes.Cut(s.remaining, []byte("\r\n"))
+	if !found {
+		return 0, io.ErrUnexpectedEOF
+	}
+	if len(line) < 2 || line[0] != prefix {
+		return 0, errDamaged
+	}
+	value, err := strconv.Atoi(string(line[1:]))
+	if err != nil || value < 0 {
+		return 0, errDamaged
+	}
+	s.remaining = remaining
+	return value, nil
+}
+
+// text reads a string that follows a line with its length in bytes.
+func (s *commandScanner) text() (string, error) {
+	size, err := s.number('$')
+	if err != nil {
+		return "", err
+	}
+	if len(s.remaining) < size+2 {
+		return "", io.ErrUnexpectedEOF
+	}
+	text, end := s.remaining[:size], s.remaining[size:size+2]
+	if string(end) != "\r\n" {
+		return "", errDamaged
+	}
+	s.remaining = s.remaining[size+2:]
+	return string(text), nil
+}
