--- a/internal/fleet/storage/generations.go
+++ b/internal/fleet/storage/generations.go
@@ -97,7 +97,7 @@
 }
 
 // compact writes the durable state into a new generation and removes the previous ones. That state was synced before, so a
-// compaction that fails loses nothing: its own file is removed.
+// compaction that cannot write its file loses nothing, and removes that file.
 func (s *Store) compact() error {
 	s.Close()
 	if err := foldEntries(&s.durable); err != nil {
@@ -108,14 +108,14 @@
 		return err
 	}
 	s.generation++
-	err = s.writeGeneration()
-	if err == nil {
-		err = s.removeGenerations(previous)
-	}
-	if err != nil {
+	if err := s.writeGeneration(); err != nil {
 		s.Close()
 		return errors.Join(err, os.Remove(s.path(s.generation)))
 	}
+	if err := s.removeGenerations(previous); err != nil {
+		s.Close() // the new generation stays: the only other complete one may be removed already
+		return err
+	}
 	return nil
 }
 
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -263,3 +263,19 @@
 	_, stored := open(t, filepath.Join(t.TempDir(), "new"))
 	require.Equal(t, replica.Stored{}, stored)
 }
+
+func TestFailedRemovalOfAPreviousGenerationKeepsTheNewOne(t *testing.T) {
+	dir := t.TempDir()
+	store, _ := open(t, dir)
+	write(t, store, story()...)
+	// A file above the complete generation, as an unfinished compaction leaves one, that cannot be removed: a directory that
+	// is not empty stands for it.
+	obstacle := store.path(store.generation + 5)
+	require.NoError(t, os.MkdirAll(filepath.Join(obstacle, "not empty"), 0o755))
+	require.Error(t, store.compact())
+	store.Close()
+
+	require.NoError(t, os.RemoveAll(obstacle))
+	_, stored := open(t, dir)
+	require.Equal(t, held(story()), stored)
+}
