--- a/internal/fleet/replica/acceptor.go
+++ b/internal/fleet/replica/acceptor.go
@@ -19,7 +19,7 @@
 	if body.Ballot.compare(m.promised) < 0 {
 		return Ready{Messages: []Envelope{m.envelope(from, Reject{Epoch: body.Epoch, Promised: m.promised})}}
 	}
-	out := m.promiseBallot(body.Ballot)
+	out := m.prepareBallot(body.Ballot)
 	reply := Promise{Epoch: body.Epoch, Ballot: body.Ballot, Accepted: m.accepted, Holds: m.hasAllCommitted(),
 		Position: m.log.lastPosition()}
 	out.Messages = append(out.Messages, m.envelope(from, reply))
@@ -34,9 +34,9 @@
 	return Ready{}, epoch != m.view.Epoch+1 || !m.isVoter() || !m.healthy
 }
 
-// promiseBallot promises a ballot that is not lower than the promised one. From then on this member is sealed: what it
+// prepareBallot promises a ballot that is not lower than the promised one. From then on this member is sealed: what it
 // reports with the promise is all that it will have of this epoch.
-func (m *Machine) promiseBallot(ballot Ballot) Ready {
+func (m *Machine) prepareBallot(ballot Ballot) Ready {
 	if !m.sealed() {
 		m.sealedAt = m.now
 	}
@@ -59,7 +59,7 @@
 	if slices.Contains(body.Proposal.View.Chain, m.self) && !m.log.hasPosition(body.Proposal.Base) {
 		return Ready{} // it is put to the vote only once the whole chain has stored its base
 	}
-	out := m.promiseBallot(body.Ballot)
+	out := m.prepareBallot(body.Ballot)
 	m.accepted = &Accepted{Ballot: body.Ballot, Proposal: body.Proposal}
 	out.Records = append(out.Records, SaveAccepted{Accepted: *m.accepted})
 	out.Messages = append(out.Messages, m.envelope(from, AcceptReply{Epoch: epoch, Ballot: body.Ballot}))
--- a/internal/fleet/replica/config.go
+++ b/internal/fleet/replica/config.go
@@ -14,7 +14,7 @@
 	ProposalTimeout   time.Duration // after which an attempt to agree on a view is abandoned
 	InstallTimeout    time.Duration // part of ProposalTimeout in which the chain must store the state with which it begins
 	BootstrapPause    time.Duration // for which founders wait for further members once there are enough candidates
-	BootstrapTimeout  time.Duration // for which founders wait for all of them before a majority founds with those present
+	BootstrapTimeout  time.Duration // for which founders wait for all of them before a majority bootstraps with those present
 	TransferRate      int           // bytes a second at which a snapshot is fetched
 }
 
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -12,7 +12,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
 
-// filled gives a message with no field that is zero.
+// filled returns a message of which no field is zero.
 func filled[M any]() Message {
 	var message M
 	wiretest.Fill(&message)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestASnapshotInPiecesOfAnEarlierVersionIsRead(t *testing.T) {
+func TestSnapshotChunksOfAnEarlierVersionAreRead(t *testing.T) {
 	snapshot := operator.Snapshot{Document: []byte(`{"Revision":7,"Backends":[{"Name":"llm"}]}`),
 		Digests: []string{"digest of one 16", "digest of two 16"}, Made: []int64{6, 7}, Horizon: 5, History: "a history of 16 b"}
 	state, err := operator.FromSnapshot(snapshot)
--- a/internal/fleet/replica/histories_test.go
+++ b/internal/fleet/replica/histories_test.go
@@ -2,373 +2,215 @@
 
 import (
 	"fmt"
-	"math"
-	"slices"
+	"os"
+	"strconv"
 	"testing"
 	"time"
 
-	"github.com/anishathalye/porcupine"
 	"github.com/stretchr/testify/require"
-
-	"linenwheel.dev/linenwheel/internal/fleet/operator"
-)
-
-// fleetShape is the size of a drawn world.
-type fleetShape struct {
-	members   int
-	tolerated int
-	overlap   bool // losses may overlap beyond what is tolerated, as long as no more disks are lost than that
-}
-
-// shapes are the sizes over which histories are drawn.
-var shapes = []fleetShape{{3, 1, false}, {3, 1, true}, {4, 1, false}, {4, 1, true}, {5, 2, false}, {6, 2, false}, {6, 2, true},
-	{8, 2, false}, {5, 1, true}, {8, 2, true}}
-
-// worstDays draws a history: two operators, readers, and troubles of all kinds that come at any moment, also together. At
-// its end all is well again; what was acknowledged must be there, and orders must be taken.
-type worstDays struct {
-	*world
-	shape     fleetShape
-	disksLost int
-	joined    int
-	moves     map[string]int
-	story     []string
-}
-
-const (
-	troublesUntil = 22 * time.Second
-	ordersUntil   = 26 * time.Second
-	recoverWithin = 12 * time.Second
 )
 
-func playWorstDays(seed uint64, shape fleetShape, planted planted) *worstDays {
-	w := &worstDays{world: newWorld(seed, 3), shape: shape, moves: map[string]int{}}
-	w.tolerated, w.planted = shape.tolerated, planted
-	for i := 3; i < shape.members; i++ {
-		n := &node{address: fmt.Sprintf("n%d", i)}
-		w.nodes = append(w.nodes, n)
-		w.after(time.Duration(w.rand.IntN(300))*time.Millisecond, func() { w.start(n) })
-	}
-	for i, n := range w.nodes {
-		n.domain = fmt.Sprintf("zone-%d", i%3)
-	}
-	w.runUntil(4 * time.Second)
-	for _, n := range w.nodes {
-		n.upSince = -time.Minute // the founding is over
-	}
-	w.checkNext = true
-	w.lastChecked = w.now
-	w.until = ordersUntil
-	w.after(0, func() { w.operate(1) })
-	w.after(0, func() { w.operate(2) })
-	for range 1 + w.rand.IntN(3) {
-		w.after(time.Duration(w.rand.IntN(2000))*time.Millisecond, w.strike)
-	}
-	w.runUntil(ordersUntil)
-	w.finish()
-	return w
-}
+// historiesVariable names the environment variable that sets the number of random histories.
+const historiesVariable = "LINENWHEEL_HISTORIES"
 
-// strike brings one trouble about, if it may come now, and the next one after a while.
-func (w *worstDays) strike() {
-	if w.now > troublesUntil {
-		return
+func histories() uint64 {
+	if count, err := strconv.ParseUint(os.Getenv(historiesVariable), 10, 64); err == nil {
+		return count
 	}
-	w.after(time.Duration(50+w.rand.IntN(2500))*time.Millisecond, w.strike)
-	if w.lost() == 0 && !slices.ContainsFunc(w.nodes, func(n *node) bool { return n.leaving }) {
-		w.disksLost = 0
-	}
-	n := w.nodes[w.rand.IntN(len(w.nodes))]
-	lasts := time.Duration(100+w.rand.IntN(3500)) * time.Millisecond
-	moves := []struct {
-		name  string
-		loses int
-		disks int
-		run   func()
-	}{
-		{"crash", 1, 0, func() { w.crashFor(n, lasts) }},
-		{"lost disk", 1, 1, func() { w.wipe(n); w.startAfter(n, lasts) }},
-		{"freeze", 1, 0, func() { w.freezeFor(n, lasts) }},
-		{"cut off", 1, 0, func() { w.isolate(n); w.healAfter(lasts) }},
-		{"pair cut", 1, 0, func() { w.cutPair(n, lasts) }},
-		{"halves", 1, 0, func() { w.splitFor(lasts) }},
-		{"disk refuses", 1, 0, func() { w.refuseFor(n, lasts) }},
-		{"planned replacement", 1, 0, func() { w.replaceInOrder(n) }},
-		{"unplanned replacement", 1, 1, func() { w.replaceLost(n, lasts) }},
-		{"stopped in order", 1, 0, func() { w.leave(n, 6*time.Second, func() { w.startAfter(n, lasts) }) }},
-		{"slow messages", 0, 0, func() { w.slowFor(lasts) }},
-		{"folded disk", 1, 0, func() { w.crash(n); n.fold(); w.startAfter(n, lasts/8) }},
-		{"all lose power", w.shape.members, 0, func() { w.powerOff(lasts / 4) }},
-		{"all lose power, one its disk", w.shape.members, 1, func() { w.wipe(n); w.powerOff(lasts / 4) }},
-	}
-	move := moves[w.rand.IntN(len(moves))]
-	everything := move.loses > w.shape.tolerated
-	switch {
-	case n.leaving || w.disksLost+move.disks > w.shape.tolerated:
-		return
-	case everything && !w.shape.overlap && w.lost() > 0:
-		return
-	case !everything && !w.shape.overlap && w.lost()+move.loses > w.shape.tolerated:
-		return
+	if raceDetector {
+		return 20
 	}
-	w.disksLost += move.disks
-	w.story = append(w.story, fmt.Sprintf("%v: %s of %s for %v", w.now, move.name, n.address, lasts))
-	w.moves[move.name]++
-	move.run()
+	return 100
 }
 
-func (w *worstDays) crashFor(n *node, lasts time.Duration) {
-	w.crash(n)
-	w.startAfter(n, lasts)
+// runHistory runs a random history: orders of two operators, lost replies, reads, and faults that affect at most one member at a
+// time, with time to catch up in between; sometimes all members lose power. At its end all faults are repaired, and what was
+// acknowledged must be there.
+func runHistory(seed uint64, faults injectedFaults) *simulation {
+	sim := newSimulation(seed, 3)
+	sim.faults = faults
+	sim.runUntil(2 * time.Second)
+	sim.schedule(0, func() { sim.operate(1) })
+	sim.schedule(0, func() { sim.operate(2) })
+	sim.schedule(500*time.Millisecond, sim.injectFault)
+	sim.runUntil(25 * time.Second)
+	sim.recoverAndCheck()
+	return sim
 }
 
-func (w *worstDays) startAfter(n *node, wait time.Duration) {
-	w.after(wait, func() {
-		if slices.Contains(w.nodes, n) {
-			w.start(n)
-		}
-	})
-}
-
-func (w *worstDays) freezeFor(n *node, lasts time.Duration) {
-	w.freeze(n)
-	life := n.life
-	w.after(lasts, func() {
-		if n.life == life && n.frozen {
-			n.upSince = w.now
-			w.thaw(n)
-		}
-	})
-}
-
-func (w *worstDays) healAfter(lasts time.Duration) {
-	w.after(lasts, func() {
-		w.heal()
-		for _, n := range w.nodes {
-			if n.cutOff {
-				n.cutOff, n.upSince = false, w.now
-			}
-		}
-	})
-}
-
-func (w *worstDays) cutPair(n *node, lasts time.Duration) {
-	other := w.nodes[w.rand.IntN(len(w.nodes))]
-	if other == n {
+// injectFault injects a fault into one member, or all, and schedules the next one for when that one has been repaired for long
+// enough to catch up.
+func (sim *simulation) injectFault() {
+	if sim.now > 20*time.Second {
 		return
 	}
-	w.cut(n, other, w.rand.IntN(2) == 0)
-	n.cutOff = true
-	w.healAfter(lasts)
-}
-
-func (w *worstDays) splitFor(lasts time.Duration) {
-	shuffled := slices.Clone(w.nodes)
-	w.rand.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-	half := shuffled[:len(shuffled)/2]
-	for _, n := range half {
-		n.cutOff = true
-	}
-	w.split(half)
-	w.healAfter(lasts)
-}
-
-func (w *worstDays) refuseFor(n *node, lasts time.Duration) {
-	n.badDisk = true
-	w.after(lasts, func() { n.badDisk, n.upSince = false, w.now })
-}
-
-func (w *worstDays) slowFor(lasts time.Duration) {
-	w.slowest = time.Duration(1+w.rand.IntN(120)) * time.Millisecond
-	w.slowUntil = max(w.slowUntil, w.now+lasts)
-	w.after(lasts, func() {
-		if w.now >= w.slowUntil {
-			w.slowest = 2 * time.Millisecond
+	n := sim.nodes[sim.rand.IntN(len(sim.nodes))]
+	duration := time.Duration(200+sim.rand.IntN(3000)) * time.Millisecond
+	switch sim.rand.IntN(8) {
+	case 0:
+		sim.crash(n)
+		sim.schedule(duration, func() { sim.start(n) })
+	case 1:
+		sim.wipe(n)
+		sim.schedule(duration, func() { sim.start(n) })
+	case 2:
+		sim.freeze(n)
+		sim.schedule(duration, func() { sim.unfreeze(n) })
+	case 3:
+		for _, other := range sim.nodes {
+			if other != n {
+				sim.partition(n, other, sim.rand.IntN(2) == 0)
+			}
 		}
-	})
-}
-
-func (w *worstDays) powerOff(lasts time.Duration) {
-	for _, n := range w.nodes {
-		w.crash(n)
-		w.startAfter(n, lasts+time.Duration(w.rand.IntN(500))*time.Millisecond)
-	}
-}
-
-func (w *worstDays) newcomer(instead *node) *node {
-	w.joined++
-	return &node{address: fmt.Sprintf("r%d", w.joined), domain: instead.domain}
-}
-
-// replaceInOrder brings a new machine, gives it the time to catch up, and then stops the old one in order.
-func (w *worstDays) replaceInOrder(old *node) {
-	successor := w.newcomer(old)
-	w.nodes = append(w.nodes, successor)
-	w.start(successor)
-	w.after(w.catchUp+500*time.Millisecond, func() {
-		if !successor.up || w.isLost(old) || w.disksLost >= w.tolerated {
-			return
+		sim.schedule(duration, sim.heal)
+	case 4:
+		other := sim.nodes[(sim.rand.IntN(len(sim.nodes)-1)+1)%len(sim.nodes)]
+		sim.partition(n, other, sim.rand.IntN(2) == 0)
+		sim.schedule(duration, sim.heal)
+	case 5:
+		n.diskFails = true
+		sim.schedule(duration, func() { n.diskFails = false })
+	case 6:
+		sim.replace(n, duration)
+	case 7:
+		for _, member := range sim.nodes {
+			sim.crash(member)
+			sim.schedule(time.Duration(sim.rand.IntN(500))*time.Millisecond, func() { sim.start(member) })
 		}
-		w.disksLost++ // its disk goes with it, unless another has its place by then
-		w.leave(old, 6*time.Second, func() {
-			if old.up && old.machine.Released() && !slices.Contains(w.view().Voters, old.disk.Self) {
-				w.disksLost = max(0, w.disksLost-1)
-			}
-			w.discard(old)
-		})
-	})
-}
-
-// replaceLost takes a machine away for good and brings an empty one at another address.
-func (w *worstDays) replaceLost(old *node, lasts time.Duration) {
-	successor := w.newcomer(old)
-	w.discard(old)
-	w.nodes = append(w.nodes, successor)
-	w.startAfter(successor, lasts)
+		if sim.rand.IntN(2) == 0 {
+			sim.wipe(n)
+		}
+	}
+	sim.schedule(duration+4*time.Second, sim.injectFault)
 }
 
-// finish mends everything and checks that what was acknowledged is there and that orders are taken.
-func (w *worstDays) finish() {
-	w.heal()
-	w.slowest = 2 * time.Millisecond
-	for _, n := range slices.Clone(w.nodes) {
-		n.badDisk, n.cutOff = false, false
+// recoverAndCheck repairs all faults and checks that what was acknowledged is there and that orders are committed.
+func (sim *simulation) recoverAndCheck() {
+	sim.heal()
+	for _, n := range sim.nodes {
+		n.diskFails = false
 		if n.frozen {
-			w.thaw(n)
+			sim.unfreeze(n)
 		}
-		if n.leaving {
-			w.crash(n)
-		}
-		w.start(n)
+		sim.start(n)
 	}
-	w.checkNext = false
-	deadline := w.now + recoverWithin
-	for w.now < deadline {
-		base := max(w.newest(), w.readNewest()) // an order that was never acknowledged may be in force
-		order := w.order(base, base+1, fmt.Sprint("the last one at ", w.now))
-		for range 5 {
-			w.submit(order)
-			w.runUntil(w.now + 50*time.Millisecond)
-		}
-		if _, taken := w.acked[order.Digest()]; taken {
-			w.checkLinearizable()
-			return
-		}
+	sim.runUntil(sim.now + 6*time.Second)
+	latest, read := sim.lastAcked(), int64(-1)
+	for range 30 {
+		sim.read(func(revision int64) { read = revision })
+		sim.runUntil(sim.now + 100*time.Millisecond)
 	}
-	w.fail("at the end no order is taken; the view is %v", w.view())
-	w.describe()
-}
-
-// describe notes what each member is at.
-func (w *worstDays) describe() {
-	for _, n := range w.nodes {
-		w.fail("%v up %v, %+v", n.disk.Self, n.up, n.machine.Status())
+	if read < latest {
+		sim.reportViolation("at the end %d is read, %d was acknowledged", read, latest)
+		return
 	}
-	w.broken = append(w.broken, w.story...)
-}
-
-// readNewest reads at every member, and gives the newest revision that one of them confirms.
-func (w *worstDays) readNewest() int64 {
-	newest := int64(-1)
-	for _, n := range w.nodes {
-		if n.up && !n.frozen {
-			w.awaitRead(n, n.life, w.now, w.newest(), func(revision int64) { newest = max(newest, revision) })
-		}
+	order := sim.newOrder(read, read+1, "last")
+	for range 30 {
+		sim.submit(order)
+		sim.runUntil(sim.now + 100*time.Millisecond)
+	}
+	if _, acked := sim.ackedRevisions[order.Digest()]; !acked {
+		sim.reportViolation("at the end no order is committed; the view is %v", sim.view())
 	}
-	w.runUntil(w.now + 200*time.Millisecond)
-	return newest
 }
 
-// ---- Linearizability ----
-
-// configCall is an operation on the configuration as one register: an order, or a read.
-type configCall struct {
-	read bool
-	base int64
-	made int64
+// runSixMemberHistory runs a random history of six members of which two may be lost at a time.
+func runSixMemberHistory(seed uint64) *simulation {
+	sim := newSimulation(seed, 3)
+	sim.maxFailures = 2
+	for i := range 3 {
+		n := &node{address: fmt.Sprintf("n%d", i)}
+		sim.nodes = append(sim.nodes, n)
+		sim.schedule(time.Duration(sim.rand.IntN(300))*time.Millisecond, func() { sim.start(n) })
+	}
+	sim.runUntil(3 * time.Second)
+	sim.schedule(0, func() { sim.operate(1) })
+	sim.schedule(0, func() { sim.operate(2) })
+	sim.schedule(300*time.Millisecond, sim.injectFault)
+	sim.schedule(500*time.Millisecond, sim.injectFault)
+	sim.runUntil(25 * time.Second)
+	sim.recoverAndCheck()
+	return sim
 }
 
-// configEnd is how it ended.
-type configEnd struct {
-	known    bool
-	refused  bool
-	revision int64
+func TestSixMemberHistoriesPreserveInvariants(t *testing.T) {
+	for seed := range histories() / 4 {
+		sim := runSixMemberHistory(seed)
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
+	}
 }
 
-// register is the configuration as one register: an order takes effect on the version on which it builds, and only there.
-var register = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{int64(0)} },
-	Step: func(state, input, output any) []any {
-		current, call, end := state.(int64), input.(configCall), output.(configEnd)
-		switch {
-		case call.read && end.revision == current:
-			return []any{current}
-		case call.read, end.refused && current == call.base:
-			return nil
-		case end.refused:
-			return []any{current}
-		case end.known && current == call.base:
-			return []any{call.made}
-		case end.known:
-			return nil
-		case current == call.base:
-			return []any{current, call.made}
-		}
-		return []any{current}
-	},
+func TestHistoriesPreserveInvariants(t *testing.T) {
+	acknowledged := 0
+	for seed := range histories() {
+		sim := runHistory(seed, injectedFaults{})
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
+		acknowledged += len(sim.ackLog)
+	}
+	require.Greater(t, acknowledged, int(histories())*10, "the histories commit orders")
+}
+
+// runBootstrapHistory runs a bootstrap during which messages are slow and founders restart repeatedly.
+func runBootstrapHistory(seed uint64, faults injectedFaults) *simulation {
+	sim := newSimulation(seed, 3)
+	sim.faults, sim.maxDelay = faults, 150*time.Millisecond
+	for range 4 + sim.rand.IntN(8) {
+		n := sim.nodes[sim.rand.IntN(len(sim.nodes))]
+		sim.schedule(time.Duration(sim.rand.IntN(3000))*time.Millisecond, func() {
+			sim.crash(n)
+			sim.schedule(time.Duration(sim.rand.IntN(200))*time.Millisecond, func() { sim.start(n) })
+		})
+	}
+	sim.runUntil(12 * time.Second)
+	return sim
 }
 
-// operation is a call whose end may not be known yet.
-type operation struct {
-	call  configCall
-	end   configEnd
-	began time.Duration
-	ended time.Duration
+func TestBootstrapHistoriesAgreeOnOneView(t *testing.T) {
+	for seed := range 3 * histories() {
+		sim := runBootstrapHistory(seed, injectedFaults{})
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
+		require.NotZero(t, sim.view().Epoch, "seed %d", seed)
+	}
 }
 
-// checkLinearizable checks that all orders, refusals and reads fit one order of time.
-func (w *world) checkLinearizable() {
-	var history []porcupine.Operation
-	add := func(client int, one *operation) {
-		ended := int64(math.MaxInt64)
-		if one.end.known {
-			ended = int64(one.ended)
-		}
-		history = append(history, porcupine.Operation{ClientId: client, Input: one.call, Call: int64(one.began), Output: one.end, Return: ended})
+// runSplitVoteHistory partitions two members, so that each proposes a view with the third one alone, and restarts the third,
+// partitioned from the one that got its vote, as soon as one of the two views is agreed.
+func runSplitVoteHistory(seed uint64, faults injectedFaults) *simulation {
+	sim := newSimulation(seed, 3)
+	sim.faults = faults
+	sim.runUntil(2 * time.Second)
+	first, second, third := sim.nodes[seed%3], sim.nodes[(seed+1)%3], sim.nodes[(seed+2)%3]
+	sim.partition(first, second, true)
+	for sim.view().Epoch < 2 && sim.now < 10*time.Second {
+		sim.runUntil(sim.now + 50*time.Microsecond)
 	}
-	client := 0
-	for _, one := range w.orders {
-		client++
-		add(client, one)
-	}
-	for i := range w.calls {
-		client++
-		add(client, &w.calls[i])
-	}
-	if porcupine.CheckOperationsTimeout(register.ToModel(), history, time.Second) == porcupine.Illegal {
-		w.fail("orders and reads fit no order of time")
+	winner := first
+	if second.machine.View().Epoch == 2 {
+		winner = second
 	}
+	sim.crash(third)
+	sim.partition(winner, third, true)
+	sim.start(third)
+	sim.runUntil(sim.now + 4*time.Second)
+	sim.heal()
+	sim.runUntil(sim.now + 4*time.Second)
+	return sim
 }
 
-func (w *world) noteOrder(order operator.Order, revision int64) {
-	if w.orders[order.Digest()] == nil {
-		w.orders[order.Digest()] = &operation{call: configCall{base: order.Base, made: revision}, began: w.now}
+func TestSplitVoteEndsInOneView(t *testing.T) {
+	for seed := range histories() {
+		sim := runSplitVoteHistory(seed, injectedFaults{})
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
+		require.Len(t, sim.view().Chain, 3, "seed %d", seed)
 	}
 }
 
-func TestWorstDaysKeepEveryPromise(t *testing.T) {
-	moves := map[string]int{}
-	acknowledged := 0
-	for seed := range 2 * histories() {
-		shape := shapes[seed%uint64(len(shapes))]
-		w := playWorstDays(seed, shape, planted{})
-		require.Empty(t, w.problems(), "seed %d, %+v", seed, shape)
-		acknowledged += len(w.ackedAt)
-		for name, count := range w.moves {
-			moves[name] += count
+func TestLostPromisesAreDetected(t *testing.T) {
+	for seed := range uint64(500) {
+		if sim := runSplitVoteHistory(seed, injectedFaults{promisesNotStored: true}); len(sim.violations) > 0 {
+			t.Logf("detected with seed %d: %s", seed, sim.violations[0])
+			return
 		}
 	}
-	t.Logf("%d histories, %d orders acknowledged, moves: %v", 2*histories(), acknowledged, moves)
-	require.Len(t, moves, 14, "every kind of trouble came")
-	require.Greater(t, acknowledged, int(histories())*10)
+	require.Fail(t, "not detected")
 }
--- a/internal/fleet/replica/machine.go
+++ b/internal/fleet/replica/machine.go
@@ -207,14 +207,14 @@
 }
 
 // Durable is a checkpoint of the durable part of a member.
-type Durable struct{ part durable }
+type Durable struct{ state durable }
 
 // Checkpoint returns the durable part, to roll back to if storing what the next call returns fails.
 func (m *Machine) Checkpoint() Durable { return Durable{m.durable} }
 
 // Rollback restores a checkpoint after a failed write. The member reports itself unhealthy until SetHealthy.
 func (m *Machine) Rollback(to Durable) {
-	m.durable = to.part
+	m.durable = to.state
 	m.attempt = nil
 	m.transfer = transfer{}
 	m.healthy = false
--- a/internal/fleet/replica/race_off_test.go
+++ b/internal/fleet/replica/race_off_test.go
@@ -2,5 +2,5 @@
 
 package replica
 
-// raceDetector tells that the race detector is on.
+// raceDetector reports whether the race detector is on.
 const raceDetector = false
--- a/internal/fleet/replica/reconfiguration.go
+++ b/internal/fleet/replica/reconfiguration.go
@@ -55,7 +55,7 @@
 		if len(standby) == 0 || !vacant(voter) {
 			continue
 		}
-		next := mostDistinctDomain(slices.Delete(slices.Clone(voters), i, i+1), standby)
+		next := rarestDomain(slices.Delete(slices.Clone(voters), i, i+1), standby)
 		voters[i] = standby[next]
 		standby = slices.Delete(standby, next, next+1)
 	}
@@ -83,15 +83,15 @@
 		count--
 	}
 	for len(voters) < count {
-		next := mostDistinctDomain(voters, candidates)
+		next := rarestDomain(voters, candidates)
 		voters = append(voters, candidates[next])
 		candidates = slices.Delete(candidates, next, next+1)
 	}
 	return voters
 }
 
-// mostDistinctDomain returns the index of the first candidate whose failure domain has the fewest of the voters.
-func mostDistinctDomain(voters, candidates []Member) int {
+// rarestDomain returns the index of the first candidate whose failure domain has the fewest of the voters.
+func rarestDomain(voters, candidates []Member) int {
 	best, fewest := 0, len(voters)+1
 	for i, candidate := range candidates {
 		sharing := 0
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -8,339 +8,324 @@
 	"github.com/stretchr/testify/require"
 )
 
-// founded gives a world whose members have agreed on the first view and taken one order.
-func founded(t *testing.T, seed uint64, members int) *world {
+// newBootstrapped returns a simulation of three members that have agreed on the first view and committed one order.
+func newBootstrapped(t *testing.T, seed uint64) *simulation {
 	t.Helper()
-	w := newWorld(seed, members)
-	w.runUntil(2 * time.Second)
-	for _, n := range w.nodes {
+	const members = 3
+	sim := newSimulation(seed, members)
+	sim.runUntil(2 * time.Second)
+	for _, n := range sim.nodes {
 		require.EqualValues(t, 1, n.machine.View().Epoch, n.address)
 		require.Len(t, n.machine.View().Chain, members)
 	}
-	w.submitUntilTaken(t, 0, 1)
-	return w
+	sim.submitUntilCommitted(t, 0, 1)
+	return sim
 }
 
-// submitUntilTaken sends an order until it is acknowledged, as the operator does, and gives the time that this took.
-func (w *world) submitUntilTaken(t *testing.T, base, revision int64) time.Duration {
-	t.Helper()
-	begin := w.now
-	order := w.order(base, revision, "test")
-	for range 100 {
-		w.submit(order)
-		w.runUntil(w.now + 100*time.Millisecond)
-		if _, taken := w.acked[order.Digest()]; taken {
-			return w.now - begin
-		}
-	}
-	require.Fail(t, "not acknowledged", "revision %d", revision)
-	return 0
-}
-
-func (w *world) nodeOf(member Member) *node { return w.node(member.Address) }
+func (sim *simulation) nodeFor(member Member) *node { return sim.node(member.Address) }
 
-func (w *world) view() View {
-	var newest View
-	for _, n := range w.nodes {
-		if n.up && n.machine.View().Epoch > newest.Epoch {
-			newest = n.machine.View()
+func (sim *simulation) view() View {
+	var latest View
+	for _, n := range sim.nodes {
+		if n.up && n.machine.View().Epoch > latest.Epoch {
+			latest = n.machine.View()
 		}
 	}
-	return newest
+	return latest
 }
 
 func TestFoundersAgreeOnOneViewInAnyOrderOfStart(t *testing.T) {
 	for seed := range uint64(200) {
-		w := newWorld(seed, 3)
-		w.runUntil(3 * time.Second)
-		require.Empty(t, w.problems(), "seed %d", seed)
-		for _, n := range w.nodes {
+		sim := newSimulation(seed, 3)
+		sim.runUntil(3 * time.Second)
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
+		for _, n := range sim.nodes {
 			require.EqualValues(t, 1, n.machine.View().Epoch, "seed %d", seed)
 		}
 	}
 }
 
-func TestAFounderRestartedWhileFoundingDoesNotFoundTwice(t *testing.T) {
+func TestFounderRestartedDuringBootstrapDoesNotFoundTwice(t *testing.T) {
 	for seed := range uint64(200) {
-		w := newWorld(seed, 3)
-		victim := w.nodes[seed%3]
-		w.runUntil(time.Duration(seed*3) * time.Millisecond)
-		w.crash(victim)
-		w.after(300*time.Millisecond, func() { w.start(victim) })
-		w.runUntil(8 * time.Second)
-		require.Empty(t, w.problems(), "seed %d", seed)
-		require.Len(t, w.view().Chain, 3, "seed %d", seed)
+		sim := newSimulation(seed, 3)
+		victim := sim.nodes[seed%3]
+		sim.runUntil(time.Duration(seed*3) * time.Millisecond)
+		sim.crash(victim)
+		sim.schedule(300*time.Millisecond, func() { sim.start(victim) })
+		sim.runUntil(8 * time.Second)
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
+		require.Len(t, sim.view().Chain, 3, "seed %d", seed)
 	}
 }
 
-func TestAnEmptyDiskWithoutBootstrapFoundsNothing(t *testing.T) {
-	w := newWorld(1, 3)
-	for _, n := range w.nodes {
+func TestEmptyDiskWithoutBootstrapFoundsNothing(t *testing.T) {
+	sim := newSimulation(1, 3)
+	for _, n := range sim.nodes {
 		n.founder = false
 	}
-	w.runUntil(10 * time.Second)
-	require.EqualValues(t, 0, w.view().Epoch)
+	sim.runUntil(10 * time.Second)
+	require.EqualValues(t, 0, sim.view().Epoch)
 }
 
-func TestAMajorityFoundsWithoutTheThird(t *testing.T) {
-	w := newWorld(1, 3)
-	lost := w.nodes[2]
-	w.events = w.events[:0]
-	w.start(w.nodes[0])
-	w.start(w.nodes[1])
-	w.runUntil(5 * time.Second)
-	require.Len(t, w.view().Chain, 2)
-	w.start(lost)
-	w.runUntil(8 * time.Second)
-	require.Len(t, w.view().Chain, 3, "it is taken in when it comes")
-	require.Empty(t, w.problems())
+func TestMajorityBootstrapsWithoutTheThirdMember(t *testing.T) {
+	sim := newSimulation(1, 3)
+	lost := sim.nodes[2]
+	sim.events = sim.events[:0]
+	sim.start(sim.nodes[0])
+	sim.start(sim.nodes[1])
+	sim.runUntil(5 * time.Second)
+	require.Len(t, sim.view().Chain, 2)
+	sim.start(lost)
+	sim.runUntil(8 * time.Second)
+	require.Len(t, sim.view().Chain, 3, "it joins when it starts")
+	require.Empty(t, sim.violationReport())
 }
 
-// grown gives a world of six members of whom two may be lost; three of them are the seeds.
-func grown(t *testing.T, seed uint64, outside int) *world {
+// newSixMembers returns a simulation of six members of which two may be lost, and some that cannot vote; three are the seeds.
+func newSixMembers(t *testing.T, seed uint64, outside int) *simulation {
 	t.Helper()
-	w := newWorld(seed, 3)
-	w.tolerated = 2
+	sim := newSimulation(seed, 3)
+	sim.maxFailures = 2
 	for i := range 3 + outside {
-		n := &node{address: fmt.Sprintf("n%d", i), outside: i >= 3}
-		w.nodes = append(w.nodes, n)
-		w.after(time.Duration(w.rand.IntN(300))*time.Millisecond, func() { w.start(n) })
+		n := &node{address: fmt.Sprintf("n%d", i), cannotVote: i >= 3}
+		sim.nodes = append(sim.nodes, n)
+		sim.schedule(time.Duration(sim.rand.IntN(300))*time.Millisecond, func() { sim.start(n) })
 	}
-	w.runUntil(4 * time.Second)
-	require.Len(t, w.view().Voters, 5, "an even number of voters would be a half on either side of a cut")
-	require.Len(t, w.view().Chain, 5)
-	return w
+	sim.runUntil(4 * time.Second)
+	require.Len(t, sim.view().Voters, 5, "an even number of voters could be partitioned into halves")
+	require.Len(t, sim.view().Chain, 5)
+	return sim
 }
 
-func TestSixMembersBearTheLossOfAnyTwoAtOnce(t *testing.T) {
+func TestSixMembersSurviveTheSimultaneousLossOfAnyTwo(t *testing.T) {
 	for first := range 6 {
 		for second := first + 1; second < 6; second++ {
-			w := grown(t, uint64(first*6+second), 0)
-			w.submitUntilTaken(t, 0, 1)
-			w.wipe(w.nodes[first])
-			w.wipe(w.nodes[second])
-			took := w.submitUntilTaken(t, 1, 2)
-			require.Less(t, took, 2*time.Second)
-			w.start(w.nodes[first])
-			w.start(w.nodes[second])
-			w.runUntil(w.now + 5*time.Second)
-			require.Len(t, w.view().Chain, 5)
-			require.True(t, w.survivesNextLoss(2), "%v", w.view())
-			require.Empty(t, w.problems())
+			sim := newSixMembers(t, uint64(first*6+second), 0)
+			sim.submitUntilCommitted(t, 0, 1)
+			sim.wipe(sim.nodes[first])
+			sim.wipe(sim.nodes[second])
+			elapsed := sim.submitUntilCommitted(t, 1, 2)
+			require.Less(t, elapsed, 2*time.Second)
+			sim.start(sim.nodes[first])
+			sim.start(sim.nodes[second])
+			sim.runUntil(sim.now + 5*time.Second)
+			require.Len(t, sim.view().Chain, 5)
+			require.True(t, sim.survivesNextLoss(2), "%v", sim.view())
+			require.Empty(t, sim.violationReport())
 		}
 	}
 }
 
-func TestSeedsThatCanBeNoVotersLetTheOthersFound(t *testing.T) {
+func TestSeedsThatCannotVoteLetTheOthersBootstrap(t *testing.T) {
 	for outside := range 4 {
-		w := newWorld(7, 3)
+		sim := newSimulation(7, 3)
 		for i := range outside {
-			w.nodes[i].outside = true
+			sim.nodes[i].cannotVote = true
 		}
 		for i := range 3 {
 			n := &node{address: fmt.Sprintf("n%d", i)}
-			w.nodes = append(w.nodes, n)
-			w.after(time.Duration(w.rand.IntN(300))*time.Millisecond, func() { w.start(n) })
+			sim.nodes = append(sim.nodes, n)
+			sim.schedule(time.Duration(sim.rand.IntN(300))*time.Millisecond, func() { sim.start(n) })
 		}
-		w.runUntil(5 * time.Second)
-		require.Len(t, w.view().Voters, 3)
-		for _, n := range w.nodes {
-			require.False(t, n.outside && n.machine.InChain())
-			require.EqualValues(t, w.view().Epoch, n.machine.View().Epoch, "also those outside know the view")
+		sim.runUntil(5 * time.Second)
+		require.Len(t, sim.view().Voters, 3)
+		for _, n := range sim.nodes {
+			require.False(t, n.cannotVote && n.machine.InChain())
+			require.EqualValues(t, sim.view().Epoch, n.machine.View().Epoch, "also those that cannot vote know the view")
 		}
-		w.submitUntilTaken(t, 0, 1)
-		require.Empty(t, w.problems())
+		sim.submitUntilCommitted(t, 0, 1)
+		require.Empty(t, sim.violationReport())
 	}
 }
 
-func TestAChainWithTooFewCopiesTakesNoOrders(t *testing.T) {
-	w := grown(t, 31, 0)
-	for _, n := range w.nodes[:4] {
-		w.crash(n)
+func TestChainWithTooFewReplicasAcceptsNoOrders(t *testing.T) {
+	sim := newSixMembers(t, 31, 0)
+	for _, n := range sim.nodes[:4] {
+		sim.crash(n)
 	}
-	w.submit(w.order(0, 1, "too few"))
-	w.runUntil(w.now + 10*time.Second)
-	require.Empty(t, w.ackedAt)
-	for _, n := range w.nodes[:4] {
-		w.start(n)
+	sim.submit(sim.newOrder(0, 1, "too few"))
+	sim.runUntil(sim.now + 10*time.Second)
+	require.Empty(t, sim.ackLog)
+	for _, n := range sim.nodes[:4] {
+		sim.start(n)
 	}
-	w.runUntil(w.now + 4*time.Second)
-	w.submitUntilTaken(t, 0, 1)
-	require.Empty(t, w.problems())
+	sim.runUntil(sim.now + 4*time.Second)
+	sim.submitUntilCommitted(t, 0, 1)
+	require.Empty(t, sim.violationReport())
 }
 
 func TestAnOrderIsStoredByTheWholeChainBeforeItIsAcknowledged(t *testing.T) {
-	w := founded(t, 3, 3)
-	w.submitUntilTaken(t, 1, 2)
-	for _, n := range w.nodes {
+	sim := newBootstrapped(t, 3)
+	sim.submitUntilCommitted(t, 1, 2)
+	for _, n := range sim.nodes {
 		require.Len(t, n.disk.Entries, 2, n.address)
 	}
 }
 
-func TestOrdersGoOnAfterTheLossOfHeadMiddleOrTail(t *testing.T) {
-	for place := range 3 {
-		w := founded(t, 5, 3)
-		w.crash(w.nodeOf(w.view().Chain[place]))
-		took := w.submitUntilTaken(t, 1, 2)
-		require.Less(t, took, 2*time.Second, "place %d", place)
-		require.Len(t, w.view().Voters, 3, "it keeps its vote")
-		require.Empty(t, w.problems())
+func TestOrdersCommitAfterTheLossOfHeadMiddleOrTail(t *testing.T) {
+	for index := range 3 {
+		sim := newBootstrapped(t, 5)
+		sim.crash(sim.nodeFor(sim.view().Chain[index]))
+		elapsed := sim.submitUntilCommitted(t, 1, 2)
+		require.Less(t, elapsed, 2*time.Second, "index %d", index)
+		require.Len(t, sim.view().Voters, 3, "it keeps its vote")
+		require.Empty(t, sim.violationReport())
 	}
 }
 
 func TestOneOfThreeTakesNoOrders(t *testing.T) {
-	w := founded(t, 5, 3)
-	w.crash(w.nodes[1])
-	w.crash(w.nodes[2])
-	w.submit(w.order(1, 2, "alone"))
-	w.runUntil(w.now + 5*time.Second)
-	require.Len(t, w.ackedAt, 1)
+	sim := newBootstrapped(t, 5)
+	sim.crash(sim.nodes[1])
+	sim.crash(sim.nodes[2])
+	sim.submit(sim.newOrder(1, 2, "alone"))
+	sim.runUntil(sim.now + 5*time.Second)
+	require.Len(t, sim.ackLog, 1)
 }
 
-func TestAMemberIsBackInTheChainWithinCatchUp(t *testing.T) {
-	w := founded(t, 7, 3)
-	lost := w.nodeOf(w.view().Tail())
-	w.crash(lost)
-	w.submitUntilTaken(t, 1, 2)
-	w.start(lost)
-	w.runUntil(w.now + 2*time.Second)
-	require.Len(t, w.view().Chain, 3)
+func TestRestartedMemberRejoinsTheChainWithinCatchUpTime(t *testing.T) {
+	sim := newBootstrapped(t, 7)
+	lost := sim.nodeFor(sim.view().Tail())
+	sim.crash(lost)
+	sim.submitUntilCommitted(t, 1, 2)
+	sim.start(lost)
+	sim.runUntil(sim.now + 2*time.Second)
+	require.Len(t, sim.view().Chain, 3)
 }
 
-func TestAWipedMemberIsANewMemberAndTheOtherDiskMayGoNext(t *testing.T) {
-	w := founded(t, 9, 3)
+func TestWipedMemberIsANewMemberAndAnotherDiskMayBeLostNext(t *testing.T) {
+	sim := newBootstrapped(t, 9)
 	for round := range 6 {
-		victim := w.nodes[round%3]
+		victim := sim.nodes[round%3]
 		before := victim.disk.Self
-		w.submitUntilTaken(t, int64(round+1), int64(round+2))
-		w.wipe(victim)
-		w.runUntil(w.now + time.Second)
-		w.start(victim)
-		w.runUntil(w.now + 4*time.Second)
-		require.Len(t, w.view().Chain, 3, "round %d", round)
-		require.NotContains(t, w.view().Voters, before)
-		require.Contains(t, w.view().Voters, victim.disk.Self)
+		sim.submitUntilCommitted(t, int64(round+1), int64(round+2))
+		sim.wipe(victim)
+		sim.runUntil(sim.now + time.Second)
+		sim.start(victim)
+		sim.runUntil(sim.now + 4*time.Second)
+		require.Len(t, sim.view().Chain, 3, "round %d", round)
+		require.NotContains(t, sim.view().Voters, before)
+		require.Contains(t, sim.view().Voters, victim.disk.Self)
 	}
-	require.Empty(t, w.problems())
+	require.Empty(t, sim.violationReport())
 }
 
-func TestAReplacedMachineTakesTheLostOnesVote(t *testing.T) {
-	w := founded(t, 11, 3)
-	lost := w.nodes[0]
-	w.crash(lost)
-	w.runUntil(w.now + 3*time.Second)
+func TestReplacementTakesTheVoteOfTheFailedMember(t *testing.T) {
+	sim := newBootstrapped(t, 11)
+	lost := sim.nodes[0]
+	sim.crash(lost)
+	sim.runUntil(sim.now + 3*time.Second)
 	successor := &node{address: "m9"}
-	w.nodes = append(w.nodes[1:], successor)
-	w.start(successor)
-	w.runUntil(w.now + 4*time.Second)
-	require.Len(t, w.view().Voters, 3)
-	require.Contains(t, w.view().Chain, successor.disk.Self)
-	require.NotContains(t, w.view().Voters, lost.disk.Self)
-	w.submitUntilTaken(t, 1, 2)
-	require.Empty(t, w.problems())
+	sim.nodes = append(sim.nodes[1:], successor)
+	sim.start(successor)
+	sim.runUntil(sim.now + 4*time.Second)
+	require.Len(t, sim.view().Voters, 3)
+	require.Contains(t, sim.view().Chain, successor.disk.Self)
+	require.NotContains(t, sim.view().Voters, lost.disk.Self)
+	sim.submitUntilCommitted(t, 1, 2)
+	require.Empty(t, sim.violationReport())
 }
 
-func TestAPlannedReplacementComesFirst(t *testing.T) {
-	w := founded(t, 13, 3)
+func TestPlannedReplacementStandsByFirst(t *testing.T) {
+	sim := newBootstrapped(t, 13)
 	successor := &node{address: "m9"}
-	w.nodes = append(w.nodes, successor)
-	w.start(successor)
-	w.runUntil(w.now + 2*time.Second)
-	require.Len(t, w.view().Voters, 3, "it stands by, and is no fourth voter")
-	require.Contains(t, w.nodes[0].machine.Standby(), successor.disk.Self)
-	w.crash(w.nodes[1])
-	w.runUntil(w.now + time.Second)
-	require.Len(t, w.view().Voters, 3)
-	require.Contains(t, w.view().Chain, successor.disk.Self)
-	w.crash(w.nodes[0])
-	w.submitUntilTaken(t, 1, 2)
-	require.Empty(t, w.problems())
+	sim.nodes = append(sim.nodes, successor)
+	sim.start(successor)
+	sim.runUntil(sim.now + 2*time.Second)
+	require.Len(t, sim.view().Voters, 3, "it is a standby, not a fourth voter")
+	require.Contains(t, sim.nodes[0].machine.Standby(), successor.disk.Self)
+	sim.crash(sim.nodes[1])
+	sim.runUntil(sim.now + time.Second)
+	require.Len(t, sim.view().Voters, 3)
+	require.Contains(t, sim.view().Chain, successor.disk.Self)
+	sim.crash(sim.nodes[0])
+	sim.submitUntilCommitted(t, 1, 2)
+	require.Empty(t, sim.violationReport())
 }
 
-func TestAllLosePowerAtOnceAndOneLosesItsDisk(t *testing.T) {
+func TestAllLosePowerAndOneLosesItsDisk(t *testing.T) {
 	for victim := range 3 {
-		w := founded(t, 15, 3)
-		w.submitUntilTaken(t, 1, 2)
-		for _, n := range w.nodes {
-			w.crash(n)
+		sim := newBootstrapped(t, 15)
+		sim.submitUntilCommitted(t, 1, 2)
+		for _, n := range sim.nodes {
+			sim.crash(n)
 		}
-		w.wipe(w.nodes[victim])
-		w.runUntil(w.now + time.Second)
-		for _, n := range w.nodes {
-			w.start(n)
+		sim.wipe(sim.nodes[victim])
+		sim.runUntil(sim.now + time.Second)
+		for _, n := range sim.nodes {
+			sim.start(n)
 		}
-		w.runUntil(w.now + 4*time.Second)
-		w.submitUntilTaken(t, 2, 3)
-		require.Len(t, w.view().Chain, 3)
-		require.Empty(t, w.problems())
+		sim.runUntil(sim.now + 4*time.Second)
+		sim.submitUntilCommitted(t, 2, 3)
+		require.Len(t, sim.view().Chain, 3)
+		require.Empty(t, sim.violationReport())
 	}
 }
 
-func TestACutBetweenTwoMembersLeavesOneOutAndDoesNotFlap(t *testing.T) {
+func TestPartitionOfTwoMembersExcludesOneWithoutFlapping(t *testing.T) {
 	for _, both := range []bool{true, false} {
-		w := founded(t, 17, 3)
-		w.cut(w.nodes[0], w.nodes[1], both)
-		w.runUntil(w.now + 3*time.Second)
-		epoch := w.view().Epoch
-		require.Len(t, w.view().Chain, 2)
-		w.runUntil(w.now + 20*time.Second)
-		require.LessOrEqual(t, w.view().Epoch, epoch+1)
-		w.submitUntilTaken(t, 1, 2)
-		w.heal()
-		w.runUntil(w.now + 4*time.Second)
-		require.Len(t, w.view().Chain, 3)
-		require.Empty(t, w.problems())
+		sim := newBootstrapped(t, 17)
+		sim.partition(sim.nodes[0], sim.nodes[1], both)
+		sim.runUntil(sim.now + 3*time.Second)
+		epoch := sim.view().Epoch
+		require.Len(t, sim.view().Chain, 2)
+		sim.runUntil(sim.now + 20*time.Second)
+		require.LessOrEqual(t, sim.view().Epoch, epoch+1)
+		sim.submitUntilCommitted(t, 1, 2)
+		sim.heal()
+		sim.runUntil(sim.now + 4*time.Second)
+		require.Len(t, sim.view().Chain, 3)
+		require.Empty(t, sim.violationReport())
 	}
 }
 
 func TestAThawedTailDoesNotAnswerFromBefore(t *testing.T) {
-	w := founded(t, 19, 3)
-	tail := w.nodeOf(w.view().Tail())
-	w.freeze(tail)
-	w.submitUntilTaken(t, 1, 2)
-	require.Zero(t, w.newest()-2)
-	w.thaw(tail)
-	w.checkLease(tail)
+	sim := newBootstrapped(t, 19)
+	tail := sim.nodeFor(sim.view().Tail())
+	sim.freeze(tail)
+	sim.submitUntilCommitted(t, 1, 2)
+	require.Zero(t, sim.lastAcked()-2)
+	sim.unfreeze(tail)
+	sim.checkLease(tail)
 	for range 20 {
-		w.read(func(int64) {})
-		w.runUntil(w.now + 50*time.Millisecond)
+		sim.read(func(int64) {})
+		sim.runUntil(sim.now + 50*time.Millisecond)
 	}
-	require.Empty(t, w.problems())
+	require.Empty(t, sim.violationReport())
 }
 
 func TestAMemberWhoseDiskRefusesWritesLeavesTheChain(t *testing.T) {
-	for place := range 3 {
-		w := founded(t, 21, 3)
-		full := w.nodeOf(w.view().Chain[place])
-		full.badDisk = true
-		require.Less(t, w.submitUntilTaken(t, 1, 2), 3*time.Second)
-		require.NotContains(t, w.view().Chain, full.disk.Self)
-		full.badDisk = false
-		w.runUntil(w.now + 3*time.Second)
-		require.Contains(t, w.view().Chain, full.disk.Self)
-		w.submitUntilTaken(t, 2, 3)
-		require.Empty(t, w.problems())
+	for index := range 3 {
+		sim := newBootstrapped(t, 21)
+		full := sim.nodeFor(sim.view().Chain[index])
+		full.diskFails = true
+		require.Less(t, sim.submitUntilCommitted(t, 1, 2), 3*time.Second)
+		require.NotContains(t, sim.view().Chain, full.disk.Self)
+		full.diskFails = false
+		sim.runUntil(sim.now + 3*time.Second)
+		require.Contains(t, sim.view().Chain, full.disk.Self)
+		sim.submitUntilCommitted(t, 2, 3)
+		require.Empty(t, sim.violationReport())
 	}
 }
 
-func TestAnOrderInLimboIsNotRefusedToItsSender(t *testing.T) {
-	w := founded(t, 23, 3)
-	head := w.nodeOf(w.view().Head())
-	order := w.order(1, 2, "limbo")
-	w.lastID++
-	w.pending[w.lastID] = order
-	w.step(head, func() Ready { return head.machine.Submit(w.now, w.lastID, order) })
-	w.runUntil(w.now + 1500*time.Microsecond) // the next member may have it
-	w.crash(head)
+func TestPendingOrderIsNotRejectedWhenSentAgain(t *testing.T) {
+	sim := newBootstrapped(t, 23)
+	head := sim.nodeFor(sim.view().Head())
+	order := sim.newOrder(1, 2, "limbo")
+	sim.lastID++
+	sim.submitted[sim.lastID] = order
+	sim.step(head, func() Ready { return head.machine.Submit(sim.now, sim.lastID, order) })
+	sim.runUntil(sim.now + 1500*time.Microsecond) // the next member may have it by now
+	sim.crash(head)
 	for range 60 {
-		w.submit(order)
-		w.runUntil(w.now + 100*time.Millisecond)
+		sim.submit(order)
+		sim.runUntil(sim.now + 100*time.Millisecond)
 	}
-	require.Contains(t, w.acked, order.Digest())
-	require.Empty(t, w.problems())
+	require.Contains(t, sim.ackedRevisions, order.Digest())
+	require.Empty(t, sim.violationReport())
 }
 
-func TestLeastChainSharesAMemberWithEveryMajority(t *testing.T) {
+func TestMinChainLengthSharesAMemberWithEveryMajority(t *testing.T) {
 	for tolerated := range 4 {
 		m := &Machine{config: Config{MaxFailures: tolerated}}
 		for voters := 1; voters <= 13; voters++ {
@@ -350,84 +335,84 @@
 	}
 }
 
-// All lose power and start within 0.3 s: the state is confirmed soon after the whole chain is there. (That the newest order
-// was committed is known once all members of the chain have told that they have it.)
-func TestAStateIsConfirmedSoonAfterAllStartAgain(t *testing.T) {
+// All lose power and restart within 0.3 s: the state is confirmed soon after the whole chain is back. (That the last entry was
+// committed is known once all members of the chain have reported that they have it.)
+func TestStateIsConfirmedSoonAfterAllRestart(t *testing.T) {
 	for seed := range uint64(100) {
-		w := founded(t, seed, 3)
-		w.slowest = 2 * time.Millisecond
-		for _, n := range w.nodes {
-			w.crash(n)
+		sim := newBootstrapped(t, seed)
+		sim.maxDelay = 2 * time.Millisecond
+		for _, n := range sim.nodes {
+			sim.crash(n)
 		}
-		w.runUntil(w.now + time.Second)
-		for i, n := range w.nodes {
-			w.after(time.Duration(i)*100*time.Millisecond, func() { w.start(n) })
+		sim.runUntil(sim.now + time.Second)
+		for i, n := range sim.nodes {
+			sim.schedule(time.Duration(i)*100*time.Millisecond, func() { sim.start(n) })
 		}
-		w.runUntil(w.now + 200*time.Millisecond + 3*worldTick + 10*time.Millisecond)
-		for _, n := range w.nodes {
+		sim.runUntil(sim.now + 200*time.Millisecond + 3*tickInterval + 10*time.Millisecond)
+		for _, n := range sim.nodes {
 			require.Positive(t, n.machine.StateConfirmed(), "seed %d, %s", seed, n.address)
 		}
-		require.Empty(t, w.problems(), "seed %d", seed)
+		require.Empty(t, sim.violationReport(), "seed %d", seed)
 	}
 }
 
-// pendingMember gives a world and a member of its chain that has stored an entry which the head sent, with the status that the
-// others tell once they have it too.
-func pendingMember(t *testing.T) (w *world, n *node, others map[Member]Status) {
+// newMemberWithPendingEntry returns a simulation and a member of its chain that has stored an entry which the head sent, with the
+// statuses that the others report once they have it too.
+func newMemberWithPendingEntry(t *testing.T) (sim *simulation, n *node, others map[Member]Status) {
 	t.Helper()
-	w = founded(t, 1, 3)
-	view := w.view()
-	n = w.nodeOf(view.Chain[1])
-	state, err := n.machine.log.state.Apply(w.order(1, 2, "next"))
+	sim = newBootstrapped(t, 1)
+	view := sim.view()
+	n = sim.nodeFor(view.Chain[1])
+	state, err := n.machine.log.state.Apply(sim.newOrder(1, 2, "next"))
 	require.NoError(t, err)
-	entry := Entry{Epoch: view.Epoch, Seq: n.machine.log.seq + 1, Order: w.order(1, 2, "next"), History: state.History()}
-	w.step(n, func() Ready {
-		return n.machine.Step(w.now, Envelope{From: view.Head(), To: n.machine.Self(), Body: Append{Entry: entry}})
+	entry := Entry{Epoch: view.Epoch, Seq: n.machine.log.seq + 1, Order: sim.newOrder(1, 2, "next"), History: state.History()}
+	sim.step(n, func() Ready {
+		return n.machine.Step(sim.now, Envelope{From: view.Head(), To: n.machine.Self(), Body: Append{Entry: entry}})
 	})
 	require.True(t, n.machine.log.hasPending())
 	others = map[Member]Status{}
 	for _, member := range view.Chain {
 		if member != n.machine.Self() {
-			status := w.nodeOf(member).machine.Status()
+			status := sim.nodeFor(member).machine.Status()
 			status.Seq = entry.Seq
 			others[member] = status
 		}
 	}
-	return w, n, others
+	return sim, n, others
 }
 
-func (w *world) hear(n *node, others map[Member]Status) {
+func (sim *simulation) deliverStatuses(n *node, others map[Member]Status) {
 	for member, status := range others {
-		w.step(n, func() Ready {
-			return n.machine.Step(w.now, Envelope{From: member, To: n.machine.Self(), Body: HeartbeatReply{Stamp: w.now, Status: status}})
+		sim.step(n, func() Ready {
+			return n.machine.Step(sim.now, Envelope{From: member, To: n.machine.Self(), Body: HeartbeatReply{Stamp: sim.now, Status: status}})
 		})
 	}
 }
 
-func TestAnEntryThatTheWholeChainHasIsCommitted(t *testing.T) {
-	w, n, others := pendingMember(t)
-	w.hear(n, others)
+func TestEntryReportedByTheWholeChainIsCommitted(t *testing.T) {
+	sim, n, others := newMemberWithPendingEntry(t)
+	sim.deliverStatuses(n, others)
 	require.False(t, n.machine.log.hasPending())
 }
 
-// A member that promised the next epoch told what it had then. An entry that it pulls afterwards may be on the whole chain and
-// yet be no part of the next view: in drawn history 2578 (with heartbeats of 30 ms after a start) it was acknowledged.
+// A member that promised the next epoch reported its log then. An entry that it fetches afterwards may be on the whole chain and
+// yet not be part of the next view: in random history 2578 (with heartbeats of 30 ms after a start) it was acknowledged.
 func TestAnEntryPulledAfterAPromiseIsNotTakenForCommitted(t *testing.T) {
-	w, n, others := pendingMember(t)
-	proposer := w.view().Head()
-	w.step(n, func() Ready {
+	sim, n, others := newMemberWithPendingEntry(t)
+	proposer := sim.view().Head()
+	sim.step(n, func() Ready {
 		prepare := Prepare{Epoch: n.machine.View().Epoch + 1, Ballot: Ballot{Round: 7, Proposer: proposer}}
-		return n.machine.Step(w.now, Envelope{From: proposer, To: n.machine.Self(), Body: prepare})
+		return n.machine.Step(sim.now, Envelope{From: proposer, To: n.machine.Self(), Body: prepare})
 	})
-	w.hear(n, others)
+	sim.deliverStatuses(n, others)
 	require.True(t, n.machine.log.hasPending(), "it has promised itself")
 
-	w, n, others = pendingMember(t)
+	sim, n, others = newMemberWithPendingEntry(t)
 	for member, status := range others {
 		status.Sealed = true
 		others[member] = status
 		break
 	}
-	w.hear(n, others)
+	sim.deliverStatuses(n, others)
 	require.True(t, n.machine.log.hasPending(), "another member of the chain has promised")
 }
--- /dev/null
+++ b/internal/fleet/replica/simulation_checks_test.go
@@ -0,0 +1,133 @@
+package replica
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func (sim *simulation) reportViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
+}
+
+// violationReport returns the first violations, one a line, empty if there are none.
+func (sim *simulation) violationReport() string {
+	return strings.Join(sim.violations[:min(len(sim.violations), 40)], "\n")
+}
+
+// checkView checks that all members have the same view of an epoch.
+func (sim *simulation) checkView(n *node) {
+	view := n.machine.View()
+	if view.Epoch == n.checkedEpoch {
+		return
+	}
+	n.checkedEpoch = view.Epoch
+	text := fmt.Sprint(view)
+	if previous, known := sim.views[view.Epoch]; known && previous != text {
+		sim.reportViolation("epoch %d has two views: %s and %s", view.Epoch, previous, text)
+	}
+	sim.views[view.Epoch] = text
+}
+
+// checkLease checks that a state that a member takes for confirmed was the last acknowledged one then.
+func (sim *simulation) checkLease(n *node) {
+	confirmed := n.machine.StateConfirmed()
+	if confirmed == 0 {
+		return
+	}
+	if sim.faults.leaseUnconfirmed {
+		confirmed = sim.now
+	}
+	_, state := n.machine.Committed()
+	for _, ack := range sim.ackLog {
+		if ack.at < confirmed && ack.revision > state.Document.Revision {
+			sim.reportViolation("%s takes revision %d for the last one at %v, %d was acknowledged at %v", n.address,
+				state.Document.Revision, confirmed, ack.revision, ack.at)
+		}
+	}
+}
+
+// lostCount returns the number of members that count as lost: those that do not serve, and those that have served for less than
+// catchUpTime.
+func (sim *simulation) lostCount() int {
+	lost := 0
+	for _, n := range sim.nodes {
+		if sim.isLost(n) {
+			lost++
+		}
+	}
+	return lost
+}
+
+func (sim *simulation) isLost(n *node) bool {
+	return !n.cannotVote && (!n.up || n.frozen || n.diskFails || n.partitioned || sim.now-n.upSince < sim.catchUpTime)
+}
+
+// checkSurvivesNextLoss checks that the fleet survives any next loss: a majority of the voters and a complete replica remain,
+// whichever members are lost with their disks.
+func (sim *simulation) checkSurvivesNextLoss() {
+	if !sim.checkRedundancy || sim.redundancyCheckedAt == sim.now {
+		return
+	}
+	sinceLastCheck := sim.now - sim.redundancyCheckedAt
+	sim.redundancyCheckedAt = sim.now
+	more := sim.maxFailures - sim.lostCount()
+	if more < 0 {
+		sim.excessLossAt = sim.now
+	}
+	recovering := sim.now < sim.slowUntil+sim.catchUpTime || sim.excessLossAt > 0 && sim.now-sim.excessLossAt < recoveryTimeout
+	if more < 0 || len(sim.partitions) > 0 || recovering {
+		return
+	}
+	if !sim.survivesNextLoss(more) {
+		if sim.unsafeFor += sinceLastCheck; sim.unsafeFor > sinceLastCheck {
+			return // it was reported
+		}
+		sim.reportViolation("the loss of %d more leaves no majority or no replica: view %v", more, sim.view())
+	}
+}
+
+func (sim *simulation) survivesNextLoss(more int) bool {
+	view := sim.view()
+	var intact []*node
+	for _, n := range sim.nodes {
+		if !sim.isLost(n) && !n.cannotVote {
+			intact = append(intact, n)
+		}
+	}
+	return sim.survivesAny(view, intact, more)
+}
+
+// survivesAny reports whether a view survives the loss of any more of the intact members.
+func (sim *simulation) survivesAny(view View, intact []*node, more int) bool {
+	if more == 0 || len(intact) == 0 {
+		voters, replicas := 0, 0
+		for _, n := range intact {
+			if slices.Contains(view.Voters, n.machine.Self()) {
+				voters++
+			}
+			if slices.Contains(view.Chain, n.machine.Self()) {
+				replicas++
+			}
+		}
+		return voters >= majority(len(view.Voters)) && replicas > 0
+	}
+	for i := range intact {
+		if !sim.survivesAny(view, slices.Delete(slices.Clone(intact), i, i+1), more-1) {
+			return false
+		}
+	}
+	return true
+}
+
+// requireProgress requires that an order is committed within a time and that nothing was violated.
+func requireProgress(t *testing.T, sim *simulation, within time.Duration, about ...any) {
+	t.Helper()
+	elapsed := sim.submitUntilCommitted(t, sim.lastAcked(), sim.lastAcked()+1)
+	require.Less(t, elapsed, within, about...)
+	require.Empty(t, sim.violationReport(), about...)
+}
--- /dev/null
+++ b/internal/fleet/replica/simulation_test.go
@@ -0,0 +1,261 @@
+package replica
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"linenwheel.dev/linenwheel/internal/fleet/operator"
+)
+
+// simulation runs members, their disks and their network in virtual time. It records every order and reply, and every
+// violation of an invariant.
+type simulation struct {
+	rand        *rand.Rand
+	now         time.Duration
+	events      events
+	lastSeq     int
+	nodes       []*node
+	partitions  map[[2]string]bool // by sender and recipient
+	faults      injectedFaults
+	seeds       []string
+	maxFailures int
+	maxDelay    time.Duration // of a message
+
+	lastID         uint64
+	submitted      map[uint64]operator.Order
+	submittedAt    map[uint64]time.Duration
+	ackedRevisions map[operator.Digest]int64
+	ackCounts      map[operator.Digest]int
+	ackLog         []ack
+	ackedByBase    map[int64]operator.Digest
+	views          map[uint64]string
+	violations     []string
+
+	operations     map[operator.Digest]*operation // by what was sent, each once
+	completedCalls []operation                    // rejections and reads
+	operateUntil   time.Duration                  // operators submit orders until then
+
+	checkRedundancy     bool          // check at each tick that the next loss would be survived
+	unsafeFor           time.Duration // total time for which it would not have been
+	catchUpTime         time.Duration
+	redundancyCheckedAt time.Duration
+	slowUntil           time.Duration // messages are slow until then
+	excessLossAt        time.Duration // when more than maxFailures members were lost
+	corruptChunks       bool
+	transferRate        int // 0: the default
+}
+
+type node struct {
+	address      string
+	domain       string
+	machine      *Machine
+	disk         Stored
+	previousView *Proposal // the stored view before the present one
+	up           bool
+	frozen       bool
+	cannotVote   bool
+	diskFails    bool
+	founder      bool
+	leaving      bool
+	partitioned  bool
+	upSince      time.Duration
+	deferred     []func() // events that arrived while the node was frozen
+	starts       int
+	checkedEpoch uint64 // the last epoch whose view was checked
+}
+
+type event struct {
+	at  time.Duration
+	seq int
+	run func()
+}
+
+type events []event
+
+func (e events) Len() int { return len(e) }
+
+func (e events) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+}
+
+func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+
+func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+
+func (e *events) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
+	return last
+}
+
+const (
+	tickInterval    = 50 * time.Millisecond
+	defaultMaxDelay = 2 * time.Millisecond
+)
+
+func newSimulation(seed uint64, members int) *simulation {
+	sim := &simulation{
+		rand:           rand.New(rand.NewPCG(seed, 1)),
+		now:            time.Millisecond,
+		partitions:     map[[2]string]bool{},
+		maxFailures:    1,
+		maxDelay:       defaultMaxDelay,
+		submitted:      map[uint64]operator.Order{},
+		submittedAt:    map[uint64]time.Duration{},
+		ackedRevisions: map[operator.Digest]int64{},
+		ackCounts:      map[operator.Digest]int{},
+		ackedByBase:    map[int64]operator.Digest{},
+		views:          map[uint64]string{},
+		operations:     map[operator.Digest]*operation{},
+		operateUntil:   24 * time.Second,
+		catchUpTime:    4 * time.Second,
+	}
+	for i := range members {
+		sim.seeds = append(sim.seeds, fmt.Sprintf("m%d", i))
+	}
+	for _, address := range sim.seeds {
+		n := &node{address: address, founder: true}
+		sim.nodes = append(sim.nodes, n)
+		sim.schedule(time.Duration(sim.rand.IntN(300))*time.Millisecond, func() { sim.start(n) })
+	}
+	return sim
+}
+
+func (sim *simulation) schedule(wait time.Duration, run func()) {
+	sim.lastSeq++
+	heap.Push(&sim.events, event{sim.now + wait, sim.lastSeq, run})
+}
+
+func (sim *simulation) runUntil(end time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at <= end {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.at
+		next.run()
+	}
+	sim.now = end
+}
+
+func (sim *simulation) config() Config {
+	config := DefaultConfig()
+	config.MaxFailures = sim.maxFailures
+	config.Seeds = sim.availableSeeds()
+	if sim.transferRate > 0 {
+		config.TransferRate = sim.transferRate
+	}
+	return config
+}
+
+// availableSeeds returns the seeds that the settings of a process name when it starts: addresses of machines that exist then.
+func (sim *simulation) availableSeeds() []string {
+	var seeds []string
+	for _, n := range sim.nodes[:min(len(sim.seeds), len(sim.nodes))] {
+		seeds = append(seeds, n.address)
+	}
+	return seeds
+}
+
+func (sim *simulation) start(n *node) {
+	if n.up {
+		return
+	}
+	if n.disk.Self.Address == "" {
+		n.disk.Self = Member{Address: n.address, Incarnation: sim.rand.Uint64() | 1, Domain: n.domain}
+		if n.founder {
+			n.disk.Founder, n.disk.Founders = true, sim.seeds
+		}
+		n.founder = false
+	}
+	n.checkedEpoch = 0
+	sim.injectDiskFaults(n)
+	config := sim.config()
+	config.CanVote = !n.cannotVote
+	machine, err := New(config, n.disk, sim.now)
+	if err != nil {
+		sim.reportViolation("%s cannot start: %v", n.address, err)
+		return
+	}
+	n.machine, n.up, n.frozen, n.leaving, n.upSince = machine, true, false, false, sim.now
+	n.starts++
+	sim.tick(n, n.starts)
+}
+
+func (sim *simulation) tick(n *node, starts int) {
+	if !n.up || n.starts != starts {
+		return
+	}
+	sim.step(n, func() Ready { return n.machine.Tick(sim.now) })
+	sim.checkSurvivesNextLoss()
+	if n.up && !n.diskFails && !n.machine.Healthy() {
+		n.machine.SetHealthy()
+	}
+	sim.schedule(tickInterval, func() { sim.tick(n, starts) })
+}
+
+// step calls a member's machine and carries out the Ready: it stores, sends and replies, in this order.
+func (sim *simulation) step(n *node, run func() Ready) {
+	if !n.up {
+		return
+	}
+	if n.frozen {
+		n.deferred = append(n.deferred, func() { sim.step(n, run) })
+		return
+	}
+	before := n.machine.Checkpoint()
+	out := run()
+	if n.diskFails && len(out.Records) > 0 {
+		n.machine.Rollback(before)
+		return
+	}
+	for _, record := range out.Records {
+		sim.store(n, record)
+	}
+	sim.checkView(n)
+	sim.checkLease(n)
+	for _, envelope := range out.Messages {
+		sim.send(n, envelope)
+	}
+	for _, reply := range out.Replies {
+		sim.onReply(n, reply)
+	}
+}
+
+func (sim *simulation) store(n *node, record Record) {
+	if sim.faults.dropRecord(record) {
+		return
+	}
+	if _, isView := record.(SaveView); isView {
+		n.previousView = n.disk.View
+	}
+	n.disk.Apply(record)
+}
+
+func (sim *simulation) send(from *node, envelope Envelope) {
+	to := sim.node(envelope.To.Address)
+	if to == nil || sim.isPartitioned(from, to) {
+		return
+	}
+	envelope = sim.injectMessageFaults(from, to, envelope)
+	delay := 200*time.Microsecond + time.Duration(sim.rand.Int64N(int64(sim.maxDelay)))
+	if from == to {
+		delay = 0
+	} else if sim.rand.IntN(200) == 0 { // some messages are lost
+		return
+	}
+	sim.schedule(delay, func() {
+		if sim.isPartitioned(from, to) {
+			return
+		}
+		sim.step(to, func() Ready { return to.machine.Step(sim.now, envelope) })
+	})
+}
+
+func (sim *simulation) node(address string) *node {
+	for _, n := range sim.nodes {
+		if n.address == address {
+			return n
+		}
+	}
+	return nil
+}
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -23,7 +23,7 @@
 	return operator.Digest(bytes)
 }
 
-// goldenStored is what the disks in testdata hold. No field of it is zero.
+// goldenStored returns the content of the disks in testdata. No field of it is zero.
 func goldenStored() replica.Stored {
 	first := replica.Member{Address: "10.0.0.1:7680", Incarnation: 42, Domain: "zone-a"}
 	second := replica.Member{Address: "10.0.0.2:7680", Incarnation: 43, Domain: "zone-b"}
@@ -62,19 +62,19 @@
 	}
 }
 
-// writeGolden writes a disk as the process writes it: one record a write, each after what it builds on.
+// writeGolden writes a disk as the process does: one record a write, each after those that it depends on.
 func writeGolden(t *testing.T, dir string, compacted bool) *Store {
 	t.Helper()
 	store, _ := open(t, dir)
-	held := goldenStored()
+	stored := goldenStored()
 	for _, record := range []replica.Record{
-		replica.SaveIdentity{Self: held.Self, Founder: held.Founder, Founders: held.Founders},
-		replica.SaveView{Proposal: *held.View},
-		replica.SaveSnapshot{Snapshot: *held.Snapshot},
-		replica.SaveEntry{Entry: held.Entries[0]},
-		replica.SaveEntry{Entry: held.Entries[1]},
-		replica.SaveAccepted{Accepted: *held.Accepted},
-		replica.SavePromise{Epoch: held.View.View.Epoch + 1, Ballot: held.Promised},
+		replica.SaveIdentity{Self: stored.Self, Founder: stored.Founder, Founders: stored.Founders},
+		replica.SaveView{Proposal: *stored.View},
+		replica.SaveSnapshot{Snapshot: *stored.Snapshot},
+		replica.SaveEntry{Entry: stored.Entries[0]},
+		replica.SaveEntry{Entry: stored.Entries[1]},
+		replica.SaveAccepted{Accepted: *stored.Accepted},
+		replica.SavePromise{Epoch: stored.View.View.Epoch + 1, Ballot: stored.Promised},
 	} {
 		require.NoError(t, store.Write([]replica.Record{record}))
 	}
@@ -84,8 +84,8 @@
 	return store
 }
 
-// TestADiskOfAnEarlierVersionIsRead reads disks that an earlier version wrote: one as written, one after a compaction.
-func TestADiskOfAnEarlierVersionIsRead(t *testing.T) {
+// TestDiskOfAnEarlierVersionIsRead reads disks that an earlier version wrote: one as written, one after a compaction.
+func TestDiskOfAnEarlierVersionIsRead(t *testing.T) {
 	for name, compacted := range map[string]bool{"disk": false, "disk-compacted": true} {
 		fresh := writeGolden(t, t.TempDir(), compacted)
 		file := filepath.Base(fresh.path(fresh.generation))
@@ -98,11 +98,11 @@
 		store, stored := open(t, dir)
 		require.Equal(t, goldenStored(), stored, name)
 		require.Equal(t, describeDisk(t, store), describeDisk(t, fresh), "the keys and types on %s", name)
-		requireStart(t, stored)
+		requireRestart(t, stored)
 	}
 }
 
-// describeDisk gives the types of the values by their keys.
+// describeDisk returns the types of the values by their keys.
 func describeDisk(t *testing.T, store *Store) map[string][]string {
 	t.Helper()
 	values, err := store.readGeneration(store.generation)
@@ -114,8 +114,8 @@
 	return described
 }
 
-// requireStart checks that a member starts from what is on its disk, with the view and the state that were there.
-func requireStart(t *testing.T, stored replica.Stored) {
+// requireRestart checks that a member starts from what is on its disk, with the stored view and state.
+func requireRestart(t *testing.T, stored replica.Stored) {
 	t.Helper()
 	m, err := replica.New(replica.DefaultConfig(), stored, time.Second)
 	require.NoError(t, err)
@@ -124,6 +124,6 @@
 	require.Equal(t, uint64(8), committed, "an entry is committed once another follows it")
 	require.Equal(t, stored.Entries[0].History, agreed.History())
 	require.Equal(t, int64(80), agreed.Document.Revision)
-	require.Equal(t, uint64(9), m.Status().Seq, "an entry is taken only if it leads to the digest that it carries")
+	require.Equal(t, uint64(9), m.Status().Seq, "an entry is accepted only if it leads to the digest that it carries")
 	require.Equal(t, stored.Entries[:1], m.Log().Entries(7, 8))
 }
--- a/internal/fleet/storage/records.go
+++ b/internal/fleet/storage/records.go
@@ -119,13 +119,13 @@
 
 // decodeVote decodes the promise and the accepted proposal, unless they are for an epoch that was decided since.
 func decodeVote(values map[string][]byte, stored *replica.Stored) error {
-	var promise replica.SavePromise
+	var promised replica.SavePromise
 	var accepted replica.Accepted
-	if err := errors.Join(decode(values, keyPromise, &promise), decode(values, keyAccepted, &accepted)); err != nil {
+	if err := errors.Join(decode(values, keyPromise, &promised), decode(values, keyAccepted, &accepted)); err != nil {
 		return err
 	}
-	if promise.Epoch == nextEpoch(stored) {
-		stored.Promised = promise.Ballot
+	if promised.Epoch == nextEpoch(stored) {
+		stored.Promised = promised.Ballot
 	}
 	if accepted.Proposal.View.Epoch == nextEpoch(stored) {
 		stored.Accepted = &accepted
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -59,7 +59,7 @@
 	return store, stored
 }
 
-// write stores records one write at a time and gives the file's size after each.
+// write stores records one write at a time and returns the file's size after each.
 func write(t *testing.T, store *Store, records ...replica.Record) []int64 {
 	t.Helper()
 	var sizes []int64
@@ -72,7 +72,7 @@
 	return sizes
 }
 
-func story() []replica.Record {
+func recordSequence() []replica.Record {
 	ballot := replica.Ballot{Round: 3, Proposer: self}
 	proposal := viewRecord(2, 2).(replica.SaveView).Proposal
 	return []replica.Record{identityRecord(), viewRecord(1, 0), entryRecord(1, 1), entryRecord(1, 2),
@@ -81,8 +81,8 @@
 		viewRecord(2, 2), entryRecord(2, 3), snapshotRecord(7), entryRecord(2, 8)}
 }
 
-// held gives what a disk holds after the first records of the story.
-func held(records []replica.Record) replica.Stored {
+// storedAfter returns the content of a disk after records.
+func storedAfter(records []replica.Record) replica.Stored {
 	var stored replica.Stored
 	for _, record := range records {
 		stored.Apply(record)
@@ -90,32 +90,32 @@
 	return stored
 }
 
-func TestWhatWasWrittenIsReadAgain(t *testing.T) {
+func TestWrittenRecordsAreReadAfterReopening(t *testing.T) {
 	dir := t.TempDir()
-	for i := range story() {
+	for i := range recordSequence() {
 		store, _ := open(t, dir)
-		write(t, store, story()[i])
+		write(t, store, recordSequence()[i])
 		store.Close()
 		_, stored := open(t, dir)
-		require.Equal(t, held(story()[:i+1]), stored, "after %d records", i+1)
+		require.Equal(t, storedAfter(recordSequence()[:i+1]), stored, "after %d records", i+1)
 	}
 }
 
 // A loss of power leaves any part of what was written since the last sync. Whatever is cut off, and whatever stands in
 // its place, what was synced before is read, and nothing that was never written.
-func TestATornEndIsCutOff(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	source := t.TempDir()
 	store, _ := open(t, source)
-	sizes := write(t, store, story()...)
+	sizes := write(t, store, recordSequence()...)
 	store.Close()
 	content, err := os.ReadFile(store.path(store.generation))
 	require.NoError(t, err)
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for i := 1; i < len(sizes); i++ {
 		for range 40 {
-			torn := tear(content[:sizes[i]], int(sizes[i-1]), chance)
+			torn := damageTail(content[:sizes[i]], int(sizes[i-1]), random)
 			stored := readFile(t, torn)
-			before, after := held(story()[:i]), held(story()[:i+1])
+			before, after := storedAfter(recordSequence()[:i]), storedAfter(recordSequence()[:i+1])
 			if len(torn) == int(sizes[i]) && string(torn) == string(content[:sizes[i]]) {
 				require.Equal(t, after, stored)
 				continue
@@ -125,17 +125,17 @@
 	}
 }
 
-// tear spoils a file after its synced part: cut short, zeroed, or with a part of it turned.
-func tear(content []byte, synced int, chance *rand.Rand) []byte {
+// damageTail spoils a file after its synced part: cut short, zeroed, or with a part of it turned.
+func damageTail(content []byte, synced int, random *rand.Rand) []byte {
 	torn := append([]byte(nil), content...)
-	at := synced + chance.IntN(len(content)-synced)
-	switch chance.IntN(3) {
+	at := synced + random.IntN(len(content)-synced)
+	switch random.IntN(3) {
 	case 0:
 		return torn[:at]
 	case 1:
 		clear(torn[at:])
 	case 2:
-		torn[at] ^= byte(1 + chance.IntN(255))
+		torn[at] ^= byte(1 + random.IntN(255))
 	}
 	return torn
 }
@@ -148,23 +148,23 @@
 	return stored
 }
 
-func TestAnUnfinishedCompactionIsPassedOver(t *testing.T) {
+func TestUnfinishedCompactionIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
-	write(t, store, story()...)
-	old, err := os.ReadFile(store.path(store.generation))
+	write(t, store, recordSequence()...)
+	previous, err := os.ReadFile(store.path(store.generation))
 	require.NoError(t, err)
 	generation := store.generation
 	require.NoError(t, store.compact())
-	whole, err := os.ReadFile(store.path(store.generation))
+	compacted, err := os.ReadFile(store.path(store.generation))
 	require.NoError(t, err)
 	store.Close()
-	for size := 0; size < len(whole); size += 7 {
+	for size := 0; size < len(compacted); size += 7 {
 		dir := t.TempDir()
-		require.NoError(t, os.WriteFile(filepath.Join(dir, fmt.Sprintf("control-%06d.db", generation)), old, 0o644))
-		require.NoError(t, os.WriteFile(filepath.Join(dir, fmt.Sprintf("control-%06d.db", generation+1)), whole[:size], 0o644))
+		require.NoError(t, os.WriteFile(filepath.Join(dir, fmt.Sprintf("control-%06d.db", generation)), previous, 0o644))
+		require.NoError(t, os.WriteFile(filepath.Join(dir, fmt.Sprintf("control-%06d.db", generation+1)), compacted[:size], 0o644))
 		second, stored := open(t, dir)
-		require.Equal(t, held(story()), stored, "%d of %d bytes", size, len(whole))
+		require.Equal(t, storedAfter(recordSequence()), stored, "%d of %d bytes", size, len(compacted))
 		write(t, second, entryRecord(2, 9))
 		second.Close()
 		_, stored = open(t, dir)
@@ -172,17 +172,17 @@
 	}
 }
 
-func TestTheOldGenerationMayStillBeThere(t *testing.T) {
+func TestPreviousGenerationMayStillExist(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
-	write(t, store, story()...)
-	old, err := os.ReadFile(store.path(store.generation))
+	write(t, store, recordSequence()...)
+	previous, err := os.ReadFile(store.path(store.generation))
 	require.NoError(t, err)
 	path := store.path(store.generation)
 	require.NoError(t, store.compact())
 	write(t, store, entryRecord(2, 9))
 	store.Close()
-	require.NoError(t, os.WriteFile(path, old, 0o644)) // its removal was lost with the power
+	require.NoError(t, os.WriteFile(path, previous, 0o644)) // its removal was lost with the power
 	_, stored := open(t, dir)
 	require.Len(t, stored.Entries, 2)
 }
@@ -190,7 +190,7 @@
 func TestRecordsOfAnEarlierEpochAreVoid(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
-	write(t, store, story()[:6]...)
+	write(t, store, recordSequence()[:6]...)
 	write(t, store, viewRecord(2, 1))
 	store.Close()
 	_, stored := open(t, dir)
@@ -200,7 +200,7 @@
 	require.Zero(t, stored.Promised)
 }
 
-func TestAnEntryThatWasReplacedIsNotReadAgain(t *testing.T) {
+func TestReplacedEntryIsNotRead(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord(), viewRecord(1, 0), entryRecord(1, 1), entryRecord(1, 2), viewRecord(2, 1), entryRecord(2, 2))
@@ -210,7 +210,7 @@
 	require.EqualValues(t, 2, stored.Entries[1].Epoch)
 }
 
-func TestADiskOfTheEarlierFormatIsRefusedAndKept(t *testing.T) {
+func TestDiskOfTheObsoleteFormatIsRefusedAndKept(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord())
@@ -230,17 +230,17 @@
 func TestAWriteThatFailsLeavesWhatWasThere(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
-	write(t, store, story()[:3]...)
+	write(t, store, recordSequence()[:3]...)
 	require.NoError(t, store.file.Close()) // the sync will fail
 	require.Error(t, store.Write([]replica.Record{entryRecord(1, 2)}))
 	require.NoError(t, store.Recover())
 	write(t, store, entryRecord(1, 2))
 	store.Close()
 	_, stored := open(t, dir)
-	require.Equal(t, held(story()[:4]), stored)
+	require.Equal(t, storedAfter(recordSequence()[:4]), stored)
 }
 
-func TestManyEntriesAreFoldedIntoTheirBase(t *testing.T) {
+func TestEntriesAreFoldedIntoTheSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord(), viewRecord(1, 0))
@@ -259,7 +259,7 @@
 	require.Len(t, names, 1, "old generations are gone")
 }
 
-func TestOneEmptyFolderIsAnEmptyDisk(t *testing.T) {
+func TestEmptyDirectoryIsAnEmptyDisk(t *testing.T) {
 	_, stored := open(t, filepath.Join(t.TempDir(), "new"))
 	require.Equal(t, replica.Stored{}, stored)
 }
@@ -267,7 +267,7 @@
 func TestFailedRemovalOfAPreviousGenerationKeepsTheNewOne(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
-	write(t, store, story()...)
+	write(t, store, recordSequence()...)
 	// A file above the complete generation, as an unfinished compaction leaves one, that cannot be removed: a directory that
 	// is not empty stands for it.
 	obstacle := store.path(store.generation + 5)
@@ -277,5 +277,5 @@
 
 	require.NoError(t, os.RemoveAll(obstacle))
 	_, stored := open(t, dir)
-	require.Equal(t, held(story()), stored)
+	require.Equal(t, storedAfter(recordSequence()), stored)
 }
