--- a/internal/fleet/replica/exploration_test.go
+++ b/internal/fleet/replica/exploration_test.go
@@ -105,7 +105,8 @@
 	}
 	if m.attempt != nil {
 		attempt := *m.attempt
-		attempt.promises, attempt.installedBy, attempt.acceptedBy = maps.Clone(attempt.promises), maps.Clone(attempt.installedBy), maps.Clone(attempt.acceptedBy)
+		attempt.promises = maps.Clone(attempt.promises)
+		attempt.installedBy, attempt.acceptedBy = maps.Clone(attempt.installedBy), maps.Clone(attempt.acceptedBy)
 		next.attempt = &attempt
 	}
 	if m.transfer.install != nil {
--- a/internal/fleet/replica/random_faults_test.go
+++ b/internal/fleet/replica/random_faults_test.go
@@ -76,6 +76,7 @@
 	}
 	n := sim.nodes[sim.rand.IntN(len(sim.nodes))]
 	duration := time.Duration(100+sim.rand.IntN(3500)) * time.Millisecond
+	// The names are part of the line that the test prints, which is compared between versions: they stay.
 	kinds := []struct {
 		name    string
 		members int
--- a/internal/fleet/replica/second_loss_test.go
+++ b/internal/fleet/replica/second_loss_test.go
@@ -12,8 +12,8 @@
 var lossDelays = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
 	1500 * time.Millisecond, 2500 * time.Millisecond, 4 * time.Second}
 
-// In a planned replacement the new machine starts first and catches up, then the old one is shut down gracefully. As soon as that
-// one has stopped, the disk of another one is lost.
+// In a planned replacement the new machine starts first and catches up, then the old one is shut down gracefully. As soon as that one has
+// stopped, the disk of another one is lost.
 func TestADiskIsLostRightAfterAPlannedReplacement(t *testing.T) {
 	for _, delay := range lossDelays {
 		for seed := range uint64(60) {
@@ -21,13 +21,13 @@
 			sim.join("m9", "")
 			sim.runUntil(sim.now + 4500*time.Millisecond)
 			sim.checkRedundancy = true
-			old, next := sim.nodes[seed%3], sim.nodes[(seed+1+seed/3%2)%3]
-			gone := false
-			sim.leave(old, func() { gone = true })
-			for !gone {
+			leaving, next := sim.nodes[seed%3], sim.nodes[(seed+1+seed/3%2)%3]
+			stopped := false
+			sim.leave(leaving, func() { stopped = true })
+			for !stopped {
 				sim.runUntil(sim.now + 10*time.Millisecond)
 			}
-			sim.removeNode(old)
+			sim.removeNode(leaving)
 			sim.runUntil(sim.now + delay)
 			sim.wipe(next)
 			requireProgress(t, sim, 2500*time.Millisecond, "delay %v, seed %d", delay, seed)
@@ -117,8 +117,8 @@
 		sim.join("m9", "")
 		sim.runUntil(sim.now + 4500*time.Millisecond)
 		sim.maxDelay = 80 * time.Millisecond
-		old := sim.nodes[seed%3]
-		sim.leave(old, func() {})
+		leaving := sim.nodes[seed%3]
+		sim.leave(leaving, func() {})
 		sim.runUntil(sim.now + time.Duration(sim.rand.IntN(400))*time.Millisecond)
 		second := sim.nodes[(seed+1)%3]
 		if seed%2 == 0 {
@@ -169,16 +169,16 @@
 func TestLeavingMemberWithTheOnlyOtherReplicaWaits(t *testing.T) {
 	for seed := range uint64(30) {
 		sim := newBootstrapped(t, seed)
-		down, old := sim.nodes[seed%3], sim.nodes[(seed+1)%3]
+		down, leaving := sim.nodes[seed%3], sim.nodes[(seed+1)%3]
 		sim.crash(down)
 		sim.submitUntilCommitted(t, 1, 2)
-		gone := time.Duration(0)
-		sim.leave(old, func() { gone = sim.now })
+		stopped := time.Duration(0)
+		sim.leave(leaving, func() { stopped = sim.now })
 		sim.runUntil(sim.now + 2*time.Second)
-		require.Zero(t, gone, "seed %d: it has one of F+1 replicas", seed)
+		require.Zero(t, stopped, "seed %d: it has one of F+1 replicas", seed)
 		requireProgress(t, sim, 2*time.Second, "seed %d", seed)
 		sim.start(down)
-		for gone == 0 {
+		for stopped == 0 {
 			sim.runUntil(sim.now + 50*time.Millisecond)
 		}
 		require.Contains(t, sim.view().Chain, down.disk.Self, "seed %d: it was released once another member had replaced it", seed)
@@ -192,12 +192,12 @@
 		sim.join("m9", "")
 		sim.runUntil(sim.now + 4500*time.Millisecond)
 		sim.maxDelay = 20 * time.Millisecond
-		old := sim.nodes[seed%3]
-		sim.leave(old, func() {})
-		for old.up && !old.machine.sealed() {
+		leaving := sim.nodes[seed%3]
+		sim.leave(leaving, func() {})
+		for leaving.up && !leaving.machine.sealed() {
 			sim.runUntil(sim.now + time.Millisecond)
 		}
-		sim.removeNode(old)
+		sim.removeNode(leaving)
 		requireProgress(t, sim, 4*time.Second, "seed %d", seed)
 		sim.runUntil(sim.now + sim.catchUpTime)
 		require.True(t, sim.survivesNextLoss(1), "seed %d: %v", seed, sim.view())
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -29,7 +29,7 @@
 	second := replica.Member{Address: "10.0.0.2:7680", Incarnation: 43, Domain: "zone-b"}
 	third := replica.Member{Address: "10.0.0.3:7680", Incarnation: 44, Domain: "zone-c"}
 	base := replica.Position{Seq: 7, History: digest("000102030405060708090a0b0c0d0e0f")}
-	newest := replica.Position{Seq: 9, History: digest("2e95a411a7de8563706103daf4e03057")}
+	last := replica.Position{Seq: 9, History: digest("2e95a411a7de8563706103daf4e03057")}
 	return replica.Stored{
 		Self:     first,
 		Founder:  true,
@@ -48,7 +48,7 @@
 		Entries: []replica.Entry{
 			{Epoch: 3, Seq: 8, History: digest("0ddad57b77afd8cef3871ff1d855bc9e"),
 				Order: operator.Order{Method: http.MethodPatch, Base: 70, Body: []byte(`{"Revision":80}`)}},
-			{Epoch: 3, Seq: 9, History: newest.History,
+			{Epoch: 3, Seq: 9, History: last.History,
 				Order: operator.Order{Method: http.MethodPut, Base: 80, Body: []byte(`{"Revision":90,"Backends":[{"Name":"other"}]}`)}},
 		},
 		Promised: replica.Ballot{Round: 6, Proposer: third},
@@ -56,7 +56,7 @@
 			Ballot: replica.Ballot{Round: 5, Proposer: second},
 			Proposal: replica.Proposal{
 				View: replica.View{Epoch: 4, Voters: []replica.Member{first, second}, Chain: []replica.Member{first, second}},
-				Base: newest,
+				Base: last,
 			},
 		},
 	}
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -33,7 +33,7 @@
 	return operator.Order{Method: http.MethodPatch, Base: int64(seq - 1), Body: fmt.Appendf(nil, `{"Revision":%d}`, seq)}
 }
 
-// states are those after each order of the tests.
+// states are the states after each order of the tests.
 var states = []*operator.State{operator.NewState()}
 
 func stateAt(seq uint64) *operator.State {
@@ -101,8 +101,8 @@
 	}
 }
 
-// A loss of power leaves any part of what was written since the last sync. Whatever is cut off, and whatever stands in
-// its place, what was synced before is read, and nothing that was never written.
+// A loss of power leaves any part of what was written since the last sync. However much is missing or replaced by other bytes, what
+// was synced before is read, and nothing that was never written.
 func TestTornTailIsTruncated(t *testing.T) {
 	source := t.TempDir()
 	store, _ := open(t, source)
@@ -125,7 +125,7 @@
 	}
 }
 
-// damageTail spoils a file after its synced part: cut short, zeroed, or with a part of it turned.
+// damageTail damages a file after its synced part: truncated, zeroed, or with bits of one byte flipped.
 func damageTail(content []byte, synced int, random *rand.Rand) []byte {
 	torn := append([]byte(nil), content...)
 	at := synced + random.IntN(len(content)-synced)
@@ -168,7 +168,7 @@
 		write(t, second, entryRecord(2, 9))
 		second.Close()
 		_, stored = open(t, dir)
-		require.Len(t, stored.Entries, 2, "the next write stands above the unfinished file")
+		require.Len(t, stored.Entries, 2, "the next write makes a generation after the unfinished one")
 	}
 }
 
@@ -256,7 +256,7 @@
 	require.EqualValues(t, orders, machine.Status().Seq)
 	names, err := os.ReadDir(dir)
 	require.NoError(t, err)
-	require.Len(t, names, 1, "old generations are gone")
+	require.Len(t, names, 1, "previous generations are removed")
 }
 
 func TestEmptyDirectoryIsAnEmptyDisk(t *testing.T) {
