--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -12,7 +12,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
 
-// filled gives a message with no field that is zero.
+// filled returns a message of which no field is zero.
 func filled[M any]() Message {
 	var message M
 	wiretest.Fill(&message)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestASnapshotInPiecesOfAnEarlierVersionIsRead(t *testing.T) {
+func TestSnapshotChunksOfAnEarlierVersionAreRead(t *testing.T) {
 	snapshot := operator.Snapshot{Document: []byte(`{"Revision":7,"Backends":[{"Name":"llm"}]}`),
 		Digests: []string{"digest of one 16", "digest of two 16"}, Made: []int64{6, 7}, Horizon: 5, History: "a history of 16 b"}
 	state, err := operator.FromSnapshot(snapshot)
@@ -44,11 +44,11 @@
 	stored := Stored{Self: Member{Address: "10.0.0.1:7680", Incarnation: 42}, Snapshot: &Snapshot{Seq: 7, State: snapshot}}
 	m, err := New(DefaultConfig(), stored, time.Second)
 	require.NoError(t, err)
-	fresh := m.snapshot().bytes
+	fresh := m.currentSnapshot().encoded
 	golden := wiretest.Golden(t, "snapshot-in-pieces", fresh)
 
 	half := len(golden) / 2
-	incoming := incomingSnapshot{pieces: [][]byte{golden[:half], golden[half:]}, whole: sha256.Sum256(golden)}
+	incoming := incomingSnapshot{chunks: [][]byte{golden[:half], golden[half:]}, checksum: sha256.Sum256(golden)}
 	read, err := incoming.decode()
 	require.NoError(t, err)
 	require.Equal(t, snapshot, read)
