--- a/internal/fleet/controlplane/submit.go
+++ b/internal/fleet/controlplane/submit.go
@@ -39,7 +39,7 @@
 	case <-timer.C:
 		r.enqueue(func() {
 			delete(r.submissions, id)
-			r.machine.Withdraw(id)
+			r.machine.Cancel(id)
 		})
 		return 0, errkind.New(errkind.OutcomeUnknown, "not committed in time")
 	}
@@ -51,7 +51,7 @@
 	result := make(chan *operator.State, 1)
 	queued := r.enqueue(func() {
 		r.confirmations.reads = append(r.confirmations.reads, pendingRead{r.clock(), result})
-		r.step(r.machine.Heartbeat)
+		r.step(r.machine.BroadcastHeartbeat)
 	})
 	if !queued {
 		return nil, errkind.New(errkind.OutcomeUnknown, "this member is behind")
@@ -92,7 +92,7 @@
 func (r *Replicator) resolve(reply replica.Reply) {
 	if reply.Unconfirmed {
 		r.confirmations.rejections = append(r.confirmations.rejections, pendingRejection{reply, r.clock()})
-		r.step(r.machine.Heartbeat)
+		r.step(r.machine.BroadcastHeartbeat)
 		return
 	}
 	if result := r.submissions[reply.ID]; result != nil {
--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -26,8 +26,8 @@
 	return m.processQueue()
 }
 
-// Withdraw removes an order whose caller has gone from the queue. It may still be committed.
-func (m *Machine) Withdraw(id uint64) {
+// Cancel removes an order whose caller has gone from the queue. It may still be committed.
+func (m *Machine) Cancel(id uint64) {
 	m.queue = slices.DeleteFunc(m.queue, func(s submission) bool { return s.id == id })
 }
 
--- a/internal/fleet/replica/departure.go
+++ b/internal/fleet/replica/departure.go
@@ -8,7 +8,7 @@
 // Leave announces to the other members that this one is about to shut down for good, so that they replace it.
 func (m *Machine) Leave(now time.Duration) Ready {
 	m.leaving = true
-	return m.Heartbeat(now)
+	return m.BroadcastHeartbeat(now)
 }
 
 // Released reports whether a leaving member may shut down: it is not in the chain, no other process can take its vote now or
--- a/internal/fleet/replica/failuredetector.go
+++ b/internal/fleet/replica/failuredetector.go
@@ -9,8 +9,8 @@
 // never answered it.
 const startupTimeouts = 2
 
-// Heartbeat returns a heartbeat to every known control process.
-func (m *Machine) Heartbeat(now time.Duration) Ready {
+// BroadcastHeartbeat returns a heartbeat to every known control process.
+func (m *Machine) BroadcastHeartbeat(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	m.heartbeatSentAt = m.now
 	var out Ready
--- a/internal/fleet/replica/machine.go
+++ b/internal/fleet/replica/machine.go
@@ -141,7 +141,7 @@
 	var out Ready
 	m.detectFailures()
 	if m.now-m.heartbeatSentAt >= m.config.HeartbeatInterval {
-		out.add(m.Heartbeat(now))
+		out.add(m.BroadcastHeartbeat(now))
 	}
 	out.add(m.retransmit())
 	out.add(m.reconfigure())
@@ -206,14 +206,14 @@
 	return voters
 }
 
-// Durable is a checkpoint of the durable part of a member.
-type Durable struct{ state durable }
+// Checkpoint is a checkpoint of the durable part of a member.
+type Checkpoint struct{ state durable }
 
 // Checkpoint returns the durable part, to roll back to if storing what the next call returns fails.
-func (m *Machine) Checkpoint() Durable { return Durable{m.durable} }
+func (m *Machine) Checkpoint() Checkpoint { return Checkpoint{m.durable} }
 
 // Rollback restores a checkpoint after a failed write. The member reports itself unhealthy until SetHealthy.
-func (m *Machine) Rollback(to Durable) {
+func (m *Machine) Rollback(to Checkpoint) {
 	m.durable = to.state
 	m.attempt = nil
 	m.transfer = transfer{}
