--- a/decide/api.go
+++ b/decide/api.go
@@ -232,29 +232,29 @@
 
 // New makes the Balancer of one node. It fails where the settings cannot work.
 func New(set Settings, seed uint64, act Actions) (*Balancer, error) {
-	if err := check(&set, act); err != nil {
+	if err := checkSettings(&set, act); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	b := &Balancer{set: set, act: act, rand: rand.New(rand.NewPCG(seed, 0x5741524c)),
-		byID: map[BackendID]*server{}, requests: map[RequestID]*request{}, pools: make([]pool, 2*len(set.Kinds)),
-		zones: make([]zone, len(set.Zones)), bins: make([]bin, 4*len(set.Classes)),
-		quota: make([]float64, len(set.Tenants)), tokens: retryMost, part: 1, users: 1, aim: math.Inf(1)}
+	b := &Balancer{settings: set, actions: act, random: rand.New(rand.NewPCG(seed, 0x5741524c)),
+		byID: map[BackendID]*backendState{}, requests: map[RequestID]*request{}, kindModels: make([]kindModel, 2*len(set.Kinds)),
+		zones: make([]zoneHealth, len(set.Zones)), admissionClasses: make([]admissionClass, 4*len(set.Classes)),
+		tenantTokens: make([]float64, len(set.Tenants)), retryTokens: maxRetryTokens, subsetFraction: 1, nodesPerBackend: 1, latencyTarget: math.Inf(1)}
 	for i, c := range set.Classes {
 		b.classes = append(b.classes, class{Class: c, work: 1})
-		b.aim = min(b.aim, c.Aim.Seconds())
-		cheap := b.set.Classes[b.cheap]
+		b.latencyTarget = min(b.latencyTarget, c.Aim.Seconds())
+		cheap := b.settings.Classes[b.trialClass]
 		if c.Effect < cheap.Effect || c.Effect == cheap.Effect && c.Worth < cheap.Worth {
-			b.cheap = i
+			b.trialClass = i
 		}
 	}
-	b.pace = min(1, b.aim/usualAim)
-	for i := range b.pools {
-		b.pools[i].idle = b.aim / dropAt // a guess until the first answer
+	b.timeScale = min(1, b.latencyTarget/referenceTargetSeconds)
+	for i := range b.kindModels {
+		b.kindModels[i].idleLatency = b.latencyTarget / dropFactor // a guess until the first answer
 	}
 	return b, nil
 }
 
-func check(set *Settings, act Actions) error {
+func checkSettings(set *Settings, act Actions) error {
 	switch {
 	case act == nil:
 		return fmt.Errorf("no actions")
--- a/decide/bounds_test.go
+++ b/decide/bounds_test.go
@@ -49,10 +49,10 @@
 				out[id] = true
 			}
 			require.LessOrEqual(r, len(w.b.byID), len(out))
-			require.Len(r, w.b.servers, len(w.b.byID))
+			require.Len(r, w.b.backends, len(w.b.byID))
 			require.LessOrEqual(r, len(w.b.requests), open)
-			require.LessOrEqual(r, len(w.b.free)+len(w.b.requests), most)
-			require.LessOrEqual(r, len(w.b.trials), len(w.b.servers))
+			require.LessOrEqual(r, len(w.b.freeRequests)+len(w.b.requests), most)
+			require.LessOrEqual(r, len(w.b.trialQueue), len(w.b.backends))
 		}
 		replace(rapid.IntRange(1, 8).Draw(r, "first"))
 		tell()
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -136,18 +136,18 @@
 	set := settings()
 	set.Ask = true
 	b, r := start(t, set, backends(2)...)
-	b.Timer(2*second, tokenAsk)
+	b.Timer(2*second, timerWatch)
 	if r.watches != 1 {
 		t.Fatalf("%d calls for the list, want 1", r.watches)
 	}
 	wakes := len(r.wakes)
 	b.List(4*second, ListFailed, nil)
-	if r.watches != 1 || len(r.wakes) != wakes+1 || r.wakes[wakes] < askBackoff/2 {
+	if r.watches != 1 || len(r.wakes) != wakes+1 || r.wakes[wakes] < watchBackoff/2 {
 		t.Fatalf("after a failure: %d calls, wakes %v", r.watches, r.wakes)
 	}
-	b.Timer(6*second, tokenAsk)
+	b.Timer(6*second, timerWatch)
 	b.List(6*second, ListFull, backends(2))
-	b.Timer(9*second, tokenAsk)
+	b.Timer(9*second, timerWatch)
 	if r.watches != 2 {
 		t.Errorf("%d calls, want 2: none while the subscription stands", r.watches)
 	}
@@ -189,10 +189,10 @@
 			}
 		}
 		ends = rest
-		b.Timer(now, tokenSweep)
+		b.Timer(now, timerSweep)
 		if now >= nextSolve {
-			b.Timer(now, tokenSolve)
-			nextSolve += solveEvery
+			b.Timer(now, timerSolve)
+			nextSolve += solveInterval
 		}
 	}
 	return count
@@ -257,11 +257,11 @@
 		chance := rand.New(rand.NewPCG(7, 7))
 		serve(b, r, second, 20*second, 2*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 			s := b.byID[to]
-			if b.byID[2].away {
+			if b.byID[2].ejected {
 				away++
 			}
 			n++
-			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.out*s.out)/300)) // work presses
+			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // work presses
 			if to == 2 && chance.IntN(6) == 0 {
 				if result == Late {
 					return second / 2, Late
@@ -271,9 +271,9 @@
 			return took, Good
 		})
 		s := b.byID[2]
-		if away > 0 || s.slow > 1.3 || b.risk(s) < 0.05 || b.risk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
-			t.Errorf("result %d: away for %d of %d, slow %v, risk %v, share %v and %v", result, away, n, s.slow,
-				b.risk(s), s.share, b.byID[1].share)
+		if away > 0 || s.slowdown > 1.3 || b.failureRisk(s) < 0.05 || b.failureRisk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
+			t.Errorf("result %d: away for %d of %d, slow %v, risk %v, share %v and %v", result, away, n, s.slowdown,
+				b.failureRisk(s), s.share, b.byID[1].share)
 		}
 	}
 }
@@ -302,9 +302,9 @@
 			}
 		}
 		ends = rest
-		b.Timer(now, tokenSweep)
+		b.Timer(now, timerSweep)
 		if i%100 == 0 {
-			b.Timer(now, tokenSolve)
+			b.Timer(now, timerSolve)
 		}
 		for _, s := range r.sends[before:] {
 			class, n := 1+int(s.id)%2, len(b.requests[s.id].attempts)-1
@@ -313,7 +313,7 @@
 				sent[class]++
 			}
 			o := Outcome{Request: s.id, Backend: s.to, Attempt: n, Result: Good, Over: true}
-			out := b.byID[s.to].out // it is worth having: more held makes the others slower
+			out := b.byID[s.to].inFlight // it is worth having: more held makes the others slower
 			l := time.Duration(float64(40*time.Millisecond) * (1 + float64(out*out)/20))
 			if s.to == 3 && class == 1 {
 				o.Result, o.Over, l = Late, b.requests[s.id].closed, second/2
@@ -339,8 +339,8 @@
 	if len(r.sends) != 8 || len(r.failed) != 8 {
 		t.Errorf("%d sends and %d failures of 8 requests", len(r.sends), len(r.failed))
 	}
-	for _, s := range b.servers {
-		if s.away {
+	for _, s := range b.backends {
+		if s.ejected {
 			t.Errorf("backend %d is away", s.ID)
 		}
 	}
@@ -349,15 +349,15 @@
 // A backlog times out several attempts at once; that is one silence, not many (ebene, rough-2).
 func TestOneBacklogIsOneSilence(t *testing.T) {
 	b, r := start(t, settings(), backends(1)...)
-	b.answers, b.lates = 90, 20
+	b.responses, b.timeouts = 90, 20
 	for id := range RequestID(3) {
 		b.Request(2*second, Request{ID: id, Tenant: -1, Deadline: 3 * second})
 	}
 	for _, s := range r.sends {
 		b.Outcome(3*second, Outcome{Request: s.id, Backend: 1, Latency: second, Result: Late})
 	}
-	if s := b.byID[1]; s.silent != 1 || s.away {
-		t.Errorf("silent %d, away %v after one backlog of %d", s.silent, s.away, len(r.sends))
+	if s := b.byID[1]; s.consecutiveTimeouts != 1 || s.ejected {
+		t.Errorf("silent %d, away %v after one backlog of %d", s.consecutiveTimeouts, s.ejected, len(r.sends))
 	}
 }
 
@@ -367,7 +367,7 @@
 	serve(b, r, second, 3*second, 10*time.Millisecond, func(BackendID) (time.Duration, Result) {
 		return time.Millisecond, Reset
 	})
-	for _, s := range b.servers {
+	for _, s := range b.backends {
 		if !(s.share >= 0) {
 			t.Fatalf("backend %d has the share %v", s.ID, s.share)
 		}
@@ -393,7 +393,7 @@
 		serve(b, r, second, 3*second, 50*time.Millisecond, func(BackendID) (time.Duration, Result) {
 			return 20 * time.Millisecond, Good
 		})
-		for _, s := range b.servers {
+		for _, s := range b.backends {
 			if s.share > 0 {
 				users[s.ID]++
 			}
@@ -409,16 +409,16 @@
 // In overload what is worth least goes first, and a tenant beyond its share before others (rule of worth).
 func TestOverloadRefusesTheCheapest(t *testing.T) {
 	b, _ := start(t, settings(), backends(2)...)
-	b.set.OverShareWorth = 0.1
-	b.admit(40)
-	limit := func(class, sub int) float64 { return b.bins[4*class+sub].limit }
+	b.settings.OverShareWorth = 0.1
+	b.setAdmissionLimits(40)
+	limit := func(class, sub int) float64 { return b.admissionClasses[4*class+sub].latencyLimit }
 	for class := range b.classes {
 		if limit(class, 0) <= limit(class, 1) {
 			t.Errorf("class %d: a tenant beyond its share is preferred", class)
 		}
 	}
-	if limit(1, 0) <= limit(0, 0) || limit(1, 0) > b.aim {
-		t.Errorf("dear %v, cheap %v, aim %v", limit(1, 0), limit(0, 0), b.aim)
+	if limit(1, 0) <= limit(0, 0) || limit(1, 0) > b.latencyTarget {
+		t.Errorf("dear %v, cheap %v, aim %v", limit(1, 0), limit(0, 0), b.latencyTarget)
 	}
 }
 
@@ -445,7 +445,7 @@
 	for _, s := range r.sends[sent:] {
 		b.Outcome(13*second, Outcome{Request: s.id, Backend: s.to, Over: true, Latency: second / 20, Result: Good})
 	}
-	b.Timer(13*second, tokenSolve)
+	b.Timer(13*second, timerSolve)
 	if again := flood(b, r, 13*second, 2*from); again < first/3 {
 		t.Errorf("%d taken at first, %d after all was answered", first, again)
 	}
@@ -462,10 +462,10 @@
 		id++
 		now += 5 * time.Millisecond
 		b.Request(now, Request{ID: id, Tenant: -1, Deadline: now + second})
-		to := b.requests[id].attempts[0].server.ID
+		to := b.requests[id].attempts[0].backend.ID
 		b.Outcome(now+time.Millisecond, Outcome{Request: id, Backend: to, Over: true,
 			Latency: time.Millisecond, Result: Good})
-		b.Timer(now, tokenSweep)
+		b.Timer(now, timerSweep)
 	}
 	for range 2000 {
 		round()
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -24,28 +24,28 @@
 // and whichever backends are away, a part holds half of its share of the others, so that none is empty while one is able.
 func TestPartsHoldTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Balancer{zones: make([]zone, 1)}
+		b := &Balancer{zones: make([]zoneHealth, 1)}
 		most := 0.0
 		for i := range rapid.IntRange(1, 200).Draw(t, "backends") {
-			s := &server{Backend: Backend{ID: BackendID(rapid.Uint32().Draw(t, "id"))}, size: rapid.Float64Range(0.5, 8).Draw(t, "size")}
+			s := &backendState{Backend: Backend{ID: BackendID(rapid.Uint32().Draw(t, "id"))}, size: rapid.Float64Range(0.5, 8).Draw(t, "size")}
 			s.ID += BackendID(i)
-			most, b.sizes = max(most, s.size), b.sizes+s.size
-			b.servers = append(b.servers, s)
+			most, b.servingSize = max(most, s.size), b.servingSize+s.size
+			b.backends = append(b.backends, s)
 		}
-		b.set.Nodes = 100000
-		b.set.Node = rapid.IntRange(0, 1000).Draw(t, "node")
-		n := float64(len(b.servers))
+		b.settings.Nodes = 100000
+		b.settings.Node = rapid.IntRange(0, 1000).Draw(t, "node")
+		n := float64(len(b.backends))
 		wanted := rapid.Float64Range(0.01, 1).Draw(t, "part")
-		b.askRate = wanted * n * leastRate
-		inside := func() (in map[*server]bool, all, able float64) {
-			b.arrange()
-			b.narrow()
-			in = map[*server]bool{}
-			for _, s := range b.servers {
-				if b.inPart(s) {
+		b.arrivalRate = wanted * n * minRatePerBackend
+		inside := func() (in map[*backendState]bool, all, able float64) {
+			b.assignRingPositions()
+			b.chooseSubset()
+			in = map[*backendState]bool{}
+			for _, s := range b.backends {
+				if b.inSubset(s) {
 					in[s] = true
 					all += s.size
-					if b.able(s) {
+					if b.healthy(s) {
 						able += s.size
 					}
 				}
@@ -53,14 +53,14 @@
 			return in, all, able
 		}
 		before, have, _ := inside()
-		if share := min(1, max(wanted, leastPart/n)) * b.sizes; math.Abs(have-share) > most+1e-6 {
-			t.Fatalf("a part of %.3f holds %.2f of %.2f", wanted, have, b.sizes)
+		if share := min(1, max(wanted, minSubsetBackends/n)) * b.servingSize; math.Abs(have-share) > most+1e-6 {
+			t.Fatalf("a part of %.3f holds %.2f of %.2f", wanted, have, b.servingSize)
 		}
-		gone := b.servers[0]
-		b.servers, b.sizes = b.servers[1:], b.sizes-gone.size
+		gone := b.backends[0]
+		b.backends, b.servingSize = b.backends[1:], b.servingSize-gone.size
 		after, _, _ := inside()
 		moved := 0
-		for _, s := range b.servers {
+		for _, s := range b.backends {
 			if before[s] != after[s] {
 				moved++
 			}
@@ -69,12 +69,12 @@
 			t.Fatalf("%d backends came into a part or left it when one went, %d at most are at its edges", moved, limit)
 		}
 		able := 0.0
-		for _, s := range b.servers {
-			if s.away = rapid.Bool().Draw(t, "away"); !s.away {
+		for _, s := range b.backends {
+			if s.ejected = rapid.Bool().Draw(t, "away"); !s.ejected {
 				able += s.size
 			}
 		}
-		if _, _, have := inside(); have < able*min(1, max(wanted, leastPart/n))/2-1e-6 || able > 0 && have == 0 {
+		if _, _, have := inside(); have < able*min(1, max(wanted, minSubsetBackends/n))/2-1e-6 || able > 0 && have == 0 {
 			t.Fatalf("a part of %.3f holds %.2f of %.2f that are able", wanted, have, able)
 		}
 	})
@@ -88,11 +88,11 @@
 	b, err := New(set, 1, &recorder{})
 	require.NoError(t, err)
 	b.List(second, ListStored, backends(20))
-	b.now, b.askRate, b.rate, b.lastSolve = 9*second, 40, 40, 9*second
+	b.now, b.arrivalRate, b.sendRate, b.lastSolve = 9*second, 40, 40, 9*second
 	b.List(b.now, ListFull, []Backend{{ID: 101, Started: b.now}, {ID: 102, Started: b.now}})
-	for _, s := range b.servers {
-		require.Positive(t, s.coldTop)
-		require.LessOrEqual(t, s.coldTop*10, set.Rules.ColdFrom*10*40/20, "as when all 20 were there")
+	for _, s := range b.backends {
+		require.Positive(t, s.slowStartLimit)
+		require.LessOrEqual(t, s.slowStartLimit*10, set.Rules.ColdFrom*10*40/20, "as when all 20 were there")
 	}
 }
 
@@ -136,37 +136,37 @@
 			warm := slices.ContainsFunc(list, func(e Backend) bool { return e.Started == 0 && !away[e.ID] })
 			for _, b := range fleet {
 				b.List(now, ListFull, list)
-				for _, s := range b.servers {
-					if s.away = away[s.ID]; s.away && s.turn >= 0 {
+				for _, s := range b.backends {
+					if s.ejected = away[s.ID]; s.ejected && s.queueIndex >= 0 {
 						b.setShare(s, 0)
 					}
 				}
-				b.askRate, b.rate, b.lastSolve = rate, rate, now
+				b.arrivalRate, b.sendRate, b.lastSolve = rate, rate, now
 				b.solve()
 				b.solve() // the first one turned shares towards what was away
-				if warm && len(b.turns) == 0 {
-					t.Fatalf("a node has no turn to give, part %.3f", b.part)
+				if warm && len(b.pickQueue) == 0 {
+					t.Fatalf("a node has no turn to give, part %.3f", b.subsetFraction)
 				}
-				for _, s := range b.servers {
-					if b.able(s) && b.inPart(s) {
+				for _, s := range b.backends {
+					if b.healthy(s) && b.inSubset(s) {
 						users[s.ID]++
 					}
-					if s.turn >= 0 && !math.IsInf(s.coldTop, 1) {
-						cold[s.ID] += s.coldTop
-					} else if s.turn >= 0 {
+					if s.queueIndex >= 0 && !math.IsInf(s.slowStartLimit, 1) {
+						cold[s.ID] += s.slowStartLimit
+					} else if s.queueIndex >= 0 {
 						bears[s.ID] += s.share * rate / s.size
 					}
 				}
 			}
-			most := rate * float64(set.Nodes) / fleet[0].sizes // by size: what each would bear, or a warm one does
+			most := rate * float64(set.Nodes) / fleet[0].servingSize // by size: what each would bear, or a warm one does
 			for _, load := range bears {
 				most = max(most, load)
 			}
-			for _, s := range fleet[0].servers {
-				if fleet[0].able(s) && users[s.ID] == 0 {
+			for _, s := range fleet[0].backends {
+				if fleet[0].healthy(s) && users[s.ID] == 0 {
 					t.Fatalf("no node uses a backend that is able")
 				}
-				if part := fleet[0].cold(s); part < 1 && cold[s.ID] > 1.5*set.Rules.FallMultiple*part*most*s.size { // parts differ
+				if part := fleet[0].capacityFraction(s); part < 1 && cold[s.ID] > 1.5*set.Rules.FallMultiple*part*most*s.size { // parts differ
 					t.Fatalf("%.2f a second for a cold backend, where a warm one bears %.2f, at %.2f of it", cold[s.ID], most*s.size, part)
 				}
 			}
@@ -177,18 +177,18 @@
 // Guards what a node takes others to hold: alone it counts its own; of many nodes, with few of its own out, it goes by the
 // mean, and one more of its own is not taken for one more at each node.
 func TestOthersAreTakenToDoTheSame(t *testing.T) {
-	p := &pool{idle: 0.1, crowd: 0.01, bend: 0.0004}
+	p := &kindModel{idleLatency: 0.1, inFlightCoeff: 0.01, loadCoeff: 0.0004}
 	for _, c := range []struct{ u, users, each, others float64 }{
 		{u: 5, users: 1, each: 1, others: 0},
 		{u: 0.02, users: 100, each: 1.2, others: 0.2},
 		{u: 40, users: 2, each: 1.9, others: 0.8},
 	} {
-		s := &server{size: 2, slow: 1, pool: p}
-		s.mirror(c.u, c.users)
-		require.InDelta(t, c.each, s.each, 0.25, fmt.Sprint(c))
-		require.InDelta(t, c.others, s.others, 0.4, fmt.Sprint(c))
-		mean := c.u * s.latency(c.u) * s.size
-		require.InDelta(t, c.users*mean/s.size, s.held(mean), 1e-9, "on average it is what all hold that do as it does")
+		s := &backendState{size: 2, slowdown: 1, model: p}
+		s.estimateOthers(c.u, c.users)
+		require.InDelta(t, c.each, s.attemptScale, 0.25, fmt.Sprint(c))
+		require.InDelta(t, c.others, s.othersInFlight, 0.4, fmt.Sprint(c))
+		mean := c.u * s.latencyAtLoad(c.u) * s.size
+		require.InDelta(t, c.users*mean/s.size, s.estimatedInFlight(mean), 1e-9, "on average it is what all hold that do as it does")
 	}
 }
 
@@ -203,21 +203,21 @@
 		b, err := New(set, uint64(node), &recorder{})
 		require.NoError(t, err)
 		b.List(second, ListStored, backends(10))
-		b.now, b.askRate, b.rate, b.bearRate = 2*second, 9, 6, 3 // units a second, of each node
+		b.now, b.arrivalRate, b.sendRate, b.warmServiceRate = 2*second, 9, 6, 3 // units a second, of each node
 		b.lastSolve = b.now
 		b.solve()
 		cold := backends(10)[4]
 		cold.Started = b.now
 		b.List(b.now, ListChanges, []Backend{cold})
 		s := b.byID[cold.ID]
-		if !b.inPart(s) {
+		if !b.inSubset(s) {
 			require.Zero(t, s.share)
 			continue
 		}
-		require.Positive(t, s.coldTop)
-		total += s.coldTop
+		require.Positive(t, s.slowStartLimit)
+		total += s.slowStartLimit
 		users++
-		if s.coldNext < b.now+second {
+		if s.slowStartNext < b.now+second {
 			soon++
 		}
 	}
@@ -232,7 +232,7 @@
 	for _, rate := range []int{1000, 5000, 20000} {
 		for _, latency := range []time.Duration{second / 2000, second / 20, second / 5} {
 			b, r := start(t, settings(), backends(10)...)
-			now, open, solve := second, []RequestID(nil), second+solveEvery
+			now, open, solve := second, []RequestID(nil), second+solveInterval
 			step := second / time.Duration(rate)
 			for i := range rate {
 				now += step
@@ -241,8 +241,8 @@
 					open = open[1:]
 				}
 				if now >= solve {
-					b.Timer(now, tokenSolve)
-					solve += solveEvery
+					b.Timer(now, timerSolve)
+					solve += solveInterval
 				}
 				b.Request(now, Request{ID: RequestID(i), Tenant: -1, Deadline: now + second})
 				open = append(open, RequestID(i))
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -19,14 +19,14 @@
 const MemoryVersion = 1
 
 const (
-	memoryAhead  = 5 * time.Second  // clocks of two machines may differ by so much
-	idleLife     = 20 * poolMemory  // an idle latency older than this is no more than a guess
-	rateLife     = 4 * time.Second  // and so are the rates of traffic
-	mostFigure   = 1e15             // no figure is beyond this, either way
-	mostSlow     = 1000             // times slower than its kind that a backend can be
-	mostTimes    = 1 << 20          // times in a row that something happened
-	mostFuture   = 32 * time.Second // a time in a memory lies no further ahead of it
-	mostBackends = 1 << 20
+	maxClockSkew = 5 * time.Second  // clocks of two machines may differ by so much
+	idleLifetime = 20 * kindDecay   // an idle latency older than this is no more than a guess
+	rateLifetime = 4 * time.Second  // and so are the rates of traffic
+	maxNumber    = 1e15             // no figure is beyond this, either way
+	maxSlowdown  = 1000             // times slower than its kind that a backend can be
+	maxCount     = 1 << 20          // times in a row that something happened
+	maxFuture    = 32 * time.Second // a time in a memory lies no further ahead of it
+	maxBackends  = 1 << 20
 )
 
 // FitMemory is the evidence for a curve.
@@ -36,8 +36,8 @@
 	V2 float64 `json:"v2"`
 }
 
-func (f fit) memory() FitMemory { return FitMemory{f.n, f.y, f.v2} }
-func (f FitMemory) fit() fit    { return fit{f.N, f.Y, f.V2} }
+func (f sampleSums) toMemory() FitMemory { return FitMemory{f.count, f.latency, f.loadSquared} }
+func (f FitMemory) toSums() sampleSums   { return sampleSums{f.N, f.Y, f.V2} }
 
 // KindMemory is what is known of the backends of one kind, in one's own zone or across.
 type KindMemory struct {
@@ -143,41 +143,41 @@
 
 // Snapshot gives what is known. It changes nothing.
 func (b *Balancer) Snapshot(now time.Duration) Memory {
-	m := Memory{Version: MemoryVersion, At: now, Zone: b.set.Zones[b.set.Zone], Clock: b.clock, Part: b.part,
-		Asked: b.asked, Sent: b.sent, Borne: b.borne, Lately: b.newLate, Heard: b.heardNow,
-		AskRate: b.askRate, Rate: b.rate, BearRate: b.bearRate, Lates: b.lates, Answers: b.answers, Bads: b.bads, Tokens: b.tokens,
-		Quota: slices.Clone(b.quota), Shedding: b.shedding}
+	m := Memory{Version: MemoryVersion, At: now, Zone: b.settings.Zones[b.settings.Zone], Clock: b.virtualTime, Part: b.subsetFraction,
+		Asked: b.arrivedWork, Sent: b.sentWork, Borne: b.warmServedWork, Lately: b.newOverdue, Heard: b.newResponses,
+		AskRate: b.arrivalRate, Rate: b.sendRate, BearRate: b.warmServiceRate, Lates: b.timeouts, Answers: b.responses, Bads: b.failures, Tokens: b.retryTokens,
+		Quota: slices.Clone(b.tenantTokens), Shedding: b.shedding}
 	if b.started { // else it has never solved
 		m.SolvedAgo = max(0, now-b.lastSolve)
 	}
-	for _, t := range b.set.Tenants {
+	for _, t := range b.settings.Tenants {
 		m.Tenants = append(m.Tenants, t.Name)
 	}
-	for i, p := range b.pools {
-		m.Kinds = append(m.Kinds, KindMemory{b.set.Kinds[i/2], i%2 == 1, p.fit.memory(), p.recent.memory(),
-			p.idle, p.crowd, p.bend, p.seen, p.batch, p.batchN})
+	for i, p := range b.kindModels {
+		m.Kinds = append(m.Kinds, KindMemory{b.settings.Kinds[i/2], i%2 == 1, p.sums.toMemory(), p.recentSums.toMemory(),
+			p.idleLatency, p.inFlightCoeff, p.loadCoeff, p.measured, p.idleBatchSum, p.idleBatchCount})
 	}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassMemory{c.Name, c.n, c.y, c.work, c.cost})
+		m.Classes = append(m.Classes, ClassMemory{c.Name, c.sampleCount, c.latencySum, c.work, c.meanCost})
 	}
 	for i, z := range b.zones {
-		m.Zones = append(m.Zones, ZoneMemory{b.set.Zones[i], z.heard, z.fails, z.until, z.times})
+		m.Zones = append(m.Zones, ZoneMemory{b.settings.Zones[i], z.lastResponse, z.failures, z.ejectedUntil, z.ejections})
 	}
-	for _, s := range b.servers {
-		k := BackendMemory{s.ID, b.set.Kinds[s.Kind], s.Started, s.nominal, s.read, s.readAt, s.y, s.expect, s.n, s.slow,
-			s.share, s.each, s.others, s.risk, s.coldTop, max(0, min(s.coldNext, now+mostFuture)), s.next, s.turn, s.fails, s.silent, s.good, s.bad, s.lost, s.run,
-			s.away, s.until, nil}
+	for _, s := range b.backends {
+		k := BackendMemory{s.ID, b.settings.Kinds[s.Kind], s.Started, s.maxWeight, s.reportedLatency, s.reportedAt, s.latencySum, s.expectedSum, s.sampleCount, s.slowdown,
+			s.share, s.attemptScale, s.othersInFlight, s.riskPenalty, s.slowStartLimit, max(0, min(s.slowStartNext, now+maxFuture)), s.nextPick, s.queueIndex, s.ejections, s.consecutiveTimeouts, s.responses, s.failures, s.timeouts, s.consecutiveFailures,
+			s.ejected, s.ejectedUntil, nil}
 		if math.IsInf(k.ColdTop, 1) {
 			k.ColdTop = -1
 		}
-		for i, e := range s.ills {
-			if e.run > 0 || e.times > 0 || e.until > now {
-				k.Ills = append(k.Ills, IllMemory{b.classes[i].Name, e.run, e.until, e.times})
+		for i, e := range s.classHealth {
+			if e.consecutiveFailures > 0 || e.ejections > 0 || e.ejectedUntil > now {
+				k.Ills = append(k.Ills, IllMemory{b.classes[i].Name, e.consecutiveFailures, e.ejectedUntil, e.ejections})
 			}
 		}
 		m.Backends = append(m.Backends, k)
 	}
-	for _, s := range b.trials {
+	for _, s := range b.trialQueue {
 		m.Trials = append(m.Trials, s.ID)
 	}
 	return m
@@ -192,7 +192,7 @@
 		return fmt.Errorf("memory: %w", err)
 	}
 	switch {
-	case m.Zone != b.set.Zones[b.set.Zone]:
+	case m.Zone != b.settings.Zones[b.settings.Zone]:
 		return fmt.Errorf("memory: it is of zone %q", m.Zone)
 	case !b.started:
 		return errors.New("memory: there is no list yet")
@@ -202,134 +202,134 @@
 	b.now = now
 	age := max(0, now-m.At)
 	b.restoreFleet(&m, age)
-	moved := m.Clock - b.clock
-	b.clock = m.Clock
+	moved := m.Clock - b.virtualTime
+	b.virtualTime = m.Clock
 	known := map[BackendID]*BackendMemory{}
 	for i := range m.Backends {
 		known[m.Backends[i].ID] = &m.Backends[i]
 	}
-	turns := map[*server]int{}
-	for i, s := range b.servers {
+	turns := map[*backendState]int{}
+	for i, s := range b.backends {
 		k := known[s.ID]
-		if k == nil || k.Started != s.Started || k.Kind != b.set.Kinds[s.Kind] {
-			s.next += moved
+		if k == nil || k.Started != s.Started || k.Kind != b.settings.Kinds[s.Kind] {
+			s.nextPick += moved
 			turns[s] = len(m.Backends) + i
 			continue
 		}
-		b.restore(s, k, age)
+		b.restoreBackend(s, k, age)
 		turns[s] = k.Turn
 	}
-	b.turns = b.turns[:0]
-	for _, s := range b.servers {
+	b.pickQueue = b.pickQueue[:0]
+	for _, s := range b.backends {
 		if k := known[s.ID]; k == nil || k.Each == 0 {
-			s.mirror(b.load(s), b.users)
+			s.estimateOthers(b.ownLoad(s), b.nodesPerBackend)
 		}
-		s.turn = -1
-		if turns[s] >= 0 && s.share > 0 && s.State == Serving && !s.away {
-			b.turns = append(b.turns, s)
+		s.queueIndex = -1
+		if turns[s] >= 0 && s.share > 0 && s.State == Serving && !s.ejected {
+			b.pickQueue = append(b.pickQueue, s)
 		}
 	}
-	slices.SortStableFunc(b.turns, func(s, t *server) int { return cmp.Compare(turns[s], turns[t]) })
-	for i, s := range b.turns {
-		s.turn = i
+	slices.SortStableFunc(b.pickQueue, func(s, t *backendState) int { return cmp.Compare(turns[s], turns[t]) })
+	for i, s := range b.pickQueue {
+		s.queueIndex = i
 	}
-	heap.Init(&b.turns)
-	b.trials = b.trials[:0]
+	heap.Init(&b.pickQueue)
+	b.trialQueue = b.trialQueue[:0]
 	for _, id := range m.Trials {
-		if s := b.byID[id]; s != nil && len(b.trials) < 2*len(b.servers) {
-			b.trials = append(b.trials, s)
+		if s := b.byID[id]; s != nil && len(b.trialQueue) < 2*len(b.backends) {
+			b.trialQueue = append(b.trialQueue, s)
 		}
 	}
 	room := math.Inf(1)
 	if m.Shedding {
 		room = 0
 	}
-	b.shedding = b.askRate > room // as it was, not a change to be logged
-	b.admit(room)
-	if age > b.paced(1, solveEvery) {
-		for _, s := range b.servers {
-			s.shift(now)
+	b.shedding = b.arrivalRate > room // as it was, not a change to be logged
+	b.setAdmissionLimits(room)
+	if age > b.scaled(1, solveInterval) {
+		for _, s := range b.backends {
+			s.updateSlowdown(now)
 		}
 		b.solve()
 	}
 	return nil
 }
 
-// keep is the weight that is left of what fades with a memory.
-func (b *Balancer) keep(age, memory time.Duration) float64 {
-	return math.Exp(-age.Seconds() / b.pace / memory.Seconds())
+// decayWeight is the weight that is left of what fades with a memory.
+func (b *Balancer) decayWeight(age, memory time.Duration) float64 {
+	return math.Exp(-age.Seconds() / b.timeScale / memory.Seconds())
 }
 
 // restoreFleet takes what is known of kinds, classes, zones and the traffic.
 func (b *Balancer) restoreFleet(m *Memory, age time.Duration) {
-	own, kind := b.keep(age, ownMemory), b.keep(age, poolMemory)
+	own, kind := b.decayWeight(age, backendDecay), b.decayWeight(age, kindDecay)
 	for _, k := range m.Kinds {
-		i := slices.Index(b.set.Kinds, k.Kind)
+		i := slices.Index(b.settings.Kinds, k.Kind)
 		if i < 0 {
 			continue
 		}
-		p := &b.pools[2*i]
+		p := &b.kindModels[2*i]
 		if k.Across {
-			p = &b.pools[2*i+1]
+			p = &b.kindModels[2*i+1]
 		}
-		*p = pool{fit: k.Fit.fit(), recent: k.Recent.fit(), idle: k.Idle, crowd: k.Crowd, bend: k.Bend,
-			seen: k.Seen && age < b.paced(1, idleLife), batch: k.Batch, batchN: min(k.BatchN, idleBatch-1)}
-		p.fit.fade(kind)
-		p.recent.fade(kind)
-		if age > b.paced(1, solveEvery) {
-			p.batch, p.batchN = 0, 0
+		*p = kindModel{sums: k.Fit.toSums(), recentSums: k.Recent.toSums(), idleLatency: k.Idle, inFlightCoeff: k.Crowd, loadCoeff: k.Bend,
+			measured: k.Seen && age < b.scaled(1, idleLifetime), idleBatchSum: k.Batch, idleBatchCount: min(k.BatchN, idleBatchSize-1)}
+		p.sums.decay(kind)
+		p.recentSums.decay(kind)
+		if age > b.scaled(1, solveInterval) {
+			p.idleBatchSum, p.idleBatchCount = 0, 0
 		}
 	}
 	for _, k := range m.Classes {
 		for i := range b.classes {
 			if c := &b.classes[i]; c.Name == k.Class {
-				c.n, c.y, c.work, c.cost = k.N*own, k.Y*own, k.Work, k.Cost
+				c.sampleCount, c.latencySum, c.work, c.meanCost = k.N*own, k.Y*own, k.Work, k.Cost
 			}
 		}
 	}
-	fresh := age <= b.paced(1, awayMost)
+	fresh := age <= b.scaled(1, maxEjection)
 	for _, k := range m.Zones {
-		if i := slices.Index(b.set.Zones, k.Zone); i >= 0 && fresh {
-			b.zones[i] = zone{heard: k.Heard, fails: k.Fails, until: k.Until, times: k.Times}
+		if i := slices.Index(b.settings.Zones, k.Zone); i >= 0 && fresh {
+			b.zones[i] = zoneHealth{lastResponse: k.Heard, failures: k.Fails, ejectedUntil: k.Until, ejections: k.Times}
 		}
 	}
-	for i, t := range b.set.Tenants {
+	for i, t := range b.settings.Tenants {
 		if j := slices.Index(m.Tenants, t.Name); j >= 0 {
-			b.quota[i] = m.Quota[j]
+			b.tenantTokens[i] = m.Quota[j]
 		}
 	}
-	b.part, b.tokens = m.Part, min(m.Tokens, retryMost)
-	b.users = max(1, float64(b.set.Nodes)*b.part)
-	b.asked, b.sent, b.borne, b.newLate, b.heardNow = m.Asked, m.Sent, m.Borne, m.Lately, m.Heard
-	b.askRate, b.rate, b.bearRate = m.AskRate, m.Rate, m.BearRate
-	if age > b.paced(1, rateLife) {
-		b.asked, b.sent, b.borne, b.newLate, b.heardNow = 0, 0, 0, 0, 0
-		b.askRate, b.rate, b.bearRate = 0, 0, 0
+	b.subsetFraction, b.retryTokens = m.Part, min(m.Tokens, maxRetryTokens)
+	b.nodesPerBackend = max(1, float64(b.settings.Nodes)*b.subsetFraction)
+	b.arrivedWork, b.sentWork, b.warmServedWork, b.newOverdue, b.newResponses = m.Asked, m.Sent, m.Borne, m.Lately, m.Heard
+	b.arrivalRate, b.sendRate, b.warmServiceRate = m.AskRate, m.Rate, m.BearRate
+	if age > b.scaled(1, rateLifetime) {
+		b.arrivedWork, b.sentWork, b.warmServedWork, b.newOverdue, b.newResponses = 0, 0, 0, 0, 0
+		b.arrivalRate, b.sendRate, b.warmServiceRate = 0, 0, 0
 	}
-	b.lates, b.answers, b.bads = m.Lates*own, m.Answers*own, m.Bads*own
-	b.lastSolve = b.now - min(m.SolvedAgo, 2*solveEvery) // it is an interval of the solver's, whatever stands there
+	b.timeouts, b.responses, b.failures = m.Lates*own, m.Answers*own, m.Bads*own
+	b.lastSolve = b.now - min(m.SolvedAgo, 2*solveInterval) // it is an interval of the solver's, whatever stands there
 }
 
-// restore takes what is known of one backend. Troubles older than the longest time away are void: it may be well by
+// restoreBackend takes what is known of one backend. Troubles older than the longest time away are void: it may be well by
 // now, and a node that put all of its fleet away must not go on with that.
-func (b *Balancer) restore(s *server, k *BackendMemory, age time.Duration) {
-	own := b.keep(age, ownMemory)
-	s.nominal, s.read, s.readAt = max(s.nominal, k.Nominal), k.Read, k.ReadAt
-	s.y, s.expect, s.n, s.slow = k.Y*own, k.Expect*own, k.N*own, k.Slow
-	s.good, s.bad, s.lost, s.risk = k.Good*own, k.Bad*own, k.Lost*own, k.Risk
-	s.share, s.next, s.coldNext, s.coldTop = k.Share, k.Next, k.ColdNext, k.ColdTop
-	s.each, s.others = k.Each, k.Others
+func (b *Balancer) restoreBackend(s *backendState, k *BackendMemory, age time.Duration) {
+	own := b.decayWeight(age, backendDecay)
+	s.maxWeight, s.reportedLatency, s.reportedAt = max(s.maxWeight, k.Nominal), k.Read, k.ReadAt
+	s.latencySum, s.expectedSum, s.sampleCount, s.slowdown = k.Y*own, k.Expect*own, k.N*own, k.Slow
+	s.responses, s.failures, s.timeouts, s.riskPenalty = k.Good*own, k.Bad*own, k.Lost*own, k.Risk
+	s.share, s.nextPick, s.slowStartNext, s.slowStartLimit = k.Share, k.Next, k.ColdNext, k.ColdTop
+	s.attemptScale, s.othersInFlight = k.Each, k.Others
 	if k.ColdTop < 0 {
-		s.coldTop = math.Inf(1)
+		s.slowStartLimit = math.Inf(1)
 	}
-	if age > b.paced(1, awayMost) {
+	if age > b.scaled(1, maxEjection) {
 		return
 	}
-	s.fails, s.silent, s.run, s.away, s.until = k.Fails, k.Silent, k.Run, k.Away, k.Until
+	s.ejections, s.consecutiveTimeouts, s.consecutiveFailures, s.ejected, s.ejectedUntil = k.Fails, k.Silent, k.Run, k.Away, k.Until
 	for _, e := range k.Ills {
 		for i := range b.classes {
 			if b.classes[i].Name == e.Class {
-				s.ills[i] = ill{run: e.Run, until: e.Until, times: e.Times}
+				s.classHealth[i] = classHealth{consecutiveFailures: e.Run, ejectedUntil: e.Until, ejections: e.Times}
 			}
 		}
 	}
@@ -347,10 +347,10 @@
 	}
 }
 
-// figures checks numbers that are 0 or more.
-func (c *checker) figures(what string, list ...float64) {
+// numbers checks numbers that are 0 or more.
+func (c *checker) numbers(what string, list ...float64) {
 	for _, x := range list {
-		if !(x >= 0 && x <= mostFigure) {
+		if !(x >= 0 && x <= maxNumber) {
 			c.fail(what, x)
 		}
 	}
@@ -359,7 +359,7 @@
 // times checks points in time, which lie before the memory or shortly after.
 func (c *checker) times(what string, list ...time.Duration) {
 	for _, t := range list {
-		if t < 0 || t > c.at+mostFuture {
+		if t < 0 || t > c.at+maxFuture {
 			c.fail(what, t)
 		}
 	}
@@ -368,7 +368,7 @@
 // counts checks how often something happened.
 func (c *checker) counts(what string, list ...int) {
 	for _, n := range list {
-		if n < 0 || n > mostTimes {
+		if n < 0 || n > maxCount {
 			c.fail(what, n)
 		}
 	}
@@ -379,22 +379,22 @@
 	if m.Version != MemoryVersion {
 		return fmt.Errorf("its version is %d, %d is read", m.Version, MemoryVersion)
 	}
-	if m.At < 0 || m.At > now+memoryAhead {
+	if m.At < 0 || m.At > now+maxClockSkew {
 		return fmt.Errorf("it is of %v, now it is %v", m.At, now)
 	}
-	if len(m.Backends) > mostBackends || len(m.Quota) != len(m.Tenants) {
+	if len(m.Backends) > maxBackends || len(m.Quota) != len(m.Tenants) {
 		return fmt.Errorf("it has %d backends, %d quotas and %d tenants", len(m.Backends), len(m.Quota), len(m.Tenants))
 	}
 	c := &checker{at: m.At}
-	c.figures("a figure of the traffic", m.Clock, m.Asked, m.Sent, m.Borne, m.Lately, m.Heard, m.AskRate, m.Rate, m.BearRate, m.Lates,
+	c.numbers("a figure of the traffic", m.Clock, m.Asked, m.Sent, m.Borne, m.Lately, m.Heard, m.AskRate, m.Rate, m.BearRate, m.Lates,
 		m.Answers, m.Bads, m.Tokens)
-	c.figures("a quota", m.Quota...)
+	c.numbers("a quota", m.Quota...)
 	if !(m.Part > 0 && m.Part <= 1) {
 		c.fail("part", m.Part)
 	}
 	c.times("solved_ago", m.SolvedAgo)
 	for _, k := range m.Kinds {
-		c.figures("a figure of a kind", k.Fit.N, k.Fit.Y, k.Fit.V2, k.Recent.N, k.Recent.Y, k.Recent.V2, k.Crowd, k.Bend,
+		c.numbers("a figure of a kind", k.Fit.N, k.Fit.Y, k.Fit.V2, k.Recent.N, k.Recent.Y, k.Recent.V2, k.Crowd, k.Bend,
 			k.Batch, k.Idle)
 		c.counts("batch_n", k.BatchN)
 		if !(k.Idle > 0) {
@@ -402,7 +402,7 @@
 		}
 	}
 	for _, k := range m.Classes {
-		c.figures("a figure of a class", k.N, k.Y, k.Cost, k.Work)
+		c.numbers("a figure of a class", k.N, k.Y, k.Cost, k.Work)
 		if !(k.Work > 1e-6) {
 			c.fail("work", k.Work)
 		}
@@ -418,18 +418,18 @@
 }
 
 func (k *BackendMemory) check(c *checker) {
-	c.figures("a figure of a backend", k.Each, k.Others, k.Nominal, k.Read, k.Y, k.Expect, k.N, k.Slow, k.Share, k.Risk, k.Next, k.Good,
+	c.numbers("a figure of a backend", k.Each, k.Others, k.Nominal, k.Read, k.Y, k.Expect, k.N, k.Slow, k.Share, k.Risk, k.Next, k.Good,
 		k.Bad, k.Lost, k.Run)
 	c.times("a time of a backend", k.ReadAt, k.ColdNext, k.Until)
 	c.counts("a count of a backend", k.Fails, k.Silent, k.Turn+1)
-	if !(k.Slow >= 1.0/mostSlow && k.Slow <= mostSlow) || !(k.Share <= 1+1e-6) {
+	if !(k.Slow >= 1.0/maxSlowdown && k.Slow <= maxSlowdown) || !(k.Share <= 1+1e-6) {
 		c.fail("slow or share", [2]float64{k.Slow, k.Share})
 	}
-	if !(k.ColdTop == -1 || k.ColdTop >= 0 && k.ColdTop <= mostFigure) {
+	if !(k.ColdTop == -1 || k.ColdTop >= 0 && k.ColdTop <= maxNumber) {
 		c.fail("cold_top", k.ColdTop)
 	}
 	for _, e := range k.Ills {
-		c.figures("a figure of an ill", e.Run)
+		c.numbers("a figure of an ill", e.Run)
 		c.times("a time of an ill", e.Until)
 		c.counts("a count of an ill", e.Times)
 	}
@@ -467,19 +467,19 @@
 
 // View gives the present view. It changes nothing.
 func (b *Balancer) View(now time.Duration) View {
-	v := View{b.askRate, b.rate, b.part, b.shedding, b.tokens, nil}
+	v := View{b.arrivalRate, b.sendRate, b.subsetFraction, b.shedding, b.retryTokens, nil}
 	was := b.now
 	b.now = now
 	defer func() { b.now = was }()
-	for _, s := range b.servers {
-		e := BackendView{ID: s.ID, Share: s.share, Rate: s.share * b.rate, Top: s.top, Idle: seconds(s.slow * s.pool.idle),
-			Latency: seconds(s.latency(b.load(s))), Slow: s.slow, InPart: b.inPart(s), Away: s.away, Until: s.until,
-			Cold: b.cold(s), ColdTop: s.coldTop, Risk: seconds(s.risk), Out: s.out, Overdue: s.overdue}
-		if s.turn < 0 {
+	for _, s := range b.backends {
+		e := BackendView{ID: s.ID, Share: s.share, Rate: s.share * b.sendRate, Top: s.maxRate, Idle: seconds(s.slowdown * s.model.idleLatency),
+			Latency: seconds(s.latencyAtLoad(b.ownLoad(s))), Slow: s.slowdown, InPart: b.inSubset(s), Away: s.ejected, Until: s.ejectedUntil,
+			Cold: b.capacityFraction(s), ColdTop: s.slowStartLimit, Risk: seconds(s.riskPenalty), Out: s.inFlight, Overdue: s.overdue}
+		if s.queueIndex < 0 {
 			e.Share, e.Rate = 0, 0
 		}
-		for i := range s.ills {
-			if now < s.ills[i].until {
+		for i := range s.classHealth {
+			if now < s.classHealth[i].ejectedUntil {
 				e.Ills = append(e.Ills, i)
 			}
 		}
@@ -489,14 +489,14 @@
 }
 
 // Part is the part of the fleet that the node keeps to.
-func (b *Balancer) Part() float64 { return b.part }
+func (b *Balancer) Part() float64 { return b.subsetFraction }
 
 // Room is what the backends in use can take from this node together, units a second, as of the last solve; learned tells
 // whether it rests on any answer.
 func (b *Balancer) Room() (room float64, learned bool) {
-	for _, s := range b.servers {
-		room += s.top
-		learned = learned || s.pool.seen
+	for _, s := range b.backends {
+		room += s.maxRate
+		learned = learned || s.model.measured
 	}
 	return room, learned
 }
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -37,7 +37,7 @@
 	v := newWorld(t, set, 77, w.faulty)
 	v.now = w.now + later
 	var list []Backend
-	for _, s := range w.b.servers {
+	for _, s := range w.b.backends {
 		list = append(list, s.Backend)
 	}
 	text, err := json.Marshal(w.b.Snapshot(w.now))
@@ -48,7 +48,7 @@
 	err = v.b.Restore(v.now, m)
 	v.wakes, v.nextID = append([]wake(nil), w.wakes...), w.nextID
 	for _, x := range []*world{w, v} {
-		x.rand, x.b.rand, x.trace = rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4)), nil
+		x.rand, x.b.random, x.trace = rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4)), nil
 	}
 	return v, err
 }
@@ -77,19 +77,19 @@
 // a node that remembers otherwise sends it nothing.
 func TestAgeWeighs(t *testing.T) {
 	w := lived(t, settings(), 3, 600)
-	bad := w.b.servers[0]
-	bad.slow, bad.n, bad.y, bad.expect = 6, 16, 6*16*bad.pool.idle, 16*bad.pool.idle
-	w.b.putAway(bad)
+	bad := w.b.backends[0]
+	bad.slowdown, bad.sampleCount, bad.latencySum, bad.expectedSum = 6, 16, 6*16*bad.model.idleLatency, 16*bad.model.idleLatency
+	w.b.eject(bad)
 	slow := map[time.Duration]float64{}
 	for _, age := range []time.Duration{0, 4 * time.Second, time.Minute, time.Hour} {
 		v, err := heir(t, w, settings(), age)
 		require.NoError(t, err)
 		s := v.b.byID[bad.ID]
-		slow[age] = s.slow
-		require.Equal(t, age < 16*time.Second, s.away, age)
+		slow[age] = s.slowdown
+		require.Equal(t, age < 16*time.Second, s.ejected, age)
 		if age >= time.Minute {
-			require.False(t, v.b.pools[0].seen, "an idle latency of %v ago is a guess", age)
-			require.Zero(t, v.b.rate)
+			require.False(t, v.b.kindModels[0].measured, "an idle latency of %v ago is a guess", age)
+			require.Zero(t, v.b.sendRate)
 		}
 	}
 	require.Equal(t, 6.0, slow[0])
@@ -111,16 +111,16 @@
 	v := newWorld(t, settings(), 1, 0)
 	v.now = w.now
 	var list []Backend
-	for _, s := range w.b.servers {
+	for _, s := range w.b.backends {
 		list = append(list, s.Backend)
 	}
 	v.list(ListStored, append(list[:len(list):len(list)], Backend{ID: 999})...)
 	require.NoError(t, v.b.Restore(w.now, m))
-	for i, s := range v.b.servers {
-		require.Equal(t, i > 1 && s.ID != 999, s.away, i)
+	for i, s := range v.b.backends {
+		require.Equal(t, i > 1 && s.ID != 999, s.ejected, i)
 	}
 	require.Equal(t, 1.0, v.b.classes[0].work)
-	require.GreaterOrEqual(t, len(v.b.turns), 3, "those that nothing is known of keep their turns")
+	require.GreaterOrEqual(t, len(v.b.pickQueue), 3, "those that nothing is known of keep their turns")
 	m.Zone = "elsewhere"
 	require.ErrorContains(t, v.b.Restore(w.now, m), `zone "elsewhere"`)
 }
--- a/decide/parts_test.go
+++ b/decide/parts_test.go
@@ -21,13 +21,13 @@
 		for _, id := range ids {
 			list = append(list, Backend{ID: id})
 		}
-		b.askRate = leastRate * float64(k)
+		b.arrivalRate = minRatePerBackend * float64(k)
 		b.List(second, ListStored, list)
-		b.askRate = leastRate * float64(k)
-		b.narrow()
+		b.arrivalRate = minRatePerBackend * float64(k)
+		b.chooseSubset()
 		mine := map[BackendID]bool{}
-		for _, s := range b.servers {
-			if b.inPart(s) {
+		for _, s := range b.backends {
+			if b.inSubset(s) {
 				mine[s.ID] = true
 			}
 		}
--- a/decide/placed.go
+++ b/decide/placed.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// arrive notes a request that has arrived; nil where it cannot be taken.
-func (b *Balancer) arrive(now time.Duration, r *Request) *request {
+// openRequest notes a request that has arrived; nil where it cannot be taken.
+func (b *Balancer) openRequest(now time.Duration, r *Request) *request {
 	b.now = now
 	if r.Class < 0 || r.Class >= len(b.classes) || b.requests[r.ID] != nil {
 		return nil
 	}
-	q := b.take()
+	q := b.newRequest()
 	*q = request{id: r.ID, class: r.Class, work: b.classes[r.Class].work, arrived: now, deadline: r.Deadline,
 		attempts: q.attempts[:0]}
-	if mean := &b.classes[r.Class].cost; r.Cost > 0 { // a hint tells a heavy request from a light one
-		*mean = cmp.Or(*mean, r.Cost)*(1-costPart) + r.Cost*costPart
+	if mean := &b.classes[r.Class].meanCost; r.Cost > 0 { // a hint tells a heavy request from a light one
+		*mean = cmp.Or(*mean, r.Cost)*(1-costSmoothing) + r.Cost*costSmoothing
 		q.work *= max(0.1, min(r.Cost / *mean, 10))
 	}
 	b.requests[r.ID] = q
-	b.asked += q.work
+	b.arrivedWork += q.work
 	return q
 }
 
@@ -34,15 +34,15 @@
 	if s == nil || !b.Usable(now, to) {
 		return false
 	}
-	q := b.arrive(now, &r)
+	q := b.openRequest(now, &r)
 	if q == nil {
 		return false
 	}
-	if s.turn >= 0 {
-		s.next += 1 / s.share
-		heap.Fix(&b.turns, s.turn)
+	if s.queueIndex >= 0 {
+		s.nextPick += 1 / s.share
+		heap.Fix(&b.pickQueue, s.queueIndex)
 	}
-	b.tokens = min(b.tokens+retryPart, retryMost)
+	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
 	b.send(q, s)
 	return true
 }
@@ -54,13 +54,13 @@
 		return false
 	}
 	b.now = now
-	return b.able(s) && now >= s.coldNext
+	return b.healthy(s) && now >= s.slowStartNext
 }
 
 // Share is a backend's share of the node's load, 0 where it has no turns.
 func (b *Balancer) Share(id BackendID) float64 {
 	s := b.byID[id]
-	if s == nil || s.turn < 0 {
+	if s == nil || s.queueIndex < 0 {
 		return 0
 	}
 	return s.share
@@ -72,5 +72,5 @@
 	if s == nil {
 		return 0
 	}
-	return seconds(s.delay(float64(s.out) + 1))
+	return seconds(s.latencyWith(float64(s.inFlight) + 1))
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -99,7 +99,7 @@
 	w.ends = append(w.ends, ending{w.now + after, id, len(q.attempts) - 1, result})
 }
 
-// mayRepeat judges a send by the class of the request and its earlier attempts.
+// mayRetryOn judges a send by the class of the request and its earlier attempts.
 func (w *world) mayRepeat(q *sentRequest, d *told) {
 	c := w.set.Classes[q.Class]
 	var first *sentAttempt
@@ -233,9 +233,9 @@
 	for _, k := range due {
 		w.b.Timer(w.now, k.token)
 	}
-	for _, s := range w.b.servers {
-		if math.IsNaN(s.share + s.slow + s.pool.bend) {
-			w.t.Fatalf("not a number: %+v of %+v, rate %v", *s, *s.pool, w.b.rate)
+	for _, s := range w.b.backends {
+		if math.IsNaN(s.share + s.slowdown + s.model.loadCoeff) {
+			w.t.Fatalf("not a number: %+v of %+v, rate %v", *s, *s.model, w.b.sendRate)
 		}
 	}
 	for _, q := range w.requests {
@@ -473,12 +473,12 @@
 // cap there leaves hardly any room, and a quarter of the work was refused that a plain policy served.
 func TestIdleLatencyNearTheAimLeavesRoom(t *testing.T) {
 	b, _ := start(t, settings(), backends(4)...)
-	b.pools[0] = pool{idle: 0.6 * b.aim, bend: 0.12 * b.aim, seen: true} // a unit a second: 0.72 of the aim
+	b.kindModels[0] = kindModel{idleLatency: 0.6 * b.latencyTarget, loadCoeff: 0.12 * b.latencyTarget, measured: true} // a unit a second: 0.72 of the aim
 	for _, c := range []struct {
 		asked float64
 		short bool
 	}{{4.8, false}, {6, true}} {
-		b.now, b.askRate = b.lastSolve, c.asked
+		b.now, b.arrivalRate = b.lastSolve, c.asked
 		b.solve()
 		if b.shedding != c.short {
 			t.Errorf("asked for %.1f units/s of 4 backends: shedding %t", c.asked, b.shedding)
--- a/decide/solve_test.go
+++ b/decide/solve_test.go
@@ -27,17 +27,17 @@
 		tb.Fatal(err)
 	}
 	b.List(second, ListStored, list)
-	for i := range b.pools {
-		p := &b.pools[i]
-		p.idle, p.bend, p.seen = 0.02+0.1*draw.Float64(), 0.0001*math.Pow(100, draw.Float64()), true
+	for i := range b.kindModels {
+		p := &b.kindModels[i]
+		p.idleLatency, p.loadCoeff, p.measured = 0.02+0.1*draw.Float64(), 0.0001*math.Pow(100, draw.Float64()), true
 	}
 	room := 0.0
-	for _, s := range b.servers {
-		s.slow = 0.5 + draw.Float64()
-		room += s.size * s.loadAt(min(2*s.slow*s.pool.idle, aimPart*b.aim))
+	for _, s := range b.backends {
+		s.slowdown = 0.5 + draw.Float64()
+		room += s.size * s.loadAtLatency(min(2*s.slowdown*s.model.idleLatency, targetFraction*b.latencyTarget))
 	}
 	// The search's step would bound every backend near a fair share; it has long been taken.
-	b.askRate, b.rate = part*room, part*room
+	b.arrivalRate, b.sendRate = part*room, part*room
 	for range 40 {
 		b.solve()
 	}
@@ -45,10 +45,10 @@
 }
 
 // cost is the sum of the latencies of all units if each backend gets what of says.
-func (b *Balancer) cost(of func(s *server) float64) (sum float64) {
-	for _, s := range b.servers {
+func (b *Balancer) cost(of func(s *backendState) float64) (sum float64) {
+	for _, s := range b.backends {
 		u := of(s)
-		sum += u * (s.price + s.risk + s.latency(u/s.size))
+		sum += u * (s.crossZonePenalty + s.riskPenalty + s.latencyAtLoad(u/s.size))
 	}
 	return sum
 }
@@ -56,14 +56,14 @@
 // optimum is the least cost of the same load under the same tops. The curves are convex, so every backend that is neither empty nor full
 // adds the same latency for a further unit; that is found by halving, to the last bit.
 func (b *Balancer) optimum(need float64) float64 {
-	at := func(s *server, price float64) float64 {
-		room := price - s.price - s.risk - s.slow*s.pool.idle
-		return min(s.top, s.size*math.Sqrt(max(0, room)/(3*s.pool.bend*math.Pow(s.slow, 3)))) //nolint:staticcheck // QF1005: a product would round elsewhere
+	at := func(s *backendState, price float64) float64 {
+		room := price - s.crossZonePenalty - s.riskPenalty - s.slowdown*s.model.idleLatency
+		return min(s.maxRate, s.size*math.Sqrt(max(0, room)/(3*s.model.loadCoeff*math.Pow(s.slowdown, 3)))) //nolint:staticcheck // QF1005: a product would round elsewhere
 	}
 	low, high := 0.0, 1e6
 	for range 200 {
 		price, sum := (low+high)/2, 0.0
-		for _, s := range b.servers {
+		for _, s := range b.backends {
 			sum += at(s, price)
 		}
 		if sum < need {
@@ -72,7 +72,7 @@
 			high = price
 		}
 	}
-	return b.cost(func(s *server) float64 { return at(s, high) })
+	return b.cost(func(s *backendState) float64 { return at(s, high) })
 }
 
 // TestSolveIsNearTheOptimum guards against a solve that gives latency away: on curves as they are learned it stays near the exact optimum
@@ -88,10 +88,10 @@
 			for _, part := range []float64{0.2, 0.5, 0.8, 0.95} {
 				b := learned(t, c.n, seed, part)
 				need := 0.0
-				for _, s := range b.servers {
-					need += s.goal
+				for _, s := range b.backends {
+					need += s.solvedRate
 				}
-				ratio := b.optimum(need) / b.cost(func(s *server) float64 { return s.goal })
+				ratio := b.optimum(need) / b.cost(func(s *backendState) float64 { return s.solvedRate })
 				worst, sum, count = min(worst, ratio), sum+ratio, count+1
 			}
 		}
@@ -109,15 +109,15 @@
 	const points = 20
 	for seed := range uint64(5) {
 		b := learned(t, 10, seed, 0.8)
-		n, need := len(b.servers), 0.0
+		n, need := len(b.backends), 0.0
 		a, prices, bounds := mat.NewDense(n+1, n*(points+1), nil), make([]float64, n*(points+1)), make([]float64, n+1)
-		for i, s := range b.servers {
-			need += s.goal
+		for i, s := range b.backends {
+			need += s.solvedRate
 			bounds[i+1] = 1
 			for k := range points + 1 {
 				at := i*(points+1) + k
-				u := s.top * float64(k) / points
-				prices[at] = u * (s.price + s.risk + s.latency(u/s.size))
+				u := s.maxRate * float64(k) / points
+				prices[at] = u * (s.crossZonePenalty + s.riskPenalty + s.latencyAtLoad(u/s.size))
 				a.Set(0, at, u)
 				a.Set(i+1, at, 1)
 			}
--- a/decide/sum_test.go
+++ b/decide/sum_test.go
@@ -406,19 +406,19 @@
 }
 
 type life struct {
-	*server
+	*backendState
 	started time.Duration
 }
 
 func (g *gaps) Send(id RequestID, to BackendID, abandon time.Duration) {
-	if s := g.b.byID[to]; g.b.cold(s) < 1 {
+	if s := g.b.byID[to]; g.b.capacityFraction(s) < 1 {
 		g.colds++
 		this := life{s, s.Started}
-		if s.turn < 0 || g.now < g.next[this] {
+		if s.queueIndex < 0 || g.now < g.next[this] {
 			g.t.Fatalf("attempt %d of a request at a cold backend at %v, its turn %d, the next from %v",
-				len(g.requests[id].attempts), g.now, s.turn, g.next[this])
+				len(g.requests[id].attempts), g.now, s.queueIndex, g.next[this])
 		}
-		g.next[this] = g.now + seconds(coldGap/s.coldTop)
+		g.next[this] = g.now + seconds(slowStartGap/s.slowStartLimit)
 	}
 	g.world.Send(id, to, abandon)
 }
@@ -433,7 +433,7 @@
 		set.Node = rapid.IntRange(0, set.Nodes-1).Draw(r, "node")
 		w := newWorld(t, set, rapid.Uint64().Draw(r, "seed"), rapid.Float64Range(0, 0.9).Draw(r, "faulty"))
 		g := &gaps{world: w, next: map[life]time.Duration{}}
-		w.b.act = g
+		w.b.actions = g
 		list := mixed(rapid.IntRange(2, 16).Draw(r, "backends"))
 		w.list(ListStored, list...)
 		for range 300 {
