--- /dev/null
+++ b/decide/balancer.go
@@ -0,0 +1,123 @@
+// Package decide makes the decisions of a reverse proxy that balances requests over backends: which backend gets an
+// attempt, whether to retry it, whether to reject a request under overload, and which backends to eject.
+//
+// A host feeds a Balancer with events (endpoint lists, requests, outcomes, timers) and carries out the Actions that the
+// Balancer calls from within an event. A Balancer does no I/O, reads no clock, starts no goroutine and shares nothing
+// with other Balancers: the same events and the same seed give the same actions. It is not safe for concurrent use.
+// Times are durations since the epoch of the host's clock, which the nodes share.
+//
+// Load and shares are measured in units: one unit is the work of an average request, so that a change in the mix of
+// classes does not look like a change in load. A backend's share times the node's send rate is its rate.
+//
+// The files, by concern:
+//
+//	settings.go, events.go     the interface: settings, events, Actions
+//	balancer.go                New, timers
+//	endpoints.go, subset.go    the endpoint list; the subset of it that this node uses
+//	requests.go                the life of a request and of its attempts
+//	picker.go                  weighted round robin, with a fallback to the lowest expected latency
+//	shares.go                  the periodic solve for shares, and the rates that it starts from
+//	latency.go                 the curves of latency over load, and how they are learned
+//	health.go                  failures, ejection, trial requests
+//	slowstart.go               limits for backends that have just started
+//	retry.go                   overdue attempts, retries and hedged requests, and their budget
+//	admission.go               rejection by value, tenants' quotas
+//	state.go                   the types of what a Balancer knows
+//	memory.go, restore.go      that knowledge as plain data, checked, and back again
+//	view.go                    what a Balancer shows to operators
+package decide
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	solveInterval          = 500 * time.Millisecond // between two solves: several responses a kind, also at a slow node
+	sweepsPerTarget        = 10                     // sweeps for overdue attempts in the shortest latency target
+	minSweepInterval       = 10 * time.Millisecond
+	overdueSolveRatio      = 0.25 // overdue attempts per response from which on a solve is due at once
+	referenceTargetSeconds = 0.6  // the latency target that intervals are stated for; they shrink with a shorter one
+)
+
+// seedStream is the second half of the random source's seed. Changing it changes every random choice.
+const seedStream = 0x5741524c
+
+// The tokens of the timers that a Balancer asks for with Actions.Wake.
+const (
+	timerSolve uint64 = iota
+	timerSweep
+	timerWatch
+)
+
+// New makes the Balancer of one node. seed drives every random choice. It fails where the settings cannot work or actions
+// is nil; the error wraps ErrSettings and names the field.
+func New(settings Settings, seed uint64, actions Actions) (*Balancer, error) {
+	if err := checkSettings(&settings, actions); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSettings, err)
+	}
+	b := &Balancer{
+		settings: settings, actions: actions, random: rand.New(rand.NewPCG(seed, seedStream)),
+		byID: map[BackendID]*backendState{}, kindModels: make([]kindModel, 2*len(settings.Kinds)),
+		zones:          make([]zoneHealth, len(settings.Zones)),
+		subsetFraction: 1, nodesPerBackend: 1,
+		requests: map[RequestID]*request{}, admissionClasses: make([]admissionClass, 4*len(settings.Classes)),
+		tenantTokens: make([]float64, len(settings.Tenants)), retryTokens: maxRetryTokens,
+		latencyTarget: math.Inf(1),
+	}
+	for i, c := range settings.Classes {
+		b.classes = append(b.classes, class{Class: c, work: 1})
+		b.latencyTarget = min(b.latencyTarget, c.Aim.Seconds())
+		cheap := b.settings.Classes[b.trialClass]
+		if c.Effect < cheap.Effect || c.Effect == cheap.Effect && c.Worth < cheap.Worth {
+			b.trialClass = i
+		}
+	}
+	b.timeScale = min(1, b.latencyTarget/referenceTargetSeconds)
+	for i := range b.kindModels {
+		b.kindModels[i].idleLatency = b.latencyTarget / dropFactor // a guess until the first answer
+	}
+	return b, nil
+}
+
+// startTimers sets the timers at a random phase, so that nodes which start together do not move together.
+func (b *Balancer) startTimers() {
+	b.started = true
+	b.lastSolve = b.now
+	b.actions.Wake(b.scaled(b.random.Float64(), solveInterval), timerSolve)
+	b.sweepInterval = max(seconds(b.latencyTarget/sweepsPerTarget), minSweepInterval)
+	b.actions.Wake(b.sweepInterval, timerSweep)
+	if b.settings.Ask {
+		b.actions.Wake(time.Duration(b.random.Float64()*float64(b.settings.AskSpread())), timerWatch)
+	}
+}
+
+// scaled gives factor times a duration that is stated for the reference latency target, shortened for a shorter one.
+func (b *Balancer) scaled(factor float64, t time.Duration) time.Duration {
+	return time.Duration(factor * b.timeScale * float64(t))
+}
+
+// seconds converts a number of seconds to a Duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// Timer handles the expiry of a timer that was set with Actions.Wake. Unknown tokens are ignored.
+func (b *Balancer) Timer(now time.Duration, token uint64) {
+	b.now = now
+	switch token {
+	case timerSolve:
+		b.solve()
+		b.actions.Wake(b.scaled(0.9+0.2*b.random.Float64(), solveInterval), timerSolve)
+	case timerSweep:
+		b.sweepOverdue()
+		if b.newOverdue > overdueSolveRatio*b.newResponses+overdueSolveRatio*20 { // work piles up: the next solve would come too late
+			b.solve()
+		}
+		b.actions.Wake(b.sweepInterval, timerSweep)
+	case timerWatch:
+		if !b.watching {
+			b.actions.Watch()
+		}
+	}
+}
--- /dev/null
+++ b/decide/events.go
@@ -0,0 +1,123 @@
+package decide
+
+import "time"
+
+// RequestID identifies a request. The host never uses an id twice with one Balancer.
+type RequestID uint64
+
+// BackendID identifies a backend. It stays the same when the process of the backend restarts.
+type BackendID uint32
+
+// ReportField is a value of a load report.
+type ReportField uint8
+
+// The values that load reports can hold.
+const (
+	ReportOther     ReportField = iota // a value that is not used
+	ReportHeld                         // requests in flight
+	ReportQueue                        // requests queued
+	ReportBusy                         // fraction of the processor in use
+	ReportLatency                      // recent service time, milliseconds
+	ReportServed                       // requests served per second
+	ReportErrors                       // errors per second
+	ReportFieldsEnd                    // the number of fields
+)
+
+// State is the listed state of a backend.
+type State uint8
+
+// The listed states.
+const (
+	Serving State = iota
+	Draining
+	Deleted
+)
+
+// Backend is one entry of the endpoint list.
+type Backend struct {
+	ID      BackendID
+	Zone    int // index in Settings.Zones
+	Kind    int // index in Settings.Kinds
+	Cell    int // for GroupCell
+	State   State
+	Weight  float64       // as Settings.Weights says
+	Started time.Duration // when its process started; 0 = long ago
+}
+
+// ListKind tells how the entries of an update are to be read.
+type ListKind uint8
+
+// The kinds of list.
+const (
+	ListChanges ListKind = iota // only the entries that changed
+	ListFull                    // every backend
+	ListStored                  // every backend, as this node knew them before it was restarted
+	ListFailed                  // no entries: a call failed or the subscription broke; the earlier list stays
+)
+
+// Request is a request that has arrived.
+type Request struct {
+	ID       RequestID
+	Class    int           // index in Settings.Classes
+	Tenant   int           // index in Settings.Tenants, -1 = none
+	Deadline time.Duration // when the client gives up
+	Cost     float64       // expected work in seconds on a standard core; 0 = not known
+	Repeat   bool          // it is a retry of the client
+}
+
+// Result is how an attempt or a health check ended.
+type Result uint8
+
+// The results.
+const (
+	Good      Result = iota // success
+	Failed                  // error response; may have run
+	Full                    // rejected for overload; never ran
+	Late                    // no response in time; may have run
+	NoConnect               // no connection; never ran
+	Reset                   // the connection broke; may have run
+	Cancelled               // cancelled; may have run
+	NotSent                 // never sent
+	Rejected                // the backend finds fault with the request itself; may have run
+)
+
+// MayHaveRun tells whether an attempt with this result may have been executed.
+func (r Result) MayHaveRun() bool { return r != Full && r != NoConnect && r != NotSent }
+
+// Load is a load report. A value is valid where its bit in Has is set.
+type Load struct {
+	Has    uint16
+	Values [ReportFieldsEnd]float64
+}
+
+// Outcome is the end of an attempt.
+type Outcome struct {
+	Request RequestID
+	Backend BackendID
+	Attempt int           // index among the attempts of the request, from 0
+	Over    bool          // the request has its final response
+	Latency time.Duration // since it was sent
+	Result  Result
+	Load    Load
+}
+
+// Actions is what a host does for a Balancer. A Balancer calls it from within an event only; the methods must not call back
+// into the Balancer.
+type Actions interface {
+	// Send starts an attempt that the host gives up at the time abandon.
+	Send(id RequestID, to BackendID, abandon time.Duration)
+	// Refuse rejects a request: its client may retry it safely, after wait if above 0.
+	Refuse(id RequestID, wait time.Duration)
+	// Fail ends a request as failed: it may have run.
+	Fail(id RequestID)
+	// Cancel cancels an attempt, whose Outcome is still wanted.
+	Cancel(id RequestID, attempt int)
+	// Probe asks for a health check of a backend.
+	Probe(to BackendID)
+	// Wake asks for a Timer event with this token after a time.
+	Wake(after time.Duration, token uint64)
+	// Watch subscribes to the endpoint list.
+	Watch()
+	// Log adds a line to the node's log.
+	Log(line string)
+}
--- a/decide/state.go
+++ b/decide/state.go
@@ -1,202 +1,186 @@
 package decide
 
-// This file holds the types of what a Balancer knows, without a decision among them; decide.go decides.
-
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// sampleSums holds fading sums over samples of (load, latency) for a curve latency = idle + bend * load^2.
-type sampleSums struct{ count, latency, loadSquared float64 }
-
-// kindModel is the evidence of all backends of one kind, in this zone or in the others. It is the prior for each
-// of them: on a large fleet a node sends one backend too little to learn a curve from that alone.
+// kindModel is the evidence about all backends of one kind, either in this zone or in the others. It is the prior for each
+// of them: in a large fleet one node sends too little to one backend to learn its curve from that alone.
 type kindModel struct {
-	sums           sampleSums // fading
+	sums           sampleSums // decaying, up to the last solve
 	recentSums     sampleSums // since the last solve
-	idleLatency    float64    // latency at no load, seconds
-	inFlightCoeff  float64    // of the curve over attempts held
-	loadCoeff      float64    // of the curve over load that follows from it
-	measured       bool       // idle is more than a guess
-	idleBatchSum   float64    // the mean being collected for idle
+	idleLatency    float64    // seconds, at no load
+	inFlightCoeff  float64    // of the curve over attempts in flight
+	loadCoeff      float64    // of the curve over load, derived from inFlightCoeff
+	measured       bool       // idleLatency is more than a guess
+	idleBatchSum   float64    // the batch whose mean may set idleLatency
 	idleBatchCount int
 }
 
-// backendState is what the node knows of one backend.
+// backendState is what a Balancer knows of one backend.
 type backendState struct {
 	Backend
-	size             float64 // from the listed weight, where weights have a meaning
+	size             float64 // from the listed weight where weights have a meaning, else 1
 	model            *kindModel
-	reportedLatency  float64       // latency foretold by the last reading of held work
-	reportedAt       time.Duration // and when it came
-	maxWeight        float64       // the most that a live weight was
-	crossZonePenalty float64       // of crossing to its zone, as latency in seconds
-
-	latencySum, expectedSum, sampleCount float64 // fading sums: own latencies, what the kind's curve expected, and how many
-	slowdown                             float64 // how many times slower than its kind it is
-
-	ringPosition   float64       // on the circle of all backends, from 0 to 1,
-	subsetOffset   float64       // and how far that is from where this node's part begins
-	share          float64       // of the node's load
-	attemptScale   float64       // attempts of all nodes that one of ours stands for,
-	othersInFlight float64       // and by size those that are there whatever ours are
-	solvedRate     float64       // the rate the solver wants, units a second
-	slowStartLimit float64       // the most that a cold one may get, units a second; infinite when warm
-	slowStartNext  time.Duration // a cold one gets nothing before then
-	maxRate        float64       // w_max as a rate: no more is given, units a second
-	nextPick       float64       // virtual time of its next turn
-	queueIndex     int           // place in the heap of turns, -1 = none
-
-	ejections           int           // times away since the last answer
-	consecutiveTimeouts int           // attempts given up since the last answer, each sent after the one before ended
-	responses           float64       // fading count of answers,
-	failures            float64       // and of failures
-	timeouts            float64       // and of attempts without an answer in time
-	riskPenalty         float64       // price of those that bring no answer, as latency in seconds
+	reportedLatency  float64       // seconds, from the last report of requests in flight
+	reportedAt       time.Duration // 0 = no report yet
+	maxWeight        float64       // highest live weight seen
+	crossZonePenalty float64       // seconds
+
+	// Decaying sums over its own samples.
+	latencySum  float64 // seconds
+	expectedSum float64 // seconds that the kind's curve expected
+	sampleCount float64
+	slowdown    float64 // latency relative to its kind
+
+	ringPosition   float64 // in [0, 1)
+	subsetOffset   float64 // distance on the ring from where this node's subset begins
+	share          float64 // of the node's load
+	attemptScale   float64 // attempts of all nodes that one of this node stands for
+	othersInFlight float64 // attempts of other nodes that do not depend on this one's, by size
+	solvedRate     float64 // units a second that the solver wants
+	slowStartLimit float64 // units a second; infinite when warm
+	slowStartNext  time.Duration
+	maxRate        float64 // units a second
+	nextPick       float64 // virtual time of its next turn
+	queueIndex     int     // in pickQueue, -1 = not in it
+
+	ejections           int     // since the last response
+	consecutiveTimeouts int     // since the last response, each sent after the one before ended
+	consecutiveFailures float64 // since the last response
+	responses           float64 // decaying counts of attempts, by how they ended
+	failures            float64
+	timeouts            float64
+	riskPenalty         float64       // seconds, for attempts that bring no response
 	newestAnswered      time.Duration // when the attempt was sent that was sent last of those answered
-	consecutiveFailures float64       // failures since the last answer
-	lastTimeout         time.Duration // when the last of them was given up
-	ejectedUntil        time.Duration // away until then
+	lastTimeout         time.Duration
+	ejectedUntil        time.Duration
 	ejected             bool
-	inTrial             bool // one request is out to see whether it is back
-	inFlight            int  // attempts out
-	overdue             int  // and those that should have been answered by now
-	lastResponse        time.Duration
-	classHealth         []classHealth // by class
+	inTrial             bool // one request is in flight to see whether it has recovered
+	inFlight            int  // attempts of this node
+	overdue             int  // attempts in flight that should have been answered by now
+	classHealth         []classHealth
 }
 
-// classHealth is what the node knows of a backend that may leave one class of requests unanswered.
+// classHealth is what a Balancer knows of a backend that may leave one class of requests without a response.
 type classHealth struct {
-	lastResponse        time.Duration // the last answer to the class
-	consecutiveFailures float64       // attempts of the class given up since, each sent after the one before was,
-	lastFailure         time.Duration // the last then
-	ejectedUntil        time.Duration // the class is not sent there before
-	ejections           int           // how often in a row
+	lastResponse        time.Duration
+	consecutiveFailures float64 // since the last response, each sent after the one before ended
+	lastFailure         time.Duration
+	ejectedUntil        time.Duration
+	ejections           int // in a row
 }
 
+// zoneHealth is what a Balancer knows of the network to a zone.
+type zoneHealth struct {
+	lastResponse time.Duration
+	failures     int // since the last response
+	ejectedUntil time.Duration
+	ejections    int // in a row
+}
+
+// attempt is one request sent to one backend.
 type attempt struct {
 	backend         *backendState
 	sentAt          time.Duration
-	inFlight        float64 // attempts that the backend held when it was sent, this one included, by size
-	recordedLatency float64 // latency already counted against the backend while the attempt was out
+	inFlight        float64 // at its backend when it was sent, by size, itself included
+	recordedLatency float64 // seconds a unit already added to the backend's curve while it was open
 	open            bool
-	mayHaveRun      bool // it may have
+	mayHaveRun      bool
 	overdue         bool
 }
 
+// request is a request until it is closed and its last attempt has ended.
 type request struct {
 	id            RequestID
 	class         int
 	work          float64 // units
 	arrived       time.Duration
 	deadline      time.Duration
-	closed        bool
-	mayHaveRun    bool // an attempt may have run
+	closed        bool // it has its final response, or its client has left
+	mayHaveRun    bool // at least one attempt may have run
 	streamStarted bool
-	rejected      bool // a backend that read it turned it away for good
+	rejected      bool // a backend found fault with the request itself
 	attempts      []attempt
 	openAttempts  int
 }
 
-// pendingAttempt is an attempt whose time to be overdue is still to come.
+// pendingAttempt refers to an attempt that is not overdue yet.
 type pendingAttempt struct {
 	id      RequestID
 	attempt int
 }
 
-// class is what the node learns of a class of requests.
+// class is a class of requests and what is learned of it.
 type class struct {
 	Class
-	sampleCount, latencySum float64          // fading sums of latencies
-	work                    float64          // units a request
-	meanCost                float64          // mean of the hints
-	unanswered              []pendingAttempt // attempts in the order they were sent
-	unansweredHead          int
+	sampleCount    float64          // decaying
+	latencySum     float64          // decaying, seconds
+	work           float64          // units a request
+	meanCost       float64          // of the hints, seconds; 0 = none yet
+	unanswered     []pendingAttempt // in the order sent
+	unansweredHead int
 }
 
-// admissionClass holds requests of equal worth.
+// admissionClass is a set of requests of equal value.
 type admissionClass struct {
-	value        float64 // worth a unit
-	latencyLimit float64 // seconds a unit: the expected latency up to which they are let in
-}
-
-// zoneHealth is what the node learns of the way to a zone.
-type zoneHealth struct {
-	lastResponse time.Duration // last answer from it
-	failures     int           // attempts without one since
-	ejectedUntil time.Duration // cut off until then
-	ejections    int           // how often in a row
+	value        float64 // per unit
+	latencyLimit float64 // expected latency up to which they are admitted, seconds a unit
 }
 
-// Balancer makes the decisions of one node.
+// Balancer makes the decisions of one node. New makes one; the zero value is of no use. None of its methods may be called
+// concurrently, nor from within an action.
 type Balancer struct {
 	settings Settings
 	actions  Actions
 	random   *rand.Rand
-	now      time.Duration
-	started  bool
+	now      time.Duration // of the present event
+	started  bool          // it has had its first list
 
 	backends        []*backendState
 	byID            map[BackendID]*backendState
-	kindModels      []kindModel
+	kindModels      []kindModel // two a kind: in this zone, in the others
 	zones           []zoneHealth
 	pickQueue       pickQueue
-	subsetFraction  float64         // of the fleet that this node keeps to
-	subsetOrder     []*backendState // reused: those that serve, from where the part begins
-	nodesPerBackend float64         // nodes that keep to one backend
-	servingSize     float64         // of all backends that serve
-	maxServingSize  float64         // the most that was
-	virtualTime     float64         // virtual time of round robin
+	virtualTime     float64         // of the weighted round robin
+	trialQueue      []*backendState // ejections that have ended
+	subsetFraction  float64
+	subsetOrder     []*backendState // serving, by subsetOffset; kept to be reused
+	nodesPerBackend float64         // nodes that send to one backend
+	servingSize     float64
+	maxServingSize  float64 // the highest servingSize so far
 
 	requests         map[RequestID]*request
 	freeRequests     []*request
 	classes          []class
-	trialClass       int // the class that trials are made with
+	trialClass       int // the cheapest class, which trials are made with
 	admissionClasses []admissionClass
 	tenantTokens     []float64
-
-	arrivedWork, sentWork    float64 // units since the last solve,
-	warmServedWork           float64 // and answered by warm backends
-	newOverdue, newResponses float64 // attempts overdue and answered since the last solve
-	arrivalRate, sendRate    float64 // units a second, smoothed: asked of the node, and sent by it,
-	warmServiceRate          float64 // and answered by warm backends, from 0 on: what came at once at a start is no rate
-	lastSolve                time.Duration
-	timeouts, responses      float64 // fading counts of attempts given up and answered,
-	failures                 float64 // and of those that failed
-	retryTokens              float64 // further attempts that may be made
-	latencyTarget            float64 // seconds, the shortest
-	timeScale                float64 // how much faster all goes than usual: times are this part of what they are then
-	trialQueue               []*backendState
-	watching                 bool
-	sweepInterval            time.Duration
-	watchFailures            int
-	maxLatencyPerUnit        float64 // seconds a unit: the latency that the dearest work can bear
-	shedding                 bool
-}
-
-// pickQueue is a heap of backends by the virtual time of their next turn.
-type pickQueue []*backendState
-
-func (t pickQueue) Len() int           { return len(t) }
-func (t pickQueue) Less(i, j int) bool { return t[i].nextPick < t[j].nextPick }
-func (t pickQueue) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].queueIndex, t[j].queueIndex = i, j
-}
-
-// Push is for container/heap.
-func (t *pickQueue) Push(x any) {
-	s := x.(*backendState)
-	s.queueIndex = len(*t)
-	*t = append(*t, s)
-}
-
-// Pop is for container/heap.
-func (t *pickQueue) Pop() any {
-	last := len(*t) - 1
-	s := (*t)[last]
-	s.queueIndex = -1
-	*t = (*t)[:last]
-	return s
+	retryTokens      float64
+	shedding         bool
+
+	// Since the last solve.
+	arrivedWork    float64 // units
+	sentWork       float64 // units
+	warmServedWork float64 // units answered by warm backends
+	newOverdue     float64 // attempts
+	newResponses   float64 // attempts
+
+	// Smoothed rates, units a second. warmServiceRate rises from 0: a burst at the start is no rate.
+	arrivalRate     float64
+	sendRate        float64
+	warmServiceRate float64
+
+	// Decaying counts of attempts at all backends, by how they ended.
+	timeouts  float64
+	responses float64
+	failures  float64
+
+	lastSolve     time.Duration
+	sweepInterval time.Duration
+	latencyTarget float64 // the shortest of all classes, seconds
+	timeScale     float64 // factor that intervals are shortened by for a short latency target
+	watching      bool    // a subscription to the endpoint list stands
+	watchFailures int     // in a row
 }
