--- a/decide/decide_test.go
+++ b/decide/balancer_test.go
@@ -9,7 +9,7 @@
 
 const second = time.Second
 
-// testSettings are those of a small deployment that tests change where they need to.
+// testSettings are those of a small deployment, which tests adapt.
 func testSettings() Settings {
 	return Settings{
 		Nodes: 1, Zones: []string{"here", "there"}, Kinds: []string{"fast", "slow"},
@@ -24,14 +24,14 @@
 	}
 }
 
-// recorder keeps the actions asked for.
+// recorder records the actions.
 type recorder struct {
-	sends   []send
-	refused []RequestID
-	failed  []RequestID
-	watches int
-	wakes   []time.Duration
-	logs    []string
+	sends    []send
+	rejected []RequestID
+	failed   []RequestID
+	watches  int
+	wakes    []time.Duration
+	logs     []string
 }
 
 type send struct {
@@ -42,7 +42,7 @@
 func (r *recorder) Send(id RequestID, to BackendID, _ time.Duration) {
 	r.sends = append(r.sends, send{id, to})
 }
-func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.refused = append(r.refused, id) }
+func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id RequestID)                    { r.failed = append(r.failed, id) }
 func (r *recorder) Cancel(RequestID, int)                {}
 func (r *recorder) Probe(BackendID)                      {}
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestNewRefusesSettingsThatCannotWork(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"Nodes":      func(s *Settings) { s.Nodes = 0 },
 		"Classes":    func(s *Settings) { s.Classes = nil },
@@ -127,12 +127,12 @@
 	b.Outcome(second, done)
 	b.Outcome(second, done)
 	b.List(second, ListChanges, []Backend{{ID: 50, State: Deleted}, {ID: 51, Zone: 8}, {ID: 52, Kind: -1}})
-	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
-		t.Errorf("sends %v, refused %v, failed %v", r.sends, r.refused, r.failed)
+	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
+		t.Errorf("sends %v, refused %v, failed %v", r.sends, r.rejected, r.failed)
 	}
 }
 
-func TestFailedCallForTheListIsRepeatedLater(t *testing.T) {
+func TestFailedListCallIsRetriedAfterBackoff(t *testing.T) {
 	set := testSettings()
 	set.Ask = true
 	b, r := start(t, set, backends(2)...)
@@ -153,7 +153,7 @@
 	}
 }
 
-// serve lets the Balancer live for a time in which each backend answers after its own latency.
+// serve sends a request in every interval for a span of time, while each backend answers after its own latency.
 func serve(b *Balancer, r *recorder, from, span time.Duration, every time.Duration,
 	latency func(BackendID) (time.Duration, Result)) map[BackendID]int {
 	count := map[BackendID]int{}
@@ -198,7 +198,7 @@
 	return count
 }
 
-func TestSlowBackendGetsLess(t *testing.T) {
+func TestSlowBackendGetsSmallerShare(t *testing.T) {
 	b, r := start(t, testSettings(), backends(6)...)
 	count := serve(b, r, second, 20*second, 5*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 		if to == 3 {
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestFailingBackendIsPutAwayAndComesBack(t *testing.T) {
+func TestFailingBackendIsEjectedAndRecovers(t *testing.T) {
 	b, r := start(t, testSettings(), backends(6)...)
 	failing := func(bad bool) func(BackendID) (time.Duration, Result) {
 		return func(to BackendID) (time.Duration, Result) {
@@ -231,8 +231,8 @@
 	}
 }
 
-// Answers spoilt now and then, at any backend alike, are no reason to do without it; many at one are.
-func TestFailuresThatChanceExplainsPutNothingAway(t *testing.T) {
+// Occasional failures at every backend alike must not eject one; many at a single backend must.
+func TestFailuresExplainedByChanceEjectNothing(t *testing.T) {
 	b, r := start(t, testSettings(), backends(6)...)
 	n := 0
 	count := serve(b, r, second, 20*second, 5*time.Millisecond, func(to BackendID) (time.Duration, Result) {
@@ -248,9 +248,9 @@
 	}
 }
 
-// A backend that fails one in six is still worth the other five where work presses (real long day: the largest one
-// was left out of a fleet that was short), and one that loses answers is no slower for it (real day of resets).
-func TestPartlyFailingBackendIsPricedNotPutAway(t *testing.T) {
+// A backend that fails one attempt in six still adds capacity under load (seen: the largest backend ejected from an overloaded
+// fleet), and lost responses must not count as slowness (seen on a day of connection resets).
+func TestPartlyFailingBackendIsPenalizedNotEjected(t *testing.T) {
 	for _, result := range []Result{Failed, Late} {
 		b, r := start(t, testSettings(), backends(4)...)
 		n, away := 0, 0
@@ -261,7 +261,7 @@
 				away++
 			}
 			n++
-			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // work presses
+			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // the fleet is under load
 			if to == 2 && chance.IntN(6) == 0 {
 				if result == Late {
 					return second / 2, Late
@@ -278,9 +278,9 @@
 	}
 }
 
-// A backend may answer one class and leave another unanswered: only that one is kept from it (real day of a failing
-// class), and a keyed request that waits there gets a second copy elsewhere.
-func TestClassLeftUnansweredGoesElsewhere(t *testing.T) {
+// A backend may answer one class and never another: it must be ejected for that class alone (seen on a day of a failing
+// class), and a keyed request that waits there is hedged elsewhere.
+func TestUnansweredClassIsSentElsewhere(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Group = GroupAll
 	b, r := start(t, set, backends(4)...)
@@ -313,7 +313,7 @@
 				sent[class]++
 			}
 			o := Outcome{Request: s.id, Backend: s.to, Attempt: n, Result: Good, Over: true}
-			out := b.byID[s.to].inFlight // it is worth having: more held makes the others slower
+			out := b.byID[s.to].inFlight // it is attractive: more in flight makes the others slower
 			l := time.Duration(float64(40*time.Millisecond) * (1 + float64(out*out)/20))
 			if s.to == 3 && class == 1 {
 				o.Result, o.Over, l = Late, b.requests[s.id].closed, second/2
@@ -329,8 +329,8 @@
 	}
 }
 
-// A request that a backend turns away as bad is no use to the next one, and tells nothing against any.
-func TestRejectedRequestEndsThere(t *testing.T) {
+// A request that a backend rejects as invalid must not be retried, and is no evidence against the backend.
+func TestRejectedRequestIsNotRetried(t *testing.T) {
 	b, r := start(t, testSettings(), backends(4)...)
 	for id := range RequestID(8) {
 		b.Request(second, Request{ID: id, Class: 1, Tenant: -1, Deadline: 2 * second})
@@ -346,8 +346,8 @@
 	}
 }
 
-// A backlog times out several attempts at once; that is one silence, not many (ebene, rough-2).
-func TestOneBacklogIsOneSilence(t *testing.T) {
+// A backlog times out several attempts at once; they count as one time-out (seen on bench days ebene, rough-2).
+func TestOneBacklogCountsAsOneTimeout(t *testing.T) {
 	b, r := start(t, testSettings(), backends(1)...)
 	b.responses, b.timeouts = 90, 20
 	for id := range RequestID(3) {
@@ -361,8 +361,8 @@
 	}
 }
 
-// With every backend away there are no shares to give; turns must stay in order when they return.
-func TestAllAwayLeavesSharesInOrder(t *testing.T) {
+// With every backend ejected there are no shares; the pick queue must be in order when they return.
+func TestAllBackendsEjectedKeepsSharesInOrder(t *testing.T) {
 	b, r := start(t, testSettings(), backends(3)...)
 	serve(b, r, second, 3*second, 10*time.Millisecond, func(BackendID) (time.Duration, Result) {
 		return time.Millisecond, Reset
@@ -382,8 +382,8 @@
 	}
 }
 
-// Every node to every server runs the servers out of connections (ub, id1ea5d).
-func TestNodesSpreadOverALargeFleet(t *testing.T) {
+// If every node used every backend, the backends would run out of connections (seen on bench day ub, id1ea5d).
+func TestEachBackendIsUsedByFewNodes(t *testing.T) {
 	const nodes, fleet = 60, 300
 	users := map[BackendID]int{}
 	for node := range nodes {
@@ -406,8 +406,8 @@
 	}
 }
 
-// In overload what is worth least goes first, and a tenant beyond its share before others (rule of worth).
-func TestOverloadRefusesTheCheapest(t *testing.T) {
+// Under overload the work of the lowest value is rejected first, and tenants beyond their quota before others.
+func TestOverloadRejectsLowestValueFirst(t *testing.T) {
 	b, _ := start(t, testSettings(), backends(2)...)
 	b.settings.OverShareWorth = 0.1
 	b.setAdmissionLimits(40)
@@ -422,17 +422,17 @@
 	}
 }
 
-// flood sends requests until one is refused and returns how many were taken.
-func flood(b *Balancer, r *recorder, now time.Duration, from RequestID) (taken int) {
-	for refused := len(r.refused); len(r.refused) == refused && taken < 1000; taken++ {
-		b.Request(now, Request{ID: from + RequestID(taken), Class: 1, Tenant: -1, Deadline: now + second})
+// flood sends requests until one is rejected and returns how many were admitted.
+func flood(b *Balancer, r *recorder, now time.Duration, from RequestID) (admitted int) {
+	for refused := len(r.rejected); len(r.rejected) == refused && admitted < 1000; admitted++ {
+		b.Request(now, Request{ID: from + RequestID(admitted), Class: 1, Tenant: -1, Deadline: now + second})
 	}
-	return taken - 1
+	return admitted - 1
 }
 
-// What backends hold, not the rate of what is asked, tells whether one more is served in time: a burst is refused
-// only once they hold too much, and as soon as they have answered all is let in again (real rude and churn days).
-func TestAdmissionFollowsWhatBackendsHold(t *testing.T) {
+// Admission must follow the number in flight, not the arrival rate: a burst is rejected only once too much is in flight, and
+// admitted again as soon as that is answered (seen on bench days of misbehaving clients and churn).
+func TestAdmissionFollowsInFlight(t *testing.T) {
 	b, r := start(t, testSettings(), backends(4)...)
 	serve(b, r, second, 10*second, 5*time.Millisecond, func(BackendID) (time.Duration, Result) {
 		return 40 * time.Millisecond, Good
@@ -452,7 +452,7 @@
 }
 
 func TestSteadyPathAllocatesNothing(t *testing.T) {
-	b, err := New(testSettings(), 1, quiet{})
+	b, err := New(testSettings(), 1, noActions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -475,19 +475,19 @@
 	}
 }
 
-// quiet does nothing with actions.
-type quiet struct{}
+// noActions ignores every action.
+type noActions struct{}
 
-func (quiet) Send(RequestID, BackendID, time.Duration) {}
-func (quiet) Refuse(RequestID, time.Duration)          {}
-func (quiet) Fail(RequestID)                           {}
-func (quiet) Cancel(RequestID, int)                    {}
-func (quiet) Probe(BackendID)                          {}
-func (quiet) Wake(time.Duration, uint64)               {}
-func (quiet) Watch()                                   {}
-func (quiet) Log(string)                               {}
+func (noActions) Send(RequestID, BackendID, time.Duration) {}
+func (noActions) Refuse(RequestID, time.Duration)          {}
+func (noActions) Fail(RequestID)                           {}
+func (noActions) Cancel(RequestID, int)                    {}
+func (noActions) Probe(BackendID)                          {}
+func (noActions) Wake(time.Duration, uint64)               {}
+func (noActions) Watch()                                   {}
+func (noActions) Log(string)                               {}
 
-// FuzzEvents plays events drawn from bytes; the world judges the rules.
+// FuzzEvents plays events drawn from bytes; the world checks the rules.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("a few requests"), uint64(1))
 	f.Add([]byte{0, 255, 3, 9, 200, 31, 8, 77, 1, 1, 1, 60}, uint64(2))
@@ -498,7 +498,7 @@
 		for _, step := range plan {
 			switch step % 4 {
 			case 0, 1:
-				w.knock()
+				w.arrive()
 			case 2:
 				w.churn(list)
 			}
@@ -508,8 +508,8 @@
 	})
 }
 
-// A heavy request's long latency is no evidence against its backend when a hint tells its weight.
-func TestHintsWeighRequests(t *testing.T) {
+// The long latency of a heavy request must not count against its backend when a cost hint explains it.
+func TestCostHintsScaleWork(t *testing.T) {
 	b, _ := start(t, testSettings(), backends(1)...)
 	for id := range RequestID(20) {
 		b.Request(second, Request{ID: id, Tenant: -1, Deadline: 2 * second, Cost: 0.01})
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -13,23 +13,23 @@
 	"pgregory.net/rapid"
 )
 
-// The histories are the same ones each time, unless -rapid.seed asks for others.
+// TestMain fixes the seed of drawn histories; -rapid.seed changes it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "2")
 	os.Exit(m.Run())
 }
 
-// Guards the parts of a fleet that nodes keep to: whatever the sizes and ids, a part holds its share of the fleet's size but
-// for one backend, so no node has more to do with less; a backend that comes or goes moves only those at the edges of a part;
-// and whichever backends are away, a part holds half of its share of the others, so that none is empty while one is able.
-func TestPartsHoldTheirShare(t *testing.T) {
+// Guards subsets: whatever the sizes and ids, a subset holds its fraction of the fleet's size to within one backend; a backend
+// that joins or leaves moves only those at the edges of a subset; and whichever backends are ejected, a subset holds half its
+// fraction of the healthy ones, so that none is without a healthy backend while there is one.
+func TestSubsetHoldsItsFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Balancer{zones: make([]zoneHealth, 1)}
-		most := 0.0
+		maxSize := 0.0
 		for i := range rapid.IntRange(1, 200).Draw(t, "backends") {
 			s := &backendState{Backend: Backend{ID: BackendID(rapid.Uint32().Draw(t, "id"))}, size: rapid.Float64Range(0.5, 8).Draw(t, "size")}
 			s.ID += BackendID(i)
-			most, b.servingSize = max(most, s.size), b.servingSize+s.size
+			maxSize, b.servingSize = max(maxSize, s.size), b.servingSize+s.size
 			b.backends = append(b.backends, s)
 		}
 		b.settings.Nodes = 100000
@@ -37,7 +37,7 @@
 		n := float64(len(b.backends))
 		wanted := rapid.Float64Range(0.01, 1).Draw(t, "part")
 		b.arrivalRate = wanted * n * minRatePerBackend
-		inside := func() (in map[*backendState]bool, all, able float64) {
+		inside := func() (in map[*backendState]bool, all, healthy float64) {
 			b.assignRingPositions()
 			b.chooseSubset()
 			in = map[*backendState]bool{}
@@ -46,18 +46,18 @@
 					in[s] = true
 					all += s.size
 					if b.healthy(s) {
-						able += s.size
+						healthy += s.size
 					}
 				}
 			}
-			return in, all, able
+			return in, all, healthy
 		}
 		before, have, _ := inside()
-		if share := min(1, max(wanted, minSubsetBackends/n)) * b.servingSize; math.Abs(have-share) > most+1e-6 {
+		if share := min(1, max(wanted, minSubsetBackends/n)) * b.servingSize; math.Abs(have-share) > maxSize+1e-6 {
 			t.Fatalf("a part of %.3f holds %.2f of %.2f", wanted, have, b.servingSize)
 		}
-		gone := b.backends[0]
-		b.backends, b.servingSize = b.backends[1:], b.servingSize-gone.size
+		removed := b.backends[0]
+		b.backends, b.servingSize = b.backends[1:], b.servingSize-removed.size
 		after, _, _ := inside()
 		moved := 0
 		for _, s := range b.backends {
@@ -65,24 +65,24 @@
 				moved++
 			}
 		}
-		if limit := 2 * (2 + int(most/0.5)); moved > limit {
+		if limit := 2 * (2 + int(maxSize/0.5)); moved > limit {
 			t.Fatalf("%d backends came into a part or left it when one went, %d at most are at its edges", moved, limit)
 		}
-		able := 0.0
+		healthy := 0.0
 		for _, s := range b.backends {
 			if s.ejected = rapid.Bool().Draw(t, "away"); !s.ejected {
-				able += s.size
+				healthy += s.size
 			}
 		}
-		if _, _, have := inside(); have < able*min(1, max(wanted, minSubsetBackends/n))/2-1e-6 || able > 0 && have == 0 {
-			t.Fatalf("a part of %.3f holds %.2f of %.2f that are able", wanted, have, able)
+		if _, _, have := inside(); have < healthy*min(1, max(wanted, minSubsetBackends/n))/2-1e-6 || healthy > 0 && have == 0 {
+			t.Fatalf("a part of %.3f holds %.2f of %.2f that are able", wanted, have, healthy)
 		}
 	})
 }
 
-// Guards the fourth rule while most of a fleet is gone and all that is left is cold: what the clients of the whole fleet ask for
-// is not what the few can do.
-func TestColdLimitOfTheFewThatAreLeft(t *testing.T) {
+// Guards the slow-start rule while most of a fleet is gone and the rest has just started: the limit must not follow the arrival
+// rate of the whole fleet.
+func TestSlowStartLimitWhenFewBackendsAreLeft(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 10
 	b, err := New(set, 1, &recorder{})
@@ -96,10 +96,10 @@
 	}
 }
 
-// Guards what many nodes together take of raters, whatever the order of joins, losses and returns: none that is able is in no
-// node's part, a node has a turn to give while any warm one is able, and what all send a cold one stays by what pushes it over,
-// though each counts the others by its own part.
-func TestFleetKeepsItsBounds(t *testing.T) {
+// Guards what many nodes do together, whatever the order of joins, losses and returns: every healthy backend is in some node's
+// subset, every node has a backend to pick while a warm one is healthy, and what all nodes send to a backend in slow start stays
+// below what overloads it, though each estimates the others from its own subset.
+func TestFleetKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.Weights = WeightSize
@@ -122,28 +122,28 @@
 			b.List(now, ListStored, list)
 			fleet[i] = b
 		}
-		away := map[BackendID]bool{}
+		ejected := map[BackendID]bool{}
 		for range rapid.IntRange(1, 5).Draw(t, "steps") {
 			at := rapid.IntRange(0, len(list)-1).Draw(t, "first of them")
 			hit, replaced := list[at:min(len(list), at+rapid.IntRange(1, len(list)).Draw(t, "how many"))], rapid.Bool().Draw(t, "replaced")
 			for i := range hit {
-				if away[hit[i].ID] = !replaced && rapid.Bool().Draw(t, "lost, else back"); replaced {
+				if ejected[hit[i].ID] = !replaced && rapid.Bool().Draw(t, "lost, else back"); replaced {
 					hit[i] = join(now)
 				}
 			}
 			now += time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds")) * second
-			cold, bears, users := map[BackendID]float64{}, map[BackendID]float64{}, map[BackendID]int{}
-			warm := slices.ContainsFunc(list, func(e Backend) bool { return e.Started == 0 && !away[e.ID] })
+			cold, warmLoads, users := map[BackendID]float64{}, map[BackendID]float64{}, map[BackendID]int{}
+			warm := slices.ContainsFunc(list, func(e Backend) bool { return e.Started == 0 && !ejected[e.ID] })
 			for _, b := range fleet {
 				b.List(now, ListFull, list)
 				for _, s := range b.backends {
-					if s.ejected = away[s.ID]; s.ejected && s.queueIndex >= 0 {
+					if s.ejected = ejected[s.ID]; s.ejected && s.queueIndex >= 0 {
 						b.setShare(s, 0)
 					}
 				}
 				b.arrivalRate, b.sendRate, b.lastSolve = rate, rate, now
 				b.solve()
-				b.solve() // the first one turned shares towards what was away
+				b.solve() // the first one still moves from shares of ejected backends
 				if warm && len(b.pickQueue) == 0 {
 					t.Fatalf("a node has no turn to give, part %.3f", b.subsetFraction)
 				}
@@ -154,29 +154,29 @@
 					if s.queueIndex >= 0 && !math.IsInf(s.slowStartLimit, 1) {
 						cold[s.ID] += s.slowStartLimit
 					} else if s.queueIndex >= 0 {
-						bears[s.ID] += s.share * rate / s.size
+						warmLoads[s.ID] += s.share * rate / s.size
 					}
 				}
 			}
-			most := rate * float64(set.Nodes) / fleet[0].servingSize // by size: what each would bear, or a warm one does
-			for _, load := range bears {
-				most = max(most, load)
+			maxLoad := rate * float64(set.Nodes) / fleet[0].servingSize // by size: the load if spread evenly, or that of a warm backend
+			for _, load := range warmLoads {
+				maxLoad = max(maxLoad, load)
 			}
 			for _, s := range fleet[0].backends {
 				if fleet[0].healthy(s) && users[s.ID] == 0 {
 					t.Fatalf("no node uses a backend that is able")
 				}
-				if part := fleet[0].capacityFraction(s); part < 1 && cold[s.ID] > 1.5*set.Rules.FallMultiple*part*most*s.size { // parts differ
-					t.Fatalf("%.2f a second for a cold backend, where a warm one bears %.2f, at %.2f of it", cold[s.ID], most*s.size, part)
+				if fraction := fleet[0].capacityFraction(s); fraction < 1 && cold[s.ID] > 1.5*set.Rules.FallMultiple*fraction*maxLoad*s.size { // subsets differ
+					t.Fatalf("%.2f a second for a cold backend, where a warm one bears %.2f, at %.2f of it", cold[s.ID], maxLoad*s.size, fraction)
 				}
 			}
 		}
 	})
 }
 
-// Guards what a node takes others to hold: alone it counts its own; of many nodes, with few of its own out, it goes by the
-// mean, and one more of its own is not taken for one more at each node.
-func TestOthersAreTakenToDoTheSame(t *testing.T) {
+// Guards the estimate of attempts in flight: a single node counts its own; one of many nodes with few in flight goes by the
+// mean, and does not take one more of its own for one more at each node.
+func TestEstimateOfOtherNodes(t *testing.T) {
 	p := &kindModel{idleLatency: 0.1, inFlightCoeff: 0.01, loadCoeff: 0.0004}
 	for _, c := range []struct{ u, users, each, others float64 }{
 		{u: 5, users: 1, each: 1, others: 0},
@@ -192,9 +192,9 @@
 	}
 }
 
-// Guards the fourth rule under overload: what a cold backend may get goes by what warm ones bear, not by what is asked for or what they
-// are sent, which may be three times and twice as much; and nodes that hear of a start together do not send to it together.
-func TestColdLimitGoesByWhatWarmOnesBear(t *testing.T) {
+// Guards the slow-start rule under overload: the limit follows what warm backends answer, not the arrival or send rate, which may be
+// three times and twice as much; and nodes that learn of a start together must not send to it together.
+func TestSlowStartLimitFollowsWarmLoad(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 50
 	soon, total, users := 0, 0.0, 0
@@ -221,14 +221,14 @@
 			soon++
 		}
 	}
-	bears := 3.0 * 50 / 10 // of all nodes, by each warm one
+	bears := 3.0 * 50 / 10 // served by each warm backend, of all nodes
 	require.LessOrEqual(t, total, set.Rules.ColdFrom*bears*1.2)
 	require.Less(t, soon, users/4)
 }
 
-// TestStartTakesWhatComes guards against a node that refuses while it has learned nothing: load jumps from none to thousands a second on ten
-// idle raters, with answers that come at once, late, or not before the first solve.
-func TestStartTakesWhatComes(t *testing.T) {
+// TestNothingIsRejectedAtTheStart guards against rejections while nothing has been learned: load jumps from none to thousands a second on
+// ten idle backends, with responses that come at once, late, or not before the first solve.
+func TestNothingIsRejectedAtTheStart(t *testing.T) {
 	for _, rate := range []int{1000, 5000, 20000} {
 		for _, latency := range []time.Duration{second / 2000, second / 20, second / 5} {
 			b, r := start(t, testSettings(), backends(10)...)
@@ -247,8 +247,8 @@
 				b.Request(now, Request{ID: RequestID(i), Tenant: -1, Deadline: now + second})
 				open = append(open, RequestID(i))
 			}
-			if len(r.refused)+len(r.failed) > 0 {
-				t.Errorf("%d a second, answers after %v: %d of %d refused", rate, latency, len(r.refused), rate)
+			if len(r.rejected)+len(r.failed) > 0 {
+				t.Errorf("%d a second, answers after %v: %d of %d refused", rate, latency, len(r.rejected), rate)
 			}
 		}
 	}
--- a/decide/memory_test.go
+++ b/decide/restore_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of drawn histories
 )
 
-// lived gives a world after some random traffic, with nothing open.
-func lived(t *testing.T, set Settings, seed uint64, ticks int) *world {
+// afterTraffic returns a world after some random traffic, with no request open.
+func afterTraffic(t *testing.T, set Settings, seed uint64, ticks int) *world {
 	w, list := newWorld(t, set, seed, 0.15), mixed(12)
 	w.list(ListStored, list...)
 	for i := range ticks {
-		w.knock()
+		w.arrive()
 		if i%97 == 96 {
 			w.churn(list)
 		}
@@ -31,9 +31,9 @@
 	return w
 }
 
-// heir gives a world with the same backends at the same time, whose Balancer remembers what that of w knew. With the
-// same chance from here on, both are to do the same.
-func heir(t *testing.T, w *world, set Settings, later time.Duration) (*world, error) {
+// restored returns a world with the same backends, whose Balancer has restored the snapshot of that of w. Both get the same
+// random sources, so that they must act alike from here on.
+func restored(t *testing.T, w *world, set Settings, later time.Duration) (*world, error) {
 	v := newWorld(t, set, 77, w.faulty)
 	v.now = w.now + later
 	var list []Backend
@@ -53,18 +53,18 @@
 	return v, err
 }
 
-// Guards against knowledge that is lost, rounded or read as something else on its way into another Balancer: from the
-// hand-over on the two must do the same, to the last action, whatever troubles the first one had seen.
-func TestHeirDecidesLikeTheFirst(t *testing.T) {
+// Guards against state that is lost, rounded or misread on its way into another Balancer: from then on the two must act alike,
+// to the last action, whatever faults the first one had seen.
+func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	all := variants()
 	rapid.Check(t, func(r *rapid.T) {
 		set := all[rapid.SampledFrom([]string{"copies", "single", "zone group", "many nodes"}).Draw(r, "variant")]
-		w := lived(t, set, rapid.Uint64().Draw(r, "seed"), rapid.IntRange(0, 1500).Draw(r, "ticks"))
-		v, err := heir(t, w, set, 0)
+		w := afterTraffic(t, set, rapid.Uint64().Draw(r, "seed"), rapid.IntRange(0, 1500).Draw(r, "ticks"))
+		v, err := restored(t, w, set, 0)
 		require.NoError(t, err)
 		for range 400 {
 			for _, x := range []*world{w, v} {
-				x.knock()
+				x.arrive()
 				x.step(5 * time.Millisecond)
 			}
 		}
@@ -73,16 +73,15 @@
 	})
 }
 
-// Guards against old knowledge that weighs like fresh: a backend that was slow or away a minute ago may be well, and
-// a node that remembers otherwise sends it nothing.
-func TestAgeWeighs(t *testing.T) {
-	w := lived(t, testSettings(), 3, 600)
+// Guards against old state that weighs like fresh state: a backend that was slow or ejected a minute ago may have recovered.
+func TestOldSnapshotWeighsLess(t *testing.T) {
+	w := afterTraffic(t, testSettings(), 3, 600)
 	bad := w.b.backends[0]
 	bad.slowdown, bad.sampleCount, bad.latencySum, bad.expectedSum = 6, 16, 6*16*bad.model.idleLatency, 16*bad.model.idleLatency
 	w.b.eject(bad)
 	slow := map[time.Duration]float64{}
 	for _, age := range []time.Duration{0, 4 * time.Second, time.Minute, time.Hour} {
-		v, err := heir(t, w, testSettings(), age)
+		v, err := restored(t, w, testSettings(), age)
 		require.NoError(t, err)
 		s := v.b.byID[bad.ID]
 		slow[age] = s.slowdown
@@ -98,10 +97,10 @@
 	require.InDelta(t, 1, slow[time.Hour], 1e-9)
 }
 
-// Guards against knowledge of what is no longer there being given to something else: another process of a backend,
-// another kind under its id, a class, a zone.
-func TestForeignPartsAreLeftOut(t *testing.T) {
-	w := lived(t, testSettings(), 3, 600)
+// Guards against state that is applied to something else: another process of a backend, another kind under its id, a class, a
+// zone.
+func TestRestoreIgnoresUnknownEntries(t *testing.T) {
+	w := afterTraffic(t, testSettings(), 3, 600)
 	m := w.b.Snapshot(w.now)
 	for i := range m.Backends {
 		m.Backends[i].Slow, m.Backends[i].Away = 7, true
@@ -125,10 +124,10 @@
 	require.ErrorContains(t, v.b.Restore(w.now, m), `zone "elsewhere"`)
 }
 
-// Guards against a damaged or made-up memory that is half taken, that makes the Balancer panic, break a rule or go on
-// with figures that are none.
-func TestHostileMemory(t *testing.T) {
-	first := lived(t, testSettings(), 5, 800)
+// Guards against an invalid snapshot that is applied in part, or that makes the Balancer panic, break a rule or compute with
+// NaN.
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
+	first := afterTraffic(t, testSettings(), 5, 800)
 	base, err := json.Marshal(first.b.Snapshot(first.now))
 	require.NoError(t, err)
 	odd := []string{"-1", "1e300", "0", "null", "1e-300", "9e18", "true", `""`, "[]", "1048577", "4e9", "0.5"}
@@ -150,12 +149,12 @@
 		before := w.b.Snapshot(w.now)
 		var m Memory
 		if json.Unmarshal([]byte(text), &m) != nil {
-			return // it never gets here
+			return // it is no Memory at all
 		}
 		if w.b.Restore(w.now, m) != nil {
 			require.Equal(t, before, w.b.Snapshot(w.now))
 		}
-		w.run(mixed(12), 60) // judges the rules and that all figures are numbers
+		w.run(mixed(12), 60) // checks the rules, and that no value is NaN
 	})
 	never := newWorld(t, testSettings(), 2, 0).b.Snapshot(first.now)
 	require.Zero(t, never.SolvedAgo, "one that has no list yet")
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A world hands a Balancer seeded random events and judges its actions by the rules. It knows nothing of
-// queues or speeds: it is no model of a deployment, only a source of legal and odd event streams.
+// world feeds a Balancer with seeded random events and checks its actions against the rules. It models no queues or speeds: it
+// is a source of legal and odd event streams, not of realistic ones.
 type world struct {
 	t    *testing.T
 	rand *rand.Rand
@@ -19,31 +19,31 @@
 	now  time.Duration
 
 	requests map[RequestID]*sentRequest
-	backends map[BackendID]*told
+	backends map[BackendID]*listedBackend
 	wakes    []wake
 	ends     []ending
 	nextID   RequestID
 	trace    []string
-	faulty   float64 // share of attempts that do not end well
+	faulty   float64 // fraction of attempts that fail
 }
 
-type told struct {
+type listedBackend struct {
 	Backend
-	departed time.Duration // when the node was told that it drains or is gone, 0 = serving
+	drainingSince time.Duration // when the Balancer was notified that it drains or is deleted, 0 = serving
 }
 
 type sentRequest struct {
 	Request
-	finals   int
-	over     bool
-	attempts []sentAttempt
+	finalResponses int
+	over           bool
+	attempts       []sentAttempt
 }
 
 type sentAttempt struct {
-	to   *told
-	at   time.Duration
-	done bool
-	ran  bool
+	to         *listedBackend
+	at         time.Duration
+	done       bool
+	mayHaveRun bool
 }
 
 type wake struct {
@@ -61,7 +61,7 @@
 func newWorld(t *testing.T, set Settings, seed uint64, faulty float64) *world {
 	t.Helper()
 	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 7)), set: set, now: 100 * second, faulty: faulty,
-		requests: map[RequestID]*sentRequest{}, backends: map[BackendID]*told{}}
+		requests: map[RequestID]*sentRequest{}, backends: map[BackendID]*listedBackend{}}
 	b, err := New(set, seed, w)
 	if err != nil {
 		t.Fatal(err)
@@ -70,24 +70,24 @@
 	return w
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) record(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, args...))
 }
 
 func (w *world) Send(id RequestID, to BackendID, abandon time.Duration) {
-	w.note("send %d %d %v", id, to, abandon)
+	w.record("send %d %d %v", id, to, abandon)
 	q, d := w.requests[id], w.backends[to]
 	switch {
 	case q == nil || d == nil:
 		w.t.Fatalf("send of unknown request %d to %d", id, to)
-	case q.over || q.finals > 0:
+	case q.over || q.finalResponses > 0:
 		w.t.Fatalf("request %d sent after its end", id)
-	case d.departed > 0 && w.now > d.departed+w.set.Rules.DrainGrace:
-		w.t.Fatalf("request %d sent to %d, departed at %v", id, to, d.departed)
+	case d.drainingSince > 0 && w.now > d.drainingSince+w.set.Rules.DrainGrace:
+		w.t.Fatalf("request %d sent to %d, departed at %v", id, to, d.drainingSince)
 	case len(q.attempts) >= w.set.Limits.MaxAttempts:
 		w.t.Fatalf("request %d sent too often", id)
 	}
-	w.mayRepeat(q, d)
+	w.checkRetry(q, d)
 	q.attempts = append(q.attempts, sentAttempt{to: d, at: w.now})
 	result, after := Good, time.Duration(w.rand.ExpFloat64()*float64(80*time.Millisecond))
 	if w.rand.Float64() < w.faulty {
@@ -99,8 +99,8 @@
 	w.ends = append(w.ends, ending{w.now + after, id, len(q.attempts) - 1, result})
 }
 
-// mayRetryOn judges a send by the class of the request and its earlier attempts.
-func (w *world) mayRepeat(q *sentRequest, d *told) {
+// checkRetry checks a send against the class of the request and its earlier attempts.
+func (w *world) checkRetry(q *sentRequest, d *listedBackend) {
 	c := w.set.Classes[q.Class]
 	var first *sentAttempt
 	for i := range q.attempts {
@@ -108,7 +108,7 @@
 		if !a.done && !w.set.Limits.SecondCopies {
 			w.t.Fatalf("request %d has two attempts out", q.ID)
 		}
-		if first == nil && (!a.done || a.ran) {
+		if first == nil && (!a.done || a.mayHaveRun) {
 			first = a
 		}
 	}
@@ -129,28 +129,28 @@
 	if q == nil {
 		w.t.Fatalf("answer to unknown request %d", id)
 	}
-	if q.over || q.finals > 0 {
+	if q.over || q.finalResponses > 0 {
 		w.t.Fatalf("request %d answered twice", id)
 	}
-	q.finals++
+	q.finalResponses++
 	return q
 }
 
 func (w *world) Refuse(id RequestID, _ time.Duration) {
-	w.note("refuse %d", id)
+	w.record("refuse %d", id)
 	q := w.final(id)
 	c := w.set.Classes[q.Class]
 	for _, a := range q.attempts {
-		if (!a.done || a.ran) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		if (!a.done || a.mayHaveRun) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
 			w.t.Fatalf("request %d refused though it may have run", id)
 		}
 	}
 }
 
-func (w *world) Fail(id RequestID) { w.note("fail %d", id); w.final(id) }
+func (w *world) Fail(id RequestID) { w.record("fail %d", id); w.final(id) }
 
 func (w *world) Cancel(id RequestID, n int) {
-	w.note("cancel %d %d", id, n)
+	w.record("cancel %d %d", id, n)
 	if q := w.requests[id]; q == nil || n >= len(q.attempts) {
 		w.t.Fatalf("cancel of unknown attempt %d of %d", n, id)
 	}
@@ -161,42 +161,42 @@
 	}
 }
 
-func (w *world) Probe(to BackendID) { w.note("probe %d", to) }
-func (w *world) Watch()             { w.note("watch") }
-func (w *world) Log(line string)    { w.note("log %s", line) }
+func (w *world) Probe(to BackendID) { w.record("probe %d", to) }
+func (w *world) Watch()             { w.record("watch") }
+func (w *world) Log(line string)    { w.record("log %s", line) }
 
 func (w *world) Wake(after time.Duration, token uint64) {
 	w.wakes = append(w.wakes, wake{w.now + after, token})
 }
 
-// list tells the Balancer of backends as they are, by changes or as a whole.
+// list updates the endpoint list, by changes or as a whole.
 func (w *world) list(kind ListKind, entries ...Backend) {
 	if kind != ListChanges {
 		for _, d := range w.backends {
-			if d.departed == 0 {
-				d.departed = w.now
+			if d.drainingSince == 0 {
+				d.drainingSince = w.now
 			}
 		}
 	}
 	for _, e := range entries {
 		d := w.backends[e.ID]
 		if d == nil {
-			d = &told{}
+			d = &listedBackend{}
 			w.backends[e.ID] = d
 		}
-		was := d.departed
-		*d = told{Backend: e}
+		was := d.drainingSince
+		*d = listedBackend{Backend: e}
 		if e.State != Serving {
-			d.departed = w.now
+			d.drainingSince = w.now
 			if was > 0 {
-				d.departed = was
+				d.drainingSince = was
 			}
 		}
 	}
 	w.b.List(w.now, kind, entries)
 }
 
-func (w *world) knock() {
+func (w *world) arrive() {
 	q := Request{ID: w.nextID, Class: w.rand.IntN(len(w.set.Classes)), Tenant: -1, Repeat: w.rand.IntN(9) == 0}
 	w.nextID++
 	q.Deadline = w.now + w.set.Classes[q.Class].Deadline*time.Duration(3+w.rand.IntN(8))/10
@@ -204,7 +204,7 @@
 	w.b.Request(w.now, q)
 }
 
-// step lets time pass, with the timers and endings that fall due.
+// step advances the time, with the timers and ends of attempts that fall due.
 func (w *world) step(span time.Duration) {
 	w.now += span
 	sort.SliceStable(w.ends, func(i, j int) bool { return w.ends[i].at < w.ends[j].at })
@@ -213,12 +213,12 @@
 		w.ends = w.ends[1:]
 		q := w.requests[e.id]
 		a := &q.attempts[e.attempt]
-		a.done, a.ran = true, e.result.MayHaveRun()
+		a.done, a.mayHaveRun = true, e.result.MayHaveRun()
 		if e.result == Good {
 			q.over = true
 		}
 		w.b.Outcome(w.now, Outcome{Request: e.id, Backend: a.to.ID, Attempt: e.attempt,
-			Over: q.over || q.finals > 0, Latency: w.now - a.at, Result: e.result})
+			Over: q.over || q.finalResponses > 0, Latency: w.now - a.at, Result: e.result})
 	}
 	var due []wake
 	rest := w.wakes[:0]
@@ -239,13 +239,13 @@
 		}
 	}
 	for _, q := range w.requests {
-		if q.finals == 0 && !q.over && w.now > q.Deadline+w.set.Rules.AnswerSlack {
+		if q.finalResponses == 0 && !q.over && w.now > q.Deadline+w.set.Rules.AnswerSlack {
 			w.t.Fatalf("request %d has no answer at %v, due %v", q.ID, w.now, q.Deadline)
 		}
 	}
 }
 
-// churn changes the list at random: drains, removals, restarts, newcomers.
+// churn changes the list at random: drains, removals, restarts, joins.
 func (w *world) churn(list []Backend) {
 	e := &list[w.rand.IntN(len(list))]
 	switch w.rand.IntN(5) {
@@ -275,26 +275,26 @@
 	w.list(ListStored, list...)
 	for range ticks {
 		for range w.rand.IntN(6) {
-			w.knock()
+			w.arrive()
 		}
 		if w.rand.IntN(20) == 0 {
 			w.churn(list)
 		}
 		if w.rand.IntN(20) == 0 && w.nextID > 0 { // a client leaves
 			q := w.requests[w.nextID-1]
-			if q.finals == 0 && !q.over {
+			if q.finalResponses == 0 && !q.over {
 				q.over = true
 				w.b.Gone(w.now, q.ID)
 			}
 		}
 		w.step(5 * time.Millisecond)
 	}
-	for range 800 { // what is out comes to its end
+	for range 800 { // let every attempt end
 		w.step(5 * time.Millisecond)
 	}
 }
 
-// variants are settings that differ in what the rules depend on.
+// variants returns settings that differ in what the rules depend on.
 func variants() map[string]Settings {
 	one := testSettings()
 	single := testSettings()
@@ -305,7 +305,7 @@
 	everywhere := testSettings()
 	everywhere.Classes[1].Group = GroupAll
 	everywhere.Limits.MaxAttempts = 1
-	short := testSettings() // a window shorter than an answer is waited for
+	short := testSettings() // keys expire before a response would be given up
 	short.Classes[1].Group, short.Classes[1].KeyTTL = GroupAll, 50*time.Millisecond
 	many := testSettings()
 	many.Nodes, many.Node, many.Ask = 40, 17, true
@@ -323,7 +323,7 @@
 	return list
 }
 
-func TestRulesHoldOnRandomStreams(t *testing.T) {
+func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for name, set := range variants() {
 		for seed := range uint64(8) {
 			faulty := []float64{0.02, 0.3, 0.9, 1}[seed%4]
@@ -338,23 +338,23 @@
 	}
 }
 
-func TestNoBackendAtAll(t *testing.T) {
+func TestEveryRequestIsAnsweredWithoutBackends(t *testing.T) {
 	w := newWorld(t, testSettings(), 1, 0)
 	w.list(ListStored)
 	for range 50 {
-		w.knock()
+		w.arrive()
 	}
 	w.step(5 * time.Millisecond)
 	for id, q := range w.requests {
-		if q.finals != 1 {
-			t.Errorf("request %d: %d answers", id, q.finals)
+		if q.finalResponses != 1 {
+			t.Errorf("request %d: %d answers", id, q.finalResponses)
 		}
 	}
 	w.list(ListFull, mixed(4)...)
-	w.list(ListFull) // and all are gone again
-	w.knock()
-	if q := w.requests[w.nextID-1]; q.finals != 1 || len(q.attempts) != 0 {
-		t.Errorf("with all backends gone: %d answers, %d sends", q.finals, len(q.attempts))
+	w.list(ListFull) // every backend is removed again
+	w.arrive()
+	if q := w.requests[w.nextID-1]; q.finalResponses != 1 || len(q.attempts) != 0 {
+		t.Errorf("with all backends gone: %d answers, %d sends", q.finalResponses, len(q.attempts))
 	}
 }
 
@@ -364,7 +364,7 @@
 		list := mixed(10)
 		w.list(ListStored, list...)
 		for range 300 {
-			w.knock()
+			w.arrive()
 			w.step(5 * time.Millisecond)
 			between()
 		}
@@ -373,7 +373,7 @@
 	alone := play(func() {})
 	other := newWorld(t, testSettings(), 6, 0.5)
 	other.list(ListStored, mixed(7)...)
-	beside := play(func() { other.knock(); other.step(5 * time.Millisecond) })
+	beside := play(func() { other.arrive(); other.step(5 * time.Millisecond) })
 	if len(alone) != len(beside) {
 		t.Fatalf("%d actions alone, %d beside another instance", len(alone), len(beside))
 	}
@@ -384,9 +384,9 @@
 	}
 }
 
-// Rule 4: together all nodes stay within the budget of a cold backend in every window, whatever their part
-// of the traffic. The budget is counted in requests against what an average backend serves when all work.
-func TestColdBackendsStayWithinBudget(t *testing.T) {
+// Together all nodes must stay within the slow-start budget of a backend in every window, whatever their fraction of the
+// traffic. The budget is in requests, relative to what an average backend serves when all are up.
+func TestSlowStartStaysWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		nodes, cold   int
@@ -430,7 +430,7 @@
 						i = min(i, pick.IntN(c.nodes), pick.IntN(c.nodes))
 					}
 					w := worlds[i]
-					w.knock()
+					w.arrive()
 					for _, a := range w.requests[w.nextID-1].attempts {
 						if a.to.Started > 0 {
 							sent[a.to.ID] = append(sent[a.to.ID], w.now)
@@ -441,17 +441,17 @@
 					w.step(5 * time.Millisecond)
 				}
 			}
-			judgeCold(t, set.Rules, list, sent, perTick*200.0/fleet)
+			checkSlowStart(t, set.Rules, list, sent, perTick*200.0/fleet)
 		})
 	}
 }
 
-func judgeCold(t *testing.T, r Rules, list []Backend, sent map[BackendID][]time.Duration, usual float64) {
+func checkSlowStart(t *testing.T, r Rules, list []Backend, sent map[BackendID][]time.Duration, perBackend float64) {
 	t.Helper()
 	for _, e := range list {
 		var times []time.Duration
 		for _, at := range sent[e.ID] {
-			if at >= e.Started { // what went to an earlier process is not this one's
+			if at >= e.Started { // sends to an earlier process do not count
 				times = append(times, at)
 			}
 		}
@@ -461,19 +461,19 @@
 				n++
 			}
 			age := min(1, (end-e.Started).Seconds()/r.ColdTime.Seconds())
-			part := r.ColdFrom + (1-r.ColdFrom)*age
-			if budget := r.FallMultiple * part * usual * r.FallTime.Seconds(); float64(n) > budget {
+			fraction := r.ColdFrom + (1-r.ColdFrom)*age
+			if budget := r.FallMultiple * fraction * perBackend * r.FallTime.Seconds(); float64(n) > budget {
 				t.Fatalf("backend %d got %d in a window, its budget is %.1f", e.ID, n, budget)
 			}
 		}
 	}
 }
 
-// Guards against work refused while raters have room: where an idle rater already takes 0.6 of the shortest aim, a
-// cap there leaves hardly any room, and a quarter of the work was refused that a plain policy served.
-func TestIdleLatencyNearTheAimLeavesRoom(t *testing.T) {
+// Guards against rejections while there is capacity: where the idle latency is already 0.6 of the shortest target, a cap there
+// leaves hardly any capacity, and a quarter of the work was rejected that a plain policy served.
+func TestIdleLatencyNearTargetLeavesCapacity(t *testing.T) {
 	b, _ := start(t, testSettings(), backends(4)...)
-	b.kindModels[0] = kindModel{idleLatency: 0.6 * b.latencyTarget, loadCoeff: 0.12 * b.latencyTarget, measured: true} // a unit a second: 0.72 of the aim
+	b.kindModels[0] = kindModel{idleLatency: 0.6 * b.latencyTarget, loadCoeff: 0.12 * b.latencyTarget, measured: true} // a unit a second: 0.72 of the target
 	for _, c := range []struct {
 		asked float64
 		short bool
--- a/decide/solve_test.go
+++ b/decide/shares_test.go
@@ -11,16 +11,16 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// learned gives a node alone before n backends whose curves it knows: three kinds, each backend with a speed and a risk of its own,
-// asked for a part of what they bear.
-func learned(tb testing.TB, n int, seed uint64, part float64) *Balancer {
+// balancerWithCurves returns the Balancer of a single node with n backends whose curves it knows: three kinds, each backend with its
+// own slowdown, at a fraction of their capacity.
+func balancerWithCurves(tb testing.TB, n int, seed uint64, fraction float64) *Balancer {
 	tb.Helper()
 	set := testSettings()
 	set.Kinds = []string{"fast", "middle", "slow"}
-	draw := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, 1))
 	list := make([]Backend, n)
 	for i := range list {
-		list[i] = Backend{ID: BackendID(draw.Uint64()), Kind: draw.IntN(3)}
+		list[i] = Backend{ID: BackendID(random.Uint64()), Kind: random.IntN(3)}
 	}
 	b, err := New(set, seed, &recorder{})
 	if err != nil {
@@ -29,23 +29,23 @@
 	b.List(second, ListStored, list)
 	for i := range b.kindModels {
 		p := &b.kindModels[i]
-		p.idleLatency, p.loadCoeff, p.measured = 0.02+0.1*draw.Float64(), 0.0001*math.Pow(100, draw.Float64()), true
+		p.idleLatency, p.loadCoeff, p.measured = 0.02+0.1*random.Float64(), 0.0001*math.Pow(100, random.Float64()), true
 	}
-	room := 0.0
+	capacity := 0.0
 	for _, s := range b.backends {
-		s.slowdown = 0.5 + draw.Float64()
-		room += s.size * s.loadAtLatency(min(2*s.slowdown*s.model.idleLatency, targetFraction*b.latencyTarget))
+		s.slowdown = 0.5 + random.Float64()
+		capacity += s.size * s.loadAtLatency(min(2*s.slowdown*s.model.idleLatency, targetFraction*b.latencyTarget))
 	}
-	// The search's step would bound every backend near a fair share; it has long been taken.
-	b.arrivalRate, b.sendRate = part*room, part*room
+	// The step of the search bounds every backend near the fair load: many solves lift that.
+	b.arrivalRate, b.sendRate = fraction*capacity, fraction*capacity
 	for range 40 {
 		b.solve()
 	}
 	return b
 }
 
-// cost is the sum of the latencies of all units if each backend gets what of says.
-func (b *Balancer) cost(of func(s *backendState) float64) (sum float64) {
+// totalLatency is the sum of the latencies of all units if each backend gets the rate that of returns.
+func (b *Balancer) totalLatency(of func(s *backendState) float64) (sum float64) {
 	for _, s := range b.backends {
 		u := of(s)
 		sum += u * (s.crossZonePenalty + s.riskPenalty + s.latencyAtLoad(u/s.size))
@@ -53,8 +53,8 @@
 	return sum
 }
 
-// optimum is the least cost of the same load under the same tops. The curves are convex, so every backend that is neither empty nor full
-// adds the same latency for a further unit; that is found by halving, to the last bit.
+// optimum is the lowest total latency of the same load under the same maximum rates. The curves are convex, so every backend that
+// is neither empty nor full adds the same latency for one more unit; that is found by bisection, to the last bit.
 func (b *Balancer) optimum(need float64) float64 {
 	at := func(s *backendState, price float64) float64 {
 		room := price - s.crossZonePenalty - s.riskPenalty - s.slowdown*s.model.idleLatency
@@ -72,11 +72,11 @@
 			high = price
 		}
 	}
-	return b.cost(func(s *backendState) float64 { return at(s, high) })
+	return b.totalLatency(func(s *backendState) float64 { return at(s, high) })
 }
 
-// TestSolveIsNearTheOptimum guards against a solve that gives latency away: on curves as they are learned it stays near the exact optimum
-// of the same problem, at every load (the paper's own: 99.9%). With ten backends the ten levels are coarse for some.
+// TestSolveIsNearTheOptimum guards the quality of the solve: it stays near the exact optimum of the same problem, at every load (the paper's
+// own: 99.9%). With ten backends the ten levels are coarse for some.
 func TestSolveIsNearTheOptimum(t *testing.T) {
 	for _, c := range []struct {
 		n           int
@@ -86,12 +86,12 @@
 		worst, sum, count := 1.0, 0.0, 0
 		for seed := range c.seeds {
 			for _, part := range []float64{0.2, 0.5, 0.8, 0.95} {
-				b := learned(t, c.n, seed, part)
+				b := balancerWithCurves(t, c.n, seed, part)
 				need := 0.0
 				for _, s := range b.backends {
 					need += s.solvedRate
 				}
-				ratio := b.optimum(need) / b.cost(func(s *backendState) float64 { return s.solvedRate })
+				ratio := b.optimum(need) / b.totalLatency(func(s *backendState) float64 { return s.solvedRate })
 				worst, sum, count = min(worst, ratio), sum+ratio, count+1
 			}
 		}
@@ -103,12 +103,12 @@
 	}
 }
 
-// TestOptimumIsThatOfALibrary guards against an optimum that is none: a linear program over 20 points of each curve comes to the same, but
-// for what straight lines between them add.
-func TestOptimumIsThatOfALibrary(t *testing.T) {
+// TestOptimumMatchesLinearProgram guards the optimum that the solve is compared with: a linear program over 20 points of each curve comes to
+// the same, but for the interpolation between them.
+func TestOptimumMatchesLinearProgram(t *testing.T) {
 	const points = 20
 	for seed := range uint64(5) {
-		b := learned(t, 10, seed, 0.8)
+		b := balancerWithCurves(t, 10, seed, 0.8)
 		n, need := len(b.backends), 0.0
 		a, prices, bounds := mat.NewDense(n+1, n*(points+1), nil), make([]float64, n*(points+1)), make([]float64, n+1)
 		for i, s := range b.backends {
@@ -133,11 +133,11 @@
 	}
 }
 
-// BenchmarkSolve is one solve, to hold beside the paper's Table 4 (20 ms for 10 backends to 21.1 s for 1,000).
+// BenchmarkSolve is one solve, comparable with the paper's Table 4 (20 ms for 10 backends to 21.1 s for 1,000).
 func BenchmarkSolve(b *testing.B) {
 	for _, n := range []int{10, 30, 100, 300, 1000, 3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := learned(b, n, 1, 0.6)
+			l := balancerWithCurves(b, n, 1, 0.6)
 			b.ReportAllocs()
 			for b.Loop() {
 				l.solve()
@@ -146,11 +146,11 @@
 	}
 }
 
-// BenchmarkRequest is one request that is sent and answered.
+// BenchmarkRequest is one request that is sent and answered by one attempt.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := learned(b, n, 1, 0.6)
+			l := balancerWithCurves(b, n, 1, 0.6)
 			b.ReportAllocs()
 			now, id := 2*second, RequestID(0)
 			for b.Loop() {
--- a/decide/bounds_test.go
+++ b/decide/state_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against memory that grows with the ids of requests and backends ever seen, or with versions of the list: whatever comes
-// and goes, what is held is what is listed, what still has an attempt out, and what is open.
-func TestMemoryHoldsWhatIsThere(t *testing.T) {
+// Guards against memory that grows with the ids of requests and backends ever seen, or with updates of the list: the state holds
+// listed backends, backends with an attempt in flight, and open requests only.
+func TestStateIsBoundedByListedBackendsAndOpenRequests(t *testing.T) {
 	all := variants()
 	rapid.Check(t, func(r *rapid.T) {
 		set := all[rapid.SampledFrom(slices.Sorted(maps.Keys(all))).Draw(r, "settings")]
 		w := newWorld(t, set, rapid.Uint64().Draw(r, "seed"), 0.2)
-		fresh, listed, open, most := BackendID(1), map[BackendID]Backend{}, 0, 0
-		replace := func(n int) { // a list of backends that nobody has seen
+		fresh, listed, open, maxOpen := BackendID(1), map[BackendID]Backend{}, 0, 0
+		replace := func(n int) { // a list of new backends
 			clear(listed)
 			for range n {
 				e := mixed(1)[0]
@@ -28,8 +28,8 @@
 				listed[e.ID] = e
 			}
 		}
-		tell := func() { w.list(ListFull, slices.Collect(maps.Values(listed))...) }
-		holds := func() {
+		update := func() { w.list(ListFull, slices.Collect(maps.Values(listed))...) }
+		check := func() {
 			out := map[BackendID]bool{}
 			open = 0
 			for id, q := range w.requests {
@@ -39,7 +39,7 @@
 						out[a.to.ID], busy = true, true
 					}
 				}
-				if busy || q.finals == 0 && !q.over {
+				if busy || q.finalResponses == 0 && !q.over {
 					open++
 				} else {
 					delete(w.requests, id)
@@ -51,16 +51,16 @@
 			require.LessOrEqual(r, len(w.b.byID), len(out))
 			require.Len(r, w.b.backends, len(w.b.byID))
 			require.LessOrEqual(r, len(w.b.requests), open)
-			require.LessOrEqual(r, len(w.b.freeRequests)+len(w.b.requests), most)
+			require.LessOrEqual(r, len(w.b.freeRequests)+len(w.b.requests), maxOpen)
 			require.LessOrEqual(r, len(w.b.trialQueue), len(w.b.backends))
 		}
 		replace(rapid.IntRange(1, 8).Draw(r, "first"))
-		tell()
+		update()
 		for range rapid.IntRange(20, 60).Draw(r, "versions") {
 			switch rapid.IntRange(0, 2).Draw(r, "how") {
 			case 0:
 				replace(rapid.IntRange(0, 8).Draw(r, "backends"))
-				tell()
+				update()
 			case 1: // one goes, by itself
 				for id, e := range listed {
 					e.State = Deleted
@@ -69,22 +69,22 @@
 					break
 				}
 			}
-			come := rapid.IntRange(0, 30).Draw(r, "requests")
-			most = max(most, open+come) // the most that can have been open at once
-			for range come {
-				w.knock()
+			arriving := rapid.IntRange(0, 30).Draw(r, "requests")
+			maxOpen = max(maxOpen, open+arriving) // upper bound of requests open at once
+			for range arriving {
+				w.arrive()
 			}
 			w.step(rapid.SampledFrom([]time.Duration{time.Millisecond, 20 * time.Millisecond, second}).Draw(r, "for"))
-			holds()
+			check()
 		}
-		for range 800 { // what is out comes to its end
+		for range 800 { // let every attempt end
 			w.step(5 * time.Millisecond)
 		}
-		tell()
+		update()
 		for range 400 {
 			w.step(20 * time.Millisecond)
 		}
-		holds()
+		check()
 		require.Empty(r, w.b.requests)
 		require.Len(r, w.b.byID, len(listed))
 		text, err := json.Marshal(w.b.Snapshot(w.now))
--- a/decide/parts_test.go
+++ b/decide/subset_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// subset gives the backends that one of many nodes keeps to, k of them if it can choose.
+// subset returns the backends that one of many nodes uses, k of them if it can choose.
 type subset func(node, nodes int, ids []BackendID, k int) map[BackendID]bool
 
 func hashed(a, b uint64) uint64 { return rand.NewPCG(a, b).Uint64() }
@@ -40,7 +40,7 @@
 		})
 		return chosen(sorted[:k])
 	},
-	// Of Google's book on site reliability: rounds of nodes deal the backends out, shuffled anew in each.
+	// Deterministic subsetting of Google's book on site reliability: rounds of nodes deal out the backends, shuffled in each round.
 	"deterministic": func(node, _ int, ids []BackendID, k int) map[BackendID]bool {
 		each := len(ids) / k
 		round := slices.Clone(ids)
@@ -59,19 +59,19 @@
 	return m
 }
 
-// TestPartsAgainstOtherSubsets guards against parts that cover the fleet less evenly than subsets that others use, or that move more when a
-// backend leaves. uses are the nodes that use a backend; moved is the part of all pairs that is new when one has left.
-func TestPartsAgainstOtherSubsets(t *testing.T) {
+// TestSubsetsAgainstOtherSchemes guards against subsets that cover the fleet less evenly than known schemes, or that move more when a backend
+// leaves. uses is the number of nodes that use a backend; moved is the fraction of pairs that are new when one has left.
+func TestSubsetsAgainstOtherSchemes(t *testing.T) {
 	for _, c := range []struct{ nodes, backends, k int }{{20, 60, 12}, {80, 60, 6}, {200, 60, 6}} {
 		var ids []BackendID
 		for i := range c.backends {
 			ids = append(ids, BackendID(hashed(uint64(i), 9)))
 		}
 		spread, moves := map[string]float64{}, map[string]float64{}
-		for name, of := range subsets {
+		for name, choose := range subsets {
 			uses, pairs, moved := map[BackendID]int{}, 0, 0
 			for node := range c.nodes {
-				now, later := of(node, c.nodes, ids, c.k), of(node, c.nodes, ids[1:], c.k)
+				now, later := choose(node, c.nodes, ids, c.k), choose(node, c.nodes, ids[1:], c.k)
 				for id := range now {
 					uses[id]++
 					pairs++
@@ -82,14 +82,14 @@
 					}
 				}
 			}
-			least, most := c.nodes, 0
+			minUses, maxUses := c.nodes, 0
 			for _, id := range ids {
-				least, most = min(least, uses[id]), max(most, uses[id])
+				minUses, maxUses = min(minUses, uses[id]), max(maxUses, uses[id])
 			}
 			mean := float64(pairs) / float64(len(ids))
-			spread[name], moves[name] = float64(most)/mean, float64(moved)/float64(pairs)
-			t.Logf("%d nodes, %d backends, %s: %.1f uses on average, %d to %d; moved %.4f", c.nodes, c.backends, name, mean, least, most, moves[name])
-			if name == "arc" && least == 0 {
+			spread[name], moves[name] = float64(maxUses)/mean, float64(moved)/float64(pairs)
+			t.Logf("%d nodes, %d backends, %s: %.1f uses on average, %d to %d; moved %.4f", c.nodes, c.backends, name, mean, minUses, maxUses, moves[name])
+			if name == "arc" && minUses == 0 {
 				t.Errorf("%d nodes, %d backends: one of them is in no part", c.nodes, c.backends)
 			}
 		}
