--- a/decide/admission.go
+++ b/decide/admission.go
@@ -11,7 +11,7 @@
 )
 
 // admissionClassOf is the index of a request's admission class: by its class, by whether its tenant is beyond its quota as far
-// as this node's fraction of the traffic tells, and by whether it is a client's own retry. It takes one from the quota.
+// as can be seen from this node's fraction of the traffic, and by whether it is a client's own retry. It takes one from the quota.
 func (b *Balancer) admissionClassOf(r *Request) int {
 	index := 4 * r.Class
 	if known := r.Tenant >= 0 && r.Tenant < len(b.tenantTokens); known && b.tenantTokens[r.Tenant] >= 1 {
--- a/internal/node/dispatch/bounds_test.go
+++ b/internal/node/dispatch/bounds_test.go
@@ -59,7 +59,7 @@
 			c.Advance(rapid.Float64Range(0, 300).Draw(r, "pass"))
 			p.Tick()
 			require.LessOrEqual(r, len(p.hosts), len(listed))
-			require.Len(r, p.ids, len(p.hosts))
+			require.Len(r, p.hostIDs, len(p.hosts))
 			require.LessOrEqual(r, len(p.tickets), len(out))
 			require.LessOrEqual(r, len(p.timers), 16)
 		}
--- a/internal/node/dispatch/lesson_test.go
+++ b/internal/node/dispatch/lesson_test.go
@@ -124,18 +124,18 @@
 	hosts := append(fleet(), Host{Name: "new", Address: "a:5"})
 	hosts[1].Status = Draining
 	p, mine := learner(t, c, 100, hosts...)
-	before := p.module.Snapshot(span(mine.Now()))
+	before := p.balancer.Snapshot(toDuration(mine.Now()))
 	require.NoError(t, p.Learn(m))
 	now := view(p)
 	assert.True(t, now["dead"].Module.Away)
 	assert.Zero(t, now["well"].Module.Share, "it drains")
-	after := p.module.Snapshot(span(mine.Now()))
+	after := p.balancer.Snapshot(toDuration(mine.Now()))
 	assert.Equal(t, before.Clock, after.Clock)
 	assert.Equal(t, before.Part, after.Part)
 	assert.Equal(t, before.Tokens, after.Tokens)
 	assert.Zero(t, after.Rate)
 	for i, b := range after.Backends {
-		if b.ID == p.ids["cold"] { // what it gets is the node's own affair
+		if b.ID == p.hostIDs["cold"] { // what it gets is the node's own affair
 			assert.Equal(t, before.Backends[i], b)
 		}
 	}
@@ -200,9 +200,9 @@
 func TestBlend(t *testing.T) {
 	m, c := taught(t, 0)
 	p, mine := learner(t, c, 100, fleet()...)
-	own := p.module.Snapshot(span(mine.Now()))
+	own := p.balancer.Snapshot(toDuration(mine.Now()))
 	find := func(m *decide.Memory, name string) *decide.BackendMemory {
-		i := slices.IndexFunc(m.Backends, func(b decide.BackendMemory) bool { return b.ID == p.ids[name] })
+		i := slices.IndexFunc(m.Backends, func(b decide.BackendMemory) bool { return b.ID == p.hostIDs[name] })
 		return &m.Backends[i]
 	}
 	find(&m.Module, "dead").Until = m.Module.At + 10*time.Second
@@ -241,13 +241,13 @@
 	assert.Equal(t, whole.Kinds, less.Kinds, "what rests on less is not taken")
 	lighter.Kinds[0].Fit.N = 0
 	assert.Equal(t, 9.0, Blend(own, lighter, 0, chance).Kinds[0].Idle, "but where nothing is known, the idle latency alone is")
-	lighter.Backends = []decide.BackendMemory{{ID: p.ids["well"], Slow: 1}}
+	lighter.Backends = []decide.BackendMemory{{ID: p.hostIDs["well"], Slow: 1}}
 	less = Blend(whole, lighter, 0, chance)
 	assert.Equal(t, find(&whole, "well").N, find(&less, "well").N)
 	assert.Equal(t, m.Module.Answers, whole.Answers)
 	assert.Less(t, find(&whole, "slow").Share, 0.8*find(&own, "slow").Share)
 	for range 20 { // whatever is drawn
-		require.NoError(t, p.module.Restore(span(mine.Now()), Blend(own, m.Module, 0, chance)))
+		require.NoError(t, p.balancer.Restore(toDuration(mine.Now()), Blend(own, m.Module, 0, chance)))
 	}
 	find(&own, "dead").Share, find(&own, "dead").Turn = 0, -1
 	outside := Blend(own, m.Module, 0, chance)
--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/memory.go
@@ -42,14 +42,14 @@
 }
 
 // Remember gives what is known. Hosts come in the order of their names.
-func (p *Pilot) Remember() (m Memory) {
-	p.event(func(now float64) {
-		m.Module = p.module.Snapshot(span(now))
-		for id, h := range p.hosts {
+func (d *Pilot) Remember() (m Memory) {
+	d.update(func(now float64) {
+		m.Module = d.balancer.Snapshot(toDuration(now))
+		for id, h := range d.hosts {
 			e := HostMemory{ID: id, Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Speaks: h.Protocol, Cell: h.Cell,
 				Status: h.Status, Weight: h.Weight, Since: h.Since}
-			if !math.IsInf(h.left, 1) {
-				e.Left = h.left
+			if !math.IsInf(h.drainingSince, 1) {
+				e.Left = h.drainingSince
 			}
 			m.Hosts = append(m.Hosts, e)
 		}
@@ -60,8 +60,8 @@
 
 // Recall takes what another pilot knew of the hosts that are in the list here; it may be done again, before the first
 // request. A memory that cannot be right changes nothing.
-func (p *Pilot) Recall(m Memory) (err error) {
-	p.event(func(now float64) {
+func (d *Pilot) Recall(m Memory) (err error) {
+	d.update(func(now float64) {
 		names := map[decide.BackendID]*HostMemory{}
 		for i := range m.Hosts {
 			names[m.Hosts[i].ID] = &m.Hosts[i]
@@ -71,7 +71,7 @@
 			if names[id] == nil {
 				return 0, false
 			}
-			to, ok := p.ids[names[id].Name]
+			to, ok := d.hostIDs[names[id].Name]
 			return to, ok
 		}
 		var backends []decide.BackendMemory
@@ -88,13 +88,13 @@
 			}
 		}
 		m.Module.Backends, m.Module.Trials = backends, trials
-		if err = p.module.Restore(span(now), m.Module); err != nil {
+		if err = d.balancer.Restore(toDuration(now), m.Module); err != nil {
 			err = fmt.Errorf("recalling what was known: %w", err)
 			return
 		}
 		for _, e := range m.Hosts {
-			if h := p.hosts[p.ids[e.Name]]; h != nil && h.Name == e.Name && h.Status != Ready && e.Left > 0 {
-				h.left = min(h.left, e.Left)
+			if h := d.hosts[d.hostIDs[e.Name]]; h != nil && h.Name == e.Name && h.Status != Ready && e.Left > 0 {
+				h.drainingSince = min(h.drainingSince, e.Left)
 			}
 		}
 	})
@@ -118,17 +118,17 @@
 }
 
 // View gives the present view.
-func (p *Pilot) View() (v View) {
-	p.event(func(now float64) {
-		v.View, v.Now, v.Open = p.module.View(span(now)), now, len(p.tickets)
+func (d *Pilot) View() (v View) {
+	d.update(func(now float64) {
+		v.View, v.Now, v.Open = d.balancer.View(toDuration(now)), now, len(d.tickets)
 		known := map[decide.BackendID]decide.BackendView{}
 		for _, b := range v.Backends {
 			known[b.ID] = b
 		}
 		v.Backends = nil
-		for id, h := range p.hosts {
+		for id, h := range d.hosts {
 			b, ok := known[id]
-			v.Hosts = append(v.Hosts, HostView{h.Host, h.left, ok, b})
+			v.Hosts = append(v.Hosts, HostView{h.Host, h.drainingSince, ok, b})
 		}
 	})
 	slices.SortFunc(v.Hosts, func(a, b HostView) int { return cmp.Compare(a.Name, b.Name) })
@@ -136,16 +136,16 @@
 }
 
 // Part is the part of the hosts that the module keeps to.
-func (p *Pilot) Part() float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.module.Part()
+func (d *Pilot) Part() float64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.balancer.Part()
 }
 
 // Room is what the hosts in use can take from this node together, in requests a second of average work; learned tells
 // whether it rests on any answer.
-func (p *Pilot) Room() (room float64, learned bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.module.Room()
+func (d *Pilot) Room() (room float64, learned bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.balancer.Room()
 }
--- a/internal/node/dispatch/memory_test.go
+++ b/internal/node/dispatch/memory_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, away(p), away(heir))
 	q := open(heir)
 	require.Equal(t, b, q.Pick().Host)
-	heir.event(func(float64) { actions{heir}.Send(q.id, heir.ids["d"], 0) })
+	heir.update(func(float64) { actions{heir}.Send(q.id, heir.hostIDs["d"], 0) })
 	assert.Empty(t, q.queue, "the drain was told longer ago than the rule allows")
 	q.Report(0, Served, nil)
 
--- a/internal/node/dispatch/pilot.go
+++ b/internal/node/dispatch/pilot.go
@@ -33,7 +33,7 @@
 	Rejected                 // the host finds fault with the request itself; it may have run
 )
 
-var results = [...]decide.Result{Served: decide.Good, Failed: decide.Failed, Declined: decide.Full,
+var balancerResults = [...]decide.Result{Served: decide.Good, Failed: decide.Failed, Declined: decide.Full,
 	Late: decide.Late, NoConnect: decide.NoConnect, Reset: decide.Reset, CalledOff: decide.Cancelled, Unsent: decide.NotSent,
 	Rejected: decide.Rejected}
 
@@ -47,7 +47,7 @@
 	Gone
 )
 
-var states = [...]decide.State{Ready: decide.Serving, Draining: decide.Draining, Gone: decide.Deleted}
+var balancerStates = [...]decide.State{Ready: decide.Serving, Draining: decide.Draining, Gone: decide.Deleted}
 
 // Host is one entry of the inventory.
 type Host struct {
@@ -69,7 +69,7 @@
 	Stored                // every host as the node knew it last, maybe old
 )
 
-var kinds = [...]decide.ListKind{Changes: decide.ListChanges, Whole: decide.ListFull, Stored: decide.ListStored}
+var listKinds = [...]decide.ListKind{Changes: decide.ListChanges, Whole: decide.ListFull, Stored: decide.ListStored}
 
 // Request is what the pilot has to know of a request.
 type Request struct {
@@ -107,81 +107,81 @@
 	Payload any
 }
 
-// mostTold is how many of a list's hosts that are left out the log names.
-const mostTold = 8
+// maxLoggedHosts is how many of a list's hosts that are left out the log names.
+const maxLoggedHosts = 8
 
 // Pilot owns the module. All of its methods may be called from any goroutine.
 type Pilot struct {
-	clock clock.Clock
-	log   *slog.Logger
-	grace float64
-	safe  []bool    // by class: a back-off answer is harmless even if the request has run
-	again []float64 // by class: for so many milliseconds after a send that may have run another one does no harm
-	zones map[string]int
-	kinds map[string]int
-	wake  func()
+	clock       clock.Clock
+	log         *slog.Logger
+	drainGrace  float64
+	rejectSafe  []bool    // by class: a back-off answer is harmless even if the request has run
+	retryWindow []float64 // by class: for so many milliseconds after a send that may have run another one does no harm
+	zoneIndex   map[string]int
+	kindIndex   map[string]int
+	wakeTimer   func()
 
 	coldTime time.Duration // in which a host that has started is cold
 
-	mu      sync.Mutex
-	chance  *rand.Rand // of what is learned from another node
-	module  *decide.Balancer
-	hosts   map[decide.BackendID]*host
-	ids     map[string]decide.BackendID
-	last    decide.RequestID
-	tickets map[decide.RequestID]*Ticket
-	over    bool // Finish was called
-	timers  timers
-	unsent  []decide.Outcome // relays that the rules forbade, to be told to the module after its event
-	lines   []func()         // write log lines, run when the lock is given up
-	poke    bool             // the next timer is due earlier than was last told
+	mu             sync.Mutex
+	random         *rand.Rand // of what is learned from another node
+	balancer       *decide.Balancer
+	hosts          map[decide.BackendID]*host
+	hostIDs        map[string]decide.BackendID
+	lastID         decide.RequestID
+	tickets        map[decide.RequestID]*Ticket
+	finished       bool // Finish was called
+	timers         timers
+	unsentOutcomes []decide.Outcome // relays that the rules forbade, to be told to the module after its event
+	pendingLogs    []func()         // write log lines, run when the lock is given up
+	timerMoved     bool             // the next timer is due earlier than was last told
 }
 
 type host struct {
 	Host
-	left float64 // when the node was told that it drains or is gone; infinite while it is ready
+	drainingSince float64 // when the node was told that it drains or is gone; infinite while it is ready
 }
 
-type relay struct {
-	to     decide.BackendID
-	sent   float64 // decided then: it goes out no sooner
-	ended  bool
-	ran    bool // it may have, now that it has ended
-	called bool
+type attempt struct {
+	hostID     decide.BackendID
+	sentAt     float64 // decided then: it goes out no sooner
+	ended      bool
+	mayHaveRun bool // it may have, now that it has ended
+	cancelled  bool
 }
 
 // Ticket is one request from its arrival to the end of its last relay.
 type Ticket struct {
-	p      *Pilot
-	id     decide.RequestID
-	relays []relay
-	class  int
-	out    int
-	over   bool
-	ran    bool // a relay that has ended may have run
-	queue  []Verdict
-	wake   chan struct{}
+	dispatcher   *Pilot
+	id           decide.RequestID
+	attempts     []attempt
+	class        int
+	openAttempts int
+	done         bool
+	mayHaveRun   bool // a relay that has ended may have run
+	queue        []Verdict
+	ready        chan struct{}
 }
 
 // New makes the pilot of one node. What the module says is logged past log's rule against floods. wake, if not nil, is called when Tick is wanted earlier than it said.
 func New(set decide.Settings, seed uint64, c clock.Clock, logger *slog.Logger, wake func()) (*Pilot, error) {
-	p := &Pilot{clock: c, log: logger, wake: wake, grace: set.Rules.DrainGrace.Seconds() * 1000,
-		zones: places(set.Zones), kinds: places(set.Kinds), hosts: map[decide.BackendID]*host{},
-		ids: map[string]decide.BackendID{}, tickets: map[decide.RequestID]*Ticket{},
-		coldTime: set.Rules.ColdTime, chance: rand.New(rand.NewPCG(seed, 0x6c6573736f6e))}
-	module, err := decide.New(set, seed, actions{p})
+	d := &Pilot{clock: c, log: logger, wakeTimer: wake, drainGrace: set.Rules.DrainGrace.Seconds() * 1000,
+		zoneIndex: indexByName(set.Zones), kindIndex: indexByName(set.Kinds), hosts: map[decide.BackendID]*host{},
+		hostIDs: map[string]decide.BackendID{}, tickets: map[decide.RequestID]*Ticket{},
+		coldTime: set.Rules.ColdTime, random: rand.New(rand.NewPCG(seed, 0x6c6573736f6e))}
+	module, err := decide.New(set, seed, actions{d})
 	if err != nil {
 		return nil, err
 	}
-	p.module = module
+	d.balancer = module
 	for _, c := range set.Classes {
-		p.safe = append(p.safe, c.Effect == decide.Safe || c.Effect == decide.Keyed && c.Group == decide.GroupAll)
-		p.again = append(p.again, map[decide.Effect]float64{decide.Safe: math.Inf(1), decide.Keyed: millis(c.KeyTTL)}[c.Effect])
+		d.rejectSafe = append(d.rejectSafe, c.Effect == decide.Safe || c.Effect == decide.Keyed && c.Group == decide.GroupAll)
+		d.retryWindow = append(d.retryWindow, map[decide.Effect]float64{decide.Safe: math.Inf(1), decide.Keyed: toMillis(c.KeyTTL)}[c.Effect])
 	}
-	return p, nil
+	return d, nil
 }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := map[string]int{}
 	for i, name := range names {
 		m[name] = i
@@ -189,307 +189,307 @@
 	return m
 }
 
-// span converts milliseconds to the module's time.
-func span(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
+// toDuration converts milliseconds to the module's time.
+func toDuration(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
 
-// millis converts the module's time to milliseconds.
-func millis(d time.Duration) float64 { return float64(d) / 1e6 }
+// toMillis converts the module's time to milliseconds.
+func toMillis(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// event runs f on the module under the lock and does afterwards what may not be done under it.
-func (p *Pilot) event(f func(now float64)) {
-	p.mu.Lock()
-	now := p.clock.Now()
+// update runs f on the module under the lock and does afterwards what may not be done under it.
+func (d *Pilot) update(f func(now float64)) {
+	d.mu.Lock()
+	now := d.clock.Now()
 	f(now)
-	for len(p.unsent) > 0 {
-		o := p.unsent[0]
-		p.unsent = p.unsent[1:]
-		p.module.Outcome(span(now), o)
+	for len(d.unsentOutcomes) > 0 {
+		o := d.unsentOutcomes[0]
+		d.unsentOutcomes = d.unsentOutcomes[1:]
+		d.balancer.Outcome(toDuration(now), o)
 	}
-	lines, poke := p.lines, p.poke
-	p.lines, p.poke = nil, false
-	p.mu.Unlock()
+	lines, poke := d.pendingLogs, d.timerMoved
+	d.pendingLogs, d.timerMoved = nil, false
+	d.mu.Unlock()
 	for _, write := range lines {
 		write()
 	}
-	if poke && p.wake != nil {
-		p.wake()
+	if poke && d.wakeTimer != nil {
+		d.wakeTimer()
 	}
 }
 
-// later has a log line written when the lock is given up: whoever reads the log may be slow.
-func (p *Pilot) later(write func()) { p.lines = append(p.lines, write) }
+// logLater has a log line written when the lock is given up: whoever reads the log may be slow.
+func (d *Pilot) logLater(write func()) { d.pendingLogs = append(d.pendingLogs, write) }
 
 // Open takes a request that has arrived and gives it a ticket.
-func (p *Pilot) Open(r Request) *Ticket {
+func (d *Pilot) Open(r Request) *Ticket {
 	t := &Ticket{}
-	p.Begin(t, r)
+	d.Begin(t, r)
 	return t
 }
 
 // Begin is Open for a ticket that the caller keeps; it must be a zero one.
-func (p *Pilot) Begin(t *Ticket, r Request) {
-	t.p, t.wake = p, make(chan struct{}, 1)
-	p.event(func(now float64) {
-		p.last++
-		t.id, t.class = p.last, r.Class
-		if p.over {
-			t.push(Verdict{Kind: BackOff})
-			t.over = true
+func (d *Pilot) Begin(t *Ticket, r Request) {
+	t.dispatcher, t.ready = d, make(chan struct{}, 1)
+	d.update(func(now float64) {
+		d.lastID++
+		t.id, t.class = d.lastID, r.Class
+		if d.finished {
+			t.enqueue(Verdict{Kind: BackOff})
+			t.done = true
 			return
 		}
-		p.tickets[t.id] = t
-		p.module.Request(span(now), decide.Request{ID: t.id, Class: r.Class, Tenant: r.Tenant,
-			Deadline: span(r.Deadline), Cost: r.Cost, Repeat: r.Repeat})
+		d.tickets[t.id] = t
+		d.balancer.Request(toDuration(now), decide.Request{ID: t.id, Class: r.Class, Tenant: r.Tenant,
+			Deadline: toDuration(r.Deadline), Cost: r.Cost, Repeat: r.Repeat})
 	})
 }
 
 // Pick blocks until there is something to do for the request.
 func (t *Ticket) Pick() Verdict {
 	for {
-		t.p.mu.Lock()
+		t.dispatcher.mu.Lock()
 		if len(t.queue) > 0 {
 			v := t.queue[0]
 			t.queue = t.queue[1:]
-			t.p.mu.Unlock()
+			t.dispatcher.mu.Unlock()
 			return v
 		}
-		done, ran := t.over && t.out == 0, t.ran
-		t.p.mu.Unlock()
+		done, ran := t.done && t.openAttempts == 0, t.mayHaveRun
+		t.dispatcher.mu.Unlock()
 		if done {
 			return Verdict{Kind: Done, Ran: ran}
 		}
-		<-t.wake
+		<-t.ready
 	}
 }
 
 // Settled tells that nothing more will come: the final answer is given and no relay is out.
 func (t *Ticket) Settled() bool {
-	t.p.mu.Lock()
-	defer t.p.mu.Unlock()
-	return t.over && t.out == 0 && len(t.queue) == 0
+	t.dispatcher.mu.Lock()
+	defer t.dispatcher.mu.Unlock()
+	return t.done && t.openAttempts == 0 && len(t.queue) == 0
 }
 
 // May tells whether the final answer is still owed, and whether the rules let an attempt go to a host at an address now: one that
 // departs gets nothing after its grace, nothing goes to where it is not any more, and what may have run is not sent again once its
 // repeats are not dropped any more. Since the attempt was decided, its connection may have taken long to come up.
 func (t *Ticket) May(name, address string) (owed, permitted bool) {
-	p := t.p
-	if p == nil {
+	d := t.dispatcher
+	if d == nil {
 		return true, true
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now, id := p.clock.Now(), p.ids[name]
-	h := p.hosts[id]
-	return !t.over, h != nil && h.Address == address && now <= h.left+p.grace && t.repeats(id, now)
-}
-
-// repeats tells whether an attempt at a host may go out in view of those before it.
-func (t *Ticket) repeats(to decide.BackendID, now float64) bool {
-	for i := range t.relays {
-		r := &t.relays[i]
-		if r.to == to && !r.ended {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now, id := d.clock.Now(), d.hostIDs[name]
+	h := d.hosts[id]
+	return !t.done, h != nil && h.Address == address && now <= h.drainingSince+d.drainGrace && t.retryPermitted(id, now)
+}
+
+// retryPermitted tells whether an attempt at a host may go out in view of those before it.
+func (t *Ticket) retryPermitted(to decide.BackendID, now float64) bool {
+	for i := range t.attempts {
+		r := &t.attempts[i]
+		if r.hostID == to && !r.ended {
 			return true
 		}
-		if !r.ended || r.ran {
-			return now < r.sent+t.p.again[t.class]
+		if !r.ended || r.mayHaveRun {
+			return now < r.sentAt+t.dispatcher.retryWindow[t.class]
 		}
 	}
 	return true
 }
 
-func (t *Ticket) push(v Verdict) {
+func (t *Ticket) enqueue(v Verdict) {
 	t.queue = append(t.queue, v)
 	t.signal()
 }
 
 func (t *Ticket) signal() {
 	select {
-	case t.wake <- struct{}{}:
+	case t.ready <- struct{}{}:
 	default:
 	}
 }
 
-// retract takes back the relays that were decided and that nobody has picked: nothing goes out any more for a request that
+// withdrawUnpicked takes back the relays that were decided and that nobody has picked: nothing goes out any more for a request that
 // is about to be over.
-func (t *Ticket) retract() {
+func (t *Ticket) withdrawUnpicked() {
 	t.queue = slices.DeleteFunc(t.queue, func(v Verdict) bool {
 		if v.Kind == Relay {
-			r := &t.relays[v.Relay]
+			r := &t.attempts[v.Relay]
 			r.ended = true
-			t.out--
-			t.p.unsent = append(t.p.unsent, decide.Outcome{Request: t.id, Backend: r.to, Attempt: v.Relay, Over: true,
+			t.openAttempts--
+			t.dispatcher.unsentOutcomes = append(t.dispatcher.unsentOutcomes, decide.Outcome{Request: t.id, Backend: r.hostID, Attempt: v.Relay, Over: true,
 				Result: decide.NotSent})
 		}
-		return v.Kind == Relay || v.Kind == CallOff && t.relays[v.Relay].ended
+		return v.Kind == Relay || v.Kind == CallOff && t.attempts[v.Relay].ended
 	})
 }
 
-// end marks that the request's final answer is given, or that no one waits for it.
-func (t *Ticket) end() {
-	t.over = true
+// finish marks that the request's final answer is given, or that no one waits for it.
+func (t *Ticket) finish() {
+	t.done = true
 	t.signal()
-	t.forget()
+	t.removeIfDone()
 }
 
-// forget drops a ticket that has nothing out.
-func (t *Ticket) forget() {
-	if t.over && t.out == 0 {
-		delete(t.p.tickets, t.id)
+// removeIfDone drops a ticket that has nothing out.
+func (t *Ticket) removeIfDone() {
+	if t.done && t.openAttempts == 0 {
+		delete(t.dispatcher.tickets, t.id)
 		t.signal()
 	}
 }
 
 // Report tells how a relay ended. The first that served the request has its payload answered; used tells that this is the one.
 func (t *Ticket) Report(n int, o Outcome, payload any) (used bool) {
-	t.p.event(func(now float64) {
-		if n < 0 || n >= len(t.relays) || t.relays[n].ended {
+	t.dispatcher.update(func(now float64) {
+		if n < 0 || n >= len(t.attempts) || t.attempts[n].ended {
 			return
 		}
-		r := &t.relays[n]
-		r.ended, r.ran = true, results[o].MayHaveRun()
-		t.ran = t.ran || r.ran
-		t.out--
-		if o == Served && !t.over {
-			t.retract()
-			t.push(Verdict{Kind: Answer, Relay: n, Payload: payload})
+		r := &t.attempts[n]
+		r.ended, r.mayHaveRun = true, balancerResults[o].MayHaveRun()
+		t.mayHaveRun = t.mayHaveRun || r.mayHaveRun
+		t.openAttempts--
+		if o == Served && !t.done {
+			t.withdrawUnpicked()
+			t.enqueue(Verdict{Kind: Answer, Relay: n, Payload: payload})
 			used = true
-			t.end()
+			t.finish()
 		}
-		t.p.module.Outcome(span(now), decide.Outcome{Request: t.id, Backend: r.to, Attempt: n, Over: t.over,
-			Latency: span(now - r.sent), Result: results[o]})
-		t.forget()
+		t.dispatcher.balancer.Outcome(toDuration(now), decide.Outcome{Request: t.id, Backend: r.hostID, Attempt: n, Over: t.done,
+			Latency: toDuration(now - r.sentAt), Result: balancerResults[o]})
+		t.removeIfDone()
 	})
 	return used
 }
 
 // Gone tells that the client has left.
 func (t *Ticket) Gone() {
-	t.p.event(func(now float64) {
-		if t.over {
+	t.dispatcher.update(func(now float64) {
+		if t.done {
 			return
 		}
-		t.over = true // first, so that nothing is sent for it any more
-		t.retract()
-		t.p.module.Gone(span(now), t.id)
-		t.end()
+		t.done = true // first, so that nothing is sent for it any more
+		t.withdrawUnpicked()
+		t.dispatcher.balancer.Gone(toDuration(now), t.id)
+		t.finish()
 	})
 }
 
 // Finish gives every open request its final answer now, and every later one a back-off answer. What is out for it, or was
 // and may have run, makes that a failure where a repeat would do harm.
-func (p *Pilot) Finish() {
-	p.event(func(now float64) {
-		p.over = true
-		for _, t := range p.tickets {
-			if t.over {
+func (d *Pilot) Finish() {
+	d.update(func(now float64) {
+		d.finished = true
+		for _, t := range d.tickets {
+			if t.done {
 				continue
 			}
-			t.retract()
-			v := Verdict{Kind: BackOff, Ran: t.ran || t.out > 0}
-			if v.Ran && !p.safe[t.class] {
+			t.withdrawUnpicked()
+			v := Verdict{Kind: BackOff, Ran: t.mayHaveRun || t.openAttempts > 0}
+			if v.Ran && !d.rejectSafe[t.class] {
 				v.Kind = Fail
 			}
-			t.over = true // first, so that nothing is sent for it any more
-			t.push(v)
-			p.module.Gone(span(now), t.id)
-			t.end()
+			t.done = true // first, so that nothing is sent for it any more
+			t.enqueue(v)
+			d.balancer.Gone(toDuration(now), t.id)
+			t.finish()
 		}
 	})
 }
 
 // Tick runs the timers that are due and returns when the next one is, +Inf for never.
-func (p *Pilot) Tick() (next float64) {
+func (d *Pilot) Tick() (next float64) {
 	next = math.Inf(1)
-	p.event(func(now float64) {
-		for len(p.timers) > 0 && p.timers[0].due <= now {
-			t := heap.Pop(&p.timers).(timer)
-			p.module.Timer(span(now), t.token)
+	d.update(func(now float64) {
+		for len(d.timers) > 0 && d.timers[0].due <= now {
+			t := heap.Pop(&d.timers).(timer)
+			d.balancer.Timer(toDuration(now), t.token)
 		}
-		p.poke = false
-		if len(p.timers) > 0 {
-			next = p.timers[0].due
+		d.timerMoved = false
+		if len(d.timers) > 0 {
+			next = d.timers[0].due
 		}
 	})
 	return next
 }
 
 // Inventory takes news of the south side hosts.
-func (p *Pilot) Inventory(from Source, list []Host) {
-	p.event(func(now float64) {
+func (d *Pilot) Inventory(from Source, hosts []Host) {
+	d.update(func(now float64) {
 		if from != Changes {
-			named := map[string]bool{}
-			for i := range list {
-				named[list[i].Name] = true
+			inList := map[string]bool{}
+			for i := range hosts {
+				inList[hosts[i].Name] = true
 			}
-			for _, h := range p.hosts {
-				if !named[h.Name] {
-					p.drop(h.Name)
+			for _, h := range d.hosts {
+				if !inList[h.Name] {
+					d.removeHost(h.Name)
 				}
 			}
 		}
-		entries := make([]decide.Backend, 0, len(list))
-		var odd []string
-		for i := range list {
-			if e, ok := p.entry(now, list[i]); ok {
+		entries := make([]decide.Backend, 0, len(hosts))
+		var unknown []string
+		for i := range hosts {
+			if e, ok := d.updateHost(now, hosts[i]); ok {
 				entries = append(entries, e)
 			} else {
-				odd = append(odd, fmt.Sprintf("%q of zone %q and kind %q", list[i].Name, list[i].Zone, list[i].Kind))
+				unknown = append(unknown, fmt.Sprintf("%q of zone %q and kind %q", hosts[i].Name, hosts[i].Zone, hosts[i].Kind))
 			}
 		}
-		if len(odd) > 0 {
-			p.later(func() {
-				p.log.Warn("hosts of a zone or kind that the settings do not name are left out", "count", len(odd),
-					"first", odd[:min(len(odd), mostTold)])
+		if len(unknown) > 0 {
+			d.logLater(func() {
+				d.log.Warn("hosts of a zone or kind that the settings do not name are left out", "count", len(unknown),
+					"first", unknown[:min(len(unknown), maxLoggedHosts)])
 			})
 		}
-		p.module.List(span(now), kinds[from], entries)
-		for i := range list {
-			if list[i].Status == Gone {
-				p.drop(list[i].Name)
+		d.balancer.List(toDuration(now), listKinds[from], entries)
+		for i := range hosts {
+			if hosts[i].Status == Gone {
+				d.removeHost(hosts[i].Name)
 			}
 		}
 	})
 }
 
-// drop forgets a host that is gone: others come under new names as long as the node runs. Nothing is sent to a host
+// removeHost forgets a host that is gone: others come under new names as long as the node runs. Nothing is sent to a host
 // that is not known.
-func (p *Pilot) drop(name string) {
-	delete(p.hosts, p.ids[name])
-	delete(p.ids, name)
+func (d *Pilot) removeHost(name string) {
+	delete(d.hosts, d.hostIDs[name])
+	delete(d.hostIDs, name)
 }
 
-// entry notes one entry and puts it in the module's terms.
-func (p *Pilot) entry(now float64, e Host) (decide.Backend, bool) {
-	zone, ok := p.zones[e.Zone]
-	kind, ok2 := p.kinds[e.Kind]
-	if !ok || !ok2 || e.Name == "" || e.Status > Gone {
+// updateHost notes one entry and puts it in the module's terms.
+func (d *Pilot) updateHost(now float64, e Host) (decide.Backend, bool) {
+	zone, zoneKnown := d.zoneIndex[e.Zone]
+	kind, kindKnown := d.kindIndex[e.Kind]
+	if !zoneKnown || !kindKnown || e.Name == "" || e.Status > Gone {
 		return decide.Backend{}, false
 	}
-	id, known := p.ids[e.Name]
+	id, known := d.hostIDs[e.Name]
 	if !known {
-		id = p.newID(e.Name)
-		p.ids[e.Name] = id
-		p.hosts[id] = &host{left: math.Inf(1)}
+		id = d.newID(e.Name)
+		d.hostIDs[e.Name] = id
+		d.hosts[id] = &host{drainingSince: math.Inf(1)}
 	}
-	h := p.hosts[id]
+	h := d.hosts[id]
 	h.Host = e
 	if e.Status == Ready {
-		h.left = math.Inf(1)
+		h.drainingSince = math.Inf(1)
 	} else {
-		h.left = min(h.left, now)
+		h.drainingSince = min(h.drainingSince, now)
 	}
-	return decide.Backend{ID: id, Zone: zone, Kind: kind, Cell: e.Cell, State: states[e.Status],
-		Weight: e.Weight, Started: span(e.Since)}, true
+	return decide.Backend{ID: id, Zone: zone, Kind: kind, Cell: e.Cell, State: balancerStates[e.Status],
+		Weight: e.Weight, Started: toDuration(e.Since)}, true
 }
 
 // newID gives a host the same id at every node (FNV-1a of its name), or the next free one.
-func (p *Pilot) newID(name string) decide.BackendID {
+func (d *Pilot) newID(name string) decide.BackendID {
 	id := decide.BackendID(2166136261)
 	for _, c := range []byte(name) {
 		id = (id ^ decide.BackendID(c)) * 16777619
 	}
-	for p.hosts[id] != nil {
+	for d.hosts[id] != nil {
 		id++
 	}
 	return id
@@ -515,75 +515,75 @@
 }
 
 // actions carries out what the module asks for, under the pilot's lock.
-type actions struct{ p *Pilot }
+type actions struct{ dispatcher *Pilot }
 
 // Send queues a relay, unless a rule forbids it: then the module hears that it was not sent.
 func (a actions) Send(id decide.RequestID, to decide.BackendID, abandon time.Duration) {
-	p := a.p
-	t, h := p.tickets[id], p.hosts[to]
+	d := a.dispatcher
+	t, h := d.tickets[id], d.hosts[to]
 	if t == nil {
 		return
 	}
-	now := p.clock.Now()
-	n := len(t.relays)
-	t.relays = append(t.relays, relay{to: to, sent: now})
-	if t.over || h == nil || now > h.left+p.grace {
-		t.relays[n].ended = true
-		name, over := "", t.over
+	now := d.clock.Now()
+	n := len(t.attempts)
+	t.attempts = append(t.attempts, attempt{hostID: to, sentAt: now})
+	if t.done || h == nil || now > h.drainingSince+d.drainGrace {
+		t.attempts[n].ended = true
+		name, over := "", t.done
 		if h != nil {
 			name = h.Name
 		}
-		p.later(func() {
-			p.log.Error("a relay that the rules forbid was held back", "host", name, "ended", over)
+		d.logLater(func() {
+			d.log.Error("a relay that the rules forbid was held back", "host", name, "ended", over)
 		})
-		p.unsent = append(p.unsent, decide.Outcome{Request: id, Backend: to, Attempt: n, Over: t.over,
+		d.unsentOutcomes = append(d.unsentOutcomes, decide.Outcome{Request: id, Backend: to, Attempt: n, Over: t.done,
 			Result: decide.NotSent})
 		return
 	}
-	t.out++
-	t.push(Verdict{Kind: Relay, Relay: n, Host: h.Name, Address: h.Address,
-		Speaks: h.Protocol, Until: millis(abandon)})
+	t.openAttempts++
+	t.enqueue(Verdict{Kind: Relay, Relay: n, Host: h.Name, Address: h.Address,
+		Speaks: h.Protocol, Until: toMillis(abandon)})
 }
 
 // Refuse queues a back-off answer.
 func (a actions) Refuse(id decide.RequestID, wait time.Duration) {
-	a.final(id, Verdict{Kind: BackOff, Wait: millis(wait)})
+	a.finish(id, Verdict{Kind: BackOff, Wait: toMillis(wait)})
 }
 
 // Fail queues a failure.
-func (a actions) Fail(id decide.RequestID) { a.final(id, Verdict{Kind: Fail}) }
+func (a actions) Fail(id decide.RequestID) { a.finish(id, Verdict{Kind: Fail}) }
 
-func (a actions) final(id decide.RequestID, v Verdict) {
-	if t := a.p.tickets[id]; t != nil && !t.over {
-		v.Ran = t.ran || t.out > 0
-		t.push(v)
-		t.end()
+func (a actions) finish(id decide.RequestID, v Verdict) {
+	if t := a.dispatcher.tickets[id]; t != nil && !t.done {
+		v.Ran = t.mayHaveRun || t.openAttempts > 0
+		t.enqueue(v)
+		t.finish()
 	}
 }
 
 // Cancel queues the calling off of a relay.
 func (a actions) Cancel(id decide.RequestID, n int) {
-	t := a.p.tickets[id]
-	if t == nil || n < 0 || n >= len(t.relays) || t.relays[n].ended || t.relays[n].called {
+	t := a.dispatcher.tickets[id]
+	if t == nil || n < 0 || n >= len(t.attempts) || t.attempts[n].ended || t.attempts[n].cancelled {
 		return
 	}
-	t.relays[n].called = true
-	t.push(Verdict{Kind: CallOff, Relay: n})
+	t.attempts[n].cancelled = true
+	t.enqueue(Verdict{Kind: CallOff, Relay: n})
 }
 
 // Probe is never asked for by this module; a probe that was not sent has no result.
 func (a actions) Probe(decide.BackendID) {
-	a.p.later(func() { a.p.log.Error("the module asked for a probe: this node makes none") })
+	a.dispatcher.logLater(func() { a.dispatcher.log.Error("the module asked for a probe: this node makes none") })
 }
 
 // Wake sets a timer.
 func (a actions) Wake(after time.Duration, token uint64) {
-	p := a.p
-	due := p.clock.Now() + millis(after)
-	if len(p.timers) == 0 || due < p.timers[0].due {
-		p.poke = true
+	d := a.dispatcher
+	due := d.clock.Now() + toMillis(after)
+	if len(d.timers) == 0 || due < d.timers[0].due {
+		d.timerMoved = true
 	}
-	heap.Push(&p.timers, timer{due, token})
+	heap.Push(&d.timers, timer{due, token})
 }
 
 // Watch has nothing to do: the node watches its inventory as long as it runs.
@@ -591,5 +591,5 @@
 
 // Log passes a line on.
 func (a actions) Log(line string) {
-	a.p.later(func() { log.Each(a.p.log).Warn("the module says", "line", line) })
+	a.dispatcher.logLater(func() { log.Each(a.dispatcher.log).Warn("the module says", "line", line) })
 }
--- a/internal/node/dispatch/pilot_test.go
+++ b/internal/node/dispatch/pilot_test.go
@@ -73,7 +73,7 @@
 	}
 	finished.Report(0, Declined, nil) // a retry is decided
 	gone.Report(0, Declined, nil)
-	p.event(func(float64) { actions{p}.Send(served.id, served.relays[0].to, 0) })
+	p.update(func(float64) { actions{p}.Send(served.id, served.attempts[0].hostID, 0) })
 	served.Report(0, Served, "body")
 	assert.Equal(t, Verdict{Kind: Answer, Payload: "body"}, served.Pick())
 	assert.Equal(t, Verdict{Kind: Done, Ran: true}, served.Pick())
@@ -106,12 +106,12 @@
 		{Name: "g", Zone: "z", Kind: "k", Status: Gone}})
 	c.Advance(501)
 	for _, name := range []string{"h", "g"} {
-		p.event(func(float64) { actions{p}.Send(q.id, p.ids[name], 0) })
+		p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs[name], 0) })
 	}
 	assert.Len(t, *lines, 2)
 	q.Report(first.Relay, Declined, nil)
 	assert.Equal(t, BackOff, q.Pick().Kind, "nothing may have run and no host is left")
-	p.event(func(float64) { actions{p}.Send(q.id, p.ids["h"], 0) })
+	p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs["h"], 0) })
 	assert.Equal(t, Done, q.Pick().Kind)
 }
 
@@ -159,7 +159,7 @@
 	p.Inventory(Changes, []Host{entry("w", Ready)})
 	p.Inventory(Whole, []Host{entry("v", Ready)})
 	assert.Len(t, p.hosts, 1)
-	assert.Len(t, p.ids, 1)
+	assert.Len(t, p.hostIDs, 1)
 }
 
 // Guards against work that may have run being sent again after its repeats are no longer dropped, or while it must not be at all,
