--- a/internal/node/dispatch/pilot_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -14,12 +14,12 @@
 
 const epoch = 1.7e12
 
-// written keeps log lines.
-type written []string
+// logLines records log lines.
+type logLines []string
 
-func (w *written) Write(b []byte) (int, error) { *w = append(*w, string(b)); return len(b), nil }
+func (w *logLines) Write(b []byte) (int, error) { *w = append(*w, string(b)); return len(b), nil }
 
-func newPilot(t *testing.T, hosts ...Host) (*Pilot, *clock.Manual, *[]string) {
+func newTestDispatcher(t *testing.T, hosts ...Host) (*Pilot, *clock.Manual, *[]string) {
 	c, lines := clock.NewManual(epoch), &[]string{}
 	p, err := New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Aim: 600 * time.Millisecond,
@@ -27,7 +27,7 @@
 		Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
 		Rules: decide.Rules{DrainGrace: 500 * time.Millisecond, ColdFrom: 0.2, ColdTime: 20 * time.Second,
 			FallMultiple: 3, FallTime: time.Second}}, 1, c,
-		slog.New(slog.NewTextHandler((*written)(lines), nil)), nil)
+		slog.New(slog.NewTextHandler((*logLines)(lines), nil)), nil)
 	require.NoError(t, err)
 	for i := range hosts {
 		hosts[i].Zone, hosts[i].Kind, hosts[i].Weight = "z", "k", 1
@@ -38,24 +38,23 @@
 
 func open(p *Pilot) *Ticket { return p.Open(Request{Tenant: -1, Deadline: epoch + 900}) }
 
-// Guards against more than one final answer, and against relays that stay open after it.
-func TestOneFinalAnswer(t *testing.T) {
-	p, _, _ := newPilot(t, Host{Name: "h", Address: "a:1"})
+// Guards against more than one final response, and against attempts that stay open after it.
+func TestExactlyOneFinalResponse(t *testing.T) {
+	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
 	q := open(p)
 	v := q.Pick()
 	require.Equal(t, Verdict{Kind: Relay, Host: "h", Address: "a:1", Until: epoch + 600}, v)
 	q.Report(v.Relay, Served, "body")
-	q.Report(v.Relay, Failed, nil) // a second report of one relay counts for nothing
+	q.Report(v.Relay, Failed, nil) // a second report of one attempt is ignored
 	q.Gone()
 	assert.Equal(t, Verdict{Kind: Answer, Payload: "body"}, q.Pick())
 	assert.Equal(t, Verdict{Kind: Done, Ran: true}, q.Pick())
 	assert.Empty(t, p.tickets)
 }
 
-// Guards against a planned stop that ends while a relay is out and says that the call never ran: whoever keeps its name would let it run
-// again.
-func TestFinishTellsWhatMayHaveRun(t *testing.T) {
-	p, _, _ := newPilot(t, Host{Name: "h", Address: "a:1"})
+// Guards against a shutdown that ends with an attempt open and reports that the request never ran: idempotency would let it run again.
+func TestFinishReportsWhatMayHaveRun(t *testing.T) {
+	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
 	out := open(p)
 	require.Equal(t, Relay, out.Pick().Kind)
 	p.Finish()
@@ -63,10 +62,10 @@
 	assert.False(t, open(p).Pick().Ran, "one that comes after that never ran")
 }
 
-// Guards against a retry that is decided in the moment of the stop, of the client's leaving or of another relay's answer and goes
-// out after it, and against a stop that says a request may have run which nobody has sent.
-func TestNothingGoesOutOnceItIsOver(t *testing.T) {
-	p, _, _ := newPilot(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
+// Guards against a retry that is decided at the moment of the shutdown, of the client's leaving or of another attempt's response and
+// goes out after it, and against a shutdown that reports a request which was never sent as one that may have run.
+func TestNoAttemptAfterTheFinalResponse(t *testing.T) {
+	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
 	finished, gone, served := open(p), open(p), open(p)
 	for _, q := range []*Ticket{finished, gone, served} {
 		require.Equal(t, Relay, q.Pick().Kind)
@@ -85,9 +84,9 @@
 	assert.Empty(t, p.tickets)
 }
 
-// Guards against a request kept for a client that has left.
-func TestGoneCallsOff(t *testing.T) {
-	p, _, _ := newPilot(t, Host{Name: "h", Address: "a:1"})
+// Guards against state kept for a client that has left.
+func TestClientLeavingCancelsAttempts(t *testing.T) {
+	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
 	q := open(p)
 	require.Equal(t, Relay, q.Pick().Kind)
 	q.Gone()
@@ -97,9 +96,9 @@
 	assert.Empty(t, p.tickets)
 }
 
-// Guards against relays that the rules forbid, should the module ever ask for one.
-func TestNothingToTheDeparted(t *testing.T) {
-	p, c, lines := newPilot(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
+// Guards against attempts that the rules forbid, should the module ever ask for one.
+func TestNoAttemptAtDrainedHosts(t *testing.T) {
+	p, c, lines := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
 	q := open(p)
 	first := q.Pick()
 	p.Inventory(Changes, []Host{{Name: "h", Zone: "z", Kind: "k", Status: Draining},
@@ -115,9 +114,9 @@
 	assert.Equal(t, Done, q.Pick().Kind)
 }
 
-// Guards against a cold host taken for a warm one: times of discovery and of the module are one clock's.
-func TestColdHostGetsLittle(t *testing.T) {
-	p, _, _ := newPilot(t, Host{Name: "warm", Address: "w"}, Host{Name: "cold", Address: "c", Since: epoch - 100})
+// Guards against a host in slow start taken for a warm one: discovery and the module must use one clock.
+func TestSlowStartLimitsNewHost(t *testing.T) {
+	p, _, _ := newTestDispatcher(t, Host{Name: "warm", Address: "w"}, Host{Name: "cold", Address: "c", Since: epoch - 100})
 	cold := 0
 	for range 100 {
 		if v := open(p).Pick(); v.Address == "c" {
@@ -127,9 +126,9 @@
 	assert.Zero(t, cold)
 }
 
-// Guards against timers that are lost, early, or told of too late.
-func TestTickRunsWhatIsDue(t *testing.T) {
-	p, c, _ := newPilot(t, Host{Name: "h", Address: "a"})
+// Guards against timers that are lost, early, or announced too late.
+func TestTickRunsDueTimers(t *testing.T) {
+	p, c, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
 	next := p.Tick()
 	require.Greater(t, next, c.Now())
 	assert.Equal(t, next, p.Tick(), "nothing is due yet")
@@ -137,9 +136,9 @@
 	assert.Greater(t, p.Tick(), next)
 }
 
-// Guards against one odd entry making the list unusable, and against two hosts with one id.
-func TestOddEntriesAndIDs(t *testing.T) {
-	p, _, lines := newPilot(t, Host{Name: "h", Address: "a"})
+// Guards against one unknown entry making the list unusable, and against two hosts with one id.
+func TestUnknownZoneIsIgnoredAndIDsAreUnique(t *testing.T) {
+	p, _, lines := newTestDispatcher(t, Host{Name: "h", Address: "a"})
 	p.Inventory(Changes, []Host{{Name: "x", Zone: "nowhere", Kind: "k"}, {Name: "g", Zone: "z", Kind: "k"}})
 	assert.Len(t, *lines, 1)
 	assert.Len(t, p.hosts, 2)
@@ -148,9 +147,9 @@
 	assert.Nil(t, p.hosts[id])
 }
 
-// Guards against memory that grows with every host that comes under a new name and goes.
-func TestDepartedHostsAreForgotten(t *testing.T) {
-	p, _, _ := newPilot(t, Host{Name: "h", Address: "a"})
+// Guards against memory that grows with every host that joins under a new name and leaves.
+func TestRemovedHostsAreDropped(t *testing.T) {
+	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
 	entry := func(name string, status Status) Host { return Host{Name: name, Zone: "z", Kind: "k", Status: status} }
 	for _, name := range []string{"x", "y", "z"} {
 		p.Inventory(Changes, []Host{entry(name, Ready)})
@@ -162,9 +161,9 @@
 	assert.Len(t, p.hostIDs, 1)
 }
 
-// Guards against work that may have run being sent again after its repeats are no longer dropped, or while it must not be at all,
-// because the further attempt's connection came up late; and against the time of an attempt that never ran being counted.
-func TestWindowOfRepeatsIsAskedLast(t *testing.T) {
+// Guards against work that may have run being sent again once duplicates are no longer dropped, or at all where it must not be,
+// because the connection of the retry came up late; and against counting the time of an attempt that never ran.
+func TestRetryWindowIsCheckedBeforeFirstByte(t *testing.T) {
 	for _, c := range []struct {
 		effect    decide.Effect
 		first     Outcome
--- a/internal/node/dispatch/memory_test.go
+++ b/internal/node/dispatch/memory_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against knowledge of one host that goes to another whose name has the same hash, which takes its place in
-// another order, against the time of a drain that starts anew, and against a memory that is half taken.
-func TestRecall(t *testing.T) {
+// Guards against the state of one host being restored to another whose name has the same hash, against a drain whose time starts
+// again, and against a snapshot that is restored in part.
+func TestRecallRestoresHostsByName(t *testing.T) {
 	a, b := "s-1122789", "s-1339192"
 	require.Equal(t, (&Pilot{}).newID(a), (&Pilot{}).newID(b))
-	p, c, _ := newPilot(t, Host{Name: a, Address: "a:1"}, Host{Name: b, Address: "a:2"}, Host{Name: "d", Address: "a:3"})
+	p, c, _ := newTestDispatcher(t, Host{Name: a, Address: "a:1"}, Host{Name: b, Address: "a:2"}, Host{Name: "d", Address: "a:3"})
 	for range 30 { // a is dead, b serves
 		q := open(p)
 		for v := q.Pick(); v.Kind == Relay; v = q.Pick() {
@@ -25,31 +25,31 @@
 	m := p.Remember()
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
-	away := func(p *Pilot) map[string]bool {
+	ejected := func(p *Pilot) map[string]bool {
 		is := map[string]bool{}
 		for _, h := range p.View().Hosts {
 			is[h.Name] = h.Module.Away
 		}
 		return is
 	}
-	require.Equal(t, map[string]bool{a: true, b: false, "d": false}, away(p))
+	require.Equal(t, map[string]bool{a: true, b: false, "d": false}, ejected(p))
 
-	heir, c2, _ := newPilot(t)
+	successor, c2, _ := newTestDispatcher(t)
 	c2.Advance(c.Now() - epoch + 520)
 	var got Memory
 	require.NoError(t, json.Unmarshal(text, &got))
 	list := got.List()
-	heir.Inventory(Stored, []Host{list[2], list[1], list[0]})
-	require.NoError(t, heir.Recall(got))
-	assert.Equal(t, away(p), away(heir))
-	q := open(heir)
+	successor.Inventory(Stored, []Host{list[2], list[1], list[0]})
+	require.NoError(t, successor.Recall(got))
+	assert.Equal(t, ejected(p), ejected(successor))
+	q := open(successor)
 	require.Equal(t, b, q.Pick().Host)
-	heir.update(func(float64) { actions{heir}.Send(q.id, heir.hostIDs["d"], 0) })
+	successor.update(func(float64) { actions{successor}.Send(q.id, successor.hostIDs["d"], 0) })
 	assert.Empty(t, q.queue, "the drain was told longer ago than the rule allows")
 	q.Report(0, Served, nil)
 
 	got.Module.Part = 7
-	before := heir.Remember()
-	require.ErrorContains(t, heir.Recall(got), "part is 7")
-	assert.Equal(t, before, heir.Remember())
+	before := successor.Remember()
+	require.ErrorContains(t, successor.Recall(got), "part is 7")
+	assert.Equal(t, before, successor.Remember())
 }
--- a/internal/node/dispatch/bounds_test.go
+++ b/internal/node/dispatch/state_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a node that grows with the names of hosts and the requests that it has ever seen: whatever lists come and however
-// relays end, it holds the hosts that are listed, the requests that are open, and the module's few timers.
-func TestMemoryHoldsWhatIsThere(t *testing.T) {
+// Guards against memory that grows with the hosts and requests ever seen: whatever updates come and however attempts end, the state
+// holds listed hosts, open requests and the module's few timers only.
+func TestStateIsBoundedByListedHostsAndOpenRequests(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		p, c, _ := newPilot(t)
+		p, c, _ := newTestDispatcher(t)
 		named := 0
 		host := func() Host {
 			named++
--- /dev/null
+++ b/internal/node/dispatch/types.go
@@ -0,0 +1,93 @@
+package dispatch
+
+import "linenwheel.dev/linenwheel/decide"
+
+// Outcome is how an attempt ended. Times below are milliseconds on the node's clock where a float64 is used.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Served    Outcome = iota // a complete response
+	Failed                   // an error response; it may have run
+	Declined                 // rejected by the host for overload; it never ran
+	Late                     // no response in time; it may have run
+	NoConnect                // the connection failed before the last byte went out; it never ran
+	Reset                    // the connection broke after that; it may have run
+	CalledOff                // given up because it was cancelled; it may have run
+	Unsent                   // its last byte never went out, through no fault of the host: cancelled, out of time or out of memory
+	Rejected                 // the host finds fault with the request itself; it may have run
+)
+
+var balancerResults = [...]decide.Result{Served: decide.Good, Failed: decide.Failed, Declined: decide.Full,
+	Late: decide.Late, NoConnect: decide.NoConnect, Reset: decide.Reset, CalledOff: decide.Cancelled, Unsent: decide.NotSent,
+	Rejected: decide.Rejected}
+
+// Status is the listed state of a host.
+type Status uint8
+
+// The states.
+const (
+	Ready    Status = iota
+	Draining        // finishes its requests and wants no new ones
+	Gone            // removed
+)
+
+var balancerStates = [...]decide.State{Ready: decide.Serving, Draining: decide.Draining, Gone: decide.Deleted}
+
+// Host is one entry of the endpoint list.
+type Host struct {
+	Name, Address, Zone, Kind string
+	Protocol                  string // empty = HTTP/1.1
+	Cell                      int
+	Status                    Status
+	Weight                    float64
+	Since                     float64 // milliseconds; when its process started; 0 = long ago
+}
+
+// Source tells how an endpoint list is to be read.
+type Source uint8
+
+// The kinds of list.
+const (
+	Changes Source = iota // only the entries that changed
+	Whole                 // every host
+	Stored                // every host as the node knew it last, possibly stale
+)
+
+var listKinds = [...]decide.ListKind{Changes: decide.ListChanges, Whole: decide.ListFull, Stored: decide.ListStored}
+
+// Request is what the balancer has to know of a request.
+type Request struct {
+	Class    int     // index in the settings' classes
+	Tenant   int     // index in the settings' tenants, -1 = none
+	Deadline float64 // milliseconds; when the client gives up
+	Cost     float64 // expected work in seconds; 0 = not known
+	Repeat   bool    // it is a retry of the client
+}
+
+// Kind is what a Verdict asks for.
+type Kind uint8
+
+// The kinds of verdict.
+const (
+	Relay   Kind = iota // start attempt Verdict.Relay at the host, to be given up at Until, and report its end
+	CallOff             // cancel attempt Verdict.Relay, whose end must still be reported
+	Answer              // respond with Verdict.Payload, that of the attempt that served the request
+	BackOff             // reject the request: a retry is safe, after Verdict.Wait if above 0
+	Fail                // respond that the request failed
+	Done                // nothing more will come
+)
+
+// Verdict is the next thing to do for a request. Each request gets exactly one of Answer, BackOff and Fail, or none if its
+// client has left.
+type Verdict struct {
+	Kind    Kind
+	Relay   int     // index of the attempt, from 0
+	Host    string  // name of the host
+	Address string  // of the host
+	Speaks  string  // protocol of the host; empty = HTTP/1.1
+	Until   float64 // milliseconds; when the attempt is given up
+	Wait    float64 // milliseconds
+	Ran     bool    // with BackOff, Fail and Done: the request may have run
+	Payload any
+}
--- a/internal/node/dispatch/lesson.go
+++ b/internal/node/dispatch/warmstart.go
@@ -10,17 +10,17 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// This file has a node learn from what another node of the fleet knows. That is knowledge and never a promise: what hosts and
-// classes cost, which hosts fail, how the load was spread. What is a node's own stays its own: the list, the part of the fleet
-// that it keeps to, its quotas, its budget for further attempts, its rates, and what cold hosts get from it.
+// This file lets a new node start warm, with what another node of the fleet has learned: what hosts and classes cost, which
+// hosts fail, how the load is spread. It takes no commitments over: the endpoint list, the subset, quotas, the retry budget,
+// rates and slow-start limits stay the node's own.
 
-// maxAhead is how far ahead of a memory its times may lie; the module refuses a memory with a later one.
+// maxAhead is how far a time may lie ahead of a snapshot; the module rejects a snapshot with a later one.
 const maxAhead = 30 * time.Second
 
-// ErrNoLesson is what Learn gives where the other node knows nothing of use here.
+// ErrNoLesson is what Learn returns where the other node knows nothing of use here.
 var ErrNoLesson = errors.New("it knows none of the hosts of the list, or has heard nothing")
 
-// Lesson is what another node may have of a memory: what it can use, and nothing of tenants.
+// Lesson is the part of a snapshot that another node may have: what it can use, and nothing of tenants.
 func (m Memory) Lesson() Memory {
 	m.Module.Quota, m.Module.Tenants, m.Module.Trials = nil, nil, nil
 	hosts := make([]HostMemory, 0, len(m.Hosts))
@@ -32,7 +32,7 @@
 	return m
 }
 
-// Heard is the last time at which a host answered, in the module's time; 0 = never.
+// Heard is when a host last responded according to a snapshot, in the module's time; 0 = never.
 func Heard(m *decide.Memory) (at time.Duration) {
 	for i := range m.Zones {
 		at = max(at, m.Zones[i].Heard)
@@ -40,27 +40,20 @@
 	return min(at, m.At)
 }
 
-// Learn takes what another node knows of the hosts that are listed here, at the same address and as the same process; it may
-// be done again, before the first request. It weighs by its age as a restored memory does, counted from the last answer that the
-// other node heard. What cannot be right, or is of no use, changes nothing.
+// Learn takes over what another node knows of the hosts that are listed here, at the same address and as the same process. It
+// may be repeated until the first request. The evidence weighs by its age as in Recall, counted from the last response that
+// the other node received. A snapshot that cannot be right, or is of no use (ErrNoLesson), changes nothing.
 func (d *Pilot) Learn(m Memory) (err error) {
 	d.update(func(now float64) {
-		here := map[decide.BackendID]decide.BackendID{}
+		localIDs := map[decide.BackendID]decide.BackendID{}
 		for i := range m.Hosts {
 			h := &m.Hosts[i]
 			if id, ok := d.hostIDs[h.Name]; ok && d.hosts[id].Address == h.Address {
-				here[h.ID] = id
+				localIDs[h.ID] = id
 			}
 		}
-		var backends []decide.BackendMemory
-		for _, b := range m.Module.Backends {
-			if id, ok := here[b.ID]; ok {
-				b.ID = id
-				backends = append(backends, b)
-			}
-		}
-		m.Module.Backends = backends
-		if len(backends) == 0 || Heard(&m.Module) == 0 {
+		m.Module.Backends = withLocalIDs(m.Module.Backends, localIDs)
+		if len(m.Module.Backends) == 0 || Heard(&m.Module) == 0 {
 			err = ErrNoLesson
 			return
 		}
@@ -71,24 +64,29 @@
 	return err
 }
 
-// Blend gives the memory of a node that has begun just now, own, with what another node knows laid over it. It may be restored
-// where own was taken. What a cold host gets is promised by all nodes together, so of one that is cold nothing is taken; coldTime is
-// that of the rules. chance draws when hosts that are away are tried: nodes that learn from one node do not try together.
+// Blend returns own, the snapshot of a node that has just started, with what another node knows merged in. It may be restored
+// where own was taken. Slow-start limits are kept by all nodes together, so nothing is taken over of a host in slow start;
+// coldTime is that of the rules. random draws when ejected hosts are tried, so that nodes which learn from one node do not
+// try them together.
 func Blend(own, other decide.Memory, coldTime time.Duration, random *rand.Rand) decide.Memory {
 	m := own
 	m.Version, m.Zone, m.At = other.Version, other.Zone, Heard(&other)
 	if other.Answers > own.Answers {
 		m.Lates, m.Answers, m.Bads = other.Lates, other.Answers, other.Bads
 	}
-	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(theirs *decide.KindMemory) (string, float64) {
-		weight := theirs.Fit.N + theirs.Recent.N
-		if theirs.Seen {
-			weight += 1e-9 // its idle latency outlasts the evidence
+	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(kind *decide.KindMemory) (string, float64) {
+		weight := kind.Fit.N + kind.Recent.N
+		if kind.Seen {
+			weight += 1e-9 // its idle latency outlives the evidence
 		}
-		return fmt.Sprint(theirs.Kind, theirs.Across), weight
+		return fmt.Sprint(kind.Kind, kind.Across), weight
+	})
+	m.Classes = preferHeavier(own.Classes, other.Classes, func(class *decide.ClassMemory) (string, float64) {
+		return class.Class, class.N
+	})
+	m.Zones = preferHeavier(own.Zones, other.Zones, func(zone *decide.ZoneMemory) (string, float64) {
+		return zone.Zone, float64(zone.Heard)
 	})
-	m.Classes = preferHeavier(own.Classes, other.Classes, func(theirs *decide.ClassMemory) (string, float64) { return theirs.Class, theirs.N })
-	m.Zones = preferHeavier(own.Zones, other.Zones, func(theirs *decide.ZoneMemory) (string, float64) { return theirs.Zone, float64(theirs.Heard) })
 	for i := range m.Zones {
 		m.Zones[i].Until = min(m.Zones[i].Until, m.At+maxAhead)
 	}
@@ -96,7 +94,7 @@
 	for i := range other.Backends {
 		known[other.Backends[i].ID] = &other.Backends[i]
 	}
-	wholeFleet := own.Part >= 1 && other.Part >= 1 // else the two spread their load over different hosts
+	wholeFleet := own.Part >= 1 && other.Part >= 1 // else the two use different hosts
 	m.Backends = nil
 	sum, newSum := 0.0, 0.0
 	for _, b := range own.Backends {
@@ -110,7 +108,7 @@
 		m.Backends = append(m.Backends, clampTimes(b, m.At, random))
 		newSum += b.Share
 	}
-	for i := range m.Backends { // together they keep the part of the load that they had, or there would seem to be less room
+	for i := range m.Backends { // keep the sum of the shares, or there would seem to be less capacity
 		if b := &m.Backends[i]; b.Share > 0 {
 			setShare(b, b.Share*sum/newSum, m.Clock)
 		}
@@ -118,7 +116,7 @@
 	return m
 }
 
-// preferHeavier gives a list in which each entry is that of own or other which rests on more.
+// preferHeavier returns own with each entry replaced by that of other with the same name, where that has the greater weight.
 func preferHeavier[T any](own, other []T, weigh func(*T) (name string, weight float64)) []T {
 	list := slices.Clone(own)
 	for i := range list {
@@ -132,17 +130,17 @@
 	return list
 }
 
-// evidence is on how many attempts what is known of a host rests, each weighed by its age.
+// evidence is the number of attempts that the state of a host rests on, each weighed by its age.
 func evidence(b *decide.BackendMemory) float64 { return b.N + b.Good + b.Bad + b.Lost }
 
-// mergeBackend is what is known of one host.
+// mergeBackend returns the state of one host as another node knows it, with what is the node's own kept.
 func mergeBackend(own, other decide.BackendMemory, clock float64, wholeFleet bool) decide.BackendMemory {
 	b := other
-	b.Read, b.ReadAt = own.Read, own.ReadAt // the list's
+	b.Read, b.ReadAt = own.Read, own.ReadAt // from this node's list
 	b.Each, b.Others = 0, 0
 	b.Next, b.Turn, b.Share = own.Next, own.Turn, own.Share
 	switch {
-	case own.Share <= 0: // it has no turn here: its troubles would only cost this node trials
+	case own.Share <= 0: // it is not used here: its faults would only cost this node trials
 		b.Away, b.Until, b.Fails, b.Silent, b.Run = own.Away, own.Until, own.Fails, own.Silent, own.Run
 	case other.Away || wholeFleet && other.Share <= 0:
 		b.Share, b.Turn = 0, -1
@@ -158,8 +156,8 @@
 	b.Share = share
 }
 
-// clampTimes brings what is known of a host that is warm within what a memory of a time may hold. A host that is away is tried by
-// chance.
+// clampTimes limits the times of a warm host to what a snapshot taken at a time may contain. The end of an ejection is drawn
+// from the second half of what is left of it.
 func clampTimes(b decide.BackendMemory, at time.Duration, random *rand.Rand) decide.BackendMemory {
 	clamp := func(until time.Duration) time.Duration {
 		if wait := until - at; wait > 0 {
--- a/internal/node/dispatch/lesson_test.go
+++ b/internal/node/dispatch/warmstart_test.go
@@ -13,15 +13,15 @@
 
 	"linenwheel.dev/linenwheel/decide"
 	"linenwheel.dev/linenwheel/internal/clock"
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of drawn histories
 )
 
-// taught gives what a node knows of a fleet in which dead refuses connections and the others serve, when it has heard nothing for
-// so many milliseconds, and its clock.
-func taught(t *testing.T, idle float64) (Memory, *clock.Manual) {
-	p, c, _ := newPilot(t, fleet()...)
+// learnedSnapshot returns the snapshot of a node in a fleet where dead refuses connections and the others serve, once it has
+// received nothing for idle milliseconds, and its clock.
+func learnedSnapshot(t *testing.T, idle float64) (Memory, *clock.Manual) {
+	p, c, _ := newTestDispatcher(t, fleet()...)
 	for i := 0; i < 100 || !view(p)["dead"].Module.Away; i++ {
-		serve(p, c, "dead")
+		serveOne(p, c, "dead")
 	}
 	c.Advance(idle)
 	p.Tick()
@@ -32,8 +32,8 @@
 	return m, c
 }
 
-// serve lets a request through, to which all hosts but those that are dead answer, and tells who got it first.
-func serve(p *Pilot, c *clock.Manual, dead string) (first string) {
+// serveOne serves one request, to which all hosts but dead respond, and returns which host got it first.
+func serveOne(p *Pilot, c *clock.Manual, dead string) (first string) {
 	q := p.Open(Request{Tenant: -1, Deadline: c.Now() + 900})
 	for v := q.Pick(); v.Kind == Relay; v = q.Pick() {
 		if first == "" {
@@ -51,15 +51,15 @@
 	return first
 }
 
-// learner is a node that begins so many milliseconds later, with a list.
-func learner(t *testing.T, c *clock.Manual, later float64, hosts ...Host) (*Pilot, *clock.Manual) {
-	p, mine, _ := newPilot(t)
+// newcomer is a node that starts later milliseconds after the other one, with an endpoint list.
+func newcomer(t *testing.T, c *clock.Manual, later float64, hosts ...Host) (*Pilot, *clock.Manual) {
+	p, mine, _ := newTestDispatcher(t)
 	mine.Advance(c.Now() - epoch + later)
-	p.Inventory(Whole, listed(hosts))
+	p.Inventory(Whole, withDefaults(hosts))
 	return p, mine
 }
 
-func listed(hosts []Host) []Host {
+func withDefaults(hosts []Host) []Host {
 	for i := range hosts {
 		hosts[i].Zone, hosts[i].Kind, hosts[i].Weight = "z", "k", 1
 	}
@@ -74,17 +74,17 @@
 	return m
 }
 
-// fleet is a list: dead refuses connections to the node that is asked, slow takes four times as long, cold has just begun.
+// fleet is an endpoint list: dead refuses connections, slow takes four times as long, cold has just started.
 func fleet() []Host {
 	return []Host{{Name: "dead", Address: "a:1"}, {Name: "well", Address: "a:2"}, {Name: "cold", Address: "a:3", Since: epoch - 1000},
 		{Name: "slow", Address: "a:4"}}
 }
 
-// Guards against a new node that has to find out again what another one knows; against a host that is never found again once
-// another node has told that it is dead; and against knowledge a minute old that still counts.
-func TestLearn(t *testing.T) {
-	m, c := taught(t, 0)
-	drained, _ := taught(t, 60e3)
+// Guards against a new node that has to learn again what another one knows; against a host that never recovers because another
+// node has reported it dead; and against evidence a minute old that still counts.
+func TestWarmStartFromAnotherNode(t *testing.T) {
+	m, c := learnedSnapshot(t, 0)
+	drained, _ := learnedSnapshot(t, 60e3)
 	for _, way := range []struct {
 		name  string
 		later float64
@@ -97,7 +97,7 @@
 		{"learned of a node that was drained a minute ago", 60e3, false, func(p *Pilot) error { return p.Learn(drained) }},
 		{"restored, a minute old", 60e3, false, func(p *Pilot) error { return p.Recall(m) }},
 	} {
-		p, mine := learner(t, c, way.later, fleet()...)
+		p, mine := newcomer(t, c, way.later, fleet()...)
 		require.NoError(t, way.take(p), way.name)
 		require.Equal(t, way.away, view(p)["dead"].Module.Away, way.name)
 		if way.away {
@@ -107,7 +107,7 @@
 		}
 		met, began := 0, mine.Now()
 		for mine.Now() < began+20e3 { // it has recovered
-			if serve(p, mine, "") == "dead" {
+			if serveOne(p, mine, "") == "dead" {
 				if met++; met == 1 && !way.away {
 					require.Less(t, mine.Now()-began, 1e3, way.name)
 				}
@@ -117,13 +117,13 @@
 	}
 }
 
-// Guards against knowledge that goes before the list: a host that departs, one that has started again, one that is cold, and
-// one that stands at another address; and against what is a node's own and is taken from another.
-func TestLearnKeepsToTheList(t *testing.T) {
-	m, c := taught(t, 0)
+// Guards against evidence that overrides the endpoint list, about a host that drains, has restarted, is in slow start or has moved
+// to another address; and against taking over what is a node's own.
+func TestWarmStartFollowsTheEndpointList(t *testing.T) {
+	m, c := learnedSnapshot(t, 0)
 	hosts := append(fleet(), Host{Name: "new", Address: "a:5"})
 	hosts[1].Status = Draining
-	p, mine := learner(t, c, 100, hosts...)
+	p, mine := newcomer(t, c, 100, hosts...)
 	before := p.balancer.Snapshot(toDuration(mine.Now()))
 	require.NoError(t, p.Learn(m))
 	now := view(p)
@@ -135,42 +135,42 @@
 	assert.Equal(t, before.Tokens, after.Tokens)
 	assert.Zero(t, after.Rate)
 	for i, b := range after.Backends {
-		if b.ID == p.hostIDs["cold"] { // what it gets is the node's own affair
+		if b.ID == p.hostIDs["cold"] { // its slow-start limit is the node's own
 			assert.Equal(t, before.Backends[i], b)
 		}
 	}
 	for range 300 {
-		assert.NotEqual(t, "well", serve(p, mine, ""))
+		assert.NotEqual(t, "well", serveOne(p, mine, ""))
 	}
 
 	again := fleet()
-	again[0].Since = c.Now() - 30e3 // a process that the other node has not met
+	again[0].Since = c.Now() - 30e3 // a process that the other node has not seen
 	moved := fleet()
 	moved[0].Address = "a:9"
 	for _, list := range [][]Host{again, moved} {
-		p, _ = learner(t, c, 100, list...)
+		p, _ = newcomer(t, c, 100, list...)
 		require.NoError(t, p.Learn(m))
 		assert.False(t, view(p)["dead"].Module.Away)
 	}
 }
 
-// Guards against a lesson that cannot be right, or is another fleet's, and changes something all the same.
-func TestBadLessons(t *testing.T) {
-	m, c := taught(t, 0)
+// Guards against a snapshot that cannot be right, or is another fleet's, and changes something all the same.
+func TestWarmStartRejectsInvalidSnapshots(t *testing.T) {
+	m, c := learnedSnapshot(t, 0)
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
-	refused := 0
+	rejected := 0
 	bad := func(r require.TestingT, change func(*Memory)) error {
 		var other Memory
 		require.NoError(r, json.Unmarshal(text, &other))
 		change(&other)
-		p, mine, _ := newPilot(t)
+		p, mine, _ := newTestDispatcher(t)
 		mine.Advance(c.Now() - epoch + 100)
-		p.Inventory(Whole, listed(fleet()))
+		p.Inventory(Whole, withDefaults(fleet()))
 		before := p.Remember()
 		err := p.Learn(other)
 		if err != nil {
-			refused++
+			rejected++
 			require.Equal(r, before, p.Remember())
 		}
 		return err
@@ -192,14 +192,14 @@
 				&o.Module.Answers}).Draw(r, "field") = x
 		})
 	})
-	assert.Greater(t, refused, 40)
+	assert.Greater(t, rejected, 40)
 }
 
-// Guards against nodes that learn from one node and try a host together; against shares taken from a node that keeps to another
-// part of the fleet; and against times that the module would refuse with all the rest.
-func TestBlend(t *testing.T) {
-	m, c := taught(t, 0)
-	p, mine := learner(t, c, 100, fleet()...)
+// Guards against nodes that learn from one node and try a host together; against shares taken over from a node that uses another
+// subset; and against times for which the module would reject the whole snapshot.
+func TestBlendKeepsWhatIsTheNodesOwn(t *testing.T) {
+	m, c := learnedSnapshot(t, 0)
+	p, mine := newcomer(t, c, 100, fleet()...)
 	own := p.balancer.Snapshot(toDuration(mine.Now()))
 	find := func(m *decide.Memory, name string) *decide.BackendMemory {
 		i := slices.IndexFunc(m.Backends, func(b decide.BackendMemory) bool { return b.ID == p.hostIDs[name] })
@@ -216,9 +216,9 @@
 	}
 	assert.Len(t, tried, 20)
 
-	chance := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	find(&own, "well").Read, find(&own, "well").ReadAt = 3, own.At
-	whole := Blend(own, m.Module, 0, chance)
+	whole := Blend(own, m.Module, 0, random)
 	sum := 0.0
 	for _, b := range whole.Backends {
 		sum += b.Share
@@ -231,28 +231,28 @@
 	find(&m.Module, "dead").Until += 25 * time.Second
 	m.Module.Part, m.Module.Zones[0].Until = 0.5, m.Module.At+31*time.Second
 	m.Module.Zones[0].Heard -= 10 * time.Second
-	part := Blend(own, m.Module, 0, chance)
+	part := Blend(own, m.Module, 0, random)
 	assert.Equal(t, find(&part, "well").Share, find(&part, "slow").Share, "they are the other part's")
 	assert.Zero(t, find(&part, "dead").Share)
 	lighter := m.Module
 	lighter.Kinds, lighter.Backends = slices.Clone(lighter.Kinds), nil
 	lighter.Kinds[0].Fit.N, lighter.Kinds[0].Recent.N, lighter.Kinds[0].Idle = whole.Kinds[0].Fit.N/2, 0, 9
-	less := Blend(whole, lighter, 0, chance)
+	less := Blend(whole, lighter, 0, random)
 	assert.Equal(t, whole.Kinds, less.Kinds, "what rests on less is not taken")
 	lighter.Kinds[0].Fit.N = 0
-	assert.Equal(t, 9.0, Blend(own, lighter, 0, chance).Kinds[0].Idle, "but where nothing is known, the idle latency alone is")
+	assert.Equal(t, 9.0, Blend(own, lighter, 0, random).Kinds[0].Idle, "but where nothing is known, the idle latency alone is")
 	lighter.Backends = []decide.BackendMemory{{ID: p.hostIDs["well"], Slow: 1}}
-	less = Blend(whole, lighter, 0, chance)
+	less = Blend(whole, lighter, 0, random)
 	assert.Equal(t, find(&whole, "well").N, find(&less, "well").N)
 	assert.Equal(t, m.Module.Answers, whole.Answers)
 	assert.Less(t, find(&whole, "slow").Share, 0.8*find(&own, "slow").Share)
-	for range 20 { // whatever is drawn
-		require.NoError(t, p.balancer.Restore(toDuration(mine.Now()), Blend(own, m.Module, 0, chance)))
+	for range 20 { // whatever the draws
+		require.NoError(t, p.balancer.Restore(toDuration(mine.Now()), Blend(own, m.Module, 0, random)))
 	}
 	find(&own, "dead").Share, find(&own, "dead").Turn = 0, -1
-	outside := Blend(own, m.Module, 0, chance)
+	outside := Blend(own, m.Module, 0, random)
 	assert.False(t, find(&outside, "dead").Away, "it is outside of the node's part: a trial would only cost")
-	told := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Memory{Quota: []float64{1}, Tenants: []string{"t"}}}
-	assert.Equal(t, Memory{Hosts: []HostMemory{{Name: "h"}}}, told.Lesson())
-	assert.Equal(t, 5.0, told.Hosts[0].Left)
+	original := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Memory{Quota: []float64{1}, Tenants: []string{"t"}}}
+	assert.Equal(t, Memory{Hosts: []HostMemory{{Name: "h"}}}, original.Lesson())
+	assert.Equal(t, 5.0, original.Hosts[0].Left)
 }
