--- /dev/null
+++ b/internal/node/core/answer.go
@@ -0,0 +1,68 @@
+package core
+
+import "linenwheel.dev/linenwheel/internal/node/metrics"
+
+// Kind is which final answer a call gets.
+type Kind uint8
+
+// The kinds of final answer, and none.
+const (
+	Served  Kind = iota // the response of a host
+	Refused             // rejected: a retry is safe
+	Failed              // failed: it may have run
+	Left                // the client has left: no answer
+)
+
+var kindNames = [...]string{Served: "served", Refused: "refused", Failed: "failed", Left: "left"}
+
+func (k Kind) String() string { return kindNames[k] }
+
+// metricsKind is the kind's counter in the metrics.
+func (k Kind) metricsKind() metrics.Kind {
+	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, Left: metrics.Left}[k]
+}
+
+// Fault tells a server how to express a rejection or a failure in its protocol.
+type Fault uint8
+
+// The faults. All but Busy, OverQuota and Unavailable are the client's own.
+const (
+	NoFault     Fault = iota
+	Busy              // the node is at its limit
+	OverQuota         // the tenant is at its quota
+	Unavailable       // no host could serve it
+	Invalid           // the call is malformed or inconsistent
+	Unproven          // the caller is not authenticated
+	Forbidden         // the caller is not authorized
+	Mismatch          // the idempotency key belongs to a different call
+	Looping           // the call has passed this node before
+	Known             // an earlier call with its idempotency key has run, or may have
+)
+
+// Answer is a call's final answer.
+type Answer struct {
+	Kind    Kind
+	Fault   Fault
+	Reason  string  // why it was not served, one of few constant texts; for the log and the counters
+	Wait    float64 // with Refused: milliseconds after which a retry makes sense; 0 = no advice
+	Ran     bool    // if not served: it may have run
+	Payload any     // with Served: the carrier's payload
+}
+
+// Refuse returns a rejection: a retry is safe, after wait milliseconds if above 0.
+func Refuse(f Fault, reason string, wait float64) Answer {
+	return Answer{Kind: Refused, Fault: f, Reason: reason, Wait: wait}
+}
+
+// Fail returns a failure.
+func Fail(f Fault, reason string) Answer { return Answer{Kind: Failed, Fault: f, Reason: reason} }
+
+// IsID tells whether id can be the id of a call: printable ASCII without spaces, 1 to 128 bytes.
+func IsID(id []byte) bool {
+	for _, c := range id {
+		if c <= ' ' || c >= 0x7f {
+			return false
+		}
+	}
+	return len(id) > 0 && len(id) <= 128
+}
--- a/internal/node/core/call.go
+++ b/internal/node/core/call.go
@@ -1,207 +1,135 @@
-// Package core owns the life of a call from the moment a front has read it to its one final answer. It knows no
-// protocol and no socket: a front turns bytes into a Call and an Answer back into bytes, a Carrier takes one relay to
-// one host. Between them stand the stages, which may answer a call, let it wait or change it, and the pilot, whose
-// verdicts this package carries out.
-//
-// Bounds: at most Settings.Calls calls are open at once, each with its id, its payload and the relays that are out for
-// it; of reasons at most maxReasons are counted apart.
 package core
 
 import (
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
-	"linenwheel.dev/linenwheel/internal/node/metrics"
 )
 
-// Call is one request of a client. What a front has set does not change while the call is served, but for stages that
-// pass on a changed copy (Fork).
+// Call is one request of a client. The exported fields are set by the server and must not change while the call is served; a
+// stage that wants to change one passes on a changed copy (Fork).
 type Call struct {
-	ID       string  // names the call; no other with this id is open
-	Class    int     // place in the settings' classes
-	Tenant   int     // place in the settings' tenants, -1 = none
-	Key      []byte  // what makes a keyed call the same as another; nil = none
-	Deadline float64 // when the client gives it up, milliseconds on the node's clock
+	ID       string  // unique among the open calls
+	Class    int     // index in the settings' classes
+	Tenant   int     // index in the settings' tenants, -1 = none
+	Key      []byte  // idempotency key; nil = none
+	Deadline float64 // when the client gives up, milliseconds on the node's clock
 	Cost     float64 // expected work in seconds; 0 = not known
-	Repeat   bool    // the client says that it has tried before
-	Caller   string  // who was proven to call; "" = nobody was
-	Hops     int     // gateways that it has come through
-	Alone    bool    // no other call goes on its client's connection meanwhile
-	Payload  any     // the message as it came, which only the front and the carrier can read
-	Client   any     // the connection that it came on, which only they can look at; nil = none, as of a copy for several clients
-
-	// Stands is the last look before a relay's first byte: whether the call is still this node's to run. nil = it is.
+	Repeat   bool    // it is a retry of the client
+	Caller   string  // authenticated caller; "" = none
+	Hops     int     // gateways it has passed
+	Alone    bool    // no other call is open on its client's connection
+	Payload  any     // the message, which only the server and the carrier can read
+	Client   any     // the client's connection, which only they can read; nil = none, as of a copy for several clients
+
+	// Stands is asked before the first byte of an attempt: whether this node may still run the call. nil = it may.
 	Stands func() bool
 
-	mu      sync.Mutex
-	left    bool
-	gone    chan struct{} // closed when the client has left or the call is cut; made when a stage asks for it
-	cut     bool          // the node ends, and the call is not with the pilot: no stage waits any longer
-	taken   float64       // when it was let in
-	onLeave func()        // what leaving means besides; nil = nothing
-	opened  bool          // the pilot has it, under ticket
-	ticket  dispatch.Ticket
-
-	room [2]chan struct{} // of offs: a third relay is rare
-	offs []chan struct{}  // by relay; closed when it is called off
+	mu         sync.Mutex
+	clientLeft bool
+	cancelled  chan struct{} // closed when the client has left or the call is aborted; made by Left
+	aborted    bool          // the node stops, and the call was not dispatched: no stage may wait any longer
+	admittedAt float64       // milliseconds
+	onLeave    func()        // nil = nothing
+	dispatched bool          // the dispatcher has it, as ticket
+	ticket     dispatch.Ticket
+
+	cancelBuffer [2]chan struct{} // of cancels: a third attempt is rare
+	cancels      []chan struct{}  // by attempt; closed to cancel it
 }
 
-// Leave tells that the client has gone: nothing that is done for it is of use any more. It may be called at any time,
+// Leave records that the client has left, and cancels what is done for it. It may be called at any time, more than once and
 // from any goroutine.
 func (c *Call) Leave() {
 	c.mu.Lock()
-	was, opened, hook := c.left, c.opened, c.onLeave
-	c.left = true
-	if !was && !c.cut && c.gone != nil {
-		close(c.gone)
+	wasLeft, opened, hook := c.clientLeft, c.dispatched, c.onLeave
+	c.clientLeft = true
+	if !wasLeft && !c.aborted && c.cancelled != nil {
+		close(c.cancelled)
 	}
 	c.mu.Unlock()
-	if !was && opened {
+	if !wasLeft && opened {
 		c.ticket.Gone()
 	}
-	if !was && hook != nil {
+	if !wasLeft && hook != nil {
 		hook()
 	}
 }
 
-// OnLeave has a function called when the client leaves, at once if it has left. It is for a stage that forks the call;
-// there is one such function at most.
+// OnLeave calls f when the client leaves, at once if it has left. It is for a stage that forks the call; a second function
+// replaces the first.
 func (c *Call) OnLeave(f func()) {
 	c.mu.Lock()
 	c.onLeave = f
-	left := c.left
+	left := c.clientLeft
 	c.mu.Unlock()
 	if left {
 		f()
 	}
 }
 
-// Left is closed once the client has gone, or nothing can be done for it any more. A stage that waits looks at it.
+// Left returns a channel that is closed once the client has left or the node has aborted the call. A stage that waits must
+// also wait for it.
 func (c *Call) Left() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone == nil {
-		c.gone = make(chan struct{})
-		if c.left || c.cut {
-			close(c.gone)
+	if c.cancelled == nil {
+		c.cancelled = make(chan struct{})
+		if c.clientLeft || c.aborted {
+			close(c.cancelled)
 		}
 	}
-	return c.gone
+	return c.cancelled
 }
 
-// cutOff ends the waiting of a stage that has the call. What the pilot has gets its answer from there.
-func (c *Call) cutOff() {
+// abort ends the wait of a stage that has the call. A dispatched call gets its answer from the dispatcher.
+func (c *Call) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.opened || c.cut {
+	if c.dispatched || c.aborted {
 		return
 	}
-	if c.cut = true; !c.left && c.gone != nil {
-		close(c.gone)
+	if c.aborted = true; !c.clientLeft && c.cancelled != nil {
+		close(c.cancelled)
 	}
 }
 
-// isCut tells whether the node ends before a stage is done with the call.
-func (c *Call) isCut() bool {
+// isAborted tells whether the node stopped before a stage was done with the call.
+func (c *Call) isAborted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.aborted
 }
 
-// May tells, before the first byte of an attempt, whether the call may still get its final answer from it (owed: another may have
-// been served meanwhile, or the client may have left), and whether the rules let something new go to a host, which may depart, or
-// be at another address, since the attempt was decided.
+// May tells, before the first byte of an attempt, whether the final answer is still owed (another attempt may have been served,
+// or the client may have left), and whether the rules permit an attempt at a host, which may have begun to drain or moved to
+// another address since the attempt was decided. Carriers call it.
 func (c *Call) May(host Host) (owed, permitted bool) { return c.ticket.May(host.Name, host.Address) }
 
-// Standing takes that look.
+// Standing asks Stands. Carriers call it before the first byte of an attempt.
 func (c *Call) Standing() bool { return c.Stands == nil || c.Stands() }
 
-// HasLeft tells whether the client has gone.
+// HasLeft tells whether the client has left.
 func (c *Call) HasLeft() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.left
+	return c.clientLeft
 }
 
-// Fork is a copy that a stage may change and pass on. It has a leaving of its own: whoever forks a call decides what
-// the first client's leaving means for the copy.
+// Fork returns a copy that a stage may change and pass on. The copy does not leave with the first client: whoever forks a call
+// decides what that means for the copy.
 func (c *Call) Fork() *Call {
 	return &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Cost: c.Cost,
 		Repeat: c.Repeat, Caller: c.Caller, Hops: c.Hops, Payload: c.Payload, Stands: c.Stands}
 }
 
-// begin notes that the pilot has the call, and tells it at once if the client has left meanwhile.
-func (c *Call) begin() {
+// markDispatched records that the dispatcher has the call, and tells it if the client has left meanwhile.
+func (c *Call) markDispatched() {
 	c.mu.Lock()
-	c.opened = true
-	left := c.left
+	c.dispatched = true
+	left := c.clientLeft
 	c.mu.Unlock()
 	if left {
 		c.ticket.Gone()
 	}
 }
-
-// Kind is which final answer a call gets.
-type Kind uint8
-
-// The final answers, and none.
-const (
-	Served  Kind = iota // what a host made for it
-	Refused             // a back-off answer: trying again is harmless
-	Failed              // no promise: it may have run
-	Left                // the client has gone, nobody is told anything
-)
-
-var kindNames = [...]string{Served: "served", Refused: "refused", Failed: "failed", Left: "left"}
-
-func (k Kind) String() string { return kindNames[k] }
-
-// figure is how a kind is counted.
-func (k Kind) figure() metrics.Kind {
-	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, Left: metrics.Left}[k]
-}
-
-// Fault tells a front how to word a refusal or a failure in its protocol.
-type Fault uint8
-
-// The faults. All but Busy, OverQuota and Unavailable are the client's.
-const (
-	NoFault     Fault = iota
-	Busy              // the node has no room
-	OverQuota         // the tenant has no room
-	Unavailable       // no host could serve it
-	Invalid           // the call cannot be read or contradicts itself
-	Unproven          // the caller did not prove who it is
-	Forbidden         // the caller may not ask for this
-	Mismatch          // the call uses the name of another one that was different
-	Looping           // the call has come through here before
-	Known             // an earlier call of its name has run, or may have
-)
-
-// Answer is a call's final answer.
-type Answer struct {
-	Kind    Kind
-	Fault   Fault
-	Reason  string  // why it was not served, one of few constant texts: for log and counters
-	Wait    float64 // with Refused: asking again makes sense after so many milliseconds; 0 = no advice
-	Ran     bool    // where it was not served: it may have run all the same
-	Payload any     // with Served: what the carrier brought
-}
-
-// Refuse makes a back-off answer.
-func Refuse(f Fault, reason string, wait float64) Answer {
-	return Answer{Kind: Refused, Fault: f, Reason: reason, Wait: wait}
-}
-
-// Fail makes a failure.
-func Fail(f Fault, reason string) Answer { return Answer{Kind: Failed, Fault: f, Reason: reason} }
-
-// IsID tells whether the id of a call can go on as it is: printable, without spaces, 1 to 128 bytes.
-func IsID(id []byte) bool {
-	for _, c := range id {
-		if c <= ' ' || c >= 0x7f {
-			return false
-		}
-	}
-	return len(id) > 0 && len(id) <= 128
-}
--- a/internal/node/core/content.go
+++ b/internal/node/core/content.go
@@ -1,17 +1,17 @@
 package core
 
-// Content is what a stage may read of a call's payload or of a served answer's, whatever its protocol. Payloads of the
-// node's own fronts and carriers have it. What it returns must not be changed.
+// Content is what a stage may read of the payload of a call or of a served answer, whatever its protocol. The payloads of the
+// node's own servers and backends implement it. What its methods return must not be changed.
 type Content interface {
 	Path() []byte              // without the query; the method where the protocol has no paths
-	Query() []byte             // without its question mark; nil = none
-	Header(name string) []byte // the first of that name; nil = none
+	Query() []byte             // without the question mark; nil = none
+	Header(name string) []byte // the first header of that name; nil = none
 	Body() []byte
-	Size() int // bytes of memory that it holds, roughly
+	Size() int // bytes of memory in use, roughly
 }
 
-// Flowing is what a served answer's payload may be besides: one whose body is still on its way.
+// Flowing is implemented by the payload of a served answer whose body may still be arriving.
 type Flowing interface {
-	Flows() bool
-	Drop() // nobody wants the rest
+	Flows() bool // the body is still arriving
+	Drop()       // discards the rest of it
 }
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -1,3 +1,10 @@
+// Package core owns the life of a call from when a server has read it to its one final answer. It knows no protocol and no
+// socket: a downstream server turns bytes into a Call and an Answer back into bytes, a Carrier runs one attempt at one
+// host. Between them are the stages (middleware), which may answer a call, delay it or change it, and the dispatcher
+// (package dispatch), whose verdicts this package carries out.
+//
+// Bounds: at most Settings.Calls calls are open at once, each with its id, its payload and its open attempts; at most
+// maxReasons reasons are counted separately.
 package core
 
 import (
@@ -12,59 +19,31 @@
 	"linenwheel.dev/linenwheel/internal/node/metrics"
 )
 
-// Handler serves a call and blocks until its final answer. A stage that waits must end when Call.Left is closed, and
-// gives Left then.
-type Handler func(*Call) Answer
-
-// Stage wraps the handler that comes after it.
-type Stage func(next Handler) Handler
-
-// Stages are those that stand in front of the pilot; nil ones are not in the chain at all. This is the one place that
-// says in which order they stand.
-type Stages struct {
-	First   []Stage // an embedder's, before all others
-	Caller  Stage   // who calls, and whether it may
-	Quota   Stage   // whether its tenant has room
-	Repeats Stage   // whether it has been here before
-	Region  Stage   // whether another region is to serve it in the end
-	Last    []Stage // an embedder's, directly before the pilot
-}
-
-// chain wraps a handler in the stages, the first outermost.
-func (s Stages) chain(h Handler) Handler {
-	all := slices.Concat(s.First, []Stage{s.Caller, s.Quota, s.Repeats, s.Region}, s.Last)
-	for _, stage := range slices.Backward(all) {
-		if stage != nil {
-			h = stage(h)
-		}
-	}
-	return h
-}
-
-// Host names a south side host. Another one may stand at the address of one that has gone.
+// Host names a host. Its address may later belong to another one.
 type Host struct{ Name, Address, Protocol string }
 
-// Carrier takes relays to hosts.
+// Carrier runs attempts at hosts.
 type Carrier interface {
-	// Relay carries one relay to one host and blocks until its end, the time until or off is closed, and tells the
-	// outcome as the protocol's table has it. It sends at most once. The payload is that of an outcome Served.
+	// Relay runs one attempt and blocks until it ends, until the time until (milliseconds) or until off is closed. It
+	// sends at most once. The payload belongs to an outcome Served.
 	Relay(to Host, call *Call, until float64, off <-chan struct{}) (dispatch.Outcome, any)
 }
 
-// Gate lets calls in for as long as they can be served.
+// Gate admits calls for as long as they can be served.
 type Gate interface {
-	// Take tells whether a call is let in, and when that was. It may be alone on its connection.
+	// Take tells whether a call is admitted, and when that was, in milliseconds. alone: no other call is open on its
+	// client's connection.
 	Take(class int, deadline float64, alone bool) (now float64, ok bool)
-	// Answered counts out a call that was let in at a time.
+	// Answered records the end of a call that was admitted at since.
 	Answered(class int, since float64, served, alone bool)
 }
 
-// Settings are the core's limits.
+// Settings configure a Core.
 type Settings struct {
-	Calls  int  // the most that are open at once
-	Gate   Gate // nil = it stands open
+	Calls  int  // open at once, at most
+	Gate   Gate // nil = every call is admitted
 	Stages Stages
-	// Figures counts calls by class; nil = nobody asks.
+	// Figures counts calls by class; nil = nothing is counted.
 	Figures *metrics.Set
 }
 
@@ -72,41 +51,42 @@
 const (
 	ReasonSameID = "a request with this Req-Id is open"
 	ReasonBusy   = "busy"
-	ReasonModule = "the module gave it up" // refused or failed by the decision module
+	ReasonModule = "the module gave it up" // rejected or failed by the decision module
 	ReasonPanic  = "a stage panicked"
 	ReasonLost   = "a stage lost the call"
 	ReasonStop   = "the node is stopping"
 )
 
+// maxReasons is how many reasons are counted separately; further ones count as "other".
 const maxReasons = 64
 
-// Ending counts the final answers of one kind and reason.
+// Ending counts the final answers of one kind and reason. Its JSON form is stored.
 type Ending struct {
 	Kind   Kind   `json:"Kind"`
 	Reason string `json:"Reason"`
 	Calls  uint64 `json:"Calls"`
-	Last   uint64 `json:"Last"` // the number of the last of them among all final answers, from 1: which came last
+	Last   uint64 `json:"Last"` // number of the last of them among all final answers, from 1
 }
 
 // Core serves calls. All of its methods may be called from any goroutine.
 type Core struct {
-	set     Settings
-	pilot   *dispatch.Pilot
-	carrier Carrier
-	log     *slog.Logger
-	serve   Handler
-
-	mu      sync.Mutex
-	open    map[string]*Call // by id, those that are not answered
-	full    bool             // the last call found no room
-	endings map[ending]tally
-	answers uint64 // final answers given so far
+	settings   Settings
+	dispatcher *dispatch.Pilot
+	carrier    Carrier
+	log        *slog.Logger
+	serve      Handler
+
+	mu        sync.Mutex
+	openCalls map[string]*Call // by id, until they are answered
+	atLimit   bool             // the last call was rejected for the limit
+	endings   map[ending]tally
+	answers   uint64 // final answers given so far
 }
 
-// tally counts answers of one kind and reason.
+// tally counts the answers of one kind and reason.
 type tally struct {
 	calls uint64
-	last  uint64 // the number of the last of them among all
+	last  uint64 // number of the last of them among all
 }
 
 type ending struct {
@@ -114,109 +94,108 @@
 	reason string
 }
 
-// New makes a core that takes calls.
-func New(set Settings, p *dispatch.Pilot, carrier Carrier, log *slog.Logger) *Core {
-	c := &Core{set: set, pilot: p, carrier: carrier, log: log, open: map[string]*Call{},
+// New makes a Core. p must outlive it.
+func New(settings Settings, dispatcher *dispatch.Pilot, carrier Carrier, log *slog.Logger) *Core {
+	c := &Core{settings: settings, dispatcher: dispatcher, carrier: carrier, log: log, openCalls: map[string]*Call{},
 		endings: map[ending]tally{}}
-	c.serve = set.Stages.chain(c.decide)
+	c.serve = settings.Stages.chain(c.dispatch)
 	return c
 }
 
-// Take admits a call without blocking. Where it does not, the answer says why: there are too many, one with its id is
-// open, which hosts would take it for, or the node ends too soon. Each call that is taken must be given to Serve.
-func (c *Core) Take(call *Call) (refusal Answer, taken bool) {
+// Take admits a call or rejects it, without blocking. rejection says why: too many calls are open, one with the same id is open,
+// which hosts could not tell apart, or the node stops too soon. Each admitted call must be passed to Serve.
+func (c *Core) Take(call *Call) (rejection Answer, admitted bool) {
 	c.mu.Lock()
-	_, same := c.open[call.ID]
-	full := len(c.open) >= c.set.Calls
-	began, most := full && !c.full, c.set.Calls
-	c.full = full
+	_, duplicate := c.openCalls[call.ID]
+	full := len(c.openCalls) >= c.settings.Calls
+	limitReached, maxCalls := full && !c.atLimit, c.settings.Calls
+	c.atLimit = full
 	switch {
-	case same:
-		refusal = Fail(Invalid, ReasonSameID)
+	case duplicate:
+		rejection = Fail(Invalid, ReasonSameID)
 	case full:
-		refusal = Refuse(Busy, ReasonBusy, 0)
-	case c.set.Gate != nil:
-		if call.taken, taken = c.set.Gate.Take(call.Class, call.Deadline, call.Alone); !taken {
-			refusal = Refuse(Busy, ReasonStop, 0)
+		rejection = Refuse(Busy, ReasonBusy, 0)
+	case c.settings.Gate != nil:
+		if call.admittedAt, admitted = c.settings.Gate.Take(call.Class, call.Deadline, call.Alone); !admitted {
+			rejection = Refuse(Busy, ReasonStop, 0)
 		}
 	default:
-		taken = true
+		admitted = true
 	}
-	if taken {
-		c.open[call.ID] = call
+	if admitted {
+		c.openCalls[call.ID] = call
 	}
-	if !taken {
-		c.count(refusal)
+	if !admitted {
+		c.count(rejection)
 	}
 	c.mu.Unlock()
-	c.set.Figures.Taken()
-	if !taken {
-		c.set.Figures.Ended(call.Class, refusal.Kind.figure())
+	c.settings.Figures.Taken()
+	if !admitted {
+		c.settings.Figures.Ended(call.Class, rejection.Kind.metricsKind())
 	}
-	if began {
-		c.log.Warn("the cap on open calls is reached: more get a back-off answer", "calls", most)
+	if limitReached {
+		c.log.Warn("the cap on open calls is reached: more get a back-off answer", "calls", maxCalls)
 	}
-	return refusal, taken
+	return rejection, admitted
 }
 
-// Resize changes how many calls may be open at once. Those above stay.
+// Resize changes how many calls may be open at once. Open calls above the limit are served.
 func (c *Core) Resize(calls int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.set.Calls = calls
+	c.settings.Calls = calls
 }
 
-// Serve serves a call that was taken and blocks until its one final answer, or Left. A served one whose payload flows is on its
-// way only: Flowed must tell its end.
+// Serve serves an admitted call and blocks until its one final answer, or Left. Where the payload of a served answer is still
+// Flowing the call stays open: the caller must report its end with Flowed.
 func (c *Core) Serve(call *Call) Answer {
-	a := c.guarded(call)
-	if f, ok := a.Payload.(Flowing); ok && a.Kind == Served && f.Flows() {
+	answer := c.serveRecovered(call)
+	if f, ok := answer.Payload.(Flowing); ok && answer.Kind == Served && f.Flows() {
 		if call.HasLeft() {
 			f.Drop()
-			a = Answer{Kind: Left}
+			answer = Answer{Kind: Left}
 		} else {
-			return a
+			return answer
 		}
 	}
-	c.end(call, a, a.Kind == Served)
-	return a
+	c.finish(call, answer, answer.Kind == Served)
+	return answer
 }
 
-// Flowed tells how an answer ended whose body was still on its way when Serve gave it: as what its call counts, which is what it
-// came to.
-func (c *Core) Flowed(call *Call, kind Kind) { c.end(call, Answer{Kind: kind}, false) }
+// Flowed reports the end of an answer whose body was still arriving when Serve returned it: kind is what the call counts as.
+func (c *Core) Flowed(call *Call, kind Kind) { c.finish(call, Answer{Kind: kind}, false) }
 
-// end counts a call out. Timed tells that the time it took is that of an answer.
-func (c *Core) end(call *Call, a Answer, timed bool) {
+// finish closes a call. timed tells whether the time it took is that of a complete answer.
+func (c *Core) finish(call *Call, answer Answer, timed bool) {
 	c.mu.Lock()
-	delete(c.open, call.ID) // before the answer goes out: a client may ask with the same id right after it
-	c.count(a)
+	delete(c.openCalls, call.ID) // before the answer goes out: the client may use the id again right after it
+	c.count(answer)
 	c.mu.Unlock()
-	c.set.Figures.Ended(call.Class, a.Kind.figure())
-	if c.set.Gate != nil {
-		c.set.Gate.Answered(call.Class, call.taken, timed, call.Alone)
+	c.settings.Figures.Ended(call.Class, answer.Kind.metricsKind())
+	if c.settings.Gate != nil {
+		c.settings.Gate.Answered(call.Class, call.admittedAt, timed, call.Alone)
 	}
 }
 
-// Finish has every open call get its final answer now: the pilot's, or a failure where a stage has it, which alone could
-// tell whether it has run. No call may be taken any more.
+// Finish gives every open call its final answer now: that of the dispatcher, or a failure where a stage has the call, since only
+// the stage could tell whether it has run. Take must not be called any more.
 func (c *Core) Finish() {
-	c.pilot.Finish()
+	c.dispatcher.Finish()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, call := range c.open {
-		call.cutOff()
+	for _, call := range c.openCalls {
+		call.abort()
 	}
 }
 
-// guarded runs the chain: what goes wrong in a stage costs that call alone.
-func (c *Core) guarded(call *Call) (a Answer) {
+// serveRecovered runs the chain and turns a panic of a stage into a failure of its call.
+func (c *Core) serveRecovered(call *Call) (a Answer) {
 	defer func() {
 		if err := recover(); err != nil {
 			c.log.Error("a stage panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
-			call.Leave() // calls off what may be out for it
-			if call.opened {
-				c.settle(call)
+			call.Leave() // cancels its open attempts
+			if call.dispatched {
+				c.drainVerdicts(call)
 			}
 			a = Fail(Unavailable, ReasonPanic)
 		}
@@ -224,7 +203,7 @@
 	a = c.serve(call)
 	if a.Kind == Left && !call.HasLeft() {
 		a = Fail(Unavailable, ReasonLost)
-		if call.isCut() {
+		if call.isAborted() {
 			a.Reason = ReasonStop
 		}
 	}
@@ -234,7 +213,7 @@
 	return a
 }
 
-// count notes a final answer under the lock.
+// count counts a final answer. The caller holds the lock.
 func (c *Core) count(a Answer) {
 	e := ending{a.Kind, a.Reason}
 	if _, ok := c.endings[e]; !ok && len(c.endings) >= maxReasons {
@@ -244,14 +223,14 @@
 	c.endings[e] = tally{c.endings[e].calls + 1, c.answers}
 }
 
-// Unanswered is the number of calls that are still owed an answer.
+// Unanswered is the number of calls that have no final answer yet.
 func (c *Core) Unanswered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open)
+	return len(c.openCalls)
 }
 
-// Endings are the final answers given so far, by kind and reason, in a stable order.
+// Endings returns the counts of final answers so far, ordered by kind and reason.
 func (c *Core) Endings() []Ending {
 	c.mu.Lock()
 	list := make([]Ending, 0, len(c.endings))
@@ -265,70 +244,71 @@
 	return list
 }
 
-// decide is the end of the chain: it carries out the pilot's verdicts until one of them is the final answer. It serves a
-// call once: a stage that wants another run forks it.
-func (c *Core) decide(call *Call) Answer {
-	call.offs = call.room[:0]
-	c.pilot.Begin(&call.ticket, dispatch.Request{Class: call.Class, Tenant: call.Tenant, Deadline: call.Deadline,
+// dispatch is the end of the chain: it carries out the dispatcher's verdicts until one of them is the final answer. A call may
+// be dispatched once; a stage that wants another run forks it.
+func (c *Core) dispatch(call *Call) Answer {
+	call.cancels = call.cancelBuffer[:0]
+	c.dispatcher.Begin(&call.ticket, dispatch.Request{Class: call.Class, Tenant: call.Tenant, Deadline: call.Deadline,
 		Cost: call.Cost, Repeat: call.Repeat})
-	call.begin()
+	call.markDispatched()
 	for {
-		switch v := call.ticket.Pick(); v.Kind {
+		switch verdict := call.ticket.Pick(); verdict.Kind {
 		case dispatch.Answer:
-			c.settle(call)
-			return Answer{Kind: Served, Payload: v.Payload}
+			c.drainVerdicts(call)
+			return Answer{Kind: Served, Payload: verdict.Payload}
 		case dispatch.BackOff:
-			c.settle(call)
-			return Answer{Kind: Refused, Fault: Busy, Reason: ReasonModule, Wait: v.Wait, Ran: v.Ran}
+			c.drainVerdicts(call)
+			return Answer{Kind: Refused, Fault: Busy, Reason: ReasonModule, Wait: verdict.Wait, Ran: verdict.Ran}
 		case dispatch.Fail:
-			c.settle(call)
-			return Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: v.Ran}
+			c.drainVerdicts(call)
+			return Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: verdict.Ran}
 		case dispatch.Done:
-			return Answer{Kind: Left, Ran: v.Ran}
+			return Answer{Kind: Left, Ran: verdict.Ran}
 		default:
-			c.carryOut(call, v)
+			c.carryOut(call, verdict)
 		}
 	}
 }
 
-// settle goes on with the verdicts of a call that is answered but has relays out, such as a second copy.
-func (c *Core) settle(call *Call) {
+// drainVerdicts carries out, in the background, the remaining verdicts of a call that is answered but has open attempts, such
+// as a hedged request.
+func (c *Core) drainVerdicts(call *Call) {
 	if call.ticket.Settled() {
 		return
 	}
 	go func() {
-		for v := call.ticket.Pick(); v.Kind != dispatch.Done; v = call.ticket.Pick() {
-			c.carryOut(call, v)
+		for verdict := call.ticket.Pick(); verdict.Kind != dispatch.Done; verdict = call.ticket.Pick() {
+			c.carryOut(call, verdict)
 		}
 	}()
 }
 
-// carryOut starts a relay or calls one off. A call's verdicts are carried out one after the other.
-func (c *Core) carryOut(call *Call, v dispatch.Verdict) {
-	switch v.Kind {
+// carryOut starts an attempt or cancels one. The verdicts of a call are carried out one after the other.
+func (c *Core) carryOut(call *Call, verdict dispatch.Verdict) {
+	switch verdict.Kind {
 	case dispatch.Relay:
-		for len(call.offs) <= v.Relay { // one that a rule forbade has no verdict
-			call.offs = append(call.offs, nil)
+		for len(call.cancels) <= verdict.Relay { // an attempt that a rule forbade has no verdict
+			call.cancels = append(call.cancels, nil)
 		}
-		off := make(chan struct{})
-		call.offs[v.Relay] = off
-		go c.relay(call, v, off)
+		cancel := make(chan struct{})
+		call.cancels[verdict.Relay] = cancel
+		go c.runAttempt(call, verdict, cancel)
 	case dispatch.CallOff:
-		close(call.offs[v.Relay])
+		close(call.cancels[verdict.Relay])
 	}
 }
 
-// relay carries one relay and reports its end. A carrier that panics leaves open whether it ran.
-func (c *Core) relay(call *Call, v dispatch.Verdict, off <-chan struct{}) {
-	o, payload := dispatch.Failed, any(nil)
+// runAttempt runs one attempt and reports its end. One whose carrier panics may have run.
+func (c *Core) runAttempt(call *Call, verdict dispatch.Verdict, cancel <-chan struct{}) {
+	outcome, payload := dispatch.Failed, any(nil)
 	defer func() {
 		if err := recover(); err != nil {
 			c.log.Error("a carrier panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
 		}
-		used := call.ticket.Report(v.Relay, o, payload)
+		used := call.ticket.Report(verdict.Relay, outcome, payload)
 		if f, ok := payload.(Flowing); ok && !used {
 			f.Drop()
 		}
 	}()
-	o, payload = c.carrier.Relay(Host{Name: v.Host, Address: v.Address, Protocol: v.Speaks}, call, v.Until, off)
+	outcome, payload = c.carrier.Relay(Host{Name: verdict.Host, Address: verdict.Address, Protocol: verdict.Speaks}, call, verdict.Until, cancel)
 }
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -14,7 +14,7 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// carrier answers as its function says.
+// carrier is a Carrier that returns what its function returns.
 type carrier func(to Host, call *Call, off <-chan struct{}) (dispatch.Outcome, any)
 
 func (c carrier) Relay(to Host, call *Call, _ float64, off <-chan struct{}) (dispatch.Outcome, any) {
@@ -34,8 +34,8 @@
 	return New(set, p, c, slog.New(slog.DiscardHandler))
 }
 
-// Guards against stages in another order than the one written down, and against nil ones in the chain.
-func TestOrderOfStages(t *testing.T) {
+// Guards against stages in another order than the documented one, and against nil ones in the chain.
+func TestStagesRunInDocumentedOrder(t *testing.T) {
 	var seen []string
 	stage := func(name string) Stage {
 		return func(next Handler) Handler {
@@ -60,9 +60,8 @@
 	assert.Equal(t, Answer{Kind: Served, Payload: "body"}, c.Serve(&Call{ID: "q", Tenant: -1, Deadline: 1900}))
 }
 
-// Guards against a carrier's panic that ends the node or that is taken for a relay that never ran, and against a call
-// served for a client that left before anything was sent.
-func TestCarrierThatPanics(t *testing.T) {
+// Guards against a carrier's panic that ends the node or is taken for an attempt that never ran.
+func TestPanickingCarrierFailsTheCall(t *testing.T) {
 	relays := 0
 	c := newCore(t, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
 		relays++
@@ -74,8 +73,8 @@
 	assert.Equal(t, 1, relays)
 }
 
-// Guards against relays that go on for a client that has left, and an answer for it.
-func TestLeavingCallsRelaysOff(t *testing.T) {
+// Guards against attempts that continue for a client that has left, and against an answer for it.
+func TestClientLeavingCancelsAttempts(t *testing.T) {
 	out := make(chan struct{})
 	c := newCore(t, Settings{Calls: 2}, carrier(func(_ Host, _ *Call, off <-chan struct{}) (dispatch.Outcome, any) {
 		close(out)
@@ -112,9 +111,9 @@
 	}
 }
 
-// Guards against a stage's panic that ends the node, leaves its client without an answer or its relay out, or that nobody
-// can trace.
-func TestStageThatPanics(t *testing.T) {
+// Guards against a stage's panic that ends the node, leaves its client without an answer or its attempt open, or that cannot be
+// traced.
+func TestPanickingStageFailsTheCall(t *testing.T) {
 	var text bytes.Buffer
 	off := make(chan struct{})
 	c := newCore(t, Settings{Calls: 2, Stages: Stages{Quota: func(next Handler) Handler {
@@ -132,6 +131,6 @@
 	call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
 	c.Take(call)
 	assert.Equal(t, Fail(Unavailable, ReasonPanic), c.Serve(call))
-	assert.Contains(t, text.String(), "TestStageThatPanics")
+	assert.Contains(t, text.String(), "TestPanickingStageFailsTheCall")
 	assert.Zero(t, c.Unanswered())
 }
--- a/internal/node/core/golden_test.go
+++ b/internal/node/core/golden_test.go
@@ -6,5 +6,5 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against the counts in a node's state having changed in any of their fields.
+// Guards against a change of the encoded form of a node's counts.
 func TestEncodedTypesKeepTheirForm(t *testing.T) { golden.JSON[[]Ending](t, "endings") }
--- /dev/null
+++ b/internal/node/core/stages.go
@@ -0,0 +1,31 @@
+package core
+
+import "slices"
+
+// Handler serves a call and blocks until its final answer. A stage that waits must return an Answer of kind Left when Call.Left
+// is closed.
+type Handler func(*Call) Answer
+
+// Stage is middleware: it wraps the next handler.
+type Stage func(next Handler) Handler
+
+// Stages are the middleware in front of the dispatcher, in the order in which a call passes them. Nil ones are left out.
+type Stages struct {
+	First   []Stage // of an embedder, before all others
+	Caller  Stage   // authentication and authorization
+	Quota   Stage   // quotas of tenants
+	Repeats Stage   // idempotency
+	Region  Stage   // forwarding to other regions
+	Last    []Stage // of an embedder, directly before the dispatcher
+}
+
+// chain wraps a handler in the stages, the first outermost.
+func (s Stages) chain(h Handler) Handler {
+	all := slices.Concat(s.First, []Stage{s.Caller, s.Quota, s.Repeats, s.Region}, s.Last)
+	for _, stage := range slices.Backward(all) {
+		if stage != nil {
+			h = stage(h)
+		}
+	}
+	return h
+}
