--- a/decide/picker.go
+++ b/decide/picker.go
@@ -17,7 +17,7 @@
 	for i := 0; len(b.pickQueue) > 0 && i < len(b.pickQueue)+maxSkips; i++ {
 		s := b.pickQueue[0]
 		b.virtualTime = s.nextPick
-		b.takeTurn(s)
+		b.advanceTurn(s)
 		free := s.overdue == 0 && s.latencyWith(float64(s.inFlight)+1) <= turnLatencyFactor*s.slowdown*s.model.idleLatency
 		if free && b.acceptsNow(s, q) {
 			return s
@@ -39,8 +39,8 @@
 	return b.now >= max(s.slowStartNext, s.classHealth[q.class].ejectedUntil)
 }
 
-// takeTurn moves a backend behind its next turn, if it has any.
-func (b *Balancer) takeTurn(s *backendState) {
+// advanceTurn moves a backend behind its next turn, if it has any.
+func (b *Balancer) advanceTurn(s *backendState) {
 	if s.queueIndex >= 0 {
 		s.nextPick += 1 / s.share
 		heap.Fix(&b.pickQueue, s.queueIndex)
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -38,7 +38,7 @@
 	if q == nil {
 		return false
 	}
-	b.takeTurn(s)
+	b.advanceTurn(s)
 	b.earnRetryTokens()
 	b.send(q, s)
 	return true
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if best != nil {
-		b.takeTurn(best)
+		b.advanceTurn(best)
 	}
 	return best
 }
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -60,7 +60,7 @@
 // maxReasons is how many reasons are counted separately; further ones count as "other".
 const maxReasons = 64
 
-// Ending counts the final answers of one kind and reason. Its JSON form is stored.
+// Ending counts the final answers of one kind and reason. Its JSON form must not change.
 type Ending struct {
 	Kind   Kind   `json:"Kind"`
 	Reason string `json:"Reason"`
@@ -94,7 +94,7 @@
 	reason string
 }
 
-// New makes a Core. p must outlive it.
+// New makes a Core that dispatches calls with dispatcher and runs their attempts with carrier.
 func New(settings Settings, dispatcher *dispatch.Pilot, carrier Carrier, log *slog.Logger) *Core {
 	c := &Core{settings: settings, dispatcher: dispatcher, carrier: carrier, log: log, openCalls: map[string]*Call{},
 		endings: map[ending]tally{}}
@@ -189,7 +189,7 @@
 }
 
 // serveRecovered runs the chain and turns a panic of a stage into a failure of its call.
-func (c *Core) serveRecovered(call *Call) (a Answer) {
+func (c *Core) serveRecovered(call *Call) (answer Answer) {
 	defer func() {
 		if err := recover(); err != nil {
 			c.log.Error("a stage panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
@@ -197,25 +197,25 @@
 			if call.dispatched {
 				c.drainVerdicts(call)
 			}
-			a = Fail(Unavailable, ReasonPanic)
+			answer = Fail(Unavailable, ReasonPanic)
 		}
 	}()
-	a = c.serve(call)
-	if a.Kind == Left && !call.HasLeft() {
-		a = Fail(Unavailable, ReasonLost)
+	answer = c.serve(call)
+	if answer.Kind == Left && !call.HasLeft() {
+		answer = Fail(Unavailable, ReasonLost)
 		if call.isAborted() {
-			a.Reason = ReasonStop
+			answer.Reason = ReasonStop
 		}
 	}
-	if a.Reason != "" && a.Reason != ReasonModule && a.Reason != ReasonStop {
-		c.log.Info("a stage ended a call", "answer", a.Kind.String(), "reason", a.Reason)
+	if answer.Reason != "" && answer.Reason != ReasonModule && answer.Reason != ReasonStop {
+		c.log.Info("a stage ended a call", "answer", answer.Kind.String(), "reason", answer.Reason)
 	}
-	return a
+	return answer
 }
 
 // count counts a final answer. The caller holds the lock.
-func (c *Core) count(a Answer) {
-	e := ending{a.Kind, a.Reason}
+func (c *Core) count(answer Answer) {
+	e := ending{answer.Kind, answer.Reason}
 	if _, ok := c.endings[e]; !ok && len(c.endings) >= maxReasons {
 		e.reason = "other"
 	}
@@ -233,15 +233,15 @@
 // Endings returns the counts of final answers so far, ordered by kind and reason.
 func (c *Core) Endings() []Ending {
 	c.mu.Lock()
-	list := make([]Ending, 0, len(c.endings))
+	endings := make([]Ending, 0, len(c.endings))
 	for e, n := range c.endings {
-		list = append(list, Ending{e.kind, e.reason, n.calls, n.last})
+		endings = append(endings, Ending{e.kind, e.reason, n.calls, n.last})
 	}
 	c.mu.Unlock()
-	slices.SortFunc(list, func(a, b Ending) int {
+	slices.SortFunc(endings, func(a, b Ending) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Reason, b.Reason))
 	})
-	return list
+	return endings
 }
 
 // dispatch is the end of the chain: it carries out the dispatcher's verdicts until one of them is the final answer. A call may
--- a/internal/node/dispatch/actions.go
+++ b/internal/node/dispatch/actions.go
@@ -30,8 +30,7 @@
 		d.logLater(func() {
 			d.log.Error("a relay that the rules forbid was held back", "host", name, "ended", over)
 		})
-		d.unsentOutcomes = append(d.unsentOutcomes, decide.Outcome{Request: id, Backend: to, Attempt: n, Over: t.done,
-			Result: decide.NotSent})
+		t.reportUnsent(n, t.done)
 		return
 	}
 	t.openAttempts++
--- a/internal/node/dispatch/dispatcher.go
+++ b/internal/node/dispatch/dispatcher.go
@@ -57,17 +57,17 @@
 
 // New makes the Pilot of one node. What the module logs passes the log's limit on floods. wake, if not nil, is called when
 // Tick is wanted earlier than it last said. It fails where the module rejects the settings.
-func New(set decide.Settings, seed uint64, c clock.Clock, logger *slog.Logger, wake func()) (*Pilot, error) {
-	d := &Pilot{clock: c, log: logger, wakeTimer: wake, drainGrace: set.Rules.DrainGrace.Seconds() * 1000,
-		zoneIndex: indexByName(set.Zones), kindIndex: indexByName(set.Kinds), hosts: map[decide.BackendID]*host{},
+func New(settings decide.Settings, seed uint64, c clock.Clock, logger *slog.Logger, wake func()) (*Pilot, error) {
+	d := &Pilot{clock: c, log: logger, wakeTimer: wake, drainGrace: settings.Rules.DrainGrace.Seconds() * 1000,
+		zoneIndex: indexByName(settings.Zones), kindIndex: indexByName(settings.Kinds), hosts: map[decide.BackendID]*host{},
 		hostIDs: map[string]decide.BackendID{}, tickets: map[decide.RequestID]*Ticket{},
-		coldTime: set.Rules.ColdTime, random: rand.New(rand.NewPCG(seed, warmStartSeed))}
-	module, err := decide.New(set, seed, actions{d})
+		coldTime: settings.Rules.ColdTime, random: rand.New(rand.NewPCG(seed, warmStartSeed))}
+	balancer, err := decide.New(settings, seed, actions{d})
 	if err != nil {
 		return nil, err
 	}
-	d.balancer = module
-	for _, c := range set.Classes {
+	d.balancer = balancer
+	for _, c := range settings.Classes {
 		d.rejectSafe = append(d.rejectSafe, c.Effect == decide.Safe || c.Effect == decide.Keyed && c.Group == decide.GroupAll)
 		d.retryWindow = append(d.retryWindow, map[decide.Effect]float64{decide.Safe: math.Inf(1), decide.Keyed: toMillis(c.KeyTTL)}[c.Effect])
 	}
@@ -99,13 +99,13 @@
 		d.unsentOutcomes = d.unsentOutcomes[1:]
 		d.balancer.Outcome(toDuration(now), o)
 	}
-	lines, poke := d.pendingLogs, d.timerMoved
+	logs, wake := d.pendingLogs, d.timerMoved
 	d.pendingLogs, d.timerMoved = nil, false
 	d.mu.Unlock()
-	for _, write := range lines {
+	for _, write := range logs {
 		write()
 	}
-	if poke && d.wakeTimer != nil {
+	if wake && d.wakeTimer != nil {
 		d.wakeTimer()
 	}
 }
--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/memory.go
@@ -34,12 +34,12 @@
 
 // List returns the hosts, for an update with Stored.
 func (m *Memory) List() []Host {
-	list := make([]Host, 0, len(m.Hosts))
+	hosts := make([]Host, 0, len(m.Hosts))
 	for _, h := range m.Hosts {
-		list = append(list, Host{Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Protocol: h.Speaks, Cell: h.Cell,
+		hosts = append(hosts, Host{Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Protocol: h.Speaks, Cell: h.Cell,
 			Status: h.Status, Weight: h.Weight, Since: h.Since})
 	}
-	return list
+	return hosts
 }
 
 // Remember returns a snapshot. Its hosts are in the order of their names.
--- a/internal/node/dispatch/ticket.go
+++ b/internal/node/dispatch/ticket.go
@@ -95,14 +95,14 @@
 }
 
 // retryPermitted tells whether an attempt at a host may go out in view of those before it.
-func (t *Ticket) retryPermitted(to decide.BackendID, now float64) bool {
+func (t *Ticket) retryPermitted(hostID decide.BackendID, now float64) bool {
 	for i := range t.attempts {
-		r := &t.attempts[i]
-		if r.hostID == to && !r.ended {
+		a := &t.attempts[i]
+		if a.hostID == hostID && !a.ended {
 			return true
 		}
-		if !r.ended || r.mayHaveRun {
-			return now < r.sentAt+t.dispatcher.retryWindow[t.class]
+		if !a.ended || a.mayHaveRun {
+			return now < a.sentAt+t.dispatcher.retryWindow[t.class]
 		}
 	}
 	return true
@@ -125,16 +125,21 @@
 func (t *Ticket) withdrawUnpicked() {
 	t.queue = slices.DeleteFunc(t.queue, func(v Verdict) bool {
 		if v.Kind == Relay {
-			r := &t.attempts[v.Relay]
-			r.ended = true
+			a := &t.attempts[v.Relay]
+			a.ended = true
 			t.openAttempts--
-			t.dispatcher.unsentOutcomes = append(t.dispatcher.unsentOutcomes, decide.Outcome{Request: t.id, Backend: r.hostID, Attempt: v.Relay, Over: true,
-				Result: decide.NotSent})
+			t.reportUnsent(v.Relay, true)
 		}
 		return v.Kind == Relay || v.Kind == CallOff && t.attempts[v.Relay].ended
 	})
 }
 
+// reportUnsent has the module told, after its present event, that attempt n was not sent. over: the request is done.
+func (t *Ticket) reportUnsent(n int, over bool) {
+	t.dispatcher.unsentOutcomes = append(t.dispatcher.unsentOutcomes, decide.Outcome{Request: t.id, Backend: t.attempts[n].hostID,
+		Attempt: n, Over: over, Result: decide.NotSent})
+}
+
 // finish marks that the request has its final response, or that nobody waits for it.
 func (t *Ticket) finish() {
 	t.done = true
@@ -157,9 +162,9 @@
 		if n < 0 || n >= len(t.attempts) || t.attempts[n].ended {
 			return
 		}
-		r := &t.attempts[n]
-		r.ended, r.mayHaveRun = true, balancerResults[o].MayHaveRun()
-		t.mayHaveRun = t.mayHaveRun || r.mayHaveRun
+		a := &t.attempts[n]
+		a.ended, a.mayHaveRun = true, balancerResults[o].MayHaveRun()
+		t.mayHaveRun = t.mayHaveRun || a.mayHaveRun
 		t.openAttempts--
 		if o == Served && !t.done {
 			t.withdrawUnpicked()
@@ -167,8 +172,8 @@
 			used = true
 			t.finish()
 		}
-		t.dispatcher.balancer.Outcome(toDuration(now), decide.Outcome{Request: t.id, Backend: r.hostID, Attempt: n, Over: t.done,
-			Latency: toDuration(now - r.sentAt), Result: balancerResults[o]})
+		t.dispatcher.balancer.Outcome(toDuration(now), decide.Outcome{Request: t.id, Backend: a.hostID, Attempt: n, Over: t.done,
+			Latency: toDuration(now - a.sentAt), Result: balancerResults[o]})
 		t.removeIfDone()
 	})
 	return used
--- a/internal/node/dispatch/view.go
+++ b/internal/node/dispatch/view.go
@@ -50,7 +50,7 @@
 
 // Room is the capacity of the hosts in use for this node, in requests a second of average work. learned tells whether it
 // rests on any response.
-func (d *Pilot) Room() (room float64, learned bool) {
+func (d *Pilot) Room() (capacity float64, learned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.balancer.Room()
--- a/internal/node/dispatch/warmstart.go
+++ b/internal/node/dispatch/warmstart.go
@@ -118,16 +118,16 @@
 
 // preferHeavier returns own with each entry replaced by that of other with the same name, where that has the greater weight.
 func preferHeavier[T any](own, other []T, weigh func(*T) (name string, weight float64)) []T {
-	list := slices.Clone(own)
-	for i := range list {
-		name, best := weigh(&list[i])
+	merged := slices.Clone(own)
+	for i := range merged {
+		name, best := weigh(&merged[i])
 		for j := range other {
 			if n, weight := weigh(&other[j]); n == name && weight > best {
-				list[i], best = other[j], weight
+				merged[i], best = other[j], weight
 			}
 		}
 	}
-	return list
+	return merged
 }
 
 // evidence is the number of attempts that the state of a host rests on, each weighed by its age.
