--- a/decide/decide_test.go
+++ b/decide/balancer_test.go
@@ -9,8 +9,8 @@
 
 const second = time.Second
 
-// settings are those of a small deployment that tests change where they need to.
-func settings() Settings {
+// testSettings are those of a small deployment, which tests adapt.
+func testSettings() Settings {
 	return Settings{
 		Nodes: 1, Zones: []string{"here", "there"}, Kinds: []string{"fast", "slow"},
 		Classes: []Class{
@@ -24,14 +24,14 @@
 	}
 }
 
-// recorder keeps the actions asked for.
+// recorder records the actions.
 type recorder struct {
-	sends   []send
-	refused []RequestID
-	failed  []RequestID
-	watches int
-	wakes   []time.Duration
-	logs    []string
+	sends    []send
+	rejected []RequestID
+	failed   []RequestID
+	watches  int
+	wakes    []time.Duration
+	logs     []string
 }
 
 type send struct {
@@ -42,7 +42,7 @@
 func (r *recorder) Send(id RequestID, to BackendID, _ time.Duration) {
 	r.sends = append(r.sends, send{id, to})
 }
-func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.refused = append(r.refused, id) }
+func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id RequestID)                    { r.failed = append(r.failed, id) }
 func (r *recorder) Cancel(RequestID, int)                {}
 func (r *recorder) Probe(BackendID)                      {}
@@ -71,7 +71,7 @@
 
 func TestDrainingBackendGetsNothing(t *testing.T) {
 	for _, kind := range []ListKind{ListChanges, ListFull} {
-		b, r := start(t, settings(), backends(3)...)
+		b, r := start(t, testSettings(), backends(3)...)
 		gone := Backend{ID: 2, State: Draining}
 		if kind == ListFull {
 			b.List(2*second, kind, []Backend{{ID: 1}, {ID: 3}})
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestNewRefusesSettingsThatCannotWork(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"Nodes":      func(s *Settings) { s.Nodes = 0 },
 		"Classes":    func(s *Settings) { s.Classes = nil },
@@ -102,19 +102,19 @@
 		"Limits":     func(s *Settings) { s.Limits.MaxAttempts = 0 },
 		"Classes[0]": func(s *Settings) { s.Classes[0].Aim = 0 },
 	} {
-		set := settings()
+		set := testSettings()
 		spoil(&set)
 		if _, err := New(set, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s spoilt: error %v does not name it", name, err)
 		}
 	}
-	if _, err := New(settings(), 1, nil); err == nil {
+	if _, err := New(testSettings(), 1, nil); err == nil {
 		t.Error("no actions: no error")
 	}
 }
 
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
-	b, r := start(t, settings(), backends(2)...)
+	b, r := start(t, testSettings(), backends(2)...)
 	b.Outcome(second, Outcome{Request: 9, Backend: 1, Result: Good})
 	b.Gone(second, 9)
 	b.Begun(second, 9, 0, 0)
@@ -127,33 +127,33 @@
 	b.Outcome(second, done)
 	b.Outcome(second, done)
 	b.List(second, ListChanges, []Backend{{ID: 50, State: Deleted}, {ID: 51, Zone: 8}, {ID: 52, Kind: -1}})
-	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
-		t.Errorf("sends %v, refused %v, failed %v", r.sends, r.refused, r.failed)
+	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
+		t.Errorf("sends %v, refused %v, failed %v", r.sends, r.rejected, r.failed)
 	}
 }
 
-func TestFailedCallForTheListIsRepeatedLater(t *testing.T) {
-	set := settings()
+func TestFailedListCallIsRetriedAfterBackoff(t *testing.T) {
+	set := testSettings()
 	set.Ask = true
 	b, r := start(t, set, backends(2)...)
-	b.Timer(2*second, tokenAsk)
+	b.Timer(2*second, timerWatch)
 	if r.watches != 1 {
 		t.Fatalf("%d calls for the list, want 1", r.watches)
 	}
 	wakes := len(r.wakes)
 	b.List(4*second, ListFailed, nil)
-	if r.watches != 1 || len(r.wakes) != wakes+1 || r.wakes[wakes] < askBackoff/2 {
+	if r.watches != 1 || len(r.wakes) != wakes+1 || r.wakes[wakes] < watchBackoff/2 {
 		t.Fatalf("after a failure: %d calls, wakes %v", r.watches, r.wakes)
 	}
-	b.Timer(6*second, tokenAsk)
+	b.Timer(6*second, timerWatch)
 	b.List(6*second, ListFull, backends(2))
-	b.Timer(9*second, tokenAsk)
+	b.Timer(9*second, timerWatch)
 	if r.watches != 2 {
 		t.Errorf("%d calls, want 2: none while the subscription stands", r.watches)
 	}
 }
 
-// serve lets the Balancer live for a time in which each backend answers after its own latency.
+// serve sends a request in every interval for a span of time, while each backend answers after its own latency.
 func serve(b *Balancer, r *recorder, from, span time.Duration, every time.Duration,
 	latency func(BackendID) (time.Duration, Result)) map[BackendID]int {
 	count := map[BackendID]int{}
@@ -189,17 +189,17 @@
 			}
 		}
 		ends = rest
-		b.Timer(now, tokenSweep)
+		b.Timer(now, timerSweep)
 		if now >= nextSolve {
-			b.Timer(now, tokenSolve)
-			nextSolve += solveEvery
+			b.Timer(now, timerSolve)
+			nextSolve += solveInterval
 		}
 	}
 	return count
 }
 
-func TestSlowBackendGetsLess(t *testing.T) {
-	b, r := start(t, settings(), backends(6)...)
+func TestSlowBackendGetsSmallerShare(t *testing.T) {
+	b, r := start(t, testSettings(), backends(6)...)
 	count := serve(b, r, second, 20*second, 5*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 		if to == 3 {
 			return 200 * time.Millisecond, Good
@@ -211,8 +211,8 @@
 	}
 }
 
-func TestFailingBackendIsPutAwayAndComesBack(t *testing.T) {
-	b, r := start(t, settings(), backends(6)...)
+func TestFailingBackendIsEjectedAndRecovers(t *testing.T) {
+	b, r := start(t, testSettings(), backends(6)...)
 	failing := func(bad bool) func(BackendID) (time.Duration, Result) {
 		return func(to BackendID) (time.Duration, Result) {
 			if bad && to == 2 {
@@ -231,9 +231,9 @@
 	}
 }
 
-// Answers spoilt now and then, at any backend alike, are no reason to do without it; many at one are.
-func TestFailuresThatChanceExplainsPutNothingAway(t *testing.T) {
-	b, r := start(t, settings(), backends(6)...)
+// Occasional failures at every backend alike must not eject one; many at a single backend must.
+func TestFailuresExplainedByChanceEjectNothing(t *testing.T) {
+	b, r := start(t, testSettings(), backends(6)...)
 	n := 0
 	count := serve(b, r, second, 20*second, 5*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 		if n++; n%20 == 0 || to == 2 && n%3 == 0 {
@@ -248,20 +248,20 @@
 	}
 }
 
-// A backend that fails one in six is still worth the other five where work presses (real long day: the largest one
-// was left out of a fleet that was short), and one that loses answers is no slower for it (real day of resets).
-func TestPartlyFailingBackendIsPricedNotPutAway(t *testing.T) {
+// A backend that fails one attempt in six still adds capacity under load (seen: the largest backend ejected from an overloaded
+// fleet), and lost responses must not count as slowness (seen on a day of connection resets).
+func TestPartlyFailingBackendIsPenalizedNotEjected(t *testing.T) {
 	for _, result := range []Result{Failed, Late} {
-		b, r := start(t, settings(), backends(4)...)
+		b, r := start(t, testSettings(), backends(4)...)
 		n, away := 0, 0
 		chance := rand.New(rand.NewPCG(7, 7))
 		serve(b, r, second, 20*second, 2*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 			s := b.byID[to]
-			if b.byID[2].away {
+			if b.byID[2].ejected {
 				away++
 			}
 			n++
-			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.out*s.out)/300)) // work presses
+			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // the fleet is under load
 			if to == 2 && chance.IntN(6) == 0 {
 				if result == Late {
 					return second / 2, Late
@@ -271,17 +271,17 @@
 			return took, Good
 		})
 		s := b.byID[2]
-		if away > 0 || s.slow > 1.3 || b.risk(s) < 0.05 || b.risk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
-			t.Errorf("result %d: away for %d of %d, slow %v, risk %v, share %v and %v", result, away, n, s.slow,
-				b.risk(s), s.share, b.byID[1].share)
+		if away > 0 || s.slowdown > 1.3 || b.failureRisk(s) < 0.05 || b.failureRisk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
+			t.Errorf("result %d: away for %d of %d, slow %v, risk %v, share %v and %v", result, away, n, s.slowdown,
+				b.failureRisk(s), s.share, b.byID[1].share)
 		}
 	}
 }
 
-// A backend may answer one class and leave another unanswered: only that one is kept from it (real day of a failing
-// class), and a keyed request that waits there gets a second copy elsewhere.
-func TestClassLeftUnansweredGoesElsewhere(t *testing.T) {
-	set := settings()
+// A backend may answer one class and never another: it must be ejected for that class alone (seen on a day of a failing
+// class), and a keyed request that waits there is hedged elsewhere.
+func TestUnansweredClassIsSentElsewhere(t *testing.T) {
+	set := testSettings()
 	set.Classes[1].Group = GroupAll
 	b, r := start(t, set, backends(4)...)
 	type end struct {
@@ -302,9 +302,9 @@
 			}
 		}
 		ends = rest
-		b.Timer(now, tokenSweep)
+		b.Timer(now, timerSweep)
 		if i%100 == 0 {
-			b.Timer(now, tokenSolve)
+			b.Timer(now, timerSolve)
 		}
 		for _, s := range r.sends[before:] {
 			class, n := 1+int(s.id)%2, len(b.requests[s.id].attempts)-1
@@ -313,7 +313,7 @@
 				sent[class]++
 			}
 			o := Outcome{Request: s.id, Backend: s.to, Attempt: n, Result: Good, Over: true}
-			out := b.byID[s.to].out // it is worth having: more held makes the others slower
+			out := b.byID[s.to].inFlight // it is attractive: more in flight makes the others slower
 			l := time.Duration(float64(40*time.Millisecond) * (1 + float64(out*out)/20))
 			if s.to == 3 && class == 1 {
 				o.Result, o.Over, l = Late, b.requests[s.id].closed, second/2
@@ -329,9 +329,9 @@
 	}
 }
 
-// A request that a backend turns away as bad is no use to the next one, and tells nothing against any.
-func TestRejectedRequestEndsThere(t *testing.T) {
-	b, r := start(t, settings(), backends(4)...)
+// A request that a backend rejects as invalid must not be retried, and is no evidence against the backend.
+func TestRejectedRequestIsNotRetried(t *testing.T) {
+	b, r := start(t, testSettings(), backends(4)...)
 	for id := range RequestID(8) {
 		b.Request(second, Request{ID: id, Class: 1, Tenant: -1, Deadline: 2 * second})
 		b.Outcome(second, Outcome{Request: id, Backend: r.sends[id].to, Result: Rejected})
@@ -339,35 +339,35 @@
 	if len(r.sends) != 8 || len(r.failed) != 8 {
 		t.Errorf("%d sends and %d failures of 8 requests", len(r.sends), len(r.failed))
 	}
-	for _, s := range b.servers {
-		if s.away {
+	for _, s := range b.backends {
+		if s.ejected {
 			t.Errorf("backend %d is away", s.ID)
 		}
 	}
 }
 
-// A backlog times out several attempts at once; that is one silence, not many (ebene, rough-2).
-func TestOneBacklogIsOneSilence(t *testing.T) {
-	b, r := start(t, settings(), backends(1)...)
-	b.answers, b.lates = 90, 20
+// A backlog times out several attempts at once; they count as one time-out (seen on bench days ebene, rough-2).
+func TestOneBacklogCountsAsOneTimeout(t *testing.T) {
+	b, r := start(t, testSettings(), backends(1)...)
+	b.responses, b.timeouts = 90, 20
 	for id := range RequestID(3) {
 		b.Request(2*second, Request{ID: id, Tenant: -1, Deadline: 3 * second})
 	}
 	for _, s := range r.sends {
 		b.Outcome(3*second, Outcome{Request: s.id, Backend: 1, Latency: second, Result: Late})
 	}
-	if s := b.byID[1]; s.silent != 1 || s.away {
-		t.Errorf("silent %d, away %v after one backlog of %d", s.silent, s.away, len(r.sends))
+	if s := b.byID[1]; s.consecutiveTimeouts != 1 || s.ejected {
+		t.Errorf("silent %d, away %v after one backlog of %d", s.consecutiveTimeouts, s.ejected, len(r.sends))
 	}
 }
 
-// With every backend away there are no shares to give; turns must stay in order when they return.
-func TestAllAwayLeavesSharesInOrder(t *testing.T) {
-	b, r := start(t, settings(), backends(3)...)
+// With every backend ejected there are no shares; the pick queue must be in order when they return.
+func TestAllBackendsEjectedKeepsSharesInOrder(t *testing.T) {
+	b, r := start(t, testSettings(), backends(3)...)
 	serve(b, r, second, 3*second, 10*time.Millisecond, func(BackendID) (time.Duration, Result) {
 		return time.Millisecond, Reset
 	})
-	for _, s := range b.servers {
+	for _, s := range b.backends {
 		if !(s.share >= 0) {
 			t.Fatalf("backend %d has the share %v", s.ID, s.share)
 		}
@@ -382,18 +382,18 @@
 	}
 }
 
-// Every node to every server runs the servers out of connections (ub, id1ea5d).
-func TestNodesSpreadOverALargeFleet(t *testing.T) {
+// If every node used every backend, the backends would run out of connections (seen on bench day ub, id1ea5d).
+func TestEachBackendIsUsedByFewNodes(t *testing.T) {
 	const nodes, fleet = 60, 300
 	users := map[BackendID]int{}
 	for node := range nodes {
-		set := settings()
+		set := testSettings()
 		set.Nodes, set.Node = nodes, node
 		b, r := start(t, set, backends(fleet)...)
 		serve(b, r, second, 3*second, 50*time.Millisecond, func(BackendID) (time.Duration, Result) {
 			return 20 * time.Millisecond, Good
 		})
-		for _, s := range b.servers {
+		for _, s := range b.backends {
 			if s.share > 0 {
 				users[s.ID]++
 			}
@@ -406,34 +406,34 @@
 	}
 }
 
-// In overload what is worth least goes first, and a tenant beyond its share before others (rule of worth).
-func TestOverloadRefusesTheCheapest(t *testing.T) {
-	b, _ := start(t, settings(), backends(2)...)
-	b.set.OverShareWorth = 0.1
-	b.admit(40)
-	limit := func(class, sub int) float64 { return b.bins[4*class+sub].limit }
+// Under overload the work of the lowest value is rejected first, and tenants beyond their quota before others.
+func TestOverloadRejectsLowestValueFirst(t *testing.T) {
+	b, _ := start(t, testSettings(), backends(2)...)
+	b.settings.OverShareWorth = 0.1
+	b.setAdmissionLimits(40)
+	limit := func(class, sub int) float64 { return b.admissionClasses[4*class+sub].latencyLimit }
 	for class := range b.classes {
 		if limit(class, 0) <= limit(class, 1) {
 			t.Errorf("class %d: a tenant beyond its share is preferred", class)
 		}
 	}
-	if limit(1, 0) <= limit(0, 0) || limit(1, 0) > b.aim {
-		t.Errorf("dear %v, cheap %v, aim %v", limit(1, 0), limit(0, 0), b.aim)
+	if limit(1, 0) <= limit(0, 0) || limit(1, 0) > b.latencyTarget {
+		t.Errorf("dear %v, cheap %v, aim %v", limit(1, 0), limit(0, 0), b.latencyTarget)
 	}
 }
 
-// flood sends requests until one is refused and returns how many were taken.
-func flood(b *Balancer, r *recorder, now time.Duration, from RequestID) (taken int) {
-	for refused := len(r.refused); len(r.refused) == refused && taken < 1000; taken++ {
-		b.Request(now, Request{ID: from + RequestID(taken), Class: 1, Tenant: -1, Deadline: now + second})
+// flood sends requests until one is rejected and returns how many were admitted.
+func flood(b *Balancer, r *recorder, now time.Duration, from RequestID) (admitted int) {
+	for refused := len(r.rejected); len(r.rejected) == refused && admitted < 1000; admitted++ {
+		b.Request(now, Request{ID: from + RequestID(admitted), Class: 1, Tenant: -1, Deadline: now + second})
 	}
-	return taken - 1
+	return admitted - 1
 }
 
-// What backends hold, not the rate of what is asked, tells whether one more is served in time: a burst is refused
-// only once they hold too much, and as soon as they have answered all is let in again (real rude and churn days).
-func TestAdmissionFollowsWhatBackendsHold(t *testing.T) {
-	b, r := start(t, settings(), backends(4)...)
+// Admission must follow the number in flight, not the arrival rate: a burst is rejected only once too much is in flight, and
+// admitted again as soon as that is answered (seen on bench days of misbehaving clients and churn).
+func TestAdmissionFollowsInFlight(t *testing.T) {
+	b, r := start(t, testSettings(), backends(4)...)
 	serve(b, r, second, 10*second, 5*time.Millisecond, func(BackendID) (time.Duration, Result) {
 		return 40 * time.Millisecond, Good
 	})
@@ -445,14 +445,14 @@
 	for _, s := range r.sends[sent:] {
 		b.Outcome(13*second, Outcome{Request: s.id, Backend: s.to, Over: true, Latency: second / 20, Result: Good})
 	}
-	b.Timer(13*second, tokenSolve)
+	b.Timer(13*second, timerSolve)
 	if again := flood(b, r, 13*second, 2*from); again < first/3 {
 		t.Errorf("%d taken at first, %d after all was answered", first, again)
 	}
 }
 
 func TestSteadyPathAllocatesNothing(t *testing.T) {
-	b, err := New(settings(), 1, quiet{})
+	b, err := New(testSettings(), 1, noActions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -462,10 +462,10 @@
 		id++
 		now += 5 * time.Millisecond
 		b.Request(now, Request{ID: id, Tenant: -1, Deadline: now + second})
-		to := b.requests[id].attempts[0].server.ID
+		to := b.requests[id].attempts[0].backend.ID
 		b.Outcome(now+time.Millisecond, Outcome{Request: id, Backend: to, Over: true,
 			Latency: time.Millisecond, Result: Good})
-		b.Timer(now, tokenSweep)
+		b.Timer(now, timerSweep)
 	}
 	for range 2000 {
 		round()
@@ -475,30 +475,30 @@
 	}
 }
 
-// quiet does nothing with actions.
-type quiet struct{}
+// noActions ignores every action.
+type noActions struct{}
 
-func (quiet) Send(RequestID, BackendID, time.Duration) {}
-func (quiet) Refuse(RequestID, time.Duration)          {}
-func (quiet) Fail(RequestID)                           {}
-func (quiet) Cancel(RequestID, int)                    {}
-func (quiet) Probe(BackendID)                          {}
-func (quiet) Wake(time.Duration, uint64)               {}
-func (quiet) Watch()                                   {}
-func (quiet) Log(string)                               {}
+func (noActions) Send(RequestID, BackendID, time.Duration) {}
+func (noActions) Refuse(RequestID, time.Duration)          {}
+func (noActions) Fail(RequestID)                           {}
+func (noActions) Cancel(RequestID, int)                    {}
+func (noActions) Probe(BackendID)                          {}
+func (noActions) Wake(time.Duration, uint64)               {}
+func (noActions) Watch()                                   {}
+func (noActions) Log(string)                               {}
 
-// FuzzEvents plays events drawn from bytes; the world judges the rules.
+// FuzzEvents plays events drawn from bytes; the world checks the rules.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("a few requests"), uint64(1))
 	f.Add([]byte{0, 255, 3, 9, 200, 31, 8, 77, 1, 1, 1, 60}, uint64(2))
 	f.Fuzz(func(t *testing.T, plan []byte, seed uint64) {
-		w := newWorld(t, settings(), seed, 0.4)
+		w := newWorld(t, testSettings(), seed, 0.4)
 		list := mixed(6)
 		w.list(ListStored, list...)
 		for _, step := range plan {
 			switch step % 4 {
 			case 0, 1:
-				w.knock()
+				w.arrive()
 			case 2:
 				w.churn(list)
 			}
@@ -508,9 +508,9 @@
 	})
 }
 
-// A heavy request's long latency is no evidence against its backend when a hint tells its weight.
-func TestHintsWeighRequests(t *testing.T) {
-	b, _ := start(t, settings(), backends(1)...)
+// The long latency of a heavy request must not count against its backend when a cost hint explains it.
+func TestCostHintsScaleWork(t *testing.T) {
+	b, _ := start(t, testSettings(), backends(1)...)
 	for id := range RequestID(20) {
 		b.Request(second, Request{ID: id, Tenant: -1, Deadline: 2 * second, Cost: 0.01})
 	}
