--- a/internal/node/statemachine/calls_test.go
+++ b/internal/node/statemachine/calls_test.go
@@ -12,9 +12,10 @@
 
 func name(i int) []byte { return append(make([]byte, 15), byte(i+1)) }
 
-// Guards, over random histories of runs that are taken, end, are forgotten by their nodes and come again under other windows, against a name that
-// runs twice within its windows, two answers for one name, and a member that goes on otherwise from an image.
-func TestCallsAnyHistory(t *testing.T) {
+// TestRandomCallHistoriesRunNoNameTwice plays runs that are claimed, end, are abandoned by their nodes and come again with other windows.
+// It guards against a name that runs twice within its windows, two responses for one name, and a member that goes on otherwise from
+// an image.
+func TestRandomCallHistoriesRunNoNameTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		var opened uint64
@@ -31,7 +32,7 @@
 		type run struct {
 			token  uint64
 			since  float64
-			window float64 // under which it was taken
+			window float64 // of its claim
 		}
 		ran, answer := map[int]run{}, map[int]string{}
 		forget := func(i int) {
@@ -66,10 +67,10 @@
 				}
 			case 2:
 				if r, ok := ran[i]; ok && answer[i] == "" {
-					how := rapid.SampledFrom([]string{OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt}).Draw(t, "how")
+					end := rapid.SampledFrom([]string{OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt}).Draw(t, "how")
 					body := fmt.Sprint("answer ", step)
-					if do(CompletionCommand(Completion{Name: name(i), Token: r.token, Outcome: how, Body: []byte(body)})).Code == OK {
-						switch how {
+					if do(CompletionCommand(Completion{Name: name(i), Token: r.token, Outcome: end, Body: []byte(body)})).Code == OK {
+						switch end {
 						case OutcomeNotExecuted:
 							forget(i)
 						case OutcomeServed:
@@ -80,27 +81,27 @@
 			case 3:
 				do(ProcessStartCommand(ProcessStart{Node: fmt.Sprint(step % 2), Life: uint64(step + 2)}))
 			default: // one member goes on from an image
-				text, fresh := picture(t, b), New()
+				text, fresh := frozen(t, b), New()
 				require.NoError(t, fresh.Restore([]byte(text)))
-				require.Equal(t, text, picture(t, fresh))
+				require.Equal(t, text, frozen(t, fresh))
 				b = fresh
 			}
 		}
-		assert.Equal(t, picture(t, a), picture(t, b))
+		assert.Equal(t, frozen(t, a), frozen(t, b))
 	})
 }
 
-// Guards against a second secret in one fleet, a run that another one ends, one that a later life of its node does not end, a
-// body that does not fit, and another content under a name.
-func TestCalls(t *testing.T) {
-	l := New()
-	s := apply(t, l, Command{Body: encode(Opening{Name: "n"})}).Index
+// TestClaimsCompletionsAndLookups guards against a second secret in one fleet, a run that another claimant completes, one that a later
+// process of its node does not end, a body that does not fit, and another content under a name.
+func TestClaimsCompletionsAndLookups(t *testing.T) {
+	m := New()
+	s := apply(t, m, Command{Body: encode(Opening{Name: "n"})}).Index
 	n := uint64(0)
 	do := func(at float64, body any) Reply {
 		n++
-		return apply(t, l, Command{At: at, Session: s, Number: n, Done: n - 1, Part: ComponentCalls, Body: encode(body)})
+		return apply(t, m, Command{At: at, Session: s, Number: n, Done: n - 1, Part: ComponentCalls, Body: encode(body)})
 	}
-	take := Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "a", Life: 1, Token: 7}
+	claim := Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "a", Life: 1, Token: 7}
 	outcome := func(r Reply) (o ClaimReply) {
 		require.Equal(t, OK, r.Code, r.Text)
 		require.NoError(t, json.Unmarshal(r.Body, &o))
@@ -108,15 +109,15 @@
 	}
 	assert.Equal(t, OK, do(1, ProcessStartCommand(ProcessStart{Node: "a", Life: 1, Secret: []byte("x")})).Code)
 	assert.Equal(t, Conflict, do(1, ProcessStartCommand(ProcessStart{Node: "b", Life: 1, Secret: []byte("y")})).Code)
-	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(take))).Result)
-	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(take))).Result, "the same run asked again")
-	other := take
+	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(claim))).Result)
+	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(claim))).Result, "the same run claimed again")
+	other := claim
 	other.Token, other.Node = 8, "b"
 	assert.Equal(t, ClaimReply{Result: ClaimRunning, Node: "a"}, outcome(do(3, ClaimCommand(other))))
 	assert.Equal(t, Conflict, do(3, CompletionCommand(Completion{Name: name(1), Token: 8, Outcome: OutcomeNotExecuted})).Code)
 	assert.Equal(t, OK, do(4, ProcessStartCommand(ProcessStart{Node: "a", Life: 2, Secret: []byte("x")})).Code)
-	assert.Equal(t, ClaimInDoubt, outcome(do(5, ClaimCommand(other))).Result, "its node has begun anew")
-	assert.Equal(t, ClaimInDoubt, outcome(l.Query(Request{ComponentCalls, encode(Lookup{Name: name(1), Print: name(1)})})).Result)
+	assert.Equal(t, ClaimInDoubt, outcome(do(5, ClaimCommand(other))).Result, "its node has started again")
+	assert.Equal(t, ClaimInDoubt, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(1), Print: name(1)})})).Result)
 	other.Print = name(2)
 	assert.Equal(t, ClaimMismatch, outcome(do(6, ClaimCommand(other))).Result)
 	other.Name, other.Print = name(3), name(3)
@@ -124,22 +125,22 @@
 	assert.Equal(t, OK, do(8, CompletionCommand(Completion{Name: name(3), Token: 8, Outcome: OutcomeServed, Body: make([]byte, MaxOneBodyBytes+1)})).Code)
 	assert.Equal(t, ClaimExecuted, outcome(do(9, ClaimCommand(other))).Result)
 	assert.Equal(t, Faulty, do(9, ClaimCommand(Claim{Name: []byte("short")})).Code)
-	assert.Equal(t, ClaimUnknown, outcome(l.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Print: name(4)})})).Result)
+	assert.Equal(t, ClaimUnknown, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Print: name(4)})})).Result)
 }
 
-// Guards against keepers whose book is full: against a name that is turned away without a time to come back, a run that is forgotten,
-// and a keeper that cannot start from the image of such a book.
-func TestFullBook(t *testing.T) {
-	const room = 400
+// TestFullTableRejectsWithAWaitAndRestores guards, where the table is full, against a claim that is rejected without a time to claim
+// again, a run that is forgotten, and a replica that cannot start from the image of such a table.
+func TestFullTableRejectsWithAWaitAndRestores(t *testing.T) {
+	const capacity = 400
 	fresh := func() *calls {
 		c := newCalls()
-		c.room = room
-		c.book = newOrderTable(c.classes, room)
+		c.capacity = capacity
+		c.table = newCallTable(c.classes, capacity)
 		return c
 	}
 	c, now := fresh(), 1000.0
 	named := func(i int) []byte { return fmt.Appendf(nil, "%016d", i) }
-	take := func(i int, tenant string, token uint64) (o ClaimReply) {
+	claim := func(i int, tenant string, token uint64) (o ClaimReply) {
 		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: named(i), Print: named(i), Tenant: tenant, Answered: 60000, Doubt: 60000, Run: 30000,
 			Node: "n", Life: 1, Token: token})))
 		require.Equal(t, OK, r.Code, r.Text)
@@ -151,24 +152,24 @@
 	}
 	at := 10
 	fill := func(tenant string) (n int, o ClaimReply) {
-		for ; at < 2*room; at, n = at+1, n+1 {
-			if o = take(at, tenant, 9); o.Result != ClaimGranted {
+		for ; at < 2*capacity; at, n = at+1, n+1 {
+			if o = claim(at, tenant, 9); o.Result != ClaimGranted {
 				break
 			}
 			require.Equal(t, OK, end(at, 9, ""))
 		}
 		return n, o
 	}
-	require.Equal(t, ClaimGranted, take(1, "large", 7).Result)
+	require.Equal(t, ClaimGranted, claim(1, "large", 7).Result)
 	n, o := fill("large")
-	assert.Greater(t, n, room/2, "it may have four times the room that nobody has")
+	assert.Greater(t, n, capacity/2, "it may use four times the capacity that nobody uses")
 	assert.Equal(t, ClaimReply{Result: ClaimFull, Wait: 60000}, o)
 	for i := range 10 {
 		_, o = fill(fmt.Sprint("another ", i))
 		assert.Equal(t, ClaimFull, o.Result)
 	}
-	assert.Greater(t, c.book.Counts().Entries, room-10)
-	for _, compact := range []bool{false, true} { // members go on from its image
+	assert.Greater(t, c.table.Counts().Entries, capacity-10)
+	for _, compact := range []bool{false, true} { // replicas go on from its image
 		text, err := c.Freeze()()
 		require.NoError(t, err)
 		other := fresh()
@@ -184,17 +185,18 @@
 		require.Equal(t, string(text), string(again))
 		c = other
 	}
-	assert.Equal(t, ClaimFull, take(2, "large", 8).Result)
-	assert.Equal(t, ClaimRunning, take(1, "large", 8).Result)
-	assert.Equal(t, ClaimGranted, take(1, "large", 7).Result, "the same run asked again")
+	assert.Equal(t, ClaimFull, claim(2, "large", 8).Result)
+	assert.Equal(t, ClaimRunning, claim(1, "large", 8).Result)
+	assert.Equal(t, ClaimGranted, claim(1, "large", 7).Result, "the same run claimed again")
 	assert.Equal(t, OK, end(1, 7, "answer"))
-	assert.Equal(t, ClaimReply{Result: ClaimReplayed, Body: []byte("answer")}, take(1, "large", 8))
+	assert.Equal(t, ClaimReply{Result: ClaimReplayed, Body: []byte("answer")}, claim(1, "large", 8))
 	now += 60001
-	assert.Equal(t, ClaimGranted, take(2, "large", 8).Result, "windows are over")
+	assert.Equal(t, ClaimGranted, claim(2, "large", 8).Result, "windows are over")
 }
 
-// Guards against a run of which nobody says how it ended that counts as one that runs for ever, or is forgotten before its window.
-func TestRunThatNobodyEnds(t *testing.T) {
+// TestAbandonedRunIsInDoubtUntilItsWindowEnds guards against a run that nobody completes and that counts as running for ever, or is
+// forgotten before its window ends.
+func TestAbandonedRunIsInDoubtUntilItsWindowEnds(t *testing.T) {
 	c := newCalls()
 	at := func(now float64, token uint64) (o ClaimReply) {
 		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "n", Life: 1, Token: token})))
--- /dev/null
+++ b/internal/node/statemachine/callsimage.go
@@ -0,0 +1,272 @@
+package statemachine
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"math"
+	"slices"
+
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+)
+
+// callsImage is the image of the calls.
+type callsImage struct {
+	Now     float64           `json:"now"` // cluster time, ms
+	Classes [][2]float64      `json:"classes"`
+	Secret  []byte            `json:"secret,omitempty"`
+	Known   []knownImage      `json:"known"`   // calls that have ended, in the order of their ends
+	Running []claimOwnerImage `json:"running"` // by their names
+}
+
+type knownImage struct {
+	Name   []byte  `json:"n"`
+	Print  []byte  `json:"p"`
+	Class  int     `json:"c"`
+	Tenant int     `json:"t"`
+	Served bool    `json:"s,omitempty"`
+	Age    float64 `json:"a"`
+	Body   []byte  `json:"b,omitempty"`
+}
+
+type claimOwnerImage struct {
+	Known  knownImage `json:"known"`
+	Holder claimOwner `json:"holder"`
+}
+
+// imageTime returns the table's time, ms; that of a table which has seen no time yet is 0.
+func (c *calls) imageTime() float64 {
+	if now := c.table.Now(); !math.IsInf(now, 0) {
+		return now
+	}
+	return 0
+}
+
+// Freeze captures the state for an image. Names are copied; bodies are not, for they never change.
+func (c *calls) Freeze() func() (json.RawMessage, error) {
+	frozen := callsImage{Now: c.imageTime(), Secret: c.secret, Known: []knownImage{}, Running: []claimOwnerImage{}}
+	for _, class := range c.classes {
+		frozen.Classes = append(frozen.Classes, [2]float64{class.Answered, class.Doubt})
+	}
+	for _, k := range c.table.Image() {
+		known := knownImage{Name: bytes.Clone(k.Name[:]), Print: bytes.Clone(k.Print[:]), Class: k.Class, Tenant: k.Tenant, Served: k.Served, Age: k.Age}
+		if body, ok := k.Body.([]byte); ok {
+			known.Body = body
+		}
+		if k.Running {
+			frozen.Running = append(frozen.Running, claimOwnerImage{known, c.running[k.Name]})
+		} else {
+			frozen.Known = append(frozen.Known, known)
+		}
+	}
+	slices.SortFunc(frozen.Running, func(a, b claimOwnerImage) int { return bytes.Compare(a.Known.Name, b.Known.Name) })
+	return func() (json.RawMessage, error) { return json.Marshal(frozen) }
+}
+
+// Load restores an image.
+func (c *calls) Load(image json.RawMessage) error {
+	var loaded callsImage
+	if err := json.Unmarshal(image, &loaded); err != nil {
+		return err
+	}
+	if err := c.reset(&loaded); err != nil {
+		return err
+	}
+	for n := range loaded.Known {
+		if err := c.restore(loaded.Now, &loaded.Known[n]); err != nil {
+			return err
+		}
+	}
+	for n := range loaded.Running {
+		if err := c.resume(loaded.Now, &loaded.Running[n].Known, loaded.Running[n].Holder); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// reset empties the component and sets what an image begins with.
+func (c *calls) reset(header *callsImage) error {
+	c.classes = c.classes[:0]
+	for _, windows := range header.Classes {
+		c.classes = append(c.classes, idempotency.Class{Once: true, Answered: windows[0], Doubt: windows[1]})
+	}
+	if len(c.classes) == 0 {
+		return errors.New("it has no classes")
+	}
+	c.table, c.secret = newCallTable(c.classes, c.capacity), header.Secret
+	c.table.Tick(header.Now)
+	return nil
+}
+
+func (k *knownImage) call() idempotency.Call {
+	name, _ := toName(k.Name)
+	fingerprint, _ := toName(k.Print)
+	return idempotency.Call{Name: name, Print: idempotency.Print(fingerprint), Class: k.Class, Tenant: k.Tenant}
+}
+
+// restore adds a call that has ended.
+func (c *calls) restore(now float64, k *knownImage) error {
+	known := idempotency.Known{Call: k.call(), Served: k.Served, Age: k.Age, Size: len(k.Body)}
+	if k.Body != nil {
+		known.Body = k.Body
+	}
+	if !c.table.Restore(now, known) {
+		return errors.New("there is no room for what it holds")
+	}
+	return nil
+}
+
+// resume adds a call that runs. It was admitted, and stays so however much its tenant uses by now.
+func (c *calls) resume(now float64, k *knownImage, owner claimOwner) error {
+	call := k.call()
+	ref, ok := c.table.Resume(now, call)
+	if !ok {
+		return errors.New("there is no room for what runs")
+	}
+	owner.Ref = ref
+	c.setRunning(call.Name, owner)
+	return nil
+}
+
+// Flags of an entry in the compact image.
+const (
+	flagServed = 1 << iota
+	flagBody
+)
+
+// Sizes that a buffer for the compact image is made with, in bytes. They are no bounds.
+const (
+	compactHeaderBytes = 64
+	compactEntryBytes  = 56
+	compactOwnerBytes  = 64
+)
+
+// FreezeCompact captures the state for the compact image. The calls that have ended come first, in the order of their ends,
+// which is that of their eviction; those that run follow, by their names.
+func (c *calls) FreezeCompact() func() ([]byte, error) {
+	now, secret, classes := c.imageTime(), c.secret, slices.Clone(c.classes)
+	entries := c.table.Image()
+	slices.SortStableFunc(entries, func(a, b idempotency.Known) int {
+		switch {
+		case a.Running && b.Running:
+			return bytes.Compare(a.Name[:], b.Name[:])
+		case a.Running:
+			return 1
+		case b.Running:
+			return -1
+		}
+		return 0
+	})
+	size := compactHeaderBytes
+	var owners []claimOwner // of those that run
+	for _, k := range entries {
+		size += compactEntryBytes
+		if k.Running {
+			owners = append(owners, c.running[k.Name])
+			size += compactOwnerBytes
+		}
+		if body, ok := k.Body.([]byte); ok {
+			size += len(body)
+		}
+	}
+	return func() ([]byte, error) {
+		w := &imageWriter{make([]byte, 0, size)}
+		w.float(now)
+		w.bytes(secret)
+		w.number(uint64(len(classes)))
+		for _, class := range classes {
+			w.float(class.Answered)
+			w.float(class.Doubt)
+		}
+		ended := len(entries) - len(owners)
+		w.number(uint64(ended))
+		w.number(uint64(len(owners)))
+		for i := range entries {
+			w.known(&entries[i])
+			if i >= ended {
+				w.owner(&owners[i-ended])
+			}
+		}
+		return w.buf, nil
+	}
+}
+
+func (w *imageWriter) known(k *idempotency.Known) {
+	body, kept := k.Body.([]byte)
+	flags := byte(0)
+	if k.Served {
+		flags |= flagServed
+	}
+	if kept {
+		flags |= flagBody
+	}
+	w.buf = append(w.buf, flags)
+	w.buf = append(append(w.buf, k.Name[:]...), k.Print[:]...)
+	w.number(uint64(k.Class))
+	w.number(uint64(k.Tenant))
+	w.float(k.Age)
+	if kept {
+		w.bytes(body)
+	}
+}
+
+// known reads what imageWriter.known wrote. Bodies are copied, so that they do not keep the whole image in memory.
+func (r *imageReader) known() (k knownImage) {
+	flags := r.next(1)
+	if flags == nil {
+		return k
+	}
+	k.Served = flags[0]&flagServed != 0
+	k.Name, k.Print, k.Class, k.Tenant, k.Age = r.next(16), r.next(16), int(r.number()), int(r.number()), r.float()
+	if flags[0]&flagBody != 0 {
+		k.Body = append([]byte{}, r.bytes()...)
+	}
+	return k
+}
+
+func (w *imageWriter) owner(owner *claimOwner) {
+	w.bytes([]byte(owner.Node))
+	w.number(owner.Life)
+	w.number(owner.Token)
+	w.float(owner.Until)
+}
+
+func (r *imageReader) owner() claimOwner {
+	return claimOwner{Node: string(r.bytes()), Life: r.number(), Token: r.number(), Until: r.float()}
+}
+
+// LoadCompact restores a compact image.
+func (c *calls) LoadCompact(image []byte) error {
+	r := &imageReader{buf: image}
+	header := callsImage{Now: r.float()}
+	if b := r.bytes(); len(b) > 0 {
+		header.Secret = append([]byte(nil), b...)
+	}
+	for n := r.number(); n > 0 && !r.failed; n-- {
+		header.Classes = append(header.Classes, [2]float64{r.float(), r.float()})
+	}
+	ended, running := r.number(), r.number()
+	if err := c.reset(&header); err != nil || r.failed {
+		return errors.Join(err, errTruncated)
+	}
+	for n := uint64(0); n < ended+running && !r.failed; n++ {
+		k := r.known()
+		if r.failed || k.Class < 0 || k.Class >= len(header.Classes) {
+			return errTruncated
+		}
+		var err error
+		if n < ended {
+			err = c.restore(header.Now, &k)
+		} else {
+			err = c.resume(header.Now, &k, r.owner())
+		}
+		if err != nil {
+			return err
+		}
+	}
+	if r.failed || len(r.buf) > 0 {
+		return errTruncated
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/node/statemachine/callstable.go
@@ -0,0 +1,231 @@
+package statemachine
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"math"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+)
+
+// calls is the component of the idempotency keys: the table that a single node has too, and the owner of each run.
+type calls struct {
+	table      *idempotency.Book
+	classes    []idempotency.Class // of the table, by number; those of an image are made in the same order
+	running    map[idempotency.Name]claimOwner
+	nextExpiry float64 // cluster time at which the first run counts as in doubt, ms; +Inf = nothing runs
+	secret     []byte  // digest that binds the fleet, nil = no process has started
+	capacity   int     // names: MaxCalls, but for tests
+}
+
+// claimOwner is who runs a call.
+type claimOwner struct {
+	Ref   idempotency.Ref `json:"-"`
+	Node  string          `json:"node"`
+	Life  uint64          `json:"life"`
+	Token uint64          `json:"token"`
+	Until float64         `json:"until"` // cluster time from which on the run is in doubt, ms
+}
+
+func newCalls() *calls {
+	c := &calls{running: map[idempotency.Name]claimOwner{}, nextExpiry: math.Inf(1), classes: []idempotency.Class{{Once: true}}, capacity: MaxCalls}
+	c.table = newCallTable(c.classes, c.capacity)
+	return c
+}
+
+func newCallTable(classes []idempotency.Class, capacity int) *idempotency.Book {
+	table, err := idempotency.New(idempotency.Settings{Classes: classes, Tenants: tenantBuckets, Entries: capacity, Bytes: MaxBodyBytes, Alpha: tenantAlpha})
+	if err != nil {
+		panic(err) // the settings are constants that New accepts
+	}
+	return table
+}
+
+// toName converts the 16 bytes of a name or a fingerprint.
+func toName(b []byte) (n idempotency.Name, ok bool) {
+	return n, len(b) == copy(n[:], b) && len(b) == len(n)
+}
+
+// Apply applies a claim, a completion or the start of a process.
+func (c *calls) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
+	var cmd callsCommand
+	if err := json.Unmarshal(body, &cmd); err != nil {
+		return Reply{Code: Faulty, Text: err.Error()}
+	}
+	now = math.Floor(now) // whole ms: an image restores exactly the same times
+	c.expire(now)
+	switch {
+	case cmd.Claim != nil:
+		return c.claim(now, cmd.Claim)
+	case cmd.Completion != nil:
+		return c.complete(now, cmd.Completion)
+	case cmd.Start != nil:
+		return c.startProcess(now, cmd.Start)
+	}
+	return Reply{Code: Faulty, Text: "want take, ended or fresh"}
+}
+
+// expire ends the runs in doubt that nobody completed in time.
+func (c *calls) expire(now float64) {
+	c.table.Tick(now)
+	if now >= c.nextExpiry {
+		c.endInDoubt(now, func(owner claimOwner) bool { return owner.Until <= now })
+	}
+}
+
+// endInDoubt ends the runs of the selected owners and returns their number. It goes by the order of the names, for the table
+// evicts by the order of the ends, which must be the same on all members.
+func (c *calls) endInDoubt(now float64, selected func(claimOwner) bool) int {
+	var names []idempotency.Name
+	for name, owner := range c.running {
+		if selected(owner) {
+			names = append(names, name)
+		}
+	}
+	slices.SortFunc(names, func(a, b idempotency.Name) int { return bytes.Compare(a[:], b[:]) })
+	for _, name := range names {
+		c.table.End(now, c.running[name].Ref, idempotency.EndInDoubt, nil, 0)
+		delete(c.running, name)
+	}
+	c.nextExpiry = math.Inf(1)
+	for _, owner := range c.running {
+		c.nextExpiry = min(c.nextExpiry, owner.Until)
+	}
+	return len(names)
+}
+
+// valid reports whether all windows are in their bounds; NaN is not.
+func (c *Claim) valid() bool {
+	return c.Answered >= 0 && c.Answered <= maxRetentionMillis && c.Doubt >= 0 && c.Doubt <= maxRetentionMillis && c.Run > 0 && c.Run <= maxRetentionMillis
+}
+
+// claim grants a name to its claimant, unless the call has been claimed before.
+func (c *calls) claim(now float64, claim *Claim) Reply {
+	name, ok := toName(claim.Name)
+	fingerprint, ok2 := toName(claim.Print)
+	if !ok || !ok2 || !claim.valid() {
+		return Reply{Code: Faulty, Text: "want a name, a print and windows"}
+	}
+	class, ok := c.findOrAddClass(claim.Answered, claim.Doubt)
+	if !ok {
+		return Reply{Code: Full, Text: "too many different windows"}
+	}
+	if owner, running := c.running[name]; running && owner.Token == claim.Token { // the same run, claimed again in another session
+		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimGranted})}
+	}
+	decision := c.table.Ask(now, idempotency.Call{Name: name, Print: idempotency.Print(fingerprint), Class: c.classOf(name, class),
+		Tenant: int(xxhash.Sum64String(claim.Tenant) % tenantBuckets)})
+	if decision.Verdict == idempotency.Run {
+		c.setRunning(name, claimOwner{Ref: decision.Ref, Node: claim.Node, Life: claim.Life, Token: claim.Token, Until: now + math.Ceil(claim.Run)})
+	}
+	return Reply{Code: OK, Body: encode(c.replyTo(name, decision))}
+}
+
+func (c *calls) setRunning(name idempotency.Name, owner claimOwner) {
+	c.running[name] = owner
+	c.nextExpiry = min(c.nextExpiry, owner.Until)
+}
+
+// findOrAddClass returns the number of the table's class with these windows, in ms.
+func (c *calls) findOrAddClass(answered, doubt float64) (int, bool) {
+	want := idempotency.Class{Once: true, Answered: math.Floor(answered), Doubt: math.Floor(doubt)}
+	if index := slices.Index(c.classes, want); index >= 0 {
+		return index, true
+	}
+	index, ok := c.table.AddClass(want)
+	if ok {
+		c.classes = append(c.classes, want)
+	}
+	return index, ok
+}
+
+// classOf returns the class of a known name, else the given one: a change of the windows meanwhile does not make it another call.
+func (c *calls) classOf(name idempotency.Name, class int) int {
+	if known, ok := c.table.ClassOf(name); ok {
+		return known
+	}
+	return class
+}
+
+// replyTo translates a decision of the table.
+func (c *calls) replyTo(name idempotency.Name, decision idempotency.Decision) ClaimReply {
+	reply := ClaimReply{Wait: decision.Wait}
+	switch decision.Verdict {
+	case idempotency.Run, idempotency.Pass:
+		reply.Result = ClaimGranted
+	case idempotency.Join:
+		reply.Result, reply.Node = ClaimRunning, c.running[name].Node
+	case idempotency.Replay:
+		reply.Result, reply.Body = ClaimReplayed, decision.Body.([]byte)
+	case idempotency.Spent:
+		reply.Result = ClaimExecuted
+	case idempotency.Doubt:
+		reply.Result = ClaimInDoubt
+	case idempotency.Mismatch:
+		reply.Result = ClaimMismatch
+	case idempotency.Full:
+		reply.Result = ClaimFull
+	}
+	return reply
+}
+
+// complete ends a run with its outcome. It is refused once the run is in doubt: another node may have been told so.
+func (c *calls) complete(now float64, completion *Completion) Reply {
+	name, ok := toName(completion.Name)
+	owner, running := c.running[name]
+	if !ok || !running || owner.Token != completion.Token {
+		return Reply{Code: Conflict, Text: "the run is not known, or counts as one that may have run"}
+	}
+	end, body, size := idempotency.EndInDoubt, any(nil), 0
+	switch completion.Outcome {
+	case OutcomeServed:
+		end, size = idempotency.EndServed, MaxBodyBytes+1 // a size that the table keeps no body of
+		if len(completion.Body) > 0 && len(completion.Body) <= MaxOneBodyBytes {
+			body, size = completion.Body, len(completion.Body)
+		}
+	case OutcomeNotExecuted:
+		end = idempotency.EndNotRun
+	}
+	c.table.End(now, owner.Ref, end, body, size)
+	delete(c.running, name)
+	return Reply{Code: OK}
+}
+
+// startProcess ends in doubt what earlier processes of the node had running, but for one that still completes its own runs.
+func (c *calls) startProcess(now float64, start *ProcessStart) Reply {
+	if c.secret == nil {
+		c.secret = start.Secret
+	}
+	if !bytes.Equal(c.secret, start.Secret) {
+		return Reply{Code: Conflict, Text: "names are hashed under another secret in this fleet"}
+	}
+	n := c.endInDoubt(now, func(owner claimOwner) bool {
+		return owner.Node == start.Node && owner.Life != start.Life && owner.Life != start.Before
+	})
+	return Reply{Code: OK, Text: fmt.Sprint(n)}
+}
+
+// Query answers a Lookup. It changes nothing: what has expired since the last entry is seen with the next.
+func (c *calls) Query(body json.RawMessage) Reply {
+	var lookup Lookup
+	err := json.Unmarshal(body, &lookup)
+	if err == nil && lookup.Name == nil {
+		usage := c.table.Counts()
+		return Reply{Code: OK, Body: encode(Usage{Names: usage.Entries, Running: len(c.running), Bytes: usage.Bytes})}
+	}
+	name, ok := toName(lookup.Name)
+	if err != nil || !ok {
+		return Reply{Code: Faulty, Text: "want a name"}
+	}
+	class, known := c.table.ClassOf(name)
+	if !known {
+		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimUnknown})}
+	}
+	fingerprint, _ := toName(lookup.Print)
+	decision := c.table.Peek(idempotency.Call{Name: name, Print: idempotency.Print(fingerprint), Class: class})
+	return Reply{Code: OK, Body: encode(c.replyTo(name, decision))}
+}
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -14,7 +14,7 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// Guards against a command, question, reply or image whose JSON has changed, in any of its fields.
+// TestEncodedTypesKeepTheirForm guards against a command, query, reply or image whose JSON has changed, in any of its fields.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Command](t, "command")
 	golden.JSON[Reply](t, "reply")
@@ -40,7 +40,7 @@
 	golden.JSON[QuotaLeaseCommand](t, "room-command")
 }
 
-// Guards against names of parts, codes, roles and verdicts that are on disks and between processes and have changed.
+// TestEncodedWordsKeepTheirForm guards against a changed name of a component, code, role or result: they are on disks and between processes.
 func TestEncodedWordsKeepTheirForm(t *testing.T) {
 	words := []any{ComponentMembers, ComponentRegister, ComponentCalls, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, OK, Conflict, Faulty, Full, Lost, Voter, Learner, Removed,
 		ClaimGranted, ClaimRunning, ClaimReplayed, ClaimExecuted, ClaimInDoubt, ClaimMismatch, ClaimFull, ClaimUnknown, OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt,
@@ -48,19 +48,19 @@
 	golden.Check(t, "words", fmt.Append(nil, words))
 }
 
-// script gives the commands of a history after which no part is empty: of each kind one at least.
-func script() (list []Command) {
-	say := func(at float64, session, number uint64, part string, body any) {
-		list = append(list, Command{Version: Version, At: at, Session: session, Number: number, Done: number / 4, Part: part, Body: encode(body)})
+// script returns the commands of a history after which no component is empty: of each kind one at least.
+func script() (commands []Command) {
+	add := func(at float64, session, number uint64, component string, body any) {
+		commands = append(commands, Command{Version: Version, At: at, Session: session, Number: number, Done: number / 4, Part: component, Body: encode(body)})
 	}
 	name := func(b byte) []byte { return bytes.Repeat([]byte{b}, 16) }
-	say(1_000_100, 0, 71, "", Opening{Name: "node-1"})
-	say(1_000_200, 0, 72, "", Opening{Name: "node-2"})
-	say(1_000_300, 0, 0, ComponentMembers, Started{ID: 11, Starts: 4, Speaks: 2})
+	add(1_000_100, 0, 71, "", Opening{Name: "node-1"})
+	add(1_000_200, 0, 72, "", Opening{Name: "node-2"})
+	add(1_000_300, 0, 0, ComponentMembers, Started{ID: 11, Starts: 4, Speaks: 2})
 	n := map[uint64]uint64{}
-	do := func(at float64, session uint64, part string, body any) {
+	do := func(at float64, session uint64, component string, body any) {
 		n[session]++
-		say(at, session, n[session], part, body)
+		add(at, session, n[session], component, body)
 	}
 	do(1_000_400, 1, ComponentRegister, Set{Name: "colour", Value: "blue"})
 	do(1_000_500, 2, ComponentRegister, Set{Name: "colour", Value: "red", Was: new(uint64(4))})
@@ -105,12 +105,12 @@
 				Holds: uint64(2*(i-1) + j + 1), Asked: []lease.Asked{{At: 1, Want: .1 * float64(i), Used: .05}, {At: 2, Want: .9, Used: .4 * float64(j)}, {At: 4, Want: .02, Used: .01}}}})
 		}
 	}
-	return list
+	return commands
 }
 
-// questions are one of each kind for each part.
-func questions() (list []Request) {
-	for part, bodies := range map[string][]any{
+// queries returns one query of each kind for each component.
+func queries() (all []Request) {
+	for component, bodies := range map[string][]any{
 		ComponentMembers:  {struct{}{}},
 		ComponentRegister: {Get{}, Get{Name: "colour"}},
 		ComponentOrders:   {OrdersOf{Node: "node-1"}, OrdersOf{Node: "node-2"}},
@@ -120,22 +120,22 @@
 		ComponentQuotaLeases: {struct{}{}},
 	} {
 		for _, b := range bodies {
-			list = append(list, Request{Part: part, Body: encode(b)})
+			all = append(all, Request{Part: component, Body: encode(b)})
 		}
 	}
-	return list
+	return all
 }
 
-func answers(l *Machine) map[string]Reply {
+func answers(m *Machine) map[string]Reply {
 	out := map[string]Reply{}
-	for _, q := range questions() {
-		out[q.Part+" "+string(q.Body)] = l.Query(q)
+	for _, q := range queries() {
+		out[q.Part+" "+string(q.Body)] = m.Query(q)
 	}
 	return out
 }
 
-// Guards against commands, replies, images and answers that this build writes or reads otherwise than an earlier one of the
-// release: the golden files hold a history, what its commands got, the images of both forms, and the answers to every question.
+// TestImagesAndHistoryOfAnEarlierBuild guards against commands, replies, images and answers that this build writes or reads otherwise
+// than an earlier one of the release: the golden files hold a history, the replies to its commands, the images in both forms, and the answers to every query.
 func TestImagesAndHistoryOfAnEarlierBuild(t *testing.T) {
 	var text bytes.Buffer
 	for _, c := range script() {
@@ -143,46 +143,46 @@
 	}
 	golden.Check(t, "history.jsonl", text.Bytes())
 
-	l := Bootstrap([]Member{{ID: 11, Name: "k0", Address: "h0:1", Speaks: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, Speaks: 2}}, 1e6)
-	l.Learns(0, Member{ID: 13, Name: "k2", Address: "h2:1", Replaces: 12, Speaks: 2})
-	l.Learns(0, Member{ID: 14, Name: "k3", Address: "h3:1", Speaks: 2})
-	l.Leaves(0, 14)
+	m := Bootstrap([]Member{{ID: 11, Name: "k0", Address: "h0:1", Speaks: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, Speaks: 2}}, 1e6)
+	m.Learns(0, Member{ID: 13, Name: "k2", Address: "h2:1", Replaces: 12, Speaks: 2})
+	m.Learns(0, Member{ID: 14, Name: "k3", Address: "h3:1", Speaks: 2})
+	m.Leaves(0, 14)
 	replies := []Reply{}
 	for line := range bytes.Lines(golden.File(t, "history.jsonl", nil)) {
 		var c Command
 		require.NoError(t, json.Unmarshal(line, &c))
 		require.Equal(t, string(bytes.TrimSpace(line)), string(encode(c)), "a command is encoded again as it was")
-		_, r, err := l.Apply(l.Index()+1, line)
+		_, r, err := m.Apply(m.Index()+1, line)
 		require.NoError(t, err)
 		require.Equal(t, OK, r.Code, "%s: %s", line, r.Text)
 		replies = append(replies, r)
 	}
 	golden.Check(t, "replies.json", encode(replies))
-	golden.Check(t, "answers.json", encode(answers(l)))
+	golden.Check(t, "answers.json", encode(answers(m)))
 
 	for name, raised := range map[string]int{"image-plain": 0, "image-compact": 2} {
 		t.Run(name, func(t *testing.T) {
-			l.members.raised = raised
-			frozen, err := l.Freeze()()
+			m.members.raisedVersion = raised
+			frozen, err := m.Freeze()()
 			require.NoError(t, err)
 			golden.Check(t, name, frozen)
 			other := New()
 			require.NoError(t, other.Restore(golden.File(t, name, nil)))
-			require.Equal(t, l.now, other.now)
-			require.Equal(t, l.index, other.index)
-			require.Equal(t, l.members, other.members)
-			require.Equal(t, l.sessions, other.sessions)
-			require.Equal(t, answers(l), answers(other))
+			require.Equal(t, m.now, other.now)
+			require.Equal(t, m.index, other.index)
+			require.Equal(t, m.members, other.members)
+			require.Equal(t, m.sessions, other.sessions)
+			require.Equal(t, answers(m), answers(other))
 			again, err := other.Freeze()()
 			require.NoError(t, err)
 			require.Equal(t, frozen, again)
-			for _, part := range []string{ComponentMembers, ComponentRegister, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, ComponentCalls} {
-				want, err := l.components[part].Freeze()()
+			for _, component := range []string{ComponentMembers, ComponentRegister, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, ComponentCalls} {
+				want, err := m.components[component].Freeze()()
 				require.NoError(t, err)
-				got, err := other.components[part].Freeze()()
+				got, err := other.components[component].Freeze()()
 				require.NoError(t, err)
-				require.Equal(t, string(want), string(got), part)
-				require.Greater(t, len(want), 50, "%s is not empty", part)
+				require.Equal(t, string(want), string(got), component)
+				require.Greater(t, len(want), 50, "%s is not empty", component)
 			}
 		})
 	}
--- a/internal/node/statemachine/machine_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -12,34 +12,34 @@
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
-// apply carries out a command as an entry.
-func apply(t require.TestingT, l *Machine, c Command) Reply {
+// apply applies a command as the next entry.
+func apply(t require.TestingT, m *Machine, c Command) Reply {
 	c.Version = Version
 	text, err := json.Marshal(c)
 	require.NoError(t, err)
-	_, r, err := l.Apply(l.Index()+1, text)
+	_, r, err := m.Apply(m.Index()+1, text)
 	require.NoError(t, err)
 	return r
 }
 
-func picture(t require.TestingT, l *Machine) string {
-	text, err := l.Freeze()()
+func frozen(t require.TestingT, m *Machine) string {
+	text, err := m.Freeze()()
 	require.NoError(t, err)
 	return string(text)
 }
 
-// Guards, over random histories of commands that come once, again, late and from sessions that are gone, against one that is
-// applied twice, time that goes back, state without a bound, and a ledger that goes on otherwise from its image.
-func TestAnyHistory(t *testing.T) {
+// TestRandomHistoriesApplyEachCommandOnce plays commands that come once, repeated, late and from evicted sessions. It guards against
+// one that is applied twice, time that goes back, state without a bound, and a machine that goes on otherwise from its image.
+func TestRandomHistoriesApplyEachCommandOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New()
+		m := New()
 		ids, done, sets := []uint64{}, map[uint64]uint64{}, map[[2]uint64]Reply{}
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			at := rapid.Float64Range(0, 1e6).Draw(t, "at")
-			before := l.Now()
+			before := m.Now()
 			switch pick := rapid.IntRange(0, 5).Draw(t, "kind"); {
 			case pick == 0 || len(ids) == 0:
-				ids = append(ids, apply(t, l, Command{At: at, Body: encode(Opening{Name: "n"})}).Index)
+				ids = append(ids, apply(t, m, Command{At: at, Body: encode(Opening{Name: "n"})}).Index)
 			default:
 				s := rapid.SampledFrom(ids).Draw(t, "session")
 				n := done[s] + 1 + rapid.Uint64Range(0, 2).Draw(t, "ahead")
@@ -47,40 +47,40 @@
 					done[s]++
 				}
 				set := Set{Name: fmt.Sprint("r", i%3), Value: fmt.Sprint("v", i)}
-				r := apply(t, l, Command{At: at, Session: s, Number: n, Done: done[s], Part: ComponentRegister, Body: encode(set)})
+				r := apply(t, m, Command{At: at, Session: s, Number: n, Done: done[s], Part: ComponentRegister, Body: encode(set)})
 				if first, again := sets[[2]uint64{s, n}]; again && r.Code != Lost {
-					assert.Equal(t, first, r, "the reply that it had")
+					assert.Equal(t, first, r, "the reply of the first")
 				} else if !again {
 					sets[[2]uint64{s, n}] = r
 				}
 			}
-			assert.GreaterOrEqual(t, l.Now(), before)
-			for _, s := range l.sessions {
+			assert.GreaterOrEqual(t, m.Now(), before)
+			for _, s := range m.sessions {
 				assert.LessOrEqual(t, len(s.Replies), Window)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
-				text, other := picture(t, l), New()
+				text, other := frozen(t, m), New()
 				require.NoError(t, other.Restore([]byte(text)))
-				assert.Equal(t, text, picture(t, other))
-				l = other
+				assert.Equal(t, text, frozen(t, other))
+				m = other
 			}
 		}
 	})
 }
 
-// Guards against more sessions or names than the bounds, and against one that was given up being taken for a new one.
-func TestBounds(t *testing.T) {
-	l := New()
-	first := apply(t, l, Command{Body: encode(Opening{Name: "first"})}).Index
+// TestBoundsHold guards against more sessions, names or members than the bounds, and an evicted session that counts as a new one.
+func TestBoundsHold(t *testing.T) {
+	m := New()
+	first := apply(t, m, Command{Body: encode(Opening{Name: "first"})}).Index
 	for range MaxSessions {
-		apply(t, l, Command{Body: encode(Opening{Name: "more"})})
+		apply(t, m, Command{Body: encode(Opening{Name: "more"})})
 	}
-	assert.Equal(t, MaxSessions, l.Sessions())
-	assert.Equal(t, Lost, apply(t, l, Command{Session: first, Number: 1, Part: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
-	s := apply(t, l, Command{Body: encode(Opening{Name: "s"})}).Index
-	assert.Equal(t, Full, apply(t, l, Command{Session: s, Number: Window + 1, Part: ComponentRegister}).Code)
+	assert.Equal(t, MaxSessions, m.Sessions())
+	assert.Equal(t, Lost, apply(t, m, Command{Session: first, Number: 1, Part: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
+	s := apply(t, m, Command{Body: encode(Opening{Name: "s"})}).Index
+	assert.Equal(t, Full, apply(t, m, Command{Session: s, Number: Window + 1, Part: ComponentRegister}).Code)
 	for i := range MaxNames {
-		r := apply(t, l, Command{Session: s, Number: uint64(i + 1), Done: uint64(i), Part: ComponentRegister,
+		r := apply(t, m, Command{Session: s, Number: uint64(i + 1), Done: uint64(i), Part: ComponentRegister,
 			Body: encode(Set{Name: fmt.Sprint(i), Value: "x"})})
 		require.Equal(t, OK, r.Code, r.Text)
 	}
@@ -91,9 +91,9 @@
 	}{{Set{Name: "new", Value: "x"}, Full}, {Set{Name: "1", Value: ""}, OK}, {Set{Name: "new", Value: "x"}, OK},
 		{Set{Name: "", Value: "x"}, Faulty}, {Set{Name: "new", Value: "y", Was: new(uint64(3))}, Conflict}} {
 		n++
-		assert.Equal(t, c.want, apply(t, l, Command{Session: s, Number: n, Done: n - 1, Part: ComponentRegister, Body: encode(c.set)}).Code)
+		assert.Equal(t, c.want, apply(t, m, Command{Session: s, Number: n, Done: n - 1, Part: ComponentRegister, Body: encode(c.set)}).Code)
 	}
-	assert.Equal(t, Faulty, apply(t, l, Command{Session: s, Number: n + 1, Part: "none"}).Code)
+	assert.Equal(t, Faulty, apply(t, m, Command{Session: s, Number: n + 1, Part: "none"}).Code)
 	big := New()
 	for i := range uint64(3 * MaxMembers) {
 		big.Learns(i+1, Member{ID: i + 1, Name: "k"})
@@ -102,12 +102,13 @@
 	assert.LessOrEqual(t, len(big.Members().All()), MaxMembers)
 }
 
-// Guards against a member that passes over what a later release wrote, and goes on with another state than the others.
-func TestLaterRelease(t *testing.T) {
-	l := New()
-	_, _, err := l.Apply(1, []byte(fmt.Sprintf(`{"v":%d,"n":1}`, Version+1)))
+// TestRejectsWhatALaterReleaseWrote guards against a member that skips what a later release wrote, and goes on with another state than
+// the others.
+func TestRejectsWhatALaterReleaseWrote(t *testing.T) {
+	m := New()
+	_, _, err := m.Apply(1, []byte(fmt.Sprintf(`{"v":%d,"n":1}`, Version+1)))
 	require.ErrorIs(t, err, ErrVersion)
-	require.ErrorIs(t, l.Restore([]byte(fmt.Sprintf(`{"version":%d}`, Version+1))), ErrVersion)
-	require.ErrorIs(t, l.Restore([]byte(`{"version":1,"parts":{"later":{}}}`)), ErrVersion)
-	require.ErrorIs(t, l.Restore([]byte(`{`)), ErrImage)
+	require.ErrorIs(t, m.Restore([]byte(fmt.Sprintf(`{"version":%d}`, Version+1))), ErrVersion)
+	require.ErrorIs(t, m.Restore([]byte(`{"version":1,"parts":{"later":{}}}`)), ErrVersion)
+	require.ErrorIs(t, m.Restore([]byte(`{`)), ErrImage)
 }
--- a/internal/node/statemachine/members.go
+++ b/internal/node/statemachine/members.go
@@ -6,16 +6,16 @@
 	"maps"
 )
 
-// ComponentMembers is the name of the part that holds the members.
+// ComponentMembers is the name of the component that holds the membership.
 const ComponentMembers = "members"
 
-// MaxMembers bounds the members that are known, those that have left included.
+// MaxMembers bounds the members that are known, removed ones included.
 const MaxMembers = 256
 
-// Role is what a member does.
+// Role is the role of a member.
 type Role string
 
-// The roles. A member learns before it votes; one that has left is known by its number, so that it is turned away should it
+// The roles. A member is a learner before it votes. A removed one stays known by its number, so that it is rejected should it
 // come back.
 const (
 	Voter   Role = "voter"
@@ -23,175 +23,172 @@
 	Removed Role = "gone"
 )
 
-// Member is a process that keeps copies.
+// Member is a process that holds a replica of the log.
 type Member struct {
-	ID       uint64 `json:"id"`                 // drawn when its directory was made; never used again
-	Name     string `json:"name"`               // of the machine, for people; used anew by a replacement
+	ID       uint64 `json:"id"`                 // drawn when its directory was made, never used again
+	Name     string `json:"name"`               // of the machine, for people; a replacement has the same
 	Address  string `json:"address"`            // where the others reach it
 	Role     Role   `json:"role"`               //
-	Replaces uint64 `json:"replaces,omitempty"` // of a learner: whose vote it gets; 0 = one more
-	Starts   uint64 `json:"starts"`             // how often it had started, as far as is agreed
-	Speaks   int    `json:"speaks,omitempty"`   // the version of the ledger that it knows; 0 = the first, or it is not known yet
+	Replaces uint64 `json:"replaces,omitempty"` // of a learner: the voter whose place it takes; 0 = none, it is one more
+	Starts   uint64 `json:"starts"`             // how often it has started, as far as is committed
+	Speaks   int    `json:"speaks,omitempty"`   // newest Version that its release reads; 0 = the first, or not known yet
 }
 
-// Members are the processes that keep copies. Who they are is changed by the entries that the consensus library has for it,
-// which carry a Member; how often they started, by commands.
+// Members is the component that holds the membership. Who is a member is changed by the consensus library's own entries
+// (Machine.Learns, Votes, Leaves); what is known of a member, by commands.
 type Members struct {
-	list   map[uint64]Member
-	raised int // the version up to which operators have said that no member goes back to an older release
+	byID          map[uint64]Member
+	raisedVersion int // operators have confirmed that no member goes back to a release which does not read this version
 }
 
-// Bootstrap makes the ledger that a group begins with.
+// Bootstrap returns the machine that a cluster begins with. now is cluster time, in ms.
 func Bootstrap(voters []Member, now float64) *Machine {
-	l := New()
-	l.now, l.members.raised = now, Version
+	machine := New()
+	machine.now, machine.members.raisedVersion = now, Version
 	for _, m := range voters {
 		m.Role = Voter
-		l.members.list[m.ID] = m
+		machine.members.byID[m.ID] = m
 	}
-	return l
+	return machine
 }
 
-// Alone has a member be the only one, after all others are lost for good.
-func (l *Machine) Alone(m Member) {
-	for id, other := range l.members.list {
+// Alone makes a member the only one, after a majority of the others is lost for good.
+func (m *Machine) Alone(member Member) {
+	for id, other := range m.members.byID {
 		other.Role, other.Replaces = Removed, 0
-		l.members.list[id] = other
+		m.members.byID[id] = other
 	}
-	m.Role = Voter
-	l.members.list[m.ID] = m
+	member.Role = Voter
+	m.members.byID[member.ID] = member
 }
 
-// Learns takes a member in that learns.
-func (l *Machine) Learns(index uint64, m Member) {
-	l.index = index
-	m.Role = Learner
-	if _, known := l.members.list[m.ID]; !known && len(l.members.list) >= MaxMembers {
-		l.members.forget()
+// Learns applies the entry that adds a member as a learner.
+func (m *Machine) Learns(index uint64, member Member) {
+	m.index = index
+	member.Role = Learner
+	if _, known := m.members.byID[member.ID]; !known && len(m.members.byID) >= MaxMembers {
+		m.members.forgetOneRemoved()
 	}
-	l.members.list[m.ID] = m
+	m.members.byID[member.ID] = member
 }
 
-// forget drops the one of those that have left whose number is the least: it is turned away as a stranger from now on.
-func (m *Members) forget() {
-	for _, old := range list(m.list) {
-		if old.Role == Removed {
-			delete(m.list, old.ID)
+// forgetOneRemoved drops the removed member with the lowest number. Should it come back, it is rejected as unknown.
+func (m *Members) forgetOneRemoved() {
+	for _, member := range m.All() {
+		if member.Role == Removed {
+			delete(m.byID, member.ID)
 			return
 		}
 	}
 }
 
-// Votes has a member vote.
-func (l *Machine) Votes(index, id uint64) {
-	l.index = index
-	if m, ok := l.members.list[id]; ok {
-		m.Role, m.Replaces = Voter, 0
-		l.members.list[id] = m
-	}
-}
+// Votes applies the entry that makes a learner a voter.
+func (m *Machine) Votes(index, id uint64) { m.setRole(index, id, Voter) }
 
-// Leaves takes a member out.
-func (l *Machine) Leaves(index, id uint64) {
-	l.index = index
-	if m, ok := l.members.list[id]; ok {
-		m.Role, m.Replaces = Removed, 0
-		l.members.list[id] = m
+// Leaves applies the entry that removes a member.
+func (m *Machine) Leaves(index, id uint64) { m.setRole(index, id, Removed) }
+
+func (m *Machine) setRole(index, id uint64, role Role) {
+	m.index = index
+	if member, ok := m.members.byID[id]; ok {
+		member.Role, member.Replaces = role, 0
+		m.members.byID[id] = member
 	}
 }
 
-// Speaks is the version of the ledger that may be written: all members know it, and operators have said that none goes back.
-func (m *Members) Speaks() int { return min(max(1, m.raised), m.Known()) }
+// Speaks returns the Version that may be written: all members read it, and operators have confirmed that none goes back.
+func (m *Members) Speaks() int { return min(max(1, m.raisedVersion), m.Known()) }
 
-// Known is the version of the ledger that all members know.
+// Known returns the newest Version that all members read.
 func (m *Members) Known() int {
-	least := Version
-	for _, other := range m.list {
-		if other.Role != Removed {
-			least = min(least, max(1, other.Speaks))
+	version := Version
+	for _, member := range m.byID {
+		if member.Role != Removed {
+			version = min(version, member.newestVersion())
 		}
 	}
-	return least
+	return version
 }
 
-// Get gives a member by number.
+func (m Member) newestVersion() int { return max(1, m.Speaks) }
+
+// Get returns a member by its number.
 func (m *Members) Get(id uint64) (Member, bool) {
-	found, ok := m.list[id]
-	return found, ok
+	member, ok := m.byID[id]
+	return member, ok
 }
 
-// Named gives the member that bears a name now: a voter before a learner.
+// Named returns the member that has a name now, the voter if a learner is about to replace it.
 func (m *Members) Named(name string) (found Member, ok bool) {
-	for _, other := range list(m.list) {
-		if other.Name == name && other.Role != Removed && (!ok || other.Role == Voter) {
-			found, ok = other, true
+	for _, member := range m.All() {
+		if member.Name == name && member.Role != Removed && (!ok || member.Role == Voter) {
+			found, ok = member, true
 		}
 	}
 	return found, ok
 }
 
-// All gives all members, by number.
-func (m *Members) All() []Member { return list(m.list) }
+// All returns all members, removed ones included, by their numbers.
+func (m *Members) All() []Member { return sortedValues(m.byID) }
 
-// Started is a command of a member's leader: it was seen to have started so often.
+// Started is the body of a command by which the leader records how often a member has started, and what its release reads.
 type Started struct {
 	ID     uint64 `json:"id"`
 	Starts uint64 `json:"starts"`
 	Speaks int    `json:"speaks,omitempty"`
 }
 
-// Raise has a version of the ledger be written from now on, which all members must know.
+// Raise is the body of a command that lets a Version be written from now on. All members must read it.
 type Raise struct {
 	Raise int `json:"raise"`
 }
 
-// raise carries it out.
-func (m *Members) raise(r Raise) Reply {
-	for _, other := range m.All() {
-		if other.Role != Removed && max(1, other.Speaks) < r.Raise {
-			return Reply{Code: Conflict, Text: fmt.Sprintf("%s runs a release that knows version %d, not %d", other.Name, max(1, other.Speaks), r.Raise)}
-		}
-	}
-	m.raised = max(m.raised, r.Raise)
-	return Reply{Code: OK}
-}
-
-// Apply notes how often a member has started.
+// Apply applies a Started or a Raise.
 func (m *Members) Apply(_ uint64, _ float64, _ uint64, body json.RawMessage) Reply {
-	var s struct {
+	var c struct {
 		Started
 		Raise
 	}
-	if err := json.Unmarshal(body, &s); err != nil {
+	if err := json.Unmarshal(body, &c); err != nil {
 		return Reply{Code: Faulty, Text: err.Error()}
 	}
-	if s.Raise.Raise > 0 {
-		return m.raise(s.Raise)
+	if c.Raise.Raise > 0 {
+		return m.raise(c.Raise.Raise)
 	}
-	have, ok := m.list[s.ID]
+	member, ok := m.byID[c.ID]
 	if !ok {
-		return Reply{Code: Faulty, Text: fmt.Sprintf("%x is no member", s.ID)}
+		return Reply{Code: Faulty, Text: fmt.Sprintf("%x is no member", c.ID)}
+	}
+	member.Starts, member.Speaks = max(member.Starts, c.Starts), c.Speaks
+	m.byID[c.ID] = member
+	return Reply{Code: OK}
+}
+
+func (m *Members) raise(version int) Reply {
+	for _, member := range m.All() {
+		if member.Role != Removed && member.newestVersion() < version {
+			return Reply{Code: Conflict, Text: fmt.Sprintf("%s runs a release that knows version %d, not %d", member.Name, member.newestVersion(), version)}
+		}
 	}
-	have.Starts, have.Speaks = max(have.Starts, s.Starts), s.Speaks
-	m.list[s.ID] = have
+	m.raisedVersion = max(m.raisedVersion, version)
 	return Reply{Code: OK}
 }
 
-// Query gives all members.
+// Query returns all members.
 func (m *Members) Query(json.RawMessage) Reply { return Reply{Code: OK, Body: encode(m.All())} }
 
-// Freeze gives what makes the image.
+// Freeze captures the members for an image.
 func (m *Members) Freeze() func() (json.RawMessage, error) {
-	held := maps.Clone(m.list)
-	return func() (json.RawMessage, error) { return json.Marshal(list(held)) }
+	snapshot := maps.Clone(m.byID)
+	return func() (json.RawMessage, error) { return json.Marshal(sortedValues(snapshot)) }
 }
 
-// Load takes an image.
+// Load restores an image.
 func (m *Members) Load(image json.RawMessage) error {
-	var held []Member
-	err := json.Unmarshal(image, &held)
-	for _, h := range held {
-		m.list[h.ID] = h
+	var loaded []Member
+	err := json.Unmarshal(image, &loaded)
+	for _, member := range loaded {
+		m.byID[member.ID] = member
 	}
 	return err
 }
--- a/internal/node/statemachine/orders.go
+++ b/internal/node/statemachine/orders.go
@@ -7,72 +7,74 @@
 	"slices"
 )
 
-// ComponentOrders is the name of the part that holds what operators have ordered nodes.
+// ComponentOrders is the name of the component that holds the operators' orders to nodes.
 const ComponentOrders = "orders"
 
-// Bounds of the orders: nodes that have any, and raters out at one of them.
+// Bounds of the orders.
 const (
-	MaxOrdered  = 1024
-	MaxCordoned = 1024
+	MaxOrdered  = 1024 // nodes with orders
+	MaxCordoned = 1024 // backends cordoned at one node
 )
 
-// Ordered is what holds for a node, by its name: a replacement on an empty machine has it too.
+// Ordered is what holds for a node. It belongs to the node's name, so that it holds for a replacement on an empty machine too.
 type Ordered struct {
 	Drained bool     `json:"drained,omitempty"`
-	Out     []string `json:"out,omitempty"` // raters out by hand, sorted
+	Out     []string `json:"out,omitempty"` // cordoned backends, sorted
 }
 
-// Order is a command: what operators tell a node. Given again it changes nothing.
+// Order is the body of a command: an operator's order to a node. It is idempotent.
 type Order struct {
 	Node  string `json:"node"`
 	Do    string `json:"do"` // suspend, resume, drain, activate
 	Rater string `json:"rater,omitempty"`
 }
 
-// OrdersOf asks what holds for a node.
+// OrdersOf is the body of a query for the orders of a node.
 type OrdersOf struct {
 	Node string `json:"node"`
 }
 
-// orders holds them. A node of which nothing is ordered is not in it.
+// orders maps the names of nodes to their orders. A node without any is not in it.
 type orders struct{ nodes map[string]Ordered }
 
 func newOrders() *orders { return &orders{nodes: map[string]Ordered{}} }
 
+// Apply applies an Order and replies with what holds now.
 func (o *orders) Apply(_ uint64, _ float64, _ uint64, body json.RawMessage) Reply {
 	var c Order
 	if err := json.Unmarshal(body, &c); err != nil {
 		return Reply{Code: Faulty, Text: err.Error()}
 	}
-	have, known := o.nodes[c.Node]
-	at, out := slices.BinarySearch(have.Out, c.Rater)
-	raters := c.Do == "suspend" || c.Do == "resume"
+	current, known := o.nodes[c.Node]
+	at, cordoned := slices.BinarySearch(current.Out, c.Rater)
+	needsBackend := c.Do == "suspend" || c.Do == "resume"
 	switch {
-	case c.Node == "" || len(c.Node) > maxNameBytes || raters && (c.Rater == "" || len(c.Rater) > maxNameBytes):
+	case c.Node == "" || len(c.Node) > maxNameBytes || needsBackend && (c.Rater == "" || len(c.Rater) > maxNameBytes):
 		return Reply{Code: Faulty, Text: fmt.Sprintf("a node and a rater have names of 1 to %d bytes", maxNameBytes)}
-	case !known && len(o.nodes) >= MaxOrdered || c.Do == "suspend" && !out && len(have.Out) >= MaxCordoned:
+	case !known && len(o.nodes) >= MaxOrdered || c.Do == "suspend" && !cordoned && len(current.Out) >= MaxCordoned:
 		return Reply{Code: Full, Text: "too much is ordered"}
 	}
 	switch c.Do {
 	case "drain", "activate":
-		have.Drained = c.Do == "drain"
+		current.Drained = c.Do == "drain"
 	case "suspend":
-		if !out {
-			have.Out = slices.Insert(slices.Clone(have.Out), at, c.Rater) // an image may have the old one
+		if !cordoned {
+			current.Out = slices.Insert(slices.Clone(current.Out), at, c.Rater) // an image that is being encoded may share the old one
 		}
 	case "resume":
-		if out {
-			have.Out = slices.Delete(slices.Clone(have.Out), at, at+1)
+		if cordoned {
+			current.Out = slices.Delete(slices.Clone(current.Out), at, at+1)
 		}
 	default:
 		return Reply{Code: Faulty, Text: fmt.Sprintf("there is no order %q", c.Do)}
 	}
-	if o.nodes[c.Node] = have; !have.Drained && len(have.Out) == 0 {
+	if o.nodes[c.Node] = current; !current.Drained && len(current.Out) == 0 {
 		delete(o.nodes, c.Node)
 	}
-	return Reply{Code: OK, Body: encode(have)}
+	return Reply{Code: OK, Body: encode(current)}
 }
 
+// Query answers an OrdersOf.
 func (o *orders) Query(body json.RawMessage) Reply {
 	var q OrdersOf
 	if err := json.Unmarshal(body, &q); err != nil {
@@ -81,9 +83,11 @@
 	return Reply{Code: OK, Body: encode(o.nodes[q.Node])}
 }
 
+// Freeze captures the orders for an image.
 func (o *orders) Freeze() func() (json.RawMessage, error) {
-	held := maps.Clone(o.nodes)
-	return func() (json.RawMessage, error) { return json.Marshal(held) }
+	snapshot := maps.Clone(o.nodes)
+	return func() (json.RawMessage, error) { return json.Marshal(snapshot) }
 }
 
+// Load restores an image.
 func (o *orders) Load(image json.RawMessage) error { return json.Unmarshal(image, &o.nodes) }
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -6,18 +6,18 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// ComponentPolicy is the name of the part that holds the fleet's policy.
+// ComponentPolicy is the name of the component that rolls out the fleet's policy.
 const ComponentPolicy = "policy"
 
-// PolicyCommand is one of the part's commands.
+// PolicyCommand is the body of a command: one of its fields is set.
 type PolicyCommand struct {
 	Report  *rollout.Report   `json:"report,omitempty"`
 	Propose *rollout.Proposal `json:"propose,omitempty"`
-	Dead    string            `json:"dead,omitempty"` // a node that a person declares dead
+	Dead    string            `json:"dead,omitempty"` // name of a node that an operator declares dead
 }
 
-// PolicyQuestion is one of its questions: a document by number or by its proposal, what became of a proposal, how
-// far the fleet is, or all.
+// PolicyQuestion is the body of a query: for a document by its number or the ID of its proposal, for the outcome of a
+// proposal, for the progress of the rollout, or, if nothing is set, for all.
 type PolicyQuestion struct {
 	Document *uint64 `json:"document,omitempty"`
 	Proposed string  `json:"proposed,omitempty"`
@@ -25,10 +25,11 @@
 	News     bool    `json:"news,omitempty"`
 }
 
-// policies is the part.
-type policies struct{ *rollout.Machine }
+// rolloutComponent adapts the rollout's state machine, which has the Freeze and Load of a Component.
+type rolloutComponent struct{ *rollout.Machine }
 
-func (p policies) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
+// Apply applies a PolicyCommand.
+func (p rolloutComponent) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var c PolicyCommand
 	if err := json.Unmarshal(body, &c); err != nil {
 		return Reply{Code: Faulty, Text: err.Error()}
@@ -48,7 +49,8 @@
 	return Reply{Code: Faulty, Text: "want report, propose or dead"}
 }
 
-func (p policies) Query(body json.RawMessage) Reply {
+// Query answers a PolicyQuestion.
+func (p rolloutComponent) Query(body json.RawMessage) Reply {
 	var q PolicyQuestion
 	if err := json.Unmarshal(body, &q); err != nil {
 		return Reply{Code: Faulty, Text: err.Error()}
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -13,61 +13,61 @@
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
-// Guards against a release that cannot read what the one before wrote, or that writes what that one cannot read while it is still in
-// the fleet: testdata holds entries of the first release, and the image that it made of them.
-func TestFirstRelease(t *testing.T) {
+// TestReadsAndWritesTheFormsOfTheFirstRelease guards against a release that cannot read what the one before wrote, or that writes what
+// that one cannot read while it is still in the fleet: testdata has entries of the first release, and the image that it made of them.
+func TestReadsAndWritesTheFormsOfTheFirstRelease(t *testing.T) {
 	image, err := os.ReadFile("testdata/image-1.json")
 	require.NoError(t, err)
 	text, err := os.ReadFile("testdata/entries-1.jsonl")
 	require.NoError(t, err)
 	founders := []Member{{ID: 11, Name: "k0", Address: "h0:1"}, {ID: 12, Name: "k1", Address: "h1:1"}, {ID: 13, Name: "k2", Address: "h2:1"}}
-	replay := func(l *Machine) {
+	replay := func(m *Machine) {
 		for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
-			_, r, err := l.Apply(l.Index()+1, lines.Bytes())
+			_, r, err := m.Apply(m.Index()+1, lines.Bytes())
 			require.NoError(t, err)
 			require.NotEqual(t, Faulty, r.Code, r.Text)
 		}
 	}
-	l := Bootstrap(founders, 1e6)
-	replay(l)
-	assert.Equal(t, Conflict, apply(t, l, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})}).Code)
-	assert.Equal(t, 1, l.Members().Speaks())
-	l = Bootstrap(founders, 1e6)
-	l.members.raised = 0 // as the first release founds it
-	replay(l)
-	assert.Equal(t, string(image), picture(t, l))
+	m := Bootstrap(founders, 1e6)
+	replay(m)
+	assert.Equal(t, Conflict, apply(t, m, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})}).Code)
+	assert.Equal(t, 1, m.Members().Speaks())
+	m = Bootstrap(founders, 1e6)
+	m.members.raisedVersion = 0 // as the first release bootstraps it
+	replay(m)
+	assert.Equal(t, string(image), frozen(t, m))
 	other := New()
 	require.NoError(t, other.Restore(image))
-	assert.Equal(t, string(image), picture(t, other))
+	assert.Equal(t, string(image), frozen(t, other))
 	for _, id := range []uint64{11, 12, 13} {
 		assert.Equal(t, 1, other.Members().Speaks())
 		apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, Speaks: 2})})
 	}
 	assert.Equal(t, 1, other.Members().Speaks(), "one of them may go back")
-	assert.Equal(t, string(image[:12]), picture(t, other)[:12])
+	assert.Equal(t, string(image[:12]), frozen(t, other)[:12])
 	apply(t, other, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})})
 	assert.Equal(t, 2, other.Members().Speaks())
-	compact := picture(t, other)
+	compact := frozen(t, other)
 	assert.Contains(t, compact, `"version":2`)
 	third := New()
 	require.NoError(t, third.Restore([]byte(compact)))
-	assert.Equal(t, compact, picture(t, third))
+	assert.Equal(t, compact, frozen(t, third))
 	for cut := range len(compact) {
 		if New().Restore([]byte(compact[:cut])) == nil {
-			assert.Fail(t, "a cut image was taken", "at byte %d of %d", cut, len(compact))
+			assert.Fail(t, "a truncated image was restored", "at byte %d of %d", cut, len(compact))
 		}
 	}
-	apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release has it
-	assert.Equal(t, string(image[:12]), picture(t, other)[:12], "it is written as the first release does again")
+	apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release proposes it
+	assert.Equal(t, string(image[:12]), frozen(t, other)[:12], "it is written as the first release does again")
 }
 
-// Guards against commands of this release that are told to be of the first.
-func TestVersions(t *testing.T) {
-	for want, list := range map[int][]Command{
+// TestCommandsHaveTheLowestVersionThatExpressesThem guards against commands of this release that are marked as of the first.
+func TestCommandsHaveTheLowestVersionThatExpressesThem(t *testing.T) {
+	for want, commands := range map[int][]Command{
 		1: {{Part: ComponentRegister}, {Part: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Life: 1}))}, {Part: ComponentPolicy}},
 		2: {{Part: ComponentQuotaLeases, Body: encode(QuotaLeaseCommand{Report: &lease.Report{}})}, {Part: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Life: 2, Before: 1}))}},
 	} {
-		for _, c := range list {
+		for _, c := range commands {
 			assert.Equal(t, want, VersionOf(c.Part, c.Body), string(c.Body))
 		}
 	}
--- /dev/null
+++ b/internal/node/statemachine/sessions.go
@@ -0,0 +1,69 @@
+package statemachine
+
+import "encoding/json"
+
+// session is a client of the log. Replies are kept until the client confirms them, so that a command that is sent again gets
+// the reply of the first.
+type session struct {
+	Name    string           `json:"name"`
+	Opened  float64          `json:"opened"` // cluster time, ms
+	Used    uint64           `json:"used"`   // index of its last command
+	Done    uint64           `json:"done"`   // the client has the replies to all numbers up to this one
+	Replies map[uint64]Reply `json:"replies,omitempty"`
+}
+
+// Opening is the body of a command that opens a session.
+type Opening struct {
+	Name string `json:"name"`
+}
+
+// Sessions returns the number of open sessions.
+func (m *Machine) Sessions() int { return len(m.sessions) }
+
+// openSession opens a session that is numbered by the entry's index. At MaxSessions it evicts the one that was unused for longest.
+func (m *Machine) openSession(index uint64, c *Command) Reply {
+	var opening Opening
+	if json.Unmarshal(c.Body, &opening) != nil || len(opening.Name) > maxNameBytes {
+		return Reply{Code: Faulty, Text: "a session wants a name of 128 bytes at most"}
+	}
+	if len(m.sessions) >= MaxSessions {
+		m.evictSession()
+	}
+	m.sessions[index] = &session{Name: opening.Name, Opened: m.now, Used: index, Replies: map[uint64]Reply{}}
+	return Reply{Code: OK, Index: index}
+}
+
+// evictSession drops the session whose last command is the oldest. Each entry uses one session, so that there is just one such.
+func (m *Machine) evictSession() {
+	var oldestID uint64
+	var oldest *session
+	for id, s := range m.sessions {
+		if oldest == nil || s.Used < oldest.Used {
+			oldestID, oldest = id, s
+		}
+	}
+	delete(m.sessions, oldestID)
+}
+
+// confirm drops the replies to all numbers up to this one, which the client has.
+func (s *session) confirm(number uint64) {
+	for s.Done < number {
+		if s.Done++; len(s.Replies) == 0 {
+			s.Done = number // at most Window steps, however far a client claims to be
+		}
+		delete(s.Replies, s.Done)
+	}
+}
+
+// earlierReply returns the reply of a command that must not be applied: one that was applied before, or that is outside the window.
+func (s *session) earlierReply(number uint64) (Reply, bool) {
+	switch r, applied := s.Replies[number]; {
+	case applied:
+		return r, true
+	case number <= s.Done:
+		return Reply{Code: Lost, Text: "its reply was confirmed before"}, true
+	case number > s.Done+Window:
+		return Reply{Code: Full, Text: "too many commands of the session are under way"}, true
+	}
+	return Reply{}, false
+}
