--- a/internal/node/consensus/member/quiet.go
+++ b/internal/node/consensus/member/logger.go
@@ -1,14 +1,9 @@
 package member
 
-import (
-	"fmt"
+import "fmt"
 
-	"go.etcd.io/raft/v3/tracker"
-)
-
-type raftProgress = tracker.Progress
-
-// Quiet is a logger for the library that passes on what a person must see and drops the rest.
+// Quiet is a raft.Logger that passes errors to Warn and drops the rest, for the library logs each message that it refuses. A
+// nil Warn drops errors too.
 type Quiet struct{ Warn func(text string) }
 
 func (q Quiet) warn(text string) {
@@ -17,31 +12,31 @@
 	}
 }
 
-// Debug drops.
+// Debug drops its arguments.
 func (Quiet) Debug(...any) {}
 
-// Debugf drops.
+// Debugf drops its arguments.
 func (Quiet) Debugf(string, ...any) {}
 
-// Info drops.
+// Info drops its arguments.
 func (Quiet) Info(...any) {}
 
-// Infof drops.
+// Infof drops its arguments.
 func (Quiet) Infof(string, ...any) {}
 
-// Warning drops: it tells of each message that is refused, which links do all the time.
+// Warning drops its arguments: the library warns of each refused message, and networks reorder and repeat messages all the time.
 func (Quiet) Warning(...any) {}
 
-// Warningf drops.
+// Warningf drops its arguments.
 func (Quiet) Warningf(string, ...any) {}
 
-// Error passes on.
+// Error passes its arguments to Warn.
 func (q Quiet) Error(v ...any) { q.warn(fmt.Sprint(v...)) }
 
-// Errorf passes on.
+// Errorf passes its arguments to Warn.
 func (q Quiet) Errorf(format string, v ...any) { q.warn(fmt.Sprintf(format, v...)) }
 
-// Fatal panics: the state is not what it must be.
+// Fatal panics: the library has found its own state to be inconsistent.
 func (q Quiet) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
 // Fatalf panics.
--- a/internal/node/consensus/member/member_test.go
+++ b/internal/node/consensus/member/member_test.go
@@ -10,154 +10,159 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Guards against a group's time that falls behind under load, because what each entry takes to be agreed is lost, or that runs ahead:
-// windows and leases would last for ever, or end before the node that counts on them; and against a command that a member of an older
-// release could not read.
-func TestTimeUnderLoad(t *testing.T) {
+// testSettings are the settings of a member in these tests.
+func testSettings(id uint64) Settings {
+	return Settings{ID: id, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}}
+}
+
+// TestClusterTimeRunsEvenlyUnderLoad guards against cluster time that falls behind under load, because the time that each entry takes to
+// be committed is lost, or that runs ahead: windows and leases would last for ever, or end before the node that counts on them. It also
+// guards against a command that a member of an older release could not read.
+func TestClusterTimeRunsEvenlyUnderLoad(t *testing.T) {
 	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
-	g, err := New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
-		Saved{Image: image})
+	m, err := New(testSettings(1), Saved{Image: image})
 	require.NoError(t, err)
 	now := 100.0
-	var wait []Write
-	take := func() {
-		w, err := g.TakeWork(now)
+	var pending []Write
+	takeWork := func() {
+		w, err := m.TakeWork(now)
 		require.NoError(t, err)
-		wait = append(wait, w.Write...)
+		pending = append(pending, w.Write...)
 	}
-	lasts := func() { // what the disk was given lasts
-		for len(wait) > 0 {
-			w := wait[0]
-			wait = wait[1:]
-			require.NoError(t, g.WriteDone(w))
-			take()
+	finishWrites := func() { // the disk has made durable what it was given
+		for len(pending) > 0 {
+			w := pending[0]
+			pending = pending[1:]
+			require.NoError(t, m.WriteDone(w))
+			takeWork()
 		}
 	}
 	for range 10 {
-		g.Tick()
-		take()
-		lasts()
+		m.Tick()
+		takeWork()
+		finishWrites()
 	}
-	require.True(t, g.Leads())
+	require.True(t, m.Leads())
 	begin := now
 	for i := range uint64(1000) {
-		require.NoError(t, g.Propose(now, statemachine.Command{Number: i + 1, Body: []byte(`{"name":"c"}`)}))
-		take()
+		require.NoError(t, m.Propose(now, statemachine.Command{Number: i + 1, Body: []byte(`{"name":"c"}`)}))
+		takeWork()
 		now += 1.5 // until the disk has it, with the next one proposed right after
-		lasts()
-		assert.LessOrEqual(t, g.State().Now(), 5000+now-begin, "it runs ahead")
+		finishWrites()
+		assert.LessOrEqual(t, m.State().Now(), 5000+now-begin, "cluster time runs ahead")
 	}
-	assert.InDelta(t, 5000+now-begin, g.State().Now(), 3)
-	room := statemachine.Command{Part: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
-	assert.ErrorIs(t, g.Propose(now, room), ErrYoung, "not before all members are known to know it")
-	require.NoError(t, g.Propose(now, statemachine.Command{Part: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
-	take()
-	lasts()
-	assert.NoError(t, g.Propose(now, room))
+	assert.InDelta(t, 5000+now-begin, m.State().Now(), 3)
+	leaseCommand := statemachine.Command{Part: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
+	assert.ErrorIs(t, m.Propose(now, leaseCommand), ErrYoung, "not before all members are known to read it")
+	require.NoError(t, m.Propose(now, statemachine.Command{Part: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
+	takeWork()
+	finishWrites()
+	assert.NoError(t, m.Propose(now, leaseCommand))
 }
 
-// Guards against a member that goes on voting though the leader knows it to hold entries that it does not have.
-func TestLacksWhatItAcknowledged(t *testing.T) {
+// TestFailsWithoutAcknowledgedEntries guards against a member that goes on voting though it lacks entries that it had acknowledged to the
+// leader.
+func TestFailsWithoutAcknowledgedEntries(t *testing.T) {
 	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}, 5000)
 	require.NoError(t, err)
-	g, err := New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
-		Saved{Image: image})
+	m, err := New(testSettings(1), Saved{Image: image})
 	require.NoError(t, err)
-	_, held, _ := g.Position()
-	beat := func(commit uint64) error {
-		g.Step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: new(uint64(2)), To: new(uint64(1)), Term: new(uint64(5)), Commit: &commit})
-		_, err := g.TakeWork(100)
+	_, committed, _ := m.Position()
+	heartbeat := func(commit uint64) error {
+		m.Step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: new(uint64(2)), To: new(uint64(1)), Term: new(uint64(5)), Commit: &commit})
+		_, err := m.TakeWork(100)
 		return err
 	}
-	require.NoError(t, beat(held))
-	assert.ErrorIs(t, beat(held+1), ErrLost)
+	require.NoError(t, heartbeat(committed))
+	assert.ErrorIs(t, heartbeat(committed+1), ErrLost)
 }
 
-// Guards against a member of an older release that goes on with nothing, or votes, once an image of a later release has reached it from
-// the leader, or lies on its disk.
-func TestImageOfLaterRelease(t *testing.T) {
-	set := Settings{ID: 2, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}}
+// TestFailsAtAnImageOfALaterRelease guards against a member of an older release that goes on empty, or votes, once an image of a later
+// release has reached it from the leader, or lies on its disk.
+func TestFailsAtAnImageOfALaterRelease(t *testing.T) {
+	settings := testSettings(2)
 	image := &pb.Snapshot{Data: []byte(`{"version":99}`), Metadata: &pb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(4)),
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}
-	_, err := New(set, Saved{Image: image})
+	_, err := New(settings, Saved{Image: image})
 	require.ErrorIs(t, err, statemachine.ErrVersion)
-	g, err := New(set, Saved{})
+	m, err := New(settings, Saved{})
 	require.NoError(t, err)
-	g.Step(&pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(4)), Snapshot: image})
-	w, err := g.TakeWork(1)
+	m.Step(&pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(4)), Snapshot: image})
+	w, err := m.TakeWork(1)
 	require.NoError(t, err)
 	require.Len(t, w.Write, 1)
 	require.NotNil(t, w.Write[0].Image)
-	require.ErrorIs(t, g.WriteDone(w.Write[0]), statemachine.ErrVersion)
+	require.ErrorIs(t, m.WriteDone(w.Write[0]), statemachine.ErrVersion)
 }
 
-// lone is a group of one member that leads, and what carries out all that it wants.
-func lone(t *testing.T) (g *Member, settle func()) {
+// newLeader returns the leader of a cluster of one member, and the function that does all work that it wants.
+func newLeader(t *testing.T) (m *Member, doWork func()) {
+	t.Helper()
 	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
-	g, err = New(Settings{ID: 1, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}},
-		Saved{Image: image})
+	m, err = New(testSettings(1), Saved{Image: image})
 	require.NoError(t, err)
-	settle = func() {
+	doWork = func() {
 		for {
-			w, err := g.TakeWork(100)
+			w, err := m.TakeWork(100)
 			require.NoError(t, err)
 			if len(w.Write) == 0 {
 				return
 			}
 			for _, write := range w.Write {
-				require.NoError(t, g.WriteDone(write))
+				require.NoError(t, m.WriteDone(write))
 			}
 		}
 	}
 	for range 10 {
-		g.Tick()
-		settle()
+		m.Tick()
+		doWork()
 	}
-	require.True(t, g.Leads())
-	return g, settle
+	require.True(t, m.Leads())
+	return m, doWork
 }
 
-// acknowledge has a member say that it has all that is agreed.
-func acknowledge(g *Member, id uint64) {
-	term, committed, _ := g.Position()
-	g.Step(&pb.Message{Type: pb.MsgAppResp.Enum(), From: &id, To: new(uint64(1)), Term: &term, Index: &committed})
+// acknowledge has a member acknowledge all that is committed.
+func acknowledge(m *Member, id uint64) {
+	term, committed, _ := m.Position()
+	m.Step(&pb.Message{Type: pb.MsgAppResp.Enum(), From: &id, To: new(uint64(1)), Term: &term, Index: &committed})
 }
 
-// Guards against a vote for a newcomer that never said a word: the library takes it for active at first, in a young group it is behind by
-// little, and with a keeper down beside it no majority would be left.
-func TestNoVoteBeforeAWord(t *testing.T) {
-	g, settle := lone(t)
+// TestLearnerIsPromotedOnlyAfterAMessage guards against a vote for a new member that never sent a message: the library takes it for active
+// at first, in a young cluster it is hardly behind, and with another member down no majority would be left.
+func TestLearnerIsPromotedOnlyAfterAMessage(t *testing.T) {
+	m, doWork := newLeader(t)
 	role := func() statemachine.Role {
-		m, _ := g.State().Members().Get(2)
-		return m.Role
+		member, _ := m.State().Members().Get(2)
+		return member.Role
 	}
-	require.NoError(t, g.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
-	settle()
-	_, heard := g.Behind(2)
-	require.True(t, heard, "it is taken for active")
-	g.Promote()
-	settle()
+	require.NoError(t, m.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
+	doWork()
+	_, active := m.Behind(2)
+	require.True(t, active, "it is taken for active")
+	m.Promote()
+	doWork()
 	require.Equal(t, statemachine.Learner, role(), "it may not run at all")
-	acknowledge(g, 2)
-	g.Promote()
-	settle()
-	require.Equal(t, statemachine.Voter, role(), "it has what is agreed")
+	acknowledge(m, 2)
+	m.Promote()
+	doWork()
+	require.Equal(t, statemachine.Voter, role(), "it has caught up")
 }
 
-// Guards against an order about members that is refused for good because it comes while the lead is handed on: it is to be given again.
-func TestOrderWhileTheLeadIsHandedOn(t *testing.T) {
-	g, settle := lone(t)
-	require.NoError(t, g.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
-	settle()
-	acknowledge(g, 2)
-	g.Promote()
-	settle()
-	acknowledge(g, 2)
-	settle()
-	require.True(t, g.Hand())
-	require.True(t, g.Leads())
-	require.ErrorIs(t, g.Remove(2), ErrBusy)
-	require.ErrorIs(t, g.AddLearner(statemachine.Member{ID: 3, Name: "c"}), ErrBusy)
+// TestMembershipChangeDuringLeaderTransferIsBusy guards against a change of the membership that is rejected for good because leadership is
+// being transferred: the client is to send it again.
+func TestMembershipChangeDuringLeaderTransferIsBusy(t *testing.T) {
+	m, doWork := newLeader(t)
+	require.NoError(t, m.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
+	doWork()
+	acknowledge(m, 2)
+	m.Promote()
+	doWork()
+	acknowledge(m, 2)
+	doWork()
+	require.True(t, m.Hand())
+	require.True(t, m.Leads())
+	require.ErrorIs(t, m.Remove(2), ErrBusy)
+	require.ErrorIs(t, m.AddLearner(statemachine.Member{ID: 3, Name: "c"}), ErrBusy)
 }
--- /dev/null
+++ b/internal/node/consensus/member/work.go
@@ -0,0 +1,150 @@
+package member
+
+import (
+	"encoding/binary"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
+)
+
+// Work is what a member wants done. The package comment says in which order.
+type Work struct {
+	Messages []*pb.Message // to other members; they need not wait for a disk
+	Write    []Write       // to make durable, in order
+	Applied  []Applied
+	Reads    []Read
+	Image    *Image // to make and save, nil = none
+}
+
+// Write is work for the disk. WriteDone must be called once all of it is durable, in the order in which TakeWork returned them.
+type Write struct {
+	Hard    *pb.HardState
+	Entries []*pb.Entry
+	Image   *pb.Snapshot // from the leader, in place of all that is stored
+	answers []*pb.Message
+}
+
+// Answers returns the messages to other members that may be sent once the write is durable, and not before: they acknowledge it.
+func (w *Write) Answers(own uint64) (messages []*pb.Message) {
+	for _, message := range w.answers {
+		if message.GetTo() != own {
+			messages = append(messages, message)
+		}
+	}
+	return messages
+}
+
+// Applied is a command that was committed and has been applied here.
+type Applied struct {
+	Index   uint64
+	Command statemachine.Command
+	Reply   statemachine.Reply
+}
+
+// Read allows to answer the query with this number: the state here contains all that was committed when Member.Read was called.
+type Read struct{ Number uint64 }
+
+// TakeWork returns all that is to be done. now is in ms on any clock that runs evenly. After an error the member must end.
+func (m *Member) TakeWork(now float64) (w Work, err error) {
+	for m.failed == nil && m.node.HasReady() {
+		ready := m.node.Ready()
+		if ready.SoftState != nil {
+			m.leader, m.role = ready.Lead, ready.RaftState
+		}
+		m.reads = append(m.reads, ready.ReadStates...)
+		for _, message := range ready.Messages {
+			m.dispatch(message, &w)
+		}
+	}
+	for len(m.reads) > 0 && m.reads[0].Index <= m.applied {
+		w.Reads = append(w.Reads, Read{binary.BigEndian.Uint64(m.reads[0].RequestCtx)})
+		m.reads = m.reads[1:]
+	}
+	m.syncClusterTime(now)
+	w.Image = m.beginImage()
+	return w, m.failed
+}
+
+// dispatch adds a message of the library to the work. With asynchronous storage writes, what is to be stored and what is to be
+// applied comes as messages too, with the responses to give once that is done.
+func (m *Member) dispatch(message *pb.Message, w *Work) {
+	switch message.GetTo() {
+	case raft.LocalAppendThread:
+		for _, response := range message.GetResponses() {
+			if response.GetType() == pb.MsgVoteResp && !response.GetReject() { // whoever got this vote gets the time to lead
+				m.resetElectionTimeout()
+			}
+		}
+		w.Write = append(w.Write, writeOf(message))
+		m.pendingWrites++
+	case raft.LocalApplyThread:
+		m.failed = m.apply(message.GetEntries(), w)
+		for _, response := range message.GetResponses() {
+			_ = m.node.Step(response) // from this member to itself: it is not refused
+		}
+	default:
+		w.Messages = append(w.Messages, message)
+	}
+}
+
+func writeOf(message *pb.Message) Write {
+	w := Write{Entries: message.GetEntries(), answers: message.GetResponses()}
+	if message.Term != nil {
+		w.Hard = &pb.HardState{Term: message.Term, Vote: message.Vote, Commit: message.Commit}
+	}
+	if image := message.GetSnapshot(); !raft.IsEmptySnap(image) {
+		w.Image = image
+	}
+	return w
+}
+
+// apply applies committed entries.
+func (m *Member) apply(entries []*pb.Entry, w *Work) error {
+	for _, e := range entries {
+		m.applied = e.GetIndex()
+		m.bytesSinceImage += len(e.GetData())
+		switch {
+		case e.GetType() != pb.EntryNormal:
+			if err := m.applyConfChange(e); err != nil {
+				return err
+			}
+		case len(e.GetData()) > 0: // the first entry of a new leader is empty
+			command, reply, err := m.state.Apply(e.GetIndex(), e.GetData())
+			if err != nil {
+				return err
+			}
+			w.Applied = append(w.Applied, Applied{e.GetIndex(), command, reply})
+		}
+	}
+	return nil
+}
+
+// WriteDone confirms that a write is durable. After an error the member must end.
+func (m *Member) WriteDone(w Write) error {
+	m.pendingWrites--
+	if w.Image != nil {
+		if err := m.log.ApplySnapshot(w.Image); err != nil {
+			return err
+		}
+		if err := m.restoreState(w.Image); err != nil {
+			return err
+		}
+		m.bytesSinceImage = 0
+	}
+	if err := m.log.Append(w.Entries); err != nil {
+		return err
+	}
+	if w.Hard != nil {
+		if err := m.log.SetHardState(w.Hard); err != nil {
+			return err
+		}
+	}
+	for _, response := range w.answers {
+		if response.GetTo() == m.settings.ID {
+			_ = m.node.Step(response) // from this member to itself: it is not refused
+		}
+	}
+	return nil
+}
