--- a/internal/node/consensus/replica/serve_test.go
+++ b/internal/node/consensus/replica/clients_test.go
@@ -18,11 +18,11 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Guards against a keeper that is told for good to stay away because an earlier connection of its own came late, and against an
-// older copy, a stranger, a wrong name or another fleet that is let in.
-func TestWhoIsWelcome(t *testing.T) {
-	set := fleet(t, 3, 1500, nil) // nobody else comes to lead meanwhile, even on a starved machine
-	c := client.New(set)
+// TestAdmitsOnlyTheMembersOfTheFleet guards against a member that is rejected for good because an earlier connection of its own arrives
+// late, and against an older copy, a stranger, a wrong name or another fleet that is admitted.
+func TestAdmitsOnlyTheMembersOfTheFleet(t *testing.T) {
+	config := startFleet(t, 3, 1500, nil) // no other becomes leader meanwhile, even on an overloaded machine
+	c := client.New(config)
 	defer c.Close()
 	for range 20 {
 		_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
@@ -31,8 +31,8 @@
 	var lead, other *protocol.State
 	for lead == nil || other == nil { // none may lead at the moment
 		lead, other = nil, nil
-		for _, k := range set.Replicas {
-			a, err := client.Call(t.Context(), set, k, protocol.Request{Want: protocol.Status})
+		for _, to := range config.Replicas {
+			a, err := client.Call(t.Context(), config, to, protocol.Request{Want: protocol.Status})
 			require.NoError(t, err)
 			if a.State.Role == "leader" {
 				lead = a.State
@@ -42,15 +42,15 @@
 		}
 	}
 	address := ""
-	for _, k := range set.Replicas {
-		if k.Name == lead.Name {
-			address = k.Address
+	for _, to := range config.Replicas {
+		if to.Name == lead.Name {
+			address = to.Address
 		}
 	}
 	as := func(change func(*transport.Hello)) (transport.Welcome, error) {
 		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
 		change(&h)
-		conn, w, err := transport.Dial(address, h, set.AttemptTimeout)
+		conn, w, err := transport.Dial(address, h, config.AttemptTimeout)
 		if err == nil {
 			require.NoError(t, conn.Close())
 		}
@@ -77,21 +77,21 @@
 		assert.Equal(t, x.ok, err == nil, "%s: %v", x.what, err)
 		assert.Equal(t, x.final, w.Final, x.what)
 	}
-	gone := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
-	require.NoError(t, c.Change(t.Context(), protocol.Remove, gone))
-	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"}) // agreed after it, so that the leader has applied it
+	removed := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
+	require.NoError(t, c.Change(t.Context(), protocol.Remove, removed))
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"}) // committed after it, so that the leader has applied it
 	require.NoError(t, err)
 	w, err := as(func(h *transport.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
 	assert.True(t, w.Final)
-	assert.ErrorContains(t, c.Change(t.Context(), protocol.Learn, gone), "was taken out")
+	assert.ErrorContains(t, c.Change(t.Context(), protocol.Learn, removed), "was taken out")
 }
 
-// Guards against a client whose session was pushed out by those of others, and that goes on with it: nothing that it asks would be
-// applied any more.
-func TestSessionPushedOut(t *testing.T) {
-	set := fleet(t, 1, 1500, nil)
-	c := client.New(set)
+// TestClientReplacesAnEvictedSession guards against a client that goes on with a session that those of others evicted: none of its
+// commands would be applied any more.
+func TestClientReplacesAnEvictedSession(t *testing.T) {
+	config := startFleet(t, 1, 1500, nil)
+	c := client.New(config)
 	defer c.Close()
 	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
@@ -101,7 +101,7 @@
 			for j := range statemachine.MaxSessions / 16 {
 				open := protocol.Request{Want: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
-					if _, err := client.Call(t.Context(), set, set.Replicas[0], open); err == nil {
+					if _, err := client.Call(t.Context(), config, config.Replicas[0], open); err == nil {
 						break
 					}
 				}
@@ -114,43 +114,43 @@
 	assert.Equal(t, statemachine.OK, r.Code, r.Text)
 }
 
-// asker is a connection of a client whose requests come in the order in which they are asked.
-type asker struct {
+// rawClient is a connection of a client, whose requests arrive in the order in which they are sent.
+type rawClient struct {
 	t    *testing.T
 	raw  *transport.Conn
 	last uint64
 }
 
-func connect(t *testing.T, set client.Config, to client.Replica) *asker {
-	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: set.Fleet, Name: set.Name, To: to.Name}, time.Minute)
+func connect(t *testing.T, config client.Config, to client.Replica) *rawClient {
+	raw, _, err := transport.Dial(to.Address, transport.Hello{Fleet: config.Fleet, Name: config.Name, To: to.Name}, time.Minute)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = raw.Close() })
-	return &asker{t: t, raw: raw}
+	return &rawClient{t: t, raw: raw}
 }
 
-func (a *asker) ask(r protocol.Request) uint64 {
-	a.last++
-	r.ID = a.last
-	require.NoError(a.t, a.raw.Write(transport.KindRequest, encode(r), time.Minute))
-	return a.last
+func (c *rawClient) send(r protocol.Request) uint64 {
+	c.last++
+	r.ID = c.last
+	require.NoError(c.t, c.raw.Write(transport.KindRequest, encode(r), time.Minute))
+	return c.last
 }
 
-func (a *asker) wait(known rollout.Progress) uint64 {
-	return a.ask(protocol.Request{Want: protocol.Wait, Part: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
+func (c *rawClient) longPoll(known rollout.Progress) uint64 {
+	return c.send(protocol.Request{Want: protocol.Wait, Part: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
 }
 
-func (a *asker) hear() (said protocol.Answer) {
-	_, text, err := a.raw.Read()
-	require.NoError(a.t, err)
-	require.NoError(a.t, json.Unmarshal(text, &said))
-	return said
+func (c *rawClient) receive() (answer protocol.Answer) {
+	_, text, err := c.raw.Read()
+	require.NoError(c.t, err)
+	require.NoError(c.t, json.Unmarshal(text, &answer))
+	return answer
 }
 
-// Guards against a hint that does not come once the answer is another; a wait that costs an entry, or is answered though there is nothing
-// new; more than one of them on a connection; and a client that is not told what it waits for.
-func TestWait(t *testing.T) {
-	set := fleet(t, 1, 1500, nil)
-	c := client.New(set)
+// TestLongPollAnswersOnceTheAnswerChanges guards against a long poll that is not answered once the answer has changed; one that costs an
+// entry, or is answered without a change; more than one on a connection; and a client that does not get the answer.
+func TestLongPollAnswersOnceTheAnswerChanges(t *testing.T) {
+	config := startFleet(t, 1, 1500, nil)
+	c := client.New(config)
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
@@ -163,7 +163,7 @@
 	}
 	_, err := wait(ctx, rollout.Progress{})
 	require.ErrorContains(t, err, "no connection")
-	propose := func(number uint64) rollout.Progress { // nobody has to look at it: it holds at once
+	propose := func(number uint64) rollout.Progress { // no node has to validate it: it is active at once
 		p := rollout.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
 		_, err := c.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
@@ -172,37 +172,37 @@
 	first := propose(1)
 	now, err := wait(ctx, rollout.Progress{})
 	require.NoError(t, err)
-	assert.Equal(t, first, now, "it is another at once")
+	assert.Equal(t, first, now, "the answer differs at once")
 
-	one := connect(t, set, set.Replicas[0])
-	one.ask(protocol.Request{Want: protocol.Status})
-	before, last := one.hear().State.Committed, one.wait(first)
+	one := connect(t, config, config.Replicas[0])
+	one.send(protocol.Request{Want: protocol.Status})
+	before, last := one.receive().State.Committed, one.longPoll(first)
 	for range 100 {
 		earlier := last
-		last = one.wait(first)
-		said := one.hear()
-		require.Equal(t, earlier, said.ID)
-		require.Equal(t, protocol.Later, said.Fault)
+		last = one.longPoll(first)
+		answer := one.receive()
+		require.Equal(t, earlier, answer.ID)
+		require.Equal(t, protocol.Later, answer.Fault)
 	}
-	one.ask(protocol.Request{Want: protocol.Status})
-	assert.Less(t, one.hear().State.Committed, before+50, "they cost no entries")
+	one.send(protocol.Request{Want: protocol.Status})
+	assert.Less(t, one.receive().State.Committed, before+50, "they cost no entries")
 	second := propose(2)
-	said := one.hear()
-	assert.Equal(t, last, said.ID)
-	require.NotNil(t, said.Reply)
-	assert.JSONEq(t, string(encode(second)), string(said.Reply.Body))
+	answer := one.receive()
+	assert.Equal(t, last, answer.ID)
+	require.NotNil(t, answer.Reply)
+	assert.JSONEq(t, string(encode(second)), string(answer.Reply.Body))
 
-	gone, over := context.WithCancel(ctx)
-	over()
-	_, err = wait(gone, second)
+	cancelled, cancel := context.WithCancel(ctx)
+	cancel()
+	_, err = wait(cancelled, second)
 	require.Error(t, err)
 	propose(3) // on the same connection
 }
 
-// Guards against who waits in vain at a keeper that does not lead, or not any more.
-func TestWaitWhereNobodyLeads(t *testing.T) {
-	set := fleet(t, 3, 1500, nil)
-	c := client.New(set)
+// TestLongPollEndsWhereThereIsNoLeader guards against a client that waits in vain at a replica that does not lead, or not any more.
+func TestLongPollEndsWhereThereIsNoLeader(t *testing.T) {
+	config := startFleet(t, 3, 1500, nil)
+	c := client.New(config)
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
@@ -210,27 +210,27 @@
 	require.NoError(t, err)
 	elsewhere, lost := 0, false
 	for !lost {
-		for _, k := range set.Replicas {
-			one := connect(t, set, k)
-			one.ask(protocol.Request{Want: protocol.Status})
-			state := one.hear().State
-			waits := one.wait(rollout.Progress{})
-			status := one.ask(protocol.Request{Want: protocol.Status})
-			said := one.hear()
-			if said.ID == waits { // it does not lead
-				require.Contains(t, []string{protocol.Elsewhere, protocol.Nobody, protocol.Later}, said.Fault)
+		for _, to := range config.Replicas {
+			one := connect(t, config, to)
+			one.send(protocol.Request{Want: protocol.Status})
+			state := one.receive().State
+			waits := one.longPoll(rollout.Progress{})
+			status := one.send(protocol.Request{Want: protocol.Status})
+			answer := one.receive()
+			if answer.ID == waits { // it does not lead
+				require.Contains(t, []string{protocol.Elsewhere, protocol.Nobody, protocol.Later}, answer.Fault)
 				elsewhere++
 				continue
 			}
-			require.Equal(t, status, said.ID)
+			require.Equal(t, status, answer.ID)
 			if lost {
 				continue
 			}
 			require.NoError(t, c.Change(ctx, protocol.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
-			said = one.hear()
-			require.Equal(t, waits, said.ID)
-			assert.Equal(t, protocol.Later, said.Fault)
-			assert.Contains(t, said.Text, "lead")
+			answer = one.receive()
+			require.Equal(t, waits, answer.ID)
+			assert.Equal(t, protocol.Later, answer.Fault)
+			assert.Contains(t, answer.Text, "lead")
 			lost = true
 		}
 	}
--- /dev/null
+++ b/internal/node/consensus/replica/disk.go
@@ -0,0 +1,96 @@
+package replica
+
+import "linenwheel.dev/linenwheel/internal/node/consensus/member"
+
+// diskJob is work for the disk: a write, or an image to make and save.
+type diskJob struct {
+	write member.Write
+	image *member.Image // nil = a write
+}
+
+// queueForDisk queues the work for the disk. What the channel has no room for waits in diskQueue for the next flush: the owner
+// must not wait for the disk, which waits for the owner when it reports a write.
+func (r *Replica) queueForDisk(work member.Work) {
+	for _, w := range work.Write {
+		r.diskQueue = append(r.diskQueue, diskJob{write: w})
+	}
+	if work.Image != nil {
+		r.imageCount++
+		r.diskQueue = append(r.diskQueue, diskJob{image: work.Image})
+	}
+	for len(r.diskQueue) > 0 {
+		select {
+		case r.disk <- r.diskQueue[0]:
+			r.diskQueue = r.diskQueue[1:]
+		default:
+			return
+		}
+	}
+}
+
+// runDisk does the disk's work, in order, until the channel is closed.
+func (r *Replica) runDisk() error {
+	for first := range r.disk {
+		writes, image := r.nextBatch(first)
+		if len(writes) > 0 {
+			if err := r.write(writes); err != nil {
+				return err
+			}
+		}
+		if image != nil {
+			if err := r.saveImage(image); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// nextBatch returns the writes that wait, to share one sync, up to the next image.
+func (r *Replica) nextBatch(first diskJob) (writes []member.Write, image *member.Image) {
+	if first.image != nil {
+		return nil, first.image
+	}
+	writes = append(writes, first.write)
+	for len(r.disk) > 0 && len(writes) < maxBatch {
+		next, ok := <-r.disk
+		switch {
+		case !ok:
+			return writes, nil
+		case next.image != nil:
+			return writes, next.image
+		}
+		writes = append(writes, next.write)
+	}
+	return writes, nil
+}
+
+// write makes writes durable, and only then has their acknowledgements sent.
+func (r *Replica) write(writes []member.Write) error {
+	if err := r.store.Write(writes); err != nil {
+		return err
+	}
+	r.writes.Add(1)
+	r.lastDurable.Store(lastIndex(r.store.Saved()))
+	r.submit(func() {
+		for _, w := range writes {
+			if err := r.member.WriteDone(w); err != nil {
+				r.log.Error("what was written cannot be taken", "error", err)
+			}
+			r.send(w.Answers(r.store.ID))
+		}
+	})
+	return nil
+}
+
+func (r *Replica) saveImage(image *member.Image) error {
+	snapshot, err := image.Make()
+	if err != nil {
+		return err
+	}
+	if err := r.store.Keep(snapshot, r.settings.Trail); err != nil {
+		return err
+	}
+	r.submit(func() { r.member.Kept(snapshot) })
+	return nil
+}
--- a/internal/node/consensus/replica/replica_test.go
+++ b/internal/node/consensus/replica/replica_test.go
@@ -24,42 +24,44 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// fleet runs founded keepers in this process that miss a leader after so many ms, and reach each other over what way gives for an
-// address, nil = straight; it ends with the test.
-func fleet(t testing.TB, n int, election float64, way func(address string) string) client.Config {
-	set := client.Config{Fleet: "f", Name: "test", AttemptTimeout: 10 * time.Second}
+// startFleet bootstraps n replicas in this process, with an election timeout in ms, and returns a client's configuration. They reach each
+// other at what proxy returns for an address; nil = directly. They end with the test.
+func startFleet(t testing.TB, n int, election float64, proxy func(address string) string) client.Config {
+	t.Helper()
+	config := client.Config{Fleet: "f", Name: "test", AttemptTimeout: 10 * time.Second}
 	addresses := map[string]string{}
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.9:0", 128+os.Getpid()>>8&63, os.Getpid()&255)) // where no other takes the port
 		require.NoError(t, err)
 		name := fmt.Sprint("k", i)
 		addresses[name] = l.Addr().String()
-		set.Replicas = append(set.Replicas, client.Replica{Name: name, Address: addresses[name]})
+		config.Replicas = append(config.Replicas, client.Replica{Name: name, Address: addresses[name]})
 		require.NoError(t, l.Close())
-		if way != nil {
-			addresses[name] = way(addresses[name])
+		if proxy != nil {
+			addresses[name] = proxy(addresses[name])
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	var members []statemachine.Member
-	for _, to := range set.Replicas {
-		k, err := New(Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Synced: true, Addresses: addresses,
+	for _, to := range config.Replicas {
+		r, err := New(Settings{Fleet: "f", Name: to.Name, Listen: to.Address, Directory: t.TempDir(), Synced: true, Addresses: addresses,
 			Heartbeat: election / 10, Election: election, ImageEvery: 4 << 20, Trail: 1000}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
-		members = append(members, statemachine.Member{ID: k.ID(), Name: to.Name, Address: to.Address})
-		run.Go(func() { _ = k.Run(ctx) })
+		members = append(members, statemachine.Member{ID: r.ID(), Name: to.Name, Address: to.Address})
+		run.Go(func() { _ = r.Run(ctx) })
 	}
 	t.Cleanup(func() { stop(); run.Wait() })
-	for _, to := range set.Replicas {
-		_, err := client.Call(ctx, set, to, protocol.Request{Want: protocol.Found, Members: members, Now: 1})
+	for _, to := range config.Replicas {
+		_, err := client.Call(ctx, config, to, protocol.Request{Want: protocol.Found, Members: members, Now: 1})
 		require.NoError(t, err)
 	}
-	return set
+	return config
 }
 
-// slowly gives an address at which what the keeper at another one first says on a connection comes late.
-func slowly(t *testing.T, to string, late time.Duration) string {
+// delayFirstAnswer returns the address of a proxy to another one, which delays the first answer on each connection.
+func delayFirstAnswer(t *testing.T, to string, delay time.Duration) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -70,17 +72,17 @@
 				return
 			}
 			go func() {
-				defer near.Close()
+				defer func() { _ = near.Close() }()
 				far, err := net.Dial("tcp", to)
 				if err != nil {
 					return
 				}
-				defer far.Close()
+				defer func() { _ = far.Close() }()
 				go func() {
-					defer far.Close()
+					defer func() { _ = far.Close() }()
 					_, _ = io.Copy(far, near)
 				}()
-				time.Sleep(late)
+				time.Sleep(delay)
 				_, _ = io.Copy(near, far)
 			}()
 		}
@@ -88,12 +90,12 @@
 	return l.Addr().String()
 }
 
-// Guards against keepers that never have a leader because each gives up connecting to the others, which are slow to answer, as
-// soon as it would ask for votes.
-func TestSlowToAnswer(t *testing.T) {
+// TestElectsALeaderThoughMembersAnswerSlowly guards against replicas that never have a leader because each gives up connecting to the
+// others, which are slow to answer, as soon as it would campaign.
+func TestElectsALeaderThoughMembersAnswerSlowly(t *testing.T) {
 	const election = 250
-	const late = 3 * election * time.Millisecond
-	c := client.New(fleet(t, 3, election, func(address string) string { return slowly(t, address, late) }))
+	const delay = 3 * election * time.Millisecond
+	c := client.New(startFleet(t, 3, election, func(address string) string { return delayFirstAnswer(t, address, delay) }))
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute) // it only ends what hangs
 	defer stop()
@@ -101,9 +103,9 @@
 	require.NoError(t, err)
 }
 
-// BenchmarkDo is a command agreed by three keepers in one process that sync, asked by many at once.
+// BenchmarkDo measures commands of many clients, committed by three replicas in one process that sync their disks.
 func BenchmarkDo(b *testing.B) {
-	c := client.New(fleet(b, 3, 250, nil))
+	c := client.New(startFleet(b, 3, 250, nil))
 	defer c.Close()
 	work := make(chan int)
 	var wait sync.WaitGroup
@@ -123,11 +125,11 @@
 	wait.Wait()
 }
 
-// Guards against a keeper whose memory or disk grows with a log that never stops: of 48 MiB of commands no more than an
-// image, the entries since and two files may be left.
-func TestLogThatNeverStops(t *testing.T) {
+// TestCompactionBoundsMemoryAndDisk guards against a replica whose memory or disk grows with the log: of 48 MiB of commands no more than
+// an image, the entries since and two files may be left.
+func TestCompactionBoundsMemoryAndDisk(t *testing.T) {
 	dir := filepath.Dir(t.TempDir()) // of this test
-	c := client.New(fleet(t, 1, 1500, nil))
+	c := client.New(startFleet(t, 1, 1500, nil))
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute)
 	defer stop()
@@ -149,7 +151,7 @@
 			return err
 		}
 		info, err := e.Info()
-		if errors.Is(err, fs.ErrNotExist) { // of an image that another took the place of
+		if errors.Is(err, fs.ErrNotExist) { // an image that was replaced meanwhile
 			return nil
 		}
 		size += info.Size()
@@ -163,17 +165,18 @@
 	assert.Less(t, memory.HeapAlloc, uint64(32<<20))
 }
 
-// Guards against a fleet that is without a leader, until the others miss it, when operators take out the keeper that leads.
-func TestLeaderTakenOut(t *testing.T) {
-	set := fleet(t, 3, 1500, nil)
-	c := client.New(set)
+// TestRemovingTheLeaderTransfersLeadershipFirst guards against a fleet that is without a leader for an election timeout when operators
+// remove the leader.
+func TestRemovingTheLeaderTransfersLeadershipFirst(t *testing.T) {
+	config := startFleet(t, 3, 1500, nil)
+	c := client.New(config)
 	defer c.Close()
 	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
-	leads := func() (client.Replica, *protocol.State) {
+	findLeader := func() (client.Replica, *protocol.State) {
 		for {
-			for _, k := range set.Replicas {
-				if a, err := client.Call(t.Context(), set, k, protocol.Request{Want: protocol.Status}); err == nil && a.State.Role == "leader" {
+			for _, k := range config.Replicas {
+				if a, err := client.Call(t.Context(), config, k, protocol.Request{Want: protocol.Status}); err == nil && a.State.Role == "leader" {
 					return k, a.State
 				}
 			}
@@ -187,43 +190,44 @@
 		}
 		return ""
 	}
-	at, first := leads()
-	old := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
-	_, err = client.Call(t.Context(), set, at, protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{old}})
-	require.Error(t, err, "it is to be asked again")
+	at, first := findLeader()
+	leaving := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
+	_, err = client.Call(t.Context(), config, at, protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{leaving}})
+	require.Error(t, err, "the request is to be sent again")
 	next := first
 	for next.ID == first.ID {
-		_, next = leads()
+		_, next = findLeader()
 	}
-	require.Equal(t, statemachine.Voter, role(next, first.ID), "another leads before it is out")
-	require.NoError(t, c.Change(t.Context(), protocol.Remove, old))
+	require.Equal(t, statemachine.Voter, role(next, first.ID), "another findLeader before it is out")
+	require.NoError(t, c.Change(t.Context(), protocol.Remove, leaving))
 	for role(next, first.ID) != statemachine.Removed {
-		_, next = leads()
+		_, next = findLeader()
 	}
 }
 
-// Guards against a vote for a newcomer that takes connections and never says a word: with one more keeper down, those that are left would be
-// no majority of the voters. The second comes right after the leader has looked who is silent, as long as can be before it looks again.
-func TestSilentNewcomer(t *testing.T) {
-	set := fleet(t, 3, 250, nil)
-	c := client.New(set)
+// TestUnresponsiveLearnerIsNotPromoted guards against a vote for a new member that accepts connections and never sends a message: with one
+// more member down, the others would be no majority of the voters. The second one is added right after the leader has checked who is
+// active, as long as can be before it checks again.
+func TestUnresponsiveLearnerIsNotPromoted(t *testing.T) {
+	config := startFleet(t, 3, 250, nil)
+	c := client.New(config)
 	defer c.Close()
 	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 	for id := range uint64(2) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer l.Close() // the kernel takes what connects, nobody reads it
+		defer func() { _ = l.Close() }() // the kernel accepts connections, nobody reads them
 		m := statemachine.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
-		for silent := false; !silent; { // until the leader has noticed
-			require.NoError(t, c.Change(t.Context(), protocol.Learn, m)) // an order may be lost with a leader
-			for _, k := range set.Replicas {
-				a, err := client.Call(t.Context(), set, k, protocol.Request{Want: protocol.Status})
+		for unresponsive := false; !unresponsive; { // until the leader has noticed
+			require.NoError(t, c.Change(t.Context(), protocol.Learn, m)) // the change may be lost with a leader
+			for _, k := range config.Replicas {
+				a, err := client.Call(t.Context(), config, k, protocol.Request{Want: protocol.Status})
 				require.NoError(t, err)
-				for _, have := range a.State.Members {
-					if have.ID == m.ID {
-						require.Equal(t, statemachine.Learner, have.Role)
-						silent = silent || a.State.Role == "leader" && !have.Heard
+				for _, listed := range a.State.Members {
+					if listed.ID == m.ID {
+						require.Equal(t, statemachine.Learner, listed.Role)
+						unresponsive = unresponsive || a.State.Role == "leader" && !listed.Heard
 					}
 				}
 			}
