--- a/internal/node/consensus/member/member.go
+++ b/internal/node/consensus/member/member.go
@@ -56,6 +56,14 @@
 	From    *pb.Entry   // index and term of the last entry that was compacted away; nil = the image's
 }
 
+// LastIndex returns the index of the last entry, or of the image if there is none after it; 0 = nothing is saved.
+func (s Saved) LastIndex() uint64 {
+	if n := len(s.Entries); n > 0 {
+		return s.Entries[n-1].GetIndex()
+	}
+	return s.Image.GetMetadata().GetIndex()
+}
+
 // Member is one member. Its methods must not be called concurrently.
 type Member struct {
 	settings Settings
--- a/internal/node/consensus/replica/disk.go
+++ b/internal/node/consensus/replica/disk.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	r.writes.Add(1)
-	r.lastDurable.Store(lastIndex(r.store.Saved()))
+	r.lastDurable.Store(r.store.Saved().LastIndex())
 	r.submit(func() {
 		for _, w := range writes {
 			if err := r.member.WriteDone(w); err != nil {
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -40,10 +40,7 @@
 	if saved.Image == nil {
 		return l, fmt.Errorf("%s holds nothing", settings.Directory)
 	}
-	l = Leftover{Fleet: fleet, Name: settings.Name, Last: saved.Image.GetMetadata().GetIndex()}
-	if n := len(saved.Entries); n > 0 {
-		l.Last = max(l.Last, saved.Entries[n-1].GetIndex())
-	}
+	l = Leftover{Fleet: fleet, Name: settings.Name, Last: max(saved.Image.GetMetadata().GetIndex(), saved.LastIndex())}
 	hard := saved.Hard
 	if hard == nil {
 		hard = &pb.HardState{}
--- a/internal/node/consensus/replica/replica.go
+++ b/internal/node/consensus/replica/replica.go
@@ -126,21 +126,13 @@
 // openMember makes the state machine from what the disk holds.
 func (r *Replica) openMember() (err error) {
 	saved := r.store.Saved()
-	r.lastDurable.Store(lastIndex(saved))
+	r.lastDurable.Store(saved.LastIndex())
 	r.member, err = member.New(member.Settings{ID: r.store.ID, Election: max(3, int(r.settings.Election/r.settings.Heartbeat)), Heartbeat: 1,
 		ImageEvery: r.settings.ImageEvery, Trail: r.settings.Trail, Uncommitted: uncommittedBytes, Seed: r.store.Starts,
 		Logger: member.Quiet{Warn: func(text string) { r.log.Warn("the consensus library warns", "text", text) }}}, saved)
 	return err
 }
 
-// lastIndex returns the index of the last entry that is saved.
-func lastIndex(saved member.Saved) uint64 {
-	if n := len(saved.Entries); n > 0 {
-		return saved.Entries[n-1].GetIndex()
-	}
-	return saved.Image.GetMetadata().GetIndex()
-}
-
 // Addr returns the address that the replica listens on.
 func (r *Replica) Addr() string { return r.listener.Addr().String() }
 
--- a/internal/node/consensus/storage/golden_test.go
+++ b/internal/node/consensus/storage/golden_test.go
@@ -14,21 +14,22 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 )
 
-// identityText is how the first release wrote who a member is, before its second start.
+// identityText is the identity file as the first release wrote it, before the second start.
 const identityText = `{"version":1,"fleet":"morava","name":"keeper-1","id":4611686018427387905,"starts":1}`
 
+// fullImage and fullEntry have every field that is stored.
 func fullImage(i, term uint64) *pb.Snapshot {
 	return &pb.Snapshot{Data: []byte("the state"), Metadata: &pb.SnapshotMetadata{Index: &i, Term: &term, ConfState: &pb.ConfState{
 		Voters: []uint64{11, 12}, Learners: []uint64{13}, VotersOutgoing: []uint64{11, 14}, LearnersNext: []uint64{14}, AutoLeave: proto.Bool(true)}}}
 }
 
-func fullEntry(i, term uint64) *pb.Entry {
-	e := entry(i, term)
+func fullEntry(i uint64) *pb.Entry {
+	e := entry(i, 2)
 	e.Type = pb.EntryConfChangeV2.Enum()
 	return e
 }
 
-// directories are those kept in testdata, with what they hold. Together they have every kind of record.
+// directories are those in testdata, with what they hold. Together they have every kind of record.
 var directories = map[string]struct {
 	steps []func(*Store) error
 	want  member.Saved
@@ -36,14 +37,14 @@
 	"trimmed": {[]func(*Store) error{
 		func(s *Store) error { return s.Begin(fullImage(1, 1)) },
 		func(s *Store) error {
-			return s.Write([]member.Write{{Hard: hard(2, 8, 3), Entries: []*pb.Entry{entry(2, 1), entry(3, 2), fullEntry(4, 2), entry(5, 2), entry(6, 2)}}})
+			return s.Write([]member.Write{{Hard: hard(2, 8, 3), Entries: []*pb.Entry{entry(2, 1), entry(3, 2), fullEntry(4), entry(5, 2), entry(6, 2)}}})
 		},
 		func(s *Store) error { return s.Keep(fullImage(5, 2), 2) },
 		func(s *Store) error {
-			return s.Write([]member.Write{{Entries: []*pb.Entry{fullEntry(7, 2)}, Hard: hard(2, 8, 7)}})
+			return s.Write([]member.Write{{Entries: []*pb.Entry{fullEntry(7)}, Hard: hard(2, 8, 7)}})
 		},
 	}, member.Saved{Image: fullImage(5, 2), Hard: hard(2, 8, 7), From: &pb.Entry{Index: proto.Uint64(3), Term: proto.Uint64(2)},
-		Entries: []*pb.Entry{fullEntry(4, 2), entry(5, 2), entry(6, 2), fullEntry(7, 2)}}},
+		Entries: []*pb.Entry{fullEntry(4), entry(5, 2), entry(6, 2), fullEntry(7)}}},
 	"reset": {[]func(*Store) error{
 		func(s *Store) error { return s.Begin(fullImage(1, 1)) },
 		func(s *Store) error {
@@ -67,7 +68,8 @@
 	}
 }
 
-// Guards against a keeper that cannot open, or reads otherwise, the directory that an earlier build of this release wrote.
+// TestOpensTheDirectoryOfAnEarlierBuild guards against a replica that cannot open, or reads otherwise, the directory that an earlier build
+// of this release wrote.
 func TestOpensTheDirectoryOfAnEarlierBuild(t *testing.T) {
 	for name, d := range directories {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +84,8 @@
 	}
 }
 
-// Guards against a keeper's directory whose bytes have changed: an earlier build must read it after a step back.
+// TestWritesTheDirectoryOfAnEarlierBuild guards against a directory whose bytes have changed: an earlier build must read it after a
+// rollback.
 func TestWritesTheDirectoryOfAnEarlierBuild(t *testing.T) {
 	for name, d := range directories {
 		t.Run(name, func(t *testing.T) {
@@ -115,6 +118,7 @@
 	}
 }
 
+// TestIdentityKeepsItsForm guards against an identity whose JSON has changed.
 func TestIdentityKeepsItsForm(t *testing.T) {
 	var i Identity
 	require.NoError(t, json.Unmarshal([]byte(identityText), &i))
--- a/internal/node/consensus/storage/storage_test.go
+++ b/internal/node/consensus/storage/storage_test.go
@@ -17,25 +17,25 @@
 
 var errDisk = errors.New("the disk failed")
 
-// faulty is a folder whose disk is full after so many bytes.
-type faulty struct {
+// fullDisk is a folder whose disk is full after free bytes.
+type fullDisk struct {
 	wal.Folder
-	room *int
+	free *int
 }
 
-func (f faulty) Create(name string) (wal.File, error) {
+func (f fullDisk) Create(name string) (wal.File, error) {
 	out, err := f.Folder.Create(name)
-	return faultyFile{out, f.room}, err
+	return fullDiskFile{out, f.free}, err
 }
 
-type faultyFile struct {
+type fullDiskFile struct {
 	wal.File
-	room *int
+	free *int
 }
 
-func (f faultyFile) Write(b []byte) (int, error) {
-	n := min(len(b), *f.room)
-	*f.room -= n
+func (f fullDiskFile) Write(b []byte) (int, error) {
+	n := min(len(b), *f.free)
+	*f.free -= n
 	if _, err := f.File.Write(b[:n]); err != nil || n == len(b) {
 		return n, err
 	}
@@ -54,7 +54,7 @@
 	return &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}
 }
 
-// steps are what a member may ask of its disk: entries, entries of a later term in place of some, an image of its own with
+// steps are what a member does with its disk: entries, entries of a later term in place of some, an image of its own with
 // a trail, and one of the leader's in place of all.
 var steps = []func(*Store) error{
 	func(s *Store) error { return s.Begin(image(1, 1)) },
@@ -77,13 +77,13 @@
 	func(s *Store) error { return s.Keep(image(21, 3), 100) },
 }
 
-// picture is what a member would begin with.
-type picture struct {
+// savedState is what a member would go on from.
+type savedState struct {
 	image, from, term, vote, commit uint64
 	entries                         [][2]uint64
 }
 
-func of(s member.Saved) (p picture) {
+func stateOf(s member.Saved) (p savedState) {
 	p.image, p.from = s.Image.GetMetadata().GetIndex(), s.From.GetIndex()
 	p.term, p.vote, p.commit = s.Hard.GetTerm(), s.Hard.GetVote(), s.Hard.GetCommit()
 	for _, e := range s.Entries {
@@ -92,10 +92,10 @@
 	return p
 }
 
-// covers tells whether nothing that had lasted before a failed step is gone after it: the state is that of before, that of
-// after, or on the way between.
-func (p picture) covers(before, after picture) bool {
-	last := func(p picture) uint64 {
+// covers reports whether nothing that was durable before a failed step is lost after it: the state is that of before, that of after, or
+// one between.
+func (p savedState) covers(before, after savedState) bool {
+	last := func(p savedState) uint64 {
 		if n := len(p.entries); n > 0 {
 			return p.entries[n-1][0]
 		}
@@ -106,7 +106,7 @@
 			continue
 		}
 		if !slices.ContainsFunc(p.entries, func(o [2]uint64) bool { return o[0] <= e[0] && o[1] > e[1] }) && !slices.Contains(after.entries, e) {
-			continue // the step itself puts others in its place
+			continue // the step itself replaces it
 		}
 		if slices.Contains(after.entries, e) {
 			return false
@@ -116,35 +116,35 @@
 		(p.term != before.term || p.vote == before.vote)
 }
 
-// Guards against votes and entries that are forgotten where the disk is full at any byte of any step, against a folder that
-// does not open then, and against one that does not go on.
-func TestEveryCut(t *testing.T) {
+// TestFullDiskAtAnyByteLosesNothingDurable guards against votes and entries that are lost where the disk is full at any byte of any step,
+// against a directory that does not open then, and against one that cannot be written to any more.
+func TestFullDiskAtAnyByteLosesNothingDurable(t *testing.T) {
 	for step := range steps {
-		for room := 0; ; room += 3 {
-			dir, left := t.TempDir(), 1<<30
-			s, err := Open(dir, "f", "a", true, func(f wal.Folder) wal.Folder { return faulty{f, &left} })
+		for capacity := 0; ; capacity += 3 {
+			dir, free := t.TempDir(), 1<<30
+			s, err := Open(dir, "f", "a", true, func(f wal.Folder) wal.Folder { return fullDisk{f, &free} })
 			require.NoError(t, err)
 			for _, do := range steps[:step] {
 				require.NoError(t, do(s))
 			}
-			before := of(s.Saved())
-			left = room
+			before := stateOf(s.Saved())
+			free = capacity
 			err = steps[step](s)
-			after := of(s.Saved())
-			_ = s.Close() // what was cut off is not written behind
-			again, err2 := Open(dir, "f", "a", true, nil)
-			require.NoError(t, err2, "step %d cut at byte %d", step, room)
-			got := of(again.Saved())
+			after := stateOf(s.Saved())
+			_ = s.Close() // nothing is written after what was cut off
+			again, reopenErr := Open(dir, "f", "a", true, nil)
+			require.NoError(t, reopenErr, "step %d cut at byte %d", step, capacity)
+			got := stateOf(again.Saved())
 			assert.Equal(t, s.ID, again.ID)
 			assert.Equal(t, uint64(2), again.Starts)
 			if err == nil {
-				got.from, after.from = 0, 0 // nothing depends on which entry before the first is known
+				got.from, after.from = 0, 0 // what the first entry follows is not needed
 				assert.Equal(t, after, got, "step %d", step)
 				require.NoError(t, again.Close())
 				break
 			}
 			require.ErrorIs(t, err, errDisk)
-			assert.True(t, got.covers(before, after), "step %d cut at byte %d: %+v after %+v", step, room, got, before)
+			assert.True(t, got.covers(before, after), "step %d cut at byte %d: %+v after %+v", step, capacity, got, before)
 			if got.image > 0 {
 				last := got.image
 				if n := len(got.entries); n > 0 {
@@ -163,9 +163,9 @@
 	}
 }
 
-// Guards against a member that votes from a folder that lacks what it had promised, that is another's, or that a second
-// process has open.
-func TestRefuses(t *testing.T) {
+// TestOpenRefusesDamagedForeignAndLockedDirectories guards against a member that votes from a directory which lacks what it had
+// acknowledged, belongs to another, or is open in a second process.
+func TestOpenRefusesDamagedForeignAndLockedDirectories(t *testing.T) {
 	fill := func() (string, *Store) {
 		dir := t.TempDir()
 		s, err := Open(dir, "f", "a", false, nil)
