--- a/internal/node/consensus/transport/golden_test.go
+++ b/internal/node/consensus/transport/golden_test.go
@@ -10,17 +10,17 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against first words whose JSON has changed, in any of their fields.
+// TestEncodedTypesKeepTheirForm guards against a handshake whose JSON has changed, in any of its fields.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Hello](t, "hello")
 	golden.JSON[Welcome](t, "welcome")
 }
 
-// Guards against frames that an earlier build of this release does not read, or that it wrote and this one does not read: one of each
-// kind, and a message of two parts.
+// TestFramesOfAnEarlierBuild guards against frames that an earlier build of this release does not read, or that it wrote and this one
+// does not read: one of each kind, and a message of two frames.
 func TestFramesOfAnEarlierBuild(t *testing.T) {
 	kinds := []Kind{KindHello, KindAnswer, KindRaft, KindRequest, KindRaft}
-	messages := [][]byte{[]byte(`{"fleet":"morava"}`), []byte("an answer"), {0, 1, 2, 255}, {}, bytes.Repeat([]byte("part"), maxFrame/4+1)}
+	messages := [][]byte{[]byte(`{"fleet":"morava"}`), []byte("an answer"), {0, 1, 2, 255}, {}, bytes.Repeat([]byte("part"), maxFrameBytes/4+1)}
 	var frames []byte
 	for i, kind := range kinds {
 		frames = Append(frames, kind, messages[i])
@@ -28,10 +28,10 @@
 	golden.Check(t, "frames", frames)
 	earlier := golden.File(t, "frames", nil)
 	near, far := net.Pipe()
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	go func() {
-		defer far.Close()
-		_, _ = far.Write(earlier) // the reader tells
+		defer func() { _ = far.Close() }()
+		_, _ = far.Write(earlier) // the reader sees an error
 	}()
 	c := NewConn(near)
 	for i, want := range kinds {
--- a/internal/node/consensus/transport/sender.go
+++ b/internal/node/consensus/transport/sender.go
@@ -8,60 +8,65 @@
 	"time"
 )
 
-// Limits of a sender.
+// Limits are the parameters of a Sender.
 type Limits struct {
 	Bytes      int           // that may wait for a slow peer
-	Write      time.Duration // in which it must take something
-	FirstPause time.Duration // between attempts to connect; doubles, and is spread by half
+	Write      time.Duration // in which the peer must take some of what is sent
+	FirstPause time.Duration // between attempts to connect; doubles after each, and is spread by half
 	LastPause  time.Duration
 }
 
-// Sender keeps one connection to a peer and sends what it is given, in order, or drops it. Its methods never wait.
+// Sender keeps a connection to a peer and sends messages to it, in order, or drops them. Its methods never block, and may be
+// called on any goroutine.
 type Sender struct {
-	limits Limits
-	dial   func() (*Conn, error) // connects; it is called on the sender's goroutine
-	lost   func()                // something was dropped
-	note   func(err error)       // connecting failed, once until it works; nil = it works again
-
-	mu     sync.Mutex
-	queue  []parcel
-	bytes  int
-	over   bool // nothing is taken any more
-	wake   chan struct{}
-	again  chan struct{}
-	done   chan struct{}
-	once   sync.Once
+	limits       Limits
+	dial         func() (*Conn, error)
+	onDrop       func()
+	onConnection func(err error)
+
+	wake      chan struct{} // the queue is not empty
+	retry     chan struct{} // ends the pause between two attempts
+	done      chan struct{} // closed by Close
+	closeOnce sync.Once
+	up        atomic.Bool
+	sentBytes atomic.Uint64 // bytes sent
+
+	mu     sync.Mutex // guards what follows
+	queue  []outgoing
+	bytes  int  // in the queue
+	closed bool // the queue takes nothing any more
 	conn   *Conn
-	up     atomic.Bool
-	passed atomic.Uint64
 }
 
-// parcel is a message, and who wants to know whether it was sent.
-type parcel struct {
+// outgoing is a message in the queue.
+type outgoing struct {
 	kind    Kind
 	message []byte
-	sent    func(ok bool)
+	sent    func(ok bool) // nil = nobody wants to know
 }
 
-// NewSender makes one that runs until Close.
-func NewSender(limits Limits, dial func() (*Conn, error), lost func(), note func(error)) *Sender {
-	s := &Sender{limits: limits, dial: dial, lost: lost, note: note, wake: make(chan struct{}, 1),
-		again: make(chan struct{}, 1), done: make(chan struct{})}
+// NewSender returns a sender that runs until Close. dial connects, and runs on the sender's goroutine. onDrop is called for each
+// message that is dropped, on any goroutine. onConnection is called with the error of the first attempt to connect that fails, and with
+// nil once one succeeds again.
+func NewSender(limits Limits, dial func() (*Conn, error), onDrop func(), onConnection func(err error)) *Sender {
+	s := &Sender{limits: limits, dial: dial, onDrop: onDrop, onConnection: onConnection, wake: make(chan struct{}, 1),
+		retry: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Send takes a message; sent is called with what became of it, nil = nobody wants to know.
-func (s *Sender) Send(kind Kind, message []byte, sent func(bool)) {
+// Send queues a message, or drops it where the queue is full. If sent is not nil, it is called once, on any goroutine, perhaps
+// before Send returns: with true when the message was handed to the kernel, with false when it was dropped.
+func (s *Sender) Send(kind Kind, message []byte, sent func(ok bool)) {
 	s.mu.Lock()
-	fits := !s.over && (len(s.queue) == 0 || s.bytes+len(message) <= s.limits.Bytes)
+	fits := !s.closed && (len(s.queue) == 0 || s.bytes+len(message) <= s.limits.Bytes)
 	if fits {
-		s.queue = append(s.queue, parcel{kind, message, sent})
+		s.queue = append(s.queue, outgoing{kind, message, sent})
 		s.bytes += len(message)
 	}
 	s.mu.Unlock()
 	if !fits {
-		s.drop(parcel{sent: sent})
+		s.drop(outgoing{sent: sent})
 		return
 	}
 	select {
@@ -70,37 +75,39 @@
 	}
 }
 
-func (s *Sender) drop(p parcel) {
-	if p.sent != nil {
-		p.sent(false)
+func (s *Sender) drop(messages ...outgoing) {
+	for _, m := range messages {
+		if m.sent != nil {
+			m.sent(false)
+		}
+		s.onDrop()
 	}
-	s.lost()
 }
 
-// Up tells whether there is a connection, and how many bytes went out.
-func (s *Sender) Up() (up bool, bytes uint64) { return s.up.Load(), s.passed.Load() }
+// Up reports whether there is a connection, and how many bytes were sent since NewSender.
+func (s *Sender) Up() (up bool, bytes uint64) { return s.up.Load(), s.sentBytes.Load() }
 
-// Retry ends the pause between two attempts to connect: the peer has been heard of.
+// Retry ends the pause between two attempts to connect, because the peer is known to be there.
 func (s *Sender) Retry() {
 	select {
-	case s.again <- struct{}{}:
+	case s.retry <- struct{}{}:
 	default:
 	}
 }
 
-// Close ends it; what waits is dropped.
+// Close ends the sender. What is queued is dropped.
 func (s *Sender) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.done)
 		s.mu.Lock()
+		defer s.mu.Unlock()
 		if s.conn != nil {
 			_ = s.conn.Close()
 		}
-		s.mu.Unlock()
 	})
 }
 
-func (s *Sender) closed() bool {
+func (s *Sender) isDone() bool {
 	select {
 	case <-s.done:
 		return true
@@ -109,46 +116,36 @@
 	}
 }
 
-func (s *Sender) take() (list []parcel) {
+// takeQueue empties the queue and returns its messages.
+func (s *Sender) takeQueue() []outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list, s.queue, s.bytes = s.queue, nil, 0
-	return list
+	messages := s.queue
+	s.queue, s.bytes = nil, 0
+	return messages
 }
 
 func (s *Sender) run() {
-	defer func() { // whoever waits to hear of an image would wait for ever
+	defer func() { // whoever waits to learn whether an image was sent must not wait for ever
 		s.mu.Lock()
-		s.over = true
+		s.closed = true
 		s.mu.Unlock()
-		for _, p := range s.take() {
-			s.drop(p)
-		}
+		s.drop(s.takeQueue()...)
 	}()
 	pause, failed := s.limits.FirstPause, false
-	for !s.closed() {
+	for !s.isDone() {
 		c, err := s.dial()
 		if err != nil {
 			if !failed {
-				s.note(err)
+				s.onConnection(err)
 				failed = true
 			}
-			for _, p := range s.take() { // it is old when there is a connection
-				s.drop(p)
-			}
-			t := time.NewTimer(pause/2 + rand.N(pause))
-			select {
-			case <-t.C:
-				pause = min(2*pause, s.limits.LastPause)
-			case <-s.again:
-				pause = s.limits.FirstPause
-			case <-s.done:
-			}
-			t.Stop()
+			s.drop(s.takeQueue()...) // it would be outdated by the time there is a connection
+			pause = s.backOff(pause)
 			continue
 		}
 		if failed {
-			s.note(nil)
+			s.onConnection(nil)
 		}
 		pause, failed = s.limits.FirstPause, false
 		s.mu.Lock()
@@ -161,11 +158,26 @@
 	}
 }
 
-// serve sends until the connection breaks, which is seen at once by a reader that waits for nothing else.
+// backOff waits before the next attempt to connect, and returns the pause after that one.
+func (s *Sender) backOff(pause time.Duration) time.Duration {
+	t := time.NewTimer(pause/2 + rand.N(pause))
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return min(2*pause, s.limits.LastPause)
+	case <-s.retry:
+		return s.limits.FirstPause
+	case <-s.done:
+		return pause
+	}
+}
+
+// serve sends until the connection breaks. A goroutine that reads sees that at once: a peer says nothing to a sender, so that
+// whatever comes ends the connection.
 func (s *Sender) serve(c *Conn) {
 	broken := make(chan struct{})
 	go func() {
-		_, _, _ = c.Read() // nothing is said to a sender: whatever comes, it is over
+		_, _, _ = c.Read()
 		_ = c.Close()
 		close(broken)
 	}()
@@ -179,39 +191,37 @@
 		case <-s.done:
 			return
 		}
-		list := s.take()
-		for len(list) > 0 {
+		messages := s.takeQueue()
+		for len(messages) > 0 {
 			n := 0
-			for frames = frames[:0]; n < len(list) && (n == 0 || len(frames) < maxFrame); n++ {
-				frames = Append(frames, list[n].kind, list[n].message)
+			for frames = frames[:0]; n < len(messages) && (n == 0 || len(frames) < maxFrameBytes); n++ {
+				frames = Append(frames, messages[n].kind, messages[n].message)
 			}
 			if err := s.write(c, frames); err != nil {
-				for _, p := range list {
-					s.drop(p)
-				}
+				s.drop(messages...)
 				return
 			}
-			for _, p := range list[:n] {
-				if p.sent != nil {
-					p.sent(true)
+			for _, m := range messages[:n] {
+				if m.sent != nil {
+					m.sent(true)
 				}
 			}
-			list = list[n:]
+			messages = messages[n:]
 		}
-		if cap(frames) > 4*maxFrame {
-			frames = nil
+		if cap(frames) > 4*maxFrameBytes {
+			frames = nil // a large message should not hold its memory
 		}
 	}
 }
 
-// write sends frames in pieces, each within the limit: a slow peer is waited for as long as it takes something.
+// write writes frames in pieces, each within the limit: a slow peer is waited for as long as it takes something.
 func (s *Sender) write(c *Conn, frames []byte) error {
 	for len(frames) > 0 {
-		n := min(len(frames), maxFrame)
-		if err := c.write(frames[:n], s.limits.Write); err != nil {
+		n := min(len(frames), maxFrameBytes)
+		if err := c.writeFrames(frames[:n], s.limits.Write); err != nil {
 			return errors.Join(err, c.Close())
 		}
-		s.passed.Add(uint64(n))
+		s.sentBytes.Add(uint64(n))
 		frames = frames[n:]
 	}
 	return nil
--- a/internal/node/consensus/transport/sender_test.go
+++ b/internal/node/consensus/transport/sender_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a message of whose fate nobody hears since its sender was closed: a leader that waits to hear of an image sends its
-// member nothing else.
-func TestFateIsTold(t *testing.T) {
-	dialled, fates := make(chan struct{}), make(chan bool, 3)
+// TestSenderReportsEveryDroppedMessage guards against a message whose outcome is never reported because its sender was closed: a leader
+// that waits for the outcome of an image sends its member nothing else.
+func TestSenderReportsEveryDroppedMessage(t *testing.T) {
+	dialled, outcomes := make(chan struct{}), make(chan bool, 3)
 	hold := make(chan struct{})
 	s := NewSender(Limits{Bytes: 1 << 20, Write: time.Second, FirstPause: time.Hour, LastPause: time.Hour},
 		func() (*Conn, error) { close(dialled); <-hold; return nil, errors.New("nobody is there") }, func() {}, func(error) {})
-	told := func(ok bool) { fates <- ok }
+	sent := func(ok bool) { outcomes <- ok }
 	<-dialled
-	s.Send(KindRaft, []byte("while it connects"), told)
+	s.Send(KindRaft, []byte("while it connects"), sent)
 	close(hold)
-	assert.False(t, <-fates)
-	s.Send(KindRaft, []byte("in the pause"), told)
+	assert.False(t, <-outcomes)
+	s.Send(KindRaft, []byte("in the pause"), sent)
 	s.Close()
-	assert.False(t, <-fates)
-	s.Send(KindRaft, []byte("after the end"), told)
-	assert.False(t, <-fates)
+	assert.False(t, <-outcomes)
+	s.Send(KindRaft, []byte("after the end"), sent)
+	assert.False(t, <-outcomes)
 }
 
-// Guards against a sender that waits out a long pause although its peer has been heard of.
-func TestAgain(t *testing.T) {
+// TestRetryEndsThePause guards against a sender that waits out a long pause although its peer is known to be there.
+func TestRetryEndsThePause(*testing.T) {
 	dialled := make(chan struct{})
 	s := NewSender(Limits{Bytes: 1 << 20, Write: time.Second, FirstPause: time.Hour, LastPause: time.Hour},
 		func() (*Conn, error) { dialled <- struct{}{}; return nil, errors.New("nobody is there") }, func() {}, func(error) {})
--- a/internal/node/consensus/transport/transport_test.go
+++ b/internal/node/consensus/transport/transport_test.go
@@ -12,20 +12,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a message that comes otherwise than it was sent, and against a peer that has memory taken for what it claims, that goes
-// on without an end, that changes a byte, or breaks off in the middle, and is heard all the same.
-func TestFrames(t *testing.T) {
+// TestReadRejectsWhatWasNotSent guards against a message that arrives otherwise than it was sent, and against accepting a peer that claims a
+// length to make this end allocate, never ends a message, changes a byte, or breaks off in the middle.
+func TestReadRejectsWhatWasNotSent(t *testing.T) {
 	read := func(raw []byte) (Kind, string, error) {
 		near, far := net.Pipe()
-		defer near.Close()
+		defer func() { _ = near.Close() }()
 		go func() {
-			_, _ = far.Write(raw) // or it hung up
+			_, _ = far.Write(raw) // the reader may have closed
 			_ = far.Close()
 		}()
 		kind, message, err := NewConn(near).Read()
 		return kind, string(message), err
 	}
-	for _, n := range []int{0, 1, maxFrame - 1, maxFrame, maxFrame + 1, 3*maxFrame + 5} {
+	for _, n := range []int{0, 1, maxFrameBytes - 1, maxFrameBytes, maxFrameBytes + 1, 3*maxFrameBytes + 5} {
 		sent := strings.Repeat("linenwheel", n/10+1)[:n]
 		raw := Append(nil, KindRaft, []byte(sent))
 		kind, got, err := read(raw)
@@ -41,7 +41,7 @@
 			require.Error(t, err, "cut at %d of %d", at, len(raw))
 		}
 	}
-	frame := Append(nil, KindRaft|part, make([]byte, maxFrame))
+	frame := Append(nil, KindRaft|more, make([]byte, maxFrameBytes))
 	claim := append(binary.BigEndian.AppendUint32(nil, 2<<30), make([]byte, 9)...)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -53,8 +53,8 @@
 	require.ErrorIs(t, err, ErrFrame, "another kind goes on")
 
 	near, far := net.Pipe()
-	defer near.Close()
-	go func() { // parts without an end
+	defer func() { _ = near.Close() }()
+	go func() { // frames without an end
 		for far.SetWriteDeadline(time.Now().Add(time.Minute)) == nil {
 			if _, err := far.Write(frame); err != nil {
 				return
