--- a/internal/node/consensus/backup/backup.go
+++ b/internal/node/consensus/backup/backup.go
@@ -1,5 +1,5 @@
-// Package backup writes and reads the files that hold all that a fleet has agreed on, for keeping elsewhere: a line of JSON that says
-// whose it is, and the ledger's image.
+// Package backup writes and reads backups of the agreed state: a line of JSON that says whose it is, and an image of
+// package statemachine.
 package backup
 
 import (
@@ -12,20 +12,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// form is that of the files; a later one is not read.
-const form = 1
+// Errors of Read.
+var (
+	// ErrForm says that a file is no backup, or one of a later release.
+	ErrForm = errors.New("is no copy of what a fleet agreed on, or one of a later release")
+	// ErrDamaged says that a backup's checksum is wrong.
+	ErrDamaged = errors.New("is damaged")
+)
+
+// version is the newest version of the files that this release reads.
+const version = 1
 
-// head is the first line.
-type head struct {
-	Copy  int    `json:"linenwheel_copy"`
+// header is the first line of a backup.
+type header struct {
+	Copy  int    `json:"linenwheel_copy"` // version
 	Fleet string `json:"fleet"`
 	Index uint64 `json:"index"`
 	Sum   uint64 `json:"sum"` // xxhash of the image
 }
 
-// Write puts an image as of an entry into a file that must not be there; it is on the disk when Write returns.
+// Write writes an image, as of the entry with this index, to a file that must not exist, and syncs the file.
 func Write(file, fleet string, index uint64, image []byte) error {
-	text, err := json.Marshal(head{form, fleet, index, xxhash.Sum64(image)})
+	text, err := json.Marshal(header{version, fleet, index, xxhash.Sum64(image)})
 	if err != nil {
 		return err
 	}
@@ -39,19 +47,19 @@
 	return errors.Join(err, f.Close())
 }
 
-// Read gives what Write has put there.
+// Read reads what Write has written. The error wraps ErrForm or ErrDamaged, or is the file's.
 func Read(file string) (fleet string, index uint64, image []byte, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return "", 0, nil, err
 	}
 	first, image, _ := bytes.Cut(text, []byte("\n"))
-	var h head
+	var h header
 	switch {
-	case json.Unmarshal(first, &h) != nil || h.Copy < 1 || h.Copy > form:
-		return "", 0, nil, fmt.Errorf("%s is no copy of what a fleet agreed on, or one of a later release", file)
+	case json.Unmarshal(first, &h) != nil || h.Copy < 1 || h.Copy > version:
+		return "", 0, nil, fmt.Errorf("%s %w", file, ErrForm)
 	case h.Sum != xxhash.Sum64(image):
-		return "", 0, nil, fmt.Errorf("%s is damaged", file)
+		return "", 0, nil, fmt.Errorf("%s %w", file, ErrDamaged)
 	}
 	return h.Fleet, h.Index, image, nil
 }
--- a/internal/node/consensus/backup/backup_test.go
+++ b/internal/node/consensus/backup/backup_test.go
@@ -1,6 +1,7 @@
 package backup
 
 import (
+	"bytes"
 	"os"
 	"path/filepath"
 	"testing"
@@ -10,7 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against a backup that an earlier build of this release wrote and this one does not read, or the other way round.
+// TestReadsAndWritesTheBackupOfAnEarlierBuild guards against a backup that an earlier build of this release wrote and this one does not
+// read, or the other way round.
 func TestReadsAndWritesTheBackupOfAnEarlierBuild(t *testing.T) {
 	image := []byte("{\"version\":2}\n\x00\x01\xff")
 	file := filepath.Join(t.TempDir(), "backup")
@@ -24,3 +26,28 @@
 	require.Equal(t, uint64(42), index)
 	require.Equal(t, image, got)
 }
+
+// TestReadRejectsWhatIsNoBackup guards against recovering a fleet from a file that is damaged, of a later release, or no backup at all.
+func TestReadRejectsWhatIsNoBackup(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "backup")
+	require.NoError(t, Write(file, "morava", 42, []byte("image")))
+	text, err := os.ReadFile(file)
+	require.NoError(t, err)
+	for _, c := range []struct {
+		name string
+		text []byte
+		want error
+	}{
+		{"truncated", text[:len(text)-1], ErrDamaged},
+		{"changed", append(bytes.Clone(text[:len(text)-1]), 'x'), ErrDamaged},
+		{"later release", bytes.Replace(text, []byte(`"linenwheel_copy":1`), []byte(`"linenwheel_copy":2`), 1), ErrForm},
+		{"no backup", []byte("{}\nimage"), ErrForm},
+		{"empty", nil, ErrForm},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			require.NoError(t, os.WriteFile(file, c.text, 0o600))
+			_, _, _, err := Read(file)
+			require.ErrorIs(t, err, c.want)
+		})
+	}
+}
--- a/internal/node/consensus/client/client_test.go
+++ b/internal/node/consensus/client/client_test.go
@@ -12,22 +12,22 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Guards against nodes that start together and speak to the keepers together.
-func TestSpread(t *testing.T) {
+// TestSpreadDelaysTheFirstRequest guards against nodes that start together and call the replicas together.
+func TestSpreadDelaysTheFirstRequest(t *testing.T) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer listen.Close()
-	set := Config{Replicas: []Replica{{Name: "k0", Address: listen.Addr().String()}}, AttemptTimeout: time.Second, Spread: time.Hour}
-	begun := time.Now()
+	defer func() { _ = listen.Close() }()
+	config := Config{Replicas: []Replica{{Name: "k0", Address: listen.Addr().String()}}, AttemptTimeout: time.Second, Spread: time.Hour}
+	start := time.Now()
 	first, last := time.Hour, time.Duration(0)
 	for range 100 {
-		from := New(set).from.Sub(begun)
-		first, last = min(first, from), max(last, from)
+		delayed := New(config).notBefore.Sub(start)
+		first, last = min(first, delayed), max(last, delayed)
 	}
 	assert.Greater(t, last-first, time.Hour/2) // by chance not once in 2^90 runs
-	c := New(set)
+	c := New(config)
 	defer c.Close()
-	c.from = time.Now().Add(time.Hour)
+	c.notBefore = time.Now().Add(time.Hour)
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer stop()
 	_, err = c.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{})
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -18,24 +18,24 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// drawn is the number under which a session is opened, which is drawn by chance.
-var drawn = regexp.MustCompile(`"n":\d{10,}`)
+// randomNumber matches the number of a command that opens a session.
+var randomNumber = regexp.MustCompile(`"n":\d{10,}`)
 
-// Guards against a client whose first word or requests, of any kind, have changed on the wire, or that cannot read an answer with every
-// field set.
-func TestSpeaksToAKeeperAsAnEarlierBuild(t *testing.T) {
+// TestRequestsAreThoseOfAnEarlierBuild guards against a client whose handshake or requests, of any kind, have changed on the wire, or that
+// cannot read an answer with every field set.
+func TestRequestsAreThoseOfAnEarlierBuild(t *testing.T) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer listen.Close()
-	heard, over := make(chan string, 100), make(chan error, 1)
+	defer func() { _ = listen.Close() }()
+	received, served := make(chan string, 100), make(chan error, 1)
 	go func() {
-		over <- func() error {
+		served <- func() error {
 			raw, err := listen.Accept()
 			if err != nil {
 				return err
 			}
 			c := transport.NewConn(raw)
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			hello, err := c.Accept("morava", func(transport.Hello) transport.Welcome { return transport.Welcome{Name: "keeper-1", ID: 7} })
 			if err != nil {
 				return err
@@ -44,12 +44,12 @@
 			if err != nil {
 				return err
 			}
-			for heard <- string(text); ; {
+			for received <- string(text); ; {
 				kind, text, err := c.Read()
 				if err != nil {
-					return nil // it has ended
+					return nil // the client has closed
 				}
-				heard <- fmt.Sprintf("%d %s", kind, drawn.ReplaceAll(text, []byte(`"n":0`)))
+				received <- fmt.Sprintf("%d %s", kind, randomNumber.ReplaceAll(text, []byte(`"n":0`)))
 				var r struct {
 					ID uint64 `json:"id"`
 				}
@@ -87,10 +87,10 @@
 		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
 	}
 	c.Close()
-	require.NoError(t, <-over)
-	close(heard)
+	require.NoError(t, <-served)
+	close(received)
 	var all bytes.Buffer
-	for line := range heard {
+	for line := range received {
 		all.WriteString(line + "\n")
 	}
 	golden.Check(t, "requests", all.Bytes())
--- a/internal/node/consensus/protocol/golden_test.go
+++ b/internal/node/consensus/protocol/golden_test.go
@@ -7,7 +7,7 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against requests and answers whose JSON, or whose words, have changed.
+// TestEncodedTypesKeepTheirForm guards against requests and answers whose JSON, or whose words, have changed.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Request](t, "request")
 	golden.JSON[Answer](t, "answer")
--- a/internal/node/consensus/protocol/protocol.go
+++ b/internal/node/consensus/protocol/protocol.go
@@ -1,5 +1,5 @@
-// Package protocol is what clients of the agreed log and keepers say to each other: requests with a number of their own on the
-// connection, and an answer to each, in any order.
+// Package protocol has the messages between clients of the agreed log and replicas: requests, numbered on their connection, and
+// an answer to each, in any order. They are encoded as JSON.
 package protocol
 
 import (
@@ -8,52 +8,52 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// What a request wants.
+// Requests, by Request.Want.
 const (
-	Do      = "do"      // a command agreed
-	Read    = "read"    // a question answered by what holds
-	Wait    = "wait"    // a question answered once the answer is not what is known, unchecked: a hint; the release before refuses it
-	Status  = "status"  // how this keeper does
-	Picture = "picture" // what this keeper holds of the register as it is here, however old, to compare keepers by
-	Found   = "found"   // this empty keeper to be one of the first members
-	Learn   = "learn"   // a member taken in, to vote once it has learnt
-	Remove  = "remove"  // a member taken out
-	Copy    = "copy"    // all that the keeper that leads holds, for keeping elsewhere: base64 in the reply's body
+	Do      = "do"      // propose a command, and answer once it is applied
+	Read    = "read"    // query, linearizable
+	Wait    = "wait"    // query, answered once the answer differs from Known: a long poll, whose answer is a hint; the release before refuses it
+	Status  = "status"  // the state of this replica
+	Picture = "picture" // the register as this replica has it, however old, to compare replicas by
+	Found   = "found"   // bootstrap: make this empty replica one of the first members
+	Learn   = "learn"   // add a member, as a learner that is promoted once it has caught up
+	Remove  = "remove"  // remove a member
+	Copy    = "copy"    // an image of the leader's state, for a backup: base64 in the reply's body
 )
 
-// Request is one.
+// Request is a request of a client. Want says which of the fields are used.
 type Request struct {
-	ID      uint64                `json:"id"`
+	ID      uint64                `json:"id"` // number on the connection
 	Want    string                `json:"want"`
 	Session uint64                `json:"s,omitempty"`
 	Number  uint64                `json:"n,omitempty"`
 	Done    uint64                `json:"d,omitempty"`
 	Part    string                `json:"p,omitempty"`
 	Body    json.RawMessage       `json:"b,omitempty"`
-	Known   json.RawMessage       `json:"k,omitempty"`       // the answer to a question that whoever waits has
-	Members []statemachine.Member `json:"members,omitempty"` // to found with, or the one that comes or goes
-	Now     float64               `json:"now,omitempty"`     // of the group at its founding, ms
+	Known   json.RawMessage       `json:"k,omitempty"`       // of Wait: the answer that the client has
+	Members []statemachine.Member `json:"members,omitempty"` // of Found: the first members; of Learn and Remove: the one that is added or removed
+	Now     float64               `json:"now,omitempty"`     // of Found: cluster time to begin with, ms
 }
 
-// What went wrong with a request.
+// Faults, by Answer.Fault.
 const (
-	Elsewhere = "elsewhere" // another keeper leads; Leader says which
-	Nobody    = "nobody"    // nobody leads that this keeper knows of
-	Later     = "later"     // it was not taken, or it is not known whether it was; asked again under its number, it runs once
-	Refused   = "refused"   // Text says why
+	Elsewhere = "elsewhere" // another replica leads; Leader says which
+	Nobody    = "nobody"    // this replica knows of no leader
+	Later     = "later"     // it is not known whether the command was proposed; sent again under its number, it is applied once
+	Refused   = "refused"   // rejected for good; Text says why
 )
 
-// Answer is what a request gets.
+// Answer answers the request with the same ID. Reply, State or Fault is set.
 type Answer struct {
 	ID     uint64              `json:"id"`
 	Fault  string              `json:"fault,omitempty"`
 	Text   string              `json:"text,omitempty"`
-	Leader string              `json:"leader,omitempty"` // its name
+	Leader string              `json:"leader,omitempty"` // name of the leader, if it is known
 	Reply  *statemachine.Reply `json:"reply,omitempty"`
 	State  *State              `json:"state,omitempty"`
 }
 
-// State is how a keeper does.
+// State is the state of a replica.
 type State struct {
 	Fleet     string   `json:"fleet"`
 	Name      string   `json:"name"`
@@ -65,7 +65,7 @@
 	Term      uint64   `json:"term"`
 	Committed uint64   `json:"committed"`
 	Applied   uint64   `json:"applied"`
-	Time      float64  `json:"time"` // of the group, ms
+	Time      float64  `json:"time"` // cluster time, ms
 	Changing  bool     `json:"changing"`
 	Synced    bool     `json:"synced"`
 	Sessions  int      `json:"sessions"`
@@ -75,11 +75,11 @@
 	Members   []Member `json:"members"`
 }
 
-// Member is what a keeper knows of a member.
+// Member is what a replica knows of a member.
 type Member struct {
 	statemachine.Member
-	Up    bool   `json:"up"`              // there is a connection to it
-	Match uint64 `json:"match,omitempty"` // up to which entry it holds the log; of the leader only
-	Heard bool   `json:"heard"`           // lately; of the leader only
-	Bytes uint64 `json:"bytes"`           // sent to it
+	Up    bool   `json:"up"`              // this replica is connected to it
+	Match uint64 `json:"match,omitempty"` // index up to which it is known to have the log; of the leader only
+	Heard bool   `json:"heard"`           // whether the leader has heard from it lately; of the leader only
+	Bytes uint64 `json:"bytes"`           // sent to it since the start
 }
