--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -1,8 +1,8 @@
-// Package gate is a node's adaptor to the fleet's policy: it has the lease on a number renewed, obeys what package policy says of
-// a change, and lets calls begin only while the lease lasts.
+// Package gate holds a node to the policy of its fleet: it renews the lease on the policy's number, follows what package rollout
+// says of a change, and lets calls begin only while the lease lasts.
 //
-// The lease is counted on the node's own clock from the moment before it was asked for, so that it ends here before it ends for the
-// fleet. That clock must go on while the process stands still.
+// The lease counts on the node's own clock from the moment before it was requested, so that it expires here before it does for
+// the fleet. That clock must go on while the process stands still.
 package gate
 
 import (
@@ -17,246 +17,265 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// Fleet is whom the gate asks. Its methods block until ctx ends at the most.
+// ReasonPolicy is the reason with which calls are rejected.
+const ReasonPolicy = "the fleet's policy is not known here"
+
+const lastReportTimeout = 200 * time.Millisecond // for the report that the node ends
+
+// Fleet is the rollout's machine, replicated. Its methods may block until ctx ends.
 type Fleet interface {
+	// Report sends a report and returns the order that answers it.
 	Report(ctx context.Context, r rollout.Report) (rollout.Order, error)
-	// Document gives one by its number, or by its proposal where id is not empty.
+	// Document returns a document by its number, or by its proposal if id is not empty.
 	Document(ctx context.Context, number uint64, id string) (rollout.Document, error)
-	// News tells how far the fleet is once that is not what is known; an error = it cannot be waited for now.
+	// Progress returns the progress once it differs from known; an error says that it cannot be waited for now.
 	Progress(ctx context.Context, known rollout.Progress) (rollout.Progress, error)
 }
 
-// Node is what the policy is for.
+// Node is what the policy is for. Run calls its methods one after the other.
 type Node interface {
-	Check(d rollout.Document) error    // whether the node can take it
-	Activate(d rollout.Document) error // have it in force from now on
+	Check(d rollout.Document) error    // returns why the node rejects a document
+	Activate(d rollout.Document) error // brings it into force
 }
 
-// Settings describe the gate. Times are milliseconds.
+// Settings are the parameters of a gate. Times are in ms.
 type Settings struct {
 	Name    string
 	Lease   float64
-	MaxWait float64 // that a call waits at the most
-	GoesOn  bool    // calls begin without a lease, too
-	Ready   func()  // called once the first policy is in force
+	MaxWait float64 // that a call waits for a lease
+	GoesOn  bool    // calls begin without a lease too
+	Ready   func()  // called once, when the first policy is in force
 }
 
-// ReasonPolicy is why a call is turned away.
-const ReasonPolicy = "the fleet's policy is not known here"
-
 // Gate lets calls begin. Its methods may be called from any goroutine.
 type Gate struct {
-	set   Settings
-	fleet Fleet
-	node  Node
-	clock clock.Clock
-	log   *slog.Logger
+	settings Settings
+	fleet    Fleet
+	node     Node
+	clock    clock.Clock
+	log      *slog.Logger
 
-	looked rollout.Document // at last; of Run alone
+	validated rollout.Document // the last one; of Run alone
 
-	mu          sync.Mutex
-	leaseHolder *rollout.LeaseHolder // Run alone changes it, with the lock; it reads it without
-	opened      chan struct{}        // closed when calls may begin that might not before, or the other way round
+	mu     sync.Mutex
+	holder *rollout.LeaseHolder // changed by Run alone, with the lock; Run reads it without
+	change chan struct{}        // closed, and made anew, whenever holder has changed
 }
 
-// New makes a gate that lets no call begin before Run has heard from the fleet.
-func New(set Settings, f Fleet, n Node, c clock.Clock, log *slog.Logger) *Gate {
-	return &Gate{set: set, fleet: f, node: n, clock: c, log: log, opened: make(chan struct{}),
-		leaseHolder: rollout.NewLeaseHolder(set.Name, rand.Uint64()>>1|1, set.Lease, set.GoesOn)}
+// New returns a gate. It lets no call begin before Run has an order from the fleet.
+func New(settings Settings, fleet Fleet, node Node, c clock.Clock, log *slog.Logger) *Gate {
+	return &Gate{settings: settings, fleet: fleet, node: node, clock: c, log: log, change: make(chan struct{}),
+		holder: rollout.NewLeaseHolder(settings.Name, rand.Uint64()>>1|1, settings.Lease, settings.GoesOn)}
 }
 
-// Wrap is the core.Stage.
+// Wrap is a core.Stage: it returns a handler that lets calls begin only while there is a lease.
 func (g *Gate) Wrap(next core.Handler) core.Handler {
-	return func(call *core.Call) core.Answer {
-		if a, ok := g.enter(call); !ok {
+	return func(request *core.Call) core.Answer {
+		if a, ok := g.admit(request); !ok {
 			return a
 		}
-		return next(call)
+		return next(request)
 	}
 }
 
-// enter waits until the call may begin.
-func (g *Gate) enter(call *core.Call) (a core.Answer, ok bool) {
-	g.mu.Lock()
-	open := g.leaseHolder.Open(g.clock.Now())
-	g.mu.Unlock()
-	if open {
+// admit waits until the call may begin, at most MaxWait or until its deadline. If it may not, it returns the answer to it.
+func (g *Gate) admit(request *core.Call) (a core.Answer, ok bool) {
+	if open, _ := g.open(); open {
 		return a, true
 	}
-	late := make(chan struct{})
-	stop := g.clock.At(min(call.Deadline, g.clock.Now()+g.set.MaxWait), func() { close(late) })
+	timeout := make(chan struct{})
+	stop := g.clock.At(min(request.Deadline, g.clock.Now()+g.settings.MaxWait), func() { close(timeout) })
 	defer stop()
 	for {
-		g.mu.Lock()
-		open, opened := g.leaseHolder.Open(g.clock.Now()), g.opened
-		g.mu.Unlock()
+		open, change := g.open()
 		if open {
 			return a, true
 		}
 		select {
-		case <-opened:
-		case <-late:
-			return core.Refuse(core.Busy, ReasonPolicy, g.set.Lease), false
-		case <-call.Left():
+		case <-change:
+		case <-timeout:
+			return core.Refuse(core.Busy, ReasonPolicy, g.settings.Lease), false
+		case <-request.Left():
 			return core.Answer{Kind: core.Left}, false
 		}
 	}
 }
 
-// InForce tells which number calls begin under, its document's hash, and until when on the node's clock; +Inf = whatever comes.
+// open reports whether a call may begin, and returns the channel that is closed when that may change.
+func (g *Gate) open() (open bool, change <-chan struct{}) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.holder.Open(g.clock.Now()), g.change
+}
+
+// InForce returns the number that calls begin under, its document's hash, and until when on the node's clock, ms; +Inf = without
+// a lease.
 func (g *Gate) InForce() (number uint64, hash string, until float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leaseHolder.InForce()
+	return g.holder.InForce()
 }
 
-// change has the holder take something in, and wakes the calls that wait.
-func (g *Gate) change(do func(h *rollout.LeaseHolder)) {
+// update changes the lease holder, and wakes the calls that wait.
+func (g *Gate) update(do func(h *rollout.LeaseHolder)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	do(g.leaseHolder)
-	close(g.opened)
-	g.opened = make(chan struct{})
+	do(g.holder)
+	close(g.change)
+	g.change = make(chan struct{})
 }
 
-// Run renews the lease and obeys until ctx ends; then no call begins any more, and the fleet is told.
+// Run renews the lease and follows orders until ctx ends. Then no call begins any more, and the fleet is notified.
 func (g *Gate) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause, wait := g.step(ctx)
 		if wait > 0 {
-			pause = g.wait(ctx, wait, pause)
-		}
-		if pause <= 0 {
-			continue
+			pause = g.awaitHint(ctx, wait, pause)
 		}
-		over := make(chan struct{})
-		stop := g.clock.At(g.clock.Now()+around(pause), func() { close(over) })
-		select {
-		case <-over:
-		case <-ctx.Done():
+		if pause > 0 {
+			g.sleep(ctx, spread(pause))
 		}
-		stop()
 	}
-	var leaves rollout.Report
-	g.change(func(h *rollout.LeaseHolder) { leaves = h.Leave() })
-	last, stop := context.WithTimeout(context.WithoutCancel(ctx), 200*time.Millisecond)
-	defer stop()
-	_, _ = g.fleet.Report(last, leaves) // else its lease runs out
+	var leaving rollout.Report
+	g.update(func(h *rollout.LeaseHolder) { leaving = h.Leave() })
+	lastCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastReportTimeout)
+	defer cancel()
+	_, _ = g.fleet.Report(lastCtx, leaving) // if it is lost, the lease expires
 }
 
-// around is a time of this mean: members do not report in step.
-func around(ms float64) float64 { return ms * (0.75 + rand.Float64()/2) }
-
-// wait waits for a hint, at the most until a report is due; it gives the time until then. pause is that where no hint can be waited for.
-func (g *Gate) wait(ctx context.Context, most, pause float64) float64 {
-	due := g.clock.Now() + around(most)
-	var news rollout.Progress
-	for late := true; late; { // one that was lost is not waited for until then
-		one, over := context.WithCancel(ctx)
-		stop := g.clock.At(min(due, g.clock.Now()+g.leaseHolder.RetryAfter()), over)
-		var err error
-		news, err = g.fleet.Progress(one, g.leaseHolder.Known())
-		late = one.Err() != nil
-		stop()
-		over()
-		switch {
-		case late && (ctx.Err() != nil || g.clock.Now() >= due):
-			return 0
-		case !late && err != nil:
-			return pause
-		}
-	}
-	var next rollout.Step
-	g.change(func(h *rollout.LeaseHolder) { next = h.Observe(news) })
-	if next.Paused {
-		g.held(news.Change)
-	}
-	if next.Activate {
-		take, stop := context.WithTimeout(ctx, time.Duration(g.set.Lease*1e6))
-		defer stop()
-		return g.take(take, next.Number, next.Hash)
+// sleep waits for some ms, or until ctx ends.
+func (g *Gate) sleep(ctx context.Context, ms float64) {
+	done := make(chan struct{})
+	stop := g.clock.At(g.clock.Now()+ms, func() { close(done) })
+	defer stop()
+	select {
+	case <-done:
+	case <-ctx.Done():
 	}
-	return next.Pause
 }
 
-func (g *Gate) held(id string) {
-	g.log.Info("calls are held: a change of the policy takes hold", "proposal", id)
+// spread returns a random time with this mean, so that members do not report in step.
+func spread(ms float64) float64 { return ms * (0.75 + rand.Float64()/2) }
+
+// requestContext returns the context of a round of requests to the fleet: what takes longer than a lease is of no use.
+func (g *Gate) requestContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, time.Duration(g.settings.Lease*1e6))
 }
 
-// step reports once and obeys; it gives the time until the next report, 0 = at once, and for how long a hint may be waited for
-// in its place.
+// step sends one report and follows the order. It returns the ms until the next report, 0 = at once, and for how many ms a hint may
+// be waited for instead, 0 = not.
 func (g *Gate) step(ctx context.Context) (pause, wait float64) {
-	asked := g.clock.Now()
-	one, stop := context.WithTimeout(ctx, time.Duration(g.set.Lease*1e6))
-	defer stop()
-	o, err := g.fleet.Report(one, g.leaseHolder.Report())
-	lapsed, number := false, uint64(0)
-	g.mu.Lock()
-	if lapsed = g.leaseHolder.Lapsed(g.clock.Now()); lapsed {
-		number, _, _ = g.leaseHolder.InForce()
-	}
-	g.mu.Unlock()
-	if lapsed {
-		g.log.Warn("the lease on the policy has run out: calls are turned away", "number", number)
-	}
+	sent := g.clock.Now()
+	ctx, cancel := g.requestContext(ctx)
+	defer cancel()
+	o, err := g.fleet.Report(ctx, g.holder.Report())
+	g.logLapse()
 	if err != nil {
-		return g.leaseHolder.RetryAfter(), 0
+		return g.holder.RetryAfter(), 0
 	}
 	var next rollout.Step
-	g.change(func(h *rollout.LeaseHolder) { next = h.Obey(asked, o) })
+	g.update(func(h *rollout.LeaseHolder) { next = h.Obey(sent, o) })
 	if next.Renewed {
 		g.log.Info("the lease on the policy is renewed: calls begin again", "number", o.Number)
 	}
 	if next.Known {
 		g.log.Info("the fleet's policy is known", "number", o.Number, "hash", o.Hash)
-		g.set.Ready()
+		g.settings.Ready()
 	}
 	switch {
 	case next.Activate:
-		return g.take(one, next.Number, next.Hash), 0
+		return g.activate(ctx, next.Number, next.Hash), 0
 	case next.Look != "":
-		return g.look(one, next.Look), 0
+		return g.validate(ctx, next.Look), 0
 	case next.Paused:
-		g.held(o.Change)
+		g.logPause(o.Change)
 	}
 	return next.Pause, next.Wait
 }
 
-// look tells whether the node can take a document; it gives the time until the next report.
-func (g *Gate) look(ctx context.Context, id string) (pause float64) {
+// logLapse logs, once, that the lease has expired.
+func (g *Gate) logLapse() {
+	g.mu.Lock()
+	lapsed := g.holder.Lapsed(g.clock.Now())
+	number, _, _ := g.holder.InForce()
+	g.mu.Unlock()
+	if lapsed {
+		g.log.Warn("the lease on the policy has run out: calls are turned away", "number", number)
+	}
+}
+
+func (g *Gate) logPause(id string) {
+	g.log.Info("calls are held: a change of the policy takes hold", "proposal", id)
+}
+
+// awaitHint waits for a hint, for maxWait ms at most, and follows it. It returns the ms until the next report; pause is returned
+// where no hint can be waited for.
+func (g *Gate) awaitHint(ctx context.Context, maxWait, pause float64) float64 {
+	due := g.clock.Now() + spread(maxWait)
+	var hint rollout.Progress
+	for timedOut := true; timedOut; { // several requests, so that a lost one costs RetryAfter and not maxWait
+		requestCtx, cancel := context.WithCancel(ctx)
+		stop := g.clock.At(min(due, g.clock.Now()+g.holder.RetryAfter()), cancel)
+		var err error
+		hint, err = g.fleet.Progress(requestCtx, g.holder.Known())
+		timedOut = requestCtx.Err() != nil
+		stop()
+		cancel()
+		switch {
+		case timedOut && (ctx.Err() != nil || g.clock.Now() >= due):
+			return 0
+		case !timedOut && err != nil:
+			return pause
+		}
+	}
+	var next rollout.Step
+	g.update(func(h *rollout.LeaseHolder) { next = h.Observe(hint) })
+	if next.Paused {
+		g.logPause(hint.Change)
+	}
+	if next.Activate {
+		ctx, cancel := g.requestContext(ctx)
+		defer cancel()
+		return g.activate(ctx, next.Number, next.Hash)
+	}
+	return next.Pause
+}
+
+// validate fetches a proposal's document and has the node check it. It returns the ms until the next report.
+func (g *Gate) validate(ctx context.Context, id string) (pause float64) {
 	d, err := g.fleet.Document(ctx, 0, id)
 	unseen := err != nil
 	if !unseen {
-		g.looked = d
+		g.validated = d
 		if err = g.node.Check(d); err != nil {
 			g.log.Warn("this node cannot take a policy that was proposed", "proposal", id, "error", err)
 		} else {
 			g.log.Info("this node can take a policy that was proposed", "proposal", id, "hash", d.Hash)
 		}
 	}
-	g.change(func(h *rollout.LeaseHolder) { pause = h.Saw(id, unseen, err) })
+	g.update(func(h *rollout.LeaseHolder) { pause = h.Saw(id, unseen, err) })
 	return pause
 }
 
-// take has a policy in force, while no call begins; it gives the time until the next report. The document that was looked at last is
-// not asked for again.
-func (g *Gate) take(ctx context.Context, number uint64, hash string) (pause float64) {
+// activate brings a policy into force, while no call begins. It returns the ms until the next report. The document that was
+// validated last is not fetched again; number 0 has none.
+func (g *Gate) activate(ctx context.Context, number uint64, hash string) (pause float64) {
 	d := rollout.Document{}
-	if hash != "" && hash == g.looked.Hash {
-		d = g.looked
+	if hash != "" && hash == g.validated.Hash {
+		d = g.validated
 		d.Number = number
 	} else if number > 0 {
 		var err error
 		if d, err = g.fleet.Document(ctx, number, ""); err != nil {
-			return g.leaseHolder.RetryAfter()
+			return g.holder.RetryAfter()
 		}
 	}
 	if err := g.node.Activate(d); err != nil {
 		g.log.Error("this node cannot take the policy that holds: it begins no calls", "number", number, "error", err)
-		g.change(func(h *rollout.LeaseHolder) { pause = h.Failed(number) })
+		g.update(func(h *rollout.LeaseHolder) { pause = h.Failed(number) })
 		return pause
 	}
-	g.change(func(h *rollout.LeaseHolder) { h.Activated(number, d.Hash) })
+	g.update(func(h *rollout.LeaseHolder) { h.Activated(number, d.Hash) })
 	g.log.Info("a policy is in force", "number", number, "hash", d.Hash, "by", d.By)
 	return 0
 }
--- a/internal/node/rollout/gate/gate_test.go
+++ b/internal/node/rollout/gate/gate_test.go
@@ -16,34 +16,34 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// scripted is a fleet that gives one order after the other, and a node that takes what it is given.
-type scripted struct {
-	orders []rollout.Order
-	said   []rollout.Report
-	fault  error
-	hints  chan rollout.Progress // closed = it cannot be waited for
-	taken  []uint64
-	asked  int // for documents
-	waits  int
-	cannot error
+// script is a fleet that gives one order after the other, and a node that activates what it is given.
+type script struct {
+	orders      []rollout.Order
+	reports     []rollout.Report
+	checkErr    error
+	hints       chan rollout.Progress // closed = they cannot be waited for
+	activated   []uint64
+	fetches     int // of documents
+	waits       int
+	activateErr error
 }
 
-func (s *scripted) Report(_ context.Context, r rollout.Report) (rollout.Order, error) {
-	s.said = append(s.said, r)
+func (s *script) Report(_ context.Context, r rollout.Report) (rollout.Order, error) {
+	s.reports = append(s.reports, r)
 	if len(s.orders) == 0 {
-		return rollout.Order{}, errors.New("nobody answers")
+		return rollout.Order{}, errors.New("no answer")
 	}
 	o := s.orders[0]
 	s.orders = s.orders[1:]
 	return o, nil
 }
 
-func (s *scripted) Document(_ context.Context, number uint64, id string) (rollout.Document, error) {
-	s.asked++
+func (s *script) Document(_ context.Context, number uint64, id string) (rollout.Document, error) {
+	s.fetches++
 	return rollout.Document{Number: number, ID: id, Hash: "x", Text: "x"}, nil
 }
 
-func (s *scripted) Progress(ctx context.Context, _ rollout.Progress) (rollout.Progress, error) {
+func (s *script) Progress(ctx context.Context, _ rollout.Progress) (rollout.Progress, error) {
 	s.waits++
 	select {
 	case n, ok := <-s.hints:
@@ -56,20 +56,20 @@
 	}
 }
 
-func (s *scripted) Check(rollout.Document) error { return s.fault }
-func (s *scripted) Activate(d rollout.Document) error {
-	s.taken = append(s.taken, d.Number)
-	return s.cannot
+func (s *script) Check(rollout.Document) error { return s.checkErr }
+func (s *script) Activate(d rollout.Document) error {
+	s.activated = append(s.activated, d.Number)
+	return s.activateErr
 }
 
-// Guards against a call that begins before the fleet was heard, when the lease has run out here, or while a change takes hold; a
-// lease that is counted from the answer and not from the question; a call that is held for longer than Hold; and a document that
-// does not suit the node and is not said to.
-func TestGate(t *testing.T) {
-	c, s, heard := clock.NewManual(1000), &scripted{fault: errors.New("line 3")}, 0
-	g := New(Settings{Name: "n", Lease: 100, MaxWait: 50, Ready: func() { heard++ }}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// TestCallsBeginOnlyUnderALease guards against a call that begins before there is an order, when the lease has expired here, or in the pause
+// of a change; a lease that counts from the answer and not from the request; a call that waits for longer than MaxWait; and a document
+// that the node rejects without saying so.
+func TestCallsBeginOnlyUnderALease(t *testing.T) {
+	c, s, ready := clock.NewManual(1000), &script{checkErr: errors.New("line 3")}, 0
+	g := New(Settings{Name: "n", Lease: 100, MaxWait: 50, Ready: func() { ready++ }}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	next := g.Wrap(func(*core.Call) core.Answer { return core.Answer{Kind: core.Served} })
-	try := func() core.Answer { // a call at this moment, which waits for as long as it may
+	call := func() core.Answer { // a call now, which waits for as long as it may
 		done := make(chan core.Answer, 1)
 		go func() { done <- next(&core.Call{Deadline: c.Now() + 1000}) }()
 		for {
@@ -88,80 +88,80 @@
 		pause, _ := g.step(context.Background())
 		return pause
 	}
-	assert.Equal(t, core.Refused, try().Kind, "the fleet was not heard")
-	assert.Zero(t, step(rollout.Order{Number: 4}), "it asks again at once")
-	assert.Equal(t, []uint64{4}, s.taken)
-	assert.Equal(t, core.Refused, try().Kind, "it has no lease")
-	assert.Zero(t, heard)
+	assert.Equal(t, core.Refused, call().Kind, "there was no order")
+	assert.Zero(t, step(rollout.Order{Number: 4}), "it reports again at once")
+	assert.Equal(t, []uint64{4}, s.activated)
+	assert.Equal(t, core.Refused, call().Kind, "it has no lease")
+	assert.Zero(t, ready)
 	step(rollout.Order{Number: 4, Lease: 100})
-	assert.Equal(t, 1, heard)
-	assert.Equal(t, core.Served, try().Kind)
+	assert.Equal(t, 1, ready)
+	assert.Equal(t, core.Served, call().Kind)
 	c.Advance(94)
-	assert.Equal(t, core.Served, try().Kind)
+	assert.Equal(t, core.Served, call().Kind)
 	c.Advance(2)
-	a := try()
+	a := call()
 	assert.Equal(t, core.Refused, a.Kind, "95%% of the lease are over")
 	assert.Equal(t, ReasonPolicy, a.Reason)
 	assert.Equal(t, 100.0, a.Wait)
 	step(rollout.Order{Number: 4, Lease: 100, Change: "p", Stage: rollout.Looking})
-	assert.Equal(t, "line 3", g.leaseHolder.Report().Fault)
-	s.fault = nil
+	assert.Equal(t, "line 3", g.holder.Report().Fault)
+	s.checkErr = nil
 	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
-	assert.Empty(t, g.leaseHolder.Report().Fault)
+	assert.Empty(t, g.holder.Report().Fault)
 	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
-	assert.Equal(t, "q", s.said[len(s.said)-1].Looked)
-	assert.Equal(t, core.Served, try().Kind, "while it is looked at")
+	assert.Equal(t, "q", s.reports[len(s.reports)-1].Looked)
+	assert.Equal(t, core.Served, call().Kind, "while it is validated")
 	step(rollout.Order{Number: 4, Change: "q", Stage: rollout.Pausing})
-	assert.Equal(t, core.Refused, try().Kind, "a change takes hold")
+	assert.Equal(t, core.Refused, call().Kind, "in the pause of a change")
 	step(rollout.Order{Number: 5, Change: "", Stage: ""})
-	assert.Equal(t, "q", s.said[len(s.said)-1].Paused)
+	assert.Equal(t, "q", s.reports[len(s.reports)-1].Paused)
 	step(rollout.Order{Number: 5, Lease: 100})
-	assert.Equal(t, core.Served, try().Kind)
-	assert.Equal(t, []uint64{4, 5}, s.taken)
-	s.cannot = errors.New("line 7")
+	assert.Equal(t, core.Served, call().Kind)
+	assert.Equal(t, []uint64{4, 5}, s.activated)
+	s.activateErr = errors.New("line 7")
 	require.Positive(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
 	require.Zero(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
-	assert.Equal(t, "r", g.leaseHolder.Report().Looked, "what could take the place of a number that it cannot take")
+	assert.Equal(t, "r", g.holder.Report().Looked, "what could replace a number that it cannot activate")
 	pause, wait := g.step(context.Background())
-	require.Positive(t, pause, "nobody answers: it is asked again after a while")
+	require.Positive(t, pause, "without an answer it reports again after a while")
 	require.Zero(t, wait)
-	g.change(func(h *rollout.LeaseHolder) { h.Leave() })
-	call := &core.Call{Deadline: c.Now() + 1000}
-	call.Leave()
-	assert.Equal(t, core.Left, next(call).Kind)
+	g.update(func(h *rollout.LeaseHolder) { h.Leave() })
+	request := &core.Call{Deadline: c.Now() + 1000}
+	request.Leave()
+	assert.Equal(t, core.Left, next(request).Kind)
 }
 
-// Guards against a gate that does not go by hints: that does not hold calls for a change which has come so far, or take the number that
-// holds; that asks for a document that it has; that waits on for a hint that was lost, or when a report is due; and that asks keepers of
-// the release before, which know no waits, over and over without a pause.
-func TestHint(t *testing.T) {
-	c, s := clock.NewManual(1000), &scripted{hints: make(chan rollout.Progress, 1)}
+// TestFollowsHints guards against a gate that does not pause calls for a change which has come so far, or does not activate the number in
+// force; that fetches a document which it has; that goes on waiting for a hint that was lost, or when a report is due; and that sends
+// long polls to replicas of the release before, which refuse them, over and over without a pause.
+func TestFollowsHints(t *testing.T) {
+	c, s := clock.NewManual(1000), &script{hints: make(chan rollout.Progress, 1)}
 	g := New(Settings{Name: "n", Lease: 100, MaxWait: 50, Ready: func() {}}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.orders = []rollout.Order{{Lease: 100, Change: "p", Stage: rollout.Looking}, {Lease: 100, Change: "p", Stage: rollout.Looking}}
 	g.step(context.Background())
-	pause, most := g.step(context.Background())
+	pause, maxWait := g.step(context.Background())
 	require.Equal(t, 20.0, pause)
-	require.InDelta(t, 100.0/3, most, 0.01)
-	hear := func(n rollout.Progress) float64 {
+	require.InDelta(t, 100.0/3, maxWait, 0.01)
+	follow := func(n rollout.Progress) float64 {
 		s.hints <- n
-		return g.wait(context.Background(), most, pause)
+		return g.awaitHint(context.Background(), maxWait, pause)
 	}
-	assert.Zero(t, hear(rollout.Progress{Change: "q", Stage: rollout.Looking}), "it reports at once")
-	assert.True(t, g.leaseHolder.Open(c.Now()))
-	assert.Zero(t, hear(rollout.Progress{Change: "p", Stage: rollout.Pausing}))
-	assert.False(t, g.leaseHolder.Open(c.Now()))
-	assert.Equal(t, "p", g.leaseHolder.Report().Paused)
-	assert.Zero(t, hear(rollout.Progress{Number: 1, Hash: "x"}))
-	assert.Equal(t, []uint64{1}, s.taken)
-	assert.Equal(t, 1, s.asked, "it has looked at that document")
-	assert.False(t, g.leaseHolder.Open(c.Now()), "it has no lease on it")
+	assert.Zero(t, follow(rollout.Progress{Change: "q", Stage: rollout.Looking}), "it reports at once")
+	assert.True(t, g.holder.Open(c.Now()))
+	assert.Zero(t, follow(rollout.Progress{Change: "p", Stage: rollout.Pausing}))
+	assert.False(t, g.holder.Open(c.Now()))
+	assert.Equal(t, "p", g.holder.Report().Paused)
+	assert.Zero(t, follow(rollout.Progress{Number: 1, Hash: "x"}))
+	assert.Equal(t, []uint64{1}, s.activated)
+	assert.Equal(t, 1, s.fetches, "it has validated that document")
+	assert.False(t, g.holder.Open(c.Now()), "it has no lease on it")
 	done := make(chan float64)
-	go func() { done <- g.wait(context.Background(), most, pause) }()
+	go func() { done <- g.awaitHint(context.Background(), maxWait, pause) }()
 	for over := false; !over; {
 		select {
 		case pause := <-done:
 			assert.Zero(t, pause, "a report is due")
-			assert.GreaterOrEqual(t, s.waits, 3+3, "a hint that is lost is asked for again")
+			assert.GreaterOrEqual(t, s.waits, 3+3, "a lost hint is requested again")
 			over = true
 		default:
 			if next := c.Next(); !math.IsInf(next, 1) {
@@ -170,5 +170,5 @@
 		}
 	}
 	close(s.hints)
-	assert.Equal(t, pause, g.wait(context.Background(), most, pause))
+	assert.Equal(t, pause, g.awaitHint(context.Background(), maxWait, pause))
 }
--- a/internal/node/rollout/golden_test.go
+++ b/internal/node/rollout/golden_test.go
@@ -8,7 +8,7 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against encoded forms of the package whose JSON has changed, in any of their fields.
+// TestEncodedTypesKeepTheirForm guards against encoded forms of the package whose JSON has changed, in any of their fields.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Document](t, "document")
 	golden.JSON[Change](t, "change")
@@ -23,7 +23,8 @@
 	golden.Check(t, "hash", []byte(Hash("a document")))
 }
 
-// Guards against a machine that takes an image of an earlier build of this release otherwise than that build did.
+// TestLoadsTheImageOfAnEarlierBuild guards against a machine that reads an image of an earlier build of this release otherwise than that
+// build did.
 func TestLoadsTheImageOfAnEarlierBuild(t *testing.T) {
 	var i image
 	golden.Fill(t, &i)
@@ -34,8 +35,8 @@
 	require.Equal(t, i.Change, m.change)
 	require.Equal(t, i.Outcomes, m.outcomes)
 	require.Len(t, m.members, len(i.Members))
-	for _, have := range i.Members {
-		require.Equal(t, have, m.members[key(have.Node, have.Life)])
+	for _, member := range i.Members {
+		require.Equal(t, member, m.members[memberKey(member.Node, member.Life)])
 	}
 	text, err := m.Freeze()()
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/node/rollout/machine.go
@@ -0,0 +1,240 @@
+package rollout
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+)
+
+// Machine is the replicated state of the rollout. It is deterministic: the order of a map decides nothing.
+type Machine struct {
+	number     uint64     // of the policy in force
+	docs       []Document // the last one is in force
+	members    map[string]Member
+	nextExpiry float64 // cluster time before which no member expires, ms: a report need not look at all of them
+	change     *Change // in progress, nil = none
+	outcomes   []Outcome
+}
+
+// New returns a machine without a policy: each node's own file alone applies.
+func New() *Machine { return &Machine{members: map[string]Member{}} }
+
+func memberKey(node string, life uint64) string { return fmt.Sprintf("%s/%x", node, life) }
+
+// Report applies the report of a member. The error says that it is invalid, or that MaxMembers is reached.
+func (m *Machine) Report(now float64, r Report) (Order, error) {
+	if r.Node == "" || len(r.Node) > maxNameBytes || r.Lease != 0 && !(r.Lease >= MinLease && r.Lease <= MaxLease) {
+		return Order{}, fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", maxNameBytes, MinLease, MaxLease)
+	}
+	m.Tick(now)
+	key := memberKey(r.Node, r.Life)
+	member, known := m.members[key]
+	if !known && len(m.members) >= MaxMembers {
+		return Order{}, fmt.Errorf("there are %d members", len(m.members))
+	}
+	member.Node, member.Life, member.Holds = r.Node, r.Life, r.Holds
+	member.Live = max(member.Live, now+r.Lease)
+	granted := m.renewLease(now, &member, &r)
+	m.applyToChange(&member, &r)
+	m.members[key] = member
+	m.nextExpiry = min(m.nextExpiry, member.expiry())
+	m.Tick(now)
+	o := Order{Number: m.number, Hash: m.hash(), Lease: granted}
+	if c := m.change; c != nil {
+		o.Change, o.Stage = c.ID, c.Stage
+		o.Soon = c.Stage == Looking && m.fewLooking(c.ID)
+	}
+	if r.Holds != m.number {
+		o.Lease = 0 // the next number came into force with this report
+	}
+	return o, nil
+}
+
+// renewLease renews the lease of a member that has the number in force, unless a change is in the pause, and returns what is
+// granted, ms. A lease is never shortened: the member goes by the longest one that it was told of.
+func (m *Machine) renewLease(now float64, member *Member, r *Report) (granted float64) {
+	switch {
+	case r.Leaves:
+		member.Until, member.Live = 0, 0
+		return 0
+	case r.Holds != m.number || r.Lease == 0: // it has to activate the number first
+		return 0
+	case m.change != nil && m.change.Stage == Pausing: // the lease that it has runs out
+		return 0
+	}
+	member.Until = max(member.Until, now+r.Lease)
+	if r.GoesOn {
+		member.Until = Forever
+	}
+	return r.Lease
+}
+
+// applyToChange records what a member has done for the change in progress, and refuses a change that the member rejects.
+func (m *Machine) applyToChange(member *Member, r *Report) {
+	c := m.change
+	if c == nil {
+		return
+	}
+	if r.Looked == c.ID {
+		if member.Looked = c.ID; r.Fault != "" {
+			m.refuse(fmt.Sprintf("%s cannot take it: %s", r.Node, r.Fault))
+			return
+		}
+	}
+	if c.Stage == Pausing && r.Paused == c.ID {
+		member.Paused = c.ID
+	}
+}
+
+// Propose begins a change, or returns the outcome of one that was proposed before.
+func (m *Machine) Propose(now float64, p Proposal) Outcome {
+	m.Tick(now)
+	if o, ok := m.Outcome(p.ID); ok {
+		return o
+	}
+	refuse := func(format string, args ...any) Outcome {
+		return m.record(Outcome{ID: p.ID, Stage: Refused, Reason: fmt.Sprintf(format, args...)})
+	}
+	switch {
+	case p.ID == "" || len(p.ID) > maxNameBytes || len(p.By) > maxNameBytes:
+		return Outcome{ID: p.ID, Stage: Refused, Reason: "a proposal wants an id"} // not recorded: it cannot be asked for
+	case len(p.Text) > MaxDocumentBytes:
+		return refuse("it has %d bytes, %d at the most", len(p.Text), MaxDocumentBytes)
+	case p.Base != m.number:
+		lastBy := "nothing"
+		if n := len(m.docs); n > 0 {
+			lastBy = m.docs[n-1].By
+		}
+		return refuse("it is based on number %d, and number %d of %s has come between", p.Base, m.number, lastBy)
+	case m.change != nil:
+		return refuse("a change of %s is under way: %s", m.change.By, m.change.ID)
+	}
+	m.change = &Change{Document{ID: p.ID, By: p.By, Hash: Hash(p.Text), Text: p.Text}, Looking, now}
+	m.advance(now)
+	o, _ := m.Outcome(p.ID)
+	return o
+}
+
+// Dead forgets the processes of a node, so that nobody waits for them, and returns their number. It is an operator's word and
+// must be true: a process that still judges calls would break the invariant.
+func (m *Machine) Dead(now float64, node string) (n int) {
+	for key, member := range m.members {
+		if member.Node == node {
+			delete(m.members, key)
+			n++
+		}
+	}
+	m.advance(now)
+	return n
+}
+
+// Tick forgets members that have expired, and advances the change.
+func (m *Machine) Tick(now float64) {
+	if now >= m.nextExpiry {
+		m.nextExpiry = math.Inf(1)
+		for key, member := range m.members {
+			if member.expiry() <= now {
+				delete(m.members, key)
+			} else {
+				m.nextExpiry = min(m.nextExpiry, member.expiry())
+			}
+		}
+	}
+	m.advance(now)
+}
+
+// expiry returns when the member counts no more, cluster time in ms.
+func (m *Member) expiry() float64 { return max(m.Until, m.Live) }
+
+// advance takes the change through its stages, as far as the members allow.
+func (m *Machine) advance(now float64) {
+	c := m.change
+	if c == nil {
+		return
+	}
+	if c.Stage == Looking {
+		looked := func(member Member) bool { return member.Looked == c.ID }
+		switch {
+		case m.all(looked):
+			c.Stage, c.Since = Pausing, now
+		case now-c.Since > lookingTimeoutMillis:
+			m.refuse(fmt.Sprintf("%s has not looked at it in %.0f s", m.firstWithout(looked), lookingTimeoutMillis/1000))
+			return
+		}
+	}
+	if c.Stage != Pausing {
+		return
+	}
+	paused := func(member Member) bool { return member.Paused == c.ID || member.Until <= now }
+	switch {
+	case m.all(paused):
+		m.activate(now)
+	case now-c.Since > pausingTimeoutMillis:
+		m.refuse(fmt.Sprintf("%s has not stopped in %.0f s: linenwheel policy dead declares it dead, if it is", m.firstWithout(paused), pausingTimeoutMillis/1000))
+	}
+}
+
+// activate brings the document of the change into force. All leases were on the number before: they are over.
+func (m *Machine) activate(now float64) {
+	m.number++
+	d := m.change.Document
+	d.Number, d.At = m.number, now
+	m.docs = append(m.docs, d)
+	m.docs = m.docs[max(0, len(m.docs)-Kept):]
+	m.change = nil
+	m.record(Outcome{ID: d.ID, Stage: Agreed, Number: m.number})
+	for key, member := range m.members {
+		member.Until = 0
+		m.members[key] = member
+	}
+	m.nextExpiry = 0
+}
+
+// fewLooking reports whether at most soonThreshold members have not validated a proposal. It stops counting beyond: a report
+// costs little while there are many.
+func (m *Machine) fewLooking(id string) bool {
+	missing := 0
+	for _, member := range m.members {
+		if member.Looked != id {
+			if missing++; missing > soonThreshold {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// all reports whether a condition holds for all members. It stops at the first without: a report costs little while most are missing.
+func (m *Machine) all(condition func(Member) bool) bool {
+	for _, member := range m.members {
+		if !condition(member) {
+			return false
+		}
+	}
+	return true
+}
+
+// firstWithout returns the node, the first by name, of a member for which a condition does not hold; "" = there is none.
+func (m *Machine) firstWithout(condition func(Member) bool) string {
+	for _, key := range slices.Sorted(maps.Keys(m.members)) {
+		if member := m.members[key]; !condition(member) {
+			return member.Node
+		}
+	}
+	return ""
+}
+
+// refuse ends the change in progress.
+func (m *Machine) refuse(reason string) {
+	id := m.change.ID
+	m.change = nil
+	m.record(Outcome{ID: id, Stage: Refused, Reason: reason})
+}
+
+// record remembers the outcome of a proposal.
+func (m *Machine) record(o Outcome) Outcome {
+	m.outcomes = append(m.outcomes, o)
+	m.outcomes = m.outcomes[max(0, len(m.outcomes)-Remembered):]
+	return o
+}
--- /dev/null
+++ b/internal/node/rollout/machine_test.go
@@ -0,0 +1,381 @@
+package rollout
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+)
+
+// mutant is a fault that is planted in a member, for the check to find.
+type mutant string
+
+const (
+	sound          mutant = ""
+	ignoresExpiry  mutant = "it goes on when its lease has expired"
+	longerLease    mutant = "it counts its lease longer than was granted"
+	activatesEarly mutant = "it activates a document when it sees it"
+	judgesUnasked  mutant = "it judges before it has reported"
+)
+
+// node is a member in virtual time: it reports, follows orders, and judges calls by the number that it has in force.
+type node struct {
+	name        string
+	life        uint64
+	number      uint64 // in force
+	until       float64
+	looked      string
+	paused      string
+	refuses     bool
+	down        bool
+	stopped     bool
+	partitioned bool // from the replicas, not from clients
+	fresh       bool // it has not reported yet
+}
+
+// follow follows the order that answers a report which was sent at a time.
+func (n *node) follow(o Order, sent, lease float64, planted mutant) {
+	n.fresh = false
+	if o.Number != n.number {
+		n.number, n.until, n.paused, n.looked = o.Number, 0, "", ""
+	} else if o.Lease > 0 {
+		n.until = sent + o.Lease
+		if planted == longerLease {
+			n.until += 5 * lease
+		}
+	}
+	switch o.Stage {
+	case Looking:
+		n.looked = o.Change
+		if planted == activatesEarly {
+			n.number, n.until = o.Number+1, sent+lease
+		}
+	case Pausing:
+		n.looked, n.paused, n.until = o.Change, o.Change, 0
+	default: // the change was refused, or there is none
+		n.paused = ""
+	}
+}
+
+// judges reports whether the member judges a call now.
+func (n *node) judges(now float64, planted mutant) bool {
+	ready := now < n.until || planted == ignoresExpiry && !n.fresh && n.paused == "" || planted == judgesUnasked && n.fresh
+	return !n.down && !n.stopped && ready
+}
+
+// judged is a call: by which number it was judged, and when it began.
+type judged struct {
+	number uint64
+	at     float64
+}
+
+// play plays one history, and returns the calls in the order in which they began, and the machine.
+func play(t *rapid.T, planted mutant) (calls []judged, m *Machine) {
+	const lease = 1000.0
+	m = New()
+	now := 1e6
+	nodes, proposed := []*node{}, 0
+	for i := range rapid.IntRange(2, 6).Draw(t, "nodes") {
+		nodes = append(nodes, &node{name: fmt.Sprint("n", i), life: 1, fresh: true})
+	}
+	report := func(n *node, lost bool) {
+		if n.partitioned {
+			return
+		}
+		sent := now
+		now += rapid.Float64Range(0, 15).Draw(t, "there")
+		o, err := m.Report(now, Report{Node: n.name, Life: n.life, Holds: n.number, Lease: lease, Looked: n.looked, Paused: n.paused,
+			Fault: map[bool]string{true: "line 1: it does not suit"}[n.refuses && n.looked != ""]})
+		require.NoError(t, err)
+		now += rapid.Float64Range(0, 15).Draw(t, "back")
+		if lost {
+			return
+		}
+		n.follow(o, sent, lease, planted)
+	}
+	for range rapid.IntRange(5, 60).Draw(t, "steps") {
+		now += rapid.Float64Range(0, 200).Draw(t, "ms")
+		n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
+		for _, other := range nodes { // most of them report often
+			if !other.down && !other.stopped && rapid.IntRange(0, 2).Draw(t, "reports") > 0 {
+				report(other, false)
+			}
+		}
+		switch rapid.IntRange(0, 9).Draw(t, "kind") {
+		case 0, 1, 2, 3:
+			if !n.down && !n.stopped {
+				report(n, rapid.IntRange(0, 7).Draw(t, "lost") == 0)
+			}
+		case 4, 5, 6: // a call
+			if n.judges(now, planted) {
+				calls = append(calls, judged{n.number, now})
+			}
+		case 7:
+			proposed++
+			o := m.Propose(now, Proposal{ID: fmt.Sprint("p", proposed), Text: fmt.Sprint("doc ", proposed), Base: m.Number(), By: "x"})
+			again := m.Propose(now, Proposal{ID: fmt.Sprint("p", proposed), Text: "another", Base: 99})
+			assert.Equal(t, o, again, "proposed again, it gets its outcome")
+		case 8:
+			if rapid.Bool().Draw(t, "cut") {
+				n.partitioned = !n.partitioned
+			} else {
+				n.stopped = !n.stopped
+			}
+		default: // killed, or started again without any state
+			if n.down = !n.down; !n.down {
+				*n = node{name: n.name, life: n.life + 1, fresh: true, refuses: rapid.IntRange(0, 9).Draw(t, "refuses") == 0}
+			}
+		}
+		before := m.Number()
+		if rapid.IntRange(0, 5).Draw(t, "image") == 0 { // another leader goes on
+			text, err := m.Freeze()()
+			require.NoError(t, err)
+			other := New()
+			require.NoError(t, other.Load(text))
+			m = other
+		}
+		assert.Equal(t, before, m.Number())
+	}
+	return calls, m
+}
+
+// numbersNeverFall reports whether no call began under a number once one had begun under a later one.
+func numbersNeverFall(calls []judged) bool {
+	for i := 1; i < len(calls); i++ {
+		if calls[i].number < calls[i-1].number {
+			return false
+		}
+	}
+	return true
+}
+
+// TestNoCallBeginsUnderAnOlderNumber guards, over random histories of members that report, hang, die, come back and lose answers, against a
+// call that begins under a number once one has begun under the next.
+func TestNoCallBeginsUnderAnOlderNumber(t *testing.T) {
+	changed := 0
+	rapid.Check(t, func(t *rapid.T) {
+		calls, m := play(t, sound)
+		assert.True(t, numbersNeverFall(calls), "%v", calls)
+		changed += int(m.Number())
+	})
+	assert.Greater(t, changed, 20, "hardly anything changed: nothing was tested")
+}
+
+// TestPlantedFaultsAreCaught guards against a check that finds nothing.
+func TestPlantedFaultsAreCaught(t *testing.T) {
+	for _, planted := range []mutant{ignoresExpiry, longerLease, activatesEarly, judgesUnasked} {
+		caught := false
+		for seed := 1; seed < 4000 && !caught; seed++ {
+			caught = !numbersNeverFall(rapid.Custom(func(t *rapid.T) []judged {
+				calls, _ := play(t, planted)
+				return calls
+			}).Example(seed))
+		}
+		assert.True(t, caught, planted)
+	}
+}
+
+// reporter returns a function that reports to a machine for leases of 1 s.
+func reporter(t *testing.T, m *Machine) func(now float64, r Report) Order {
+	t.Helper()
+	return func(now float64, r Report) Order {
+		r.Life, r.Lease = 1, 1000
+		o, err := m.Report(now, r)
+		require.NoError(t, err)
+		return o
+	}
+}
+
+// TestRejectedChangesHaveNoEffect guards against a document that one member rejects and others activate, two operators who both win, a
+// change that waits for ever, and a refusal that does not say why.
+func TestRejectedChangesHaveNoEffect(t *testing.T) {
+	m := New()
+	report := reporter(t, m)
+	report(0, Report{Node: "a"})
+	report(0, Report{Node: "b"})
+	assert.Equal(t, Looking, m.Propose(1, Proposal{ID: "1", Text: "x", By: "ann"}).Stage)
+	assert.Contains(t, m.Propose(2, Proposal{ID: "2", Text: "y", By: "bob"}).Reason, "a change of ann is under way")
+	report(3, Report{Node: "a", Looked: "1"})
+	report(4, Report{Node: "b", Looked: "1", Fault: "policy:3:1: quota.requests: too much"})
+	o, _ := m.Outcome("1")
+	assert.Equal(t, Outcome{ID: "1", Stage: Refused, Reason: "b cannot take it: policy:3:1: quota.requests: too much"}, o)
+	assert.Zero(t, m.Number())
+	m.Propose(5, Proposal{ID: "3", Text: "z", By: "ann"})
+	report(6, Report{Node: "a", Looked: "3"})
+	assert.Equal(t, Pausing, report(7, Report{Node: "b", Looked: "3"}).Stage)
+	assert.Zero(t, report(8, Report{Node: "a", Looked: "3", Paused: "3"}).Number, "b has not paused")
+	assert.Zero(t, report(900, Report{Node: "a", Looked: "3", Paused: "3"}).Lease)
+	got := report(1008, Report{Node: "a", Looked: "3", Paused: "3"}) // the lease of b has expired
+	assert.Equal(t, uint64(1), got.Number)
+	assert.Zero(t, got.Lease, "it must activate the number first")
+	assert.Contains(t, m.Propose(1009, Proposal{ID: "4", Text: "w", Base: 0, By: "bob"}).Reason, "number 1 of ann has come between")
+	assert.Equal(t, 1000.0, report(1010, Report{Node: "a", Holds: 1}).Lease)
+	m.Propose(1011, Proposal{ID: "5", Text: "v", Base: 1})
+	for at := 1100.0; at < 20000; at += 500 { // a is live and never validates
+		report(at, Report{Node: "a", Holds: 1})
+	}
+	o, _ = m.Outcome("5")
+	assert.Contains(t, o.Reason, "a has not looked at it in 15 s")
+	assert.Contains(t, m.Propose(20001, Proposal{ID: "6", Text: string(make([]byte, MaxDocumentBytes+1)), Base: 1}).Reason, "bytes")
+	_, err := m.Report(20002, Report{Node: "c", Life: 1, Lease: MaxLease + 1})
+	require.Error(t, err)
+}
+
+// TestMemberWithoutLeaseBlocksAChangeUntilDeclaredDead guards against a change that is agreed while a member that goes on without a lease is
+// unreachable, or that is not agreed once it is declared dead.
+func TestMemberWithoutLeaseBlocksAChangeUntilDeclaredDead(t *testing.T) {
+	m := New()
+	report := reporter(t, m)
+	report(0, Report{Node: "a"})
+	report(0, Report{Node: "g", GoesOn: true})
+	m.Propose(1, Proposal{ID: "1", Text: "x"})
+	report(2, Report{Node: "a", Looked: "1"})
+	for at := 500.0; at < 14000; at += 500 {
+		assert.Equal(t, Looking, report(at, Report{Node: "a", Looked: "1"}).Stage)
+	}
+	assert.Equal(t, 1, m.Dead(14000, "g"))
+	assert.Equal(t, Pausing, report(14001, Report{Node: "a", Looked: "1"}).Stage)
+	assert.Equal(t, uint64(1), report(14002, Report{Node: "a", Looked: "1", Paused: "1"}).Number)
+}
+
+// TestMemberThatStartsInThePauseIsNotWaitedFor guards against a change that waits for a process whose first report comes in the pause, or
+// lets it judge calls meanwhile.
+func TestMemberThatStartsInThePauseIsNotWaitedFor(t *testing.T) {
+	m := New()
+	report := reporter(t, m)
+	report(0, Report{Node: "a"})
+	m.Propose(1, Proposal{ID: "1", Text: "x"})
+	assert.Equal(t, Pausing, report(2, Report{Node: "a", Looked: "1"}).Stage)
+	assert.Zero(t, report(3, Report{Node: "b"}).Lease)
+	assert.Equal(t, uint64(1), report(4, Report{Node: "a", Looked: "1", Paused: "1"}).Number)
+	assert.Equal(t, uint64(1), report(5, Report{Node: "b"}).Number)
+}
+
+// TestValidatesThoughActivationFails guards against a member that cannot activate the number in force, and therefore validates no document
+// that is proposed to replace it: no change could end while it is there.
+func TestValidatesThoughActivationFails(t *testing.T) {
+	h := NewLeaseHolder("a", 1, 1000, false)
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(0, Order{Number: 2, Change: "p", Stage: Looking}))
+	assert.Equal(t, h.RetryAfter(), h.Failed(2))
+	assert.Equal(t, Step{Look: "p"}, h.Obey(1, Order{Number: 2, Change: "p", Stage: Looking}))
+	assert.Zero(t, h.Saw("p", false, nil))
+	assert.Equal(t, "p", h.Report().Looked)
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Looking}), "the number in force is tried again")
+	assert.False(t, h.Open(3))
+}
+
+// TestReportsQuicklyBeforeThePause guards against a pause as long as the interval of the slowest report: when few members have not validated
+// yet, all report quickly.
+func TestReportsQuicklyBeforeThePause(t *testing.T) {
+	h := NewLeaseHolder("a", 1, 1000, false)
+	h.Saw("p", false, nil)
+	assert.Equal(t, lookingInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking}).Pause)
+	assert.Equal(t, pausingInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking, Soon: true}).Pause)
+	m := New()
+	for _, name := range []string{"a", "b", "c", "d", "e"} {
+		_, err := m.Report(0, Report{Node: name, Lease: 1000})
+		require.NoError(t, err)
+	}
+	m.Propose(1, Proposal{ID: "p", Text: "x"})
+	o, err := m.Report(2, Report{Node: "a", Lease: 1000, Looked: "p"})
+	require.NoError(t, err)
+	assert.False(t, o.Soon)
+	o, err = m.Report(2, Report{Node: "b", Lease: 1000, Looked: "p"})
+	require.NoError(t, err)
+	assert.True(t, o.Soon)
+}
+
+// TestHintsNeverLetCallsBegin guards against a hint that lets calls begin, or for longer than orders have; one that does not save the reports
+// which would only learn the same; and a member that gets the same hint again and again and reports each time at once.
+func TestHintsNeverLetCallsBegin(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		h, now, change := NewLeaseHolder("n", 1, 1000, rapid.Bool().Draw(t, "goes on")), 0.0, rapid.SampledFrom([]string{"", "p", "q"})
+		stage, number := rapid.SampledFrom([]Stage{"", Looking, Pausing}), rapid.Uint64Range(0, 2)
+		for range 20 {
+			now += rapid.Float64Range(0, 400).Draw(t, "time")
+			_, _, until := h.InForce()
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			case 0:
+				h.Obey(now, Order{Number: number.Draw(t, "number"), Change: change.Draw(t, "change"), Stage: stage.Draw(t, "stage"), Lease: 1000})
+			case 1:
+				h.Activated(number.Draw(t, "number"), "")
+			case 2:
+				h.Saw(change.Draw(t, "change"), false, nil)
+			default:
+				h.Observe(Progress{number.Draw(t, "number"), "", change.Draw(t, "change"), stage.Draw(t, "stage")})
+				_, _, after := h.InForce()
+				assert.LessOrEqual(t, after, until)
+			}
+		}
+	})
+	h := NewLeaseHolder("n", 1, 1000, false)
+	h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking})
+	h.Saw("p", false, nil)
+	s := h.Obey(1, Order{Lease: 1000, Change: "p", Stage: Looking})
+	assert.Greater(t, s.Wait, 300.0)
+	assert.Equal(t, Progress{0, "", "p", Looking}, h.Known())
+	assert.Equal(t, Step{Pause: lookingInterval}, h.Observe(h.Known()))
+	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "q", Pausing}), "it has not validated that one")
+	assert.Equal(t, Step{}, h.Observe(Progress{1, "", "", ""}), "it has not paused")
+	assert.True(t, h.Open(2))
+	assert.Equal(t, Step{Paused: true}, h.Observe(Progress{0, "", "p", Pausing}))
+	assert.Equal(t, "p", h.Report().Paused)
+	assert.False(t, h.Open(2))
+	s = h.Obey(3, Order{Change: "p", Stage: Pausing})
+	assert.Equal(t, Step{Pause: pausingInterval, Wait: 100}, s)
+	assert.Equal(t, Step{Pause: pausingInterval}, h.Observe(h.Known()))
+	assert.Equal(t, Step{Activate: true, Number: 1, Hash: "x"}, h.Observe(Progress{1, "x", "", ""}))
+	assert.False(t, h.Open(4))
+	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "", ""}), "it was refused: an order renews the lease")
+}
+
+// TestReportDoesNotScanAllMembers guards against a report that looks at every other member: the cost of a fleet's reports would grow with
+// the square of its size.
+func TestReportDoesNotScanAllMembers(t *testing.T) {
+	machineOf := func(members int) (m *Machine, reportAgain func()) {
+		m = New()
+		r := Report{Life: 1, Lease: 2000}
+		for i := range members {
+			r.Node = fmt.Sprint("n", i)
+			_, err := m.Report(1e6, r)
+			require.NoError(t, err)
+		}
+		return m, func() {
+			_, err := m.Report(1e6+1, r)
+			require.NoError(t, err)
+		}
+	}
+	m, reportAgain := machineOf(4000)
+	reportAgain()
+	assert.Equal(t, 1e6+2000, m.nextExpiry, "until then no member is checked for its expiry")
+	require.Equal(t, Looking, m.Propose(1e6+1, Proposal{ID: "a change"}).Stage)
+	small, reportToFew := machineOf(4)
+	require.Equal(t, Looking, small.Propose(1e6+1, Proposal{ID: "a change"}).Stage)
+	assert.LessOrEqual(t, testing.AllocsPerRun(100, reportAgain), testing.AllocsPerRun(100, reportToFew), "while a change is validated")
+}
+
+// TestChangeIsRefusedWhenAMemberDoesNotPause guards against calls that are paused for ever by a member that goes on without a lease, has
+// validated and then does not pause: the change is refused, names it, and the old number stays in force.
+func TestChangeIsRefusedWhenAMemberDoesNotPause(t *testing.T) {
+	m := New()
+	report := reporter(t, m)
+	report(0, Report{Node: "a"})
+	report(0, Report{Node: "g", GoesOn: true})
+	m.Propose(1, Proposal{ID: "1", Text: "x"})
+	report(2, Report{Node: "g", GoesOn: true, Looked: "1"})
+	assert.Equal(t, Pausing, report(3, Report{Node: "a", Looked: "1"}).Stage)
+	for at := 4.0; at < pausingTimeoutMillis; at += 500 {
+		o := report(at, Report{Node: "a", Looked: "1", Paused: "1"})
+		assert.Equal(t, Pausing, o.Stage)
+		assert.Zero(t, o.Lease)
+	}
+	assert.Equal(t, 1000.0, report(pausingTimeoutMillis+4, Report{Node: "a", Looked: "1", Paused: "1"}).Lease)
+	o, _ := m.Outcome("1")
+	assert.Equal(t, Refused, o.Stage)
+	assert.Contains(t, o.Reason, "g has not stopped in 10 s: linenwheel policy dead")
+	assert.Zero(t, m.Number())
+}
