--- a/internal/node/consensus/replica/clients.go
+++ b/internal/node/consensus/replica/clients.go
@@ -217,7 +217,7 @@
 	}
 }
 
-// expireRequests drops the requests whose clients have given up by now, and ends long polls without news.
+// expireRequests drops the requests whose clients have given up by now, and ends long polls whose answer has not changed.
 func (r *Replica) expireRequests() {
 	for number, p := range r.reads {
 		if r.expired(p) {
--- /dev/null
+++ b/internal/node/consensus/replica/peers_test.go
@@ -0,0 +1,82 @@
+package replica
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"linenwheel.dev/linenwheel/internal/node/consensus/client"
+	"linenwheel.dev/linenwheel/internal/node/consensus/protocol"
+	"linenwheel.dev/linenwheel/internal/node/consensus/transport"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
+)
+
+// TestAdmitsOnlyTheMembersOfTheFleet guards against a member that is rejected for good because an earlier connection of its own arrives
+// late, and against an older copy, a stranger, a wrong name or another fleet that is admitted.
+func TestAdmitsOnlyTheMembersOfTheFleet(t *testing.T) {
+	config := startFleet(t, 3, 1500, nil) // no other becomes leader meanwhile, even on an overloaded machine
+	c := client.New(config)
+	defer c.Close()
+	for range 20 {
+		_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
+		require.NoError(t, err)
+	}
+	var lead, other *protocol.State
+	for lead == nil || other == nil { // none may lead at the moment
+		lead, other = nil, nil
+		for _, to := range config.Replicas {
+			a, err := client.Call(t.Context(), config, to, protocol.Request{Want: protocol.Status})
+			require.NoError(t, err)
+			if a.State.Role == "leader" {
+				lead = a.State
+			} else {
+				other = a.State
+			}
+		}
+	}
+	address := ""
+	for _, to := range config.Replicas {
+		if to.Name == lead.Name {
+			address = to.Address
+		}
+	}
+	as := func(change func(*transport.Hello)) (transport.Welcome, error) {
+		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
+		change(&h)
+		conn, w, err := transport.Dial(address, h, config.AttemptTimeout)
+		if err == nil {
+			require.NoError(t, conn.Close())
+		}
+		return w, err
+	}
+	for _, x := range []struct {
+		what   string
+		change func(*transport.Hello)
+		ok     bool
+		final  bool
+	}{
+		{"itself", func(*transport.Hello) {}, true, false},
+		{"an earlier connection that comes late", func(h *transport.Hello) { h.Dial, h.Last = 1, 0 }, false, false},
+		{"an older copy by its entries", func(h *transport.Hello) { h.Dial++; h.Last = 3 }, false, true},
+		{"an older copy that has come to the same start", func(h *transport.Hello) { h.Life = 8 }, false, true},
+		{"an older copy by its starts", func(h *transport.Hello) { h.Starts = 0 }, false, true},
+		{"another fleet", func(h *transport.Hello) { h.Fleet = "g" }, false, true},
+		{"a stranger", func(h *transport.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
+		{"a member under another name", func(h *transport.Hello) { h.Name = "x" }, false, false},
+		{"one that wants another number under this address", func(h *transport.Hello) { h.Want, h.Last = 5, 0 }, false, false},
+		{"one that wants another", func(h *transport.Hello) { h.To = "x" }, false, false},
+	} {
+		w, err := as(x.change)
+		assert.Equal(t, x.ok, err == nil, "%s: %v", x.what, err)
+		assert.Equal(t, x.final, w.Final, x.what)
+	}
+	removed := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
+	require.NoError(t, c.Change(t.Context(), protocol.Remove, removed))
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"}) // committed after it, so that the leader has applied it
+	require.NoError(t, err)
+	w, err := as(func(h *transport.Hello) { h.Dial++ })
+	require.ErrorContains(t, err, "it was taken out or replaced")
+	assert.True(t, w.Final)
+	assert.ErrorContains(t, c.Change(t.Context(), protocol.Learn, removed), "was taken out")
+}
--- a/internal/node/statemachine/callstable.go
+++ b/internal/node/statemachine/callstable.go
@@ -173,7 +173,7 @@
 	return reply
 }
 
-// complete ends a run with its outcome. It is refused once the run is in doubt: another node may have been told so.
+// complete ends a run with its outcome. It is refused once the run is in doubt: another node may have got that answer.
 func (c *calls) complete(now float64, completion *Completion) Reply {
 	name, ok := toName(completion.Name)
 	owner, running := c.running[name]
