--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -34,10 +34,10 @@
 		return r, fmt.Errorf("reading the journal: %w", err)
 	}
 	slices.Sort(names)
-	know := map[idempotency.Name]*entry{}
+	entries := map[idempotency.Name]*entry{}
 	r.Names = map[string]int{}
 	for _, name := range names {
-		if _, ok := form.Number(name); !ok {
+		if _, ok := segmentForm.Number(name); !ok {
 			continue
 		}
 		text, err := f.Read(name)
@@ -45,11 +45,11 @@
 			return r, fmt.Errorf("reading %s: %w", name, err)
 		}
 		s := Segment{Name: name, Bytes: len(text)}
-		if h, ok := headerOf(text); ok {
+		if h, ok := readHeader(text); ok {
 			r.Classes, r.Tenants = union(r.Classes, h.Classes), union(r.Tenants, h.Tenants)
 		}
 		set := Settings{Classes: r.Classes, Tenants: r.Tenants}
-		offset, err := readSegment(text, set, know, func(rec record) {
+		offset, err := readSegment(text, set, entries, func(rec record) {
 			if s.Records == 0 {
 				s.First = rec.at
 			}
@@ -61,13 +61,13 @@
 		}
 		r.Segments = append(r.Segments, s)
 	}
-	for _, e := range know {
+	for _, e := range entries {
 		switch {
 		case e.Running:
 			r.Names["running"]++
-		case e.how == idempotency.EndServed:
+		case e.outcome == idempotency.EndServed:
 			r.Names["answered"]++
-		case e.how == idempotency.EndInDoubt:
+		case e.outcome == idempotency.EndInDoubt:
 			r.Names["in doubt"]++
 		default:
 			r.Names["not run"]++
@@ -76,8 +76,8 @@
 	return r, nil
 }
 
-func headerOf(text []byte) (h header, ok bool) {
-	_, _ = form.Read(text, func(content []byte) error { // what is damaged is told by readSegment
+func readHeader(text []byte) (h header, ok bool) {
+	_, _ = segmentForm.Read(text, func(content []byte) error { // what is damaged is told by readSegment
 		ok = json.Unmarshal(content, &h) == nil
 		return ErrVersion // the records are not wanted
 	}, nil)
@@ -111,12 +111,12 @@
 		if k.Body != nil {
 			body = k.Body.([]byte)
 		}
-		how := idempotency.EndInDoubt
+		outcome := idempotency.EndInDoubt
 		if k.Served {
-			how = idempotency.EndServed
+			outcome = idempotency.EndServed
 		}
 		if last, err = j.Began(at, k.Call); err == nil && !k.Running {
-			last, err = j.Ended(at, k.Call, how, body)
+			last, err = j.Ended(at, k.Call, outcome, body)
 		}
 		if err != nil {
 			return 0, err
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -48,44 +48,44 @@
 	ErrVersion = errors.New("written in a form that this release does not read")
 )
 
-// form is that of the files.
-var form = wal.Form{Magic: "lwrepeat", Prefix: "repeats"}
+// segmentForm is that of the files.
+var segmentForm = wal.Form{Magic: "lwrepeat", Prefix: "repeats"}
 
 // kind is what a record tells.
 type kind uint8
 
 const (
-	began kind = 1
-	ended kind = 2
+	kindBegan kind = 1
+	kindEnded kind = 2
 )
 
 // record is one line of a journal, in the order in which it is written.
 type record struct {
-	kind   kind
-	how    idempotency.End
-	class  uint8
-	tenant uint16 // math.MaxUint16 = none
-	at     float64
-	name   idempotency.Name
-	print  idempotency.Print
-	body   []byte // with an end; what Codec made of it
+	kind        kind
+	outcome     idempotency.End
+	class       uint8
+	tenant      uint16 // math.MaxUint16 = none
+	at          float64
+	key         idempotency.Name
+	fingerprint idempotency.Print
+	body        []byte // with an end; what Codec made of it
 	// windows are those that were promised, with a beginning. A release that does not know of them takes their bytes for an answer
 	// that cannot be read, and goes by its own windows.
 	windows *idempotency.Windows
 }
 
 const (
-	recordLength  = 1 + 1 + 1 + 2 + 8 + 16 + 16
-	windowsLength = 16
+	recordBytes  = 1 + 1 + 1 + 2 + 8 + 16 + 16
+	windowsBytes = 16
 )
 
 func (r *record) append(dst []byte) []byte {
 	return wal.Append(dst, func(dst []byte) []byte {
-		dst = append(dst, byte(r.kind), byte(r.how), r.class)
+		dst = append(dst, byte(r.kind), byte(r.outcome), r.class)
 		dst = binary.BigEndian.AppendUint16(dst, r.tenant)
 		dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.at))
-		dst = append(dst, r.name[:]...)
-		dst = append(dst, r.print[:]...)
+		dst = append(dst, r.key[:]...)
+		dst = append(dst, r.fingerprint[:]...)
 		if r.windows != nil {
 			dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.windows.Answered))
 			dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.windows.Doubt))
@@ -94,19 +94,19 @@
 	})
 }
 
-func parse(b []byte) (r record, err error) {
-	if len(b) < recordLength || b[0] != byte(began) && b[0] != byte(ended) || b[1] > byte(idempotency.EndInDoubt) {
+func parseRecord(b []byte) (r record, err error) {
+	if len(b) < recordBytes || b[0] != byte(kindBegan) && b[0] != byte(kindEnded) || b[1] > byte(idempotency.EndInDoubt) {
 		return r, wal.ErrTorn
 	}
-	r = record{kind: kind(b[0]), how: idempotency.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
+	r = record{kind: kind(b[0]), outcome: idempotency.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
 		at: math.Float64frombits(binary.BigEndian.Uint64(b[5:]))}
-	copy(r.name[:], b[13:])
-	copy(r.print[:], b[29:])
-	rest := b[recordLength:]
+	copy(r.key[:], b[13:])
+	copy(r.fingerprint[:], b[29:])
+	rest := b[recordBytes:]
 	switch {
-	case r.kind == ended && len(rest) > 0:
+	case r.kind == kindEnded && len(rest) > 0:
 		r.body = slices.Clone(rest)
-	case r.kind == began && len(rest) == windowsLength:
+	case r.kind == kindBegan && len(rest) == windowsBytes:
 		w := idempotency.Windows{Answered: math.Float64frombits(binary.BigEndian.Uint64(rest)),
 			Doubt: math.Float64frombits(binary.BigEndian.Uint64(rest[8:]))}
 		if !(w.Answered >= 0 && w.Doubt >= 0) || math.IsInf(w.Longest(), 1) {
@@ -128,26 +128,26 @@
 
 // segment is one file.
 type segment struct {
-	name string
-	last float64 // when its last record was made
+	name       string
+	lastRecord float64 // when its last record was made
 }
 
 // Journal is open for writing. All of its methods may be called from any goroutine.
 type Journal struct {
-	set    Settings
+	config Settings
 	folder wal.Folder
 
-	mu      sync.Mutex
-	wake    *sync.Cond
-	batch   *batch // being collected
-	failure error  // of the last attempt to write; nil after one that worked
-	closed  bool
-	keep    float64 // ms for which records are of use; never less than before
+	mu        sync.Mutex
+	wake      *sync.Cond
+	batch     *batch // being collected
+	failure   error  // of the last attempt to write; nil after one that worked
+	closed    bool
+	retention float64 // ms for which records are of use; never less than before
 
 	// Of the goroutine that writes.
-	out  wal.Writer
-	last float64 // when the last record of the present segment was made
-	old  []segment
+	writer         wal.Writer
+	lastRecord     float64 // when the last record of the present segment was made
+	closedSegments []segment
 }
 
 // batch is what is written and synced together.
@@ -159,7 +159,7 @@
 	err    error         // why
 }
 
-func newBatch(room []byte) *batch { return &batch{bytes: room, done: make(chan struct{})} }
+func newBatch(buffer []byte) *batch { return &batch{bytes: buffer, done: make(chan struct{})} }
 
 // Ticket stands for a record that was taken.
 type Ticket struct{ b *batch }
@@ -175,34 +175,34 @@
 
 // Began notes that a call is about to run.
 func (j *Journal) Began(at float64, c idempotency.Call) (Ticket, error) {
-	return j.take(&record{kind: began, at: at, class: uint8(c.Class), tenant: tenant(c.Tenant), name: c.Name,
-		print: c.Print, windows: c.Windows})
+	return j.enqueue(&record{kind: kindBegan, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Name,
+		fingerprint: c.Print, windows: c.Windows})
 }
 
 // Ended notes how a call ended, with what it was answered in the caller's own form; nil = not kept.
-func (j *Journal) Ended(at float64, c idempotency.Call, how idempotency.End, body []byte) (Ticket, error) {
-	return j.take(&record{kind: ended, how: how, at: at, class: uint8(c.Class), tenant: tenant(c.Tenant), name: c.Name,
-		print: c.Print, body: body})
+func (j *Journal) Ended(at float64, c idempotency.Call, outcome idempotency.End, body []byte) (Ticket, error) {
+	return j.enqueue(&record{kind: kindEnded, outcome: outcome, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Name,
+		fingerprint: c.Print, body: body})
 }
 
-func tenant(t int) uint16 {
+func encodeTenant(t int) uint16 {
 	if t < 0 || t >= math.MaxUint16 {
 		return math.MaxUint16
 	}
 	return uint16(t)
 }
 
-func (j *Journal) take(r *record) (Ticket, error) {
+func (j *Journal) enqueue(r *record) (Ticket, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	b := j.batch
 	switch {
 	case j.closed:
 		return Ticket{}, ErrClosed
-	case b.count >= j.set.Queue:
+	case b.count >= j.config.Queue:
 		return Ticket{}, ErrFull
 	}
-	j.keep = max(j.keep, j.set.keeps(r.windows))
+	j.retention = max(j.retention, j.config.retention(r.windows))
 	b.bytes = r.append(b.bytes)
 	b.newest = max(b.newest, r.at)
 	if b.count++; b.count == 1 {
@@ -220,7 +220,7 @@
 
 // Run writes until Close has been called and all is written. It blocks; one goroutine runs it.
 func (j *Journal) Run() {
-	var room []byte // of the batch before
+	var buffer []byte // of the batch before
 	for {
 		j.mu.Lock()
 		for j.batch.count == 0 && !j.closed {
@@ -229,24 +229,24 @@
 		b := j.batch
 		if b.count == 0 {
 			j.mu.Unlock()
-			_ = j.out.Cut() // all of it is synced
+			_ = j.writer.Cut() // all of it is synced
 			return
 		}
-		j.batch = newBatch(room)
+		j.batch = newBatch(buffer)
 		j.mu.Unlock()
 		b.err = j.write(b)
 		j.mu.Lock()
 		j.failure = b.err
 		j.mu.Unlock()
-		if room = b.bytes[:0]; cap(room) > keepMost {
-			room = nil
+		if buffer = b.bytes[:0]; cap(buffer) > maxKeptBufferBytes {
+			buffer = nil
 		}
 		close(b.done)
 	}
 }
 
-// keepMost is how much memory is kept between batches.
-const keepMost = 256 << 10
+// maxKeptBufferBytes is how much memory is kept between batches.
+const maxKeptBufferBytes = 256 << 10
 
 // Close lets Run end once all that was taken is written.
 func (j *Journal) Close() {
@@ -258,22 +258,22 @@
 
 // write writes and syncs one batch, to a new segment where the present one is full or has failed.
 func (j *Journal) write(b *batch) error {
-	j.last = max(j.last, b.newest)
-	return j.out.Write(b.bytes)
+	j.lastRecord = max(j.lastRecord, b.newest)
+	return j.writer.Write(b.bytes)
 }
 
-// sweep removes segments whose records are of no use any more.
-func (j *Journal) sweep() {
+// removeExpired removes segments whose records are of no use any more.
+func (j *Journal) removeExpired() {
 	j.mu.Lock()
-	keep := j.keep
+	keep := j.retention
 	j.mu.Unlock()
-	j.old = slices.DeleteFunc(j.old, func(s segment) bool {
-		return s.last+keep < j.last && j.folder.Remove(s.name) == nil
+	j.closedSegments = slices.DeleteFunc(j.closedSegments, func(s segment) bool {
+		return s.lastRecord+keep < j.lastRecord && j.folder.Remove(s.name) == nil
 	})
 }
 
-// keeps is for how long records of a call with these windows are of use, nil = it is not known which.
-func (s *Settings) keeps(w *idempotency.Windows) float64 {
+// retention is for how long records of a call with these windows are of use, nil = it is not known which.
+func (s *Settings) retention(w *idempotency.Windows) float64 {
 	if w == nil {
 		return s.Keep
 	}
@@ -291,34 +291,34 @@
 
 // Read reads a folder without changing it: what is known of each name at a time, in the order of their ends, and what is
 // wrong. Of a damaged file what stands before the damage counts. A call that had begun and not ended was running.
-func Read(f wal.Folder, set Settings, now float64) (list []idempotency.Known, found []Finding, err error) {
+func Read(f wal.Folder, set Settings, now float64) (recovered []idempotency.Known, findings []Finding, err error) {
 	names, err := f.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the journal: %w", err)
 	}
 	slices.Sort(names)
-	know := map[idempotency.Name]*entry{}
+	entries := map[idempotency.Name]*entry{}
 	for _, name := range names {
-		if _, ok := form.Number(name); !ok {
+		if _, ok := segmentForm.Number(name); !ok {
 			continue
 		}
 		text, err := f.Read(name)
 		if err != nil {
-			found = append(found, Finding{name, 0, err})
+			findings = append(findings, Finding{name, 0, err})
 			continue
 		}
-		if offset, err := readSegment(text, set, know, func(record) {}); err != nil {
-			found = append(found, Finding{name, offset, err})
+		if offset, err := readSegment(text, set, entries, func(record) {}); err != nil {
+			findings = append(findings, Finding{name, offset, err})
 		}
 	}
-	for _, e := range know {
-		if now-e.at <= set.keeps(e.Windows) && (e.Running || e.how != idempotency.EndNotRun) {
+	for _, e := range entries {
+		if now-e.at <= set.retention(e.Windows) && (e.Running || e.outcome != idempotency.EndNotRun) {
 			e.Age = now - e.at
-			e.Served = !e.Running && e.how == idempotency.EndServed
-			list = append(list, e.Known)
+			e.Served = !e.Running && e.outcome == idempotency.EndServed
+			recovered = append(recovered, e.Known)
 		}
 	}
-	slices.SortFunc(list, func(a, b idempotency.Known) int {
+	slices.SortFunc(recovered, func(a, b idempotency.Known) int {
 		switch {
 		case a.Age != b.Age && a.Age > b.Age:
 			return -1
@@ -327,49 +327,49 @@
 		}
 		return bytes.Compare(a.Name[:], b.Name[:])
 	})
-	return list, found, nil
+	return recovered, findings, nil
 }
 
 // entry is what the records so far tell of a name.
 type entry struct {
 	idempotency.Known
-	at  float64
-	how idempotency.End
+	at      float64
+	outcome idempotency.End
 }
 
 // readSegment reads one segment into know and tells each record; offset is where it went wrong.
-func readSegment(text []byte, set Settings, know map[idempotency.Name]*entry, tell func(record)) (offset int, err error) {
+func readSegment(text []byte, set Settings, entries map[idempotency.Name]*entry, visit func(record)) (offset int, err error) {
 	var h header
 	var classes, tenants []int
-	return form.Read(text, func(content []byte) error {
+	return segmentForm.Read(text, func(content []byte) error {
 		if json.Unmarshal(content, &h) != nil || h.Version != Version {
 			return ErrVersion
 		}
-		classes, tenants = places(h.Classes, set.Classes), places(h.Tenants, set.Tenants)
+		classes, tenants = indexMap(h.Classes, set.Classes), indexMap(h.Tenants, set.Tenants)
 		return nil
 	}, func(content []byte) error {
-		r, err := parse(content)
+		r, err := parseRecord(content)
 		if err != nil {
 			return err
 		}
-		tell(r)
+		visit(r)
 		if int(r.class) >= len(classes) || classes[r.class] < 0 {
 			return nil // a class that there is no more
 		}
-		e := know[r.name]
+		e := entries[r.key]
 		if e == nil {
 			e = &entry{}
-			know[r.name] = e
+			entries[r.key] = e
 		}
-		c := idempotency.Call{Name: r.name, Print: r.print, Class: classes[r.class], Tenant: -1}
+		c := idempotency.Call{Name: r.key, Print: r.fingerprint, Class: classes[r.class], Tenant: -1}
 		if int(r.tenant) < len(tenants) {
 			c.Tenant = tenants[r.tenant]
 		}
-		if c.Windows = r.windows; r.kind == ended {
+		if c.Windows = r.windows; r.kind == kindEnded {
 			c.Windows = e.Windows // it was judged by those under which it began
 		}
-		e.Known = idempotency.Known{Call: c, Running: r.kind == began}
-		e.at, e.how = r.at, r.how
+		e.Known = idempotency.Known{Call: c, Running: r.kind == kindBegan}
+		e.at, e.outcome = r.at, r.outcome
 		if r.body != nil {
 			e.Body, e.Size = r.body, len(r.body)
 		}
@@ -377,8 +377,8 @@
 	})
 }
 
-// places finds for each old name its place among the new ones, -1 for none.
-func places(old, now []string) []int {
+// indexMap finds for each old name its place among the new ones, -1 for none.
+func indexMap(old, now []string) []int {
 	p := make([]int, len(old))
 	for i, name := range old {
 		p[i] = slices.Index(now, name)
@@ -388,8 +388,8 @@
 
 // Open reads a folder and makes a journal that goes on in it, in a segment of its own. Findings are not errors: what is
 // damaged stays as it is until its time is over.
-func Open(f wal.Folder, set Settings, now float64) (j *Journal, list []idempotency.Known, found []Finding, err error) {
-	list, found, err = Read(f, set, now)
+func Open(f wal.Folder, set Settings, now float64) (j *Journal, recovered []idempotency.Known, findings []Finding, err error) {
+	recovered, findings, err = Read(f, set, now)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -397,23 +397,23 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	j = &Journal{set: set, folder: f, batch: newBatch(nil), keep: set.Keep}
-	for _, k := range list {
-		j.keep = max(j.keep, set.keeps(k.Windows))
+	j = &Journal{config: set, folder: f, batch: newBatch(nil), retention: set.Keep}
+	for _, k := range recovered {
+		j.retention = max(j.retention, set.retention(k.Windows))
 	}
 	j.wake = sync.NewCond(&j.mu)
-	j.out = wal.Writer{Folder: f, Form: form, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.sweep,
-		Ended: func(_ int, name string) { j.old = append(j.old, segment{name, j.last}) }}
+	j.writer = wal.Writer{Folder: f, Form: segmentForm, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.removeExpired,
+		Ended: func(_ int, name string) { j.closedSegments = append(j.closedSegments, segment{name, j.lastRecord}) }}
 	names, err := f.List()
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("reading the journal: %w", err)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if n, ok := form.Number(name); ok {
-			j.out.Number = max(j.out.Number, n+1)
-			j.old = append(j.old, segment{name, now}) // its last record is not younger
+		if n, ok := segmentForm.Number(name); ok {
+			j.writer.Number = max(j.writer.Number, n+1)
+			j.closedSegments = append(j.closedSegments, segment{name, now}) // its last record is not younger
 		}
 	}
-	return j, list, found, nil
+	return j, recovered, findings, nil
 }
--- a/internal/node/idempotency/journal/journal_test.go
+++ b/internal/node/idempotency/journal/journal_test.go
@@ -122,7 +122,7 @@
 
 // Guards against a call that began, and was told so, being unknown after the disk was full at any byte, a sync failed, or
 // the machine lost its power with any part of what was not synced; and against a start that fails for that.
-func TestEveryCut(t *testing.T) {
+func TestEveryTruncationKeepsWhatWasSynced(t *testing.T) {
 	const calls = 12
 	whole := newMemory()
 	j, _, _, stop := begin(t, whole, 0)
@@ -172,7 +172,7 @@
 }
 
 // Guards against a disk that works again and is not used, and against a failed batch taken for written by a later one.
-func TestGoesOnAfterFailure(t *testing.T) {
+func TestJournalContinuesAfterDiskFailure(t *testing.T) {
 	m := newMemory()
 	m.syncs = 0
 	j, _, _, stop := begin(t, m, 0)
@@ -196,17 +196,17 @@
 
 // Guards against damage anywhere being taken for a record, against a file of another release or of someone else being
 // read or changed, and against classes and tenants taken for others when the settings have changed their order.
-func TestForeignAndDamaged(t *testing.T) {
+func TestForeignAndDamagedFilesAreReported(t *testing.T) {
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
 	play(j, 3)
 	stop()
-	good := slices.Clone(m.files[form.Name(1)])
+	good := slices.Clone(m.files[segmentForm.Name(1)])
 	for i := range good {
 		bad := slices.Clone(good)
 		bad[i] ^= 0x40
 		f := newMemory()
-		f.files[form.Name(1)] = bad
+		f.files[segmentForm.Name(1)] = bad
 		list, found, err := Read(f, set, 3)
 		require.NoError(t, err)
 		require.Len(t, found, 1, "byte %d", i)
@@ -214,7 +214,7 @@
 	}
 	text, err := json.Marshal(header{Version: Version + 1})
 	require.NoError(t, err)
-	m.files[form.Name(2)] = wal.Append([]byte(form.Magic), func(b []byte) []byte { return append(b, text...) })
+	m.files[segmentForm.Name(2)] = wal.Append([]byte(segmentForm.Magic), func(b []byte) []byte { return append(b, text...) })
 	m.files["notes.txt"], m.files["repeats-1.log"] = []byte("x"), []byte("y")
 	other := set
 	other.Classes, other.Tenants = []string{"cap-alert", "new"}, []string{"vltava"}
@@ -238,7 +238,7 @@
 
 // Guards against segments that are kept for ever, or removed while they are of use, and against a read-only disk that goes
 // unnoticed.
-func TestOnDisk(t *testing.T) {
+func TestJournalOnRealDisk(t *testing.T) {
 	dir := wal.Disk{Path: t.TempDir()}
 	j, _, _, stop := begin(t, dir, 0)
 	for i := range 200 {
@@ -307,7 +307,7 @@
 
 // Guards against windows that a restart shortens, or forgets with a class that is not listed any more; against segments that are
 // removed while what they hold was promised; and against records of the release before, which say nothing of windows.
-func TestWindowsOverARestart(t *testing.T) {
+func TestWindowsSurviveARestart(t *testing.T) {
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
 	long := call(0)
--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -11,8 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// with gives the classes of settings, with the first one changed.
-func with(change func(c *Class)) []Class {
+// classesWith gives the classes of settings, with the first one changed.
+func classesWith(change func(c *Class)) []Class {
 	set := settings()
 	for i := range set.Classes {
 		w := set.Book.Classes[i]
@@ -22,11 +22,11 @@
 	return set.Classes
 }
 
-func windows(answered, doubt float64) []Class {
-	return with(func(c *Class) { c.Windows = &idempotency.Windows{Answered: answered, Doubt: doubt} })
+func classesWithWindows(answered, doubt float64) []Class {
+	return classesWith(func(c *Class) { c.Windows = &idempotency.Windows{Answered: answered, Doubt: doubt} })
 }
 
-var away = with(func(c *Class) { *c = Class{Windows: &idempotency.Windows{}} })
+var classesRemoved = classesWith(func(c *Class) { *c = Class{Windows: &idempotency.Windows{}} })
 
 // late is a call whose deadline is far.
 func late(key string) *core.Call {
@@ -35,18 +35,18 @@
 	return call
 }
 
-// held is how many names are held now.
-func (s *Stage) held() int {
+// heldKeys is how many names are held now.
+func (s *Stage) heldKeys() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Tick(s.clock.Now())
-	return s.book.Counts().Entries
+	s.table.Tick(s.clock.Now())
+	return s.table.Counts().Entries
 }
 
 // Guards against a name that a change of its class forgets or holds for another time than was promised when it was taken: windows
 // that get shorter or longer, a class that is taken away, and one that is brought back; and against names that a class takes which is
 // away.
-func TestNamesKeepTheirWindows(t *testing.T) {
+func TestKeysKeepTheirWindows(t *testing.T) {
 	set := settings()
 	set.Longest = 100
 	s, c := newStage(t, set) // 1000 ms answered, 2000 in doubt, now 1000
@@ -59,18 +59,18 @@
 	answer = doubtful
 	serve("d")
 	answer = served
-	require.NoError(t, s.Use(windows(10, 10)))
+	require.NoError(t, s.Use(classesWithWindows(10, 10)))
 	serve("short")
 	c.Advance(11)
 	serve("short")
-	require.NoError(t, s.Use(away))
+	require.NoError(t, s.Use(classesRemoved))
 	serve("none")
 	serve("none")
 	assert.Equal(t, map[string]int{"a": 1, "d": 1, "short": 2, "none": 2}, ran)
 	assert.Equal(t, core.Fail(core.Mismatch, ReasonMismatch), wrapped(newCall(0, "a", "other")))
 	c.Advance(900) // 1911
 	assert.Equal(t, served, serve("a"))
-	require.NoError(t, s.Use(windows(5000, 5000)))
+	require.NoError(t, s.Use(classesWithWindows(5000, 5000)))
 	assert.Equal(t, served, serve("a"))
 	serve("long")
 	c.Advance(88) // 1999
@@ -80,7 +80,7 @@
 	c.Advance(1) // 2000: a's window is over, and a longer one is its next run's
 	serve("a")
 	assert.Equal(t, 2, ran["a"])
-	require.NoError(t, s.Use(away))
+	require.NoError(t, s.Use(classesRemoved))
 	c.Advance(999) // 2999
 	assert.Equal(t, core.Fail(core.Known, ReasonDoubt), serve("d"))
 	c.Advance(1)
@@ -92,14 +92,14 @@
 	serve("long")
 	assert.Equal(t, map[string]int{"a": 2, "d": 2, "short": 2, "none": 2, "long": 2}, ran)
 	c.Advance(190) // 7101: whatever was promised has ended
-	assert.Zero(t, s.held())
-	assert.Greater(t, c.Now(), s.now.Load().classes[0].known)
+	assert.Zero(t, s.heldKeys())
+	assert.Greater(t, c.Now(), s.classes.Load().classes[0].knownUntil)
 }
 
 // Guards against a repeat that does not wait for a run which is under way when its class changes, and a run that ends by other windows
 // than it began under.
-func TestRunAcrossAChange(t *testing.T) {
-	for _, classes := range [][]Class{windows(1, 1), windows(9000, 9000), away} {
+func TestRunOutlivesAClassChange(t *testing.T) {
+	for _, classes := range [][]Class{classesWithWindows(1, 1), classesWithWindows(9000, 9000), classesRemoved} {
 		s, c := newStage(t, settings())
 		r := newRuns()
 		serve := s.Wrap(r.handle)
@@ -112,7 +112,7 @@
 			require.Empty(t, r.begun, "it runs a second time")
 			s.mu.Lock()
 			for _, r := range s.runs {
-				joined = joined || r.waiting == 2
+				joined = joined || r.waiters == 2
 			}
 			s.mu.Unlock()
 		}
@@ -129,7 +129,7 @@
 		}
 		c.Advance(1)
 		assert.Zero(t, len(r.begun))
-		assert.Zero(t, s.held())
+		assert.Zero(t, s.heldKeys())
 	}
 }
 
@@ -161,9 +161,9 @@
 
 // Guards against a charge that another node has run, and that runs here because its class has been taken away, or is not recorded any
 // more; and against names that are looked for when none can be held any more.
-func TestAgreedBeforeAChange(t *testing.T) {
-	recorded := with(func(c *Class) { c.Agreed = true })
-	for _, classes := range [][]Class{with(func(*Class) {}), away} {
+func TestReplicatedKeysAreFoundAfterAClassChange(t *testing.T) {
+	recorded := classesWith(func(c *Class) { c.Agreed = true })
+	for _, classes := range [][]Class{classesWith(func(*Class) {}), classesRemoved} {
 		set, fleet := settings(), &agreed{names: map[idempotency.Name][]byte{}}
 		set.Fleet, set.Longest, set.Classes = fleet, 100, recorded
 		s, c := newStage(t, set)
@@ -191,16 +191,16 @@
 
 // Guards against calls that are named in another way than those before, by a change, or by one that comes after the class was away; and
 // against a first policy that may not name them as it likes.
-func TestNamingStays(t *testing.T) {
-	other := with(func(c *Class) { c.By = Naming{Body: true} })
+func TestNamingOfAClassCannotChange(t *testing.T) {
+	other := classesWith(func(c *Class) { c.By = Naming{Body: true} })
 	s, _ := newStage(t, settings())
 	require.NoError(t, s.Use(other), "no call was named yet")
 	s.Settle()
-	back := with(func(*Class) {})
+	back := classesWith(func(*Class) {})
 	var wrong *NamingError
 	require.ErrorAs(t, s.Use(back), &wrong)
 	assert.Equal(t, 0, wrong.Class)
-	require.NoError(t, s.Use(away))
+	require.NoError(t, s.Use(classesRemoved))
 	require.ErrorAs(t, s.Use(back), &wrong)
 	require.NoError(t, s.Use(other))
 	s, _ = newStage(t, settings())
--- a/internal/node/idempotency/middleware/naming.go
+++ b/internal/node/idempotency/middleware/keys.go
@@ -21,12 +21,12 @@
 	Body    bool     //
 }
 
-// namer makes names and prints: HMAC-SHA-256 under a key that no one outside knows, cut to 128 bits. Without the key
+// keyHasher makes names and prints: HMAC-SHA-256 under a key that no one outside knows, cut to 128 bits. Without the key
 // nobody can make two calls meet.
-type namer struct{ macs sync.Pool }
+type keyHasher struct{ macs sync.Pool }
 
-func newNamer(key []byte) *namer {
-	n := &namer{}
+func newKeyHasher(key []byte) *keyHasher {
+	n := &keyHasher{}
 	n.macs.New = func() any { return hmac.New(sha256.New, key) }
 	return n
 }
@@ -34,62 +34,62 @@
 // digest is one hash being made of parts, each with its length in front, so that no two lists of parts are the same text.
 type digest struct {
 	hash.Hash
-	room [sha256.Size]byte
+	buffer [sha256.Size]byte
 }
 
-func (d *digest) part(b []byte) {
-	binary.BigEndian.PutUint64(d.room[:8], uint64(len(b)))
-	d.Write(d.room[:8])
+func (d *digest) writePart(b []byte) {
+	binary.BigEndian.PutUint64(d.buffer[:8], uint64(len(b)))
+	d.Write(d.buffer[:8])
 	d.Write(b)
 }
 
-func (d *digest) number(n int) {
-	binary.BigEndian.PutUint64(d.room[:8], uint64(int64(n)))
-	d.Write(d.room[:8])
+func (d *digest) writeNumber(n int) {
+	binary.BigEndian.PutUint64(d.buffer[:8], uint64(int64(n)))
+	d.Write(d.buffer[:8])
 }
 
 func (d *digest) sum() (out [16]byte) {
-	copy(out[:], d.Sum(d.room[:0]))
+	copy(out[:], d.Sum(d.buffer[:0]))
 	d.Reset()
 	return out
 }
 
-// name gives a call's name and print; false where it has nothing to be named by.
-func (n *namer) name(by *Naming, call *core.Call, c core.Content) (name idempotency.Name, print idempotency.Print, ok bool) {
+// sum gives a call's name and print; false where it has nothing to be named by.
+func (n *keyHasher) sum(by *Naming, call *core.Call, c core.Content) (name idempotency.Name, print idempotency.Print, ok bool) {
 	d := digest{Hash: n.macs.Get().(hash.Hash)}
 	defer n.macs.Put(d.Hash)
 	d.Reset()
-	d.number(call.Class)
-	d.number(call.Tenant)
+	d.writeNumber(call.Class)
+	d.writeNumber(call.Tenant)
 	switch {
 	case by.Key:
 		if len(call.Key) == 0 {
 			return name, print, false
 		}
-		d.part(call.Key)
+		d.writePart(call.Key)
 	case by.Header != "":
 		v := c.Header(by.Header)
 		if len(v) == 0 {
 			return name, print, false
 		}
-		d.part(v)
+		d.writePart(v)
 	default:
 		if by.Path {
-			d.part(c.Path())
+			d.writePart(c.Path())
 		}
 		if by.Query {
-			d.part(c.Query())
+			d.writePart(c.Query())
 		}
 		for _, h := range by.Headers {
-			d.part(c.Header(h))
+			d.writePart(c.Header(h))
 		}
 		if by.Body {
-			d.part(c.Body())
+			d.writePart(c.Body())
 		}
 	}
 	name = d.sum()
-	d.part(c.Path())
-	d.part(c.Query())
-	d.part(c.Body())
+	d.writePart(c.Path())
+	d.writePart(c.Query())
+	d.writePart(c.Body())
 	return name, d.sum(), true
 }
--- a/internal/node/idempotency/middleware/edge.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -86,27 +86,27 @@
 
 // Stage holds what is known. All of its methods may be called from any goroutine.
 type Stage struct {
-	set   Settings
-	clock clock.Clock
-	log   *slog.Logger
-	namer *namer
-	now   atomic.Pointer[table] // a call is judged whole by the one that it finds
+	config  Settings
+	clock   clock.Clock
+	log     *slog.Logger
+	hasher  *keyHasher
+	classes atomic.Pointer[classTable] // a call is judged whole by the one that it finds
 
-	mu   sync.Mutex
-	book *idempotency.Book
-	runs map[idempotency.Ref]*run
-	heir Fleet // the process that has taken over has the book; nil = it is here
+	mu        sync.Mutex
+	table     *idempotency.Book
+	runs      map[idempotency.Ref]*run
+	successor Fleet // the process that has taken over has the book; nil = it is here
 
-	before *before // the process whose place this one takes hands its names over; nil = none does
+	predecessor *predecessor // the process whose place this one takes hands its names over; nil = none does
 }
 
 // run is a call that runs for all who wait for it.
 type run struct {
-	call    *core.Call    // the copy; nil = it runs in the process before, which is one of those that wait
-	waiting int           // clients, under the stage's lock
-	heir    Fleet         // whom to ask before it runs, and to tell its end; nil = the book was this process's when it began
-	done    chan struct{} // closed when answer is set
-	answer  core.Answer
+	call      *core.Call    // the copy; nil = it runs in the process before, which is one of those that wait
+	waiters   int           // clients, under the stage's lock
+	successor Fleet         // whom to ask before it runs, and to tell its end; nil = the book was this process's when it began
+	finished  chan struct{} // closed when answer is set
+	answer    core.Answer
 }
 
 // New makes the stage. The error is that of settings that cannot work.
@@ -115,8 +115,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Stage{set: set, clock: c, log: log, namer: newNamer(set.Secret), book: book, runs: map[idempotency.Ref]*run{}}
-	s.now.Store(newTable(&set))
+	s := &Stage{config: set, clock: c, log: log, hasher: newKeyHasher(set.Secret), table: book, runs: map[idempotency.Ref]*run{}}
+	s.classes.Store(newClassTable(&set))
 	lost := 0
 	for _, k := range set.Known {
 		if !s.restore(k) {
@@ -136,38 +136,38 @@
 func (s *Stage) restore(k idempotency.Known) bool {
 	if text, ok := k.Body.([]byte); ok {
 		k.Body, k.Size = nil, 0
-		if payload := s.set.Decode(text); payload != nil {
-			k.Body, k.Size = payload, s.set.Content(payload).Size()
+		if payload := s.config.Decode(text); payload != nil {
+			k.Body, k.Size = payload, s.config.Content(payload).Size()
 		}
 	}
-	return s.book.Restore(s.clock.Now(), k)
+	return s.table.Restore(s.clock.Now(), k)
 }
 
 // Counts tells what the stage holds and has done.
 func (s *Stage) Counts() idempotency.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Counts()
+	return s.table.Counts()
 }
 
 // Wrap is the core.Stage.
 func (s *Stage) Wrap(next core.Handler) core.Handler {
 	return func(call *core.Call) core.Answer {
-		t := s.now.Load()
-		if !t.settled { // the first call: whoever lets calls begin has not yet come to say so
-			t = s.settle()
+		t := s.classes.Load()
+		if !t.inUse { // the first call: whoever lets calls begin has not yet come to say so
+			t = s.markInUse()
 		}
 		class := &t.classes[call.Class]
-		if !class.On && s.clock.Now() >= class.known {
+		if !class.On && s.clock.Now() >= class.knownUntil {
 			return next(call)
 		}
-		if s.before != nil && !s.before.wait(s, call) {
-			if !s.set.Book.Classes[call.Class].Once {
+		if s.predecessor != nil && !s.predecessor.wait(s, call) {
+			if !s.config.Book.Classes[call.Class].Once {
 				return next(call)
 			}
 			return core.Refuse(core.Busy, ReasonNoHandover, 0)
 		}
-		name, print, ok := s.namer.name(&class.By, call, s.set.Content(call.Payload))
+		name, print, ok := s.hasher.sum(&class.By, call, s.config.Content(call.Payload))
 		switch {
 		case !ok && class.Required && class.On:
 			return core.Fail(core.Invalid, ReasonUnnamed)
@@ -180,41 +180,41 @@
 }
 
 // serve carries out what the book says.
-func (s *Stage) serve(call *core.Call, next core.Handler, class *inForce, c idempotency.Call) core.Answer {
+func (s *Stage) serve(call *core.Call, next core.Handler, class *classState, c idempotency.Call) core.Answer {
 	for {
 		s.mu.Lock()
-		if !class.On && s.heir == nil { // its names are known until they end, and no more are taken
-			s.book.Tick(s.clock.Now())
-			if _, known := s.book.ClassOf(c.Name); !known {
+		if !class.On && s.successor == nil { // its names are known until they end, and no more are taken
+			s.table.Tick(s.clock.Now())
+			if _, known := s.table.ClassOf(c.Name); !known {
 				s.mu.Unlock()
-				if t := s.look(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
-					_, _, a := s.elsewhere(t)
+				if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
+					_, _, a := s.remoteAnswer(t)
 					return a
 				}
 				return next(call)
 			}
 		}
-		d := s.book.Ask(s.clock.Now(), c)
+		d := s.table.Ask(s.clock.Now(), c)
 		var r *run
 		switch d.Verdict {
 		case idempotency.Run:
-			r = &run{call: call.Fork(), waiting: 1, heir: s.heir, done: make(chan struct{})}
+			r = &run{call: call.Fork(), waiters: 1, successor: s.successor, finished: make(chan struct{})}
 			s.runs[d.Ref] = r
 		case idempotency.Join:
 			r = s.runs[d.Ref]
-			r.waiting++
+			r.waiters++
 		}
 		s.mu.Unlock()
 		switch d.Verdict {
 		case idempotency.Run:
-			call.OnLeave(func() { s.left(r) })
-			s.run(r, d.Ref, next, class, c)
+			call.OnLeave(func() { s.removeWaiter(r) })
+			s.execute(r, d.Ref, next, class, c)
 			if call.HasLeft() {
 				return core.Answer{Kind: core.Left}
 			}
 			return r.answer
 		case idempotency.Join:
-			if a, again := s.join(call, r); !again {
+			if a, again := s.await(call, r); !again {
 				return a
 			}
 			continue // the run was called off before this call came to wait for it
@@ -233,83 +233,83 @@
 	}
 }
 
-// run runs a call for all who wait for it, and records what came of it before anyone is told.
-func (s *Stage) run(r *run, ref idempotency.Ref, next core.Handler, class *inForce, c idempotency.Call) {
-	how, body, size := idempotency.EndInDoubt, any(nil), 0
+// execute runs a call for all who wait for it, and records what came of it before anyone is told.
+func (s *Stage) execute(r *run, ref idempotency.Ref, next core.Handler, class *classState, c idempotency.Call) {
+	outcome, body, size := idempotency.EndInDoubt, any(nil), 0
 	r.answer = core.Fail(core.Unavailable, core.ReasonPanic) // unless it comes to another end
 	var agreed *Taken
-	others := r.heir // who have a say whether it runs
-	if s.set.Fleet != nil && class.Agreed {
-		others = s.set.Fleet
+	claims := r.successor // who have a say whether it runs
+	if s.config.Fleet != nil && class.Agreed {
+		claims = s.config.Fleet
 	}
 	text := func() []byte {
 		if body == nil {
 			return nil
 		}
-		return s.set.Encode(body)
+		return s.config.Encode(body)
 	}
 	defer func() {
 		if agreed != nil {
-			others.Ended(c, *agreed, how, text())
+			claims.Ended(c, *agreed, outcome, text())
 		}
-		if j := s.set.Journal; j != nil {
-			if _, err := j.Ended(s.set.Wall(), c, how, text()); err != nil {
+		if j := s.config.Journal; j != nil {
+			if _, err := j.Ended(s.config.Wall(), c, outcome, text()); err != nil {
 				s.log.Error("the end of a request was not recorded", "error", err)
 			}
 		}
 		s.mu.Lock()
-		if heir := s.heir; heir != nil && r.heir == nil { // it ran when the book was given away
+		if heir := s.successor; heir != nil && r.successor == nil { // it ran when the book was given away
 			s.mu.Unlock()
-			heir.Ended(c, Taken{}, how, text())
+			heir.Ended(c, Taken{}, outcome, text())
 			s.mu.Lock()
 		}
-		s.book.End(s.clock.Now(), ref, how, body, size)
+		s.table.End(s.clock.Now(), ref, outcome, body, size)
 		delete(s.runs, ref)
-		close(r.done)
+		close(r.finished)
 		s.mu.Unlock()
 	}()
-	if err := s.record(class, c); err != nil {
+	if err := s.recordBegin(class, c); err != nil {
 		s.log.Error("the beginning of a request was not recorded", "error", err)
 		if class.Recorded {
-			how, r.answer = idempotency.EndNotRun, core.Refuse(core.Busy, ReasonUnrecorded, 0)
+			outcome, r.answer = idempotency.EndNotRun, core.Refuse(core.Busy, ReasonUnrecorded, 0)
 			return
 		}
 	}
-	if others != nil {
-		t := others.Take(c, r.call.Deadline, r.call.Left())
+	if claims != nil {
+		t := claims.Take(c, r.call.Deadline, r.call.Left())
 		if t.Verdict != idempotency.Run && t.Verdict != idempotency.Pass {
-			how, body, r.answer = s.elsewhere(t)
+			outcome, body, r.answer = s.remoteAnswer(t)
 			if body != nil {
-				size = s.set.Content(body).Size()
+				size = s.config.Content(body).Size()
 			}
 			return
 		}
 		if t.Verdict == idempotency.Run {
 			agreed, r.call.Stands = &t, t.Stands
 		}
-	} else if t := s.look(class, c, r.call.Deadline, r.call.Left()); t.Verdict != idempotency.Run {
-		how, body, r.answer = s.elsewhere(t)
+	} else if t := s.lookup(class, c, r.call.Deadline, r.call.Left()); t.Verdict != idempotency.Run {
+		outcome, body, r.answer = s.remoteAnswer(t)
 		if body != nil {
-			size = s.set.Content(body).Size()
+			size = s.config.Content(body).Size()
 		}
 		return
 	}
 	a := next(r.call)
 	switch {
 	case a.Kind == core.Served:
-		how, body = idempotency.EndServed, a.Payload
-		size = s.set.Content(a.Payload).Size()
+		outcome, body = idempotency.EndServed, a.Payload
+		size = s.config.Content(a.Payload).Size()
 	case !a.Ran:
-		how = idempotency.EndNotRun
+		outcome = idempotency.EndNotRun
 	}
 	r.answer = a
 }
 
-// elsewhere is what a call gets that is not this node's to run. Nothing ran here: but for an answer, the fleet is asked again.
-func (s *Stage) elsewhere(t Taken) (how idempotency.End, body any, a core.Answer) {
+// remoteAnswer is what a call gets that is not this node's to run. Nothing ran here: but for an answer, the fleet is asked again.
+func (s *Stage) remoteAnswer(t Taken) (outcome idempotency.End, body any, a core.Answer) {
 	switch t.Verdict {
 	case idempotency.Replay:
-		if payload := s.set.Decode(t.Body); payload != nil {
+		if payload := s.config.Decode(t.Body); payload != nil {
 			return idempotency.EndServed, payload, core.Answer{Kind: core.Served, Payload: payload}
 		}
 		a = core.Fail(core.Known, ReasonSpent)
@@ -330,40 +330,40 @@
 	return idempotency.EndNotRun, nil, a
 }
 
-// record notes that a call is about to run, and waits for the disk where its class does.
-func (s *Stage) record(class *inForce, c idempotency.Call) error {
-	if s.set.Journal == nil {
+// recordBegin notes that a call is about to run, and waits for the disk where its class does.
+func (s *Stage) recordBegin(class *classState, c idempotency.Call) error {
+	if s.config.Journal == nil {
 		return nil
 	}
-	ticket, err := s.set.Journal.Began(s.set.Wall(), c)
+	ticket, err := s.config.Journal.Began(s.config.Wall(), c)
 	if err == nil && class.Recorded {
 		err = ticket.Wait()
 	}
 	return err
 }
 
-// join waits for a run's answer. again tells that the run was called off and that this call may be another one.
-func (s *Stage) join(call *core.Call, r *run) (a core.Answer, again bool) {
+// await waits for a run's answer. again tells that the run was called off and that this call may be another one.
+func (s *Stage) await(call *core.Call, r *run) (a core.Answer, again bool) {
 	late := make(chan struct{})
 	stop := s.clock.At(call.Deadline, func() { close(late) })
 	defer stop()
 	select {
-	case <-r.done:
+	case <-r.finished:
 		return r.answer, r.answer.Kind == core.Left && !call.HasLeft()
 	case <-call.Left():
-		s.left(r)
+		s.removeWaiter(r)
 		return core.Answer{Kind: core.Left}, false
 	case <-late:
-		s.left(r)
+		s.removeWaiter(r)
 		return core.Fail(core.Unavailable, ReasonWaited), false
 	}
 }
 
-// left counts out a client that waits no longer. A run that nobody waits for is called off.
-func (s *Stage) left(r *run) {
+// removeWaiter counts out a client that waits no longer. A run that nobody waits for is called off.
+func (s *Stage) removeWaiter(r *run) {
 	s.mu.Lock()
-	r.waiting--
-	alone := r.waiting == 0
+	r.waiters--
+	alone := r.waiters == 0
 	s.mu.Unlock()
 	if alone {
 		r.call.Leave()
--- a/internal/node/idempotency/middleware/edge_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -72,19 +72,19 @@
 	}
 }
 
-// waiting blocks until so many clients wait for the only run.
-func (s *Stage) waiting(n int) {
+// awaitWaiters blocks until so many clients wait for the only run.
+func (s *Stage) awaitWaiters(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
 		for _, r := range s.runs {
-			have = r.waiting
+			have = r.waiters
 		}
 		s.mu.Unlock()
 	}
 }
 
 // Guards against a second run, and against another answer, for two hundred repeats at once and for those that come after.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentRepeatsShareOneRun(t *testing.T) {
 	s, _ := newStage(t, settings())
 	r := newRuns()
 	serve := s.Wrap(r.handle)
@@ -92,7 +92,7 @@
 	for range 200 {
 		go func() { answers <- serve(newCall(0, "k", "body")) }()
 	}
-	s.waiting(200)
+	s.awaitWaiters(200)
 	r.end <- served
 	for range 200 {
 		assert.Equal(t, served, <-answers)
@@ -105,7 +105,7 @@
 
 // Guards against a run that ends with its first client while others wait for it, one that goes on for nobody, and a repeat
 // that gets no answer because it came to a run that was being called off.
-func TestLeaving(t *testing.T) {
+func TestRunIsCancelledWhenTheLastClientLeaves(t *testing.T) {
 	s, c := newStage(t, settings())
 	r := newRuns()
 	serve := s.Wrap(r.handle)
@@ -119,7 +119,7 @@
 			<-r.begun
 		}
 	}
-	s.waiting(3)
+	s.awaitWaiters(3)
 	first.Leave()
 	second.Leave()
 	assert.Equal(t, core.Left, (<-answers[second]).Kind)
@@ -140,7 +140,7 @@
 	<-r.begun
 	joined := newCall(0, "k3", "b")
 	go func() { answers[second] <- serve(joined) }()
-	s.waiting(2)
+	s.awaitWaiters(2)
 	r.end <- core.Answer{Kind: core.Left}
 	<-r.begun
 	r.end <- served
@@ -151,7 +151,7 @@
 	go func() { answers[first] <- serve(newCall(0, "k4", "b")) }()
 	<-r.begun
 	go func() { answers[second] <- serve(newCall(0, "k4", "b")) }()
-	s.waiting(2)
+	s.awaitWaiters(2)
 	c.Advance(900)
 	assert.Equal(t, core.Fail(core.Unavailable, ReasonWaited), <-answers[second])
 	r.end <- served
@@ -160,7 +160,7 @@
 
 // Guards against a repeat that is sent though the first may have run, that is not sent though it did not, and against a
 // panic that leaves a run open.
-func TestWhatMayRunAgain(t *testing.T) {
+func TestOnlyNotExecutedCallsRunAgain(t *testing.T) {
 	s, _ := newStage(t, settings())
 	next := served
 	var panics bool
@@ -197,7 +197,7 @@
 
 // Guards against a charge that runs though the disk does not have it, and against a repeat after a restart that runs again
 // or gets another answer.
-func TestJournal(t *testing.T) {
+func TestRunIsRecordedBeforeItBegins(t *testing.T) {
 	disk := wal.Disk{Path: t.TempDir()}
 	set := settings()
 	keep := journal.Settings{Classes: []string{"a", "b", "c", "d", "e"}, SegmentBytes: 1 << 20, Keep: 2000, Queue: 10}
@@ -230,8 +230,8 @@
 }
 
 // Guards against two calls that meet under one name though their parts differ, or that do not though they are the same.
-func TestNames(t *testing.T) {
-	n := newNamer([]byte("a"))
+func TestKeysFollowTheNaming(t *testing.T) {
+	n := newKeyHasher([]byte("a"))
 	seen := map[idempotency.Name]string{}
 	for _, by := range []Naming{{Key: true}, {Path: true, Body: true, Headers: []string{"X"}}} {
 		for class := range 2 {
@@ -240,14 +240,14 @@
 					call := newCall(class, key, key)
 					call.Tenant = tenant
 					what := fmt.Sprint(by, class, tenant, key)
-					name, print, ok := n.name(&by, call, call.Payload.(text))
+					name, print, ok := n.sum(&by, call, call.Payload.(text))
 					require.True(t, ok)
 					require.Empty(t, seen[name], what)
 					seen[name] = what
-					again, print2, _ := n.name(&by, call, call.Payload.(text))
+					again, print2, _ := n.sum(&by, call, call.Payload.(text))
 					require.Equal(t, name, again)
 					require.Equal(t, print, print2)
-					other, _, _ := newNamer([]byte("b")).name(&by, call, call.Payload.(text))
+					other, _, _ := newKeyHasher([]byte("b")).sum(&by, call, call.Payload.(text))
 					require.NotEqual(t, name, other, "another secret")
 				}
 			}
@@ -257,38 +257,38 @@
 
 // Guards against a release that names a call otherwise than the one before: nodes of both run side by side, and a repeat that comes to
 // the other one would run again.
-func TestNamesStay(t *testing.T) {
-	n := newNamer([]byte("a secret of a fleet"))
+func TestKeysKeepTheirHash(t *testing.T) {
+	n := newKeyHasher([]byte("a secret of a fleet"))
 	for want, by := range map[string]Naming{
 		"d4729fc49b7460942b66351784c57062 3f9fc0a96860b1c6d4a0a2b991c6b078": {Key: true},
 		"e61d194680a937ac45cebefdc0075cbc 3f9fc0a96860b1c6d4a0a2b991c6b078": {Path: true, Query: true, Body: true, Headers: []string{"X"}},
 	} {
 		call := newCall(1, "a key", "a body")
 		call.Tenant = 2
-		name, print, ok := n.name(&by, call, call.Payload.(text))
+		name, print, ok := n.sum(&by, call, call.Payload.(text))
 		require.True(t, ok)
 		assert.Equal(t, want, fmt.Sprintf("%x %x", name, print))
 	}
 }
 
-// request is what a client asked, outcome what it got: an answer's number, or one of the others.
+// clientRequest is what a client asked, outcome what it got: an answer's number, or one of the others.
 type (
-	request struct{ name int }
-	outcome int
+	clientRequest struct{ key int }
+	clientResult  int
 )
 
 const (
-	gotRefusal outcome = -1
-	gotFailure outcome = -2
-	unknown    outcome = 0
+	gotRefusal clientResult = -1
+	gotFailure clientResult = -2
+	unknown    clientResult = 0
 )
 
-// promise is the specification: at most one run, and one answer for all.
-var promise = porcupine.Model{
+// oneRunModel is the specification: at most one run, and one answer for all.
+var oneRunModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[int][]porcupine.Operation{}
 		for _, op := range history {
-			by[op.Input.(request).name] = append(by[op.Input.(request).name], op)
+			by[op.Input.(clientRequest).key] = append(by[op.Input.(clientRequest).key], op)
 		}
 		parts := [][]porcupine.Operation{}
 		for _, part := range by {
@@ -298,7 +298,7 @@
 	},
 	Init: func() any { return unknown },
 	Step: func(state, _, output any) (bool, any) {
-		was, got := state.(outcome), output.(outcome)
+		was, got := state.(clientResult), output.(clientResult)
 		switch {
 		case was == unknown && got == gotRefusal:
 			return true, unknown
@@ -309,8 +309,8 @@
 	},
 }
 
-// play has clients ask for few names at once and gives the history that they saw, and how often each name ran.
-func play(seed uint64, wrap func(core.Handler) core.Handler) ([]porcupine.Operation, map[int]int) {
+// runHistory has clients ask for few names at once and gives the history that they saw, and how often each name ran.
+func runHistory(seed uint64, wrap func(core.Handler) core.Handler) ([]porcupine.Operation, map[int]int) {
 	const clients, asks, names = 8, 40, 12
 	var mu sync.Mutex
 	var answers atomic.Int64
@@ -338,12 +338,12 @@
 			rng := rand.New(rand.NewPCG(seed, 1000+uint64(client)))
 			for range asks {
 				name := rng.IntN(names)
-				op := porcupine.Operation{ClientId: client, Input: request{name}, Call: int64(time.Since(begin))}
+				op := porcupine.Operation{ClientId: client, Input: clientRequest{name}, Call: int64(time.Since(begin))}
 				a := serve(newCall(0, string(rune(name)), "b"))
 				op.Return = int64(time.Since(begin))
 				switch a.Kind {
 				case core.Served:
-					var n outcome
+					var n clientResult
 					_, _ = fmt.Sscan(string(a.Payload.(text)), &n)
 					op.Output = n
 				case core.Refused:
@@ -361,14 +361,14 @@
 	return history, ran
 }
 
-// judge tells which promise a history breaks.
-func judge(history []porcupine.Operation, ran map[int]int) error {
+// checkHistory tells which promise a history breaks.
+func checkHistory(history []porcupine.Operation, ran map[int]int) error {
 	for name, n := range ran {
 		if n > 1 {
 			return fmt.Errorf("name %d ran %d times", name, n)
 		}
 	}
-	if !porcupine.CheckOperations(promise, history) {
+	if !porcupine.CheckOperations(oneRunModel, history) {
 		return errors.New("no order of the requests explains the answers")
 	}
 	return nil
@@ -377,10 +377,10 @@
 // Guards against histories of concurrent clients that no order of "at most one run, one answer for all" explains; and
 // against a check that finds nothing, with a stage that lets some calls pass by, and one that tells clients before it
 // records.
-func TestHistories(t *testing.T) {
+func TestConcurrentHistoriesRunAtMostOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		s, _ := newStage(t, settings())
-		require.NoError(t, judge(play(seed, s.Wrap)))
+		require.NoError(t, checkHistory(runHistory(seed, s.Wrap)))
 	}
 	leaky := func(next core.Handler) core.Handler {
 		s, _ := newStage(t, settings())
@@ -404,7 +404,7 @@
 	for _, wrong := range []func(core.Handler) core.Handler{leaky, hasty} {
 		var found error
 		for seed := uint64(0); seed < 50 && found == nil; seed++ {
-			found = judge(play(seed, wrong))
+			found = checkHistory(runHistory(seed, wrong))
 		}
 		assert.Error(t, found)
 	}
--- a/internal/node/idempotency/repeats.go
+++ b/internal/node/idempotency/repeats.go
@@ -24,7 +24,7 @@
 //
 // A call may bring its own Windows. A name keeps those under which its run began, whatever later calls of its class bring: a
 // window that was promised is never shorter, and never longer. Names of one class and the same windows stand in one lane; there are
-// at most mostLanes at once, and one is free again when its last name has gone. A call for whose windows there is no lane any more
+// at most maxLanes at once, and one is free again when its last name has gone. A call for whose windows there is no lane any more
 // is turned away, or goes on unrecorded, as in a book that is full.
 package idempotency
 
@@ -92,8 +92,8 @@
 
 // Ref names a run. It is not used again for another one.
 type Ref struct {
-	slot int32
-	turn uint32
+	slot       int32
+	generation uint32
 }
 
 // Decision is the answer to Ask.
@@ -118,27 +118,27 @@
 type state uint8
 
 const (
-	free state = iota
-	running
-	answered // with its body
-	spent    // without
-	doubt
+	stateFree state = iota
+	stateRunning
+	stateAnswered // with its body
+	stateExecuted // without
+	stateInDoubt
 )
 
 // entry is what is known of one name. It is one of three lists at most: of its end, of bodies.
 type entry struct {
-	name         Name
-	print        Print
-	body         any
-	expires      float64
-	size         int32
-	tenant       int32
-	next, prev   int32 // in the queue of those that end in order
-	nextB, prevB int32 // in the queue of bodies
-	turn         uint32
-	lane         uint16
-	class        uint8
-	state        state
+	key                Name
+	fingerprint        Print
+	body               any
+	expires            float64
+	size               int32
+	tenant             int32
+	next, prev         int32 // in the queue of those that end in order
+	nextBody, prevBody int32 // in the queue of bodies
+	generation         uint32
+	lane               uint16
+	class              uint8
+	state              state
 }
 
 // EntryBytes bounds the memory of one entry with its place in the index, measured by this package's test.
@@ -148,15 +148,15 @@
 type lane struct {
 	class uint8
 	Windows
-	names       int
-	known, open queue // answered or spent; in doubt
+	keys              int
+	executed, inDoubt queue // answered or spent; in doubt
 }
 
-// mostLanes bounds them.
-const mostLanes = 1024
+// maxLanes bounds them.
+const maxLanes = 1024
 
-// queue is a list through the entries' next and prev, or nextB and prevB; -1 ends it.
-type queue struct{ first, last int32 }
+// queue is a list through the entries' next and prev, or nextBody and prevBody; -1 ends it.
+type queue struct{ head, tail int32 }
 
 // Counts tell what a Book holds and has done.
 type Counts struct {
@@ -169,42 +169,42 @@
 
 // Book holds the names. It is not safe for concurrent use.
 type Book struct {
-	set     Settings
-	now     float64
-	index   map[Name]int32
-	entries []entry
-	unused  int32 // first of the free ones, through next
-	lanes   []lane
-	last    []int // by class: the lane of its last name
-	bodies  queue
-	held    []int // pinned entries by tenant, the last for calls of none
-	counts  Counts
+	config         Settings
+	now            float64
+	index          map[Name]int32
+	entries        []entry
+	freeHead       int32 // first of the free ones, through next
+	lanes          []lane
+	lastLane       []int // by class: the lane of its last name
+	bodies         queue
+	pinnedByTenant []int // pinned entries by tenant, the last for calls of none
+	counts         Counts
 }
 
 // New makes an empty Book.
-func New(set Settings) (*Book, error) {
-	wrong := func(field, format string, args ...any) (*Book, error) {
+func New(config Settings) (*Book, error) {
+	invalid := func(field, format string, args ...any) (*Book, error) {
 		return nil, &FieldError{field, fmt.Sprintf(format, args...)}
 	}
 	switch {
-	case len(set.Classes) == 0 || len(set.Classes) > 256:
-		return wrong("classes", "%d, want 1 to 256", len(set.Classes))
-	case set.Entries < 1 || set.Entries > math.MaxInt32/2:
-		return wrong("entries", "%d, want 1 to %d", set.Entries, math.MaxInt32/2)
-	case set.Bytes < 0:
-		return wrong("bytes", "%d is negative", set.Bytes)
-	case set.Tenants < 0:
-		return wrong("tenants", "%d is negative", set.Tenants)
-	case !(set.Alpha > 0):
-		return wrong("alpha", "%g is not above 0", set.Alpha)
-	}
-	for i, c := range set.Classes {
+	case len(config.Classes) == 0 || len(config.Classes) > 256:
+		return invalid("classes", "%d, want 1 to 256", len(config.Classes))
+	case config.Entries < 1 || config.Entries > math.MaxInt32/2:
+		return invalid("entries", "%d, want 1 to %d", config.Entries, math.MaxInt32/2)
+	case config.Bytes < 0:
+		return invalid("bytes", "%d is negative", config.Bytes)
+	case config.Tenants < 0:
+		return invalid("tenants", "%d is negative", config.Tenants)
+	case !(config.Alpha > 0):
+		return invalid("alpha", "%g is not above 0", config.Alpha)
+	}
+	for i, c := range config.Classes {
 		if !(c.Answered >= 0) || !(c.Doubt >= 0) || math.IsInf(c.Answered, 1) || math.IsInf(c.Doubt, 1) {
-			return wrong(fmt.Sprintf("classes[%d]", i), "windows of %g and %g ms", c.Answered, c.Doubt)
+			return invalid(fmt.Sprintf("classes[%d]", i), "windows of %g and %g ms", c.Answered, c.Doubt)
 		}
 	}
-	return &Book{set: set, now: math.Inf(-1), index: map[Name]int32{}, unused: -1, bodies: queue{-1, -1},
-		held: make([]int, set.Tenants+1), last: make([]int, len(set.Classes))}, nil
+	return &Book{config: config, now: math.Inf(-1), index: map[Name]int32{}, freeHead: -1, bodies: queue{-1, -1},
+		pinnedByTenant: make([]int, config.Tenants+1), lastLane: make([]int, len(config.Classes))}, nil
 }
 
 // Call is what the Book has to know of a call.
@@ -219,13 +219,13 @@
 
 // Ask tells what to do with a call that has arrived.
 func (b *Book) Ask(now float64, c Call) Decision {
-	b.at(now)
-	d := b.ask(c)
+	b.advance(now)
+	d := b.decide(c)
 	b.counts.Verdicts[d.Verdict]++
 	return d
 }
 
-func (b *Book) ask(c Call) Decision {
+func (b *Book) decide(c Call) Decision {
 	slot, known := b.index[c.Name]
 	if !known {
 		return b.admit(c)
@@ -235,17 +235,17 @@
 	}
 	// It may have run, and a repeat does no harm.
 	e := &b.entries[slot]
-	b.pin(slot, -1)
+	b.addToCounts(slot, -1)
 	b.unlink(slot)
-	if at, ok := b.laneOf(c); ok { // it begins anew
-		b.lanes[e.lane].names--
-		b.lanes[at].names++
+	if at, ok := b.findLane(c); ok { // it begins anew
+		b.lanes[e.lane].keys--
+		b.lanes[at].keys++
 		e.lane = uint16(at)
 	}
-	e.state = running
-	e.turn++
-	b.pin(slot, 1)
-	return Decision{Verdict: Run, Ref: Ref{slot, e.turn}}
+	e.state = stateRunning
+	e.generation++
+	b.addToCounts(slot, 1)
+	return Decision{Verdict: Run, Ref: Ref{slot, e.generation}}
 }
 
 // Peek tells what Ask would say, and changes nothing. A name that is not known may Run.
@@ -255,15 +255,15 @@
 		return Decision{Verdict: Run}
 	}
 	e := &b.entries[slot]
-	once := b.set.Classes[e.class].Once
+	once := b.config.Classes[e.class].Once
 	switch {
-	case e.print != c.Print || int(e.class) != c.Class:
+	case e.fingerprint != c.Print || int(e.class) != c.Class:
 		return Decision{Verdict: Mismatch}
-	case e.state == running:
-		return Decision{Verdict: Join, Ref: Ref{slot, e.turn}}
-	case e.state == answered:
+	case e.state == stateRunning:
+		return Decision{Verdict: Join, Ref: Ref{slot, e.generation}}
+	case e.state == stateAnswered:
 		return Decision{Verdict: Replay, Body: e.body}
-	case e.state == spent && once:
+	case e.state == stateExecuted && once:
 		return Decision{Verdict: Spent}
 	case once:
 		return Decision{Verdict: Doubt}
@@ -285,49 +285,49 @@
 
 // admit makes an entry for a new name.
 func (b *Book) admit(c Call) Decision {
-	once := b.set.Classes[c.Class].Once
-	if room := b.set.Entries - b.counts.Pinned; once && float64(b.held[b.payer(c.Tenant)]) >= b.set.Alpha*float64(room) {
-		return Decision{Verdict: Full, Wait: b.relief()}
+	once := b.config.Classes[c.Class].Once
+	if room := b.config.Entries - b.counts.Pinned; once && float64(b.pinnedByTenant[b.tenantIndex(c.Tenant)]) >= b.config.Alpha*float64(room) {
+		return Decision{Verdict: Full, Wait: b.retryAfter()}
 	}
-	slot, ok := b.begin(c)
+	slot, ok := b.insert(c)
 	switch {
 	case !ok && once:
-		return Decision{Verdict: Full, Wait: b.relief()}
+		return Decision{Verdict: Full, Wait: b.retryAfter()}
 	case !ok:
 		return Decision{Verdict: Pass}
 	}
-	return Decision{Verdict: Run, Ref: Ref{slot, b.entries[slot].turn}}
+	return Decision{Verdict: Run, Ref: Ref{slot, b.entries[slot].generation}}
 }
 
 // End tells how a run ended. body is what a served one was answered, of size bytes; it is kept if it fits.
-func (b *Book) End(now float64, ref Ref, how End, body any, size int) {
-	b.at(now)
-	e := b.find(ref)
-	if e == nil || e.state != running {
+func (b *Book) End(now float64, ref Ref, outcome End, body any, size int) {
+	b.advance(now)
+	e := b.lookup(ref)
+	if e == nil || e.state != stateRunning {
 		return
 	}
-	b.pin(ref.slot, -1)
+	b.addToCounts(ref.slot, -1)
 	under := &b.lanes[e.lane]
-	switch how {
+	switch outcome {
 	case EndNotRun:
-		b.drop(ref.slot)
+		b.remove(ref.slot)
 		return
 	case EndInDoubt:
-		e.state, e.expires = doubt, b.now+under.Doubt
+		e.state, e.expires = stateInDoubt, b.now+under.Doubt
 	default:
-		e.state, e.expires = spent, b.now+under.Answered
-		if size <= b.set.Bytes {
-			for b.counts.Bytes+size > b.set.Bytes {
-				b.strip(b.bodies.first)
+		e.state, e.expires = stateExecuted, b.now+under.Answered
+		if size <= b.config.Bytes {
+			for b.counts.Bytes+size > b.config.Bytes {
+				b.dropBody(b.bodies.head)
 				b.counts.BodiesPushedOut++
 			}
-			e.state, e.body, e.size = answered, body, int32(size)
+			e.state, e.body, e.size = stateAnswered, body, int32(size)
 			b.counts.Bytes += size
-			b.pushBody(ref.slot)
+			b.enqueueBody(ref.slot)
 		}
 	}
-	b.pushEnd(ref.slot)
-	b.pin(ref.slot, 1)
+	b.enqueueExpiry(ref.slot)
+	b.addToCounts(ref.slot, 1)
 	b.expire() // a window may be 0
 }
 
@@ -343,26 +343,26 @@
 
 // Restore takes an entry from before a restart. It tells whether there was room; a name that is known stays as it is.
 func (b *Book) Restore(now float64, k Known) bool {
-	b.at(now)
+	b.advance(now)
 	if _, known := b.index[k.Name]; known {
 		return true
 	}
-	slot, ok := b.begin(k.Call)
+	slot, ok := b.insert(k.Call)
 	if !ok {
 		return false
 	}
-	how, age := EndInDoubt, max(0, k.Age)
+	outcome, age := EndInDoubt, max(0, k.Age)
 	if k.Running {
 		age = 0
 	} else if k.Served {
-		how = EndServed
+		outcome = EndServed
 	}
 	size := k.Size
 	if k.Body == nil {
-		size = b.set.Bytes + 1
+		size = b.config.Bytes + 1
 	}
 	b.now -= age // its window counts from its end
-	b.End(b.now, Ref{slot, b.entries[slot].turn}, how, k.Body, size)
+	b.End(b.now, Ref{slot, b.entries[slot].generation}, outcome, k.Body, size)
 	b.now += age
 	b.expire()
 	return true
@@ -371,77 +371,77 @@
 // Resume takes an entry of a call that runs still, in another process, and gives its Ref for End. It tells whether there was room; a
 // name that is known stays as it is, and has none.
 func (b *Book) Resume(now float64, c Call) (Ref, bool) {
-	b.at(now)
+	b.advance(now)
 	if _, known := b.index[c.Name]; known {
 		return Ref{}, false
 	}
-	slot, ok := b.begin(c)
+	slot, ok := b.insert(c)
 	if !ok {
 		return Ref{}, false
 	}
-	return Ref{slot, b.entries[slot].turn}, true
+	return Ref{slot, b.entries[slot].generation}, true
 }
 
-// begin makes an entry of a call that runs, if there is room for it.
-func (b *Book) begin(c Call) (slot int32, ok bool) {
-	if c.Class < 0 || c.Class >= len(b.set.Classes) {
+// insert makes an entry of a call that runs, if there is room for it.
+func (b *Book) insert(c Call) (slot int32, ok bool) {
+	if c.Class < 0 || c.Class >= len(b.config.Classes) {
 		return 0, false
 	}
-	at, ok := b.laneOf(c)
-	if !ok || b.counts.Entries >= b.set.Entries && !b.pushOut() {
+	at, ok := b.findLane(c)
+	if !ok || b.counts.Entries >= b.config.Entries && !b.evictOne() {
 		return 0, false
 	}
-	b.lanes[at].names++
-	slot = b.take()
+	b.lanes[at].keys++
+	slot = b.allocate()
 	e := &b.entries[slot]
-	e.name, e.print, e.class, e.tenant, e.state = c.Name, c.Print, uint8(c.Class), int32(c.Tenant), running
+	e.key, e.fingerprint, e.class, e.tenant, e.state = c.Name, c.Print, uint8(c.Class), int32(c.Tenant), stateRunning
 	e.lane = uint16(at)
 	b.index[c.Name] = slot
 	b.counts.Entries++
-	b.pin(slot, 1)
+	b.addToCounts(slot, 1)
 	return slot, true
 }
 
-// laneOf finds or makes the lane that a call's name stands in; false = there is none left.
-func (b *Book) laneOf(c Call) (at int, ok bool) {
-	w := Windows{b.set.Classes[c.Class].Answered, b.set.Classes[c.Class].Doubt}
+// findLane finds or makes the lane that a call's name stands in; false = there is none left.
+func (b *Book) findLane(c Call) (at int, ok bool) {
+	w := Windows{b.config.Classes[c.Class].Answered, b.config.Classes[c.Class].Doubt}
 	if c.Windows != nil {
 		w = *c.Windows
 	}
 	is := func(l *lane) bool { return int(l.class) == c.Class && l.Windows == w }
-	if at = b.last[c.Class]; at < len(b.lanes) && is(&b.lanes[at]) {
+	if at = b.lastLane[c.Class]; at < len(b.lanes) && is(&b.lanes[at]) {
 		return at, true
 	}
 	unused := -1
 	for at = range b.lanes {
 		if l := &b.lanes[at]; is(l) {
-			b.last[c.Class] = at
+			b.lastLane[c.Class] = at
 			return at, true
-		} else if l.names == 0 {
+		} else if l.keys == 0 {
 			unused = at
 		}
 	}
 	if unused < 0 {
-		if len(b.lanes) >= mostLanes {
+		if len(b.lanes) >= maxLanes {
 			return 0, false
 		}
 		unused = len(b.lanes)
 		b.lanes = append(b.lanes, lane{})
 	}
-	b.lanes[unused] = lane{class: uint8(c.Class), Windows: w, known: queue{-1, -1}, open: queue{-1, -1}}
-	b.last[c.Class] = unused
+	b.lanes[unused] = lane{class: uint8(c.Class), Windows: w, executed: queue{-1, -1}, inDoubt: queue{-1, -1}}
+	b.lastLane[c.Class] = unused
 	return unused, true
 }
 
 // AddClass makes a further class, for a book whose classes are not all known when it is made, and gives its number. There may be
 // 256.
 func (b *Book) AddClass(c Class) (n int, ok bool) {
-	if len(b.set.Classes) >= 256 {
+	if len(b.config.Classes) >= 256 {
 		return 0, false
 	}
-	b.set.Classes = append(b.set.Classes[:len(b.set.Classes):len(b.set.Classes)], c)
-	b.last = append(b.last, 0)
-	return len(b.set.Classes) - 1, true
+	b.config.Classes = append(b.config.Classes[:len(b.config.Classes):len(b.config.Classes)], c)
+	b.lastLane = append(b.lastLane, 0)
+	return len(b.config.Classes) - 1, true
 }
 
 // Image gives every entry as Restore takes it, in an order in which a book that takes them all lets go of bodies as this one
@@ -457,30 +457,30 @@
 	})
 	known := func(e *entry) Known {
 		w := &windows[e.lane]
-		k := Known{Call: Call{e.name, e.print, int(e.class), int(e.tenant), w}, Running: e.state == running,
-			Served: e.state == answered || e.state == spent, Body: e.body, Size: int(e.size)}
+		k := Known{Call: Call{e.key, e.fingerprint, int(e.class), int(e.tenant), w}, Running: e.state == stateRunning,
+			Served: e.state == stateAnswered || e.state == stateExecuted, Body: e.body, Size: int(e.size)}
 		switch {
-		case e.state == doubt:
+		case e.state == stateInDoubt:
 			k.Age = b.now - (e.expires - w.Doubt)
 		case k.Served:
 			k.Age = b.now - (e.expires - w.Answered)
 		}
 		return k
 	}
-	for slot := b.bodies.first; slot >= 0; slot = b.entries[slot].nextB {
+	for slot := b.bodies.head; slot >= 0; slot = b.entries[slot].nextBody {
 		list = append(list, known(&b.entries[slot]))
 	}
 	for _, i := range order {
-		for _, q := range []*queue{&b.lanes[i].known, &b.lanes[i].open} {
-			for slot := q.first; slot >= 0; slot = b.entries[slot].next {
-				if e := &b.entries[slot]; e.state != answered {
+		for _, q := range []*queue{&b.lanes[i].executed, &b.lanes[i].inDoubt} {
+			for slot := q.head; slot >= 0; slot = b.entries[slot].next {
+				if e := &b.entries[slot]; e.state != stateAnswered {
 					list = append(list, known(e))
 				}
 			}
 		}
 	}
 	for slot := range b.entries {
-		if e := &b.entries[slot]; e.state == running {
+		if e := &b.entries[slot]; e.state == stateRunning {
 			list = append(list, known(e))
 		}
 	}
@@ -491,7 +491,7 @@
 func (b *Book) Next() float64 {
 	next := math.Inf(1)
 	for i := range b.lanes {
-		for _, first := range [...]int32{b.lanes[i].known.first, b.lanes[i].open.first} {
+		for _, first := range [...]int32{b.lanes[i].executed.head, b.lanes[i].inDoubt.head} {
 			if first >= 0 {
 				next = min(next, b.entries[first].expires)
 			}
@@ -501,16 +501,16 @@
 }
 
 // Tick lets go what has ended by now. Ask and End do the same; it is for times without calls.
-func (b *Book) Tick(now float64) { b.at(now) }
+func (b *Book) Tick(now float64) { b.advance(now) }
 
 // Counts tells what the Book holds.
 func (b *Book) Counts() Counts { return b.counts }
 
 // Held is how many entries of a tenant cannot be pushed out.
-func (b *Book) Held(tenant int) int { return b.held[b.payer(tenant)] }
+func (b *Book) Held(tenant int) int { return b.pinnedByTenant[b.tenantIndex(tenant)] }
 
-// at moves the time on, never back, and lets go what has ended.
-func (b *Book) at(now float64) {
+// advance moves the time on, never back, and lets go what has ended.
+func (b *Book) advance(now float64) {
 	if now > b.now {
 		b.now = now
 	}
@@ -519,62 +519,64 @@
 
 func (b *Book) expire() {
 	for i := range b.lanes {
-		for _, q := range [...]*queue{&b.lanes[i].known, &b.lanes[i].open} {
-			for q.first >= 0 && b.entries[q.first].expires <= b.now {
-				slot := q.first
-				b.pin(slot, -1)
-				b.drop(slot)
+		for _, q := range [...]*queue{&b.lanes[i].executed, &b.lanes[i].inDoubt} {
+			for q.head >= 0 && b.entries[q.head].expires <= b.now {
+				slot := q.head
+				b.addToCounts(slot, -1)
+				b.remove(slot)
 			}
 		}
 	}
 }
 
-// relief is how long it takes until a pinned entry ends.
-func (b *Book) relief() float64 {
+// retryAfter is how long it takes until a pinned entry ends.
+func (b *Book) retryAfter() float64 {
 	if next := b.Next(); !math.IsInf(next, 1) {
 		return max(1, next-b.now)
 	}
 	return 0
 }
 
-// payer is a tenant's place in held.
-func (b *Book) payer(tenant int) int {
-	if tenant < 0 || tenant >= b.set.Tenants {
-		return b.set.Tenants
+// tenantIndex is a tenant's place in held.
+func (b *Book) tenantIndex(tenant int) int {
+	if tenant < 0 || tenant >= b.config.Tenants {
+		return b.config.Tenants
 	}
 	return tenant
 }
 
-// pin counts an entry in or out of those that cannot be pushed out, if it is one, and into its state's count.
-func (b *Book) pin(slot int32, by int) {
+// addToCounts counts an entry in or out of those that cannot be pushed out, if it is one, and into its state's count.
+func (b *Book) addToCounts(slot int32, delta int) {
 	e := &b.entries[slot]
 	switch e.state {
-	case running:
-		b.counts.Running += by
-	case answered:
-		b.counts.Answered += by
-	case spent:
-		b.counts.Spent += by
-	case doubt:
-		b.counts.Doubt += by
+	case stateRunning:
+		b.counts.Running += delta
+	case stateAnswered:
+		b.counts.Answered += delta
+	case stateExecuted:
+		b.counts.Spent += delta
+	case stateInDoubt:
+		b.counts.Doubt += delta
 	}
-	if b.pinned(e) {
-		b.counts.Pinned += by
-		b.held[b.payer(int(e.tenant))] += by
+	if b.isPinned(e) {
+		b.counts.Pinned += delta
+		b.pinnedByTenant[b.tenantIndex(int(e.tenant))] += delta
 	}
 }
 
-func (b *Book) pinned(e *entry) bool { return e.state == running || b.set.Classes[e.class].Once }
+func (b *Book) isPinned(e *entry) bool {
+	return e.state == stateRunning || b.config.Classes[e.class].Once
+}
 
-// pushOut lets go of one entry that no rule holds, the one that would end first.
-func (b *Book) pushOut() bool {
+// evictOne lets go of one entry that no rule holds, the one that would end first.
+func (b *Book) evictOne() bool {
 	victim := int32(-1)
 	for i := range b.lanes {
 		l := &b.lanes[i]
-		if b.set.Classes[l.class].Once {
+		if b.config.Classes[l.class].Once {
 			continue
 		}
-		for _, first := range [...]int32{l.known.first, l.open.first} {
+		for _, first := range [...]int32{l.executed.head, l.inDoubt.head} {
 			if first >= 0 && (victim < 0 || b.entries[first].expires < b.entries[victim].expires) {
 				victim = first
 			}
@@ -583,40 +585,40 @@
 	if victim < 0 {
 		return false
 	}
-	b.pin(victim, -1)
-	b.drop(victim)
+	b.addToCounts(victim, -1)
+	b.remove(victim)
 	b.counts.NamesPushedOut++
 	return true
 }
 
-// find gives the entry of a run, nil if it has ended.
-func (b *Book) find(ref Ref) *entry {
-	if ref.slot < 0 || int(ref.slot) >= len(b.entries) || b.entries[ref.slot].turn != ref.turn {
+// lookup gives the entry of a run, nil if it has ended.
+func (b *Book) lookup(ref Ref) *entry {
+	if ref.slot < 0 || int(ref.slot) >= len(b.entries) || b.entries[ref.slot].generation != ref.generation {
 		return nil
 	}
 	return &b.entries[ref.slot]
 }
 
-// take gives an unused slot.
-func (b *Book) take() int32 {
-	if b.unused < 0 {
-		b.entries = append(b.entries, entry{next: -1, prev: -1, nextB: -1, prevB: -1})
+// allocate gives an unused slot.
+func (b *Book) allocate() int32 {
+	if b.freeHead < 0 {
+		b.entries = append(b.entries, entry{next: -1, prev: -1, nextBody: -1, prevBody: -1})
 		return int32(len(b.entries) - 1)
 	}
-	slot := b.unused
-	b.unused = b.entries[slot].next
+	slot := b.freeHead
+	b.freeHead = b.entries[slot].next
 	b.entries[slot].next = -1
 	return slot
 }
 
-// drop forgets an entry that was counted out.
-func (b *Book) drop(slot int32) {
+// remove forgets an entry that was counted out.
+func (b *Book) remove(slot int32) {
 	b.unlink(slot)
 	e := &b.entries[slot]
-	b.lanes[e.lane].names--
-	delete(b.index, e.name)
-	*e = entry{turn: e.turn + 1, next: b.unused, prev: -1, nextB: -1, prevB: -1}
-	b.unused = slot
+	b.lanes[e.lane].keys--
+	delete(b.index, e.key)
+	*e = entry{generation: e.generation + 1, next: b.freeHead, prev: -1, nextBody: -1, prevBody: -1}
+	b.freeHead = slot
 	b.counts.Entries--
 }
 
@@ -624,93 +626,93 @@
 func (b *Book) unlink(slot int32) {
 	e := &b.entries[slot]
 	switch e.state {
-	case answered:
-		b.popBody(slot)
+	case stateAnswered:
+		b.dequeueBody(slot)
 		b.counts.Bytes -= int(e.size)
 		e.body, e.size = nil, 0
 		fallthrough
-	case spent, doubt:
-		b.popEnd(slot)
+	case stateExecuted, stateInDoubt:
+		b.dequeueExpiry(slot)
 	}
 }
 
-// strip takes an answered entry's body away.
-func (b *Book) strip(slot int32) {
-	b.pin(slot, -1)
+// dropBody takes an answered entry's body away.
+func (b *Book) dropBody(slot int32) {
+	b.addToCounts(slot, -1)
 	e := &b.entries[slot]
-	b.popBody(slot)
+	b.dequeueBody(slot)
 	b.counts.Bytes -= int(e.size)
-	e.state, e.body, e.size = spent, nil, 0
-	b.pin(slot, 1)
+	e.state, e.body, e.size = stateExecuted, nil, 0
+	b.addToCounts(slot, 1)
 }
 
-// endQueue is the queue that an entry's end stands in: within one, windows are the same, so that it is in order.
-func (b *Book) endQueue(e *entry) *queue {
-	if e.state == doubt {
-		return &b.lanes[e.lane].open
+// expiryQueue is the queue that an entry's end stands in: within one, windows are the same, so that it is in order.
+func (b *Book) expiryQueue(e *entry) *queue {
+	if e.state == stateInDoubt {
+		return &b.lanes[e.lane].inDoubt
 	}
-	return &b.lanes[e.lane].known
+	return &b.lanes[e.lane].executed
 }
 
-func (b *Book) pushEnd(slot int32) {
+func (b *Book) enqueueExpiry(slot int32) {
 	e := &b.entries[slot]
-	q := b.endQueue(e)
-	after := q.last // but for restored ones it goes to the end
+	q := b.expiryQueue(e)
+	after := q.tail // but for restored ones it goes to the end
 	for after >= 0 && b.entries[after].expires > e.expires {
 		after = b.entries[after].prev
 	}
-	e.prev, e.next = after, q.first
+	e.prev, e.next = after, q.head
 	if after >= 0 {
 		e.next = b.entries[after].next
 		b.entries[after].next = slot
 	} else {
-		q.first = slot
+		q.head = slot
 	}
 	if e.next >= 0 {
 		b.entries[e.next].prev = slot
 	} else {
-		q.last = slot
+		q.tail = slot
 	}
 }
 
-func (b *Book) popEnd(slot int32) {
+func (b *Book) dequeueExpiry(slot int32) {
 	e := &b.entries[slot]
-	q := b.endQueue(e)
+	q := b.expiryQueue(e)
 	if e.prev >= 0 {
 		b.entries[e.prev].next = e.next
 	} else {
-		q.first = e.next
+		q.head = e.next
 	}
 	if e.next >= 0 {
 		b.entries[e.next].prev = e.prev
 	} else {
-		q.last = e.prev
+		q.tail = e.prev
 	}
 	e.next, e.prev = -1, -1
 }
 
-func (b *Book) pushBody(slot int32) {
+func (b *Book) enqueueBody(slot int32) {
 	e := &b.entries[slot]
-	e.prevB, e.nextB = b.bodies.last, -1
-	if e.prevB >= 0 {
-		b.entries[e.prevB].nextB = slot
+	e.prevBody, e.nextBody = b.bodies.tail, -1
+	if e.prevBody >= 0 {
+		b.entries[e.prevBody].nextBody = slot
 	} else {
-		b.bodies.first = slot
+		b.bodies.head = slot
 	}
-	b.bodies.last = slot
+	b.bodies.tail = slot
 }
 
-func (b *Book) popBody(slot int32) {
+func (b *Book) dequeueBody(slot int32) {
 	e := &b.entries[slot]
-	if e.prevB >= 0 {
-		b.entries[e.prevB].nextB = e.nextB
+	if e.prevBody >= 0 {
+		b.entries[e.prevBody].nextBody = e.nextBody
 	} else {
-		b.bodies.first = e.nextB
+		b.bodies.head = e.nextBody
 	}
-	if e.nextB >= 0 {
-		b.entries[e.nextB].prevB = e.prevB
+	if e.nextBody >= 0 {
+		b.entries[e.nextBody].prevBody = e.prevBody
 	} else {
-		b.bodies.last = e.prevB
+		b.bodies.tail = e.prevBody
 	}
-	e.nextB, e.prevB = -1, -1
+	e.nextBody, e.prevBody = -1, -1
 }
--- a/internal/node/idempotency/replicated/late_test.go
+++ b/internal/node/idempotency/replicated/release_test.go
@@ -105,7 +105,7 @@
 }
 
 // Guards against a claim that is agreed after its node gave it up: nothing ran, and every repeat would be told that it may have.
-func TestLateClaimIsTakenBack(t *testing.T) {
+func TestLateClaimIsReleased(t *testing.T) {
 	k := &alone{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "k", Address: k.listen()}}, AttemptTimeout: 250 * time.Millisecond})
 	defer log.Close()
@@ -113,7 +113,7 @@
 		log, clock.NewSystem(), slog.New(slog.DiscardHandler))
 	c := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
 	take := func() idempotency.Verdict {
-		n.up.Store(true)
+		n.reachable.Store(true)
 		return n.Take(c, n.clock.Now()+60000, nil).Verdict
 	}
 	for came := false; !came; { // on a slow machine its time may be up before it is sent
--- a/internal/node/idempotency/replicated/fleet.go
+++ b/internal/node/idempotency/replicated/replicated.go
@@ -38,65 +38,65 @@
 }
 
 const (
-	lookEvery  = 500.0  // ms between looks whether a majority can be reached
-	lostEvery  = 100.0  // while none could be
-	lostWait   = 5000.0 // ms that one of these may take: nobody waits for it, and slow keepers must not be taken for none
-	firstPoll  = 5.0    // ms between questions how a run elsewhere ended; doubles up to
-	lastPoll   = 80.0
-	comeBack   = 1000.0 // ms that a client is told to come back after
-	afterwards = 10 * time.Second
-	mostAfter  = 256 // ends that are still told afterwards, at once
+	probeInterval            = 500.0  // ms between looks whether a majority can be reached
+	unreachableProbeInterval = 100.0  // while none could be
+	unreachableProbeTimeout  = 5000.0 // ms that one of these may take: nobody waits for it, and slow keepers must not be taken for none
+	minPollInterval          = 5.0    // ms between questions how a run elsewhere ended; doubles up to
+	maxPollInterval          = 80.0
+	retryAfter               = 1000.0 // ms that a client is told to come back after
+	endReportTimeout         = 10 * time.Second
+	maxEndReports            = 256 // ends that are still told afterwards, at once
 )
 
 // Names is the adaptor.
 type Names struct {
-	set    Settings
-	log    *slog.Logger
-	clock  clock.Clock
-	client *client.Client
-	life   uint64
-	begun  chan struct{} // closed when names can be taken for the first time
-	alone  chan struct{} // closed when the process before has ended
-	once   sync.Once
-	own    context.Context // until another process takes this one's place
-	yield  context.CancelFunc
-	up     atomic.Bool
-	seen   atomic.Uint64 // counts what the keepers answered
-	after  chan struct{}
-	ending chan struct{} // closed when Run ends
-	work   sync.WaitGroup
+	config           Settings
+	log              *slog.Logger
+	clock            clock.Clock
+	client           *client.Client
+	life             uint64
+	ready            chan struct{} // closed when names can be taken for the first time
+	predecessorEnded chan struct{} // closed when the process before has ended
+	predecessorOnce  sync.Once
+	announceCtx      context.Context // until another process takes this one's place
+	stopAnnouncing   context.CancelFunc
+	reachable        atomic.Bool
+	replies          atomic.Uint64 // counts what the keepers answered
+	endReports       chan struct{}
+	stopping         chan struct{} // closed when Run ends
+	background       sync.WaitGroup
 }
 
 // New makes the adaptor; Run has it begin.
 func New(set Settings, c *client.Client, t clock.Clock, log *slog.Logger) *Names {
-	n := &Names{set: set, log: log, clock: t, client: c, life: rand.Uint64()>>1 | 1, begun: make(chan struct{}),
-		alone: make(chan struct{}), after: make(chan struct{}, mostAfter), ending: make(chan struct{})}
-	n.own, n.yield = context.WithCancel(context.Background())
+	n := &Names{config: set, log: log, clock: t, client: c, life: rand.Uint64()>>1 | 1, ready: make(chan struct{}),
+		predecessorEnded: make(chan struct{}), endReports: make(chan struct{}, maxEndReports), stopping: make(chan struct{})}
+	n.announceCtx, n.stopAnnouncing = context.WithCancel(context.Background())
 	return n
 }
 
 // Run tells the fleet that this process has begun, and then looks whether a majority of keepers can be reached, until ctx
 // ends. Until the first has worked, no name is taken.
 func (n *Names) Run(ctx context.Context) {
-	defer n.work.Wait()
-	defer close(n.ending)
-	sum := hmac.New(sha256.New, n.set.Secret)
+	defer n.background.Wait()
+	defer close(n.stopping)
+	sum := hmac.New(sha256.New, n.config.Secret)
 	_, _ = sum.Write([]byte("linenwheel names of a fleet")) // it does not fail
-	fresh := statemachine.ProcessStart{Node: n.set.Node, Life: n.life, Secret: sum.Sum(nil), Before: n.set.Before}
-	told, warned, alone, first := false, false, n.alone, true
+	fresh := statemachine.ProcessStart{Node: n.config.Node, Life: n.life, Secret: sum.Sum(nil), Before: n.config.Before}
+	told, warned, alone, first := false, false, n.predecessorEnded, true
 	if fresh.Before == 0 {
 		alone = nil
 	}
 	for ctx.Err() == nil {
-		seen := n.seen.Load()
-		patience := n.set.Take
-		if !n.up.Load() {
-			patience = max(patience, lostWait)
+		seen := n.replies.Load()
+		patience := n.config.Take
+		if !n.reachable.Load() {
+			patience = max(patience, unreachableProbeTimeout)
 		}
-		one, stop := context.WithTimeout(ctx, n.span(patience))
+		one, stop := context.WithTimeout(ctx, n.duration(patience))
 		var err error
-		if !told && n.own.Err() == nil { // a later process would count as an earlier one whose runs nobody answers for
-			unhook := context.AfterFunc(n.own, stop) //nolint:contextcheck // n.own ends with Yield, before ctx
+		if !told && n.announceCtx.Err() == nil { // a later process would count as an earlier one whose runs nobody answers for
+			unhook := context.AfterFunc(n.announceCtx, stop) //nolint:contextcheck // n.own ends with Yield, before ctx
 			var r statemachine.Reply
 			if r, err = n.client.Do(one, statemachine.ComponentCalls, statemachine.ProcessStartCommand(fresh)); err == nil && r.Code == statemachine.Conflict {
 				if !warned {
@@ -111,18 +111,18 @@
 		}
 		stop()
 		switch {
-		case err == nil && !n.up.Swap(true):
+		case err == nil && !n.reachable.Swap(true):
 			n.log.Info("names are agreed with the fleet", "life", n.life)
 			if first {
 				first = false
-				close(n.begun)
+				close(n.ready)
 			}
-		case err != nil && n.seen.Load() == seen:
-			n.lost(err)
+		case err != nil && n.replies.Load() == seen:
+			n.markUnreachable(err)
 		}
-		pause := lookEvery
-		if !n.up.Load() {
-			pause = lostEvery
+		pause := probeInterval
+		if !n.reachable.Load() {
+			pause = unreachableProbeInterval
 		}
 		wait := make(chan struct{})
 		cancel := n.clock.At(n.clock.Now()+pause*(0.75+rand.Float64()/2), func() { close(wait) })
@@ -138,50 +138,50 @@
 }
 
 // Begun is closed once names can be taken for the first time.
-func (n *Names) Begun() <-chan struct{} { return n.begun }
+func (n *Names) Begun() <-chan struct{} { return n.ready }
 
 // Life is this process's.
 func (n *Names) Life() uint64 { return n.life }
 
 // Alone tells that the process before has ended, whose place this one took.
-func (n *Names) Alone() { n.once.Do(func() { close(n.alone) }) }
+func (n *Names) Alone() { n.predecessorOnce.Do(func() { close(n.predecessorEnded) }) }
 
 // Yield tells that another process takes this one's place: the fleet hears no more of this one's life, but the ends of its calls.
-func (n *Names) Yield() { n.yield() }
+func (n *Names) Yield() { n.stopAnnouncing() }
 
-func (n *Names) span(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+func (n *Names) duration(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 
-// lost notes that no majority can be reached.
-func (n *Names) lost(err error) {
-	if n.up.Swap(false) {
+// markUnreachable notes that no majority can be reached.
+func (n *Names) markUnreachable(err error) {
+	if n.reachable.Swap(false) {
 		n.log.Warn("no majority of keepers can be reached: calls that must not run twice are refused", "error", err)
 	}
 }
 
 // Up tells whether names can be taken.
-func (n *Names) Up() bool { return n.up.Load() }
+func (n *Names) Up() bool { return n.reachable.Load() }
 
 // Look tells how a name stands, and waits for the run elsewhere that has it; Run = nobody has it, and it is not taken.
 func (n *Names) Look(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
-	if !n.up.Load() {
-		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+	if !n.reachable.Load() {
+		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}
 	}
-	o, err := n.see(c, deadline)
+	o, err := n.lookup(c, deadline)
 	if err != nil {
-		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}
 	}
 	if o.Result == statemachine.ClaimRunning {
-		o = n.await(c, deadline, left, firstPoll)
+		o = n.awaitRemoteRun(c, deadline, left, minPollInterval)
 	}
 	if o.Result == statemachine.ClaimUnknown {
 		return middleware.Taken{Verdict: idempotency.Run}
 	}
-	return told(o)
+	return claimResult(o)
 }
 
-// see asks once how a name stands.
-func (n *Names) see(c idempotency.Call, deadline float64) (o statemachine.ClaimReply, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), n.span(max(0, min(n.set.Take, deadline-n.clock.Now()))))
+// lookup asks once how a name stands.
+func (n *Names) lookup(c idempotency.Call, deadline float64) (o statemachine.ClaimReply, err error) {
+	ctx, stop := context.WithTimeout(context.Background(), n.duration(max(0, min(n.config.Take, deadline-n.clock.Now()))))
 	defer stop()
 	r, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: c.Name[:], Print: c.Print[:]})
 	switch {
@@ -193,8 +193,8 @@
 	return o, json.Unmarshal(r.Body, &o)
 }
 
-// told is what an outcome other than a run of one's own comes to.
-func told(o statemachine.ClaimReply) middleware.Taken {
+// claimResult is what an outcome other than a run of one's own comes to.
+func claimResult(o statemachine.ClaimReply) middleware.Taken {
 	switch o.Result {
 	case statemachine.ClaimReplayed:
 		return middleware.Taken{Verdict: idempotency.Replay, Body: o.Body}
@@ -212,56 +212,56 @@
 
 // Take has a name taken, or waits for the run elsewhere that has it, until the deadline or until left is closed.
 func (n *Names) Take(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
-	if !n.up.Load() {
-		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+	if !n.reachable.Load() {
+		return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}
 	}
 	tenant := ""
-	if c.Tenant >= 0 && c.Tenant < len(n.set.Tenants) {
-		tenant = n.set.Tenants[c.Tenant]
+	if c.Tenant >= 0 && c.Tenant < len(n.config.Tenants) {
+		tenant = n.config.Tenants[c.Tenant]
 	}
 	t := middleware.Taken{Token: rand.Uint64()>>1 | 1}
 	take := statemachine.ClaimCommand(statemachine.Claim{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered,
-		Doubt: c.Windows.Doubt, Run: n.set.Claim + n.set.Longest, Node: n.set.Node, Life: n.life, Token: t.Token})
-	for poll := firstPoll; ; poll = min(2*poll, lastPoll) {
+		Doubt: c.Windows.Doubt, Run: n.config.Claim + n.config.Longest, Node: n.config.Node, Life: n.life, Token: t.Token})
+	for poll := minPollInterval; ; poll = min(2*poll, maxPollInterval) {
 		asked := n.clock.Now()
 		if asked >= deadline {
 			return middleware.Taken{Verdict: idempotency.Join}
 		}
-		ctx, stop := context.WithTimeout(context.Background(), n.span(min(n.set.Take, deadline-asked)))
+		ctx, stop := context.WithTimeout(context.Background(), n.duration(min(n.config.Take, deadline-asked)))
 		r, err := n.client.Do(ctx, statemachine.ComponentCalls, take)
 		stop()
 		if err != nil {
-			n.lost(err)
+			n.markUnreachable(err)
 			if errors.Is(err, client.ErrUnknown) { // nothing was sent, and nothing will be
-				n.work.Go(func() {
-					n.takeBack(statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeNotExecuted})
+				n.background.Go(func() {
+					n.releaseClaim(statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeNotExecuted})
 				})
 			}
-			return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}
+			return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}
 		}
-		n.seen.Add(1)
+		n.replies.Add(1)
 		var o statemachine.ClaimReply
 		if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 			n.log.Error("a name could not be taken", "error", r.Text)
-			return middleware.Taken{Verdict: idempotency.Full, Wait: comeBack}
+			return middleware.Taken{Verdict: idempotency.Full, Wait: retryAfter}
 		}
 		if o.Result == statemachine.ClaimRunning {
-			if o = n.await(c, deadline, left, poll); o.Result == statemachine.ClaimUnknown {
+			if o = n.awaitRemoteRun(c, deadline, left, poll); o.Result == statemachine.ClaimUnknown {
 				continue // it did not run: this one may be the next
 			}
 		}
 		if o.Result == statemachine.ClaimGranted {
-			t.Stands = func() bool { return n.clock.Now() < asked+n.set.Claim }
+			t.Stands = func() bool { return n.clock.Now() < asked+n.config.Claim }
 			return t
 		}
-		return told(o)
+		return claimResult(o)
 	}
 }
 
-// await asks how a run elsewhere ended until it has. TakenElse = it had not when the time was up.
-func (n *Names) await(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.ClaimReply {
+// awaitRemoteRun asks how a run elsewhere ended until it has. TakenElse = it had not when the time was up.
+func (n *Names) awaitRemoteRun(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.ClaimReply {
 	running := statemachine.ClaimReply{Result: statemachine.ClaimRunning}
-	for ; ; poll = min(2*poll, lastPoll) {
+	for ; ; poll = min(2*poll, maxPollInterval) {
 		now := n.clock.Now()
 		wait := make(chan struct{})
 		cancel := n.clock.At(min(now+poll, deadline), func() { close(wait) })
@@ -274,16 +274,16 @@
 		if now = n.clock.Now(); now >= deadline {
 			return running
 		}
-		if o, err := n.see(c, deadline); err == nil && o.Result != statemachine.ClaimRunning {
+		if o, err := n.lookup(c, deadline); err == nil && o.Result != statemachine.ClaimRunning {
 			return o
 		}
 	}
 }
 
 // Ended has it agreed how a run ended, and returns once it is, or after Settings.End: it then goes on for a while.
-func (n *Names) Ended(c idempotency.Call, t middleware.Taken, how idempotency.End, body []byte) {
+func (n *Names) Ended(c idempotency.Call, t middleware.Taken, outcome idempotency.End, body []byte) {
 	e := statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeInDoubt}
-	switch how {
+	switch outcome {
 	case idempotency.EndServed:
 		e.Outcome, e.Body = statemachine.OutcomeServed, body
 	case idempotency.EndNotRun:
@@ -293,21 +293,21 @@
 		e.Body = nil // known without
 	}
 	select {
-	case n.after <- struct{}{}:
+	case n.endReports <- struct{}{}:
 	default:
 		return // too many: the name stays one that may have run
 	}
 	agreed := make(chan struct{})
-	n.work.Go(func() {
-		defer func() { <-n.after; close(agreed) }()
-		ctx, stop := context.WithTimeout(context.Background(), afterwards)
+	n.background.Go(func() {
+		defer func() { <-n.endReports; close(agreed) }()
+		ctx, stop := context.WithTimeout(context.Background(), endReportTimeout)
 		defer stop()
-		if _, ok := n.tell(ctx, e); !ok { // told twice, the second is a conflict that changes nothing
+		if _, ok := n.reportEnd(ctx, e); !ok { // told twice, the second is a conflict that changes nothing
 			n.log.Warn("the end of a call was not agreed: it counts as one that may have run")
 		}
 	})
 	late := make(chan struct{})
-	cancel := n.clock.At(n.clock.Now()+n.set.End, func() { close(late) })
+	cancel := n.clock.At(n.clock.Now()+n.config.End, func() { close(late) })
 	defer cancel()
 	select {
 	case <-agreed:
@@ -315,33 +315,33 @@
 	}
 }
 
-// tell has an end agreed, and gives the reply; false where it was not before ctx ended.
-func (n *Names) tell(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
+// reportEnd has an end agreed, and gives the reply; false where it was not before ctx ended.
+func (n *Names) reportEnd(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
 	for ctx.Err() == nil {
-		one, stop := context.WithTimeout(ctx, n.span(n.set.Take))
+		one, stop := context.WithTimeout(ctx, n.duration(n.config.Take))
 		r, err := n.client.Do(one, statemachine.ComponentCalls, statemachine.CompletionCommand(e))
 		stop()
 		if err == nil {
-			n.seen.Add(1)
+			n.replies.Add(1)
 			return r, true
 		}
 	}
 	return r, false
 }
 
-// takeBack gives up a name of which it is not known whether it was taken: a claim that is still on its way may be agreed after the
+// releaseClaim gives up a name of which it is not known whether it was taken: a claim that is still on its way may be agreed after the
 // word that nothing ran, so that it is said again, less and less often, until it is heard or no longer to be expected.
-func (n *Names) takeBack(e statemachine.Completion) {
+func (n *Names) releaseClaim(e statemachine.Completion) {
 	select {
-	case n.after <- struct{}{}:
-		defer func() { <-n.after }()
+	case n.endReports <- struct{}{}:
+		defer func() { <-n.endReports }()
 	default:
 		return // too many: the name may stay one that may have run
 	}
-	ctx, stop := context.WithTimeout(context.Background(), afterwards)
+	ctx, stop := context.WithTimeout(context.Background(), endReportTimeout)
 	defer stop()
-	for pause := lostEvery; ; pause *= 2 {
-		if r, ok := n.tell(ctx, e); !ok || r.Code == statemachine.OK {
+	for pause := unreachableProbeInterval; ; pause *= 2 {
+		if r, ok := n.reportEnd(ctx, e); !ok || r.Code == statemachine.OK {
 			return
 		}
 		wait := make(chan struct{})
@@ -351,7 +351,7 @@
 		case <-ctx.Done():
 			cancel()
 			return
-		case <-n.ending:
+		case <-n.stopping:
 			cancel()
 			return
 		}
--- a/internal/node/idempotency/replicated/fleet_test.go
+++ b/internal/node/idempotency/replicated/replicated_test.go
@@ -55,7 +55,7 @@
 
 // Guards against a node that hashes names under another secret than its fleet and is only found out by a charge that runs twice: it
 // says so when it starts, and takes no name.
-func TestAnotherSecret(t *testing.T) {
+func TestNodeWithAnotherSecretClaimsNothing(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -80,7 +80,7 @@
 		require.Fail(t, "it does not say so")
 	}
 	call := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
-	assert.Equal(t, middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: comeBack}, other.Take(call, real.Now()+20000, nil))
+	assert.Equal(t, middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}, other.Take(call, real.Now()+20000, nil))
 	assert.False(t, other.Up())
 	assert.Equal(t, idempotency.Run, first.Take(call, real.Now()+20000, nil).Verdict)
 	same := begin("b", "the secret of the fleet", slog.New(slog.DiscardHandler))
@@ -89,7 +89,7 @@
 
 // Guards against a process that tells the fleet of its life after another took its place: what that one runs would count as left
 // behind, and its answers would be lost.
-func TestYielded(t *testing.T) {
+func TestYieldedProcessNoLongerAnnouncesItself(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	defer work.Wait()
--- a/internal/node/idempotency/repeats_test.go
+++ b/internal/node/idempotency/table_test.go
@@ -14,7 +14,7 @@
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
-func name(i int) (n Name) {
+func keyOf(i int) (n Name) {
 	binary.BigEndian.PutUint64(n[:], uint64(i)*0x9e3779b97f4a7c15)
 	return n
 }
@@ -22,39 +22,39 @@
 var small = Settings{Classes: []Class{{Once: true, Answered: 50, Doubt: 80}, {Answered: 30, Doubt: 20}}, Tenants: 2,
 	Entries: 6, Bytes: 100, Alpha: 2}
 
-// op is one thing that happens to a Book.
-type op struct {
+// step is one thing that happens to a Book.
+type step struct {
 	wait                     float64
-	end                      bool // of the oldest open run but `which`, else a call
+	ends                     bool // of the oldest open run but `which`, else a call
 	which, name, print, size int
 	class, tenant            int
-	how                      End
-	under                    *Windows // of the call, as after a change of its class; nil = the class's
+	outcome                  End
+	windows                  *Windows // of the call, as after a change of its class; nil = the class's
 }
 
-// changed are what windows may be changed to.
-var changed = []*Windows{nil, nil, {Answered: 90, Doubt: 10}, {Answered: 5, Doubt: 200}, {}}
+// changedWindows are what windows may be changed to.
+var changedWindows = []*Windows{nil, nil, {Answered: 90, Doubt: 10}, {Answered: 5, Doubt: 200}, {}}
 
-var anOp = rapid.Custom(func(t *rapid.T) op {
-	return op{wait: rapid.SampledFrom([]float64{0, 0, 1, 5, 30, 90, -40}).Draw(t, "wait"),
-		end: rapid.Bool().Draw(t, "end"), which: rapid.IntRange(0, 5).Draw(t, "which"),
+var drawStep = rapid.Custom(func(t *rapid.T) step {
+	return step{wait: rapid.SampledFrom([]float64{0, 0, 1, 5, 30, 90, -40}).Draw(t, "wait"),
+		ends: rapid.Bool().Draw(t, "end"), which: rapid.IntRange(0, 5).Draw(t, "which"),
 		name: rapid.IntRange(0, 9).Draw(t, "name"), print: rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "print"),
 		size: rapid.IntRange(0, 120).Draw(t, "size"), class: rapid.IntRange(0, 1).Draw(t, "class"),
-		tenant: rapid.IntRange(-1, 1).Draw(t, "tenant"), how: End(rapid.IntRange(0, 2).Draw(t, "how")),
-		under: rapid.SampledFrom(changed).Draw(t, "under")}
+		tenant: rapid.IntRange(-1, 1).Draw(t, "tenant"), outcome: End(rapid.IntRange(0, 2).Draw(t, "how")),
+		windows: rapid.SampledFrom(changedWindows).Draw(t, "under")}
 })
 
-// truth is what the specification knows of a name, by the plainest means.
-type truth struct {
+// expected is what the specification knows of a name, by the plainest means.
+type expected struct {
 	call    Call
-	under   Windows // that were promised when it began
+	windows Windows // that were promised when it began
 	running bool
-	how     End
+	outcome End
 	ended   float64
 	body    any
 }
 
-type book interface {
+type table interface {
 	Ask(now float64, c Call) Decision
 	End(now float64, ref Ref, how End, body any, size int)
 	Counts() Counts
@@ -63,33 +63,33 @@
 	Tick(now float64)
 }
 
-// judge plays a history and says which promise was broken, "" for none.
-func judge(b book, set Settings, ops []op) string {
+// checkHistory plays a history and says which promise was broken, "" for none.
+func checkHistory(b table, set Settings, ops []step) string {
 	now, latest, runs := 1000.0, 0.0, 0
-	known, open := map[Name]*truth{}, []Ref{}
+	known, open := map[Name]*expected{}, []Ref{}
 	owner := map[Ref]Name{}
 	for _, o := range ops {
 		now += o.wait
 		latest = max(latest, now) // the book's time stands where the clock goes back
-		if o.end && len(open) > 0 {
+		if o.ends && len(open) > 0 {
 			at := o.which % len(open)
 			ref := open[at]
 			open = append(open[:at], open[at+1:]...)
 			runs++
 			body := any(fmt.Sprint("body ", runs))
 			k := known[owner[ref]]
-			k.running, k.how, k.body, k.ended = false, o.how, body, latest
-			b.End(now, ref, o.how, body, o.size)
+			k.running, k.outcome, k.body, k.ended = false, o.outcome, body, latest
+			b.End(now, ref, o.outcome, body, o.size)
 		} else {
-			c := Call{Name: name(o.name), Class: o.class, Tenant: o.tenant, Windows: o.under}
+			c := Call{Name: keyOf(o.name), Class: o.class, Tenant: o.tenant, Windows: o.windows}
 			c.Print[0] = byte(o.print)
 			before, k := b.Counts(), known[c.Name]
 			d := b.Ask(now, c)
 			window, ran := 0.0, false // in which the class must not run again
-			if k != nil && !k.running && k.how != EndNotRun {
-				window, ran = k.under.Answered, true
-				if k.how == EndInDoubt {
-					window = k.under.Doubt
+			if k != nil && !k.running && k.outcome != EndNotRun {
+				window, ran = k.windows.Answered, true
+				if k.outcome == EndInDoubt {
+					window = k.windows.Doubt
 				}
 			}
 			within := ran && latest < k.ended+window
@@ -106,10 +106,10 @@
 				}
 				if d.Verdict == Run {
 					under := Windows{set.Classes[c.Class].Answered, set.Classes[c.Class].Doubt}
-					if o.under != nil {
-						under = *o.under
+					if o.windows != nil {
+						under = *o.windows
 					}
-					known[c.Name] = &truth{call: c, under: under, running: true}
+					known[c.Name] = &expected{call: c, windows: under, running: true}
 					owner[d.Ref] = c.Name
 					open = append(open, d.Ref)
 				}
@@ -118,7 +118,7 @@
 					return "joined to what does not run"
 				}
 			case Replay:
-				if !ran || k.how != EndServed || d.Body != k.body || k.call.Print != c.Print {
+				if !ran || k.outcome != EndServed || d.Body != k.body || k.call.Print != c.Print {
 					return "replayed another answer than the one that was given"
 				}
 			case Spent, Doubt:
@@ -156,45 +156,45 @@
 
 // Guards against a second run, another answer, a lost run, growth beyond the bounds and needless refusals, whatever the
 // order of calls, ends and clocks.
-func TestPromises(t *testing.T) {
+func TestRandomHistoriesKeepTheSpecification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(small)
 		require.NoError(t, err)
-		ops := rapid.SliceOfN(anOp, 1, 60).Draw(t, "ops")
-		if wrong := judge(b, small, ops); wrong != "" {
+		ops := rapid.SliceOfN(drawStep, 1, 60).Draw(t, "ops")
+		if wrong := checkHistory(b, small, ops); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
 }
 
-// late is a Book that is told of an end only after the next call.
-type late struct {
+// lateRecorder is a Book that is told of an end only after the next call.
+type lateRecorder struct {
 	*Book
-	owed []func()
+	pending []func()
 }
 
-func (l *late) End(now float64, ref Ref, how End, _ any, size int) {
-	l.owed = append(l.owed, func() { l.Book.End(now, ref, how, "another", size) })
+func (l *lateRecorder) End(now float64, ref Ref, how End, _ any, size int) {
+	l.pending = append(l.pending, func() { l.Book.End(now, ref, how, "another", size) })
 }
 
-func (l *late) Ask(now float64, c Call) Decision {
+func (l *lateRecorder) Ask(now float64, c Call) Decision {
 	d := l.Book.Ask(now, c)
-	for _, f := range l.owed {
+	for _, f := range l.pending {
 		f()
 	}
-	l.owed = nil
+	l.pending = nil
 	return d
 }
 
-// forgetful is a Book that lets a running entry go when it is full.
-type forgetful struct{ *Book }
+// runningEvicter is a Book that lets a running entry go when it is full.
+type runningEvicter struct{ *Book }
 
-func (f forgetful) Ask(now float64, c Call) Decision {
-	if b := f.Book; b.counts.Entries == b.set.Entries {
+func (f runningEvicter) Ask(now float64, c Call) Decision {
+	if b := f.Book; b.counts.Entries == b.config.Entries {
 		for slot := range b.entries {
-			if b.entries[slot].state == running {
-				b.pin(int32(slot), -1)
-				b.drop(int32(slot))
+			if b.entries[slot].state == stateRunning {
+				b.addToCounts(int32(slot), -1)
+				b.remove(int32(slot))
 				break
 			}
 		}
@@ -202,15 +202,15 @@
 	return f.Book.Ask(now, c)
 }
 
-// hasty is a Book that has changed windows hold for the names that are held, too.
-type hasty struct{ *Book }
+// windowShifter is a Book that has changed windows hold for the names that are held, too.
+type windowShifter struct{ *Book }
 
-func (h hasty) Ask(now float64, c Call) Decision {
+func (h windowShifter) Ask(now float64, c Call) Decision {
 	if c.Windows != nil {
 		for i := range h.lanes {
 			if l := &h.lanes[i]; int(l.class) == c.Class {
-				for _, q := range []queue{l.known, l.open} {
-					for slot := q.first; slot >= 0; slot = h.entries[slot].next {
+				for _, q := range []queue{l.executed, l.inDoubt} {
+					for slot := q.head; slot >= 0; slot = h.entries[slot].next {
 						h.entries[slot].expires += c.Windows.Answered - l.Answered
 					}
 				}
@@ -220,14 +220,14 @@
 	return h.Book.Ask(now, c)
 }
 
-// fresh is a Book that begins anew with other windows.
-type fresh struct {
+// tableReplacer is a Book that begins anew with other windows.
+type tableReplacer struct {
 	*Book
-	under *Windows
+	windows *Windows
 }
 
-func (f *fresh) Ask(now float64, c Call) Decision {
-	if f.under != c.Windows {
+func (f *tableReplacer) Ask(now float64, c Call) Decision {
+	if f.windows != c.Windows {
 		list := f.Image()
 		f.Book, _ = New(small)
 		for _, k := range list {
@@ -235,42 +235,42 @@
 				f.Resume(now, k.Call)
 			}
 		}
-		f.under = c.Windows
+		f.windows = c.Windows
 	}
 	return f.Book.Ask(now, c)
 }
 
 // Guards against a judge that cannot fail: each planted fault must be caught.
-func TestJudgeCatchesFaults(t *testing.T) {
+func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
 	short := small
 	short.Classes = []Class{{Once: true, Answered: 40, Doubt: 80}, small.Classes[1]}
 	roomy := small
 	roomy.Entries = 7
-	for what, make := range map[string]func() book{
-		"a window that is too short":                 func() book { b, _ := New(short); return b },
-		"a bound that is too high":                   func() book { b, _ := New(roomy); return b },
-		"an answer recorded late":                    func() book { b, _ := New(small); return &late{Book: b} },
-		"a running entry pushed out":                 func() book { b, _ := New(small); return forgetful{b} },
-		"windows of held names that follow a change": func() book { b, _ := New(small); return hasty{b} },
-		"a book that a change makes anew":            func() book { b, _ := New(small); return &fresh{Book: b} },
+	for what, make := range map[string]func() table{
+		"a window that is too short":                 func() table { b, _ := New(short); return b },
+		"a bound that is too high":                   func() table { b, _ := New(roomy); return b },
+		"an answer recorded late":                    func() table { b, _ := New(small); return &lateRecorder{Book: b} },
+		"a running entry pushed out":                 func() table { b, _ := New(small); return runningEvicter{b} },
+		"windows of held names that follow a change": func() table { b, _ := New(small); return windowShifter{b} },
+		"a book that a change makes anew":            func() table { b, _ := New(small); return &tableReplacer{Book: b} },
 	} {
 		caught := ""
 		for seed := 0; seed < 2000 && caught == ""; seed++ {
-			caught = judge(make(), small, rapid.SliceOfN(anOp, 60, 60).Example(seed))
+			caught = checkHistory(make(), small, rapid.SliceOfN(drawStep, 60, 60).Example(seed))
 		}
 		assert.NotEmpty(t, caught, what)
 	}
 }
 
 // Guards against one tenant that fills the book for all others, and a refusal without a time to come back.
-func TestTenantThatFillsTheBook(t *testing.T) {
+func TestTenantThatFillsTheTableIsRejectedFirst(t *testing.T) {
 	set := small
 	set.Entries = 300
 	b, err := New(set)
 	require.NoError(t, err)
 	taken, refused := 0, Decision{}
 	for i := range 1000 {
-		d := b.Ask(float64(i)/1000, Call{Name: name(i), Tenant: 0})
+		d := b.Ask(float64(i)/1000, Call{Name: keyOf(i), Tenant: 0})
 		if d.Verdict == Full {
 			refused = d
 			continue
@@ -281,17 +281,17 @@
 	assert.Equal(t, 200, taken, "twice the room that nobody holds")
 	assert.InDelta(t, 80, refused.Wait, 1.1)
 	for i := range 66 {
-		assert.Equal(t, Run, b.Ask(1, Call{Name: name(2000 + i), Tenant: 1}).Verdict)
+		assert.Equal(t, Run, b.Ask(1, Call{Name: keyOf(2000 + i), Tenant: 1}).Verdict)
 	}
 }
 
 // Guards against what was known before a restart being lost, younger than it is, or put in place of what is newer.
-func TestRestore(t *testing.T) {
+func TestRestoreKeepsAgesAndBounds(t *testing.T) {
 	roomy := small
 	roomy.Entries = 60
 	b, err := New(roomy)
 	require.NoError(t, err)
-	call := func(i int) Call { return Call{Name: name(i)} }
+	call := func(i int) Call { return Call{Name: keyOf(i)} }
 	for _, k := range []Known{{Call: call(1), Running: true}, {Call: call(2), Served: true, Age: 20, Body: "two", Size: 3},
 		{Call: call(3), Served: true, Age: -1e9}, {Call: call(4), Age: 79}, {Call: call(5), Age: 81}} {
 		require.True(t, b.Restore(5000, k))
@@ -321,24 +321,24 @@
 
 // Guards against windows that are made up without end, a name that is taken where it cannot be held for as long as its class says,
 // and one that an image gives back under other windows.
-func TestLanes(t *testing.T) {
+func TestLanesAreBoundedAndReused(t *testing.T) {
 	roomy := small
 	roomy.Entries = 1e6
 	b, err := New(roomy)
 	require.NoError(t, err)
 	under := func(i int) *Windows { return &Windows{Answered: 1000 + float64(i), Doubt: 1} }
 	take := func(n, i int) Verdict {
-		d := b.Ask(0, Call{Name: name(n), Windows: under(i)})
+		d := b.Ask(0, Call{Name: keyOf(n), Windows: under(i)})
 		if d.Verdict == Run {
 			b.End(0, d.Ref, EndServed, nil, 1000)
 		}
 		return d.Verdict
 	}
-	for i := range mostLanes {
+	for i := range maxLanes {
 		require.Equal(t, Run, take(i, i))
 	}
-	assert.Equal(t, Full, take(mostLanes, mostLanes))
-	assert.Equal(t, Run, take(mostLanes, 5), "windows that are held by others")
+	assert.Equal(t, Full, take(maxLanes, maxLanes))
+	assert.Equal(t, Run, take(maxLanes, 5), "windows that are held by others")
 	heir, err := New(roomy)
 	require.NoError(t, err)
 	for _, k := range b.Image() {
@@ -347,15 +347,15 @@
 	for _, b := range []*Book{b, heir} {
 		assert.Equal(t, 1000.0, b.Next())
 		b.Tick(1000)
-		assert.Equal(t, mostLanes, b.Counts().Entries)
+		assert.Equal(t, maxLanes, b.Counts().Entries)
 		assert.Equal(t, 1001.0, b.Next())
 	}
-	assert.Equal(t, Run, take(mostLanes+1, mostLanes), "a lane is free again")
-	assert.Len(t, b.lanes, mostLanes)
+	assert.Equal(t, Run, take(maxLanes+1, maxLanes), "a lane is free again")
+	assert.Len(t, b.lanes, maxLanes)
 }
 
 // Guards against entries that cost more than the page states.
-func TestMemoryOfAnEntry(t *testing.T) {
+func TestEntryFitsItsStatedMemory(t *testing.T) {
 	const n = 100_000
 	set := Settings{Classes: small.Classes, Entries: n, Alpha: 1e9, Tenants: 1}
 	var before, after runtime.MemStats
@@ -364,7 +364,7 @@
 	b, err := New(set)
 	require.NoError(t, err)
 	for i := range n {
-		b.Ask(0, Call{Name: name(i)})
+		b.Ask(0, Call{Name: keyOf(i)})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -373,7 +373,7 @@
 }
 
 // Guards against settings that cannot work being taken.
-func TestSettings(t *testing.T) {
+func TestInvalidSettingsNameTheirField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"classes":    func(s *Settings) { s.Classes = nil },
 		"entries":    func(s *Settings) { s.Entries = 0 },
@@ -391,8 +391,8 @@
 	}
 }
 
-// BenchmarkBook is one call that was never seen, from its asking to its end, in a book that is full of others.
-func BenchmarkBook(b *testing.B) {
+// BenchmarkFullTable is one call that was never seen, from its asking to its end, in a book that is full of others.
+func BenchmarkFullTable(b *testing.B) {
 	book, err := New(Settings{Classes: []Class{{Once: true, Answered: 1000, Doubt: 1000}}, Entries: 100_000, Bytes: 1 << 20,
 		Alpha: 1e9})
 	require.NoError(b, err)
@@ -400,7 +400,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now := float64(i) / 50
-		if d := book.Ask(now, Call{Name: name(i)}); d.Verdict == Run {
+		if d := book.Ask(now, Call{Name: keyOf(i)}); d.Verdict == Run {
 			book.End(now, d.Ref, EndServed, body, 200)
 		}
 	}
--- a/internal/node/idempotency/transfer/handover.go
+++ b/internal/node/idempotency/transfer/handover.go
@@ -19,28 +19,28 @@
 // Send tells the other process something, in order. After an error the channel is broken, and its end is told.
 type Send func(json.RawMessage) error
 
-// mostPart is how many bytes of answers go into one message, beside those of one entry.
-const mostPart = 1 << 20
+// maxPartBytes is how many bytes of answers go into one message, beside those of one entry.
+const maxPartBytes = 1 << 20
 
-// mostNames is how many entries do.
-const mostNames = 4096
+// maxPartEntries is how many entries do.
+const maxPartEntries = 4096
 
 // message is what one process tells the other: one of its fields.
 type message struct {
-	Book *part `json:"book,omitempty"` // to the heir
-	Ask  *ask  `json:"ask,omitempty"`  // to the heir
-	Told *told `json:"told,omitempty"` // to the giver
-	End  *end  `json:"end,omitempty"`  // to the heir
+	Table      *tablePart  `json:"book,omitempty"` // to the heir
+	Claim      *claim      `json:"ask,omitempty"`  // to the heir
+	Reply      *claimReply `json:"told,omitempty"` // to the giver
+	Completion *completion `json:"end,omitempty"`  // to the heir
 }
 
-// part is one of the book's.
-type part struct {
-	Known  []known `json:"known"`
-	Last   bool    `json:"last,omitempty"`
-	Secret []byte  `json:"secret,omitempty"` // of the last: under which names are hashed
+// tablePart is one of the book's.
+type tablePart struct {
+	Entries []entry `json:"known"`
+	Last    bool    `json:"last,omitempty"`
+	Secret  []byte  `json:"secret,omitempty"` // of the last: under which names are hashed
 }
 
-type call struct {
+type wireCall struct {
 	Name   []byte `json:"name"`
 	Print  []byte `json:"print"`
 	Class  int    `json:"class"`
@@ -49,21 +49,21 @@
 	Windows *idempotency.Windows `json:"windows,omitempty"`
 }
 
-type known struct {
-	call
+type entry struct {
+	wireCall
 	Running bool    `json:"running,omitempty"`
 	Served  bool    `json:"served,omitempty"`
 	Age     float64 `json:"age,omitempty"` // milliseconds
 	Body    []byte  `json:"body,omitempty"`
 }
 
-type ask struct {
-	call
-	Seq uint64  `json:"seq"`
-	For float64 `json:"for"` // milliseconds until its deadline
+type claim struct {
+	wireCall
+	Seq     uint64  `json:"seq"`
+	Timeout float64 `json:"for"` // milliseconds until its deadline
 }
 
-type told struct {
+type claimReply struct {
 	Seq     uint64              `json:"seq"`
 	Verdict idempotency.Verdict `json:"verdict"`
 	Reason  string              `json:"reason,omitempty"`
@@ -71,15 +71,17 @@
 	Body    []byte              `json:"body,omitempty"`
 }
 
-type end struct {
-	call
-	How  idempotency.End `json:"how"`
-	Body []byte          `json:"body,omitempty"`
+type completion struct {
+	wireCall
+	Outcome idempotency.End `json:"how"`
+	Body    []byte          `json:"body,omitempty"`
 }
 
-func wired(c idempotency.Call) call { return call{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows} }
+func encodeCall(c idempotency.Call) wireCall {
+	return wireCall{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows}
+}
 
-func (c call) call() (out idempotency.Call) {
+func (c wireCall) decode() (out idempotency.Call) {
 	out.Class, out.Tenant, out.Windows = c.Class, c.Tenant, c.Windows
 	copy(out.Name[:], c.Name)
 	copy(out.Print[:], c.Print)
@@ -101,23 +103,23 @@
 	log   *slog.Logger
 	send  Send
 
-	given chan struct{} // closed when the book was sent, or the channel is broken
+	sent chan struct{} // closed when the book was sent, or the channel is broken
 
 	mu      sync.Mutex
 	broken  bool
-	last    uint64
-	waiting map[uint64]*asked
+	lastSeq uint64
+	pending map[uint64]*pendingClaim
 }
 
-// asked is a name that the heir was asked for.
-type asked struct {
-	call   idempotency.Call
-	answer chan middleware.Taken // nobody waits for one that is nil
+// pendingClaim is a name that the heir was asked for.
+type pendingClaim struct {
+	call  idempotency.Call
+	reply chan middleware.Taken // nobody waits for one that is nil
 }
 
 // NewGiver makes the side that gives a stage's book away once it runs.
 func NewGiver(stage *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Giver {
-	return &Giver{stage: stage, clock: c, log: log, send: send, given: make(chan struct{}), waiting: map[uint64]*asked{}}
+	return &Giver{stage: stage, clock: c, log: log, send: send, sent: make(chan struct{}), pending: map[uint64]*pendingClaim{}}
 }
 
 // Run has the stage give its book away, and returns when it has been sent. Told and Lost may be called meanwhile.
@@ -125,18 +127,18 @@
 	list := g.stage.Give(g)
 	names := len(list)
 	for {
-		p, bytes := &part{}, 0
-		for len(list) > 0 && len(p.Known) < mostNames && bytes < mostPart {
+		p, bytes := &tablePart{}, 0
+		for len(list) > 0 && len(p.Entries) < maxPartEntries && bytes < maxPartBytes {
 			k := &list[0]
 			body, _ := k.Body.([]byte)
-			p.Known = append(p.Known, known{wired(k.Call), k.Running, k.Served, k.Age, body})
+			p.Entries = append(p.Entries, entry{encodeCall(k.Call), k.Running, k.Served, k.Age, body})
 			bytes += len(body)
 			list = list[1:]
 		}
 		if len(list) == 0 {
 			p.Last, p.Secret = true, g.stage.Secret()
 		}
-		if err := (message{Book: p}).send(g.send); err != nil {
+		if err := (message{Table: p}).send(g.send); err != nil {
 			g.log.Warn("the names could not be handed over", "error", err)
 			g.Lost()
 			return
@@ -148,7 +150,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.broken {
-		close(g.given)
+		close(g.sent)
 		g.log.Info("the names were handed over", "names", names)
 	}
 }
@@ -159,45 +161,45 @@
 	stop := g.clock.At(deadline, func() { close(late) })
 	defer stop()
 	select {
-	case <-g.given:
+	case <-g.sent:
 	case <-late:
 		return middleware.Taken{Verdict: idempotency.Join}
 	case <-left:
 		return middleware.Taken{Verdict: idempotency.Join}
 	}
-	a := &asked{c, make(chan middleware.Taken, 1)}
-	answer := a.answer
+	a := &pendingClaim{c, make(chan middleware.Taken, 1)}
+	reply := a.reply
 	g.mu.Lock()
 	if g.broken {
 		g.mu.Unlock()
-		return g.refused(c)
+		return g.withoutSuccessor(c)
 	}
-	g.last++
-	seq := g.last
-	g.waiting[seq] = a
+	g.lastSeq++
+	seq := g.lastSeq
+	g.pending[seq] = a
 	g.mu.Unlock()
-	if (message{Ask: &ask{wired(c), seq, max(0, deadline-g.clock.Now())}}).send(g.send) != nil {
+	if (message{Claim: &claim{encodeCall(c), seq, max(0, deadline-g.clock.Now())}}).send(g.send) != nil {
 		g.Lost()
 	}
 	select {
-	case t := <-answer:
+	case t := <-reply:
 		return t
 	case <-late:
 	case <-left:
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a.answer = nil // what it is told now nobody makes use of
+	a.reply = nil // what it is told now nobody makes use of
 	select {
-	case t := <-answer:
+	case t := <-reply:
 		return t
 	default:
 		return middleware.Taken{Verdict: idempotency.Join}
 	}
 }
 
-// refused is the answer where the heir cannot be asked. A call that may run twice runs, and is not recognised.
-func (g *Giver) refused(c idempotency.Call) middleware.Taken {
+// withoutSuccessor is the answer where the heir cannot be asked. A call that may run twice runs, and is not recognised.
+func (g *Giver) withoutSuccessor(c idempotency.Call) middleware.Taken {
 	if !g.stage.Once(c.Class) {
 		return middleware.Taken{Verdict: idempotency.Pass}
 	}
@@ -205,12 +207,12 @@
 }
 
 // Ended tells the heir. What is written before the client is told is read by the heir though this process dies.
-func (g *Giver) Ended(c idempotency.Call, _ middleware.Taken, how idempotency.End, body []byte) {
-	<-g.given
+func (g *Giver) Ended(c idempotency.Call, _ middleware.Taken, outcome idempotency.End, body []byte) {
+	<-g.sent
 	g.mu.Lock()
 	broken := g.broken
 	g.mu.Unlock()
-	if !broken && (message{End: &end{wired(c), how, body}}).send(g.send) != nil {
+	if !broken && (message{Completion: &completion{encodeCall(c), outcome, body}}).send(g.send) != nil {
 		g.Lost()
 	}
 }
@@ -221,16 +223,16 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
 	}
-	if m.Told == nil {
+	if m.Reply == nil {
 		return nil
 	}
-	t := middleware.Taken{Verdict: m.Told.Verdict, Reason: m.Told.Reason, Wait: m.Told.Wait, Body: m.Told.Body}
+	t := middleware.Taken{Verdict: m.Reply.Verdict, Reason: m.Reply.Reason, Wait: m.Reply.Wait, Body: m.Reply.Body}
 	g.mu.Lock()
-	a := g.waiting[m.Told.Seq]
-	delete(g.waiting, m.Told.Seq)
-	unwanted := a != nil && a.answer == nil
+	a := g.pending[m.Reply.Seq]
+	delete(g.pending, m.Reply.Seq)
+	unwanted := a != nil && a.reply == nil
 	if a != nil && !unwanted {
-		a.answer <- t
+		a.reply <- t
 	}
 	g.mu.Unlock()
 	if unwanted && t.Verdict == idempotency.Run {
@@ -248,33 +250,33 @@
 	}
 	g.broken = true
 	g.log.Warn("the process that took over cannot be asked for names any more: new ones are refused")
-	for seq, a := range g.waiting {
-		if a.answer != nil {
-			a.answer <- g.refused(a.call)
+	for seq, a := range g.pending {
+		if a.reply != nil {
+			a.reply <- g.withoutSuccessor(a.call)
 		}
-		delete(g.waiting, seq)
+		delete(g.pending, seq)
 	}
 	select {
-	case <-g.given:
+	case <-g.sent:
 	default:
-		close(g.given)
+		close(g.sent)
 	}
 }
 
 // Heir is the new process's side. Its methods are called one after the other.
 type Heir struct {
-	stage *middleware.Stage
-	clock clock.Clock
-	log   *slog.Logger
-	send  Send
-	book  []idempotency.Known // that has come
-	gone  chan struct{}       // closed when the channel has broken
+	stage   *middleware.Stage
+	clock   clock.Clock
+	log     *slog.Logger
+	send    Send
+	entries []idempotency.Known // that has come
+	broken  chan struct{}       // closed when the channel has broken
 }
 
 // Await has a stage wait for the names of the process before.
 func Await(stage *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Heir {
 	stage.Await()
-	return &Heir{stage: stage, clock: c, log: log, send: send, gone: make(chan struct{})}
+	return &Heir{stage: stage, clock: c, log: log, send: send, broken: make(chan struct{})}
 }
 
 // Told takes what the process before says.
@@ -284,34 +286,34 @@
 		return err
 	}
 	switch {
-	case m.Book != nil:
-		for _, k := range m.Book.Known {
-			in := idempotency.Known{Call: k.call.call(), Running: k.Running, Served: k.Served, Age: k.Age}
+	case m.Table != nil:
+		for _, k := range m.Table.Entries {
+			in := idempotency.Known{Call: k.wireCall.decode(), Running: k.Running, Served: k.Served, Age: k.Age}
 			if k.Body != nil {
 				in.Body = k.Body
 			}
-			h.book = append(h.book, in)
+			h.entries = append(h.entries, in)
 		}
-		if m.Book.Last {
-			h.stage.Inherit(m.Book.Secret, h.book)
-			h.book = nil
+		if m.Table.Last {
+			h.stage.Inherit(m.Table.Secret, h.entries)
+			h.entries = nil
 		}
-	case m.Ask != nil:
-		go h.answer(*m.Ask) // there are as many as the other process has calls
-	case m.End != nil:
-		h.stage.Ended(m.End.call.call(), middleware.Taken{}, m.End.How, m.End.Body)
+	case m.Claim != nil:
+		go h.replyTo(*m.Claim) // there are as many as the other process has calls
+	case m.Completion != nil:
+		h.stage.Ended(m.Completion.wireCall.decode(), middleware.Taken{}, m.Completion.Outcome, m.Completion.Body)
 	}
 	return nil
 }
 
-func (h *Heir) answer(a ask) {
-	t := h.stage.Take(a.call.call(), h.clock.Now()+a.For, h.gone)
+func (h *Heir) replyTo(a claim) {
+	t := h.stage.Take(a.wireCall.decode(), h.clock.Now()+a.Timeout, h.broken)
 	// An end shows to the reader.
-	_ = message{Told: &told{a.Seq, t.Verdict, t.Reason, t.Wait, t.Body}}.send(h.send)
+	_ = message{Reply: &claimReply{a.Seq, t.Verdict, t.Reason, t.Wait, t.Body}}.send(h.send)
 }
 
 // Lost tells that the channel has broken, and whether the process before goes on.
 func (h *Heir) Lost(alive bool) {
-	close(h.gone)
+	close(h.broken)
 	h.stage.Lost(alive)
 }
--- a/internal/node/idempotency/transfer/handover_test.go
+++ b/internal/node/idempotency/transfer/transfer_test.go
@@ -64,7 +64,7 @@
 
 // Guards against a call that runs twice or has two answers, and against one that waits for ever, whatever part of its repeats comes to
 // the old and to the new process, before, while and after the names change hands, and wherever the channel breaks.
-func TestOneBook(t *testing.T) {
+func TestOneTableAtAnyMomentOfTheTransfer(t *testing.T) {
 	joined, broke, refused, doubt := atomic.Int64{}, 0, atomic.Int64{}, atomic.Int64{}
 	for seed := range uint64(40) {
 		chance := rand.New(rand.NewPCG(seed, 1))
@@ -157,7 +157,7 @@
 }
 
 // Guards against a name that stays taken for ever because nobody waited any more when the heir said that it may run.
-func TestNobodyWaitsForTheName(t *testing.T) {
+func TestClaimNobodyWaitsForIsGivenBack(t *testing.T) {
 	c := clock.NewManual(1000)
 	s, err := middleware.New(middleware.Settings{Book: idempotency.Settings{Classes: []idempotency.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -169,17 +169,17 @@
 		return err
 	})
 	g.Run()
-	require.True(t, (<-sent).Book.Last)
+	require.True(t, (<-sent).Table.Last)
 	left := make(chan struct{})
 	taken := make(chan middleware.Taken)
 	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{7}}, 2000, left) }()
 	asked := <-sent
 	close(left)
 	require.Equal(t, idempotency.Join, (<-taken).Verdict)
-	require.NoError(t, g.Told(json.RawMessage(fmt.Sprintf(`{"told":{"seq":%d,"verdict":0}}`, asked.Ask.Seq))))
+	require.NoError(t, g.Told(json.RawMessage(fmt.Sprintf(`{"told":{"seq":%d,"verdict":0}}`, asked.Claim.Seq))))
 	m := <-sent
-	require.Equal(t, idempotency.EndNotRun, m.End.How)
-	require.Equal(t, byte(7), m.End.Name[0])
+	require.Equal(t, idempotency.EndNotRun, m.Completion.Outcome)
+	require.Equal(t, byte(7), m.Completion.Name[0])
 	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{8}}, 2000, nil) }()
 	<-sent
 	g.Lost()
@@ -188,7 +188,7 @@
 
 // Guards against a name that the process which takes over holds for another time than the one before had promised, because their
 // classes' windows differ: one that was handed over, and one that the old process asked for afterwards.
-func TestWindowsAreHandedOver(t *testing.T) {
+func TestWindowsAreTransferred(t *testing.T) {
 	c, quiet, ran := clock.NewManual(1000), slog.New(slog.DiscardHandler), atomic.Int64{}
 	stage := func(window float64) (*middleware.Stage, core.Handler) {
 		s, err := middleware.New(middleware.Settings{Secret: []byte("s"), Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}},
