--- a/internal/node/idempotency/table_test.go
+++ b/internal/node/idempotency/table_test.go
@@ -22,17 +22,17 @@
 var small = Settings{Classes: []Class{{Once: true, Answered: 50, Doubt: 80}, {Answered: 30, Doubt: 20}}, Tenants: 2,
 	Entries: 6, Bytes: 100, Alpha: 2}
 
-// step is one thing that happens to a Book.
+// step is one call, or the end of one, in a history of a table.
 type step struct {
 	wait                     float64
-	ends                     bool // of the oldest open run but `which`, else a call
+	ends                     bool // ends the open run number `which`; else it is a call
 	which, name, print, size int
 	class, tenant            int
 	outcome                  End
 	windows                  *Windows // of the call, as after a change of its class; nil = the class's
 }
 
-// changedWindows are what windows may be changed to.
+// changedWindows are the windows that a call may bring.
 var changedWindows = []*Windows{nil, nil, {Answered: 90, Doubt: 10}, {Answered: 5, Doubt: 200}, {}}
 
 var drawStep = rapid.Custom(func(t *rapid.T) step {
@@ -44,10 +44,10 @@
 		windows: rapid.SampledFrom(changedWindows).Draw(t, "under")}
 })
 
-// expected is what the specification knows of a name, by the plainest means.
+// expected is what the specification knows of a key, by the plainest means.
 type expected struct {
 	call    Call
-	windows Windows // that were promised when it began
+	windows Windows // under which it began
 	running bool
 	outcome End
 	ended   float64
@@ -63,21 +63,21 @@
 	Tick(now float64)
 }
 
-// checkHistory plays a history and says which promise was broken, "" for none.
+// checkHistory plays a history and returns which rule was broken, "" for none.
 func checkHistory(b table, set Settings, ops []step) string {
 	now, latest, runs := 1000.0, 0.0, 0
 	known, open := map[Name]*expected{}, []Ref{}
-	owner := map[Ref]Name{}
+	keyOfRun := map[Ref]Name{}
 	for _, o := range ops {
 		now += o.wait
-		latest = max(latest, now) // the book's time stands where the clock goes back
+		latest = max(latest, now) // the table's time stands still where the clock goes back
 		if o.ends && len(open) > 0 {
 			at := o.which % len(open)
 			ref := open[at]
 			open = append(open[:at], open[at+1:]...)
 			runs++
 			body := any(fmt.Sprint("body ", runs))
-			k := known[owner[ref]]
+			k := known[keyOfRun[ref]]
 			k.running, k.outcome, k.body, k.ended = false, o.outcome, body, latest
 			b.End(now, ref, o.outcome, body, o.size)
 		} else {
@@ -85,7 +85,7 @@
 			c.Print[0] = byte(o.print)
 			before, k := b.Counts(), known[c.Name]
 			d := b.Ask(now, c)
-			window, ran := 0.0, false // in which the class must not run again
+			window, ran := 0.0, false // in which a call of the class must not run again
 			if k != nil && !k.running && k.outcome != EndNotRun {
 				window, ran = k.windows.Answered, true
 				if k.outcome == EndInDoubt {
@@ -110,7 +110,7 @@
 						under = *o.windows
 					}
 					known[c.Name] = &expected{call: c, windows: under, running: true}
-					owner[d.Ref] = c.Name
+					keyOfRun[d.Ref] = c.Name
 					open = append(open, d.Ref)
 				}
 			case Join:
@@ -154,8 +154,8 @@
 	return ""
 }
 
-// Guards against a second run, another answer, a lost run, growth beyond the bounds and needless refusals, whatever the
-// order of calls, ends and clocks.
+// Guards against a second run, another response, a lost run, growth beyond the bounds and needless rejections, whatever
+// the order of calls, ends and clocks.
 func TestRandomHistoriesKeepTheSpecification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(small)
@@ -167,7 +167,7 @@
 	})
 }
 
-// lateRecorder is a Book that is told of an end only after the next call.
+// lateRecorder records an end only after the next call.
 type lateRecorder struct {
 	*Book
 	pending []func()
@@ -186,7 +186,7 @@
 	return d
 }
 
-// runningEvicter is a Book that lets a running entry go when it is full.
+// runningEvicter evicts a running entry when it is full.
 type runningEvicter struct{ *Book }
 
 func (f runningEvicter) Ask(now float64, c Call) Decision {
@@ -202,7 +202,7 @@
 	return f.Book.Ask(now, c)
 }
 
-// windowShifter is a Book that has changed windows hold for the names that are held, too.
+// windowShifter applies changed windows to the keys that it holds, too.
 type windowShifter struct{ *Book }
 
 func (h windowShifter) Ask(now float64, c Call) Decision {
@@ -210,7 +210,7 @@
 		for i := range h.lanes {
 			if l := &h.lanes[i]; int(l.class) == c.Class {
 				for _, q := range []queue{l.executed, l.inDoubt} {
-					for slot := q.head; slot >= 0; slot = h.entries[slot].next {
+					for slot := q.head; slot >= 0; slot = h.entries[slot].links[byExpiry].next {
 						h.entries[slot].expires += c.Windows.Answered - l.Answered
 					}
 				}
@@ -220,7 +220,7 @@
 	return h.Book.Ask(now, c)
 }
 
-// tableReplacer is a Book that begins anew with other windows.
+// tableReplacer begins with an empty table when windows change.
 type tableReplacer struct {
 	*Book
 	windows *Windows
@@ -240,7 +240,7 @@
 	return f.Book.Ask(now, c)
 }
 
-// Guards against a judge that cannot fail: each planted fault must be caught.
+// Guards against a checker that cannot fail: each planted fault must be found.
 func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
 	short := small
 	short.Classes = []Class{{Once: true, Answered: 40, Doubt: 80}, small.Classes[1]}
@@ -249,10 +249,10 @@
 	for what, make := range map[string]func() table{
 		"a window that is too short":                 func() table { b, _ := New(short); return b },
 		"a bound that is too high":                   func() table { b, _ := New(roomy); return b },
-		"an answer recorded late":                    func() table { b, _ := New(small); return &lateRecorder{Book: b} },
-		"a running entry pushed out":                 func() table { b, _ := New(small); return runningEvicter{b} },
-		"windows of held names that follow a change": func() table { b, _ := New(small); return windowShifter{b} },
-		"a book that a change makes anew":            func() table { b, _ := New(small); return &tableReplacer{Book: b} },
+		"an outcome recorded late":                   func() table { b, _ := New(small); return &lateRecorder{Book: b} },
+		"a running entry evicted":                    func() table { b, _ := New(small); return runningEvicter{b} },
+		"windows of known keys that follow a change": func() table { b, _ := New(small); return windowShifter{b} },
+		"a table that a change empties":              func() table { b, _ := New(small); return &tableReplacer{Book: b} },
 	} {
 		caught := ""
 		for seed := 0; seed < 2000 && caught == ""; seed++ {
@@ -262,7 +262,7 @@
 	}
 }
 
-// Guards against one tenant that fills the book for all others, and a refusal without a time to come back.
+// Guards against one tenant that fills the table for all others, and a rejection without a time to retry after.
 func TestTenantThatFillsTheTableIsRejectedFirst(t *testing.T) {
 	set := small
 	set.Entries = 300
@@ -278,14 +278,14 @@
 		taken++
 		b.End(float64(i)/1000, d.Ref, EndInDoubt, nil, 0)
 	}
-	assert.Equal(t, 200, taken, "twice the room that nobody holds")
+	assert.Equal(t, 200, taken, "twice the capacity that is not pinned")
 	assert.InDelta(t, 80, refused.Wait, 1.1)
 	for i := range 66 {
 		assert.Equal(t, Run, b.Ask(1, Call{Name: keyOf(2000 + i), Tenant: 1}).Verdict)
 	}
 }
 
-// Guards against what was known before a restart being lost, younger than it is, or put in place of what is newer.
+// Guards against entries from before a restart that are lost, younger than they are, or replace newer ones.
 func TestRestoreKeepsAgesAndBounds(t *testing.T) {
 	roomy := small
 	roomy.Entries = 60
@@ -319,8 +319,8 @@
 	assert.False(t, full.Restore(0, Known{Call: call(7)}))
 }
 
-// Guards against windows that are made up without end, a name that is taken where it cannot be held for as long as its class says,
-// and one that an image gives back under other windows.
+// Guards against unbounded lanes, a key that is claimed where it cannot be kept for as long as its class says, and one that
+// an image restores under other windows.
 func TestLanesAreBoundedAndReused(t *testing.T) {
 	roomy := small
 	roomy.Entries = 1e6
@@ -338,7 +338,7 @@
 		require.Equal(t, Run, take(i, i))
 	}
 	assert.Equal(t, Full, take(maxLanes, maxLanes))
-	assert.Equal(t, Run, take(maxLanes, 5), "windows that are held by others")
+	assert.Equal(t, Run, take(maxLanes, 5), "windows that other keys have")
 	heir, err := New(roomy)
 	require.NoError(t, err)
 	for _, k := range b.Image() {
@@ -350,11 +350,11 @@
 		assert.Equal(t, maxLanes, b.Counts().Entries)
 		assert.Equal(t, 1001.0, b.Next())
 	}
-	assert.Equal(t, Run, take(maxLanes+1, maxLanes), "a lane is free again")
+	assert.Equal(t, Run, take(maxLanes+1, maxLanes), "a lane is reused")
 	assert.Len(t, b.lanes, maxLanes)
 }
 
-// Guards against entries that cost more than the page states.
+// Guards against entries that cost more memory than EntryBytes.
 func TestEntryFitsItsStatedMemory(t *testing.T) {
 	const n = 100_000
 	set := Settings{Classes: small.Classes, Entries: n, Alpha: 1e9, Tenants: 1}
@@ -372,7 +372,7 @@
 	assert.Less(t, float64(after.HeapAlloc-before.HeapAlloc)/n, float64(EntryBytes))
 }
 
-// Guards against settings that cannot work being taken.
+// Guards against settings that are accepted though they are out of range.
 func TestInvalidSettingsNameTheirField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"classes":    func(s *Settings) { s.Classes = nil },
@@ -391,7 +391,7 @@
 	}
 }
 
-// BenchmarkFullTable is one call that was never seen, from its asking to its end, in a book that is full of others.
+// BenchmarkFullTable is one new call, from Ask to End, in a table that is full of others.
 func BenchmarkFullTable(b *testing.B) {
 	book, err := New(Settings{Classes: []Class{{Once: true, Answered: 1000, Doubt: 1000}}, Entries: 100_000, Bytes: 1 << 20,
 		Alpha: 1e9})
