--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -10,36 +10,32 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// Segment describes one file of a journal.
+// Segment describes one file of a journal, for an operator.
 type Segment struct {
 	Name        string  `json:"name"`
 	Bytes       int     `json:"bytes"`
 	Records     int     `json:"records"`
 	First, Last float64 // ms since the Unix epoch; 0 without records
-	Damaged     string  `json:"damaged,omitempty"` // what is wrong and where
+	Damaged     string  `json:"damaged,omitempty"` // what is wrong and where; empty = nothing
 }
 
-// Report describes a journal without the settings that wrote it.
+// Report describes a journal as its files do, without the settings that wrote it.
 type Report struct {
 	Segments []Segment      `json:"segments"`
 	Classes  []string       `json:"classes"` // of all segments
 	Tenants  []string       `json:"tenants"`
-	Names    map[string]int `json:"names"` // how many are running, answered, in doubt, or did not run
+	Names    map[string]int `json:"names"` // number of keys by outcome: "running", "answered", "in doubt", "not run"
 }
 
-// Inspect reads a folder without changing it.
+// Inspect reads a directory without changing it. Damage is reported in its Segment; the error is of a file that cannot be read.
 func Inspect(f wal.Folder) (r Report, err error) {
-	names, err := f.List()
+	names, err := segmentNames(f)
 	if err != nil {
-		return r, fmt.Errorf("reading the journal: %w", err)
+		return r, err
 	}
-	slices.Sort(names)
 	entries := map[idempotency.Name]*entry{}
 	r.Names = map[string]int{}
 	for _, name := range names {
-		if _, ok := segmentForm.Number(name); !ok {
-			continue
-		}
 		text, err := f.Read(name)
 		if err != nil {
 			return r, fmt.Errorf("reading %s: %w", name, err)
@@ -76,14 +72,16 @@
 	return r, nil
 }
 
+// readHeader returns the header of a segment; false if it cannot be decoded.
 func readHeader(text []byte) (h header, ok bool) {
-	_, _ = segmentForm.Read(text, func(content []byte) error { // what is damaged is told by readSegment
+	_, _ = segmentForm.Read(text, func(content []byte) error { // readSegment reports what is damaged
 		ok = json.Unmarshal(content, &h) == nil
-		return ErrVersion // the records are not wanted
+		return ErrVersion // stops before the records
 	}, nil)
 	return h, ok
 }
 
+// union returns a with the names of b that it lacks.
 func union(a, b []string) []string {
 	for _, name := range b {
 		if !slices.Contains(a, name) {
@@ -93,8 +91,8 @@
 	return a
 }
 
-// Compact writes what is of use at a time into one new segment and removes the others. Nothing may have the folder open.
-// A damaged segment stays, so that a person can look at it.
+// Compact writes the entries that are of use at a time into one new segment, syncs it, and removes the others; it returns the
+// number of entries. No process may have the directory open. A damaged segment stays for an operator to look at.
 func Compact(f wal.Folder, keep, now float64) (kept int, err error) {
 	r, err := Inspect(f)
 	if err != nil {
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -1,26 +1,27 @@
-// Package journal keeps on a disk which calls have begun to run and how they ended, so that a restart does not forget them.
+// Package journal keeps on a disk which calls have begun to run and how they ended, so that a restart does not forget
+// them.
 //
-// A journal is a folder of segments that are only appended to. A segment begins with a header, which says in JSON what its
-// numbers mean (the names of classes and tenants, the version of the form), and goes on with records; header and records
-// each carry their length and a checksum (xxHash64). What was written together is synced together (group commit): whoever
-// waits for the disk waits for one sync, however many others wait.
+// A journal is a directory of segments that are only appended to. A segment begins with a header, which says in JSON
+// what its numbers mean (the names of classes and tenants, the version of the format), and continues with records;
+// header and records each carry their length and a checksum (xxHash64). Records that were written together are synced
+// together (group commit): whoever waits for the disk waits for one sync, however many others wait.
 //
-// A write that is cut off leaves a torn tail: it is named at the next start and read over, and never written behind. After a
-// failed write or sync nothing is taken for written that had not been before, and the next record begins a new segment: what
-// a disk did with the pages of a failed sync is not known.
+// # Faults
 //
-// Bounds: a segment ends at Settings.SegmentBytes, or a record beyond; it is removed Settings.Keep after its last record.
-// So a journal holds what is written in Settings.Keep, and one segment. Records that wait to be written are at most
-// Settings.Queue in the batch being collected, and as many in the one being written.
+// A write that is cut off leaves a torn tail: the next start reports it, reads the records before it, and never
+// appends behind it. After a failed write or sync no record counts as durable that did not before, and the next
+// record begins a new segment: what a disk has done with the pages of a failed sync is not known.
+//
+// # Bounds
+//
+// A segment ends at Settings.SegmentBytes, or a record beyond; it is removed Settings.Keep after its last record. So
+// a journal holds what is written in Settings.Keep, and one segment. Records that wait for the disk are at most
+// Settings.Queue in the batch that is being collected, and as many in the one that is being written.
 package journal
 
 import (
-	"bytes"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
-	"fmt"
-	"math"
 	"slices"
 	"sync"
 
@@ -28,111 +29,34 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// Version is that of the form. One release reads its own and the one before; this is the first.
-const Version = 1
-
-// Settings describe a journal. Times are milliseconds since the Unix epoch, by the wall clock: they outlive the process.
+// Settings describe a journal. Times are milliseconds; points in time count from the Unix epoch, by the wall clock,
+// so that they outlive the process.
 type Settings struct {
 	Classes      []string // names, by number
-	Tenants      []string
+	Tenants      []string // names, by number
 	SegmentBytes int
 	Keep         float64 // ms for which records are of use: the longest window and the longest call
-	Call         float64 // ms of the longest call: what a record says of its own windows counts beside Keep
-	Queue        int     // most records that wait to be written
+	Call         float64 // ms of the longest call: a record with windows of its own is of use for the longest of them and this
+	Queue        int     // maximum number of records in a batch
 }
 
-// What can be wrong with a journal.
+// retention returns the milliseconds for which the records of a call with these windows are of use; nil = its windows
+// are not known.
+func (s *Settings) retention(w *idempotency.Windows) float64 {
+	if w == nil {
+		return s.Keep
+	}
+	return max(s.Keep, w.Longest()+s.Call)
+}
+
+// The errors of a journal.
 var (
 	ErrFull    = errors.New("too many records wait for the disk")
 	ErrClosed  = errors.New("the journal is closed")
 	ErrVersion = errors.New("written in a form that this release does not read")
 )
 
-// segmentForm is that of the files.
-var segmentForm = wal.Form{Magic: "lwrepeat", Prefix: "repeats"}
-
-// kind is what a record tells.
-type kind uint8
-
-const (
-	kindBegan kind = 1
-	kindEnded kind = 2
-)
-
-// record is one line of a journal, in the order in which it is written.
-type record struct {
-	kind        kind
-	outcome     idempotency.End
-	class       uint8
-	tenant      uint16 // math.MaxUint16 = none
-	at          float64
-	key         idempotency.Name
-	fingerprint idempotency.Print
-	body        []byte // with an end; what Codec made of it
-	// windows are those that were promised, with a beginning. A release that does not know of them takes their bytes for an answer
-	// that cannot be read, and goes by its own windows.
-	windows *idempotency.Windows
-}
-
-const (
-	recordBytes  = 1 + 1 + 1 + 2 + 8 + 16 + 16
-	windowsBytes = 16
-)
-
-func (r *record) append(dst []byte) []byte {
-	return wal.Append(dst, func(dst []byte) []byte {
-		dst = append(dst, byte(r.kind), byte(r.outcome), r.class)
-		dst = binary.BigEndian.AppendUint16(dst, r.tenant)
-		dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.at))
-		dst = append(dst, r.key[:]...)
-		dst = append(dst, r.fingerprint[:]...)
-		if r.windows != nil {
-			dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.windows.Answered))
-			dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(r.windows.Doubt))
-		}
-		return append(dst, r.body...)
-	})
-}
-
-func parseRecord(b []byte) (r record, err error) {
-	if len(b) < recordBytes || b[0] != byte(kindBegan) && b[0] != byte(kindEnded) || b[1] > byte(idempotency.EndInDoubt) {
-		return r, wal.ErrTorn
-	}
-	r = record{kind: kind(b[0]), outcome: idempotency.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
-		at: math.Float64frombits(binary.BigEndian.Uint64(b[5:]))}
-	copy(r.key[:], b[13:])
-	copy(r.fingerprint[:], b[29:])
-	rest := b[recordBytes:]
-	switch {
-	case r.kind == kindEnded && len(rest) > 0:
-		r.body = slices.Clone(rest)
-	case r.kind == kindBegan && len(rest) == windowsBytes:
-		w := idempotency.Windows{Answered: math.Float64frombits(binary.BigEndian.Uint64(rest)),
-			Doubt: math.Float64frombits(binary.BigEndian.Uint64(rest[8:]))}
-		if !(w.Answered >= 0 && w.Doubt >= 0) || math.IsInf(w.Longest(), 1) {
-			return r, wal.ErrTorn
-		}
-		r.windows = &w
-	case len(rest) > 0:
-		return r, wal.ErrTorn
-	}
-	return r, nil
-}
-
-// header is the first thing in a segment.
-type header struct {
-	Version int      `json:"version"`
-	Classes []string `json:"classes"`
-	Tenants []string `json:"tenants"`
-}
-
-// segment is one file.
-type segment struct {
-	name       string
-	lastRecord float64 // when its last record was made
-}
-
-// Journal is open for writing. All of its methods may be called from any goroutine.
+// Journal is open for writing. All of its methods may be called from any goroutine, Run by one only.
 type Journal struct {
 	config Settings
 	folder wal.Folder
@@ -140,31 +64,38 @@
 	mu        sync.Mutex
 	wake      *sync.Cond
 	batch     *batch // being collected
-	failure   error  // of the last attempt to write; nil after one that worked
+	failure   error  // of the last write; nil after one that worked
 	closed    bool
-	retention float64 // ms for which records are of use; never less than before
+	retention float64 // ms for which records are of use; never decreases
 
-	// Of the goroutine that writes.
+	// Used by Run alone.
 	writer         wal.Writer
-	lastRecord     float64 // when the last record of the present segment was made
+	lastRecord     float64 // ms; when the last record of the present segment was made
 	closedSegments []segment
 }
 
-// batch is what is written and synced together.
+// segment is one file that is not written any more.
+type segment struct {
+	name       string
+	lastRecord float64 // ms; when its last record was made
+}
+
+// batch holds records that are written and synced together.
 type batch struct {
-	bytes  []byte // sealed records
+	bytes  []byte // encoded records
 	count  int
-	newest float64       // when the last was made
-	done   chan struct{} // closed when it is on the disk, or it is not known whether it ever will be:
-	err    error         // why
+	newest float64       // ms; when the last one was made
+	done   chan struct{} // closed when it is on the disk, or when it is not known whether it ever will be
+	err    error         // why it is not known; written before done is closed
 }
 
 func newBatch(buffer []byte) *batch { return &batch{bytes: buffer, done: make(chan struct{})} }
 
-// Ticket stands for a record that was taken.
+// Ticket stands for a record that was accepted and is not yet durable. The zero Ticket stands for none.
 type Ticket struct{ b *batch }
 
-// Wait blocks until the record is on the disk, or it is not known whether it ever will be. The zero Ticket is of none.
+// Wait blocks until the record is on the disk, and returns nil, or until it is not known whether it ever will be, and
+// returns why. The Wait of the zero Ticket returns nil.
 func (t Ticket) Wait() error {
 	if t.b == nil {
 		return nil
@@ -173,25 +104,52 @@
 	return t.b.err
 }
 
-// Began notes that a call is about to run.
+// Open reads a directory and returns a journal that appends to it, in a segment of its own, with the entries that it
+// recovered. Findings are not errors: a damaged segment stays as it is until its retention is over. Nothing is
+// written before Run.
+func Open(f wal.Folder, set Settings, now float64) (j *Journal, recovered []idempotency.Known, findings []Finding, err error) {
+	recovered, findings, err = Read(f, set, now)
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	head, err := json.Marshal(header{Version, set.Classes, set.Tenants})
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	j = &Journal{config: set, folder: f, batch: newBatch(nil), retention: set.Keep}
+	for _, k := range recovered {
+		j.retention = max(j.retention, set.retention(k.Windows))
+	}
+	j.wake = sync.NewCond(&j.mu)
+	j.writer = wal.Writer{Folder: f, Form: segmentForm, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.removeExpired,
+		Ended: func(_ int, name string) { j.closedSegments = append(j.closedSegments, segment{name, j.lastRecord}) }}
+	names, err := segmentNames(f)
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	for _, name := range names {
+		n, _ := segmentForm.Number(name)
+		j.writer.Number = max(j.writer.Number, n+1)
+		j.closedSegments = append(j.closedSegments, segment{name, now}) // its last record is not newer
+	}
+	return j, recovered, findings, nil
+}
+
+// Began records that a call is about to run. Where its class asks for it, the caller waits for the Ticket before the
+// first byte goes out. The error is ErrFull or ErrClosed.
 func (j *Journal) Began(at float64, c idempotency.Call) (Ticket, error) {
 	return j.enqueue(&record{kind: kindBegan, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Name,
 		fingerprint: c.Print, windows: c.Windows})
 }
 
-// Ended notes how a call ended, with what it was answered in the caller's own form; nil = not kept.
+// Ended records the outcome of a call, with its response in the caller's encoding; nil = not kept. The error is
+// ErrFull or ErrClosed.
 func (j *Journal) Ended(at float64, c idempotency.Call, outcome idempotency.End, body []byte) (Ticket, error) {
 	return j.enqueue(&record{kind: kindEnded, outcome: outcome, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Name,
 		fingerprint: c.Print, body: body})
 }
 
-func encodeTenant(t int) uint16 {
-	if t < 0 || t >= math.MaxUint16 {
-		return math.MaxUint16
-	}
-	return uint16(t)
-}
-
+// enqueue adds a record to the batch that is being collected.
 func (j *Journal) enqueue(r *record) (Ticket, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -211,16 +169,16 @@
 	return Ticket{b}, nil
 }
 
-// Failure is why the last attempt to write did not work; nil while the journal works.
+// Failure returns why the last write failed; nil while the journal works.
 func (j *Journal) Failure() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.failure
 }
 
-// Run writes until Close has been called and all is written. It blocks; one goroutine runs it.
+// Run writes until Close has been called and everything accepted is written. It blocks; one goroutine runs it.
 func (j *Journal) Run() {
-	var buffer []byte // of the batch before
+	var buffer []byte // of the previous batch, reused
 	for {
 		j.mu.Lock()
 		for j.batch.count == 0 && !j.closed {
@@ -245,10 +203,10 @@
 	}
 }
 
-// maxKeptBufferBytes is how much memory is kept between batches.
+// maxKeptBufferBytes bounds the memory that is kept from one batch to the next.
 const maxKeptBufferBytes = 256 << 10
 
-// Close lets Run end once all that was taken is written.
+// Close lets Run return once everything that was accepted is written. Records are not accepted any more.
 func (j *Journal) Close() {
 	j.mu.Lock()
 	j.closed = true
@@ -262,7 +220,8 @@
 	return j.writer.Write(b.bytes)
 }
 
-// removeExpired removes segments whose records are of no use any more.
+// removeExpired removes the segments whose records are of no use any more. It runs in the goroutine of Run, when a
+// segment begins.
 func (j *Journal) removeExpired() {
 	j.mu.Lock()
 	keep := j.retention
@@ -271,149 +230,3 @@
 		return s.lastRecord+keep < j.lastRecord && j.folder.Remove(s.name) == nil
 	})
 }
-
-// retention is for how long records of a call with these windows are of use, nil = it is not known which.
-func (s *Settings) retention(w *idempotency.Windows) float64 {
-	if w == nil {
-		return s.Keep
-	}
-	return max(s.Keep, w.Longest()+s.Call)
-}
-
-// Finding is something about a file that a person should know.
-type Finding struct {
-	File   string
-	Offset int // where what is wrong begins
-	Err    error
-}
-
-func (f Finding) String() string { return fmt.Sprintf("%s, byte %d: %v", f.File, f.Offset, f.Err) }
-
-// Read reads a folder without changing it: what is known of each name at a time, in the order of their ends, and what is
-// wrong. Of a damaged file what stands before the damage counts. A call that had begun and not ended was running.
-func Read(f wal.Folder, set Settings, now float64) (recovered []idempotency.Known, findings []Finding, err error) {
-	names, err := f.List()
-	if err != nil {
-		return nil, nil, fmt.Errorf("reading the journal: %w", err)
-	}
-	slices.Sort(names)
-	entries := map[idempotency.Name]*entry{}
-	for _, name := range names {
-		if _, ok := segmentForm.Number(name); !ok {
-			continue
-		}
-		text, err := f.Read(name)
-		if err != nil {
-			findings = append(findings, Finding{name, 0, err})
-			continue
-		}
-		if offset, err := readSegment(text, set, entries, func(record) {}); err != nil {
-			findings = append(findings, Finding{name, offset, err})
-		}
-	}
-	for _, e := range entries {
-		if now-e.at <= set.retention(e.Windows) && (e.Running || e.outcome != idempotency.EndNotRun) {
-			e.Age = now - e.at
-			e.Served = !e.Running && e.outcome == idempotency.EndServed
-			recovered = append(recovered, e.Known)
-		}
-	}
-	slices.SortFunc(recovered, func(a, b idempotency.Known) int {
-		switch {
-		case a.Age != b.Age && a.Age > b.Age:
-			return -1
-		case a.Age != b.Age:
-			return 1
-		}
-		return bytes.Compare(a.Name[:], b.Name[:])
-	})
-	return recovered, findings, nil
-}
-
-// entry is what the records so far tell of a name.
-type entry struct {
-	idempotency.Known
-	at      float64
-	outcome idempotency.End
-}
-
-// readSegment reads one segment into know and tells each record; offset is where it went wrong.
-func readSegment(text []byte, set Settings, entries map[idempotency.Name]*entry, visit func(record)) (offset int, err error) {
-	var h header
-	var classes, tenants []int
-	return segmentForm.Read(text, func(content []byte) error {
-		if json.Unmarshal(content, &h) != nil || h.Version != Version {
-			return ErrVersion
-		}
-		classes, tenants = indexMap(h.Classes, set.Classes), indexMap(h.Tenants, set.Tenants)
-		return nil
-	}, func(content []byte) error {
-		r, err := parseRecord(content)
-		if err != nil {
-			return err
-		}
-		visit(r)
-		if int(r.class) >= len(classes) || classes[r.class] < 0 {
-			return nil // a class that there is no more
-		}
-		e := entries[r.key]
-		if e == nil {
-			e = &entry{}
-			entries[r.key] = e
-		}
-		c := idempotency.Call{Name: r.key, Print: r.fingerprint, Class: classes[r.class], Tenant: -1}
-		if int(r.tenant) < len(tenants) {
-			c.Tenant = tenants[r.tenant]
-		}
-		if c.Windows = r.windows; r.kind == kindEnded {
-			c.Windows = e.Windows // it was judged by those under which it began
-		}
-		e.Known = idempotency.Known{Call: c, Running: r.kind == kindBegan}
-		e.at, e.outcome = r.at, r.outcome
-		if r.body != nil {
-			e.Body, e.Size = r.body, len(r.body)
-		}
-		return nil
-	})
-}
-
-// indexMap finds for each old name its place among the new ones, -1 for none.
-func indexMap(old, now []string) []int {
-	p := make([]int, len(old))
-	for i, name := range old {
-		p[i] = slices.Index(now, name)
-	}
-	return p
-}
-
-// Open reads a folder and makes a journal that goes on in it, in a segment of its own. Findings are not errors: what is
-// damaged stays as it is until its time is over.
-func Open(f wal.Folder, set Settings, now float64) (j *Journal, recovered []idempotency.Known, findings []Finding, err error) {
-	recovered, findings, err = Read(f, set, now)
-	if err != nil {
-		return nil, nil, nil, err
-	}
-	head, err := json.Marshal(header{Version, set.Classes, set.Tenants})
-	if err != nil {
-		return nil, nil, nil, err
-	}
-	j = &Journal{config: set, folder: f, batch: newBatch(nil), retention: set.Keep}
-	for _, k := range recovered {
-		j.retention = max(j.retention, set.retention(k.Windows))
-	}
-	j.wake = sync.NewCond(&j.mu)
-	j.writer = wal.Writer{Folder: f, Form: segmentForm, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.removeExpired,
-		Ended: func(_ int, name string) { j.closedSegments = append(j.closedSegments, segment{name, j.lastRecord}) }}
-	names, err := f.List()
-	if err != nil {
-		return nil, nil, nil, fmt.Errorf("reading the journal: %w", err)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		if n, ok := segmentForm.Number(name); ok {
-			j.writer.Number = max(j.writer.Number, n+1)
-			j.closedSegments = append(j.closedSegments, segment{name, now}) // its last record is not younger
-		}
-	}
-	return j, recovered, findings, nil
-}
--- a/internal/node/idempotency/journal/journal_test.go
+++ b/internal/node/idempotency/journal/journal_test.go
@@ -26,7 +26,7 @@
 	return c
 }
 
-// memory is a folder whose disk fails where a test wants. What was not synced is lost with the machine.
+// memory is a directory in memory whose disk fails where a test wants it to. What was not synced is lost in a crash.
 type memory struct {
 	files  map[string][]byte
 	synced map[string]int // bytes of each that a crash keeps
@@ -60,7 +60,7 @@
 func (m *memory) Remove(name string) error { delete(m.files, name); return nil }
 func (m *memory) Sync() error              { return nil }
 
-// crash is what the disk holds after the machine has lost its power: of what was not synced, so many bytes.
+// crash returns what the disk holds after a power failure: of what was not synced, the first `more` bytes.
 func (m *memory) crash(more int) *memory {
 	after := newMemory()
 	for name, text := range m.files {
@@ -95,7 +95,7 @@
 
 func (h *handle) Close() error { return nil }
 
-// begin opens a journal on a folder and runs it; stop ends it.
+// begin opens a journal in a directory and runs it; stop ends it.
 func begin(t *testing.T, f wal.Folder, now float64) (j *Journal, list []idempotency.Known, found []Finding, stop func()) {
 	j, list, found, err := Open(f, set, now)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 	return j, list, found, func() { j.Close(); <-over }
 }
 
-// play makes calls that begin and end, and gives those that are sure to be known after a restart.
+// play makes calls that begin and end, and returns those that must be known after a restart.
 func play(j *Journal, calls int) (begun, ended map[idempotency.Name]bool) {
 	begun, ended = map[idempotency.Name]bool{}, map[idempotency.Name]bool{}
 	for i := range calls {
@@ -120,8 +120,8 @@
 	return begun, ended
 }
 
-// Guards against a call that began, and was told so, being unknown after the disk was full at any byte, a sync failed, or
-// the machine lost its power with any part of what was not synced; and against a start that fails for that.
+// Guards against an acknowledged beginning that is unknown after the disk was full at any byte, a sync failed, or the
+// power failed with any part of what was not synced; and against a start that fails for that.
 func TestEveryTruncationKeepsWhatWasSynced(t *testing.T) {
 	const calls = 12
 	whole := newMemory()
@@ -171,7 +171,7 @@
 	}
 }
 
-// Guards against a disk that works again and is not used, and against a failed batch taken for written by a later one.
+// Guards against a disk that works again and is not used, and against a failed batch that a later one makes durable.
 func TestJournalContinuesAfterDiskFailure(t *testing.T) {
 	m := newMemory()
 	m.syncs = 0
@@ -194,8 +194,8 @@
 	require.Len(t, list, 1)
 }
 
-// Guards against damage anywhere being taken for a record, against a file of another release or of someone else being
-// read or changed, and against classes and tenants taken for others when the settings have changed their order.
+// Guards against damage that is read as a record, against a file of another release or program that is read or changed,
+// and against classes and tenants that are confused when the settings have changed their order.
 func TestForeignAndDamagedFilesAreReported(t *testing.T) {
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
@@ -236,8 +236,7 @@
 	assert.Equal(t, "x", string(m.files["notes.txt"]))
 }
 
-// Guards against segments that are kept for ever, or removed while they are of use, and against a read-only disk that goes
-// unnoticed.
+// Guards against segments that are kept for ever or removed while they are of use, and against an unreported read-only disk.
 func TestJournalOnRealDisk(t *testing.T) {
 	dir := wal.Disk{Path: t.TempDir()}
 	j, _, _, stop := begin(t, dir, 0)
@@ -260,7 +259,7 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// Guards against records without a bound while the disk stands still.
+// Guards against unbounded records while the disk does not respond.
 func TestQueueIsBounded(t *testing.T) {
 	j, _, _, err := Open(newMemory(), set, 0)
 	require.NoError(t, err)
@@ -272,7 +271,7 @@
 	require.ErrorIs(t, err, ErrFull)
 }
 
-// BenchmarkBegan is one call noted and synced on the machine's disk, by one caller and by many at once.
+// BenchmarkBegan is one beginning recorded and synced on the machine's disk, by one caller and by many at once.
 func BenchmarkBegan(b *testing.B) {
 	for _, many := range []int{1, 128} {
 		b.Run(fmt.Sprint(many), func(b *testing.B) {
@@ -305,8 +304,8 @@
 	}
 }
 
-// Guards against windows that a restart shortens, or forgets with a class that is not listed any more; against segments that are
-// removed while what they hold was promised; and against records of the release before, which say nothing of windows.
+// Guards against windows that a restart shortens, or loses with a class that is not listed any more; against segments that are
+// removed while their records are within their windows; and against records of the previous release, which have no windows.
 func TestWindowsSurviveARestart(t *testing.T) {
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
--- /dev/null
+++ b/internal/node/idempotency/journal/read.go
@@ -0,0 +1,129 @@
+package journal
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/wal"
+)
+
+// Finding is a damaged place of a file, for an operator.
+type Finding struct {
+	File   string
+	Offset int // where what is wrong begins
+	Err    error
+}
+
+// String returns the finding on one line.
+func (f Finding) String() string { return fmt.Sprintf("%s, byte %d: %v", f.File, f.Offset, f.Err) }
+
+// segmentNames returns the names of a directory's segments, sorted; other files are not the journal's.
+func segmentNames(f wal.Folder) ([]string, error) {
+	names, err := f.List()
+	if err != nil {
+		return nil, fmt.Errorf("reading the journal: %w", err)
+	}
+	names = slices.DeleteFunc(names, func(name string) bool {
+		_, ok := segmentForm.Number(name)
+		return !ok
+	})
+	slices.Sort(names)
+	return names, nil
+}
+
+// Read reads a directory without changing it: the entries that are of use at a time, in the order in which they
+// ended, and what is damaged. Of a damaged file the records before the damage count. A call that had begun and not
+// ended was running.
+func Read(f wal.Folder, set Settings, now float64) (recovered []idempotency.Known, findings []Finding, err error) {
+	names, err := segmentNames(f)
+	if err != nil {
+		return nil, nil, err
+	}
+	entries := map[idempotency.Name]*entry{}
+	for _, name := range names {
+		text, err := f.Read(name)
+		if err != nil {
+			findings = append(findings, Finding{name, 0, err})
+			continue
+		}
+		if offset, err := readSegment(text, set, entries, func(record) {}); err != nil {
+			findings = append(findings, Finding{name, offset, err})
+		}
+	}
+	for _, e := range entries {
+		if now-e.at <= set.retention(e.Windows) && (e.Running || e.outcome != idempotency.EndNotRun) {
+			e.Age = now - e.at
+			e.Served = !e.Running && e.outcome == idempotency.EndServed
+			recovered = append(recovered, e.Known)
+		}
+	}
+	slices.SortFunc(recovered, func(a, b idempotency.Known) int {
+		switch {
+		case a.Age != b.Age && a.Age > b.Age:
+			return -1
+		case a.Age != b.Age:
+			return 1
+		}
+		return bytes.Compare(a.Name[:], b.Name[:])
+	})
+	return recovered, findings, nil
+}
+
+// entry is what the records so far say of a key.
+type entry struct {
+	idempotency.Known
+	at      float64
+	outcome idempotency.End
+}
+
+// readSegment adds the records of one segment to entries and calls visit with each; offset is where it went wrong.
+func readSegment(text []byte, set Settings, entries map[idempotency.Name]*entry, visit func(record)) (offset int, err error) {
+	var h header
+	var classes, tenants []int
+	return segmentForm.Read(text, func(content []byte) error {
+		if json.Unmarshal(content, &h) != nil || h.Version != Version {
+			return ErrVersion
+		}
+		classes, tenants = indexMap(h.Classes, set.Classes), indexMap(h.Tenants, set.Tenants)
+		return nil
+	}, func(content []byte) error {
+		r, err := parseRecord(content)
+		if err != nil {
+			return err
+		}
+		visit(r)
+		if int(r.class) >= len(classes) || classes[r.class] < 0 {
+			return nil // its class was removed from the settings
+		}
+		e := entries[r.key]
+		if e == nil {
+			e = &entry{}
+			entries[r.key] = e
+		}
+		c := idempotency.Call{Name: r.key, Print: r.fingerprint, Class: classes[r.class], Tenant: -1}
+		if int(r.tenant) < len(tenants) {
+			c.Tenant = tenants[r.tenant]
+		}
+		if c.Windows = r.windows; r.kind == kindEnded {
+			c.Windows = e.Windows // an end keeps the windows under which the call began
+		}
+		e.Known = idempotency.Known{Call: c, Running: r.kind == kindBegan}
+		e.at, e.outcome = r.at, r.outcome
+		if r.body != nil {
+			e.Body, e.Size = r.body, len(r.body)
+		}
+		return nil
+	})
+}
+
+// indexMap returns for each old name its index among the new ones, -1 for none.
+func indexMap(old, now []string) []int {
+	p := make([]int, len(old))
+	for i, name := range old {
+		p[i] = slices.Index(now, name)
+	}
+	return p
+}
--- a/internal/node/idempotency/table_test.go
+++ b/internal/node/idempotency/table_test.go
@@ -66,15 +66,15 @@
 // checkHistory plays a history and returns which rule was broken, "" for none.
 func checkHistory(b table, set Settings, ops []step) string {
 	now, latest, runs := 1000.0, 0.0, 0
-	known, open := map[Name]*expected{}, []Ref{}
+	known, openRuns := map[Name]*expected{}, []Ref{}
 	keyOfRun := map[Ref]Name{}
 	for _, o := range ops {
 		now += o.wait
 		latest = max(latest, now) // the table's time stands still where the clock goes back
-		if o.ends && len(open) > 0 {
-			at := o.which % len(open)
-			ref := open[at]
-			open = append(open[:at], open[at+1:]...)
+		if o.ends && len(openRuns) > 0 {
+			at := o.which % len(openRuns)
+			ref := openRuns[at]
+			openRuns = append(openRuns[:at], openRuns[at+1:]...)
 			runs++
 			body := any(fmt.Sprint("body ", runs))
 			k := known[keyOfRun[ref]]
@@ -105,13 +105,13 @@
 					return "let a call go on unrecorded that must never run twice"
 				}
 				if d.Verdict == Run {
-					under := Windows{set.Classes[c.Class].Answered, set.Classes[c.Class].Doubt}
+					windows := Windows{set.Classes[c.Class].Answered, set.Classes[c.Class].Doubt}
 					if o.windows != nil {
-						under = *o.windows
+						windows = *o.windows
 					}
-					known[c.Name] = &expected{call: c, windows: under, running: true}
+					known[c.Name] = &expected{call: c, windows: windows, running: true}
 					keyOfRun[d.Ref] = c.Name
-					open = append(open, d.Ref)
+					openRuns = append(openRuns, d.Ref)
 				}
 			case Join:
 				if k == nil || !k.running || k.call.Print != c.Print || k.call.Class != c.Class {
@@ -140,11 +140,11 @@
 		switch {
 		case c.Entries > set.Entries || c.Bytes > set.Bytes:
 			return "outgrew its bounds"
-		case c.Entries != c.Running+c.Answered+c.Spent+c.Doubt || c.Running != len(open):
+		case c.Entries != c.Running+c.Answered+c.Spent+c.Doubt || c.Running != len(openRuns):
 			return "lost count, or a running entry"
 		}
 	}
-	for _, ref := range open {
+	for _, ref := range openRuns {
 		b.End(now, ref, EndServed, "last", 1)
 	}
 	b.Tick(now + 1e6)
