--- a/internal/node/idempotency/middleware/classes.go
+++ b/internal/node/idempotency/middleware/classes.go
@@ -7,20 +7,19 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// classTable is how calls are treated from one change of the classes to the next. It does not change itself.
+// classTable holds the classes from one change to the next. It is immutable once it is published.
 type classTable struct {
 	classes []classState // by number
-	inUse   bool         // calls may have been named by it
+	inUse   bool         // calls may have got keys by it
 }
 
-// classState is a class with what was promised to calls of it before.
+// classState is a class with what earlier versions of it promised to calls.
 type classState struct {
 	Class
-	// Of a class that is not listed any more By and Windows stay as they were, for known: until then a name of it may
-	// be held here or by the fleet. agreed is the same for those that the fleet has agreed on. Milliseconds of the
-	// stage's clock.
+	// By and Windows of a class that is not listed any more stay as they were. Until knownUntil a key of it may be held
+	// here or by the replicas, until agreedUntil by the replicas. Milliseconds of the clock.
 	knownUntil, agreedUntil float64
-	keysIssued              bool // calls may have been named as By says
+	keysIssued              bool // calls may have got keys as By says
 }
 
 func newClassTable(set *Settings) *classTable {
@@ -34,16 +33,18 @@
 	return t
 }
 
-// NamingError tells that calls of a class would be named in another way than those before.
+// NamingError says that the calls of a class would get other keys than before.
 type NamingError struct{ Class int }
 
 func (e *NamingError) Error() string {
 	return fmt.Sprintf("class %d would be named in another way than before", e.Class)
 }
 
-// Settle tells that calls may be named from now on: from then on a class's By stays as it is for the life of the stage.
+// Settle says that calls may get keys from now on: from then on the naming of a class that is on is fixed for the
+// life of the middleware.
 func (s *Stage) Settle() { s.markInUse() }
 
+// markInUse publishes a class table whose naming is fixed, and returns it.
 func (s *Stage) markInUse() *classTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,6 +58,7 @@
 	return &classTable{append([]classState(nil), t.classes...), t.inUse}
 }
 
+// markInUse fixes the naming of the classes that are on.
 func (t *classTable) markInUse() {
 	t.inUse = true
 	for i := range t.classes {
@@ -64,7 +66,7 @@
 	}
 }
 
-// Check tells whether Use could take classes: a *NamingError names the one because of which it cannot.
+// Check reports whether Use would accept classes; the error is a *NamingError.
 func (s *Stage) Check(classes []Class) error {
 	for i, was := range s.classes.Load().classes {
 		if c := classes[i]; c.On && was.keysIssued && !reflect.DeepEqual(c.By, was.By) {
@@ -74,8 +76,9 @@
 	return nil
 }
 
-// Use has classes in force for calls that come from now on, all or none. Windows must not be nil. Names keep what was
-// promised to them, and what runs ends as it began.
+// Use puts classes into force for calls that arrive from now on, all of them or none; the error is a *NamingError.
+// Windows must not be nil. Known keys keep the windows under which they were claimed, and what is running ends as it
+// began.
 func (s *Stage) Use(classes []Class) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +108,8 @@
 	return nil
 }
 
-// lookup asks the fleet for a name that it may hold from when its class was agreed on, and takes nothing.
+// lookup looks up a key that the replicas may hold from when its class was replicated, and claims nothing. Run =
+// nobody holds it.
 func (s *Stage) lookup(class *classState, c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
 	fleet, ok := s.config.Fleet.(Looker)
 	if !ok || class.Agreed || s.clock.Now() >= class.agreedUntil {
--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -11,7 +11,7 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// classesWith gives the classes of settings, with the first one changed.
+// classesWith returns the classes of settings, with the first one changed.
 func classesWith(change func(c *Class)) []Class {
 	set := settings()
 	for i := range set.Classes {
@@ -28,14 +28,14 @@
 
 var classesRemoved = classesWith(func(c *Class) { *c = Class{Windows: &idempotency.Windows{}} })
 
-// late is a call whose deadline is far.
+// late returns a call whose deadline is far away.
 func late(key string) *core.Call {
 	call := newCall(0, key, "b")
 	call.Deadline = 1e6
 	return call
 }
 
-// heldKeys is how many names are held now.
+// heldKeys returns how many keys the table holds now.
 func (s *Stage) heldKeys() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,9 +43,8 @@
 	return s.table.Counts().Entries
 }
 
-// Guards against a name that a change of its class forgets or holds for another time than was promised when it was taken: windows
-// that get shorter or longer, a class that is taken away, and one that is brought back; and against names that a class takes which is
-// away.
+// Guards against a key that a change of its class removes, or keeps for another window than that under which it was claimed: windows
+// that get shorter or longer, a class that is removed, and one that is added again; and against keys of a removed class.
 func TestKeysKeepTheirWindows(t *testing.T) {
 	set := settings()
 	set.Longest = 100
@@ -91,13 +90,13 @@
 	c.Advance(1)
 	serve("long")
 	assert.Equal(t, map[string]int{"a": 2, "d": 2, "short": 2, "none": 2, "long": 2}, ran)
-	c.Advance(190) // 7101: whatever was promised has ended
+	c.Advance(190) // 7101: every window has ended
 	assert.Zero(t, s.heldKeys())
 	assert.Greater(t, c.Now(), s.classes.Load().classes[0].knownUntil)
 }
 
-// Guards against a repeat that does not wait for a run which is under way when its class changes, and a run that ends by other windows
-// than it began under.
+// Guards against a repeat that does not wait for a run that is in flight when its class changes, and a run that ends under other
+// windows than it began.
 func TestRunOutlivesAClassChange(t *testing.T) {
 	for _, classes := range [][]Class{classesWithWindows(1, 1), classesWithWindows(9000, 9000), classesRemoved} {
 		s, c := newStage(t, settings())
@@ -133,7 +132,7 @@
 	}
 }
 
-// agreed is a fleet that holds names for ever, and tells how often it was looked at.
+// agreed is a Fleet that holds keys for ever and counts lookups.
 type agreed struct {
 	names map[idempotency.Name][]byte
 	looks int
@@ -159,8 +158,8 @@
 	a.names[c.Name] = body
 }
 
-// Guards against a charge that another node has run, and that runs here because its class has been taken away, or is not recorded any
-// more; and against names that are looked for when none can be held any more.
+// Guards against a charge that another node has run, and that runs here because its class was removed, or is not replicated any more;
+// and against lookups when no key can be held any more.
 func TestReplicatedKeysAreFoundAfterAClassChange(t *testing.T) {
 	recorded := classesWith(func(c *Class) { c.Agreed = true })
 	for _, classes := range [][]Class{classesWith(func(*Class) {}), classesRemoved} {
@@ -189,8 +188,8 @@
 	}
 }
 
-// Guards against calls that are named in another way than those before, by a change, or by one that comes after the class was away; and
-// against a first policy that may not name them as it likes.
+// Guards against a change of a class's naming, also after the class was removed and added again; and against a first policy that may not
+// choose the naming.
 func TestNamingOfAClassCannotChange(t *testing.T) {
 	other := classesWith(func(c *Class) { c.By = Naming{Body: true} })
 	s, _ := newStage(t, settings())
--- a/internal/node/idempotency/middleware/keys.go
+++ b/internal/node/idempotency/middleware/keys.go
@@ -11,27 +11,31 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// Naming is what makes two calls of a class the same. Class and tenant are always part of it.
+// Naming says what makes two calls of a class the same. Class and tenant are always part of it.
 type Naming struct {
-	Key     bool     // the call's own key
-	Header  string   // or the header of this name; "" = none
-	Path    bool     // or these parts
-	Query   bool     //
-	Headers []string //
-	Body    bool     //
+	Key    bool   // the call's own key
+	Header string // else the value of this header; "" = none
+
+	// Else these parts of it, in this order.
+	Path    bool
+	Query   bool
+	Headers []string
+	Body    bool
 }
 
-// keyHasher makes names and prints: HMAC-SHA-256 under a key that no one outside knows, cut to 128 bits. Without the key
-// nobody can make two calls meet.
+// keyHasher computes keys and fingerprints: HMAC-SHA-256 under a secret, truncated to 128 bits. Without the secret
+// nobody can construct two calls with the same key. The order of what is hashed is part of the stored form: two
+// releases, and two nodes, must compute the same key.
 type keyHasher struct{ macs sync.Pool }
 
-func newKeyHasher(key []byte) *keyHasher {
-	n := &keyHasher{}
-	n.macs.New = func() any { return hmac.New(sha256.New, key) }
-	return n
+func newKeyHasher(secret []byte) *keyHasher {
+	h := &keyHasher{}
+	h.macs.New = func() any { return hmac.New(sha256.New, secret) }
+	return h
 }
 
-// digest is one hash being made of parts, each with its length in front, so that no two lists of parts are the same text.
+// digest is one hash over a sequence of parts, each with its length in front, so that two different sequences are
+// never the same bytes.
 type digest struct {
 	hash.Hash
 	buffer [sha256.Size]byte
@@ -54,23 +58,23 @@
 	return out
 }
 
-// sum gives a call's name and print; false where it has nothing to be named by.
-func (n *keyHasher) sum(by *Naming, call *core.Call, c core.Content) (name idempotency.Name, print idempotency.Print, ok bool) {
-	d := digest{Hash: n.macs.Get().(hash.Hash)}
-	defer n.macs.Put(d.Hash)
+// sum returns the key and the fingerprint of a call; false where the call lacks what its class is named by.
+func (h *keyHasher) sum(by *Naming, call *core.Call, c core.Content) (key idempotency.Name, fingerprint idempotency.Print, ok bool) {
+	d := digest{Hash: h.macs.Get().(hash.Hash)}
+	defer h.macs.Put(d.Hash)
 	d.Reset()
 	d.writeNumber(call.Class)
 	d.writeNumber(call.Tenant)
 	switch {
 	case by.Key:
 		if len(call.Key) == 0 {
-			return name, print, false
+			return key, fingerprint, false
 		}
 		d.writePart(call.Key)
 	case by.Header != "":
 		v := c.Header(by.Header)
 		if len(v) == 0 {
-			return name, print, false
+			return key, fingerprint, false
 		}
 		d.writePart(v)
 	default:
@@ -80,16 +84,16 @@
 		if by.Query {
 			d.writePart(c.Query())
 		}
-		for _, h := range by.Headers {
-			d.writePart(c.Header(h))
+		for _, name := range by.Headers {
+			d.writePart(c.Header(name))
 		}
 		if by.Body {
 			d.writePart(c.Body())
 		}
 	}
-	name = d.sum()
+	key = d.sum()
 	d.writePart(c.Path())
 	d.writePart(c.Query())
 	d.writePart(c.Body())
-	return name, d.sum(), true
+	return key, d.sum(), true
 }
--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -1,9 +1,13 @@
-// Package middleware is the stage that recognises repeats: the half of package repeats that has a lock, a clock, a journal and
-// calls that wait.
+// Package middleware recognises repeats of calls: it is the half of package idempotency that has a lock, a clock, a
+// journal and calls that wait.
 //
-// The first call of a name runs in a copy of its own, whose client leaves only when nobody waits for it any more. Every
-// repeat that comes meanwhile waits for that run's answer until its own time is up or its own client leaves. All of them
-// get the one answer.
+// The first call of a key runs as a copy of its own, which is cancelled only when no client waits for it any more.
+// Each repeat that arrives meanwhile waits for that run until its own deadline or until its own client leaves. All of
+// them get the one answer.
+//
+// What must be known before a call runs is on the disk (Class.Recorded), agreed by the replicas (Class.Agreed) or
+// claimed from the successor of a hot restart before the handler is called. The outcome is reported to all of them
+// before any client gets its answer.
 package middleware
 
 import (
@@ -17,60 +21,34 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
 )
 
-// Class is how the calls of one class are treated.
+// Class says how the calls of one class are treated.
 type Class struct {
 	On       bool
 	By       Naming
-	Required bool // a call without a name is the client's fault; else it goes on unrecognised
-	Recorded bool // a call waits until the disk has it before it runs, and is turned away where the disk fails
-	Agreed   bool // a call waits until the fleet has agreed on it
-	// Windows are those under which its calls take their names, nil = those of Settings.Book.
+	Required bool // a call without a key is rejected as invalid; else it runs unrecognised
+	Recorded bool // a call runs only once the disk has its beginning, and is rejected where the disk fails
+	Agreed   bool // a call runs only once the replicas have agreed on its claim
+	// Windows are those under which its calls claim their keys, nil = those of Settings.Book.
 	Windows *idempotency.Windows
 }
 
-// Taken is what became of a name that was to be agreed.
-type Taken struct {
-	// Verdict is Run, Pass, Replay with the Body, Spent, Doubt, Mismatch, Full with a Reason of its own if there is one, or Join: it
-	// runs elsewhere, and has not ended in time.
-	Verdict idempotency.Verdict
-	Reason  string
-	Wait    float64 // with Full, ms
-	Body    []byte  // as Settings.Encode wrote it
-	Token   uint64  // with Run: of this run
-	// Stands tells, with Run, whether the name is still this node's: the last look before a relay's first byte.
-	Stands func() bool
-}
-
-// Fleet holds names for all nodes. Its methods block.
-type Fleet interface {
-	// Take has a name agreed before it runs, until the deadline on the node's clock, or until left is closed.
-	Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken
-	// Ended has the end of a run agreed before anyone is told.
-	Ended(c idempotency.Call, t Taken, how idempotency.End, body []byte)
-}
-
-// Looker is a Fleet that can tell how a name stands and take nothing: as Take, with Run for a name that nobody has.
-type Looker interface {
-	Look(c idempotency.Call, deadline float64, left <-chan struct{}) Taken
-}
-
-// Settings describe the stage.
+// Settings describe the middleware.
 type Settings struct {
 	Classes []Class // by number
 	Book    idempotency.Settings
-	Secret  []byte // keys the hash of names; the same before and after a restart where there is a journal
+	Secret  []byte // of the hash of keys; the same before and after a restart where there is a journal
 	Content func(payload any) core.Content
 	Journal *journal.Journal    // nil = none
-	Fleet   Fleet               // nil = names are this node's alone
-	Longest float64             // ms that a run may take, here or for the fleet
-	Known   []idempotency.Known // what it held at the start; bodies are what Decode reads
+	Fleet   Fleet               // nil = keys are this node's alone
+	Longest float64             // ms that a run may take, here or on another node
+	Known   []idempotency.Known // the entries at the start; their bodies are encoded as Decode reads them
 	Wall    func() float64      // wall clock for the journal, ms since the Unix epoch
-	// Encode and Decode turn a served answer's payload into bytes for the journal and back; nil is not kept.
+	// Encode and Decode turn the payload of a served answer into bytes and back; nil is not kept.
 	Encode func(payload any) []byte
 	Decode func(text []byte) any
 }
 
-// The reasons that this stage gives.
+// The reasons of rejections and failures; they are counted by these texts.
 const (
 	ReasonUnnamed    = "the request lacks what names it"
 	ReasonMismatch   = "the name of another request was used"
@@ -84,32 +62,23 @@
 	ReasonWaited     = "an earlier request of this name was not answered in time"
 )
 
-// Stage holds what is known. All of its methods may be called from any goroutine.
+// Stage is the middleware. All of its methods may be called from any goroutine, unless they say otherwise.
 type Stage struct {
 	config  Settings
 	clock   clock.Clock
 	log     *slog.Logger
 	hasher  *keyHasher
-	classes atomic.Pointer[classTable] // a call is judged whole by the one that it finds
+	classes atomic.Pointer[classTable] // a call reads it once
 
 	mu        sync.Mutex
 	table     *idempotency.Book
 	runs      map[idempotency.Ref]*run
-	successor Fleet // the process that has taken over has the book; nil = it is here
+	successor Fleet // the process that has the table after a transfer; nil = the table is here
 
-	predecessor *predecessor // the process whose place this one takes hands its names over; nil = none does
+	predecessor *predecessor // nil = there is none that transfers its table; set before the first call
 }
 
-// run is a call that runs for all who wait for it.
-type run struct {
-	call      *core.Call    // the copy; nil = it runs in the process before, which is one of those that wait
-	waiters   int           // clients, under the stage's lock
-	successor Fleet         // whom to ask before it runs, and to tell its end; nil = the book was this process's when it began
-	finished  chan struct{} // closed when answer is set
-	answer    core.Answer
-}
-
-// New makes the stage. The error is that of settings that cannot work.
+// New returns the middleware. The error is an *idempotency.FieldError.
 func New(set Settings, c clock.Clock, log *slog.Logger) (*Stage, error) {
 	book, err := idempotency.New(set.Book)
 	if err != nil {
@@ -132,7 +101,7 @@
 	return s, nil
 }
 
-// restore takes an entry whose body is still to be read, and tells whether there was room.
+// restore adds an entry whose body is still encoded to the table, and reports whether there was capacity.
 func (s *Stage) restore(k idempotency.Known) bool {
 	if text, ok := k.Body.([]byte); ok {
 		k.Body, k.Size = nil, 0
@@ -143,7 +112,7 @@
 	return s.table.Restore(s.clock.Now(), k)
 }
 
-// Counts tells what the stage holds and has done.
+// Counts returns what the table holds and has decided.
 func (s *Stage) Counts() idempotency.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +123,7 @@
 func (s *Stage) Wrap(next core.Handler) core.Handler {
 	return func(call *core.Call) core.Answer {
 		t := s.classes.Load()
-		if !t.inUse { // the first call: whoever lets calls begin has not yet come to say so
+		if !t.inUse { // the first call, and Settle has not been called yet
 			t = s.markInUse()
 		}
 		class := &t.classes[call.Class]
@@ -167,43 +136,31 @@
 			}
 			return core.Refuse(core.Busy, ReasonNoHandover, 0)
 		}
-		name, print, ok := s.hasher.sum(&class.By, call, s.config.Content(call.Payload))
+		key, fingerprint, ok := s.hasher.sum(&class.By, call, s.config.Content(call.Payload))
 		switch {
 		case !ok && class.Required && class.On:
 			return core.Fail(core.Invalid, ReasonUnnamed)
 		case !ok:
 			return next(call)
 		}
-		return s.serve(call, next, class, idempotency.Call{Name: name, Print: print, Class: call.Class, Tenant: call.Tenant,
+		return s.serve(call, next, class, idempotency.Call{Name: key, Print: fingerprint, Class: call.Class, Tenant: call.Tenant,
 			Windows: class.Windows})
 	}
 }
 
-// serve carries out what the book says.
+// serve does what the table decides on a call.
 func (s *Stage) serve(call *core.Call, next core.Handler, class *classState, c idempotency.Call) core.Answer {
 	for {
 		s.mu.Lock()
-		if !class.On && s.successor == nil { // its names are known until they end, and no more are taken
-			s.table.Tick(s.clock.Now())
-			if _, known := s.table.ClassOf(c.Name); !known {
-				s.mu.Unlock()
-				if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
-					_, _, a := s.remoteAnswer(t)
-					return a
-				}
-				return next(call)
+		if !class.On && s.successor == nil && !s.holds(c.Name) { // its keys are known until they expire, and no more are claimed
+			s.mu.Unlock()
+			if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
+				_, _, a := s.remoteAnswer(t)
+				return a
 			}
+			return next(call)
 		}
-		d := s.table.Ask(s.clock.Now(), c)
-		var r *run
-		switch d.Verdict {
-		case idempotency.Run:
-			r = &run{call: call.Fork(), waiters: 1, successor: s.successor, finished: make(chan struct{})}
-			s.runs[d.Ref] = r
-		case idempotency.Join:
-			r = s.runs[d.Ref]
-			r.waiters++
-		}
+		d, r := s.ask(call, c)
 		s.mu.Unlock()
 		switch d.Verdict {
 		case idempotency.Run:
@@ -214,158 +171,56 @@
 			}
 			return r.answer
 		case idempotency.Join:
-			if a, again := s.await(call, r); !again {
+			if a, retry := s.await(call, r); !retry {
 				return a
 			}
-			continue // the run was called off before this call came to wait for it
 		case idempotency.Replay:
 			return core.Answer{Kind: core.Served, Payload: d.Body}
-		case idempotency.Spent:
-			return core.Fail(core.Known, ReasonSpent)
-		case idempotency.Doubt:
-			return core.Fail(core.Known, ReasonDoubt)
-		case idempotency.Mismatch:
-			return core.Fail(core.Mismatch, ReasonMismatch)
-		case idempotency.Full:
-			return core.Refuse(core.Busy, ReasonFull, d.Wait)
+		case idempotency.Pass:
+			return next(call)
+		default:
+			return rejection(d.Verdict, d.Wait)
 		}
-		return next(call)
 	}
 }
 
-// execute runs a call for all who wait for it, and records what came of it before anyone is told.
-func (s *Stage) execute(r *run, ref idempotency.Ref, next core.Handler, class *classState, c idempotency.Call) {
-	outcome, body, size := idempotency.EndInDoubt, any(nil), 0
-	r.answer = core.Fail(core.Unavailable, core.ReasonPanic) // unless it comes to another end
-	var agreed *Taken
-	claims := r.successor // who have a say whether it runs
-	if s.config.Fleet != nil && class.Agreed {
-		claims = s.config.Fleet
-	}
-	text := func() []byte {
-		if body == nil {
-			return nil
-		}
-		return s.config.Encode(body)
-	}
-	defer func() {
-		if agreed != nil {
-			claims.Ended(c, *agreed, outcome, text())
-		}
-		if j := s.config.Journal; j != nil {
-			if _, err := j.Ended(s.config.Wall(), c, outcome, text()); err != nil {
-				s.log.Error("the end of a request was not recorded", "error", err)
-			}
-		}
-		s.mu.Lock()
-		if heir := s.successor; heir != nil && r.successor == nil { // it ran when the book was given away
-			s.mu.Unlock()
-			heir.Ended(c, Taken{}, outcome, text())
-			s.mu.Lock()
-		}
-		s.table.End(s.clock.Now(), ref, outcome, body, size)
-		delete(s.runs, ref)
-		close(r.finished)
-		s.mu.Unlock()
-	}()
-	if err := s.recordBegin(class, c); err != nil {
-		s.log.Error("the beginning of a request was not recorded", "error", err)
-		if class.Recorded {
-			outcome, r.answer = idempotency.EndNotRun, core.Refuse(core.Busy, ReasonUnrecorded, 0)
-			return
-		}
-	}
-	if claims != nil {
-		t := claims.Take(c, r.call.Deadline, r.call.Left())
-		if t.Verdict != idempotency.Run && t.Verdict != idempotency.Pass {
-			outcome, body, r.answer = s.remoteAnswer(t)
-			if body != nil {
-				size = s.config.Content(body).Size()
-			}
-			return
-		}
-		if t.Verdict == idempotency.Run {
-			agreed, r.call.Stands = &t, t.Stands
-		}
-	} else if t := s.lookup(class, c, r.call.Deadline, r.call.Left()); t.Verdict != idempotency.Run {
-		outcome, body, r.answer = s.remoteAnswer(t)
-		if body != nil {
-			size = s.config.Content(body).Size()
-		}
-		return
-	}
-	a := next(r.call)
-	switch {
-	case a.Kind == core.Served:
-		outcome, body = idempotency.EndServed, a.Payload
-		size = s.config.Content(a.Payload).Size()
-	case !a.Ran:
-		outcome = idempotency.EndNotRun
-	}
-	r.answer = a
+// holds reports whether the table has a key. It is called under the lock.
+func (s *Stage) holds(key idempotency.Name) bool {
+	s.table.Tick(s.clock.Now())
+	_, known := s.table.ClassOf(key)
+	return known
 }
 
-// remoteAnswer is what a call gets that is not this node's to run. Nothing ran here: but for an answer, the fleet is asked again.
-func (s *Stage) remoteAnswer(t Taken) (outcome idempotency.End, body any, a core.Answer) {
-	switch t.Verdict {
-	case idempotency.Replay:
-		if payload := s.config.Decode(t.Body); payload != nil {
-			return idempotency.EndServed, payload, core.Answer{Kind: core.Served, Payload: payload}
-		}
-		a = core.Fail(core.Known, ReasonSpent)
-	case idempotency.Spent:
-		a = core.Fail(core.Known, ReasonSpent)
-	case idempotency.Doubt:
-		a = core.Fail(core.Known, ReasonDoubt)
-	case idempotency.Mismatch:
-		a = core.Fail(core.Mismatch, ReasonMismatch)
+// ask has the table decide on a call, and returns the run that the call begins or joins, nil for none. It is called under the
+// lock.
+func (s *Stage) ask(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
+	d = s.table.Ask(s.clock.Now(), c)
+	switch d.Verdict {
+	case idempotency.Run:
+		r = &run{call: call.Fork(), waiters: 1, successor: s.successor, finished: make(chan struct{})}
+		s.runs[d.Ref] = r
 	case idempotency.Join:
-		a = core.Fail(core.Unavailable, ReasonWaited)
-	default:
-		a = core.Refuse(core.Busy, ReasonFull, t.Wait)
-		if t.Reason != "" {
-			a.Reason = t.Reason
-		}
-	}
-	return idempotency.EndNotRun, nil, a
-}
-
-// recordBegin notes that a call is about to run, and waits for the disk where its class does.
-func (s *Stage) recordBegin(class *classState, c idempotency.Call) error {
-	if s.config.Journal == nil {
-		return nil
+		r = s.runs[d.Ref]
+		r.waiters++
 	}
-	ticket, err := s.config.Journal.Began(s.config.Wall(), c)
-	if err == nil && class.Recorded {
-		err = ticket.Wait()
-	}
-	return err
+	return d, r
 }
 
-// await waits for a run's answer. again tells that the run was called off and that this call may be another one.
-func (s *Stage) await(call *core.Call, r *run) (a core.Answer, again bool) {
-	late := make(chan struct{})
-	stop := s.clock.At(call.Deadline, func() { close(late) })
-	defer stop()
-	select {
-	case <-r.finished:
-		return r.answer, r.answer.Kind == core.Left && !call.HasLeft()
-	case <-call.Left():
-		s.removeWaiter(r)
-		return core.Answer{Kind: core.Left}, false
-	case <-late:
-		s.removeWaiter(r)
-		return core.Fail(core.Unavailable, ReasonWaited), false
+// rejection returns the answer to a call that neither runs nor is answered by another run. wait is in milliseconds.
+func rejection(v idempotency.Verdict, wait float64) core.Answer {
+	switch v {
+	case idempotency.Spent:
+		return core.Fail(core.Known, ReasonSpent)
+	case idempotency.Doubt:
+		return core.Fail(core.Known, ReasonDoubt)
+	case idempotency.Mismatch:
+		return core.Fail(core.Mismatch, ReasonMismatch)
 	}
+	return core.Refuse(core.Busy, ReasonFull, wait)
 }
 
-// removeWaiter counts out a client that waits no longer. A run that nobody waits for is called off.
-func (s *Stage) removeWaiter(r *run) {
-	s.mu.Lock()
-	r.waiters--
-	alone := r.waiters == 0
-	s.mu.Unlock()
-	if alone {
-		r.call.Leave()
-	}
+// expired returns a channel that is closed at a deadline, in milliseconds of the clock, unless stop is called before.
+func (s *Stage) expired(deadline float64) (passed <-chan struct{}, stop func()) {
+	c := make(chan struct{})
+	return c, s.clock.At(deadline, func() { close(c) })
 }
--- a/internal/node/idempotency/middleware/middleware_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -54,7 +54,7 @@
 
 var served = core.Answer{Kind: core.Served, Payload: text("ok")}
 
-// runs is a handler whose runs wait until the test lets them end.
+// runs is a handler whose runs end when the test says so.
 type runs struct {
 	begun chan *core.Call
 	end   chan core.Answer
@@ -72,7 +72,7 @@
 	}
 }
 
-// awaitWaiters blocks until so many clients wait for the only run.
+// awaitWaiters blocks until n clients wait for the only run.
 func (s *Stage) awaitWaiters(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against a second run, and against another answer, for two hundred repeats at once and for those that come after.
+// Guards against a second run, and against another answer, for two hundred concurrent repeats and for later ones.
 func TestConcurrentRepeatsShareOneRun(t *testing.T) {
 	s, _ := newStage(t, settings())
 	r := newRuns()
@@ -104,7 +104,7 @@
 }
 
 // Guards against a run that ends with its first client while others wait for it, one that goes on for nobody, and a repeat
-// that gets no answer because it came to a run that was being called off.
+// that gets no answer because it joined a run that was being cancelled.
 func TestRunIsCancelledWhenTheLastClientLeaves(t *testing.T) {
 	s, c := newStage(t, settings())
 	r := newRuns()
@@ -135,7 +135,7 @@
 	<-answers[first]
 	assert.Equal(t, core.Fail(core.Known, ReasonDoubt), serve(newCall(0, "k2", "b")), "it may have run")
 
-	// The run is called off and has not run: the one that joined in that moment is the next to run.
+	// The run is cancelled and has not executed: the call that joined at that moment runs next.
 	go func() { answers[first] <- serve(newCall(0, "k3", "b")) }()
 	<-r.begun
 	joined := newCall(0, "k3", "b")
@@ -147,7 +147,7 @@
 	assert.Equal(t, served, <-answers[second])
 	<-answers[first]
 
-	// A repeat's own time ends before that of the one it waits for.
+	// A repeat's own deadline is before that of the run it waits for.
 	go func() { answers[first] <- serve(newCall(0, "k4", "b")) }()
 	<-r.begun
 	go func() { answers[second] <- serve(newCall(0, "k4", "b")) }()
@@ -158,8 +158,8 @@
 	assert.Equal(t, served, <-answers[first])
 }
 
-// Guards against a repeat that is sent though the first may have run, that is not sent though it did not, and against a
-// panic that leaves a run open.
+// Guards against a repeat that runs though the first call may have executed, that does not run though it did not, and against
+// a panic after which a run never ends.
 func TestOnlyNotExecutedCallsRunAgain(t *testing.T) {
 	s, _ := newStage(t, settings())
 	next := served
@@ -195,8 +195,8 @@
 	assert.Empty(t, s.runs)
 }
 
-// Guards against a charge that runs though the disk does not have it, and against a repeat after a restart that runs again
-// or gets another answer.
+// Guards against a charge that runs though the disk does not have its beginning, and against a repeat after a restart that runs
+// again or gets another answer.
 func TestRunIsRecordedBeforeItBegins(t *testing.T) {
 	disk := wal.Disk{Path: t.TempDir()}
 	set := settings()
@@ -229,7 +229,7 @@
 	<-over
 }
 
-// Guards against two calls that meet under one name though their parts differ, or that do not though they are the same.
+// Guards against equal keys of calls whose parts differ, and different keys of equal calls.
 func TestKeysFollowTheNaming(t *testing.T) {
 	n := newKeyHasher([]byte("a"))
 	seen := map[idempotency.Name]string{}
@@ -255,8 +255,8 @@
 	}
 }
 
-// Guards against a release that names a call otherwise than the one before: nodes of both run side by side, and a repeat that comes to
-// the other one would run again.
+// Guards against a release that computes another key for a call than the previous one: nodes of both run side by side, and a repeat
+// that arrives at the other one would run again.
 func TestKeysKeepTheirHash(t *testing.T) {
 	n := newKeyHasher([]byte("a secret of a fleet"))
 	for want, by := range map[string]Naming{
@@ -271,7 +271,7 @@
 	}
 }
 
-// clientRequest is what a client asked, outcome what it got: an answer's number, or one of the others.
+// clientRequest is what a client asked for, clientResult what it got: the number of an answer, or one of the constants.
 type (
 	clientRequest struct{ key int }
 	clientResult  int
@@ -309,7 +309,7 @@
 	},
 }
 
-// runHistory has clients ask for few names at once and gives the history that they saw, and how often each name ran.
+// runHistory has clients ask for few keys concurrently, and returns the history that they saw and how often each key ran.
 func runHistory(seed uint64, wrap func(core.Handler) core.Handler) ([]porcupine.Operation, map[int]int) {
 	const clients, asks, names = 8, 40, 12
 	var mu sync.Mutex
@@ -361,7 +361,7 @@
 	return history, ran
 }
 
-// checkHistory tells which promise a history breaks.
+// checkHistory returns an error that says which rule a history breaks.
 func checkHistory(history []porcupine.Operation, ran map[int]int) error {
 	for name, n := range ran {
 		if n > 1 {
@@ -375,7 +375,7 @@
 }
 
 // Guards against histories of concurrent clients that no order of "at most one run, one answer for all" explains; and
-// against a check that finds nothing, with a stage that lets some calls pass by, and one that tells clients before it
+// against a checker that finds nothing, with a middleware that some calls bypass, and one that answers clients before it
 // records.
 func TestConcurrentHistoriesRunAtMostOnce(t *testing.T) {
 	for seed := range uint64(20) {
@@ -410,7 +410,7 @@
 	}
 }
 
-// BenchmarkStage is a call that was never seen, through the stage alone.
+// BenchmarkStage is a new call through the middleware alone.
 func BenchmarkStage(b *testing.B) {
 	s, err := New(settings(), clock.NewManual(1000), slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
--- a/internal/node/idempotency/middleware/transfer.go
+++ b/internal/node/idempotency/middleware/transfer.go
@@ -7,78 +7,79 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// predecessor is the process whose place this one takes: it hands its names over, still runs some, and asks here for each new one.
+// predecessor is the process that this one replaces in a hot restart: it transfers its table, still runs some calls,
+// and claims each new key here.
 type predecessor struct {
-	ready    chan struct{} // closed when the names are here, or will never be
-	withheld atomic.Bool   // they will never be, and that process lives
+	ready    chan struct{} // closed when the table is here, or will never be
+	withheld atomic.Bool   // it will never be, and the predecessor goes on; set before ready is closed
 
-	// Under the stage's lock.
-	lost bool // it cannot be spoken with any more: what it runs may have run
+	// Under the lock of the middleware.
+	lost bool // the channel to it is broken: what it runs may have executed
 	runs map[idempotency.Name]remoteRun
 }
 
-// remoteRun is a run in the process before.
+// remoteRun is a run in the predecessor.
 type remoteRun struct {
 	ref idempotency.Ref
 	run *run
 }
 
-// wait holds a call until the names are here; false = it may not be told whether the call has run.
-func (b *predecessor) wait(s *Stage, call *core.Call) bool {
+// wait blocks a call until the table has been transferred, its deadline passes or its client leaves. It returns false
+// if it is not known, and will not be, whether the call has run.
+func (p *predecessor) wait(s *Stage, call *core.Call) bool {
 	select {
-	case <-b.ready:
-		return !b.withheld.Load()
+	case <-p.ready:
+		return !p.withheld.Load()
 	default:
 	}
-	late := make(chan struct{})
-	stop := s.clock.At(call.Deadline, func() { close(late) })
+	expired, stop := s.expired(call.Deadline)
 	defer stop()
 	select {
-	case <-b.ready:
-		return !b.withheld.Load()
+	case <-p.ready:
+		return !p.withheld.Load()
 	case <-call.Left():
-	case <-late:
+	case <-expired:
 	}
 	return false
 }
 
-// Secret keys the hash of names.
+// Secret returns the secret of the hash of keys.
 func (s *Stage) Secret() []byte { return s.config.Secret }
 
-// Once tells whether calls of a class must never run twice.
+// Once reports whether calls of a class must never run twice.
 func (s *Stage) Once(class int) bool { return s.config.Book.Classes[class].Once }
 
-// Give gives the book away, once and for good: heir is asked for each new name from here on, and told the end of what runs. The
-// entries are as Settings.Known has them.
+// Give transfers the table, once and for good: from here on each new key is claimed from the successor, and the
+// outcome of each run is reported to it. The entries are encoded as Settings.Known has them.
 func (s *Stage) Give(successor Fleet) []idempotency.Known {
 	s.mu.Lock()
 	s.successor = successor
 	s.table.Tick(s.clock.Now())
-	list := s.table.Image()
+	entries := s.table.Image()
 	s.mu.Unlock()
-	for i := range list {
-		if k := &list[i]; k.Body != nil {
+	for i := range entries {
+		if k := &entries[i]; k.Body != nil {
 			text := s.config.Encode(k.Body)
 			if k.Body, k.Size = nil, 0; text != nil {
 				k.Body, k.Size = text, len(text)
 			}
 		}
 	}
-	return list
+	return entries
 }
 
-// Await has calls wait until Inherit, before the first one comes.
+// Await makes calls wait until Inherit or Lost. It is called before the first call arrives.
 func (s *Stage) Await() {
 	s.predecessor = &predecessor{ready: make(chan struct{}), runs: map[idempotency.Name]remoteRun{}}
 }
 
-// Inherit takes the book that another process has given away, after Await and before Take. The secret is the one under which its
-// names are hashed.
-func (s *Stage) Inherit(secret []byte, list []idempotency.Known) {
-	s.config.Secret, s.hasher = secret, newKeyHasher(secret) // nobody uses them before heard is closed
+// Inherit takes the table that the predecessor has transferred, after Await and before Take. The secret is the one
+// under which its keys are hashed.
+func (s *Stage) Inherit(secret []byte, entries []idempotency.Known) {
+	s.config.Secret, s.hasher = secret, newKeyHasher(secret) // nobody reads them before ready is closed
 	s.mu.Lock()
 	running, lost := 0, 0
-	for _, k := range list {
+	for _, k := range entries {
 		if !k.Running {
 			if !s.restore(k) {
 				lost++
@@ -94,23 +95,22 @@
 		running++
 	}
 	s.mu.Unlock()
-	s.log.Info("the names of the process before are known", "names", len(list)-lost, "running", running)
+	s.log.Info("the names of the process before are known", "names", len(entries)-lost, "running", running)
 	if lost > 0 {
 		s.log.Error("there is no room for repeats from before the start", "names", lost)
 	}
 	close(s.predecessor.ready)
 }
 
-// addRemoteRun notes a run in the process before, under the lock.
-func (s *Stage) addRemoteRun(name idempotency.Name, ref idempotency.Ref) {
+// addRemoteRun adds a run of the predecessor. It is called under the lock.
+func (s *Stage) addRemoteRun(key idempotency.Name, ref idempotency.Ref) {
 	r := &run{waiters: 1, finished: make(chan struct{})}
-	s.runs[ref], s.predecessor.runs[name] = r, remoteRun{ref, r}
+	s.runs[ref], s.predecessor.runs[key] = r, remoteRun{ref, r}
 }
 
-// Take is Fleet's, for the process before.
+// Take implements Fleet for the predecessor.
 func (s *Stage) Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
-	late := make(chan struct{})
-	stop := s.clock.At(deadline, func() { close(late) })
+	expired, stop := s.expired(deadline)
 	defer stop()
 	for {
 		s.mu.Lock()
@@ -125,25 +125,19 @@
 			s.addRemoteRun(c.Name, d.Ref)
 		case idempotency.Join:
 			r = s.runs[d.Ref]
-			r.waiters++ // it is not called off while they wait
+			r.waiters++ // it is not cancelled while they wait
 		}
 		s.mu.Unlock()
 		if d.Verdict != idempotency.Join {
-			t := Taken{Verdict: d.Verdict, Wait: d.Wait}
-			if d.Body != nil {
-				if t.Body = s.config.Encode(d.Body); t.Body == nil {
-					t.Verdict = idempotency.Spent
-				}
-			}
-			return t
+			return s.claimResult(d)
 		}
 		select {
-		case <-r.finished: // what came of it is in the book
+		case <-r.finished: // its outcome is in the table: ask again
 			s.mu.Lock()
 			r.waiters--
 			s.mu.Unlock()
 			continue
-		case <-late:
+		case <-expired:
 		case <-left:
 		}
 		s.removeWaiter(r)
@@ -151,10 +145,21 @@
 	}
 }
 
-// Ended is Fleet's, for the process before.
+// claimResult returns a decision of the table as the predecessor gets it. A response that is not encoded is not known there.
+func (s *Stage) claimResult(d idempotency.Decision) Taken {
+	t := Taken{Verdict: d.Verdict, Wait: d.Wait}
+	if d.Body != nil {
+		if t.Body = s.config.Encode(d.Body); t.Body == nil {
+			t.Verdict = idempotency.Spent
+		}
+	}
+	return t
+}
+
+// Ended implements Fleet for the predecessor.
 func (s *Stage) Ended(c idempotency.Call, _ Taken, outcome idempotency.End, body []byte) {
 	payload, size := any(nil), 0
-	a := core.Answer{Kind: core.Left} // it did not run: one of those that wait may be the next
+	a := core.Answer{Kind: core.Left} // it did not run: one of the waiters may be the next
 	switch outcome {
 	case idempotency.EndServed:
 		a = core.Fail(core.Known, ReasonSpent)
@@ -164,7 +169,7 @@
 		if payload != nil {
 			a, size = core.Answer{Kind: core.Served, Payload: payload}, s.config.Content(payload).Size()
 		} else {
-			size = s.config.Book.Bytes + 1 // known without
+			size = s.config.Book.Bytes + 1 // too large to be kept: only known to have executed
 		}
 	case idempotency.EndInDoubt:
 		a = core.Fail(core.Known, ReasonDoubt)
@@ -176,23 +181,24 @@
 	}
 }
 
-// endRemoteRun ends a run in the process before, under the lock.
-func (s *Stage) endRemoteRun(name idempotency.Name, t remoteRun, outcome idempotency.End, a core.Answer, body any, size int) {
-	delete(s.predecessor.runs, name)
+// endRemoteRun ends a run of the predecessor. It is called under the lock.
+func (s *Stage) endRemoteRun(key idempotency.Name, t remoteRun, outcome idempotency.End, a core.Answer, body any, size int) {
+	delete(s.predecessor.runs, key)
 	s.table.End(s.clock.Now(), t.ref, outcome, body, size)
 	delete(s.runs, t.ref)
 	t.run.answer = a
 	close(t.run.finished)
 }
 
-// Lost tells that the process before cannot be spoken with any more: what it had not ended may have run. alive tells whether it goes
-// on: if it has not handed over its names either, they are its own, and none is taken here.
+// Lost says that the channel to the predecessor is broken: what it was still running may have executed. alive says
+// whether it goes on. If it does and has not transferred its table, the keys remain its own: calls that must not run
+// twice are rejected here.
 func (s *Stage) Lost(alive bool) {
 	s.mu.Lock()
 	s.predecessor.lost = true
 	left := len(s.predecessor.runs)
-	for name, t := range s.predecessor.runs {
-		s.endRemoteRun(name, t, idempotency.EndInDoubt, core.Fail(core.Known, ReasonDoubt), nil, 0)
+	for key, t := range s.predecessor.runs {
+		s.endRemoteRun(key, t, idempotency.EndInDoubt, core.Fail(core.Known, ReasonDoubt), nil, 0)
 	}
 	s.mu.Unlock()
 	if left > 0 {
