--- a/internal/node/idempotency/transfer/transfer_test.go
+++ b/internal/node/idempotency/transfer/transfer_test.go
@@ -28,7 +28,7 @@
 func (t text) Body() []byte         { return []byte(t) }
 func (t text) Size() int            { return len(t) }
 
-// pipe is one direction of the channel. It breaks after so many messages; those before still arrive.
+// pipe is one direction of the channel. It breaks after `left` messages; those before still arrive.
 type pipe struct {
 	mu     sync.Mutex
 	left   int
@@ -62,8 +62,8 @@
 	p.end()
 }
 
-// Guards against a call that runs twice or has two answers, and against one that waits for ever, whatever part of its repeats comes to
-// the old and to the new process, before, while and after the names change hands, and wherever the channel breaks.
+// Guards against a call that runs twice, has two answers or waits for ever, whichever of its repeats arrive at the old and at the new
+// process, before, during and after the transfer, and wherever the channel breaks.
 func TestOneTableAtAnyMomentOfTheTransfer(t *testing.T) {
 	joined, broke, refused, doubt := atomic.Int64{}, 0, atomic.Int64{}, atomic.Int64{}
 	for seed := range uint64(40) {
@@ -156,7 +156,7 @@
 	assert.Positive(t, doubt.Load())
 }
 
-// Guards against a name that stays taken for ever because nobody waited any more when the heir said that it may run.
+// Guards against a key that stays claimed for ever because nobody waited any more when its claim was granted.
 func TestClaimNobodyWaitsForIsGivenBack(t *testing.T) {
 	c := clock.NewManual(1000)
 	s, err := middleware.New(middleware.Settings{Book: idempotency.Settings{Classes: []idempotency.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
@@ -186,8 +186,8 @@
 	require.Equal(t, middleware.ReasonHeirGone, (<-taken).Reason)
 }
 
-// Guards against a name that the process which takes over holds for another time than the one before had promised, because their
-// classes' windows differ: one that was handed over, and one that the old process asked for afterwards.
+// Guards against a key that the new process keeps for another window than the old one, because the windows of their classes differ: one
+// that was transferred, and one that the old process claimed afterwards.
 func TestWindowsAreTransferred(t *testing.T) {
 	c, quiet, ran := clock.NewManual(1000), slog.New(slog.DiscardHandler), atomic.Int64{}
 	stage := func(window float64) (*middleware.Stage, core.Handler) {
