--- /dev/null
+++ b/internal/node/idempotency/replicated/completion.go
@@ -0,0 +1,87 @@
+package replicated
+
+import (
+	"context"
+
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
+)
+
+// Ended has the outcome of a run committed, and returns once it is, or after Settings.End: it then goes on in the
+// background, for endReportTimeout at most.
+func (n *Names) Ended(c idempotency.Call, t middleware.Taken, outcome idempotency.End, body []byte) {
+	e := statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeInDoubt}
+	switch outcome {
+	case idempotency.EndServed:
+		e.Outcome, e.Body = statemachine.OutcomeServed, body
+	case idempotency.EndNotRun:
+		e.Outcome = statemachine.OutcomeNotExecuted
+	}
+	if len(body) > statemachine.MaxOneBodyBytes {
+		e.Body = nil // too large to be kept: only known to have executed
+	}
+	select {
+	case n.endReports <- struct{}{}:
+	default:
+		return // too many reports: the key stays in doubt
+	}
+	committed := make(chan struct{})
+	n.background.Go(func() {
+		defer func() { <-n.endReports; close(committed) }()
+		ctx, stop := context.WithTimeout(context.Background(), endReportTimeout)
+		defer stop()
+		if _, ok := n.reportEnd(ctx, e); !ok { // a second report of it is a conflict that changes nothing
+			n.log.Warn("the end of a call was not agreed: it counts as one that may have run")
+		}
+	})
+	expired, cancel := n.timer(n.clock.Now() + n.config.End)
+	defer cancel()
+	select {
+	case <-committed:
+	case <-expired:
+	}
+}
+
+// reportEnd has an outcome committed, and returns the reply; false if it was not before ctx ended.
+func (n *Names) reportEnd(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
+	for ctx.Err() == nil {
+		one, stop := context.WithTimeout(ctx, n.duration(n.config.Take))
+		r, err := n.client.Do(one, statemachine.ComponentCalls, statemachine.CompletionCommand(e))
+		stop()
+		if err == nil {
+			n.replies.Add(1)
+			return r, true
+		}
+	}
+	return r, false
+}
+
+// releaseClaim gives up a claim of which it is not known whether it was committed. A claim that is still in flight
+// may be committed after the report that nothing ran, so that the report is repeated with backoff until it finds the
+// claim or none is to be expected any more.
+func (n *Names) releaseClaim(e statemachine.Completion) {
+	select {
+	case n.endReports <- struct{}{}:
+		defer func() { <-n.endReports }()
+	default:
+		return // too many reports: the key may stay in doubt
+	}
+	ctx, stop := context.WithTimeout(context.Background(), endReportTimeout)
+	defer stop()
+	for pause := unreachableProbeInterval; ; pause *= 2 {
+		if r, ok := n.reportEnd(ctx, e); !ok || r.Code == statemachine.OK {
+			return
+		}
+		wait, cancel := n.timer(n.clock.Now() + pause)
+		select {
+		case <-wait:
+		case <-ctx.Done():
+			cancel()
+			return
+		case <-n.stopping:
+			cancel()
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/idempotency/replicated/probe.go
@@ -0,0 +1,100 @@
+package replicated
+
+import (
+	"context"
+	"crypto/hmac"
+	"crypto/sha256"
+	"errors"
+	"math/rand/v2"
+
+	"linenwheel.dev/linenwheel/internal/node/statemachine"
+)
+
+// Run announces this process's incarnation to the replicas, and then probes whether a majority of them can be
+// reached, until ctx ends. Until the first probe has succeeded, no key is claimed.
+func (n *Names) Run(ctx context.Context) {
+	defer n.background.Wait()
+	defer close(n.stopping)
+	p := &prober{names: n, start: statemachine.ProcessStart{Node: n.config.Node, Life: n.life, Secret: secretSum(n.config.Secret),
+		Before: n.config.Before}}
+	predecessorEnded := n.predecessorEnded
+	if p.start.Before == 0 {
+		predecessorEnded = nil
+	}
+	for ctx.Err() == nil {
+		replies := n.replies.Load()
+		err := p.probe(ctx)
+		switch {
+		case err == nil && !n.reachable.Swap(true):
+			n.log.Info("names are agreed with the fleet", "life", n.life)
+			if !p.ready {
+				p.ready = true
+				close(n.ready)
+			}
+		case err != nil && n.replies.Load() == replies:
+			n.markUnreachable(err)
+		}
+		pause := probeInterval
+		if !n.reachable.Load() {
+			pause = unreachableProbeInterval
+		}
+		wait, cancel := n.timer(n.clock.Now() + pause*(0.75+rand.Float64()/2))
+		select {
+		case <-wait:
+		case <-predecessorEnded: // what it had claimed and not ended may have executed
+			predecessorEnded, p.start.Before, p.announced = nil, 0, false
+			cancel()
+		case <-ctx.Done():
+			cancel()
+		}
+	}
+}
+
+// prober is the state of Run.
+type prober struct {
+	names     *Names
+	start     statemachine.ProcessStart
+	announced bool // start was committed
+	warned    bool // of another secret
+	ready     bool // keys could be claimed once
+}
+
+// probe asks the replicas once: it announces the process if that was not committed yet, else it reads a key that nobody has.
+func (p *prober) probe(ctx context.Context) error {
+	n := p.names
+	timeout := n.config.Take
+	if !n.reachable.Load() {
+		timeout = max(timeout, unreachableProbeTimeout)
+	}
+	ctx, stop := context.WithTimeout(ctx, n.duration(timeout))
+	defer stop()
+	// Once another process replaces this one, an announcement would end that one's incarnation, whose runs nobody would answer for.
+	if !p.announced && n.announceCtx.Err() == nil {
+		return p.announce(ctx, stop)
+	}
+	_, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: make([]byte, 16)})
+	return err
+}
+
+// announce has the start of the process committed; stop ends ctx.
+func (p *prober) announce(ctx context.Context, stop func()) error {
+	n := p.names
+	unhook := context.AfterFunc(n.announceCtx, stop) //nolint:contextcheck // n.announceCtx ends with Yield, before ctx
+	defer unhook()
+	r, err := n.client.Do(ctx, statemachine.ComponentCalls, statemachine.ProcessStartCommand(p.start))
+	if err == nil && r.Code == statemachine.Conflict {
+		if !p.warned {
+			n.log.Error("this node hashes names under another secret than its fleet: it takes none", "error", r.Text)
+		}
+		p.warned, err = true, errors.New(r.Text)
+	}
+	p.announced = err == nil
+	return err
+}
+
+// secretSum returns a digest by which nodes with different secrets of the hash of keys find out. It is replicated.
+func secretSum(secret []byte) []byte {
+	sum := hmac.New(sha256.New, secret)
+	_, _ = sum.Write([]byte("linenwheel names of a fleet")) // a hash returns no error
+	return sum.Sum(nil)
+}
--- a/internal/node/idempotency/replicated/release_test.go
+++ b/internal/node/idempotency/replicated/release_test.go
@@ -19,17 +19,17 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// alone is a keeper that agrees with itself, and lets the first claim come late: after the word that nothing ran was refused.
-type alone struct {
+// lateReplica is a replica that commits alone, and applies the first claim late: after the report that nothing ran was rejected.
+type lateReplica struct {
 	t     *testing.T
 	log   *statemachine.Machine
 	late  []byte // the first claim
-	first bool   // it has come
+	first bool   // it has arrived
 	came  chan struct{}
 	freed chan struct{}
 }
 
-func (k *alone) listen() string {
+func (k *lateReplica) listen() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(k.t, err)
 	k.t.Cleanup(func() { _ = l.Close() })
@@ -44,7 +44,7 @@
 			go k.serve(transport.NewConn(raw), asks)
 		}
 	}()
-	go func() { // the ledger is one goroutine's
+	go func() { // the state machine belongs to one goroutine
 		for {
 			select {
 			case do := <-asks:
@@ -57,7 +57,7 @@
 	return l.Addr().String()
 }
 
-func (k *alone) serve(c *transport.Conn, asks chan func()) {
+func (k *lateReplica) serve(c *transport.Conn, asks chan func()) {
 	defer func() { _ = c.Close() }()
 	if _, err := c.Accept("f", func(transport.Hello) transport.Welcome { return transport.Welcome{Name: "k"} }); err != nil {
 		return
@@ -71,13 +71,13 @@
 		answer := make(chan *statemachine.Reply, 1)
 		asks <- func() { answer <- k.take(r) }
 		if reply := <-answer; reply != nil {
-			text, _ = json.Marshal(protocol.Answer{ID: r.ID, Reply: reply}) // of types that can be written
-			_ = c.Write(transport.KindAnswer, text, time.Second)            // or it has left
+			text, _ = json.Marshal(protocol.Answer{ID: r.ID, Reply: reply}) // of types that can be encoded
+			_ = c.Write(transport.KindAnswer, text, time.Second)            // or the client has left
 		}
 	}
 }
 
-func (k *alone) take(r protocol.Request) *statemachine.Reply {
+func (k *lateReplica) take(r protocol.Request) *statemachine.Reply {
 	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
 	claim, end := bytes.Contains(r.Body, []byte(`"take"`)), bytes.Contains(r.Body, []byte(`"ended"`))
 	if claim && (!k.first || k.late != nil) {
@@ -98,15 +98,15 @@
 	return reply
 }
 
-func (k *alone) apply(data []byte) *statemachine.Reply {
+func (k *lateReplica) apply(data []byte) *statemachine.Reply {
 	_, reply, err := k.log.Apply(k.log.Index()+1, data)
 	assert.NoError(k.t, err)
 	return &reply
 }
 
-// Guards against a claim that is agreed after its node gave it up: nothing ran, and every repeat would be told that it may have.
+// Guards against a claim that is committed after its node gave it up: nothing ran, and every repeat would be in doubt.
 func TestLateClaimIsReleased(t *testing.T) {
-	k := &alone{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
+	k := &lateReplica{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "k", Address: k.listen()}}, AttemptTimeout: 250 * time.Millisecond})
 	defer log.Close()
 	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
@@ -116,7 +116,7 @@
 		n.reachable.Store(true)
 		return n.Take(c, n.clock.Now()+60000, nil).Verdict
 	}
-	for came := false; !came; { // on a slow machine its time may be up before it is sent
+	for came := false; !came; { // on a slow machine its deadline may pass before it is sent
 		require.Equal(t, idempotency.Full, take(), "refused, for nobody knows whether it was agreed")
 		select {
 		case <-k.came:
@@ -130,7 +130,7 @@
 		require.Fail(t, "the name stays one that may have run")
 	}
 	last := take()
-	for last == idempotency.Full { // as clients do that are told to come back
+	for last == idempotency.Full { // as clients retry
 		last = take()
 	}
 	assert.Equal(t, idempotency.Run, last)
--- a/internal/node/idempotency/replicated/replicated_test.go
+++ b/internal/node/idempotency/replicated/replicated_test.go
@@ -23,9 +23,9 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// lone runs a fleet's only keeper, which ends with ctx; work is done when it has ended.
-func lone(ctx context.Context, t *testing.T, work *sync.WaitGroup) client.Config {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.17:0", 128+os.Getpid()>>8&63, os.Getpid()&255)) // where no other takes the port
+// runReplica runs the only replica, which ends with ctx; work is done when it has ended.
+func runReplica(ctx context.Context, t *testing.T, work *sync.WaitGroup) client.Config {
+	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.17:0", 128+os.Getpid()>>8&63, os.Getpid()&255)) // an address of this process alone
 	require.NoError(t, err)
 	to := client.Replica{Name: "k", Address: l.Addr().String()}
 	require.NoError(t, l.Close())
@@ -39,28 +39,28 @@
 	return ask
 }
 
-// said tells when something was logged.
-type said struct {
+// logWatcher closes a channel when something is logged.
+type logWatcher struct {
 	what string
 	once sync.Once
 	told chan struct{}
 }
 
-func (s *said) Write(b []byte) (int, error) {
+func (s *logWatcher) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte(s.what)) {
 		s.once.Do(func() { close(s.told) })
 	}
 	return len(b), nil
 }
 
-// Guards against a node that hashes names under another secret than its fleet and is only found out by a charge that runs twice: it
-// says so when it starts, and takes no name.
+// Guards against a node that hashes keys under another secret than the other nodes and is only noticed when a charge runs twice: it
+// logs that when it starts, and claims no key.
 func TestNodeWithAnotherSecretClaimsNothing(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	ask, real := lone(ctx, t, &work), clock.NewSystem()
+	ask, real := runReplica(ctx, t, &work), clock.NewSystem()
 	begin := func(node, secret string, log *slog.Logger) *Names {
 		c := client.New(ask)
 		n := New(Settings{Node: node, Secret: []byte(secret), Claim: 30000,
@@ -70,7 +70,7 @@
 	}
 	first := begin("a", "the secret of the fleet", slog.New(slog.DiscardHandler))
 	<-first.Begun()
-	seen := &said{what: "level=ERROR msg=\"this node hashes names under another secret than its fleet: it takes none\"", told: make(chan struct{})}
+	seen := &logWatcher{what: "level=ERROR msg=\"this node hashes names under another secret than its fleet: it takes none\"", told: make(chan struct{})}
 	other := begin("b", "another secret", slog.New(slog.NewTextHandler(seen, nil)))
 	select {
 	case <-seen.told:
@@ -87,14 +87,14 @@
 	<-same.Begun()
 }
 
-// Guards against a process that tells the fleet of its life after another took its place: what that one runs would count as left
-// behind, and its answers would be lost.
+// Guards against a process that announces its incarnation after another has replaced it: the runs of that one would count as
+// abandoned, and their responses would be lost.
 func TestYieldedProcessNoLongerAnnouncesItself(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	ask, quiet := lone(ctx, t, &work), slog.New(slog.DiscardHandler)
+	ask, quiet := runReplica(ctx, t, &work), slog.New(slog.DiscardHandler)
 	real := clock.NewSystem()
 	begin := func(yielded bool) *Names {
 		c := client.New(ask)
