--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -20,8 +20,8 @@
 	Load float64
 }
 
-// base is what a node has without a lease.
-type base struct{ own, ceiling, long [measures]bucket }
+// buckets is what a node has without a lease.
+type buckets struct{ own, limit, longLimit [measures]bucket }
 
 // Lease has the tree hold a lease on top of what its settings say, in place of the one before; none with no parts. whole is what
 // the fleet's root can do in a second, call the most that one call takes: a bucket holds so much at the least, else what many nodes
@@ -29,9 +29,9 @@
 // whoever has that room next has no more than the lease says.
 func (b *Book) Lease(now float64, whole, call Amount, parts []Leased) {
 	b.advance(now)
-	if b.bases == nil {
+	if b.unleased == nil {
 		for i := range b.nodes {
-			b.bases = append(b.bases, base{b.nodes[i].own, b.nodes[i].ceiling, b.nodes[i].long})
+			b.unleased = append(b.unleased, buckets{b.nodes[i].own, b.nodes[i].limit, b.nodes[i].longLimit})
 		}
 	}
 	add := make([]float64, len(b.nodes))
@@ -42,22 +42,22 @@
 		add[b.nodes[i].parent] += add[i]
 	}
 	for i := range b.nodes {
-		b.touch(int32(i))
-		n, was := &b.nodes[i], &b.bases[i]
-		save := b.saves[i]
-		room := 1 / (1 - b.set.Kept*float64(b.set.Priorities-1))
+		b.refresh(int32(i))
+		n, was := &b.nodes[i], &b.unleased[i]
+		save := b.burstSeconds[i]
+		room := 1 / (1 - b.config.Kept*float64(b.config.Priorities-1))
 		for m := range measures {
 			more := add[i] * whole[m]
 			n.own[m].resize(was.own[m].rate+more, was.own[m].cap+more*save, call[m]*room)
-			if c := was.ceiling[m]; c.cap > 0 {
-				n.ceiling[m].resize(c.rate+more, c.cap+more*c.cap/c.rate, call[m])
+			if c := was.limit[m]; c.cap > 0 {
+				n.limit[m].resize(c.rate+more, c.cap+more*c.cap/c.rate, call[m])
 			}
-			if c := was.long[m]; c.cap > 0 {
-				n.long[m].resize(c.rate+more, c.cap+more*c.cap/c.rate, call[m])
+			if c := was.longLimit[m]; c.cap > 0 {
+				n.longLimit[m].resize(c.rate+more, c.cap+more*c.cap/c.rate, call[m])
 			}
 		}
 		if n.parent >= 0 {
-			b.weigh(n)
+			b.setWeight(n)
 		}
 	}
 }
@@ -71,15 +71,15 @@
 	k.tokens = min(max(k.tokens, -full), full)
 }
 
-// weigh gives a node its part of its parent's guarantee, which stands already.
-func (b *Book) weigh(n *node) {
+// setWeight gives a node its part of its parent's guarantee, which stands already.
+func (b *Book) setWeight(n *node) {
 	p := &b.nodes[n.parent]
-	weight := leastWeight
+	weight := minWeight
 	if p.own[Requests].rate > 0 {
-		weight = max(leastWeight, n.own[Requests].rate/p.own[Requests].rate)
+		weight = max(minWeight, n.own[Requests].rate/p.own[Requests].rate)
 	}
-	if n.active {
-		p.contending += weight - n.weight
+	if n.contends {
+		p.contendingWeight += weight - n.weight
 	}
 	n.weight = weight
 }
--- a/internal/node/quota/lease/golden_test.go
+++ b/internal/node/quota/lease/golden_test.go
@@ -30,14 +30,14 @@
 	require.NoError(t, m.Bring(1e6, divided))
 	var i image
 	golden.Fill(t, &i)
-	i.Tree, i.Acc, i.At = &divided, make([]account, len(m.acc)), 1e6
-	golden.Fill(t, &i.Acc)
-	for len(i.Acc) < len(m.acc) {
-		i.Acc = append(i.Acc, i.Acc...)
+	i.Tree, i.Accounts, i.At = &divided, make([]account, len(m.accounts)), 1e6
+	golden.Fill(t, &i.Accounts)
+	for len(i.Accounts) < len(m.accounts) {
+		i.Accounts = append(i.Accounts, i.Accounts...)
 	}
-	i.Acc = i.Acc[:len(m.acc)]
+	i.Accounts = i.Accounts[:len(m.accounts)]
 	for id, e := range i.Members {
-		for _, parts := range [][]Part{e.Using, e.Next} {
+		for _, parts := range [][]Part{e.Active, e.Granted} {
 			for n := range parts {
 				parts[n].At = n
 			}
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	golden.Check(t, "machine.json", want)
 	require.NoError(t, m.Load(golden.File(t, "machine.json", nil)))
-	require.Equal(t, i, image{m.tree, m.members, m.acc, m.at, m.number})
+	require.Equal(t, i, image{m.tree, m.members, m.accounts, m.dividedAt, m.lastNumber})
 	text, err := m.Freeze()()
 	require.NoError(t, err)
 	golden.Check(t, "machine.json", text)
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -21,31 +21,31 @@
 var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}}, {Name: "c", Share: .2, Alone: true},
 	{Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4, Long: quota.Amount{30}}}
 
-// holder is a member as the machine's promise sees it: it goes by a lease until that ends or another comes.
-type holder struct {
+// leaseHolder is a member as the machine's promise sees it: it goes by a lease until that ends or another comes.
+type leaseHolder struct {
 	report Report
 	parts  []Part
 	until  float64
 	tree   string // that its places are of
 }
 
-// history plays members that report, lose answers, stand still, leave and come back, on a tree that changes; it gives the first
+// checkRandomHistory plays members that report, lose answers, stand still, leave and come back, on a tree that changes; it gives the first
 // moment at which the leases that run are more than the fleet has, or the accounts are not sound. spoil changes an answer's way.
-func history(rt *rapid.T, spoil func(h *holder, g *Grant)) (broken string) {
+func checkRandomHistory(rt *rapid.T, spoil func(h *leaseHolder, g *Grant)) (broken string) {
 	m, now, t := New(), 1e6, tree(0, 1, partners...)
 	require.NoError(rt, m.Bring(now, t))
-	holders := map[int]*holder{}
+	holders := map[int]*leaseHolder{}
 	for range rapid.IntRange(5, 60).Draw(rt, "steps") {
 		now += rapid.SampledFrom([]float64{0, 1, 60, 400, 2500}).Draw(rt, "ms")
 		i := rapid.IntRange(0, 4).Draw(rt, "member")
 		h := holders[i]
 		if h == nil {
-			h = &holder{report: Report{Node: fmt.Sprint("n", i), Life: uint64(now), Length: rapid.SampledFrom([]float64{200, 2000}).Draw(rt, "length")}}
+			h = &leaseHolder{report: Report{Node: fmt.Sprint("n", i), Life: uint64(now), Length: rapid.SampledFrom([]float64{200, 2000}).Draw(rt, "length")}}
 			holders[i] = h
 		}
 		switch rapid.IntRange(0, 9).Draw(rt, "what") {
 		case 0: // the machine is lost; its lease runs on
-			holders[len(holders)+100] = &holder{parts: h.parts, until: h.until, tree: h.tree}
+			holders[len(holders)+100] = &leaseHolder{parts: h.parts, until: h.until, tree: h.tree}
 			delete(holders, i)
 			continue
 		case 1:
@@ -80,17 +80,17 @@
 			spoil(h, &g)
 			h.parts, h.until, h.report.Holds, h.tree = g.Parts, now+g.Length, g.Number, m.hash
 		}
-		if broken = check(m, holders, now, t); broken != "" {
+		if broken = checkInvariants(m, holders, now, t); broken != "" {
 			return broken
 		}
 	}
 	return ""
 }
 
-func check(m *Machine, holders map[int]*holder, now float64, t Tree) string {
-	kept, due := m.taken, m.due
-	if m.recount(); !assert.ObjectsAreEqual(kept, m.taken) || due > m.due {
-		return fmt.Sprintf("%v is kept as taken until %v, members have %v until %v", kept, due, m.taken, m.due)
+func checkInvariants(m *Machine, holders map[int]*leaseHolder, now float64, t Tree) string {
+	kept, due := m.leased, m.nextExpiry
+	if m.recount(); !assert.ObjectsAreEqual(kept, m.leased) || due > m.nextExpiry {
+		return fmt.Sprintf("%v is kept as taken until %v, members have %v until %v", kept, due, m.leased, m.nextExpiry)
 	}
 	sums := make([]Load, len(m.shape.names))
 	for _, h := range holders {
@@ -111,8 +111,8 @@
 		if most := t.Leased * m.shape.limit[i]; i == 0 && sums[i].Of() > t.Leased || sums[i].Of() > most && !math.IsInf(most, 1) {
 			return fmt.Sprintf("%q: %g leased", name, sums[i].Of())
 		}
-		a := m.acc[i]
-		if !(a.Debt >= 0 && a.Debt <= m.mostDebt(i)+1e-9 && a.Credit >= 0) {
+		a := m.accounts[i]
+		if !(a.Debt >= 0 && a.Debt <= m.maxDebt(i)+1e-9 && a.Credit >= 0) {
 			return fmt.Sprintf("%q: credit %g, debt %g", name, a.Credit, a.Debt)
 		}
 	}
@@ -121,29 +121,29 @@
 
 // Guards against leases that add up to more than the leased part of the room or of a ceiling, whatever is lost, late, restored or
 // changed; against debts beyond their bounds; and against an image that gives another machine.
-func TestNeverMore(t *testing.T) {
+func TestLeasesNeverExceedTheLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		require.Empty(rt, history(rt, func(*holder, *Grant) {}))
+		require.Empty(rt, checkRandomHistory(rt, func(*leaseHolder, *Grant) {}))
 	})
 }
 
 // Guards against a judge that finds nothing: members that go by a lease for longer than it is, that hold on to the larger of two,
 // or that say to have a lease which they do not go by.
-func TestPlantedFaults(t *testing.T) {
-	for name, spoil := range map[string]func(*holder, *Grant){
-		"a lease longer than agreed": func(_ *holder, g *Grant) { g.Length *= 5 },
-		"the larger of two leases":   func(h *holder, g *Grant) { g.Parts = larger(h.parts, g.Parts) },
-		"a lease that others have":   func(_ *holder, g *Grant) { g.Parts = []Part{{0, 5e8}} },
+func TestInvariantCheckerFindsPlantedFaults(t *testing.T) {
+	for name, spoil := range map[string]func(*leaseHolder, *Grant){
+		"a lease longer than agreed": func(_ *leaseHolder, g *Grant) { g.Length *= 5 },
+		"the larger of two leases":   func(h *leaseHolder, g *Grant) { g.Parts = maxParts(h.parts, g.Parts) },
+		"a lease that others have":   func(_ *leaseHolder, g *Grant) { g.Parts = []Part{{0, 5e8}} },
 	} {
 		found := false
-		rapid.Check(t, func(rt *rapid.T) { found = found || history(rt, spoil) != "" })
+		rapid.Check(t, func(rt *rapid.T) { found = found || checkRandomHistory(rt, spoil) != "" })
 		assert.True(t, found, name)
 	}
 }
 
 // Guards against debts that the fleet forgets with the machine that made them, a lender that is not paid when it wakes, and one
 // whose debt a change of the tree forgets.
-func TestDebtsOutliveMachines(t *testing.T) {
+func TestDebtsOutliveMembers(t *testing.T) {
 	m, now, tr := New(), 1e6, tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
 	require.NoError(t, m.Bring(now, tr))
 	say := func(life uint64, a, b, usedB float64) (got map[string]float64) {
@@ -187,7 +187,7 @@
 }
 
 // Guards against a report that costs a look at every other member: a fleet's reports would cost its keepers the square of its size.
-func TestReportOfMany(t *testing.T) {
+func TestReportDoesNotCostALookAtEveryMember(t *testing.T) {
 	allocations := func(members int) float64 {
 		m, now := New(), 1e6
 		tr := tree(0, 1, partners...)
@@ -197,7 +197,7 @@
 			r.Asked = append(r.Asked, Asked{1 + i, 0.01 / float64(members), 0.01 / float64(members)})
 		}
 		for i := range members {
-			now += 2 * dividedEvery
+			now += 2 * divideInterval
 			r.Node = fmt.Sprint("n", i)
 			g, err := m.Report(now, r)
 			require.NoError(t, err)
--- a/internal/node/quota/lease/lost_test.go
+++ b/internal/node/quota/lease/reply_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against room that is given to another while a member goes on by the lease before, since the answer that took it back was lost.
-func TestAnswerLost(t *testing.T) {
+func TestLostReplyKeepsThePreviousLeaseReserved(t *testing.T) {
 	m, tr := New(), tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
 	require.NoError(t, m.Bring(1e6, tr))
 	say := func(now float64, node string, holds uint64, want float64) (Grant, float64) {
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -41,16 +41,16 @@
 // shape is the tree as it is divided. The places of its nodes are those of a quota.Book; behind them every node that has children
 // has one more, for what is asked of it alone.
 type shape struct {
-	fluid   quota.Fluid
-	names   []string
-	parent  []int
-	kids    [][]int
-	own     []int // where what is asked of a place stands
-	weight  []float64
-	limit   []float64 // that never changes
-	long    []float64 // +Inf = none
-	lends   []bool
-	borrows []bool
+	fluid     quota.Fluid
+	names     []string
+	parent    []int
+	children  [][]int
+	leafOf    []int // where what is asked of a place stands
+	weight    []float64
+	limit     []float64 // that never changes
+	longLimit []float64 // +Inf = none
+	lends     []bool
+	borrows   []bool
 }
 
 // newShape takes a tree that was checked.
@@ -62,11 +62,11 @@
 	s, left := &shape{}, []float64{}
 	add := func(name string, parent int, weight, limit, long float64, lends, borrows bool) int {
 		at := s.fluid.Add(parent, weight, limit)
-		s.names, s.parent, s.kids = append(s.names, name), append(s.parent, parent), append(s.kids, nil)
-		s.own, s.weight, s.limit, s.long = append(s.own, at), append(s.weight, weight), append(s.limit, limit), append(s.long, long)
+		s.names, s.parent, s.children = append(s.names, name), append(s.parent, parent), append(s.children, nil)
+		s.leafOf, s.weight, s.limit, s.longLimit = append(s.leafOf, at), append(s.weight, weight), append(s.limit, limit), append(s.longLimit, long)
 		s.lends, s.borrows, left = append(s.lends, lends), append(s.borrows, borrows), append(left, weight)
 		if at > 0 {
-			s.kids[parent] = append(s.kids[parent], at)
+			s.children[parent] = append(s.children[parent], at)
 			left[parent] -= weight
 		}
 		return at
@@ -74,15 +74,15 @@
 	for i := range book.Nodes() {
 		l := book.Loads(i)
 		lends, borrows := book.Ways(i)
-		weight, limit := max(l.Guarantee, leastWeight), l.Ceiling
+		weight, limit := max(l.Guarantee, minWeight), l.Ceiling
 		if !borrows {
 			limit = min(limit, weight)
 		}
 		add(book.Name(i), book.Parent(i), weight, limit, l.Long, lends, borrows)
 	}
 	for i := range book.Nodes() {
-		if len(s.kids[i]) > 0 {
-			s.own[i] = add("", i, max(left[i], leastWeight), math.Inf(1), math.Inf(1), false, true)
+		if len(s.children[i]) > 0 {
+			s.leafOf[i] = add("", i, max(left[i], minWeight), math.Inf(1), math.Inf(1), false, true)
 		}
 	}
 	return s, nil
--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -13,16 +13,16 @@
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
-// agreed is a fleet of one machine of package lease, whose answers can be lost.
-type agreed struct {
+// leaseService is a fleet of one machine of package lease, whose answers can be lost.
+type leaseService struct {
 	machine *lease.Machine
 	now     func() float64
 	lost    bool
-	said    []lease.Report
+	reports []lease.Report
 }
 
-func (a *agreed) Report(_ context.Context, r lease.Report) (lease.Grant, error) {
-	a.said = append(a.said, r)
+func (a *leaseService) Report(_ context.Context, r lease.Report) (lease.Grant, error) {
+	a.reports = append(a.reports, r)
 	g, err := a.machine.Report(a.now(), r)
 	if a.lost {
 		return lease.Grant{}, errors.New("no answer")
@@ -30,7 +30,9 @@
 	return g, err
 }
 
-func (a *agreed) Bring(_ context.Context, t lease.Tree) error { return a.machine.Bring(a.now(), t) }
+func (a *leaseService) Bring(_ context.Context, t lease.Tree) error {
+	return a.machine.Bring(a.now(), t)
+}
 
 // leasedSet is a fleet of 100 requests a second, of which half belong to each tenant and nine tenths are leased; this node is one
 // of ten.
@@ -39,12 +41,12 @@
 		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: 0.5}, {Name: "vltava", Share: 0.5}, {Name: "none"}}}}
 }
 
-func leasedStage(t *testing.T) (s *Stage, f *agreed, second func() int) {
+func leasedStage(t *testing.T) (s *Stage, f *leaseService, second func() int) {
 	s, c := newStage(t, Settings{})
 	part, err := quota.New(leasedSet(0).Set.Part(0.01, true), 1)
 	require.NoError(t, err)
 	s.Replace(part)
-	f = &agreed{machine: lease.New(), now: c.Now}
+	f = &leaseService{machine: lease.New(), now: c.Now}
 	s.Lease(Leases{Fleet: f, Node: "n", Length: 1000, Tree: leasedSet(0), Call: quota.Amount{1}})
 	return s, f, func() (n int) { // calls of morava that go on in a second at 60 a second
 		for range 60 {
@@ -59,7 +61,7 @@
 
 // Guards against a node that keeps to its tenth while others need nothing, one that goes on with a lease that has run out or that it
 // did not get, and one that tells another demand or use than there was.
-func TestLeases(t *testing.T) {
+func TestNodeUsesItsLease(t *testing.T) {
 	s, f, second := leasedStage(t)
 	ctx := context.Background()
 	assert.LessOrEqual(t, second(), 3, "its own part")
@@ -71,7 +73,7 @@
 	}
 	assert.GreaterOrEqual(t, second(), 55)
 	s.renew(ctx)
-	last := f.said[len(f.said)-1]
+	last := f.reports[len(f.reports)-1]
 	if assert.NotEmpty(t, last.Asked) {
 		assert.InDelta(t, 0.6, last.Asked[0].Want, 0.03)
 		assert.InDelta(t, 0.6, last.Asked[0].Used, 0.05)
@@ -87,7 +89,7 @@
 
 // Guards against a lease of a tree that has changed meanwhile, a tree of an older policy that is taken, and a call that was granted
 // before the change and gives its room back to a tree that has no such place.
-func TestLeaseOfAnotherTree(t *testing.T) {
+func TestLeaseOfAnotherTreeIsNotUsed(t *testing.T) {
 	s, f, second := leasedStage(t)
 	ctx := context.Background()
 	s.renew(ctx)
@@ -102,17 +104,17 @@
 		s.Replace(small)
 		s.Lease(Leases{Fleet: f, Node: "n", Length: 1000, Tree: leasedSet(2), Call: quota.Amount{1}})
 		return unseen
-	})(&core.Call{Tenant: 1, Payload: head(""), Deadline: 1e6})
+	})(&core.Call{Tenant: 1, Payload: gatewayHeader(""), Deadline: 1e6})
 	tree3 := leasedSet(3)
 	tree3.Set.Burst = 2
 	require.NoError(t, f.machine.Bring(f.now(), tree3))
 	s.renew(ctx)
-	assert.Equal(t, tree3.Hash(), s.leases.told)
+	assert.Equal(t, tree3.Hash(), s.leases.foreignTree)
 	assert.Zero(t, s.leases.until)
 }
 
 // Guards against a lease that is kept by a node that has ended.
-func TestLeaseGivenBack(t *testing.T) {
+func TestLeaseIsReturnedAtTheEnd(t *testing.T) {
 	s, f, _ := leasedStage(t)
 	ctx, stop := context.WithCancel(context.Background())
 	s.renew(ctx)
@@ -121,5 +123,5 @@
 	stop()
 	s.Run(ctx)
 	assert.Zero(t, f.machine.View().Members)
-	assert.True(t, f.said[len(f.said)-1].Leaves)
+	assert.True(t, f.reports[len(f.reports)-1].Leaves)
 }
--- a/internal/node/quota/middleware/edge_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -13,19 +13,19 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// head is a payload whose gateway is its text.
-type head string
+// gatewayHeader is a payload whose gateway is its text.
+type gatewayHeader string
 
-func (h head) Path() []byte  { return nil }
-func (h head) Query() []byte { return nil }
-func (h head) Header(string) []byte {
+func (h gatewayHeader) Path() []byte  { return nil }
+func (h gatewayHeader) Query() []byte { return nil }
+func (h gatewayHeader) Header(string) []byte {
 	if h == "" {
 		return nil
 	}
 	return []byte(h)
 }
-func (h head) Body() []byte { return nil }
-func (h head) Size() int    { return 0 }
+func (h gatewayHeader) Body() []byte { return nil }
+func (h gatewayHeader) Size() int    { return 0 }
 
 // tree is a fleet of ten requests a second, half of them of each tenant, one of which has a gateway; the third has nothing.
 func tree(t *testing.T, share float64) *quota.Book {
@@ -40,20 +40,20 @@
 func newStage(t *testing.T, set Settings) (*Stage, *clock.Manual) {
 	set.Classes = []Class{{0, 3}, {1, 8}}
 	set.Tenants, set.Unknown, set.Gateway = []string{"morava", "vltava"}, "none", "Gateway"
-	set.Content = func(p any) core.Content { return p.(head) }
+	set.Content = func(p any) core.Content { return p.(gatewayHeader) }
 	c := clock.NewManual(1000)
 	return New(set, tree(t, 0.5), c, slog.New(slog.DiscardHandler)), c
 }
 
 func serve(s *Stage, tenant int, gateway string, a core.Answer) core.Answer {
-	return s.Wrap(func(*core.Call) core.Answer { return a })(&core.Call{Tenant: tenant, Payload: head(gateway), Deadline: 1e6})
+	return s.Wrap(func(*core.Call) core.Answer { return a })(&core.Call{Tenant: tenant, Payload: gatewayHeader(gateway), Deadline: 1e6})
 }
 
 var served = core.Answer{Kind: core.Served}
 
 // Guards against a call that is charged to another tenant than its own, one that is refused without a time to come back, one
 // that pays for what certainly did not run, and a tree whose balances a reload forgets.
-func TestWhoPays(t *testing.T) {
+func TestCallsAreChargedToTheirTenant(t *testing.T) {
 	s, c := newStage(t, Settings{})
 	unseen, doubtful := core.Refuse(core.Busy, "", 0), core.Answer{Kind: core.Failed, Ran: true}
 	for range 20 {
@@ -87,7 +87,7 @@
 
 // Guards against waiting calls that are served in another order than by priority and worth, that wait beyond their time or
 // after their client has left, and against room that is lost with one that left.
-func TestWaiting(t *testing.T) {
+func TestWaitingCallsAreServedInOrder(t *testing.T) {
 	s, c := newStage(t, Settings{Wait: 700, Waiting: 3})
 	for range 5 {
 		serve(s, 0, "", served)
@@ -99,42 +99,42 @@
 	out := make(chan outcome, 4)
 	calls := []*core.Call{}
 	for i, class := range []int{0, 0, 1} {
-		call := &core.Call{Tenant: 0, Class: class, Payload: head(""), Deadline: 1e6}
+		call := &core.Call{Tenant: 0, Class: class, Payload: gatewayHeader(""), Deadline: 1e6}
 		calls = append(calls, call)
 		go func() {
 			out <- outcome{class, s.Wrap(func(*core.Call) core.Answer { return served })(call)}
 		}()
-		s.wait(i + 1)
+		s.awaitQueued(i + 1)
 	}
 	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind, "no more may wait")
 	calls[0].Leave()
 	assert.Equal(t, outcome{0, core.Answer{Kind: core.Left}}, <-out)
-	s.wait(2)
+	s.awaitQueued(2)
 	c.Advance(210)
 	assert.Equal(t, outcome{1, served}, <-out, "the block goes first")
 	c.Advance(200)
 	assert.Equal(t, outcome{0, served}, <-out)
 	go func() {
-		out <- outcome{0, s.Wrap(func(*core.Call) core.Answer { return served })(&core.Call{Tenant: -1, Payload: head(""), Deadline: 1e6})}
+		out <- outcome{0, s.Wrap(func(*core.Call) core.Answer { return served })(&core.Call{Tenant: -1, Payload: gatewayHeader(""), Deadline: 1e6})}
 	}()
-	s.wait(1)
+	s.awaitQueued(1)
 	c.Advance(690)
 	assert.Empty(t, out)
 	c.Advance(20)
 	assert.Equal(t, core.Refused, (<-out).answer.Kind)
 }
 
-// wait blocks until so many wait.
-func (s *Stage) wait(n int) {
+// awaitQueued blocks until so many wait.
+func (s *Stage) awaitQueued(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
-		have = len(s.waiting)
+		have = len(s.queue)
 		s.mu.Unlock()
 	}
 }
 
 // Guards against guarantees that stay as they are when the fleet can do less.
-func TestCapacity(t *testing.T) {
+func TestGuaranteesFollowTheCapacity(t *testing.T) {
 	part := 0.5
 	s, c := newStage(t, Settings{Every: 100, Room: func() (float64, bool) { return part, true }})
 	ended := make(chan struct{})
@@ -149,7 +149,7 @@
 	close(ended)
 	part = 1
 	c.Advance(1000)
-	assert.Equal(t, 0.5, s.book.Capacity())
+	assert.Equal(t, 0.5, s.tree.Capacity())
 }
 
 // BenchmarkStage is a call through the stage alone.
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -25,22 +25,22 @@
 var partners = []Node{{Name: "a", Share: .5}, {Name: "b", Share: .3}, {Name: "c", Share: .2}, {Name: "a1", Parent: "a", Share: .6},
 	{Name: "a2", Parent: "a", Share: .4}}
 
-func newBook(t testing.TB, set Settings) *Book {
+func newTree(t testing.TB, set Settings) *Book {
 	b, err := New(set, 1)
 	require.NoError(t, err)
 	return b
 }
 
-// flow is how one leaf asks.
-type flow struct {
+// load is how one leaf asks.
+type load struct {
 	leaf     string
 	rate     float64 // calls a second
 	priority int
 	from, to float64 // seconds; to 0 = the end
 }
 
-// stream gives the calls of some flows in order of time, each a Poisson process.
-func stream(b *Book, seed uint64, seconds float64, flows []flow, each func(at float64, c Call, d Decision)) {
+// playLoads gives the calls of some flows in order of time, each a Poisson process.
+func playLoads(b *Book, seed uint64, seconds float64, flows []load, each func(at float64, c Call, d Decision)) {
 	type arrival struct {
 		at   float64
 		call Call
@@ -71,10 +71,10 @@
 	}
 }
 
-// rates plays flows and gives what each leaf got a second from a time on.
-func rates(b *Book, seed uint64, from, seconds float64, flows []flow) map[string]float64 {
+// ratesByLeaf plays flows and gives what each leaf got a second from a time on.
+func ratesByLeaf(b *Book, seed uint64, from, seconds float64, flows []load) map[string]float64 {
 	got := map[string]float64{}
-	stream(b, seed, seconds, flows, func(at float64, c Call, d Decision) {
+	playLoads(b, seed, seconds, flows, func(at float64, c Call, d Decision) {
 		if at >= from && d.Verdict != Refused {
 			got[b.Name(c.Leaf)] += 1 / (seconds - from)
 		}
@@ -84,9 +84,9 @@
 
 // Guards against a tenant's share that is not its due over a minute, whoever storms, is quiet or asks for half, at any depth
 // of the tree, and when the fleet can do half.
-func TestSharesOverAMinute(t *testing.T) {
+func TestTenantsGetTheirSharesOverAMinute(t *testing.T) {
 	const from, to = 5, 65
-	for _, flows := range [][]flow{
+	for _, flows := range [][]load{
 		{{leaf: "a1", rate: 300}, {leaf: "a2", rate: 300}, {leaf: "b", rate: 300}, {leaf: "c", rate: 200}},
 		{{leaf: "a1", rate: 30}, {leaf: "a2", rate: 20}, {leaf: "b", rate: 30}, {leaf: "c", rate: 1000}},
 		{{leaf: "b", rate: 150}, {leaf: "c", rate: 1000}},
@@ -96,13 +96,13 @@
 	} {
 		for _, capacity := range []float64{1, 0.5} {
 			for seed := range uint64(2) {
-				b := newBook(t, settings(partners...))
+				b := newTree(t, settings(partners...))
 				b.SetCapacity(0, capacity)
 				asked, got := map[int]float64{}, map[int]float64{}
-				stream(b, seed, to, flows, func(at float64, c Call, d Decision) {
+				playLoads(b, seed, to, flows, func(at float64, c Call, d Decision) {
 					if at >= from {
 						asked[c.Leaf] += 1.0 / (to - from)
-						got[c.Leaf] += b2f(d.Verdict != Refused) / (to - from)
+						got[c.Leaf] += boolToFloat(d.Verdict != Refused) / (to - from)
 					}
 				})
 				for leaf, want := range b.Due(100*capacity, asked) {
@@ -113,7 +113,7 @@
 	}
 }
 
-func b2f(v bool) float64 {
+func boolToFloat(v bool) float64 {
 	if v {
 		return 1
 	}
@@ -122,12 +122,12 @@
 
 // Guards against a lender that waits for what is its own when it wakes, that is not paid back in time or is paid more than it
 // is owed, and against a debt that is called in while nobody wants it.
-func TestLenderWakes(t *testing.T) {
-	b := newBook(t, settings(partners...))
+func TestWakingLenderIsRepaid(t *testing.T) {
+	b := newTree(t, settings(partners...))
 	const woke, paid, end = 30.0, 41.0, 60.0
 	var before, within, after [3]float64 // calls a second of a, b and c
 	burst, refused := 0, false
-	stream(b, 3, end, []flow{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}, {leaf: "a1", rate: 300, from: woke},
+	playLoads(b, 3, end, []load{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}, {leaf: "a1", rate: 300, from: woke},
 		{leaf: "a2", rate: 300, from: woke}}, func(at float64, c Call, d Decision) {
 		who := int(b.Name(c.Leaf)[0] - 'a')
 		refused = refused || who == 0 && d.Verdict == Refused
@@ -160,14 +160,14 @@
 
 // Guards against a spending-cap block that is refused while there is any room, and against one that starves charges of
 // others' guarantees.
-func TestBlocksLast(t *testing.T) {
+func TestHighPriorityCallsAreRejectedLast(t *testing.T) {
 	thrifty := slices.Clone(partners) // 5% are nobody's guarantee
 	thrifty[0].Share = .45
 	for _, nodes := range [][]Node{partners, thrifty} {
 		for _, charges := range []float64{100, 1000} {
-			b := newBook(t, settings(nodes...))
+			b := newTree(t, settings(nodes...))
 			refused, blocks := 0, 0
-			stream(b, 4, 60, []flow{{leaf: "a1", rate: charges}, {leaf: "a2", rate: charges}, {leaf: "b", rate: charges},
+			playLoads(b, 4, 60, []load{{leaf: "a1", rate: charges}, {leaf: "a2", rate: charges}, {leaf: "b", rate: charges},
 				{leaf: "c", rate: charges}, {leaf: "c", rate: 18, priority: 1}, {leaf: "a2", rate: 10, priority: 1}},
 				func(at float64, c Call, d Decision) {
 					if c.Priority == 1 {
@@ -184,35 +184,35 @@
 			}
 		}
 	}
-	b := newBook(t, settings(partners...))
-	got := rates(b, 5, 5, 65, []flow{{leaf: "c", rate: 500, priority: 1}, {leaf: "b", rate: 100}, {leaf: "a1", rate: 100}})
+	b := newTree(t, settings(partners...))
+	got := ratesByLeaf(b, 5, 5, 65, []load{{leaf: "c", rate: 500, priority: 1}, {leaf: "b", rate: 100}, {leaf: "a1", rate: 100}})
 	assert.InDelta(t, 30, got["b"], 1.5, "its guarantee")
 	assert.InDelta(t, 50, got["a1"], 2.5, "its own and what a2 leaves")
 }
 
-// anOp is one thing that happens to a Book.
-type anOp struct {
+// step is one thing that happens to a Book.
+type step struct {
 	wait     float64
 	leaf     int
 	count    int
 	worth    float64
 	priority int
 	capacity float64 // 0 = leave it
-	giveBack bool
+	returned bool
 }
 
-func draw(t *rapid.T) []anOp {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) anOp {
-		return anOp{wait: rapid.SampledFrom([]float64{0, 1, 20, 300, 2000, -500}).Draw(t, "wait"),
+func drawSteps(t *rapid.T) []step {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
+		return step{wait: rapid.SampledFrom([]float64{0, 1, 20, 300, 2000, -500}).Draw(t, "wait"),
 			leaf: rapid.IntRange(0, 3).Draw(t, "leaf"), count: rapid.IntRange(1, 40).Draw(t, "count"),
 			worth: rapid.Float64Range(0, 5).Draw(t, "worth"), priority: rapid.IntRange(0, 1).Draw(t, "priority"),
 			capacity: rapid.SampledFrom([]float64{0, 0, 0, 0.5, 1, math.NaN()}).Draw(t, "capacity"),
-			giveBack: rapid.IntRange(0, 9).Draw(t, "give back") == 0}
+			returned: rapid.IntRange(0, 9).Draw(t, "give back") == 0}
 	}), 1, 80).Draw(t, "ops")
 }
 
-// judge plays a history and tells which promise was broken, "" for none.
-func judge(b *Book, set Settings, ops []anOp) string {
+// checkHistory plays a history and tells which promise was broken, "" for none.
+func checkHistory(b *Book, set Settings, ops []step) string {
 	leaves := []string{"a1", "a2", "b", "c"}
 	now, latest, capacity := 1000.0, math.Inf(-1), 1.0
 	type meter struct{ tokens, at float64 } // a bucket of the plainest kind
@@ -255,7 +255,7 @@
 				ceiling.tokens = min(set.Burst*40, ceiling.tokens+(latest-ceiling.at)/1000*40) - 1
 				ceiling.at = latest
 			}
-			if o.giveBack && d.Verdict != Refused {
+			if o.returned && d.Verdict != Refused {
 				before := b.Status(now, leaf).Tokens[Requests]
 				b.Return(now, d)
 				if after := b.Status(now, leaf).Tokens[Requests]; after < before {
@@ -286,8 +286,8 @@
 	return ""
 }
 
-// nested are settings with both measures, a ceiling and a node that lends nothing.
-func nested() Settings {
+// nestedSettings are settings with both measures, a ceiling and a node that lends nothing.
+func nestedSettings() Settings {
 	set := settings(Node{Name: "a", Share: .5}, Node{Name: "b", Share: .3, Keep: true},
 		Node{Name: "c", Share: .2, Ceiling: Amount{40, 0}}, partners[3], partners[4])
 	set.Root[Worth] = 300
@@ -296,48 +296,48 @@
 
 // Guards against a guarantee that is not kept, a block refused while there is room, room that is lost, a ceiling that is
 // passed, debts without a bound, and books that do not add up, whatever comes in whatever order.
-func TestPromises(t *testing.T) {
+func TestRandomHistoriesKeepTheSpecification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, err := New(nested(), 1)
+		b, err := New(nestedSettings(), 1)
 		require.NoError(t, err)
-		if wrong := judge(b, nested(), draw(t)); wrong != "" {
+		if wrong := checkHistory(b, nestedSettings(), drawSteps(t)); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
 }
 
 // Guards against a judge that cannot fail: each planted fault must be caught.
-func TestJudgeCatchesFaults(t *testing.T) {
+func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
 	for what, plant := range map[string]func(*Book){
-		"a guarantee that shrinks":  func(b *Book) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.set.Kept = 0.8 },
-		"a ceiling that is not one": func(b *Book) { b.nodes[b.index["c"]].ceiling[Requests] = bucket{} },
-		"a debt without a bound":    func(b *Book) { b.set.PayBack = 1e5 },
-		"blocks like charges":       func(b *Book) { b.set.Priorities = 3 },
-		"waits without a bound":     func(b *Book) { b.set.MostWait = 100 },
+		"a guarantee that shrinks":  func(b *Book) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.config.Kept = 0.8 },
+		"a ceiling that is not one": func(b *Book) { b.nodes[b.index["c"]].limit[Requests] = bucket{} },
+		"a debt without a bound":    func(b *Book) { b.config.PayBack = 1e5 },
+		"blocks like charges":       func(b *Book) { b.config.Priorities = 3 },
+		"waits without a bound":     func(b *Book) { b.config.MostWait = 100 },
 	} {
 		caught := ""
-		ops := rapid.Custom(draw)
+		ops := rapid.Custom(drawSteps)
 		for seed := 0; seed < 3000 && caught == ""; seed++ {
-			b := newBook(t, nested())
+			b := newTree(t, nestedSettings())
 			plant(b)
-			caught = judge(b, nested(), ops.Example(seed))
+			caught = checkHistory(b, nestedSettings(), ops.Example(seed))
 		}
 		assert.NotEmpty(t, caught, what)
 	}
 }
 
 // Guards against an order of the nodes in the file that makes a difference, and against another course of the same calls.
-func TestOrderMakesNoDifference(t *testing.T) {
-	flows := []flow{{leaf: "a1", rate: 80}, {leaf: "a2", rate: 10}, {leaf: "b", rate: 100}, {leaf: "c", rate: 100}}
+func TestOrderOfNodesMakesNoDifference(t *testing.T) {
+	flows := []load{{leaf: "a1", rate: 80}, {leaf: "a2", rate: 10}, {leaf: "b", rate: 100}, {leaf: "c", rate: 100}}
 	var want []string
 	for i, order := range [][]int{{0, 1, 2, 3, 4}, {0, 1, 2, 3, 4}, {4, 3, 2, 1, 0}, {2, 4, 0, 3, 1}} {
 		nodes := make([]Node, 0, 5)
 		for _, n := range order {
 			nodes = append(nodes, partners[n])
 		}
-		b := newBook(t, settings(nodes...))
+		b := newTree(t, settings(nodes...))
 		got := map[string][]string{}
-		stream(b, 9, 30, flows, func(_ float64, c Call, d Decision) {
+		playLoads(b, 9, 30, flows, func(_ float64, c Call, d Decision) {
 			name := b.Name(c.Leaf)
 			got[name] = append(got[name], fmt.Sprint(d.Verdict, d.Reason))
 		})
@@ -351,7 +351,7 @@
 		for name, share := range map[string]float64{"a1": 40, "a2": 10, "b": 30, "c": 20} {
 			goes := 0
 			for _, v := range got[name] {
-				goes += int(b2f(v[0] != '3'))
+				goes += int(boolToFloat(v[0] != '3'))
 			}
 			assert.InDelta(t, share, float64(goes)/30, 0.1*share+1, "%s in order %v", name, order)
 		}
@@ -359,14 +359,14 @@
 }
 
 // Guards against a new file that forgets balances and debts of those that stay, or that takes old ones beyond new bounds.
-func TestInherit(t *testing.T) {
-	b := newBook(t, settings(partners...))
-	rates(b, 6, 0, 20, []flow{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}})
+func TestInheritKeepsBalancesWithinNewBounds(t *testing.T) {
+	b := newTree(t, settings(partners...))
+	ratesByLeaf(b, 6, 0, 20, []load{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}})
 	b.SetCapacity(20000, 0.5)
 	leaf, _ := b.Find("b")
 	was := b.Status(20000, leaf)
 	require.Positive(t, was.Debt)
-	fresh := newBook(t, settings(Node{Name: "b", Share: .1}, Node{Name: "new", Share: .5}))
+	fresh := newTree(t, settings(Node{Name: "b", Share: .1}, Node{Name: "new", Share: .5}))
 	fresh.Inherit(20000, b)
 	leaf, _ = fresh.Find("b")
 	now := fresh.Status(20000, leaf)
@@ -379,7 +379,7 @@
 }
 
 // Guards against trees that cannot work, and faults that do not name the node and the field.
-func TestTreesThatCannotWork(t *testing.T) {
+func TestInvalidTreesNameNodeAndField(t *testing.T) {
 	for want, nodes := range map[string][]Node{
 		"name: is missing":                        {{Share: 1}},
 		"a: name: stands there twice":             {{Name: "a"}, {Name: "a"}},
@@ -408,21 +408,21 @@
 }
 
 // Guards against a node that costs more than the page states.
-func TestMemoryOfANode(t *testing.T) {
+func TestNodeFitsItsStatedMemory(t *testing.T) {
 	const n = 50_000
-	nodes := gateways(n)
+	nodes := gatewayNodes(n)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	b := newBook(t, settings(nodes...))
+	b := newTree(t, settings(nodes...))
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	assert.Less(t, float64(after.HeapAlloc-before.HeapAlloc)/n, float64(NodeBytes))
 	runtime.KeepAlive(b)
 }
 
-// gateways are so many leaves under ten partners.
-func gateways(n int) []Node {
+// gatewayNodes are so many leaves under ten partners.
+func gatewayNodes(n int) []Node {
 	var nodes []Node
 	for i := range 10 {
 		nodes = append(nodes, Node{Name: fmt.Sprintf("partner-%d", i), Share: 0.1})
@@ -436,7 +436,7 @@
 // BenchmarkAsk is one decision, with ten gateways of a partner active of so many.
 func BenchmarkAsk(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		set := settings(gateways(n)...)
+		set := settings(gatewayNodes(n)...)
 		set.Root = Amount{1000, 0}
 		book, err := New(set, 1)
 		require.NoError(b, err)
@@ -456,7 +456,7 @@
 // BenchmarkReload is a tree that replaces another.
 func BenchmarkReload(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
-		set := settings(gateways(n)...)
+		set := settings(gatewayNodes(n)...)
 		old, err := New(set, 1)
 		require.NoError(b, err)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -470,7 +470,7 @@
 }
 
 // Guards against a process that takes over and gives every tenant a fresh burst, or takes away what one had saved up.
-func TestBalancesAreHandedOver(t *testing.T) {
+func TestBalancesAreTransferred(t *testing.T) {
 	set := Settings{Root: Amount{100}, Floor: 0.1, Priorities: 1, Burst: 2, LongWindow: 10, Memory: 10, PayBack: 10, PayPart: 0.5, MostWait: 1,
 		Nodes: []Node{{Name: "spent", Guarantee: Amount{10}, Long: Amount{10}, Alone: true}, {Name: "saved", Guarantee: Amount{10}, Alone: true},
 			{Name: "gone", Guarantee: Amount{10}}}}
--- a/internal/node/quota/tree.go
+++ b/internal/node/quota/tree.go
@@ -130,7 +130,7 @@
 
 // grant is what a call took, so that it can be given back.
 type grant struct {
-	by           *Book
+	tree         *Book
 	leaf, lender int32
 	cost         Amount
 }
@@ -147,45 +147,45 @@
 	return over
 }
 
-// take takes tokens, or gives them back if n is below 0.
-func (b *bucket) take(n float64) { b.tokens = min(max(b.tokens-n, -b.cap), b.cap) }
+// spend takes tokens, or gives them back if n is below 0.
+func (b *bucket) spend(n float64) { b.tokens = min(max(b.tokens-n, -b.cap), b.cap) }
 
 // node is the state of one.
 type node struct {
-	parent, child, sibling int32 // -1 = none
-	alone, keep            bool
-	weight                 float64 // its part of its parent's guarantee
+	parent, firstChild, sibling int32 // -1 = none
+	noBorrowing, noLending      bool
+	weight                      float64 // its part of its parent's guarantee
 
-	filled  float64 // capacity seconds up to which its guarantee is filled,
-	clock   float64 // and seconds up to which all else is
-	own     [measures]bucket
-	ceiling [measures]bucket // cap 0 = none
-	long    [measures]bucket
+	filledUntil float64 // capacity seconds up to which its guarantee is filled,
+	refreshedAt float64 // and seconds up to which all else is
+	own         [measures]bucket
+	limit       [measures]bucket // cap 0 = none
+	longLimit   [measures]bucket
 
 	// Of its parent's spare room. Loads are seconds of all that the root can do.
-	taken      float64 // load that it borrowed, by its weight
-	asked      float64 // when it last wanted some, seconds
-	active     bool    // it is in its parent's list of those that want some
-	next, prev int32   // in that list, which is in the order of asked
+	borrowed                     float64 // load that it borrowed, by its weight
+	lastRequest                  float64 // when it last wanted some, seconds
+	contends                     bool    // it is in its parent's list of those that want some
+	nextContender, prevContender int32   // in that list, which is in the order of asked
 
 	// Of its own spare room, for its children.
-	fair        float64 // what a fair share would be by now
-	contending  float64 // weights of the children in its list
-	first, last int32   // of that list
-	cursor      int32   // the child that is looked at next for room to lend
+	fairShare                     float64 // what a fair share would be by now
+	contendingWeight              float64 // weights of the children in its list
+	firstContender, lastContender int32   // of that list
+	nextLender                    int32   // the child that is looked at next for room to lend
 
 	// Debts among siblings, as loads.
-	lendable float64
-	credit   float64
-	debt     float64
-	payRate  float64 // at which its debt is paid, a second
-	lentTo   int32   // the last that borrowed what was its own, -1 = none
-	callEnds float64 // as a parent: until when debts among its children are called in, seconds
-	paid     float64 // and what of them has been paid and not yet taken
-
-	slot   float64 // when the next refused caller should come back, ms
-	reason Reason  // of the last refusal
-	counts [Refused + 1]uint64
+	lendable     float64
+	credit       float64
+	debt         float64
+	repayRate    float64 // at which its debt is paid, a second
+	lastBorrower int32   // the last that borrowed what was its own, -1 = none
+	repayUntil   float64 // as a parent: until when debts among its children are called in, seconds
+	repaid       float64 // and what of them has been paid and not yet taken
+
+	nextRetry float64 // when the next refused caller should come back, ms
+	reason    Reason  // of the last refusal
+	counts    [Refused + 1]uint64
 }
 
 // NodeBytes bounds the memory of one node with its name's place, measured by this package's test.
@@ -193,17 +193,17 @@
 
 // Book holds the tree. It is not safe for concurrent use.
 type Book struct {
-	set      Settings
-	rand     *rand.Rand
-	nodes    []node // the root is 0
-	index    map[string]int
-	names    []string
-	saves    []float64 // seconds of its rate that a node's bucket holds
-	bases    []base    // what nodes have without a lease; nil = there was none yet
-	now      float64   // ms
-	seconds  float64   // since the first call
-	capacity float64   // what the fleet can do, as a part of Settings.Root
-	done     float64   // capacity seconds so far
+	config          Settings
+	rand            *rand.Rand
+	nodes           []node // the root is 0
+	index           map[string]int
+	names           []string
+	burstSeconds    []float64 // seconds of its rate that a node's bucket holds
+	unleased        []buckets // what nodes have without a lease; nil = there was none yet
+	now             float64   // ms
+	seconds         float64   // since the first call
+	capacity        float64   // what the fleet can do, as a part of Settings.Root
+	capacitySeconds float64   // capacity seconds so far
 }
 
 // Root is the place of the whole.
@@ -211,15 +211,15 @@
 
 // New makes the tree, each bucket full. The error names the node and the field that cannot work.
 func New(set Settings, seed uint64) (*Book, error) {
-	b := &Book{set: set, rand: rand.New(rand.NewPCG(seed, 0x71756f7461)), index: map[string]int{}, now: math.Inf(-1), capacity: 1}
-	if err := b.check(); err != nil {
+	b := &Book{config: set, rand: rand.New(rand.NewPCG(seed, 0x71756f7461)), index: map[string]int{}, now: math.Inf(-1), capacity: 1}
+	if err := b.checkSettings(); err != nil {
 		return nil, err
 	}
 	return b, b.build()
 }
 
-func (b *Book) check() error {
-	s := &b.set
+func (b *Book) checkSettings() error {
+	s := &b.config
 	for _, f := range []struct {
 		name   string
 		value  float64
@@ -240,8 +240,8 @@
 
 // build makes the nodes in the order of the settings, parents first whatever that order is.
 func (b *Book) build() error {
-	b.add("", -1, Node{Guarantee: b.set.Root})
-	left := b.set.Nodes
+	b.addNode("", -1, Node{Guarantee: b.config.Root})
+	left := b.config.Nodes
 	for len(left) > 0 {
 		var later []Node
 		for _, n := range left {
@@ -259,7 +259,7 @@
 			if err := b.checkNode(&n, parent); err != nil {
 				return err
 			}
-			b.add(n.Name, parent, n)
+			b.addNode(n.Name, parent, n)
 		}
 		if len(later) == len(left) {
 			return &FieldError{later[0].Name, "parent", fmt.Sprintf("%q is no node, or the node is its own ancestor", later[0].Parent)}
@@ -313,37 +313,37 @@
 	return nil
 }
 
-func (b *Book) add(name string, parent int, n Node) {
-	burst := cmp.Or(n.Burst, b.set.Burst)
-	s := node{parent: int32(parent), child: -1, sibling: -1, alone: n.Alone, keep: n.Keep, first: -1, last: -1, next: -1,
-		prev: -1, cursor: -1, lentTo: -1}
+func (b *Book) addNode(name string, parent int, n Node) {
+	burst := cmp.Or(n.Burst, b.config.Burst)
+	s := node{parent: int32(parent), firstChild: -1, sibling: -1, noBorrowing: n.Alone, noLending: n.Keep, firstContender: -1, lastContender: -1, nextContender: -1,
+		prevContender: -1, nextLender: -1, lastBorrower: -1}
 	for m := range measures {
 		rate := n.Guarantee[m]
 		if n.Share > 0 {
 			rate = n.Share * b.nodes[parent].own[m].rate
 		}
 		// What is kept for higher priorities comes on top of the burst.
-		full := rate * burst / (1 - b.set.Kept*float64(b.set.Priorities-1))
+		full := rate * burst / (1 - b.config.Kept*float64(b.config.Priorities-1))
 		s.own[m] = bucket{full, rate, full}
 		if c := n.Ceiling[m]; c > 0 {
-			s.ceiling[m] = bucket{c * burst, c, c * burst}
+			s.limit[m] = bucket{c * burst, c, c * burst}
 		}
 		if c := n.Long[m]; c > 0 {
-			s.long[m] = bucket{c * b.set.LongWindow, c, c * b.set.LongWindow}
+			s.longLimit[m] = bucket{c * b.config.LongWindow, c, c * b.config.LongWindow}
 		}
 	}
-	b.saves = append(b.saves, burst/(1-b.set.Kept*float64(b.set.Priorities-1)))
+	b.burstSeconds = append(b.burstSeconds, burst/(1-b.config.Kept*float64(b.config.Priorities-1)))
 	if parent >= 0 {
-		b.weigh(&s)
-		s.sibling, b.nodes[parent].child = b.nodes[parent].child, int32(len(b.nodes))
+		b.setWeight(&s)
+		s.sibling, b.nodes[parent].firstChild = b.nodes[parent].firstChild, int32(len(b.nodes))
 	}
 	b.index[name] = len(b.nodes)
 	b.names = append(b.names, name)
 	b.nodes = append(b.nodes, s)
 }
 
-// leastWeight is that of a node without a guarantee, which lives on what others leave.
-const leastWeight = 1e-6
+// minWeight is that of a node without a guarantee, which lives on what others leave.
+const minWeight = 1e-6
 
 // Find gives a node's place.
 func (b *Book) Find(name string) (node int, ok bool) {
--- a/internal/node/quota/view.go
+++ b/internal/node/quota/view.go
@@ -23,16 +23,16 @@
 // Status describes one node at a time.
 func (b *Book) Status(now float64, i int) Status {
 	b.advance(now)
-	b.touch(int32(i))
+	b.refresh(int32(i))
 	n := &b.nodes[i]
-	s := Status{Name: b.names[i], Leaf: n.child < 0, Credit: n.credit * b.nodes[Root].own[Requests].rate,
+	s := Status{Name: b.names[i], Leaf: n.firstChild < 0, Credit: n.credit * b.nodes[Root].own[Requests].rate,
 		Debt: n.debt * b.nodes[Root].own[Requests].rate, Going: n.counts[Go], Borrowed: n.counts[Borrowed], Paid: n.counts[Paid],
 		Refused: n.counts[Refused], Reason: n.reason.String()}
 	if n.parent >= 0 {
 		s.Parent = b.names[n.parent]
 	}
-	if n.lentTo >= 0 {
-		s.LentTo = b.names[n.lentTo]
+	if n.lastBorrower >= 0 {
+		s.LentTo = b.names[n.lastBorrower]
 	}
 	for m := range measures {
 		s.Rate[m], s.Tokens[m], s.Cap[m] = n.own[m].rate*b.capacity, n.own[m].tokens, n.own[m].cap
@@ -49,25 +49,25 @@
 func (b *Book) Inherit(now float64, old *Book) {
 	old.advance(now)
 	b.advance(now)
-	b.capacity = max(b.set.Floor, min(old.capacity, 1/b.set.Floor))
+	b.capacity = max(b.config.Floor, min(old.capacity, 1/b.config.Floor))
 	for i, name := range b.names {
 		j, ok := old.index[name]
 		if !ok {
 			continue
 		}
-		old.touch(int32(j))
+		old.refresh(int32(j))
 		n, o := &b.nodes[i], &old.nodes[j]
-		n.credit, n.debt, n.slot = o.credit, min(o.debt, b.mostDebt(n)), o.slot
+		n.credit, n.debt, n.nextRetry = o.credit, min(o.debt, b.maxDebt(n)), o.nextRetry
 		n.reason, n.counts = o.reason, o.counts
 		for m := range measures {
-			inherit(&n.own[m], &o.own[m])
-			inherit(&n.ceiling[m], &o.ceiling[m])
-			inherit(&n.long[m], &o.long[m])
+			inheritLevel(&n.own[m], &o.own[m])
+			inheritLevel(&n.limit[m], &o.limit[m])
+			inheritLevel(&n.longLimit[m], &o.longLimit[m])
 		}
 	}
 }
 
-func inherit(to, from *bucket) {
+func inheritLevel(to, from *bucket) {
 	if from.cap > 0 {
 		to.tokens = to.cap * math.Max(-1, from.tokens/from.cap)
 	}
@@ -85,10 +85,10 @@
 func (b *Book) Remember(now float64) (list []Balance) {
 	b.advance(now)
 	for i, name := range b.names {
-		b.touch(int32(i))
+		b.refresh(int32(i))
 		n, k, full := &b.nodes[i], Balance{Name: name}, true
 		for m := range measures {
-			k.Own[m], k.Ceiling[m], k.Long[m] = n.own[m].part(), n.ceiling[m].part(), n.long[m].part()
+			k.Own[m], k.Ceiling[m], k.Long[m] = n.own[m].level(), n.limit[m].level(), n.longLimit[m].level()
 			full = full && min(k.Own[m], k.Ceiling[m], k.Long[m]) == 1
 		}
 		if !full {
@@ -108,24 +108,24 @@
 		if !ok {
 			continue
 		}
-		b.touch(int32(at))
+		b.refresh(int32(at))
 		n, k := &b.nodes[at], &list[i]
 		for m := range measures {
-			n.own[m].recall(k.Own[m], seconds)
-			n.ceiling[m].recall(k.Ceiling[m], seconds)
-			n.long[m].recall(k.Long[m], seconds)
+			n.own[m].restore(k.Own[m], seconds)
+			n.limit[m].restore(k.Ceiling[m], seconds)
+			n.longLimit[m].restore(k.Long[m], seconds)
 		}
 	}
 }
 
-func (b *bucket) part() float64 {
+func (b *bucket) level() float64 {
 	if b.cap <= 0 {
 		return 1
 	}
 	return b.tokens / b.cap
 }
 
-func (b *bucket) recall(part, seconds float64) {
+func (b *bucket) restore(part, seconds float64) {
 	b.tokens = min(b.tokens, b.cap*max(-1, part)+b.rate*seconds)
 }
 
@@ -134,7 +134,7 @@
 func (b *Book) Due(capacity float64, asked map[int]float64) map[int]float64 {
 	f, want := Fluid{}, make([]float64, len(b.nodes))
 	for i := range b.nodes {
-		f.Add(int(b.nodes[i].parent), b.nodes[i].weight, b.limit(i))
+		f.Add(int(b.nodes[i].parent), b.nodes[i].weight, b.rateLimit(i))
 	}
 	for i, rate := range asked {
 		want[i] += rate
@@ -146,14 +146,14 @@
 	return out
 }
 
-func (b *Book) limit(i int) float64 {
+func (b *Book) rateLimit(i int) float64 {
 	limit := math.Inf(1)
-	for _, c := range []bucket{b.nodes[i].ceiling[Requests], b.nodes[i].long[Requests]} {
+	for _, c := range []bucket{b.nodes[i].limit[Requests], b.nodes[i].longLimit[Requests]} {
 		if c.cap > 0 {
 			limit = min(limit, c.rate)
 		}
 	}
-	if n := &b.nodes[i]; n.alone {
+	if n := &b.nodes[i]; n.noBorrowing {
 		limit = min(limit, n.own[Requests].rate)
 	}
 	return limit
@@ -175,15 +175,17 @@
 			continue
 		}
 		l.Guarantee = min(l.Guarantee, n.own[m].rate/root)
-		if n.ceiling[m].cap > 0 {
-			l.Ceiling = min(l.Ceiling, n.ceiling[m].rate/root)
+		if n.limit[m].cap > 0 {
+			l.Ceiling = min(l.Ceiling, n.limit[m].rate/root)
 		}
-		if n.long[m].cap > 0 {
-			l.Long = min(l.Long, n.long[m].rate/root)
+		if n.longLimit[m].cap > 0 {
+			l.Long = min(l.Long, n.longLimit[m].rate/root)
 		}
 	}
 	return l
 }
 
 // Ways tells whether a node lends, and whether it borrows.
-func (b *Book) Ways(i int) (lends, borrows bool) { return !b.nodes[i].keep, !b.nodes[i].alone }
+func (b *Book) Ways(i int) (lends, borrows bool) {
+	return !b.nodes[i].noLending, !b.nodes[i].noBorrowing
+}
