--- a/internal/node/quota/lease/demand.go
+++ b/internal/node/quota/lease/demand.go
@@ -7,26 +7,30 @@
 )
 
 const (
-	minSmoothing   = 4000.0 // ms over which what is asked for is smoothed at the least;
-	smoothingCalls = 30.0   // where it is little, over the time of so many calls,
-	maxSmoothing   = 30000.0
-	jumpFactor     = 2.0  // times what it was, and some calls more, at which it counts at once
-	jumpCalls      = 4.0  // calls
-	forgetRate     = 0.01 // calls a second below which a place is forgotten
+	minSmoothing   = 4000.0  // ms over which a rate is smoothed, at least
+	maxSmoothing   = 30000.0 // ms, at most
+	smoothingCalls = 30.0    // between them, over the time of so many calls
+	jumpFactor     = 2.0     // a rate that grows by this factor and by jumpCalls counts at once
+	jumpCalls      = 4.0     // per second
+	forgetRate     = 0.01    // calls per second below which a node is forgotten
 )
 
-// Demand is what one member is asked for and lets through. It is pure, like the machine.
+// Demand measures what is requested of one member and what it admits. It is pure, like the machine, and not safe for
+// concurrent use.
 type Demand struct {
 	callLoad  float64 // load of one call
 	lastTaken float64 // ms
 	nodes     map[int]*nodeDemand
 }
 
+// nodeDemand is the demand of one node of the tree, in loads since the last Take; rate is smoothed, per second, over
+// age ms.
 type nodeDemand struct{ requested, admitted, rate, age float64 }
 
-// NewDemand begins at a time; unit is the load of one call.
+// NewDemand begins to measure at a time, in ms; unit is the load of one call.
 func NewDemand(now, unit float64) *Demand { return &Demand{unit, now, map[int]*nodeDemand{}} }
 
+// node returns the demand of a node, which it adds if there is none.
 func (d *Demand) node(at int) *nodeDemand {
 	s := d.nodes[at]
 	if s == nil {
@@ -36,13 +40,14 @@
 	return s
 }
 
-// Ask notes a call of a place.
+// Ask records that a call of a node has arrived.
 func (d *Demand) Ask(at int, load float64) { d.node(at).requested += load }
 
-// Let notes that a call goes on, or with less than 0 that one did not run.
+// Let records that a call was admitted, or, with a negative load, that an admitted one did not run.
 func (d *Demand) Let(at int, load float64) { d.node(at).admitted += load }
 
-// Take gives what there was since the last time, the largest places, in their order. Nothing new comes within a ms.
+// Take returns the demand since the last time, of the MostAsked nodes with the most, sorted by node. It returns none
+// within a millisecond of the last time.
 func (d *Demand) Take(now float64) []Asked {
 	span := now - d.lastTaken
 	out := []Asked{}
@@ -54,7 +59,7 @@
 		rate := s.requested / span * 1000
 		s.age += span
 		over := min(maxSmoothing, max(minSmoothing, smoothingCalls*d.callLoad/max(s.rate, 1e-12)*1000))
-		k := max(1-math.Exp(-span/over), span/s.age) // a mean, as long as there is little of it
+		k := max(1-math.Exp(-span/over), span/s.age) // the mean, while there is little to smooth
 		if rate > jumpFactor*s.rate+jumpCalls*d.callLoad*1000/max(span, 1000) {
 			s.rate = rate
 		} else {
--- /dev/null
+++ b/internal/node/quota/lease/divide.go
@@ -0,0 +1,118 @@
+package lease
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"linenwheel.dev/linenwheel/internal/node/quota"
+)
+
+// The division.
+const (
+	divideInterval  = 50.0 // ms between two divisions
+	reserveFraction = 0.05 // fraction of the leased capacity that is left for those that will request more
+	maxHeadroom     = 3.0  // what a node gets, as a multiple of what it requests, while there is capacity
+	minWeight       = 1e-6 // of a node without a guarantee, which lives on what others leave
+)
+
+// sumDemand adds up a value of what members report, by node, without what is below it.
+func (m *Machine) sumDemand(of func(Asked) float64) []float64 {
+	out := make([]float64, len(m.shape.names))
+	for _, id := range slices.Sorted(maps.Keys(m.members)) {
+		for _, a := range m.members[id].Demand {
+			out[m.shape.leafOf[a.At]] += of(a)
+		}
+	}
+	return out
+}
+
+// divide updates debts by what was used since the last time, and computes what every node is due from now on: once in
+// divideInterval, or at once where a node is requested that nobody requested before.
+func (m *Machine) divide(now float64, newDemand bool) {
+	span := now - m.dividedAt
+	if span < divideInterval && !newDemand {
+		return
+	}
+	m.dividedAt = now
+	used := m.sumDemand(func(a Asked) float64 { return a.Used })
+	m.shape.fluid.Sum(used)
+	m.updateDebts(min(span, m.tree.Set.Memory*1000)/1000, used)
+	want := m.sumDemand(func(a Asked) float64 { return a.Want })
+	m.collectDebts(want)
+	for i := range m.accounts {
+		m.shape.fluid.Set(i, max(minWeight, m.guarantee(i)), m.maxLeased(i))
+	}
+	due := m.shape.fluid.Due(m.tree.Leased, want)
+	total := 0.0
+	for i := range due {
+		if len(m.shape.children[i]) == 0 {
+			total += due[i]
+		}
+	}
+	headroom := 1.0
+	if capacity := m.tree.Leased * (1 - reserveFraction); total > 0 && capacity > total {
+		headroom = min(maxHeadroom, capacity/total)
+	}
+	for i := range m.accounts {
+		m.accounts[i].Due, m.accounts[i].Want = due[i]*headroom, want[i]
+	}
+}
+
+// guarantee returns what a node may always have now, in loads per second, with the repayment of debts.
+func (m *Machine) guarantee(i int) float64 {
+	return m.shape.weight[i] - m.accounts[i].GivenUp + m.accounts[i].Repaid
+}
+
+// grant returns the part of a member of what every node is due, as far as other members do not hold it.
+func (m *Machine) grant(e *member) []Part {
+	s := m.shape
+	others, due := slices.Clone(m.leased), make([]float64, len(s.names))
+	for _, p := range e.reserved() {
+		others[s.leafOf[p.At]] -= p.Load
+	}
+	for i := len(others) - 1; i > 0; i-- {
+		others[s.parent[i]] += others[i]
+	}
+	for _, a := range e.Demand {
+		leaf := s.leafOf[a.At]
+		if account := &m.accounts[leaf]; account.Want > 0 {
+			due[leaf] = account.Due * min(1, a.Want/account.Want) * loadUnits
+		}
+	}
+	s.fluid.Sum(due)
+	fraction := make([]float64, len(due))
+	for i := range due {
+		parentFraction := 1.0
+		if i > 0 {
+			parentFraction = fraction[s.parent[i]]
+		}
+		fraction[i] = parentFraction
+		if limit := m.maxLeased(i); !math.IsInf(limit, 1) {
+			free := max(0, math.Floor(limit*loadUnits)-float64(others[i]))
+			if due[i]*parentFraction > free {
+				fraction[i] = free / due[i]
+			}
+		}
+	}
+	var out []Part
+	for _, a := range e.Demand {
+		leaf := s.leafOf[a.At]
+		if l := Load(due[leaf] * fraction[leaf] * (1 - 1e-9)); l > 0 {
+			out = append(out, Part{a.At, l})
+		}
+	}
+	return out
+}
+
+// maxLeased returns what all leases of a node add up to at most; +Inf = it is limited by its ancestors alone.
+func (m *Machine) maxLeased(i int) float64 {
+	if i == quota.Root {
+		return m.tree.Leased
+	}
+	limit := m.shape.limit[i]
+	if !math.IsInf(m.shape.longLimit[i], 1) && m.accounts[i].Long <= 0 {
+		limit = min(limit, m.shape.longLimit[i])
+	}
+	return m.tree.Leased * limit
+}
--- a/internal/node/quota/lease/golden_test.go
+++ b/internal/node/quota/lease/golden_test.go
@@ -22,8 +22,8 @@
 	golden.Check(t, "tree-hash", []byte(full.Hash()))
 }
 
-// Guards against a machine that takes an image of an earlier build of this release otherwise than that build did. Every field of the
-// members and accounts is set; the tree is one that can be divided.
+// Guards against a machine that restores another state from an image of an earlier build of this release than that build did. Every field
+// of the members and accounts is set; the tree is one that can be divided.
 func TestLoadsTheImageOfAnEarlierBuild(t *testing.T) {
 	divided := tree(3, 1, partners...)
 	m := New()
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -21,16 +21,16 @@
 var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}}, {Name: "c", Share: .2, Alone: true},
 	{Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4, Long: quota.Amount{30}}}
 
-// leaseHolder is a member as the machine's promise sees it: it goes by a lease until that ends or another comes.
+// leaseHolder is a member as the specification sees it: it uses a lease until that expires or it receives another.
 type leaseHolder struct {
 	report Report
 	parts  []Part
 	until  float64
-	tree   string // that its places are of
+	tree   string // hash of the tree of its lease
 }
 
-// checkRandomHistory plays members that report, lose answers, stand still, leave and come back, on a tree that changes; it gives the first
-// moment at which the leases that run are more than the fleet has, or the accounts are not sound. spoil changes an answer's way.
+// checkRandomHistory plays members that report, lose replies, stall, leave and return, on a tree that changes. It returns the first
+// violation: leases in force that exceed a limit, or accounts out of bounds. spoil may change a reply before the member gets it.
 func checkRandomHistory(rt *rapid.T, spoil func(h *leaseHolder, g *Grant)) (broken string) {
 	m, now, t := New(), 1e6, tree(0, 1, partners...)
 	require.NoError(rt, m.Bring(now, t))
@@ -44,7 +44,7 @@
 			holders[i] = h
 		}
 		switch rapid.IntRange(0, 9).Draw(rt, "what") {
-		case 0: // the machine is lost; its lease runs on
+		case 0: // the process is lost; its lease is in force until it expires
 			holders[len(holders)+100] = &leaseHolder{parts: h.parts, until: h.until, tree: h.tree}
 			delete(holders, i)
 			continue
@@ -58,7 +58,7 @@
 			t = tree(t.Number+1, rapid.SampledFrom([]float64{1, 2}).Draw(rt, "burst"), partners[:rapid.IntRange(1, 3).Draw(rt, "nodes")]...)
 			require.NoError(rt, m.Bring(now, t))
 			continue
-		case 3: // a member that comes up from an image goes on alike
+		case 3: // a replica that starts from an image has the same state
 			text, err := m.Freeze()()
 			require.NoError(rt, err)
 			other := New()
@@ -119,16 +119,16 @@
 	return ""
 }
 
-// Guards against leases that add up to more than the leased part of the room or of a ceiling, whatever is lost, late, restored or
-// changed; against debts beyond their bounds; and against an image that gives another machine.
+// Guards against leases that add up to more than the leased fraction of the capacity or of a rate limit, whatever is lost, late,
+// restored or changed; against debts beyond their bounds; and against an image that restores another state.
 func TestLeasesNeverExceedTheLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		require.Empty(rt, checkRandomHistory(rt, func(*leaseHolder, *Grant) {}))
 	})
 }
 
-// Guards against a judge that finds nothing: members that go by a lease for longer than it is, that hold on to the larger of two,
-// or that say to have a lease which they do not go by.
+// Guards against a checker that finds nothing: members that use a lease after it has expired, that use the larger of two, or that use
+// one of another member.
 func TestInvariantCheckerFindsPlantedFaults(t *testing.T) {
 	for name, spoil := range map[string]func(*leaseHolder, *Grant){
 		"a lease longer than agreed": func(_ *leaseHolder, g *Grant) { g.Length *= 5 },
@@ -141,8 +141,8 @@
 	}
 }
 
-// Guards against debts that the fleet forgets with the machine that made them, a lender that is not paid when it wakes, and one
-// whose debt a change of the tree forgets.
+// Guards against debts that are lost with the process that made them, a lender that is not repaid when it wakes, and a debt that is
+// lost in a change of the tree.
 func TestDebtsOutliveMembers(t *testing.T) {
 	m, now, tr := New(), 1e6, tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
 	require.NoError(t, m.Bring(now, tr))
@@ -169,7 +169,7 @@
 	}
 	assert.Positive(t, of("a").Credit)
 	assert.Positive(t, of("b").Debt)
-	now += 1500 // the machine is lost, its lease runs out
+	now += 1500 // the process is lost, its lease expires
 	before := of("a").Credit
 	say(2, 1, 1, 0.45)
 	assert.InDelta(t, before, of("a").Credit, 0.2*before)
@@ -186,7 +186,7 @@
 	assert.ErrorIs(t, m.Bring(now, tree(1, 1)), ErrOlder)
 }
 
-// Guards against a report that costs a look at every other member: a fleet's reports would cost its keepers the square of its size.
+// Guards against a report that costs a look at every other member: the replicas' work would grow with the square of the members.
 func TestReportDoesNotCostALookAtEveryMember(t *testing.T) {
 	allocations := func(members int) float64 {
 		m, now := New(), 1e6
@@ -204,7 +204,7 @@
 			require.NotEmpty(t, g.Parts)
 		}
 		return testing.AllocsPerRun(100, func() {
-			_, err := m.Report(now, r) // at the same time, so that nothing is divided anew
+			_, err := m.Report(now, r) // at the same time, so that nothing is divided again
 			require.NoError(t, err)
 		})
 	}
--- a/internal/node/quota/lease/reply_test.go
+++ b/internal/node/quota/lease/reply_test.go
@@ -9,7 +9,8 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// Guards against room that is given to another while a member goes on by the lease before, since the answer that took it back was lost.
+// Guards against capacity that is granted to another member while one still uses its previous lease, because the reply that reduced it
+// was lost.
 func TestLostReplyKeepsThePreviousLeaseReserved(t *testing.T) {
 	m, tr := New(), tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
 	require.NoError(t, m.Bring(1e6, tr))
@@ -24,11 +25,11 @@
 	}
 	first, most := say(1e6, "n", 0, 2)
 	require.Greater(t, most, 0.8*tr.Leased)
-	_, less := say(1e6+500, "n", first.Number, 0.01) // its answer is lost
+	_, less := say(1e6+500, "n", first.Number, 0.01) // its reply is lost
 	require.Less(t, less, 0.5*tr.Leased)
 	_, _ = say(1e6+1000, "n", first.Number, 0.01)
 	_, other := say(1e6+1100, "o", 0, 2)
-	assert.LessOrEqual(t, most+other, tr.Leased, "n may go by its first lease until 2,000 ms")
+	assert.LessOrEqual(t, most+other, tr.Leased, "n may use its first lease until 2,000 ms")
 	_, other = say(1e6+3600, "o", 0, 2)
-	assert.Greater(t, other, 0.5*tr.Leased, "it has run out")
+	assert.Greater(t, other, 0.5*tr.Leased, "it has expired")
 }
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -10,23 +10,24 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// Tree is what the fleet's room is divided by.
+// Tree is what the capacity of all nodes is divided by.
 type Tree struct {
-	Number uint64         `json:"number"` // of the policy that it came with, 0 = of a file
-	Leased float64        `json:"leased"` // part of the room that leases are made of; the rest belongs to the nodes in equal parts
-	Set    quota.Settings `json:"set"`    // of the whole fleet
+	Number uint64         `json:"number"` // of the policy that it came with; 0 = of a file
+	Leased float64        `json:"leased"` // fraction of the capacity that is leased; the rest belongs to the nodes in equal parts
+	Set    quota.Settings `json:"set"`    // of all nodes together
 }
 
-// Hash names what the tree says, whatever its number: a policy that leaves it as it was makes no other tree of it.
+// Hash returns a hash of what the tree says, whatever its number: a policy that does not change it makes no other
+// tree of it. It is empty for a tree that Check rejects because it has no JSON form.
 func (t *Tree) Hash() string {
 	text, err := json.Marshal(Tree{Leased: t.Leased, Set: t.Set})
 	if err != nil {
-		return "" // a figure that is none: Check tells
+		return "" // a value that is not a number: Check reports it
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
 
-// Check tells why a fleet could not divide its room by the tree.
+// Check returns an error if capacity cannot be divided by the tree.
 func (t *Tree) Check() error {
 	if !(t.Leased > 0 && t.Leased <= MostLeased) {
 		return fmt.Errorf("%g of the room is leased: want more than 0, and %g at the most", t.Leased, MostLeased)
@@ -38,57 +39,57 @@
 	return err
 }
 
-// shape is the tree as it is divided. The places of its nodes are those of a quota.Book; behind them every node that has children
-// has one more, for what is asked of it alone.
+// shape is the tree as it is divided. The indexes of its nodes are those of a quota.Book; behind them every node that
+// has children has one more, a leaf for what is requested of the node itself.
 type shape struct {
 	fluid     quota.Fluid
 	names     []string
 	parent    []int
 	children  [][]int
-	leafOf    []int // where what is asked of a place stands
+	leafOf    []int // index of the leaf for what is requested of the node itself
 	weight    []float64
-	limit     []float64 // that never changes
-	longLimit []float64 // +Inf = none
+	limit     []float64 // fraction of the root; +Inf = none
+	longLimit []float64 // limit over the long window; +Inf = none
 	lends     []bool
 	borrows   []bool
 }
 
-// newShape takes a tree that was checked.
+// newShape returns the shape of a tree. The error is that of quota.New.
 func newShape(t *Tree) (*shape, error) {
-	book, err := quota.New(t.Set, 0)
+	tree, err := quota.New(t.Set, 0)
 	if err != nil {
 		return nil, err
 	}
-	s, left := &shape{}, []float64{}
-	add := func(name string, parent int, weight, limit, long float64, lends, borrows bool) int {
-		at := s.fluid.Add(parent, weight, limit)
+	s, unassigned := &shape{}, []float64{}
+	add := func(name string, parent int, weight, limit, longLimit float64, lends, borrows bool) int {
+		index := s.fluid.Add(parent, weight, limit)
 		s.names, s.parent, s.children = append(s.names, name), append(s.parent, parent), append(s.children, nil)
-		s.leafOf, s.weight, s.limit, s.longLimit = append(s.leafOf, at), append(s.weight, weight), append(s.limit, limit), append(s.longLimit, long)
-		s.lends, s.borrows, left = append(s.lends, lends), append(s.borrows, borrows), append(left, weight)
-		if at > 0 {
-			s.children[parent] = append(s.children[parent], at)
-			left[parent] -= weight
+		s.leafOf, s.weight, s.limit, s.longLimit = append(s.leafOf, index), append(s.weight, weight), append(s.limit, limit), append(s.longLimit, longLimit)
+		s.lends, s.borrows, unassigned = append(s.lends, lends), append(s.borrows, borrows), append(unassigned, weight)
+		if index > 0 {
+			s.children[parent] = append(s.children[parent], index)
+			unassigned[parent] -= weight
 		}
-		return at
+		return index
 	}
-	for i := range book.Nodes() {
-		l := book.Loads(i)
-		lends, borrows := book.Ways(i)
+	for i := range tree.Nodes() {
+		l := tree.Loads(i)
+		lends, borrows := tree.Ways(i)
 		weight, limit := max(l.Guarantee, minWeight), l.Ceiling
 		if !borrows {
 			limit = min(limit, weight)
 		}
-		add(book.Name(i), book.Parent(i), weight, limit, l.Long, lends, borrows)
+		add(tree.Name(i), tree.Parent(i), weight, limit, l.Long, lends, borrows)
 	}
-	for i := range book.Nodes() {
+	for i := range tree.Nodes() {
 		if len(s.children[i]) > 0 {
-			s.leafOf[i] = add("", i, max(left[i], minWeight), math.Inf(1), math.Inf(1), false, true)
+			s.leafOf[i] = add("", i, max(unassigned[i], minWeight), math.Inf(1), math.Inf(1), false, true)
 		}
 	}
 	return s, nil
 }
 
-// places tells how many there are for askers; behind them are those that askers do not know.
+// places returns the number of nodes that members know; behind them are the added leaves.
 func (s *shape) places() int {
 	for i, name := range s.names {
 		if i > 0 && name == "" {
