--- /dev/null
+++ b/internal/node/quota/debts.go
@@ -0,0 +1,76 @@
+package quota
+
+const (
+	repaySeconds   = 1.0 // for which debts are collected after a lender wanted what it is owed
+	maxLenderLooks = 4   // children that are looked at for capacity to lend, per call
+)
+
+// recordDebt records the debt of a call that was lent, or uses up what was repaid for one that was paid.
+func (t *Book) recordDebt(d Decision, load float64) {
+	if d.Verdict == Go {
+		return
+	}
+	child := d.grant.leaf // will be the child of the lender on the path to the leaf
+	for t.nodes[child].parent != d.grant.lender {
+		child = t.nodes[child].parent
+	}
+	if d.Verdict == Borrowed {
+		t.assignDebt(d.grant.lender, child, load)
+		return
+	}
+	t.nodes[child].credit -= load
+	t.nodes[d.grant.lender].repaid -= load
+}
+
+// assignDebt finds the sibling whose unused capacity a borrower has used, and records credit and debt. What no
+// sibling could call its own makes no debt.
+func (t *Book) assignDebt(parent, borrower int32, load float64) {
+	p := &t.nodes[parent]
+	for range maxLenderLooks {
+		if p.nextLender < 0 {
+			if p.nextLender = p.firstChild; p.nextLender < 0 {
+				return
+			}
+		}
+		i := p.nextLender
+		n := &t.nodes[i]
+		t.refresh(i)
+		if i != borrower && n.lendable >= load {
+			debtor := &t.nodes[borrower]
+			owed := max(0, min(load, t.maxDebt(debtor)-debtor.debt))
+			n.lendable -= load
+			n.credit += owed
+			n.lastBorrower = borrower
+			debtor.debt += owed
+			return
+		}
+		p.nextLender = n.sibling
+	}
+}
+
+// guaranteedFraction returns the guarantee of a node as a fraction of all that the root can do.
+func (t *Book) guaranteedFraction(n *node) float64 {
+	return n.own[Requests].rate / t.nodes[Root].own[Requests].rate
+}
+
+// maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack. What it borrows beyond
+// is a gift.
+func (t *Book) maxDebt(n *node) float64 {
+	return t.config.PayBack * t.config.PayPart * t.guaranteedFraction(n)
+}
+
+// repay makes a debtor give up part of what it was just filled with, while a lender collects its debts.
+func (t *Book) repay(n *node, span float64) {
+	p := &t.nodes[n.parent]
+	if n.debt <= 0 || p.repayUntil <= t.seconds-span {
+		n.repayRate = 0
+		return
+	}
+	n.repayRate = max(n.repayRate, n.debt/t.config.PayBack)
+	load := min(n.debt, span*min(n.repayRate, t.config.PayPart*t.guaranteedFraction(n)))
+	n.debt -= load
+	p.repaid += load
+	for m := range measures {
+		n.own[m].spend(load * t.nodes[Root].own[m].rate)
+	}
+}
--- /dev/null
+++ b/internal/node/quota/decide.go
@@ -0,0 +1,207 @@
+package quota
+
+import (
+	"cmp"
+)
+
+// retryJitter is the fraction of a wait that is added or subtracted at random, so that rejected callers do not retry together.
+const retryJitter = 0.25
+
+// Call describes a call.
+type Call struct {
+	Leaf     int // index of the node that it belongs to
+	Priority int // from 0; calls of the highest are rejected only when there is no capacity at all
+	Worth    float64
+}
+
+// Ask decides on a call, and charges it if it goes on.
+func (t *Book) Ask(now float64, c Call) Decision {
+	t.advance(now)
+	cost := Amount{1, c.Worth}
+	for i := int32(c.Leaf); i >= 0; i = t.nodes[i].parent {
+		t.refresh(i)
+	}
+	d := t.decide(int32(c.Leaf), c.Priority, cost)
+	leaf := &t.nodes[c.Leaf]
+	leaf.counts[d.Verdict]++
+	if d.Verdict == Refused {
+		leaf.reason = d.Reason
+		d.Wait = t.retryAfter(leaf)
+		return d
+	}
+	d.grant = grant{tree: t, leaf: int32(c.Leaf), lender: int32(d.From), cost: cost}
+	t.charge(d.grant, 1)
+	t.recordDebt(d, t.load(cost))
+	return d
+}
+
+// decide finds the node that pays for a call, and charges nothing.
+func (t *Book) decide(leaf int32, priority int, cost Amount) Decision {
+	n := &t.nodes[leaf]
+	if t.hasTokens(n, priority, cost, false) {
+		return Decision{Verdict: Go, From: int(leaf)}
+	}
+	top := priority == t.config.Priorities-1
+	if d, ok := t.checkLimits(leaf, cost); !ok && !top {
+		return d
+	}
+	if n.noBorrowing || leaf == Root {
+		return Decision{Verdict: Refused, Reason: NoRoom}
+	}
+	if creditor := t.creditor(leaf, priority, cost); creditor >= 0 {
+		return Decision{Verdict: Paid, From: int(t.nodes[creditor].parent)}
+	}
+	lender := t.lender(leaf, priority, cost)
+	if lender < 0 {
+		return Decision{Verdict: Refused, Reason: NoRoom}
+	}
+	if !top && t.unleased == nil { // a lease is divided fairly already; what is left of it goes to whoever comes first
+		l := &t.nodes[lender]
+		limit := maxAhead(l.own[Requests].tokens / l.own[Requests].cap)
+		for i := leaf; i != lender; i = t.nodes[i].parent {
+			if child := &t.nodes[i]; child.borrowed-t.nodes[child.parent].fairShare > limit {
+				return Decision{Verdict: Refused, Reason: NotFair, From: int(lender)}
+			}
+		}
+	}
+	return Decision{Verdict: Borrowed, From: int(lender)}
+}
+
+// hasTokens reports whether the own bucket of a node covers a call, beyond what is reserved for higher priorities
+// and, if spare is set, what debtors have repaid to their lenders.
+func (t *Book) hasTokens(n *node, priority int, cost Amount, spare bool) bool {
+	reserved, repaid := t.config.Kept*float64(t.config.Priorities-1-priority), 0.0
+	if spare {
+		repaid = n.repaid
+	}
+	for m := range measures {
+		if n.own[m].cap > 0 && n.own[m].tokens-reserved*n.own[m].cap-repaid*t.nodes[Root].own[m].rate < cost[m] {
+			return false
+		}
+		if n.own[m].cap == 0 && t.nodes[Root].own[m].cap > 0 && cost[m] > 0 {
+			return false // it has no guarantee of a measure that counts
+		}
+	}
+	return true
+}
+
+// checkLimits reports whether the rate limits of a leaf and its ancestors allow more than the guarantee; d is the
+// rejection if not.
+func (t *Book) checkLimits(leaf int32, cost Amount) (d Decision, ok bool) {
+	for i := leaf; i >= 0; i = t.nodes[i].parent {
+		n := &t.nodes[i]
+		for m := range measures {
+			if n.limit[m].cap > 0 && n.limit[m].tokens < cost[m] {
+				return Decision{Verdict: Refused, Reason: AtCeiling, From: int(i)}, false
+			}
+			if n.longLimit[m].cap > 0 && n.longLimit[m].tokens < cost[m] {
+				return Decision{Verdict: Refused, Reason: AtLong, From: int(i)}, false
+			}
+		}
+	}
+	return d, true
+}
+
+// lender returns the nearest ancestor with enough tokens, -1 for none, and records on the way who wants to borrow.
+func (t *Book) lender(leaf int32, priority int, cost Amount) int32 {
+	for i := leaf; ; {
+		n := &t.nodes[i]
+		if n.noBorrowing || n.parent < 0 {
+			return -1
+		}
+		t.contend(i)
+		i = n.parent
+		if t.hasTokens(&t.nodes[i], priority, cost, priority < t.config.Priorities-1) {
+			return i
+		}
+	}
+}
+
+// creditor returns the nearest node, from the leaf up, to which its siblings have repaid what they owe, -1 for none.
+// On the way it has the debts collected that are owed to the leaf and its ancestors.
+func (t *Book) creditor(leaf int32, priority int, cost Amount) int32 {
+	load := t.load(cost)
+	for i := leaf; t.nodes[i].parent >= 0 && !t.nodes[i].noBorrowing; i = t.nodes[i].parent {
+		n := &t.nodes[i]
+		if n.credit < load {
+			continue
+		}
+		parent := &t.nodes[n.parent]
+		parent.repayUntil = t.seconds + repaySeconds
+		if parent.repaid >= load && t.hasTokens(parent, priority, cost, false) {
+			return i
+		}
+	}
+	return -1
+}
+
+// load returns the cost of a call in seconds of all that the root can do: the largest over the measures.
+func (t *Book) load(cost Amount) (load float64) {
+	for m := range measures {
+		if rate := t.nodes[Root].own[m].rate; rate > 0 {
+			load = max(load, cost[m]/rate)
+		}
+	}
+	return load
+}
+
+// retryAfter returns the milliseconds after which a rejected caller should retry. The rejected callers of a leaf get
+// times one behind the other, at the rate that the leaf may always have, with jitter.
+func (t *Book) retryAfter(n *node) float64 {
+	rate := max(n.own[Requests].rate*t.capacity, 1/cmp.Or(t.config.MostWait, 1))
+	n.nextRetry = max(n.nextRetry, t.now) + 1000/rate
+	maxWait := t.config.MostWait * 1000
+	if n.nextRetry > t.now+maxWait {
+		n.nextRetry = t.now + maxWait
+	}
+	return min(maxWait, (n.nextRetry-t.now)*(1-retryJitter+2*retryJitter*t.rand.Float64()))
+}
+
+// charge spends what a call was granted, or returns it with sign -1.
+func (t *Book) charge(g grant, sign float64) {
+	for i := g.leaf; i >= 0; i = t.nodes[i].parent {
+		n := &t.nodes[i]
+		for m := range measures {
+			n.limit[m].spend(sign * g.cost[m])
+			n.longLimit[m].spend(sign * g.cost[m])
+		}
+	}
+	for i := g.lender; i >= 0; i = t.nodes[i].parent {
+		for m := range measures {
+			t.nodes[i].own[m].spend(sign * g.cost[m])
+		}
+	}
+	if g.lender == g.leaf {
+		return
+	}
+	load := t.load(g.cost)
+	for i := g.leaf; i != g.lender; i = t.nodes[i].parent {
+		n := &t.nodes[i]
+		p := &t.nodes[n.parent]
+		n.borrowed += sign * load / n.weight
+		if p.contendingWeight > 0 {
+			p.fairShare += sign * load / p.contendingWeight
+		}
+	}
+}
+
+// Return returns what a call was charged that certainly did not run. What another tree has charged, which this one
+// has replaced, is ignored.
+func (t *Book) Return(now float64, d Decision) {
+	if d.Verdict == Refused || d.grant.tree != t {
+		return
+	}
+	t.advance(now)
+	for i := d.grant.leaf; i >= 0; i = t.nodes[i].parent {
+		t.refresh(i)
+	}
+	t.charge(d.grant, -1)
+}
+
+// Taken returns what a call was charged, and its leaf; nothing if it was rejected, or charged by another tree.
+func (t *Book) Taken(d Decision) (leaf int, cost Amount) {
+	if d.Verdict == Refused || d.grant.tree != t {
+		return Root, cost
+	}
+	return int(d.grant.leaf), d.grant.cost
+}
--- a/internal/node/quota/fluid.go
+++ b/internal/node/quota/fluid.go
@@ -1,6 +1,7 @@
 package quota
 
-// Fluid is a tree whose room is divided among those that ask for it as a fluid would be. The root is the place 0.
+// Fluid is a tree whose capacity is divided as a fluid would be among those that request it. The root has the index
+// 0.
 type Fluid struct {
 	parent   []int
 	weight   []float64
@@ -8,36 +9,36 @@
 	children [][]int
 }
 
-// Add adds a node below one that was added before, and gives its place; the first is the root. Among the children of a node what
-// it has is divided by their weights, and none gets more than its limit.
-func (f *Fluid) Add(parent int, weight, limit float64) (place int) {
-	place = len(f.parent)
+// Add adds a node below one that was added before, and returns its index; the first one is the root. What a node has
+// is divided among its children by their weights, and none gets more than its limit.
+func (f *Fluid) Add(parent int, weight, limit float64) (index int) {
+	index = len(f.parent)
 	f.parent, f.weight, f.limit = append(f.parent, parent), append(f.weight, weight), append(f.limit, limit)
 	f.children = append(f.children, nil)
-	if place > 0 {
-		f.children[parent] = append(f.children[parent], place)
+	if index > 0 {
+		f.children[parent] = append(f.children[parent], index)
 	}
-	return place
+	return index
 }
 
-// Set changes a node.
-func (f *Fluid) Set(place int, weight, limit float64) {
-	f.weight[place], f.limit[place] = weight, limit
+// Set changes the weight and the limit of a node.
+func (f *Fluid) Set(index int, weight, limit float64) {
+	f.weight[index], f.limit[index] = weight, limit
 }
 
-// Sum adds what each place has to all that are above it.
-func (f *Fluid) Sum(each []float64) {
-	for i := len(each) - 1; i > 0; i-- {
-		each[f.parent[i]] += each[i]
+// Sum adds the value of each node to those of all its ancestors.
+func (f *Fluid) Sum(values []float64) {
+	for i := len(values) - 1; i > 0; i-- {
+		values[f.parent[i]] += values[i]
 	}
 }
 
-// Due divides a capacity among places that ask for so much: each gets its weight's part as far as it asks for it, and what is left
-// goes to those that want more, level by level, in proportion to weights.
-func (f *Fluid) Due(capacity float64, asked []float64) []float64 {
-	want, due := make([]float64, len(asked)), make([]float64, len(asked))
-	copy(want, asked)
-	for i := len(want) - 1; i > 0; i-- { // children stand behind their parents
+// Due divides a capacity among nodes that request so much: each gets the part of its weight as far as it requests it,
+// and what is left goes to those that want more, level by level, in proportion to their weights.
+func (f *Fluid) Due(capacity float64, requested []float64) []float64 {
+	want, due := make([]float64, len(requested)), make([]float64, len(requested))
+	copy(want, requested)
+	for i := len(want) - 1; i > 0; i-- { // children come after their parents
 		want[i] = min(want[i], f.limit[i])
 		want[f.parent[i]] += want[i]
 	}
@@ -48,31 +49,31 @@
 	return due
 }
 
-// divide gives a node's due to its children: level rises until it is given out.
+// divide divides what a node is due among its children: the level rises until nothing is left.
 func (f *Fluid) divide(parent int, due, want []float64) {
-	open := make([]int, 0, len(f.children[parent]))
+	unmet := make([]int, 0, len(f.children[parent]))
 	for _, c := range f.children[parent] {
 		if want[c] > 0 {
-			open = append(open, c)
+			unmet = append(unmet, c)
 		}
 	}
-	for left := due[parent]; left > 1e-12 && len(open) > 0; {
+	for left := due[parent]; left > 1e-12 && len(unmet) > 0; {
 		sum := 0.0
-		for _, c := range open {
+		for _, c := range unmet {
 			sum += f.weight[c]
 		}
 		step := left / sum
-		for _, c := range open {
+		for _, c := range unmet {
 			step = min(step, (want[c]-due[c])/f.weight[c])
 		}
-		still := open[:0]
-		for _, c := range open {
+		rest := unmet[:0]
+		for _, c := range unmet {
 			due[c] += step * f.weight[c]
 			left -= step * f.weight[c]
 			if due[c] < want[c]-1e-12 {
-				still = append(still, c)
+				rest = append(rest, c)
 			}
 		}
-		open = still
+		unmet = rest
 	}
 }
--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// Part gives the settings of a tree that holds a part of every rate. One that goes by leases keeps no debts: the fleet does.
-func (s Settings) Part(part float64, leases bool) Settings {
-	scale := func(a Amount) Amount { return Amount{a[Requests] * part, a[Worth] * part} }
+// Part returns the settings of a tree that holds a fraction of every rate. With leases it keeps no debts: they are
+// held by the machine of package lease.
+func (s Settings) Part(fraction float64, leases bool) Settings {
+	scale := func(a Amount) Amount { return Amount{a[Requests] * fraction, a[Worth] * fraction} }
 	s.Root, s.Nodes = scale(s.Root), slices.Clone(s.Nodes)
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
@@ -14,66 +15,66 @@
 	return s
 }
 
-// Leased is what a lease has of a node, as a part of what the root of the whole fleet can do in a second.
+// Leased is what a lease has of a node, as a fraction of what the root of the whole tree can do in a second.
 type Leased struct {
 	At   int
 	Load float64
 }
 
-// buckets is what a node has without a lease.
+// buckets are those that a node has without a lease.
 type buckets struct{ own, limit, longLimit [measures]bucket }
 
-// Lease has the tree hold a lease on top of what its settings say, in place of the one before; none with no parts. whole is what
-// the fleet's root can do in a second, call the most that one call takes: a bucket holds so much at the least, else what many nodes
-// have a little of could never be used. Room that comes begins empty, and what is saved in room that goes is gone, so that
-// whoever has that room next has no more than the lease says.
-func (b *Book) Lease(now float64, whole, call Amount, parts []Leased) {
-	b.advance(now)
-	if b.unleased == nil {
-		for i := range b.nodes {
-			b.unleased = append(b.unleased, buckets{b.nodes[i].own, b.nodes[i].limit, b.nodes[i].longLimit})
+// Lease puts a lease on top of what the settings say, in place of the previous one; no parts = none. whole is what
+// the root of all nodes can do in a second, call the most that one call costs: a bucket holds at least so much, else
+// a little capacity on each of many nodes could never be used. New capacity begins with empty tokens, and tokens of
+// capacity that goes are lost, so that its next holder has no more than its lease says.
+func (t *Book) Lease(now float64, whole, call Amount, parts []Leased) {
+	t.advance(now)
+	if t.unleased == nil {
+		for i := range t.nodes {
+			t.unleased = append(t.unleased, buckets{t.nodes[i].own, t.nodes[i].limit, t.nodes[i].longLimit})
 		}
 	}
-	add := make([]float64, len(b.nodes))
+	loads := make([]float64, len(t.nodes))
 	for _, p := range parts {
-		add[p.At] += p.Load
+		loads[p.At] += p.Load
 	}
-	for i := len(add) - 1; i > 0; i-- { // children stand behind their parents
-		add[b.nodes[i].parent] += add[i]
+	for i := len(loads) - 1; i > 0; i-- { // children come after their parents
+		loads[t.nodes[i].parent] += loads[i]
 	}
-	for i := range b.nodes {
-		b.refresh(int32(i))
-		n, was := &b.nodes[i], &b.unleased[i]
-		save := b.burstSeconds[i]
-		room := 1 / (1 - b.config.Kept*float64(b.config.Priorities-1))
+	for i := range t.nodes {
+		t.refresh(int32(i))
+		n, base := &t.nodes[i], &t.unleased[i]
+		burst := t.burstSeconds[i]
+		reserve := 1 / t.unreserved()
 		for m := range measures {
-			more := add[i] * whole[m]
-			n.own[m].resize(was.own[m].rate+more, was.own[m].cap+more*save, call[m]*room)
-			if c := was.limit[m]; c.cap > 0 {
-				n.limit[m].resize(c.rate+more, c.cap+more*c.cap/c.rate, call[m])
+			leased := loads[i] * whole[m]
+			n.own[m].resize(base.own[m].rate+leased, base.own[m].cap+leased*burst, call[m]*reserve)
+			if c := base.limit[m]; c.cap > 0 {
+				n.limit[m].resize(c.rate+leased, c.cap+leased*c.cap/c.rate, call[m])
 			}
-			if c := was.longLimit[m]; c.cap > 0 {
-				n.longLimit[m].resize(c.rate+more, c.cap+more*c.cap/c.rate, call[m])
+			if c := base.longLimit[m]; c.cap > 0 {
+				n.longLimit[m].resize(c.rate+leased, c.cap+leased*c.cap/c.rate, call[m])
 			}
 		}
 		if n.parent >= 0 {
-			b.setWeight(n)
+			t.setWeight(n)
 		}
 	}
 }
 
-// resize changes a bucket, whose rate up to now has been filled in.
-func (k *bucket) resize(rate, full, least float64) {
+// resize changes the rate and the cap of a bucket, which is up to date.
+func (b *bucket) resize(rate, size, minSize float64) {
 	if rate > 0 {
-		full = max(full, least)
+		size = max(size, minSize)
 	}
-	k.rate, k.cap = rate, full
-	k.tokens = min(max(k.tokens, -full), full)
+	b.rate, b.cap = rate, size
+	b.tokens = min(max(b.tokens, -size), size)
 }
 
-// setWeight gives a node its part of its parent's guarantee, which stands already.
-func (b *Book) setWeight(n *node) {
-	p := &b.nodes[n.parent]
+// setWeight sets a node's weight: its fraction of the guarantee of its parent, which is set already.
+func (t *Book) setWeight(n *node) {
+	p := &t.nodes[n.parent]
 	weight := minWeight
 	if p.own[Requests].rate > 0 {
 		weight = max(minWeight, n.own[Requests].rate/p.own[Requests].rate)
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -15,13 +15,13 @@
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
 )
 
-// settings are those of a fleet that can do 100 requests a second; the second priority is that of spending-cap blocks.
+// settings are those of nodes that can do 100 requests per second together; the second priority is that of spending-cap blocks.
 func settings(nodes ...Node) Settings {
 	return Settings{Root: Amount{100, 0}, Floor: 0.05, Nodes: nodes, Priorities: 2, Burst: 1, LongWindow: 600, Kept: 0.2,
 		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}
 }
 
-// partners are three at the top, the first with two gateways.
+// partners are three tenants at the top, the first with two gateways.
 var partners = []Node{{Name: "a", Share: .5}, {Name: "b", Share: .3}, {Name: "c", Share: .2}, {Name: "a1", Parent: "a", Share: .6},
 	{Name: "a2", Parent: "a", Share: .4}}
 
@@ -31,15 +31,15 @@
 	return b
 }
 
-// load is how one leaf asks.
+// load is the calls of one leaf.
 type load struct {
 	leaf     string
-	rate     float64 // calls a second
+	rate     float64 // calls per second
 	priority int
 	from, to float64 // seconds; to 0 = the end
 }
 
-// playLoads gives the calls of some flows in order of time, each a Poisson process.
+// playLoads plays the calls of some loads in order of time, each a Poisson process.
 func playLoads(b *Book, seed uint64, seconds float64, flows []load, each func(at float64, c Call, d Decision)) {
 	type arrival struct {
 		at   float64
@@ -71,7 +71,7 @@
 	}
 }
 
-// ratesByLeaf plays flows and gives what each leaf got a second from a time on.
+// ratesByLeaf plays loads and returns the calls per second that each leaf got from a time on.
 func ratesByLeaf(b *Book, seed uint64, from, seconds float64, flows []load) map[string]float64 {
 	got := map[string]float64{}
 	playLoads(b, seed, seconds, flows, func(at float64, c Call, d Decision) {
@@ -82,8 +82,8 @@
 	return got
 }
 
-// Guards against a tenant's share that is not its due over a minute, whoever storms, is quiet or asks for half, at any depth
-// of the tree, and when the fleet can do half.
+// Guards against a tenant that does not get its share over a minute, whoever overloads, is quiet or uses half, at any depth of
+// the tree, and when the capacity is halved.
 func TestTenantsGetTheirSharesOverAMinute(t *testing.T) {
 	const from, to = 5, 65
 	for _, flows := range [][]load{
@@ -120,12 +120,12 @@
 	return 0
 }
 
-// Guards against a lender that waits for what is its own when it wakes, that is not paid back in time or is paid more than it
-// is owed, and against a debt that is called in while nobody wants it.
+// Guards against a lender that waits for its own guarantee when it wakes, that is not repaid in time or is repaid more than it is
+// owed, and against a debt that is collected while nobody wants it.
 func TestWakingLenderIsRepaid(t *testing.T) {
 	b := newTree(t, settings(partners...))
 	const woke, paid, end = 30.0, 41.0, 60.0
-	var before, within, after [3]float64 // calls a second of a, b and c
+	var before, within, after [3]float64 // calls per second of a, b and c
 	burst, refused := 0, false
 	playLoads(b, 3, end, []load{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}, {leaf: "a1", rate: 300, from: woke},
 		{leaf: "a2", rate: 300, from: woke}}, func(at float64, c Call, d Decision) {
@@ -158,10 +158,10 @@
 	}
 }
 
-// Guards against a spending-cap block that is refused while there is any room, and against one that starves charges of
-// others' guarantees.
+// Guards against a spending-cap block that is rejected while there is any capacity, and against one that uses up the guarantees of
+// others.
 func TestHighPriorityCallsAreRejectedLast(t *testing.T) {
-	thrifty := slices.Clone(partners) // 5% are nobody's guarantee
+	thrifty := slices.Clone(partners) // 5% are guaranteed to nobody
 	thrifty[0].Share = .45
 	for _, nodes := range [][]Node{partners, thrifty} {
 		for _, charges := range []float64{100, 1000} {
@@ -190,14 +190,14 @@
 	assert.InDelta(t, 50, got["a1"], 2.5, "its own and what a2 leaves")
 }
 
-// step is one thing that happens to a Book.
+// step is some calls of a leaf, and a change of the capacity before them.
 type step struct {
 	wait     float64
 	leaf     int
 	count    int
 	worth    float64
 	priority int
-	capacity float64 // 0 = leave it
+	capacity float64 // 0 = no change
 	returned bool
 }
 
@@ -211,11 +211,11 @@
 	}), 1, 80).Draw(t, "ops")
 }
 
-// checkHistory plays a history and tells which promise was broken, "" for none.
+// checkHistory plays a history and returns which rule was broken, "" for none.
 func checkHistory(b *Book, set Settings, ops []step) string {
 	leaves := []string{"a1", "a2", "b", "c"}
 	now, latest, capacity := 1000.0, math.Inf(-1), 1.0
-	type meter struct{ tokens, at float64 } // a bucket of the plainest kind
+	type meter struct{ tokens, at float64 } // a token bucket, as simple as possible
 	ceiling := meter{set.Burst * 40, math.Inf(1)}
 	for _, o := range ops {
 		now += o.wait
@@ -237,18 +237,18 @@
 			room := root.Tokens[Requests] >= 1 && root.Tokens[Worth] >= o.worth
 			switch {
 			case d.Verdict == Refused && covered:
-				return "turned away what its own guarantee covers"
+				return "rejected a call that its own guarantee covers"
 			case d.Verdict == Refused && o.priority == 1 && room:
-				return "turned away a block though there was room"
+				return "rejected a block though there was capacity"
 			case d.Verdict == Refused && root.Tokens[Requests] == root.Cap[Requests] && root.Tokens[Worth] == root.Cap[Worth] &&
 				d.Reason != AtCeiling && d.Reason != AtLong:
-				return "turned away with all room free"
+				return "rejected a call with all capacity free"
 			case d.Verdict == Refused && !(d.Wait >= 0 && d.Wait <= set.MostWait*1000):
 				return "told to wait longer than allowed"
 			case d.Verdict != Go && d.Verdict != Refused && o.priority == 0 && leaves[o.leaf] == "c":
 				ceiling.tokens = min(set.Burst*40, ceiling.tokens+(latest-ceiling.at)/1000*40)
 				if ceiling.at = latest; ceiling.tokens < -1e-6 {
-					return "went beyond a ceiling"
+					return "exceeded a rate limit"
 				}
 			}
 			if d.Verdict != Refused && leaves[o.leaf] == "c" {
@@ -259,7 +259,7 @@
 				before := b.Status(now, leaf).Tokens[Requests]
 				b.Return(now, d)
 				if after := b.Status(now, leaf).Tokens[Requests]; after < before {
-					return "took what was given back"
+					return "charged what was returned"
 				}
 				if leaves[o.leaf] == "c" {
 					ceiling.tokens++
@@ -286,7 +286,7 @@
 	return ""
 }
 
-// nestedSettings are settings with both measures, a ceiling and a node that lends nothing.
+// nestedSettings are settings with both measures, a rate limit and a node that lends nothing.
 func nestedSettings() Settings {
 	set := settings(Node{Name: "a", Share: .5}, Node{Name: "b", Share: .3, Keep: true},
 		Node{Name: "c", Share: .2, Ceiling: Amount{40, 0}}, partners[3], partners[4])
@@ -294,8 +294,8 @@
 	return set
 }
 
-// Guards against a guarantee that is not kept, a block refused while there is room, room that is lost, a ceiling that is
-// passed, debts without a bound, and books that do not add up, whatever comes in whatever order.
+// Guards against a guarantee that is violated, a block that is rejected while there is capacity, lost capacity, an exceeded rate
+// limit, unbounded debts, and sums that do not match, whatever the order of calls.
 func TestRandomHistoriesKeepTheSpecification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(nestedSettings(), 1)
@@ -306,7 +306,7 @@
 	})
 }
 
-// Guards against a judge that cannot fail: each planted fault must be caught.
+// Guards against a checker that cannot fail: each planted fault must be found.
 func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
 	for what, plant := range map[string]func(*Book){
 		"a guarantee that shrinks":  func(b *Book) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.config.Kept = 0.8 },
@@ -326,7 +326,7 @@
 	}
 }
 
-// Guards against an order of the nodes in the file that makes a difference, and against another course of the same calls.
+// Guards against decisions that depend on the order of the nodes in the file, and against different decisions on the same calls.
 func TestOrderOfNodesMakesNoDifference(t *testing.T) {
 	flows := []load{{leaf: "a1", rate: 80}, {leaf: "a2", rate: 10}, {leaf: "b", rate: 100}, {leaf: "c", rate: 100}}
 	var want []string
@@ -358,7 +358,7 @@
 	}
 }
 
-// Guards against a new file that forgets balances and debts of those that stay, or that takes old ones beyond new bounds.
+// Guards against a new file that loses the balances and debts of nodes that stay, or keeps old ones beyond new bounds.
 func TestInheritKeepsBalancesWithinNewBounds(t *testing.T) {
 	b := newTree(t, settings(partners...))
 	ratesByLeaf(b, 6, 0, 20, []load{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}})
@@ -378,7 +378,7 @@
 	assert.Equal(t, fresh.Status(20000, other).Cap, fresh.Status(20000, other).Tokens)
 }
 
-// Guards against trees that cannot work, and faults that do not name the node and the field.
+// Guards against invalid trees that are accepted, and errors that do not name the node and the field.
 func TestInvalidTreesNameNodeAndField(t *testing.T) {
 	for want, nodes := range map[string][]Node{
 		"name: is missing":                        {{Share: 1}},
@@ -407,7 +407,7 @@
 	}
 }
 
-// Guards against a node that costs more than the page states.
+// Guards against a node that costs more memory than NodeBytes.
 func TestNodeFitsItsStatedMemory(t *testing.T) {
 	const n = 50_000
 	nodes := gatewayNodes(n)
@@ -421,7 +421,7 @@
 	runtime.KeepAlive(b)
 }
 
-// gatewayNodes are so many leaves under ten partners.
+// gatewayNodes returns n leaves under ten partners.
 func gatewayNodes(n int) []Node {
 	var nodes []Node
 	for i := range 10 {
@@ -433,7 +433,7 @@
 	return nodes
 }
 
-// BenchmarkAsk is one decision, with ten gateways of a partner active of so many.
+// BenchmarkAsk is one decision, with ten active gateways of one partner.
 func BenchmarkAsk(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		set := settings(gatewayNodes(n)...)
@@ -469,7 +469,7 @@
 	}
 }
 
-// Guards against a process that takes over and gives every tenant a fresh burst, or takes away what one had saved up.
+// Guards against a hot restart that gives every tenant a new burst, or loses what one had saved up.
 func TestBalancesAreTransferred(t *testing.T) {
 	set := Settings{Root: Amount{100}, Floor: 0.1, Priorities: 1, Burst: 2, LongWindow: 10, Memory: 10, PayBack: 10, PayPart: 0.5, MostWait: 1,
 		Nodes: []Node{{Name: "spent", Guarantee: Amount{10}, Long: Amount{10}, Alone: true}, {Name: "saved", Guarantee: Amount{10}, Alone: true},
--- /dev/null
+++ b/internal/node/quota/time.go
@@ -0,0 +1,67 @@
+package quota
+
+import (
+	"math"
+)
+
+// advance moves the time on, never back.
+func (t *Book) advance(now float64) {
+	if math.IsInf(t.now, -1) {
+		t.now = now
+	}
+	if now > t.now {
+		span := (now - t.now) / 1000
+		t.seconds += span
+		t.capacitySeconds += span * t.capacity
+		t.now = now
+	}
+}
+
+// refresh brings a node up to the present: it fills its buckets, and fades and repays its debts.
+func (t *Book) refresh(i int32) {
+	n := &t.nodes[i]
+	span, work := t.seconds-n.refreshedAt, t.capacitySeconds-n.filledUntil
+	if span <= 0 {
+		return
+	}
+	n.refreshedAt, n.filledUntil = t.seconds, t.capacitySeconds
+	fade := math.Exp(-span / t.config.Memory)
+	n.lendable *= fade
+	if n.repayUntil <= t.seconds-span {
+		n.repaid *= fade
+	}
+	if n.parent >= 0 && t.nodes[n.parent].repayUntil <= t.seconds-span {
+		n.credit *= fade
+		n.debt *= fade
+	}
+	over := math.Inf(1)
+	for m := range measures {
+		if n.own[m].cap > 0 {
+			over = min(over, n.own[m].fill(work)/t.nodes[Root].own[m].rate)
+		}
+		n.limit[m].fill(span)
+		n.longLimit[m].fill(span)
+	}
+	if n.parent < 0 {
+		return
+	}
+	if !n.noLending && !math.IsInf(over, 1) {
+		n.lendable = min(n.lendable+over, t.config.Memory*t.guaranteedFraction(n))
+	}
+	t.repay(n, span)
+	for n.firstContender >= 0 && t.nodes[n.firstContender].lastRequest+contendSeconds < t.seconds {
+		t.withdraw(n.firstContender)
+	}
+}
+
+// SetCapacity sets what all nodes can do from now on, as a fraction of Settings.Root: all guarantees shrink and grow
+// alike. NaN is ignored.
+func (t *Book) SetCapacity(now, fraction float64) {
+	t.advance(now)
+	if fraction == fraction { // not NaN
+		t.capacity = max(t.config.Floor, min(fraction, 1/t.config.Floor))
+	}
+}
+
+// Capacity returns the fraction that SetCapacity has set, within its bounds.
+func (t *Book) Capacity() float64 { return t.capacity }
--- /dev/null
+++ b/internal/node/quota/transfer.go
@@ -0,0 +1,92 @@
+package quota
+
+import "math"
+
+// Inherit takes over the state of a tree that this one replaces, for the nodes that stay: the levels of their
+// buckets, their debts and counts, and the capacity. Other nodes begin with full buckets. The old tree must not be
+// used again.
+func (t *Book) Inherit(now float64, old *Book) {
+	old.advance(now)
+	t.advance(now)
+	t.capacity = max(t.config.Floor, min(old.capacity, 1/t.config.Floor))
+	for index, name := range t.names {
+		oldIndex, ok := old.index[name]
+		if !ok {
+			continue
+		}
+		old.refresh(int32(oldIndex))
+		to, from := &t.nodes[index], &old.nodes[oldIndex]
+		to.credit, to.debt, to.nextRetry = from.credit, min(from.debt, t.maxDebt(to)), from.nextRetry
+		to.reason, to.counts = from.reason, from.counts
+		for m := range measures {
+			inheritLevel(&to.own[m], &from.own[m])
+			inheritLevel(&to.limit[m], &from.limit[m])
+			inheritLevel(&to.longLimit[m], &from.longLimit[m])
+		}
+	}
+}
+
+// inheritLevel gives a bucket the level of another one, -1 at least.
+func inheritLevel(to, from *bucket) {
+	if from.cap > 0 {
+		to.tokens = to.cap * math.Max(-1, from.tokens/from.cap)
+	}
+}
+
+// Balance is the levels of a node's buckets, as fractions of their caps; negative where one is overdrawn.
+type Balance struct {
+	Name    string `json:"name"`
+	Own     Amount `json:"own"`
+	Ceiling Amount `json:"ceiling"`
+	Long    Amount `json:"long"`
+}
+
+// Remember returns the balances of the nodes whose buckets are not all full.
+func (t *Book) Remember(now float64) (balances []Balance) {
+	t.advance(now)
+	for i, name := range t.names {
+		t.refresh(int32(i))
+		n, balance, full := &t.nodes[i], Balance{Name: name}, true
+		for m := range measures {
+			balance.Own[m], balance.Ceiling[m], balance.Long[m] = n.own[m].level(), n.limit[m].level(), n.longLimit[m].level()
+			full = full && min(balance.Own[m], balance.Ceiling[m], balance.Long[m]) == 1
+		}
+		if !full {
+			balances = append(balances, balance)
+		}
+	}
+	return balances
+}
+
+// Recall takes balances that another tree of these nodes had age milliseconds ago; a negative age counts as 0. No
+// bucket holds more than was left then and has been filled in since. Balances of unknown nodes are ignored.
+func (t *Book) Recall(now, age float64, balances []Balance) {
+	t.advance(now)
+	seconds := max(0, age) / 1000
+	for i := range balances {
+		index, ok := t.index[balances[i].Name]
+		if !ok {
+			continue
+		}
+		t.refresh(int32(index))
+		n, balance := &t.nodes[index], &balances[i]
+		for m := range measures {
+			n.own[m].restore(balance.Own[m], seconds)
+			n.limit[m].restore(balance.Ceiling[m], seconds)
+			n.longLimit[m].restore(balance.Long[m], seconds)
+		}
+	}
+}
+
+// level returns how full the bucket is, as a fraction of its cap; 1 for one without a cap.
+func (b *bucket) level() float64 {
+	if b.cap <= 0 {
+		return 1
+	}
+	return b.tokens / b.cap
+}
+
+// restore limits the bucket to a level, and what has been filled in for some seconds since.
+func (b *bucket) restore(level, seconds float64) {
+	b.tokens = min(b.tokens, b.cap*max(-1, level)+b.rate*seconds)
+}
