--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -13,7 +13,7 @@
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
-// leaseService is a fleet of one machine of package lease, whose answers can be lost.
+// leaseService is a Fleet of one lease.Machine, whose replies can be lost.
 type leaseService struct {
 	machine *lease.Machine
 	now     func() float64
@@ -34,8 +34,7 @@
 	return a.machine.Bring(a.now(), t)
 }
 
-// leasedSet is a fleet of 100 requests a second, of which half belong to each tenant and nine tenths are leased; this node is one
-// of ten.
+// leasedSet is 100 requests per second, of which half belong to each tenant and nine tenths are leased; this node is one of ten.
 func leasedSet(number uint64) lease.Tree {
 	return lease.Tree{Number: number, Leased: 0.9, Set: quota.Settings{Root: quota.Amount{100}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60,
 		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: 0.5}, {Name: "vltava", Share: 0.5}, {Name: "none"}}}}
@@ -48,7 +47,7 @@
 	s.Replace(part)
 	f = &leaseService{machine: lease.New(), now: c.Now}
 	s.Lease(Leases{Fleet: f, Node: "n", Length: 1000, Tree: leasedSet(0), Call: quota.Amount{1}})
-	return s, f, func() (n int) { // calls of morava that go on in a second at 60 a second
+	return s, f, func() (n int) { // admitted calls of morava in a second, of 60
 		for range 60 {
 			c.Advance(1000.0 / 60)
 			if serve(s, 0, "", served).Kind == core.Served {
@@ -59,8 +58,8 @@
 	}
 }
 
-// Guards against a node that keeps to its tenth while others need nothing, one that goes on with a lease that has run out or that it
-// did not get, and one that tells another demand or use than there was.
+// Guards against a node that uses only its tenth while others need nothing, one that uses a lease that has expired or that it did not
+// get, and one that reports another demand or use than there was.
 func TestNodeUsesItsLease(t *testing.T) {
 	s, f, second := leasedStage(t)
 	ctx := context.Background()
@@ -80,15 +79,15 @@
 	}
 	f.lost = true
 	s.renew(ctx)
-	second() // in which the lease runs out
+	second() // in which the lease expires
 	assert.LessOrEqual(t, second(), 3)
 	f.lost = false
 	s.renew(ctx)
 	assert.GreaterOrEqual(t, second(), 55)
 }
 
-// Guards against a lease of a tree that has changed meanwhile, a tree of an older policy that is taken, and a call that was granted
-// before the change and gives its room back to a tree that has no such place.
+// Guards against a lease of a tree that has changed meanwhile, a tree of an older policy that comes into force, and a call that was
+// granted before the change and returns its charge to a tree without such a node.
 func TestLeaseOfAnotherTreeIsNotUsed(t *testing.T) {
 	s, f, second := leasedStage(t)
 	ctx := context.Background()
@@ -113,7 +112,7 @@
 	assert.Zero(t, s.leases.until)
 }
 
-// Guards against a lease that is kept by a node that has ended.
+// Guards against a lease that stays reserved for a node that has ended.
 func TestLeaseIsReturnedAtTheEnd(t *testing.T) {
 	s, f, _ := leasedStage(t)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -1,14 +1,12 @@
-// Package middleware is the stage that holds calls to their tenants' quotas: the half of package quota that has a lock, a clock and
-// calls that wait.
+// Package middleware holds calls to the quotas of their tenants: it is the half of package quota that has a lock, a
+// clock and calls that wait.
 //
-// A call that is turned away may wait a little for room, in the order of its priority and its worth. What was granted to a call
-// that certainly did not run is given back. The node's own further attempts cost nothing: a call is asked for once.
+// A call that is rejected may wait a little for capacity, in the order of priority and value. What was charged for a
+// call that certainly did not run is returned. The node's own retries cost nothing: a call is charged once.
 package middleware
 
 import (
-	"cmp"
 	"log/slog"
-	"slices"
 	"sync"
 
 	"linenwheel.dev/linenwheel/internal/clock"
@@ -16,32 +14,29 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// Class is what the stage has to know of a class.
+// Class is what the middleware has to know of a class.
 type Class struct {
 	Priority int
 	Worth    float64
 }
 
-// Settings describe the stage.
+// Settings describe the middleware.
 type Settings struct {
 	Classes []Class  // by number
 	Tenants []string // names, by number
-	Unknown string   // the node of calls of tenants that have none of their own; must be in the tree
-	Gateway string   // header that names a call's gateway, a child of its tenant's node; empty = none
+	Unknown string   // the node of tenants without one of their own; must be in the tree
+	Gateway string   // header with the name of a call's gateway, a child of its tenant's node; empty = none
 	Content func(payload any) core.Content
-	Wait    float64                           // ms for which a call may wait for room, 0 = none does
-	Waiting int                               // how many may
-	Room    func() (part float64, known bool) // what the fleet can do now, as a part of the tree's root; nil = all
-	Every   float64                           // ms between two looks at that
+	Wait    float64                           // ms for which a call may wait for capacity; 0 = calls do not wait
+	Waiting int                               // maximum number of waiting calls
+	Room    func() (part float64, known bool) // what all nodes can do now, as a fraction of the root; nil = 1
+	Every   float64                           // ms between two calls of Room
 }
 
-// ReasonQuota is the reason that this stage gives.
+// ReasonQuota is the reason of every rejection here; rejections are counted by this text.
 const ReasonQuota = "the tenant has no room"
 
-// retryInterval is how long those that wait are left before room is looked for again, ms.
-const retryInterval = 10
-
-// Stage holds the tree. All of its methods may be called from any goroutine.
+// Stage is the middleware. All of its methods may be called from any goroutine, Run by one only.
 type Stage struct {
 	config Settings
 	clock  clock.Clock
@@ -49,86 +44,66 @@
 
 	mu             sync.Mutex
 	tree           *quota.Book
-	tenants        []int // places of the tenants' nodes, the last for those that have none
+	tenants        []int // indexes of the tenants' nodes; the last is that of Unknown
 	queue          []*waiter
-	retryScheduled bool        // a look at those that wait is coming
-	leases         *leaseState // nil = the node goes by its part alone
-}
-
-// waiter is a call that waits for room.
-type waiter struct {
-	request  quota.Call
-	deadline float64
-	decided  chan quota.Decision
+	retryScheduled bool        // the queue will be decided on again
+	leases         *leaseState // nil = the node does not use leases
 }
 
-// New makes the stage round a tree.
-func New(set Settings, book *quota.Book, c clock.Clock, log *slog.Logger) *Stage {
-	s := &Stage{config: set, clock: c, log: log}
-	s.setTree(book)
+// New returns the middleware for a tree.
+func New(config Settings, tree *quota.Book, c clock.Clock, log *slog.Logger) *Stage {
+	s := &Stage{config: config, clock: c, log: log}
+	s.setTree(tree)
 	return s
 }
 
-// setTree takes a tree, under the lock or before there is anyone else.
-func (s *Stage) setTree(book *quota.Book) {
-	s.tree, s.tenants = book, s.tenants[:0]
-	unknown, _ := book.Find(s.config.Unknown)
+// setTree puts a tree into force. It is called under the lock, or before the middleware is shared.
+func (s *Stage) setTree(tree *quota.Book) {
+	s.tree, s.tenants = tree, s.tenants[:0]
+	unknown, _ := tree.Find(s.config.Unknown)
 	for _, name := range s.config.Tenants {
-		at, ok := book.Find(name)
+		index, ok := tree.Find(name)
 		if !ok {
-			at = unknown
+			index = unknown
 		}
-		s.tenants = append(s.tenants, at)
+		s.tenants = append(s.tenants, index)
 	}
 	s.tenants = append(s.tenants, unknown)
 }
 
-// Replace puts a new tree in the place of the present one; what stays keeps its balance.
-func (s *Stage) Replace(book *quota.Book) {
+// Replace puts a new tree into the place of the present one; nodes that stay keep their balances.
+func (s *Stage) Replace(tree *quota.Book) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	book.Inherit(now, s.tree)
-	was := s.tree
-	s.setTree(book)
-	for _, g := range s.queue { // they belong to nodes of the same names, or to no one
-		name := was.Name(g.request.Leaf)
-		at, ok := book.Find(name)
+	tree.Inherit(now, s.tree)
+	old := s.tree
+	s.setTree(tree)
+	for _, w := range s.queue { // they belong to the nodes of the same names, or to Unknown
+		name := old.Name(w.request.Leaf)
+		index, ok := tree.Find(name)
 		if !ok {
-			at = s.tenants[len(s.tenants)-1]
+			index = s.tenants[len(s.tenants)-1]
 		}
-		g.request.Leaf = at
-	}
-}
-
-// Settle has those that wait for room told now whether they have it: the tree that comes is not the one that they began under.
-func (s *Stage) Settle() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.clock.Now()
-	for _, g := range s.queue {
-		d := s.tree.Ask(now, g.request)
-		s.recordDecision(g.request, d)
-		g.decided <- d
+		w.request.Leaf = index
 	}
-	s.queue = nil
 }
 
-// Remember gives how full the buckets are.
+// Remember returns the levels of the buckets that are not full.
 func (s *Stage) Remember() []quota.Balance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tree.Remember(s.clock.Now())
 }
 
-// Recall takes what another process of the node remembered age milliseconds ago.
-func (s *Stage) Recall(age float64, list []quota.Balance) {
+// Recall takes the levels that another process of the node had age milliseconds ago.
+func (s *Stage) Recall(age float64, balances []quota.Balance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tree.Recall(s.clock.Now(), age, list)
+	s.tree.Recall(s.clock.Now(), age, balances)
 }
 
-// Begin looks at what the fleet can do, again and again until ended is closed.
+// Begin updates the capacity of the tree every Settings.Every until ended is closed. It returns at once.
 func (s *Stage) Begin(ended <-chan struct{}) {
 	if s.config.Room == nil {
 		return
@@ -139,9 +114,9 @@
 			return
 		default:
 		}
-		if part, known := s.config.Room(); known {
+		if fraction, known := s.config.Room(); known {
 			s.mu.Lock()
-			s.tree.SetCapacity(s.clock.Now(), part)
+			s.tree.SetCapacity(s.clock.Now(), fraction)
 			s.mu.Unlock()
 		}
 		s.Begin(ended)
@@ -168,7 +143,7 @@
 	}
 }
 
-// returnGrant returns what a call was granted, under the lock.
+// returnGrant returns what a call was charged. It is called under the lock.
 func (s *Stage) returnGrant(d quota.Decision) {
 	if s.leases != nil {
 		leaf, cost := s.tree.Taken(d)
@@ -177,118 +152,40 @@
 	s.tree.Return(s.clock.Now(), d)
 }
 
-// admit decides about a call, after it has waited where it may. It fails if the client has left meanwhile.
-func (s *Stage) admit(call *core.Call) (d quota.Decision, ok bool) {
-	class := &s.config.Classes[call.Class]
-	now := s.clock.Now()
-	s.mu.Lock()
-	ask := quota.Call{Leaf: s.leafOf(call), Priority: class.Priority, Worth: class.Worth}
-	s.recordRequest(now, ask)
-	if len(s.queue) == 0 || !s.mustQueue(ask) { // one that would have to wait does not go before those that do
-		d = s.tree.Ask(now, ask)
-	} else {
-		d = quota.Decision{Verdict: quota.Refused, Reason: quota.NoRoom, Wait: s.config.Wait}
-	}
-	s.recordDecision(ask, d)
-	if d.Verdict != quota.Refused || s.config.Wait <= 0 || len(s.queue) >= s.config.Waiting {
-		s.mu.Unlock()
-		return d, true
-	}
-	g := &waiter{request: ask, deadline: min(now+s.config.Wait, call.Deadline), decided: make(chan quota.Decision, 1)}
-	s.queue = append(s.queue, g)
-	slices.SortStableFunc(s.queue, compareWaiters)
-	s.scheduleRetry(now)
-	s.mu.Unlock()
-	select {
-	case d = <-g.decided:
-		return d, true
-	case <-call.Left():
-		s.mu.Lock()
-		s.queue = slices.DeleteFunc(s.queue, func(o *waiter) bool { return o == g })
-		select {
-		case d = <-g.decided: // it got its room in that moment
-			s.returnGrant(d)
-		default:
-		}
-		s.mu.Unlock()
-		return d, false
-	}
-}
-
-// compareWaiters orders those that wait: by priority, then by worth, then as they came.
-func compareWaiters(a, b *waiter) int {
-	return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), cmp.Compare(b.request.Worth, a.request.Worth))
-}
-
-// mustQueue tells whether someone of the same node waits that goes first.
-func (s *Stage) mustQueue(ask quota.Call) bool {
-	for _, g := range s.queue {
-		if g.request.Leaf == ask.Leaf && compareWaiters(g, &waiter{request: ask}) <= 0 {
-			return true
-		}
-	}
-	return false
-}
-
-// leafOf finds the node that a call belongs to.
+// leafOf returns the index of the node that a call belongs to. It is called under the lock.
 func (s *Stage) leafOf(call *core.Call) int {
 	tenant := call.Tenant
 	if tenant < 0 || tenant >= len(s.config.Tenants) {
 		tenant = len(s.config.Tenants)
 	}
-	at := s.tenants[tenant]
+	index := s.tenants[tenant]
 	if s.config.Gateway == "" {
-		return at
+		return index
 	}
 	if name := s.config.Content(call.Payload).Header(s.config.Gateway); name != nil {
-		if child, ok := s.tree.Find(string(name)); ok && s.tree.Parent(child) == at {
+		if child, ok := s.tree.Find(string(name)); ok && s.tree.Parent(child) == index {
 			return child
 		}
 	}
-	return at
-}
-
-// scheduleRetry has those that wait asked for again soon, under the lock.
-func (s *Stage) scheduleRetry(now float64) {
-	if s.retryScheduled || len(s.queue) == 0 {
-		return
-	}
-	s.retryScheduled = true
-	s.clock.At(now+retryInterval, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.retryScheduled = false
-		now := s.clock.Now()
-		s.expireLease(now)
-		s.queue = slices.DeleteFunc(s.queue, func(g *waiter) bool {
-			d := s.tree.Ask(now, g.request)
-			if d.Verdict == quota.Refused && now < g.deadline {
-				return false
-			}
-			s.recordDecision(g.request, d)
-			g.decided <- d
-			return true
-		})
-		s.scheduleRetry(now)
-	})
+	return index
 }
 
-// maxStatusNodes is how many nodes Status describes: those that were asked for, the root and the top first.
+// maxStatusNodes bounds the nodes that Status describes; the root and the top come first.
 const maxStatusNodes = 500
 
-// Status describes the nodes that have been asked for, and those above them.
+// Status returns the state of the nodes that have been called, and of those above them.
 func (s *Stage) Status() []quota.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := []quota.Status{}
+	nodes := []quota.Status{}
 	now := s.clock.Now()
 	for i := range s.tree.Nodes() {
 		n := s.tree.Status(now, i)
 		if !n.Leaf || n.Going+n.Borrowed+n.Paid+n.Refused > 0 {
-			if list = append(list, n); len(list) == maxStatusNodes {
+			if nodes = append(nodes, n); len(nodes) == maxStatusNodes {
 				break
 			}
 		}
 	}
-	return list
+	return nodes
 }
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -13,7 +13,7 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// gatewayHeader is a payload whose gateway is its text.
+// gatewayHeader is a payload whose gateway header is its text.
 type gatewayHeader string
 
 func (h gatewayHeader) Path() []byte  { return nil }
@@ -27,7 +27,7 @@
 func (h gatewayHeader) Body() []byte { return nil }
 func (h gatewayHeader) Size() int    { return 0 }
 
-// tree is a fleet of ten requests a second, half of them of each tenant, one of which has a gateway; the third has nothing.
+// tree is ten requests per second, half of them of each of two tenants, one of which has a gateway; the third has nothing.
 func tree(t *testing.T, share float64) *quota.Book {
 	b, err := quota.New(quota.Settings{Root: quota.Amount{10}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Kept: 0,
 		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: share, Alone: true},
@@ -51,8 +51,8 @@
 
 var served = core.Answer{Kind: core.Served}
 
-// Guards against a call that is charged to another tenant than its own, one that is refused without a time to come back, one
-// that pays for what certainly did not run, and a tree whose balances a reload forgets.
+// Guards against a call that is charged to another tenant than its own, one that is rejected without a time to retry after, one
+// that is charged though it certainly did not run, and a tree whose balances are lost in a reload.
 func TestCallsAreChargedToTheirTenant(t *testing.T) {
 	s, c := newStage(t, Settings{})
 	unseen, doubtful := core.Refuse(core.Busy, "", 0), core.Answer{Kind: core.Failed, Ran: true}
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against waiting calls that are served in another order than by priority and worth, that wait beyond their time or
-// after their client has left, and against room that is lost with one that left.
+// Guards against waiting calls that are served in another order than by priority and value, that wait beyond their deadline or
+// after their client has left, and against capacity that is lost with one that left.
 func TestWaitingCallsAreServedInOrder(t *testing.T) {
 	s, c := newStage(t, Settings{Wait: 700, Waiting: 3})
 	for range 5 {
@@ -124,7 +124,7 @@
 	assert.Equal(t, core.Refused, (<-out).answer.Kind)
 }
 
-// awaitQueued blocks until so many wait.
+// awaitQueued blocks until n calls wait.
 func (s *Stage) awaitQueued(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// Guards against guarantees that stay as they are when the fleet can do less.
+// Guards against guarantees that stay as they are when the capacity shrinks.
 func TestGuaranteesFollowTheCapacity(t *testing.T) {
 	part := 0.5
 	s, c := newStage(t, Settings{Every: 100, Room: func() (float64, bool) { return part, true }})
@@ -152,7 +152,7 @@
 	assert.Equal(t, 0.5, s.tree.Capacity())
 }
 
-// BenchmarkStage is a call through the stage alone.
+// BenchmarkStage is a call through the middleware alone.
 func BenchmarkStage(b *testing.B) {
 	book, err := quota.New(quota.Settings{Root: quota.Amount{1e6}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Memory: 30,
 		PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: 1}}}, 1)
--- /dev/null
+++ b/internal/node/quota/middleware/queue.go
@@ -0,0 +1,111 @@
+package middleware
+
+import (
+	"cmp"
+	"slices"
+
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/quota"
+)
+
+// retryInterval is the time between two decisions on the calls that wait, in milliseconds.
+const retryInterval = 10
+
+// waiter is a call that waits for capacity.
+type waiter struct {
+	request  quota.Call
+	deadline float64
+	decided  chan quota.Decision
+}
+
+// compareWaiters orders waiting calls: by priority, then by value; a stable sort keeps the order of arrival.
+func compareWaiters(a, b *waiter) int {
+	return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), cmp.Compare(b.request.Worth, a.request.Worth))
+}
+
+// admit decides on a call, after it has waited where it may. ok is false if the client has left meanwhile.
+func (s *Stage) admit(call *core.Call) (d quota.Decision, ok bool) {
+	class := &s.config.Classes[call.Class]
+	now := s.clock.Now()
+	s.mu.Lock()
+	request := quota.Call{Leaf: s.leafOf(call), Priority: class.Priority, Worth: class.Worth}
+	s.recordRequest(now, request)
+	if len(s.queue) == 0 || !s.mustQueue(request) { // a call does not overtake those that wait before it
+		d = s.tree.Ask(now, request)
+	} else {
+		d = quota.Decision{Verdict: quota.Refused, Reason: quota.NoRoom, Wait: s.config.Wait}
+	}
+	s.recordDecision(request, d)
+	if d.Verdict != quota.Refused || s.config.Wait <= 0 || len(s.queue) >= s.config.Waiting {
+		s.mu.Unlock()
+		return d, true
+	}
+	w := &waiter{request: request, deadline: min(now+s.config.Wait, call.Deadline), decided: make(chan quota.Decision, 1)}
+	s.queue = append(s.queue, w)
+	slices.SortStableFunc(s.queue, compareWaiters)
+	s.scheduleRetry(now)
+	s.mu.Unlock()
+	select {
+	case d = <-w.decided:
+		return d, true
+	case <-call.Left():
+		s.mu.Lock()
+		s.queue = slices.DeleteFunc(s.queue, func(other *waiter) bool { return other == w })
+		select {
+		case d = <-w.decided: // it was granted at that moment
+			s.returnGrant(d)
+		default:
+		}
+		s.mu.Unlock()
+		return d, false
+	}
+}
+
+// mustQueue reports whether a waiting call of the same node goes before this one. It is called under the lock.
+func (s *Stage) mustQueue(request quota.Call) bool {
+	for _, w := range s.queue {
+		if w.request.Leaf == request.Leaf && compareWaiters(w, &waiter{request: request}) <= 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// scheduleRetry has the waiting calls decided on again after retryInterval. It is called under the lock.
+func (s *Stage) scheduleRetry(now float64) {
+	if s.retryScheduled || len(s.queue) == 0 {
+		return
+	}
+	s.retryScheduled = true
+	s.clock.At(now+retryInterval, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.retryScheduled = false
+		now := s.clock.Now()
+		s.expireLease(now)
+		s.queue = slices.DeleteFunc(s.queue, func(w *waiter) bool {
+			d := s.tree.Ask(now, w.request)
+			if d.Verdict == quota.Refused && now < w.deadline {
+				return false
+			}
+			s.recordDecision(w.request, d)
+			w.decided <- d
+			return true
+		})
+		s.scheduleRetry(now)
+	})
+}
+
+// Settle decides on the waiting calls now, for the last time: it is called before a tree comes that they did not
+// begin under.
+func (s *Stage) Settle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.clock.Now()
+	for _, w := range s.queue {
+		d := s.tree.Ask(now, w.request)
+		s.recordDecision(w.request, d)
+		w.decided <- d
+	}
+	s.queue = nil
+}
