--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -160,7 +160,7 @@
 			}
 			return next(call)
 		}
-		d, r := s.ask(call, c)
+		d, r := s.decide(call, c)
 		s.mu.Unlock()
 		switch d.Verdict {
 		case idempotency.Run:
@@ -191,9 +191,9 @@
 	return known
 }
 
-// ask has the table decide on a call, and returns the run that the call begins or joins, nil for none. It is called under the
+// decide has the table decide on a call, and returns the run that the call begins or joins, nil for none. It is called under the
 // lock.
-func (s *Stage) ask(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
+func (s *Stage) decide(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
 	d = s.table.Ask(s.clock.Now(), c)
 	switch d.Verdict {
 	case idempotency.Run:
--- a/internal/node/idempotency/replicated/release_test.go
+++ b/internal/node/idempotency/replicated/release_test.go
@@ -21,12 +21,12 @@
 
 // lateReplica is a replica that commits alone, and applies the first claim late: after the report that nothing ran was rejected.
 type lateReplica struct {
-	t     *testing.T
-	log   *statemachine.Machine
-	late  []byte // the first claim
-	first bool   // it has arrived
-	came  chan struct{}
-	freed chan struct{}
+	t        *testing.T
+	log      *statemachine.Machine
+	late     []byte // the first claim
+	first    bool   // it has arrived
+	claimed  chan struct{}
+	released chan struct{}
 }
 
 func (k *lateReplica) listen() string {
@@ -69,7 +69,7 @@
 			return
 		}
 		answer := make(chan *statemachine.Reply, 1)
-		asks <- func() { answer <- k.take(r) }
+		asks <- func() { answer <- k.claimOnce(r) }
 		if reply := <-answer; reply != nil {
 			text, _ = json.Marshal(protocol.Answer{ID: r.ID, Reply: reply}) // of types that can be encoded
 			_ = c.Write(transport.KindAnswer, text, time.Second)            // or the client has left
@@ -77,12 +77,12 @@
 	}
 }
 
-func (k *lateReplica) take(r protocol.Request) *statemachine.Reply {
+func (k *lateReplica) claimOnce(r protocol.Request) *statemachine.Reply {
 	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
 	claim, end := bytes.Contains(r.Body, []byte(`"take"`)), bytes.Contains(r.Body, []byte(`"ended"`))
 	if claim && (!k.first || k.late != nil) {
 		if !k.first {
-			close(k.came)
+			close(k.claimed)
 		}
 		k.first, k.late = true, data
 		return nil
@@ -93,7 +93,7 @@
 		k.apply(k.late)
 		k.late = nil
 	} else if end && reply.Code == statemachine.OK {
-		close(k.freed)
+		close(k.released)
 	}
 	return reply
 }
@@ -106,7 +106,7 @@
 
 // Guards against a claim that is committed after its node gave it up: nothing ran, and every repeat would be in doubt.
 func TestLateClaimIsReleased(t *testing.T) {
-	k := &lateReplica{t: t, log: statemachine.New(), came: make(chan struct{}), freed: make(chan struct{})}
+	k := &lateReplica{t: t, log: statemachine.New(), claimed: make(chan struct{}), released: make(chan struct{})}
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "k", Address: k.listen()}}, AttemptTimeout: 250 * time.Millisecond})
 	defer log.Close()
 	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
@@ -117,15 +117,15 @@
 		return n.Take(c, n.clock.Now()+60000, nil).Verdict
 	}
 	for came := false; !came; { // on a slow machine its deadline may pass before it is sent
-		require.Equal(t, idempotency.Full, take(), "refused, for nobody knows whether it was agreed")
+		require.Equal(t, idempotency.Full, take(), "rejected: it is not known whether the claim was committed")
 		select {
-		case <-k.came:
+		case <-k.claimed:
 			came = true
 		default:
 		}
 	}
 	select {
-	case <-k.freed:
+	case <-k.released:
 	case <-time.After(time.Minute):
 		require.Fail(t, "the name stays one that may have run")
 	}
--- a/internal/node/idempotency/replicated/replicated_test.go
+++ b/internal/node/idempotency/replicated/replicated_test.go
@@ -41,14 +41,14 @@
 
 // logWatcher closes a channel when something is logged.
 type logWatcher struct {
-	what string
-	once sync.Once
-	told chan struct{}
+	what  string
+	once  sync.Once
+	found chan struct{}
 }
 
 func (s *logWatcher) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte(s.what)) {
-		s.once.Do(func() { close(s.told) })
+		s.once.Do(func() { close(s.found) })
 	}
 	return len(b), nil
 }
@@ -70,10 +70,10 @@
 	}
 	first := begin("a", "the secret of the fleet", slog.New(slog.DiscardHandler))
 	<-first.Begun()
-	seen := &logWatcher{what: "level=ERROR msg=\"this node hashes names under another secret than its fleet: it takes none\"", told: make(chan struct{})}
+	seen := &logWatcher{what: "level=ERROR msg=\"this node hashes names under another secret than its fleet: it takes none\"", found: make(chan struct{})}
 	other := begin("b", "another secret", slog.New(slog.NewTextHandler(seen, nil)))
 	select {
-	case <-seen.told:
+	case <-seen.found:
 	case <-other.Begun():
 		require.Fail(t, "it takes names")
 	case <-time.After(time.Minute):
--- a/internal/node/idempotency/transfer/giver.go
+++ b/internal/node/idempotency/transfer/giver.go
@@ -43,11 +43,11 @@
 	entries := g.mw.Give(g)
 	names := len(entries)
 	for {
-		var p *tablePart
-		if p, entries = nextPart(entries); len(entries) == 0 {
+		var p *tableChunk
+		if p, entries = nextChunk(entries); len(entries) == 0 {
 			p.Last, p.Secret = true, g.mw.Secret()
 		}
-		if err := (message{Table: p}).send(g.send); err != nil {
+		if err := (message{Chunk: p}).send(g.send); err != nil {
 			g.log.Warn("the names could not be handed over", "error", err)
 			g.Lost()
 			return
@@ -64,10 +64,10 @@
 	}
 }
 
-// nextPart returns the entries of the next message, and those that are left.
-func nextPart(entries []idempotency.Known) (p *tablePart, left []idempotency.Known) {
-	p, bytes := &tablePart{}, 0
-	for len(entries) > 0 && len(p.Entries) < maxPartEntries && bytes < maxPartBytes {
+// nextChunk returns the entries of the next message, and those that are left.
+func nextChunk(entries []idempotency.Known) (p *tableChunk, left []idempotency.Known) {
+	p, bytes := &tableChunk{}, 0
+	for len(entries) > 0 && len(p.Entries) < maxChunkEntries && bytes < maxChunkBytes {
 		k := &entries[0]
 		body, _ := k.Body.([]byte)
 		p.Entries = append(p.Entries, entry{encodeCall(k.Call), k.Running, k.Served, k.Age, body})
--- a/internal/node/idempotency/transfer/heir.go
+++ b/internal/node/idempotency/transfer/heir.go
@@ -32,16 +32,16 @@
 		return err
 	}
 	switch {
-	case m.Table != nil:
-		for _, e := range m.Table.Entries {
+	case m.Chunk != nil:
+		for _, e := range m.Chunk.Entries {
 			k := idempotency.Known{Call: e.wireCall.decode(), Running: e.Running, Served: e.Served, Age: e.Age}
 			if e.Body != nil { // a nil []byte in an interface would not be nil
 				k.Body = e.Body
 			}
 			h.entries = append(h.entries, k)
 		}
-		if m.Table.Last {
-			h.mw.Inherit(m.Table.Secret, h.entries)
+		if m.Chunk.Last {
+			h.mw.Inherit(m.Chunk.Secret, h.entries)
 			h.entries = nil
 		}
 	case m.Claim != nil:
--- a/internal/node/idempotency/transfer/messages.go
+++ b/internal/node/idempotency/transfer/messages.go
@@ -18,22 +18,22 @@
 // through Lost.
 type Send func(json.RawMessage) error
 
-// maxPartBytes bounds the bodies in one message, in bytes, beside those of its last entry.
-const maxPartBytes = 1 << 20
+// maxChunkBytes bounds the bodies in one message, in bytes, beside those of its last entry.
+const maxChunkBytes = 1 << 20
 
-// maxPartEntries bounds the entries in one message.
-const maxPartEntries = 4096
+// maxChunkEntries bounds the entries in one message.
+const maxChunkEntries = 4096
 
 // message is what one process sends to the other: exactly one field is set. The JSON names are the wire form.
 type message struct {
-	Table      *tablePart  `json:"book,omitempty"` // to the new process
+	Chunk      *tableChunk `json:"book,omitempty"` // to the new process
 	Claim      *claim      `json:"ask,omitempty"`  // to the new process
 	Reply      *claimReply `json:"told,omitempty"` // to the old process
 	Completion *completion `json:"end,omitempty"`  // to the new process
 }
 
-// tablePart is a part of the table.
-type tablePart struct {
+// tableChunk is a part of the table.
+type tableChunk struct {
 	Entries []entry `json:"known"`
 	Last    bool    `json:"last,omitempty"`
 	Secret  []byte  `json:"secret,omitempty"` // of the last one: the secret of the hash of keys
--- a/internal/node/idempotency/transfer/transfer_test.go
+++ b/internal/node/idempotency/transfer/transfer_test.go
@@ -36,7 +36,9 @@
 	closed bool
 }
 
-func newPipe(most int) *pipe { return &pipe{left: most, queue: make(chan json.RawMessage, 9999)} }
+func newPipe(messages int) *pipe {
+	return &pipe{left: messages, queue: make(chan json.RawMessage, 9999)}
+}
 
 func (p *pipe) send(m json.RawMessage) error {
 	p.mu.Lock()
@@ -169,7 +171,7 @@
 		return err
 	})
 	g.Run()
-	require.True(t, (<-sent).Table.Last)
+	require.True(t, (<-sent).Chunk.Last)
 	left := make(chan struct{})
 	taken := make(chan middleware.Taken)
 	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{7}}, 2000, left) }()
--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -28,7 +28,7 @@
 // the root of all nodes can do in a second, call the most that one call costs: a bucket holds at least so much, else
 // a little capacity on each of many nodes could never be used. New capacity begins with empty tokens, and tokens of
 // capacity that goes are lost, so that its next holder has no more than its lease says.
-func (t *Book) Lease(now float64, whole, call Amount, parts []Leased) {
+func (t *Book) Lease(now float64, rootRates, maxCost Amount, parts []Leased) {
 	t.advance(now)
 	if t.unleased == nil {
 		for i := range t.nodes {
@@ -48,13 +48,13 @@
 		burst := t.burstSeconds[i]
 		reserve := 1 / t.unreserved()
 		for m := range measures {
-			leased := loads[i] * whole[m]
-			n.own[m].resize(base.own[m].rate+leased, base.own[m].cap+leased*burst, call[m]*reserve)
+			leased := loads[i] * rootRates[m]
+			n.own[m].resize(base.own[m].rate+leased, base.own[m].cap+leased*burst, maxCost[m]*reserve)
 			if c := base.limit[m]; c.cap > 0 {
-				n.limit[m].resize(c.rate+leased, c.cap+leased*c.cap/c.rate, call[m])
+				n.limit[m].resize(c.rate+leased, c.cap+leased*c.cap/c.rate, maxCost[m])
 			}
 			if c := base.longLimit[m]; c.cap > 0 {
-				n.longLimit[m].resize(c.rate+leased, c.cap+leased*c.cap/c.rate, call[m])
+				n.longLimit[m].resize(c.rate+leased, c.cap+leased*c.cap/c.rate, maxCost[m])
 			}
 		}
 		if n.parent >= 0 {
--- a/internal/node/quota/lease/demand.go
+++ b/internal/node/quota/lease/demand.go
@@ -18,9 +18,9 @@
 // Demand measures what is requested of one member and what it admits. It is pure, like the machine, and not safe for
 // concurrent use.
 type Demand struct {
-	callLoad  float64 // load of one call
-	lastTaken float64 // ms
-	nodes     map[int]*nodeDemand
+	callLoad     float64 // load of one call
+	measuredFrom float64 // ms
+	nodes        map[int]*nodeDemand
 }
 
 // nodeDemand is the demand of one node of the tree, in loads since the last Take; rate is smoothed, per second, over
@@ -49,12 +49,12 @@
 // Take returns the demand since the last time, of the MostAsked nodes with the most, sorted by node. It returns none
 // within a millisecond of the last time.
 func (d *Demand) Take(now float64) []Asked {
-	span := now - d.lastTaken
+	span := now - d.measuredFrom
 	out := []Asked{}
 	if span < 1 {
 		return out
 	}
-	d.lastTaken = now
+	d.measuredFrom = now
 	for at, s := range d.nodes {
 		rate := s.requested / span * 1000
 		s.age += span
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -132,7 +132,7 @@
 func TestInvariantCheckerFindsPlantedFaults(t *testing.T) {
 	for name, spoil := range map[string]func(*leaseHolder, *Grant){
 		"a lease longer than agreed": func(_ *leaseHolder, g *Grant) { g.Length *= 5 },
-		"the larger of two leases":   func(h *leaseHolder, g *Grant) { g.Parts = maxParts(h.parts, g.Parts) },
+		"the larger of two leases":   func(h *leaseHolder, g *Grant) { g.Parts = maxLease(h.parts, g.Parts) },
 		"a lease that others have":   func(_ *leaseHolder, g *Grant) { g.Parts = []Part{{0, 5e8}} },
 	} {
 		found := false
--- a/internal/node/quota/lease/machine.go
+++ b/internal/node/quota/lease/machine.go
@@ -102,14 +102,14 @@
 		}
 	}
 	for id, e := range m.members {
-		e.Demand, e.Active, e.Granted = nil, moveParts(e.Active, oldShape.names, index), moveParts(e.Granted, oldShape.names, index)
+		e.Demand, e.Active, e.Granted = nil, moveLease(e.Active, oldShape.names, index), moveLease(e.Granted, oldShape.names, index)
 		m.members[id] = e
 	}
 	return nil
 }
 
-// moveParts returns the parts of a lease at the indexes that their nodes have in another tree, sorted.
-func moveParts(parts []Part, names []string, index map[string]int) []Part {
+// moveLease returns the parts of a lease at the indexes that their nodes have in another tree, sorted.
+func moveLease(parts []Part, names []string, index map[string]int) []Part {
 	sums := map[int]Load{}
 	for _, p := range parts {
 		sums[index[names[p.At]]] += p.Load // index 0, the root, where no node has the name
@@ -155,7 +155,7 @@
 }
 
 // reserved returns what the member may be using.
-func (e *member) reserved() []Part { return maxParts(e.Active, e.Granted) }
+func (e *member) reserved() []Part { return maxLease(e.Active, e.Granted) }
 
 // setMember adds or replaces a member. It and removeMember keep leased and nextExpiry up to date, so that a report does not cost a
 // look at every other member.
@@ -214,9 +214,9 @@
 	}
 }
 
-// maxParts returns what of two leases may be in use, by node: the larger part of each. Both are sorted, and so is the
+// maxLease returns what of two leases may be in use, by node: the larger part of each. Both are sorted, and so is the
 // result.
-func maxParts(a, b []Part) []Part {
+func maxLease(a, b []Part) []Part {
 	out := make([]Part, 0, len(a)+len(b))
 	for len(a) > 0 || len(b) > 0 {
 		switch {
--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -47,7 +47,7 @@
 	wake        chan struct{}
 
 	// Used by Run alone.
-	held        uint64
+	number      uint64
 	foreignTree string // hash of the last other tree in force that was logged
 	renewed     bool
 }
@@ -161,7 +161,7 @@
 	l, reportedAt := s.leases, s.clock.Now()
 	s.expireLease(reportedAt)
 	config, treeHash := l.config, l.treeHash
-	r := lease.Report{Node: config.Node, Life: l.life, Tree: treeHash, Length: config.Length, Holds: l.held, Asked: l.demand.Take(reportedAt)}
+	r := lease.Report{Node: config.Node, Life: l.life, Tree: treeHash, Length: config.Length, Holds: l.number, Asked: l.demand.Take(reportedAt)}
 	s.mu.Unlock()
 	pause = min(maxReportInterval, config.Length/reportsPerLease)
 	ctx, stop := context.WithTimeout(ctx, time.Duration(config.Length*1e6))
@@ -203,7 +203,7 @@
 func (s *Stage) useGrant(g lease.Grant, until float64) {
 	l := s.leases
 	parts := make([]quota.Leased, 0, len(g.Parts))
-	l.held, l.until, l.leasedNodes, l.load = g.Number, until, map[int]bool{}, 0
+	l.number, l.until, l.leasedNodes, l.load = g.Number, until, map[int]bool{}, 0
 	for _, p := range g.Parts {
 		if p.At >= 0 && p.At < s.tree.Nodes() && p.Load > 0 && !math.IsInf(p.Load.Of(), 1) {
 			parts = append(parts, quota.Leased{At: p.At, Load: p.Load.Of()})
