--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -58,20 +58,24 @@
 		r.Segments = append(r.Segments, s)
 	}
 	for _, e := range entries {
-		switch {
-		case e.Running:
-			r.Names["running"]++
-		case e.outcome == idempotency.EndServed:
-			r.Names["answered"]++
-		case e.outcome == idempotency.EndInDoubt:
-			r.Names["in doubt"]++
-		default:
-			r.Names["not run"]++
-		}
+		r.Names[e.describe()]++
 	}
 	return r, nil
 }
 
+// describe returns the outcome of an entry as Report has it.
+func (e *entry) describe() string {
+	switch {
+	case e.Running:
+		return "running"
+	case e.outcome == idempotency.EndServed:
+		return "answered"
+	case e.outcome == idempotency.EndInDoubt:
+		return "in doubt"
+	}
+	return "not run"
+}
+
 // readHeader returns the header of a segment; false if it cannot be decoded.
 func readHeader(text []byte) (h header, ok bool) {
 	_, _ = segmentForm.Read(text, func(content []byte) error { // readSegment reports what is damaged
--- a/internal/node/quota/lease/lease.go
+++ b/internal/node/quota/lease/lease.go
@@ -49,6 +49,12 @@
 	loadUnits    = 1e9 // units of a Load of 1
 )
 
+// The errors of a machine. ErrOlder says that a tree was rejected because another one is in force.
+var (
+	ErrOlder     = errors.New("the fleet goes by another tree of quotas")
+	errOtherTree = errors.New("its accounts are of another tree") // of an image
+)
+
 // Load is a fraction of all that the root can do in a second, in units of 1/loadUnits: an integer, so that sums are
 // exact.
 type Load int64
@@ -74,8 +80,8 @@
 	Leaves bool    `json:"leaves"` // it gives its lease back
 }
 
-// check returns an error if a report is out of bounds, for a tree with so many nodes.
-func (r *Report) check(places int) error {
+// check returns an error if a report is out of bounds, for a tree with that many nodes.
+func (r *Report) check(nodes int) error {
 	if r.Node == "" || len(r.Node) > maxNameBytes || !(r.Length >= Least && r.Length <= Most) && !r.Leaves {
 		return fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", maxNameBytes, Least, Most)
 	}
@@ -84,7 +90,7 @@
 	}
 	last := -1
 	for _, a := range r.Asked {
-		if a.At <= last || a.At >= places || !(a.Want >= 0 && a.Want <= maxLoad && a.Used >= 0 && a.Used <= maxLoad) {
+		if a.At <= last || a.At >= nodes || !(a.Want >= 0 && a.Want <= maxLoad && a.Used >= 0 && a.Used <= maxLoad) {
 			return fmt.Errorf("place %d: places in their order, with loads of 0 to %g", a.At, maxLoad)
 		}
 		last = a.At
@@ -105,6 +111,3 @@
 	Parts  []Part  `json:"parts,omitempty"`
 	Tree   string  `json:"tree"` // hash of the tree in force; empty = none yet
 }
-
-// ErrOlder says that a tree was rejected because another one is in force.
-var ErrOlder = errors.New("the fleet goes by another tree of quotas")
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -69,7 +69,7 @@
 			m = other
 		}
 		h.report.Tree, h.report.Asked = m.hash, nil
-		for at := range m.shape.places() {
+		for at := range m.shape.memberNodes() {
 			if rapid.Bool().Draw(rt, "asks") {
 				h.report.Asked = append(h.report.Asked, Asked{at, rapid.Float64Range(0, 3).Draw(rt, "want"), rapid.Float64Range(0, 1).Draw(rt, "used")})
 			}
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	for i, name := range m.shape.names[:m.shape.places()] {
+	for i, name := range m.shape.names[:m.shape.memberNodes()] {
 		if most := t.Leased * m.shape.limit[i]; i == 0 && sums[i].Of() > t.Leased || sums[i].Of() > most && !math.IsInf(most, 1) {
 			return fmt.Sprintf("%q: %g leased", name, sums[i].Of())
 		}
--- a/internal/node/quota/lease/machine.go
+++ b/internal/node/quota/lease/machine.go
@@ -82,7 +82,7 @@
 	m.tree, m.hash, m.shape, m.accounts = &t, t.Hash(), s, make([]account, len(s.names))
 	m.dividedAt = now - divideInterval
 	index := map[string]int{}
-	for i, name := range s.names[:s.places()] {
+	for i, name := range s.names[:s.memberNodes()] {
 		index[name] = i
 		m.accounts[i].Long = s.longLimit[i] * t.Set.LongWindow
 	}
@@ -95,7 +95,7 @@
 	if oldShape == nil {
 		return nil
 	}
-	for i, name := range oldShape.names[:oldShape.places()] {
+	for i, name := range oldShape.names[:oldShape.memberNodes()] {
 		if to, ok := index[name]; ok {
 			m.accounts[to].Credit, m.accounts[to].Debt = oldAccounts[i].Credit, min(oldAccounts[i].Debt, m.maxDebt(to))
 			m.accounts[to].Long = min(m.accounts[to].Long, oldAccounts[i].Long)
@@ -133,7 +133,7 @@
 	if m.tree == nil || r.Tree != m.hash { // its lease expires
 		return Grant{Tree: m.hash}, nil
 	}
-	if err := r.check(m.shape.places()); err != nil {
+	if err := r.check(m.shape.memberNodes()); err != nil {
 		return Grant{}, err
 	}
 	e, known := m.members[id]
--- a/internal/node/quota/lease/snapshot.go
+++ b/internal/node/quota/lease/snapshot.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"maps"
 	"slices"
 )
@@ -38,7 +37,7 @@
 			sums[p.At] += p.Load
 		}
 	}
-	for i, name := range m.shape.names[:m.shape.places()] {
+	for i, name := range m.shape.names[:m.shape.memberNodes()] {
 		a := m.accounts[i]
 		if a.Due = m.accounts[m.shape.leafOf[i]].Due; a.Due > 0 || sums[i] > 0 || a.Credit > 0 || a.Debt > 0 {
 			v.Held = append(v.Held, Held{name, a.Due, sums[i].Of(), a.Credit, a.Debt})
@@ -77,7 +76,7 @@
 			return err
 		}
 		if len(i.Accounts) != len(fresh.accounts) {
-			return errors.New("its accounts are of another tree")
+			return errOtherTree
 		}
 		fresh.accounts = i.Accounts
 	}
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -89,8 +89,8 @@
 	return s, nil
 }
 
-// places returns the number of nodes that members know; behind them are the added leaves.
-func (s *shape) places() int {
+// memberNodes returns the number of nodes that members know; behind them are the added leaves.
+func (s *shape) memberNodes() int {
 	for i, name := range s.names {
 		if i > 0 && name == "" {
 			return i
