--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -10,46 +10,42 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// Segment describes one file of a journal.
+// Segment describes one file of a journal, for an operator.
 type Segment struct {
 	Name        string  `json:"name"`
 	Bytes       int     `json:"bytes"`
 	Records     int     `json:"records"`
 	First, Last float64 // ms since the Unix epoch; 0 without records
-	Damaged     string  `json:"damaged,omitempty"` // what is wrong and where
+	Damaged     string  `json:"damaged,omitempty"` // what is wrong and where; empty = nothing
 }
 
-// Report describes a journal without the settings that wrote it.
+// Report describes a journal as its files do, without the settings that wrote it.
 type Report struct {
 	Segments []Segment      `json:"segments"`
 	Classes  []string       `json:"classes"` // of all segments
 	Tenants  []string       `json:"tenants"`
-	Names    map[string]int `json:"names"` // how many are running, answered, in doubt, or did not run
+	Names    map[string]int `json:"names"` // number of keys by outcome: "running", "answered", "in doubt", "not run"
 }
 
-// Inspect reads a folder without changing it.
+// Inspect reads a directory without changing it. Damage is reported in its Segment; the error is of a file that cannot be read.
 func Inspect(f wal.Folder) (r Report, err error) {
-	names, err := f.List()
+	names, err := segmentNames(f)
 	if err != nil {
-		return r, fmt.Errorf("reading the journal: %w", err)
+		return r, err
 	}
-	slices.Sort(names)
-	know := map[idempotency.Name]*entry{}
+	entries := map[idempotency.Name]*entry{}
 	r.Names = map[string]int{}
 	for _, name := range names {
-		if _, ok := form.Number(name); !ok {
-			continue
-		}
 		text, err := f.Read(name)
 		if err != nil {
 			return r, fmt.Errorf("reading %s: %w", name, err)
 		}
 		s := Segment{Name: name, Bytes: len(text)}
-		if h, ok := headerOf(text); ok {
+		if h, ok := readHeader(text); ok {
 			r.Classes, r.Tenants = union(r.Classes, h.Classes), union(r.Tenants, h.Tenants)
 		}
 		set := Settings{Classes: r.Classes, Tenants: r.Tenants}
-		offset, err := readSegment(text, set, know, func(rec record) {
+		offset, err := readSegment(text, set, entries, func(rec record) {
 			if s.Records == 0 {
 				s.First = rec.at
 			}
@@ -61,29 +57,35 @@
 		}
 		r.Segments = append(r.Segments, s)
 	}
-	for _, e := range know {
-		switch {
-		case e.Running:
-			r.Names["running"]++
-		case e.how == idempotency.EndServed:
-			r.Names["answered"]++
-		case e.how == idempotency.EndInDoubt:
-			r.Names["in doubt"]++
-		default:
-			r.Names["not run"]++
-		}
+	for _, e := range entries {
+		r.Names[e.describe()]++
 	}
 	return r, nil
 }
 
-func headerOf(text []byte) (h header, ok bool) {
-	_, _ = form.Read(text, func(content []byte) error { // what is damaged is told by readSegment
+// describe returns the outcome of an entry as Report has it.
+func (e *entry) describe() string {
+	switch {
+	case e.Running:
+		return "running"
+	case e.outcome == idempotency.EndServed:
+		return "answered"
+	case e.outcome == idempotency.EndInDoubt:
+		return "in doubt"
+	}
+	return "not run"
+}
+
+// readHeader returns the header of a segment; false if it cannot be decoded.
+func readHeader(text []byte) (h header, ok bool) {
+	_, _ = segmentForm.Read(text, func(content []byte) error { // readSegment reports what is damaged
 		ok = json.Unmarshal(content, &h) == nil
-		return ErrVersion // the records are not wanted
+		return ErrVersion // stops before the records
 	}, nil)
 	return h, ok
 }
 
+// union returns a with the names of b that it lacks.
 func union(a, b []string) []string {
 	for _, name := range b {
 		if !slices.Contains(a, name) {
@@ -93,8 +95,8 @@
 	return a
 }
 
-// Compact writes what is of use at a time into one new segment and removes the others. Nothing may have the folder open.
-// A damaged segment stays, so that a person can look at it.
+// Compact writes the entries that are of use at a time into one new segment, syncs it, and removes the others; it returns the
+// number of entries. No process may have the directory open. A damaged segment stays for an operator to look at.
 func Compact(f wal.Folder, keep, now float64) (kept int, err error) {
 	r, err := Inspect(f)
 	if err != nil {
@@ -111,12 +113,12 @@
 		if k.Body != nil {
 			body = k.Body.([]byte)
 		}
-		how := idempotency.EndInDoubt
+		outcome := idempotency.EndInDoubt
 		if k.Served {
-			how = idempotency.EndServed
+			outcome = idempotency.EndServed
 		}
 		if last, err = j.Began(at, k.Call); err == nil && !k.Running {
-			last, err = j.Ended(at, k.Call, how, body)
+			last, err = j.Ended(at, k.Call, outcome, body)
 		}
 		if err != nil {
 			return 0, err
--- /dev/null
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -0,0 +1,226 @@
+// Package middleware recognises repeats of calls: it is the half of package idempotency that has a lock, a clock, a
+// journal and calls that wait.
+//
+// The first call of a key runs as a copy of its own, which is cancelled only when no client waits for it any more.
+// Each repeat that arrives meanwhile waits for that run until its own deadline or until its own client leaves. All of
+// them get the one answer.
+//
+// What must be known before a call runs is on the disk (Class.Recorded), agreed by the replicas (Class.Agreed) or
+// claimed from the successor of a hot restart before the handler is called. The outcome is reported to all of them
+// before any client gets its answer.
+package middleware
+
+import (
+	"log/slog"
+	"sync"
+	"sync/atomic"
+
+	"linenwheel.dev/linenwheel/internal/clock"
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+	"linenwheel.dev/linenwheel/internal/node/idempotency/journal"
+)
+
+// Class says how the calls of one class are treated.
+type Class struct {
+	On       bool
+	By       Naming
+	Required bool // a call without a key is rejected as invalid; else it runs unrecognised
+	Recorded bool // a call runs only once the disk has its beginning, and is rejected where the disk fails
+	Agreed   bool // a call runs only once the replicas have agreed on its claim
+	// Windows are those under which its calls claim their keys, nil = those of Settings.Book.
+	Windows *idempotency.Windows
+}
+
+// Settings describe the middleware.
+type Settings struct {
+	Classes []Class // by number
+	Book    idempotency.Settings
+	Secret  []byte // of the hash of keys; the same before and after a restart where there is a journal
+	Content func(payload any) core.Content
+	Journal *journal.Journal    // nil = none
+	Fleet   Fleet               // nil = keys are this node's alone
+	Longest float64             // ms that a run may take, here or on another node
+	Known   []idempotency.Known // the entries at the start; their bodies are encoded as Decode reads them
+	Wall    func() float64      // wall clock for the journal, ms since the Unix epoch
+	// Encode and Decode turn the payload of a served answer into bytes and back; nil is not kept.
+	Encode func(payload any) []byte
+	Decode func(text []byte) any
+}
+
+// The reasons of rejections and failures; they are counted by these texts.
+const (
+	ReasonUnnamed    = "the request lacks what names it"
+	ReasonMismatch   = "the name of another request was used"
+	ReasonDoubt      = "an earlier request of this name may have run"
+	ReasonSpent      = "an earlier request of this name has run and its answer is no longer kept"
+	ReasonFull       = "no room to recognise repeats"
+	ReasonUnrecorded = "the request could not be recorded"
+	ReasonNoMajority = "no majority of the fleet can be asked whether it has run"
+	ReasonNoHandover = "what runs in the process before is not known"
+	ReasonHeirGone   = "the process that has taken over cannot be asked whether it has run"
+	ReasonWaited     = "an earlier request of this name was not answered in time"
+)
+
+// Stage is the middleware. All of its methods may be called from any goroutine, unless they say otherwise.
+type Stage struct {
+	config  Settings
+	clock   clock.Clock
+	log     *slog.Logger
+	hasher  *keyHasher
+	classes atomic.Pointer[classTable] // a call reads it once
+
+	mu        sync.Mutex
+	table     *idempotency.Book
+	runs      map[idempotency.Ref]*run
+	successor Fleet // the process that has the table after a transfer; nil = the table is here
+
+	predecessor *predecessor // nil = there is none that transfers its table; set before the first call
+}
+
+// New returns the middleware. The error is an *idempotency.FieldError.
+func New(set Settings, c clock.Clock, log *slog.Logger) (*Stage, error) {
+	book, err := idempotency.New(set.Book)
+	if err != nil {
+		return nil, err
+	}
+	s := &Stage{config: set, clock: c, log: log, hasher: newKeyHasher(set.Secret), table: book, runs: map[idempotency.Ref]*run{}}
+	s.classes.Store(newClassTable(&set))
+	lost := 0
+	for _, k := range set.Known {
+		if !s.restore(k) {
+			lost++
+		}
+	}
+	if len(set.Known) > 0 {
+		log.Info("repeats from before the start are known", "names", len(set.Known)-lost)
+	}
+	if lost > 0 {
+		log.Error("there is no room for repeats from before the start", "names", lost)
+	}
+	return s, nil
+}
+
+// restore adds an entry whose body is still encoded to the table, and reports whether there was capacity.
+func (s *Stage) restore(k idempotency.Known) bool {
+	if text, ok := k.Body.([]byte); ok {
+		k.Body, k.Size = nil, 0
+		if payload := s.config.Decode(text); payload != nil {
+			k.Body, k.Size = payload, s.config.Content(payload).Size()
+		}
+	}
+	return s.table.Restore(s.clock.Now(), k)
+}
+
+// Counts returns what the table holds and has decided.
+func (s *Stage) Counts() idempotency.Counts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.Counts()
+}
+
+// Wrap is the core.Stage.
+func (s *Stage) Wrap(next core.Handler) core.Handler {
+	return func(call *core.Call) core.Answer {
+		t := s.classes.Load()
+		if !t.inUse { // the first call, and Settle has not been called yet
+			t = s.markInUse()
+		}
+		class := &t.classes[call.Class]
+		if !class.On && s.clock.Now() >= class.knownUntil {
+			return next(call)
+		}
+		if s.predecessor != nil && !s.predecessor.wait(s, call) {
+			if !s.config.Book.Classes[call.Class].Once {
+				return next(call)
+			}
+			return core.Refuse(core.Busy, ReasonNoHandover, 0)
+		}
+		key, fingerprint, ok := s.hasher.sum(&class.By, call, s.config.Content(call.Payload))
+		switch {
+		case !ok && class.Required && class.On:
+			return core.Fail(core.Invalid, ReasonUnnamed)
+		case !ok:
+			return next(call)
+		}
+		return s.serve(call, next, class, idempotency.Call{Name: key, Print: fingerprint, Class: call.Class, Tenant: call.Tenant,
+			Windows: class.Windows})
+	}
+}
+
+// serve does what the table decides on a call.
+func (s *Stage) serve(call *core.Call, next core.Handler, class *classState, c idempotency.Call) core.Answer {
+	for {
+		s.mu.Lock()
+		if !class.On && s.successor == nil && !s.holds(c.Name) { // its keys are known until they expire, and no more are claimed
+			s.mu.Unlock()
+			if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
+				_, _, a := s.remoteAnswer(t)
+				return a
+			}
+			return next(call)
+		}
+		d, r := s.decide(call, c)
+		s.mu.Unlock()
+		switch d.Verdict {
+		case idempotency.Run:
+			call.OnLeave(func() { s.removeWaiter(r) })
+			s.execute(r, d.Ref, next, class, c)
+			if call.HasLeft() {
+				return core.Answer{Kind: core.Left}
+			}
+			return r.answer
+		case idempotency.Join:
+			if a, retry := s.await(call, r); !retry {
+				return a
+			}
+		case idempotency.Replay:
+			return core.Answer{Kind: core.Served, Payload: d.Body}
+		case idempotency.Pass:
+			return next(call)
+		default:
+			return rejection(d.Verdict, d.Wait)
+		}
+	}
+}
+
+// holds reports whether the table has a key. It is called under the lock.
+func (s *Stage) holds(key idempotency.Name) bool {
+	s.table.Tick(s.clock.Now())
+	_, known := s.table.ClassOf(key)
+	return known
+}
+
+// decide has the table decide on a call, and returns the run that the call begins or joins, nil for none. It is called under the
+// lock.
+func (s *Stage) decide(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
+	d = s.table.Ask(s.clock.Now(), c)
+	switch d.Verdict {
+	case idempotency.Run:
+		r = &run{call: call.Fork(), waiters: 1, successor: s.successor, finished: make(chan struct{})}
+		s.runs[d.Ref] = r
+	case idempotency.Join:
+		r = s.runs[d.Ref]
+		r.waiters++
+	}
+	return d, r
+}
+
+// rejection returns the answer to a call that neither runs nor is answered by another run. wait is in milliseconds.
+func rejection(v idempotency.Verdict, wait float64) core.Answer {
+	switch v {
+	case idempotency.Spent:
+		return core.Fail(core.Known, ReasonSpent)
+	case idempotency.Doubt:
+		return core.Fail(core.Known, ReasonDoubt)
+	case idempotency.Mismatch:
+		return core.Fail(core.Mismatch, ReasonMismatch)
+	}
+	return core.Refuse(core.Busy, ReasonFull, wait)
+}
+
+// expired returns a channel that is closed at a deadline, in milliseconds of the clock, unless stop is called before.
+func (s *Stage) expired(deadline float64) (passed <-chan struct{}, stop func()) {
+	c := make(chan struct{})
+	return c, s.clock.At(deadline, func() { close(c) })
+}
--- /dev/null
+++ b/internal/node/idempotency/middleware/transfer.go
@@ -0,0 +1,219 @@
+package middleware
+
+import (
+	"sync/atomic"
+
+	"linenwheel.dev/linenwheel/internal/node/core"
+	"linenwheel.dev/linenwheel/internal/node/idempotency"
+)
+
+// predecessor is the process that this one replaces in a hot restart: it transfers its table, still runs some calls,
+// and claims each new key here.
+type predecessor struct {
+	ready    chan struct{} // closed when the table is here, or will never be
+	withheld atomic.Bool   // it will never be, and the predecessor goes on; set before ready is closed
+
+	// Under the lock of the middleware.
+	lost bool // the channel to it is broken: what it runs may have executed
+	runs map[idempotency.Name]remoteRun
+}
+
+// remoteRun is a run in the predecessor.
+type remoteRun struct {
+	ref idempotency.Ref
+	run *run
+}
+
+// wait blocks a call until the table has been transferred, its deadline passes or its client leaves. It returns false
+// if it is not known, and will not be, whether the call has run.
+func (p *predecessor) wait(s *Stage, call *core.Call) bool {
+	select {
+	case <-p.ready:
+		return !p.withheld.Load()
+	default:
+	}
+	expired, stop := s.expired(call.Deadline)
+	defer stop()
+	select {
+	case <-p.ready:
+		return !p.withheld.Load()
+	case <-call.Left():
+	case <-expired:
+	}
+	return false
+}
+
+// Secret returns the secret of the hash of keys.
+func (s *Stage) Secret() []byte { return s.config.Secret }
+
+// Once reports whether calls of a class must never run twice.
+func (s *Stage) Once(class int) bool { return s.config.Book.Classes[class].Once }
+
+// Give transfers the table, once and for good: from here on each new key is claimed from the successor, and the
+// outcome of each run is reported to it. The entries are encoded as Settings.Known has them.
+func (s *Stage) Give(successor Fleet) []idempotency.Known {
+	s.mu.Lock()
+	s.successor = successor
+	s.table.Tick(s.clock.Now())
+	entries := s.table.Image()
+	s.mu.Unlock()
+	for i := range entries {
+		if k := &entries[i]; k.Body != nil {
+			text := s.config.Encode(k.Body)
+			if k.Body, k.Size = nil, 0; text != nil {
+				k.Body, k.Size = text, len(text)
+			}
+		}
+	}
+	return entries
+}
+
+// Await makes calls wait until Inherit or Lost. It is called before the first call arrives.
+func (s *Stage) Await() {
+	s.predecessor = &predecessor{ready: make(chan struct{}), runs: map[idempotency.Name]remoteRun{}}
+}
+
+// Inherit takes the table that the predecessor has transferred, after Await and before Take. The secret is the one
+// under which its keys are hashed.
+func (s *Stage) Inherit(secret []byte, entries []idempotency.Known) {
+	s.config.Secret, s.hasher = secret, newKeyHasher(secret) // nobody reads them before ready is closed
+	s.mu.Lock()
+	running, lost := 0, 0
+	for _, k := range entries {
+		if !k.Running {
+			if !s.restore(k) {
+				lost++
+			}
+			continue
+		}
+		ref, ok := s.table.Resume(s.clock.Now(), k.Call)
+		if !ok {
+			lost++
+			continue
+		}
+		s.addRemoteRun(k.Name, ref)
+		running++
+	}
+	s.mu.Unlock()
+	s.log.Info("the names of the process before are known", "names", len(entries)-lost, "running", running)
+	if lost > 0 {
+		s.log.Error("there is no room for repeats from before the start", "names", lost)
+	}
+	close(s.predecessor.ready)
+}
+
+// addRemoteRun adds a run of the predecessor. It is called under the lock.
+func (s *Stage) addRemoteRun(key idempotency.Name, ref idempotency.Ref) {
+	r := &run{waiters: 1, finished: make(chan struct{})}
+	s.runs[ref], s.predecessor.runs[key] = r, remoteRun{ref, r}
+}
+
+// Take implements Fleet for the predecessor.
+func (s *Stage) Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
+	expired, stop := s.expired(deadline)
+	defer stop()
+	for {
+		s.mu.Lock()
+		if s.predecessor.lost {
+			s.mu.Unlock()
+			return Taken{Verdict: idempotency.Full, Reason: ReasonHeirGone}
+		}
+		d := s.table.Ask(s.clock.Now(), c)
+		var r *run
+		switch d.Verdict {
+		case idempotency.Run:
+			s.addRemoteRun(c.Name, d.Ref)
+		case idempotency.Join:
+			r = s.runs[d.Ref]
+			r.waiters++ // it is not cancelled while they wait
+		}
+		s.mu.Unlock()
+		if d.Verdict != idempotency.Join {
+			return s.claimResult(d)
+		}
+		select {
+		case <-r.finished: // its outcome is in the table: ask again
+			s.mu.Lock()
+			r.waiters--
+			s.mu.Unlock()
+			continue
+		case <-expired:
+		case <-left:
+		}
+		s.removeWaiter(r)
+		return Taken{Verdict: idempotency.Join}
+	}
+}
+
+// claimResult returns a decision of the table as the predecessor gets it. A response that is not encoded is not known there.
+func (s *Stage) claimResult(d idempotency.Decision) Taken {
+	t := Taken{Verdict: d.Verdict, Wait: d.Wait}
+	if d.Body != nil {
+		if t.Body = s.config.Encode(d.Body); t.Body == nil {
+			t.Verdict = idempotency.Spent
+		}
+	}
+	return t
+}
+
+// Ended implements Fleet for the predecessor.
+func (s *Stage) Ended(c idempotency.Call, _ Taken, outcome idempotency.End, body []byte) {
+	payload, size := any(nil), 0
+	a := core.Answer{Kind: core.Left} // it did not run: one of the waiters may be the next
+	switch outcome {
+	case idempotency.EndServed:
+		a = core.Fail(core.Known, ReasonSpent)
+		if len(body) > 0 {
+			payload = s.config.Decode(body)
+		}
+		if payload != nil {
+			a, size = core.Answer{Kind: core.Served, Payload: payload}, s.config.Content(payload).Size()
+		} else {
+			size = s.config.Book.Bytes + 1 // too large to be kept: only known to have executed
+		}
+	case idempotency.EndInDoubt:
+		a = core.Fail(core.Known, ReasonDoubt)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if t, ok := s.predecessor.runs[c.Name]; ok {
+		s.endRemoteRun(c.Name, t, outcome, a, payload, size)
+	}
+}
+
+// endRemoteRun ends a run of the predecessor. It is called under the lock.
+func (s *Stage) endRemoteRun(key idempotency.Name, t remoteRun, outcome idempotency.End, a core.Answer, body any, size int) {
+	delete(s.predecessor.runs, key)
+	s.table.End(s.clock.Now(), t.ref, outcome, body, size)
+	delete(s.runs, t.ref)
+	t.run.answer = a
+	close(t.run.finished)
+}
+
+// Lost says that the channel to the predecessor is broken: what it was still running may have executed. alive says
+// whether it goes on. If it does and has not transferred its table, the keys remain its own: calls that must not run
+// twice are rejected here.
+func (s *Stage) Lost(alive bool) {
+	s.mu.Lock()
+	s.predecessor.lost = true
+	left := len(s.predecessor.runs)
+	for key, t := range s.predecessor.runs {
+		s.endRemoteRun(key, t, idempotency.EndInDoubt, core.Fail(core.Known, ReasonDoubt), nil, 0)
+	}
+	s.mu.Unlock()
+	if left > 0 {
+		s.log.Warn("the process before ended some requests unheard: they may have run", "names", left)
+	}
+	select {
+	case <-s.predecessor.ready:
+		return
+	default:
+	}
+	if alive {
+		s.log.Error("the process before goes on and has kept its names: what must not run twice is refused here")
+	} else {
+		s.log.Warn("the process before has ended without handing over its names: repeats of its requests are not known")
+	}
+	s.predecessor.withheld.Store(alive)
+	close(s.predecessor.ready)
+}
--- a/internal/node/quota/lease/demand.go
+++ b/internal/node/quota/lease/demand.go
@@ -7,62 +7,67 @@
 )
 
 const (
-	steady  = 4000.0 // ms over which what is asked for is smoothed at the least;
-	enough  = 30.0   // where it is little, over the time of so many calls,
-	longest = 30000.0
-	sudden  = 2.0  // times what it was, and some calls more, at which it counts at once
-	few     = 4.0  // calls
-	forgets = 0.01 // calls a second below which a place is forgotten
+	minSmoothing   = 4000.0  // ms over which a rate is smoothed, at least
+	maxSmoothing   = 30000.0 // ms, at most
+	smoothingCalls = 30.0    // between them, over the time of so many calls
+	jumpFactor     = 2.0     // a rate that grows by this factor and by jumpCalls counts at once
+	jumpCalls      = 4.0     // per second
+	forgetRate     = 0.01    // calls per second below which a node is forgotten
 )
 
-// Demand is what one member is asked for and lets through. It is pure, like the machine.
+// Demand measures what is requested of one member and what it admits. It is pure, like the machine, and not safe for
+// concurrent use.
 type Demand struct {
-	unit  float64 // load of one call
-	since float64 // ms
-	seen  map[int]*seen
+	callLoad     float64 // load of one call
+	measuredFrom float64 // ms
+	nodes        map[int]*nodeDemand
 }
 
-type seen struct{ asked, let, rate, age float64 }
+// nodeDemand is the demand of one node of the tree, in loads since the last Take; rate is smoothed, per second, over
+// age ms.
+type nodeDemand struct{ requested, admitted, rate, age float64 }
 
-// NewDemand begins at a time; unit is the load of one call.
-func NewDemand(now, unit float64) *Demand { return &Demand{unit, now, map[int]*seen{}} }
+// NewDemand begins to measure at a time, in ms; unit is the load of one call.
+func NewDemand(now, unit float64) *Demand { return &Demand{unit, now, map[int]*nodeDemand{}} }
 
-func (d *Demand) of(at int) *seen {
-	s := d.seen[at]
+// node returns the demand of a node, which it adds if there is none.
+func (d *Demand) node(at int) *nodeDemand {
+	s := d.nodes[at]
 	if s == nil {
-		s = &seen{}
-		d.seen[at] = s
+		s = &nodeDemand{}
+		d.nodes[at] = s
 	}
 	return s
 }
 
-// Ask notes a call of a place.
-func (d *Demand) Ask(at int, load float64) { d.of(at).asked += load }
+// Ask records that a call of a node has arrived.
+func (d *Demand) Ask(at int, load float64) { d.node(at).requested += load }
 
-// Let notes that a call goes on, or with less than 0 that one did not run.
-func (d *Demand) Let(at int, load float64) { d.of(at).let += load }
+// Let records that a call was admitted, or, with a negative load, that an admitted one did not run.
+func (d *Demand) Let(at int, load float64) { d.node(at).admitted += load }
 
-// Take gives what there was since the last time, the largest places, in their order. Nothing new comes within a ms.
+// Take returns the demand since the last time, of the MostAsked nodes with the most, sorted by node. It returns none
+// within a millisecond of the last time.
 func (d *Demand) Take(now float64) []Asked {
-	span := now - d.since
+	span := now - d.measuredFrom
 	out := []Asked{}
 	if span < 1 {
 		return out
 	}
-	d.since = now
-	for at, s := range d.seen {
-		rate := s.asked / span * 1000
+	d.measuredFrom = now
+	for at, s := range d.nodes {
+		rate := s.requested / span * 1000
 		s.age += span
-		over := min(longest, max(steady, enough*d.unit/max(s.rate, 1e-12)*1000))
-		k := max(1-math.Exp(-span/over), span/s.age) // a mean, as long as there is little of it
-		if rate > sudden*s.rate+few*d.unit*1000/max(span, 1000) {
+		over := min(maxSmoothing, max(minSmoothing, smoothingCalls*d.callLoad/max(s.rate, 1e-12)*1000))
+		k := max(1-math.Exp(-span/over), span/s.age) // the mean, while there is little to smooth
+		if rate > jumpFactor*s.rate+jumpCalls*d.callLoad*1000/max(span, 1000) {
 			s.rate = rate
 		} else {
 			s.rate += k * (rate - s.rate)
 		}
-		a := Asked{at, min(mostLoad, s.rate), min(mostLoad, max(0, s.let/span*1000))}
-		if s.asked, s.let = 0, 0; s.rate < forgets*d.unit && a.Used == 0 {
-			delete(d.seen, at)
+		a := Asked{at, min(maxLoad, s.rate), min(maxLoad, max(0, s.admitted/span*1000))}
+		if s.requested, s.admitted = 0, 0; s.rate < forgetRate*d.callLoad && a.Used == 0 {
+			delete(d.nodes, at)
 			continue
 		}
 		out = append(out, a)
