--- a/internal/node/shutdown/driver/gate.go
+++ b/internal/node/shutdown/driver/gate.go
@@ -39,8 +39,8 @@
 }
 
 // New makes the gate of a node that serves; see stop.New for usual.
-func New(usual []float64, drain drain.Times, c clock.Clock) *Gate {
-	return &Gate{clock: c, drain: drain, machine: shutdown.New(usual), ended: make(chan struct{}), timer: func() {}}
+func New(usual []float64, drainTimes drain.Times, c clock.Clock) *Gate {
+	return &Gate{clock: c, drain: drainTimes, machine: shutdown.New(usual), ended: make(chan struct{}), timer: func() {}}
 }
 
 // Hook sets who carries out orders, before the first signal.
