--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -152,7 +152,7 @@
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
 	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Want: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
-	require.NoError(t, now.Change(ctx, protocol.Learn, fresh))
+	require.NoError(t, now.Change(ctx, protocol.AddLearner, fresh))
 	for ctx.Err() == nil && ask("new", "b", protocol.Request{Want: protocol.Status}).Applied == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -278,7 +278,7 @@
 
 // enrol has a member learn and then vote, in place of another or as one more.
 func (s *shell) enrol(ctx context.Context, f *fleet, m statemachine.Member) error {
-	if err := f.log.Change(ctx, protocol.Learn, m); err != nil {
+	if err := f.log.Change(ctx, protocol.AddLearner, m); err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
 	return s.settled(ctx, f, func(lead *protocol.State) (string, bool) {
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -76,7 +76,7 @@
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "a", Address: address}}, AttemptTimeout: lookEvery * 20})
 	defer log.Close()
 	say := func(r rollout.Report) {
-		r.Node, r.Life, r.Holds, r.Lease, r.GoesOn = "n", 1, 4, rollout.MaxLease, true // it does not go, however slow this machine is
+		r.Node, r.Life, r.InForce, r.Lease, r.GoesOn = "n", 1, 4, rollout.MaxLease, true // it does not go, however slow this machine is
 		_, err := log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &r})
 		require.NoError(t, err)
 	}
--- a/internal/fleet/controlplane/forwarder.go
+++ b/internal/fleet/controlplane/forwarder.go
@@ -74,7 +74,7 @@
 }
 
 // Relay applies events that another control process forwards.
-func (s *distributionService) Relay(request *distribution.RelayRequest, _ *struct{}) error {
+func (s *distributionService) Relay(request *distribution.ForwardRequest, _ *struct{}) error {
 	for i := range request.Announcements {
 		if err := s.node.applyEvents(&request.Announcements[i]); err != nil {
 			return err
@@ -87,11 +87,11 @@
 func (n *Node) forwardTo(address string) {
 	for {
 		time.Sleep(forwardDelay)
-		request := distribution.RelayRequest{Announcements: n.forwarder.drain(address)}
+		request := distribution.ForwardRequest{Announcements: n.forwarder.drain(address)}
 		if len(request.Announcements) == 0 {
 			return
 		}
 		var none struct{}
-		_ = n.pool.Call(address, distribution.MethodRelay, &request, &none, forwardTimeout) // not repeated: see enqueue
+		_ = n.pool.Call(address, distribution.MethodForward, &request, &none, forwardTimeout) // not repeated: see enqueue
 	}
 }
--- a/internal/fleet/controlplane/golden_test.go
+++ b/internal/fleet/controlplane/golden_test.go
@@ -36,8 +36,8 @@
 	}
 	slices.Sort(served)
 	require.Equal(t, methodNames, served)
-	called := []string{quota.MethodHandOver, quota.MethodReflect, quota.MethodTake, distribution.MethodAnnounce,
-		distribution.MethodPoll, distribution.MethodRelay, methodRead, methodSubmit, MethodDeliver, methodGossip}
+	called := []string{quota.MethodTransfer, quota.MethodMirror, quota.MethodAcquire, distribution.MethodAnnounce,
+		distribution.MethodPoll, distribution.MethodForward, methodRead, methodSubmit, MethodDeliver, methodGossip}
 	require.Equal(t, methodNames, called)
 }
 
--- a/internal/fleet/controlplane/ownership.go
+++ b/internal/fleet/controlplane/ownership.go
@@ -83,7 +83,7 @@
 
 // reconcileBuckets makes the missing buckets of the tenants that this process owns, and removes and returns those that have
 // another owner.
-func (n *Node) reconcileBuckets(published Published) []quota.HandOver {
+func (n *Node) reconcileBuckets(published Published) []quota.BucketState {
 	now := n.now()
 	document := published.State.Document
 	n.mu.Lock()
@@ -93,7 +93,7 @@
 			n.buckets.EnsureBucket(now, tenant.Name, tenant.Rate, tenant.Burst, document.Revision)
 		}
 	}
-	var transfers []quota.HandOver
+	var transfers []quota.BucketState
 	for _, tenant := range n.buckets.Tenants() {
 		if QuotaOwner(published.View.Chain, tenant) == published.Self.Address {
 			continue
@@ -110,7 +110,7 @@
 // the next copies follow after ownershipInterval.
 func (n *Node) mirrorBuckets(published Published) {
 	n.mu.Lock()
-	reflection := quota.Reflection{Epoch: published.View.Epoch, Buckets: n.buckets.Buckets(n.now())}
+	reflection := quota.Mirrors{Epoch: published.View.Epoch, Buckets: n.buckets.Buckets(n.now())}
 	n.mu.Unlock()
 	if len(reflection.Buckets) == 0 || n.now()-published.ViewConfirmed > maxViewAge {
 		return
@@ -119,16 +119,16 @@
 		if member != published.Self {
 			go func() {
 				var none struct{}
-				_ = n.pool.Call(member.Address, quota.MethodReflect, &reflection, &none, ownershipInterval)
+				_ = n.pool.Call(member.Address, quota.MethodMirror, &reflection, &none, ownershipInterval)
 			}()
 		}
 	}
 }
 
 // transferBucket sends a bucket to its new owner. Where it is lost, the new owner begins from its mirror.
-func (n *Node) transferBucket(owner string, transfer quota.HandOver) {
+func (n *Node) transferBucket(owner string, transfer quota.BucketState) {
 	var none struct{}
-	if err := n.pool.Call(owner, quota.MethodHandOver, &transfer, &none, bucketTransferTimeout); err != nil {
+	if err := n.pool.Call(owner, quota.MethodTransfer, &transfer, &none, bucketTransferTimeout); err != nil {
 		n.log.Info("failed to transfer quota bucket", "tenant", transfer.Tenant, "to", owner, "err", err)
 	}
 }
--- a/internal/fleet/controlplane/ownership_test.go
+++ b/internal/fleet/controlplane/ownership_test.go
@@ -34,7 +34,7 @@
 	n := newSingleNode(t, 0, 0)
 	service := &quotaService{n}
 	published, _ := n.replicator.Published()
-	handed := quota.HandOver{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
+	handed := quota.BucketState{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
 	require.NoError(t, service.HandOver(&handed, &struct{}{}))
 	require.False(t, n.buckets.Owns("t"))
 	handed.Epoch++
--- a/internal/fleet/controlplane/quotaservice.go
+++ b/internal/fleet/controlplane/quotaservice.go
@@ -8,7 +8,7 @@
 
 // Take answers a node's request for quota. Where this process neither owns the tenant's bucket nor may act as its deputy, the
 // reply stays empty, and the node turns to another process.
-func (s *quotaService) Take(request *quota.TakeRequest, reply *quota.TakeReply) error {
+func (s *quotaService) Take(request *quota.AcquireRequest, reply *quota.AcquireReply) error {
 	n := s.node
 	published, _ := n.replicator.Published()
 	now := n.now()
@@ -24,7 +24,7 @@
 }
 
 // Reflect updates the mirrors of another owner's buckets. Those of an earlier view are ignored.
-func (s *quotaService) Reflect(reflection *quota.Reflection, _ *struct{}) error {
+func (s *quotaService) Reflect(reflection *quota.Mirrors, _ *struct{}) error {
 	n := s.node
 	published, _ := n.replicator.Published()
 	n.mu.Lock()
@@ -36,7 +36,7 @@
 }
 
 // HandOver accepts a bucket from its owner before. One of a later view is accepted too: this process will learn of that view.
-func (s *quotaService) HandOver(transfer *quota.HandOver, _ *struct{}) error {
+func (s *quotaService) HandOver(transfer *quota.BucketState, _ *struct{}) error {
 	n := s.node
 	published, _ := n.replicator.Published()
 	n.mu.Lock()
--- a/internal/fleet/dataplane/quotaclient.go
+++ b/internal/fleet/dataplane/quotaclient.go
@@ -63,7 +63,7 @@
 		}
 		need, ahead := bucket.Demand(amount)
 		c.mu.Unlock()
-		request := quota.TakeRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
+		request := quota.AcquireRequest{Tenant: tenant.Name, Rate: tenant.Rate, Burst: tenant.Burst, Need: need, Ahead: ahead,
 			Revision: revision, Urgent: urgent}
 		reply := c.requestGrant(&request)
 		if !reply.Owner {
@@ -107,7 +107,7 @@
 // requestGrant calls the owner, and its deputy where the owner does not respond. While the ownership moves between two processes
 // that are both up, neither grants for some milliseconds: then both are called again. The reply's Owner is false where no
 // owner was found.
-func (c *quotaClient) requestGrant(request *quota.TakeRequest) quota.TakeReply {
+func (c *quotaClient) requestGrant(request *quota.AcquireRequest) quota.AcquireReply {
 	for round := range maxRequestRounds {
 		reply, responded := c.requestFromChain(request)
 		if reply.Owner || !responded || round == maxRequestRounds-1 {
@@ -115,11 +115,11 @@
 		}
 		time.Sleep(requestRoundInterval)
 	}
-	return quota.TakeReply{}
+	return quota.AcquireReply{}
 }
 
 // requestFromChain calls owner and deputy once each. It also reports whether any of them responded.
-func (c *quotaClient) requestFromChain(request *quota.TakeRequest) (reply quota.TakeReply, responded bool) {
+func (c *quotaClient) requestFromChain(request *quota.AcquireRequest) (reply quota.AcquireReply, responded bool) {
 	chain := c.chain()
 	current := *request
 	for range 2 {
@@ -135,19 +135,19 @@
 		current.Deputy, current.Ahead = true, 0
 		chain = slices.DeleteFunc(chain, func(address string) bool { return address == owner })
 	}
-	return quota.TakeReply{}, responded
+	return quota.AcquireReply{}, responded
 }
 
 // requestFrom calls one control process. It returns errUnresponsive at once where that did not respond a moment ago.
-func (c *quotaClient) requestFrom(address string, request *quota.TakeRequest) (quota.TakeReply, error) {
+func (c *quotaClient) requestFrom(address string, request *quota.AcquireRequest) (quota.AcquireReply, error) {
 	c.mu.Lock()
 	unresponsive := c.node.now() < c.unresponsiveUntil[address]
 	c.mu.Unlock()
 	if unresponsive {
-		return quota.TakeReply{}, errUnresponsive
+		return quota.AcquireReply{}, errUnresponsive
 	}
-	var reply quota.TakeReply
-	err := c.node.pool.Call(address, quota.MethodTake, request, &reply, c.callTimeout)
+	var reply quota.AcquireReply
+	err := c.node.pool.Call(address, quota.MethodAcquire, request, &reply, c.callTimeout)
 	if err != nil {
 		c.mu.Lock()
 		c.unresponsiveUntil[address] = c.node.now() + unresponsiveTimeout
@@ -204,20 +204,20 @@
 func (c *quotaClient) run(ctx context.Context) {
 	every(ctx, returnInterval, func(time.Time) {
 		for _, request := range c.collectUnused() {
-			var reply quota.TakeReply
-			_ = c.node.pool.Call(routing.Rendezvous(request.Tenant, c.chain()), quota.MethodTake, &request, &reply, c.callTimeout)
+			var reply quota.AcquireReply
+			_ = c.node.pool.Call(routing.Rendezvous(request.Tenant, c.chain()), quota.MethodAcquire, &request, &reply, c.callTimeout)
 		}
 	})
 }
 
 // collectUnused empties the buckets of what was granted and not used and returns the requests that give it back.
-func (c *quotaClient) collectUnused() []quota.TakeRequest {
+func (c *quotaClient) collectUnused() []quota.AcquireRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var requests []quota.TakeRequest
+	var requests []quota.AcquireRequest
 	for name, bucket := range c.buckets {
 		if amount := bucket.ReleaseUnused(c.node.now()); amount > 0 {
-			requests = append(requests, quota.TakeRequest{Tenant: name, Rate: bucket.tenant.Rate, Burst: bucket.tenant.Burst,
+			requests = append(requests, quota.AcquireRequest{Tenant: name, Rate: bucket.tenant.Rate, Burst: bucket.tenant.Burst,
 				Returned: amount, Revision: bucket.revision})
 		}
 	}
--- a/internal/fleet/dataplane/quotaclient_test.go
+++ b/internal/fleet/dataplane/quotaclient_test.go
@@ -19,7 +19,7 @@
 
 // Owner is a quota owner as a node calls it. It is exported for net/rpc.
 type Owner struct {
-	reply func(*quota.TakeRequest) quota.TakeReply
+	reply func(*quota.AcquireRequest) quota.AcquireReply
 
 	mu      sync.Mutex
 	calls   int
@@ -27,7 +27,7 @@
 }
 
 // Take replies as the test says and counts.
-func (o *Owner) Take(request *quota.TakeRequest, reply *quota.TakeReply) error {
+func (o *Owner) Take(request *quota.AcquireRequest, reply *quota.AcquireReply) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.calls++
@@ -46,7 +46,7 @@
 var tenant = &operator.Tenant{Name: "t", Rate: 1e6, Burst: 1e6}
 
 // newOwnedClient returns the client of a node whose quota owner replies like this.
-func newOwnedClient(t *testing.T, reply func(*quota.TakeRequest) quota.TakeReply) (*quotaClient, *Owner) {
+func newOwnedClient(t *testing.T, reply func(*quota.AcquireRequest) quota.AcquireReply) (*quotaClient, *Owner) {
 	t.Helper()
 	owner := &Owner{reply: reply}
 	listener, err := transport.Listen(t.Context(), "127.0.0.1:0")
@@ -66,7 +66,7 @@
 func TestAcquireRetriesOnceWhileTheOwnersBucketFills(t *testing.T) {
 	var startedAt time.Time
 	bucket := quota.NewOwner(quota.Tolerance{}) // which starts empty
-	client, owner := newOwnedClient(t, func(request *quota.TakeRequest) quota.TakeReply {
+	client, owner := newOwnedClient(t, func(request *quota.AcquireRequest) quota.AcquireReply {
 		if startedAt.IsZero() {
 			startedAt = time.Now()
 		}
@@ -95,8 +95,8 @@
 		"too late already":   {0, -time.Second, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			client, owner := newOwnedClient(t, func(*quota.TakeRequest) quota.TakeReply {
-				return quota.TakeReply{Owner: true, Wait: c.wait}
+			client, owner := newOwnedClient(t, func(*quota.AcquireRequest) quota.AcquireReply {
+				return quota.AcquireReply{Owner: true, Wait: c.wait}
 			})
 			ctx, cancel := context.WithTimeout(t.Context(), c.left)
 			defer cancel()
@@ -112,9 +112,9 @@
 // Guards against an owner called on behalf of a client that has disconnected.
 func TestInlineWaitEndsWithTheRequest(t *testing.T) {
 	ctx, disconnect := context.WithCancel(t.Context())
-	client, owner := newOwnedClient(t, func(*quota.TakeRequest) quota.TakeReply {
+	client, owner := newOwnedClient(t, func(*quota.AcquireRequest) quota.AcquireReply {
 		disconnect()
-		return quota.TakeReply{Owner: true, Wait: maxInlineWait}
+		return quota.AcquireReply{Owner: true, Wait: maxInlineWait}
 	})
 	ok, _ := client.Acquire(ctx, tenant, 1, 940, false)
 	require.False(t, ok)
--- a/internal/fleet/distribution/golden_test.go
+++ b/internal/fleet/distribution/golden_test.go
@@ -11,7 +11,7 @@
 
 func TestMessagesOfAnEarlierVersionAreUnderstood(t *testing.T) {
 	for name, message := range map[string]any{"poll-request": &PollRequest{}, "poll-reply": &PollReply{},
-		"announcement": &Announcement{}, "relay-request": &RelayRequest{}, "update-content": &updateContent{}} {
+		"announcement": &Announcement{}, "relay-request": &ForwardRequest{}, "update-content": &updateContent{}} {
 		wiretest.Fill(message)
 		wiretest.Gob(t, name+".gob", message)
 	}
@@ -36,5 +36,5 @@
 func TestTheMethodsKeepTheirNames(t *testing.T) {
 	require.Equal(t, "Distribution.Poll", MethodPoll)
 	require.Equal(t, "Distribution.Announce", MethodAnnounce)
-	require.Equal(t, "Distribution.Relay", MethodRelay)
+	require.Equal(t, "Distribution.Relay", MethodForward)
 }
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -16,8 +16,8 @@
 	MethodPoll = "Distribution.Poll"
 	// MethodAnnounce is the method by which a node announces events of its attempts to a control process.
 	MethodAnnounce = "Distribution.Announce"
-	// MethodRelay is the method by which control processes forward announcements to each other.
-	MethodRelay = "Distribution.Relay"
+	// MethodForward is the method by which control processes forward announcements to each other.
+	MethodForward = "Distribution.Relay"
 )
 
 // MaxRegistryAge is the age of the registry's confirmation (PollReply.ListConfirmedAgo) from which on a node turns to another
@@ -76,5 +76,5 @@
 	Events  []byte // in the encoding of routing.AppendEvent
 }
 
-// RelayRequest holds announcements that one control process forwards to another.
-type RelayRequest struct{ Announcements []Announcement }
+// ForwardRequest holds announcements that one control process forwards to another.
+type ForwardRequest struct{ Announcements []Announcement }
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -9,15 +9,15 @@
 )
 
 func TestMessagesOfAnEarlierVersionAreUnderstood(t *testing.T) {
-	for name, message := range map[string]any{"take-request": &TakeRequest{}, "take-reply": &TakeReply{},
-		"reflection": &Reflection{}, "hand-over": &HandOver{}} {
+	for name, message := range map[string]any{"take-request": &AcquireRequest{}, "take-reply": &AcquireReply{},
+		"reflection": &Mirrors{}, "hand-over": &BucketState{}} {
 		wiretest.Fill(message)
 		wiretest.Gob(t, name+".gob", message)
 	}
 }
 
 func TestTheMethodsKeepTheirNames(t *testing.T) {
-	require.Equal(t, "Allowance.Take", MethodTake)
-	require.Equal(t, "Allowance.Reflect", MethodReflect)
-	require.Equal(t, "Allowance.HandOver", MethodHandOver)
+	require.Equal(t, "Allowance.Take", MethodAcquire)
+	require.Equal(t, "Allowance.Reflect", MethodMirror)
+	require.Equal(t, "Allowance.HandOver", MethodTransfer)
 }
--- a/internal/fleet/quota/messages.go
+++ b/internal/fleet/quota/messages.go
@@ -5,16 +5,16 @@
 // The methods of the internal calls. Their names and the fields of the messages below are on the wire: a process of another
 // version knows them by these names, so they keep them.
 const (
-	// MethodTake is the method by which a node of the data plane asks a quota owner for units.
-	MethodTake = "Allowance.Take"
-	// MethodReflect is the method by which an owner mirrors its buckets to the members that may own them next.
-	MethodReflect = "Allowance.Reflect"
-	// MethodHandOver is the method by which an owner transfers a bucket to the next owner.
-	MethodHandOver = "Allowance.HandOver"
+	// MethodAcquire is the method by which a node of the data plane asks a quota owner for units.
+	MethodAcquire = "Allowance.Take"
+	// MethodMirror is the method by which an owner mirrors its buckets to the members that may own them next.
+	MethodMirror = "Allowance.Reflect"
+	// MethodTransfer is the method by which an owner transfers a bucket to the next owner.
+	MethodTransfer = "Allowance.HandOver"
 )
 
-// TakeRequest asks an owner, or its deputy, for units of a tenant's quota: requests or tokens, as the tenant's limit counts.
-type TakeRequest struct {
+// AcquireRequest asks an owner, or its deputy, for units of a tenant's quota: requests or tokens, as the tenant's limit counts.
+type AcquireRequest struct {
 	Tenant   string
 	Rate     float64 // the tenant's limit as the node knows it, in units a second
 	Burst    float64 // units
@@ -26,21 +26,21 @@
 	Revision int64   // of the configuration that the limit is from
 }
 
-// TakeReply answers a TakeRequest.
-type TakeReply struct {
+// AcquireReply answers a AcquireRequest.
+type AcquireReply struct {
 	Granted float64
 	Owner   bool          // the process asked is the owner, or its deputy while the owner is unresponsive
 	Wait    time.Duration // until the need can be met, where nothing was granted
 }
 
-// Reflection is a copy of all of an owner's buckets.
-type Reflection struct {
+// Mirrors is a copy of all of an owner's buckets.
+type Mirrors struct {
 	Epoch   uint64 // the view in which the sender is the owner
-	Buckets []HandOver
+	Buckets []BucketState
 }
 
-// HandOver is the state of one bucket, for a new owner or for a mirror.
-type HandOver struct {
+// BucketState is the state of one bucket, for a new owner or for a mirror.
+type BucketState struct {
 	Epoch    uint64 // the view that made the new owner; 0 within a Reflection
 	Tenant   string
 	Level    float64
--- a/internal/fleet/quota/owner.go
+++ b/internal/fleet/quota/owner.go
@@ -76,7 +76,7 @@
 
 // minLevel returns the level from which on a request is granted. A need beyond the depth is granted from a full bucket, which
 // then is in debt: else it could never be met.
-func (b *bucket) minLevel(r *TakeRequest) float64 {
+func (b *bucket) minLevel(r *AcquireRequest) float64 {
 	level := min(r.Need, b.burst)
 	if r.Urgent || r.Need <= smallRequestFraction*b.burst {
 		return level
@@ -92,8 +92,8 @@
 	return time.Duration((level - b.level) / b.rate * float64(time.Second))
 }
 
-func (b *bucket) state(tenant string) HandOver {
-	return HandOver{Tenant: tenant, Level: b.level, Rate: b.rate, Burst: b.burst, Revision: b.revision}
+func (b *bucket) state(tenant string) BucketState {
+	return BucketState{Tenant: tenant, Level: b.level, Rate: b.rate, Burst: b.burst, Revision: b.revision}
 }
 
 // mirror is a copy of another owner's bucket. It does not fill: what the limit allows while the owner is unresponsive is left to
@@ -165,44 +165,44 @@
 func (o *Owner) Owns(tenant string) bool { return o.buckets[tenant] != nil }
 
 // Acquire answers a node's request as the owner.
-func (o *Owner) Acquire(now time.Duration, r *TakeRequest) TakeReply {
+func (o *Owner) Acquire(now time.Duration, r *AcquireRequest) AcquireReply {
 	b := o.ensure(now, r.Tenant, r.Rate, r.Burst, r.Revision)
 	b.level = min(b.level+max(0, r.Returned), b.burst)
 	required := b.minLevel(r)
 	if b.level < required {
 		wait := b.timeUntil(required + b.denied)
 		b.denied = min(b.denied+r.Need, maxDeniedSeconds*b.rate)
-		return TakeReply{Owner: true, Wait: wait}
+		return AcquireReply{Owner: true, Wait: wait}
 	}
 	granted := r.Need
 	granted += min(r.Ahead, max(0, b.level-required))
 	b.level -= granted
-	return TakeReply{Owner: true, Granted: granted}
+	return AcquireReply{Owner: true, Granted: granted}
 }
 
 // AcquireAsDeputy answers a node's request while the owner is unresponsive. What is granted is bounded, because the owner may be
 // granting to nodes that still reach it.
-func (o *Owner) AcquireAsDeputy(now time.Duration, r *TakeRequest) TakeReply {
+func (o *Owner) AcquireAsDeputy(now time.Duration, r *AcquireRequest) AcquireReply {
 	m := o.mirrors[r.Tenant]
 	if m == nil || now-m.receivedAt < deputyAfter || now-m.receivedAt > mirrorMaxAge {
-		return TakeReply{}
+		return AcquireReply{}
 	}
 	remaining := deputyToleranceFraction*o.tolerance.excess(r.Rate, r.Burst) - m.granted
 	required := m.minLevel(r)
 	if r.Need > remaining { // nodes have their even shares
-		return TakeReply{}
+		return AcquireReply{}
 	}
 	if m.level < required {
-		return TakeReply{Owner: true, Wait: max(m.timeUntil(required), deputyAfter)}
+		return AcquireReply{Owner: true, Wait: max(m.timeUntil(required), deputyAfter)}
 	}
 	m.level -= r.Need
 	m.granted += r.Need
-	return TakeReply{Owner: true, Granted: r.Need}
+	return AcquireReply{Owner: true, Granted: r.Need}
 }
 
 // Buckets returns the state of all buckets, for UpdateMirrors of the other members.
-func (o *Owner) Buckets(now time.Duration) []HandOver {
-	buckets := make([]HandOver, 0, len(o.buckets))
+func (o *Owner) Buckets(now time.Duration) []BucketState {
+	buckets := make([]BucketState, 0, len(o.buckets))
 	for tenant, b := range o.buckets {
 		b.fill(now)
 		buckets = append(buckets, b.state(tenant))
@@ -211,7 +211,7 @@
 }
 
 // UpdateMirrors stores the buckets of another owner. A tenant that this process owns itself is passed over.
-func (o *Owner) UpdateMirrors(now time.Duration, buckets []HandOver) {
+func (o *Owner) UpdateMirrors(now time.Duration, buckets []BucketState) {
 	for _, h := range buckets {
 		if !o.Owns(h.Tenant) {
 			copied := bucket{level: h.Level, rate: h.Rate, burst: h.Burst, revision: h.Revision, filledAt: now}
@@ -221,10 +221,10 @@
 }
 
 // Release removes a tenant's bucket and returns its state for the next owner; false where there is none.
-func (o *Owner) Release(now time.Duration, tenant string) (HandOver, bool) {
+func (o *Owner) Release(now time.Duration, tenant string) (BucketState, bool) {
 	b := o.buckets[tenant]
 	if b == nil {
-		return HandOver{}, false
+		return BucketState{}, false
 	}
 	b.fill(now)
 	delete(o.buckets, tenant)
@@ -233,7 +233,7 @@
 
 // AcceptTransfer begins a bucket as the owner before had it. One that was begun here already stays: requests have been granted
 // from it.
-func (o *Owner) AcceptTransfer(now time.Duration, h *HandOver) {
+func (o *Owner) AcceptTransfer(now time.Duration, h *BucketState) {
 	if o.Owns(h.Tenant) {
 		return
 	}
--- a/internal/fleet/quota/owner_test.go
+++ b/internal/fleet/quota/owner_test.go
@@ -17,8 +17,8 @@
 	burst        = 100_000.0
 )
 
-func request(need float64) *TakeRequest {
-	return &TakeRequest{Tenant: "t", Rate: rate, Burst: burst, Need: need, Revision: 1}
+func request(need float64) *AcquireRequest {
+	return &AcquireRequest{Tenant: "t", Rate: rate, Burst: burst, Need: need, Revision: 1}
 }
 
 // full gives an owner whose bucket has filled.
@@ -32,12 +32,12 @@
 	o, now := full()
 	given := 0.0
 	for range 1000 {
-		given += o.Acquire(now, &TakeRequest{Tenant: "t", Rate: rate, Burst: burst, Need: 5000, Urgent: true, Revision: 1}).Granted
+		given += o.Acquire(now, &AcquireRequest{Tenant: "t", Rate: rate, Burst: burst, Need: 5000, Urgent: true, Revision: 1}).Granted
 	}
 	require.InDelta(t, tolerance.burst(rate, burst), given, 5000)
 	given = 0
 	for i := range 1000 {
-		given += o.Acquire(now+time.Duration(i)*time.Millisecond, &TakeRequest{Tenant: "t", Rate: rate, Burst: burst, Need: 1000, Urgent: true, Revision: 1}).Granted
+		given += o.Acquire(now+time.Duration(i)*time.Millisecond, &AcquireRequest{Tenant: "t", Rate: rate, Burst: burst, Need: 1000, Urgent: true, Revision: 1}).Granted
 	}
 	require.InDelta(t, rate, given, 6000)
 }
@@ -209,14 +209,14 @@
 		return true
 	}
 	if s.lostAt > 0 && now < s.backAt {
-		deputy := s.owner.AcquireAsDeputy(now, &TakeRequest{Tenant: "t", Rate: s.rate, Burst: s.burst, Need: amount, Urgent: true})
+		deputy := s.owner.AcquireAsDeputy(now, &AcquireRequest{Tenant: "t", Rate: s.rate, Burst: s.burst, Need: amount, Urgent: true})
 		if deputy.Owner {
 			return deputy.Granted > 0
 		}
 		return node.TryAcquireFallback(now, s.rate, simulatedNodes, amount)
 	}
 	need, ahead := node.Demand(amount)
-	reply := s.owner.Acquire(now, &TakeRequest{Tenant: "t", Rate: s.rate, Burst: s.burst, Need: need, Ahead: ahead, Revision: 1, Urgent: true})
+	reply := s.owner.Acquire(now, &AcquireRequest{Tenant: "t", Rate: s.rate, Burst: s.burst, Need: need, Ahead: ahead, Revision: 1, Urgent: true})
 	node.AddGrant(now, reply.Granted)
 	return node.TryAcquire(now, amount)
 }
--- a/internal/node/consensus/client/client.go
+++ b/internal/node/consensus/client/client.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		a, uncertain, err := c.call(ctx, func() protocol.Request {
-			return protocol.Request{Want: protocol.Do, Session: s.id, Number: number, Done: s.confirmedUpTo(), Part: component, Body: text}
+			return protocol.Request{Want: protocol.Do, Session: s.id, Number: number, Confirmed: s.confirmedUpTo(), Component: component, Body: text}
 		})
 		if err != nil {
 			s.abandon()
@@ -124,7 +124,9 @@
 	if err != nil {
 		return statemachine.Reply{}, err
 	}
-	a, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Want: protocol.Read, Part: component, Body: text} })
+	a, _, err := c.call(ctx, func() protocol.Request {
+		return protocol.Request{Want: protocol.Read, Component: component, Body: text}
+	})
 	if err != nil {
 		return statemachine.Reply{}, notApplied(err)
 	}
@@ -149,7 +151,7 @@
 	if conn == nil {
 		return statemachine.Reply{}, errNoConnection
 	}
-	a, _, err := conn.call(ctx, protocol.Request{Want: protocol.Wait, Part: component, Body: body, Known: knownText})
+	a, _, err := conn.call(ctx, protocol.Request{Want: protocol.Wait, Component: component, Body: body, Known: knownText})
 	if err == nil && a.Reply == nil {
 		err = fmt.Errorf("no hint: %s", a.Text)
 	}
@@ -168,7 +170,7 @@
 	return index, image, err
 }
 
-// Change asks the leader to change the membership: want is protocol.Learn or protocol.Remove.
+// Change asks the leader to change the membership: want is protocol.AddLearner or protocol.Remove.
 func (c *Client) Change(ctx context.Context, want string, m statemachine.Member) error {
 	_, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Want: want, Members: []statemachine.Member{m}} })
 	return err
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -76,14 +76,14 @@
 	r, err := c.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "a"})
 	require.NoError(t, err)
 	require.Equal(t, want, r)
-	r, err = c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{News: true}, "known")
+	r, err = c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{Progress: true}, "known")
 	require.NoError(t, err)
 	require.Equal(t, want, r)
 	index, image, err := c.Copy(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(12), index)
 	require.Equal(t, "copy", string(image))
-	for _, change := range []string{protocol.Learn, protocol.Remove} {
+	for _, change := range []string{protocol.AddLearner, protocol.Remove} {
 		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
 	}
 	c.Close()
--- a/internal/node/consensus/member/member.go
+++ b/internal/node/consensus/member/member.go
@@ -2,7 +2,7 @@
 // library (go.etcd.io/raft), the log in memory, and the state machine that committed entries are applied to.
 //
 // It is pure and not safe for concurrent use: one goroutine owns a Member, calls Tick, Step, Propose and Read, and after each
-// round of them TakeWork. It then sends Work.Messages at once, makes Work.Write durable in order, and calls WriteDone for each
+// round of them Ready. It then sends Work.Messages at once, makes Work.Write durable in order, and calls Persisted for each
 // Write, after which the messages of Write.Answers may go out: they acknowledge what is durable, and sent earlier they would
 // count a vote or an entry that a crash could still take back. The same calls and seed give the same decisions.
 //
@@ -81,7 +81,7 @@
 	electionElapsed int // ticks without a message from a leader
 	electionTimeout int // ticks after which the member campaigns
 	lostElections   int // in a row, up to maxElectionDoublings
-	pendingWrites   int // that TakeWork returned and WriteDone has not confirmed
+	pendingWrites   int // that Ready returned and Persisted has not confirmed
 
 	imageInProgress bool
 	imageIndex      uint64 // of the last image that was begun
--- a/internal/node/consensus/member/member_test.go
+++ b/internal/node/consensus/member/member_test.go
@@ -26,7 +26,7 @@
 	now := 100.0
 	var pending []Write
 	takeWork := func() {
-		w, err := m.TakeWork(now)
+		w, err := m.Ready(now)
 		require.NoError(t, err)
 		pending = append(pending, w.Write...)
 	}
@@ -34,7 +34,7 @@
 		for len(pending) > 0 {
 			w := pending[0]
 			pending = pending[1:]
-			require.NoError(t, m.WriteDone(w))
+			require.NoError(t, m.Persisted(w))
 			takeWork()
 		}
 	}
@@ -53,9 +53,9 @@
 		assert.LessOrEqual(t, m.State().Now(), 5000+now-begin, "cluster time runs ahead")
 	}
 	assert.InDelta(t, 5000+now-begin, m.State().Now(), 3)
-	leaseCommand := statemachine.Command{Part: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
+	leaseCommand := statemachine.Command{Component: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
 	assert.ErrorIs(t, m.Propose(now, leaseCommand), ErrYoung, "not before all members are known to read it")
-	require.NoError(t, m.Propose(now, statemachine.Command{Part: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
+	require.NoError(t, m.Propose(now, statemachine.Command{Component: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
 	takeWork()
 	finishWrites()
 	assert.NoError(t, m.Propose(now, leaseCommand))
@@ -71,7 +71,7 @@
 	_, committed, _ := m.Position()
 	heartbeat := func(commit uint64) error {
 		m.Step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: new(uint64(2)), To: new(uint64(1)), Term: new(uint64(5)), Commit: &commit})
-		_, err := m.TakeWork(100)
+		_, err := m.Ready(100)
 		return err
 	}
 	require.NoError(t, heartbeat(committed))
@@ -89,11 +89,11 @@
 	m, err := New(settings, Saved{})
 	require.NoError(t, err)
 	m.Step(&pb.Message{Type: pb.MsgSnap.Enum(), From: new(uint64(1)), To: new(uint64(2)), Term: new(uint64(4)), Snapshot: image})
-	w, err := m.TakeWork(1)
+	w, err := m.Ready(1)
 	require.NoError(t, err)
 	require.Len(t, w.Write, 1)
 	require.NotNil(t, w.Write[0].Image)
-	require.ErrorIs(t, m.WriteDone(w.Write[0]), statemachine.ErrVersion)
+	require.ErrorIs(t, m.Persisted(w.Write[0]), statemachine.ErrVersion)
 }
 
 // newLeader returns the leader of a cluster of one member, and the function that does all work that it wants.
@@ -105,13 +105,13 @@
 	require.NoError(t, err)
 	doWork = func() {
 		for {
-			w, err := m.TakeWork(100)
+			w, err := m.Ready(100)
 			require.NoError(t, err)
 			if len(w.Write) == 0 {
 				return
 			}
 			for _, write := range w.Write {
-				require.NoError(t, m.WriteDone(write))
+				require.NoError(t, m.Persisted(write))
 			}
 		}
 	}
--- a/internal/node/consensus/member/propose.go
+++ b/internal/node/consensus/member/propose.go
@@ -20,10 +20,10 @@
 		return ErrNotLeader
 	}
 	maxVersion := m.state.Members().Speaks()
-	if c.Part == statemachine.ComponentMembers { // such a command raises what may be written
+	if c.Component == statemachine.ComponentMembers { // such a command raises what may be written
 		maxVersion = m.state.Members().Known()
 	}
-	c.Version, c.At = statemachine.VersionOf(c.Part, c.Body), m.clusterTime+now-m.localTime
+	c.Version, c.At = statemachine.VersionOf(c.Component, c.Body), m.clusterTime+now-m.localTime
 	if c.Version > maxVersion {
 		return ErrYoung
 	}
--- a/internal/node/consensus/member/work.go
+++ b/internal/node/consensus/member/work.go
@@ -18,7 +18,7 @@
 	Image    *Image // to make and save, nil = none
 }
 
-// Write is work for the disk. WriteDone must be called once all of it is durable, in the order in which TakeWork returned them.
+// Write is work for the disk. Persisted must be called once all of it is durable, in the order in which Ready returned them.
 type Write struct {
 	Hard    *pb.HardState
 	Entries []*pb.Entry
@@ -46,8 +46,8 @@
 // Read allows to answer the query with this number: the state here contains all that was committed when Member.Read was called.
 type Read struct{ Number uint64 }
 
-// TakeWork returns all that is to be done. now is in ms on any clock that runs evenly. After an error the member must end.
-func (m *Member) TakeWork(now float64) (w Work, err error) {
+// Ready returns all that is to be done. now is in ms on any clock that runs evenly. After an error the member must end.
+func (m *Member) Ready(now float64) (w Work, err error) {
 	for m.failed == nil && m.node.HasReady() {
 		ready := m.node.Ready()
 		if ready.SoftState != nil {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// WriteDone confirms that a write is durable. After an error the member must end.
-func (m *Member) WriteDone(w Write) error {
+// Persisted confirms that a write is durable. After an error the member must end.
+func (m *Member) Persisted(w Write) error {
 	m.pendingWrites--
 	if w.Image != nil {
 		if err := m.log.ApplySnapshot(w.Image); err != nil {
--- a/internal/node/consensus/protocol/protocol.go
+++ b/internal/node/consensus/protocol/protocol.go
@@ -10,29 +10,29 @@
 
 // Requests, by Request.Want.
 const (
-	Do      = "do"      // propose a command, and answer once it is applied
-	Read    = "read"    // query, linearizable
-	Wait    = "wait"    // query, answered once the answer differs from Known: a long poll, whose answer is a hint; the release before refuses it
-	Status  = "status"  // the state of this replica
-	Picture = "picture" // the register as this replica has it, however old, to compare replicas by
-	Found   = "found"   // bootstrap: make this empty replica one of the first members
-	Learn   = "learn"   // add a member, as a learner that is promoted once it has caught up
-	Remove  = "remove"  // remove a member
-	Copy    = "copy"    // an image of the leader's state, for a backup: base64 in the reply's body
+	Do         = "do"      // propose a command, and answer once it is applied
+	Read       = "read"    // query, linearizable
+	Wait       = "wait"    // query, answered once the answer differs from Known: a long poll, whose answer is a hint; the release before refuses it
+	Status     = "status"  // the state of this replica
+	Picture    = "picture" // the register as this replica has it, however old, to compare replicas by
+	Found      = "found"   // bootstrap: make this empty replica one of the first members
+	AddLearner = "learn"   // add a member, as a learner that is promoted once it has caught up
+	Remove     = "remove"  // remove a member
+	Copy       = "copy"    // an image of the leader's state, for a backup: base64 in the reply's body
 )
 
 // Request is a request of a client. Want says which of the fields are used.
 type Request struct {
-	ID      uint64                `json:"id"` // number on the connection
-	Want    string                `json:"want"`
-	Session uint64                `json:"s,omitempty"`
-	Number  uint64                `json:"n,omitempty"`
-	Done    uint64                `json:"d,omitempty"`
-	Part    string                `json:"p,omitempty"`
-	Body    json.RawMessage       `json:"b,omitempty"`
-	Known   json.RawMessage       `json:"k,omitempty"`       // of Wait: the answer that the client has
-	Members []statemachine.Member `json:"members,omitempty"` // of Found: the first members; of Learn and Remove: the one that is added or removed
-	Now     float64               `json:"now,omitempty"`     // of Found: cluster time to begin with, ms
+	ID        uint64                `json:"id"` // number on the connection
+	Want      string                `json:"want"`
+	Session   uint64                `json:"s,omitempty"`
+	Number    uint64                `json:"n,omitempty"`
+	Confirmed uint64                `json:"d,omitempty"`
+	Component string                `json:"p,omitempty"`
+	Body      json.RawMessage       `json:"b,omitempty"`
+	Known     json.RawMessage       `json:"k,omitempty"`       // of Wait: the answer that the client has
+	Members   []statemachine.Member `json:"members,omitempty"` // of Found: the first members; of Learn and Remove: the one that is added or removed
+	Now       float64               `json:"now,omitempty"`     // of Found: cluster time to begin with, ms
 }
 
 // Faults, by Answer.Fault.
--- a/internal/node/consensus/replica/clients.go
+++ b/internal/node/consensus/replica/clients.go
@@ -34,7 +34,7 @@
 
 // query answers a request that is a query from the state here.
 func (r *Replica) query(request *protocol.Request) protocol.Answer {
-	reply := r.member.Query(statemachine.Request{Part: request.Part, Body: request.Body})
+	reply := r.member.Query(statemachine.Request{Component: request.Component, Body: request.Body})
 	return protocol.Answer{Reply: &reply}
 }
 
@@ -90,7 +90,7 @@
 	case protocol.Status:
 		respond(protocol.Answer{State: r.status()})
 	case protocol.Picture:
-		respond(r.query(&protocol.Request{Part: statemachine.ComponentRegister, Body: encode(statemachine.Get{})}))
+		respond(r.query(&protocol.Request{Component: statemachine.ComponentRegister, Body: encode(statemachine.Get{})}))
 	case protocol.Found:
 		if err := r.bootstrap(request); err != nil {
 			respond(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
@@ -108,7 +108,7 @@
 		r.reads[r.lastRead] = r.pending(request, respond)
 	case protocol.Copy:
 		r.copyState(respond)
-	case protocol.Learn, protocol.Remove:
+	case protocol.AddLearner, protocol.Remove:
 		r.changeMembership(request, respond)
 	default:
 		respond(protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("nobody wants %q", request.Want)})
@@ -117,9 +117,9 @@
 
 // propose proposes a command, which is answered once it is applied.
 func (r *Replica) propose(request *protocol.Request, respond func(protocol.Answer)) {
-	c := statemachine.Command{Session: request.Session, Number: request.Number, Done: request.Done, Part: request.Part, Body: request.Body}
+	c := statemachine.Command{Session: request.Session, Number: request.Number, Confirmed: request.Confirmed, Component: request.Component, Body: request.Body}
 	if c.Session == 0 {
-		c.Part = "" // else it would count as a command of the cluster itself
+		c.Component = "" // else it would count as a command of the cluster itself
 	}
 	if err := r.member.Propose(r.clock.Now(), c); err != nil {
 		respond(r.failure(err))
@@ -170,7 +170,7 @@
 	var last *protocol.Request
 	var answer protocol.Answer
 	for c, p := range r.longPolls {
-		if last == nil || last.Part != p.request.Part || !bytes.Equal(last.Body, p.request.Body) { // most have the same query
+		if last == nil || last.Component != p.request.Component || !bytes.Equal(last.Body, p.request.Body) { // most have the same query
 			last, answer = p.request, r.query(p.request)
 		}
 		if !bytes.Equal(answer.Reply.Body, p.request.Known) {
--- a/internal/node/consensus/replica/clients_test.go
+++ b/internal/node/consensus/replica/clients_test.go
@@ -67,7 +67,7 @@
 }
 
 func (c *rawClient) longPoll(known rollout.Progress) uint64 {
-	return c.send(protocol.Request{Want: protocol.Wait, Part: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{News: true}), Known: encode(known)})
+	return c.send(protocol.Request{Want: protocol.Wait, Component: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{Progress: true}), Known: encode(known)})
 }
 
 func (c *rawClient) receive() (answer protocol.Answer) {
@@ -86,7 +86,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	wait := func(ctx context.Context, known rollout.Progress) (n rollout.Progress, err error) {
-		reply, err := c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{News: true}, known)
+		reply, err := c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{Progress: true}, known)
 		if err == nil {
 			require.NoError(t, json.Unmarshal(reply.Body, &n))
 		}
--- a/internal/node/consensus/replica/disk.go
+++ b/internal/node/consensus/replica/disk.go
@@ -74,7 +74,7 @@
 	r.lastDurable.Store(r.store.Saved().LastIndex())
 	r.submit(func() {
 		for _, w := range writes {
-			if err := r.member.WriteDone(w); err != nil {
+			if err := r.member.Persisted(w); err != nil {
 				r.log.Error("what was written cannot be taken", "error", err)
 			}
 			r.send(w.Answers(r.store.ID))
--- a/internal/node/consensus/replica/peers_test.go
+++ b/internal/node/consensus/replica/peers_test.go
@@ -78,5 +78,5 @@
 	w, err := as(func(h *transport.Hello) { h.Dial++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
 	assert.True(t, w.Final)
-	assert.ErrorContains(t, c.Change(t.Context(), protocol.Learn, removed), "was taken out")
+	assert.ErrorContains(t, c.Change(t.Context(), protocol.AddLearner, removed), "was taken out")
 }
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -61,12 +61,12 @@
 		return nil, err
 	}
 	for {
-		work, err := m.TakeWork(0)
+		work, err := m.Ready(0)
 		if err != nil {
 			return nil, err
 		}
 		for _, w := range work.Write {
-			if err := m.WriteDone(w); err != nil {
+			if err := m.Persisted(w); err != nil {
 				return nil, err
 			}
 		}
@@ -87,7 +87,7 @@
 		Number uint64 `json:"number"`
 	}
 	for component, to := range map[string]any{statemachine.ComponentCalls: &l.Calls, statemachine.ComponentPolicy: &policy} {
-		if reply := l.state.Query(statemachine.Request{Part: component, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
+		if reply := l.state.Query(statemachine.Request{Component: component, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
 			return fmt.Errorf("its part %s cannot be read", component)
 		}
 	}
--- a/internal/node/consensus/replica/replica_test.go
+++ b/internal/node/consensus/replica/replica_test.go
@@ -220,7 +220,7 @@
 		defer func() { _ = l.Close() }() // the kernel accepts connections, nobody reads them
 		m := statemachine.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
 		for unresponsive := false; !unresponsive; { // until the leader has noticed
-			require.NoError(t, c.Change(t.Context(), protocol.Learn, m)) // the change may be lost with a leader
+			require.NoError(t, c.Change(t.Context(), protocol.AddLearner, m)) // the change may be lost with a leader
 			for _, k := range config.Replicas {
 				a, err := client.Call(t.Context(), config, k, protocol.Request{Want: protocol.Status})
 				require.NoError(t, err)
--- a/internal/node/consensus/replica/run.go
+++ b/internal/node/consensus/replica/run.go
@@ -159,7 +159,7 @@
 	for id, p := range r.peers {
 		m, ok := r.member.State().Members().Get(id)
 		if ok && (m.Starts < p.starts || p.version > 0 && m.Speaks != p.version) {
-			_ = r.member.Propose(r.clock.Now(), statemachine.Command{Part: statemachine.ComponentMembers,
+			_ = r.member.Propose(r.clock.Now(), statemachine.Command{Component: statemachine.ComponentMembers,
 				Body: encode(statemachine.Started{ID: id, Starts: p.starts, Speaks: p.version})}) // the next tick tries again
 		}
 	}
@@ -167,7 +167,7 @@
 
 // flush does what the state machine wants done.
 func (r *Replica) flush() error {
-	work, err := r.member.TakeWork(r.clock.Now())
+	work, err := r.member.Ready(r.clock.Now())
 	if err != nil {
 		return err
 	}
--- a/internal/node/idempotency/replicated/release_test.go
+++ b/internal/node/idempotency/replicated/release_test.go
@@ -78,7 +78,7 @@
 }
 
 func (k *lateReplica) claimOnce(r protocol.Request) *statemachine.Reply {
-	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Part: r.Part, Body: r.Body})
+	data, _ := json.Marshal(statemachine.Command{Version: 1, At: 1000, Session: r.Session, Number: r.Number, Component: r.Component, Body: r.Body})
 	claim, end := bytes.Contains(r.Body, []byte(`"take"`)), bytes.Contains(r.Body, []byte(`"ended"`))
 	if claim && (!k.first || k.late != nil) {
 		if !k.first {
--- a/internal/node/rollout/leaseholder.go
+++ b/internal/node/rollout/leaseholder.go
@@ -58,13 +58,13 @@
 
 // Report returns the next report.
 func (h *LeaseHolder) Report() Report {
-	return Report{Node: h.name, Life: h.life, Holds: h.number, Lease: h.lease, GoesOn: h.goesOn, Looked: h.looked, Fault: h.fault, Paused: h.paused}
+	return Report{Node: h.name, Life: h.life, InForce: h.number, Lease: h.lease, GoesOn: h.goesOn, Looked: h.looked, Fault: h.fault, Paused: h.paused}
 }
 
 // Leave lets no call begin any more, and returns the last report.
 func (h *LeaseHolder) Leave() Report {
 	h.until = 0
-	return Report{Node: h.name, Life: h.life, Holds: h.number, Leaves: true}
+	return Report{Node: h.name, Life: h.life, InForce: h.number, Leaves: true}
 }
 
 // RetryAfter returns the ms after which to retry what has failed, and to ask again for a hint that has not come.
--- a/internal/node/rollout/machine.go
+++ b/internal/node/rollout/machine.go
@@ -33,7 +33,7 @@
 	if !known && len(m.members) >= MaxMembers {
 		return Order{}, fmt.Errorf("there are %d members", len(m.members))
 	}
-	member.Node, member.Life, member.Holds = r.Node, r.Life, r.Holds
+	member.Node, member.Life, member.InForce = r.Node, r.Life, r.InForce
 	member.Live = max(member.Live, now+r.Lease)
 	granted := m.renewLease(now, &member, &r)
 	m.applyToChange(&member, &r)
@@ -45,7 +45,7 @@
 		o.Change, o.Stage = c.ID, c.Stage
 		o.Soon = c.Stage == Looking && m.fewLooking(c.ID)
 	}
-	if r.Holds != m.number {
+	if r.InForce != m.number {
 		o.Lease = 0 // the next number came into force with this report
 	}
 	return o, nil
@@ -58,7 +58,7 @@
 	case r.Leaves:
 		member.Until, member.Live = 0, 0
 		return 0
-	case r.Holds != m.number || r.Lease == 0: // it has to activate the number first
+	case r.InForce != m.number || r.Lease == 0: // it has to activate the number first
 		return 0
 	case m.change != nil && m.change.Stage == Pausing: // the lease that it has runs out
 		return 0
--- a/internal/node/rollout/machine_test.go
+++ b/internal/node/rollout/machine_test.go
@@ -88,7 +88,7 @@
 		}
 		sent := now
 		now += rapid.Float64Range(0, 15).Draw(t, "there")
-		o, err := m.Report(now, Report{Node: n.name, Life: n.life, Holds: n.number, Lease: lease, Looked: n.looked, Paused: n.paused,
+		o, err := m.Report(now, Report{Node: n.name, Life: n.life, InForce: n.number, Lease: lease, Looked: n.looked, Paused: n.paused,
 			Fault: map[bool]string{true: "line 1: it does not suit"}[n.refuses && n.looked != ""]})
 		require.NoError(t, err)
 		now += rapid.Float64Range(0, 15).Draw(t, "back")
@@ -213,10 +213,10 @@
 	assert.Equal(t, uint64(1), got.Number)
 	assert.Zero(t, got.Lease, "it must activate the number first")
 	assert.Contains(t, m.Propose(1009, Proposal{ID: "4", Text: "w", Base: 0, By: "bob"}).Reason, "number 1 of ann has come between")
-	assert.Equal(t, 1000.0, report(1010, Report{Node: "a", Holds: 1}).Lease)
+	assert.Equal(t, 1000.0, report(1010, Report{Node: "a", InForce: 1}).Lease)
 	m.Propose(1011, Proposal{ID: "5", Text: "v", Base: 1})
 	for at := 1100.0; at < 20000; at += 500 { // a is live and never validates
-		report(at, Report{Node: "a", Holds: 1})
+		report(at, Report{Node: "a", InForce: 1})
 	}
 	o, _ = m.Outcome("5")
 	assert.Contains(t, o.Reason, "a has not looked at it in 15 s")
--- a/internal/node/rollout/rollout.go
+++ b/internal/node/rollout/rollout.go
@@ -80,13 +80,13 @@
 
 // Member is one process of a node, as the machine knows it.
 type Member struct {
-	Node   string  `json:"node"`
-	Life   uint64  `json:"life"`             // incarnation
-	Holds  uint64  `json:"holds"`            // the number that it has in force
-	Until  float64 `json:"until"`            // when its lease expires, cluster time in ms; Forever = it goes on without one
-	Live   float64 `json:"live"`             // until when it counts as live without a lease too, cluster time in ms
-	Looked string  `json:"looked,omitempty"` // ID of the proposal that it has validated
-	Paused string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
+	Node    string  `json:"node"`
+	Life    uint64  `json:"life"`             // incarnation
+	InForce uint64  `json:"holds"`            // the number that it has in force
+	Until   float64 `json:"until"`            // when its lease expires, cluster time in ms; Forever = it goes on without one
+	Live    float64 `json:"live"`             // until when it counts as live without a lease too, cluster time in ms
+	Looked  string  `json:"looked,omitempty"` // ID of the proposal that it has validated
+	Paused  string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
 }
 
 // Forever is the expiry of a member that goes on with its number without a lease.
@@ -94,15 +94,15 @@
 
 // Report is what a member reports, often enough to renew its lease.
 type Report struct {
-	Node   string  `json:"node"`
-	Life   uint64  `json:"life"`             // incarnation
-	Holds  uint64  `json:"holds"`            // the number that it has in force
-	Lease  float64 `json:"lease"`            // the lease that it requests, ms; 0 = none, it judges no calls yet
-	GoesOn bool    `json:"goes_on"`          // it goes on without a lease: no change is agreed while it is unreachable
-	Looked string  `json:"looked,omitempty"` // ID of the proposal that it has validated,
-	Fault  string  `json:"fault,omitempty"`  // and why it rejects it, "" = it accepts it
-	Paused string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
-	Leaves bool    `json:"leaves"`           // it ends, and begins no calls any more
+	Node    string  `json:"node"`
+	Life    uint64  `json:"life"`             // incarnation
+	InForce uint64  `json:"holds"`            // the number that it has in force
+	Lease   float64 `json:"lease"`            // the lease that it requests, ms; 0 = none, it judges no calls yet
+	GoesOn  bool    `json:"goes_on"`          // it goes on without a lease: no change is agreed while it is unreachable
+	Looked  string  `json:"looked,omitempty"` // ID of the proposal that it has validated,
+	Fault   string  `json:"fault,omitempty"`  // and why it rejects it, "" = it accepts it
+	Paused  string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
+	Leaves  bool    `json:"leaves"`           // it ends, and begins no calls any more
 }
 
 // Order answers a report.
--- a/internal/node/statemachine/calls_test.go
+++ b/internal/node/statemachine/calls_test.go
@@ -22,7 +22,7 @@
 		now, number := 0.0, uint64(0)
 		do := func(body any) Reply {
 			number++
-			c := Command{At: now, Session: opened, Number: number, Done: number - 1, Part: ComponentCalls, Body: encode(body)}
+			c := Command{At: now, Session: opened, Number: number, Confirmed: number - 1, Component: ComponentCalls, Body: encode(body)}
 			r := apply(t, a, c)
 			assert.Equal(t, r, apply(t, b, c))
 			return r
@@ -99,7 +99,7 @@
 	n := uint64(0)
 	do := func(at float64, body any) Reply {
 		n++
-		return apply(t, m, Command{At: at, Session: s, Number: n, Done: n - 1, Part: ComponentCalls, Body: encode(body)})
+		return apply(t, m, Command{At: at, Session: s, Number: n, Confirmed: n - 1, Component: ComponentCalls, Body: encode(body)})
 	}
 	claim := Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "a", Life: 1, Token: 7}
 	outcome := func(r Reply) (o ClaimReply) {
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -51,7 +51,7 @@
 // script returns the commands of a history after which no component is empty: of each kind one at least.
 func script() (commands []Command) {
 	add := func(at float64, session, number uint64, component string, body any) {
-		commands = append(commands, Command{Version: Version, At: at, Session: session, Number: number, Done: number / 4, Part: component, Body: encode(body)})
+		commands = append(commands, Command{Version: Version, At: at, Session: session, Number: number, Confirmed: number / 4, Component: component, Body: encode(body)})
 	}
 	name := func(b byte) []byte { return bytes.Repeat([]byte{b}, 16) }
 	add(1_000_100, 0, 71, "", Opening{Name: "node-1"})
@@ -84,16 +84,16 @@
 	propose := func(at float64, p rollout.Proposal) { do(at, 2, ComponentPolicy, PolicyCommand{Propose: &p}) }
 	propose(1_001_100, rollout.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
 	propose(1_001_110, rollout.Proposal{ID: "late", Text: "another", By: "bob"})
-	report(1_001_120, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000})
-	report(1_001_130, rollout.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true})
-	report(1_001_135, rollout.Report{Node: "node-3", Life: 7, Holds: 1, Lease: 8000})
+	report(1_001_120, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000})
+	report(1_001_130, rollout.Report{Node: "node-2", Life: 6, InForce: 1, Lease: 8000, GoesOn: true})
+	report(1_001_135, rollout.Report{Node: "node-3", Life: 7, InForce: 1, Lease: 8000})
 	propose(1_001_140, rollout.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
-	report(1_001_150, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
+	report(1_001_150, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
 	do(1_001_160, 1, ComponentPolicy, PolicyCommand{Dead: "node-3"})
 	propose(1_001_170, rollout.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
-	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second"})
-	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, Holds: 1, Lease: 8000, GoesOn: true, Looked: "second"})
-	report(1_001_200, rollout.Report{Node: "node-1", Life: 5, Holds: 1, Lease: 8000, Looked: "second", Paused: "second"})
+	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second"})
+	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, InForce: 1, Lease: 8000, GoesOn: true, Looked: "second"})
+	report(1_001_200, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second", Paused: "second"})
 	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Kept: .1,
 		Memory: 30, PayBack: 10, PayPart: .25, MostWait: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}, Burst: 2},
 			{Name: "c", Share: .1, Alone: true}, {Name: "d", Parent: "a", Share: .4, Long: quota.Amount{30}, Keep: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
@@ -116,11 +116,11 @@
 		ComponentOrders:   {OrdersOf{Node: "node-1"}, OrdersOf{Node: "node-2"}},
 		ComponentCalls: {Lookup{}, Lookup{Name: bytes.Repeat([]byte{1}, 16), Print: bytes.Repeat([]byte{101}, 16)}, Lookup{Name: bytes.Repeat([]byte{2}, 16), Print: bytes.Repeat([]byte{102}, 16)},
 			Lookup{Name: bytes.Repeat([]byte{3}, 16), Print: bytes.Repeat([]byte{103}, 16)}, Lookup{Name: bytes.Repeat([]byte{5}, 16), Print: bytes.Repeat([]byte{105}, 16)}},
-		ComponentPolicy:      {PolicyQuestion{}, PolicyQuestion{News: true}, PolicyQuestion{Outcome: "faulty"}, PolicyQuestion{Proposed: "second"}, PolicyQuestion{Document: new(uint64(1))}},
+		ComponentPolicy:      {PolicyQuestion{}, PolicyQuestion{Progress: true}, PolicyQuestion{Outcome: "faulty"}, PolicyQuestion{Proposed: "second"}, PolicyQuestion{Document: new(uint64(1))}},
 		ComponentQuotaLeases: {struct{}{}},
 	} {
 		for _, b := range bodies {
-			all = append(all, Request{Part: component, Body: encode(b)})
+			all = append(all, Request{Component: component, Body: encode(b)})
 		}
 	}
 	return all
@@ -129,7 +129,7 @@
 func answers(m *Machine) map[string]Reply {
 	out := map[string]Reply{}
 	for _, q := range queries() {
-		out[q.Part+" "+string(q.Body)] = m.Query(q)
+		out[q.Component+" "+string(q.Body)] = m.Query(q)
 	}
 	return out
 }
--- a/internal/node/statemachine/image.go
+++ b/internal/node/statemachine/image.go
@@ -15,13 +15,13 @@
 // image is the encoded state, on disk and between members: one JSON value, and for version 2 a line feed and the compact
 // images of the components that Compact lists, one after the other.
 type image struct {
-	Version  int                        `json:"version"`
-	Index    uint64                     `json:"index"`
-	Now      float64                    `json:"now"`
-	Sessions map[uint64]session         `json:"sessions"`
-	Parts    map[string]json.RawMessage `json:"parts"`
-	Raised   int                        `json:"raised,omitempty"`
-	Compact  []blob                     `json:"compact,omitempty"`
+	Version    int                        `json:"version"`
+	Index      uint64                     `json:"index"`
+	Now        float64                    `json:"now"`
+	Sessions   map[uint64]session         `json:"sessions"`
+	Components map[string]json.RawMessage `json:"parts"`
+	Raised     int                        `json:"raised,omitempty"`
+	Compact    []blob                     `json:"compact,omitempty"`
 }
 
 // blob says how many bytes the compact image of a component has.
@@ -40,7 +40,7 @@
 // Freeze captures the state and returns the function that encodes its image. That function may run at any time and on any
 // goroutine, while the machine goes on.
 func (m *Machine) Freeze() func() ([]byte, error) {
-	header := image{Version: 1, Raised: m.members.raisedVersion, Index: m.index, Now: m.now, Sessions: map[uint64]session{}, Parts: map[string]json.RawMessage{}}
+	header := image{Version: 1, Raised: m.members.raisedVersion, Index: m.index, Now: m.now, Sessions: map[uint64]session{}, Components: map[string]json.RawMessage{}}
 	for id, s := range m.sessions {
 		c := *s
 		c.Replies = maps.Clone(s.Replies)
@@ -69,7 +69,7 @@
 		if err != nil {
 			return nil, err
 		}
-		i.Parts[name] = text
+		i.Components[name] = text
 	}
 	var blobs [][]byte
 	size := 0
@@ -110,7 +110,7 @@
 		}
 		restored.sessions[id] = &s
 	}
-	for name, text := range header.Parts {
+	for name, text := range header.Components {
 		component := restored.components[name]
 		if component == nil {
 			return ErrVersion
--- a/internal/node/statemachine/machine.go
+++ b/internal/node/statemachine/machine.go
@@ -84,19 +84,19 @@
 
 // Command is the content of an entry.
 type Command struct {
-	Version int             `json:"v"`
-	At      float64         `json:"at"`          // cluster time in ms, set by the leader
-	Session uint64          `json:"s,omitempty"` // 0: a command that opens a session, or one of the cluster itself
-	Number  uint64          `json:"n"`           // sequence number in the session, from 1; one that opens a session has a random number
-	Done    uint64          `json:"d,omitempty"` // the client has the replies to all numbers up to this one
-	Part    string          `json:"p,omitempty"` // component
-	Body    json.RawMessage `json:"b,omitempty"`
+	Version   int             `json:"v"`
+	At        float64         `json:"at"`          // cluster time in ms, set by the leader
+	Session   uint64          `json:"s,omitempty"` // 0: a command that opens a session, or one of the cluster itself
+	Number    uint64          `json:"n"`           // sequence number in the session, from 1; one that opens a session has a random number
+	Confirmed uint64          `json:"d,omitempty"` // the client has the replies to all numbers up to this one
+	Component string          `json:"p,omitempty"` // component
+	Body      json.RawMessage `json:"b,omitempty"`
 }
 
 // Request is a query or a command for a component.
 type Request struct {
-	Part string          `json:"part"`
-	Body json.RawMessage `json:"body"`
+	Component string          `json:"part"`
+	Body      json.RawMessage `json:"body"`
 }
 
 // Component holds one kind of state. A component must be deterministic: its replies and images depend on the commands alone,
@@ -159,7 +159,7 @@
 	}
 	m.index, m.now = index, max(m.now, c.At)
 	switch {
-	case c.Session == 0 && c.Part == ComponentMembers: // of the cluster itself: idempotent, it needs no session
+	case c.Session == 0 && c.Component == ComponentMembers: // of the cluster itself: idempotent, it needs no session
 		return c, m.members.Apply(index, m.now, 0, c.Body), nil
 	case c.Session == 0:
 		return c, m.openSession(index, &c), nil
@@ -169,14 +169,14 @@
 		return c, Reply{Code: Lost, Text: "the session is not known any more"}, nil
 	}
 	s.Used = index
-	s.confirm(c.Done)
+	s.confirm(c.Confirmed)
 	if r, answered := s.earlierReply(c.Number); answered {
 		return c, r, nil
 	}
-	if component := m.components[c.Part]; component != nil {
+	if component := m.components[c.Component]; component != nil {
 		r = component.Apply(index, m.now, c.Session, c.Body)
 	} else {
-		r = unknownComponent(c.Part)
+		r = unknownComponent(c.Component)
 	}
 	r.Index = index
 	s.Replies[c.Number] = r
@@ -185,9 +185,9 @@
 
 // Query answers from the state as it is here, which may be older than what is committed.
 func (m *Machine) Query(request Request) Reply {
-	component := m.components[request.Part]
+	component := m.components[request.Component]
 	if component == nil {
-		return unknownComponent(request.Part)
+		return unknownComponent(request.Component)
 	}
 	r := component.Query(request.Body)
 	r.Index = m.index
--- a/internal/node/statemachine/machine_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -47,7 +47,7 @@
 					done[s]++
 				}
 				set := Set{Name: fmt.Sprint("r", i%3), Value: fmt.Sprint("v", i)}
-				r := apply(t, m, Command{At: at, Session: s, Number: n, Done: done[s], Part: ComponentRegister, Body: encode(set)})
+				r := apply(t, m, Command{At: at, Session: s, Number: n, Confirmed: done[s], Component: ComponentRegister, Body: encode(set)})
 				if first, again := sets[[2]uint64{s, n}]; again && r.Code != Lost {
 					assert.Equal(t, first, r, "the reply of the first")
 				} else if !again {
@@ -76,11 +76,11 @@
 		apply(t, m, Command{Body: encode(Opening{Name: "more"})})
 	}
 	assert.Equal(t, MaxSessions, m.Sessions())
-	assert.Equal(t, Lost, apply(t, m, Command{Session: first, Number: 1, Part: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
+	assert.Equal(t, Lost, apply(t, m, Command{Session: first, Number: 1, Component: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
 	s := apply(t, m, Command{Body: encode(Opening{Name: "s"})}).Index
-	assert.Equal(t, Full, apply(t, m, Command{Session: s, Number: Window + 1, Part: ComponentRegister}).Code)
+	assert.Equal(t, Full, apply(t, m, Command{Session: s, Number: Window + 1, Component: ComponentRegister}).Code)
 	for i := range MaxNames {
-		r := apply(t, m, Command{Session: s, Number: uint64(i + 1), Done: uint64(i), Part: ComponentRegister,
+		r := apply(t, m, Command{Session: s, Number: uint64(i + 1), Confirmed: uint64(i), Component: ComponentRegister,
 			Body: encode(Set{Name: fmt.Sprint(i), Value: "x"})})
 		require.Equal(t, OK, r.Code, r.Text)
 	}
@@ -91,9 +91,9 @@
 	}{{Set{Name: "new", Value: "x"}, Full}, {Set{Name: "1", Value: ""}, OK}, {Set{Name: "new", Value: "x"}, OK},
 		{Set{Name: "", Value: "x"}, Faulty}, {Set{Name: "new", Value: "y", Was: new(uint64(3))}, Conflict}} {
 		n++
-		assert.Equal(t, c.want, apply(t, m, Command{Session: s, Number: n, Done: n - 1, Part: ComponentRegister, Body: encode(c.set)}).Code)
+		assert.Equal(t, c.want, apply(t, m, Command{Session: s, Number: n, Confirmed: n - 1, Component: ComponentRegister, Body: encode(c.set)}).Code)
 	}
-	assert.Equal(t, Faulty, apply(t, m, Command{Session: s, Number: n + 1, Part: "none"}).Code)
+	assert.Equal(t, Faulty, apply(t, m, Command{Session: s, Number: n + 1, Component: "none"}).Code)
 	big := New()
 	for i := range uint64(3 * MaxMembers) {
 		big.Learns(i+1, Member{ID: i + 1, Name: "k"})
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -22,7 +22,7 @@
 	Document *uint64 `json:"document,omitempty"`
 	Proposed string  `json:"proposed,omitempty"`
 	Outcome  string  `json:"outcome,omitempty"`
-	News     bool    `json:"news,omitempty"`
+	Progress bool    `json:"news,omitempty"`
 }
 
 // rolloutComponent adapts the rollout's state machine, which has the Freeze and Load of a Component.
@@ -71,7 +71,7 @@
 		}
 		return Reply{Code: Faulty, Text: "no such document is kept"}
 	}
-	if q.News {
+	if q.Progress {
 		return Reply{Code: OK, Body: encode(p.Progress())}
 	}
 	return Reply{Code: OK, Body: encode(p.View())}
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -30,7 +30,7 @@
 	}
 	m := Bootstrap(founders, 1e6)
 	replay(m)
-	assert.Equal(t, Conflict, apply(t, m, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})}).Code)
+	assert.Equal(t, Conflict, apply(t, m, Command{Component: ComponentMembers, Body: encode(Raise{Raise: 2})}).Code)
 	assert.Equal(t, 1, m.Members().Speaks())
 	m = Bootstrap(founders, 1e6)
 	m.members.raisedVersion = 0 // as the first release bootstraps it
@@ -41,11 +41,11 @@
 	assert.Equal(t, string(image), frozen(t, other))
 	for _, id := range []uint64{11, 12, 13} {
 		assert.Equal(t, 1, other.Members().Speaks())
-		apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, Speaks: 2})})
+		apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, Speaks: 2})})
 	}
 	assert.Equal(t, 1, other.Members().Speaks(), "one of them may go back")
 	assert.Equal(t, string(image[:12]), frozen(t, other)[:12])
-	apply(t, other, Command{Part: ComponentMembers, Body: encode(Raise{Raise: 2})})
+	apply(t, other, Command{Component: ComponentMembers, Body: encode(Raise{Raise: 2})})
 	assert.Equal(t, 2, other.Members().Speaks())
 	compact := frozen(t, other)
 	assert.Contains(t, compact, `"version":2`)
@@ -57,18 +57,18 @@
 			assert.Fail(t, "a truncated image was restored", "at byte %d of %d", cut, len(compact))
 		}
 	}
-	apply(t, other, Command{Part: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release proposes it
+	apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release proposes it
 	assert.Equal(t, string(image[:12]), frozen(t, other)[:12], "it is written as the first release does again")
 }
 
 // TestCommandsHaveTheLowestVersionThatExpressesThem guards against commands of this release that are marked as of the first.
 func TestCommandsHaveTheLowestVersionThatExpressesThem(t *testing.T) {
 	for want, commands := range map[int][]Command{
-		1: {{Part: ComponentRegister}, {Part: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Life: 1}))}, {Part: ComponentPolicy}},
-		2: {{Part: ComponentQuotaLeases, Body: encode(QuotaLeaseCommand{Report: &lease.Report{}})}, {Part: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Life: 2, Before: 1}))}},
+		1: {{Component: ComponentRegister}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Life: 1}))}, {Component: ComponentPolicy}},
+		2: {{Component: ComponentQuotaLeases, Body: encode(QuotaLeaseCommand{Report: &lease.Report{}})}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Life: 2, Before: 1}))}},
 	} {
 		for _, c := range commands {
-			assert.Equal(t, want, VersionOf(c.Part, c.Body), string(c.Body))
+			assert.Equal(t, want, VersionOf(c.Component, c.Body), string(c.Body))
 		}
 	}
 	text, err := json.Marshal(Command{Version: Version + 1})
--- a/lab/circle/circle.go
+++ b/lab/circle/circle.go
@@ -522,7 +522,7 @@
 			}
 		case "":
 			_, _ = client.Call(ctx, c.look(), client.Replica{Name: lead.Name, Address: c.find(lead.Name).address},
-				protocol.Request{Want: protocol.Learn, Members: []statemachine.Member{m}}) // it is tried again
+				protocol.Request{Want: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
 		}
 		select {
 		case <-ctx.Done():
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -42,8 +42,8 @@
 	index, session := l.Index(), uint64(0)
 	apply := func(number uint64, part string, v any) (reply statemachine.Reply, us float64, err error) {
 		index++
-		data := body(statemachine.Command{Version: statemachine.VersionOf(part, body(v)), At: l.Now() + 0.05, Session: session, Number: number, Done: max(1, number) - 1,
-			Part: part, Body: body(v)})
+		data := body(statemachine.Command{Version: statemachine.VersionOf(part, body(v)), At: l.Now() + 0.05, Session: session, Number: number, Confirmed: max(1, number) - 1,
+			Component: part, Body: body(v)})
 		begun := time.Now()
 		_, reply, err = l.Apply(index, data)
 		if us = float64(time.Since(begun).Nanoseconds()) / 1000; err == nil && reply.Code != statemachine.OK {
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -128,7 +128,7 @@
 
 // flush carries out what the state machine wants.
 func (k *keeper) flush() {
-	work, err := k.group.TakeWork(k.w.now)
+	work, err := k.group.Ready(k.w.now)
 	if err != nil {
 		k.w.fault("%s: %v", k.name, err)
 		return
@@ -143,7 +143,7 @@
 	for _, r := range work.Reads {
 		if a := k.reads[r.Number]; a != nil {
 			delete(k.reads, r.Number)
-			reply := k.group.Query(statemachine.Request{Part: a.request.Part, Body: a.request.Body})
+			reply := k.group.Query(statemachine.Request{Component: a.request.Component, Body: a.request.Body})
 			k.answer(a, protocol.Answer{Reply: &reply})
 		}
 	}
@@ -205,7 +205,7 @@
 		k.take(raftWork, func() {
 			k.writing = false
 			for _, job := range jobs {
-				if err := k.group.WriteDone(job); err != nil {
+				if err := k.group.Persisted(job); err != nil {
 					k.w.fault("%s: %v", k.name, err)
 				}
 			}
@@ -309,7 +309,7 @@
 	var err error
 	switch r.Want {
 	case protocol.Do:
-		c := statemachine.Command{Session: r.Session, Number: r.Number, Done: r.Done, Part: r.Part, Body: r.Body}
+		c := statemachine.Command{Session: r.Session, Number: r.Number, Confirmed: r.Confirmed, Component: r.Component, Body: r.Body}
 		if err = k.group.Propose(k.w.now, c); err == nil {
 			k.waiting[key{r.Session, r.Number}] = a
 			return
@@ -344,7 +344,7 @@
 	if len(k.waits) == 0 {
 		return
 	}
-	reply := k.group.Query(statemachine.Request{Part: statemachine.ComponentPolicy, Body: k.waits[0].request.Body}) // all ask the same
+	reply := k.group.Query(statemachine.Request{Component: statemachine.ComponentPolicy, Body: k.waits[0].request.Body}) // all ask the same
 	k.waits = slices.DeleteFunc(k.waits, func(a *asking) bool {
 		other := !bytes.Equal(reply.Body, a.request.Known)
 		if other {
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -370,7 +370,7 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := protocol.Request{Want: protocol.Wait, Part: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{News: true}), Known: body(n.policy.Known())}
+	r := protocol.Request{Want: protocol.Wait, Component: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{Progress: true}), Known: body(n.policy.Known())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
 	a.done = func(r *statemachine.Reply) {
 		var news rollout.Progress
@@ -436,14 +436,14 @@
 
 // do has a command agreed.
 func (n *node) do(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	a := n.make(word, protocol.Request{Want: protocol.Do, Part: part, Body: body(v)}, within, done)
+	a := n.make(word, protocol.Request{Want: protocol.Do, Component: part, Body: body(v)}, within, done)
 	a.command = true
 	n.enter(a)
 }
 
 // read asks a question.
 func (n *node) read(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	n.make(word, protocol.Request{Want: protocol.Read, Part: part, Body: body(v)}, within, done).send()
+	n.make(word, protocol.Request{Want: protocol.Read, Component: part, Body: body(v)}, within, done).send()
 }
 
 func (n *node) make(word string, r protocol.Request, within float64, done func(*statemachine.Reply)) *asking {
@@ -557,7 +557,7 @@
 	n.id++
 	a.request.ID = n.id
 	if a.request.Session != 0 {
-		a.request.Done = n.done
+		a.request.Confirmed = n.done
 	}
 	text, err := json.Marshal(a.request)
 	if err != nil {
--- a/lab/circle/virtual/clients.go
+++ b/lab/circle/virtual/clients.go
@@ -142,7 +142,7 @@
 		return
 	}
 	if a.read && (m.w.set.Wrong == ReadsStale || m.w.set.Wrong == StaleLook) {
-		m.w.answer(a, m.group.Query(statemachine.Request{Part: a.part, Body: a.body}))
+		m.w.answer(a, m.group.Query(statemachine.Request{Component: a.part, Body: a.body}))
 		return
 	}
 	var err error
@@ -152,9 +152,9 @@
 			m.reads[m.readings] = a
 		}
 	} else {
-		command := statemachine.Command{Session: a.session, Number: a.number, Done: a.done, Part: a.part, Body: a.body}
+		command := statemachine.Command{Session: a.session, Number: a.number, Confirmed: a.done, Component: a.part, Body: a.body}
 		if a.session == 0 {
-			command.Part = ""
+			command.Component = ""
 		}
 		if m.w.set.Wrong == AppliesTwice && a.maybe && a.session != 0 {
 			command.Number = a.done + 1 + uint64(a.tries%7) // a number of its own for each try
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -231,7 +231,7 @@
 // owe holds debts against those before: they fade over the memory and are paid at a rate, and go no other way.
 func (r *rooms) owe(m *simulatedMember) {
 	var v lease.View
-	reply := m.group.Query(statemachine.Request{Part: statemachine.ComponentQuotaLeases})
+	reply := m.group.Query(statemachine.Request{Component: statemachine.ComponentQuotaLeases})
 	if err := json.Unmarshal(reply.Body, &v); err != nil {
 		m.w.fault("what is owed cannot be read: %v", err)
 		return
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -353,7 +353,7 @@
 	if m.group == nil {
 		return
 	}
-	work, err := m.group.TakeWork(m.w.now + m.skew)
+	work, err := m.group.Ready(m.w.now + m.skew)
 	if err != nil {
 		m.w.fault("%s: %v", m.name, err)
 		return
@@ -365,7 +365,7 @@
 	for _, r := range work.Reads {
 		if a := m.reads[r.Number]; a != nil {
 			delete(m.reads, r.Number)
-			m.w.answer(a, m.group.Query(statemachine.Request{Part: a.part, Body: a.body}))
+			m.w.answer(a, m.group.Query(statemachine.Request{Component: a.part, Body: a.body}))
 		}
 	}
 	if m.group.Leads() && !m.led {
@@ -400,7 +400,7 @@
 		m.run(func() {
 			m.busy = false
 			for _, job := range jobs {
-				if err := m.group.WriteDone(job); err != nil {
+				if err := m.group.Persisted(job); err != nil {
 					m.w.fault("%s: %v", m.name, err)
 				}
 			}
@@ -442,7 +442,7 @@
 	if m.w.set.Wrong == AnswersEarly {
 		for _, e := range job.Entries {
 			var c statemachine.Command
-			if json.Unmarshal(e.GetData(), &c) == nil && c.Part == statemachine.ComponentRegister && m.group.Leads() {
+			if json.Unmarshal(e.GetData(), &c) == nil && c.Component == statemachine.ComponentRegister && m.group.Leads() {
 				if a := m.waiting[key{c.Session, c.Number}]; a != nil {
 					m.w.answer(a, statemachine.Reply{Code: statemachine.OK, Index: e.GetIndex()})
 				}
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -558,7 +558,7 @@
 		if err == nil && json.Unmarshal(r.Body, &v) == nil && v.Change == nil {
 			holds := map[string]bool{}
 			for _, m := range v.Members {
-				holds[m.Node] = holds[m.Node] || m.Holds == v.Number
+				holds[m.Node] = holds[m.Node] || m.InForce == v.Number
 			}
 			missing := ""
 			for _, n := range p.nodes {
--- a/lab/policies/virtual/node.go
+++ b/lab/policies/virtual/node.go
@@ -325,7 +325,7 @@
 			if n.stopping > 0 && number >= n.stopping+3 {
 				n.w.count("met: a node that woke three numbers on")
 			}
-			if n.disk != number && n.life > 1 && n.holder.Report().Holds == 0 {
+			if n.disk != number && n.life > 1 && n.holder.Report().InForce == 0 {
 				n.w.count("met: a node that came back with another number")
 			}
 			if n.missed > 0 && number > n.missed+1 {
--- a/node/policy.go
+++ b/node/policy.go
@@ -46,7 +46,7 @@
 }
 
 func (p policyLog) Progress(ctx context.Context, known rollout.Progress) (n rollout.Progress, err error) {
-	reply, err := p.log.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{News: true}, known)
+	reply, err := p.log.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{Progress: true}, known)
 	return n, decoded(reply, err, &n)
 }
 
