--- a/cmd/linenwheel-control/main.go
+++ b/cmd/linenwheel-control/main.go
@@ -1,5 +1,5 @@
-// Command linenwheel-control is the control plane of a router fleet: it keeps the configuration on the machines with a
-// disk, knows raters and nodes, and brings all of it to the data plane.
+// Command linenwheel-control is one process of a router fleet's control plane: it replicates the configuration, keeps the
+// registry of backends and the tenants' quotas, and distributes them to the data plane.
 package main
 
 import (
--- a/cmd/linenwheel-data/main.go
+++ b/cmd/linenwheel-data/main.go
@@ -1,4 +1,4 @@
-// Command linenwheel-data is the data plane of a router fleet: it takes clients' requests, chooses a rater for each, and
+// Command linenwheel-data is the data plane of a router fleet: it takes clients' requests, chooses a backend for each, and
 // passes the answers on.
 package main
 
--- a/internal/fleet/backend/request.go
+++ b/internal/fleet/backend/request.go
@@ -8,14 +8,14 @@
 
 // Headers of the protocol between the fleet and the backends.
 const (
-	HeaderAttempt     = "Attempt-Id"
+	HeaderAttempt     = "Attempt-Id"      // the client\'s id of its request, the same in all attempts; responses return it
 	HeaderExpect      = "Expect-Instance" // id of the backend that the request is for
 	HeaderTenant      = "Tenant"
 	HeaderDeadline    = "Deadline-Ms"  // time left, in milliseconds
 	HeaderPriority    = "Priority"     // 0 to 9, 0 first
 	HeaderNotExecuted = "Not-Executed" // in a response: the request has not run and will not
 	HeaderLoad        = "Instance-Load"
-	HeaderSeal        = "Response-Seal" // in each successful response
+	HeaderSeal        = "Response-Seal" // set by the backend in each successful response; one without it counts as malformed
 	HeaderLastID      = "Last-Event-Id"
 	HeaderKey         = "Api-Key" // a client's; it does not reach backends
 )
--- a/internal/fleet/controlplane/deregistration.go
+++ b/internal/fleet/controlplane/deregistration.go
@@ -10,7 +10,7 @@
 )
 
 // Parameters of the acknowledgement of a deregistration. At its next answer to a poll, a node of the data plane turns away from
-// a control process whose registry was confirmed longer ago than distribution.MaxRegistryAge. So no node follows a process any
+// a control process whose registry was confirmed longer ago than distribution.MaxRegistryConfirmationAge. So no node follows a process any
 // more that has been unresponsive for unresponsiveAfter, unless that has the deregistration from others.
 const (
 	replicateTimeout       = 850 * time.Millisecond // with all attempts; a backend waits for a second
@@ -49,7 +49,7 @@
 	results := make(chan string, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			if !g.exchange(address, records, exchangeTimeout) {
+			if !g.exchangeRecords(address, records, exchangeTimeout) {
 				address = ""
 			}
 			results <- address
--- a/internal/fleet/controlplane/deregistration_test.go
+++ b/internal/fleet/controlplane/deregistration_test.go
@@ -135,7 +135,7 @@
 		reply, _ := poll(t, n, nil)
 		require.Len(t, reply.Records, 1, "every process had the record before it was acknowledged")
 		require.True(t, reply.ListConfirmed)
-		require.Less(t, reply.ListConfirmedAgo, distribution.MaxRegistryAge)
+		require.Less(t, reply.ListConfirmedAgo, distribution.MaxRegistryConfirmationAge)
 	}
 	fleet.partitioned.Store(true)
 	partitionedAt := time.Now()
@@ -146,7 +146,7 @@
 		require.Less(t, time.Since(partitionedAt), 6*time.Second)
 	}
 	stale, _ := poll(t, fleet.nodes[2], nil)
-	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryAge, "nodes have turned to other processes by now")
+	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryConfirmationAge, "nodes have turned to other processes by now")
 	known, _ := poll(t, fleet.nodes[1], nil)
 	require.Len(t, known.Records, 2)
 }
--- a/internal/fleet/controlplane/events.go
+++ b/internal/fleet/controlplane/events.go
@@ -10,7 +10,7 @@
 // eventTTL is how long an event of an attempt is of use to the nodes of the data plane.
 const eventTTL = 2 * time.Second
 
-// loggedEvent is an event of an attempt.
+// loggedEvent is an event with the node that reported it and the time at which it happened.
 type loggedEvent struct {
 	session uint64        // of the node that made the attempt
 	at      time.Duration // when it happened, by this process's clock
--- a/internal/fleet/controlplane/gossip.go
+++ b/internal/fleet/controlplane/gossip.go
@@ -43,7 +43,7 @@
 	loggedUnresponsive string // the backends that were last logged as unresponsive; guarded by Node.mu
 
 	mu               sync.Mutex
-	zones            map[string]string        // by address, as the three below
+	zones            map[string]string        // by address, as the maps up to inFlight
 	registryOwners   map[string]uint64        // the registry whose versions registryVersions counts
 	registryVersions map[string]uint64        // the version that was received last
 	lastCalls        map[string]time.Duration // when another process last called this one
@@ -136,7 +136,7 @@
 		if g.beginExchange(address) {
 			go func() {
 				defer g.endExchange(address)
-				g.exchange(address, updates, gossipTimeout)
+				g.exchangeRecords(address, updates, gossipTimeout)
 			}()
 		}
 	}
@@ -169,9 +169,9 @@
 	}
 }
 
-// exchange sends records to another process and merges what changed there. It reports whether the other answered in time: it
+// exchangeRecords sends records to another process and merges what changed there. It reports whether the other answered in time: it
 // then has the records, and this process has all that the other had when the exchange began.
-func (g *gossiper) exchange(address string, records []registry.Record, timeout time.Duration) bool {
+func (g *gossiper) exchangeRecords(address string, records []registry.Record, timeout time.Duration) bool {
 	n := g.node
 	began := n.now()
 	g.mu.Lock()
--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -1,5 +1,5 @@
 // Package controlplane is the control plane's process. It drives the pure state machine of package replica (disk, messages
-// and time), keeps a replica of the backend registry, serves the operator's and the backends' HTTP API, and distributes
+// and time), keeps a copy of the backend registry, serves the operator's and the backends' HTTP API, and distributes
 // configuration, registry and quota to the nodes of the data plane.
 //
 // State and its owners:
@@ -35,7 +35,7 @@
 	idleTimeout       = 30 * time.Second
 )
 
-// Node is one control process.
+// Node is one control process. Elsewhere "node" means a process of the data plane.
 type Node struct {
 	settings      *settings.Settings
 	log           *log.Logger
--- a/internal/fleet/controlplane/ownership.go
+++ b/internal/fleet/controlplane/ownership.go
@@ -33,8 +33,8 @@
 	return routing.Rendezvous(tenant, addresses(chain))
 }
 
-// mayGrant reports whether this process is the owner of a tenant's bucket, and certainly the only one. It keeps track of the
-// ownership, so that it has to be called regularly. Node.mu is held.
+// mayGrant reports whether this process is the owner of a tenant's bucket, and certainly the only one. It also records in
+// n.ownerships since when the view has named this process, so reconcileBuckets calls it at each interval. Node.mu is held.
 func (n *Node) mayGrant(published Published, tenant string, now time.Duration) bool {
 	if QuotaOwner(published.View.Chain, tenant) != published.Self.Address {
 		delete(n.ownerships, tenant)
--- a/internal/fleet/controlplane/poll.go
+++ b/internal/fleet/controlplane/poll.go
@@ -16,6 +16,7 @@
 	sessionTTL  = 3 * time.Second       // how long a node of the data plane counts as live after its last poll
 )
 
+// distributionService serves the nodes of the data plane: Poll here, Announce and Relay in forwarder.go.
 type distributionService struct{ node *Node }
 
 // Poll answers a node of the data plane as soon as there is something new for it, or after the time that the request allows.
@@ -64,7 +65,7 @@
 	if reply.Confirmed && published.Seq > request.ConfigSeq {
 		n.fillConfig(&published, request, reply)
 	}
-	reply.ListConfirmed, reply.ListConfirmedAgo = n.registryAge(&published, now)
+	reply.ListConfirmed, reply.ListConfirmedAgo = n.registryConfirmation(&published, now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sessions[request.Session] = now
@@ -92,9 +93,9 @@
 	reply.ConfigSeq, reply.Update = published.Seq, update
 }
 
-// registryAge returns how long ago this process's registry certainly had every acknowledged change, and false where it never
+// registryConfirmation returns how long ago this process's registry certainly had every acknowledged change, and false where it never
 // had.
-func (n *Node) registryAge(published *Published, now time.Duration) (confirmed bool, age time.Duration) {
+func (n *Node) registryConfirmation(published *Published, now time.Duration) (confirmed bool, age time.Duration) {
 	at := n.gossip.registryConfirmedAt(&published.View, published.Self)
 	return at > 0, max(0, now-at)
 }
--- a/internal/fleet/dataplane/configwatcher.go
+++ b/internal/fleet/dataplane/configwatcher.go
@@ -188,7 +188,7 @@
 		return errShuttingDown
 	case !reply.Confirmed || reply.ConfirmedAgo > maxConfirmationAge:
 		return errStaleView
-	case !reply.ListConfirmed || reply.ListConfirmedAgo > distribution.MaxRegistryAge:
+	case !reply.ListConfirmed || reply.ListConfirmedAgo > distribution.MaxRegistryConfirmationAge:
 		return errStaleRegistry
 	}
 	return nil
--- a/internal/fleet/dataplane/node.go
+++ b/internal/fleet/dataplane/node.go
@@ -76,9 +76,8 @@
 // ApplySettings applies a settings file that has changed while the process runs. Only the seeds take effect.
 func (n *Node) ApplySettings(loaded *settings.Settings) { n.watcher.setSeeds(loaded) }
 
-// Run serves until the context ends, then shuts down gracefully. It returns an error where an address cannot be listened at, a
-// server fails. Its goroutines end with it; they go on during the shutdown, as
-// requests in flight need them.
+// Run serves until the context ends, then shuts down gracefully. It returns an error where an address cannot be listened
+// at or a server fails. Its background goroutines run until it returns, during the shutdown too: requests in flight need them.
 func (n *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/internal/fleet/dataplane/picker.go
+++ b/internal/fleet/dataplane/picker.go
@@ -182,7 +182,7 @@
 	all := make(map[string][]backendStatus, len(p.balancers))
 	for service, balancer := range p.balancers {
 		for _, view := range balancer.View(p.now()).Backends {
-			id := balancer.BackendName(view.ID)
+			id := balancer.BackendID(view.ID)
 			load := balancer.Load(p.now(), id)
 			all[service] = append(all[service], backendStatus{ID: id, Share: view.Share, Prefilling: load.Prefilling,
 				Decoding: load.Decoding, QueueDelay: load.QueueDelay.Round(time.Millisecond).String(), Slowdown: load.Slowdown, FailureRate: load.FailureRate,
--- a/internal/fleet/distribution/clientstate.go
+++ b/internal/fleet/distribution/clientstate.go
@@ -19,7 +19,7 @@
 // errMissingBase says that patches came for a configuration that the node does not have.
 var errMissingBase = errors.New("patches without the configuration that they build on")
 
-// ClientState is a node's replica of what the control plane distributes, built from the replies to its polls. It is pure, and
+// ClientState is a node's copy of what the control plane distributes, built from the replies to its polls. It is pure, and
 // not safe for concurrent use. The configuration never goes backward in it, and neither does the lifecycle of a backend that
 // it has, whichever control processes the node polls.
 type ClientState struct {
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -20,9 +20,9 @@
 	MethodForward = "Distribution.Relay"
 )
 
-// MaxRegistryAge is the age of the registry's confirmation (PollReply.ListConfirmedAgo) from which on a node turns to another
+// MaxRegistryConfirmationAge is the age of the registry's confirmation (PollReply.ListConfirmedAgo) from which on a node turns to another
 // control process. The control plane relies on it when it acknowledges a deregistration.
-const MaxRegistryAge = 1200 * time.Millisecond
+const MaxRegistryConfirmationAge = 1200 * time.Millisecond
 
 // PollRequest requests what is newer than what a node of the data plane has.
 type PollRequest struct {
@@ -50,7 +50,7 @@
 
 	RegistryOwner   uint64
 	RegistryVersion uint64
-	RegistryAge     time.Duration // since that replica of the registry was empty
+	RegistryAge     time.Duration // since that copy of the registry was empty; not what MaxRegistryConfirmationAge bounds
 	Whole           bool          // Records are all records, not only those that changed
 	Records         []registry.Record
 
--- a/internal/fleet/errkind/errkind.go
+++ b/internal/fleet/errkind/errkind.go
@@ -21,16 +21,16 @@
 	TooLarge                             // the body is over the limit
 	NoRoute                              // no route fits host and path
 	UnknownKey                           // the key belongs to no tenant
-	OverQuota                            // the tenant has no allowance left
+	OverQuota                            // the tenant has no quota left
 	NotConfigured                        // this node has no configuration yet
 	StaleConfig                          // the configuration could not be confirmed in time
-	NoBackend                            // no rater of the service is known or able
-	Saturated                            // the raters have no room for the request in time
-	Rejected                             // every rater that was asked declined without running the request
-	BackendLost                          // the rater may have run the request and gave no answer
-	MalformedResponse                    // the rater gave bytes that are not an answer
+	NoBackend                            // no backend of the service is known and usable
+	Saturated                            // the backends cannot take the request in time
+	Rejected                             // every backend that was tried rejected the request without running it
+	BackendLost                          // the backend may have run the request and sent no response
+	MalformedResponse                    // the backend sent bytes that are not a response
 	DeadlineExceeded                     // the deadline passed before the request was sent on
-	DeadlineExceededInFlight             // the deadline passed while a rater was at work
+	DeadlineExceededInFlight             // the deadline passed while an attempt was in flight
 	ShuttingDown                         // the process is about to end
 	kindCount
 )
@@ -64,7 +64,7 @@
 	ShuttingDown:             {http.StatusServiceUnavailable, true, "shutting down"},
 }
 
-// Response is the answer of a kind.
+// Response returns the HTTP response to an error of the kind.
 func (k Kind) Response() Response {
 	if k >= kindCount {
 		return responses[Internal]
--- a/internal/fleet/operator/document.go
+++ b/internal/fleet/operator/document.go
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// patch returns the document that an order to change named items makes of this one.
+// patch returns this document with the named items of a PATCH body applied.
 func (d *Document) patch(body []byte) (*Document, error) {
 	fields, err := readObject(body)
 	if err != nil {
@@ -194,7 +194,7 @@
 	return next, next.readLimits()
 }
 
-// list is the list of that name, also where it is one that is only kept.
+// list returns the list with a name, also one that is kept without a checked form.
 func (d *Document) list(name string) ([]item, error) {
 	if items, present := d.lists[name]; present {
 		return items, nil
@@ -265,7 +265,7 @@
 	return merged
 }
 
-// JSON is the document as the operator reads it.
+// JSON returns the document as the operator reads it.
 func (d *Document) JSON() []byte {
 	fields := make(map[string]any, len(d.lists)+len(d.other)+1)
 	fields[fieldRevision] = d.Revision
--- a/internal/fleet/operator/table.go
+++ b/internal/fleet/operator/table.go
@@ -56,8 +56,8 @@
 }
 
 // Allows reports whether the route sends requests to a service.
-func (r *Route) Allows(backend string) bool {
-	return slices.ContainsFunc(r.Splits, func(s Split) bool { return s.Service == backend })
+func (r *Route) Allows(service string) bool {
+	return slices.ContainsFunc(r.Splits, func(s Split) bool { return s.Service == service })
 }
 
 // Service is a compiled service: the backends that answer the requests of some routes. The configuration calls it a backend.
--- a/internal/fleet/operator/validate.go
+++ b/internal/fleet/operator/validate.go
@@ -4,7 +4,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 )
 
-// validate tells what makes a document invalid.
+// validate returns an error that says what makes the document invalid, nil where it is valid.
 func (d *Document) validate() error {
 	backends, err := d.validateNames()
 	if err != nil {
@@ -24,7 +24,7 @@
 	return d.validateTenants()
 }
 
-// validateNames looks for names that stand twice in a list and gives the names of the services.
+// validateNames returns an error where a name is empty or duplicate in its list, else the names of the services.
 func (d *Document) validateNames() (map[string]bool, error) {
 	for list, items := range d.lists {
 		names := make(map[string]bool, len(items))
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -39,8 +39,8 @@
 	stream     streamState
 }
 
-// prepare reads the request and finds all that is needed to forward it. An error is an *errkind.Error that says why the request
-// is rejected.
+// prepare finds route and tenant, reads the body, draws the service and acquires quota, which reject gives back. An error is an
+// *errkind.Error that says why the request is rejected.
 func (e *exchange) prepare(ctx context.Context) error {
 	table := e.handler.Config.Table()
 	if table == nil {
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -3,7 +3,8 @@
 // whether the request may have run.
 //
 // Handler is the entry. An exchange is the state of one request; its methods stand in files by concern: exchange.go (reading the
-// request), quota.go, attempt.go (attempts and retries), headers.go, stream.go (forwarding the response) and reject.go.
+// request), quota.go, attempt.go (attempts and retries), headers.go, stream.go (forwarding the response) and reject.go. prompt.go reads
+// what a request states of its prompt; metrics.go counts.
 package proxy
 
 import (
--- a/internal/fleet/quota/owner.go
+++ b/internal/fleet/quota/owner.go
@@ -3,7 +3,7 @@
 // returns what it did not use. The package is pure: time comes from the caller, in durations since the start of the process.
 //
 // Three parties may grant units of one tenant while the owner changes: the old owner, its deputy and the new owner. What the
-// rules tolerate beyond a limit is divided among them, so that the sum of all grants stays within limit and tolerance without
+// Tolerance allows beyond a limit is divided among them, so that the sum of all grants stays within limit and tolerance without
 // any agreement on each request.
 package quota
 
@@ -36,7 +36,7 @@
 	unlimitedWait = time.Second
 )
 
-// Tolerance is what the rules tolerate over a window beyond a tenant's rate and burst.
+// Tolerance is what all nodes together may use over a window beyond a tenant's rate and burst (settings.Bounds).
 type Tolerance struct {
 	Window time.Duration
 	Over   float64 // fraction of the limit over the window
--- a/internal/fleet/registry/record.go
+++ b/internal/fleet/registry/record.go
@@ -15,10 +15,10 @@
 	Removed        // it has ended, or another backend has its address
 )
 
-// Record describes one backend: a rater, from one start of its process to its end. The names of the fields are on the wire.
+// Record describes one instance of a backend, from one start of its process to its end. The names of the fields are on the wire.
 type Record struct {
 	ID         string // unique for each start
-	Backend    string // the group that it belongs to
+	Backend    string // name of its service, which the configuration and the wire call a backend
 	Address    string // empty where only the deregistration is known
 	Zone       string
 	Revision   string
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,4 +1,4 @@
-// Package registry keeps the backends (raters) that registered themselves with the control plane. It is pure: time is an
+// Package registry keeps the backends that registered themselves with the control plane. It is pure: time is an
 // argument, and nothing is stored or sent. Its state is soft: it is rebuilt from heartbeats.
 //
 // Each control process has a replica. Records of other replicas are merged one by one, the higher sequence number wins, and
--- a/internal/fleet/replica/acceptor.go
+++ b/internal/fleet/replica/acceptor.go
@@ -57,7 +57,7 @@
 		return Ready{Messages: []Envelope{m.envelope(from, Reject{Epoch: epoch, Promised: m.promised})}}
 	}
 	if slices.Contains(body.Proposal.View.Chain, m.self) && !m.log.hasPosition(body.Proposal.Base) {
-		return Ready{} // it is put to the vote only once the whole chain has stored its base
+		return Ready{} // a member votes for a chain that it is in only once it has stored the base
 	}
 	out := m.prepareBallot(body.Ballot)
 	m.accepted = &Accepted{Ballot: body.Ballot, Proposal: body.Proposal}
--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"errors"
 	"slices"
 	"time"
 
@@ -168,9 +167,3 @@
 	m.queue = nil
 	return out
 }
-
-// IsRejection reports whether an error rejects an order for good, so that sending it again cannot succeed.
-func IsRejection(err error) bool {
-	var kindErr *errkind.Error
-	return errors.As(err, &kindErr) && (kindErr.Kind == errkind.InvalidConfig || kindErr.Kind == errkind.VersionConflict)
-}
--- a/internal/fleet/replica/doc.go
+++ b/internal/fleet/replica/doc.go
@@ -10,7 +10,8 @@
 //     snapshot in chunks.
 //
 // Heartbeats (failuredetector.go) tell which members are reachable and, by the replies of a majority, until when a view and
-// a state were certainly the latest ones (confirmation.go).
+// a state were certainly the latest ones (confirmation.go). A member that shuts down for good has itself replaced first
+// (departure.go). Machine (machine.go) dispatches messages and time to all of these.
 //
 // # Invariants
 //
--- a/internal/fleet/replica/failuredetector.go
+++ b/internal/fleet/replica/failuredetector.go
@@ -9,7 +9,7 @@
 // never answered it.
 const startupTimeouts = 2
 
-// BroadcastHeartbeat returns a heartbeat to every known control process.
+// BroadcastHeartbeat returns a Ready with a heartbeat for each peer that is to be contacted (shouldContact).
 func (m *Machine) BroadcastHeartbeat(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	m.heartbeatSentAt = m.now
@@ -120,7 +120,7 @@
 	return m.reaches(a, b) && m.reaches(b, a)
 }
 
-// reaches reports whether member a reaches member b, as a reported with its last heartbeat.
+// reaches reports whether member a reaches member b, as a reported with its last heartbeat reply.
 func (m *Machine) reaches(a, b Member) bool {
 	if m.awaitingFirstReply(a) || m.awaitingFirstReply(b) {
 		return true
--- a/internal/fleet/replica/machine.go
+++ b/internal/fleet/replica/machine.go
@@ -35,7 +35,7 @@
 	sealedAt          time.Duration // when the first ballot of the next epoch was promised
 	heartbeatSentAt   time.Duration
 	peers             map[string]*peer // by address
-	attempt           *attempt
+	attempt           *proposalAttempt
 	nextAttemptAt     time.Duration // no attempt before then
 	changeWantedSince time.Duration // since when this member would propose another view; 0 = it would not
 	maxRound          uint64        // the highest round seen for the next epoch
@@ -206,7 +206,7 @@
 	return voters
 }
 
-// Checkpoint is a checkpoint of the durable part of a member.
+// Checkpoint is a copy of the durable part of a member, for Rollback.
 type Checkpoint struct{ state durable }
 
 // Checkpoint returns the durable part, to roll back to if storing what the next call returns fails.
--- a/internal/fleet/replica/messages.go
+++ b/internal/fleet/replica/messages.go
@@ -6,8 +6,8 @@
 )
 
 // The messages are sent with gob, which encodes the names of their fields. Some of these are not the terms that the code
-// uses otherwise, and stay as they are: Holds (has the base, or all committed orders), Young (has just started), Live
-// (reachable), Learned (known addresses), Piece (index of a chunk), Whole (checksum of the complete snapshot).
+// uses otherwise, and stay as they are: Holds (has the base, or all committed orders), Young (has just started), Core (can vote),
+// Live (reachable), Learned (known addresses), Piece (index of a chunk), Whole (checksum of the complete snapshot).
 
 // Heartbeat asks a peer whether it is alive and in which epoch it is.
 type Heartbeat struct {
--- a/internal/fleet/replica/proposer.go
+++ b/internal/fleet/replica/proposer.go
@@ -16,9 +16,9 @@
 	rejectSlots = 4
 )
 
-// attempt is one run of this member to have a view agreed. It collects promises, then has the chain install the base, then
+// proposalAttempt is one run of this member to have a view agreed. It collects promises, then has the chain install the base, then
 // collects acceptances.
-type attempt struct {
+type proposalAttempt struct {
 	epoch            uint64
 	ballot           Ballot
 	view             View // proposed unless a voter has accepted another one
@@ -34,7 +34,7 @@
 }
 
 // installing reports whether the chain has been asked to install the base.
-func (a *attempt) installing() bool { return a.installStartedAt > 0 }
+func (a *proposalAttempt) installing() bool { return a.installStartedAt > 0 }
 
 // reconfigure starts an attempt where another view is wanted, and advances or abandons the present one.
 func (m *Machine) reconfigure() Ready {
@@ -74,7 +74,7 @@
 
 func (m *Machine) propose(view View) Ready {
 	m.maxRound++
-	m.attempt = &attempt{epoch: m.view.Epoch + 1, ballot: Ballot{Round: m.maxRound, Proposer: m.self}, view: view,
+	m.attempt = &proposalAttempt{epoch: m.view.Epoch + 1, ballot: Ballot{Round: m.maxRound, Proposer: m.self}, view: view,
 		startedAt: m.now, promises: map[Member]Promise{}, installedBy: map[Member]bool{}, acceptedBy: map[Member]bool{}}
 	m.nextAttemptAt = m.now + m.config.RetryInterval
 	return m.broadcastToVoters(Prepare{Epoch: m.attempt.epoch, Ballot: m.attempt.ballot})
@@ -114,7 +114,7 @@
 
 // highestAccepted returns what was accepted under the highest ballot, nil if nothing was. It may have been decided, and must
 // be proposed again.
-func (a *attempt) highestAccepted() *Accepted {
+func (a *proposalAttempt) highestAccepted() *Accepted {
 	var highest *Accepted
 	for _, promise := range a.promises {
 		if accepted := promise.Accepted; accepted != nil && (highest == nil || accepted.Ballot.compare(highest.Ballot) > 0) {
@@ -126,7 +126,7 @@
 
 // chooseBase sets the end of the longest complete log among the promises as the base of the wanted view, and reports whether
 // there is one. Among equals the lowest address is the source.
-func (a *attempt) chooseBase(self Member) bool {
+func (a *proposalAttempt) chooseBase(self Member) bool {
 	found := false
 	for voter, promise := range a.promises {
 		if !promise.Holds || found && promise.Position.Seq < a.base.Seq {
--- a/internal/fleet/replica/simulation_operator_test.go
+++ b/internal/fleet/replica/simulation_operator_test.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"testing"
@@ -8,6 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
@@ -57,7 +59,7 @@
 }
 
 func (sim *simulation) onRejected(order operator.Order, reply Reply) {
-	if op := sim.operations[order.Digest()]; op != nil && IsRejection(reply.Err) {
+	if op := sim.operations[order.Digest()]; op != nil && isRejection(reply.Err) {
 		result := configResult{known: true, rejected: true}
 		sim.completedCalls = append(sim.completedCalls, operation{op.call, result, sim.submittedAt[reply.ID], sim.now})
 	}
@@ -266,3 +268,9 @@
 	sim.schedule(time.Duration(sim.rand.IntN(300))*time.Millisecond, func() { sim.read(func(int64) {}) })
 	sim.schedule(time.Duration(100+sim.rand.IntN(900))*time.Millisecond, func() { sim.operate(name) })
 }
+
+// isRejection reports whether an error rejects an order for good, so that sending it again cannot succeed.
+func isRejection(err error) bool {
+	var kindErr *errkind.Error
+	return errors.As(err, &kindErr) && (kindErr.Kind == errkind.InvalidConfig || kindErr.Kind == errkind.VersionConflict)
+}
--- a/internal/fleet/routing/balancer.go
+++ b/internal/fleet/routing/balancer.go
@@ -188,7 +188,7 @@
 }
 
 // Pick returns an attempt at a backend, nil where none may get the request. Requests with a prefix go by its hash; so do retries,
-// as the round robin does not know of excluded backends.
+// with or without one: decide's round robin would offer their excluded backends again.
 func (b *Balancer) Pick(now time.Duration, request *Request) *Attempt {
 	b.runTimers(now)
 	b.lastRequest++
--- a/internal/fleet/routing/doc.go
+++ b/internal/fleet/routing/doc.go
@@ -4,7 +4,7 @@
 // A Balancer serves one service. It holds a decide.Balancer, which learns each backend's latency over its load (the time to the
 // first token) and solves for the backends' shares of this node's requests.
 //
-// A request whose prompt has no shared prefix goes to the next backend of decide's weighted round robin. Backends that are new or
+// A first attempt whose prompt has no shared prefix goes to the next backend of decide's weighted round robin. Backends that are new or
 // come back after an ejection get their first requests there (roundrobin.go).
 //
 // A request with a prefix goes to its home, the backend that the rendezvous hash of the prefix names (rendezvous.go): all nodes
--- a/internal/fleet/routing/prefixcache.go
+++ b/internal/fleet/routing/prefixcache.go
@@ -50,7 +50,8 @@
 	c.young[prefix] = append(locations, cachedPrefix{backend, at, prefilledTokens})
 }
 
-// locations returns the backends that a prefix was sent to, and moves the prefix to the younger generation.
+// locations returns the backends that a prefix was sent to, and moves the prefix to the younger generation. Where that is full,
+// it drops the older generation first.
 func (c *prefixCache) locations(prefix uint32) []cachedPrefix {
 	if locations, found := c.young[prefix]; found {
 		return locations
--- a/internal/fleet/routing/rendezvous.go
+++ b/internal/fleet/routing/rendezvous.go
@@ -4,23 +4,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hashUnit returns a number in (0, 1) that depends on a key and a node only.
-func hashUnit(key, node string) float64 {
+// hashUnit returns a number in (0, 1) that depends on a key and a candidate only.
+func hashUnit(key, candidate string) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(key)
 	_, _ = digest.Write([]byte{0})
-	_, _ = digest.WriteString(node)
+	_, _ = digest.WriteString(candidate)
 	return (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
 }
 
-// Rendezvous returns the node that owns a key, by highest random weight: where a node is added or removed, only the keys that it
-// owns move. All nodes weigh the same. It returns "" where there are none.
-func Rendezvous(key string, nodes []string) string {
+// Rendezvous returns the candidate that owns a key, by highest random weight: where one is added or removed, only the keys that it
+// owns move. All weigh the same. It returns "" where there are none. Quota ownership uses it too, with control processes.
+func Rendezvous(key string, candidates []string) string {
 	best, highest := "", -1.0
-	for _, node := range nodes {
-		if score := hashUnit(key, node); score > highest {
-			best, highest = node, score
+	for _, candidate := range candidates {
+		if score := hashUnit(key, candidate); score > highest {
+			best, highest = candidate, score
 		}
 	}
 	return best
--- a/internal/fleet/routing/status.go
+++ b/internal/fleet/routing/status.go
@@ -18,15 +18,15 @@
 // View returns how this node's requests are shared among the backends, and how those do.
 func (b *Balancer) View(now time.Duration) decide.View { return b.shares.View(now) }
 
-// Load returns what is known of the load of the backend with an id.
+// Load returns what is known of the load of the backend with an id. It forgets prompts that are too old.
 func (b *Balancer) Load(now time.Duration, id string) BackendLoad {
 	load := b.loads.backend(TagOf(id))
 	return BackendLoad{Prefilling: len(load.prefilling), Decoding: len(load.decoding), QueueDelay: b.loads.queueDelay(now, load),
 		Slowdown: b.loads.slowdown(now, load), FailureRate: b.loads.failureRate(now, load)}
 }
 
-// BackendName returns the id of a backend by its number in View, "" where there is none.
-func (b *Balancer) BackendName(id decide.BackendID) string {
+// BackendID returns the id of a backend by its number in View, "" where there is none.
+func (b *Balancer) BackendID(id decide.BackendID) string {
 	if m := b.byID[id]; m != nil {
 		return m.backend.ID
 	}
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -35,7 +35,7 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Bounds are the bounds of the rules in force, by their names in the settings file.
+// Bounds are the limits that the platform sets for the fleet, by their names in the settings file.
 type Bounds struct {
 	Contact          time.Duration
 	Ack              time.Duration
@@ -64,7 +64,7 @@
 	Region          string
 	Front           string // address for clients, empty where the role does not serve them
 	Readiness       string
-	Control         string // address for raters and the operator
+	Control         string // address for backends and the operator
 	InternalPort    int
 	Seeds           []string // control addresses
 	Bootstrap       bool
--- a/internal/fleet/storage/generations.go
+++ b/internal/fleet/storage/generations.go
@@ -16,7 +16,7 @@
 // generationName is the name of a generation's file, by its number.
 const generationName = "control-%06d.db"
 
-// load reads the latest complete generation.
+// load reads the latest complete generation. It truncates damaged files on the way (readGeneration).
 func (s *Store) load() error {
 	generations, err := s.generations()
 	if err != nil {
