--- a/cmd/linenwheel/quota.go
+++ b/cmd/linenwheel/quota.go
@@ -74,7 +74,7 @@
 	fmt.Fprintf(s.out, "tree %s of policy %d; %d nodes hold leases of %.0f%% of the room\n", v.Tree, v.Number, v.Members, 100*v.Leased)
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tDUE\tLEASED\tOWED\tOWES\t(parts of all room; seconds of it)")
-	for _, h := range v.Held {
+	for _, h := range v.Nodes {
 		name := h.Name
 		if name == "" {
 			name = "(all)"
--- a/internal/node/idempotency/entry.go
+++ b/internal/node/idempotency/entry.go
@@ -13,8 +13,8 @@
 
 // entry is what is known of one key. It is in at most two queues: one by expiry, one of bodies.
 type entry struct {
-	key         Name
-	fingerprint Print
+	key         Key
+	fingerprint Fingerprint
 	body        any
 	expires     float64 // ms; of an ended one
 	size        int32   // bytes of body
@@ -30,7 +30,7 @@
 const EntryBytes = 192
 
 // lookup returns the entry of a run, nil if that run is not in the table any more.
-func (t *Book) lookup(ref Ref) *entry {
+func (t *Table) lookup(ref Ref) *entry {
 	if ref.slot < 0 || int(ref.slot) >= len(t.entries) || t.entries[ref.slot].generation != ref.generation {
 		return nil
 	}
@@ -38,7 +38,7 @@
 }
 
 // allocate returns an unused slot.
-func (t *Book) allocate() int32 {
+func (t *Table) allocate() int32 {
 	if t.freeHead < 0 {
 		t.entries = append(t.entries, entry{links: unlinked})
 		return int32(len(t.entries) - 1)
@@ -50,7 +50,7 @@
 }
 
 // remove deletes an entry. The caller has taken it out of the counts.
-func (t *Book) remove(slot int32) {
+func (t *Table) remove(slot int32) {
 	t.unlink(slot)
 	e := &t.entries[slot]
 	t.lanes[e.lane].keys--
@@ -62,7 +62,7 @@
 }
 
 // unlink takes an entry out of its queues and drops its body. The caller has taken it out of the counts.
-func (t *Book) unlink(slot int32) {
+func (t *Table) unlink(slot int32) {
 	e := &t.entries[slot]
 	switch e.state {
 	case stateAnswered:
@@ -74,7 +74,7 @@
 }
 
 // discardBody frees the body of an answered entry, whose state the caller changes.
-func (t *Book) discardBody(slot int32) {
+func (t *Table) discardBody(slot int32) {
 	e := &t.entries[slot]
 	t.removeFrom(&t.bodies, byBody, slot)
 	t.counts.Bytes -= int(e.size)
@@ -82,18 +82,18 @@
 }
 
 // evictBody evicts the oldest body. Its entry is from then on only known to have executed.
-func (t *Book) evictBody() {
+func (t *Table) evictBody() {
 	slot := t.bodies.head
 	t.addToCounts(slot, -1)
 	t.discardBody(slot)
 	t.entries[slot].state = stateExecuted
 	t.addToCounts(slot, 1)
-	t.counts.BodiesPushedOut++
+	t.counts.BodiesEvicted++
 }
 
 // addToCounts adds delta to the counts that an entry belongs to: that of its state and, if it is pinned, those of
 // pinned entries. It is called with -1 before a change of state, and with 1 after it.
-func (t *Book) addToCounts(slot int32, delta int) {
+func (t *Table) addToCounts(slot int32, delta int) {
 	e := &t.entries[slot]
 	switch e.state {
 	case stateRunning:
@@ -101,9 +101,9 @@
 	case stateAnswered:
 		t.counts.Answered += delta
 	case stateExecuted:
-		t.counts.Spent += delta
+		t.counts.Executed += delta
 	case stateInDoubt:
-		t.counts.Doubt += delta
+		t.counts.InDoubt += delta
 	}
 	if t.isPinned(e) {
 		t.counts.Pinned += delta
@@ -112,12 +112,12 @@
 }
 
 // isPinned reports whether an entry must not be evicted.
-func (t *Book) isPinned(e *entry) bool {
-	return e.state == stateRunning || t.config.Classes[e.class].Once
+func (t *Table) isPinned(e *entry) bool {
+	return e.state == stateRunning || t.config.Classes[e.class].AtMostOnce
 }
 
 // tenantIndex returns a tenant's index in pinnedByTenant.
-func (t *Book) tenantIndex(tenant int) int {
+func (t *Table) tenantIndex(tenant int) int {
 	if tenant < 0 || tenant >= t.config.Tenants {
 		return t.config.Tenants
 	}
@@ -126,11 +126,11 @@
 
 // evictOne removes the entry that would expire first among those that are not pinned, and reports whether there was
 // one.
-func (t *Book) evictOne() bool {
+func (t *Table) evictOne() bool {
 	victim := int32(-1)
 	for i := range t.lanes {
 		l := &t.lanes[i]
-		if t.config.Classes[l.class].Once {
+		if t.config.Classes[l.class].AtMostOnce {
 			continue
 		}
 		for _, head := range [...]int32{l.executed.head, l.inDoubt.head} {
@@ -144,6 +144,6 @@
 	}
 	t.addToCounts(victim, -1)
 	t.remove(victim)
-	t.counts.NamesPushedOut++
+	t.counts.KeysEvicted++
 	return true
 }
--- a/internal/node/idempotency/expiry.go
+++ b/internal/node/idempotency/expiry.go
@@ -18,8 +18,8 @@
 const maxLanes = 1024
 
 // findLane finds or makes the lane for a call; false if there is none left.
-func (t *Book) findLane(c Call) (index int, ok bool) {
-	w := Windows{t.config.Classes[c.Class].Answered, t.config.Classes[c.Class].Doubt}
+func (t *Table) findLane(c Call) (index int, ok bool) {
+	w := Windows{t.config.Classes[c.Class].AnsweredWindow, t.config.Classes[c.Class].InDoubtWindow}
 	if c.Windows != nil {
 		w = *c.Windows
 	}
@@ -49,7 +49,7 @@
 }
 
 // advance moves the time on, never back, and removes what has expired.
-func (t *Book) advance(now float64) {
+func (t *Table) advance(now float64) {
 	if now > t.now {
 		t.now = now
 	}
@@ -57,10 +57,10 @@
 }
 
 // Tick removes what has expired by now. Ask and End do so too; Tick is for times without calls.
-func (t *Book) Tick(now float64) { t.advance(now) }
+func (t *Table) Tick(now float64) { t.advance(now) }
 
-// Next returns when the next entry expires; +Inf if none does.
-func (t *Book) Next() float64 {
+// NextExpiry returns when the next entry expires; +Inf if none does.
+func (t *Table) NextExpiry() float64 {
 	next := math.Inf(1)
 	for i := range t.lanes {
 		for _, head := range [...]int32{t.lanes[i].executed.head, t.lanes[i].inDoubt.head} {
@@ -73,7 +73,7 @@
 }
 
 // expire removes every entry whose window is over.
-func (t *Book) expire() {
+func (t *Table) expire() {
 	for i := range t.lanes {
 		for _, q := range [...]*queue{&t.lanes[i].executed, &t.lanes[i].inDoubt} {
 			for q.head >= 0 && t.entries[q.head].expires <= t.now {
@@ -86,8 +86,8 @@
 }
 
 // retryAfter returns the milliseconds until the next entry expires, at least 1; 0 if that is not known.
-func (t *Book) retryAfter() float64 {
-	if next := t.Next(); !math.IsInf(next, 1) {
+func (t *Table) retryAfter() float64 {
+	if next := t.NextExpiry(); !math.IsInf(next, 1) {
 		return max(1, next-t.now)
 	}
 	return 0
@@ -95,7 +95,7 @@
 
 // expiryQueue returns the queue that an ended entry is in: within one queue windows are equal, so that it is sorted
 // by expiry.
-func (t *Book) expiryQueue(e *entry) *queue {
+func (t *Table) expiryQueue(e *entry) *queue {
 	if e.state == stateInDoubt {
 		return &t.lanes[e.lane].inDoubt
 	}
@@ -103,7 +103,7 @@
 }
 
 // enqueueExpiry inserts an ended entry in the order of expiry.
-func (t *Book) enqueueExpiry(slot int32) {
+func (t *Table) enqueueExpiry(slot int32) {
 	e := &t.entries[slot]
 	q := t.expiryQueue(e)
 	after := q.tail // only a restored entry may belong before the tail
--- a/internal/node/idempotency/idempotency.go
+++ b/internal/node/idempotency/idempotency.go
@@ -17,11 +17,11 @@
 //
 // # Bounds
 //
-// A table holds at most Settings.Entries keys and Settings.Bytes of response bodies. Its own memory is at most
+// A table holds at most Settings.MaxEntries keys and Settings.MaxBodyBytes of response bodies. Its own memory is at most
 // EntryBytes per entry, bodies not counted. Running entries are pinned, and so, within their windows, are the
 // executed and in-doubt entries of a class whose calls must never run twice: a pinned entry is never evicted. When
 // only pinned entries are left, a new call of such a class is rejected before it runs, and one of another class goes
-// on unrecorded. The tenant that fills the table is rejected first: a tenant may pin at most Settings.Alpha times the
+// on unrecorded. The tenant that fills the table is rejected first: a tenant may pin at most Settings.PinnedRatio times the
 // capacity that is not pinned.
 //
 // # Windows that change
@@ -32,18 +32,18 @@
 // for whose windows no lane is left is rejected, or goes on unrecorded, as when the table is full.
 package idempotency
 
-// Name is an idempotency key: two calls are the same call if their keys are equal.
-type Name [16]byte
+// Key is an idempotency key: two calls are the same call if their keys are equal.
+type Key [16]byte
 
-// Print is the fingerprint of a call: a digest of all of its content. Equal keys with different fingerprints are a
+// Fingerprint is the fingerprint of a call: a digest of all of its content. Equal keys with different fingerprints are a
 // client error.
-type Print [16]byte
+type Fingerprint [16]byte
 
 // Class says how the calls of a class are treated.
 type Class struct {
-	Once     bool    // it must never run twice
-	Answered float64 // ms for which a served call is known after its end
-	Doubt    float64 // ms for which a call that may have run is known after its end
+	AtMostOnce     bool    // it must never run twice
+	AnsweredWindow float64 // ms for which a served call is known after its end
+	InDoubtWindow  float64 // ms for which a call that may have run is known after its end
 }
 
 // Windows are the times, in milliseconds, for which a call is known, as in Class.
@@ -57,10 +57,10 @@
 
 // Call is what the table has to know of a call.
 type Call struct {
-	Name   Name
-	Print  Print
-	Class  int
-	Tenant int // -1 = none
+	Key         Key
+	Fingerprint Fingerprint
+	Class       int
+	Tenant      int // -1 = none
 	// Windows are those under which its run begins, nil = its class's. They are read only when it claims its key.
 	Windows *Windows
 }
@@ -70,14 +70,14 @@
 
 // The verdicts.
 const (
-	Run      Verdict = iota // it is the first, or may run again: run it, then call End with its Ref
-	Pass                    // run it unrecorded: the table has no capacity, and a repeat does no harm
-	Join                    // it is running: wait for that run's outcome
-	Replay                  // answer with Decision.Body
-	Spent                   // it has executed, but its response is no longer kept
-	Doubt                   // it may have executed: neither run it nor ask the client to retry
-	Mismatch                // other content, or another class, under a known key
-	Full                    // rejected: no capacity, retry after Decision.Wait
+	Run           Verdict = iota // it is the first, or may run again: run it, then call End with its Ref
+	RunUnrecorded                // run it unrecorded: the table has no capacity, and a repeat does no harm
+	Join                         // it is running: wait for that run's outcome
+	Replay                       // answer with Decision.Body
+	Executed                     // it has executed, but its response is no longer kept
+	InDoubt                      // it may have executed: neither run it nor ask the client to retry
+	Mismatch                     // other content, or another class, under a known key
+	Full                         // rejected: no capacity, retry after Decision.RetryAfter
 )
 
 var verdictNames = [...]string{"run", "pass", "join", "replay", "spent", "doubt", "mismatch", "full"}
@@ -93,24 +93,24 @@
 
 // Decision is the answer of Ask and Peek.
 type Decision struct {
-	Verdict Verdict
-	Ref     Ref     // with Run and Join
-	Body    any     // with Replay
-	Wait    float64 // with Full, ms; 0 = not known
+	Verdict    Verdict
+	Ref        Ref     // with Run and Join
+	Body       any     // with Replay
+	RetryAfter float64 // with Full, ms; 0 = not known
 }
 
-// End is the outcome of a run.
-type End uint8
+// Outcome is the outcome of a run.
+type Outcome uint8
 
 // The outcomes of a run.
 const (
-	EndServed  End = iota // with a response
-	EndNotRun             // rejected or failed, and certainly not executed
-	EndInDoubt            // rejected, failed or abandoned, and it may have executed
+	OutcomeServed      Outcome = iota // with a response
+	OutcomeNotExecuted                // rejected or failed, and certainly not executed
+	OutcomeInDoubt                    // rejected, failed or abandoned, and it may have executed
 )
 
-// Known is an entry as it was in another process: before a restart or a hot restart.
-type Known struct {
+// Entry is an entry as it was in another process: before a restart or a hot restart.
+type Entry struct {
 	Call
 	Running bool    // when it was recorded: it may have executed
 	Served  bool    // if neither Running nor Served, it may have executed
--- a/internal/node/idempotency/journal/golden_test.go
+++ b/internal/node/idempotency/journal/golden_test.go
@@ -24,7 +24,7 @@
 		ticket, err := j.Began(at, c)
 		require.NoError(t, err)
 		require.NoError(t, ticket.Wait())
-		ends := []idempotency.End{idempotency.EndServed, idempotency.EndServed, idempotency.EndNotRun, idempotency.EndInDoubt}
+		ends := []idempotency.Outcome{idempotency.OutcomeServed, idempotency.OutcomeServed, idempotency.OutcomeNotExecuted, idempotency.OutcomeInDoubt}
 		if i >= 6 {
 			continue // these run
 		}
@@ -39,12 +39,12 @@
 }
 
 // known is what the golden directory tells at 800 ms, in the order of the ends.
-func known() (list []idempotency.Known) {
+func known() (list []idempotency.Entry) {
 	windows := func(a float64) *idempotency.Windows { return &idempotency.Windows{Answered: a, Doubt: 800} }
 	of := func(i int, w *idempotency.Windows, age float64, running, served bool, body string) {
 		c := call(i)
 		c.Windows = w
-		k := idempotency.Known{Call: c, Running: running, Served: served, Age: age}
+		k := idempotency.Entry{Call: c, Running: running, Served: served, Age: age}
 		if body != "" {
 			k.Body, k.Size = []byte(body), len(body)
 		}
--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return r, err
 	}
-	entries := map[idempotency.Name]*entry{}
+	entries := map[idempotency.Key]*entry{}
 	r.Names = map[string]int{}
 	for _, name := range names {
 		text, err := f.Read(name)
@@ -68,9 +68,9 @@
 	switch {
 	case e.Running:
 		return "running"
-	case e.outcome == idempotency.EndServed:
+	case e.outcome == idempotency.OutcomeServed:
 		return "answered"
-	case e.outcome == idempotency.EndInDoubt:
+	case e.outcome == idempotency.OutcomeInDoubt:
 		return "in doubt"
 	}
 	return "not run"
@@ -102,7 +102,7 @@
 	if err != nil {
 		return 0, err
 	}
-	set := Settings{Classes: r.Classes, Tenants: r.Tenants, SegmentBytes: math.MaxInt, Keep: keep, Queue: math.MaxInt}
+	set := Settings{Classes: r.Classes, Tenants: r.Tenants, SegmentBytes: math.MaxInt, Retention: keep, MaxQueue: math.MaxInt}
 	j, list, _, err := Open(f, set, now)
 	if err != nil {
 		return 0, err
@@ -113,9 +113,9 @@
 		if k.Body != nil {
 			body = k.Body.([]byte)
 		}
-		outcome := idempotency.EndInDoubt
+		outcome := idempotency.OutcomeInDoubt
 		if k.Served {
-			outcome = idempotency.EndServed
+			outcome = idempotency.OutcomeServed
 		}
 		if last, err = j.Began(at, k.Call); err == nil && !k.Running {
 			last, err = j.Ended(at, k.Call, outcome, body)
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -14,9 +14,9 @@
 //
 // # Bounds
 //
-// A segment ends at Settings.SegmentBytes, or a record beyond; it is removed Settings.Keep after its last record. So
-// a journal holds what is written in Settings.Keep, and one segment. Records that wait for the disk are at most
-// Settings.Queue in the batch that is being collected, and as many in the one that is being written.
+// A segment ends at Settings.SegmentBytes, or a record beyond; it is removed Settings.Retention after its last record. So
+// a journal holds what is written in Settings.Retention, and one segment. Records that wait for the disk are at most
+// Settings.MaxQueue in the batch that is being collected, and as many in the one that is being written.
 package journal
 
 import (
@@ -35,18 +35,18 @@
 	Classes      []string // names, by number
 	Tenants      []string // names, by number
 	SegmentBytes int
-	Keep         float64 // ms for which records are of use: the longest window and the longest call
-	Call         float64 // ms of the longest call: a record with windows of its own is of use for the longest of them and this
-	Queue        int     // maximum number of records in a batch
+	Retention    float64 // ms for which records are of use: the longest window and the longest call
+	MaxCall      float64 // ms of the longest call: a record with windows of its own is of use for the longest of them and this
+	MaxQueue     int     // maximum number of records in a batch
 }
 
 // retention returns the milliseconds for which the records of a call with these windows are of use; nil = its windows
 // are not known.
 func (s *Settings) retention(w *idempotency.Windows) float64 {
 	if w == nil {
-		return s.Keep
+		return s.Retention
 	}
-	return max(s.Keep, w.Longest()+s.Call)
+	return max(s.Retention, w.Longest()+s.MaxCall)
 }
 
 // The errors of a journal.
@@ -107,7 +107,7 @@
 // Open reads a directory and returns a journal that appends to it, in a segment of its own, with the entries that it
 // recovered. Findings are not errors: a damaged segment stays as it is until its retention is over. Nothing is
 // written before Run.
-func Open(f wal.Folder, set Settings, now float64) (j *Journal, recovered []idempotency.Known, findings []Finding, err error) {
+func Open(f wal.Folder, set Settings, now float64) (j *Journal, recovered []idempotency.Entry, findings []Finding, err error) {
 	recovered, findings, err = Read(f, set, now)
 	if err != nil {
 		return nil, nil, nil, err
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	j = &Journal{config: set, folder: f, batch: newBatch(nil), retention: set.Keep}
+	j = &Journal{config: set, folder: f, batch: newBatch(nil), retention: set.Retention}
 	for _, k := range recovered {
 		j.retention = max(j.retention, set.retention(k.Windows))
 	}
@@ -138,15 +138,15 @@
 // Began records that a call is about to run. Where its class asks for it, the caller waits for the Ticket before the
 // first byte goes out. The error is ErrFull or ErrClosed.
 func (j *Journal) Began(at float64, c idempotency.Call) (Ticket, error) {
-	return j.enqueue(&record{kind: kindBegan, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Name,
-		fingerprint: c.Print, windows: c.Windows})
+	return j.enqueue(&record{kind: kindBegan, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Key,
+		fingerprint: c.Fingerprint, windows: c.Windows})
 }
 
 // Ended records the outcome of a call, with its response in the caller's encoding; nil = not kept. The error is
 // ErrFull or ErrClosed.
-func (j *Journal) Ended(at float64, c idempotency.Call, outcome idempotency.End, body []byte) (Ticket, error) {
-	return j.enqueue(&record{kind: kindEnded, outcome: outcome, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Name,
-		fingerprint: c.Print, body: body})
+func (j *Journal) Ended(at float64, c idempotency.Call, outcome idempotency.Outcome, body []byte) (Ticket, error) {
+	return j.enqueue(&record{kind: kindEnded, outcome: outcome, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Key,
+		fingerprint: c.Fingerprint, body: body})
 }
 
 // enqueue adds a record to the batch that is being collected.
@@ -157,7 +157,7 @@
 	switch {
 	case j.closed:
 		return Ticket{}, ErrClosed
-	case b.count >= j.config.Queue:
+	case b.count >= j.config.MaxQueue:
 		return Ticket{}, ErrFull
 	}
 	j.retention = max(j.retention, j.config.retention(r.windows))
--- a/internal/node/idempotency/journal/journal_test.go
+++ b/internal/node/idempotency/journal/journal_test.go
@@ -19,10 +19,10 @@
 )
 
 var set = Settings{Classes: []string{"post-charge", "cap-alert"}, Tenants: []string{"morava", "vltava"}, SegmentBytes: 600,
-	Keep: 1000, Queue: 100}
+	Retention: 1000, MaxQueue: 100}
 
 func call(i int) (c idempotency.Call) {
-	c.Name[0], c.Print[3], c.Class, c.Tenant = byte(i), byte(i), i%2, i%3-1
+	c.Key[0], c.Fingerprint[3], c.Class, c.Tenant = byte(i), byte(i), i%2, i%3-1
 	return c
 }
 
@@ -96,7 +96,7 @@
 func (h *handle) Close() error { return nil }
 
 // begin opens a journal in a directory and runs it; stop ends it.
-func begin(t *testing.T, f wal.Folder, now float64) (j *Journal, list []idempotency.Known, found []Finding, stop func()) {
+func begin(t *testing.T, f wal.Folder, now float64) (j *Journal, list []idempotency.Entry, found []Finding, stop func()) {
 	j, list, found, err := Open(f, set, now)
 	require.NoError(t, err)
 	over := make(chan struct{})
@@ -105,16 +105,16 @@
 }
 
 // play makes calls that begin and end, and returns those that must be known after a restart.
-func play(j *Journal, calls int) (begun, ended map[idempotency.Name]bool) {
-	begun, ended = map[idempotency.Name]bool{}, map[idempotency.Name]bool{}
+func play(j *Journal, calls int) (begun, ended map[idempotency.Key]bool) {
+	begun, ended = map[idempotency.Key]bool{}, map[idempotency.Key]bool{}
 	for i := range calls {
 		c := call(i)
 		if t, err := j.Began(float64(i), c); err != nil || t.Wait() != nil {
 			continue
 		}
-		begun[c.Name] = true
-		if t, err := j.Ended(float64(i), c, idempotency.EndServed, []byte("body")); err == nil && t.Wait() == nil {
-			ended[c.Name] = true
+		begun[c.Key] = true
+		if t, err := j.Ended(float64(i), c, idempotency.OutcomeServed, []byte("body")); err == nil && t.Wait() == nil {
+			ended[c.Key] = true
 		}
 	}
 	return begun, ended
@@ -140,9 +140,9 @@
 		for _, lost := range []int{0, 1, 17, 1 << 20} {
 			list, _, err := Read(m.crash(lost), set, float64(calls))
 			require.NoError(t, err)
-			known := map[idempotency.Name]idempotency.Known{}
+			known := map[idempotency.Key]idempotency.Entry{}
 			for _, k := range list {
-				known[k.Name] = k
+				known[k.Key] = k
 			}
 			for name := range begun {
 				k, ok := known[name]
@@ -225,12 +225,12 @@
 	require.Len(t, list, 1, "the class post-charge is gone")
 	assert.Equal(t, 0, list[0].Class)
 	assert.Equal(t, -1, list[0].Tenant, "the tenant morava is gone")
-	list, _, err = Read(m, set, 3+set.Keep+0.5)
+	list, _, err = Read(m, set, 3+set.Retention+0.5)
 	require.NoError(t, err)
 	assert.Empty(t, list, "too old")
-	j, _, _, stop = begin(t, m, 3+3*set.Keep)
+	j, _, _, stop = begin(t, m, 3+3*set.Retention)
 	defer stop()
-	ticket, err := j.Began(3+3*set.Keep, call(9))
+	ticket, err := j.Began(3+3*set.Retention, call(9))
 	require.NoError(t, err)
 	require.NoError(t, ticket.Wait())
 	assert.Equal(t, "x", string(m.files["notes.txt"]))
@@ -263,7 +263,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	j, _, _, err := Open(newMemory(), set, 0)
 	require.NoError(t, err)
-	for i := range set.Queue {
+	for i := range set.MaxQueue {
 		_, err := j.Began(0, call(i))
 		require.NoError(t, err)
 	}
@@ -276,7 +276,7 @@
 	for _, many := range []int{1, 128} {
 		b.Run(fmt.Sprint(many), func(b *testing.B) {
 			big := set
-			big.SegmentBytes, big.Queue = 8<<20, 1<<20
+			big.SegmentBytes, big.MaxQueue = 8<<20, 1<<20
 			j, _, _, err := Open(wal.Disk{Path: b.TempDir()}, big, 0)
 			require.NoError(b, err)
 			over := make(chan struct{})
@@ -314,7 +314,7 @@
 	for _, c := range []idempotency.Call{long, call(2)} {
 		_, err := j.Began(1, c)
 		require.NoError(t, err)
-		_, err = j.Ended(2, c, idempotency.EndServed, []byte("body"))
+		_, err = j.Ended(2, c, idempotency.OutcomeServed, []byte("body"))
 		require.NoError(t, err)
 	}
 	stop()
@@ -339,7 +339,7 @@
 	stop()
 	list, _, err := Read(m, set, 4900)
 	require.NoError(t, err)
-	assert.True(t, slices.ContainsFunc(list, func(k idempotency.Known) bool { return k.Name == long.Name }))
+	assert.True(t, slices.ContainsFunc(list, func(k idempotency.Entry) bool { return k.Key == long.Key }))
 	n, err := Compact(m, 1, 4900)
 	require.NoError(t, err)
 	assert.Equal(t, 2, n)
--- a/internal/node/idempotency/journal/read.go
+++ b/internal/node/idempotency/journal/read.go
@@ -37,12 +37,12 @@
 // Read reads a directory without changing it: the entries that are of use at a time, in the order in which they
 // ended, and what is damaged. Of a damaged file the records before the damage count. A call that had begun and not
 // ended was running.
-func Read(f wal.Folder, set Settings, now float64) (recovered []idempotency.Known, findings []Finding, err error) {
+func Read(f wal.Folder, set Settings, now float64) (recovered []idempotency.Entry, findings []Finding, err error) {
 	names, err := segmentNames(f)
 	if err != nil {
 		return nil, nil, err
 	}
-	entries := map[idempotency.Name]*entry{}
+	entries := map[idempotency.Key]*entry{}
 	for _, name := range names {
 		text, err := f.Read(name)
 		if err != nil {
@@ -54,33 +54,33 @@
 		}
 	}
 	for _, e := range entries {
-		if now-e.at <= set.retention(e.Windows) && (e.Running || e.outcome != idempotency.EndNotRun) {
+		if now-e.at <= set.retention(e.Windows) && (e.Running || e.outcome != idempotency.OutcomeNotExecuted) {
 			e.Age = now - e.at
-			e.Served = !e.Running && e.outcome == idempotency.EndServed
-			recovered = append(recovered, e.Known)
+			e.Served = !e.Running && e.outcome == idempotency.OutcomeServed
+			recovered = append(recovered, e.Entry)
 		}
 	}
-	slices.SortFunc(recovered, func(a, b idempotency.Known) int {
+	slices.SortFunc(recovered, func(a, b idempotency.Entry) int {
 		switch {
 		case a.Age != b.Age && a.Age > b.Age:
 			return -1
 		case a.Age != b.Age:
 			return 1
 		}
-		return bytes.Compare(a.Name[:], b.Name[:])
+		return bytes.Compare(a.Key[:], b.Key[:])
 	})
 	return recovered, findings, nil
 }
 
 // entry is what the records so far say of a key.
 type entry struct {
-	idempotency.Known
+	idempotency.Entry
 	at      float64
-	outcome idempotency.End
+	outcome idempotency.Outcome
 }
 
 // readSegment adds the records of one segment to entries and calls visit with each; offset is where it went wrong.
-func readSegment(text []byte, set Settings, entries map[idempotency.Name]*entry, visit func(record)) (offset int, err error) {
+func readSegment(text []byte, set Settings, entries map[idempotency.Key]*entry, visit func(record)) (offset int, err error) {
 	var h header
 	var classes, tenants []int
 	return segmentForm.Read(text, func(content []byte) error {
@@ -103,14 +103,14 @@
 			e = &entry{}
 			entries[r.key] = e
 		}
-		c := idempotency.Call{Name: r.key, Print: r.fingerprint, Class: classes[r.class], Tenant: -1}
+		c := idempotency.Call{Key: r.key, Fingerprint: r.fingerprint, Class: classes[r.class], Tenant: -1}
 		if int(r.tenant) < len(tenants) {
 			c.Tenant = tenants[r.tenant]
 		}
 		if c.Windows = r.windows; r.kind == kindEnded {
 			c.Windows = e.Windows // an end keeps the windows under which the call began
 		}
-		e.Known = idempotency.Known{Call: c, Running: r.kind == kindBegan}
+		e.Entry = idempotency.Entry{Call: c, Running: r.kind == kindBegan}
 		e.at, e.outcome = r.at, r.outcome
 		if r.body != nil {
 			e.Body, e.Size = r.body, len(r.body)
--- a/internal/node/idempotency/journal/record.go
+++ b/internal/node/idempotency/journal/record.go
@@ -33,12 +33,12 @@
 // record is one entry of the log, in the order in which it is written.
 type record struct {
 	kind        kind
-	outcome     idempotency.End
+	outcome     idempotency.Outcome
 	class       uint8
 	tenant      uint16  // math.MaxUint16 = none
 	at          float64 // ms since the Unix epoch
-	key         idempotency.Name
-	fingerprint idempotency.Print
+	key         idempotency.Key
+	fingerprint idempotency.Fingerprint
 	body        []byte // of kindEnded; the response as the caller encoded it, empty = not kept
 	// windows are those under which the call began, of kindBegan; nil = not recorded. A release that does not know of them takes
 	// their bytes for a response that it cannot decode, and applies the windows of its own settings.
@@ -77,10 +77,10 @@
 
 // parseRecord decodes a record. The error is wal.ErrTorn.
 func parseRecord(b []byte) (r record, err error) {
-	if len(b) < recordBytes || b[0] != byte(kindBegan) && b[0] != byte(kindEnded) || b[1] > byte(idempotency.EndInDoubt) {
+	if len(b) < recordBytes || b[0] != byte(kindBegan) && b[0] != byte(kindEnded) || b[1] > byte(idempotency.OutcomeInDoubt) {
 		return r, wal.ErrTorn
 	}
-	r = record{kind: kind(b[0]), outcome: idempotency.End(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
+	r = record{kind: kind(b[0]), outcome: idempotency.Outcome(b[1]), class: b[2], tenant: binary.BigEndian.Uint16(b[3:]),
 		at: math.Float64frombits(binary.BigEndian.Uint64(b[5:]))}
 	copy(r.key[:], b[13:])
 	copy(r.fingerprint[:], b[29:])
--- a/internal/node/idempotency/middleware/claim.go
+++ b/internal/node/idempotency/middleware/claim.go
@@ -5,51 +5,51 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// Taken is the result of a claim.
-type Taken struct {
+// ClaimResult is the result of a claim.
+type ClaimResult struct {
 	// Verdict is Run, Pass, Replay with the Body, Spent, Doubt, Mismatch, Full with a Reason of its own if there is one, or Join:
 	// it runs elsewhere, and had not ended at the deadline.
-	Verdict idempotency.Verdict
-	Reason  string
-	Wait    float64 // with Full, ms
-	Body    []byte  // as Settings.Encode wrote it
-	Token   uint64  // with Run; names this run when its end is reported
+	Verdict    idempotency.Verdict
+	Reason     string
+	RetryAfter float64 // with Full, ms
+	Body       []byte  // as Settings.Encode wrote it
+	Token      uint64  // with Run; names this run when its end is reported
 	// Stands reports, with Run, whether the claim is still valid. It is called last before the first byte of an attempt goes out.
-	Stands func() bool
+	Valid func() bool
 }
 
-// Fleet holds keys for other nodes or another process. Its methods block.
-type Fleet interface {
+// Claimer holds keys for other nodes or another process. Its methods block.
+type Claimer interface {
 	// Take claims a key before its call runs. It returns by the deadline, in ms of the node's clock, or when left is closed.
-	Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken
+	Claim(c idempotency.Call, deadline float64, left <-chan struct{}) ClaimResult
 	// Ended reports the outcome of a run whose claim was granted. It returns before any client gets the answer.
-	Ended(c idempotency.Call, t Taken, how idempotency.End, body []byte)
+	Complete(c idempotency.Call, t ClaimResult, how idempotency.Outcome, body []byte)
 }
 
-// Looker is a Fleet that can look a key up without claiming it. Look is as Take, with Run for a key that nobody
+// KeyLookup is a Fleet that can look a key up without claiming it. Look is as Take, with Run for a key that nobody
 // holds.
-type Looker interface {
-	Look(c idempotency.Call, deadline float64, left <-chan struct{}) Taken
+type KeyLookup interface {
+	Lookup(c idempotency.Call, deadline float64, left <-chan struct{}) ClaimResult
 }
 
 // remoteAnswer returns the answer to a call that does not run on this node, and the outcome for the table. Nothing ran here: unless
 // there is a response, the outcome is that the call did not run, so that the next call of the key claims it again.
-func (s *Stage) remoteAnswer(t Taken) (outcome idempotency.End, body any, a core.Answer) {
+func (s *Middleware) remoteAnswer(t ClaimResult) (outcome idempotency.Outcome, body any, a core.Answer) {
 	switch t.Verdict {
 	case idempotency.Replay:
 		if payload := s.config.Decode(t.Body); payload != nil {
-			return idempotency.EndServed, payload, core.Answer{Kind: core.Served, Payload: payload}
+			return idempotency.OutcomeServed, payload, core.Answer{Kind: core.Served, Payload: payload}
 		}
-		a = rejection(idempotency.Spent, 0)
+		a = rejection(idempotency.Executed, 0)
 	case idempotency.Join:
-		a = core.Fail(core.Unavailable, ReasonWaited)
-	case idempotency.Spent, idempotency.Doubt, idempotency.Mismatch:
+		a = core.Fail(core.Unavailable, ReasonTimeout)
+	case idempotency.Executed, idempotency.InDoubt, idempotency.Mismatch:
 		a = rejection(t.Verdict, 0)
 	default:
-		a = rejection(idempotency.Full, t.Wait)
+		a = rejection(idempotency.Full, t.RetryAfter)
 		if t.Reason != "" {
 			a.Reason = t.Reason
 		}
 	}
-	return idempotency.EndNotRun, nil, a
+	return idempotency.OutcomeNotExecuted, nil, a
 }
--- a/internal/node/idempotency/middleware/classes.go
+++ b/internal/node/idempotency/middleware/classes.go
@@ -26,7 +26,7 @@
 	t := &classTable{}
 	for i, c := range set.Classes {
 		if c.Windows == nil {
-			c.Windows = &idempotency.Windows{Answered: set.Book.Classes[i].Answered, Doubt: set.Book.Classes[i].Doubt}
+			c.Windows = &idempotency.Windows{Answered: set.Table.Classes[i].AnsweredWindow, Doubt: set.Table.Classes[i].InDoubtWindow}
 		}
 		t.classes = append(t.classes, classState{Class: c})
 	}
@@ -40,12 +40,12 @@
 	return fmt.Sprintf("class %d would be named in another way than before", e.Class)
 }
 
-// Settle says that calls may get keys from now on: from then on the naming of a class that is on is fixed for the
+// FixNaming says that calls may get keys from now on: from then on the naming of a class that is on is fixed for the
 // life of the middleware.
-func (s *Stage) Settle() { s.markInUse() }
+func (s *Middleware) FixNaming() { s.markInUse() }
 
 // markInUse publishes a class table whose naming is fixed, and returns it.
-func (s *Stage) markInUse() *classTable {
+func (s *Middleware) markInUse() *classTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.classes.Load().clone()
@@ -62,43 +62,43 @@
 func (t *classTable) markInUse() {
 	t.inUse = true
 	for i := range t.classes {
-		t.classes[i].keysIssued = t.classes[i].keysIssued || t.classes[i].On
+		t.classes[i].keysIssued = t.classes[i].keysIssued || t.classes[i].Enabled
 	}
 }
 
-// Check reports whether Use would accept classes; the error is a *NamingError.
-func (s *Stage) Check(classes []Class) error {
+// CheckClasses reports whether Use would accept classes; the error is a *NamingError.
+func (s *Middleware) CheckClasses(classes []Class) error {
 	for i, was := range s.classes.Load().classes {
-		if c := classes[i]; c.On && was.keysIssued && !reflect.DeepEqual(c.By, was.By) {
+		if c := classes[i]; c.Enabled && was.keysIssued && !reflect.DeepEqual(c.Naming, was.Naming) {
 			return &NamingError{i}
 		}
 	}
 	return nil
 }
 
-// Use puts classes into force for calls that arrive from now on, all of them or none; the error is a *NamingError.
+// SetClasses puts classes into force for calls that arrive from now on, all of them or none; the error is a *NamingError.
 // Windows must not be nil. Known keys keep the windows under which they were claimed, and what is running ends as it
 // began.
-func (s *Stage) Use(classes []Class) error {
+func (s *Middleware) SetClasses(classes []Class) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.Check(classes); err != nil {
+	if err := s.CheckClasses(classes); err != nil {
 		return err
 	}
 	t := s.classes.Load().clone()
 	now := s.clock.Now()
 	for i := range t.classes {
 		c, was := &t.classes[i], t.classes[i].Class
-		if was.On && t.inUse {
-			end := now + s.config.Longest + was.Windows.Longest()
+		if was.Enabled && t.inUse {
+			end := now + s.config.MaxRun + was.Windows.Longest()
 			c.knownUntil = max(c.knownUntil, end)
-			if was.Agreed {
+			if was.Replicated {
 				c.agreedUntil = max(c.agreedUntil, end)
 			}
 		}
 		c.Class = classes[i]
-		if !c.On {
-			c.By, c.Windows, c.Required = was.By, was.Windows, was.Required
+		if !c.Enabled {
+			c.Naming, c.Windows, c.Required = was.Naming, was.Windows, was.Required
 		}
 	}
 	if t.inUse {
@@ -110,10 +110,10 @@
 
 // lookup looks up a key that the replicas may hold from when its class was replicated, and claims nothing. Run =
 // nobody holds it.
-func (s *Stage) lookup(class *classState, c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
-	fleet, ok := s.config.Fleet.(Looker)
-	if !ok || class.Agreed || s.clock.Now() >= class.agreedUntil {
-		return Taken{Verdict: idempotency.Run}
+func (s *Middleware) lookup(class *classState, c idempotency.Call, deadline float64, left <-chan struct{}) ClaimResult {
+	fleet, ok := s.config.Claimer.(KeyLookup)
+	if !ok || class.Replicated || s.clock.Now() >= class.agreedUntil {
+		return ClaimResult{Verdict: idempotency.Run}
 	}
-	return fleet.Look(c, deadline, left)
+	return fleet.Lookup(c, deadline, left)
 }
--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -15,8 +15,8 @@
 func classesWith(change func(c *Class)) []Class {
 	set := settings()
 	for i := range set.Classes {
-		w := set.Book.Classes[i]
-		set.Classes[i].Windows = &idempotency.Windows{Answered: w.Answered, Doubt: w.Doubt}
+		w := set.Table.Classes[i]
+		set.Classes[i].Windows = &idempotency.Windows{Answered: w.AnsweredWindow, Doubt: w.InDoubtWindow}
 	}
 	change(&set.Classes[0])
 	return set.Classes
@@ -36,7 +36,7 @@
 }
 
 // heldKeys returns how many keys the table holds now.
-func (s *Stage) heldKeys() int {
+func (s *Middleware) heldKeys() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Tick(s.clock.Now())
@@ -47,7 +47,7 @@
 // that get shorter or longer, a class that is removed, and one that is added again; and against keys of a removed class.
 func TestKeysKeepTheirWindows(t *testing.T) {
 	set := settings()
-	set.Longest = 100
+	set.MaxRun = 100
 	s, c := newStage(t, set) // 1000 ms answered, 2000 in doubt, now 1000
 	ran := map[string]int{}
 	answer := served
@@ -58,18 +58,18 @@
 	answer = doubtful
 	serve("d")
 	answer = served
-	require.NoError(t, s.Use(classesWithWindows(10, 10)))
+	require.NoError(t, s.SetClasses(classesWithWindows(10, 10)))
 	serve("short")
 	c.Advance(11)
 	serve("short")
-	require.NoError(t, s.Use(classesRemoved))
+	require.NoError(t, s.SetClasses(classesRemoved))
 	serve("none")
 	serve("none")
 	assert.Equal(t, map[string]int{"a": 1, "d": 1, "short": 2, "none": 2}, ran)
 	assert.Equal(t, core.Fail(core.Mismatch, ReasonMismatch), wrapped(newCall(0, "a", "other")))
 	c.Advance(900) // 1911
 	assert.Equal(t, served, serve("a"))
-	require.NoError(t, s.Use(classesWithWindows(5000, 5000)))
+	require.NoError(t, s.SetClasses(classesWithWindows(5000, 5000)))
 	assert.Equal(t, served, serve("a"))
 	serve("long")
 	c.Advance(88) // 1999
@@ -79,9 +79,9 @@
 	c.Advance(1) // 2000: a's window is over, and a longer one is its next run's
 	serve("a")
 	assert.Equal(t, 2, ran["a"])
-	require.NoError(t, s.Use(classesRemoved))
+	require.NoError(t, s.SetClasses(classesRemoved))
 	c.Advance(999) // 2999
-	assert.Equal(t, core.Fail(core.Known, ReasonDoubt), serve("d"))
+	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), serve("d"))
 	c.Advance(1)
 	serve("d")
 	assert.Equal(t, 2, ran["d"])
@@ -105,7 +105,7 @@
 		answers := make(chan core.Answer, 2)
 		go func() { answers <- serve(late("k")) }()
 		<-r.begun
-		require.NoError(t, s.Use(classes))
+		require.NoError(t, s.SetClasses(classes))
 		go func() { answers <- serve(late("k")) }()
 		for joined := false; !joined; runtime.Gosched() {
 			require.Empty(t, r.begun, "it runs a second time")
@@ -134,53 +134,53 @@
 
 // agreed is a Fleet that holds keys for ever and counts lookups.
 type agreed struct {
-	names map[idempotency.Name][]byte
+	names map[idempotency.Key][]byte
 	looks int
 }
 
-func (a *agreed) Take(c idempotency.Call, _ float64, left <-chan struct{}) Taken {
-	if t := a.Look(c, 0, left); t.Verdict != idempotency.Run {
+func (a *agreed) Claim(c idempotency.Call, _ float64, left <-chan struct{}) ClaimResult {
+	if t := a.Lookup(c, 0, left); t.Verdict != idempotency.Run {
 		return t
 	}
-	a.names[c.Name] = nil
-	return Taken{Verdict: idempotency.Run}
+	a.names[c.Key] = nil
+	return ClaimResult{Verdict: idempotency.Run}
 }
 
-func (a *agreed) Look(c idempotency.Call, _ float64, _ <-chan struct{}) Taken {
+func (a *agreed) Lookup(c idempotency.Call, _ float64, _ <-chan struct{}) ClaimResult {
 	a.looks++
-	if body, ok := a.names[c.Name]; ok {
-		return Taken{Verdict: idempotency.Replay, Body: body}
+	if body, ok := a.names[c.Key]; ok {
+		return ClaimResult{Verdict: idempotency.Replay, Body: body}
 	}
-	return Taken{Verdict: idempotency.Run}
+	return ClaimResult{Verdict: idempotency.Run}
 }
 
-func (a *agreed) Ended(c idempotency.Call, _ Taken, _ idempotency.End, body []byte) {
-	a.names[c.Name] = body
+func (a *agreed) Complete(c idempotency.Call, _ ClaimResult, _ idempotency.Outcome, body []byte) {
+	a.names[c.Key] = body
 }
 
 // Guards against a charge that another node has run, and that runs here because its class was removed, or is not replicated any more;
 // and against lookups when no key can be held any more.
 func TestReplicatedKeysAreFoundAfterAClassChange(t *testing.T) {
-	recorded := classesWith(func(c *Class) { c.Agreed = true })
+	recorded := classesWith(func(c *Class) { c.Replicated = true })
 	for _, classes := range [][]Class{classesWith(func(*Class) {}), classesRemoved} {
-		set, fleet := settings(), &agreed{names: map[idempotency.Name][]byte{}}
-		set.Fleet, set.Longest, set.Classes = fleet, 100, recorded
+		set, fleet := settings(), &agreed{names: map[idempotency.Key][]byte{}}
+		set.Claimer, set.MaxRun, set.Classes = fleet, 100, recorded
 		s, c := newStage(t, set)
 		other, _ := newStage(t, set)
 		ran := 0
 		handle := func(*core.Call) core.Answer { ran++; return served }
 		s.Wrap(handle)(late("mine"))
 		other.Wrap(handle)(late("theirs"))
-		require.NoError(t, s.Use(classes))
+		require.NoError(t, s.SetClasses(classes))
 		assert.Equal(t, served, s.Wrap(handle)(late("theirs")))
 		assert.Equal(t, 2, ran)
 		s.Wrap(handle)(late("nobody's"))
 		assert.Equal(t, 3, ran)
 		assert.Len(t, fleet.names, 2, "it is looked for, not taken")
-		require.NoError(t, s.Use(recorded))
+		require.NoError(t, s.SetClasses(recorded))
 		s.Wrap(handle)(late("again"))
 		assert.Len(t, fleet.names, 3)
-		require.NoError(t, s.Use(classes))
+		require.NoError(t, s.SetClasses(classes))
 		c.Advance(2100) // a run may take 100, the longer window is 2000
 		looks := fleet.looks
 		s.Wrap(handle)(late("afterwards"))
@@ -191,18 +191,18 @@
 // Guards against a change of a class's naming, also after the class was removed and added again; and against a first policy that may not
 // choose the naming.
 func TestNamingOfAClassCannotChange(t *testing.T) {
-	other := classesWith(func(c *Class) { c.By = Naming{Body: true} })
+	other := classesWith(func(c *Class) { c.Naming = Naming{Body: true} })
 	s, _ := newStage(t, settings())
-	require.NoError(t, s.Use(other), "no call was named yet")
-	s.Settle()
+	require.NoError(t, s.SetClasses(other), "no call was named yet")
+	s.FixNaming()
 	back := classesWith(func(*Class) {})
 	var wrong *NamingError
-	require.ErrorAs(t, s.Use(back), &wrong)
+	require.ErrorAs(t, s.SetClasses(back), &wrong)
 	assert.Equal(t, 0, wrong.Class)
-	require.NoError(t, s.Use(classesRemoved))
-	require.ErrorAs(t, s.Use(back), &wrong)
-	require.NoError(t, s.Use(other))
+	require.NoError(t, s.SetClasses(classesRemoved))
+	require.ErrorAs(t, s.SetClasses(back), &wrong)
+	require.NoError(t, s.SetClasses(other))
 	s, _ = newStage(t, settings())
 	s.Wrap(func(*core.Call) core.Answer { return served })(late("k"))
-	require.ErrorAs(t, s.Use(other), &wrong, "a call was named")
+	require.ErrorAs(t, s.SetClasses(other), &wrong, "a call was named")
 }
--- a/internal/node/idempotency/middleware/keys.go
+++ b/internal/node/idempotency/middleware/keys.go
@@ -59,7 +59,7 @@
 }
 
 // sum returns the key and the fingerprint of a call; false where the call lacks what its class is named by.
-func (h *keyHasher) sum(by *Naming, call *core.Call, c core.Content) (key idempotency.Name, fingerprint idempotency.Print, ok bool) {
+func (h *keyHasher) sum(by *Naming, call *core.Call, c core.Content) (key idempotency.Key, fingerprint idempotency.Fingerprint, ok bool) {
 	d := digest{Hash: h.macs.Get().(hash.Hash)}
 	defer h.macs.Put(d.Hash)
 	d.Reset()
--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -5,7 +5,7 @@
 // Each repeat that arrives meanwhile waits for that run until its own deadline or until its own client leaves. All of
 // them get the one answer.
 //
-// What must be known before a call runs is on the disk (Class.Recorded), agreed by the replicas (Class.Agreed) or
+// What must be known before a call runs is on the disk (Class.Recorded), agreed by the replicas (Class.Replicated) or
 // claimed from the successor of a hot restart before the handler is called. The outcome is reported to all of them
 // before any client gets its answer.
 package middleware
@@ -23,26 +23,26 @@
 
 // Class says how the calls of one class are treated.
 type Class struct {
-	On       bool
-	By       Naming
-	Required bool // a call without a key is rejected as invalid; else it runs unrecognised
-	Recorded bool // a call runs only once the disk has its beginning, and is rejected where the disk fails
-	Agreed   bool // a call runs only once the replicas have agreed on its claim
-	// Windows are those under which its calls claim their keys, nil = those of Settings.Book.
+	Enabled    bool
+	Naming     Naming
+	Required   bool // a call without a key is rejected as invalid; else it runs unrecognised
+	Recorded   bool // a call runs only once the disk has its beginning, and is rejected where the disk fails
+	Replicated bool // a call runs only once the replicas have agreed on its claim
+	// Windows are those under which its calls claim their keys, nil = those of Settings.Table.
 	Windows *idempotency.Windows
 }
 
 // Settings describe the middleware.
 type Settings struct {
-	Classes []Class // by number
-	Book    idempotency.Settings
-	Secret  []byte // of the hash of keys; the same before and after a restart where there is a journal
-	Content func(payload any) core.Content
-	Journal *journal.Journal    // nil = none
-	Fleet   Fleet               // nil = keys are this node's alone
-	Longest float64             // ms that a run may take, here or on another node
-	Known   []idempotency.Known // the entries at the start; their bodies are encoded as Decode reads them
-	Wall    func() float64      // wall clock for the journal, ms since the Unix epoch
+	Classes   []Class // by number
+	Table     idempotency.Settings
+	Secret    []byte // of the hash of keys; the same before and after a restart where there is a journal
+	Content   func(payload any) core.Content
+	Journal   *journal.Journal    // nil = none
+	Claimer   Claimer             // nil = keys are this node's alone
+	MaxRun    float64             // ms that a run may take, here or on another node
+	Entries   []idempotency.Entry // the entries at the start; their bodies are encoded as Decode reads them
+	WallClock func() float64      // wall clock for the journal, ms since the Unix epoch
 	// Encode and Decode turn the payload of a served answer into bytes and back; nil is not kept.
 	Encode func(payload any) []byte
 	Decode func(text []byte) any
@@ -50,20 +50,20 @@
 
 // The reasons of rejections and failures; they are counted by these texts.
 const (
-	ReasonUnnamed    = "the request lacks what names it"
-	ReasonMismatch   = "the name of another request was used"
-	ReasonDoubt      = "an earlier request of this name may have run"
-	ReasonSpent      = "an earlier request of this name has run and its answer is no longer kept"
-	ReasonFull       = "no room to recognise repeats"
-	ReasonUnrecorded = "the request could not be recorded"
-	ReasonNoMajority = "no majority of the fleet can be asked whether it has run"
-	ReasonNoHandover = "what runs in the process before is not known"
-	ReasonHeirGone   = "the process that has taken over cannot be asked whether it has run"
-	ReasonWaited     = "an earlier request of this name was not answered in time"
+	ReasonNoKey         = "the request lacks what names it"
+	ReasonMismatch      = "the name of another request was used"
+	ReasonInDoubt       = "an earlier request of this name may have run"
+	ReasonExecuted      = "an earlier request of this name has run and its answer is no longer kept"
+	ReasonNoCapacity    = "no room to recognise repeats"
+	ReasonUnrecorded    = "the request could not be recorded"
+	ReasonNoMajority    = "no majority of the fleet can be asked whether it has run"
+	ReasonNoTransfer    = "what runs in the process before is not known"
+	ReasonSuccessorLost = "the process that has taken over cannot be asked whether it has run"
+	ReasonTimeout       = "an earlier request of this name was not answered in time"
 )
 
-// Stage is the middleware. All of its methods may be called from any goroutine, unless they say otherwise.
-type Stage struct {
+// Middleware is the middleware. All of its methods may be called from any goroutine, unless they say otherwise.
+type Middleware struct {
 	config  Settings
 	clock   clock.Clock
 	log     *slog.Logger
@@ -71,29 +71,29 @@
 	classes atomic.Pointer[classTable] // a call reads it once
 
 	mu        sync.Mutex
-	table     *idempotency.Book
+	table     *idempotency.Table
 	runs      map[idempotency.Ref]*run
-	successor Fleet // the process that has the table after a transfer; nil = the table is here
+	successor Claimer // the process that has the table after a transfer; nil = the table is here
 
 	predecessor *predecessor // nil = there is none that transfers its table; set before the first call
 }
 
 // New returns the middleware. The error is an *idempotency.FieldError.
-func New(set Settings, c clock.Clock, log *slog.Logger) (*Stage, error) {
-	book, err := idempotency.New(set.Book)
+func New(set Settings, c clock.Clock, log *slog.Logger) (*Middleware, error) {
+	book, err := idempotency.New(set.Table)
 	if err != nil {
 		return nil, err
 	}
-	s := &Stage{config: set, clock: c, log: log, hasher: newKeyHasher(set.Secret), table: book, runs: map[idempotency.Ref]*run{}}
+	s := &Middleware{config: set, clock: c, log: log, hasher: newKeyHasher(set.Secret), table: book, runs: map[idempotency.Ref]*run{}}
 	s.classes.Store(newClassTable(&set))
 	lost := 0
-	for _, k := range set.Known {
+	for _, k := range set.Entries {
 		if !s.restore(k) {
 			lost++
 		}
 	}
-	if len(set.Known) > 0 {
-		log.Info("repeats from before the start are known", "names", len(set.Known)-lost)
+	if len(set.Entries) > 0 {
+		log.Info("repeats from before the start are known", "names", len(set.Entries)-lost)
 	}
 	if lost > 0 {
 		log.Error("there is no room for repeats from before the start", "names", lost)
@@ -102,7 +102,7 @@
 }
 
 // restore adds an entry whose body is still encoded to the table, and reports whether there was capacity.
-func (s *Stage) restore(k idempotency.Known) bool {
+func (s *Middleware) restore(k idempotency.Entry) bool {
 	if text, ok := k.Body.([]byte); ok {
 		k.Body, k.Size = nil, 0
 		if payload := s.config.Decode(text); payload != nil {
@@ -113,46 +113,46 @@
 }
 
 // Counts returns what the table holds and has decided.
-func (s *Stage) Counts() idempotency.Counts {
+func (s *Middleware) Counts() idempotency.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Counts()
 }
 
 // Wrap is the core.Stage.
-func (s *Stage) Wrap(next core.Handler) core.Handler {
+func (s *Middleware) Wrap(next core.Handler) core.Handler {
 	return func(call *core.Call) core.Answer {
 		t := s.classes.Load()
 		if !t.inUse { // the first call, and Settle has not been called yet
 			t = s.markInUse()
 		}
 		class := &t.classes[call.Class]
-		if !class.On && s.clock.Now() >= class.knownUntil {
+		if !class.Enabled && s.clock.Now() >= class.knownUntil {
 			return next(call)
 		}
 		if s.predecessor != nil && !s.predecessor.wait(s, call) {
-			if !s.config.Book.Classes[call.Class].Once {
+			if !s.config.Table.Classes[call.Class].AtMostOnce {
 				return next(call)
 			}
-			return core.Refuse(core.Busy, ReasonNoHandover, 0)
+			return core.Refuse(core.Busy, ReasonNoTransfer, 0)
 		}
-		key, fingerprint, ok := s.hasher.sum(&class.By, call, s.config.Content(call.Payload))
+		key, fingerprint, ok := s.hasher.sum(&class.Naming, call, s.config.Content(call.Payload))
 		switch {
-		case !ok && class.Required && class.On:
-			return core.Fail(core.Invalid, ReasonUnnamed)
+		case !ok && class.Required && class.Enabled:
+			return core.Fail(core.Invalid, ReasonNoKey)
 		case !ok:
 			return next(call)
 		}
-		return s.serve(call, next, class, idempotency.Call{Name: key, Print: fingerprint, Class: call.Class, Tenant: call.Tenant,
+		return s.serve(call, next, class, idempotency.Call{Key: key, Fingerprint: fingerprint, Class: call.Class, Tenant: call.Tenant,
 			Windows: class.Windows})
 	}
 }
 
 // serve does what the table decides on a call.
-func (s *Stage) serve(call *core.Call, next core.Handler, class *classState, c idempotency.Call) core.Answer {
+func (s *Middleware) serve(call *core.Call, next core.Handler, class *classState, c idempotency.Call) core.Answer {
 	for {
 		s.mu.Lock()
-		if !class.On && s.successor == nil && !s.holds(c.Name) { // its keys are known until they expire, and no more are claimed
+		if !class.Enabled && s.successor == nil && !s.holds(c.Key) { // its keys are known until they expire, and no more are claimed
 			s.mu.Unlock()
 			if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
 				_, _, a := s.remoteAnswer(t)
@@ -176,16 +176,16 @@
 			}
 		case idempotency.Replay:
 			return core.Answer{Kind: core.Served, Payload: d.Body}
-		case idempotency.Pass:
+		case idempotency.RunUnrecorded:
 			return next(call)
 		default:
-			return rejection(d.Verdict, d.Wait)
+			return rejection(d.Verdict, d.RetryAfter)
 		}
 	}
 }
 
 // holds reports whether the table has a key. It is called under the lock.
-func (s *Stage) holds(key idempotency.Name) bool {
+func (s *Middleware) holds(key idempotency.Key) bool {
 	s.table.Tick(s.clock.Now())
 	_, known := s.table.ClassOf(key)
 	return known
@@ -193,8 +193,8 @@
 
 // decide has the table decide on a call, and returns the run that the call begins or joins, nil for none. It is called under the
 // lock.
-func (s *Stage) decide(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
-	d = s.table.Ask(s.clock.Now(), c)
+func (s *Middleware) decide(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
+	d = s.table.Claim(s.clock.Now(), c)
 	switch d.Verdict {
 	case idempotency.Run:
 		r = &run{call: call.Fork(), waiters: 1, successor: s.successor, finished: make(chan struct{})}
@@ -209,18 +209,18 @@
 // rejection returns the answer to a call that neither runs nor is answered by another run. wait is in milliseconds.
 func rejection(v idempotency.Verdict, wait float64) core.Answer {
 	switch v {
-	case idempotency.Spent:
-		return core.Fail(core.Known, ReasonSpent)
-	case idempotency.Doubt:
-		return core.Fail(core.Known, ReasonDoubt)
+	case idempotency.Executed:
+		return core.Fail(core.Known, ReasonExecuted)
+	case idempotency.InDoubt:
+		return core.Fail(core.Known, ReasonInDoubt)
 	case idempotency.Mismatch:
 		return core.Fail(core.Mismatch, ReasonMismatch)
 	}
-	return core.Refuse(core.Busy, ReasonFull, wait)
+	return core.Refuse(core.Busy, ReasonNoCapacity, wait)
 }
 
 // expired returns a channel that is closed at a deadline, in milliseconds of the clock, unless stop is called before.
-func (s *Stage) expired(deadline float64) (passed <-chan struct{}, stop func()) {
+func (s *Middleware) expired(deadline float64) (passed <-chan struct{}, stop func()) {
 	c := make(chan struct{})
 	return c, s.clock.At(deadline, func() { close(c) })
 }
--- a/internal/node/idempotency/middleware/middleware_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -32,16 +32,16 @@
 func (t text) Size() int            { return len(t) }
 
 func settings() Settings {
-	return Settings{Classes: []Class{{On: true, By: Naming{Key: true}}, {On: true, By: Naming{Path: true, Body: true}}, {},
-		{On: true, By: Naming{Header: "X-Name"}, Required: true}, {On: true, By: Naming{Key: true}, Recorded: true}},
-		Book: idempotency.Settings{Classes: []idempotency.Class{{Once: true, Answered: 1000, Doubt: 2000}, {Answered: 1000, Doubt: 1000},
-			{}, {}, {Once: true, Answered: 1000, Doubt: 2000}}, Entries: 1000, Bytes: 1 << 20, Alpha: 4},
+	return Settings{Classes: []Class{{Enabled: true, Naming: Naming{Key: true}}, {Enabled: true, Naming: Naming{Path: true, Body: true}}, {},
+		{Enabled: true, Naming: Naming{Header: "X-Name"}, Required: true}, {Enabled: true, Naming: Naming{Key: true}, Recorded: true}},
+		Table: idempotency.Settings{Classes: []idempotency.Class{{AtMostOnce: true, AnsweredWindow: 1000, InDoubtWindow: 2000}, {AnsweredWindow: 1000, InDoubtWindow: 1000},
+			{}, {}, {AtMostOnce: true, AnsweredWindow: 1000, InDoubtWindow: 2000}}, MaxEntries: 1000, MaxBodyBytes: 1 << 20, PinnedRatio: 4},
 		Secret: []byte("secret"), Content: func(p any) core.Content { return p.(core.Content) },
 		Encode: func(p any) []byte { return []byte(p.(text)) }, Decode: func(b []byte) any { return text(b) },
-		Wall: func() float64 { return 0 }}
+		WallClock: func() float64 { return 0 }}
 }
 
-func newStage(t *testing.T, set Settings) (*Stage, *clock.Manual) {
+func newStage(t *testing.T, set Settings) (*Middleware, *clock.Manual) {
 	c := clock.NewManual(1000)
 	s, err := New(set, c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 }
 
 // awaitWaiters blocks until n clients wait for the only run.
-func (s *Stage) awaitWaiters(n int) {
+func (s *Middleware) awaitWaiters(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
 		for _, r := range s.runs {
@@ -133,7 +133,7 @@
 	last.Leave()
 	<-run.Left()
 	<-answers[first]
-	assert.Equal(t, core.Fail(core.Known, ReasonDoubt), serve(newCall(0, "k2", "b")), "it may have run")
+	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), serve(newCall(0, "k2", "b")), "it may have run")
 
 	// The run is cancelled and has not executed: the call that joined at that moment runs next.
 	go func() { answers[first] <- serve(newCall(0, "k3", "b")) }()
@@ -153,7 +153,7 @@
 	go func() { answers[second] <- serve(newCall(0, "k4", "b")) }()
 	s.awaitWaiters(2)
 	c.Advance(900)
-	assert.Equal(t, core.Fail(core.Unavailable, ReasonWaited), <-answers[second])
+	assert.Equal(t, core.Fail(core.Unavailable, ReasonTimeout), <-answers[second])
 	r.end <- served
 	assert.Equal(t, served, <-answers[first])
 }
@@ -173,13 +173,13 @@
 	})
 	refused := core.Refuse(core.Busy, "full", 0)
 	doubtful := core.Answer{Kind: core.Failed, Fault: core.Unavailable, Ran: true}
-	doubt := core.Fail(core.Known, ReasonDoubt)
+	doubt := core.Fail(core.Known, ReasonInDoubt)
 	for i, c := range []struct {
 		class       int
 		first, then core.Answer
 		runs        int
 	}{{0, refused, refused, 2}, {0, doubtful, doubt, 1}, {1, doubtful, doubtful, 2}, {2, served, served, 2},
-		{3, core.Fail(core.Invalid, ReasonUnnamed), core.Fail(core.Invalid, ReasonUnnamed), 0}} {
+		{3, core.Fail(core.Invalid, ReasonNoKey), core.Fail(core.Invalid, ReasonNoKey), 0}} {
 		next, count = c.first, 0
 		body := fmt.Sprint(i)
 		assert.Equal(t, c.first, serve(newCall(c.class, body, body)), i)
@@ -200,10 +200,10 @@
 func TestRunIsRecordedBeforeItBegins(t *testing.T) {
 	disk := wal.Disk{Path: t.TempDir()}
 	set := settings()
-	keep := journal.Settings{Classes: []string{"a", "b", "c", "d", "e"}, SegmentBytes: 1 << 20, Keep: 2000, Queue: 10}
+	keep := journal.Settings{Classes: []string{"a", "b", "c", "d", "e"}, SegmentBytes: 1 << 20, Retention: 2000, MaxQueue: 10}
 	open := func() (over chan struct{}) {
 		var err error
-		set.Journal, set.Known, _, err = journal.Open(disk, keep, 0)
+		set.Journal, set.Entries, _, err = journal.Open(disk, keep, 0)
 		require.NoError(t, err)
 		over = make(chan struct{})
 		go func(j *journal.Journal) { j.Run(); close(over) }(set.Journal)
@@ -223,7 +223,7 @@
 	over = open()
 	s, _ = newStage(t, set)
 	assert.Equal(t, served, s.Wrap(handle)(newCall(4, "k", "b")))
-	assert.Equal(t, core.Fail(core.Known, ReasonDoubt), s.Wrap(handle)(newCall(4, "k2", "b")))
+	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), s.Wrap(handle)(newCall(4, "k2", "b")))
 	assert.Equal(t, 2, count)
 	set.Journal.Close()
 	<-over
@@ -232,7 +232,7 @@
 // Guards against equal keys of calls whose parts differ, and different keys of equal calls.
 func TestKeysFollowTheNaming(t *testing.T) {
 	n := newKeyHasher([]byte("a"))
-	seen := map[idempotency.Name]string{}
+	seen := map[idempotency.Key]string{}
 	for _, by := range []Naming{{Key: true}, {Path: true, Body: true, Headers: []string{"X"}}} {
 		for class := range 2 {
 			for tenant := -1; tenant < 2; tenant++ {
--- a/internal/node/idempotency/middleware/transfer.go
+++ b/internal/node/idempotency/middleware/transfer.go
@@ -15,7 +15,7 @@
 
 	// Under the lock of the middleware.
 	lost bool // the channel to it is broken: what it runs may have executed
-	runs map[idempotency.Name]remoteRun
+	runs map[idempotency.Key]remoteRun
 }
 
 // remoteRun is a run in the predecessor.
@@ -26,7 +26,7 @@
 
 // wait blocks a call until the table has been transferred, its deadline passes or its client leaves. It returns false
 // if it is not known, and will not be, whether the call has run.
-func (p *predecessor) wait(s *Stage, call *core.Call) bool {
+func (p *predecessor) wait(s *Middleware, call *core.Call) bool {
 	select {
 	case <-p.ready:
 		return !p.withheld.Load()
@@ -44,18 +44,18 @@
 }
 
 // Secret returns the secret of the hash of keys.
-func (s *Stage) Secret() []byte { return s.config.Secret }
+func (s *Middleware) Secret() []byte { return s.config.Secret }
 
 // Once reports whether calls of a class must never run twice.
-func (s *Stage) Once(class int) bool { return s.config.Book.Classes[class].Once }
+func (s *Middleware) Once(class int) bool { return s.config.Table.Classes[class].AtMostOnce }
 
-// Give transfers the table, once and for good: from here on each new key is claimed from the successor, and the
-// outcome of each run is reported to it. The entries are encoded as Settings.Known has them.
-func (s *Stage) Give(successor Fleet) []idempotency.Known {
+// BeginTransfer transfers the table, once and for good: from here on each new key is claimed from the successor, and the
+// outcome of each run is reported to it. The entries are encoded as Settings.Entries has them.
+func (s *Middleware) BeginTransfer(successor Claimer) []idempotency.Entry {
 	s.mu.Lock()
 	s.successor = successor
 	s.table.Tick(s.clock.Now())
-	entries := s.table.Image()
+	entries := s.table.Snapshot()
 	s.mu.Unlock()
 	for i := range entries {
 		if k := &entries[i]; k.Body != nil {
@@ -68,14 +68,14 @@
 	return entries
 }
 
-// Await makes calls wait until Inherit or Lost. It is called before the first call arrives.
-func (s *Stage) Await() {
-	s.predecessor = &predecessor{ready: make(chan struct{}), runs: map[idempotency.Name]remoteRun{}}
+// AwaitTransfer makes calls wait until Inherit or Lost. It is called before the first call arrives.
+func (s *Middleware) AwaitTransfer() {
+	s.predecessor = &predecessor{ready: make(chan struct{}), runs: map[idempotency.Key]remoteRun{}}
 }
 
-// Inherit takes the table that the predecessor has transferred, after Await and before Take. The secret is the one
+// AcceptTransfer takes the table that the predecessor has transferred, after Await and before Take. The secret is the one
 // under which its keys are hashed.
-func (s *Stage) Inherit(secret []byte, entries []idempotency.Known) {
+func (s *Middleware) AcceptTransfer(secret []byte, entries []idempotency.Entry) {
 	s.config.Secret, s.hasher = secret, newKeyHasher(secret) // nobody reads them before ready is closed
 	s.mu.Lock()
 	running, lost := 0, 0
@@ -91,7 +91,7 @@
 			lost++
 			continue
 		}
-		s.addRemoteRun(k.Name, ref)
+		s.addRemoteRun(k.Key, ref)
 		running++
 	}
 	s.mu.Unlock()
@@ -103,26 +103,26 @@
 }
 
 // addRemoteRun adds a run of the predecessor. It is called under the lock.
-func (s *Stage) addRemoteRun(key idempotency.Name, ref idempotency.Ref) {
+func (s *Middleware) addRemoteRun(key idempotency.Key, ref idempotency.Ref) {
 	r := &run{waiters: 1, finished: make(chan struct{})}
 	s.runs[ref], s.predecessor.runs[key] = r, remoteRun{ref, r}
 }
 
-// Take implements Fleet for the predecessor.
-func (s *Stage) Take(c idempotency.Call, deadline float64, left <-chan struct{}) Taken {
+// Claim implements Fleet for the predecessor.
+func (s *Middleware) Claim(c idempotency.Call, deadline float64, left <-chan struct{}) ClaimResult {
 	expired, stop := s.expired(deadline)
 	defer stop()
 	for {
 		s.mu.Lock()
 		if s.predecessor.lost {
 			s.mu.Unlock()
-			return Taken{Verdict: idempotency.Full, Reason: ReasonHeirGone}
+			return ClaimResult{Verdict: idempotency.Full, Reason: ReasonSuccessorLost}
 		}
-		d := s.table.Ask(s.clock.Now(), c)
+		d := s.table.Claim(s.clock.Now(), c)
 		var r *run
 		switch d.Verdict {
 		case idempotency.Run:
-			s.addRemoteRun(c.Name, d.Ref)
+			s.addRemoteRun(c.Key, d.Ref)
 		case idempotency.Join:
 			r = s.runs[d.Ref]
 			r.waiters++ // it is not cancelled while they wait
@@ -141,64 +141,64 @@
 		case <-left:
 		}
 		s.removeWaiter(r)
-		return Taken{Verdict: idempotency.Join}
+		return ClaimResult{Verdict: idempotency.Join}
 	}
 }
 
 // claimResult returns a decision of the table as the predecessor gets it. A response that is not encoded is not known there.
-func (s *Stage) claimResult(d idempotency.Decision) Taken {
-	t := Taken{Verdict: d.Verdict, Wait: d.Wait}
+func (s *Middleware) claimResult(d idempotency.Decision) ClaimResult {
+	t := ClaimResult{Verdict: d.Verdict, RetryAfter: d.RetryAfter}
 	if d.Body != nil {
 		if t.Body = s.config.Encode(d.Body); t.Body == nil {
-			t.Verdict = idempotency.Spent
+			t.Verdict = idempotency.Executed
 		}
 	}
 	return t
 }
 
-// Ended implements Fleet for the predecessor.
-func (s *Stage) Ended(c idempotency.Call, _ Taken, outcome idempotency.End, body []byte) {
+// Complete implements Fleet for the predecessor.
+func (s *Middleware) Complete(c idempotency.Call, _ ClaimResult, outcome idempotency.Outcome, body []byte) {
 	payload, size := any(nil), 0
 	a := core.Answer{Kind: core.Left} // it did not run: one of the waiters may be the next
 	switch outcome {
-	case idempotency.EndServed:
-		a = core.Fail(core.Known, ReasonSpent)
+	case idempotency.OutcomeServed:
+		a = core.Fail(core.Known, ReasonExecuted)
 		if len(body) > 0 {
 			payload = s.config.Decode(body)
 		}
 		if payload != nil {
 			a, size = core.Answer{Kind: core.Served, Payload: payload}, s.config.Content(payload).Size()
 		} else {
-			size = s.config.Book.Bytes + 1 // too large to be kept: only known to have executed
+			size = s.config.Table.MaxBodyBytes + 1 // too large to be kept: only known to have executed
 		}
-	case idempotency.EndInDoubt:
-		a = core.Fail(core.Known, ReasonDoubt)
+	case idempotency.OutcomeInDoubt:
+		a = core.Fail(core.Known, ReasonInDoubt)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t, ok := s.predecessor.runs[c.Name]; ok {
-		s.endRemoteRun(c.Name, t, outcome, a, payload, size)
+	if t, ok := s.predecessor.runs[c.Key]; ok {
+		s.endRemoteRun(c.Key, t, outcome, a, payload, size)
 	}
 }
 
 // endRemoteRun ends a run of the predecessor. It is called under the lock.
-func (s *Stage) endRemoteRun(key idempotency.Name, t remoteRun, outcome idempotency.End, a core.Answer, body any, size int) {
+func (s *Middleware) endRemoteRun(key idempotency.Key, t remoteRun, outcome idempotency.Outcome, a core.Answer, body any, size int) {
 	delete(s.predecessor.runs, key)
-	s.table.End(s.clock.Now(), t.ref, outcome, body, size)
+	s.table.Complete(s.clock.Now(), t.ref, outcome, body, size)
 	delete(s.runs, t.ref)
 	t.run.answer = a
 	close(t.run.finished)
 }
 
-// Lost says that the channel to the predecessor is broken: what it was still running may have executed. alive says
+// PredecessorLost says that the channel to the predecessor is broken: what it was still running may have executed. alive says
 // whether it goes on. If it does and has not transferred its table, the keys remain its own: calls that must not run
 // twice are rejected here.
-func (s *Stage) Lost(alive bool) {
+func (s *Middleware) PredecessorLost(alive bool) {
 	s.mu.Lock()
 	s.predecessor.lost = true
 	left := len(s.predecessor.runs)
 	for key, t := range s.predecessor.runs {
-		s.endRemoteRun(key, t, idempotency.EndInDoubt, core.Fail(core.Known, ReasonDoubt), nil, 0)
+		s.endRemoteRun(key, t, idempotency.OutcomeInDoubt, core.Fail(core.Known, ReasonInDoubt), nil, 0)
 	}
 	s.mu.Unlock()
 	if left > 0 {
--- a/internal/node/idempotency/queue.go
+++ b/internal/node/idempotency/queue.go
@@ -19,7 +19,7 @@
 var emptyQueue = queue{-1, -1}
 
 // insertAfter puts a slot behind another one of a queue, at its head for -1.
-func (t *Book) insertAfter(q *queue, which int, slot, after int32) {
+func (t *Table) insertAfter(q *queue, which int, slot, after int32) {
 	l := &t.entries[slot].links[which]
 	l.prev, l.next = after, q.head
 	if after >= 0 {
@@ -36,7 +36,7 @@
 }
 
 // removeFrom takes a slot out of a queue that it is in.
-func (t *Book) removeFrom(q *queue, which int, slot int32) {
+func (t *Table) removeFrom(q *queue, which int, slot int32) {
 	l := &t.entries[slot].links[which]
 	if l.prev >= 0 {
 		t.entries[l.prev].links[which].next = l.next
--- a/internal/node/idempotency/replicated/claim.go
+++ b/internal/node/idempotency/replicated/claim.go
@@ -12,8 +12,8 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Take claims a key, or waits for the run elsewhere that holds it, until the deadline or until left is closed.
-func (n *Names) Take(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
+// Claim claims a key, or waits for the run elsewhere that holds it, until the deadline or until left is closed.
+func (n *Keys) Claim(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.ClaimResult {
 	if !n.reachable.Load() {
 		return noMajority
 	}
@@ -21,15 +21,15 @@
 	if c.Tenant >= 0 && c.Tenant < len(n.config.Tenants) {
 		tenant = n.config.Tenants[c.Tenant]
 	}
-	t := middleware.Taken{Token: rand.Uint64()>>1 | 1}
-	claim := statemachine.Claim{Name: c.Name[:], Print: c.Print[:], Tenant: tenant, Answered: c.Windows.Answered, Doubt: c.Windows.Doubt,
-		Run: n.config.Claim + n.config.Longest, Node: n.config.Node, Life: n.life, Token: t.Token}
+	t := middleware.ClaimResult{Token: rand.Uint64()>>1 | 1}
+	claim := statemachine.Claim{Name: c.Key[:], Print: c.Fingerprint[:], Tenant: tenant, Answered: c.Windows.Answered, Doubt: c.Windows.Doubt,
+		Run: n.config.ClaimValidity + n.config.MaxRun, Node: n.config.Node, Life: n.life, Token: t.Token}
 	for poll := minPollInterval; ; poll = min(2*poll, maxPollInterval) {
 		asked := n.clock.Now()
 		if asked >= deadline {
-			return middleware.Taken{Verdict: idempotency.Join}
+			return middleware.ClaimResult{Verdict: idempotency.Join}
 		}
-		o, rejected := n.commitClaim(claim, min(n.config.Take, deadline-asked))
+		o, rejected := n.commitClaim(claim, min(n.config.RequestTimeout, deadline-asked))
 		if rejected != nil {
 			return *rejected
 		}
@@ -39,7 +39,7 @@
 			}
 		}
 		if o.Result == statemachine.ClaimGranted {
-			t.Stands = func() bool { return n.clock.Now() < asked+n.config.Claim }
+			t.Valid = func() bool { return n.clock.Now() < asked+n.config.ClaimValidity }
 			return t
 		}
 		return claimResult(o)
@@ -47,7 +47,7 @@
 }
 
 // commitClaim has a claim committed within a time, in ms. rejected is the result of one that was not.
-func (n *Names) commitClaim(claim statemachine.Claim, timeout float64) (o statemachine.ClaimReply, rejected *middleware.Taken) {
+func (n *Keys) commitClaim(claim statemachine.Claim, timeout float64) (o statemachine.ClaimReply, rejected *middleware.ClaimResult) {
 	ctx, stop := context.WithTimeout(context.Background(), n.duration(timeout))
 	r, err := n.client.Do(ctx, statemachine.ComponentCalls, statemachine.ClaimCommand(claim))
 	stop()
@@ -63,13 +63,13 @@
 	n.replies.Add(1)
 	if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
 		n.log.Error("a name could not be taken", "error", r.Text)
-		return o, &middleware.Taken{Verdict: idempotency.Full, Wait: retryAfter}
+		return o, &middleware.ClaimResult{Verdict: idempotency.Full, RetryAfter: retryAfter}
 	}
 	return o, nil
 }
 
-// Look looks a key up without claiming it, and waits for the run elsewhere that holds it. Run = nobody holds it.
-func (n *Names) Look(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
+// Lookup looks a key up without claiming it, and waits for the run elsewhere that holds it. Run = nobody holds it.
+func (n *Keys) Lookup(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.ClaimResult {
 	if !n.reachable.Load() {
 		return noMajority
 	}
@@ -81,16 +81,16 @@
 		o = n.awaitRemoteRun(c, deadline, left, minPollInterval)
 	}
 	if o.Result == statemachine.ClaimUnknown {
-		return middleware.Taken{Verdict: idempotency.Run}
+		return middleware.ClaimResult{Verdict: idempotency.Run}
 	}
 	return claimResult(o)
 }
 
 // lookup reads the state of a key once.
-func (n *Names) lookup(c idempotency.Call, deadline float64) (o statemachine.ClaimReply, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), n.duration(max(0, min(n.config.Take, deadline-n.clock.Now()))))
+func (n *Keys) lookup(c idempotency.Call, deadline float64) (o statemachine.ClaimReply, err error) {
+	ctx, stop := context.WithTimeout(context.Background(), n.duration(max(0, min(n.config.RequestTimeout, deadline-n.clock.Now()))))
 	defer stop()
-	r, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: c.Name[:], Print: c.Print[:]})
+	r, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: c.Key[:], Print: c.Fingerprint[:]})
 	switch {
 	case err != nil:
 		return o, err
@@ -102,7 +102,7 @@
 
 // awaitRemoteRun polls a key until its run elsewhere has ended. ClaimRunning = it had not at the deadline, or when
 // left was closed.
-func (n *Names) awaitRemoteRun(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.ClaimReply {
+func (n *Keys) awaitRemoteRun(c idempotency.Call, deadline float64, left <-chan struct{}, poll float64) statemachine.ClaimReply {
 	running := statemachine.ClaimReply{Result: statemachine.ClaimRunning}
 	for ; ; poll = min(2*poll, maxPollInterval) {
 		now := n.clock.Now()
@@ -123,18 +123,18 @@
 }
 
 // claimResult returns the result of a claim that was not granted.
-func claimResult(o statemachine.ClaimReply) middleware.Taken {
+func claimResult(o statemachine.ClaimReply) middleware.ClaimResult {
 	switch o.Result {
 	case statemachine.ClaimReplayed:
-		return middleware.Taken{Verdict: idempotency.Replay, Body: o.Body}
+		return middleware.ClaimResult{Verdict: idempotency.Replay, Body: o.Body}
 	case statemachine.ClaimExecuted:
-		return middleware.Taken{Verdict: idempotency.Spent}
+		return middleware.ClaimResult{Verdict: idempotency.Executed}
 	case statemachine.ClaimMismatch:
-		return middleware.Taken{Verdict: idempotency.Mismatch}
+		return middleware.ClaimResult{Verdict: idempotency.Mismatch}
 	case statemachine.ClaimInDoubt:
-		return middleware.Taken{Verdict: idempotency.Doubt}
+		return middleware.ClaimResult{Verdict: idempotency.InDoubt}
 	case statemachine.ClaimRunning:
-		return middleware.Taken{Verdict: idempotency.Join}
+		return middleware.ClaimResult{Verdict: idempotency.Join}
 	}
-	return middleware.Taken{Verdict: idempotency.Full, Wait: o.Wait}
+	return middleware.ClaimResult{Verdict: idempotency.Full, RetryAfter: o.Wait}
 }
--- a/internal/node/idempotency/replicated/completion.go
+++ b/internal/node/idempotency/replicated/completion.go
@@ -8,14 +8,14 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Ended has the outcome of a run committed, and returns once it is, or after Settings.End: it then goes on in the
+// Complete has the outcome of a run committed, and returns once it is, or after Settings.CompletionTimeout: it then goes on in the
 // background, for endReportTimeout at most.
-func (n *Names) Ended(c idempotency.Call, t middleware.Taken, outcome idempotency.End, body []byte) {
-	e := statemachine.Completion{Name: c.Name[:], Token: t.Token, Outcome: statemachine.OutcomeInDoubt}
+func (n *Keys) Complete(c idempotency.Call, t middleware.ClaimResult, outcome idempotency.Outcome, body []byte) {
+	e := statemachine.Completion{Name: c.Key[:], Token: t.Token, Outcome: statemachine.OutcomeInDoubt}
 	switch outcome {
-	case idempotency.EndServed:
+	case idempotency.OutcomeServed:
 		e.Outcome, e.Body = statemachine.OutcomeServed, body
-	case idempotency.EndNotRun:
+	case idempotency.OutcomeNotExecuted:
 		e.Outcome = statemachine.OutcomeNotExecuted
 	}
 	if len(body) > statemachine.MaxOneBodyBytes {
@@ -35,7 +35,7 @@
 			n.log.Warn("the end of a call was not agreed: it counts as one that may have run")
 		}
 	})
-	expired, cancel := n.timer(n.clock.Now() + n.config.End)
+	expired, cancel := n.timer(n.clock.Now() + n.config.CompletionTimeout)
 	defer cancel()
 	select {
 	case <-committed:
@@ -44,9 +44,9 @@
 }
 
 // reportEnd has an outcome committed, and returns the reply; false if it was not before ctx ended.
-func (n *Names) reportEnd(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
+func (n *Keys) reportEnd(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
 	for ctx.Err() == nil {
-		one, stop := context.WithTimeout(ctx, n.duration(n.config.Take))
+		one, stop := context.WithTimeout(ctx, n.duration(n.config.RequestTimeout))
 		r, err := n.client.Do(one, statemachine.ComponentCalls, statemachine.CompletionCommand(e))
 		stop()
 		if err == nil {
@@ -60,7 +60,7 @@
 // releaseClaim gives up a claim of which it is not known whether it was committed. A claim that is still in flight
 // may be committed after the report that nothing ran, so that the report is repeated with backoff until it finds the
 // claim or none is to be expected any more.
-func (n *Names) releaseClaim(e statemachine.Completion) {
+func (n *Keys) releaseClaim(e statemachine.Completion) {
 	select {
 	case n.endReports <- struct{}{}:
 		defer func() { <-n.endReports }()
--- a/internal/node/idempotency/replicated/probe.go
+++ b/internal/node/idempotency/replicated/probe.go
@@ -12,11 +12,11 @@
 
 // Run announces this process's incarnation to the replicas, and then probes whether a majority of them can be
 // reached, until ctx ends. Until the first probe has succeeded, no key is claimed.
-func (n *Names) Run(ctx context.Context) {
+func (n *Keys) Run(ctx context.Context) {
 	defer n.background.Wait()
 	defer close(n.stopping)
 	p := &prober{names: n, start: statemachine.ProcessStart{Node: n.config.Node, Life: n.life, Secret: secretSum(n.config.Secret),
-		Before: n.config.Before}}
+		Before: n.config.Predecessor}}
 	predecessorEnded := n.predecessorEnded
 	if p.start.Before == 0 {
 		predecessorEnded = nil
@@ -52,7 +52,7 @@
 
 // prober is the state of Run.
 type prober struct {
-	names     *Names
+	names     *Keys
 	start     statemachine.ProcessStart
 	announced bool // start was committed
 	warned    bool // of another secret
@@ -62,7 +62,7 @@
 // probe asks the replicas once: it announces the process if that was not committed yet, else it reads a key that nobody has.
 func (p *prober) probe(ctx context.Context) error {
 	n := p.names
-	timeout := n.config.Take
+	timeout := n.config.RequestTimeout
 	if !n.reachable.Load() {
 		timeout = max(timeout, unreachableProbeTimeout)
 	}
--- a/internal/node/idempotency/replicated/release_test.go
+++ b/internal/node/idempotency/replicated/release_test.go
@@ -109,12 +109,12 @@
 	k := &lateReplica{t: t, log: statemachine.New(), claimed: make(chan struct{}), released: make(chan struct{})}
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "k", Address: k.listen()}}, AttemptTimeout: 250 * time.Millisecond})
 	defer log.Close()
-	n := New(Settings{Node: "n", Claim: 60000, Longest: 60000, Take: 1000, End: 1000},
+	n := New(Settings{Node: "n", ClaimValidity: 60000, MaxRun: 60000, RequestTimeout: 1000, CompletionTimeout: 1000},
 		log, clock.NewSystem(), slog.New(slog.DiscardHandler))
-	c := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	c := idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
 	take := func() idempotency.Verdict {
 		n.reachable.Store(true)
-		return n.Take(c, n.clock.Now()+60000, nil).Verdict
+		return n.Claim(c, n.clock.Now()+60000, nil).Verdict
 	}
 	for came := false; !came; { // on a slow machine its deadline may pass before it is sent
 		require.Equal(t, idempotency.Full, take(), "rejected: it is not known whether the claim was committed")
--- a/internal/node/idempotency/replicated/replicated.go
+++ b/internal/node/idempotency/replicated/replicated.go
@@ -22,14 +22,14 @@
 
 // Settings describe the adapter. Times are milliseconds.
 type Settings struct {
-	Node    string
-	Secret  []byte   // of the hash of keys: the same on all nodes
-	Tenants []string // by number
-	Claim   float64  // for which a claim is valid: after it no attempt of its call begins
-	Longest float64  // maximum time of a run
-	Take    float64  // maximum time for one request to the replicas
-	End     float64  // maximum time that a client waits until the outcome of its call is committed
-	Before  uint64   // incarnation of the process that this one replaces, and which ends its own claims; 0 = none
+	Node              string
+	Secret            []byte   // of the hash of keys: the same on all nodes
+	Tenants           []string // by number
+	ClaimValidity     float64  // for which a claim is valid: after it no attempt of its call begins
+	MaxRun            float64  // maximum time of a run
+	RequestTimeout    float64  // maximum time for one request to the replicas
+	CompletionTimeout float64  // maximum time that a client waits until the outcome of its call is committed
+	Predecessor       uint64   // incarnation of the process that this one replaces, and which ends its own claims; 0 = none
 }
 
 const (
@@ -44,11 +44,11 @@
 )
 
 // noMajority is the result of a claim while the replicas cannot be asked.
-var noMajority = middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}
+var noMajority = middleware.ClaimResult{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, RetryAfter: retryAfter}
 
-// Names is the adapter: a middleware.Fleet and a middleware.Looker. All of its methods may be called from any
+// Keys is the adapter: a middleware.LeaseService and a middleware.KeyLookup. All of its methods may be called from any
 // goroutine, Run by one only.
-type Names struct {
+type Keys struct {
 	config           Settings
 	log              *slog.Logger
 	clock            clock.Clock
@@ -67,40 +67,40 @@
 }
 
 // New returns the adapter; nothing is sent before Run.
-func New(config Settings, c *client.Client, t clock.Clock, log *slog.Logger) *Names {
-	n := &Names{config: config, log: log, clock: t, client: c, life: rand.Uint64()>>1 | 1, ready: make(chan struct{}),
+func New(config Settings, c *client.Client, t clock.Clock, log *slog.Logger) *Keys {
+	n := &Keys{config: config, log: log, clock: t, client: c, life: rand.Uint64()>>1 | 1, ready: make(chan struct{}),
 		predecessorEnded: make(chan struct{}), endReports: make(chan struct{}, maxEndReports), stopping: make(chan struct{})}
 	n.announceCtx, n.stopAnnouncing = context.WithCancel(context.Background())
 	return n
 }
 
-// Begun returns a channel that is closed once keys can be claimed for the first time.
-func (n *Names) Begun() <-chan struct{} { return n.ready }
+// Ready returns a channel that is closed once keys can be claimed for the first time.
+func (n *Keys) Ready() <-chan struct{} { return n.ready }
 
-// Life returns this process's incarnation.
-func (n *Names) Life() uint64 { return n.life }
+// Incarnation returns this process's incarnation.
+func (n *Keys) Incarnation() uint64 { return n.life }
 
-// Alone says that the process that this one replaces has ended.
-func (n *Names) Alone() { n.predecessorOnce.Do(func() { close(n.predecessorEnded) }) }
+// PredecessorEnded says that the process that this one replaces has ended.
+func (n *Keys) PredecessorEnded() { n.predecessorOnce.Do(func() { close(n.predecessorEnded) }) }
 
-// Yield says that another process replaces this one: this incarnation is not announced any more, but the outcomes of
+// StopAnnouncing says that another process replaces this one: this incarnation is not announced any more, but the outcomes of
 // its calls still are.
-func (n *Names) Yield() { n.stopAnnouncing() }
+func (n *Keys) StopAnnouncing() { n.stopAnnouncing() }
 
-// Up reports whether keys can be claimed.
-func (n *Names) Up() bool { return n.reachable.Load() }
+// Reachable reports whether keys can be claimed.
+func (n *Keys) Reachable() bool { return n.reachable.Load() }
 
 // duration returns milliseconds as a time.Duration.
-func (n *Names) duration(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+func (n *Keys) duration(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 
 // timer returns a channel that is closed at a time, in ms of the node's clock, unless cancel is called before.
-func (n *Names) timer(at float64) (fired <-chan struct{}, cancel func()) {
+func (n *Keys) timer(at float64) (fired <-chan struct{}, cancel func()) {
 	c := make(chan struct{})
 	return c, n.clock.At(at, func() { close(c) })
 }
 
 // markUnreachable records that no majority of the replicas can be reached.
-func (n *Names) markUnreachable(err error) {
+func (n *Keys) markUnreachable(err error) {
 	if n.reachable.Swap(false) {
 		n.log.Warn("no majority of keepers can be reached: calls that must not run twice are refused", "error", err)
 	}
--- a/internal/node/idempotency/replicated/replicated_test.go
+++ b/internal/node/idempotency/replicated/replicated_test.go
@@ -61,30 +61,30 @@
 	defer work.Wait()
 	defer stop()
 	ask, real := runReplica(ctx, t, &work), clock.NewSystem()
-	begin := func(node, secret string, log *slog.Logger) *Names {
+	begin := func(node, secret string, log *slog.Logger) *Keys {
 		c := client.New(ask)
-		n := New(Settings{Node: node, Secret: []byte(secret), Claim: 30000,
-			Longest: 30000, Take: 10000, End: 10000}, c, real, log)
+		n := New(Settings{Node: node, Secret: []byte(secret), ClaimValidity: 30000,
+			MaxRun: 30000, RequestTimeout: 10000, CompletionTimeout: 10000}, c, real, log)
 		work.Go(func() { defer c.Close(); n.Run(ctx) })
 		return n
 	}
 	first := begin("a", "the secret of the fleet", slog.New(slog.DiscardHandler))
-	<-first.Begun()
+	<-first.Ready()
 	seen := &logWatcher{what: "level=ERROR msg=\"this node hashes names under another secret than its fleet: it takes none\"", found: make(chan struct{})}
 	other := begin("b", "another secret", slog.New(slog.NewTextHandler(seen, nil)))
 	select {
 	case <-seen.found:
-	case <-other.Begun():
+	case <-other.Ready():
 		require.Fail(t, "it takes names")
 	case <-time.After(time.Minute):
 		require.Fail(t, "it does not say so")
 	}
-	call := idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
-	assert.Equal(t, middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, Wait: retryAfter}, other.Take(call, real.Now()+20000, nil))
-	assert.False(t, other.Up())
-	assert.Equal(t, idempotency.Run, first.Take(call, real.Now()+20000, nil).Verdict)
+	call := idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	assert.Equal(t, middleware.ClaimResult{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, RetryAfter: retryAfter}, other.Claim(call, real.Now()+20000, nil))
+	assert.False(t, other.Reachable())
+	assert.Equal(t, idempotency.Run, first.Claim(call, real.Now()+20000, nil).Verdict)
 	same := begin("b", "the secret of the fleet", slog.New(slog.DiscardHandler))
-	<-same.Begun()
+	<-same.Ready()
 }
 
 // Guards against a process that announces its incarnation after another has replaced it: the runs of that one would count as
@@ -96,23 +96,23 @@
 	defer stop()
 	ask, quiet := runReplica(ctx, t, &work), slog.New(slog.DiscardHandler)
 	real := clock.NewSystem()
-	begin := func(yielded bool) *Names {
+	begin := func(yielded bool) *Keys {
 		c := client.New(ask)
-		n := New(Settings{Node: "n", Claim: 600000, Longest: 600000, Take: 60000,
-			End: 60000}, c, real, quiet)
+		n := New(Settings{Node: "n", ClaimValidity: 600000, MaxRun: 600000, RequestTimeout: 60000,
+			CompletionTimeout: 60000}, c, real, quiet)
 		if yielded {
-			n.Yield()
+			n.StopAnnouncing()
 		}
 		work.Go(func() { defer c.Close(); n.Run(ctx) })
-		<-n.Begun()
+		<-n.Ready()
 		return n
 	}
-	heir, call := begin(false), idempotency.Call{Name: idempotency.Name{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
-	t1 := heir.Take(call, real.Now()+120000, nil)
+	heir, call := begin(false), idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	t1 := heir.Claim(call, real.Now()+120000, nil)
 	require.Equal(t, idempotency.Run, t1.Verdict)
 	begin(true)
-	heir.Ended(call, t1, idempotency.EndServed, []byte("answer"))
-	t2 := heir.Take(call, real.Now()+120000, nil)
+	heir.Complete(call, t1, idempotency.OutcomeServed, []byte("answer"))
+	t2 := heir.Claim(call, real.Now()+120000, nil)
 	assert.Equal(t, idempotency.Replay, t2.Verdict)
 	assert.Equal(t, "answer", string(t2.Body))
 }
--- a/internal/node/idempotency/restore.go
+++ b/internal/node/idempotency/restore.go
@@ -7,27 +7,27 @@
 
 // Restore adds an entry from before a restart. A call that was running then may have run. Restore reports whether
 // there was capacity; a key that is known already keeps its entry.
-func (t *Book) Restore(now float64, k Known) bool {
+func (t *Table) Restore(now float64, k Entry) bool {
 	t.advance(now)
-	if _, known := t.index[k.Name]; known {
+	if _, known := t.index[k.Key]; known {
 		return true
 	}
 	slot, ok := t.insert(k.Call)
 	if !ok {
 		return false
 	}
-	outcome, age := EndInDoubt, max(0, k.Age)
+	outcome, age := OutcomeInDoubt, max(0, k.Age)
 	if k.Running {
 		age = 0
 	} else if k.Served {
-		outcome = EndServed
+		outcome = OutcomeServed
 	}
 	size := k.Size
 	if k.Body == nil {
-		size = t.config.Bytes + 1
+		size = t.config.MaxBodyBytes + 1
 	}
 	t.now -= age // its window begins at its end
-	t.End(t.now, Ref{slot, t.entries[slot].generation}, outcome, k.Body, size)
+	t.Complete(t.now, Ref{slot, t.entries[slot].generation}, outcome, k.Body, size)
 	t.now += age
 	t.expire()
 	return true
@@ -35,9 +35,9 @@
 
 // Resume adds an entry for a call that still runs in another process, and returns its Ref for End. It reports whether
 // there was capacity; a key that is known already keeps its entry, and Resume returns false.
-func (t *Book) Resume(now float64, c Call) (Ref, bool) {
+func (t *Table) Resume(now float64, c Call) (Ref, bool) {
 	t.advance(now)
-	if _, known := t.index[c.Name]; known {
+	if _, known := t.index[c.Key]; known {
 		return Ref{}, false
 	}
 	slot, ok := t.insert(c)
@@ -47,9 +47,9 @@
 	return Ref{slot, t.entries[slot].generation}, true
 }
 
-// Image returns every entry as Restore takes it, in an order in which a table that restores them all evicts bodies in
+// Snapshot returns every entry as Restore takes it, in an order in which a table that restores them all evicts bodies in
 // the same order as this one. Running entries come last.
-func (t *Book) Image() (image []Known) {
+func (t *Table) Snapshot() (image []Entry) {
 	windows, order := make([]Windows, len(t.lanes)), make([]int, len(t.lanes))
 	for i := range t.lanes {
 		windows[i], order[i] = t.lanes[i].Windows, i
@@ -59,9 +59,9 @@
 		a, b := &t.lanes[i], &t.lanes[j]
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.Answered, b.Answered), cmp.Compare(a.Doubt, b.Doubt))
 	})
-	known := func(e *entry) Known {
+	known := func(e *entry) Entry {
 		w := &windows[e.lane]
-		k := Known{Call: Call{e.key, e.fingerprint, int(e.class), int(e.tenant), w}, Running: e.state == stateRunning,
+		k := Entry{Call: Call{e.key, e.fingerprint, int(e.class), int(e.tenant), w}, Running: e.state == stateRunning,
 			Served: e.state == stateAnswered || e.state == stateExecuted, Body: e.body, Size: int(e.size)}
 		switch {
 		case e.state == stateInDoubt:
--- a/internal/node/idempotency/transfer/giver.go
+++ b/internal/node/idempotency/transfer/giver.go
@@ -10,13 +10,13 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 )
 
-// Giver is the old process's side: the middleware.Fleet of its middleware from the transfer on. All of its methods
+// Sender is the old process's side: the middleware.LeaseService of its middleware from the transfer on. All of its methods
 // may be called from any goroutine.
-type Giver struct {
-	mw    *middleware.Stage
+type Sender struct {
+	mw    *middleware.Middleware
 	clock clock.Clock
 	log   *slog.Logger
-	send  Send
+	send  SendFunc
 
 	sent chan struct{} // closed when the table was sent, or the channel is broken
 
@@ -29,18 +29,18 @@
 // pendingClaim is a claim that the other process has not answered yet.
 type pendingClaim struct {
 	call  idempotency.Call
-	reply chan middleware.Taken // nil = nobody waits for it any more
+	reply chan middleware.ClaimResult // nil = nobody waits for it any more
 }
 
-// NewGiver returns the side that transfers the table of mw once Run is called.
-func NewGiver(mw *middleware.Stage, c clock.Clock, log *slog.Logger, send Send) *Giver {
-	return &Giver{mw: mw, clock: c, log: log, send: send, sent: make(chan struct{}), pending: map[uint64]*pendingClaim{}}
+// NewSender returns the side that transfers the table of mw once Run is called.
+func NewSender(mw *middleware.Middleware, c clock.Clock, log *slog.Logger, send SendFunc) *Sender {
+	return &Sender{mw: mw, clock: c, log: log, send: send, sent: make(chan struct{}), pending: map[uint64]*pendingClaim{}}
 }
 
 // Run transfers the table, and returns when it has been sent or the channel is broken. Told and Lost may be called
 // meanwhile.
-func (g *Giver) Run() {
-	entries := g.mw.Give(g)
+func (g *Sender) Run() {
+	entries := g.mw.BeginTransfer(g)
 	names := len(entries)
 	for {
 		var p *tableChunk
@@ -65,7 +65,7 @@
 }
 
 // nextChunk returns the entries of the next message, and those that are left.
-func nextChunk(entries []idempotency.Known) (p *tableChunk, left []idempotency.Known) {
+func nextChunk(entries []idempotency.Entry) (p *tableChunk, left []idempotency.Entry) {
 	p, bytes := &tableChunk{}, 0
 	for len(entries) > 0 && len(p.Entries) < maxChunkEntries && bytes < maxChunkBytes {
 		k := &entries[0]
@@ -77,19 +77,19 @@
 	return p, entries
 }
 
-// Take implements middleware.Fleet: it claims a key from the other process.
-func (g *Giver) Take(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.Taken {
+// Claim implements middleware.LeaseService: it claims a key from the other process.
+func (g *Sender) Claim(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.ClaimResult {
 	expired := make(chan struct{})
 	stop := g.clock.At(deadline, func() { close(expired) })
 	defer stop()
 	select {
 	case <-g.sent:
 	case <-expired:
-		return middleware.Taken{Verdict: idempotency.Join}
+		return middleware.ClaimResult{Verdict: idempotency.Join}
 	case <-left:
-		return middleware.Taken{Verdict: idempotency.Join}
+		return middleware.ClaimResult{Verdict: idempotency.Join}
 	}
-	pending := &pendingClaim{c, make(chan middleware.Taken, 1)}
+	pending := &pendingClaim{c, make(chan middleware.ClaimResult, 1)}
 	reply := pending.reply
 	g.mu.Lock()
 	if g.broken {
@@ -116,22 +116,22 @@
 	case t := <-reply:
 		return t
 	default:
-		return middleware.Taken{Verdict: idempotency.Join}
+		return middleware.ClaimResult{Verdict: idempotency.Join}
 	}
 }
 
 // withoutSuccessor returns the result of a claim where the other process cannot be asked. A call that may run twice
 // runs unrecorded.
-func (g *Giver) withoutSuccessor(c idempotency.Call) middleware.Taken {
+func (g *Sender) withoutSuccessor(c idempotency.Call) middleware.ClaimResult {
 	if !g.mw.Once(c.Class) {
-		return middleware.Taken{Verdict: idempotency.Pass}
+		return middleware.ClaimResult{Verdict: idempotency.RunUnrecorded}
 	}
-	return middleware.Taken{Verdict: idempotency.Full, Reason: middleware.ReasonHeirGone}
+	return middleware.ClaimResult{Verdict: idempotency.Full, Reason: middleware.ReasonSuccessorLost}
 }
 
-// Ended implements middleware.Fleet: it sends the outcome of a run. What was written before the client is answered is
+// Complete implements middleware.LeaseService: it sends the outcome of a run. What was written before the client is answered is
 // received though this process dies.
-func (g *Giver) Ended(c idempotency.Call, _ middleware.Taken, outcome idempotency.End, body []byte) {
+func (g *Sender) Complete(c idempotency.Call, _ middleware.ClaimResult, outcome idempotency.Outcome, body []byte) {
 	<-g.sent
 	g.mu.Lock()
 	broken := g.broken
@@ -141,8 +141,8 @@
 	}
 }
 
-// Told receives a message of the other process. The error is of one that cannot be decoded.
-func (g *Giver) Told(text json.RawMessage) error {
+// Receive receives a message of the other process. The error is of one that cannot be decoded.
+func (g *Sender) Receive(text json.RawMessage) error {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
@@ -150,7 +150,7 @@
 	if m.Reply == nil {
 		return nil
 	}
-	t := middleware.Taken{Verdict: m.Reply.Verdict, Reason: m.Reply.Reason, Wait: m.Reply.Wait, Body: m.Reply.Body}
+	t := middleware.ClaimResult{Verdict: m.Reply.Verdict, Reason: m.Reply.Reason, RetryAfter: m.Reply.Wait, Body: m.Reply.Body}
 	g.mu.Lock()
 	pending := g.pending[m.Reply.Seq]
 	delete(g.pending, m.Reply.Seq)
@@ -160,13 +160,13 @@
 	}
 	g.mu.Unlock()
 	if abandoned && t.Verdict == idempotency.Run {
-		g.Ended(pending.call, t, idempotency.EndNotRun, nil)
+		g.Complete(pending.call, t, idempotency.OutcomeNotExecuted, nil)
 	}
 	return nil
 }
 
 // Lost says that the channel is broken.
-func (g *Giver) Lost() {
+func (g *Sender) Lost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.broken {
--- a/internal/node/idempotency/transfer/golden_test.go
+++ b/internal/node/idempotency/transfer/golden_test.go
@@ -11,7 +11,7 @@
 // Guards against messages between the processes of a node whose JSON, or whose numbers for verdicts and ends, have changed.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[message](t, "message")
-	verdicts := []idempotency.Verdict{idempotency.Run, idempotency.Pass, idempotency.Join, idempotency.Replay, idempotency.Spent, idempotency.Doubt, idempotency.Mismatch, idempotency.Full}
-	ends := []idempotency.End{idempotency.EndServed, idempotency.EndNotRun, idempotency.EndInDoubt}
+	verdicts := []idempotency.Verdict{idempotency.Run, idempotency.RunUnrecorded, idempotency.Join, idempotency.Replay, idempotency.Executed, idempotency.InDoubt, idempotency.Mismatch, idempotency.Full}
+	ends := []idempotency.Outcome{idempotency.OutcomeServed, idempotency.OutcomeNotExecuted, idempotency.OutcomeInDoubt}
 	golden.Check(t, "numbers", fmt.Appendf(nil, "%d %d", verdicts, ends))
 }
--- a/internal/node/idempotency/transfer/messages.go
+++ b/internal/node/idempotency/transfer/messages.go
@@ -14,9 +14,9 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// Send sends a message to the other process, in order. After an error the channel is broken; its end is reported
+// SendFunc sends a message to the other process, in order. After an error the channel is broken; its end is reported
 // through Lost.
-type Send func(json.RawMessage) error
+type SendFunc func(json.RawMessage) error
 
 // maxChunkBytes bounds the bodies in one message, in bytes, beside those of its last entry.
 const maxChunkBytes = 1 << 20
@@ -49,7 +49,7 @@
 	Windows *idempotency.Windows `json:"windows,omitempty"`
 }
 
-// entry is an idempotency.Known on the wire.
+// entry is an idempotency.Entry on the wire.
 type entry struct {
 	wireCall
 	Running bool    `json:"running,omitempty"`
@@ -77,25 +77,25 @@
 // completion reports the outcome of a run.
 type completion struct {
 	wireCall
-	Outcome idempotency.End `json:"how"`
-	Body    []byte          `json:"body,omitempty"`
+	Outcome idempotency.Outcome `json:"how"`
+	Body    []byte              `json:"body,omitempty"`
 }
 
 // encodeCall returns the wire form of a call.
 func encodeCall(c idempotency.Call) wireCall {
-	return wireCall{c.Name[:], c.Print[:], c.Class, c.Tenant, c.Windows}
+	return wireCall{c.Key[:], c.Fingerprint[:], c.Class, c.Tenant, c.Windows}
 }
 
 // decode returns the call of a wire form.
 func (c wireCall) decode() (out idempotency.Call) {
 	out.Class, out.Tenant, out.Windows = c.Class, c.Tenant, c.Windows
-	copy(out.Name[:], c.Name)
-	copy(out.Print[:], c.Print)
+	copy(out.Key[:], c.Name)
+	copy(out.Fingerprint[:], c.Print)
 	return out
 }
 
 // send encodes and sends a message.
-func (m message) send(to Send) error {
+func (m message) send(to SendFunc) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
--- a/internal/node/idempotency/transfer/transfer_test.go
+++ b/internal/node/idempotency/transfer/transfer_test.go
@@ -77,11 +77,11 @@
 		}
 		c := clock.NewManual(1000)
 		var ran, ranInOld sync.Map
-		stage := func(old bool, secret string) (*middleware.Stage, core.Handler) {
-			s, err := middleware.New(middleware.Settings{Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}}, Secret: []byte(secret),
-				Book:    idempotency.Settings{Classes: []idempotency.Class{{Once: true, Answered: 1e6, Doubt: 1e6}}, Entries: 1000, Bytes: 1 << 20, Alpha: 4},
+		stage := func(old bool, secret string) (*middleware.Middleware, core.Handler) {
+			s, err := middleware.New(middleware.Settings{Classes: []middleware.Class{{Enabled: true, Naming: middleware.Naming{Key: true}}}, Secret: []byte(secret),
+				Table:   idempotency.Settings{Classes: []idempotency.Class{{AtMostOnce: true, AnsweredWindow: 1e6, InDoubtWindow: 1e6}}, MaxEntries: 1000, MaxBodyBytes: 1 << 20, PinnedRatio: 4},
 				Content: func(p any) core.Content { return p.(core.Content) }, Encode: func(p any) []byte { return []byte(p.(text)) },
-				Decode: func(b []byte) any { return text(b) }, Wall: c.Now}, c, slog.New(slog.DiscardHandler))
+				Decode: func(b []byte) any { return text(b) }, WallClock: c.Now}, c, slog.New(slog.DiscardHandler))
 			require.NoError(t, err)
 			return s, s.Wrap(func(call *core.Call) core.Answer {
 				n, _ := ran.LoadOrStore(string(call.Key), new(atomic.Int64))
@@ -100,19 +100,19 @@
 		before, atOld := stage(true, "drawn there")
 		after, atHeir := stage(false, "drawn here")
 		there, back := newPipe(most), newPipe(1<<30)
-		giver := NewGiver(before, c, slog.New(slog.DiscardHandler), there.send)
+		giver := NewSender(before, c, slog.New(slog.DiscardHandler), there.send)
 		heir := Await(after, c, slog.New(slog.DiscardHandler), back.send)
 		var read, calls sync.WaitGroup
 		read.Go(func() {
 			for m := range there.queue {
-				assert.NoError(t, heir.Told(m))
+				assert.NoError(t, heir.Receive(m))
 			}
 			back.cut()
 			heir.Lost(true)
 		})
 		read.Go(func() {
 			for m := range back.queue {
-				assert.NoError(t, giver.Told(m))
+				assert.NoError(t, giver.Receive(m))
 			}
 			giver.Lost()
 		})
@@ -128,9 +128,9 @@
 				if _, theirs := ranInOld.Load(string(key)); theirs && heirs {
 					joined.Add(1)
 				}
-			case a.Reason == middleware.ReasonHeirGone || a.Reason == middleware.ReasonNoHandover:
+			case a.Reason == middleware.ReasonSuccessorLost || a.Reason == middleware.ReasonNoTransfer:
 				refused.Add(1)
-			case a.Reason == middleware.ReasonDoubt:
+			case a.Reason == middleware.ReasonInDoubt:
 				doubt.Add(1)
 			}
 		}
@@ -161,10 +161,10 @@
 // Guards against a key that stays claimed for ever because nobody waited any more when its claim was granted.
 func TestClaimNobodyWaitsForIsGivenBack(t *testing.T) {
 	c := clock.NewManual(1000)
-	s, err := middleware.New(middleware.Settings{Book: idempotency.Settings{Classes: []idempotency.Class{{Once: true}}, Entries: 9, Alpha: 4}}, c, slog.New(slog.DiscardHandler))
+	s, err := middleware.New(middleware.Settings{Table: idempotency.Settings{Classes: []idempotency.Class{{AtMostOnce: true}}, MaxEntries: 9, PinnedRatio: 4}}, c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	sent := make(chan message, 9)
-	g := NewGiver(s, c, slog.New(slog.DiscardHandler), func(text json.RawMessage) (err error) {
+	g := NewSender(s, c, slog.New(slog.DiscardHandler), func(text json.RawMessage) (err error) {
 		var m message
 		err = json.Unmarshal(text, &m)
 		sent <- m
@@ -173,28 +173,28 @@
 	g.Run()
 	require.True(t, (<-sent).Chunk.Last)
 	left := make(chan struct{})
-	taken := make(chan middleware.Taken)
-	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{7}}, 2000, left) }()
+	taken := make(chan middleware.ClaimResult)
+	go func() { taken <- g.Claim(idempotency.Call{Key: idempotency.Key{7}}, 2000, left) }()
 	asked := <-sent
 	close(left)
 	require.Equal(t, idempotency.Join, (<-taken).Verdict)
-	require.NoError(t, g.Told(json.RawMessage(fmt.Sprintf(`{"told":{"seq":%d,"verdict":0}}`, asked.Claim.Seq))))
+	require.NoError(t, g.Receive(json.RawMessage(fmt.Sprintf(`{"told":{"seq":%d,"verdict":0}}`, asked.Claim.Seq))))
 	m := <-sent
-	require.Equal(t, idempotency.EndNotRun, m.Completion.Outcome)
+	require.Equal(t, idempotency.OutcomeNotExecuted, m.Completion.Outcome)
 	require.Equal(t, byte(7), m.Completion.Name[0])
-	go func() { taken <- g.Take(idempotency.Call{Name: idempotency.Name{8}}, 2000, nil) }()
+	go func() { taken <- g.Claim(idempotency.Call{Key: idempotency.Key{8}}, 2000, nil) }()
 	<-sent
 	g.Lost()
-	require.Equal(t, middleware.ReasonHeirGone, (<-taken).Reason)
+	require.Equal(t, middleware.ReasonSuccessorLost, (<-taken).Reason)
 }
 
 // Guards against a key that the new process keeps for another window than the old one, because the windows of their classes differ: one
 // that was transferred, and one that the old process claimed afterwards.
 func TestWindowsAreTransferred(t *testing.T) {
 	c, quiet, ran := clock.NewManual(1000), slog.New(slog.DiscardHandler), atomic.Int64{}
-	stage := func(window float64) (*middleware.Stage, core.Handler) {
-		s, err := middleware.New(middleware.Settings{Secret: []byte("s"), Classes: []middleware.Class{{On: true, By: middleware.Naming{Key: true}}},
-			Book:    idempotency.Settings{Classes: []idempotency.Class{{Once: true, Answered: window, Doubt: window}}, Entries: 9, Bytes: 99, Alpha: 4},
+	stage := func(window float64) (*middleware.Middleware, core.Handler) {
+		s, err := middleware.New(middleware.Settings{Secret: []byte("s"), Classes: []middleware.Class{{Enabled: true, Naming: middleware.Naming{Key: true}}},
+			Table:   idempotency.Settings{Classes: []idempotency.Class{{AtMostOnce: true, AnsweredWindow: window, InDoubtWindow: window}}, MaxEntries: 9, MaxBodyBytes: 99, PinnedRatio: 4},
 			Content: func(p any) core.Content { return p.(core.Content) }, Encode: func(p any) []byte { return []byte(p.(text)) },
 			Decode: func(b []byte) any { return text(b) }}, c, quiet)
 		require.NoError(t, err)
@@ -210,16 +210,16 @@
 	after, atHeir := stage(10)
 	ask(atOld, "a")
 	there, back := newPipe(99), newPipe(99)
-	giver, heir := NewGiver(before, c, quiet, there.send), Await(after, c, quiet, back.send)
+	giver, heir := NewSender(before, c, quiet, there.send), Await(after, c, quiet, back.send)
 	var read sync.WaitGroup
 	read.Go(func() {
 		for m := range there.queue {
-			assert.NoError(t, heir.Told(m))
+			assert.NoError(t, heir.Receive(m))
 		}
 	})
 	read.Go(func() {
 		for m := range back.queue {
-			assert.NoError(t, giver.Told(m))
+			assert.NoError(t, giver.Receive(m))
 		}
 	})
 	giver.Run()
--- a/internal/node/options/quota.go
+++ b/internal/node/options/quota.go
@@ -93,7 +93,7 @@
 
 // Own is the tree of one of so many instances: each holds its part of every rate, or of what is not leased.
 func (q *Quota) Own(instances int) quota.Settings {
-	return q.Tree().Part((1-q.Leased)/float64(max(1, instances)), q.Leased > 0)
+	return q.Tree().Fraction((1-q.Leased)/float64(max(1, instances)), q.Leased > 0)
 }
 
 // Tree puts the options in the terms of package quota, for the whole fleet.
@@ -126,8 +126,8 @@
 	if q.Unknown != "" && !slices.ContainsFunc(q.Nodes, func(n QuotaNode) bool { return n.Name == q.Unknown }) {
 		report(fmt.Sprintf("%q is no node", q.Unknown), "unknown")
 	}
-	if t := (lease.Tree{Leased: q.Leased, Set: q.Tree()}); q.On && q.Leased > 0 && len(t.Set.Nodes) > lease.MostNodes {
-		report(fmt.Sprintf("stands beside %d nodes of the tree: %d at the most can be leased", len(t.Set.Nodes), lease.MostNodes), "leased", "node")
+	if t := (lease.Tree{Leased: q.Leased, Set: q.Tree()}); q.On && q.Leased > 0 && len(t.Set.Nodes) > lease.MaxNodes {
+		report(fmt.Sprintf("stands beside %d nodes of the tree: %d at the most can be leased", len(t.Set.Nodes), lease.MaxNodes), "leased", "node")
 	}
 	for i, name := range q.Priorities {
 		if slices.Index(q.Priorities, name) != i {
--- a/internal/node/quota/debts.go
+++ b/internal/node/quota/debts.go
@@ -6,7 +6,7 @@
 )
 
 // recordDebt records the debt of a call that was lent, or uses up what was repaid for one that was paid.
-func (t *Book) recordDebt(d Decision, load float64) {
+func (t *Tree) recordDebt(d Decision, load float64) {
 	if d.Verdict == Go {
 		return
 	}
@@ -24,7 +24,7 @@
 
 // assignDebt finds the sibling whose unused capacity a borrower has used, and records credit and debt. What no
 // sibling could call its own makes no debt.
-func (t *Book) assignDebt(parent, borrower int32, load float64) {
+func (t *Tree) assignDebt(parent, borrower int32, load float64) {
 	p := &t.nodes[parent]
 	for range maxLenderLooks {
 		if p.nextLender < 0 {
@@ -49,18 +49,18 @@
 }
 
 // guaranteedFraction returns the guarantee of a node as a fraction of all that the root can do.
-func (t *Book) guaranteedFraction(n *node) float64 {
+func (t *Tree) guaranteedFraction(n *node) float64 {
 	return n.own[Requests].rate / t.nodes[Root].own[Requests].rate
 }
 
 // maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack. What it borrows beyond
 // is a gift.
-func (t *Book) maxDebt(n *node) float64 {
+func (t *Tree) maxDebt(n *node) float64 {
 	return t.config.PayBack * t.config.PayPart * t.guaranteedFraction(n)
 }
 
 // repay makes a debtor give up part of what it was just filled with, while a lender collects its debts.
-func (t *Book) repay(n *node, span float64) {
+func (t *Tree) repay(n *node, span float64) {
 	p := &t.nodes[n.parent]
 	if n.debt <= 0 || p.repayUntil <= t.seconds-span {
 		n.repayRate = 0
--- a/internal/node/quota/decide.go
+++ b/internal/node/quota/decide.go
@@ -11,22 +11,22 @@
 type Call struct {
 	Leaf     int // index of the node that it belongs to
 	Priority int // from 0; calls of the highest are rejected only when there is no capacity at all
-	Worth    float64
+	Value    float64
 }
 
 // Ask decides on a call, and charges it if it goes on.
-func (t *Book) Ask(now float64, c Call) Decision {
+func (t *Tree) Ask(now float64, c Call) Decision {
 	t.advance(now)
-	cost := Amount{1, c.Worth}
+	cost := Amount{1, c.Value}
 	for i := int32(c.Leaf); i >= 0; i = t.nodes[i].parent {
 		t.refresh(i)
 	}
 	d := t.decide(int32(c.Leaf), c.Priority, cost)
 	leaf := &t.nodes[c.Leaf]
 	leaf.counts[d.Verdict]++
-	if d.Verdict == Refused {
+	if d.Verdict == Rejected {
 		leaf.reason = d.Reason
-		d.Wait = t.retryAfter(leaf)
+		d.RetryAfter = t.retryAfter(leaf)
 		return d
 	}
 	d.grant = grant{tree: t, leaf: int32(c.Leaf), lender: int32(d.From), cost: cost}
@@ -36,7 +36,7 @@
 }
 
 // decide finds the node that pays for a call, and charges nothing.
-func (t *Book) decide(leaf int32, priority int, cost Amount) Decision {
+func (t *Tree) decide(leaf int32, priority int, cost Amount) Decision {
 	n := &t.nodes[leaf]
 	if t.hasTokens(n, priority, cost, false) {
 		return Decision{Verdict: Go, From: int(leaf)}
@@ -46,21 +46,21 @@
 		return d
 	}
 	if n.noBorrowing || leaf == Root {
-		return Decision{Verdict: Refused, Reason: NoRoom}
+		return Decision{Verdict: Rejected, Reason: NoCapacity}
 	}
 	if creditor := t.creditor(leaf, priority, cost); creditor >= 0 {
-		return Decision{Verdict: Paid, From: int(t.nodes[creditor].parent)}
+		return Decision{Verdict: Repaid, From: int(t.nodes[creditor].parent)}
 	}
 	lender := t.lender(leaf, priority, cost)
 	if lender < 0 {
-		return Decision{Verdict: Refused, Reason: NoRoom}
+		return Decision{Verdict: Rejected, Reason: NoCapacity}
 	}
 	if !top && t.unleased == nil { // a lease is divided fairly already; what is left of it goes to whoever comes first
 		l := &t.nodes[lender]
 		limit := maxAhead(l.own[Requests].tokens / l.own[Requests].cap)
 		for i := leaf; i != lender; i = t.nodes[i].parent {
 			if child := &t.nodes[i]; child.borrowed-t.nodes[child.parent].fairShare > limit {
-				return Decision{Verdict: Refused, Reason: NotFair, From: int(lender)}
+				return Decision{Verdict: Rejected, Reason: OverFairShare, From: int(lender)}
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 
 // hasTokens reports whether the own bucket of a node covers a call, beyond what is reserved for higher priorities
 // and, if spare is set, what debtors have repaid to their lenders.
-func (t *Book) hasTokens(n *node, priority int, cost Amount, spare bool) bool {
+func (t *Tree) hasTokens(n *node, priority int, cost Amount, spare bool) bool {
 	reserved, repaid := t.config.Kept*float64(t.config.Priorities-1-priority), 0.0
 	if spare {
 		repaid = n.repaid
@@ -87,15 +87,15 @@
 
 // checkLimits reports whether the rate limits of a leaf and its ancestors allow more than the guarantee; d is the
 // rejection if not.
-func (t *Book) checkLimits(leaf int32, cost Amount) (d Decision, ok bool) {
+func (t *Tree) checkLimits(leaf int32, cost Amount) (d Decision, ok bool) {
 	for i := leaf; i >= 0; i = t.nodes[i].parent {
 		n := &t.nodes[i]
 		for m := range measures {
 			if n.limit[m].cap > 0 && n.limit[m].tokens < cost[m] {
-				return Decision{Verdict: Refused, Reason: AtCeiling, From: int(i)}, false
+				return Decision{Verdict: Rejected, Reason: AtRateLimit, From: int(i)}, false
 			}
 			if n.longLimit[m].cap > 0 && n.longLimit[m].tokens < cost[m] {
-				return Decision{Verdict: Refused, Reason: AtLong, From: int(i)}, false
+				return Decision{Verdict: Rejected, Reason: AtLongLimit, From: int(i)}, false
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // lender returns the nearest ancestor with enough tokens, -1 for none, and records on the way who wants to borrow.
-func (t *Book) lender(leaf int32, priority int, cost Amount) int32 {
+func (t *Tree) lender(leaf int32, priority int, cost Amount) int32 {
 	for i := leaf; ; {
 		n := &t.nodes[i]
 		if n.noBorrowing || n.parent < 0 {
@@ -119,7 +119,7 @@
 
 // creditor returns the nearest node, from the leaf up, to which its siblings have repaid what they owe, -1 for none.
 // On the way it has the debts collected that are owed to the leaf and its ancestors.
-func (t *Book) creditor(leaf int32, priority int, cost Amount) int32 {
+func (t *Tree) creditor(leaf int32, priority int, cost Amount) int32 {
 	load := t.load(cost)
 	for i := leaf; t.nodes[i].parent >= 0 && !t.nodes[i].noBorrowing; i = t.nodes[i].parent {
 		n := &t.nodes[i]
@@ -136,7 +136,7 @@
 }
 
 // load returns the cost of a call in seconds of all that the root can do: the largest over the measures.
-func (t *Book) load(cost Amount) (load float64) {
+func (t *Tree) load(cost Amount) (load float64) {
 	for m := range measures {
 		if rate := t.nodes[Root].own[m].rate; rate > 0 {
 			load = max(load, cost[m]/rate)
@@ -147,7 +147,7 @@
 
 // retryAfter returns the milliseconds after which a rejected caller should retry. The rejected callers of a leaf get
 // times one behind the other, at the rate that the leaf may always have, with jitter.
-func (t *Book) retryAfter(n *node) float64 {
+func (t *Tree) retryAfter(n *node) float64 {
 	rate := max(n.own[Requests].rate*t.capacity, 1/cmp.Or(t.config.MostWait, 1))
 	n.nextRetry = max(n.nextRetry, t.now) + 1000/rate
 	maxWait := t.config.MostWait * 1000
@@ -158,7 +158,7 @@
 }
 
 // charge spends what a call was granted, or returns it with sign -1.
-func (t *Book) charge(g grant, sign float64) {
+func (t *Tree) charge(g grant, sign float64) {
 	for i := g.leaf; i >= 0; i = t.nodes[i].parent {
 		n := &t.nodes[i]
 		for m := range measures {
@@ -187,8 +187,8 @@
 
 // Return returns what a call was charged that certainly did not run. What another tree has charged, which this one
 // has replaced, is ignored.
-func (t *Book) Return(now float64, d Decision) {
-	if d.Verdict == Refused || d.grant.tree != t {
+func (t *Tree) Return(now float64, d Decision) {
+	if d.Verdict == Rejected || d.grant.tree != t {
 		return
 	}
 	t.advance(now)
@@ -198,9 +198,9 @@
 	t.charge(d.grant, -1)
 }
 
-// Taken returns what a call was charged, and its leaf; nothing if it was rejected, or charged by another tree.
-func (t *Book) Taken(d Decision) (leaf int, cost Amount) {
-	if d.Verdict == Refused || d.grant.tree != t {
+// Charged returns what a call was charged, and its leaf; nothing if it was rejected, or charged by another tree.
+func (t *Tree) Charged(d Decision) (leaf int, cost Amount) {
+	if d.Verdict == Rejected || d.grant.tree != t {
 		return Root, cost
 	}
 	return int(d.grant.leaf), d.grant.cost
--- a/internal/node/quota/fairness.go
+++ b/internal/node/quota/fairness.go
@@ -19,7 +19,7 @@
 }
 
 // contend records that a child wants some of its parent's spare capacity now.
-func (t *Book) contend(x int32) {
+func (t *Tree) contend(x int32) {
 	n := &t.nodes[x]
 	p := &t.nodes[n.parent]
 	if n.contends {
@@ -40,7 +40,7 @@
 }
 
 // withdraw removes a child from the list of those that want capacity.
-func (t *Book) withdraw(x int32) {
+func (t *Tree) withdraw(x int32) {
 	n := &t.nodes[x]
 	p := &t.nodes[n.parent]
 	if n.prevContender >= 0 {
--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Part returns the settings of a tree that holds a fraction of every rate. With leases it keeps no debts: they are
+// Fraction returns the settings of a tree that holds a fraction of every rate. With leases it keeps no debts: they are
 // held by the machine of package lease.
-func (s Settings) Part(fraction float64, leases bool) Settings {
-	scale := func(a Amount) Amount { return Amount{a[Requests] * fraction, a[Worth] * fraction} }
+func (s Settings) Fraction(fraction float64, leases bool) Settings {
+	scale := func(a Amount) Amount { return Amount{a[Requests] * fraction, a[Value] * fraction} }
 	s.Root, s.Nodes = scale(s.Root), slices.Clone(s.Nodes)
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
@@ -15,8 +15,8 @@
 	return s
 }
 
-// Leased is what a lease has of a node, as a fraction of what the root of the whole tree can do in a second.
-type Leased struct {
+// NodeLease is what a lease has of a node, as a fraction of what the root of the whole tree can do in a second.
+type NodeLease struct {
 	At   int
 	Load float64
 }
@@ -28,7 +28,7 @@
 // the root of all nodes can do in a second, call the most that one call costs: a bucket holds at least so much, else
 // a little capacity on each of many nodes could never be used. New capacity begins with empty tokens, and tokens of
 // capacity that goes are lost, so that its next holder has no more than its lease says.
-func (t *Book) Lease(now float64, rootRates, maxCost Amount, parts []Leased) {
+func (t *Tree) Lease(now float64, rootRates, maxCost Amount, parts []NodeLease) {
 	t.advance(now)
 	if t.unleased == nil {
 		for i := range t.nodes {
@@ -73,7 +73,7 @@
 }
 
 // setWeight sets a node's weight: its fraction of the guarantee of its parent, which is set already.
-func (t *Book) setWeight(n *node) {
+func (t *Tree) setWeight(n *node) {
 	p := &t.nodes[n.parent]
 	weight := minWeight
 	if p.own[Requests].rate > 0 {
--- a/internal/node/quota/lease/demand.go
+++ b/internal/node/quota/lease/demand.go
@@ -40,17 +40,17 @@
 	return s
 }
 
-// Ask records that a call of a node has arrived.
-func (d *Demand) Ask(at int, load float64) { d.node(at).requested += load }
+// Request records that a call of a node has arrived.
+func (d *Demand) Request(at int, load float64) { d.node(at).requested += load }
 
-// Let records that a call was admitted, or, with a negative load, that an admitted one did not run.
-func (d *Demand) Let(at int, load float64) { d.node(at).admitted += load }
+// Admit records that a call was admitted, or, with a negative load, that an admitted one did not run.
+func (d *Demand) Admit(at int, load float64) { d.node(at).admitted += load }
 
-// Take returns the demand since the last time, of the MostAsked nodes with the most, sorted by node. It returns none
+// Report returns the demand since the last time, of the MaxReportedNodes nodes with the most, sorted by node. It returns none
 // within a millisecond of the last time.
-func (d *Demand) Take(now float64) []Asked {
+func (d *Demand) Report(now float64) []NodeDemand {
 	span := now - d.measuredFrom
-	out := []Asked{}
+	out := []NodeDemand{}
 	if span < 1 {
 		return out
 	}
@@ -65,17 +65,19 @@
 		} else {
 			s.rate += k * (rate - s.rate)
 		}
-		a := Asked{at, min(maxLoad, s.rate), min(maxLoad, max(0, s.admitted/span*1000))}
-		if s.requested, s.admitted = 0, 0; s.rate < forgetRate*d.callLoad && a.Used == 0 {
+		a := NodeDemand{at, min(maxLoad, s.rate), min(maxLoad, max(0, s.admitted/span*1000))}
+		if s.requested, s.admitted = 0, 0; s.rate < forgetRate*d.callLoad && a.Admitted == 0 {
 			delete(d.nodes, at)
 			continue
 		}
 		out = append(out, a)
 	}
-	if len(out) > MostAsked {
-		slices.SortFunc(out, func(x, y Asked) int { return cmp.Or(cmp.Compare(y.Want, x.Want), cmp.Compare(x.At, y.At)) })
-		out = out[:MostAsked]
+	if len(out) > MaxReportedNodes {
+		slices.SortFunc(out, func(x, y NodeDemand) int {
+			return cmp.Or(cmp.Compare(y.Requested, x.Requested), cmp.Compare(x.Node, y.Node))
+		})
+		out = out[:MaxReportedNodes]
 	}
-	slices.SortFunc(out, func(x, y Asked) int { return cmp.Compare(x.At, y.At) })
+	slices.SortFunc(out, func(x, y NodeDemand) int { return cmp.Compare(x.Node, y.Node) })
 	return out
 }
--- a/internal/node/quota/lease/divide.go
+++ b/internal/node/quota/lease/divide.go
@@ -17,11 +17,11 @@
 )
 
 // sumDemand adds up a value of what members report, by node, without what is below it.
-func (m *Machine) sumDemand(of func(Asked) float64) []float64 {
+func (m *Machine) sumDemand(of func(NodeDemand) float64) []float64 {
 	out := make([]float64, len(m.shape.names))
 	for _, id := range slices.Sorted(maps.Keys(m.members)) {
 		for _, a := range m.members[id].Demand {
-			out[m.shape.leafOf[a.At]] += of(a)
+			out[m.shape.leafOf[a.Node]] += of(a)
 		}
 	}
 	return out
@@ -35,10 +35,10 @@
 		return
 	}
 	m.dividedAt = now
-	used := m.sumDemand(func(a Asked) float64 { return a.Used })
+	used := m.sumDemand(func(a NodeDemand) float64 { return a.Admitted })
 	m.shape.fluid.Sum(used)
 	m.updateDebts(min(span, m.tree.Set.Memory*1000)/1000, used)
-	want := m.sumDemand(func(a Asked) float64 { return a.Want })
+	want := m.sumDemand(func(a NodeDemand) float64 { return a.Requested })
 	m.collectDebts(want)
 	for i := range m.accounts {
 		m.shape.fluid.Set(i, max(minWeight, m.guarantee(i)), m.maxLeased(i))
@@ -65,19 +65,19 @@
 }
 
 // grant returns the part of a member of what every node is due, as far as other members do not hold it.
-func (m *Machine) grant(e *member) []Part {
+func (m *Machine) grant(e *member) []NodeLoad {
 	s := m.shape
 	others, due := slices.Clone(m.leased), make([]float64, len(s.names))
 	for _, p := range e.reserved() {
-		others[s.leafOf[p.At]] -= p.Load
+		others[s.leafOf[p.Node]] -= p.Load
 	}
 	for i := len(others) - 1; i > 0; i-- {
 		others[s.parent[i]] += others[i]
 	}
 	for _, a := range e.Demand {
-		leaf := s.leafOf[a.At]
+		leaf := s.leafOf[a.Node]
 		if account := &m.accounts[leaf]; account.Want > 0 {
-			due[leaf] = account.Due * min(1, a.Want/account.Want) * loadUnits
+			due[leaf] = account.Due * min(1, a.Requested/account.Want) * loadUnits
 		}
 	}
 	s.fluid.Sum(due)
@@ -95,11 +95,11 @@
 			}
 		}
 	}
-	var out []Part
+	var out []NodeLoad
 	for _, a := range e.Demand {
-		leaf := s.leafOf[a.At]
+		leaf := s.leafOf[a.Node]
 		if l := Load(due[leaf] * fraction[leaf] * (1 - 1e-9)); l > 0 {
-			out = append(out, Part{a.At, l})
+			out = append(out, NodeLoad{a.Node, l})
 		}
 	}
 	return out
--- a/internal/node/quota/lease/golden_test.go
+++ b/internal/node/quota/lease/golden_test.go
@@ -11,7 +11,7 @@
 
 // Guards against encoded forms of the package whose JSON has changed, in any of their fields.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
-	golden.JSON[Asked](t, "asked")
+	golden.JSON[NodeDemand](t, "asked")
 	golden.JSON[Report](t, "report")
 	golden.JSON[Grant](t, "grant")
 	golden.JSON[Tree](t, "tree")
@@ -27,7 +27,7 @@
 func TestLoadsTheImageOfAnEarlierBuild(t *testing.T) {
 	divided := tree(3, 1, partners...)
 	m := New()
-	require.NoError(t, m.Bring(1e6, divided))
+	require.NoError(t, m.SetTree(1e6, divided))
 	var i image
 	golden.Fill(t, &i)
 	i.Tree, i.Accounts, i.At = &divided, make([]account, len(m.accounts)), 1e6
@@ -37,9 +37,9 @@
 	}
 	i.Accounts = i.Accounts[:len(m.accounts)]
 	for id, e := range i.Members {
-		for _, parts := range [][]Part{e.Active, e.Granted} {
+		for _, parts := range [][]NodeLoad{e.Active, e.Granted} {
 			for n := range parts {
-				parts[n].At = n
+				parts[n].Node = n
 			}
 		}
 		i.Members[id] = e
--- a/internal/node/quota/lease/lease.go
+++ b/internal/node/quota/lease/lease.go
@@ -26,7 +26,7 @@
 //
 // # Bounds
 //
-// MostNodes nodes of a tree, MostMembers members, MostAsked nodes of one report. A report costs a look at its own
+// MaxNodes nodes of a tree, MaxMembers members, MaxReportedNodes nodes of one report. A report costs a look at its own
 // nodes and, once in divideInterval, one at all members and the tree, however many members there are.
 package lease
 
@@ -37,21 +37,21 @@
 
 // Bounds of trees, members and leases.
 const (
-	MostNodes   = 1000     // nodes of a tree
-	MostMembers = 1024     // members of a machine
-	MostAsked   = 256      // nodes of a report
-	MostLeased  = 0.95     // fraction of the capacity that may be leased
-	Least       = 200.0    // ms of a lease, at least
-	Most        = 600000.0 // ms of a lease, at most
+	MaxNodes          = 1000     // nodes of a tree
+	MaxMembers        = 1024     // members of a machine
+	MaxReportedNodes  = 256      // nodes of a report
+	MaxLeasedFraction = 0.95     // fraction of the capacity that may be leased
+	MinLength         = 200.0    // ms of a lease, at least
+	MaxLength         = 600000.0 // ms of a lease, at most
 
 	maxNameBytes = 128 // of a member's name
 	maxLoad      = 1e6 // of a report, per second
 	loadUnits    = 1e9 // units of a Load of 1
 )
 
-// The errors of a machine. ErrOlder says that a tree was rejected because another one is in force.
+// The errors of a machine. ErrOtherTree says that a tree was rejected because another one is in force.
 var (
-	ErrOlder     = errors.New("the fleet goes by another tree of quotas")
+	ErrOtherTree = errors.New("the fleet goes by another tree of quotas")
 	errOtherTree = errors.New("its accounts are of another tree") // of an image
 )
 
@@ -59,55 +59,55 @@
 // exact.
 type Load int64
 
-// Of returns the load as a fraction of 1.
-func (l Load) Of() float64 { return float64(l) / loadUnits }
+// Fraction returns the load as a fraction of 1.
+func (l Load) Fraction() float64 { return float64(l) / loadUnits }
 
-// Asked is what a member reports of one node of the tree, in loads per second; 1 = all that the root can do.
-type Asked struct {
-	At   int     `json:"a"`
-	Want float64 `json:"w"` // requested
-	Used float64 `json:"u"` // admitted
+// NodeDemand is what a member reports of one node of the tree, in loads per second; 1 = all that the root can do.
+type NodeDemand struct {
+	Node      int     `json:"a"`
+	Requested float64 `json:"w"` // requested
+	Admitted  float64 `json:"u"` // admitted
 }
 
 // Report is what a member sends, often enough to have its lease renewed.
 type Report struct {
-	Node   string  `json:"node"`
-	Life   uint64  `json:"life"`   // incarnation of the process
-	Tree   string  `json:"tree"`   // hash of the tree that the member has
-	Length float64 `json:"length"` // ms of the lease that it requests
-	Holds  uint64  `json:"holds"`  // number of the lease that it uses; 0 = none
-	Asked  []Asked `json:"asked"`
-	Leaves bool    `json:"leaves"` // it gives its lease back
+	Node    string       `json:"node"`
+	Life    uint64       `json:"life"`   // incarnation of the process
+	Tree    string       `json:"tree"`   // hash of the tree that the member has
+	Length  float64      `json:"length"` // ms of the lease that it requests
+	Held    uint64       `json:"holds"`  // number of the lease that it uses; 0 = none
+	Demand  []NodeDemand `json:"asked"`
+	Leaving bool         `json:"leaves"` // it gives its lease back
 }
 
 // check returns an error if a report is out of bounds, for a tree with that many nodes.
 func (r *Report) check(nodes int) error {
-	if r.Node == "" || len(r.Node) > maxNameBytes || !(r.Length >= Least && r.Length <= Most) && !r.Leaves {
-		return fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", maxNameBytes, Least, Most)
+	if r.Node == "" || len(r.Node) > maxNameBytes || !(r.Length >= MinLength && r.Length <= MaxLength) && !r.Leaving {
+		return fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", maxNameBytes, MinLength, MaxLength)
 	}
-	if len(r.Asked) > MostAsked {
-		return fmt.Errorf("it asks for %d places, %d at the most", len(r.Asked), MostAsked)
+	if len(r.Demand) > MaxReportedNodes {
+		return fmt.Errorf("it asks for %d places, %d at the most", len(r.Demand), MaxReportedNodes)
 	}
 	last := -1
-	for _, a := range r.Asked {
-		if a.At <= last || a.At >= nodes || !(a.Want >= 0 && a.Want <= maxLoad && a.Used >= 0 && a.Used <= maxLoad) {
-			return fmt.Errorf("place %d: places in their order, with loads of 0 to %g", a.At, maxLoad)
+	for _, a := range r.Demand {
+		if a.Node <= last || a.Node >= nodes || !(a.Requested >= 0 && a.Requested <= maxLoad && a.Admitted >= 0 && a.Admitted <= maxLoad) {
+			return fmt.Errorf("place %d: places in their order, with loads of 0 to %g", a.Node, maxLoad)
 		}
-		last = a.At
+		last = a.Node
 	}
 	return nil
 }
 
-// Part is what a lease has of a node.
-type Part struct {
-	At   int  `json:"a"`
+// NodeLoad is what a lease has of a node.
+type NodeLoad struct {
+	Node int  `json:"a"`
 	Load Load `json:"l"`
 }
 
 // Grant answers a report.
 type Grant struct {
-	Number uint64  `json:"number"` // of the lease; 0 = none, the member has another tree
-	Length float64 `json:"length"` // ms from the moment at which the report was made
-	Parts  []Part  `json:"parts,omitempty"`
-	Tree   string  `json:"tree"` // hash of the tree in force; empty = none yet
+	Number uint64     `json:"number"` // of the lease; 0 = none, the member has another tree
+	Length float64    `json:"length"` // ms from the moment at which the report was made
+	Parts  []NodeLoad `json:"parts,omitempty"`
+	Tree   string     `json:"tree"` // hash of the tree in force; empty = none yet
 }
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -24,7 +24,7 @@
 // leaseHolder is a member as the specification sees it: it uses a lease until that expires or it receives another.
 type leaseHolder struct {
 	report Report
-	parts  []Part
+	parts  []NodeLoad
 	until  float64
 	tree   string // hash of the tree of its lease
 }
@@ -33,7 +33,7 @@
 // violation: leases in force that exceed a limit, or accounts out of bounds. spoil may change a reply before the member gets it.
 func checkRandomHistory(rt *rapid.T, spoil func(h *leaseHolder, g *Grant)) (broken string) {
 	m, now, t := New(), 1e6, tree(0, 1, partners...)
-	require.NoError(rt, m.Bring(now, t))
+	require.NoError(rt, m.SetTree(now, t))
 	holders := map[int]*leaseHolder{}
 	for range rapid.IntRange(5, 60).Draw(rt, "steps") {
 		now += rapid.SampledFrom([]float64{0, 1, 60, 400, 2500}).Draw(rt, "ms")
@@ -50,13 +50,13 @@
 			continue
 		case 1:
 			r := h.report
-			r.Leaves, h.parts, h.until = true, nil, 0
+			r.Leaving, h.parts, h.until = true, nil, 0
 			_, err := m.Report(now, r)
 			require.NoError(rt, err)
 			continue
 		case 2:
 			t = tree(t.Number+1, rapid.SampledFrom([]float64{1, 2}).Draw(rt, "burst"), partners[:rapid.IntRange(1, 3).Draw(rt, "nodes")]...)
-			require.NoError(rt, m.Bring(now, t))
+			require.NoError(rt, m.SetTree(now, t))
 			continue
 		case 3: // a replica that starts from an image has the same state
 			text, err := m.Freeze()()
@@ -68,17 +68,17 @@
 			require.JSONEq(rt, string(text), string(again))
 			m = other
 		}
-		h.report.Tree, h.report.Asked = m.hash, nil
+		h.report.Tree, h.report.Demand = m.hash, nil
 		for at := range m.shape.memberNodes() {
 			if rapid.Bool().Draw(rt, "asks") {
-				h.report.Asked = append(h.report.Asked, Asked{at, rapid.Float64Range(0, 3).Draw(rt, "want"), rapid.Float64Range(0, 1).Draw(rt, "used")})
+				h.report.Demand = append(h.report.Demand, NodeDemand{at, rapid.Float64Range(0, 3).Draw(rt, "want"), rapid.Float64Range(0, 1).Draw(rt, "used")})
 			}
 		}
 		g, err := m.Report(now, h.report)
 		require.NoError(rt, err)
 		if rapid.IntRange(0, 3).Draw(rt, "lost") > 0 {
 			spoil(h, &g)
-			h.parts, h.until, h.report.Holds, h.tree = g.Parts, now+g.Length, g.Number, m.hash
+			h.parts, h.until, h.report.Held, h.tree = g.Parts, now+g.Length, g.Number, m.hash
 		}
 		if broken = checkInvariants(m, holders, now, t); broken != "" {
 			return broken
@@ -100,7 +100,7 @@
 		for _, p := range h.parts {
 			at := 0 // a lease of another tree counts at the root
 			if h.tree == m.hash {
-				at = p.At
+				at = p.Node
 			}
 			for i := at; i >= 0; i = m.shape.parent[i] {
 				sums[i] += p.Load
@@ -108,8 +108,8 @@
 		}
 	}
 	for i, name := range m.shape.names[:m.shape.memberNodes()] {
-		if most := t.Leased * m.shape.limit[i]; i == 0 && sums[i].Of() > t.Leased || sums[i].Of() > most && !math.IsInf(most, 1) {
-			return fmt.Sprintf("%q: %g leased", name, sums[i].Of())
+		if most := t.Leased * m.shape.limit[i]; i == 0 && sums[i].Fraction() > t.Leased || sums[i].Fraction() > most && !math.IsInf(most, 1) {
+			return fmt.Sprintf("%q: %g leased", name, sums[i].Fraction())
 		}
 		a := m.accounts[i]
 		if !(a.Debt >= 0 && a.Debt <= m.maxDebt(i)+1e-9 && a.Credit >= 0) {
@@ -133,7 +133,7 @@
 	for name, spoil := range map[string]func(*leaseHolder, *Grant){
 		"a lease longer than agreed": func(_ *leaseHolder, g *Grant) { g.Length *= 5 },
 		"the larger of two leases":   func(h *leaseHolder, g *Grant) { g.Parts = maxLease(h.parts, g.Parts) },
-		"a lease that others have":   func(_ *leaseHolder, g *Grant) { g.Parts = []Part{{0, 5e8}} },
+		"a lease that others have":   func(_ *leaseHolder, g *Grant) { g.Parts = []NodeLoad{{0, 5e8}} },
 	} {
 		found := false
 		rapid.Check(t, func(rt *rapid.T) { found = found || checkRandomHistory(rt, spoil) != "" })
@@ -145,13 +145,13 @@
 // lost in a change of the tree.
 func TestDebtsOutliveMembers(t *testing.T) {
 	m, now, tr := New(), 1e6, tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
-	require.NoError(t, m.Bring(now, tr))
+	require.NoError(t, m.SetTree(now, tr))
 	say := func(life uint64, a, b, usedB float64) (got map[string]float64) {
-		g, err := m.Report(now, Report{Node: "n", Life: life, Tree: m.hash, Length: 1000, Asked: []Asked{{1, a, 0}, {2, b, usedB}}})
+		g, err := m.Report(now, Report{Node: "n", Life: life, Tree: m.hash, Length: 1000, Demand: []NodeDemand{{1, a, 0}, {2, b, usedB}}})
 		require.NoError(t, err)
 		got = map[string]float64{}
 		for _, p := range g.Parts {
-			got[m.shape.names[p.At]] = p.Load.Of()
+			got[m.shape.names[p.Node]] = p.Load.Fraction()
 		}
 		return got
 	}
@@ -159,8 +159,8 @@
 		say(1, 0, 1, 0.9)
 		now += 500
 	}
-	of := func(name string) (h Held) {
-		for _, h = range m.View().Held {
+	of := func(name string) (h NodeState) {
+		for _, h = range m.View().Nodes {
 			if h.Name == name {
 				return h
 			}
@@ -177,13 +177,13 @@
 	got := say(2, 1, 1, 0.45)
 	assert.Greater(t, got["a"], got["b"], "it is paid")
 	tr.Number = 1
-	require.NoError(t, m.Bring(now, tr))
+	require.NoError(t, m.SetTree(now, tr))
 	assert.NotEmpty(t, say(2, 1, 1, 0.45), "the same tree under a further number ends no lease")
 	tr.Number, tr.Set.Burst = 2, 2
 	debt := of("b").Debt
-	require.NoError(t, m.Bring(now, tr))
+	require.NoError(t, m.SetTree(now, tr))
 	assert.Equal(t, debt, of("b").Debt)
-	assert.ErrorIs(t, m.Bring(now, tree(1, 1)), ErrOlder)
+	assert.ErrorIs(t, m.SetTree(now, tree(1, 1)), ErrOtherTree)
 }
 
 // Guards against a report that costs a look at every other member: the replicas' work would grow with the square of the members.
@@ -191,10 +191,10 @@
 	allocations := func(members int) float64 {
 		m, now := New(), 1e6
 		tr := tree(0, 1, partners...)
-		require.NoError(t, m.Bring(now, tr))
-		r := Report{Life: 1, Tree: tr.Hash(), Length: Most}
+		require.NoError(t, m.SetTree(now, tr))
+		r := Report{Life: 1, Tree: tr.Hash(), Length: MaxLength}
 		for i := range partners {
-			r.Asked = append(r.Asked, Asked{1 + i, 0.01 / float64(members), 0.01 / float64(members)})
+			r.Demand = append(r.Demand, NodeDemand{1 + i, 0.01 / float64(members), 0.01 / float64(members)})
 		}
 		for i := range members {
 			now += 2 * divideInterval
--- a/internal/node/quota/lease/machine.go
+++ b/internal/node/quota/lease/machine.go
@@ -9,16 +9,16 @@
 
 // member is one process of a node. The JSON names and the order of fields are those of the stored image.
 type member struct {
-	Node     string  `json:"node"`
-	Life     uint64  `json:"life"`
-	Until    float64 `json:"until"` // ms; when its lease expires
-	Reported float64 `json:"told"`  // ms; when it reported last
-	Demand   []Asked `json:"asked"`
+	Node     string       `json:"node"`
+	Life     uint64       `json:"life"`
+	Until    float64      `json:"until"` // ms; when its lease expires
+	Reported float64      `json:"told"`  // ms; when it reported last
+	Demand   []NodeDemand `json:"asked"`
 	// Active is the lease that it uses, Granted the one that it was granted last. Until it reports that it holds Granted, it may be
 	// using either.
-	Active  []Part `json:"using"`
-	Granted []Part `json:"next"`
-	Number  uint64 `json:"number"` // of Granted
+	Active  []NodeLoad `json:"using"`
+	Granted []NodeLoad `json:"next"`
+	Number  uint64     `json:"number"` // of Granted
 }
 
 // account is the state of a node of the tree.
@@ -52,9 +52,9 @@
 // memberID returns the key of a member: its node and its incarnation.
 func memberID(r *Report) string { return fmt.Sprintf("%s/%x", r.Node, r.Life) }
 
-// Bring puts a tree into force: the first one, one of a higher number, or one of the same number while there are no
-// members. The error wraps ErrOlder where another tree stays in force.
-func (m *Machine) Bring(now float64, t Tree) error {
+// SetTree puts a tree into force: the first one, one of a higher number, or one of the same number while there are no
+// members. The error wraps ErrOtherTree where another tree stays in force.
+func (m *Machine) SetTree(now float64, t Tree) error {
 	m.Tick(now)
 	if m.tree != nil && t.Hash() == m.hash {
 		same := *m.tree // a frozen image may hold the previous one
@@ -66,7 +66,7 @@
 		return err
 	}
 	if m.tree != nil && (t.Number < m.tree.Number || t.Number == m.tree.Number && len(m.members) > 0) {
-		return fmt.Errorf("%w: %s of policy %d", ErrOlder, m.hash, m.tree.Number)
+		return fmt.Errorf("%w: %s of policy %d", ErrOtherTree, m.hash, m.tree.Number)
 	}
 	return m.replaceTree(now, t)
 }
@@ -109,14 +109,14 @@
 }
 
 // moveLease returns the parts of a lease at the indexes that their nodes have in another tree, sorted.
-func moveLease(parts []Part, names []string, index map[string]int) []Part {
+func moveLease(parts []NodeLoad, names []string, index map[string]int) []NodeLoad {
 	sums := map[int]Load{}
 	for _, p := range parts {
-		sums[index[names[p.At]]] += p.Load // index 0, the root, where no node has the name
+		sums[index[names[p.Node]]] += p.Load // index 0, the root, where no node has the name
 	}
-	var out []Part
+	var out []NodeLoad
 	for _, i := range slices.Sorted(maps.Keys(sums)) {
-		out = append(out, Part{i, sums[i]})
+		out = append(out, NodeLoad{i, sums[i]})
 	}
 	return out
 }
@@ -126,7 +126,7 @@
 func (m *Machine) Report(now float64, r Report) (Grant, error) {
 	m.Tick(now)
 	id := memberID(&r)
-	if r.Leaves {
+	if r.Leaving {
 		m.removeMember(id)
 		return Grant{}, nil
 	}
@@ -137,16 +137,16 @@
 		return Grant{}, err
 	}
 	e, known := m.members[id]
-	if !known && len(m.members) >= MostMembers {
+	if !known && len(m.members) >= MaxMembers {
 		return Grant{}, fmt.Errorf("there are %d members", len(m.members))
 	}
-	e.Node, e.Life, e.Demand, e.Reported = r.Node, r.Life, r.Asked, now
-	if r.Holds == e.Number { // else it did not receive the reply, and it ignores one that arrives late
+	e.Node, e.Life, e.Demand, e.Reported = r.Node, r.Life, r.Demand, now
+	if r.Held == e.Number { // else it did not receive the reply, and it ignores one that arrives late
 		e.Active = e.Granted
 	}
 	e.Granted = nil
 	m.setMember(id, e)
-	m.divide(now, slices.ContainsFunc(r.Asked, func(a Asked) bool { return m.accounts[m.shape.leafOf[a.At]].Want == 0 && a.Want > 0 }))
+	m.divide(now, slices.ContainsFunc(r.Demand, func(a NodeDemand) bool { return m.accounts[m.shape.leafOf[a.Node]].Want == 0 && a.Requested > 0 }))
 	m.lastNumber++
 	e.Granted, e.Number = m.grant(&e), m.lastNumber
 	e.Until = max(e.Until, now+r.Length)
@@ -155,7 +155,7 @@
 }
 
 // reserved returns what the member may be using.
-func (e *member) reserved() []Part { return maxLease(e.Active, e.Granted) }
+func (e *member) reserved() []NodeLoad { return maxLease(e.Active, e.Granted) }
 
 // setMember adds or replaces a member. It and removeMember keep leased and nextExpiry up to date, so that a report does not cost a
 // look at every other member.
@@ -176,7 +176,7 @@
 // leaves nothing.
 func (m *Machine) count(e *member, sign Load) {
 	for _, p := range e.reserved() {
-		m.leased[m.shape.leafOf[p.At]] += sign * p.Load
+		m.leased[m.shape.leafOf[p.Node]] += sign * p.Load
 	}
 	if sign > 0 {
 		m.nextExpiry = min(m.nextExpiry, e.Until)
@@ -207,8 +207,8 @@
 		}
 		delete(m.members, id)
 		for _, p := range e.reserved() { // it is not known how much of it was used: it counts as spent
-			for i := p.At; i >= 0; i = m.shape.parent[i] {
-				m.accounts[i].Long -= p.Load.Of() * (e.Until - e.Reported) / 1000
+			for i := p.Node; i >= 0; i = m.shape.parent[i] {
+				m.accounts[i].Long -= p.Load.Fraction() * (e.Until - e.Reported) / 1000
 			}
 		}
 	}
@@ -216,16 +216,16 @@
 
 // maxLease returns what of two leases may be in use, by node: the larger part of each. Both are sorted, and so is the
 // result.
-func maxLease(a, b []Part) []Part {
-	out := make([]Part, 0, len(a)+len(b))
+func maxLease(a, b []NodeLoad) []NodeLoad {
+	out := make([]NodeLoad, 0, len(a)+len(b))
 	for len(a) > 0 || len(b) > 0 {
 		switch {
-		case len(b) == 0 || len(a) > 0 && a[0].At < b[0].At:
+		case len(b) == 0 || len(a) > 0 && a[0].Node < b[0].Node:
 			out, a = append(out, a[0]), a[1:]
-		case len(a) == 0 || b[0].At < a[0].At:
+		case len(a) == 0 || b[0].Node < a[0].Node:
 			out, b = append(out, b[0]), b[1:]
 		default:
-			out = append(out, Part{a[0].At, max(a[0].Load, b[0].Load)})
+			out = append(out, NodeLoad{a[0].Node, max(a[0].Load, b[0].Load)})
 			a, b = a[1:], b[1:]
 		}
 	}
--- a/internal/node/quota/lease/snapshot.go
+++ b/internal/node/quota/lease/snapshot.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Held is the state of a node, for operators.
-type Held struct {
+// NodeState is the state of a node, for operators.
+type NodeState struct {
 	Name   string  `json:"name"`
 	Due    float64 `json:"due"` // loads per second, of all members
 	Leased float64 `json:"leased"`
@@ -17,16 +17,16 @@
 
 // View is the state of the machine, for operators.
 type View struct {
-	Tree    string  `json:"tree"`
-	Number  uint64  `json:"number"`
-	Leased  float64 `json:"leased"`
-	Members int     `json:"members"`
-	Held    []Held  `json:"held"`
+	Tree    string      `json:"tree"`
+	Number  uint64      `json:"number"`
+	Leased  float64     `json:"leased"`
+	Members int         `json:"members"`
+	Nodes   []NodeState `json:"held"`
 }
 
 // View returns the nodes that are requested, leased, owe or are owed.
 func (m *Machine) View() View {
-	v := View{Tree: m.hash, Members: len(m.members), Held: []Held{}}
+	v := View{Tree: m.hash, Members: len(m.members), Nodes: []NodeState{}}
 	if m.tree == nil {
 		return v
 	}
@@ -34,13 +34,13 @@
 	sums := make([]Load, len(m.shape.names))
 	for _, e := range m.members {
 		for _, p := range e.reserved() {
-			sums[p.At] += p.Load
+			sums[p.Node] += p.Load
 		}
 	}
 	for i, name := range m.shape.names[:m.shape.memberNodes()] {
 		a := m.accounts[i]
 		if a.Due = m.accounts[m.shape.leafOf[i]].Due; a.Due > 0 || sums[i] > 0 || a.Credit > 0 || a.Debt > 0 {
-			v.Held = append(v.Held, Held{name, a.Due, sums[i].Of(), a.Credit, a.Debt})
+			v.Nodes = append(v.Nodes, NodeState{name, a.Due, sums[i].Fraction(), a.Credit, a.Debt})
 		}
 	}
 	return v
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -29,17 +29,17 @@
 
 // Check returns an error if capacity cannot be divided by the tree.
 func (t *Tree) Check() error {
-	if !(t.Leased > 0 && t.Leased <= MostLeased) {
-		return fmt.Errorf("%g of the room is leased: want more than 0, and %g at the most", t.Leased, MostLeased)
+	if !(t.Leased > 0 && t.Leased <= MaxLeasedFraction) {
+		return fmt.Errorf("%g of the room is leased: want more than 0, and %g at the most", t.Leased, MaxLeasedFraction)
 	}
-	if len(t.Set.Nodes) > MostNodes {
-		return fmt.Errorf("the tree has %d nodes: %d at the most can be leased", len(t.Set.Nodes), MostNodes)
+	if len(t.Set.Nodes) > MaxNodes {
+		return fmt.Errorf("the tree has %d nodes: %d at the most can be leased", len(t.Set.Nodes), MaxNodes)
 	}
 	_, err := quota.New(t.Set, 0)
 	return err
 }
 
-// shape is the tree as it is divided. The indexes of its nodes are those of a quota.Book; behind them every node that
+// shape is the tree as it is divided. The indexes of its nodes are those of a quota.Tree; behind them every node that
 // has children has one more, a leaf for what is requested of the node itself.
 type shape struct {
 	fluid     quota.Fluid
@@ -75,11 +75,11 @@
 	for i := range tree.Nodes() {
 		l := tree.Loads(i)
 		lends, borrows := tree.Ways(i)
-		weight, limit := max(l.Guarantee, minWeight), l.Ceiling
+		weight, limit := max(l.Guarantee, minWeight), l.RateLimit
 		if !borrows {
 			limit = min(limit, weight)
 		}
-		add(tree.Name(i), tree.Parent(i), weight, limit, l.Long, lends, borrows)
+		add(tree.Name(i), tree.Parent(i), weight, limit, l.LongLimit, lends, borrows)
 	}
 	for i := range tree.Nodes() {
 		if len(s.children[i]) > 0 {
--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -11,20 +11,20 @@
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
-// Fleet grants leases. Its methods block until ctx ends at the latest.
-type Fleet interface {
+// LeaseService grants leases. Its methods block until ctx ends at the latest.
+type LeaseService interface {
 	Report(ctx context.Context, r lease.Report) (lease.Grant, error)
-	// Bring offers a tree; the error wraps lease.ErrOlder where another one stays in force.
-	Bring(ctx context.Context, t lease.Tree) error
+	// Bring offers a tree; the error wraps lease.ErrOtherTree where another one stays in force.
+	OfferTree(ctx context.Context, t lease.Tree) error
 }
 
-// Leases describe the leases of a node. Times are milliseconds.
-type Leases struct {
-	Fleet  Fleet
-	Node   string
-	Length float64      // of a lease
-	Tree   lease.Tree   // of all nodes together
-	Call   quota.Amount // the maximum that one call costs
+// LeaseConfig describe the leases of a node. Times are milliseconds.
+type LeaseConfig struct {
+	Service LeaseService
+	Node    string
+	Length  float64      // of a lease
+	Tree    lease.Tree   // of all nodes together
+	MaxCost quota.Amount // the maximum that one call costs
 }
 
 const (
@@ -37,7 +37,7 @@
 
 // leaseState is the state of leases. It is guarded by the lock of the middleware, unless noted.
 type leaseState struct {
-	config      Leases
+	config      LeaseConfig
 	treeHash    string
 	life        uint64
 	demand      *lease.Demand
@@ -52,8 +52,8 @@
 	renewed     bool
 }
 
-// Lease makes the node use leases. It is called before Run, and again when the tree has changed.
-func (s *Stage) Lease(config Leases) {
+// UseLeases makes the node use leases. It is called before Run, and again when the tree has changed.
+func (s *Middleware) UseLeases(config LeaseConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases == nil {
@@ -67,7 +67,7 @@
 
 // Leased returns the hash of the tree, until when the lease is valid, in ms of the node's clock, and its load as a
 // fraction of all that the nodes together can do. ok = the node uses leases.
-func (s *Stage) Leased() (tree string, until, load float64, ok bool) {
+func (s *Middleware) Leased() (tree string, until, load float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases == nil {
@@ -77,7 +77,7 @@
 }
 
 // load returns the cost of a call as a fraction of what all nodes together can do in a second.
-func (s *Stage) load(cost quota.Amount) (load float64) {
+func (s *Middleware) load(cost quota.Amount) (load float64) {
 	for m, root := range s.leases.config.Tree.Set.Root {
 		if root > 0 {
 			load = max(load, cost[m]/root)
@@ -87,25 +87,25 @@
 }
 
 // endLease ends the lease: the node goes on with its own part. It is called under the lock.
-func (s *Stage) endLease(now float64) {
+func (s *Middleware) endLease(now float64) {
 	l := s.leases
 	l.until, l.leasedNodes, l.load = 0, nil, 0
-	s.tree.Lease(now, l.config.Tree.Set.Root, l.config.Call, nil)
+	s.tree.Lease(now, l.config.Tree.Set.Root, l.config.MaxCost, nil)
 }
 
 // recordRequest counts a call for the next report, and ends a lease that has expired. It is called under the lock,
 // before the call is decided.
-func (s *Stage) recordRequest(now float64, request quota.Call) {
+func (s *Middleware) recordRequest(now float64, request quota.Call) {
 	l := s.leases
 	if l == nil {
 		return
 	}
-	l.demand.Ask(request.Leaf, s.load(quota.Amount{1, request.Worth}))
+	l.demand.Request(request.Leaf, s.load(quota.Amount{1, request.Value}))
 	s.expireLease(now)
 }
 
 // expireLease ends a lease that has expired. It is called under the lock.
-func (s *Stage) expireLease(now float64) {
+func (s *Middleware) expireLease(now float64) {
 	if l := s.leases; l != nil && l.until > 0 && now >= l.until {
 		s.endLease(now)
 	}
@@ -113,12 +113,12 @@
 
 // recordDecision counts the decision on a call for the next report; one that was rejected without a lease of its node
 // asks for a report soon. It is called under the lock.
-func (s *Stage) recordDecision(request quota.Call, d quota.Decision) {
+func (s *Middleware) recordDecision(request quota.Call, d quota.Decision) {
 	l := s.leases
 	switch {
 	case l == nil:
-	case d.Verdict != quota.Refused:
-		l.demand.Let(request.Leaf, s.load(quota.Amount{1, request.Worth}))
+	case d.Verdict != quota.Rejected:
+		l.demand.Admit(request.Leaf, s.load(quota.Amount{1, request.Value}))
 	case !l.leasedNodes[request.Leaf]:
 		select {
 		case l.wake <- struct{}{}:
@@ -128,7 +128,7 @@
 }
 
 // Run keeps the lease renewed until ctx ends, and then gives it back.
-func (s *Stage) Run(ctx context.Context) {
+func (s *Middleware) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := s.renew(ctx)
 		s.sleep(ctx, minReportInterval, nil)
@@ -136,15 +136,15 @@
 	}
 	s.mu.Lock()
 	s.endLease(s.clock.Now())
-	r := lease.Report{Node: s.leases.config.Node, Life: s.leases.life, Leaves: true}
+	r := lease.Report{Node: s.leases.config.Node, Life: s.leases.life, Leaving: true}
 	s.mu.Unlock()
 	last, stop := context.WithTimeout(context.WithoutCancel(ctx), returnTimeout)
 	defer stop()
-	_, _ = s.leases.config.Fleet.Report(last, r) // if it fails, the lease expires
+	_, _ = s.leases.config.Service.Report(last, r) // if it fails, the lease expires
 }
 
 // sleep waits so many ms, or until ctx ends, or until wake is ready.
-func (s *Stage) sleep(ctx context.Context, ms float64, wake <-chan struct{}) {
+func (s *Middleware) sleep(ctx context.Context, ms float64, wake <-chan struct{}) {
 	elapsed := make(chan struct{})
 	stop := s.clock.At(s.clock.Now()+ms, func() { close(elapsed) })
 	defer stop()
@@ -156,17 +156,17 @@
 }
 
 // renew reports once and uses what is granted; it returns the ms until the next report.
-func (s *Stage) renew(ctx context.Context) (pause float64) {
+func (s *Middleware) renew(ctx context.Context) (pause float64) {
 	s.mu.Lock()
 	l, reportedAt := s.leases, s.clock.Now()
 	s.expireLease(reportedAt)
 	config, treeHash := l.config, l.treeHash
-	r := lease.Report{Node: config.Node, Life: l.life, Tree: treeHash, Length: config.Length, Holds: l.number, Asked: l.demand.Take(reportedAt)}
+	r := lease.Report{Node: config.Node, Life: l.life, Tree: treeHash, Length: config.Length, Held: l.number, Demand: l.demand.Report(reportedAt)}
 	s.mu.Unlock()
 	pause = min(maxReportInterval, config.Length/reportsPerLease)
 	ctx, stop := context.WithTimeout(ctx, time.Duration(config.Length*1e6))
 	defer stop()
-	g, err := config.Fleet.Report(ctx, r)
+	g, err := config.Service.Report(ctx, r)
 	if err != nil {
 		if l.renewed {
 			l.renewed = false
@@ -175,7 +175,7 @@
 		return pause
 	}
 	if g.Number == 0 {
-		if err = config.Fleet.Bring(ctx, config.Tree); errors.Is(err, lease.ErrOlder) && l.foreignTree != g.Tree {
+		if err = config.Service.OfferTree(ctx, config.Tree); errors.Is(err, lease.ErrOtherTree) && l.foreignTree != g.Tree {
 			l.foreignTree = g.Tree
 			s.log.Warn("the fleet goes by another tree of quotas: this node has no lease", "own", treeHash, "fleet", g.Tree)
 		}
@@ -200,16 +200,16 @@
 }
 
 // useGrant puts a lease into force until a time, in ms of the node's clock. It is called under the lock.
-func (s *Stage) useGrant(g lease.Grant, until float64) {
+func (s *Middleware) useGrant(g lease.Grant, until float64) {
 	l := s.leases
-	parts := make([]quota.Leased, 0, len(g.Parts))
+	parts := make([]quota.NodeLease, 0, len(g.Parts))
 	l.number, l.until, l.leasedNodes, l.load = g.Number, until, map[int]bool{}, 0
 	for _, p := range g.Parts {
-		if p.At >= 0 && p.At < s.tree.Nodes() && p.Load > 0 && !math.IsInf(p.Load.Of(), 1) {
-			parts = append(parts, quota.Leased{At: p.At, Load: p.Load.Of()})
-			l.leasedNodes[p.At] = true
-			l.load += p.Load.Of()
+		if p.Node >= 0 && p.Node < s.tree.Nodes() && p.Load > 0 && !math.IsInf(p.Load.Fraction(), 1) {
+			parts = append(parts, quota.NodeLease{At: p.Node, Load: p.Load.Fraction()})
+			l.leasedNodes[p.Node] = true
+			l.load += p.Load.Fraction()
 		}
 	}
-	s.tree.Lease(s.clock.Now(), l.config.Tree.Set.Root, l.config.Call, parts)
+	s.tree.Lease(s.clock.Now(), l.config.Tree.Set.Root, l.config.MaxCost, parts)
 }
--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -30,8 +30,8 @@
 	return g, err
 }
 
-func (a *leaseService) Bring(_ context.Context, t lease.Tree) error {
-	return a.machine.Bring(a.now(), t)
+func (a *leaseService) OfferTree(_ context.Context, t lease.Tree) error {
+	return a.machine.SetTree(a.now(), t)
 }
 
 // leasedSet is 100 requests per second, of which half belong to each tenant and nine tenths are leased; this node is one of ten.
@@ -40,13 +40,13 @@
 		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: 0.5}, {Name: "vltava", Share: 0.5}, {Name: "none"}}}}
 }
 
-func leasedStage(t *testing.T) (s *Stage, f *leaseService, second func() int) {
+func leasedStage(t *testing.T) (s *Middleware, f *leaseService, second func() int) {
 	s, c := newStage(t, Settings{})
-	part, err := quota.New(leasedSet(0).Set.Part(0.01, true), 1)
+	part, err := quota.New(leasedSet(0).Set.Fraction(0.01, true), 1)
 	require.NoError(t, err)
 	s.Replace(part)
 	f = &leaseService{machine: lease.New(), now: c.Now}
-	s.Lease(Leases{Fleet: f, Node: "n", Length: 1000, Tree: leasedSet(0), Call: quota.Amount{1}})
+	s.UseLeases(LeaseConfig{Service: f, Node: "n", Length: 1000, Tree: leasedSet(0), MaxCost: quota.Amount{1}})
 	return s, f, func() (n int) { // admitted calls of morava in a second, of 60
 		for range 60 {
 			c.Advance(1000.0 / 60)
@@ -73,9 +73,9 @@
 	assert.GreaterOrEqual(t, second(), 55)
 	s.renew(ctx)
 	last := f.reports[len(f.reports)-1]
-	if assert.NotEmpty(t, last.Asked) {
-		assert.InDelta(t, 0.6, last.Asked[0].Want, 0.03)
-		assert.InDelta(t, 0.6, last.Asked[0].Used, 0.05)
+	if assert.NotEmpty(t, last.Demand) {
+		assert.InDelta(t, 0.6, last.Demand[0].Requested, 0.03)
+		assert.InDelta(t, 0.6, last.Demand[0].Admitted, 0.05)
 	}
 	f.lost = true
 	s.renew(ctx)
@@ -101,12 +101,12 @@
 	unseen := core.Refuse(core.Busy, "", 0)
 	s.Wrap(func(*core.Call) core.Answer {
 		s.Replace(small)
-		s.Lease(Leases{Fleet: f, Node: "n", Length: 1000, Tree: leasedSet(2), Call: quota.Amount{1}})
+		s.UseLeases(LeaseConfig{Service: f, Node: "n", Length: 1000, Tree: leasedSet(2), MaxCost: quota.Amount{1}})
 		return unseen
 	})(&core.Call{Tenant: 1, Payload: gatewayHeader(""), Deadline: 1e6})
 	tree3 := leasedSet(3)
 	tree3.Set.Burst = 2
-	require.NoError(t, f.machine.Bring(f.now(), tree3))
+	require.NoError(t, f.machine.SetTree(f.now(), tree3))
 	s.renew(ctx)
 	assert.Equal(t, tree3.Hash(), s.leases.foreignTree)
 	assert.Zero(t, s.leases.until)
@@ -122,5 +122,5 @@
 	stop()
 	s.Run(ctx)
 	assert.Zero(t, f.machine.View().Members)
-	assert.True(t, f.reports[len(f.reports)-1].Leaves)
+	assert.True(t, f.reports[len(f.reports)-1].Leaving)
 }
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -17,33 +17,33 @@
 // Class is what the middleware has to know of a class.
 type Class struct {
 	Priority int
-	Worth    float64
+	Value    float64
 }
 
 // Settings describe the middleware.
 type Settings struct {
-	Classes []Class  // by number
-	Tenants []string // names, by number
-	Unknown string   // the node of tenants without one of their own; must be in the tree
-	Gateway string   // header with the name of a call's gateway, a child of its tenant's node; empty = none
-	Content func(payload any) core.Content
-	Wait    float64                           // ms for which a call may wait for capacity; 0 = calls do not wait
-	Waiting int                               // maximum number of waiting calls
-	Room    func() (part float64, known bool) // what all nodes can do now, as a fraction of the root; nil = 1
-	Every   float64                           // ms between two calls of Room
+	Classes          []Class  // by number
+	Tenants          []string // names, by number
+	Unknown          string   // the node of tenants without one of their own; must be in the tree
+	Gateway          string   // header with the name of a call's gateway, a child of its tenant's node; empty = none
+	Content          func(payload any) core.Content
+	MaxWait          float64                           // ms for which a call may wait for capacity; 0 = calls do not wait
+	MaxWaiting       int                               // maximum number of waiting calls
+	Capacity         func() (part float64, known bool) // what all nodes can do now, as a fraction of the root; nil = 1
+	CapacityInterval float64                           // ms between two calls of Room
 }
 
 // ReasonQuota is the reason of every rejection here; rejections are counted by this text.
 const ReasonQuota = "the tenant has no room"
 
-// Stage is the middleware. All of its methods may be called from any goroutine, Run by one only.
-type Stage struct {
+// Middleware is the middleware. All of its methods may be called from any goroutine, Run by one only.
+type Middleware struct {
 	config Settings
 	clock  clock.Clock
 	log    *slog.Logger
 
 	mu             sync.Mutex
-	tree           *quota.Book
+	tree           *quota.Tree
 	tenants        []int // indexes of the tenants' nodes; the last is that of Unknown
 	queue          []*waiter
 	retryScheduled bool        // the queue will be decided on again
@@ -51,14 +51,14 @@
 }
 
 // New returns the middleware for a tree.
-func New(config Settings, tree *quota.Book, c clock.Clock, log *slog.Logger) *Stage {
-	s := &Stage{config: config, clock: c, log: log}
+func New(config Settings, tree *quota.Tree, c clock.Clock, log *slog.Logger) *Middleware {
+	s := &Middleware{config: config, clock: c, log: log}
 	s.setTree(tree)
 	return s
 }
 
 // setTree puts a tree into force. It is called under the lock, or before the middleware is shared.
-func (s *Stage) setTree(tree *quota.Book) {
+func (s *Middleware) setTree(tree *quota.Tree) {
 	s.tree, s.tenants = tree, s.tenants[:0]
 	unknown, _ := tree.Find(s.config.Unknown)
 	for _, name := range s.config.Tenants {
@@ -72,7 +72,7 @@
 }
 
 // Replace puts a new tree into the place of the present one; nodes that stay keep their balances.
-func (s *Stage) Replace(tree *quota.Book) {
+func (s *Middleware) Replace(tree *quota.Tree) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -89,49 +89,49 @@
 	}
 }
 
-// Remember returns the levels of the buckets that are not full.
-func (s *Stage) Remember() []quota.Balance {
+// Balances returns the levels of the buckets that are not full.
+func (s *Middleware) Balances() []quota.Balance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tree.Remember(s.clock.Now())
+	return s.tree.Balances(s.clock.Now())
 }
 
-// Recall takes the levels that another process of the node had age milliseconds ago.
-func (s *Stage) Recall(age float64, balances []quota.Balance) {
+// RestoreBalances takes the levels that another process of the node had age milliseconds ago.
+func (s *Middleware) RestoreBalances(age float64, balances []quota.Balance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tree.Recall(s.clock.Now(), age, balances)
+	s.tree.RestoreBalances(s.clock.Now(), age, balances)
 }
 
-// Begin updates the capacity of the tree every Settings.Every until ended is closed. It returns at once.
-func (s *Stage) Begin(ended <-chan struct{}) {
-	if s.config.Room == nil {
+// WatchCapacity updates the capacity of the tree every Settings.CapacityInterval until ended is closed. It returns at once.
+func (s *Middleware) WatchCapacity(ended <-chan struct{}) {
+	if s.config.Capacity == nil {
 		return
 	}
-	s.clock.At(s.clock.Now()+s.config.Every, func() {
+	s.clock.At(s.clock.Now()+s.config.CapacityInterval, func() {
 		select {
 		case <-ended:
 			return
 		default:
 		}
-		if fraction, known := s.config.Room(); known {
+		if fraction, known := s.config.Capacity(); known {
 			s.mu.Lock()
 			s.tree.SetCapacity(s.clock.Now(), fraction)
 			s.mu.Unlock()
 		}
-		s.Begin(ended)
+		s.WatchCapacity(ended)
 	})
 }
 
 // Wrap is the core.Stage.
-func (s *Stage) Wrap(next core.Handler) core.Handler {
+func (s *Middleware) Wrap(next core.Handler) core.Handler {
 	return func(call *core.Call) core.Answer {
 		d, ok := s.admit(call)
 		if !ok {
 			return core.Answer{Kind: core.Left}
 		}
-		if d.Verdict == quota.Refused {
-			return core.Refuse(core.OverQuota, ReasonQuota, d.Wait)
+		if d.Verdict == quota.Rejected {
+			return core.Refuse(core.OverQuota, ReasonQuota, d.RetryAfter)
 		}
 		a := next(call)
 		if a.Kind != core.Served && !a.Ran {
@@ -144,16 +144,16 @@
 }
 
 // returnGrant returns what a call was charged. It is called under the lock.
-func (s *Stage) returnGrant(d quota.Decision) {
+func (s *Middleware) returnGrant(d quota.Decision) {
 	if s.leases != nil {
-		leaf, cost := s.tree.Taken(d)
-		s.leases.demand.Let(leaf, -s.load(cost))
+		leaf, cost := s.tree.Charged(d)
+		s.leases.demand.Admit(leaf, -s.load(cost))
 	}
 	s.tree.Return(s.clock.Now(), d)
 }
 
 // leafOf returns the index of the node that a call belongs to. It is called under the lock.
-func (s *Stage) leafOf(call *core.Call) int {
+func (s *Middleware) leafOf(call *core.Call) int {
 	tenant := call.Tenant
 	if tenant < 0 || tenant >= len(s.config.Tenants) {
 		tenant = len(s.config.Tenants)
@@ -174,7 +174,7 @@
 const maxStatusNodes = 500
 
 // Status returns the state of the nodes that have been called, and of those above them.
-func (s *Stage) Status() []quota.Status {
+func (s *Middleware) Status() []quota.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	nodes := []quota.Status{}
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -28,7 +28,7 @@
 func (h gatewayHeader) Size() int    { return 0 }
 
 // tree is ten requests per second, half of them of each of two tenants, one of which has a gateway; the third has nothing.
-func tree(t *testing.T, share float64) *quota.Book {
+func tree(t *testing.T, share float64) *quota.Tree {
 	b, err := quota.New(quota.Settings{Root: quota.Amount{10}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Kept: 0,
 		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: share, Alone: true},
 			{Name: "vltava", Share: 0.5, Alone: true}, {Name: "g1", Parent: "vltava", Share: 0.4, Alone: true},
@@ -37,7 +37,7 @@
 	return b
 }
 
-func newStage(t *testing.T, set Settings) (*Stage, *clock.Manual) {
+func newStage(t *testing.T, set Settings) (*Middleware, *clock.Manual) {
 	set.Classes = []Class{{0, 3}, {1, 8}}
 	set.Tenants, set.Unknown, set.Gateway = []string{"morava", "vltava"}, "none", "Gateway"
 	set.Content = func(p any) core.Content { return p.(gatewayHeader) }
@@ -45,7 +45,7 @@
 	return New(set, tree(t, 0.5), c, slog.New(slog.DiscardHandler)), c
 }
 
-func serve(s *Stage, tenant int, gateway string, a core.Answer) core.Answer {
+func serve(s *Middleware, tenant int, gateway string, a core.Answer) core.Answer {
 	return s.Wrap(func(*core.Call) core.Answer { return a })(&core.Call{Tenant: tenant, Payload: gatewayHeader(gateway), Deadline: 1e6})
 }
 
@@ -88,7 +88,7 @@
 // Guards against waiting calls that are served in another order than by priority and value, that wait beyond their deadline or
 // after their client has left, and against capacity that is lost with one that left.
 func TestWaitingCallsAreServedInOrder(t *testing.T) {
-	s, c := newStage(t, Settings{Wait: 700, Waiting: 3})
+	s, c := newStage(t, Settings{MaxWait: 700, MaxWaiting: 3})
 	for range 5 {
 		serve(s, 0, "", served)
 	}
@@ -125,7 +125,7 @@
 }
 
 // awaitQueued blocks until n calls wait.
-func (s *Stage) awaitQueued(n int) {
+func (s *Middleware) awaitQueued(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
 		have = len(s.queue)
@@ -136,9 +136,9 @@
 // Guards against guarantees that stay as they are when the capacity shrinks.
 func TestGuaranteesFollowTheCapacity(t *testing.T) {
 	part := 0.5
-	s, c := newStage(t, Settings{Every: 100, Room: func() (float64, bool) { return part, true }})
+	s, c := newStage(t, Settings{CapacityInterval: 100, Capacity: func() (float64, bool) { return part, true }})
 	ended := make(chan struct{})
-	s.Begin(ended)
+	s.WatchCapacity(ended)
 	c.Advance(100)
 	for range 5 {
 		serve(s, 0, "", served)
--- a/internal/node/quota/middleware/queue.go
+++ b/internal/node/quota/middleware/queue.go
@@ -20,27 +20,27 @@
 
 // compareWaiters orders waiting calls: by priority, then by value; a stable sort keeps the order of arrival.
 func compareWaiters(a, b *waiter) int {
-	return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), cmp.Compare(b.request.Worth, a.request.Worth))
+	return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), cmp.Compare(b.request.Value, a.request.Value))
 }
 
 // admit decides on a call, after it has waited where it may. ok is false if the client has left meanwhile.
-func (s *Stage) admit(call *core.Call) (d quota.Decision, ok bool) {
+func (s *Middleware) admit(call *core.Call) (d quota.Decision, ok bool) {
 	class := &s.config.Classes[call.Class]
 	now := s.clock.Now()
 	s.mu.Lock()
-	request := quota.Call{Leaf: s.leafOf(call), Priority: class.Priority, Worth: class.Worth}
+	request := quota.Call{Leaf: s.leafOf(call), Priority: class.Priority, Value: class.Value}
 	s.recordRequest(now, request)
 	if len(s.queue) == 0 || !s.mustQueue(request) { // a call does not overtake those that wait before it
 		d = s.tree.Ask(now, request)
 	} else {
-		d = quota.Decision{Verdict: quota.Refused, Reason: quota.NoRoom, Wait: s.config.Wait}
+		d = quota.Decision{Verdict: quota.Rejected, Reason: quota.NoCapacity, RetryAfter: s.config.MaxWait}
 	}
 	s.recordDecision(request, d)
-	if d.Verdict != quota.Refused || s.config.Wait <= 0 || len(s.queue) >= s.config.Waiting {
+	if d.Verdict != quota.Rejected || s.config.MaxWait <= 0 || len(s.queue) >= s.config.MaxWaiting {
 		s.mu.Unlock()
 		return d, true
 	}
-	w := &waiter{request: request, deadline: min(now+s.config.Wait, call.Deadline), decided: make(chan quota.Decision, 1)}
+	w := &waiter{request: request, deadline: min(now+s.config.MaxWait, call.Deadline), decided: make(chan quota.Decision, 1)}
 	s.queue = append(s.queue, w)
 	slices.SortStableFunc(s.queue, compareWaiters)
 	s.scheduleRetry(now)
@@ -62,7 +62,7 @@
 }
 
 // mustQueue reports whether a waiting call of the same node goes before this one. It is called under the lock.
-func (s *Stage) mustQueue(request quota.Call) bool {
+func (s *Middleware) mustQueue(request quota.Call) bool {
 	for _, w := range s.queue {
 		if w.request.Leaf == request.Leaf && compareWaiters(w, &waiter{request: request}) <= 0 {
 			return true
@@ -72,7 +72,7 @@
 }
 
 // scheduleRetry has the waiting calls decided on again after retryInterval. It is called under the lock.
-func (s *Stage) scheduleRetry(now float64) {
+func (s *Middleware) scheduleRetry(now float64) {
 	if s.retryScheduled || len(s.queue) == 0 {
 		return
 	}
@@ -85,7 +85,7 @@
 		s.expireLease(now)
 		s.queue = slices.DeleteFunc(s.queue, func(w *waiter) bool {
 			d := s.tree.Ask(now, w.request)
-			if d.Verdict == quota.Refused && now < w.deadline {
+			if d.Verdict == quota.Rejected && now < w.deadline {
 				return false
 			}
 			s.recordDecision(w.request, d)
@@ -96,9 +96,9 @@
 	})
 }
 
-// Settle decides on the waiting calls now, for the last time: it is called before a tree comes that they did not
+// DecideWaiting decides on the waiting calls now, for the last time: it is called before a tree comes that they did not
 // begin under.
-func (s *Stage) Settle() {
+func (s *Middleware) DecideWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
--- a/internal/node/quota/quota.go
+++ b/internal/node/quota/quota.go
@@ -36,7 +36,7 @@
 // The measures of an Amount: requests, and the value of the requests.
 const (
 	Requests = iota
-	Worth
+	Value
 	measures // how many there are
 )
 
@@ -70,7 +70,7 @@
 	Memory     float64 `json:"Memory"`     // seconds after which a credit weighs 1/e
 	PayBack    float64 `json:"PayBack"`    // seconds in which a debt is repaid once it is collected
 	PayPart    float64 `json:"PayPart"`    // maximum fraction of a guarantee that goes into that
-	MostWait   float64 `json:"MostWait"`   // maximum seconds of Decision.Wait
+	MostWait   float64 `json:"MostWait"`   // maximum seconds of Decision.RetryAfter
 }
 
 // FieldError names the setting that is out of range.
@@ -94,8 +94,8 @@
 const (
 	Go       Verdict = iota // within its guarantee
 	Borrowed                // with capacity that others leave, of the node Decision.From
-	Paid                    // with capacity that others have repaid to it
-	Refused                 // rejected; retry after Decision.Wait
+	Repaid                  // with capacity that others have repaid to it
+	Rejected                // rejected; retry after Decision.RetryAfter
 )
 
 // Reason says why a call was rejected.
@@ -103,11 +103,11 @@
 
 // The reasons.
 const (
-	None      Reason = iota
-	NoRoom           // there is no capacity to borrow
-	NotFair          // what there is goes to siblings that have borrowed less
-	AtCeiling        // at the rate limit of the node Decision.From
-	AtLong           // at its limit over the long window
+	None          Reason = iota
+	NoCapacity           // there is no capacity to borrow
+	OverFairShare        // what there is goes to siblings that have borrowed less
+	AtRateLimit          // at the rate limit of the node Decision.From
+	AtLongLimit          // at its limit over the long window
 )
 
 var reasonNames = [...]string{"", "no room", "others had less", "ceiling", "ceiling over the long window"}
@@ -117,16 +117,16 @@
 
 // Decision is the answer of Ask.
 type Decision struct {
-	Verdict Verdict
-	Reason  Reason
-	From    int     // index of the node that lent, or whose limit it was
-	Wait    float64 // ms
-	grant   grant
+	Verdict    Verdict
+	Reason     Reason
+	From       int     // index of the node that lent, or whose limit it was
+	RetryAfter float64 // ms
+	grant      grant
 }
 
 // grant is what a call was charged, so that it can be returned.
 type grant struct {
-	tree         *Book
+	tree         *Tree
 	leaf, lender int32
 	cost         Amount
 }
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -25,7 +25,7 @@
 var partners = []Node{{Name: "a", Share: .5}, {Name: "b", Share: .3}, {Name: "c", Share: .2}, {Name: "a1", Parent: "a", Share: .6},
 	{Name: "a2", Parent: "a", Share: .4}}
 
-func newTree(t testing.TB, set Settings) *Book {
+func newTree(t testing.TB, set Settings) *Tree {
 	b, err := New(set, 1)
 	require.NoError(t, err)
 	return b
@@ -40,7 +40,7 @@
 }
 
 // playLoads plays the calls of some loads in order of time, each a Poisson process.
-func playLoads(b *Book, seed uint64, seconds float64, flows []load, each func(at float64, c Call, d Decision)) {
+func playLoads(b *Tree, seed uint64, seconds float64, flows []load, each func(at float64, c Call, d Decision)) {
 	type arrival struct {
 		at   float64
 		call Call
@@ -72,10 +72,10 @@
 }
 
 // ratesByLeaf plays loads and returns the calls per second that each leaf got from a time on.
-func ratesByLeaf(b *Book, seed uint64, from, seconds float64, flows []load) map[string]float64 {
+func ratesByLeaf(b *Tree, seed uint64, from, seconds float64, flows []load) map[string]float64 {
 	got := map[string]float64{}
 	playLoads(b, seed, seconds, flows, func(at float64, c Call, d Decision) {
-		if at >= from && d.Verdict != Refused {
+		if at >= from && d.Verdict != Rejected {
 			got[b.Name(c.Leaf)] += 1 / (seconds - from)
 		}
 	})
@@ -102,7 +102,7 @@
 				playLoads(b, seed, to, flows, func(at float64, c Call, d Decision) {
 					if at >= from {
 						asked[c.Leaf] += 1.0 / (to - from)
-						got[c.Leaf] += boolToFloat(d.Verdict != Refused) / (to - from)
+						got[c.Leaf] += boolToFloat(d.Verdict != Rejected) / (to - from)
 					}
 				})
 				for leaf, want := range b.Due(100*capacity, asked) {
@@ -130,8 +130,8 @@
 	playLoads(b, 3, end, []load{{leaf: "b", rate: 300}, {leaf: "c", rate: 200}, {leaf: "a1", rate: 300, from: woke},
 		{leaf: "a2", rate: 300, from: woke}}, func(at float64, c Call, d Decision) {
 		who := int(b.Name(c.Leaf)[0] - 'a')
-		refused = refused || who == 0 && d.Verdict == Refused
-		if d.Verdict == Refused {
+		refused = refused || who == 0 && d.Verdict == Rejected
+		if d.Verdict == Rejected {
 			return
 		}
 		if who == 0 && !refused {
@@ -172,7 +172,7 @@
 				func(at float64, c Call, d Decision) {
 					if c.Priority == 1 {
 						blocks++
-						if d.Verdict == Refused {
+						if d.Verdict == Rejected {
 							refused++
 							assert.Less(t, b.Status(at*1000, Root).Tokens[Requests], 1.0, "there was room")
 						}
@@ -212,7 +212,7 @@
 }
 
 // checkHistory plays a history and returns which rule was broken, "" for none.
-func checkHistory(b *Book, set Settings, ops []step) string {
+func checkHistory(b *Tree, set Settings, ops []step) string {
 	leaves := []string{"a1", "a2", "b", "c"}
 	now, latest, capacity := 1000.0, math.Inf(-1), 1.0
 	type meter struct{ tokens, at float64 } // a token bucket, as simple as possible
@@ -231,31 +231,31 @@
 		for range o.count {
 			was := b.Status(now, leaf)
 			root := b.Status(now, Root)
-			d := b.Ask(now, Call{Leaf: leaf, Priority: o.priority, Worth: o.worth})
+			d := b.Ask(now, Call{Leaf: leaf, Priority: o.priority, Value: o.worth})
 			kept := set.Kept * float64(1-o.priority)
-			covered := was.Tokens[Requests]-kept*was.Cap[Requests] >= 1 && was.Tokens[Worth]-kept*was.Cap[Worth] >= o.worth
-			room := root.Tokens[Requests] >= 1 && root.Tokens[Worth] >= o.worth
+			covered := was.Tokens[Requests]-kept*was.Cap[Requests] >= 1 && was.Tokens[Value]-kept*was.Cap[Value] >= o.worth
+			room := root.Tokens[Requests] >= 1 && root.Tokens[Value] >= o.worth
 			switch {
-			case d.Verdict == Refused && covered:
+			case d.Verdict == Rejected && covered:
 				return "rejected a call that its own guarantee covers"
-			case d.Verdict == Refused && o.priority == 1 && room:
+			case d.Verdict == Rejected && o.priority == 1 && room:
 				return "rejected a block though there was capacity"
-			case d.Verdict == Refused && root.Tokens[Requests] == root.Cap[Requests] && root.Tokens[Worth] == root.Cap[Worth] &&
-				d.Reason != AtCeiling && d.Reason != AtLong:
+			case d.Verdict == Rejected && root.Tokens[Requests] == root.Cap[Requests] && root.Tokens[Value] == root.Cap[Value] &&
+				d.Reason != AtRateLimit && d.Reason != AtLongLimit:
 				return "rejected a call with all capacity free"
-			case d.Verdict == Refused && !(d.Wait >= 0 && d.Wait <= set.MostWait*1000):
+			case d.Verdict == Rejected && !(d.RetryAfter >= 0 && d.RetryAfter <= set.MostWait*1000):
 				return "told to wait longer than allowed"
-			case d.Verdict != Go && d.Verdict != Refused && o.priority == 0 && leaves[o.leaf] == "c":
+			case d.Verdict != Go && d.Verdict != Rejected && o.priority == 0 && leaves[o.leaf] == "c":
 				ceiling.tokens = min(set.Burst*40, ceiling.tokens+(latest-ceiling.at)/1000*40)
 				if ceiling.at = latest; ceiling.tokens < -1e-6 {
 					return "exceeded a rate limit"
 				}
 			}
-			if d.Verdict != Refused && leaves[o.leaf] == "c" {
+			if d.Verdict != Rejected && leaves[o.leaf] == "c" {
 				ceiling.tokens = min(set.Burst*40, ceiling.tokens+(latest-ceiling.at)/1000*40) - 1
 				ceiling.at = latest
 			}
-			if o.returned && d.Verdict != Refused {
+			if o.returned && d.Verdict != Rejected {
 				before := b.Status(now, leaf).Tokens[Requests]
 				b.Return(now, d)
 				if after := b.Status(now, leaf).Tokens[Requests]; after < before {
@@ -290,7 +290,7 @@
 func nestedSettings() Settings {
 	set := settings(Node{Name: "a", Share: .5}, Node{Name: "b", Share: .3, Keep: true},
 		Node{Name: "c", Share: .2, Ceiling: Amount{40, 0}}, partners[3], partners[4])
-	set.Root[Worth] = 300
+	set.Root[Value] = 300
 	return set
 }
 
@@ -308,12 +308,12 @@
 
 // Guards against a checker that cannot fail: each planted fault must be found.
 func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
-	for what, plant := range map[string]func(*Book){
-		"a guarantee that shrinks":  func(b *Book) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.config.Kept = 0.8 },
-		"a ceiling that is not one": func(b *Book) { b.nodes[b.index["c"]].limit[Requests] = bucket{} },
-		"a debt without a bound":    func(b *Book) { b.config.PayBack = 1e5 },
-		"blocks like charges":       func(b *Book) { b.config.Priorities = 3 },
-		"waits without a bound":     func(b *Book) { b.config.MostWait = 100 },
+	for what, plant := range map[string]func(*Tree){
+		"a guarantee that shrinks":  func(b *Tree) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.config.Kept = 0.8 },
+		"a ceiling that is not one": func(b *Tree) { b.nodes[b.index["c"]].limit[Requests] = bucket{} },
+		"a debt without a bound":    func(b *Tree) { b.config.PayBack = 1e5 },
+		"blocks like charges":       func(b *Tree) { b.config.Priorities = 3 },
+		"waits without a bound":     func(b *Tree) { b.config.MostWait = 100 },
 	} {
 		caught := ""
 		ops := rapid.Custom(drawSteps)
@@ -476,24 +476,24 @@
 			{Name: "gone", Guarantee: Amount{10}}}}
 	old, err := New(set, 1)
 	require.NoError(t, err)
-	ask := func(b *Book, now float64, name string) (n int) {
+	ask := func(b *Tree, now float64, name string) (n int) {
 		leaf, ok := b.Find(name)
 		require.True(t, ok)
-		for b.Ask(now, Call{Leaf: leaf}).Verdict != Refused {
+		for b.Ask(now, Call{Leaf: leaf}).Verdict != Rejected {
 			n++
 		}
 		return n
 	}
 	require.Equal(t, 20, ask(old, 1000, "spent"))
 	ask(old, 1000, "gone")
-	list := old.Remember(1000)
+	list := old.Balances(1000)
 	set.Nodes = set.Nodes[:2]
 	heir, err := New(set, 2)
 	require.NoError(t, err)
-	heir.Recall(5000, 500, list)
+	heir.RestoreBalances(5000, 500, list)
 	require.Equal(t, 5, ask(heir, 5000, "spent"), "what has run in since")
 	require.Equal(t, 20, ask(heir, 5000, "saved"))
-	heir.Recall(5000, -1, []Balance{{Name: "saved", Own: Amount{9, 9}}, {Name: "spent", Own: Amount{-9, 1}, Ceiling: Amount{1, 1}, Long: Amount{1, 1}}})
+	heir.RestoreBalances(5000, -1, []Balance{{Name: "saved", Own: Amount{9, 9}}, {Name: "spent", Own: Amount{-9, 1}, Ceiling: Amount{1, 1}, Long: Amount{1, 1}}})
 	require.Zero(t, ask(heir, 5000, "saved"), "a balance only takes away")
 	require.Zero(t, ask(heir, 6900, "spent"), "no debt is larger than the burst")
 	require.Positive(t, ask(heir, 7200, "spent"))
--- a/internal/node/quota/status.go
+++ b/internal/node/quota/status.go
@@ -21,13 +21,13 @@
 }
 
 // Status returns the state of one node.
-func (t *Book) Status(now float64, i int) Status {
+func (t *Tree) Status(now float64, i int) Status {
 	t.advance(now)
 	t.refresh(int32(i))
 	n := &t.nodes[i]
 	s := Status{Name: t.names[i], Leaf: n.firstChild < 0, Credit: n.credit * t.nodes[Root].own[Requests].rate,
-		Debt: n.debt * t.nodes[Root].own[Requests].rate, Going: n.counts[Go], Borrowed: n.counts[Borrowed], Paid: n.counts[Paid],
-		Refused: n.counts[Refused], Reason: n.reason.String()}
+		Debt: n.debt * t.nodes[Root].own[Requests].rate, Going: n.counts[Go], Borrowed: n.counts[Borrowed], Paid: n.counts[Repaid],
+		Refused: n.counts[Rejected], Reason: n.reason.String()}
 	if n.parent >= 0 {
 		s.Parent = t.names[n.parent]
 	}
@@ -41,17 +41,17 @@
 }
 
 // Nodes returns the number of nodes, with the root.
-func (t *Book) Nodes() int { return len(t.nodes) }
+func (t *Tree) Nodes() int { return len(t.nodes) }
 
 // Parent returns the index of the parent of a node, -1 for the root.
-func (t *Book) Parent(node int) int { return int(t.nodes[node].parent) }
+func (t *Tree) Parent(node int) int { return int(t.nodes[node].parent) }
 
 // Loads are the rates of a node as fractions of those of the root, each the least of all measures: all that the root
 // can do in a second is a load of 1. +Inf = no such limit.
-type Loads struct{ Guarantee, Ceiling, Long float64 }
+type Loads struct{ Guarantee, RateLimit, LongLimit float64 }
 
 // Loads returns the loads of a node at full capacity.
-func (t *Book) Loads(i int) Loads {
+func (t *Tree) Loads(i int) Loads {
 	n, l := &t.nodes[i], Loads{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for m := range measures {
 		root := t.nodes[Root].own[m].rate
@@ -60,23 +60,23 @@
 		}
 		l.Guarantee = min(l.Guarantee, n.own[m].rate/root)
 		if n.limit[m].cap > 0 {
-			l.Ceiling = min(l.Ceiling, n.limit[m].rate/root)
+			l.RateLimit = min(l.RateLimit, n.limit[m].rate/root)
 		}
 		if n.longLimit[m].cap > 0 {
-			l.Long = min(l.Long, n.longLimit[m].rate/root)
+			l.LongLimit = min(l.LongLimit, n.longLimit[m].rate/root)
 		}
 	}
 	return l
 }
 
 // Ways reports whether a node lends, and whether it borrows.
-func (t *Book) Ways(i int) (lends, borrows bool) {
+func (t *Tree) Ways(i int) (lends, borrows bool) {
 	return !t.nodes[i].noLending, !t.nodes[i].noBorrowing
 }
 
 // Due divides a capacity, in requests per second, among leaves that request so much, see Fluid.Due. The decisions of
 // a tree are measured against it.
-func (t *Book) Due(capacity float64, requested map[int]float64) map[int]float64 {
+func (t *Tree) Due(capacity float64, requested map[int]float64) map[int]float64 {
 	f, want := Fluid{}, make([]float64, len(t.nodes))
 	for i := range t.nodes {
 		f.Add(int(t.nodes[i].parent), t.nodes[i].weight, t.rateLimit(i))
@@ -92,7 +92,7 @@
 }
 
 // rateLimit returns the lowest limit of a node, in requests per second; +Inf if it has none.
-func (t *Book) rateLimit(i int) float64 {
+func (t *Tree) rateLimit(i int) float64 {
 	limit := math.Inf(1)
 	for _, c := range []bucket{t.nodes[i].limit[Requests], t.nodes[i].longLimit[Requests]} {
 		if c.cap > 0 {
--- a/internal/node/quota/time.go
+++ b/internal/node/quota/time.go
@@ -5,7 +5,7 @@
 )
 
 // advance moves the time on, never back.
-func (t *Book) advance(now float64) {
+func (t *Tree) advance(now float64) {
 	if math.IsInf(t.now, -1) {
 		t.now = now
 	}
@@ -18,7 +18,7 @@
 }
 
 // refresh brings a node up to the present: it fills its buckets, and fades and repays its debts.
-func (t *Book) refresh(i int32) {
+func (t *Tree) refresh(i int32) {
 	n := &t.nodes[i]
 	span, work := t.seconds-n.refreshedAt, t.capacitySeconds-n.filledUntil
 	if span <= 0 {
@@ -56,7 +56,7 @@
 
 // SetCapacity sets what all nodes can do from now on, as a fraction of Settings.Root: all guarantees shrink and grow
 // alike. NaN is ignored.
-func (t *Book) SetCapacity(now, fraction float64) {
+func (t *Tree) SetCapacity(now, fraction float64) {
 	t.advance(now)
 	if fraction == fraction { // not NaN
 		t.capacity = max(t.config.Floor, min(fraction, 1/t.config.Floor))
@@ -64,4 +64,4 @@
 }
 
 // Capacity returns the fraction that SetCapacity has set, within its bounds.
-func (t *Book) Capacity() float64 { return t.capacity }
+func (t *Tree) Capacity() float64 { return t.capacity }
--- a/internal/node/quota/transfer.go
+++ b/internal/node/quota/transfer.go
@@ -5,7 +5,7 @@
 // Inherit takes over the state of a tree that this one replaces, for the nodes that stay: the levels of their
 // buckets, their debts and counts, and the capacity. Other nodes begin with full buckets. The old tree must not be
 // used again.
-func (t *Book) Inherit(now float64, old *Book) {
+func (t *Tree) Inherit(now float64, old *Tree) {
 	old.advance(now)
 	t.advance(now)
 	t.capacity = max(t.config.Floor, min(old.capacity, 1/t.config.Floor))
@@ -41,8 +41,8 @@
 	Long    Amount `json:"long"`
 }
 
-// Remember returns the balances of the nodes whose buckets are not all full.
-func (t *Book) Remember(now float64) (balances []Balance) {
+// Balances returns the balances of the nodes whose buckets are not all full.
+func (t *Tree) Balances(now float64) (balances []Balance) {
 	t.advance(now)
 	for i, name := range t.names {
 		t.refresh(int32(i))
@@ -58,9 +58,9 @@
 	return balances
 }
 
-// Recall takes balances that another tree of these nodes had age milliseconds ago; a negative age counts as 0. No
+// RestoreBalances takes balances that another tree of these nodes had age milliseconds ago; a negative age counts as 0. No
 // bucket holds more than was left then and has been filled in since. Balances of unknown nodes are ignored.
-func (t *Book) Recall(now, age float64, balances []Balance) {
+func (t *Tree) RestoreBalances(now, age float64, balances []Balance) {
 	t.advance(now)
 	seconds := max(0, age) / 1000
 	for i := range balances {
--- a/internal/node/quota/tree.go
+++ b/internal/node/quota/tree.go
@@ -42,14 +42,14 @@
 
 	nextRetry float64 // ms; when the next rejected caller should retry
 	reason    Reason  // of the last rejection
-	counts    [Refused + 1]uint64
+	counts    [Rejected + 1]uint64
 }
 
 // NodeBytes bounds the memory of one node with its place in the index, as this package's test measures it.
 const NodeBytes = 640
 
-// Book is the tree of quotas. It is not safe for concurrent use: its caller holds a lock.
-type Book struct {
+// Tree is the tree of quotas. It is not safe for concurrent use: its caller holds a lock.
+type Tree struct {
 	config          Settings
 	rand            *rand.Rand
 	nodes           []node // parents before their children; the root is 0
@@ -66,9 +66,9 @@
 // Root is the index of the root.
 const Root = 0
 
-// New returns a tree with full buckets. The error is a *FieldError. The seed is that of the jitter of Decision.Wait.
-func New(config Settings, seed uint64) (*Book, error) {
-	t := &Book{config: config, rand: rand.New(rand.NewPCG(seed, 0x71756f7461)), index: map[string]int{}, now: math.Inf(-1), capacity: 1}
+// New returns a tree with full buckets. The error is a *FieldError. The seed is that of the jitter of Decision.RetryAfter.
+func New(config Settings, seed uint64) (*Tree, error) {
+	t := &Tree{config: config, rand: rand.New(rand.NewPCG(seed, 0x71756f7461)), index: map[string]int{}, now: math.Inf(-1), capacity: 1}
 	if err := t.checkSettings(); err != nil {
 		return nil, err
 	}
@@ -76,13 +76,13 @@
 }
 
 // checkSettings checks the settings of the tree itself. The error is a *FieldError.
-func (t *Book) checkSettings() error {
+func (t *Tree) checkSettings() error {
 	s := &t.config
 	for _, f := range []struct {
 		name   string
 		value  float64
 		lo, hi float64
-	}{{"root", s.Root[Requests], 1e-9, 1e12}, {"root worth", s.Root[Worth], 0, 1e15}, {"burst", s.Burst, 1e-3, 3600},
+	}{{"root", s.Root[Requests], 1e-9, 1e12}, {"root worth", s.Root[Value], 0, 1e15}, {"burst", s.Burst, 1e-3, 3600},
 		{"long_window", s.LongWindow, 1, 1e6}, {"kept", s.Kept, 0, 0.9}, {"memory", s.Memory, 1e-3, 1e6},
 		{"pay_back", s.PayBack, 1e-3, 1e6}, {"pay_part", s.PayPart, 0, 1}, {"most_wait", s.MostWait, 0, 1e6},
 		{"floor", s.Floor, 1e-6, 1}} {
@@ -97,7 +97,7 @@
 }
 
 // build adds the nodes in the order of the settings, but parents before their children. The error is a *FieldError.
-func (t *Book) build() error {
+func (t *Tree) build() error {
 	t.addNode("", -1, Node{Guarantee: t.config.Root})
 	pending := t.config.Nodes
 	for len(pending) > 0 {
@@ -142,7 +142,7 @@
 }
 
 // checkNode checks the settings of a node. The error is a *FieldError.
-func (t *Book) checkNode(n *Node, parent int) error {
+func (t *Tree) checkNode(n *Node, parent int) error {
 	invalid := func(field, format string, args ...any) error {
 		return &FieldError{n.Name, field, fmt.Sprintf(format, args...)}
 	}
@@ -173,7 +173,7 @@
 }
 
 // addNode adds a node below a parent, -1 for the root.
-func (t *Book) addNode(name string, parent int, n Node) {
+func (t *Tree) addNode(name string, parent int, n Node) {
 	burst := cmp.Or(n.Burst, t.config.Burst)
 	s := node{parent: int32(parent), firstChild: -1, sibling: -1, noBorrowing: n.Alone, noLending: n.Keep, firstContender: -1, lastContender: -1, nextContender: -1,
 		prevContender: -1, nextLender: -1, lastBorrower: -1}
@@ -203,16 +203,16 @@
 }
 
 // unreserved returns the fraction of a bucket that is not reserved for higher priorities.
-func (t *Book) unreserved() float64 { return 1 - t.config.Kept*float64(t.config.Priorities-1) }
+func (t *Tree) unreserved() float64 { return 1 - t.config.Kept*float64(t.config.Priorities-1) }
 
 // minWeight is the weight of a node without a guarantee, which lives on what others leave.
 const minWeight = 1e-6
 
 // Find returns the index of a node.
-func (t *Book) Find(name string) (node int, ok bool) {
+func (t *Tree) Find(name string) (node int, ok bool) {
 	node, ok = t.index[name]
 	return node, ok
 }
 
 // Name returns the name of a node; it is empty for the root.
-func (t *Book) Name(node int) string { return t.names[node] }
+func (t *Tree) Name(node int) string { return t.names[node] }
--- a/internal/node/statemachine/callsimage.go
+++ b/internal/node/statemachine/callsimage.go
@@ -46,15 +46,15 @@
 func (c *calls) Freeze() func() (json.RawMessage, error) {
 	frozen := callsImage{Now: c.imageTime(), Secret: c.secret, Known: []knownImage{}, Running: []claimOwnerImage{}}
 	for _, class := range c.classes {
-		frozen.Classes = append(frozen.Classes, [2]float64{class.Answered, class.Doubt})
+		frozen.Classes = append(frozen.Classes, [2]float64{class.AnsweredWindow, class.InDoubtWindow})
 	}
-	for _, k := range c.table.Image() {
-		known := knownImage{Name: bytes.Clone(k.Name[:]), Print: bytes.Clone(k.Print[:]), Class: k.Class, Tenant: k.Tenant, Served: k.Served, Age: k.Age}
+	for _, k := range c.table.Snapshot() {
+		known := knownImage{Name: bytes.Clone(k.Key[:]), Print: bytes.Clone(k.Fingerprint[:]), Class: k.Class, Tenant: k.Tenant, Served: k.Served, Age: k.Age}
 		if body, ok := k.Body.([]byte); ok {
 			known.Body = body
 		}
 		if k.Running {
-			frozen.Running = append(frozen.Running, claimOwnerImage{known, c.running[k.Name]})
+			frozen.Running = append(frozen.Running, claimOwnerImage{known, c.running[k.Key]})
 		} else {
 			frozen.Known = append(frozen.Known, known)
 		}
@@ -89,7 +89,7 @@
 func (c *calls) reset(header *callsImage) error {
 	c.classes = c.classes[:0]
 	for _, windows := range header.Classes {
-		c.classes = append(c.classes, idempotency.Class{Once: true, Answered: windows[0], Doubt: windows[1]})
+		c.classes = append(c.classes, idempotency.Class{AtMostOnce: true, AnsweredWindow: windows[0], InDoubtWindow: windows[1]})
 	}
 	if len(c.classes) == 0 {
 		return errors.New("it has no classes")
@@ -102,12 +102,12 @@
 func (k *knownImage) call() idempotency.Call {
 	name, _ := toName(k.Name)
 	fingerprint, _ := toName(k.Print)
-	return idempotency.Call{Name: name, Print: idempotency.Print(fingerprint), Class: k.Class, Tenant: k.Tenant}
+	return idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: k.Class, Tenant: k.Tenant}
 }
 
 // restore adds a call that has ended.
 func (c *calls) restore(now float64, k *knownImage) error {
-	known := idempotency.Known{Call: k.call(), Served: k.Served, Age: k.Age, Size: len(k.Body)}
+	known := idempotency.Entry{Call: k.call(), Served: k.Served, Age: k.Age, Size: len(k.Body)}
 	if k.Body != nil {
 		known.Body = k.Body
 	}
@@ -125,7 +125,7 @@
 		return errors.New("there is no room for what runs")
 	}
 	owner.Ref = ref
-	c.setRunning(call.Name, owner)
+	c.setRunning(call.Key, owner)
 	return nil
 }
 
@@ -146,11 +146,11 @@
 // which is that of their eviction; those that run follow, by their names.
 func (c *calls) FreezeCompact() func() ([]byte, error) {
 	now, secret, classes := c.imageTime(), c.secret, slices.Clone(c.classes)
-	entries := c.table.Image()
-	slices.SortStableFunc(entries, func(a, b idempotency.Known) int {
+	entries := c.table.Snapshot()
+	slices.SortStableFunc(entries, func(a, b idempotency.Entry) int {
 		switch {
 		case a.Running && b.Running:
-			return bytes.Compare(a.Name[:], b.Name[:])
+			return bytes.Compare(a.Key[:], b.Key[:])
 		case a.Running:
 			return 1
 		case b.Running:
@@ -163,7 +163,7 @@
 	for _, k := range entries {
 		size += compactEntryBytes
 		if k.Running {
-			owners = append(owners, c.running[k.Name])
+			owners = append(owners, c.running[k.Key])
 			size += compactOwnerBytes
 		}
 		if body, ok := k.Body.([]byte); ok {
@@ -176,8 +176,8 @@
 		w.bytes(secret)
 		w.number(uint64(len(classes)))
 		for _, class := range classes {
-			w.float(class.Answered)
-			w.float(class.Doubt)
+			w.float(class.AnsweredWindow)
+			w.float(class.InDoubtWindow)
 		}
 		ended := len(entries) - len(owners)
 		w.number(uint64(ended))
@@ -192,7 +192,7 @@
 	}
 }
 
-func (w *imageWriter) known(k *idempotency.Known) {
+func (w *imageWriter) known(k *idempotency.Entry) {
 	body, kept := k.Body.([]byte)
 	flags := byte(0)
 	if k.Served {
@@ -202,7 +202,7 @@
 		flags |= flagBody
 	}
 	w.buf = append(w.buf, flags)
-	w.buf = append(append(w.buf, k.Name[:]...), k.Print[:]...)
+	w.buf = append(append(w.buf, k.Key[:]...), k.Fingerprint[:]...)
 	w.number(uint64(k.Class))
 	w.number(uint64(k.Tenant))
 	w.float(k.Age)
