--- a/internal/node/statemachine/callstable.go
+++ b/internal/node/statemachine/callstable.go
@@ -14,9 +14,9 @@
 
 // calls is the component of the idempotency keys: the table that a single node has too, and the owner of each run.
 type calls struct {
-	table      *idempotency.Book
+	table      *idempotency.Table
 	classes    []idempotency.Class // of the table, by number; those of an image are made in the same order
-	running    map[idempotency.Name]claimOwner
+	running    map[idempotency.Key]claimOwner
 	nextExpiry float64 // cluster time at which the first run counts as in doubt, ms; +Inf = nothing runs
 	secret     []byte  // digest that binds the fleet, nil = no process has started
 	capacity   int     // names: MaxCalls, but for tests
@@ -32,13 +32,13 @@
 }
 
 func newCalls() *calls {
-	c := &calls{running: map[idempotency.Name]claimOwner{}, nextExpiry: math.Inf(1), classes: []idempotency.Class{{Once: true}}, capacity: MaxCalls}
+	c := &calls{running: map[idempotency.Key]claimOwner{}, nextExpiry: math.Inf(1), classes: []idempotency.Class{{AtMostOnce: true}}, capacity: MaxCalls}
 	c.table = newCallTable(c.classes, c.capacity)
 	return c
 }
 
-func newCallTable(classes []idempotency.Class, capacity int) *idempotency.Book {
-	table, err := idempotency.New(idempotency.Settings{Classes: classes, Tenants: tenantBuckets, Entries: capacity, Bytes: MaxBodyBytes, Alpha: tenantAlpha})
+func newCallTable(classes []idempotency.Class, capacity int) *idempotency.Table {
+	table, err := idempotency.New(idempotency.Settings{Classes: classes, Tenants: tenantBuckets, MaxEntries: capacity, MaxBodyBytes: MaxBodyBytes, PinnedRatio: tenantAlpha})
 	if err != nil {
 		panic(err) // the settings are constants that New accepts
 	}
@@ -46,7 +46,7 @@
 }
 
 // toName converts the 16 bytes of a name or a fingerprint.
-func toName(b []byte) (n idempotency.Name, ok bool) {
+func toName(b []byte) (n idempotency.Key, ok bool) {
 	return n, len(b) == copy(n[:], b) && len(b) == len(n)
 }
 
@@ -80,15 +80,15 @@
 // endInDoubt ends the runs of the selected owners and returns their number. It goes by the order of the names, for the table
 // evicts by the order of the ends, which must be the same on all members.
 func (c *calls) endInDoubt(now float64, selected func(claimOwner) bool) int {
-	var names []idempotency.Name
+	var names []idempotency.Key
 	for name, owner := range c.running {
 		if selected(owner) {
 			names = append(names, name)
 		}
 	}
-	slices.SortFunc(names, func(a, b idempotency.Name) int { return bytes.Compare(a[:], b[:]) })
+	slices.SortFunc(names, func(a, b idempotency.Key) int { return bytes.Compare(a[:], b[:]) })
 	for _, name := range names {
-		c.table.End(now, c.running[name].Ref, idempotency.EndInDoubt, nil, 0)
+		c.table.Complete(now, c.running[name].Ref, idempotency.OutcomeInDoubt, nil, 0)
 		delete(c.running, name)
 	}
 	c.nextExpiry = math.Inf(1)
@@ -117,7 +117,7 @@
 	if owner, running := c.running[name]; running && owner.Token == claim.Token { // the same run, claimed again in another session
 		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimGranted})}
 	}
-	decision := c.table.Ask(now, idempotency.Call{Name: name, Print: idempotency.Print(fingerprint), Class: c.classOf(name, class),
+	decision := c.table.Claim(now, idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: c.classOf(name, class),
 		Tenant: int(xxhash.Sum64String(claim.Tenant) % tenantBuckets)})
 	if decision.Verdict == idempotency.Run {
 		c.setRunning(name, claimOwner{Ref: decision.Ref, Node: claim.Node, Life: claim.Life, Token: claim.Token, Until: now + math.Ceil(claim.Run)})
@@ -125,14 +125,14 @@
 	return Reply{Code: OK, Body: encode(c.replyTo(name, decision))}
 }
 
-func (c *calls) setRunning(name idempotency.Name, owner claimOwner) {
+func (c *calls) setRunning(name idempotency.Key, owner claimOwner) {
 	c.running[name] = owner
 	c.nextExpiry = min(c.nextExpiry, owner.Until)
 }
 
 // findOrAddClass returns the number of the table's class with these windows, in ms.
 func (c *calls) findOrAddClass(answered, doubt float64) (int, bool) {
-	want := idempotency.Class{Once: true, Answered: math.Floor(answered), Doubt: math.Floor(doubt)}
+	want := idempotency.Class{AtMostOnce: true, AnsweredWindow: math.Floor(answered), InDoubtWindow: math.Floor(doubt)}
 	if index := slices.Index(c.classes, want); index >= 0 {
 		return index, true
 	}
@@ -144,7 +144,7 @@
 }
 
 // classOf returns the class of a known name, else the given one: a change of the windows meanwhile does not make it another call.
-func (c *calls) classOf(name idempotency.Name, class int) int {
+func (c *calls) classOf(name idempotency.Key, class int) int {
 	if known, ok := c.table.ClassOf(name); ok {
 		return known
 	}
@@ -152,18 +152,18 @@
 }
 
 // replyTo translates a decision of the table.
-func (c *calls) replyTo(name idempotency.Name, decision idempotency.Decision) ClaimReply {
-	reply := ClaimReply{Wait: decision.Wait}
+func (c *calls) replyTo(name idempotency.Key, decision idempotency.Decision) ClaimReply {
+	reply := ClaimReply{Wait: decision.RetryAfter}
 	switch decision.Verdict {
-	case idempotency.Run, idempotency.Pass:
+	case idempotency.Run, idempotency.RunUnrecorded:
 		reply.Result = ClaimGranted
 	case idempotency.Join:
 		reply.Result, reply.Node = ClaimRunning, c.running[name].Node
 	case idempotency.Replay:
 		reply.Result, reply.Body = ClaimReplayed, decision.Body.([]byte)
-	case idempotency.Spent:
+	case idempotency.Executed:
 		reply.Result = ClaimExecuted
-	case idempotency.Doubt:
+	case idempotency.InDoubt:
 		reply.Result = ClaimInDoubt
 	case idempotency.Mismatch:
 		reply.Result = ClaimMismatch
@@ -180,17 +180,17 @@
 	if !ok || !running || owner.Token != completion.Token {
 		return Reply{Code: Conflict, Text: "the run is not known, or counts as one that may have run"}
 	}
-	end, body, size := idempotency.EndInDoubt, any(nil), 0
+	end, body, size := idempotency.OutcomeInDoubt, any(nil), 0
 	switch completion.Outcome {
 	case OutcomeServed:
-		end, size = idempotency.EndServed, MaxBodyBytes+1 // a size that the table keeps no body of
+		end, size = idempotency.OutcomeServed, MaxBodyBytes+1 // a size that the table keeps no body of
 		if len(completion.Body) > 0 && len(completion.Body) <= MaxOneBodyBytes {
 			body, size = completion.Body, len(completion.Body)
 		}
 	case OutcomeNotExecuted:
-		end = idempotency.EndNotRun
+		end = idempotency.OutcomeNotExecuted
 	}
-	c.table.End(now, owner.Ref, end, body, size)
+	c.table.Complete(now, owner.Ref, end, body, size)
 	delete(c.running, name)
 	return Reply{Code: OK}
 }
@@ -226,6 +226,6 @@
 		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimUnknown})}
 	}
 	fingerprint, _ := toName(lookup.Print)
-	decision := c.table.Peek(idempotency.Call{Name: name, Print: idempotency.Print(fingerprint), Class: class})
+	decision := c.table.Peek(idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: class})
 	return Reply{Code: OK, Body: encode(c.replyTo(name, decision))}
 }
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -102,7 +102,7 @@
 		at := 1_001_400 + 500*float64(i)
 		for j := range 2 {
 			do(at+float64(j), uint64(j+1), ComponentQuotaLeases, QuotaLeaseCommand{Report: &lease.Report{Node: fmt.Sprint("node-", j+1), Life: uint64(j + 5), Tree: tree.Hash(), Length: 8000,
-				Holds: uint64(2*(i-1) + j + 1), Asked: []lease.Asked{{At: 1, Want: .1 * float64(i), Used: .05}, {At: 2, Want: .9, Used: .4 * float64(j)}, {At: 4, Want: .02, Used: .01}}}})
+				Held: uint64(2*(i-1) + j + 1), Demand: []lease.NodeDemand{{Node: 1, Requested: .1 * float64(i), Admitted: .05}, {Node: 2, Requested: .9, Admitted: .4 * float64(j)}, {Node: 4, Requested: .02, Admitted: .01}}}})
 		}
 	}
 	return commands
--- a/internal/node/statemachine/quotaleases.go
+++ b/internal/node/statemachine/quotaleases.go
@@ -32,7 +32,7 @@
 		}
 		return Reply{Code: OK, Body: encode(g)}
 	case c.Tree != nil:
-		if err := q.Bring(now, *c.Tree); err != nil {
+		if err := q.SetTree(now, *c.Tree); err != nil {
 			return Reply{Code: Conflict, Text: err.Error()}
 		}
 		return Reply{Code: OK}
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -61,9 +61,9 @@
 	var rooms, policies, names []float64
 	for range costRuns {
 		number++
-		report := lease.Report{Node: "costs", Life: 1, Tree: hash, Length: roomLease, Holds: holds}
+		report := lease.Report{Node: "costs", Life: 1, Tree: hash, Length: roomLease, Held: holds}
 		for i := range partners {
-			report.Asked = append(report.Asked, lease.Asked{At: 1 + i, Want: 0.001, Used: 0.001})
+			report.Demand = append(report.Demand, lease.NodeDemand{Node: 1 + i, Requested: 0.001, Admitted: 0.001})
 		}
 		reply, us, err := apply(number, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report})
 		if err != nil {
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -223,8 +223,8 @@
 		return
 	}
 	leaf, load := 1+c.Partner, 1/n.tree.Set.Root[quota.Requests]
-	n.demand.Ask(leaf, load)
-	n.demand.Let(leaf, load)
+	n.demand.Request(leaf, load)
+	n.demand.Admit(leaf, load)
 	if n.hurry != nil && !n.parts[leaf] {
 		n.hurry()
 	}
@@ -270,7 +270,7 @@
 // renewRoom reports once, and goes by what it is given.
 func (n *node) renewRoom() {
 	n.hurry = nil
-	report := lease.Report{Node: n.name, Life: n.process, Tree: n.hash, Length: roomLease, Holds: n.holds, Asked: n.demand.Take(n.w.now)}
+	report := lease.Report{Node: n.name, Life: n.process, Tree: n.hash, Length: roomLease, Held: n.holds, Demand: n.demand.Report(n.w.now)}
 	next := func(pause float64) {
 		n.after(hasten, func() {
 			over := false
@@ -299,7 +299,7 @@
 		}
 		n.holds, n.parts = g.Number, map[int]bool{}
 		for _, p := range g.Parts {
-			n.parts[p.At] = p.Load > 0
+			n.parts[p.Node] = p.Load > 0
 		}
 		n.got(&n.leased)
 		next(roomPause)
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -62,12 +62,12 @@
 	life   int
 	rate   float64 // of its clock
 	skew   float64
-	book   *quota.Book
+	book   *quota.Tree
 	demand *lease.Demand
 	places []int
 	holds  uint64
 	until  float64 // by its clock; 0 = it has none
-	parts  []quota.Leased
+	parts  []quota.NodeLease
 }
 
 // Rooms are the settings of a history of leases.
@@ -89,7 +89,7 @@
 }
 
 func (w *world) openRoom(n *node, life int) {
-	book, err := quota.New(w.rooms.tree.Set.Part((1-leased)/float64(w.set.Nodes), true), 0)
+	book, err := quota.New(w.rooms.tree.Set.Fraction((1-leased)/float64(w.set.Nodes), true), 0)
 	if err != nil {
 		panic(err) // the tree is sound
 	}
@@ -143,14 +143,14 @@
 // ask decides about one call.
 func (r *room) ask(at int) {
 	w, now := r.n.w, r.clock()
-	r.demand.Ask(at, 1/rootRate)
+	r.demand.Request(at, 1/rootRate)
 	r.lapse(now)
 	d := r.book.Ask(now, quota.Call{Leaf: at})
-	if d.Verdict == quota.Refused {
+	if d.Verdict == quota.Rejected {
 		w.counts["met: a call refused"]++
 		return
 	}
-	r.demand.Let(at, 1/rootRate)
+	r.demand.Admit(at, 1/rootRate)
 	if r.until > 0 {
 		w.counts["met: a call on a lease"]++
 	} else {
@@ -183,7 +183,7 @@
 		return
 	}
 	r.lapse(asked)
-	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, Holds: r.holds, Asked: r.demand.Take(asked)}
+	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, Held: r.holds, Demand: r.demand.Report(asked)}
 	n.do(w.now+leaseFor, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report}, asking{}, func(reply statemachine.Reply, how outcome) {
 		var g lease.Grant
 		switch {
@@ -213,9 +213,9 @@
 		return
 	}
 	w.counts["met: a lease"]++
-	var parts []quota.Leased
+	var parts []quota.NodeLease
 	for _, p := range g.Parts {
-		parts = append(parts, quota.Leased{At: p.At, Load: p.Load.Of()})
+		parts = append(parts, quota.NodeLease{At: p.Node, Load: p.Load.Fraction()})
 	}
 	if w.set.Wrong == SavedRoom {
 		parts = append(parts, r.parts...)
@@ -237,7 +237,7 @@
 		return
 	}
 	now, owed := m.group.State().Now(), map[string]float64{}
-	for _, h := range v.Held {
+	for _, h := range v.Nodes {
 		if h.Debt > 0 {
 			owed[h.Name] = h.Debt
 			m.w.counts["met: a debt"]++
--- a/lab/quotas/dividers.go
+++ b/lab/quotas/dividers.go
@@ -149,7 +149,7 @@
 func (c *cells) Capacity(float64, float64) {}
 
 // book is package quota.
-type book struct{ *quota.Book }
+type book struct{ *quota.Tree }
 
 // Settings are those of the node's way in the comparison.
 func Settings(tree []quota.Node, rate float64) quota.Settings {
@@ -167,7 +167,7 @@
 
 func (b book) Ask(now float64, leaf string, priority int) bool {
 	at, _ := b.Find(leaf)
-	return b.Book.Ask(now*1000, quota.Call{Leaf: at, Priority: priority}).Verdict != quota.Refused
+	return b.Tree.Ask(now*1000, quota.Call{Leaf: at, Priority: priority}).Verdict != quota.Rejected
 }
 
 func (b book) Capacity(now, part float64) { b.SetCapacity(now*1000, part) }
--- a/lab/quotas/fleet.go
+++ b/lab/quotas/fleet.go
@@ -73,7 +73,7 @@
 
 // seat is a node of the fleet.
 type seat struct {
-	book   *quota.Book
+	book   *quota.Tree
 	demand *lease.Demand
 	holds  uint64
 	until  float64 // ms; its lease
@@ -98,12 +98,12 @@
 	if leases {
 		p.out.Way = "leases"
 		part *= 1 - leasedPart
-		if err := p.machine.Bring(0, p.tree); err != nil {
+		if err := p.machine.SetTree(0, p.tree); err != nil {
 			panic(err) // the tree is this package's own
 		}
 	}
 	for range c.Nodes {
-		b, err := quota.New(set.Part(part, leases), seed)
+		b, err := quota.New(set.Fraction(part, leases), seed)
 		if err != nil {
 			panic(err)
 		}
@@ -211,11 +211,11 @@
 	if !ok {
 		panic(fmt.Sprint("no leaf ", f.Leaf))
 	}
-	s.demand.Ask(leaf, 1/Rate)
-	if d := s.book.Ask(at, quota.Call{Leaf: leaf, Priority: f.Priority}); d.Verdict == quota.Refused {
+	s.demand.Request(leaf, 1/Rate)
+	if d := s.book.Ask(at, quota.Call{Leaf: leaf, Priority: f.Priority}); d.Verdict == quota.Rejected {
 		return
 	}
-	s.demand.Let(leaf, 1/Rate)
+	s.demand.Admit(leaf, 1/Rate)
 	for _, name := range []string{"", f.Leaf} {
 		if m := p.over[name]; m != nil {
 			p.out.Over = max(p.out.Over, m.take(at/1000))
@@ -241,16 +241,16 @@
 	p.expire(at, s)
 	p.out.Reports++
 	g, err := p.machine.Report(at+p.times.Way, lease.Report{Node: fmt.Sprint("n", i), Life: 1, Tree: p.tree.Hash(),
-		Length: p.times.Length, Holds: s.holds, Asked: s.demand.Take(at)})
+		Length: p.times.Length, Held: s.holds, Demand: s.demand.Report(at)})
 	if err != nil {
 		panic(err)
 	}
 	if p.rand.Float64() < p.c.Loss {
 		return
 	}
-	parts := make([]quota.Leased, 0, len(g.Parts))
+	parts := make([]quota.NodeLease, 0, len(g.Parts))
 	for _, part := range g.Parts {
-		parts = append(parts, quota.Leased{At: part.At, Load: part.Load.Of()})
+		parts = append(parts, quota.NodeLease{At: part.Node, Load: part.Load.Fraction()})
 	}
 	s.book.Lease(at+2*p.times.Way, p.set.Root, oneCall, parts)
 	s.holds, s.until = g.Number, at+g.Length
--- a/node/handover.go
+++ b/node/handover.go
@@ -44,10 +44,10 @@
 		k.Drained = &since
 	}
 	if n.quota != nil {
-		k.Quota = n.quota.Remember()
+		k.Quota = n.quota.Balances()
 	}
 	if n.names != nil {
-		k.Life = n.names.Life()
+		k.Life = n.names.Incarnation()
 	}
 	return k
 }
@@ -55,7 +55,7 @@
 // Alone tells that the process has ended whose place this one took.
 func (n *Node) Alone() {
 	if n.names != nil {
-		n.names.Alone()
+		n.names.PredecessorEnded()
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	n.recallOrders(k)
 	if n.quota != nil {
-		n.quota.Recall(n.clock.Now()-k.At, k.Quota)
+		n.quota.RestoreBalances(n.clock.Now()-k.At, k.Quota)
 	}
 	if n.lists != nil {
 		n.lists.offer(k.Pilot.KnownHosts(), k.At)
--- a/node/names.go
+++ b/node/names.go
@@ -15,8 +15,8 @@
 type passing struct {
 	work  sync.WaitGroup // the names being sent
 	mu    sync.Mutex
-	giver *transfer.Giver // nil = no other process has taken over
-	heir  *transfer.Heir  // nil = there is no process before that hands names over, or it cannot be spoken with any more
+	giver *transfer.Sender   // nil = no other process has taken over
+	heir  *transfer.Receiver // nil = there is no process before that hands names over, or it cannot be spoken with any more
 }
 
 // NamesMark says how a node makes the names of calls that it hands over to a process which takes its place: two processes of one
@@ -86,7 +86,7 @@
 	}
 	n.pass.mu.Lock()
 	defer n.pass.mu.Unlock()
-	n.pass.giver = transfer.NewGiver(n.repeats, n.clock, n.log.With("part", "repeats"), send)
+	n.pass.giver = transfer.NewSender(n.repeats, n.clock, n.log.With("part", "repeats"), send)
 	n.pass.work.Go(n.pass.giver.Run) // it ends with the channel at the latest
 }
 
@@ -96,7 +96,7 @@
 	giver := n.pass.giver
 	n.pass.mu.Unlock()
 	if giver != nil {
-		n.unread(giver.Told(names))
+		n.unread(giver.Receive(names))
 	}
 }
 
@@ -116,7 +116,7 @@
 	heir := n.pass.heir
 	n.pass.mu.Unlock()
 	if heir != nil {
-		n.unread(heir.Told(names))
+		n.unread(heir.Receive(names))
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -143,17 +143,17 @@
 	thrift *thriftSide // nil = Thrift is not spoken
 	poke   chan struct{}
 
-	quota   *quotaedge.Stage  // nil = calls are not held to quotas
-	repeats *middleware.Stage // nil = repeats are not recognised
-	pass    passing           // of its names to another process, or from one
-	journal *journal.Journal  // of them, nil = none
-	locked  *os.File          // keeps other processes from the journal
-
-	peers *peers            // what the fleet holds for this node and its clients; nil = the node shares nothing
-	names *replicated.Names // of calls, held by the fleet; nil = by this node alone
-	guide *policygate.Gate  // of calls, by the fleet's policy; nil = by this node's file alone
-	own   Options           // of this machine, without the fleet's policy; under reload
-	doc   rollout.Document  // the fleet's policy, Number 0 = none; under reload
+	quota   *quotaedge.Middleware  // nil = calls are not held to quotas
+	repeats *middleware.Middleware // nil = repeats are not recognised
+	pass    passing                // of its names to another process, or from one
+	journal *journal.Journal       // of them, nil = none
+	locked  *os.File               // keeps other processes from the journal
+
+	peers *peers           // what the fleet holds for this node and its clients; nil = the node shares nothing
+	names *replicated.Keys // of calls, held by the fleet; nil = by this node alone
+	guide *policygate.Gate // of calls, by the fleet's policy; nil = by this node's file alone
+	own   Options          // of this machine, without the fleet's policy; under reload
+	doc   rollout.Document // the fleet's policy, Number 0 = none; under reload
 
 	figures *metrics.Set
 	budget  *bodypipe.Budget // of bodies
@@ -251,7 +251,7 @@
 	}
 	n.apply(o)
 	if n.repeats != nil && n.guide == nil { // else no call begins before the first policy is known
-		n.repeats.Settle()
+		n.repeats.FixNaming()
 	}
 	if err := n.open(); err != nil {
 		return nil, err
@@ -543,7 +543,7 @@
 		work.Go(func() { n.watch.Run(back) })
 	}
 	if n.quota != nil {
-		n.quota.Begin(back.Done())
+		n.quota.WatchCapacity(back.Done())
 		if o := n.opts.Load(); o.Quota.Leased > 0 && n.peers != nil {
 			work.Go(func() {
 				select { // before, its tree is its own file's, which the fleet's policy may go before
@@ -564,7 +564,7 @@
 		case <-yielded:
 			yielded = nil
 			if n.names != nil {
-				n.names.Yield()
+				n.names.StopAnnouncing()
 			}
 			n.log.Info("the node answers what it owes and ends: another process accepts")
 			n.loop.StopAccepting() // at once: what waits there is the other one's
--- a/node/peers.go
+++ b/node/peers.go
@@ -38,11 +38,11 @@
 }
 
 // names has names of calls agreed with the fleet.
-func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *replicated.Names {
-	names := replicated.Settings{Node: n.conf.Name, Secret: set.Secret, Claim: p.set.Claim.Ms,
-		Longest: n.conf.MaxDeadline, Take: 2 * p.set.Try.Ms, End: p.set.EndWait.Ms}
+func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *replicated.Keys {
+	names := replicated.Settings{Node: n.conf.Name, Secret: set.Secret, ClaimValidity: p.set.Claim.Ms,
+		MaxRun: n.conf.MaxDeadline, RequestTimeout: 2 * p.set.Try.Ms, CompletionTimeout: p.set.EndWait.Ms}
 	if n.known != nil {
-		names.Before = n.known.Life
+		names.Predecessor = n.known.Life
 	}
 	for _, t := range n.conf.Settings.Tenants {
 		names.Tenants = append(names.Tenants, t.Name)
@@ -75,7 +75,7 @@
 		close(obeyed)
 		if n.names != nil { // a node that turned charges away for a moment would be ready too early
 			select {
-			case <-n.names.Begun():
+			case <-n.names.Ready():
 			case <-ctx.Done():
 			}
 		}
--- a/node/policy.go
+++ b/node/policy.go
@@ -20,7 +20,7 @@
 func (n *Node) guided(o *options.Policy, first func(), log *slog.Logger) *gate.Gate {
 	heard := func() {
 		if n.repeats != nil {
-			n.repeats.Settle() // by the first policy, which may be none: calls begin
+			n.repeats.FixNaming() // by the first policy, which may be none: calls begin
 		}
 		first()
 	}
@@ -82,7 +82,7 @@
 	}
 	n.doc = d
 	if n.quota != nil { // a call is judged whole by the number that it began under, those that wait for room too
-		n.quota.Settle()
+		n.quota.DecideWaiting()
 	}
 	n.apply(next)
 	return nil
--- a/node/quota.go
+++ b/node/quota.go
@@ -15,24 +15,24 @@
 )
 
 // divide makes the stage that holds calls to their tenants' quotas.
-func (n *Node) divide(o *options.Quota, log *slog.Logger) (*middleware.Stage, error) {
+func (n *Node) divide(o *options.Quota, log *slog.Logger) (*middleware.Middleware, error) {
 	book, err := quota.New(o.Own(n.fleet), n.conf.Seed)
 	if err != nil {
 		return nil, err
 	}
-	set := middleware.Settings{Unknown: o.Unknown, Gateway: o.Gateway, Content: content, Wait: o.Wait.Ms, Waiting: o.Waiting,
-		Every: o.LearnEvery.Ms}
+	set := middleware.Settings{Unknown: o.Unknown, Gateway: o.Gateway, Content: content, MaxWait: o.Wait.Ms, MaxWaiting: o.Waiting,
+		CapacityInterval: o.LearnEvery.Ms}
 	if set.Unknown == "" {
 		set.Unknown = options.Others
 	}
 	for _, c := range n.conf.Settings.Classes {
-		set.Classes = append(set.Classes, middleware.Class{Priority: max(0, slices.Index(o.Priorities, c.Name)), Worth: c.Value})
+		set.Classes = append(set.Classes, middleware.Class{Priority: max(0, slices.Index(o.Priorities, c.Name)), Value: c.Value})
 	}
 	for _, t := range n.conf.Settings.Tenants {
 		set.Tenants = append(set.Tenants, t.Name)
 	}
 	if root := o.Requests / float64(n.fleet); o.Learn {
-		set.Room = func() (float64, bool) {
+		set.Capacity = func() (float64, bool) {
 			room, learned := n.pilot.Capacity()
 			return room / root, learned
 		}
@@ -56,12 +56,12 @@
 	if o.Leased <= 0 || n.peers == nil {
 		return
 	}
-	set := middleware.Leases{Fleet: roomLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, Call: quota.Amount{quota.Requests: 1},
+	set := middleware.LeaseConfig{Service: roomLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, MaxCost: quota.Amount{quota.Requests: 1},
 		Tree: lease.Tree{Number: n.doc.Number, Leased: o.Leased, Set: o.Tree()}}
 	for _, c := range n.conf.Settings.Classes {
-		set.Call[quota.Worth] = max(set.Call[quota.Worth], c.Value)
+		set.MaxCost[quota.Value] = max(set.MaxCost[quota.Value], c.Value)
 	}
-	n.quota.Lease(set)
+	n.quota.UseLeases(set)
 }
 
 // roomLog asks the agreed log.
@@ -72,13 +72,13 @@
 	return g, decoded(reply, err, &g)
 }
 
-func (p roomLog) Bring(ctx context.Context, t lease.Tree) error {
+func (p roomLog) OfferTree(ctx context.Context, t lease.Tree) error {
 	reply, err := p.log.Do(ctx, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Tree: &t})
 	switch {
 	case err != nil:
 		return err
 	case reply.Code == statemachine.Conflict:
-		return fmt.Errorf("%w: %s", lease.ErrOlder, reply.Text)
+		return fmt.Errorf("%w: %s", lease.ErrOtherTree, reply.Text)
 	case reply.Code != statemachine.OK:
 		return errors.New(reply.Text)
 	}
--- a/node/repeats.go
+++ b/node/repeats.go
@@ -22,16 +22,16 @@
 const leastSecret = 16
 
 // recognise makes the stage that recognises repeats, with its journal if there is one.
-func (n *Node) recognise(o *options.Repeats, log *slog.Logger) (*middleware.Stage, error) {
-	set := middleware.Settings{Classes: n.classes(o), Content: content, Encode: encodeAnswer, Decode: decodeAnswer, Wall: n.clock.Now,
-		Longest: n.conf.MaxDeadline,
-		Book: idempotency.Settings{Classes: make([]idempotency.Class, len(n.conf.Settings.Classes)),
-			Tenants: len(n.conf.Settings.Tenants), Entries: o.Entries, Bytes: o.Bytes.Bytes, Alpha: o.Alpha}}
+func (n *Node) recognise(o *options.Repeats, log *slog.Logger) (*middleware.Middleware, error) {
+	set := middleware.Settings{Classes: n.classes(o), Content: content, Encode: encodeAnswer, Decode: decodeAnswer, WallClock: n.clock.Now,
+		MaxRun: n.conf.MaxDeadline,
+		Table: idempotency.Settings{Classes: make([]idempotency.Class, len(n.conf.Settings.Classes)),
+			Tenants: len(n.conf.Settings.Tenants), MaxEntries: o.Entries, MaxBodyBytes: o.Bytes.Bytes, PinnedRatio: o.Alpha}}
 	keep, names := 0.0, []string{}
 	for i, class := range n.conf.Settings.Classes {
 		names = append(names, class.Name)
 		w := set.Classes[i].Windows
-		set.Book.Classes[i] = idempotency.Class{Once: class.Effect == decide.Unsafe, Answered: w.Answered, Doubt: w.Doubt}
+		set.Table.Classes[i] = idempotency.Class{AtMostOnce: class.Effect == decide.Unsafe, AnsweredWindow: w.Answered, InDoubtWindow: w.Doubt}
 		keep = max(keep, w.Longest())
 	}
 	var err error
@@ -51,9 +51,9 @@
 			tenants = append(tenants, t.Name)
 		}
 		var found []journal.Finding
-		n.journal, set.Known, found, err = journal.Open(disk, journal.Settings{Classes: names, Tenants: tenants,
-			SegmentBytes: o.Segment.Bytes, Keep: keep + n.conf.MaxDeadline, Call: n.conf.MaxDeadline,
-			Queue: o.Queue}, n.clock.Now())
+		n.journal, set.Entries, found, err = journal.Open(disk, journal.Settings{Classes: names, Tenants: tenants,
+			SegmentBytes: o.Segment.Bytes, Retention: keep + n.conf.MaxDeadline, MaxCall: n.conf.MaxDeadline,
+			MaxQueue: o.Queue}, n.clock.Now())
 		if err != nil {
 			return nil, err
 		}
@@ -64,7 +64,7 @@
 	}
 	if n.peers != nil {
 		n.names = n.peers.names(n, &set, log)
-		set.Fleet, set.Longest = n.names, n.conf.MaxDeadline+n.peers.set.Claim.Ms
+		set.Claimer, set.MaxRun = n.names, n.conf.MaxDeadline+n.peers.set.Claim.Ms
 	}
 	return middleware.New(set, n.clock, log)
 }
@@ -79,8 +79,8 @@
 			continue
 		}
 		c := &o.Classes[at]
-		list[i] = middleware.Class{On: true, By: naming(c, class.Effect), Required: c.Required, Recorded: c.Recorded && o.Journal != "",
-			Agreed: c.Recorded && class.Effect == decide.Unsafe, Windows: &idempotency.Windows{Answered: c.Answered.Ms, Doubt: c.Doubt.Ms}}
+		list[i] = middleware.Class{Enabled: true, Naming: naming(c, class.Effect), Required: c.Required, Recorded: c.Recorded && o.Journal != "",
+			Replicated: c.Recorded && class.Effect == decide.Unsafe, Windows: &idempotency.Windows{Answered: c.Answered.Ms, Doubt: c.Doubt.Ms}}
 	}
 	return list
 }
@@ -91,7 +91,7 @@
 		return
 	}
 	var wrong *middleware.NamingError
-	if errors.As(n.repeats.Check(n.classes(&o.Repeats)), &wrong) {
+	if errors.As(n.repeats.CheckClasses(n.classes(&o.Repeats)), &wrong) {
 		name := n.conf.Settings.Classes[wrong.Class].Name
 		at := slices.IndexFunc(o.Repeats.Classes, func(c options.RepeatsClass) bool { return c.Name == name })
 		field := func(f string) string { return fmt.Sprintf("repeats.class.%d.%s", at, f) }
@@ -102,7 +102,7 @@
 
 // reclass has other classes in force.
 func (n *Node) reclass(o *options.Repeats) {
-	if err := n.repeats.Use(n.classes(o)); err != nil { // it was looked at before
+	if err := n.repeats.SetClasses(n.classes(o)); err != nil { // it was looked at before
 		n.log.Error("the classes of repeats are as they were", "error", err)
 	}
 }
