--- a/internal/fleet/errkind/errkind.go
+++ b/internal/fleet/errkind/errkind.go
@@ -1,5 +1,5 @@
-// Package errkind has the closed list of the fleet's error kinds and the HTTP response of each. Every error that a client, a
-// backend or the operator may see has one of these kinds.
+// Package errkind defines the closed list of the fleet's error kinds and the HTTP response for each of them. Every
+// error that a client, a backend or the operator may receive has one of these kinds.
 package errkind
 
 import (
@@ -8,34 +8,34 @@
 	"net/http"
 )
 
-// Kind is the kind of an error. Its number is on the wire between control processes: new kinds go to the end.
+// Kind is the kind of an error. Its number is sent between control processes: new kinds are appended at the end.
 type Kind uint8
 
 // Error kinds.
 const (
-	Internal                 Kind = iota // this process is at fault
-	InvalidConfig                        // the configuration cannot be accepted
-	VersionConflict                      // another version is current
-	OutcomeUnknown                       // whether the order was taken is not known
-	BadRequest                           // the request cannot be read
+	Internal                 Kind = iota // a fault of this process
+	InvalidConfig                        // the configuration was rejected as invalid
+	VersionConflict                      // the request names a version other than the current one
+	OutcomeUnknown                       // it is not known whether the request was applied
+	BadRequest                           // the request cannot be read or parsed
 	TooLarge                             // the body is over the limit
-	NoRoute                              // no route fits host and path
+	NoRoute                              // no route matches host and path
 	UnknownKey                           // the key belongs to no tenant
 	OverQuota                            // the tenant has no quota left
 	NotConfigured                        // this node has no configuration yet
 	StaleConfig                          // the configuration could not be confirmed in time
 	NoBackend                            // no backend of the service is known and usable
-	Saturated                            // the backends cannot take the request in time
+	Saturated                            // the backends cannot serve the request in time
 	Rejected                             // every backend that was tried rejected the request without running it
 	BackendLost                          // the backend may have run the request and sent no response
 	MalformedResponse                    // the backend sent bytes that are not a response
-	DeadlineExceeded                     // the deadline passed before the request was sent on
+	DeadlineExceeded                     // the deadline passed before the request was forwarded
 	DeadlineExceededInFlight             // the deadline passed while an attempt was in flight
-	ShuttingDown                         // the process is about to end
+	ShuttingDown                         // the process is about to exit
 	kindCount
 )
 
-// Response is the HTTP response to an error of a kind.
+// Response is the HTTP response for a kind of error.
 type Response struct {
 	Status      int
 	NotExecuted bool // the request was not executed and never will be; the response says when to retry
@@ -64,7 +64,7 @@
 	ShuttingDown:             {http.StatusServiceUnavailable, true, "shutting down"},
 }
 
-// Response returns the HTTP response to an error of the kind.
+// Response returns the HTTP response for the kind; an unknown kind has the response of Internal.
 func (k Kind) Response() Response {
 	if k >= kindCount {
 		return responses[Internal]
@@ -74,7 +74,7 @@
 
 func (k Kind) String() string { return k.Response().Text }
 
-// Error is an error with a kind. Its text is part of responses: Detail must not hold secrets.
+// Error is an error with a kind. Its text is part of responses: Detail must not contain secrets.
 type Error struct {
 	Kind   Kind
 	Detail string
@@ -94,12 +94,12 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// New returns an error of a kind with a formatted detail, which may be empty.
+// New returns an error of the given kind with a formatted detail, which may be empty.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// KindOf returns the kind of an error, Internal where it has none.
+// KindOf returns the kind of an error, or Internal if it has none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/fleet/errkind/errkind_test.go
+++ b/internal/fleet/errkind/errkind_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The numbers of the kinds are on the wire between control processes of two versions: a kind keeps its number for good.
-func TestKindsKeepTheirNumbers(t *testing.T) {
+// The number of a kind is sent between control processes of different versions, so it must never change.
+func TestKindNumbersAreUnchanged(t *testing.T) {
 	kinds := map[Kind]uint8{
 		Internal:                 0,
 		InvalidConfig:            1,
@@ -29,10 +29,10 @@
 		DeadlineExceededInFlight: 17,
 		ShuttingDown:             18,
 	}
-	require.Len(t, kinds, int(kindCount), "each kind has its row, and no two have one number")
+	require.Len(t, kinds, int(kindCount), "each kind is listed, with a number of its own")
 	for kind, number := range kinds {
 		require.EqualValues(t, number, kind, kind.String())
 		require.NotZero(t, kind.Response().Status, kind.String())
 	}
-	require.Equal(t, Internal.Response(), kindCount.Response(), "a kind of a later version")
+	require.Equal(t, Internal.Response(), kindCount.Response(), "an unknown kind, as a later version may send")
 }
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file that the platform writes for each process of the fleet. Unknown keys are ignored; a
-// known key with a bad value is an *Error that names the file and the key.
+// Package settings reads the settings file that the platform writes for each process of the fleet. Unknown keys
+// are ignored; an invalid value of a known key is reported as an *Error that names the file and the key.
 package settings
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/magiconair/properties"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
+// Variable is the name of the environment variable that holds the path of the settings file.
 const Variable = "LINENWHEEL_SETTINGS"
 
-// DefaultPath is where the settings file is looked for when the variable is empty.
+// DefaultPath is the path of the settings file if the environment variable is unset or empty.
 const DefaultPath = "/etc/linenwheel/boot.conf"
 
-// Error is an invalid settings file.
+// Error reports a settings file that is unreadable or invalid.
 type Error struct {
 	File string
-	Key  string // empty where the file as a whole is at fault
+	Key  string // empty if the error concerns the file as a whole
 	Err  error
 }
 
@@ -35,7 +35,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Bounds are the limits that the platform sets for the fleet, by their names in the settings file.
+// Bounds are the limits that the platform sets for the fleet, from the keys of the settings file that begin with
+// "Bounds.".
 type Bounds struct {
 	Contact          time.Duration
 	Ack              time.Duration
@@ -55,36 +56,38 @@
 	RereadWindow     time.Duration
 }
 
-// Settings describe one process and its machine.
+// Settings describes one process and its machine.
 type Settings struct {
 	NodeName        string
 	Role            string
 	IP              string
 	Zone            string
 	Region          string
-	Front           string // address for clients, empty where the role does not serve them
+	Front           string // listen address for clients, empty if the role does not serve clients
 	Readiness       string
-	Control         string // address for backends and the operator
+	Control         string // listen address for backends and the operator
 	InternalPort    int
-	Seeds           []string // control addresses
+	Seeds           []string // control addresses of the control processes to contact at first
 	Bootstrap       bool
-	CountsForQuorum bool // the machine counts among those that may be lost
+	CountsForQuorum bool // the machine is counted among those that may be lost
 	MemoryMB        int
 	MaxFds          int
 	DataDir         string
 	Heartbeat       time.Duration
 	LinkMbps        float64
-	MachinesLost    int // machines that may be lost at once
-	ZonesLost       int // zones that may be lost at once
-	RegionsLost     int // regions that may be lost at once
+	MachinesLost    int // number of machines that may be lost at the same time
+	ZonesLost       int // number of zones that may be lost at the same time
+	RegionsLost     int // number of regions that may be lost at the same time
 	Bounds          Bounds
 	File            string
 }
 
-// MaxFailures is the number of voters, each in a domain of its own, that may be lost at once.
+// MaxFailures returns the number of voters, each in a failure domain of its own, that may be lost at the same
+// time.
 func (s *Settings) MaxFailures() int { return max(s.MachinesLost, s.ZonesLost, s.RegionsLost) }
 
-// FailureDomain names what fails together with this machine: its region where regions may be lost, else its zone.
+// FailureDomain returns the name of the domain that fails together with this machine: its region if regions may be
+// lost, otherwise its zone.
 func (s *Settings) FailureDomain() string {
 	if s.RegionsLost > 0 {
 		return s.Region
@@ -92,7 +95,7 @@
 	return s.Zone
 }
 
-// Path is the settings file that the environment names.
+// Path returns the path of the settings file, from the environment variable or DefaultPath.
 func Path() string {
 	if path := os.Getenv(Variable); path != "" {
 		return path
@@ -100,7 +103,7 @@
 	return DefaultPath
 }
 
-// Read reads and checks a settings file.
+// Read reads and validates a settings file.
 func Read(path string) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadFile(path)
@@ -110,7 +113,7 @@
 	return parse(path, file)
 }
 
-// Parse reads settings from text; path is for error messages.
+// Parse parses settings from text; path is used in error messages.
 func Parse(path, text string) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadBytes([]byte(text))
@@ -142,10 +145,8 @@
 		Heartbeat:       r.milliseconds("HeartbeatMs", 1000),
 		LinkMbps:        r.number("Limits.LinkMbps", 0),
 		MachinesLost:    int(r.number("FaultTolerance.Machines", 0)),
-
-		ZonesLost:   int(r.number("FaultTolerance.Zones", 0)),
-		RegionsLost: int(r.number("FaultTolerance.Regions", 0)),
-
+		ZonesLost:       int(r.number("FaultTolerance.Zones", 0)),
+		RegionsLost:     int(r.number("FaultTolerance.Regions", 0)),
 		Bounds: Bounds{
 			Contact:          r.milliseconds("Bounds.ContactMs", 3000),
 			Ack:              r.milliseconds("Bounds.AckMs", 4000),
@@ -172,8 +173,8 @@
 	return s, r.err
 }
 
-// InternalAddress is where the control process of the machine with this control address takes internal calls: ports are
-// alike on all machines.
+// InternalAddress returns the address for internal calls of the control process that has the given control
+// address: the internal port is the same on all machines. It returns "" if the control address is malformed.
 func (s *Settings) InternalAddress(controlAddress string) string {
 	host, _, err := net.SplitHostPort(controlAddress)
 	if err != nil {
@@ -182,12 +183,12 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPort))
 }
 
-// SelfInternal is this machine's own internal address.
+// SelfInternal returns the address for internal calls on this machine.
 func (s *Settings) SelfInternal() string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.InternalPort))
 }
 
-// reader reads typed values and keeps the first error.
+// reader parses values of different types and keeps the first error.
 type reader struct {
 	path string
 	file *properties.Properties
@@ -211,7 +212,7 @@
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || value < 0 {
-		r.fail(key, fmt.Errorf("%q is not a number of 0 or more", text))
+		r.fail(key, fmt.Errorf("%q is not a non-negative number", text))
 		return fallback
 	}
 	return value
@@ -270,12 +271,12 @@
 
 func (r *reader) port(key string, ports []string) int {
 	if len(ports) == 0 {
-		r.fail(key, fmt.Errorf("missing: the first and last internal port are wanted"))
+		r.fail(key, fmt.Errorf("missing; expected the first and last internal port"))
 		return 0
 	}
 	port, err := strconv.Atoi(ports[0])
 	if err != nil || port < 1 || port > 65535 {
-		r.fail(key, fmt.Errorf("%q is not a port", ports[0]))
+		r.fail(key, fmt.Errorf("%q is not a port number", ports[0]))
 	}
 	return port
 }
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -33,21 +33,21 @@
 Something.New=${not an expansion}
 `
 
-func TestParseReadsTheExample(t *testing.T) {
-	set, err := Parse("boot.conf", example)
+func TestParseReadsAllTypesOfValues(t *testing.T) {
+	loaded, err := Parse("boot.conf", example)
 	require.NoError(t, err)
-	require.Equal(t, "10.1.0.14:7680", set.SelfInternal())
-	require.Equal(t, "10.2.0.32:7680", set.InternalAddress(set.Seeds[1]))
-	require.Equal(t, 1200*time.Millisecond, set.Heartbeat)
-	require.Equal(t, 5*time.Second, set.Bounds.Revoke)
-	require.Equal(t, 4*time.Second, set.Bounds.CatchUp)
-	require.True(t, set.Bootstrap)
-	require.True(t, set.Bounds.Closed)
-	require.Equal(t, 1, set.MachinesLost)
-	require.InDelta(t, 0.1, set.Bounds.QuotaOver, 1e-9)
+	require.Equal(t, "10.1.0.14:7680", loaded.SelfInternal())
+	require.Equal(t, "10.2.0.32:7680", loaded.InternalAddress(loaded.Seeds[1]))
+	require.Equal(t, 1200*time.Millisecond, loaded.Heartbeat)
+	require.Equal(t, 5*time.Second, loaded.Bounds.Revoke)
+	require.Equal(t, 4*time.Second, loaded.Bounds.CatchUp)
+	require.True(t, loaded.Bootstrap)
+	require.True(t, loaded.Bounds.Closed)
+	require.Equal(t, 1, loaded.MachinesLost)
+	require.InDelta(t, 0.1, loaded.Bounds.QuotaOver, 1e-9)
 }
 
-func TestParseNamesFileAndKeyOfEachFault(t *testing.T) {
+func TestParseErrorNamesFileAndKey(t *testing.T) {
 	for key, line := range map[string]string{
 		"Bootstrap":               "Bootstrap=perhaps",
 		"HeartbeatMs":             "HeartbeatMs=soon",
@@ -61,17 +61,17 @@
 	} {
 		t.Run(key, func(t *testing.T) {
 			_, err := Parse("boot.conf", example+line+"\n")
-			var fault *Error
-			require.ErrorAs(t, err, &fault)
-			require.Equal(t, "boot.conf", fault.File)
-			require.Equal(t, key, fault.Key)
+			var invalid *Error
+			require.ErrorAs(t, err, &invalid)
+			require.Equal(t, "boot.conf", invalid.File)
+			require.Equal(t, key, invalid.Key)
 		})
 	}
 }
 
-func TestReadTellsOfAMissingFile(t *testing.T) {
+func TestReadReportsAMissingFile(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "none.conf"))
-	var fault *Error
-	require.ErrorAs(t, err, &fault)
+	var invalid *Error
+	require.ErrorAs(t, err, &invalid)
 	require.True(t, errors.Is(err, os.ErrNotExist))
 }
