--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestTheMethodsKeepTheirNames(t *testing.T) {
+func TestMethodNamesAreUnchanged(t *testing.T) {
 	require.Equal(t, "Allowance.Take", MethodAcquire)
 	require.Equal(t, "Allowance.Reflect", MethodMirror)
 	require.Equal(t, "Allowance.HandOver", MethodTransfer)
--- a/internal/fleet/quota/localbucket.go
+++ b/internal/fleet/quota/localbucket.go
@@ -4,26 +4,27 @@
 
 // Parameters of a node's local bucket.
 const (
-	prefetchSeconds    = 0.1                    // of recent usage that are acquired ahead of need
-	usageWindowSeconds = 2.0                    // after which usage weighs 1/e
-	fallbackLookback   = 150 * time.Millisecond // for which a node has its even share when the owner becomes unresponsive
-	maxFallbackSeconds = 2.0                    // of its even share that a node may spend until an owner responds
-	unusedAfter        = 500 * time.Millisecond // after which what was granted and not used is returned
+	prefetchSeconds    = 0.1                    // units are acquired ahead of need for this many seconds of recent usage
+	usageWindowSeconds = 2.0                    // time constant of the average usage: older usage weighs less than 1/e
+	fallbackLookback   = 150 * time.Millisecond // time of even share credited when the owner is found unresponsive
+	maxFallbackSeconds = 2.0                    // seconds of its even share that a node may spend until an owner responds
+	unusedTimeout      = 500 * time.Millisecond // granted units that are left after this time are returned to the owner
 )
 
-// LocalBucket is what a node holds of one tenant's quota. It is not safe for concurrent use.
+// LocalBucket holds the units of one tenant's quota that have been granted to a node. It is not safe for
+// concurrent use.
 type LocalBucket struct {
 	balance       float64
 	grantedAt     time.Duration
-	usageRate     float64 // recent usage, in units a second
+	usageRate     float64 // average recent usage, in units per second
 	usageAt       time.Duration
-	answeredAt    time.Duration // when the owner last answered
-	fallback      float64       // accrued of the node's even share while no owner answers
-	fallbackAt    time.Duration
-	fallbackSpent float64 // since the owner last answered
+	respondedAt   time.Duration // when the owner last responded
+	fallback      float64       // units accrued from the node's even share while no owner responds
+	fallbackAt    time.Duration // when fallback was last updated
+	fallbackSpent float64       // units spent from fallback since the owner last responded
 }
 
-// TryAcquire takes units for a request from the balance and reports whether there were enough.
+// TryAcquire takes units for a request from the balance and reports whether the balance was sufficient.
 func (b *LocalBucket) TryAcquire(now time.Duration, amount float64) bool {
 	if b.balance < amount {
 		return false
@@ -39,25 +40,26 @@
 	b.usageAt = now
 }
 
-// Refund returns the units of a request that was not executed to the balance.
+// Refund returns units to the balance for a request that was not executed.
 func (b *LocalBucket) Refund(amount float64) { b.balance += amount }
 
-// Demand returns the units to ask the owner for, so that an amount can be acquired: what is needed now, and what recent usage
-// makes likely to be needed soon.
+// Demand returns the units to request from the owner so that an amount can be acquired: the shortfall now, and the
+// units that will probably be needed soon, judged by recent usage.
 func (b *LocalBucket) Demand(amount float64) (need, ahead float64) {
 	return max(0, amount-b.balance), prefetchSeconds * b.usageRate
 }
 
 // AddGrant adds an owner's grant, which may be 0, and ends the fallback.
 func (b *LocalBucket) AddGrant(now time.Duration, amount float64) {
-	b.answeredAt, b.fallback, b.fallbackSpent = now, 0, 0
+	b.respondedAt, b.fallback, b.fallbackSpent = now, 0, 0
 	b.balance += amount
 	b.grantedAt = now
 }
 
-// ReleaseUnused empties a balance that has not been used for a while and returns it, to be given back to the owner.
+// ReleaseUnused empties the balance if the last grant is at least unusedTimeout old, and returns the units that
+// were in it. The caller returns them to the owner.
 func (b *LocalBucket) ReleaseUnused(now time.Duration) float64 {
-	if b.balance <= 0 || now-b.grantedAt < unusedAfter {
+	if b.balance <= 0 || now-b.grantedAt < unusedTimeout {
 		return 0
 	}
 	unused := b.balance
@@ -65,12 +67,12 @@
 	return unused
 }
 
-// TryAcquireFallback takes units from this node's even share of a limit, while no owner answers. The share accrues from a little
-// before the owner was found unresponsive.
+// TryAcquireFallback takes units from this node's even share of a limit while no owner responds, and reports
+// whether there were enough. The share accrues from fallbackLookback before the owner was found unresponsive.
 func (b *LocalBucket) TryAcquireFallback(now time.Duration, rate float64, nodes int, amount float64) bool {
 	share := rate / float64(max(1, nodes))
 	since := b.fallbackAt
-	if b.fallbackAt <= b.answeredAt { // the owner has only just become unresponsive
+	if b.fallbackAt <= b.respondedAt { // this is the first call since the owner last responded
 		since = now - fallbackLookback
 	}
 	b.fallback += share * (now - since).Seconds()
