--- a/internal/fleet/backend/attribution.go
+++ b/internal/fleet/backend/attribution.go
@@ -6,17 +6,17 @@
 	"net/http"
 )
 
-// Outcome is what is known of a request that brought no response.
+// Outcome is what is known about a request that received no response.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes.
 const (
-	NotSent    Outcome = iota // no connection was made, or nothing was written: it has not run
-	MayHaveRun                // some of it was written
-	Malformed                 // what came is not a response to it: it may have run
+	NotSent    Outcome = iota // no connection was made, or nothing was written: the request has not run
+	MayHaveRun                // at least part of the request was written
+	Malformed                 // the bytes received are not a response to the request: it may have run
 )
 
-// Error is an exchange without a response.
+// Error reports an exchange that ended without a response.
 type Error struct {
 	Outcome Outcome
 	Err     error
@@ -27,41 +27,43 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// errNotAttributable says that a response came that may be to this request or to an earlier one.
+// errNotAttributable reports a response that may belong to this request or to an earlier one.
 var errNotAttributable = errors.New("response cannot be attributed to the request")
 
-// maxStaleResponses bounds the responses of earlier requests that are skipped on a connection.
+// maxStaleResponses bounds the responses to earlier requests during one exchange: the last of them fails the
+// exchange, the others are skipped.
 const maxStaleResponses = 4
 
-// attribution says to which request a response belongs.
+// attribution is the decision to which request a response belongs.
 type attribution uint8
 
 const (
 	ownResponse            attribution = iota
-	staleResponse                      // to an earlier request on the connection: it is skipped
-	unattributableResponse             // not certain: the request may have run
+	staleResponse                      // to an earlier request on the connection, which is skipped
+	unattributableResponse             // not known to which request: this one may have run
 )
 
-// exchangeState decides what each event of one exchange on a connection proves. It is pure.
+// exchangeState decides what each event of one exchange on a connection proves. It performs no I/O.
 //
 //	event                                                conclusion
-//	no connection, or the first write took nothing       not sent: it has not run
-//	a write broke off, a reset, a close, a timeout       may have run, also where a part of the response came
-//	a response with the request's id                     its response; Not-Executed or 421 in it: has not run
-//	a response with another id                           stale: skipped, and the next one is looked at
-//	one that ends with the connection, or too many       may have run
-//	a response without an id, the first bytes that ever
-//	came on the connection, a rejection                  its response: no other request was sent there
+//	no connection, or nothing was written                not sent: it has not run
+//	an incomplete write, a reset, a close, a timeout     may have run, even if part of the response was received
+//	a response with the request's id                     its response; with Not-Executed or status 421, it has not run
+//	a response with another id                           stale: it is skipped, and the next response is read
+//	a stale response that ends with the connection,
+//	or too many stale responses                          may have run
+//	a rejection without an id that is the first
+//	response ever received on the connection             its response: no other request was sent on the connection
 //	any other response without an id                     may have run: a late rejection of an earlier request looks the same
 type exchangeState struct {
-	fresh          bool   // no request was sent on the connection before
+	fresh          bool   // no request was sent on the connection before this one
 	id             string // of the request
 	size           int    // of the request, in bytes
-	written        int    // bytes of it
-	staleResponses int    // that were skipped
+	written        int    // bytes of the request
+	staleResponses int    // received so far
 }
 
-// recordWrite records how many bytes of the request were written.
+// recordWrite records the number of bytes of the request that were written.
 func (s *exchangeState) recordWrite(bytes int) { s.written = bytes }
 
 // errorFor returns the error of an exchange in which a write or a read failed.
@@ -72,8 +74,8 @@
 	return &Error{MayHaveRun, err}
 }
 
-// attribute decides to which request a response belongs, by its status, its id ("" = none), and whether its end shows without the
-// end of the connection.
+// attribute decides to which request a response belongs, by its status, its id ("" = none) and whether its body is
+// delimited by other means than the end of the connection.
 func (s *exchangeState) attribute(status int, id string, selfDelimited bool) attribution {
 	switch {
 	case s.written < s.size:
--- a/internal/fleet/backend/attribution_test.go
+++ b/internal/fleet/backend/attribution_test.go
@@ -11,7 +11,7 @@
 	reset := errors.New("reset")
 	sent := exchangeState{id: "a", size: 10, written: 10}
 	require.Equal(t, NotSent, (&exchangeState{id: "a", size: 10}).errorFor(reset).Outcome, "nothing was written")
-	require.Equal(t, MayHaveRun, (&exchangeState{id: "a", size: 10, written: 1}).errorFor(reset).Outcome, "a part was written")
+	require.Equal(t, MayHaveRun, (&exchangeState{id: "a", size: 10, written: 1}).errorFor(reset).Outcome, "part of the request was written")
 	require.Equal(t, MayHaveRun, sent.errorFor(reset).Outcome)
 	for name, test := range map[string]struct {
 		fresh          bool
@@ -23,16 +23,16 @@
 	}{
 		"its id":                                      {false, 0, 200, "a", true, ownResponse},
 		"its id, a rejection":                         {false, 0, 503, "a", true, ownResponse},
-		"its id, after others":                        {false, 3, 503, "a", true, ownResponse},
+		"its id, after stale responses":               {false, 3, 503, "a", true, ownResponse},
 		"its id, ended by the connection":             {false, 0, 200, "a", false, ownResponse},
 		"another id":                                  {false, 0, 200, "b", true, staleResponse},
 		"another id, a rejection":                     {false, 0, 503, "b", true, staleResponse},
 		"another id, ended by the connection":         {false, 0, 200, "b", false, unattributableResponse},
-		"another id, one too many":                    {false, maxStaleResponses - 1, 200, "b", true, unattributableResponse},
+		"another id, too many of them":                {false, maxStaleResponses - 1, 200, "b", true, unattributableResponse},
 		"no id, a rejection, kept connection":         {false, 0, 503, "", true, unattributableResponse},
-		"no id, a rejection, the first ever":          {true, 0, 400, "", true, ownResponse},
-		"no id, a rejection, after another one":       {true, 1, 400, "", true, unattributableResponse},
-		"no id, a success, the first ever":            {true, 0, 200, "", true, unattributableResponse},
+		"no id, a rejection, the first response":      {true, 0, 400, "", true, ownResponse},
+		"no id, a rejection, after a stale one":       {true, 1, 400, "", true, unattributableResponse},
+		"no id, a success, the first response":        {true, 0, 200, "", true, unattributableResponse},
 		"no id, a success, kept connection":           {false, 0, 200, "", true, unattributableResponse},
 		"no id, a rejection, ended by the connection": {true, 0, 400, "", false, ownResponse},
 	} {
@@ -40,26 +40,26 @@
 		require.Equal(t, test.want, state.attribute(test.status, test.id, test.selfDelimited), name)
 	}
 	half := exchangeState{fresh: true, id: "a", size: 10, written: 9}
-	require.Equal(t, unattributableResponse, half.attribute(200, "a", true), "a response to a request that is not written completely")
+	require.Equal(t, unattributableResponse, half.attribute(200, "a", true), "the request was not written completely")
 }
 
-// ---- All interleavings of two calls on one connection ----
+// The tests below run all interleavings of two calls on one connection.
 
-// frame is something that a backend puts on the connection.
+// frame is a response that a backend writes to the connection.
 type frame struct {
-	owner       string // of the request that it truly belongs to
-	id          string // that it carries
+	owner       string // id of the request that the response is to
+	id          string // id in the response
 	status      int
 	notExecuted bool
-	truncated   bool // it breaks off
+	truncated   bool // the connection ends within the response
 }
 
-// behaviour is what a backend does with a request.
+// behaviour is how a backend handles a request.
 type behaviour struct {
 	name        string
-	runs        bool
-	responses   []func(owner string) frame // in order; those after the first may come late
-	disconnects bool                       // then the connection breaks
+	runs        bool                       // the request is executed
+	responses   []func(owner string) frame // in order; those after the first may arrive late
+	disconnects bool                       // the backend closes the connection afterwards
 }
 
 func withID(status int, notExecuted bool) func(string) frame {
@@ -75,44 +75,44 @@
 func staleFrame(string) frame { return frame{"x", "x", 200, false, false} }
 
 var behaviours = []behaviour{
-	{"responses", true, []func(string) frame{withID(200, false)}, false},
+	{"responds", true, []func(string) frame{withID(200, false)}, false},
 	{"rejects", false, []func(string) frame{withID(503, true)}, false},
 	{"fails", true, []func(string) frame{withID(500, false)}, false},
 	{"rejects without an id", false, []func(string) frame{withoutID(400, true)}, false},
-	{"responses twice", true, []func(string) frame{withID(200, false), withID(200, false)}, false},
-	{"responses, then rejects", true, []func(string) frame{withID(200, false), withID(503, true)}, false},
-	{"responses, then rejects without an id", true, []func(string) frame{withID(200, false), withoutID(503, true)}, false},
-	{"responses, then fails without an id", true, []func(string) frame{withID(200, false), withoutID(500, false)}, false},
-	{"responses another one first", true, []func(string) frame{staleFrame, withID(200, false)}, false},
-	{"breaks off", true, []func(string) frame{truncatedResponse}, true},
-	{"runs and resets", true, nil, true},
-	{"resets unseen", false, nil, true},
-	{"runs without a response", true, nil, false},
+	{"responds twice", true, []func(string) frame{withID(200, false), withID(200, false)}, false},
+	{"responds, then rejects", true, []func(string) frame{withID(200, false), withID(503, true)}, false},
+	{"responds, then rejects without an id", true, []func(string) frame{withID(200, false), withoutID(503, true)}, false},
+	{"responds, then fails without an id", true, []func(string) frame{withID(200, false), withoutID(500, false)}, false},
+	{"sends a stale response first", true, []func(string) frame{staleFrame, withID(200, false)}, false},
+	{"sends a truncated response", true, []func(string) frame{truncatedResponse}, true},
+	{"runs the request, then resets", true, nil, true},
+	{"resets without running the request", false, nil, true},
+	{"runs the request without a response", true, nil, false},
 }
 
-// lateArrival is when the frames of a call that come after the first one arrive.
+// lateArrival is the time at which the frames of a call after its first one arrive.
 type lateArrival int
 
 const (
-	beforeReuse    lateArrival = iota // before the connection is put back
-	whileIdle                         // before it is checked
+	beforeReuse    lateArrival = iota // before the connection is returned to the pool
+	whileIdle                         // before the idle connection is checked
 	afterIdleCheck                    // before the response to the next call
-	afterResponse                     // after it
+	afterResponse                     // after the response to the next call
 	lateArrivals
 )
 
-// modelClient is the client's side as the code has it, or with a fault planted.
+// modelClient is a model of the client, either as implemented or with an injected fault.
 type modelClient struct {
-	trustsMissingID       bool // takes any rejection without an id for its own
-	skipsIdleCheck        bool // does not check a kept connection
-	reusesWithUnreadBytes bool // gives a connection back on which more has come
-	reusesAfterTruncation bool // gives a connection back whose response broke off
-	retriesAfterReset     bool // takes a reset to mean that the request has not run
-	retriesAfterTimeout   bool // takes a timeout to mean that
-	trustsAnyID           bool // takes a response with another id
+	trustsMissingID       bool // attributes any rejection without an id to its request
+	skipsIdleCheck        bool // does not check an idle connection before reuse
+	reusesWithUnreadBytes bool // reuses a connection on which more bytes were received
+	reusesAfterTruncation bool // reuses a connection whose response was truncated
+	retriesAfterReset     bool // treats a reset as proof that the request has not run
+	retriesAfterTimeout   bool // treats a timeout as proof that the request has not run
+	trustsAnyID           bool // accepts a response with another id
 }
 
-// modelConnection is the connection between them.
+// modelConnection is a model of the connection between client and backend.
 type modelConnection struct {
 	client modelClient
 	buffer []frame
@@ -120,14 +120,14 @@
 	reset  bool
 }
 
-// callResult is how a call ends for its caller.
+// callResult is the result of a call for its caller.
 type callResult struct {
-	responseOf  string // whose response it got; empty = none
-	notExecuted bool   // it learns that the request has not run
-	mayRetry    bool   // the client may send it again although it must not run twice
+	responseOf  string // id of the request whose response was returned; empty = none
+	notExecuted bool   // the caller is told that the request has not run
+	mayRetry    bool   // the caller may retry a request that must not run twice
 }
 
-// call plays one call to its end and reports whether the connection may be used again.
+// call simulates one call and reports whether the connection may be reused.
 func (m *modelConnection) call(id string, b behaviour) (callResult, bool) {
 	state := exchangeState{fresh: !m.used, id: id, size: 1}
 	m.used = true
@@ -163,13 +163,13 @@
 	return callResult{notExecuted: mayRetry, mayRetry: mayRetry}, false
 }
 
-// playTwoCalls plays two calls, the second on the first one's connection if that is kept. The late frames of the first arrive at
-// a point in between. It returns what is wrong.
-func playTwoCalls(client modelClient, first, second behaviour, late lateArrival) string {
+// simulateTwoCalls simulates two calls, the second on the connection of the first if that is kept. The late frames
+// of the first call arrive at the given time. It returns a description of the violation, or "" if there is none.
+func simulateTwoCalls(client modelClient, first, second behaviour, late lateArrival) string {
 	m := &modelConnection{client: client}
 	firstResult, reusable := m.call("a", first)
-	if wrong := checkResult("a", first, firstResult); wrong != "" {
-		return wrong
+	if violation := checkResult("a", first, firstResult); violation != "" {
+		return violation
 	}
 	var rest []frame
 	if len(first.responses) > 1 && first.responses[0]("a").owner == "a" {
@@ -179,7 +179,7 @@
 		m.buffer = append(m.buffer, rest...)
 	}
 	if !reusable || len(m.buffer) > 0 && !client.reusesWithUnreadBytes {
-		m = &modelConnection{client: client} // a fresh connection
+		m = &modelConnection{client: client} // a new connection
 		rest = nil
 	}
 	if late == whileIdle {
@@ -192,7 +192,7 @@
 		m.buffer = append(m.buffer, rest...)
 	}
 	if m.used && first.disconnects {
-		m.buffer = append(m.buffer, frame{"a", "a", 200, false, true}) // the rest of a response that broke off
+		m.buffer = append(m.buffer, frame{"a", "a", 200, false, true}) // the rest of a truncated response
 	}
 	secondResult, _ := m.call("b", second)
 	return checkResult("b", second, secondResult)
@@ -201,49 +201,49 @@
 func checkResult(id string, b behaviour, got callResult) string {
 	switch {
 	case got.responseOf != "" && got.responseOf != id:
-		return "call " + id + " got the response of " + got.responseOf
+		return "call " + id + " received the response to " + got.responseOf
 	case got.notExecuted && b.runs:
-		return "call " + id + " ran and is said not to have"
+		return "call " + id + " ran but is reported as not executed"
 	case got.mayRetry && b.runs:
-		return "call " + id + " ran and may be sent again"
+		return "call " + id + " ran but may be retried"
 	}
 	return ""
 }
 
-// playAllInterleavings plays all pairs of calls and returns how many there were and what went wrong.
-func playAllInterleavings(client modelClient) (played int, wrong []string) {
+// simulateAllInterleavings simulates all pairs of calls. It returns their number and the violations.
+func simulateAllInterleavings(client modelClient) (simulated int, violations []string) {
 	for _, first := range behaviours {
 		for _, second := range behaviours {
 			for late := range lateArrivals {
-				played++
-				if problem := playTwoCalls(client, first, second, late); problem != "" {
-					wrong = append(wrong, first.name+", "+second.name+": "+problem)
+				simulated++
+				if violation := simulateTwoCalls(client, first, second, late); violation != "" {
+					violations = append(violations, first.name+", "+second.name+": "+violation)
 				}
 			}
 		}
 	}
-	return played, wrong
+	return simulated, violations
 }
 
-func TestExchangesOnOneConnectionNeverGetEachOthersResponses(t *testing.T) {
-	played, wrong := playAllInterleavings(modelClient{})
-	require.Empty(t, wrong)
-	t.Logf("%d interleavings", played)
+func TestNoInterleavingMixesUpResponses(t *testing.T) {
+	simulated, violations := simulateAllInterleavings(modelClient{})
+	require.Empty(t, violations)
+	t.Logf("%d interleavings", simulated)
 }
 
-func TestInterleavingsCatchPlantedFaults(t *testing.T) {
+func TestInterleavingsDetectInjectedFaults(t *testing.T) {
 	for name, client := range map[string]modelClient{
-		"a rejection without an id is trusted":     {trustsMissingID: true},
-		"a response with another id is taken":      {trustsAnyID: true},
-		"a request is repeated after a reset":      {retriesAfterReset: true},
-		"a request is repeated after a timeout":    {retriesAfterTimeout: true},
-		"a kept connection is not checked":         {skipsIdleCheck: true, trustsMissingID: true},
-		"one on which more has come is kept":       {reusesWithUnreadBytes: true, trustsAnyID: true},
-		"one whose response broke off is put back": {reusesAfterTruncation: true, trustsAnyID: true},
-		"one that was not checked, with its rest":  {skipsIdleCheck: true, trustsAnyID: true},
+		"accepts a rejection without an id":              {trustsMissingID: true},
+		"accepts a response with another id":             {trustsAnyID: true},
+		"retries after a reset":                          {retriesAfterReset: true},
+		"retries after a timeout":                        {retriesAfterTimeout: true},
+		"skips the idle check, trusts a missing id":      {skipsIdleCheck: true, trustsMissingID: true},
+		"reuses a connection with unread bytes":          {reusesWithUnreadBytes: true, trustsAnyID: true},
+		"reuses a connection after a truncated response": {reusesAfterTruncation: true, trustsAnyID: true},
+		"skips the idle check, trusts any id":            {skipsIdleCheck: true, trustsAnyID: true},
 	} {
-		played, wrong := playAllInterleavings(client)
-		require.NotEmpty(t, wrong, name)
-		t.Logf("%s: %d of %d interleavings", name, len(wrong), played)
+		simulated, violations := simulateAllInterleavings(client)
+		require.NotEmpty(t, violations, name)
+		t.Logf("%s: %d of %d interleavings", name, len(violations), simulated)
 	}
 }
--- a/internal/fleet/backend/client.go
+++ b/internal/fleet/backend/client.go
@@ -1,6 +1,6 @@
-// Package backend is the HTTP/1.1 client of the data plane for its backends, which users call raters. It keeps connections, sends
-// one request at a time on each, and its errors say whether the backend may have run the request: the caller must know before
-// it sends one again.
+// Package backend is the data plane's HTTP/1.1 client for the backends, which users call raters. It reuses
+// connections and sends one request at a time on each. Its errors state whether the backend may have run the
+// request, because the caller must know this before a retry.
 package backend
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Client sends requests to backends and keeps their connections. It is safe for concurrent use.
+// Client sends requests to backends and reuses connections to them. It is safe for concurrent use.
 type Client struct{ pool pool }
 
 // NewClient returns a client without connections.
@@ -17,8 +17,9 @@
 // CloseIdle closes the idle connections to an address.
 func (c *Client) CloseIdle(address string) { c.pool.closeIdle(address) }
 
-// Do sends a request to an address and reads the header of its response, which the caller must close. The connection is closed
-// when the context ends, also while the body is read. All errors are of type *Error. A request is never sent again here.
+// Do sends a request to an address and reads the header of the response, which the caller must close. The
+// connection is closed when the context ends, even while the body is being read. All errors are of type *Error. Do
+// makes a single attempt.
 func (c *Client) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	conn := c.pool.get(address)
 	if conn == nil {
@@ -39,7 +40,7 @@
 	return response, nil
 }
 
-// dialDeadline returns the context's deadline, or dialTimeout from now where it has none.
+// dialDeadline returns the context's deadline, or dialTimeout from now if it has none.
 func dialDeadline(ctx context.Context) time.Time {
 	if deadline, set := ctx.Deadline(); set {
 		return deadline
--- a/internal/fleet/backend/connection.go
+++ b/internal/fleet/backend/connection.go
@@ -13,20 +13,20 @@
 // Parameters of connections.
 const (
 	dialTimeout    = 250 * time.Millisecond
-	userTimeout    = 600 * time.Millisecond // after which unacknowledged bytes end a connection
+	userTimeout    = 600 * time.Millisecond // a connection fails if sent data is unacknowledged for this long
 	readBufferSize = 4 << 10                // bytes
 )
 
-// connection is one connection to a backend. It carries one exchange at a time.
+// connection is a connection to a backend. It carries one exchange at a time.
 type connection struct {
 	net.Conn
-	reader   *bufio.Reader
-	address  string
-	used     bool      // a request was sent on it
-	useUntil time.Time // while it is idle: the backend may close it after that
+	reader    *bufio.Reader
+	address   string
+	used      bool      // a request has been sent on the connection
+	expiresAt time.Time // of an idle connection: the backend may close it after this time
 }
 
-// dial connects to an address within dialTimeout, or within a shorter time.
+// dial connects to an address. It fails after dialTimeout, or after the given time if that is shorter.
 func dial(address string, within time.Duration) (*connection, error) {
 	conn, err := transport.Dial(address, min(dialTimeout, within), userTimeout)
 	if err != nil {
@@ -35,8 +35,9 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), address: address}, nil
 }
 
-// isQuiet reports whether nothing has come on an idle connection: neither its end nor bytes that belong to no request.
-func (c *connection) isQuiet() bool {
+// hasNoPendingInput reports whether nothing has been received on an idle connection: neither the end of the stream
+// nor bytes that belong to no request.
+func (c *connection) hasNoPendingInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -44,12 +45,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	var peeked [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
+		empty = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/fleet/backend/exchange.go
+++ b/internal/fleet/backend/exchange.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// exchange sends a request and reads the header of its response. Stale responses that come before it are skipped.
+// exchange sends a request and reads the header of its response. Stale responses received before it are skipped.
 func (c *connection) exchange(request *Request) (*Response, error) {
 	message := request.encode()
 	state := exchangeState{fresh: !c.used, id: request.Header.Get(HeaderAttempt), size: len(message)}
@@ -43,8 +43,8 @@
 	}
 	received, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
-		var failed net.Error
-		if errors.As(err, &failed) || errors.Is(err, io.ErrUnexpectedEOF) {
+		var netErr net.Error
+		if errors.As(err, &netErr) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, state.errorFor(err)
 		}
 		return nil, &Error{Malformed, err}
--- a/internal/fleet/backend/exchange_test.go
+++ b/internal/fleet/backend/exchange_test.go
@@ -17,17 +17,19 @@
 	"linenwheel.dev/linenwheel/internal/loopback"
 )
 
-// script is what a stand-in backend does with the requests of one connection, one after the other.
+// script is the handling of the requests on one connection by a test backend. next reads the next request, nil at
+// the end.
 type script func(t *testing.T, conn net.Conn, next func() *http.Request)
 
-// listen starts a backend that plays a script on each connection, the first one on the first, and so on.
+// listen starts a backend that runs one script per connection, in the order of connections. It returns its
+// address.
 func listen(t *testing.T, scripts ...script) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
-		for _, play := range scripts {
+		for _, run := range scripts {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
@@ -35,7 +37,7 @@
 			go func() {
 				defer func() { _ = conn.Close() }()
 				reader := bufio.NewReader(conn)
-				play(t, conn, func() *http.Request {
+				run(t, conn, func() *http.Request {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return nil
@@ -61,7 +63,7 @@
 	return &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{HeaderAttempt: {id}}, Body: []byte("body")}
 }
 
-// doRequest sends a request and returns status, body, and whether the backend says that it has not run.
+// doRequest sends a request and returns status, body and whether the backend states that the request has not run.
 func doRequest(client *Client, address, id string) (status int, body string, notExecuted bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -81,7 +83,7 @@
 	return failed.Outcome
 }
 
-// resetConnection ends a connection with a reset.
+// resetConnection closes a connection with a TCP reset.
 func resetConnection(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
@@ -92,7 +94,7 @@
 	address := listen(t, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
 		_, _ = io.WriteString(conn, responseText("a", 200, "", "for a"))
-		next() // the second request runs, and then the first one's rejection comes
+		next() // the second request is read, then a rejection of the first one arrives
 		_, _ = io.WriteString(conn, responseText("", 503, "Not-Executed: 1\r\n", ""))
 		<-between
 	})
@@ -141,7 +143,7 @@
 	address := listen(t, func(t *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
 		_, _ = io.WriteString(conn, responseText("a", 200, "", "for a")+responseText("a", 200, "", "once more"))
-		require.Nil(t, next(), "no second request comes here")
+		require.Nil(t, next(), "the second request must use another connection")
 	}, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
 		_, _ = io.WriteString(conn, responseText("b", 200, "", "for b"))
@@ -156,19 +158,19 @@
 }
 
 func TestOutcomeWhenTheConnectionEnds(t *testing.T) {
-	for name, play := range map[string]script{
+	for name, run := range map[string]script{
 		"reset before the first byte": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
 			resetConnection(conn)
 		},
 		"closed before the first byte": func(_ *testing.T, _ net.Conn, next func() *http.Request) { next() },
-		"reset in the head": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
+		"reset within the header": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 X\r\nNot-Exec")
 			time.Sleep(20 * time.Millisecond)
 			resetConnection(conn)
 		},
-		"no response in the protocol": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
+		"bytes that are not HTTP": func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
 			_, _ = io.WriteString(conn, "this is no response\r\n\r\n")
 		},
@@ -183,7 +185,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, _, err := doRequest(NewClient(), listen(t, play), "a")
+			_, _, _, err := doRequest(NewClient(), listen(t, run), "a")
 			require.NotEqual(t, NotSent, outcomeOf(t, err))
 		})
 	}
@@ -195,9 +197,9 @@
 
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
-		"with a length":  "HTTP/1.1 200 X\r\nAttempt-Id: a\r\nContent-Length: 100\r\n\r\nhalf",
-		"in chunks":      "HTTP/1.1 200 X\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"without either": "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n\r\nhalf",
+		"with Content-Length":     "HTTP/1.1 200 X\r\nAttempt-Id: a\r\nContent-Length: 100\r\n\r\nhalf",
+		"chunked":                 "HTTP/1.1 200 X\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+		"ended by the connection": "HTTP/1.1 200 X\r\nAttempt-Id: a\r\n\r\nhalf",
 	} {
 		address := listen(t, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 			next()
@@ -215,7 +217,7 @@
 	address := listen(t, func(t *testing.T, _ net.Conn, next func() *http.Request) {
 		next()
 		close(arrived)
-		require.Nil(t, next(), "the connection ends with its request")
+		require.Nil(t, next(), "the connection is closed when the request is cancelled")
 	}, func(_ *testing.T, conn net.Conn, next func() *http.Request) {
 		next()
 		_, _ = io.WriteString(conn, responseText("b", 200, "", "for b"))
@@ -238,12 +240,12 @@
 	got := make(chan string, 1)
 	body := strings.Repeat("long ", 1<<18)
 	address := listen(t, func(_ *testing.T, conn net.Conn, _ func() *http.Request) {
-		head := make([]byte, 64)
-		_, _ = io.ReadFull(conn, head)
+		start := make([]byte, 64)
+		_, _ = io.ReadFull(conn, start)
 		_, _ = io.WriteString(conn, responseText("a", 503, "Not-Executed: 1\r\n", ""))
 		time.Sleep(50 * time.Millisecond)
-		sent, chunk := string(head), make([]byte, 64<<10)
-		_ = conn.SetReadDeadline(time.Now().Add(time.Minute)) // a busy machine may stand still for seconds
+		sent, chunk := string(start), make([]byte, 64<<10)
+		_ = conn.SetReadDeadline(time.Now().Add(time.Minute)) // a busy machine may stall for seconds
 		for !strings.HasSuffix(sent, body) {
 			n, err := conn.Read(chunk)
 			sent += string(chunk[:n])
@@ -265,7 +267,7 @@
 	_, _ = io.Copy(io.Discard, response)
 	response.Close()
 	sent := <-got
-	require.True(t, strings.HasSuffix(sent, body), "nothing else stands where the rest of the body is due")
+	require.True(t, strings.HasSuffix(sent, body), "no bytes other than the rest of the body are sent")
 }
 
 func TestErrorUnwrapsItsCause(t *testing.T) {
--- a/internal/fleet/backend/pool.go
+++ b/internal/fleet/backend/pool.go
@@ -9,34 +9,34 @@
 
 // Parameters of idle connections.
 const (
-	defaultIdleTimeout = 10 * time.Second        // for which a connection is kept where the backend states nothing
-	idleMargin         = 1200 * time.Millisecond // by which it is given up sooner than the backend does
+	defaultIdleTimeout = 10 * time.Second        // for which a connection is kept if the backend states no timeout
+	idleMargin         = 1200 * time.Millisecond // a connection expires this long before the timeout that the backend states
 	maxIdlePerBackend  = 32
-	sweepInterval      = 5 * time.Second // at which expired connections are closed, as others are put back
+	sweepInterval      = 5 * time.Second // least time between two sweeps, which put runs
 )
 
-// pool keeps idle connections; the one that was used last is used first. It is safe for concurrent use.
+// pool keeps idle connections. The one that was used last is reused first. It is safe for concurrent use.
 type pool struct {
 	mu      sync.Mutex
 	idle    map[string][]*connection // by address
 	sweptAt time.Time
 }
 
-// get returns an idle connection to an address, nil where there is none that can be used.
+// get returns a usable idle connection to an address, or nil if there is none.
 func (p *pool) get(address string) *connection {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if time.Now().Before(c.useUntil) && c.isQuiet() {
+		if time.Now().Before(c.expiresAt) && c.hasNoPendingInput() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// pop removes the last idle connection to an address and returns it, nil where there is none.
+// pop removes and returns the idle connection to an address that was used last, or nil if there is none.
 func (p *pool) pop(address string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,13 +49,13 @@
 	return c
 }
 
-// put keeps a connection for as long as the backend does, by its Keep-Alive header, less a margin.
+// put keeps an idle connection for the timeout that the backend states in its Keep-Alive header, less a margin.
 func (p *pool) put(c *connection, keepAlive string) {
 	timeout := defaultIdleTimeout
 	if stated, found := keepAliveTimeout(keepAlive); found {
 		timeout = stated - idleMargin
 	}
-	c.useUntil = time.Now().Add(timeout)
+	c.expiresAt = time.Now().Add(timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
@@ -66,7 +66,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// sweep closes the connections that have expired, once an interval. The caller holds the lock.
+// sweep closes expired connections, at most once per sweepInterval. The caller holds the lock.
 func (p *pool) sweep() {
 	now := time.Now()
 	if now.Sub(p.sweptAt) < sweepInterval {
@@ -76,7 +76,7 @@
 	for address, idle := range p.idle {
 		kept := idle[:0]
 		for _, c := range idle {
-			if now.Before(c.useUntil) {
+			if now.Before(c.expiresAt) {
 				kept = append(kept, c)
 				continue
 			}
@@ -101,7 +101,8 @@
 	}
 }
 
-// keepAliveTimeout returns the timeout of a Keep-Alive header, in whole seconds. It reports false where there is none.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header, which is in whole seconds. It returns
+// false if there is none.
 func keepAliveTimeout(header string) (time.Duration, bool) {
 	for _, parameter := range strings.Split(header, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/internal/fleet/backend/request.go
+++ b/internal/fleet/backend/request.go
@@ -8,31 +8,31 @@
 
 // Headers of the protocol between the fleet and the backends.
 const (
-	HeaderAttempt     = "Attempt-Id"      // the client\'s id of its request, the same in all attempts; responses return it
-	HeaderExpect      = "Expect-Instance" // id of the backend that the request is for
+	HeaderAttempt     = "Attempt-Id"      // the client's id of its request, the same in all attempts; responses repeat it
+	HeaderExpect      = "Expect-Instance" // id of the backend that the request is meant for
 	HeaderTenant      = "Tenant"
 	HeaderDeadline    = "Deadline-Ms"  // time left, in milliseconds
-	HeaderPriority    = "Priority"     // 0 to 9, 0 first
-	HeaderNotExecuted = "Not-Executed" // in a response: the request has not run and will not
+	HeaderPriority    = "Priority"     // 0 (highest) to 9 (lowest)
+	HeaderNotExecuted = "Not-Executed" // in a response: the request has not run and will not run
 	HeaderLoad        = "Instance-Load"
-	HeaderSeal        = "Response-Seal" // set by the backend in each successful response; one without it counts as malformed
+	HeaderSeal        = "Response-Seal" // in each successful response of a backend; a success without it counts as malformed
 	HeaderLastID      = "Last-Event-Id"
-	HeaderKey         = "Api-Key" // a client's; it does not reach backends
+	HeaderKey         = "Api-Key" // the client's API key, which is not forwarded to backends
 )
 
-// headerSizeHint is the space that is reserved for a request's header, in bytes.
+// headerSizeHint is the buffer space reserved for a request's header, in bytes.
 const headerSizeHint = 512
 
-// Request is what is sent to a backend. Its Header has no Host and no Content-Length.
+// Request is a request to a backend. Its Header must contain neither Host nor Content-Length.
 type Request struct {
 	Method string
-	Target string // as the client wrote it
+	Target string // request target as the client sent it
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// encode returns the request as bytes, with the length of its body.
+// encode returns the request in wire format. Content-Length is omitted from a GET or HEAD request without a body.
 func (r *Request) encode() []byte {
 	var buffer bytes.Buffer
 	buffer.Grow(headerSizeHint + len(r.Body))
--- a/internal/fleet/backend/response.go
+++ b/internal/fleet/backend/response.go
@@ -10,29 +10,30 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// Response is a backend's response whose body is still to be read. It must be closed, and is used by one goroutine at a time.
+// Response is a backend's response, whose body has not been read yet. It must be closed, and is not safe for
+// concurrent use.
 type Response struct {
 	Status int
 	Header http.Header
-	Load   routing.Load // as the backend stated it
+	Load   routing.Load // as stated by the backend
 	Length int64        // of the body in bytes, -1 = not stated
 
 	client        *Client
 	connection    *connection
 	body          io.ReadCloser
-	selfDelimited bool // the body's end shows without the end of the connection
-	reusable      bool // the connection may be used again after the body
+	selfDelimited bool // the body is delimited by other means than the end of the connection
+	reusable      bool // the connection may be reused once the body has been read
 	keepAlive     string
 	complete      bool        // the body was read to its end
-	stopWatching  func() bool // stops closing the connection when the context ends; false where that has happened
+	stopWatching  func() bool // keeps the end of the context from closing the connection; false if it has already done so
 }
 
-// NotExecuted reports whether the backend says that it has not run the request and will not.
+// NotExecuted reports whether the backend states that it has not run the request and will not run it.
 func (r *Response) NotExecuted() bool {
 	return r.Status == http.StatusMisdirectedRequest || r.Header.Get(HeaderNotExecuted) != ""
 }
 
-// Read reads the body. A body that breaks off ends with an error other than io.EOF.
+// Read reads the body. A truncated body ends with an error other than io.EOF.
 func (r *Response) Read(buffer []byte) (int, error) {
 	n, err := r.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
@@ -41,7 +42,8 @@
 	return n, err
 }
 
-// Close ends the use of the response. The connection is kept where the body was read to its end and nothing came after it.
+// Close releases the response. Its connection is kept for reuse if the response allows it, the body was read to
+// its end and no bytes were received after it.
 func (r *Response) Close() {
 	open := r.stopWatching()
 	if open && r.complete && r.reusable && r.connection.reader.Buffered() == 0 {
@@ -51,10 +53,10 @@
 	_ = r.connection.Close()
 }
 
-// loadFields is the number of values in Instance-Load: running, waiting, slots.
+// loadFields is the number of values in an Instance-Load header: running, waiting, slots.
 const loadFields = 3
 
-// parseLoad reads the value of an Instance-Load header. What is not well formed counts as not stated.
+// parseLoad parses the value of an Instance-Load header. A malformed value counts as not stated.
 func parseLoad(value string) routing.Load {
 	fields := strings.Split(value, ",")
 	if len(fields) != loadFields {
