--- a/internal/fleet/dataplane/configwatcher.go
+++ b/internal/fleet/dataplane/configwatcher.go
@@ -16,36 +16,46 @@
 
 // Parameters of the long poll.
 const (
-	longPollTimeout    = 700 * time.Millisecond // for which a control process may keep a poll open while nothing changes
-	startupPollTimeout = 150 * time.Millisecond // the same for a node without a configuration: it must not wait for a view to be confirmed
-	pollGrace          = 400 * time.Millisecond // beyond the poll's own timeout, after which a control process counts as unresponsive
-	maxReplyTransfer   = 5 * time.Second        // that a reply may take in all, as long as its bytes keep coming
-	maxConfirmationAge = 800 * time.Millisecond // a control process that confirmed its view longer ago is partitioned
-	avoidDuration      = 3 * time.Second        // for which a control process is not polled again after a failed poll
-	minBackoff         = 20 * time.Millisecond  // between failed polls, doubled each time
-	maxBackoff         = 200 * time.Millisecond
+	// longPollTimeout is how long a control process may hold a poll while nothing changes.
+	longPollTimeout = 700 * time.Millisecond
+	// startupPollTimeout is the same for a node without a configuration, which must not wait until a view is
+	// confirmed.
+	startupPollTimeout = 150 * time.Millisecond
+	// pollGrace is how long after the poll's own timeout a control process counts as unresponsive.
+	pollGrace = 400 * time.Millisecond
+	// maxReplyTransfer bounds the total transfer time of a reply whose bytes keep arriving.
+	maxReplyTransfer = 5 * time.Second
+	// maxConfirmationAge is the age of a view's confirmation above which the control process is taken to be
+	// partitioned.
+	maxConfirmationAge = 800 * time.Millisecond
+	// avoidDuration is how long a control process is not polled after a failed poll.
+	avoidDuration = 3 * time.Second
+	// minBackoff is the delay after a failed poll. It doubles with each further failure, up to maxBackoff.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 200 * time.Millisecond
 )
 
-// Reasons to poll another control process although this one replied.
+// Reasons to poll another control process although the polled one replied.
 var (
-	errStaleView     = errors.New("the control process cannot confirm its view")
-	errStaleRegistry = errors.New("the control process cannot confirm its registry of backends")
-	errShuttingDown  = errors.New("the control process is shutting down")
+	errStaleView     = errors.New("control process cannot confirm its view")
+	errStaleRegistry = errors.New("control process cannot confirm its registry of backends")
+	errShuttingDown  = errors.New("control process is shutting down")
 )
 
-// configWatcher follows the control plane by long poll and holds what it publishes: the configuration, the registry of backends
-// and the control plane's own members. One goroutine runs it; the other methods may be called at any time.
+// configWatcher watches the control plane by long polling and holds what it publishes: the configuration, the
+// registry of backends and the control plane's members. run is called by one goroutine; the other methods are safe
+// for concurrent use.
 type configWatcher struct {
 	node          *Node
-	table         atomic.Pointer[operator.Table] // the configuration in force, nil before the first
+	table         atomic.Pointer[operator.Table] // the current configuration, nil before the first
 	leaseEnd      atomic.Int64                   // on the node's clock, in nanoseconds
 	configured    chan struct{}                  // closed once there is a configuration
-	polledAddress atomic.Pointer[string]         // the control process that is being polled
-	nodesEstimate atomic.Int64                   // number of nodes of the data plane, as state has it, to be read without the lock
+	polledAddress atomic.Pointer[string]         // the control process being polled
+	nodesEstimate atomic.Int64                   // number of data plane nodes according to state, readable without the lock
 
 	mu         sync.Mutex
 	state      *distribution.ClientState
-	seeds      []string                 // addresses of control processes from the settings
+	seeds      []string                 // internal addresses of the control processes named in the settings
 	avoidUntil map[string]time.Duration // by address of a control process, on the node's clock
 }
 
@@ -57,7 +67,7 @@
 	return w
 }
 
-// setSeeds replaces the addresses that are polled before, and beside, the members that the control plane names.
+// setSeeds replaces the addresses that may be polled in addition to the members that the control plane publishes.
 func (w *configWatcher) setSeeds(loaded *settings.Settings) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,14 +90,15 @@
 			continue
 		}
 		sleep(ctx, time.Duration((0.5+rand.Float64())*float64(backoff)))
-		if w.table.Load() != nil { // a node that cannot serve yet keeps polling as often as it may
+		if w.table.Load() != nil { // without a configuration, polls continue at the shortest interval
 			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// chooseAddress returns the control process to poll: a random one of the chain in this node's zone, else of the chain, else of
-// the other members and the seeds. It returns "" where none is known.
+// chooseAddress returns the address of the control process to poll: a random one in this node's zone and in the
+// chain, else in the chain, else among the other members and the seeds. Addresses to avoid are skipped unless all
+// are. It returns "" if no address is known.
 func (w *configWatcher) chooseAddress() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,7 +131,8 @@
 	return w.firstAvailable(slices.Concat(sameZone, otherZones, others))
 }
 
-// firstAvailable returns the address that is avoided for the shortest time. The caller holds the lock.
+// firstAvailable returns the address that is to be avoided for the shortest time from now. The caller holds the
+// lock.
 func (w *configWatcher) firstAvailable(addresses []string) string {
 	best := ""
 	for _, address := range addresses {
@@ -131,8 +143,9 @@
 	return best
 }
 
-// poll sends one long poll and applies its reply. It returns an error where another control process should be polled next; it
-// avoids this one for a while if the node has a configuration and can afford to.
+// poll sends one long poll and applies the reply. It returns an error if another control process should be polled
+// next. In that case this one is avoided for avoidDuration if the node has a configuration; a node without one
+// cannot afford to avoid any.
 func (w *configWatcher) poll(address string) error {
 	w.mu.Lock()
 	timeout := longPollTimeout
@@ -158,8 +171,9 @@
 	return err
 }
 
-// apply takes the reply to a poll that was sent at a time of the node's clock: leases run from there. It returns an error where
-// the reply could not be applied, or where the control process says that it is not one to rely on.
+// apply applies the reply to a poll. sentAt is the time of the poll on the node's clock, from which leases run. It
+// returns an error if the reply cannot be applied, or if it states that the control process is out of date or
+// shutting down.
 func (w *configWatcher) apply(sentAt time.Duration, reply *distribution.PollReply) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -194,14 +208,14 @@
 	return nil
 }
 
-// members returns the control processes and the epoch of the view that names them.
+// members returns the control processes and the epoch of the view that lists them.
 func (w *configWatcher) members() (uint64, []distribution.ControlMember) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state.Members()
 }
 
-// nodeCount returns about how many nodes of the data plane there are, at least 1.
+// nodeCount returns the approximate number of data plane nodes, at least 1.
 func (w *configWatcher) nodeCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fleet/dataplane/golden_test.go
+++ b/internal/fleet/dataplane/golden_test.go
@@ -6,7 +6,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
 
-func TestTheStatusKeepsItsKeys(t *testing.T) {
+func TestStatusKeysAreUnchanged(t *testing.T) {
 	var body statusBody
 	wiretest.Fill(&body)
 	wiretest.JSON(t, "status.json", body)
--- a/internal/fleet/dataplane/idle.go
+++ b/internal/fleet/dataplane/idle.go
@@ -10,14 +10,14 @@
 
 // Parameters of clients' idle connections.
 const (
-	idleTimeoutFactor = 1.25 // times the configured idle timeout after which a connection is closed: clients may be a little late
+	idleTimeoutFactor = 1.25 // on the configured idle timeout, as clients may be slightly late
 	idleCheckInterval = time.Second
 )
 
-// idleConnections closes the clients' connections that have carried no request for longer than the configuration in force
-// allows. http.Server's own IdleTimeout is fixed when the server starts, while the configuration may change as it runs.
+// idleConnections closes client connections that have been idle for longer than the current configuration allows.
+// http.Server's IdleTimeout is fixed when the server starts, while the configuration may change as it runs.
 type idleConnections struct {
-	timeout func() time.Duration // from the configuration in force
+	timeout func() time.Duration // from the current configuration
 
 	mu        sync.Mutex
 	idleSince map[net.Conn]time.Time
@@ -38,7 +38,7 @@
 	delete(i.idleSince, connection)
 }
 
-// closeExpired closes the connections that have been idle for too long at a time.
+// closeExpired closes the connections that have been idle for too long at the given time.
 func (i *idleConnections) closeExpired(now time.Time) {
 	timeout := time.Duration(idleTimeoutFactor * float64(i.timeout()))
 	i.mu.Lock()
--- a/internal/fleet/dataplane/idle_test.go
+++ b/internal/fleet/dataplane/idle_test.go
@@ -18,8 +18,8 @@
 	isOpen := func() bool {
 		_ = client.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 		_, err := client.Read(make([]byte, 1))
-		var failed net.Error
-		return errors.As(err, &failed) && failed.Timeout()
+		var netErr net.Error
+		return errors.As(err, &netErr) && netErr.Timeout()
 	}
 	begin := time.Now()
 	idle.recordState(server, http.StateIdle)
@@ -28,11 +28,11 @@
 	require.True(t, isOpen())
 	idle.recordState(server, http.StateActive)
 	idle.closeExpired(begin.Add(time.Hour))
-	require.True(t, isOpen(), "it carries a request")
+	require.True(t, isOpen(), "a connection with a request in flight is not idle")
 	idle.recordState(server, http.StateIdle)
 	timeout = time.Second
 	idle.closeExpired(time.Now().Add(1200 * time.Millisecond))
-	require.True(t, isOpen(), "clients may be a little late")
+	require.True(t, isOpen(), "clients may be slightly late")
 	idle.closeExpired(time.Now().Add(1300 * time.Millisecond))
 	require.False(t, isOpen())
 	require.Empty(t, idle.idleSince)
--- a/internal/fleet/dataplane/listen_test.go
+++ b/internal/fleet/dataplane/listen_test.go
@@ -22,12 +22,13 @@
 	return address
 }
 
-// startListening starts a node's listener and returns the channel on which it comes once the node is configured.
-func startListening(t *testing.T, n *Node, accept time.Duration) <-chan net.Listener {
+// startListening calls listen in the background and returns a channel that receives the listener once the node is
+// configured.
+func startListening(t *testing.T, n *Node, acceptTimeout time.Duration) <-chan net.Listener {
 	t.Helper()
 	opened := make(chan net.Listener, 1)
 	go func() {
-		listener, err := n.listen(context.Background(), nil, accept)
+		listener, err := n.listen(context.Background(), nil, acceptTimeout)
 		if err != nil {
 			t.Error(err)
 		}
@@ -74,6 +75,6 @@
 	listener := <-opened
 	defer func() { _ = listener.Close() }()
 	client, err := net.Dial("tcp4", n.settings.Front)
-	require.NoError(t, err, "it is open again once it is configured")
+	require.NoError(t, err, "the node listens again once it is configured")
 	_ = client.Close()
 }
--- a/internal/fleet/dataplane/listener.go
+++ b/internal/fleet/dataplane/listener.go
@@ -11,20 +11,21 @@
 	"linenwheel.dev/linenwheel/internal/fleet/proxy"
 )
 
-// startupAcceptTimeout is how long a node that has just started lets clients' connections wait until it is configured. After
-// that it refuses them, so that they turn to other nodes.
+// startupAcceptTimeout is how long a node that has just started keeps client connections waiting for its first
+// configuration. After that it refuses connections, so that clients use other nodes.
 const startupAcceptTimeout = time.Second
 
-// listen opens the address for clients and returns its listener once there is a configuration. Connections that come before wait
-// in the listener's queue, for as long as accept says at most. It returns a nil listener, and no error, where the context ends
-// first, and the error of another server where that fails first.
-func (n *Node) listen(ctx context.Context, serveErrors <-chan error, accept time.Duration) (net.Listener, error) {
+// listen listens on the address for clients and returns the listener once there is a configuration. Earlier
+// connections wait in the listener's queue; after acceptTimeout the listener is closed until there is a
+// configuration. listen returns a nil listener and no error if the context ends first, and the error of another
+// server if that fails first.
+func (n *Node) listen(ctx context.Context, serveErrors <-chan error, acceptTimeout time.Duration) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", n.settings.Front)
 	if err != nil {
-		return nil, fmt.Errorf("front address: %w", err)
+		return nil, fmt.Errorf("listen on front address: %w", err)
 	}
-	refuse := time.NewTimer(accept)
-	defer refuse.Stop()
+	acceptTimer := time.NewTimer(acceptTimeout)
+	defer acceptTimer.Stop()
 	for {
 		select {
 		case <-n.watcher.configured:
@@ -32,10 +33,10 @@
 				listener, err = net.Listen("tcp4", n.settings.Front)
 			}
 			if err != nil {
-				return nil, fmt.Errorf("front address: %w", err)
+				return nil, fmt.Errorf("listen on front address: %w", err)
 			}
 			return listener, nil
-		case <-refuse.C:
+		case <-acceptTimer.C:
 			_ = listener.Close()
 			listener = nil
 		case <-ctx.Done():
@@ -46,7 +47,7 @@
 	}
 }
 
-// newServer returns the server for clients. It may be called once there is a configuration.
+// newServer returns the server for clients. It requires a configuration.
 func (n *Node) newServer(idle *idleConnections) *http.Server {
 	handler := &proxy.Handler{Config: n, Picker: n.picker, Quotas: n.quotas, Retries: n.retries, Backends: backend.NewClient(),
 		Metrics: n.metrics, Log: n.log, Closing: n.shouldCloseConnections, TimeLeft: n.timeUntilAbort}
@@ -55,7 +56,7 @@
 		ConnState: idle.recordState, MaxHeaderBytes: limits.HeaderBytes, ErrorLog: n.log.StandardLog()}
 }
 
-// countInFlight wraps a handler so that the requests in flight are counted.
+// countInFlight wraps a handler to count the requests in flight.
 func (n *Node) countInFlight(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.inFlight.Add(1)
--- a/internal/fleet/dataplane/loadreporter.go
+++ b/internal/fleet/dataplane/loadreporter.go
@@ -11,14 +11,23 @@
 
 // Parameters of load reports.
 const (
-	maxQueuedEvents       = 1024
-	announceTimeout       = 150 * time.Millisecond
-	batchInterval         = 8 * time.Millisecond // events that come this close together go out in one report
-	fleetReportsPerSecond = 1500.0               // attempts that all nodes together report: each report goes to every node
-	burstSeconds          = 1.0                  // for which a node may save up its share of the reports
-	thresholdRaise        = 1.10                 // by which a prompt that finds no credit raises the size from which on attempts are reported
-	thresholdDecay        = 0.97                 // by which one that finds credit, or that is too short while credit is full, lowers it
-	maxReported           = 4096                 // reported attempts whose ends are still to come
+	maxQueuedEvents = 1024
+	announceTimeout = 150 * time.Millisecond
+	// batchInterval is the time over which events are collected into one report.
+	batchInterval = 8 * time.Millisecond
+	// fleetReportsPerSecond bounds the attempts that all nodes together report, because each report is sent to
+	// every node.
+	fleetReportsPerSecond = 1500.0
+	// burstSeconds is the capacity of a node's credit, in seconds of its share of the reports.
+	burstSeconds = 1.0
+	// thresholdRaise is the factor by which the least size of reported prompts rises when an attempt finds no
+	// credit.
+	thresholdRaise = 1.10
+	// thresholdDecay is the factor by which that size falls when an attempt finds credit, or when its prompt is
+	// too short while the credit is at capacity.
+	thresholdDecay = 0.97
+	// maxReported bounds the attempts that are tracked because they were reported and have not ended.
+	maxReported = 4096
 )
 
 // queuedEvent is an event and the time on the node's clock at which it happened.
@@ -27,18 +36,18 @@
 	at    time.Duration
 }
 
-// loadReporter sends the events of this node's attempts to the control process that it polls, which passes them on to all other
-// nodes. What all nodes together report is bounded: the larger the fleet, the longer a prompt must be for its attempt to be
-// reported. It is safe for concurrent use.
+// loadReporter sends the events of this node's attempts to the control process that the node polls, which forwards
+// them to all other nodes. The reports of all nodes together are bounded: the larger the fleet, the longer a
+// prompt must be for its attempt to be reported. It is safe for concurrent use.
 type loadReporter struct {
 	node  *Node
 	now   func() time.Duration
-	nodes func() int64 // about how many nodes of the data plane there are
+	nodes func() int64 // returns the approximate number of data plane nodes
 	wake  chan struct{}
 
 	mu        sync.Mutex
 	queue     []queuedEvent
-	minTokens float64         // prompt size, in tokens, from which on attempts are reported
+	minTokens float64         // least prompt size, in tokens, of reported attempts
 	credit    float64         // attempts that may be reported now: a token bucket
 	creditAt  time.Duration   // when credit was last filled
 	reported  map[uint32]bool // attempts that were reported and have not ended
@@ -49,7 +58,8 @@
 		reported: map[uint32]bool{}}
 }
 
-// enqueue queues the events that are to be reported. What does not fit into the queue is dropped: it would arrive too late.
+// enqueue queues the events that should be reported. Events that do not fit into the queue are dropped: they would
+// arrive too late to be of use.
 func (r *loadReporter) enqueue(events []routing.Event) {
 	now := r.now()
 	r.mu.Lock()
@@ -68,15 +78,15 @@
 	}
 }
 
-// reportable reports whether an event goes to the other nodes: all events of an attempt do, or none. It keeps account of the
-// attempts, so it must see each event once. The caller holds the lock.
+// reportable reports whether an event should be sent to the other nodes: either all events of an attempt are, or
+// none. It tracks the reported attempts, so it must be called once for each event. The caller holds the lock.
 func (r *loadReporter) reportable(now time.Duration, event *routing.Event) bool {
 	switch event.Kind {
 	case routing.EventSent:
 		return r.admit(now, event)
 	case routing.EventFirstToken:
 		reported := r.reported[event.Attempt]
-		if !event.Long { // no event of its end follows
+		if !event.Long { // no event follows at its end
 			delete(r.reported, event.Attempt)
 		}
 		return reported
@@ -88,8 +98,8 @@
 	return true
 }
 
-// admit reports whether an attempt is to be reported, by the size of its prompt and this node's share of the fleet's reports.
-// The caller holds the lock.
+// admit decides whether an attempt is reported, by the size of its prompt and this node's share of the fleet's
+// reports. The caller holds the lock.
 func (r *loadReporter) admit(now time.Duration, event *routing.Event) bool {
 	rate := fleetReportsPerSecond / float64(r.nodes())
 	capacity := max(1, burstSeconds*rate)
@@ -114,7 +124,7 @@
 	return true
 }
 
-// drain empties the queue and returns its events in their packed form, with their ages.
+// drain empties the queue and returns its events in packed form, with their ages.
 func (r *loadReporter) drain() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +138,8 @@
 	return packed
 }
 
-// run sends reports until the context ends. One that cannot be delivered is not sent again: it would be too old.
+// run sends reports until the context ends. A report that cannot be delivered is not retried: it would be out of
+// date.
 func (r *loadReporter) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/fleet/dataplane/loadreporter_test.go
+++ b/internal/fleet/dataplane/loadreporter_test.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// newTestReporter returns the reporter of one of so many nodes, on a clock of the test.
+// newTestReporter returns the reporter of a node in a fleet of the given size, on the test's clock.
 func newTestReporter(nodes int64, clock *time.Duration) *loadReporter {
 	return &loadReporter{now: func() time.Duration { return *clock }, nodes: func() int64 { return nodes }, wake: make(chan struct{}, 1),
 		reported: map[uint32]bool{}}
@@ -57,13 +57,13 @@
 		return routing.Event{Kind: routing.EventFirstToken, Attempt: attempt, Long: true}
 	}
 	reporter.enqueue([]routing.Event{firstToken(1), firstToken(2), {Kind: routing.EventEnded, Attempt: 1}, {Kind: routing.EventFailed, Attempt: 2}})
-	require.Len(t, drainEvents(t, reporter), 2, "those of the first attempt")
+	require.Len(t, drainEvents(t, reporter), 2, "only the events of the first attempt are reported")
 	require.Empty(t, reporter.reported)
 	reporter.enqueue([]routing.Event{{Kind: routing.EventUnreachable, Backend: 1}})
-	require.Len(t, drainEvents(t, reporter), 1, "that a backend is unreachable is always reported")
+	require.Len(t, drainEvents(t, reporter), 1, "an unreachable backend is always reported")
 }
 
-func TestReportedEventsCarryTheirAge(t *testing.T) {
+func TestReportedEventsHaveTheirAge(t *testing.T) {
 	clock := time.Second
 	reporter := newTestReporter(1, &clock)
 	reporter.enqueue([]routing.Event{sent(1, 1000)})
--- a/internal/fleet/dataplane/node.go
+++ b/internal/fleet/dataplane/node.go
@@ -1,6 +1,6 @@
-// Package dataplane is the process of the data plane, linenwheel-data. It follows the control plane by long poll
-// (configWatcher), serves clients through the proxy, picks backends (picker), acquires tenants' quotas (quotaClient), reports
-// its attempts to the other nodes (loadReporter), and shuts down gracefully when the platform says so.
+// Package dataplane implements the data plane process, linenwheel-data. It watches the control plane by long
+// polling (configWatcher), serves clients through the proxy, picks backends (picker), acquires tenants' quotas
+// (quotaClient), reports its attempts to the other nodes (loadReporter), and shuts down gracefully on SIGTERM.
 package dataplane
 
 import (
@@ -21,11 +21,11 @@
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
 
-// Node is one process of the data plane. New makes it, Run runs it once; the other exported methods are safe for concurrent use.
+// Node is a data plane process. Run may be called once; the other exported methods are safe for concurrent use.
 type Node struct {
 	settings *settings.Settings
 	log      *log.Logger
-	session  uint64 // names this run of the process to the control plane, never 0
+	session  uint64 // identifies this run of the process to the control plane, never 0
 	pool     *transport.Pool
 	watcher  *configWatcher
 	picker   *picker
@@ -36,16 +36,16 @@
 
 	startedAt          time.Time
 	inFlight           atomic.Int64 // clients' requests
-	stopping           atomic.Bool  // SIGTERM has come
-	closingConnections atomic.Bool  // clients are to close their connections
-	abortAt            atomic.Int64 // on the node's clock, in nanoseconds: when a process that is stopping aborts requests in flight
+	stopping           atomic.Bool  // SIGTERM has been received
+	closingConnections atomic.Bool  // clients are asked to close their connections
+	abortAt            atomic.Int64 // when shutdown aborts requests in flight, on the node's clock, in nanoseconds
 }
 
-// New makes a process of the data plane from its settings.
+// New returns a data plane node with the given settings.
 func New(loaded *settings.Settings, logger *log.Logger) *Node {
 	n := &Node{settings: loaded, log: logger, startedAt: time.Now(), session: rand.Uint64()>>1 + 1, pool: transport.NewPool(),
 		metrics: proxy.NewMetrics()}
-	n.pool.SetEager(true) // until it is configured
+	n.pool.SetEager(true) // until there is a configuration
 	n.reporter = newLoadReporter(n)
 	n.picker = newPicker(n.now, nodeNumber(loaded.NodeName), n.reporter.enqueue)
 	n.retries = newRetryBudget(loaded.Bounds)
@@ -54,37 +54,40 @@
 	return n
 }
 
-// now returns the time on the node's monotonic clock. It starts above 0, which stands for "never".
+// now returns the time on the node's monotonic clock. The clock starts above 0, as 0 stands for "never".
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) + time.Millisecond }
 
-// nodeNumberRange bounds the numbers that nodes give themselves.
+// nodeNumberRange is the number of different node numbers.
 const nodeNumberRange = 1 << 12
 
-// nodeNumber returns a number for a node's name by which balancers of different nodes differ.
+// nodeNumber derives a number from a node's name, so that the balancers of different nodes behave differently.
 func nodeNumber(name string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return int(hash.Sum32() % nodeNumberRange)
 }
 
-// Table returns the configuration in force, nil before the first.
+// Table returns the current configuration, nil before the first.
 func (n *Node) Table() *operator.Table { return n.watcher.table.Load() }
 
-// Leased reports whether the configuration may be used now.
+// Leased reports whether the lease on the configuration is valid, that is, whether the configuration may be used
+// now.
 func (n *Node) Leased() bool { return n.now() < time.Duration(n.watcher.leaseEnd.Load()) }
 
-// ApplySettings applies a settings file that has changed while the process runs. Only the seeds take effect.
+// ApplySettings applies settings that have been reloaded while the process runs. Only changes of the seeds take
+// effect.
 func (n *Node) ApplySettings(loaded *settings.Settings) { n.watcher.setSeeds(loaded) }
 
-// Run serves until the context ends, then shuts down gracefully. It returns an error where an address cannot be listened
-// at or a server fails. Its background goroutines run until it returns, during the shutdown too: requests in flight need them.
+// Run serves until the context ends, then shuts down gracefully. It returns an error if it cannot listen on an
+// address or if a server fails. Its background goroutines run until it returns, because requests in flight need
+// them during the shutdown.
 func (n *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	serveErrors := make(chan error, 2)
 	statusListener, err := net.Listen("tcp4", n.settings.Readiness)
 	if err != nil {
-		return fmt.Errorf("readiness address: %w", err)
+		return fmt.Errorf("listen on readiness address: %w", err)
 	}
 	statusServer := &http.Server{Handler: n.readinessHandler(), ErrorLog: n.log.StandardLog()}
 	defer func() { _ = statusServer.Close() }()
@@ -100,7 +103,7 @@
 	go idle.run(background)
 	server := n.newServer(idle)
 	go func() { serveErrors <- server.Serve(listener) }()
-	n.log.Info("node serves", "front", n.settings.Front, "revision", n.Table().Revision)
+	n.log.Info("serving clients", "front", n.settings.Front, "revision", n.Table().Revision)
 	select {
 	case <-ctx.Done():
 		return n.shutdown(ctx, server)
--- a/internal/fleet/dataplane/node_test.go
+++ b/internal/fleet/dataplane/node_test.go
@@ -31,7 +31,7 @@
 			select {
 			case <-ended:
 			case <-time.After(time.Minute):
-				t.Fatal("it goes on after its context has ended")
+				t.Fatal("still running after its context has ended")
 			}
 		})
 	}
--- a/internal/fleet/dataplane/picker.go
+++ b/internal/fleet/dataplane/picker.go
@@ -10,11 +10,12 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// picker holds a balancer for each service, behind one lock and on the node's clock. It is the proxy's Picker.
+// picker implements proxy.Picker with a balancer for each service. One lock guards all balancers, which run on the
+// node's clock.
 type picker struct {
 	now    func() time.Duration
-	node   int                   // number of this node, see nodeNumber
-	report func([]routing.Event) // takes the events of this node's attempts
+	node   int                   // this node's number, see nodeNumber
+	report func([]routing.Event) // called with the events of this node's attempts
 
 	mu        sync.Mutex
 	balancers map[string]*routing.Balancer // by service
@@ -24,7 +25,7 @@
 	return &picker{now: now, node: node, report: report, balancers: map[string]*routing.Balancer{}}
 }
 
-// reportEvents hands on the events that the balancer has recorded. The caller holds the lock.
+// reportEvents reports the events that the balancer has recorded. The caller holds the lock.
 func (p *picker) reportEvents(balancer *routing.Balancer) {
 	if events := balancer.DrainEvents(); len(events) > 0 {
 		p.report(events)
@@ -34,7 +35,7 @@
 // observe applies the packed events of other nodes' attempts.
 func (p *picker) observe(packed []byte) {
 	events, err := routing.UnpackEvents(packed)
-	if err != nil { // from a control process of another version: the node goes by its own attempts
+	if err != nil { // sent by a control process of another version: the node relies on its own attempts
 		return
 	}
 	p.mu.Lock()
@@ -49,7 +50,8 @@
 	}
 }
 
-// update applies a configuration and the registry of backends. A service keeps its balancer, and what that has learned.
+// update applies a configuration and the registry of backends. A service keeps its balancer, including what that
+// has measured.
 func (p *picker) update(table *operator.Table, records []registry.Record, nodes int) {
 	if table == nil {
 		return
@@ -66,7 +68,7 @@
 		if balancer == nil {
 			target, deadline := objectives(table, service)
 			created, err := routing.NewBalancer(routing.Config{Target: target, Deadline: deadline, Nodes: nodes, Node: p.node, Seed: rand.Uint64()})
-			if err != nil { // the values above are in range
+			if err != nil { // all values above are within the valid range
 				panic(err)
 			}
 			balancer = created
@@ -76,16 +78,17 @@
 	}
 }
 
-// kvTokensOf returns how many tokens the KV cache of a service's backends holds, 0 where the configuration does not say.
-func kvTokensOf(table *operator.Table, name string) float64 {
-	if service := table.Services[name]; service != nil {
-		return service.KvTokens
+// kvTokensOf returns the capacity in tokens of the KV cache of each of a service's backends, 0 if the
+// configuration does not state it.
+func kvTokensOf(table *operator.Table, service string) float64 {
+	if found := table.Services[service]; found != nil {
+		return found.KvTokens
 	}
 	return 0
 }
 
-// ignoreWidespreadLateness clears the late flag of all backends where most of them have it: then it is the control plane that
-// does not receive their heartbeats.
+// ignoreWidespreadLateness clears the late flag of all backends if most of them have it: the cause is then
+// probably that the control plane does not receive their heartbeats.
 func ignoreWidespreadLateness(backends []routing.Backend) []routing.Backend {
 	late := 0
 	for _, backend := range backends {
@@ -102,8 +105,8 @@
 	return backends
 }
 
-// objectives returns the longest latency target and the longest timeout of the routes to a service, a second each where no route
-// leads there.
+// objectives returns the longest latency target and the longest timeout of the routes to a service, or one second
+// each if there is no route to it.
 func objectives(table *operator.Table, service string) (target, deadline time.Duration) {
 	for _, route := range table.Routes() {
 		if route.Allows(service) {
@@ -116,8 +119,8 @@
 	return target, max(target, deadline)
 }
 
-// Pick chooses a backend of a service. It returns nil where none may get the request. The request's Deadline is the time that is
-// left; Pick turns it into a time of the node's clock.
+// Pick chooses a backend of a service. It returns nil if no backend may receive the request. The request's
+// Deadline is passed as the remaining time; Pick converts it to a time on the node's clock.
 func (p *picker) Pick(service string, request *routing.Request) *routing.Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +135,7 @@
 	return attempt
 }
 
-// FirstToken records that the first token of an attempt's response has come.
+// FirstToken records that the first token of an attempt's response has been received.
 func (p *picker) FirstToken(service string, attempt *routing.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +153,7 @@
 	p.reportEvents(balancer)
 }
 
-// Unreachable records that the backend of an attempt could not be reached, and reports it to the other nodes.
+// Unreachable records that the backend of an attempt could not be reached, and reports this to the other nodes.
 func (p *picker) Unreachable(service string, attempt *routing.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,20 +162,20 @@
 	p.reportEvents(balancer)
 }
 
-// backendStatus is one backend in the status body. Its keys are those that operators have always had. What is said of all nodes
-// is that as far as their events have reached this one.
+// backendStatus is the status of a backend in statusBody. Its keys must not change, as operators' tools read them.
+// Values for all nodes include those attempts of other nodes whose events have reached this one.
 type backendStatus struct {
 	ID          string  `json:"ID"`
 	Share       float64 `json:"Share"`    // of this node's load
 	Latency     string  `json:"Latency"`  // to the first token
-	Slow        float64 `json:"Slow"`     // times slower than the others
-	Ejected     bool    `json:"Away"`     // by this node
+	Slow        float64 `json:"Slow"`     // factor by which it is slower than the others
+	Ejected     bool    `json:"Away"`     // by this node's balancer
 	InFlight    int     `json:"InFlight"` // attempts of this node
-	Prefilling  int     `json:"Reading"`  // attempts of all nodes whose first token has not come
+	Prefilling  int     `json:"Reading"`  // attempts of all nodes that wait for their first token
 	Decoding    int     `json:"Running"`  // long responses of all nodes
-	QueueDelay  string  `json:"Wait"`     // until it is done with the prompts that it has
-	Slowdown    float64 `json:"Pace"`     // times the usual time to the first token
-	FailureRate float64 `json:"Failing"`  // of its attempts, 0 to 1
+	QueueDelay  string  `json:"Wait"`     // until it has processed the prompts sent to it
+	Slowdown    float64 `json:"Pace"`     // factor on the usual time to the first token
+	FailureRate float64 `json:"Failing"`  // fraction of its attempts, 0 to 1
 }
 
 // status returns the backends of each service.
--- a/internal/fleet/dataplane/quotaclient.go
+++ b/internal/fleet/dataplane/quotaclient.go
@@ -14,44 +14,45 @@
 
 // Parameters of quota requests.
 const (
-	acquireTimeout       = 100 * time.Millisecond // of one call to a quota owner
-	returnInterval       = 500 * time.Millisecond // at which unused quota goes back to its owner
+	acquireTimeout       = 100 * time.Millisecond // of a call to a quota owner
+	returnInterval       = 500 * time.Millisecond // between returns of unused quota to the owners
 	unresponsiveTimeout  = 500 * time.Millisecond // for which an owner that did not respond is not called again
 	maxRetryAfter        = 5 * time.Second
-	maxRequestRounds     = 4                     // of calls to owner and deputy while neither says that it owns the bucket
+	maxRequestRounds     = 4                     // rounds of calls to owner and deputy while neither replies as the owner
 	requestRoundInterval = 25 * time.Millisecond // between rounds
-	maxInlineWait        = 5 * time.Millisecond  // up to which a request waits here for quota: its client's way back takes longer
+	maxInlineWait        = 5 * time.Millisecond  // longest wait for quota: a retry by the client would take longer
 )
 
-var errUnresponsive = errors.New("the control process did not respond a moment ago")
+var errUnresponsive = errors.New("control process did not respond to a recent call")
 
-// quotaClient holds this node's local buckets of the tenants' quotas and fills them from the quota owners. It is the proxy's
-// Quotas and safe for concurrent use.
+// quotaClient implements proxy.Quotas. It holds this node's local buckets of the tenants' quotas and fills them
+// from the quota owners. It is safe for concurrent use.
 type quotaClient struct {
 	node        *Node
 	callTimeout time.Duration
 
 	mu                sync.Mutex
-	buckets           map[string]*tenantBucket // by tenant; the lock guards the buckets too
+	buckets           map[string]*tenantBucket // by tenant; mu guards the buckets too
 	unresponsiveUntil map[string]time.Duration // by address of an owner, on the node's clock
 }
 
-// tenantBucket is a tenant's local bucket with the limit that it was last used under.
+// tenantBucket is a tenant's local bucket together with the newest limit that it was used under.
 type tenantBucket struct {
 	quota.LocalBucket
 	tenant   *operator.Tenant
-	revision int64 // of the configuration that tenant is from
+	revision int64 // of the configuration that contains tenant
 }
 
 func newQuotaClient(n *Node) *quotaClient {
 	return &quotaClient{node: n, callTimeout: acquireTimeout, buckets: map[string]*tenantBucket{}, unresponsiveUntil: map[string]time.Duration{}}
 }
 
-// Acquire takes an amount of a tenant's quota: from the local bucket, else from the quota owner, else from the owner's deputy,
-// else from this node's even share of the limit. Where the owner will have enough within maxInlineWait it is called once more:
-// the bucket of an owner that has just started may be empty though the tenant is far below its limit.
+// Acquire takes an amount of a tenant's quota from the local bucket, else from the quota owner, else from the
+// owner's deputy, else from this node's even share of the limit. If the owner will have enough units within
+// maxInlineWait, it is called once more: the bucket of an owner that has just started may be empty although the
+// tenant is far below its limit.
 //
-// It reports whether the amount was acquired and, where it was not, after how long the client should retry.
+// Acquire reports whether the amount was acquired and, if not, after how long the client should retry.
 func (c *quotaClient) Acquire(ctx context.Context, tenant *operator.Tenant, revision int64, amount float64, urgent bool) (bool, time.Duration) {
 	for retried := false; ; retried = true {
 		now := c.node.now()
@@ -79,7 +80,8 @@
 	}
 }
 
-// acquireGranted adds an owner's grant to a bucket and reports whether the amount could then be taken from it.
+// acquireGranted adds an owner's grant to a bucket, tries to take the amount from it and reports whether that
+// succeeded.
 func (c *quotaClient) acquireGranted(bucket *tenantBucket, granted, amount float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,8 +89,9 @@
 	return bucket.TryAcquire(c.node.now(), amount)
 }
 
-// waitInline waits and reports whether it did. It does not where the time is longer than maxInlineWait or than the request has
-// left, and stops when the request's context ends.
+// waitInline waits for the given time and reports whether it did so completely. It returns false at once if the
+// time exceeds maxInlineWait or is not less than the time until the context's deadline, and as soon as the context
+// ends.
 func waitInline(ctx context.Context, wait time.Duration) bool {
 	deadline, limited := ctx.Deadline()
 	if wait > maxInlineWait || limited && wait >= time.Until(deadline) {
@@ -104,9 +107,9 @@
 	}
 }
 
-// requestGrant calls the owner, and its deputy where the owner does not respond. While the ownership moves between two processes
-// that are both up, neither grants for some milliseconds: then both are called again. The reply's Owner is false where no
-// owner was found.
+// requestGrant calls the owner, and its deputy if the owner grants nothing because it does not respond or no
+// longer owns the bucket. While ownership moves between two running processes, neither grants units for some
+// milliseconds: then both are called again. The reply's Owner is false if no owner was found.
 func (c *quotaClient) requestGrant(request *quota.AcquireRequest) quota.AcquireReply {
 	for round := range maxRequestRounds {
 		reply, responded := c.requestFromChain(request)
@@ -118,7 +121,8 @@
 	return quota.AcquireReply{}
 }
 
-// requestFromChain calls owner and deputy once each. It also reports whether any of them responded.
+// requestFromChain calls the owner and then its deputy, at most once each. It also reports whether any of them
+// responded.
 func (c *quotaClient) requestFromChain(request *quota.AcquireRequest) (reply quota.AcquireReply, responded bool) {
 	chain := c.chain()
 	current := *request
@@ -138,7 +142,8 @@
 	return quota.AcquireReply{}, responded
 }
 
-// requestFrom calls one control process. It returns errUnresponsive at once where that did not respond a moment ago.
+// requestFrom calls one control process. It returns errUnresponsive at once if that process did not respond to a
+// call within the last unresponsiveTimeout.
 func (c *quotaClient) requestFrom(address string, request *quota.AcquireRequest) (quota.AcquireReply, error) {
 	c.mu.Lock()
 	unresponsive := c.node.now() < c.unresponsiveUntil[address]
@@ -165,7 +170,7 @@
 	return bucket.TryAcquireFallback(c.node.now(), tenant.Rate, nodes, amount), unresponsiveTimeout
 }
 
-// Refund gives back what was acquired for a request that has not run.
+// Refund returns units that were acquired for a request that has not run to the local bucket.
 func (c *quotaClient) Refund(tenant *operator.Tenant, amount float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,7 +179,7 @@
 	}
 }
 
-// bucket returns a tenant's bucket and brings its limit up to date. The caller holds the lock.
+// bucket returns a tenant's bucket and updates its limit. The caller holds the lock.
 func (c *quotaClient) bucket(tenant *operator.Tenant, revision int64) *tenantBucket {
 	bucket := c.buckets[tenant.Name]
 	if bucket == nil {
@@ -187,7 +192,8 @@
 	return bucket
 }
 
-// chain returns the addresses of the control plane's chain, as far as this node knows it. Quota owners are chosen among them.
+// chain returns the addresses of the control plane's chain, as known to this node. Quota owners are chosen among
+// them.
 func (c *quotaClient) chain() []string {
 	_, members := c.node.watcher.members()
 	var chain []string
@@ -199,8 +205,8 @@
 	return chain
 }
 
-// run returns unused quota to its owners at every interval until the context ends. What cannot be returned is lost to the tenant
-// until its bucket fills again.
+// run returns unused quota to the owners at every returnInterval until the context ends. Units that cannot be
+// returned are lost to the tenant until its bucket has filled again.
 func (c *quotaClient) run(ctx context.Context) {
 	every(ctx, returnInterval, func(time.Time) {
 		for _, request := range c.collectUnused() {
@@ -210,7 +216,7 @@
 	})
 }
 
-// collectUnused empties the buckets of what was granted and not used and returns the requests that give it back.
+// collectUnused removes unused units from the buckets and returns the requests that return them to the owners.
 func (c *quotaClient) collectUnused() []quota.AcquireRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/dataplane/quotaclient_test.go
+++ b/internal/fleet/dataplane/quotaclient_test.go
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/transport"
 )
 
-// Owner is a quota owner as a node calls it. It is exported for net/rpc.
+// Owner is a test quota owner that a node calls. It is exported because net/rpc requires it.
 type Owner struct {
 	reply func(*quota.AcquireRequest) quota.AcquireReply
 
@@ -26,7 +26,7 @@
 	granted float64
 }
 
-// Take replies as the test says and counts.
+// Take replies with the result of reply, and counts the calls and the units granted.
 func (o *Owner) Take(request *quota.AcquireRequest, reply *quota.AcquireReply) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// counts returns how often the owner was called and what it granted.
+// counts returns the number of calls and the units granted.
 func (o *Owner) counts() (calls int, granted float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -45,7 +45,8 @@
 
 var tenant = &operator.Tenant{Name: "t", Rate: 1e6, Burst: 1e6}
 
-// newOwnedClient returns the client of a node whose quota owner replies like this.
+// newOwnedClient returns the quota client of a node, and the quota owner that it calls, which replies with the
+// result of reply.
 func newOwnedClient(t *testing.T, reply func(*quota.AcquireRequest) quota.AcquireReply) (*quotaClient, *Owner) {
 	t.Helper()
 	owner := &Owner{reply: reply}
@@ -61,11 +62,11 @@
 	return n.quotas, owner
 }
 
-// Guards against a client rejected because the bucket of an owner that has just started is empty, and against more granted than
-// the limit allows.
+// Guards against the rejection of a request because the bucket of an owner that has just started is empty, and
+// against grants of more than the limit allows.
 func TestAcquireRetriesOnceWhileTheOwnersBucketFills(t *testing.T) {
 	var startedAt time.Time
-	bucket := quota.NewOwner(quota.Tolerance{}) // which starts empty
+	bucket := quota.NewOwner(quota.Tolerance{}) // its buckets start empty
 	client, owner := newOwnedClient(t, func(request *quota.AcquireRequest) quota.AcquireReply {
 		if startedAt.IsZero() {
 			startedAt = time.Now()
@@ -81,11 +82,11 @@
 	require.GreaterOrEqual(t, granted, 940.0)
 }
 
-// Guards against a wait that is too long, goes beyond the request's time, or is followed by another one.
+// Guards against a wait that is too long, exceeds the request's remaining time, or is followed by another wait.
 func TestAcquireWaitsInlineOnlyForAShortTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait  time.Duration
-		left  time.Duration // of the request's time
+		left  time.Duration // until the request's deadline
 		calls int
 	}{
 		"short":              {maxInlineWait, time.Hour, 2},
@@ -102,14 +103,14 @@
 			defer cancel()
 			ok, wait := client.Acquire(ctx, tenant, 1, 940, false)
 			require.False(t, ok)
-			require.Equal(t, min(c.wait, maxRetryAfter), wait, "the client learns when to retry")
+			require.Equal(t, min(c.wait, maxRetryAfter), wait, "the client is told when to retry")
 			calls, _ := owner.counts()
 			require.Equal(t, c.calls, calls)
 		})
 	}
 }
 
-// Guards against an owner called on behalf of a client that has disconnected.
+// Guards against another call to the owner after the client has disconnected.
 func TestInlineWaitEndsWithTheRequest(t *testing.T) {
 	ctx, disconnect := context.WithCancel(t.Context())
 	client, owner := newOwnedClient(t, func(*quota.AcquireRequest) quota.AcquireReply {
--- a/internal/fleet/dataplane/retrybudget.go
+++ b/internal/fleet/dataplane/retrybudget.go
@@ -6,17 +6,19 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// Fractions of the fleet's retry budget that are used. Nodes know nothing of each other's retries, so each keeps to its share.
+// Fractions of the fleet's retry budget that are used. Nodes do not know of each other's retries, so each stays
+// within its share.
 const (
 	ratioFraction = 0.5
 	slackFraction = 0.4
 )
 
-// retryBudget bounds the retries to each service: a token bucket in which each first attempt deposits a fraction of a retry, and
-// which holds no more than this node's share of the slack. It is safe for concurrent use.
+// retryBudget implements proxy.RetryBudget: it bounds the retries to each service by a token bucket. Each first
+// attempt deposits a fraction of a retry, and the bucket holds no more than this node's share of the slack. It is
+// safe for concurrent use.
 type retryBudget struct {
-	ratio float64 // retries earned by a first attempt
-	slack float64 // retries that all nodes together may save up
+	ratio float64 // retries deposited by a first attempt
+	slack float64 // retries that all nodes together may accumulate
 
 	mu     sync.Mutex
 	nodes  int
@@ -35,10 +37,10 @@
 	b.nodes = max(1, nodes)
 }
 
-// maxTokens returns what a service's bucket holds at most. The caller holds the lock.
+// maxTokens returns the capacity of a service's bucket. The caller holds the lock.
 func (b *retryBudget) maxTokens() float64 { return max(1, b.slack/float64(b.nodes)) }
 
-// Deposit records the first attempt of a request. A service's first request finds a full bucket.
+// Deposit records the first attempt of a request. A service's bucket starts full.
 func (b *retryBudget) Deposit(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,7 +51,7 @@
 	b.tokens[service] = min(tokens+b.ratio, b.maxTokens())
 }
 
-// TryWithdraw reports whether a retry may be made, and takes it from the budget.
+// TryWithdraw takes a retry from the budget and reports whether the retry may be made.
 func (b *retryBudget) TryWithdraw(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fleet/dataplane/shutdown.go
+++ b/internal/fleet/dataplane/shutdown.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Parameters of the graceful shutdown, counted from the signal. New connections stop coming once the platform has seen twice
-// that the node is not ready; then idle connections are closed, and requests in flight may finish until shortly before the
-// platform kills the process, Bounds.Grace after the signal.
+// Parameters of the graceful shutdown, counted from the signal. New connections stop arriving once the platform
+// has observed twice that the node is not ready. Then idle connections are closed, and requests in flight may
+// finish until shortly before the platform kills the process, Bounds.Grace after the signal.
 const (
-	notReadyDuration     = 3200 * time.Millisecond // for which the node goes on accepting connections
-	connectionCloseDelay = 1200 * time.Millisecond // after which clients are asked to close theirs
-	killMargin           = 400 * time.Millisecond  // before the kill, when requests in flight are aborted
+	notReadyDuration     = 3200 * time.Millisecond // for which the node continues to accept connections
+	connectionCloseDelay = 1200 * time.Millisecond // after which clients are asked to close their connections
+	killMargin           = 400 * time.Millisecond  // before the kill: requests in flight are aborted this early
 )
 
-// timeUntilAbort reports whether the process is stopping and, if so, how long requests in flight may still take.
+// timeUntilAbort reports whether the process is shutting down and, if so, how long requests in flight may still
+// take.
 func (n *Node) timeUntilAbort() (left time.Duration, stopping bool) {
 	return time.Duration(n.abortAt.Load()) - n.now(), n.stopping.Load()
 }
 
-// shutdown stops the server gracefully. The context, which has ended, gives its values only.
+// shutdown stops the server gracefully. The context has ended and is used for its values only.
 func (n *Node) shutdown(ctx context.Context, server *http.Server) error {
 	begin := time.Now()
 	n.abortAt.Store(int64(n.now() + n.settings.Bounds.Grace - killMargin))
--- a/internal/fleet/dataplane/status.go
+++ b/internal/fleet/dataplane/status.go
@@ -8,34 +8,34 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// A node whose lease runs out because it does not reach the control plane sends its clients elsewhere before it must reject
-// them: with this fraction of Bounds.Revoke left it is no longer ready, and then no longer keeps clients' connections.
+// A node whose lease is expiring because it cannot reach the control plane makes its clients use other nodes
+// before it has to reject their requests. The fractions are of Bounds.Revoke.
 const (
-	readyLeaseFraction     = 0.55
-	keepAliveLeaseFraction = 0.35
+	readyLeaseFraction     = 0.55 // with less of the lease left, the node is not ready
+	keepAliveLeaseFraction = 0.35 // with less of the lease left, the node does not keep client connections open
 )
 
-// leaseRemaining returns how long the configuration may still be used, negative where the lease has run out.
+// leaseRemaining returns how long the configuration may still be used. It is negative if the lease has expired.
 func (n *Node) leaseRemaining() time.Duration {
 	return time.Duration(n.watcher.leaseEnd.Load()) - n.now()
 }
 
-// hasLease reports whether more than a fraction of Bounds.Revoke is left of the lease.
+// hasLease reports whether more than the given fraction of Bounds.Revoke is left of the lease.
 func (n *Node) hasLease(fraction float64) bool {
 	return n.leaseRemaining() > time.Duration(fraction*float64(n.settings.Bounds.Revoke))
 }
 
-// ready reports whether the platform may hand new connections to this node.
+// ready reports whether the platform may send new connections to this node.
 func (n *Node) ready() bool {
 	return !n.stopping.Load() && n.Table() != nil && n.hasLease(readyLeaseFraction)
 }
 
-// shouldCloseConnections reports whether clients are to close their connections.
+// shouldCloseConnections reports whether clients should be asked to close their connections.
 func (n *Node) shouldCloseConnections() bool {
 	return n.closingConnections.Load() || !n.hasLease(keepAliveLeaseFraction)
 }
 
-// readinessHandler serves the address that the platform and the operators ask.
+// readinessHandler handles readiness checks of the platform and status requests of operators.
 func (n *Node) readinessHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/-/readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -47,20 +47,20 @@
 	return router
 }
 
-// statusBody is the body of /-/status. Its keys are those that operators have always had.
+// statusBody is the body of /-/status. Its keys must not change, as operators' tools read them.
 type statusBody struct {
 	Node           string                     `json:"Node"`
 	Ready          bool                       `json:"Ready"`
-	Revision       int64                      `json:"Revision"` // of the configuration in force, 0 = none
+	Revision       int64                      `json:"Revision"` // of the current configuration, 0 = none
 	LeaseRemaining string                     `json:"LeaseLeft"`
 	Epoch          uint64                     `json:"Epoch"`   // of the control plane's view
-	InFlight       int64                      `json:"Active"`  // clients' requests
-	Rejected       map[string]int             `json:"Refused"` // requests without a backend's response, by kind of error
-	Forwarded      map[int]int                `json:"Passed"`  // backends' responses, by status
+	InFlight       int64                      `json:"Active"`  // client requests
+	Rejected       map[string]int             `json:"Refused"` // without a complete response of a backend, by kind of error
+	Forwarded      map[int]int                `json:"Passed"`  // forwarded responses of backends, by status
 	Services       map[string][]backendStatus `json:"Services"`
 }
 
-// serveStatus writes the statusBody.
+// serveStatus responds with the node's statusBody.
 func (n *Node) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	body := statusBody{Node: n.settings.NodeName, Ready: n.ready(), InFlight: n.inFlight.Load(), Services: n.picker.status()}
 	if table := n.Table(); table != nil {
--- a/internal/fleet/dataplane/timing.go
+++ b/internal/fleet/dataplane/timing.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// every calls a function with the current time at each interval until the context ends.
+// every calls tick with the current time at each interval until the context ends.
 func every(ctx context.Context, interval time.Duration, tick func(now time.Time)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
