--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -13,23 +13,23 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// maxUnsent bounds the attempts of one request to which no byte was sent.
-const maxUnsent = 4
+// maxUnsentAttempts bounds the attempts of a request in which no byte was sent to the backend.
+const maxUnsentAttempts = 4
 
-// attemptResult is what is to be done after an attempt.
+// attemptResult determines what follows an attempt.
 type attemptResult uint8
 
 const (
-	attemptDone      attemptResult = iota // the client has its response
+	attemptDone      attemptResult = iota // the client has received its response
 	attemptRetryable                      // another backend may be tried
 	attemptFailed                         // no further attempt may be made
 )
 
-// serve makes attempts until the client has a response or no further one may be made.
+// serve makes attempts until the client has received its response or no further attempt may be made.
 func (e *exchange) serve(ctx context.Context) {
 	e.handler.Retries.Deposit(e.service)
 	lastErr := errkind.New(errkind.NoBackend, "")
-	for unsent := 0; unsent < maxUnsent; {
+	for unsent := 0; unsent < maxUnsentAttempts; {
 		attempt := e.pick()
 		if attempt == nil {
 			break
@@ -52,13 +52,15 @@
 			break
 		}
 	}
-	if e.mayHaveRun && lastErr.Kind.Response().NotExecuted { // the last attempt did not run the request, an earlier one may have
+	// Although the last attempt did not run the request, an earlier one may have.
+	if e.mayHaveRun && lastErr.Kind.Response().NotExecuted {
 		lastErr = errkind.New(errkind.BackendLost, "")
 	}
 	e.reject(lastErr)
 }
 
-// pick returns the next attempt, nil where there is no backend for it, no time, or no client.
+// pick returns the next attempt. It returns nil if no backend can be picked, the deadline has passed or the client
+// has disconnected.
 func (e *exchange) pick() *routing.Attempt {
 	if time.Until(e.deadline) <= 0 || e.clientDisconnected() {
 		return nil
@@ -73,8 +75,8 @@
 	return e.handler.Picker.Pick(e.service, request)
 }
 
-// withdrawRetry reports whether a request that has reached a backend may be sent to another one, and takes the retry from the
-// budget.
+// withdrawRetry reports whether a request that has reached a backend may be sent to another one. If so, it takes
+// the retry from the budget.
 func (e *exchange) withdrawRetry() bool {
 	if e.mayHaveRun && !e.route.Idempotent() {
 		return false
@@ -82,7 +84,8 @@
 	return e.attempts < e.route.MaxAttempts && time.Until(e.deadline) > 0 && e.handler.Retries.TryWithdraw(e.service)
 }
 
-// send sends the request to an attempt's backend and forwards the response. The error is nil where the client has its response.
+// send sends the request to an attempt's backend and forwards the response. The error is nil if the client has
+// received its response.
 func (e *exchange) send(ctx context.Context, attempt *routing.Attempt) (attemptResult, *errkind.Error) {
 	if e.tenant != nil && !e.handler.Config.Leased() {
 		e.reportDone(attempt, decide.NotSent, routing.Load{})
@@ -99,7 +102,7 @@
 	if response.NotExecuted() {
 		e.reportDone(attempt, decide.Full, response.Load)
 		if response.Status == http.StatusMisdirectedRequest {
-			return attemptRetryable, errkind.New(errkind.Rejected, "another backend has the address")
+			return attemptRetryable, errkind.New(errkind.Rejected, "the address belongs to another backend")
 		}
 		return attemptRetryable, errkind.New(errkind.Rejected, "")
 	}
@@ -111,8 +114,8 @@
 	return e.forward(ctx, attempt, response)
 }
 
-// handleError decides what follows an attempt that brought no response, by what the error says of whether the request may have
-// run.
+// handleError decides what follows an attempt that received no response. The decision depends on whether the
+// request may have run according to the error.
 func (e *exchange) handleError(ctx context.Context, attempt *routing.Attempt, err error) (attemptResult, *errkind.Error) {
 	outcome := backend.MayHaveRun
 	var failed *backend.Error
@@ -143,7 +146,7 @@
 	return attemptRetryable, errkind.New(errkind.BackendLost, "")
 }
 
-// handleNotSent decides what follows an attempt to which no byte was sent.
+// handleNotSent decides what follows an attempt in which no byte was sent to the backend.
 func (e *exchange) handleNotSent(ctx context.Context, attempt *routing.Attempt) (attemptResult, *errkind.Error) {
 	result := decide.NoConnect
 	if ctx.Err() != nil {
@@ -159,7 +162,7 @@
 	return attemptRetryable, errkind.New(errkind.NoBackend, "")
 }
 
-// deadlineKind returns the kind of error of a request whose deadline has passed while no attempt was in flight.
+// deadlineKind returns the kind of error for a request whose deadline passed while no attempt was in flight.
 func (e *exchange) deadlineKind() errkind.Kind {
 	if e.mayHaveRun {
 		return errkind.DeadlineExceededInFlight
@@ -167,7 +170,7 @@
 	return errkind.DeadlineExceeded
 }
 
-// reportDone ends an attempt with the picker. It is called once for each.
+// reportDone reports the end of an attempt to the picker. It is called exactly once for each attempt.
 func (e *exchange) reportDone(attempt *routing.Attempt, result routing.Result, load routing.Load) {
 	e.handler.Picker.Done(e.service, attempt, result, load)
 }
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -15,7 +15,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// exchange is the state of one client's request and its response. Only the goroutine that serves the request uses it.
+// exchange is the state of a client's request and its response. Only the goroutine that serves the request uses
+// it.
 type exchange struct {
 	handler    *Handler
 	writer     http.ResponseWriter
@@ -24,23 +25,23 @@
 
 	// Set by prepare.
 	route    *operator.Route
-	tenant   *operator.Tenant // nil where the route needs none
+	tenant   *operator.Tenant // nil if the route requires none
 	service  string
 	deadline time.Time
 	body     []byte
 	prompt   prompt
-	acquired float64 // of the tenant's quota, and not refunded
+	acquired float64 // units of the tenant's quota, not refunded
 
 	// Set by the attempts.
-	pickedAt   time.Time // when the last backend was picked
+	pickedAt   time.Time // when the latest backend was picked
 	excluded   []string  // ids of the backends of earlier attempts
-	attempts   int       // that reached a backend
-	mayHaveRun bool      // one of them may have run the request
+	attempts   int       // number that reached a backend
+	mayHaveRun bool      // at least one of them may have run the request
 	stream     streamState
 }
 
-// prepare finds route and tenant, reads the body, draws the service and acquires quota, which reject gives back. An error is an
-// *errkind.Error that says why the request is rejected.
+// prepare finds route and tenant, reads the body, chooses the service at random and acquires quota, which reject
+// refunds. A returned error is an *errkind.Error with the reason for which the request must be rejected.
 func (e *exchange) prepare(ctx context.Context) error {
 	table := e.handler.Config.Table()
 	if table == nil {
@@ -65,14 +66,15 @@
 	return e.acquireQuota(ctx, table)
 }
 
-// mayOutliveProcess reports whether the process may end before the request's deadline: another node can give the complete
-// response. How long responses have taken so far is no guide, as the long ones are not known before they have ended.
+// mayOutliveProcess reports whether the process may exit before the request's deadline. Such a request is
+// rejected, as another node can return the complete response. The durations of earlier responses are not used as
+// an estimate, as those of long responses become known only at their end.
 func (e *exchange) mayOutliveProcess() bool {
 	left, stopping := e.handler.TimeLeft()
 	return stopping && time.Until(e.deadline) > left
 }
 
-// pathOf returns the path of a request target as the client wrote it, without decoding.
+// pathOf returns the path of a request target as the client sent it, without decoding.
 func pathOf(target string) string {
 	if rest, found := strings.CutPrefix(target, "http://"); found {
 		if slash := strings.IndexByte(rest, '/'); slash >= 0 {
@@ -85,7 +87,7 @@
 	return path
 }
 
-// authenticate finds the tenant by the request's API key, where the route needs one.
+// authenticate finds the tenant by the request's API key, if the route requires one.
 func (e *exchange) authenticate(table *operator.Table) error {
 	if !table.HasTenant || e.route.Anonymous {
 		return nil
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// setDeadline sets the deadline to the route's timeout or, if that is sooner, the time that the client states in milliseconds.
+// setDeadline sets the deadline from the route's timeout or, if shorter, the timeout in milliseconds that the
+// client states.
 func (e *exchange) setDeadline() {
 	timeout := e.route.Timeout
 	stated, err := strconv.ParseFloat(e.request.Header.Get(backend.HeaderDeadline), 64)
@@ -114,7 +117,8 @@
 	e.deadline = e.receivedAt.Add(timeout)
 }
 
-// readBody reads the body, of at most so many bytes, as it may have to be sent more than once.
+// readBody reads the whole body, which may have at most limit bytes, because it may have to be sent more than
+// once.
 func (e *exchange) readBody(limit int64) error {
 	if e.request.ContentLength > limit {
 		return errkind.New(errkind.TooLarge, "")
--- a/internal/fleet/proxy/handler_test.go
+++ b/internal/fleet/proxy/handler_test.go
@@ -37,7 +37,8 @@
 "Limits":{"MaxBodyBytes":1000},
 "Tenants":[{"Name":"t1","ApiKeys":["key"],"RatePerS":100,"Burst":100,"Unit":"token_count","PlainTokens":7,"Priority":1}]}`
 
-// fixture is a handler before emulated backends. It is the handler's configuration, picker, quotas and retry budget too.
+// fixture is a handler with emulated backends. It also implements the handler's configuration, picker, quotas and
+// retry budget.
 type fixture struct {
 	table    *operator.Table
 	leased   bool
@@ -47,15 +48,15 @@
 	handler *Handler
 
 	mu          sync.Mutex
-	left        time.Duration // until the process stops; 0 = it does not
+	left        time.Duration // until requests are aborted; 0 = the process is not shutting down
 	nextBackend int
 	acquired    float64
 	overQuota   bool
 	results     []routing.Result
 
-	quotaWaits   bool      // Acquire waits as long as its context lasts, and then denies
-	waitDeadline time.Time // of that context
-	waitErr      error     // with which it ended
+	quotaWaits   bool      // Acquire waits until its context ends and then denies the request
+	waitDeadline time.Time // of the context passed to Acquire
+	waitErr      error     // error with which that context ended
 }
 
 func (f *fixture) Table() *operator.Table { return f.table }
@@ -67,7 +68,7 @@
 	return f.left, f.left > 0
 }
 
-// Pick takes the backends in turn, but for those that are excluded.
+// Pick picks the backends in turn, except for those that are excluded.
 func (f *fixture) Pick(_ string, request *routing.Request) *routing.Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +142,7 @@
 	return f
 }
 
-// clientResponse is what a client got.
+// clientResponse is the response that a client received.
 type clientResponse struct {
 	status   int
 	header   http.Header
@@ -177,7 +178,7 @@
 	return runs
 }
 
-// events returns the body of an emulated stream from one event to another.
+// events returns the body of an emulated stream between two events, both included.
 func events(from, to int) string {
 	var text strings.Builder
 	for id := from; id <= to; id++ {
@@ -202,9 +203,9 @@
 	require.Equal(t, "POST /unsafe/x/y 4", got.body)
 	require.Equal(t, f.backends[0].Seal("a1"), got.header.Get("Response-Seal"))
 	seen := f.backends[0].Requests()[0]
-	require.Equal(t, "t1", seen.Get("Tenant"), "the tenant is the key's")
+	require.Equal(t, "t1", seen.Get("Tenant"), "the tenant is determined by the key")
 	require.Empty(t, seen.Get("Api-Key"), "the key is not forwarded")
-	require.Equal(t, "1", seen.Get("Priority"), "a tenant's rank goes before the route's")
+	require.Equal(t, "1", seen.Get("Priority"), "a tenant's priority overrides the route's")
 	require.Equal(t, "r0", seen.Get("Expect-Instance"))
 	require.Equal(t, "kept", seen.Get("X-Own"))
 	require.Empty(t, seen.Get("X-Hop"))
@@ -214,8 +215,8 @@
 	require.InDelta(t, 14, f.acquired, 1e-9, "a request without Token-Usage counts as PlainTokens")
 }
 
-// The deadline that a backend gets is no later than the client's own, and what is left of it on a retry.
-func TestBackendGetsTheRemainingDeadline(t *testing.T) {
+// The deadline sent to a backend is not later than the client's own. In a retry it is the time remaining.
+func TestBackendReceivesTheRemainingDeadline(t *testing.T) {
 	f := newFixture(t, 2)
 	f.backends[0].SetFault(engine.Resets)
 	f.backends[0].SetDelay(150 * time.Millisecond)
@@ -231,7 +232,7 @@
 	f.send(t, "/unsafe/x", nil)
 	bounded, err := strconv.Atoi(f.backends[0].Requests()[1].Get("Deadline-Ms"))
 	require.NoError(t, err)
-	require.LessOrEqual(t, bounded, 400, "the route's timeout goes before a longer deadline of the client")
+	require.LessOrEqual(t, bounded, 400, "the route's timeout bounds the client's deadline")
 }
 
 func TestUnresponsiveBackendIsAbandonedAtTheRouteTimeout(t *testing.T) {
@@ -240,7 +241,7 @@
 	begin := time.Now()
 	got := f.send(t, "/unsafe/x", nil)
 	require.Equal(t, http.StatusGatewayTimeout, got.status)
-	require.Less(t, time.Since(begin), 900*time.Millisecond, "400 ms, and no more than half a second beyond")
+	require.Less(t, time.Since(begin), 900*time.Millisecond, "the timeout of 400 ms, exceeded by less than half a second")
 }
 
 func TestStreamIsForwardedEventByEvent(t *testing.T) {
@@ -253,28 +254,28 @@
 
 func TestStoppingProcessRejectsRequestsItMayHaveToAbort(t *testing.T) {
 	f := newFixture(t, 1)
-	require.Equal(t, http.StatusOK, f.send(t, "/stream/plain/5", nil).status, "it is not stopping")
+	require.Equal(t, http.StatusOK, f.send(t, "/stream/plain/5", nil).status, "the process is not shutting down")
 	f.left = time.Second
 	rejected := f.send(t, "/stream/plain/5", nil)
-	require.Equal(t, http.StatusServiceUnavailable, rejected.status, "its client waits for two seconds")
+	require.Equal(t, http.StatusServiceUnavailable, rejected.status, "the client's deadline is in two seconds")
 	require.NotEmpty(t, rejected.header.Get("Retry-After"))
-	require.Equal(t, 1, f.runs("a1"), "it has not run again")
-	require.Equal(t, http.StatusOK, f.send(t, "/unsafe/x", nil).status, "its route's timeout ends before")
+	require.Equal(t, 1, f.runs("a1"), "the rejected request has not run")
+	require.Equal(t, http.StatusOK, f.send(t, "/unsafe/x", nil).status, "the route's timeout ends before the process")
 	f.left = 3 * time.Second
-	require.Equal(t, http.StatusOK, f.send(t, "/stream/plain/5", nil).status, "there is time enough")
+	require.Equal(t, http.StatusOK, f.send(t, "/stream/plain/5", nil).status, "the deadline is before the end of the process")
 }
 
-func TestBrokenStreamResumesAtAnotherBackend(t *testing.T) {
+func TestTruncatedStreamResumesAtAnotherBackend(t *testing.T) {
 	f := newFixture(t, 2)
 	f.backends[0].SetFault(engine.BreaksOff)
 	got := f.send(t, "/stream/resumed/6", nil)
-	require.Equal(t, events(1, 6), got.body, "no event is missing or twice")
+	require.Equal(t, events(1, 6), got.body, "no event is missing or duplicated")
 	require.True(t, got.complete)
-	require.Equal(t, f.backends[0].Seal("a1"), got.header.Get("Response-Seal"), "header and seal are the first backend's")
+	require.Equal(t, f.backends[0].Seal("a1"), got.header.Get("Response-Seal"), "header and seal are those of the first backend")
 	require.Equal(t, "2", f.backends[1].Requests()[0].Get("Last-Event-Id"))
 }
 
-func TestBrokenStreamWithoutResumeIsVisiblyTruncated(t *testing.T) {
+func TestTruncatedStreamWithoutResumeIsVisibleToTheClient(t *testing.T) {
 	f := newFixture(t, 2)
 	f.backends[0].SetFault(engine.BreaksOff)
 	got := f.send(t, "/stream/plain/6", nil)
@@ -292,16 +293,16 @@
 		retryAfter  bool
 		description string
 	}{
-		{engine.Sheds, "/unsafe/", 200, 1, false, "what was shed may go elsewhere"},
-		{engine.Sheds, "/once/", 503, 0, true, "where only one attempt is allowed, the client learns that it has not run"},
-		{engine.Resets, "/unsafe/", 502, 1, false, "it may have run, so it is not sent again"},
+		{engine.Sheds, "/unsafe/", 200, 1, false, "a request that was shed may be sent to another backend"},
+		{engine.Sheds, "/once/", 503, 0, true, "only one attempt is allowed: the client is told that the request has not run"},
+		{engine.Resets, "/unsafe/", 502, 1, false, "the request may have run, so it is not retried"},
 		{engine.Resets, "/safe/", 200, 2, false, "a safe request may run again"},
-		{engine.Garbles, "/unsafe/", 502, 1, false, "bytes that are no response"},
+		{engine.Garbles, "/unsafe/", 502, 1, false, "the bytes received are not a response"},
 		{engine.Garbles, "/safe/", 200, 2, false, ""},
 		{engine.Unsealed, "/unsafe/", 502, 1, false, "a success counts only with its seal"},
-		{engine.Fails, "/unsafe/", 500, 1, false, "the backend's own failure is forwarded"},
+		{engine.Fails, "/unsafe/", 500, 1, false, "an error response of the backend is forwarded"},
 		{engine.Fails, "/safe/", 200, 2, false, ""},
-		{engine.Silent, "/unsafe/", 504, 1, false, "until the route's timeout"},
+		{engine.Silent, "/unsafe/", 504, 1, false, "the route's timeout ends the attempt"},
 		{engine.AnswersBefore, "/unsafe/", 200, 1, false, "the response to another request is skipped"},
 		{engine.AnswersTwice, "/unsafe/", 200, 1, false, ""},
 	} {
@@ -313,7 +314,7 @@
 			require.Equal(t, test.runs, f.runs("a1"))
 			require.Equal(t, test.retryAfter, got.header.Get("Retry-After") != "")
 			if got.status != http.StatusOK && got.status != http.StatusInternalServerError {
-				require.Empty(t, got.header.Get("Response-Seal"), "a rejection carries no backend's seal")
+				require.Empty(t, got.header.Get("Response-Seal"), "a rejection has no seal of a backend")
 			}
 			if test.fault == engine.AnswersBefore || test.fault == engine.AnswersTwice {
 				require.Equal(t, "yours", got.body)
@@ -366,13 +367,13 @@
 			require.Equal(t, test.retryAfter, got.header.Get("Retry-After") != "")
 			if test.status != http.StatusOK {
 				require.Zero(t, f.runs("a1"))
-				require.Zero(t, f.acquired, "the quota of what did not run is refunded")
+				require.Zero(t, f.acquired, "the quota of a request that did not run is refunded")
 			}
 		})
 	}
 }
 
-// Guards against a request that waits for quota beyond its deadline, or after its client has disconnected.
+// Guards against waiting for quota beyond the request's deadline, or after its client has disconnected.
 func TestQuotaWaitEndsWithTheRequest(t *testing.T) {
 	f := newFixture(t, 1)
 	f.quotaWaits = true
@@ -400,11 +401,11 @@
 	r.ContentLength = int64(len(body))
 }
 
-func TestRefusedConnectionIsNoAttempt(t *testing.T) {
+func TestRefusedConnectionDoesNotCountAsAttempt(t *testing.T) {
 	f := newFixture(t, 2)
 	f.backends[0].Close()
 	got := f.send(t, "/once/", nil)
-	require.Equal(t, http.StatusOK, got.status, "a refused connection is not an attempt")
+	require.Equal(t, http.StatusOK, got.status, "the only attempt is made at the other backend")
 }
 
 func TestMisdirectedRequestDoesNotRun(t *testing.T) {
@@ -417,7 +418,8 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 }
 
-// exchangeRaw writes bytes to the handler's server and returns all that comes back until it closes the connection.
+// exchangeRaw writes text to the handler's server and returns all bytes received until the server closes the
+// connection.
 func (f *fixture) exchangeRaw(t *testing.T, text string) string {
 	t.Helper()
 	connection, err := net.Dial("tcp4", f.server.Listener.Addr().String())
@@ -443,7 +445,7 @@
 	}
 }
 
-func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+func TestResponsesToPipelinedRequestsAreInOrder(t *testing.T) {
 	f := newFixture(t, 1)
 	request := func(id, last string) string {
 		return "POST /unsafe/" + id + " HTTP/1.1\r\nHost: h\r\nAttempt-Id: " + id + "\r\nApi-Key: key\r\nContent-Length: 2\r\n" + last + "\r\nab"
@@ -473,7 +475,7 @@
 	require.Eventually(t, func() bool {
 		running, _ := f.backends[0].Engine().Load()
 		return running == 0
-	}, 5*time.Second, time.Millisecond, "the backend's connection is closed too")
+	}, 5*time.Second, time.Millisecond, "the connection to the backend is closed too")
 	require.Equal(t, 1, f.runs("a1"))
 }
 
--- a/internal/fleet/proxy/headers.go
+++ b/internal/fleet/proxy/headers.go
@@ -11,23 +11,25 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// hopHeaders concern a single connection and are not forwarded.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
+// hopByHopHeaders are the hop-by-hop headers. They concern a single connection and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// internalRequestHeaders are set by the data plane alone: what a client sends in them does not reach a backend.
+// internalRequestHeaders are set by the data plane only: the values that a client sends are not forwarded to
+// backends.
 var internalRequestHeaders = []string{backend.HeaderKey, backend.HeaderTenant, backend.HeaderExpect, backend.HeaderPriority, backend.HeaderDeadline}
 
-// internalResponseHeaders are those of a backend's response that are for the data plane alone.
+// internalResponseHeaders are headers of a backend's response for the data plane only. They are not forwarded to
+// the client.
 var internalResponseHeaders = []string{"Instance-Id", backend.HeaderLoad, backend.HeaderNotExecuted}
 
-// lowestPriority is the last rank that a backend knows; 0 is the highest priority.
+// lowestPriority is the lowest priority that backends support; 0 is the highest.
 const lowestPriority = 9
 
-// upstreamRequest returns the request as an attempt's backend gets it, with the time that is left.
+// upstreamRequest returns the request for an attempt's backend, with the time remaining until the deadline.
 func (e *exchange) upstreamRequest(attempt *routing.Attempt) *backend.Request {
 	header := e.request.Header.Clone()
-	deleteHopHeaders(header)
+	deleteHopByHopHeaders(header)
 	for _, name := range internalRequestHeaders {
 		header.Del(name)
 	}
@@ -44,23 +46,23 @@
 	return &backend.Request{Method: e.request.Method, Target: e.request.RequestURI, Host: e.request.Host, Header: header, Body: e.body}
 }
 
-// priority returns the request's rank: the tenant's if it has one, else the route's.
+// priority returns the request's priority: the tenant's if it has one, otherwise the route's.
 func (e *exchange) priority() int {
-	rank := e.route.Priority
+	priority := e.route.Priority
 	if e.tenant != nil && e.tenant.HasPriority {
-		rank = e.tenant.Priority
+		priority = e.tenant.Priority
 	}
-	return min(max(rank, 0), lowestPriority)
+	return min(max(priority, 0), lowestPriority)
 }
 
-// deleteHopHeaders deletes the headers of a single connection, also those that the Connection header names.
-func deleteHopHeaders(header http.Header) {
+// deleteHopByHopHeaders deletes the hop-by-hop headers, including those that the Connection header names.
+func deleteHopByHopHeaders(header http.Header) {
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
@@ -70,7 +72,7 @@
 	header := e.writer.Header()
 	closing := header.Get("Connection")
 	for name, values := range response.Header {
-		if !slices.Contains(hopHeaders, name) && !slices.Contains(internalResponseHeaders, name) {
+		if !slices.Contains(hopByHopHeaders, name) && !slices.Contains(internalResponseHeaders, name) {
 			header[name] = values
 		}
 	}
@@ -81,7 +83,7 @@
 		header.Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
 	if header.Get("Content-Type") == "" {
-		header["Content-Type"] = nil // keeps http.Server from guessing one from the body
+		header["Content-Type"] = nil // prevents http.Server from detecting a type from the body
 	}
 	e.writer.WriteHeader(response.Status)
 	e.stream.headerWritten = true
--- a/internal/fleet/proxy/metrics.go
+++ b/internal/fleet/proxy/metrics.go
@@ -14,26 +14,26 @@
 	forwarded map[int]int // by status
 }
 
-// NewMetrics returns counters at 0.
+// NewMetrics returns Metrics with all counters at 0.
 func NewMetrics() *Metrics {
 	return &Metrics{rejected: map[errkind.Kind]int{}, forwarded: map[int]int{}}
 }
 
-// CountRejected counts a request that ended without a complete response of a backend.
+// CountRejected counts a request that ended without a complete response from a backend.
 func (m *Metrics) CountRejected(kind errkind.Kind) {
 	m.mu.Lock()
 	m.rejected[kind]++
 	m.mu.Unlock()
 }
 
-// CountForwarded counts a backend's response that was forwarded, by its status.
+// CountForwarded counts a forwarded response of a backend by its status.
 func (m *Metrics) CountForwarded(status int) {
 	m.mu.Lock()
 	m.forwarded[status]++
 	m.mu.Unlock()
 }
 
-// Counts returns the rejected requests by kind of error and the forwarded responses by status.
+// Counts returns the numbers of rejected requests by kind of error and of forwarded responses by status.
 func (m *Metrics) Counts() (rejected map[string]int, forwarded map[int]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/proxy/prompt.go
+++ b/internal/fleet/proxy/prompt.go
@@ -6,31 +6,31 @@
 	"strings"
 )
 
-// Headers in which a client describes a request to a model.
+// Headers with which a client describes a request to a model.
 const (
-	headerUsage  = "Token-Usage"   // tokens of the prompt, most tokens generated
-	headerPrefix = "Prompt-Prefix" // blocks of the prompt from its start, each id:tokens
+	headerUsage  = "Token-Usage"   // tokens of the prompt, maximum number of generated tokens
+	headerPrefix = "Prompt-Prefix" // blocks of the prompt from its start, each in the form id:tokens
 )
 
 // Parameters of prompts.
 const (
-	prefillBaseTokens = 4000 // fixed part of the cost of the first token, as the tokens whose prefill costs as much
-	minLongOutput     = 100  // generated tokens from which on a response lasts long after its first token
+	prefillBaseTokens = 4000 // fixed part of the cost of the first token, in prefilled tokens
+	minLongOutput     = 100  // generated tokens at or above which a response takes long after its first token
 	maxTokens         = 1e9  // larger numbers count as not stated
 )
 
-// prompt is what a request states of its prompt. Numbers that are not stated are 0.
+// prompt is the description of a prompt in a request's headers. Numbers that are not stated are 0.
 type prompt struct {
 	inputTokens  float64 // of the prompt
-	outputTokens float64 // generated at most
-	prefix       string  // id of the last block that other requests share, "" = none
+	outputTokens float64 // maximum number of generated tokens
+	prefix       string  // id of the last block that may be shared with other requests, "" = none
 	ownTokens    float64 // of the last block
 }
 
-// usage returns the tokens that the request takes of a quota, 0 = not stated.
+// usage returns the tokens that the request uses of a token quota, 0 = not stated.
 func (p *prompt) usage() float64 { return p.inputTokens + p.outputTokens }
 
-// cost returns the expected work of the backend, in prefilled tokens, 0 = not known.
+// cost returns the expected work of the backend, in prefilled tokens, 0 = unknown.
 func (p *prompt) cost() float64 {
 	if p.inputTokens == 0 {
 		return 0
@@ -38,10 +38,10 @@
 	return p.ownTokens + prefillBaseTokens
 }
 
-// long reports whether the response lasts long after its first token.
+// long reports whether the response takes long after its first token.
 func (p *prompt) long() bool { return p.outputTokens >= minLongOutput }
 
-// parsePrompt reads a prompt's description from a request's header. What is not well formed counts as not stated.
+// parsePrompt parses the description of a prompt from a request's header. Malformed parts count as not stated.
 func parsePrompt(header http.Header) prompt {
 	var p prompt
 	input, output, _ := strings.Cut(header.Get(headerUsage), ",")
@@ -56,13 +56,13 @@
 	return p
 }
 
-// parsePrefixBlock reads a block of the form id:tokens.
+// parsePrefixBlock parses a block of the form id:tokens.
 func parsePrefixBlock(text string) (id string, tokens float64) {
 	id, size, _ := strings.Cut(strings.TrimSpace(text), ":")
 	return id, parseTokens(size)
 }
 
-// parseTokens reads a number of tokens, 0 where there is none.
+// parseTokens parses a number of tokens. It returns 0 if the text is not a valid number.
 func parseTokens(text string) float64 {
 	tokens, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || tokens < 0 || tokens > maxTokens {
--- a/internal/fleet/proxy/quota.go
+++ b/internal/fleet/proxy/quota.go
@@ -7,8 +7,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// acquireQuota takes the request from its tenant's quota: as one request, or as the tokens that it states. It returns an error
-// of kind OverQuota, with the Retry-After header set, where there is not enough.
+// acquireQuota acquires the tenant's quota for the request: one request, or the number of tokens that it states.
+// If the quota is insufficient, it sets the Retry-After header and returns an error of kind OverQuota.
 func (e *exchange) acquireQuota(ctx context.Context, table *operator.Table) error {
 	if e.tenant == nil || e.tenant.Rate <= 0 {
 		return nil
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// refundQuota gives back what was acquired for a request that certainly has not run.
+// refundQuota refunds the quota that was acquired, provided that the request has certainly not run.
 func (e *exchange) refundQuota() {
 	if e.acquired > 0 && !e.mayHaveRun {
 		e.handler.Quotas.Refund(e.tenant, e.acquired)
--- a/internal/fleet/proxy/reject.go
+++ b/internal/fleet/proxy/reject.go
@@ -17,8 +17,8 @@
 	retryDelayFraction = 0.15 // of the route's latency target, added to minRetryAfter
 )
 
-// reject ends a request without a backend's response. Where a response has begun it panics with http.ErrAbortHandler, so that
-// the client does not take it for complete.
+// reject ends a request without a complete response from a backend. If a response has begun, it panics with
+// http.ErrAbortHandler, so that the client does not mistake the response for a complete one.
 func (e *exchange) reject(err error) {
 	kind := errkind.KindOf(err)
 	e.handler.Metrics.CountRejected(kind)
@@ -42,8 +42,8 @@
 	_, _ = io.WriteString(e.writer, response.Text+"\n")
 }
 
-// retryDelay returns after how long a rejected client should retry: soon enough to meet the latency target, and spread by a random
-// factor of 0.5 to 1.5 so that clients do not return all at once.
+// retryDelay returns after how long a rejected client should retry: soon enough to meet the latency target, with a
+// random factor of 0.5 to 1.5 so that clients do not all retry at the same time.
 func (e *exchange) retryDelay() time.Duration {
 	delay := minRetryAfter
 	if e.route != nil {
@@ -52,7 +52,7 @@
 	return time.Duration((0.5 + rand.Float64()) * float64(delay))
 }
 
-// retryAfter returns the value of a Retry-After header: seconds with three decimals, minRetryAfter at least.
+// retryAfter returns the value of a Retry-After header: seconds with three decimals, at least minRetryAfter.
 func retryAfter(delay time.Duration) string {
 	return strconv.FormatFloat(max(delay, minRetryAfter).Seconds(), 'f', 3, 64)
 }
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -16,40 +16,40 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// chunkSize is the most that is read from a backend at once, in bytes.
+// chunkSize is the maximum size of a read from a backend, in bytes.
 const chunkSize = 16 << 10
 
-// eventEnd ends a server-sent event.
+// eventEnd terminates a server-sent event.
 var eventEnd = []byte("\n\n")
 
-// streamState is how far a response has been forwarded, over all attempts.
+// streamState is the progress of forwarding a response, over all attempts.
 type streamState struct {
 	headerWritten   bool
-	started         bool   // the first part of a body has come
-	lastEventID     string // of the last event that the client has, "" = none
+	started         bool   // the first part of a body has been received
+	lastEventID     string // of the last event written to the client, "" = none
 	lastEventNumber int64  // lastEventID as a number
 
-	lastChunkAt      time.Time        // when the last part of a body came
-	lastChunkAttempt *routing.Attempt // whose body that was
+	lastChunkAt      time.Time        // when the latest part of a body was received
+	lastChunkAttempt *routing.Attempt // whose body that part belongs to
 }
 
-// clientError says that the client takes no more of its response.
+// clientError reports that writing the response to the client failed.
 type clientError struct{ err error }
 
-func (e *clientError) Error() string { return "write to the client: " + e.err.Error() }
+func (e *clientError) Error() string { return "write to client: " + e.err.Error() }
 
 func (e *clientError) Unwrap() error { return e.err }
 
-// resumable reports whether a response that breaks off may be continued by another backend.
+// resumable reports whether a truncated response may be continued by another backend.
 func (e *exchange) resumable() bool {
 	return e.route.Type == operator.Streaming && e.route.Resume
 }
 
-// forward forwards a backend's response to the client as it comes, and ends the attempt.
+// forward forwards a backend's response to the client and ends the attempt.
 func (e *exchange) forward(ctx context.Context, attempt *routing.Attempt, response *backend.Response) (attemptResult, *errkind.Error) {
 	if response.Status < http.StatusMultipleChoices && response.Header.Get(backend.HeaderSeal) == "" {
 		e.reportDone(attempt, decide.Failed, response.Load)
-		return attemptRetryable, errkind.New(errkind.MalformedResponse, "a success without its seal")
+		return attemptRetryable, errkind.New(errkind.MalformedResponse, "successful response without a Response-Seal header")
 	}
 	var err error
 	switch {
@@ -63,7 +63,7 @@
 	return e.finishForward(ctx, attempt, response, err)
 }
 
-// finishForward ends an attempt whose response was forwarded, completely or up to an error.
+// finishForward ends an attempt whose response was forwarded completely or up to err.
 func (e *exchange) finishForward(ctx context.Context, attempt *routing.Attempt, response *backend.Response, err error) (attemptResult, *errkind.Error) {
 	var clientFailed *clientError
 	switch {
@@ -101,8 +101,9 @@
 	}
 }
 
-// recordChunk records that a part of a body has come, and a pause before it that is longer than the route's gap target. The time
-// from the last part of one backend's body to the first part of another's is no pause of either.
+// recordChunk records that a part of a body was received, and whether it followed a pause longer than the route's
+// gap target. The time from the last part of one backend's body to the first part of another's is not attributed
+// to either as a pause.
 func (e *exchange) recordChunk(attempt *routing.Attempt) {
 	now := time.Now()
 	if e.route.GapTarget > 0 && e.stream.lastChunkAttempt == attempt && now.Sub(e.stream.lastChunkAt) > e.route.GapTarget {
@@ -111,7 +112,8 @@
 	e.stream.lastChunkAt, e.stream.lastChunkAttempt = now, attempt
 }
 
-// forwardBuffered reads a response to its end before the client gets any of it: one that breaks off can be replaced by another.
+// forwardBuffered reads the complete response before any of it is written to the client, so that a truncated
+// response can be replaced by that of another attempt.
 func (e *exchange) forwardBuffered(attempt *routing.Attempt, response *backend.Response) error {
 	body, err := io.ReadAll(response)
 	if err != nil {
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// forwardChunks forwards bytes as they come.
+// forwardChunks forwards bytes as they are received.
 func (e *exchange) forwardChunks(attempt *routing.Attempt, response *backend.Response) error {
 	chunk := make([]byte, chunkSize)
 	for {
@@ -146,7 +148,8 @@
 	}
 }
 
-// writeBody writes a part of a body to the client, after the header where that has not been written, and flushes it.
+// writeBody writes a part of a body to the client and flushes it. It writes the header first if that has not been
+// done.
 func (e *exchange) writeBody(response *backend.Response, data []byte) error {
 	if !e.stream.headerWritten {
 		e.writeHeader(response)
@@ -160,7 +163,8 @@
 	return nil
 }
 
-// finishBody writes what is left of a complete body, and at least the header.
+// finishBody writes the rest of a complete body. It writes the header if that has not been done, even if the body
+// is empty.
 func (e *exchange) finishBody(response *backend.Response, rest []byte) error {
 	if len(rest) > 0 {
 		return e.writeBody(response, rest)
@@ -171,8 +175,8 @@
 	return nil
 }
 
-// forwardEvents forwards complete server-sent events, each once: a response that breaks off within an event is continued by
-// another backend after the last complete one.
+// forwardEvents forwards complete server-sent events, each exactly once. A response that is truncated within an
+// event is continued by another backend after the last complete event.
 func (e *exchange) forwardEvents(attempt *routing.Attempt, response *backend.Response) error {
 	var buffered []byte
 	chunk := make([]byte, chunkSize)
@@ -197,7 +201,7 @@
 	}
 }
 
-// writeNewEvents writes the events that the client does not have yet.
+// writeNewEvents writes the events that have not been written to the client yet.
 func (e *exchange) writeNewEvents(response *backend.Response, events []byte) error {
 	var fresh []byte
 	for len(events) > 0 {
@@ -218,7 +222,8 @@
 	return e.writeBody(response, fresh)
 }
 
-// parseEventID returns the id of an event, which is a number that rises along the stream. It reports false where there is none.
+// parseEventID returns the id of an event, which is a number that increases along the stream. It returns false if
+// there is none.
 func parseEventID(event []byte) (id string, number int64, found bool) {
 	for line := range bytes.Lines(event) {
 		value, isID := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/fleet/proxy/stream_test.go
+++ b/internal/fleet/proxy/stream_test.go
@@ -11,7 +11,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// newPausingExchange returns an exchange on a route with a gap target, and the balancer and the attempt of its first backend.
+// newPausingExchange returns an exchange on a route with a gap target, its balancer and its first attempt.
 func newPausingExchange(t *testing.T) (*exchange, *routing.Balancer, *routing.Attempt) {
 	t.Helper()
 	balancer, err := routing.NewBalancer(routing.Config{Target: time.Second, Deadline: time.Minute})
@@ -24,13 +24,13 @@
 	return balancer.Pick(time.Second, &routing.Request{Prefix: "k", OwnTokens: 100, Long: true, Deadline: time.Hour, Exclude: exclude})
 }
 
-// recordChunkAfter records a part of an attempt's body that comes a time after the one before it.
+// recordChunkAfter records a part of an attempt's body that follows the previous one after a pause.
 func (e *exchange) recordChunkAfter(pause time.Duration, attempt *routing.Attempt) {
 	e.stream.lastChunkAt = time.Now().Add(-pause)
 	e.recordChunk(attempt)
 }
 
-// endOf ends an attempt and returns the kind of the event that reports this.
+// endOf ends an attempt and returns the kind of the event that reports the end.
 func endOf(balancer *routing.Balancer, attempt *routing.Attempt, result routing.Result) routing.EventKind {
 	balancer.Done(2*time.Second, attempt, result, routing.Load{})
 	events := balancer.DrainEvents()
@@ -49,8 +49,9 @@
 	}
 }
 
-// The client waits while a broken stream is continued by another backend, which has not paused.
-func TestPauseBeforeAResumedStreamIsNotItsBackends(t *testing.T) {
+// The client waits while another backend continues a truncated stream. That backend must not be charged with the
+// pause.
+func TestPauseBeforeAResumedStreamIsNotRecorded(t *testing.T) {
 	e, balancer, broken := newPausingExchange(t)
 	e.recordChunk(broken)
 	require.Equal(t, routing.EventFailed, endOf(balancer, broken, decide.Reset))
