--- a/internal/fleet/dataplane/listener.go
+++ b/internal/fleet/dataplane/listener.go
@@ -50,7 +50,7 @@
 // newServer returns the server for clients. It requires a configuration.
 func (n *Node) newServer(idle *idleConnections) *http.Server {
 	handler := &proxy.Handler{Config: n, Picker: n.picker, Quotas: n.quotas, Retries: n.retries, Backends: backend.NewClient(),
-		Metrics: n.metrics, Log: n.log, Closing: n.shouldCloseConnections, TimeLeft: n.timeUntilAbort}
+		Metrics: n.metrics, Log: n.log, ShouldCloseConnections: n.shouldCloseConnections, TimeUntilAbort: n.timeUntilAbort}
 	limits := n.Table().Limits
 	return &http.Server{Handler: n.countInFlight(handler), ReadHeaderTimeout: 2 * limits.HeaderTimeout, IdleTimeout: -1,
 		ConnState: idle.recordState, MaxHeaderBytes: limits.HeaderBytes, ErrorLog: n.log.StandardLog()}
--- a/internal/fleet/proxy/exchange.go
+++ b/internal/fleet/proxy/exchange.go
@@ -70,7 +70,7 @@
 // rejected, as another node can return the complete response. The durations of earlier responses are not used as
 // an estimate, as those of long responses become known only at their end.
 func (e *exchange) mayOutliveProcess() bool {
-	left, stopping := e.handler.TimeLeft()
+	left, stopping := e.handler.TimeUntilAbort()
 	return stopping && time.Until(e.deadline) > left
 }
 
--- a/internal/fleet/proxy/handler.go
+++ b/internal/fleet/proxy/handler.go
@@ -73,19 +73,19 @@
 	Backends *backend.Client
 	Metrics  *Metrics
 	Log      *log.Logger
-	// Closing reports whether clients should be asked to close their connections, as the node will soon stop
-	// serving them.
-	Closing func() bool
-	// TimeLeft reports whether the process is shutting down and, if so, how long requests in flight may still
-	// take.
-	TimeLeft func() (left time.Duration, stopping bool)
+	// ShouldCloseConnections reports whether clients should be asked to close their connections, as the node will
+	// soon stop serving them.
+	ShouldCloseConnections func() bool
+	// TimeUntilAbort reports whether the process is shutting down and, if so, how long requests in flight may
+	// still take.
+	TimeUntilAbort func() (left time.Duration, stopping bool)
 }
 
 // ServeHTTP serves one request. It panics with http.ErrAbortHandler if a response that has begun cannot be
 // completed.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e := &exchange{handler: h, writer: w, request: r, receivedAt: time.Now()}
-	if h.Closing() {
+	if h.ShouldCloseConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	ctx := r.Context()
--- a/internal/fleet/proxy/handler_test.go
+++ b/internal/fleet/proxy/handler_test.go
@@ -134,7 +134,7 @@
 		f.backends = append(f.backends, emulated)
 	}
 	handler := &Handler{Config: f, Picker: f, Quotas: f, Retries: f, Backends: backend.NewClient(), Metrics: NewMetrics(),
-		Log: log.New(io.Discard), Closing: func() bool { return false }, TimeLeft: f.timeLeft}
+		Log: log.New(io.Discard), ShouldCloseConnections: func() bool { return false }, TimeUntilAbort: f.timeLeft}
 	f.handler = handler
 	f.server = httptest.NewServer(handler)
 	f.server.Config.ErrorLog = log.New(io.Discard).StandardLog()
