--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -13,8 +13,8 @@
 	"github.com/magiconair/properties"
 )
 
-// Variable is the name of the environment variable that holds the path of the settings file.
-const Variable = "LINENWHEEL_SETTINGS"
+// PathVariable is the name of the environment variable that holds the path of the settings file.
+const PathVariable = "LINENWHEEL_SETTINGS"
 
 // DefaultPath is the path of the settings file if the environment variable is unset or empty.
 const DefaultPath = "/etc/linenwheel/boot.conf"
@@ -97,7 +97,7 @@
 
 // Path returns the path of the settings file, from the environment variable or DefaultPath.
 func Path() string {
-	if path := os.Getenv(Variable); path != "" {
+	if path := os.Getenv(PathVariable); path != "" {
 		return path
 	}
 	return DefaultPath
