--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -21,9 +21,9 @@
 func (n *Node) newMachine(stored replica.Stored) (*replica.Machine, error) {
 	set := n.settings
 	seeds := seedAddresses(set)
-	if stored.Self.Address != set.SelfInternal() {
-		stored = replica.Stored{Self: replica.Member{Address: set.SelfInternal(), Incarnation: randomID(), Domain: set.FailureDomain()}}
-		stored.Founder = set.Bootstrap && slices.Contains(seeds, set.SelfInternal())
+	if stored.Self.Address != set.OwnInternalAddress() {
+		stored = replica.Stored{Self: replica.Member{Address: set.OwnInternalAddress(), Incarnation: randomID(), Domain: set.FailureDomain()}}
+		stored.Founder = set.Bootstrap && slices.Contains(seeds, set.OwnInternalAddress())
 		if stored.Founder {
 			stored.Founders = seeds
 		}
--- a/internal/fleet/controlplane/gossip.go
+++ b/internal/fleet/controlplane/gossip.go
@@ -58,7 +58,7 @@
 	return &gossiper{
 		node:             n,
 		started:          n.now(),
-		zones:            map[string]string{n.settings.SelfInternal(): n.settings.Zone},
+		zones:            map[string]string{n.settings.OwnInternalAddress(): n.settings.Zone},
 		registryOwners:   map[string]uint64{},
 		registryVersions: map[string]uint64{},
 		lastCalls:        map[string]time.Duration{},
@@ -175,7 +175,7 @@
 	n := g.node
 	began := n.now()
 	g.mu.Lock()
-	request := ExchangeRequest{Address: n.settings.SelfInternal(), Zone: n.settings.Zone, Records: records,
+	request := ExchangeRequest{Address: n.settings.OwnInternalAddress(), Zone: n.settings.Zone, Records: records,
 		Owner: g.registryOwners[address], Since: g.registryVersions[address]}
 	g.mu.Unlock()
 	var reply ExchangeReply
--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -106,7 +106,7 @@
 // Run serves until the context ends, then leaves the control plane in order. It returns an error where an address cannot be
 // listened at, or where a listener fails while the process serves.
 func (n *Node) Run(ctx context.Context) error {
-	internal, err := transport.Listen(ctx, n.settings.SelfInternal())
+	internal, err := transport.Listen(ctx, n.settings.OwnInternalAddress())
 	if err != nil {
 		return fmt.Errorf("internal port: %w", err)
 	}
@@ -123,7 +123,7 @@
 	go n.replicator.Run()
 	stopLoops := n.startLoops(context.WithoutCancel(ctx))
 	defer stopLoops()
-	n.log.Info("control process started", "control", n.settings.Control, "internal", n.settings.SelfInternal())
+	n.log.Info("control process started", "control", n.settings.Control, "internal", n.settings.OwnInternalAddress())
 	select {
 	case <-ctx.Done():
 		return n.leave(ctx, server, internal)
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -183,8 +183,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPort))
 }
 
-// SelfInternal returns the address for internal calls on this machine.
-func (s *Settings) SelfInternal() string {
+// OwnInternalAddress returns the address for internal calls on this machine.
+func (s *Settings) OwnInternalAddress() string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.InternalPort))
 }
 
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -36,7 +36,7 @@
 func TestParseReadsAllTypesOfValues(t *testing.T) {
 	loaded, err := Parse("boot.conf", example)
 	require.NoError(t, err)
-	require.Equal(t, "10.1.0.14:7680", loaded.SelfInternal())
+	require.Equal(t, "10.1.0.14:7680", loaded.OwnInternalAddress())
 	require.Equal(t, "10.2.0.32:7680", loaded.InternalAddress(loaded.Seeds[1]))
 	require.Equal(t, 1200*time.Millisecond, loaded.Heartbeat)
 	require.Equal(t, 5*time.Second, loaded.Bounds.Revoke)
