--- a/internal/fleet/proxy/handler_test.go
+++ b/internal/fleet/proxy/handler_test.go
@@ -62,7 +62,7 @@
 func (f *fixture) Table() *operator.Table { return f.table }
 func (f *fixture) Leased() bool           { return f.leased }
 
-func (f *fixture) timeLeft() (time.Duration, bool) {
+func (f *fixture) timeUntilAbort() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.left, f.left > 0
@@ -134,7 +134,7 @@
 		f.backends = append(f.backends, emulated)
 	}
 	handler := &Handler{Config: f, Picker: f, Quotas: f, Retries: f, Backends: backend.NewClient(), Metrics: NewMetrics(),
-		Log: log.New(io.Discard), ShouldCloseConnections: func() bool { return false }, TimeUntilAbort: f.timeLeft}
+		Log: log.New(io.Discard), ShouldCloseConnections: func() bool { return false }, TimeUntilAbort: f.timeUntilAbort}
 	f.handler = handler
 	f.server = httptest.NewServer(handler)
 	f.server.Config.ErrorLog = log.New(io.Discard).StandardLog()
