--- a/internal/fleet/dataplane/listener.go
+++ b/internal/fleet/dataplane/listener.go
@@ -22,7 +22,7 @@
 func (n *Node) listen(ctx context.Context, serveErrors <-chan error, acceptTimeout time.Duration) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", n.settings.Front)
 	if err != nil {
-		return nil, fmt.Errorf("listen on front address: %w", err)
+		return nil, fmt.Errorf("front address: %w", err)
 	}
 	acceptTimer := time.NewTimer(acceptTimeout)
 	defer acceptTimer.Stop()
@@ -33,7 +33,7 @@
 				listener, err = net.Listen("tcp4", n.settings.Front)
 			}
 			if err != nil {
-				return nil, fmt.Errorf("listen on front address: %w", err)
+				return nil, fmt.Errorf("front address: %w", err)
 			}
 			return listener, nil
 		case <-acceptTimer.C:
--- a/internal/fleet/dataplane/node.go
+++ b/internal/fleet/dataplane/node.go
@@ -87,7 +87,7 @@
 	serveErrors := make(chan error, 2)
 	statusListener, err := net.Listen("tcp4", n.settings.Readiness)
 	if err != nil {
-		return fmt.Errorf("listen on readiness address: %w", err)
+		return fmt.Errorf("readiness address: %w", err)
 	}
 	statusServer := &http.Server{Handler: n.readinessHandler(), ErrorLog: n.log.StandardLog()}
 	defer func() { _ = statusServer.Close() }()
--- a/internal/fleet/quota/owner.go
+++ b/internal/fleet/quota/owner.go
@@ -15,11 +15,11 @@
 const (
 	// burstToleranceFraction is added to the depth of the bucket.
 	burstToleranceFraction = 0.4
-	// deputyToleranceFraction may be granted by a deputy while the owner is unresponsive, as the owner may still
-	// be granting units to other nodes.
+	// deputyToleranceFraction bounds the grants of a deputy while the owner is unresponsive, because the owner may
+	// still be granting units to other nodes.
 	deputyToleranceFraction = 0.2
-	// newOwnerToleranceFraction may be granted at once by a new owner that does not know the state of the previous
-	// bucket.
+	// newOwnerToleranceFraction is the initial level of a new owner's bucket if the state of the previous bucket is
+	// not known.
 	newOwnerToleranceFraction = 0.2
 )
 
