--- a/internal/fleet/storage/checksum.go
+++ b/internal/fleet/storage/checksum.go
@@ -5,7 +5,7 @@
 	"hash/crc32"
 )
 
-// checksumSize is the size in bytes of the checksum that begins each value.
+// checksumSize is the size in bytes of the checksum at the beginning of each value.
 const checksumSize = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -15,13 +15,13 @@
 	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, payload)
 }
 
-// prependChecksum returns the value that is stored for a payload.
+// prependChecksum returns the value to be stored for a payload: its checksum followed by the payload.
 func prependChecksum(key string, payload []byte) string {
 	value := binary.BigEndian.AppendUint32(nil, checksum(key, payload))
 	return string(append(value, payload...))
 }
 
-// verifyChecksum returns the payload of a value and reports whether key and value are as they were written.
+// verifyChecksum returns the payload of a value and reports whether the checksum matches the key and the payload.
 func verifyChecksum(key, value string) (payload []byte, intact bool) {
 	if len(value) < checksumSize {
 		return nil, false
--- a/internal/fleet/storage/export.go
+++ b/internal/fleet/storage/export.go
@@ -10,26 +10,27 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// errNoConfiguration says that a directory has no complete file with a state, or that the state is the one before the first order.
+// errNoConfiguration means that a directory contains no complete file, or only the state before the first order.
 var errNoConfiguration = errors.New("no configuration is stored here")
 
-// Configuration is the newest configuration on one disk. The last order may not have been committed: among the disks of a majority of
-// the voters, the one with the highest Seq has every acknowledged order.
+// Configuration is the newest configuration on one disk. The last order may not have been committed. Among the
+// disks of a majority of the voters, the one with the highest Seq has every acknowledged order.
 type Configuration struct {
 	Epoch    uint64 // of the view
-	Seq      uint64 // the number of orders that led here
+	Seq      uint64 // number of orders that led to this configuration
 	Revision int64
 	Document []byte // JSON
 }
 
-// obsoleteProposal is the value of keyObsoleteView: in that format a view contained the state with which its chain begins.
+// obsoleteProposal is the value of keyObsoleteView: in the obsolete format a view contained the state with which
+// its chain begins.
 type obsoleteProposal struct {
 	View  replica.View
 	Seq   uint64
 	State operator.Snapshot
 }
 
-// obsoleteEntry is the value of an entry in that format: its order was encoded field by field.
+// obsoleteEntry is the value of an entry in the obsolete format, in which the order was encoded field by field.
 type obsoleteEntry struct {
 	Epoch uint64
 	Seq   uint64
@@ -40,8 +41,8 @@
 	}
 }
 
-// ReadConfiguration reads the newest configuration from a directory that no process uses, of this format or the one before, and changes
-// nothing there.
+// ReadConfiguration reads the newest configuration from a directory that no process is using. It supports the
+// current and the obsolete format, and does not modify the directory.
 func ReadConfiguration(dir string) (Configuration, error) {
 	s := &Store{files: OperatingSystem{}, dir: dir}
 	generations, err := s.generations()
@@ -81,7 +82,7 @@
 			break
 		}
 		next, err := state.Apply(order)
-		if err != nil { // it follows an entry that was replaced
+		if err != nil { // the entry follows one that was replaced
 			break
 		}
 		state, seq = next, seq+1
@@ -92,7 +93,7 @@
 	return Configuration{Epoch: epoch, Seq: seq, Revision: state.Document.Revision, Document: state.Document.JSON()}, nil
 }
 
-// decodeOrder returns the order of the entry with a sequence number, and reports whether there is one.
+// decodeOrder returns the order of the entry with a sequence number, and reports whether that entry exists.
 func decodeOrder(values map[string][]byte, seq uint64) (order operator.Order, present bool, err error) {
 	key := entryKey(seq)
 	if _, present := values[key]; !present {
@@ -108,7 +109,8 @@
 	return entry.Order, true, err
 }
 
-// decodeBase returns the state to which the entries are to be applied, with its sequence number and the epoch of the view.
+// decodeBase returns the state to which the entries are applied, with its sequence number and the epoch of the
+// view.
 func decodeBase(values map[string][]byte) (epoch, seq uint64, state *operator.State, err error) {
 	if _, obsolete := values[keyObsoleteView]; obsolete {
 		var proposal obsoleteProposal
--- a/internal/fleet/storage/export_test.go
+++ b/internal/fleet/storage/export_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// copyDisk returns a copy of a disk of testdata.
+// copyDisk returns the directory of a copy of a disk in testdata.
 func copyDisk(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "disk")
@@ -17,7 +17,7 @@
 	return dir
 }
 
-// contents returns what is in the files of a directory.
+// contents returns the contents of the files in a directory, by name.
 func contents(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -31,9 +31,10 @@
 	return all
 }
 
-// The disks in testdata/obsolete were written by the program of before views and states were stored apart: three machines of one fleet,
-// each an order behind the one before, the second one compacted.
-func TestConfigurationIsReadFromDisksOfTheObsoleteFormat(t *testing.T) {
+// The disks in testdata/obsolete were written by a version that stored the view and its state together. They are
+// those of three machines of one fleet, each of which is one order behind the previous one; the second one was
+// compacted.
+func TestConfigurationIsReadFromObsoleteFormat(t *testing.T) {
 	for machine, want := range map[int]Configuration{
 		1: {3, 4, 40, []byte(`{"Backends":[{"Name":"llm"},{"Name":"report"}],"Revision":40}`)},
 		2: {3, 3, 30, []byte(`{"Backends":[{"Name":"llm"},{"Name":"draft"},{"Name":"report"}],"Revision":30}`)},
@@ -47,11 +48,11 @@
 		got, err := ReadConfiguration(dir)
 		require.NoError(t, err)
 		require.Equal(t, want, got, "machine %d", machine)
-		require.Equal(t, before, contents(t, dir), "nothing is changed")
+		require.Equal(t, before, contents(t, dir), "the files are unchanged")
 	}
 }
 
-func TestConfigurationIsReadFromDisksOfThisFormat(t *testing.T) {
+func TestConfigurationIsReadFromCurrentFormat(t *testing.T) {
 	for _, name := range []string{"disk", "disk-compacted"} {
 		got, err := ReadConfiguration(copyDisk(t, name))
 		require.NoError(t, err)
@@ -59,7 +60,7 @@
 	}
 }
 
-func TestConfigurationBeforeADamageIsRead(t *testing.T) {
+func TestConfigurationBeforeDamageIsRead(t *testing.T) {
 	dir := copyDisk(t, "obsolete/machine-1")
 	path := filepath.Join(dir, "control-000001.db")
 	content, err := os.ReadFile(path)
@@ -72,7 +73,7 @@
 	require.EqualValues(t, 30, got.Revision)
 }
 
-func TestThereIsNoConfigurationOnAnEmptyDisk(t *testing.T) {
+func TestEmptyDiskHasNoConfiguration(t *testing.T) {
 	_, err := ReadConfiguration(t.TempDir())
 	require.ErrorIs(t, err, errNoConfiguration)
 	dir := t.TempDir()
--- a/internal/fleet/storage/filesystem.go
+++ b/internal/fleet/storage/filesystem.go
@@ -5,26 +5,27 @@
 	"os"
 )
 
-// FileSystem is what a Store asks of the operating system beside the database's own reads and writes. Tests put another one in
-// its place, which keeps account of what a loss of power would leave (package disktest).
+// FileSystem contains the file operations that a Store needs in addition to the reads and writes of the database.
+// Tests replace it by an implementation that tracks what would survive a power failure (package disktest).
 type FileSystem interface {
-	// BeforeWrite is called before the database appends about so many bytes to a file. An error stands for that of the write.
+	// BeforeWrite is called before the database appends approximately the given number of bytes to a file. An
+	// error is treated as an error of that write.
 	BeforeWrite(path string, bytes int) error
 	// Sync makes the content of a file durable.
 	Sync(file *os.File) error
-	// SyncDirectory makes the names of the files in a directory durable.
+	// SyncDirectory makes the entries of a directory durable.
 	SyncDirectory(path string) error
 	// Remove removes a file.
 	Remove(path string) error
 }
 
-// OperatingSystem is the FileSystem of a process in service.
+// OperatingSystem is the FileSystem used in production.
 type OperatingSystem struct{}
 
-// BeforeWrite does nothing: the write itself fails where there is no space.
+// BeforeWrite does nothing: if there is no space, the write itself fails.
 func (OperatingSystem) BeforeWrite(string, int) error { return nil }
 
-// Sync is the file's.
+// Sync syncs the file.
 func (OperatingSystem) Sync(file *os.File) error { return file.Sync() }
 
 // SyncDirectory opens the directory and syncs it.
@@ -36,5 +37,5 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Remove is that of package os.
+// Remove removes the file with os.Remove.
 func (OperatingSystem) Remove(path string) error { return os.Remove(path) }
--- a/internal/fleet/storage/generations.go
+++ b/internal/fleet/storage/generations.go
@@ -13,11 +13,12 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// generationName is the name of a generation's file, by its number.
+// generationName is the file name of a generation, formatted with its number.
 const generationName = "control-%06d.db"
 
-// load reads the latest complete generation, and syncs it: the process before may have crashed between a write and its sync, and
-// what this one has read it will tell others without another write. Damaged files are truncated on the way (readGeneration).
+// load reads the latest complete generation and syncs it: the previous process may have crashed between a write
+// and its sync, and this process reports what it has read to other members without writing it again. Damaged files
+// are truncated (see readGeneration).
 func (s *Store) load() error {
 	generations, err := s.generations()
 	if err != nil {
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// syncGeneration makes a generation's file durable, and its name.
+// syncGeneration makes the file of a generation and its directory entry durable.
 func (s *Store) syncGeneration(generation int) error {
 	file, err := os.OpenFile(s.path(generation), os.O_RDWR, 0)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return s.syncDirectory()
 }
 
-// generations returns the numbers of the files in the directory, oldest first.
+// generations returns the numbers of the generations in the directory, oldest first.
 func (s *Store) generations() ([]int, error) {
 	files, err := os.ReadDir(s.dir)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return filepath.Join(s.dir, fmt.Sprintf(generationName, generation))
 }
 
-// readGeneration returns the values of a generation up to the first damage, at which it truncates the file.
+// readGeneration returns the values of a generation up to the first damage, where it truncates the file.
 func (s *Store) readGeneration(generation int) (map[string][]byte, error) {
 	path := s.path(generation)
 	if err := truncateAtDamage(path); err != nil {
@@ -96,7 +97,7 @@
 	return values, errors.Join(err, database.Close())
 }
 
-// openDatabase opens a database that leaves syncing and compacting to the Store.
+// openDatabase opens a database and leaves syncing and compaction to the Store.
 func openDatabase(path string) (*buntdb.DB, error) {
 	database, err := buntdb.Open(path)
 	if err != nil {
@@ -109,8 +110,8 @@
 	return database, nil
 }
 
-// compact writes the durable state into a new generation and removes the previous ones. That state was synced before, so a
-// compaction that cannot write its file loses nothing, and removes that file.
+// compact writes the durable state into a new generation and removes the previous ones. That state has already
+// been synced, so a compaction that cannot write its file loses nothing; it removes the incomplete file.
 func (s *Store) compact() error {
 	s.Close()
 	if err := foldEntries(&s.durable); err != nil {
@@ -126,14 +127,14 @@
 		return errors.Join(err, s.files.Remove(s.path(s.generation)))
 	}
 	if err := s.removeGenerations(previous); err != nil {
-		s.Close() // the new generation stays: the only other complete one may be removed already
+		s.Close() // keep the new generation: the only other complete one may already have been removed
 		return err
 	}
 	return nil
 }
 
-// writeGeneration writes the durable state into the file of the present generation, and syncs the file and its directory
-// entry. keyComplete is written last: a file without it is ignored.
+// writeGeneration writes the durable state into the file of the current generation, and syncs the file and its
+// directory entry. It writes keyComplete last: a file without that key is ignored.
 func (s *Store) writeGeneration() (err error) {
 	path := s.path(s.generation)
 	if s.database, err = openDatabase(path); err != nil {
@@ -166,7 +167,8 @@
 	return nil
 }
 
-// foldEntries applies all entries but the last one to the snapshot. That there is a later one shows that they are committed.
+// foldEntries applies all entries except the last one to the snapshot. These are known to be committed, because an
+// entry follows them.
 func foldEntries(stored *replica.Stored) error {
 	if len(stored.Entries) <= maxEntries {
 		return nil
@@ -193,7 +195,7 @@
 	return operator.FromSnapshot(snapshot.State)
 }
 
-// syncDirectory makes the names of the files durable.
+// syncDirectory makes the directory entries of the files durable.
 func (s *Store) syncDirectory() error {
 	if err := s.files.SyncDirectory(s.dir); err != nil {
 		return fmt.Errorf("storage: %w", err)
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -23,7 +23,7 @@
 	return operator.Digest(bytes)
 }
 
-// goldenStored returns the content of the disks in testdata. No field of it is zero.
+// goldenStored returns the content of the disks in testdata. All its fields are non-zero.
 func goldenStored() replica.Stored {
 	first := replica.Member{Address: "10.0.0.1:7680", Incarnation: 42, Domain: "zone-a"}
 	second := replica.Member{Address: "10.0.0.2:7680", Incarnation: 43, Domain: "zone-b"}
@@ -62,7 +62,8 @@
 	}
 }
 
-// writeGolden writes a disk as the process does: one record a write, each after those that it depends on.
+// writeGolden writes a disk in the way a process does: one record per write, each after the records on which it
+// depends.
 func writeGolden(t *testing.T, dir string, compacted bool) *Store {
 	t.Helper()
 	store, _ := open(t, dir)
@@ -84,8 +85,9 @@
 	return store
 }
 
-// TestDiskOfAnEarlierVersionIsRead reads disks that an earlier version wrote: one as written, one after a compaction.
-func TestDiskOfAnEarlierVersionIsRead(t *testing.T) {
+// TestDiskOfEarlierVersionIsRead reads two disks that an earlier version wrote, one before and one after a
+// compaction.
+func TestDiskOfEarlierVersionIsRead(t *testing.T) {
 	for name, compacted := range map[string]bool{"disk": false, "disk-compacted": true} {
 		fresh := writeGolden(t, t.TempDir(), compacted)
 		file := filepath.Base(fresh.path(fresh.generation))
@@ -102,7 +104,7 @@
 	}
 }
 
-// describeDisk returns the types of the values by their keys.
+// describeDisk returns the types of the stored values, by key.
 func describeDisk(t *testing.T, store *Store) map[string][]string {
 	t.Helper()
 	values, err := store.readGeneration(store.generation)
@@ -114,16 +116,16 @@
 	return described
 }
 
-// requireRestart checks that a member starts from what is on its disk, with the stored view and state.
+// requireRestart checks that a member starts from the content of its disk, with the stored view and state.
 func requireRestart(t *testing.T, stored replica.Stored) {
 	t.Helper()
 	m, err := replica.New(replica.DefaultConfig(), stored, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, goldenStored().View.View, m.View())
 	committed, agreed := m.Committed()
-	require.Equal(t, uint64(8), committed, "an entry is committed once another follows it")
+	require.Equal(t, uint64(8), committed, "an entry is committed if another one follows it")
 	require.Equal(t, stored.Entries[0].History, agreed.History())
 	require.Equal(t, int64(80), agreed.Document.Revision)
-	require.Equal(t, uint64(9), m.Status().Seq, "an entry is accepted only if it leads to the digest that it carries")
+	require.Equal(t, uint64(9), m.Status().Seq, "an entry is accepted only if its order leads to the digest in the entry")
 	require.Equal(t, stored.Entries[:1], m.Log().Entries(7, 8))
 }
--- a/internal/fleet/storage/records.go
+++ b/internal/fleet/storage/records.go
@@ -10,17 +10,17 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// The keys of the database. They are part of the format of the disk.
+// The keys of the database. They are part of the on-disk format.
 const (
 	keyIdentity = "identity"
 	keyPromise  = "promise"
 	keyAccepted = "accepted"
 	keyView     = "agreed-view"
 	keySnapshot = "snapshot"
-	keyComplete = "complete" // the last one that a compaction writes
+	keyComplete = "complete" // the last key that a compaction writes
 	keyEntry    = "entry/"   // followed by the index in 20 digits
 
-	keyObsoleteView = "view" // of the format in which a view contained the state
+	keyObsoleteView = "view" // of the obsolete format, in which a view contained the state
 )
 
 // identity is the value of keyIdentity. Its fields are encoded by name.
@@ -51,7 +51,7 @@
 	panic(fmt.Sprintf("storage: unknown record %T", record))
 }
 
-// recordsOf returns the records that make up a stored state.
+// recordsOf returns the records that represent a stored state.
 func recordsOf(stored *replica.Stored) []replica.Record {
 	var records []replica.Record
 	if stored.Self.Address != "" {
@@ -75,7 +75,7 @@
 	return records
 }
 
-// nextEpoch returns the epoch that a promise and an accepted proposal of a stored state are for.
+// nextEpoch returns the epoch to which the promise and the accepted proposal of a stored state apply.
 func nextEpoch(stored *replica.Stored) uint64 {
 	if stored.View == nil {
 		return 1
@@ -83,7 +83,7 @@
 	return stored.View.View.Epoch + 1
 }
 
-// decodeStored returns the state that the values of a generation make up. Records of earlier epochs are void.
+// decodeStored returns the state that the values of a generation represent. Records of earlier epochs are ignored.
 func decodeStored(values map[string][]byte) (replica.Stored, error) {
 	var stored replica.Stored
 	var self identity
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// decodeVote decodes the promise and the accepted proposal, unless they are for an epoch that was decided since.
+// decodeVote decodes the promise and the accepted proposal, unless their epoch has been decided since.
 func decodeVote(values map[string][]byte, stored *replica.Stored) error {
 	var promised replica.SavePromise
 	var accepted replica.Accepted
@@ -134,8 +134,9 @@
 	return nil
 }
 
-// decodeEntries decodes the entries after the snapshot, up to the first one that does not follow: it is of an epoch that ended
-// before it was committed, and was replaced. The replica verifies the digests too.
+// decodeEntries decodes the entries after the snapshot, up to the first one that does not follow its predecessor:
+// that entry is of an epoch that ended before the entry was committed, and was replaced. The replica verifies the
+// digests as well.
 func decodeEntries(values map[string][]byte, stored *replica.Stored) error {
 	seq := uint64(1)
 	if stored.Snapshot != nil {
@@ -157,7 +158,7 @@
 	}
 }
 
-// encode returns a value in the form in which it is stored: its gob after a checksum.
+// encode returns the stored form of a value: its gob encoding, preceded by a checksum.
 func encode(key string, value any) (string, error) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
@@ -166,7 +167,8 @@
 	return prependChecksum(key, buffer.Bytes()), nil
 }
 
-// decode decodes the value of a key into what into points at; a key that is absent leaves that as it is.
+// decode decodes the value of a key into the variable to which into points. If the key is absent, it leaves the
+// variable unchanged.
 func decode(values map[string][]byte, key string, into any) error {
 	payload, present := values[key]
 	if !present {
--- a/internal/fleet/storage/storage.go
+++ b/internal/fleet/storage/storage.go
@@ -1,10 +1,10 @@
-// Package storage keeps the durable state of a control process in a buntdb file. It adds what the database leaves open:
-// every value carries a checksum, the file is truncated at the first torn or damaged command before the database reads it,
-// a write counts only after its own sync, and the file is compacted into a new generation whose directory entry is synced
-// before the old generation is removed.
+// Package storage keeps the durable state of a control process in a buntdb file. It adds what the database does not provide:
+// every value carries a checksum; the file is truncated at the first torn or damaged database command before the database
+// reads it; a write takes effect only after its own sync; and compaction writes a new generation of the file, whose directory
+// entry is synced before the old generation is removed.
 //
-// Nothing is deleted within a generation, and each record says which epoch it belongs to: whichever of the unsynced records
-// survive a loss of power, reading them yields a state that the process was in.
+// Nothing is deleted within a generation, and each record contains the epoch to which it belongs: whichever of the unsynced
+// records survive a power failure, reading them yields a state that the process was in.
 package storage
 
 import (
@@ -17,35 +17,36 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// errObsoleteFormat means that a disk was written before views and states were stored apart. It is refused rather than taken for an
-// empty one. It is not converted either: a member's state is named by a digest of all orders that led to it, which such a disk does not
-// have, and members that are at different orders would derive different ones.
+// errObsoleteFormat means that a disk was written by a version that stored the view and its state together. Such a
+// disk is rejected, rather than treated as empty. It is not converted either: a member's state is identified by a
+// digest of all orders that led to it. Such a disk does not contain that digest, and members that have applied
+// different numbers of orders would derive different digests.
 var errObsoleteFormat = errors.New(`key view: written by an earlier version; "linenwheel-control export" prints the configuration that is ` +
-	`stored here: take the one with the highest Seq of a majority of the machines, start the fleet on empty disks, and send it`)
+	`stored here: export it on a majority of the machines, start the fleet on empty disks, and submit the one with the highest Seq`)
 
-// Limits beyond which the file is compacted.
+// The file is compacted when it exceeds one of these limits.
 const (
 	maxGenerationBytes = 4 << 20
-	maxEntries         = 256 // more are applied to the snapshot
+	maxEntries         = 256 // entries in excess of this are applied to the snapshot
 )
 
-// Store is one process's disk. It is not safe for concurrent use.
+// Store is the durable storage of one process. It is not safe for concurrent use.
 type Store struct {
 	files        FileSystem
 	dir          string
-	database     *buntdb.DB // nil until the first write, and after a failed one
-	file         *os.File   // the database's file, to sync it
-	generation   int        // the highest one of which there is a file
-	writtenBytes int        // of values since the last compaction
+	database     *buntdb.DB // nil until the first write, and after a failed write
+	file         *os.File   // the file of the database, for syncing
+	generation   int        // the highest number for which there is a file
+	writtenBytes int        // size of the values written since the last compaction
 	durable      replica.Stored
 }
 
-// Open opens the store in a directory, which it makes if there is none, and returns what is stored there. From an empty
-// directory that is a Stored without identity. It returns an error if the directory cannot be read, or if what it contains
-// is intact but cannot be decoded.
+// Open opens the store in a directory, which it creates if necessary, and returns the stored state. For an empty
+// directory that is a Stored without an identity. It returns an error if the directory cannot be read, or if its
+// content is intact but cannot be decoded.
 func Open(dir string) (*Store, replica.Stored, error) { return OpenOn(OperatingSystem{}, dir) }
 
-// OpenOn is Open on a file system.
+// OpenOn is like Open, with the given file system.
 func OpenOn(files FileSystem, dir string) (*Store, replica.Stored, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, replica.Stored{}, fmt.Errorf("storage: %w", err)
@@ -57,8 +58,8 @@
 	return s, s.durable, nil
 }
 
-// Write stores records and returns once they are synced. After an error none of them may be relied on, and Recover must
-// succeed before the next write.
+// Write stores records and returns after they are synced. After an error none of the records may be relied on, and
+// Recover must succeed before the next write.
 func (s *Store) Write(records []replica.Record) error {
 	if len(records) == 0 {
 		return nil
@@ -92,8 +93,9 @@
 	return s.setValue(key, value)
 }
 
-// setValue puts one value into the database's file, without a sync. The database panics where it cannot undo a partial
-// write; here that is an error, as the file is truncated at the damage when it is next read.
+// setValue writes one value to the file of the database, without syncing it. The database panics if it cannot undo
+// a partial write. setValue turns the panic into an error, because the file will be truncated at the damage when
+// it is next read.
 func (s *Store) setValue(key string, value any) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
@@ -114,13 +116,13 @@
 	})
 }
 
-// Recover makes the store usable after a failed write: it writes what was durable before into a new generation.
+// Recover makes the store usable after a failed write: it writes the last durable state into a new generation.
 func (s *Store) Recover() error {
 	s.Close()
 	return s.compact()
 }
 
-// Close closes the files. Their errors are of no consequence: what counts was synced before.
+// Close closes the files. It ignores their errors, because all durable data has already been synced.
 func (s *Store) Close() {
 	if s.database != nil {
 		_ = s.database.Close()
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -33,7 +33,7 @@
 	return operator.Order{Method: http.MethodPatch, Base: int64(seq - 1), Body: fmt.Appendf(nil, `{"Revision":%d}`, seq)}
 }
 
-// states are the states after each order of the tests.
+// states are the states after each order of the tests, by sequence number.
 var states = []*operator.State{operator.NewState()}
 
 func stateAt(seq uint64) *operator.State {
@@ -59,7 +59,7 @@
 	return store, stored
 }
 
-// write stores records one write at a time and returns the file's size after each.
+// write stores each record in a separate write and returns the size of the file after each.
 func write(t *testing.T, store *Store, records ...replica.Record) []int64 {
 	t.Helper()
 	var sizes []int64
@@ -81,7 +81,7 @@
 		viewRecord(2, 2), entryRecord(2, 3), snapshotRecord(7), entryRecord(2, 8)}
 }
 
-// storedAfter returns the content of a disk after records.
+// storedAfter returns the content of a disk after the given records.
 func storedAfter(records []replica.Record) replica.Stored {
 	var stored replica.Stored
 	for _, record := range records {
@@ -101,8 +101,8 @@
 	}
 }
 
-// A loss of power leaves any part of what was written since the last sync. However much is missing or replaced by other bytes, what
-// was synced before is read, and nothing that was never written.
+// A power failure may lose or damage any part of what was written since the last sync. Whatever part is missing or
+// overwritten, everything synced before is read, and nothing that was never written.
 func TestTornTailIsTruncated(t *testing.T) {
 	source := t.TempDir()
 	store, _ := open(t, source)
@@ -125,7 +125,8 @@
 	}
 }
 
-// damageTail damages a file after its synced part: truncated, zeroed, or with bits of one byte flipped.
+// damageTail damages a file after its synced part: it truncates the file, zeroes the rest, or flips bits of one
+// byte.
 func damageTail(content []byte, synced int, random *rand.Rand) []byte {
 	torn := append([]byte(nil), content...)
 	at := synced + random.IntN(len(content)-synced)
@@ -148,7 +149,7 @@
 	return stored
 }
 
-func TestUnfinishedCompactionIsIgnored(t *testing.T) {
+func TestIncompleteCompactionIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, recordSequence()...)
@@ -168,7 +169,7 @@
 		write(t, second, entryRecord(2, 9))
 		second.Close()
 		_, stored = open(t, dir)
-		require.Len(t, stored.Entries, 2, "the next write makes a generation after the unfinished one")
+		require.Len(t, stored.Entries, 2, "the next write creates a generation after the incomplete one")
 	}
 }
 
@@ -182,12 +183,12 @@
 	require.NoError(t, store.compact())
 	write(t, store, entryRecord(2, 9))
 	store.Close()
-	require.NoError(t, os.WriteFile(path, previous, 0o644)) // its removal was lost with the power
+	require.NoError(t, os.WriteFile(path, previous, 0o644)) // its removal is lost in a power failure
 	_, stored := open(t, dir)
 	require.Len(t, stored.Entries, 2)
 }
 
-func TestRecordsOfAnEarlierEpochAreVoid(t *testing.T) {
+func TestRecordsOfEarlierEpochAreIgnored(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, recordSequence()[:6]...)
@@ -210,7 +211,7 @@
 	require.EqualValues(t, 2, stored.Entries[1].Epoch)
 }
 
-func TestDiskOfTheObsoleteFormatIsRefusedAndKept(t *testing.T) {
+func TestObsoleteFormatIsRefusedAndKept(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, identityRecord())
@@ -227,7 +228,7 @@
 	require.Equal(t, before, after)
 }
 
-func TestAWriteThatFailsLeavesWhatWasThere(t *testing.T) {
+func TestFailedWriteKeepsSyncedRecords(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, recordSequence()[:3]...)
@@ -256,7 +257,7 @@
 	require.EqualValues(t, orders, machine.Status().Seq)
 	names, err := os.ReadDir(dir)
 	require.NoError(t, err)
-	require.Len(t, names, 1, "previous generations are removed")
+	require.Len(t, names, 1, "previous generations must be removed")
 }
 
 func TestEmptyDirectoryIsAnEmptyDisk(t *testing.T) {
@@ -264,12 +265,12 @@
 	require.Equal(t, replica.Stored{}, stored)
 }
 
-func TestFailedRemovalOfAPreviousGenerationKeepsTheNewOne(t *testing.T) {
+func TestFailedRemovalOfPreviousGenerationKeepsNewOne(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := open(t, dir)
 	write(t, store, recordSequence()...)
-	// A file above the complete generation, as an unfinished compaction leaves one, that cannot be removed: a directory that
-	// is not empty stands for it.
+	// A non-empty directory serves as a file that cannot be removed. Its number is higher than that of the complete
+	// generation, like that of a file that an incomplete compaction leaves behind.
 	obstacle := store.path(store.generation + 5)
 	require.NoError(t, os.MkdirAll(filepath.Join(obstacle, "not empty"), 0o755))
 	require.Error(t, store.compact())
--- a/internal/fleet/storage/truncate.go
+++ b/internal/fleet/storage/truncate.go
@@ -9,17 +9,17 @@
 	"strconv"
 )
 
-// errDamaged means that a command does not have the form in which the database writes it.
+// errDamaged means that a command does not have the format in which the database writes it.
 var errDamaged = errors.New("storage: damaged command")
 
-// A set command has these arguments: its name, a key and a value.
+// A set command consists of three arguments: its name, a key and a value.
 const (
 	setCommand   = "set"
 	setArguments = 3
 )
 
-// truncateAtDamage truncates a database file after its longest prefix of complete, intact commands. What follows was never
-// synced.
+// truncateAtDamage truncates a database file after its longest prefix of complete and intact commands. The part
+// that it removes was never synced.
 func truncateAtDamage(path string) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// intactPrefix returns the length in bytes of the complete, intact commands with which a database file begins, and the last payload of
-// each key among them.
+// intactPrefix returns the length in bytes of the longest prefix of complete and intact commands, and the last
+// payload of each key within that prefix.
 func intactPrefix(content []byte) (length int, values map[string][]byte) {
 	values = map[string][]byte{}
 	scanner := commandScanner{remaining: content}
@@ -54,13 +54,14 @@
 	}
 }
 
-// commandScanner reads the commands of a database file: arrays of length-prefixed strings, each a "set" of key and value.
+// commandScanner reads the commands of a database file: arrays of length-prefixed strings, each a "set" with a key
+// and a value.
 type commandScanner struct {
 	remaining []byte
 }
 
-// command reads the next command. It returns io.ErrUnexpectedEOF at the end of the file and in a torn command, errDamaged in
-// one that is not a set.
+// command reads the next command. It returns io.ErrUnexpectedEOF at the end of the file and for a torn command,
+// and errDamaged for a command that is not a set.
 func (s *commandScanner) command() (arguments [setArguments]string, err error) {
 	count, err := s.number('*')
 	if err != nil {
@@ -77,7 +78,7 @@
 	return arguments, nil
 }
 
-// number reads a line of a prefix byte and a number that is not negative.
+// number reads a line that consists of a prefix byte and a non-negative number.
 func (s *commandScanner) number(prefix byte) (int, error) {
 	line, remaining, found := bytes.Cut(s.remaining, []byte("\r\n"))
 	if !found {
@@ -94,7 +95,7 @@
 	return value, nil
 }
 
-// text reads a string that follows a line with its length in bytes.
+// text reads a line with a length in bytes, and then a string of that length.
 func (s *commandScanner) text() (string, error) {
 	size, err := s.number('$')
 	if err != nil {
