--- a/internal/fleet/replica/acceptor.go
+++ b/internal/fleet/replica/acceptor.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// voterFor returns the voter that a message came from. A founder is known by its address alone.
+// voterFor returns the voter that sent a message. Before the first view a voter is a founder, of which only the
+// address is known.
 func (m *Machine) voterFor(from Member) (Member, bool) {
 	for _, voter := range m.voters() {
 		if voter == from || voter.Incarnation == 0 && voter.Address == from.Address {
@@ -26,7 +27,8 @@
 	return out
 }
 
-// rejectEpoch reports whether this member cannot vote on an epoch. It answers a proposer that is behind with the view.
+// rejectEpoch reports whether this member cannot vote on an epoch. If the proposer is behind, the returned Ready
+// sends it the current view.
 func (m *Machine) rejectEpoch(from Member, epoch uint64) (Ready, bool) {
 	if epoch <= m.view.Epoch {
 		return m.sendViewIfBehind(from, epoch-1), true
@@ -34,8 +36,9 @@
 	return Ready{}, epoch != m.view.Epoch+1 || !m.isVoter() || !m.healthy
 }
 
-// prepareBallot promises a ballot that is not lower than the promised one. From then on this member is sealed: what it
-// reports with the promise is all that it will have of this epoch.
+// prepareBallot promises a ballot that is not lower than the one promised so far. From then on this member is
+// sealed: it appends no further entry of the current epoch, so the log that it reports with the promise contains
+// everything that it contributes from this epoch.
 func (m *Machine) prepareBallot(ballot Ballot) Ready {
 	if !m.sealed() {
 		m.sealedAt = m.now
@@ -57,7 +60,7 @@
 		return Ready{Messages: []Envelope{m.envelope(from, Reject{Epoch: epoch, Promised: m.promised})}}
 	}
 	if slices.Contains(body.Proposal.View.Chain, m.self) && !m.log.hasPosition(body.Proposal.Base) {
-		return Ready{} // a member votes for a chain that it is in only once it has stored the base
+		return Ready{} // a member of the proposed chain votes for it only once it has stored the base
 	}
 	out := m.prepareBallot(body.Ballot)
 	m.accepted = &Accepted{Ballot: body.Ballot, Proposal: body.Proposal}
@@ -66,7 +69,7 @@
 	return out
 }
 
-// onDecided adopts an agreed view, unless this member knows a later one.
+// onDecided adopts an agreed view, unless this member already knows that view or a later one.
 func (m *Machine) onDecided(proposal Proposal) Ready {
 	if proposal.View.Epoch <= m.view.Epoch {
 		return Ready{}
@@ -83,8 +86,8 @@
 	return Ready{Records: []Record{SaveView{Proposal: proposal}}}
 }
 
-// adoptBase brings the log to the state with which an agreed view begins, if it is there: an uncommitted entry is either part
-// of that state, and committed with it, or discarded.
+// adoptBase aligns the log with the base of a newly agreed view. If the log ends at the base, all of it is
+// committed; otherwise an uncommitted entry is not part of the base and is discarded.
 func (m *Machine) adoptBase(base Position) {
 	if m.log.lastPosition() == base {
 		m.log = m.log.withCommitted(base.Seq)
--- a/internal/fleet/replica/bootstrap.go
+++ b/internal/fleet/replica/bootstrap.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// firstView returns the first view and reports whether it should be proposed. The founders agree on it; its members are
-// chosen among all reachable processes that can be voters: as many as targetVoters, or after BootstrapTimeout enough to
-// accept orders.
+// firstView returns the first view and reports whether it should be proposed. The founders agree on the view. Its
+// members are chosen from all reachable processes that can be voters: as many as targetVoters, or after
+// BootstrapTimeout as many as are needed to accept orders.
 func (m *Machine) firstView() (View, bool) {
 	var candidates []Member
 	if m.config.CanVote {
--- a/internal/fleet/replica/chain.go
+++ b/internal/fleet/replica/chain.go
@@ -8,14 +8,15 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// submission is an order that waits for the one before it to be committed.
+// submission is a queued order. It waits until the order before it is committed.
 type submission struct {
 	id    uint64
 	order operator.Order
 }
 
-// Submit submits an operator's order. Its outcome is returned as a Reply with the same id, by this call or by a later one.
-// A member that is not the head replies with OutcomeUnknown: the order may have been accepted when it was sent before.
+// Submit submits an order of the operator. The outcome is returned as a Reply with the same id, by this call or by
+// a later one. A member that is not the head replies with OutcomeUnknown, because an earlier submission of the
+// same order may have been accepted.
 func (m *Machine) Submit(now time.Duration, id uint64, order operator.Order) Ready {
 	m.now = max(now, m.now)
 	if m.view.Head() != m.self || !m.healthy {
@@ -25,13 +26,14 @@
 	return m.processQueue()
 }
 
-// Cancel removes an order whose caller has gone from the queue. It may still be committed.
+// Cancel removes an order from the queue after its caller has stopped waiting. The order may still be committed.
 func (m *Machine) Cancel(id uint64) {
 	m.queue = slices.DeleteFunc(m.queue, func(s submission) bool { return s.id == id })
 }
 
-// processQueue accepts orders from the queue until one is uncommitted. An order stays queued until a later call finds it in
-// the committed state; one that was committed before is acknowledged again with the same revision.
+// processQueue appends queued orders until one of them is uncommitted. An order stays in the queue until a later
+// call finds it in the committed state. An order that was committed before is acknowledged again, with the same
+// revision.
 func (m *Machine) processQueue() Ready {
 	var out Ready
 	for len(m.queue) > 0 && m.acceptsOrders() {
@@ -52,13 +54,13 @@
 	return out
 }
 
-// acceptsOrders reports whether this member may append an order now: it is the head of a chain with more than MaxFailures
-// replicas, and has no uncommitted entry.
+// acceptsOrders reports whether this member may append an order now: it is the head of a chain of more than
+// MaxFailures replicas, it is not sealed, and its log has no uncommitted entry.
 func (m *Machine) acceptsOrders() bool {
 	return !m.log.hasPending() && m.hasBase && !m.sealed() && m.view.Head() == m.self && len(m.view.Chain) > m.config.MaxFailures
 }
 
-// appendEntry appends an entry and forwards it. One that does not follow this log is ignored.
+// appendEntry appends an entry to the log and forwards it. An entry that does not follow the log is ignored.
 func (m *Machine) appendEntry(entry Entry) Ready {
 	next, err := m.log.withEntry(entry)
 	if err != nil {
@@ -71,8 +73,9 @@
 	return out
 }
 
-// forward sends the last entry to the next member of the chain; the tail commits it instead. The caller of the machine stores
-// the entry before it sends the message, so an entry that reached the tail is stored by the whole chain.
+// forward sends the last entry to the next member of the chain; the tail commits it instead. The caller of the
+// machine stores the entry before it sends the message, so an entry that has reached the tail is stored by the
+// whole chain.
 func (m *Machine) forward() Ready {
 	index := slices.Index(m.view.Chain, m.self)
 	last, present := m.log.lastEntry()
@@ -96,7 +99,7 @@
 	}
 	switch {
 	case entry.Seq == m.log.seq+1:
-		out := m.markCommitted(m.log.seq) // the head sends an entry only once the previous one is committed
+		out := m.markCommitted(m.log.seq) // the head sends an entry only after the previous one is committed
 		out.add(m.appendEntry(entry))
 		return out
 	case entry.position() == m.log.lastPosition():
@@ -112,7 +115,8 @@
 	return m.markCommitted(body.Seq)
 }
 
-// markCommitted records that the entry with index seq is stored by the whole chain, if it is the uncommitted one.
+// markCommitted records that the whole chain has stored the entry with index seq. It does nothing unless that is
+// the uncommitted entry.
 func (m *Machine) markCommitted(seq uint64) Ready {
 	if seq != m.log.seq || !m.log.hasPending() {
 		return Ready{}
@@ -121,9 +125,10 @@
 	return m.processQueue()
 }
 
-// inferCommitted commits the last entry after a start, when all members of the chain have reported that they have it. A member
-// that has promised the next epoch may have fetched the entry after it reported its log to the proposer: the next view then
-// begins without the entry, so nothing is inferred from such a member.
+// inferCommitted commits the last entry after a restart, once every member of the chain has reported that it has
+// the entry. A member that has promised a ballot of the next epoch may have fetched the entry after it reported
+// its log to the proposer, in which case the next view begins without the entry. Nothing is therefore inferred
+// from the status of a sealed member.
 func (m *Machine) inferCommitted() {
 	if !m.log.hasPending() || !m.inSync() || m.sealed() {
 		return
@@ -141,7 +146,8 @@
 	m.log, m.pendingSince = m.log.withCommitted(m.log.seq), 0
 }
 
-// retransmit sends an entry again that is not committed after RetryInterval, and accepts queued orders.
+// retransmit resends an entry that is still uncommitted after RetryInterval, or appends queued orders if no entry
+// is pending. On a member that is not the head it fails the queue.
 func (m *Machine) retransmit() Ready {
 	if m.view.Head() != m.self {
 		return m.failQueue()
@@ -156,8 +162,8 @@
 	return m.forward()
 }
 
-// failQueue replies to the queued orders of a member that is no longer the head. Whether one of them was committed is not
-// known here.
+// failQueue replies to all queued orders of a member that is no longer the head. This member cannot know whether
+// any of them was committed.
 func (m *Machine) failQueue() Ready {
 	var out Ready
 	for _, s := range m.queue {
--- a/internal/fleet/replica/confirmation.go
+++ b/internal/fleet/replica/confirmation.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// ViewConfirmed returns the latest time at which this member's view was certainly the latest one, 0 if unknown: a majority
-// of its voters answered, from this epoch and without a promise for the next, to heartbeats sent then or later. A later view
-// needs the promise of a majority, and every two majorities share a voter.
+// ViewConfirmed returns the latest time at which the view of this member was certainly the latest view, 0 if
+// unknown. At that time or later, heartbeats were sent to which a majority of the voters replied from this epoch
+// and without having promised a ballot of the next one. A later view needs the promises of a majority, and any two
+// majorities share a voter.
 func (m *Machine) ViewConfirmed() time.Duration {
 	if m.view.Epoch == 0 || m.sealed() || !m.isVoter() {
 		return 0
@@ -27,9 +28,9 @@
 	return times[len(times)-majority(len(times))]
 }
 
-// StateConfirmed returns the latest time at which the state of Committed was certainly the last committed one, 0 if unknown.
-// A member of the chain has every committed order; an entry that it does not know to be committed may have been committed
-// at any time since it was appended.
+// StateConfirmed returns the latest time at which the state that Committed returns was certainly the last
+// committed state, 0 if unknown. A member of the chain has every committed order. An entry that the member does
+// not know to be committed may have been committed at any time since it was appended.
 func (m *Machine) StateConfirmed() time.Duration {
 	if !m.inSync() {
 		return 0
@@ -40,7 +41,7 @@
 	return min(m.ViewConfirmed(), m.pendingSince)
 }
 
-// AllVotersInView reports whether every other voter is reachable and has reported that it is in this member's view.
+// AllVotersInView reports whether every other voter is reachable and has reported the epoch of this member's view.
 func (m *Machine) AllVotersInView() bool {
 	for _, voter := range m.view.Voters {
 		if voter != m.self && (!m.reachable(voter) || m.peers[voter.Address].status.Epoch != m.view.Epoch) {
--- a/internal/fleet/replica/departure.go
+++ b/internal/fleet/replica/departure.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Leave announces to the other members that this one is about to shut down for good, so that they replace it.
+// Leave announces to the other members that this member is about to shut down permanently, so that they replace
+// it.
 func (m *Machine) Leave(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	if !m.leaving {
@@ -16,9 +17,9 @@
 	return out
 }
 
-// learnLeaving records that a member announces its departure, and reports whether that is new. It need not wait for the member's
-// reply to a heartbeat: until it is replaced, its vote is one that a loss of power may cost.
-func (m *Machine) learnLeaving(from Member, status Status) bool {
+// recordLeaving records a departure that a member announces in a heartbeat, and reports whether it is new. It does
+// not wait for the member's reply to a heartbeat: until the member is replaced, a power failure may cost its vote.
+func (m *Machine) recordLeaving(from Member, status Status) bool {
 	p := m.peers[from.Address]
 	if p == nil || p.member != from || !status.Leaving || p.status.Leaving {
 		return false
@@ -27,9 +28,11 @@
 	return true
 }
 
-// Released reports whether a member that has announced its departure may shut down: it is not in the chain, no other process can take
-// its vote now or once it has caught up, and a majority of the voters has adopted the view. It has heard from each of these since the
-// announcement, and they had promised nothing then: an attempt that was under way, which may give this member a vote, has ended.
+// Released reports whether a member that has announced its departure may shut down: it is not in the chain, no
+// other process can take its vote now or after catching up, and a majority of the voters has adopted the view.
+// Each of these voters has replied to a heartbeat that was sent after the announcement, and had promised no ballot
+// of the next epoch by then. So an attempt that was in progress, and that might make this member a voter, has
+// ended.
 func (m *Machine) Released() bool {
 	if m.view.Epoch == 0 || !m.config.CanVote {
 		return true
@@ -46,7 +49,7 @@
 	return adopted >= majority(len(m.view.Voters))
 }
 
-// hasSuccessor reports whether there is another process that could take this member's vote.
+// hasSuccessor reports whether another process could take over the vote of this member.
 func (m *Machine) hasSuccessor() bool {
 	for _, p := range m.peers {
 		if p.reachableSince > 0 && p.status.Core && !p.status.Leaving && !slices.Contains(m.view.Voters, p.member) {
@@ -56,7 +59,7 @@
 	return false
 }
 
-// isLeaving reports whether a member has announced that it is about to shut down for good.
+// isLeaving reports whether a member has announced that it is about to shut down permanently.
 func (m *Machine) isLeaving(member Member) bool {
 	if member == m.self {
 		return m.leaving
--- a/internal/fleet/replica/failuredetector.go
+++ b/internal/fleet/replica/failuredetector.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// startupTimeouts is the number of FailureTimeouts after its start for which a member does not replace a voter that has
-// never answered it.
+// startupTimeouts is a number of FailureTimeouts. For that long after its start, a member does not replace a voter
+// from which it has not received any reply yet.
 const startupTimeouts = 2
 
-// BroadcastHeartbeat returns a Ready with a heartbeat for each peer that is to be contacted (shouldContact).
+// BroadcastHeartbeat returns a Ready with a heartbeat for each peer to which heartbeats are sent (shouldContact).
 func (m *Machine) BroadcastHeartbeat(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	m.heartbeatSentAt = m.now
@@ -27,7 +27,7 @@
 	reply := HeartbeatReply{Stamp: body.Stamp, Status: m.Status(), Learned: m.knownAddresses()}
 	out := Ready{Messages: []Envelope{m.envelope(from, reply)}}
 	out.add(m.sendViewIfBehind(from, body.Status.Epoch))
-	if m.learnLeaving(from, body.Status) {
+	if m.recordLeaving(from, body.Status) {
 		out.add(m.reconfigure())
 	}
 	return out
@@ -56,7 +56,7 @@
 	return out
 }
 
-// sendViewIfBehind sends the present view to a member that is in an earlier epoch.
+// sendViewIfBehind sends the current view to a member that is in an earlier epoch.
 func (m *Machine) sendViewIfBehind(to Member, epoch uint64) Ready {
 	if m.view.Epoch == 0 || epoch >= m.view.Epoch {
 		return Ready{}
@@ -65,7 +65,7 @@
 	return Ready{Messages: []Envelope{m.envelope(to, decided)}}
 }
 
-// detectFailures marks the peers that have not answered within FailureTimeout as unreachable.
+// detectFailures marks the peers that have not replied within FailureTimeout as unreachable.
 func (m *Machine) detectFailures() {
 	for _, p := range m.peers {
 		if m.now-p.answeredAt > m.config.FailureTimeout {
@@ -74,8 +74,9 @@
 	}
 }
 
-// ConnectionRefused records that the peer at an address refuses connections: its process has ended, on a machine that runs. That is
-// known at once, whereas a machine that has failed is only silent. The peer counts as reachable again with its next reply.
+// ConnectionRefused records that the peer at an address refuses connections: its process has ended, but its
+// machine is running. A refused connection is detected at once, whereas a failed machine does not respond at all.
+// The peer counts as reachable again with its next reply.
 func (m *Machine) ConnectionRefused(now time.Duration, address string) Ready {
 	m.now = max(now, m.now)
 	if p := m.peers[address]; p != nil {
@@ -90,7 +91,7 @@
 	}
 }
 
-// reachable reports whether a member answers, as that incarnation.
+// reachable reports whether a member replies to heartbeats, with the same incarnation.
 func (m *Machine) reachable(member Member) bool {
 	if member == m.self {
 		return true
@@ -99,7 +100,7 @@
 	return p != nil && p.reachableSince > 0 && (p.member == member || member.Incarnation == 0)
 }
 
-// failed reports whether a voter is unreachable, and this process has run for long enough to know.
+// failed reports whether a voter is unreachable and this process has run for long enough to be sure.
 func (m *Machine) failed(voter Member) bool {
 	p := m.peers[voter.Address]
 	if p != nil && p.answeredAt == 0 && m.now-m.startedAt < startupTimeouts*m.config.FailureTimeout {
@@ -108,8 +109,8 @@
 	return !m.reachable(voter)
 }
 
-// unreachableSince returns since when a member that does not answer has not been reachable, zero for one that this member does not
-// know or whose process has lost its disk since.
+// unreachableSince returns the time at which an unreachable member became unreachable. It returns 0 for a member
+// that this member does not know, or whose process has lost its disk since.
 func (m *Machine) unreachableSince(member Member) time.Duration {
 	p := m.peers[member.Address]
 	if p == nil || p.member != member {
@@ -118,8 +119,8 @@
 	return p.unreachableSince
 }
 
-// canServe reports whether a member answers and can write to its disk. Those of the chain are given time to answer after
-// a start of this process.
+// canServe reports whether a member is reachable and can write to its disk. After a start of this process, the
+// members of the chain count as able to serve until they have had time to reply.
 func (m *Machine) canServe(member Member) bool {
 	if member == m.self {
 		return m.healthy
@@ -144,12 +145,12 @@
 	return m.reachable(member) && m.now-m.peers[member.Address].reachableSince >= m.config.JoinDelay
 }
 
-// mutuallyReachable reports whether two members reach each other, as far as this one knows.
+// mutuallyReachable reports whether two members reach each other, as far as this member knows.
 func (m *Machine) mutuallyReachable(a, b Member) bool {
 	return m.reaches(a, b) && m.reaches(b, a)
 }
 
-// reaches reports whether member a reaches member b, as a reported with its last heartbeat reply.
+// reaches reports whether member a reaches member b, according to the last heartbeat reply of a.
 func (m *Machine) reaches(a, b Member) bool {
 	if m.awaitingFirstReply(a) || m.awaitingFirstReply(b) {
 		return true
--- a/internal/fleet/replica/fetch.go
+++ b/internal/fleet/replica/fetch.go
@@ -11,28 +11,29 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// errChecksum means that the chunks of a snapshot do not add up to what their sender encoded.
+// errChecksum means that the assembled chunks of a snapshot do not match the checksum of the encoded snapshot.
 var errChecksum = errors.New("replica: the snapshot does not match its checksum")
 
-// maxFetchTimeouts is the number of consecutive fetches without a reply after which another source is asked.
+// maxFetchTimeouts is the number of consecutive unanswered fetch requests after which another source is used.
 const maxFetchTimeouts = 3
 
 const checksumSize = sha256.Size
 
-// transfer is the state of what a member fetches, and the snapshot that it serves. At most one fetch is in flight.
+// transfer is the state of what a member fetches, and the snapshot that it serves. At most one fetch request is in
+// flight.
 type transfer struct {
 	install       *pendingInstall
 	source        Member
 	inFlight      bool
 	requestSentAt time.Duration
-	nextRequestAt time.Duration // no fetch before then: limits the rate
-	timeouts      int           // consecutive fetches without a reply
+	nextRequestAt time.Duration // no request before then; limits the transfer rate
+	timeouts      int           // consecutive requests without a reply
 	incoming      incomingSnapshot
 	outgoing      *encodedSnapshot
 }
 
-// incomingSnapshot collects the chunks of a snapshot. It is kept when a source stops answering and another one, or the same
-// one later, has the rest.
+// incomingSnapshot collects the chunks of a snapshot. It is kept when a source stops replying, so that another
+// source, or the same one later, can provide the remaining chunks.
 type incomingSnapshot struct {
 	position Position
 	checksum [checksumSize]byte // of all chunks together
@@ -40,8 +41,8 @@
 	chunks   [][]byte
 }
 
-// fetchTarget returns the state that this member lacks, the zero position for the last committed one, and the members that
-// have it. It reports whether there is anything to fetch.
+// fetchTarget returns the state that this member lacks and the members that have it; the zero position stands for
+// the last committed state. It reports whether there is anything to fetch.
 func (m *Machine) fetchTarget() (want Position, sources []Member, needed bool) {
 	if install := m.transfer.install; install != nil {
 		if m.now-install.receivedAt < installExpiry && !m.log.hasPosition(install.request.Base) {
@@ -64,7 +65,7 @@
 	return Position{}, sources, len(sources) > 0
 }
 
-// fetch requests what this member lacks, one message at a time.
+// fetch requests what this member lacks, with one request in flight at a time.
 func (m *Machine) fetch() Ready {
 	t := &m.transfer
 	want, sources, needed := m.fetchTarget()
@@ -88,7 +89,8 @@
 	return Ready{Messages: []Envelope{m.envelope(t.source, body)}}
 }
 
-// nextSource returns the member before the present source, the last one if there is none: the head has the most to do.
+// nextSource returns the member before the current source in the chain, or the last one if there is no current
+// source. The head comes last, because it has the highest load.
 func (m *Machine) nextSource(sources []Member) Member {
 	index := slices.Index(sources, m.transfer.source)
 	if index < 0 {
@@ -97,7 +99,8 @@
 	return sources[(index+len(sources)-1)%len(sources)]
 }
 
-// matchReply ends the fetch in flight and reports whether a reply is from its source.
+// matchReply reports whether a reply comes from the source of the request in flight, and if so marks the request
+// as answered.
 func (m *Machine) matchReply(from Member) bool {
 	t := &m.transfer
 	if !t.inFlight || t.source != from {
@@ -126,8 +129,8 @@
 	return out
 }
 
-// acceptEntry appends an entry that was fetched, in place of an uncommitted one with its index. It returns what is to be
-// stored, and reports whether the entry is in the log now.
+// acceptEntry appends a fetched entry, replacing an uncommitted entry with the same index. It returns the records
+// to be stored, and reports whether the log contains the entry now.
 func (m *Machine) acceptEntry(entry Entry) ([]Record, bool) {
 	if last, present := m.log.lastEntry(); present && last.position() == entry.position() {
 		return nil, true
@@ -143,7 +146,7 @@
 	return []Record{SaveEntry{Entry: entry}}, true
 }
 
-// advanceCommitted records the last index that the source of entries knows to be committed.
+// advanceCommitted records the last index that the source of the entries knows to be committed.
 func (m *Machine) advanceCommitted(committed uint64) {
 	if committed >= m.log.seq {
 		m.log = m.log.withCommitted(committed)
@@ -172,8 +175,8 @@
 	return out
 }
 
-// installSnapshot replaces the log by a snapshot whose chunks are complete, if it is later than what is committed here and its
-// digests are right.
+// installSnapshot replaces the log by a snapshot whose chunks are complete, provided that the snapshot is later
+// than the committed state of this member and its digests match.
 func (m *Machine) installSnapshot() Ready {
 	incoming := m.transfer.incoming
 	m.transfer.incoming = incomingSnapshot{}
@@ -193,7 +196,8 @@
 	return out
 }
 
-// decode returns the snapshot whose chunks are complete. It returns errChecksum if they are not those that were encoded.
+// decode returns the snapshot whose chunks are complete. It returns errChecksum if the chunks do not match the
+// checksum of the encoded snapshot.
 func (s *incomingSnapshot) decode() (operator.Snapshot, error) {
 	var snapshot operator.Snapshot
 	compressed := slices.Concat(s.chunks...)
--- a/internal/fleet/replica/install.go
+++ b/internal/fleet/replica/install.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// installExpiry is how long a member goes on fetching the base of a view that a proposer wants. It is longer than any attempt.
+// installExpiry is how long a member keeps fetching the base of a view that a proposer has asked it to install. It
+// is longer than any attempt.
 const installExpiry = 3 * time.Second
 
-// pendingInstall is a state that a proposer wants stored here.
+// pendingInstall is a state that a proposer has asked this member to store.
 type pendingInstall struct {
 	request    Install
 	proposer   Member
@@ -25,7 +26,8 @@
 	return out
 }
 
-// sendInstalled answers a proposer once the state that it wants is in the log, and so is stored before the answer leaves.
+// sendInstalled replies to a proposer once the log contains the requested state. The state is stored before the
+// reply is sent.
 func (m *Machine) sendInstalled() Ready {
 	install := m.transfer.install
 	if install == nil || !m.log.hasPosition(install.request.Base) {
--- a/internal/fleet/replica/log.go
+++ b/internal/fleet/replica/log.go
@@ -8,18 +8,18 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// errDiverged means that an entry does not follow the state to which it is to be applied.
+// errDiverged means that an entry does not follow the state to which it would be applied.
 var errDiverged = errors.New("replica: the entry does not follow this log")
 
-// The limits of the entries that are kept in memory for members and data nodes that are behind.
+// Limits on the entries that are kept in memory for members and data nodes that are behind.
 const (
 	maxEntries    = 1024
 	maxEntryBytes = 2 << 20
 )
 
-// Log is a member's replica of the replicated state: the last state that it stored, which is at most one order ahead of the
-// last one that it knows to be committed, and the latest entries that led there. It is immutable: the methods that change it
-// return another value.
+// Log is a member's replica of the replicated state: the last state that the member stored, which is at most one
+// order ahead of the last state that it knows to be committed, and the most recent entries that led there. Log is
+// immutable: methods that change it return a new value.
 type Log struct {
 	seq            uint64
 	state          *operator.State
@@ -27,7 +27,7 @@
 	committedState *operator.State
 	basePosition   Position // of the state before the first of entries
 	entries        *immutable.List[Entry]
-	entryBytes     int // of the bodies of the orders in entries
+	entryBytes     int // total size of the order bodies in entries
 }
 
 // newLog returns a log that begins with a snapshot; nil stands for the state before the first order.
@@ -42,22 +42,23 @@
 	return newLogAt(snapshot.Seq, state), nil
 }
 
-// newLogAt returns a log without entries that is at a committed state.
+// newLogAt returns a log without entries at a committed state.
 func newLogAt(seq uint64, state *operator.State) Log {
 	return Log{seq: seq, state: state, committed: seq, committedState: state, basePosition: positionOf(seq, state),
 		entries: immutable.NewList[Entry]()}
 }
 
-// lastPosition returns the position of the last state that is stored.
+// lastPosition returns the position of the last stored state.
 func (l Log) lastPosition() Position { return positionOf(l.seq, l.state) }
 
-// committedPosition returns the position of the last state that is known to be committed.
+// committedPosition returns the position of the last state known to be committed.
 func (l Log) committedPosition() Position { return positionOf(l.committed, l.committedState) }
 
-// hasPending reports whether there is an entry that is not known to be committed.
+// hasPending reports whether the last entry is not known to be committed.
 func (l Log) hasPending() bool { return l.seq > l.committed }
 
-// hasPosition reports whether the log is at a position, or was before the entry that is not known to be committed.
+// hasPosition reports whether the log ends at a position, with or without the entry that is not known to be
+// committed.
 func (l Log) hasPosition(position Position) bool {
 	return l.lastPosition() == position || l.committedPosition() == position
 }
@@ -67,8 +68,9 @@
 	return l.committed > position.Seq || l.committedPosition() == position
 }
 
-// withEntry returns the log with one more entry, and everything before it committed: an order is forwarded only after that.
-// It returns errDiverged if the entry does not follow the log, or why its order cannot be applied.
+// withEntry returns the log with one more entry and everything before it committed: an order is forwarded only
+// after its predecessor is committed. It returns errDiverged if the entry does not follow the log, or the reason
+// why the order cannot be applied.
 func (l Log) withEntry(entry Entry) (Log, error) {
 	if entry.Seq != l.seq+1 {
 		return l, errDiverged
@@ -87,7 +89,7 @@
 	return l.trimmed(), nil
 }
 
-// trimmed returns the log without the oldest entries beyond the limits, but always with the last one.
+// trimmed returns the log without the oldest entries that exceed the limits. The last entry is always kept.
 func (l Log) trimmed() Log {
 	for l.entries.Len() > 1 && (l.entries.Len() > maxEntries || l.entryBytes > maxEntryBytes) {
 		first := l.entries.Get(0)
@@ -98,7 +100,8 @@
 	return l
 }
 
-// withCommitted returns the log with everything up to an index committed. Only the last entry can be uncommitted.
+// withCommitted returns the log with every entry up to index seq committed. Only the last entry can be
+// uncommitted.
 func (l Log) withCommitted(seq uint64) Log {
 	if seq >= l.seq {
 		l.committed, l.committedState = l.seq, l.state
@@ -106,7 +109,7 @@
 	return l
 }
 
-// withoutPending returns the log without the entry that is not known to be committed.
+// withoutPending returns the log without the entry that is not known to be committed, if there is one.
 func (l Log) withoutPending() Log {
 	if !l.hasPending() {
 		return l
@@ -118,7 +121,7 @@
 	return l
 }
 
-// lastEntry returns the last entry, if it is in memory.
+// lastEntry returns the last entry if it is in memory.
 func (l Log) lastEntry() (Entry, bool) {
 	if l.entries.Len() == 0 {
 		return Entry{}, false
@@ -126,8 +129,8 @@
 	return l.entries.Get(l.entries.Len() - 1), true
 }
 
-// indexAfter returns the index in entries of the first one after a position, and reports whether the log has passed through
-// that position with entries that are in memory.
+// indexAfter returns the index in entries of the first entry after a position. It reports whether the log contains
+// that position and all entries after it are in memory.
 func (l Log) indexAfter(position Position) (int, bool) {
 	if position == l.basePosition {
 		return 0, true
@@ -140,8 +143,8 @@
 	return index, previous.History == position.History
 }
 
-// batch returns the entries from an index of entries on, up to a position in the log: as many as fit into maxBytes of
-// orders, but at least one.
+// batch returns consecutive entries, beginning at index first of entries and ending at most with the entry
+// lastSeq. It returns as many as fit into maxBytes of order bodies, but at least one.
 func (l Log) batch(first int, lastSeq uint64, maxBytes int) []Entry {
 	var batch []Entry
 	size := 0
--- a/internal/fleet/replica/machine.go
+++ b/internal/fleet/replica/machine.go
@@ -7,29 +7,30 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// durable is the part of a member that is derived from its disk. Its values are never changed in place, so that a copy of
-// the struct is a checkpoint.
+// durable is the part of a member that is derived from its disk. Values that it refers to are never modified in
+// place, so a copy of the struct is a checkpoint.
 type durable struct {
 	self     Member
 	founder  bool
 	view     View
-	base     Position // with which the view's chain begins
+	base     Position // the state with which the chain of the view begins
 	hasBase  bool     // the log has passed through base
 	log      Log
 	promised Ballot // of epoch view.Epoch+1
 	accepted *Accepted
 
-	pendingSince time.Duration // when the uncommitted entry was appended; 0 = before this start
+	pendingSince time.Duration // when the uncommitted entry was appended; 0: before this start
 }
 
-// Machine is one member. It is not safe for concurrent use. All times are of the clock whose value the caller passes.
+// Machine is the state machine of one member. It is not safe for concurrent use. All times are readings of the
+// clock that the caller passes.
 type Machine struct {
 	config Config
 	durable
-	founders          []string // addresses whose majority agrees on the first view
+	founders          []string // addresses of the founders, a majority of which agrees on the first view
 	healthy           bool
 	leaving           bool
-	leavingSince      time.Duration // when it announced that it is about to shut down for good
+	leavingSince      time.Duration // when this member announced that it is about to shut down permanently
 	now               time.Duration
 	startedAt         time.Duration
 	appendSentAt      time.Duration // when the uncommitted entry was last sent
@@ -38,13 +39,13 @@
 	peers             map[string]*peer // by address
 	attempt           *proposalAttempt
 	nextAttemptAt     time.Duration // no attempt before then
-	changeWantedSince time.Duration // since when this member would propose another view; 0 = it would not
+	changeWantedSince time.Duration // since when this member has wanted another view; 0: it does not
 	maxRound          uint64        // the highest round seen for the next epoch
 	queue             []submission
 	transfer          transfer
 }
 
-// New returns a member with the state that is on its disk.
+// New returns a member with the state that is stored on its disk.
 func New(config Config, stored Stored, now time.Duration) (*Machine, error) {
 	m := &Machine{config: config, healthy: true, now: now, startedAt: now, peers: map[string]*peer{}}
 	m.self, m.founder, m.promised, m.accepted = stored.Self, stored.Founder, stored.Promised, stored.Accepted
@@ -62,8 +63,8 @@
 	return m, nil
 }
 
-// restoreLog builds the log from the disk. It ends before the first entry that the present view does not contain: that one
-// and those after it were never committed.
+// restoreLog builds the log from the stored snapshot and entries. It stops before the first entry that the current
+// view does not contain: that entry and those after it were never committed.
 func (m *Machine) restoreLog(stored *Stored) error {
 	log, err := newLog(stored.Snapshot)
 	if err != nil {
@@ -79,15 +80,16 @@
 	return nil
 }
 
-// restoreEntry appends a stored or fetched entry and reports whether it did. Beyond the base an entry counts only if it is of the view's
-// epoch: one of an earlier epoch was discarded with it, although an order that is sent again may make an entry with the same position.
-// The rule is the same for both, so that what is in the log is there after a restart.
+// restoreEntry appends a stored or fetched entry and reports whether it did. Beyond the base, an entry is valid
+// only if it belongs to the epoch of the view: an entry of an earlier epoch was discarded together with that
+// epoch, although a resubmitted order may produce an entry with the same position. The same rule applies to stored
+// and to fetched entries, so that an entry in the log is still there after a restart.
 func (m *Machine) restoreEntry(entry Entry) bool {
 	if entry.Seq > m.base.Seq && (entry.Epoch != m.view.Epoch || !m.hasBase) {
 		return false
 	}
 	next, err := m.log.withEntry(entry)
-	if err != nil { // it does not follow this log: an entry before it was replaced
+	if err != nil { // it does not follow this log, because an entry before it was replaced
 		return false
 	}
 	m.log = next
@@ -97,7 +99,7 @@
 	return true
 }
 
-// Step handles a message. One for another incarnation of this address is ignored.
+// Step handles a message. A message to another incarnation of this address is ignored.
 func (m *Machine) Step(now time.Duration, envelope Envelope) Ready {
 	m.now = max(now, m.now)
 	if to := envelope.To.Incarnation; to != 0 && to != m.self.Incarnation {
@@ -138,7 +140,7 @@
 	return Ready{}
 }
 
-// Tick advances the time. It must be called several times in every HeartbeatInterval.
+// Tick advances the time. The caller must call it several times per HeartbeatInterval.
 func (m *Machine) Tick(now time.Duration) Ready {
 	m.now = max(now, m.now)
 	var out Ready
@@ -165,13 +167,13 @@
 // Healthy reports whether the last write to the disk succeeded.
 func (m *Machine) Healthy() bool { return m.healthy }
 
-// Committed returns the last state that this member knows to be committed, with its index.
+// Committed returns the last state that this member knows to be committed, and its index.
 func (m *Machine) Committed() (uint64, *operator.State) { return m.log.committed, m.log.committedState }
 
 // Log returns this member's replica of the log.
 func (m *Machine) Log() Log { return m.log }
 
-// Status returns what this member reports of itself to its peers.
+// Status returns the status that this member reports to its peers.
 func (m *Machine) Status() Status {
 	return Status{Epoch: m.view.Epoch, Sealed: m.sealed(), Holds: m.view.Epoch > 0 && m.hasBase, Seq: m.log.seq,
 		Committed: m.log.committed, Healthy: m.healthy, Core: m.config.CanVote, Founder: m.founder, Leaving: m.leaving,
@@ -181,13 +183,15 @@
 // InChain reports whether this member is in the chain of its view.
 func (m *Machine) InChain() bool { return slices.Contains(m.view.Chain, m.self) }
 
-// inSync reports whether this member is sent the orders of its view down the chain, rather than fetching them.
+// inSync reports whether this member receives the orders of its view through the chain, rather than by fetching
+// them.
 func (m *Machine) inSync() bool { return m.InChain() && m.hasBase }
 
 // hasAllCommitted reports whether this member's log contains every committed order.
 func (m *Machine) hasAllCommitted() bool { return m.view.Epoch == 0 || m.inSync() }
 
-// sealed reports whether this member has promised a ballot of the next epoch. It then appends no entry of this one.
+// sealed reports whether this member has promised a ballot of the next epoch. A sealed member appends no further
+// entry of the current epoch.
 func (m *Machine) sealed() bool { return m.promised.Round > 0 }
 
 func (m *Machine) isVoter() bool {
@@ -197,7 +201,8 @@
 	return slices.Contains(m.view.Voters, m.self)
 }
 
-// voters returns the voters of the present view; before the first one, the founders by address, with incarnation 0.
+// voters returns the voters of the current view. Before the first view it returns the founders, by address and
+// with incarnation 0.
 func (m *Machine) voters() []Member {
 	if m.view.Epoch > 0 {
 		return m.view.Voters
@@ -209,13 +214,15 @@
 	return voters
 }
 
-// Checkpoint is a copy of the durable part of a member, for Rollback.
+// Checkpoint is a copy of the durable part of a member, to be passed to Rollback.
 type Checkpoint struct{ state durable }
 
-// Checkpoint returns the durable part, to roll back to if storing what the next call returns fails.
+// Checkpoint returns a copy of the durable part. The caller rolls back to it if storing the result of the next
+// call fails.
 func (m *Machine) Checkpoint() Checkpoint { return Checkpoint{m.durable} }
 
-// Rollback restores a checkpoint after a failed write. The member reports itself unhealthy until SetHealthy.
+// Rollback restores a checkpoint after a failed write. The member then reports itself as unhealthy until
+// SetHealthy is called.
 func (m *Machine) Rollback(to Checkpoint) {
 	m.durable = to.state
 	m.attempt = nil
--- a/internal/fleet/replica/messages.go
+++ b/internal/fleet/replica/messages.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// The messages are sent with gob, which encodes the names of their fields. Some of these are not the terms that the code
-// uses otherwise, and stay as they are: Holds (has the base, or all committed orders), Young (has just started), Core (can vote),
-// Live (reachable), Learned (known addresses), Piece (index of a chunk), Whole (checksum of the complete snapshot).
+// The messages are sent with gob, which encodes the names of their fields, so the fields cannot be renamed. Some
+// names differ from the terms used elsewhere in the code: Holds (has the base, or all committed orders), Young
+// (has just started), Core (can vote), Live (reachable), Learned (known addresses), Piece (index of a chunk),
+// Whole (checksum of the complete snapshot).
 
-// Heartbeat asks a peer whether it is alive and in which epoch it is.
+// Heartbeat asks a peer for its status and carries the status of the sender.
 type Heartbeat struct {
-	Stamp   time.Duration // of the sender's clock, returned in the reply
+	Stamp   time.Duration // time on the sender's clock; the reply returns it
 	Status  Status
 	Learned []string // internal addresses of the members that the sender knows
 }
 
-// HeartbeatReply answers Heartbeat.
+// HeartbeatReply is the reply to Heartbeat.
 type HeartbeatReply struct {
 	Stamp   time.Duration
 	Status  Status
 	Learned []string
 }
 
-// Status is what a member reports of itself.
+// Status is what a member reports about itself.
 type Status struct {
 	Epoch     uint64
 	Sealed    bool // it has promised a ballot of the next epoch
@@ -33,8 +34,8 @@
 	Healthy   bool // its last write to the disk succeeded
 	Core      bool // it can be a voter
 	Founder   bool
-	Leaving   bool     // it is about to shut down for good
-	Young     bool     // it started less than FailureTimeout ago, and may not have had replies from all peers yet
+	Leaving   bool     // it is about to shut down permanently
+	Young     bool     // it started less than FailureTimeout ago, so some peers may not have replied yet
 	Live      []string // addresses of the peers that it reaches
 }
 
@@ -44,7 +45,7 @@
 	Ballot Ballot
 }
 
-// Promise answers Prepare. It is sent once the promise is stored.
+// Promise is the reply to Prepare. It is sent after the promise is stored.
 type Promise struct {
 	Epoch    uint64
 	Ballot   Ballot
@@ -53,13 +54,13 @@
 	Position Position
 }
 
-// Reject answers a Prepare or an Accept whose ballot is lower than the promised one.
+// Reject is the reply to a Prepare or an Accept whose ballot is lower than the promised one.
 type Reject struct {
 	Epoch    uint64
 	Promised Ballot
 }
 
-// Install asks a member of a chain that is to be proposed to store the state with which the chain begins.
+// Install asks a member of a chain that is about to be proposed to store the state with which that chain begins.
 type Install struct {
 	Epoch  uint64
 	Ballot Ballot
@@ -67,7 +68,7 @@
 	Source Member // has that state
 }
 
-// Installed answers Install once the state is stored.
+// Installed is the reply to Install. It is sent after the state is stored.
 type Installed struct {
 	Epoch  uint64
 	Ballot Ballot
@@ -80,7 +81,7 @@
 	Proposal Proposal
 }
 
-// AcceptReply answers Accept. It is sent once the accepted proposal is stored.
+// AcceptReply is the reply to Accept. It is sent after the accepted proposal is stored.
 type AcceptReply struct {
 	Epoch  uint64
 	Ballot Ballot
@@ -89,7 +90,7 @@
 // Decided announces an agreed view.
 type Decided struct{ Proposal Proposal }
 
-// Append forwards an entry to the next member of the chain. It is sent once the sender has stored the entry.
+// Append forwards an entry to the next member of the chain. It is sent after the sender has stored the entry.
 type Append struct{ Entry Entry }
 
 // Committed announces to the chain that the tail has stored an entry.
@@ -98,22 +99,22 @@
 	Seq   uint64
 }
 
-// FetchRequest asks a member for what leads from the sender's log to a later state.
+// FetchRequest asks a member for the entries or the snapshot that lead from the sender's log to a later state.
 type FetchRequest struct {
 	Have     Position // the last position that the sender knows to be committed
-	Want     Position // the zero position: the last committed one
-	Snapshot Position // of the chunks received so far
+	Want     Position // the requested position; zero: the last committed one
+	Snapshot Position // position of the snapshot whose chunks were received so far
 	Piece    int      // index of the next chunk
 }
 
-// FetchReply answers FetchRequest with the entries that follow the position that the sender has.
+// FetchReply is the reply to FetchRequest with the entries after the position in the request.
 type FetchReply struct {
 	From      Position
 	Entries   []Entry
 	Committed uint64
 }
 
-// SnapshotChunk answers FetchRequest with a part of an encoded snapshot.
+// SnapshotChunk is the reply to FetchRequest with one chunk of an encoded snapshot.
 type SnapshotChunk struct {
 	Snapshot Position
 	Index    int
@@ -126,18 +127,19 @@
 // Message is one of the messages above.
 type Message any
 
-// Envelope is a message with its sender and recipient. An incarnation of 0 matches every process at the address.
+// Envelope is a message with its sender and its recipient. An incarnation of 0 matches any process at the address.
 type Envelope struct {
 	From Member
 	To   Member
 	Body Message
 }
 
-// wirePath precedes the names under which gob knows the messages. Two versions of the program understand each other by these
-// names, so a type that is renamed or moved keeps the name that it had on the wire.
+// wirePath is the prefix of the names under which gob knows the messages. Different versions of the program
+// identify the message types by these names, so a type that is renamed or moved keeps its name on the wire.
 const wirePath = "linenwheel.dev/linenwheel/internal/fleet/replica."
 
-// RegisterMessages registers the messages with gob. It must be called before the first one is sent or received.
+// RegisterMessages registers the messages with gob. It must be called before the first message is sent or
+// received.
 func RegisterMessages() {
 	for name, message := range map[string]Message{"Heartbeat": Heartbeat{}, "HeartbeatReply": HeartbeatReply{}, "Prepare": Prepare{},
 		"Promise": Promise{}, "Reject": Reject{}, "Install": Install{}, "Installed": Installed{}, "Accept": Accept{},
--- a/internal/fleet/replica/peers.go
+++ b/internal/fleet/replica/peers.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// peerExpiry is how long a process that is neither voter nor seed may be unreachable before it gets no more heartbeats.
+// peerExpiry is how long a process that is neither a voter nor a seed may be unreachable before no more heartbeats
+// are sent to it.
 const peerExpiry = 30 * time.Second
 
-// peer is what a member knows of another control process.
+// peer is what a member knows about another control process.
 type peer struct {
-	member           Member // its incarnation is 0 until it has answered
+	member           Member // its incarnation is 0 until it has replied
 	status           Status
 	answeredAt       time.Duration
-	reachableSince   time.Duration // 0 = not reachable
-	confirmedAt      time.Duration // send time of the latest heartbeat that it answered from our epoch, not sealed
+	reachableSince   time.Duration // 0: not reachable
+	confirmedAt      time.Duration // send time of the latest heartbeat to which it replied from our epoch, not sealed
 	unreachableSince time.Duration
-	excludedUntil    time.Duration // not proposed before then: it did not install a state in time
+	excludedUntil    time.Duration // left out of proposals until then, because it did not install a state in time
 }
 
 // AddPeers adds the addresses of control processes.
@@ -28,7 +29,7 @@
 	}
 }
 
-// SetSeeds replaces the seeds. They get heartbeats from now on; they do not become founders.
+// SetSeeds replaces the seeds. Heartbeats are sent to the new seeds from now on; they do not become founders.
 func (m *Machine) SetSeeds(addresses []string) {
 	m.config.Seeds = addresses
 	m.AddPeers(addresses)
@@ -40,7 +41,7 @@
 	}
 }
 
-// shouldContact reports whether a peer gets heartbeats.
+// shouldContact reports whether heartbeats are sent to a peer.
 func (m *Machine) shouldContact(address string, p *peer) bool {
 	if p.reachableSince > 0 || containsAddress(m.view.Voters, address) || slices.Contains(m.config.Seeds, address) ||
 		m.view.Epoch == 0 && slices.Contains(m.founders, address) {
@@ -49,7 +50,7 @@
 	return m.now-p.unreachableSince < peerExpiry
 }
 
-// peerAddresses returns the addresses of the peers that get heartbeats, sorted.
+// peerAddresses returns the sorted addresses of the peers to which heartbeats are sent.
 func (m *Machine) peerAddresses() []string {
 	addresses := make([]string, 0, len(m.peers))
 	for address, p := range m.peers {
@@ -61,10 +62,10 @@
 	return addresses
 }
 
-// knownAddresses returns the addresses that this member passes on: those of its peers and its own.
+// knownAddresses returns the addresses that this member shares with its peers: those of the peers and its own.
 func (m *Machine) knownAddresses() []string { return append(m.peerAddresses(), m.self.Address) }
 
-// reachableAddresses returns the addresses of the reachable peers, sorted.
+// reachableAddresses returns the sorted addresses of the reachable peers.
 func (m *Machine) reachableAddresses() []string {
 	var reachable []string
 	for address, p := range m.peers {
--- a/internal/fleet/replica/proposer.go
+++ b/internal/fleet/replica/proposer.go
@@ -11,32 +11,32 @@
 	installRetryDivisor = 3
 	// installBackoff is how long a member that did not install a state in time is left out of proposals.
 	installBackoff = 2 * time.Second
-	// rejectSlots is the number of different delays, by incarnation, after a rejected ballot: two proposers whose ballots
-	// collided do not collide again.
+	// rejectSlots is the number of different delays after a rejected ballot. The delay depends on the
+	// incarnation, so that two proposers whose ballots collided do not collide again.
 	rejectSlots = 4
 )
 
-// proposalAttempt is one run of this member to have a view agreed. It collects promises, then has the chain install the base, then
-// collects acceptances.
+// proposalAttempt is one attempt of this member to have a view agreed. It collects promises, then has the chain
+// install the base, then collects acceptances.
 type proposalAttempt struct {
 	epoch            uint64
 	ballot           Ballot
 	view             View // proposed unless a voter has accepted another one
 	startedAt        time.Duration
 	promises         map[Member]Promise
-	base             Position // with which the wanted view begins; set with source once a majority has promised
-	source           Member   // has the base
+	base             Position // base of the wanted view; set, like source, once a majority has promised
+	source           Member   // a member that has the base
 	installStartedAt time.Duration
 	installSentAt    time.Duration
 	installedBy      map[Member]bool
-	proposal         *Proposal // set once it is put to the vote
+	proposal         *Proposal // set when it is put to the vote
 	acceptedBy       map[Member]bool
 }
 
 // installing reports whether the chain has been asked to install the base.
 func (a *proposalAttempt) installing() bool { return a.installStartedAt > 0 }
 
-// reconfigure starts an attempt where another view is wanted, and advances or abandons the present one.
+// reconfigure starts an attempt if another view is wanted, and advances or abandons an attempt in progress.
 func (m *Machine) reconfigure() Ready {
 	if m.attempt != nil && m.now-m.attempt.startedAt < m.config.ProposalTimeout {
 		return m.advanceInstall()
@@ -59,11 +59,12 @@
 	return m.propose(view)
 }
 
-// canPropose reports whether this member may propose a view. One outside the chain leaves it to those inside: it may be
-// partitioned from one of them alone, and no view can be made without any of them.
+// canPropose reports whether this member may propose a view. A voter outside the chain leaves proposals to the
+// members of the chain: it may be partitioned from only one of them, and no view can be agreed without any of
+// them.
 func (m *Machine) canPropose() bool { return m.healthy && m.isVoter() && m.hasAllCommitted() }
 
-// proposalDelay returns how long this member waits for those before it in the chain to propose.
+// proposalDelay returns how long this member waits, so that the members before it in the chain can propose first.
 func (m *Machine) proposalDelay(view View) time.Duration {
 	index := slices.Index(view.Chain, m.self)
 	if index < 0 {
@@ -80,7 +81,8 @@
 	return m.broadcastToVoters(Prepare{Epoch: m.attempt.epoch, Ballot: m.attempt.ballot})
 }
 
-// broadcastToVoters sends a message to every voter, itself included: its own vote is stored before it counts, too.
+// broadcastToVoters sends a message to every voter, including this member, whose own vote must also be stored
+// before it counts.
 func (m *Machine) broadcastToVoters(body Message) Ready {
 	var out Ready
 	for _, voter := range m.voters() {
@@ -112,8 +114,8 @@
 	return m.sendInstall()
 }
 
-// highestAccepted returns what was accepted under the highest ballot, nil if nothing was. It may have been decided, and must
-// be proposed again.
+// highestAccepted returns the proposal that was accepted under the highest ballot, nil if none was. That proposal
+// may have been decided, so it must be proposed again.
 func (a *proposalAttempt) highestAccepted() *Accepted {
 	var highest *Accepted
 	for _, promise := range a.promises {
@@ -124,8 +126,8 @@
 	return highest
 }
 
-// chooseBase sets the end of the longest complete log among the promises as the base of the wanted view, and reports whether
-// there is one. Among equals the lowest address is the source.
+// chooseBase sets the end of the longest complete log among the promises as the base of the wanted view, and
+// reports whether there is one. Among equally long logs, the voter with the lowest address is the source.
 func (a *proposalAttempt) chooseBase(self Member) bool {
 	found := false
 	for voter, promise := range a.promises {
@@ -157,7 +159,8 @@
 	return out
 }
 
-// advanceInstall repeats unanswered Installs, and goes on without the members that did not answer in time.
+// advanceInstall resends unanswered Installs, and continues without the members that did not reply within
+// InstallTimeout.
 func (m *Machine) advanceInstall() Ready {
 	a := m.attempt
 	if !a.installing() || a.proposal != nil {
@@ -172,8 +175,8 @@
 	return m.sendInstall()
 }
 
-// proposeInstalled puts the wanted view to the vote with the part of its chain that has the base. Where a member that was to
-// become a voter does not have it, the attempt ends, and the next one leaves that member out.
+// proposeInstalled puts the wanted view to the vote with the part of its chain that has the base. If a prospective
+// voter does not have the base, the attempt ends, and the next attempt leaves that member out.
 func (m *Machine) proposeInstalled() Ready {
 	a := m.attempt
 	var chain []Member
@@ -242,7 +245,7 @@
 	return m.announce(*a.proposal)
 }
 
-// announce sends a decided view to the voters of the present and of that view, and adopts it.
+// announce sends a decided view to the voters of the current view and of the decided one, and adopts it.
 func (m *Machine) announce(decided Proposal) Ready {
 	var out Ready
 	for _, member := range union(m.voters(), decided.View.Voters) {
--- a/internal/fleet/replica/ready.go
+++ b/internal/fleet/replica/ready.go
@@ -1,7 +1,7 @@
 package replica
 
-// Ready is what a call of the machine requires of its caller: store the records, then send the messages, then deliver the
-// replies. No message and no reply may leave before all records are synced.
+// Ready contains what the caller must do after a call of the machine: store the records, then send the messages,
+// then deliver the replies. No message or reply may be sent before all records are synced.
 type Ready struct {
 	Records  []Record
 	Messages []Envelope
@@ -17,10 +17,11 @@
 // Reply is the outcome of an order that was submitted to this member.
 type Reply struct {
 	ID       uint64 // as passed to Submit
-	Revision int64  // of the configuration that the order made, if Err is nil
+	Revision int64  // of the configuration that resulted from the order, if Err is nil
 	Err      error
-	// Unconfirmed marks a rejection that holds only if the view of Epoch was still the latest one afterwards: the caller
-	// must wait until [Machine.ViewConfirmed] is later than the rejection before it answers.
+	// Unconfirmed marks a rejection that is valid only if the view of Epoch was still the latest one afterwards:
+	// before it replies to the client, the caller must wait until [Machine.ViewConfirmed] is later than the
+	// rejection.
 	Unconfirmed bool
 	Epoch       uint64
 }
--- a/internal/fleet/replica/reconfiguration.go
+++ b/internal/fleet/replica/reconfiguration.go
@@ -5,11 +5,13 @@
 	"slices"
 )
 
-// maxCatchUpLag is the number of committed orders that a member may lack and still store them within an attempt.
+// maxCatchUpLag is the number of committed orders that a member may lack while still being able to store them
+// within one attempt.
 const maxCatchUpLag = 32
 
-// nextView returns the view that this member would propose, and reports whether it should: because it differs from the present
-// one, or because a promise without a decision has kept this member from appending entries for a while.
+// nextView returns the view that this member would propose, and reports whether it should propose it: either the
+// view differs from the current one, or a promise without a decision has prevented this member from appending
+// entries for longer than RetryInterval.
 func (m *Machine) nextView() (View, bool) {
 	if m.view.Epoch == 0 {
 		return m.firstView()
@@ -24,18 +26,19 @@
 	return next, stuck || !sameMembers(voters, m.view.Voters) || !sameMembers(chain, m.view.Chain)
 }
 
-// targetVoters returns the number of voters of which a majority survives MaxFailures losses. It is odd: one voter more would
-// raise the majority, but not the number of losses that it survives, and a partition into halves could leave no majority.
+// targetVoters returns the number of voters of which a majority survives MaxFailures failures. The number is odd:
+// one more voter would raise the majority but not the number of failures that it survives, and a partition into
+// halves could leave no majority.
 func (m *Machine) targetVoters() int { return 2*m.config.MaxFailures + 1 }
 
-// minChainLength returns the least length of a chain: one replica more than may be lost, and long enough to share a member
-// with every majority of the voters.
+// minChainLength returns the minimum length of a chain: one replica more than may be lost, and enough to share a
+// member with every majority of the voters.
 func (m *Machine) minChainLength(voters int) int {
 	return max(min(m.config.MaxFailures+1, voters), voters-majority(voters)+1)
 }
 
-// nextVoters replaces voters that leave or have failed by standby members. A vote changes hands within one view, so that the
-// number of voters stays odd and no member votes beside its successor.
+// nextVoters replaces voters that are leaving or have failed by standby members. A vote passes to its new holder
+// within a single view, so the number of voters stays odd and no member votes alongside its successor.
 func (m *Machine) nextVoters() []Member {
 	voters := slices.Clone(m.view.Voters)
 	standby := m.Standby()
@@ -46,13 +49,14 @@
 			standby = slices.Delete(standby, next, next+1)
 		}
 	}
-	voters, standby = replaceVoters(voters, standby, m.failedVoters(voters)) // before those that leave, as these can still vote
+	voters, standby = replaceVoters(voters, standby, m.failedVoters(voters)) // before the leaving ones, which can still vote
 	voters, standby = replaceVoters(voters, standby, m.leavingVoters(voters))
 	return m.addVoters(m.removeSurplusVoters(voters), standby)
 }
 
-// failedVoters returns the indexes of the voters that have failed, the one that has been unreachable for longest first: it is the
-// likeliest to have failed for good, whereas one that a partition has just hidden from this member may be back the next moment.
+// failedVoters returns the indexes of the voters that have failed, with the one that has been unreachable the
+// longest first. That voter is the most likely to have failed permanently, whereas a voter from which a partition
+// has only just separated this member may soon be reachable again.
 func (m *Machine) failedVoters(voters []Member) []int {
 	failed := indexesOf(voters, m.failed)
 	slices.SortStableFunc(failed, func(a, b int) int {
@@ -61,22 +65,23 @@
 	return failed
 }
 
-// leavingVoters returns the indexes of the voters that have announced that they are about to shut down for good.
+// leavingVoters returns the indexes of the voters that have announced that they are about to shut down
+// permanently.
 func (m *Machine) leavingVoters(voters []Member) []int { return indexesOf(voters, m.isLeaving) }
 
-// indexesOf returns the indexes of the members for which holds is true.
-func indexesOf(members []Member, holds func(Member) bool) []int {
+// indexesOf returns the indexes of the members for which matches returns true.
+func indexesOf(members []Member, matches func(Member) bool) []int {
 	var indexes []int
 	for i, member := range members {
-		if holds(member) {
+		if matches(member) {
 			indexes = append(indexes, i)
 		}
 	}
 	return indexes
 }
 
-// replaceVoters replaces the voters with the given indexes, in their order, by standby members as far as there are any. It returns the
-// voters and the remaining standby members.
+// replaceVoters replaces the voters at the given indexes by standby members, in the order of the indexes and as
+// far as there are standby members. It returns the voters and the remaining standby members.
 func replaceVoters(voters, standby []Member, vacant []int) (replaced, remaining []Member) {
 	for _, i := range vacant[:min(len(vacant), len(standby))] {
 		next := rarestDomain(slices.Delete(slices.Clone(voters), i, i+1), standby)
@@ -86,7 +91,8 @@
 	return voters, standby
 }
 
-// removeSurplusVoters removes voters beyond targetVoters, those that have failed or leave first.
+// removeSurplusVoters removes voters in excess of targetVoters, starting with those that have failed or are
+// leaving.
 func (m *Machine) removeSurplusVoters(voters []Member) []Member {
 	for len(voters) > m.targetVoters() {
 		surplus := slices.IndexFunc(voters, func(v Member) bool { return m.failed(v) || m.isLeaving(v) })
@@ -98,8 +104,8 @@
 	return voters
 }
 
-// addVoters adds candidates up to targetVoters. It leaves the number odd, unless another voter is needed for the replicas that
-// there must be.
+// addVoters adds candidates up to targetVoters. It keeps the number of voters odd, unless one more voter is needed
+// to reach MaxFailures+1 replicas.
 func (m *Machine) addVoters(voters, candidates []Member) []Member {
 	candidates = slices.Clone(candidates)
 	count := min(m.targetVoters(), len(voters)+len(candidates))
@@ -114,7 +120,7 @@
 	return voters
 }
 
-// rarestDomain returns the index of the first candidate whose failure domain has the fewest of the voters.
+// rarestDomain returns the index of the first candidate whose failure domain contains the fewest voters.
 func rarestDomain(voters, candidates []Member) int {
 	best, fewest := 0, len(voters)+1
 	for i, candidate := range candidates {
@@ -131,7 +137,8 @@
 	return best
 }
 
-// Standby returns the members that have caught up and would replace a voter that leaves or fails, sorted.
+// Standby returns the members that have caught up and could replace a voter that leaves or fails, sorted by
+// address.
 func (m *Machine) Standby() []Member {
 	var standby []Member
 	for _, p := range m.peers {
@@ -144,7 +151,8 @@
 	return standby
 }
 
-// caughtUp reports whether a member has nearly all committed orders, and so can store the rest within an attempt.
+// caughtUp reports whether a member has nearly all committed orders, so that it can store the rest within one
+// attempt.
 func (m *Machine) caughtUp(member Member) bool {
 	if member == m.self {
 		return m.hasBase
@@ -154,8 +162,8 @@
 		p.status.Committed+maxCatchUpLag >= m.log.committed
 }
 
-// nextChain returns the voters that can serve together, those of the present chain first and in their order. Members that leave
-// are included only where there are too few others.
+// nextChain returns the voters that can form a chain: first those of the current chain in their present sequence,
+// then the others. Leaving members are included only if there are too few others.
 func (m *Machine) nextChain(voters []Member) []Member {
 	candidates := slices.DeleteFunc(slices.Clone(m.view.Chain), func(v Member) bool { return !slices.Contains(voters, v) })
 	present := len(candidates)
@@ -171,8 +179,8 @@
 	return m.connectedChain(candidates, present, func(Member) bool { return true })
 }
 
-// connectedChain returns the candidates that are eligible, can serve and reach each other. The first present ones of them are in
-// the present chain; the others must be stable and have caught up.
+// connectedChain returns the candidates that are eligible, can serve and reach each other. The first present
+// candidates are in the current chain; the others must be stable and have caught up.
 func (m *Machine) connectedChain(candidates []Member, present int, eligible func(Member) bool) []Member {
 	var chain []Member
 	for i, candidate := range candidates {
--- a/internal/fleet/replica/records.go
+++ b/internal/fleet/replica/records.go
@@ -9,12 +9,12 @@
 	Founders []string // addresses of the founders, as configured when the disk was empty
 	View     *Proposal
 	Snapshot *Snapshot // nil: the state before the first order
-	Entries  []Entry   // after the snapshot
+	Entries  []Entry   // those after the snapshot
 	Promised Ballot    // for the epoch after the view's
 	Accepted *Accepted
 }
 
-// The records are what is to be stored, in order. Their fields are encoded by name.
+// The records are stored in the order in which they are returned. Their fields are encoded by name.
 type (
 	// SaveIdentity stores the member's identity.
 	SaveIdentity struct {
@@ -29,7 +29,8 @@
 	}
 	// SaveAccepted stores the proposal accepted for the next epoch.
 	SaveAccepted struct{ Accepted Accepted }
-	// SaveView stores an agreed view, and discards the promise and the accepted proposal, which were for its epoch.
+	// SaveView stores an agreed view. It discards the promise and the accepted proposal, which were for the epoch
+	// of that view.
 	SaveView struct{ Proposal Proposal }
 	// SaveEntry stores one entry. It replaces any entry with the same or a higher index.
 	SaveEntry struct{ Entry Entry }
@@ -40,7 +41,7 @@
 // Record is one of the records above.
 type Record any
 
-// Apply updates s with a record that was stored. It does not modify slices that s shares with earlier values.
+// Apply updates s with a stored record. It does not modify slices that s shares with earlier values.
 func (s *Stored) Apply(record Record) {
 	switch record := record.(type) {
 	case SaveIdentity:
--- a/internal/fleet/replica/serve.go
+++ b/internal/fleet/replica/serve.go
@@ -8,21 +8,22 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// The sizes of one message of a transfer, in bytes.
+// Maximum sizes of one message of a state transfer, in bytes.
 const (
 	chunkSize     = 64 << 10 // of an encoded snapshot
-	maxBatchBytes = 64 << 10 // of orders, unless a single one is larger
+	maxBatchBytes = 64 << 10 // of order bodies, unless a single one is larger
 )
 
-// encodedSnapshot is a state, encoded once for all members that fetch it.
+// encodedSnapshot is a state that is encoded once for all members that fetch it.
 type encodedSnapshot struct {
 	position Position
 	encoded  []byte // compressed gob
 	checksum [checksumSize]byte
 }
 
-// onFetchRequest answers with entries if this log has passed through the position of the sender, else with a chunk of a
-// snapshot. It serves committed orders, and the uncommitted one if the sender was asked to install it.
+// onFetchRequest replies with entries if this log contains the position of the sender and the entries after it,
+// else with a chunk of a snapshot. It serves committed orders, and the uncommitted one if the sender was asked to
+// install it.
 func (m *Machine) onFetchRequest(from Member, body FetchRequest) Ready {
 	lastSeq := m.log.committed
 	if body.Want.Seq > 0 && body.Want == m.log.lastPosition() {
@@ -39,7 +40,7 @@
 	return Ready{Messages: []Envelope{m.envelope(from, m.chunkFor(body))}}
 }
 
-// chunkFor returns the chunk that a request asks for, or the first one of a later snapshot.
+// chunkFor returns the requested chunk, or the first chunk of a later snapshot.
 func (m *Machine) chunkFor(request FetchRequest) SnapshotChunk {
 	snapshot := m.currentSnapshot()
 	index := 0
@@ -53,8 +54,9 @@
 		Whole: snapshot.checksum}
 }
 
-// currentSnapshot returns the encoded snapshot that this member serves. It is encoded again only once the entries in memory
-// no longer follow it, so that chunks that were fetched before are of use.
+// currentSnapshot returns the encoded snapshot that this member serves. A new snapshot is encoded only when the
+// entries in memory no longer continue from the previous one, so that chunks that were already fetched remain
+// useful.
 func (m *Machine) currentSnapshot() *encodedSnapshot {
 	if current := m.transfer.outgoing; current != nil {
 		if _, known := m.log.indexAfter(current.position); known && current.position.Seq <= m.log.committed {
--- a/internal/fleet/replica/view.go
+++ b/internal/fleet/replica/view.go
@@ -7,15 +7,15 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// The types of this file are sent and stored with gob, which encodes the names of their fields: a renamed field would be
-// read as zero by another version.
+// The types in this file are sent and stored with gob, which encodes the names of their fields: another version
+// would decode a renamed field as zero.
 
-// Member is one control process with its disk. A process that finds its disk empty draws a new incarnation: it is another
-// member, whatever its address.
+// Member is one control process with its disk. A process that finds its disk empty draws a new incarnation and is
+// then a different member, even at the same address.
 type Member struct {
-	Address     string // at which it accepts internal calls
+	Address     string // at which it accepts internal requests
 	Incarnation uint64
-	Domain      string // failure domain: its zone or region
+	Domain      string // failure domain: zone or region
 }
 
 func compareMembers(a, b Member) int {
@@ -48,7 +48,7 @@
 	Chain  []Member // head first; all of them are voters
 }
 
-// Head returns the member that accepts orders, the zero Member if the chain is empty.
+// Head returns the member that accepts orders, or the zero Member if the chain is empty.
 func (v View) Head() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -56,7 +56,7 @@
 	return v.Chain[0]
 }
 
-// Tail returns the member whose replica commits an order by storing it, the zero Member if the chain is empty.
+// Tail returns the member that commits an order by storing it, or the zero Member if the chain is empty.
 func (v View) Tail() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -66,7 +66,7 @@
 
 func majority(voters int) int { return voters/2 + 1 }
 
-// Ballot orders the attempts to agree on one epoch.
+// Ballot identifies and orders the attempts to agree on the view of one epoch.
 type Ballot struct {
 	Round    uint64
 	Proposer Member
@@ -85,7 +85,7 @@
 	return b
 }
 
-// Position identifies a state: its index in the sequence of orders, and the digest of the orders that led to it.
+// Position identifies a state by its index in the sequence of orders and the digest of all orders that led to it.
 type Position struct {
 	Seq     uint64
 	History operator.Digest
@@ -95,7 +95,7 @@
 	return Position{Seq: seq, History: state.History()}
 }
 
-// Proposal is what is agreed for an epoch: the view, and the state with which its chain begins.
+// Proposal is the content of an agreement on one epoch: the view, and the state with which its chain begins.
 type Proposal struct {
 	View View
 	Base Position
