--- a/internal/fleet/replica/detection_test.go
+++ b/internal/fleet/replica/detection_test.go
@@ -11,17 +11,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// detectionVariable names the environment variable with which TestFailureDetection measures the alternatives too and logs a table.
+// detectionVariable is the environment variable with which TestFailureDetection also measures alternative
+// parameters and logs a table.
 const detectionVariable = "LINENWHEEL_DETECTION"
 
-// disturbance is a condition under which members that work must not be taken for failed.
+// disturbance is a condition under which working members must not be detected as failed.
 type disturbance struct {
 	name  string
 	apply func(sim *simulation)
 }
 
 var disturbances = []disturbance{
-	{"quiet", func(*simulation) {}},
+	{"none", func(*simulation) {}},
 	{"10% lost", func(sim *simulation) { sim.lossPercent = 10 }},
 	{"30% lost", func(sim *simulation) { sim.lossPercent = 30 }},
 	{"disks 25x", func(sim *simulation) { sim.writeTime = 100 * time.Millisecond }},
@@ -35,18 +36,18 @@
 // detector is a choice of the failure detector's parameters.
 type detector struct {
 	heartbeat, timeout time.Duration
-	refusals           bool // refused connections count
+	refusals           bool // a refused connection counts as a failure
 }
 
 func (d detector) String() string {
-	text := fmt.Sprintf("%d ms of silence, heartbeats %d ms", d.timeout.Milliseconds(), d.heartbeat.Milliseconds())
+	text := fmt.Sprintf("timeout %d ms, heartbeats every %d ms", d.timeout.Milliseconds(), d.heartbeat.Milliseconds())
 	if d.refusals {
-		text += ", refusals"
+		text += ", refused connections"
 	}
 	return text
 }
 
-// newSimulation returns a fleet of three members with this detector, which has committed its first order.
+// newSimulation returns a fleet of three members with this detector that has committed its first order.
 func (d detector) newSimulation(t *testing.T, seed uint64) *simulation {
 	t.Helper()
 	sim := newSimulation(seed, 3)
@@ -57,7 +58,7 @@
 	return sim
 }
 
-// falseAlarms returns how many views replace one of which all members work, in a minute with orders.
+// falseAlarms returns the number of view changes during one minute with orders in which all members work.
 func (d detector) falseAlarms(t *testing.T, seed uint64, during disturbance) int {
 	t.Helper()
 	sim := d.newSimulation(t, seed)
@@ -69,7 +70,8 @@
 	return int(sim.view().Epoch - before)
 }
 
-// detectionTime returns how long a chain still contains a member whose process has crashed, or whose machine has failed too.
+// detectionTime returns how long a member stays in the chain after its process has crashed or its machine has
+// failed.
 func (d detector) detectionTime(t *testing.T, seed uint64, machineFails bool) time.Duration {
 	t.Helper()
 	sim := d.newSimulation(t, seed)
@@ -87,7 +89,7 @@
 	return sim.now - failedAt
 }
 
-// detectionTimes returns the mean and the longest of the times of some seeds.
+// detectionTimes returns the mean and the maximum detection time over a number of seeds.
 func (d detector) detectionTimes(t *testing.T, seeds uint64, machineFails bool) (mean, longest time.Duration) {
 	t.Helper()
 	for seed := range seeds {
@@ -98,24 +100,26 @@
 	return mean, longest
 }
 
-// defaultDetector returns what DefaultConfig and the control process do.
+// defaultDetector returns the parameters of DefaultConfig, with refused connections detected as the control
+// process does.
 func defaultDetector() detector {
 	config := DefaultConfig()
 	return detector{config.HeartbeatInterval, config.FailureTimeout, true}
 }
 
-// A process that has ended is replaced in the chain at once, as its machine refuses connections, one whose machine is silent after
-// FailureTimeout. Slow disks, little processor time and lossy links are no failures.
+// A member whose process has ended is replaced in the chain at once, because its machine refuses connections. A
+// member whose machine does not respond is replaced after FailureTimeout. Slow disks, little processor time and
+// lossy links must not be detected as failures.
 func TestFailureDetection(t *testing.T) {
 	d := defaultDetector()
 	seeds := fewerWithRaceDetector(12)
 	_, crashed := d.detectionTimes(t, seeds, false)
-	require.Less(t, crashed, 300*time.Millisecond, "a process that has ended")
+	require.Less(t, crashed, 300*time.Millisecond, "a process has ended")
 	_, silent := d.detectionTimes(t, seeds, true)
-	require.Less(t, silent, 1100*time.Millisecond, "a machine that is silent")
+	require.Less(t, silent, 1100*time.Millisecond, "a machine does not respond")
 	for _, during := range disturbances {
 		if strings.Contains(during.name, "30%") {
-			continue // links that are this bad do cost views
+			continue // links that lose this many packets do cause view changes
 		}
 		for seed := range fewerWithRaceDetector(2) {
 			require.Zero(t, d.falseAlarms(t, seed, during), "%s, seed %d", during.name, seed)
@@ -126,10 +130,11 @@
 	}
 }
 
-// logDetectionTable logs, for each choice, the times of detection and the false alarms under each disturbance.
+// logDetectionTable logs, for each set of parameters, the detection times and the false alarms under each
+// disturbance.
 func logDetectionTable(t *testing.T) {
 	const seeds = 20
-	header := "choice | ended process, mean / longest ms | silent machine, mean / longest ms"
+	header := "parameters | ended process, mean / maximum ms | unresponsive machine, mean / maximum ms"
 	for _, during := range disturbances {
 		header += " | " + during.name
 	}
--- a/internal/fleet/replica/exploration_test.go
+++ b/internal/fleet/replica/exploration_test.go
@@ -15,19 +15,19 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// The exploration visits every order of messages, message losses, restarts and disk losses of three members up to a depth, breadth
-// first. Time does not advance: what time-outs would cause is a move of its own.
+// The exploration visits, breadth first and up to a depth, every sequence of messages, message losses, restarts
+// and disk losses of three members. Time does not advance: the effects of timeouts are separate transitions.
 
-// depthVariable names the environment variable that sets the depth.
+// depthVariable is the environment variable that sets the depth.
 const depthVariable = "LINENWHEEL_DEPTH"
 
-// defaultDepth is the depth in CI, raceDepth that under the race detector.
+// defaultDepth is the depth in CI, raceDepth the depth with the race detector.
 const (
 	defaultDepth = 6
 	raceDepth    = 4
 )
 
-// budget is the number of moves of each kind that a path may still make.
+// budget is the number of transitions of each kind that a path may still contain.
 type budget struct {
 	orders, attempts, restarts, wipes, losses int
 }
@@ -38,20 +38,20 @@
 	disk    Stored
 }
 
-// exploredState is one state of the exploration. Its parts are copied before they are changed.
+// exploredState is one state of the exploration. Its parts are copied before they are modified.
 type exploredState struct {
 	members        []exploredMember
 	inFlight       []Envelope
 	budget         budget
 	views          map[uint64]string            // by epoch
 	bases          map[uint64]Position          // by epoch
-	ackedPositions map[operator.Digest]Position // by history: the orders that were acknowledged
+	ackedPositions map[operator.Digest]Position // positions of acknowledged orders, by history
 	lastID         uint64
 	path           []string
 }
 
-// parents maps the digest of each position that any path has reached to the position before it: a digest covers all orders
-// before it.
+// parents maps the digest of each position on any path to the preceding position. It does not depend on the path,
+// because a digest covers all orders before it.
 type parents map[operator.Digest]Position
 
 type explorer struct {
@@ -61,19 +61,19 @@
 }
 
 func exploredConfig() Config {
-	options := DefaultConfig()
-	options.MaxFailures = 1
-	return options
+	config := DefaultConfig()
+	config.MaxFailures = 1
+	return config
 }
 
-// root returns three members that have agreed on a first view, with no messages in flight.
-func (e *explorer) root(left budget) *exploredState {
+// initialState returns three members that have agreed on the first view, with no messages in flight.
+func (e *explorer) initialState(remaining budget) *exploredState {
 	var members []Member
 	for i := range 3 {
 		members = append(members, Member{Address: fmt.Sprintf("m%d", i), Incarnation: uint64(i + 1)})
 	}
 	first := Proposal{View: View{Epoch: 1, Voters: members, Chain: members}}
-	s := &exploredState{budget: left, views: map[uint64]string{1: fmt.Sprint(first.View)}, bases: map[uint64]Position{1: {}},
+	s := &exploredState{budget: remaining, views: map[uint64]string{1: fmt.Sprint(first.View)}, bases: map[uint64]Position{1: {}},
 		ackedPositions: map[operator.Digest]Position{}, lastID: 10}
 	for _, member := range members {
 		disk := Stored{Self: member, View: &first}
@@ -95,7 +95,7 @@
 	return &next
 }
 
-// cloneMachine copies a machine that is about to step.
+// cloneMachine copies a machine before it handles an event.
 func cloneMachine(m *Machine) *Machine {
 	next := *m
 	next.peers = make(map[string]*peer, len(m.peers))
@@ -117,7 +117,7 @@
 	return &next
 }
 
-// step calls a member's machine, stores its records and puts its messages in flight.
+// step calls the machine of a member, stores its records and adds its messages to those in flight.
 func (e *explorer) step(s *exploredState, index int, run func(m *Machine) Ready) {
 	member := &s.members[index]
 	machine := cloneMachine(member.machine)
@@ -159,22 +159,22 @@
 	}
 }
 
-// passesThrough reports whether the history of a position contains another one.
-func (e *explorer) passesThrough(from, through Position) bool {
-	for from.Seq > through.Seq {
+// passesThrough reports whether the history of one position contains another position.
+func (e *explorer) passesThrough(from, ancestor Position) bool {
+	for from.Seq > ancestor.Seq {
 		before, known := e.parents[from.History]
 		if !known {
 			return false
 		}
 		from = before
 	}
-	return from == through
+	return from == ancestor
 }
 
-// successors returns the states that one move leads to.
+// successors returns the states that can be reached by one transition.
 func (e *explorer) successors(s *exploredState) []*exploredState {
 	var next []*exploredState
-	move := func(name string, change func(n *exploredState)) {
+	transition := func(name string, change func(n *exploredState)) {
 		n := s.clone()
 		n.path = append(n.path, name)
 		change(n)
@@ -183,27 +183,27 @@
 	for i, envelope := range s.inFlight {
 		index := slices.IndexFunc(s.members, func(m exploredMember) bool { return m.disk.Self.Address == envelope.To.Address })
 		name := fmt.Sprintf("%T %s>%s", envelope.Body, envelope.From.Address, envelope.To.Address)
-		move(name, func(n *exploredState) {
+		transition(name, func(n *exploredState) {
 			n.inFlight = slices.Delete(n.inFlight, i, i+1)
 			e.step(n, index, func(m *Machine) Ready { return m.Step(1, envelope) })
 		})
 		if expectsReply(envelope.Body) {
-			move(name+" and back", func(n *exploredState) { e.roundTrip(n, i, index) })
+			transition(name+" with replies", func(n *exploredState) { e.roundTrip(n, i, index) })
 		}
 		if s.budget.losses > 0 {
-			move("lose "+name, func(n *exploredState) {
+			transition("lose "+name, func(n *exploredState) {
 				n.budget.losses--
 				n.inFlight = slices.Delete(n.inFlight, i, i+1)
 			})
 		}
 	}
 	for i := range s.members {
-		next = append(next, e.ownMoves(s, i)...)
+		next = append(next, e.localTransitions(s, i)...)
 	}
 	return next
 }
 
-// expectsReply reports whether a message has a reply.
+// expectsReply reports whether the recipient replies to a message.
 func expectsReply(body Message) bool {
 	switch body.(type) {
 	case Prepare, Install, Accept, Append, FetchRequest:
@@ -212,29 +212,29 @@
 	return false
 }
 
-// roundTrip delivers a message and then the replies to its sender as one move, so that a path of limited length can contain
-// complete agreements. The parts are moves of their own, too.
+// roundTrip delivers a message, and then the replies to its sender, as a single transition, so that a path of
+// limited length can contain complete agreements. The individual deliveries are transitions as well.
 func (e *explorer) roundTrip(s *exploredState, at, index int) {
 	envelope := s.inFlight[at]
 	s.inFlight = slices.Delete(s.inFlight, at, at+1)
 	before := len(s.inFlight)
 	e.step(s, index, func(m *Machine) Ready { return m.Step(1, envelope) })
 	sender := slices.IndexFunc(s.members, func(m exploredMember) bool { return m.disk.Self.Address == envelope.From.Address })
-	answers := slices.Clone(s.inFlight[before:])
+	replies := slices.Clone(s.inFlight[before:])
 	s.inFlight = s.inFlight[:before]
-	for _, answer := range answers {
-		if answer.To.Address != envelope.From.Address {
-			s.inFlight = append(s.inFlight, answer)
+	for _, reply := range replies {
+		if reply.To.Address != envelope.From.Address {
+			s.inFlight = append(s.inFlight, reply)
 			continue
 		}
-		e.step(s, sender, func(m *Machine) Ready { return m.Step(1, answer) })
+		e.step(s, sender, func(m *Machine) Ready { return m.Step(1, reply) })
 	}
 }
 
-// ownMoves returns the states that a member gets to without a message.
-func (e *explorer) ownMoves(s *exploredState, i int) []*exploredState {
+// localTransitions returns the states that a member can reach without receiving a message.
+func (e *explorer) localTransitions(s *exploredState, i int) []*exploredState {
 	var next []*exploredState
-	move := func(name string, change func(n *exploredState)) {
+	transition := func(name string, change func(n *exploredState)) {
 		n := s.clone()
 		n.path = append(n.path, fmt.Sprintf("%s m%d", name, i))
 		change(n)
@@ -242,7 +242,7 @@
 	}
 	machine := s.members[i].machine
 	if s.budget.orders > 0 && machine.view.Head() == machine.self && machine.acceptsOrders() {
-		move("order", func(n *exploredState) {
+		transition("order", func(n *exploredState) {
 			n.budget.orders--
 			n.lastID++
 			base := machine.log.committedState.Document.Revision
@@ -251,23 +251,23 @@
 		})
 	}
 	if s.budget.attempts > 0 && machine.isVoter() && machine.hasAllCommitted() && machine.attempt == nil {
-		for without := range s.members {
-			if without != i {
-				move(fmt.Sprintf("propose without m%d", without), func(n *exploredState) {
+		for excluded := range s.members {
+			if excluded != i {
+				transition(fmt.Sprintf("propose without m%d", excluded), func(n *exploredState) {
 					n.budget.attempts--
-					e.step(n, i, func(m *Machine) Ready { return m.propose(e.viewWithout(n, m, without)) })
+					e.step(n, i, func(m *Machine) Ready { return m.propose(e.viewWithout(n, m, excluded)) })
 				})
 			}
 		}
 	}
 	if s.budget.restarts > 0 {
-		move("restart", func(n *exploredState) {
+		transition("restart", func(n *exploredState) {
 			n.budget.restarts--
 			e.restart(n, i)
 		})
 	}
 	if s.budget.wipes > 0 {
-		move("wipe", func(n *exploredState) {
+		transition("wipe", func(n *exploredState) {
 			n.budget.wipes--
 			n.lastID++
 			self := Member{Address: machine.self.Address, Incarnation: n.lastID}
@@ -282,13 +282,13 @@
 	return next
 }
 
-// viewWithout returns the view that a member proposes when it does not reach another one: that one keeps its vote, unless its
-// disk is new.
-func (e *explorer) viewWithout(s *exploredState, m *Machine, without int) View {
+// viewWithout returns the view that a member proposes if it does not reach another one: the unreachable member
+// keeps its vote, unless its disk is new.
+func (e *explorer) viewWithout(s *exploredState, m *Machine, excluded int) View {
 	view := View{Epoch: m.view.Epoch + 1, Voters: slices.Clone(m.view.Voters)}
 	for i, member := range s.members {
 		self := member.disk.Self
-		if i != without {
+		if i != excluded {
 			if index := slices.IndexFunc(view.Voters, func(v Member) bool { return v.Address == self.Address }); index >= 0 {
 				view.Voters[index] = self
 			}
@@ -306,7 +306,8 @@
 	s.members[i].machine = machine
 }
 
-// violation returns which invariant a state violates, empty if none, and records its views.
+// violation returns a description of the invariant that a state violates, or an empty string if there is none. It
+// also records the views of the state.
 func (e *explorer) violation(s *exploredState) string {
 	for _, member := range s.members {
 		m := member.machine
@@ -325,8 +326,8 @@
 	return e.lostOrDuplicated(s)
 }
 
-// lostOrDuplicated returns a violation if the chain of the latest view lacks an acknowledged order, or if two were acknowledged
-// at one index.
+// lostOrDuplicated returns a description of the violation if a member of the latest chain lacks an acknowledged
+// order, or if two orders were acknowledged at one index.
 func (e *explorer) lostOrDuplicated(s *exploredState) string {
 	latest := slices.Max(slices.Collect(maps.Keys(s.views)))
 	for _, order := range s.ackedPositions {
@@ -345,7 +346,7 @@
 	return ""
 }
 
-// key identifies a state: two with the same key have the same successors.
+// key identifies a state: states with the same key have the same successors.
 func (s *exploredState) key() [sha256.Size]byte {
 	var text strings.Builder
 	for _, member := range s.members {
@@ -394,16 +395,16 @@
 	return text + fmt.Sprint(envelope.Body)
 }
 
-// explore visits all states up to a depth. It returns how many there are, and the first path to a violation.
-func (e *explorer) explore(left budget, depth int) (states int, path []string) {
+// explore visits all states up to a depth. It returns their number and the first path to a violation.
+func (e *explorer) explore(remaining budget, depth int) (states int, path []string) {
 	seen := map[[sha256.Size]byte]bool{}
-	frontier := []*exploredState{e.root(left)}
+	frontier := []*exploredState{e.initialState(remaining)}
 	for range depth {
 		var next []*exploredState
 		for _, s := range frontier {
 			for _, n := range e.successors(s) {
-				if problem := e.violation(n); problem != "" {
-					return len(seen), append(n.path, problem)
+				if violation := e.violation(n); violation != "" {
+					return len(seen), append(n.path, violation)
 				}
 				key := n.key()
 				if !seen[key] {
@@ -417,8 +418,8 @@
 	return len(seen), nil
 }
 
-func newExplorer(faulty injectedFaults) *explorer {
-	return &explorer{config: exploredConfig(), parents: parents{}, faults: faulty}
+func newExplorer(faults injectedFaults) *explorer {
+	return &explorer{config: exploredConfig(), parents: parents{}, faults: faults}
 }
 
 func exploredDepth() int {
@@ -431,8 +432,8 @@
 	return defaultDepth
 }
 
-func TestEveryOrderOfEventsPreservesInvariants(t *testing.T) {
-	for name, left := range map[string]budget{
+func TestEverySequenceOfEventsPreservesInvariants(t *testing.T) {
+	for name, remaining := range map[string]budget{
 		"two orders, an attempt, a restart":      {orders: 2, attempts: 1, restarts: 1},
 		"an order, two attempts, a lost disk":    {orders: 1, attempts: 2, wipes: 1},
 		"an order, two attempts, a lost message": {orders: 1, attempts: 2, losses: 1},
@@ -441,7 +442,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, path := newExplorer(injectedFaults{}).explore(left, exploredDepth())
+			states, path := newExplorer(injectedFaults{}).explore(remaining, exploredDepth())
 			require.Empty(t, path)
 			t.Logf("%d states to depth %d", states, exploredDepth())
 		})
@@ -450,15 +451,15 @@
 
 func TestExplorationDetectsInjectedFaults(t *testing.T) {
 	for name, test := range map[string]struct {
-		fault injectedFaults
-		left  budget
+		fault     injectedFaults
+		remaining budget
 	}{
 		"entries not stored":                   {injectedFaults{entriesNotStored: true}, budget{orders: 1, restarts: 1, attempts: 1}},
 		"a wiped member keeps its incarnation": {injectedFaults{wipedKeepsIdentity: true}, budget{orders: 1, wipes: 1, attempts: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, path := newExplorer(test.fault).explore(test.left, 12)
+			states, path := newExplorer(test.fault).explore(test.remaining, 12)
 			require.NotEmpty(t, path)
 			t.Logf("detected after %d states: %s", states, strings.Join(path, "; "))
 		})
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -12,14 +12,14 @@
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
 
-// filled returns a message of which no field is zero.
+// filled returns a message in which no field is zero.
 func filled[M any]() Message {
 	var message M
 	wiretest.Fill(&message)
 	return message
 }
 
-func TestMessagesOfAnEarlierVersionAreUnderstood(t *testing.T) {
+func TestMessagesOfEarlierVersionAreDecoded(t *testing.T) {
 	RegisterMessages()
 	messages := map[string]Message{"Heartbeat": filled[Heartbeat](), "HeartbeatReply": filled[HeartbeatReply](),
 		"Prepare": filled[Prepare](), "Promise": filled[Promise](), "Reject": filled[Reject](), "Install": filled[Install](),
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestSnapshotChunksOfAnEarlierVersionAreRead(t *testing.T) {
+func TestSnapshotChunksOfEarlierVersionAreDecoded(t *testing.T) {
 	snapshot := operator.Snapshot{Document: []byte(`{"Revision":7,"Backends":[{"Name":"llm"}]}`),
 		Digests: []string{"digest of one 16", "digest of two 16"}, Made: []int64{6, 7}, Horizon: 5, History: "a history of 16 b"}
 	state, err := operator.FromSnapshot(snapshot)
@@ -53,12 +53,12 @@
 	read, err := incoming.decode()
 	require.NoError(t, err)
 	require.Equal(t, snapshot, read)
-	require.Equal(t, describePacked(t, golden), describePacked(t, fresh))
+	require.Equal(t, describeSnapshot(t, golden), describeSnapshot(t, fresh))
 }
 
-func describePacked(t *testing.T, packed []byte) []string {
+func describeSnapshot(t *testing.T, compressed []byte) []string {
 	t.Helper()
-	plain, err := operator.Decompress(packed)
+	plain, err := operator.Decompress(compressed)
 	require.NoError(t, err)
 	return wiretest.Describe(t, plain)
 }
--- a/internal/fleet/replica/histories_test.go
+++ b/internal/fleet/replica/histories_test.go
@@ -10,13 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// historiesVariable names the environment variable that sets the number of random histories.
+// historiesVariable is the environment variable that sets the number of random histories.
 const historiesVariable = "LINENWHEEL_HISTORIES"
 
-// firstHistoryVariable names the environment variable that sets the seed of the first of them, to run many in parts.
+// firstHistoryVariable is the environment variable that sets the seed of the first history, so that a large number
+// of histories can be run in parts.
 const firstHistoryVariable = "LINENWHEEL_FIRST_HISTORY"
 
-// firstHistory returns the seed of the first history of the worst days and of those with torn writes.
+// firstHistory returns the seed of the first history of TestWorstDaysKeepEveryPromise and
+// TestTornWritesPreserveInvariants.
 func firstHistory() uint64 {
 	first, err := strconv.ParseUint(os.Getenv(firstHistoryVariable), 10, 64)
 	if err != nil {
@@ -35,7 +37,8 @@
 	return 100
 }
 
-// fewerWithRaceDetector returns a fifth of a number of seeds where the race detector makes each several times as long, as for histories.
+// fewerWithRaceDetector returns a fifth of a number of seeds if the race detector is on, because each seed then
+// takes several times as long. The default number of histories is reduced in the same way.
 func fewerWithRaceDetector(seeds uint64) uint64 {
 	if raceDetector {
 		return max(1, seeds/5)
@@ -43,9 +46,9 @@
 	return seeds
 }
 
-// runHistory runs a random history: orders of two operators, lost replies, reads, and faults that affect at most one member at a
-// time, with time to catch up in between; sometimes all members lose power. At its end all faults are repaired, and what was
-// acknowledged must be there.
+// runHistory runs a random history with orders of two operators, lost replies, reads, and faults. A fault affects
+// at most one member at a time, with time to catch up afterwards; sometimes all members lose power. At the end all
+// faults are repaired, and everything acknowledged must be present.
 func runHistory(seed uint64, faults injectedFaults) *simulation {
 	sim := newSimulation(seed, 3)
 	sim.faults = faults
@@ -58,8 +61,8 @@
 	return sim
 }
 
-// injectFault injects a fault into one member, or all, and schedules the next one for when that one has been repaired for long
-// enough to catch up.
+// injectFault injects a fault into one member or all members. It schedules the next fault for a time when the
+// member has been repaired for long enough to catch up.
 func (sim *simulation) injectFault() {
 	if sim.now > 20*time.Second {
 		return
@@ -104,7 +107,8 @@
 	sim.schedule(duration+4*time.Second, sim.injectFault)
 }
 
-// recoverAndCheck repairs all faults and checks that what was acknowledged is there and that orders are committed.
+// recoverAndCheck repairs all faults, and checks that everything acknowledged is present and that orders are
+// committed.
 func (sim *simulation) recoverAndCheck() {
 	sim.heal()
 	for _, n := range sim.nodes {
@@ -121,7 +125,7 @@
 		sim.runUntil(sim.now + 100*time.Millisecond)
 	}
 	if read < latest {
-		sim.reportViolation("at the end %d is read, %d was acknowledged", read, latest)
+		sim.reportViolation("after all repairs revision %d is read, but revision %d was acknowledged", read, latest)
 		return
 	}
 	order := sim.newOrder(read, read+1, "last")
@@ -130,11 +134,11 @@
 		sim.runUntil(sim.now + 100*time.Millisecond)
 	}
 	if _, acked := sim.ackedRevisions[order.Digest()]; !acked {
-		sim.reportViolation("at the end no order is committed; the view is %v", sim.view())
+		sim.reportViolation("after all repairs no order is committed; the view is %v", sim.view())
 	}
 }
 
-// runSixMemberHistory runs a random history of six members of which two may be lost at a time.
+// runSixMemberHistory runs a random history of six members, of which two may be lost at a time.
 func runSixMemberHistory(seed uint64) *simulation {
 	sim := newSimulation(seed, 3)
 	sim.maxFailures = 2
@@ -167,7 +171,7 @@
 		require.Empty(t, sim.violationReport(), "seed %d", seed)
 		acknowledged += len(sim.ackLog)
 	}
-	require.Greater(t, acknowledged, int(histories())*10, "the histories commit orders")
+	require.Greater(t, acknowledged, int(histories())*10, "the histories must commit orders")
 }
 
 // runBootstrapHistory runs a bootstrap during which messages are slow and founders restart repeatedly.
@@ -193,8 +197,9 @@
 	}
 }
 
-// runSplitVoteHistory partitions two members, so that each proposes a view with the third one alone, and restarts the third,
-// partitioned from the one that got its vote, as soon as one of the two views is agreed.
+// runSplitVoteHistory partitions two members, so that each of them proposes a view that contains only itself and
+// the third member. As soon as one of the two views is agreed, it restarts the third member and partitions it from
+// the member that received its vote.
 func runSplitVoteHistory(seed uint64, faults injectedFaults) *simulation {
 	sim := newSimulation(seed, 3)
 	sim.faults = faults
--- a/internal/fleet/replica/linearizability_test.go
+++ b/internal/fleet/replica/linearizability_test.go
@@ -11,21 +11,22 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// configCall is an operation on the configuration as one register: an order, or a read.
+// configCall is an operation on the configuration, modeled as a single register: an order or a read.
 type configCall struct {
-	read bool
-	base int64 // of an order
-	made int64 // the revision that an order makes
+	read        bool
+	base        int64 // base revision of an order
+	newRevision int64 // revision that results from an order
 }
 
 // configResult is the result of a configCall.
 type configResult struct {
-	known    bool // false: the caller got no reply
+	known    bool // false: the caller received no reply
 	rejected bool
 	revision int64
 }
 
-// register is the configuration as one register: an order takes effect on its base revision, and only there.
+// register models the configuration as a single register: an order takes effect only if its base is the current
+// revision.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
@@ -38,11 +39,11 @@
 		case result.rejected:
 			return []any{current}
 		case result.known && current == call.base:
-			return []any{call.made}
+			return []any{call.newRevision}
 		case result.known:
 			return nil
 		case current == call.base:
-			return []any{current, call.made}
+			return []any{current, call.newRevision}
 		}
 		return []any{current}
 	},
@@ -56,12 +57,12 @@
 	endedAt   time.Duration
 }
 
-// linearizabilityTimeout is how long the check of one history may take. One that takes longer is unjudged: it is counted, and too many
-// fail the test (requireJudged).
+// linearizabilityTimeout is the time limit for checking one history. A check that exceeds it is inconclusive: it
+// is counted, and too many of them fail the test (requireConclusive).
 const linearizabilityTimeout = time.Second
 
-// maxUnjudgedShare is one over the share of histories that may stay unjudged.
-const maxUnjudgedShare = 1000
+// maxInconclusiveShare is the reciprocal of the share of checks that may be inconclusive.
+const maxInconclusiveShare = 1000
 
 // checkLinearizable checks that the history of all orders, rejections and reads is linearizable.
 func (sim *simulation) checkLinearizable() {
@@ -75,9 +76,9 @@
 			add(op, op.endedAt)
 		}
 	}
-	overtaken := sim.overtakenAt()
+	superseded := sim.supersededAt()
 	for call, op := range sim.earliestUnknown() {
-		if ended := overtaken(call.base); ended > op.startedAt { // else it never takes effect
+		if ended := superseded(call.base); ended > op.startedAt { // otherwise the order never takes effect
 			add(op, ended)
 		}
 	}
@@ -91,15 +92,15 @@
 	}
 	switch porcupine.CheckOperationsTimeout(register.ToModel(), history, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		sim.reportViolation("orders and reads are not linearizable")
+		sim.reportViolation("the history of orders and reads is not linearizable")
 	case porcupine.Unknown:
-		sim.unjudged = true
+		sim.inconclusive = true
 	}
 }
 
-// earliestUnknown returns the orders without a known outcome, of those that lead from one revision to the same other one only the
-// earliest. At most one of these takes effect, as the base does not come back; where a later one does, the earliest could as well: it
-// was sent before and has the same end.
+// earliestUnknown returns the orders without a known outcome, reduced to the earliest one for each pair of base
+// and resulting revision. At most one order of a pair takes effect, because the base revision never recurs. If a
+// later one takes effect, the earliest one could do so as well: it was sent earlier and has the same deadline.
 func (sim *simulation) earliestUnknown() map[configCall]*operation {
 	earliest := map[configCall]*operation{}
 	for _, op := range sim.operations {
@@ -113,8 +114,9 @@
 	return earliest
 }
 
-// earliestRejections returns, by base, the rejection that ended first. Operators build on revisions that were acknowledged, so the base
-// was reached before, and a rejection says that it has been overtaken: then it is for all later ones too.
+// earliestRejections returns, by base, the rejection that ended first. Operators use acknowledged revisions as the
+// base, so the base was current at some time before, and a rejection shows that it has been superseded. All later
+// rejections with that base are then correct too.
 func (sim *simulation) earliestRejections() map[int64]*operation {
 	earliest := map[int64]*operation{}
 	for i := range sim.completedCalls {
@@ -129,46 +131,47 @@
 	return earliest
 }
 
-// overtakenAt returns a function that gives the time at which a known operation had returned that saw or made a later revision than
-// the one it is called with, the end of all times if there is none. Revisions only rise, so an order without a known outcome takes
-// effect before its base is overtaken, or never. Each such order has an end by that, and the history is a row of short parts; one that is
-// pending for ever after would double the possibilities of all that follows.
-func (sim *simulation) overtakenAt() func(base int64) time.Duration {
-	type sighting struct {
+// supersededAt returns a function that returns the earliest time by which an operation with a known result had
+// observed or produced a revision later than base, or the maximum duration if there is none. Revisions only
+// increase, so an order without a known outcome takes effect before its base is superseded, or never. This gives
+// each such order an end, so that the history divides into short parts. An order that stayed pending indefinitely
+// would double the number of possibilities for everything after it.
+func (sim *simulation) supersededAt() func(base int64) time.Duration {
+	type observation struct {
 		revision int64
 		at       time.Duration
 	}
-	var sightings []sighting
+	var observations []observation
 	for _, op := range sim.operations {
 		if op.result.known {
-			sightings = append(sightings, sighting{op.call.made, op.endedAt})
+			observations = append(observations, observation{op.call.newRevision, op.endedAt})
 		}
 	}
 	for _, op := range sim.completedCalls {
 		if op.call.read {
-			sightings = append(sightings, sighting{op.result.revision, op.endedAt})
+			observations = append(observations, observation{op.result.revision, op.endedAt})
 		}
 	}
 	return func(base int64) time.Duration {
 		first := time.Duration(math.MaxInt64)
-		for _, s := range sightings {
-			if s.revision > base {
-				first = min(first, s.at)
+		for _, o := range observations {
+			if o.revision > base {
+				first = min(first, o.at)
 			}
 		}
 		return first
 	}
 }
 
-// requireJudged requires that at most one in maxUnjudgedShare histories stayed unjudged.
-func requireJudged(t *testing.T, unjudged, histories int) {
+// requireConclusive requires that at most one in maxInconclusiveShare histories was inconclusive.
+func requireConclusive(t *testing.T, inconclusive, histories int) {
 	t.Helper()
-	t.Logf("%d of %d histories unjudged", unjudged, histories)
-	require.LessOrEqual(t, unjudged*maxUnjudgedShare, histories, "histories that took over %v to check", linearizabilityTimeout)
+	t.Logf("%d of %d histories inconclusive", inconclusive, histories)
+	require.LessOrEqual(t, inconclusive*maxInconclusiveShare, histories, "too many histories took over %v to check", linearizabilityTimeout)
 }
 
 func (sim *simulation) recordOperation(order operator.Order, revision int64) {
 	if sim.operations[order.Digest()] == nil {
-		sim.operations[order.Digest()] = &operation{call: configCall{base: order.Base, made: revision}, startedAt: sim.now}
+		sim.operations[order.Digest()] = &operation{call: configCall{base: order.Base, newRevision: revision}, startedAt: sim.now}
 	}
 }
--- a/internal/fleet/replica/random_faults_test.go
+++ b/internal/fleet/replica/random_faults_test.go
@@ -13,19 +13,20 @@
 type fleetShape struct {
 	members     int
 	maxFailures int
-	overlap     bool // more than that may be lost at a time, but not more disks
+	overlap     bool // more than maxFailures members may be down at a time, but no more disks may be lost
 }
 
-// shapes are the sizes of the fleets of the histories, in turn.
+// shapes are the fleet shapes that the histories use in turn.
 var shapes = []fleetShape{{3, 1, false}, {3, 1, true}, {4, 1, false}, {4, 1, true}, {5, 2, false}, {6, 2, false}, {6, 2, true},
 	{8, 2, false}, {5, 1, true}, {8, 2, true}}
 
-// randomFaults is a random history: two operators, readers, and faults of all kinds at any time, also together. At its end all
-// faults are repaired; what was acknowledged must be there, and orders must be committed.
+// randomFaults is a random history: two operators, readers, and faults of all kinds at any time, also simultaneous
+// ones. At the end all faults are repaired; then everything acknowledged must be present, and orders must be
+// committed.
 type randomFaults struct {
 	*simulation
 	shape       fleetShape
-	withFiles   bool // the disks are files that crashes tear
+	withFiles   bool // the disks are files, in which crashes leave torn writes
 	lostDisks   int
 	joined      int
 	faultCounts map[string]int
@@ -38,16 +39,16 @@
 	recoveryTimeout = 12 * time.Second
 )
 
-// runRandomFaults plays a random history of members whose disks are in memory: what is written is stored.
+// runRandomFaults runs a random history of members whose disks are in memory and never lose a completed write.
 func runRandomFaults(seed uint64, shape fleetShape, faults injectedFaults) *randomFaults {
 	sim := &randomFaults{simulation: newSimulation(seed, 3), shape: shape, faultCounts: map[string]int{}}
 	sim.faults = faults
-	sim.play(seed)
+	sim.runAndCheck(seed)
 	return sim
 }
 
-// play plays the history and checks it.
-func (sim *randomFaults) play(seed uint64) {
+// runAndCheck runs the history and checks it.
+func (sim *randomFaults) runAndCheck(seed uint64) {
 	shape := sim.shape
 	sim.maxFailures = shape.maxFailures
 	for i := 3; i < shape.members; i++ {
@@ -60,7 +61,7 @@
 	}
 	sim.runUntil(4 * time.Second)
 	for _, n := range sim.nodes {
-		n.upSince = -time.Minute // the bootstrap is over
+		n.upSince = -time.Minute // the members have caught up after the bootstrap
 	}
 	sim.checkRedundancy = true
 	sim.redundancyCheckedAt = sim.now
@@ -75,7 +76,8 @@
 	sim.finish()
 }
 
-// injectRandomFault injects one fault, unless that would exceed what the shape allows, and schedules the next one.
+// injectRandomFault injects one fault, unless that would exceed the limits of the shape, and schedules the next
+// one.
 func (sim *randomFaults) injectRandomFault() {
 	if sim.now > faultsUntil {
 		return
@@ -91,13 +93,13 @@
 		kinds = append(kinds, sim.fileFaults(n, duration)...)
 	}
 	fault := kinds[sim.rand.IntN(len(kinds))]
-	all := fault.members > sim.shape.maxFailures
+	affectsAll := fault.members > sim.shape.maxFailures
 	switch {
 	case n.leaving || sim.lostDisks+fault.disks > sim.shape.maxFailures:
 		return
-	case all && !sim.shape.overlap && sim.lostCount() > 0:
+	case affectsAll && !sim.shape.overlap && sim.lostCount() > 0:
 		return
-	case !all && !sim.shape.overlap && sim.lostCount()+fault.members > sim.shape.maxFailures:
+	case !affectsAll && !sim.shape.overlap && sim.lostCount()+fault.members > sim.shape.maxFailures:
 		return
 	}
 	sim.lostDisks += fault.disks
@@ -109,13 +111,13 @@
 // faultKind is a kind of fault.
 type faultKind struct {
 	name    string
-	members int // that are lost for a while
-	disks   int // that are lost for good
+	members int // number of members that are lost temporarily
+	disks   int // number of disks that are lost permanently
 	run     func()
 }
 
-// memoryFaults returns the kinds of faults of every history. The names are part of the line that the test prints, which is compared
-// between versions: they stay.
+// memoryFaults returns the kinds of faults that every history uses. The names must not change: they are part of a
+// log line that is compared between versions.
 func (sim *randomFaults) memoryFaults(n *node, duration time.Duration) []faultKind {
 	return []faultKind{
 		{"crash", 1, 0, func() { sim.crashFor(n, duration) }},
@@ -243,7 +245,7 @@
 		if !successor.up || sim.isLost(old) || sim.lostDisks >= sim.maxFailures {
 			return
 		}
-		sim.lostDisks++ // its disk is lost with it, unless another member has its vote by then
+		sim.lostDisks++ // its disk counts as lost, unless another member has its vote by then
 		sim.leave(old, func() {
 			if old.up && old.machine.Released() && !slices.Contains(sim.view().Voters, old.disk.Self) {
 				sim.lostDisks = max(0, sim.lostDisks-1)
@@ -254,7 +256,7 @@
 	})
 }
 
-// replaceFailed removes a machine for good and starts an empty one at another address.
+// replaceFailed removes a machine permanently and starts an empty one at another address.
 func (sim *randomFaults) replaceFailed(old *node, duration time.Duration) {
 	successor := sim.newSuccessor(old)
 	sim.removeNode(old)
@@ -262,12 +264,12 @@
 	sim.startAfter(successor, duration)
 }
 
-// finish repairs all faults and checks that what was acknowledged is there and that orders are committed.
+// finish repairs all faults, and checks that everything acknowledged is present and that orders are committed.
 func (sim *randomFaults) finish() {
 	sim.heal()
 	sim.maxDelay = defaultMaxDelay
 	for _, n := range slices.Clone(sim.nodes) {
-		n.diskFails, n.partitioned, n.doomed = false, false, false
+		n.diskFails, n.partitioned, n.crashPending = false, false, false
 		if n.files != nil {
 			n.files.CrashAfter(0)
 			n.files.SetFull(false)
@@ -283,7 +285,7 @@
 	sim.checkRedundancy = false
 	deadline := sim.now + recoveryTimeout
 	for sim.now < deadline {
-		base := max(sim.lastAcked(), sim.readLatest()) // an order that was never acknowledged may be committed
+		base := max(sim.lastAcked(), sim.readLatestRevision()) // an order may be committed without having been acknowledged
 		order := sim.newOrder(base, base+1, fmt.Sprint("the last one at ", sim.now))
 		for range 5 {
 			sim.submit(order)
@@ -294,11 +296,11 @@
 			return
 		}
 	}
-	sim.reportViolation("at the end no order is committed; the view is %v", sim.view())
+	sim.reportViolation("after all repairs no order is committed; the view is %v", sim.view())
 	sim.reportStatuses()
 }
 
-// reportStatuses adds the status of each member to the violations.
+// reportStatuses adds the status of each member and the list of injected faults to the violations.
 func (sim *randomFaults) reportStatuses() {
 	for _, n := range sim.nodes {
 		sim.reportViolation("%v up %v, %+v", n.disk.Self, n.up, n.machine.Status())
@@ -306,8 +308,9 @@
 	sim.violations = append(sim.violations, sim.faultLog...)
 }
 
-// readLatest reads at every member and returns the highest revision that one of them confirms, -1 if none does.
-func (sim *randomFaults) readLatest() int64 {
+// readLatestRevision reads at every member and returns the highest revision that one of them confirms, -1 if none
+// does.
+func (sim *randomFaults) readLatestRevision() int64 {
 	latest := int64(-1)
 	for _, n := range sim.nodes {
 		if n.up && !n.frozen {
@@ -319,22 +322,22 @@
 }
 
 func TestWorstDaysKeepEveryPromise(t *testing.T) {
-	moves := map[string]int{}
-	acknowledged, unjudged := 0, 0
+	counts := map[string]int{}
+	acknowledged, inconclusive := 0, 0
 	for seed := firstHistory(); seed < firstHistory()+2*histories(); seed++ {
 		shape := shapes[seed%uint64(len(shapes))]
 		sim := runRandomFaults(seed, shape, injectedFaults{})
 		require.Empty(t, sim.violationReport(), "seed %d, %+v", seed, shape)
 		acknowledged += len(sim.ackLog)
-		if sim.unjudged {
-			unjudged++
+		if sim.inconclusive {
+			inconclusive++
 		}
 		for name, count := range sim.faultCounts {
-			moves[name] += count
+			counts[name] += count
 		}
 	}
-	t.Logf("%d histories, %d orders acknowledged, moves: %v", 2*histories(), acknowledged, moves)
-	requireJudged(t, unjudged, int(2*histories()))
-	require.Len(t, moves, 14, "every kind of fault was injected")
+	t.Logf("%d histories, %d orders acknowledged, moves: %v", 2*histories(), acknowledged, counts)
+	requireConclusive(t, inconclusive, int(2*histories()))
+	require.Len(t, counts, 14, "every kind of fault must be injected")
 	require.Greater(t, acknowledged, int(histories())*10)
 }
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -11,7 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// newBootstrapped returns a simulation of three members that have agreed on the first view and committed one order.
+// newBootstrapped returns a simulation of three members that have agreed on the first view and committed one
+// order.
 func newBootstrapped(t *testing.T, seed uint64) *simulation {
 	t.Helper()
 	const members = 3
@@ -48,7 +49,7 @@
 	}
 }
 
-func TestFounderRestartedDuringBootstrapDoesNotFoundTwice(t *testing.T) {
+func TestFounderRestartedDuringBootstrapDoesNotBootstrapTwice(t *testing.T) {
 	for seed := range uint64(200) {
 		sim := newSimulation(seed, 3)
 		victim := sim.nodes[seed%3]
@@ -61,7 +62,7 @@
 	}
 }
 
-func TestEmptyDiskWithoutBootstrapFoundsNothing(t *testing.T) {
+func TestMembersThatAreNotFoundersDoNotBootstrap(t *testing.T) {
 	sim := newSimulation(1, 3)
 	for _, n := range sim.nodes {
 		n.founder = false
@@ -80,11 +81,12 @@
 	require.Len(t, sim.view().Chain, 2)
 	sim.start(lost)
 	sim.runUntil(8 * time.Second)
-	require.Len(t, sim.view().Chain, 3, "it joins when it starts")
+	require.Len(t, sim.view().Chain, 3, "the third member must join after it starts")
 	require.Empty(t, sim.violationReport())
 }
 
-// newSixMembers returns a simulation of six members of which two may be lost, and some that cannot vote; three are the seeds.
+// newSixMembers returns a simulation of six members of which two may be lost, and additional members that cannot
+// vote. Three members are seeds.
 func newSixMembers(t *testing.T, seed uint64, outside int) *simulation {
 	t.Helper()
 	sim := newSimulation(seed, 3)
@@ -119,7 +121,7 @@
 	}
 }
 
-func TestSeedsThatCannotVoteLetTheOthersBootstrap(t *testing.T) {
+func TestBootstrapWithSeedsThatCannotVote(t *testing.T) {
 	for outside := range 4 {
 		sim := newSimulation(7, 3)
 		for i := range outside {
@@ -134,7 +136,7 @@
 		require.Len(t, sim.view().Voters, 3)
 		for _, n := range sim.nodes {
 			require.False(t, n.cannotVote && n.machine.InChain())
-			require.EqualValues(t, sim.view().Epoch, n.machine.View().Epoch, "also those that cannot vote know the view")
+			require.EqualValues(t, sim.view().Epoch, n.machine.View().Epoch, "members that cannot vote must know the view too")
 		}
 		sim.submitUntilCommitted(t, 0, 1)
 		require.Empty(t, sim.violationReport())
@@ -157,7 +159,7 @@
 	require.Empty(t, sim.violationReport())
 }
 
-func TestAnOrderIsStoredByTheWholeChainBeforeItIsAcknowledged(t *testing.T) {
+func TestOrderIsStoredByWholeChainBeforeAcknowledgement(t *testing.T) {
 	sim := newBootstrapped(t, 3)
 	sim.submitUntilCommitted(t, 1, 2)
 	for _, n := range sim.nodes {
@@ -171,12 +173,12 @@
 		sim.crash(sim.nodeFor(sim.view().Chain[index]))
 		elapsed := sim.submitUntilCommitted(t, 1, 2)
 		require.Less(t, elapsed, 2*time.Second, "index %d", index)
-		require.Len(t, sim.view().Voters, 3, "it keeps its vote")
+		require.Len(t, sim.view().Voters, 3, "the lost member must keep its vote")
 		require.Empty(t, sim.violationReport())
 	}
 }
 
-func TestOneOfThreeTakesNoOrders(t *testing.T) {
+func TestOneOfThreeMembersAcceptsNoOrders(t *testing.T) {
 	sim := newBootstrapped(t, 5)
 	sim.crash(sim.nodes[1])
 	sim.crash(sim.nodes[2])
@@ -195,7 +197,7 @@
 	require.Len(t, sim.view().Chain, 3)
 }
 
-func TestWipedMemberIsANewMemberAndAnotherDiskMayBeLostNext(t *testing.T) {
+func TestWipedMemberRejoinsAsNewMember(t *testing.T) {
 	sim := newBootstrapped(t, 9)
 	for round := range 6 {
 		victim := sim.nodes[round%3]
@@ -212,7 +214,7 @@
 	require.Empty(t, sim.violationReport())
 }
 
-func TestReplacementTakesTheVoteOfTheFailedMember(t *testing.T) {
+func TestReplacementBecomesVoterInsteadOfFailedMember(t *testing.T) {
 	sim := newBootstrapped(t, 11)
 	lost := sim.nodes[0]
 	sim.crash(lost)
@@ -228,13 +230,13 @@
 	require.Empty(t, sim.violationReport())
 }
 
-func TestPlannedReplacementStandsByFirst(t *testing.T) {
+func TestPlannedReplacementIsStandbyFirst(t *testing.T) {
 	sim := newBootstrapped(t, 13)
 	successor := &node{address: "m9"}
 	sim.nodes = append(sim.nodes, successor)
 	sim.start(successor)
 	sim.runUntil(sim.now + 2*time.Second)
-	require.Len(t, sim.view().Voters, 3, "it is a standby, not a fourth voter")
+	require.Len(t, sim.view().Voters, 3, "the new member must be a standby, not a fourth voter")
 	require.Contains(t, sim.nodes[0].machine.Standby(), successor.disk.Self)
 	sim.crash(sim.nodes[1])
 	sim.runUntil(sim.now + time.Second)
@@ -281,7 +283,7 @@
 	}
 }
 
-func TestAThawedTailDoesNotAnswerFromBefore(t *testing.T) {
+func TestUnfrozenTailServesNoStaleReads(t *testing.T) {
 	sim := newBootstrapped(t, 19)
 	tail := sim.nodeFor(sim.view().Tail())
 	sim.freeze(tail)
@@ -296,7 +298,7 @@
 	require.Empty(t, sim.violationReport())
 }
 
-func TestAMemberWhoseDiskRefusesWritesLeavesTheChain(t *testing.T) {
+func TestMemberWithFailingDiskIsRemovedFromChain(t *testing.T) {
 	for index := range 3 {
 		sim := newBootstrapped(t, 21)
 		full := sim.nodeFor(sim.view().Chain[index])
@@ -311,14 +313,14 @@
 	}
 }
 
-func TestPendingOrderIsNotRejectedWhenSentAgain(t *testing.T) {
+func TestPendingOrderIsNotRejectedWhenResubmitted(t *testing.T) {
 	sim := newBootstrapped(t, 23)
 	head := sim.nodeFor(sim.view().Head())
 	order := sim.newOrder(1, 2, "limbo")
 	sim.lastID++
 	sim.submitted[sim.lastID] = order
 	sim.step(head, func() Ready { return head.machine.Submit(sim.now, sim.lastID, order) })
-	sim.runUntil(sim.now + 1500*time.Microsecond) // the next member may have it by now
+	sim.runUntil(sim.now + 1500*time.Microsecond) // the next member of the chain may have received the entry by now
 	sim.crash(head)
 	for range 60 {
 		sim.submit(order)
@@ -338,8 +340,9 @@
 	}
 }
 
-// All lose power and restart within 0.3 s: the state is confirmed soon after the whole chain is back. (That the last entry was
-// committed is known once all members of the chain have reported that they have it.)
+// All members lose power and restart within 0.3 s. The state must be confirmed soon after the whole chain has
+// restarted: the last entry is known to be committed once all members of the chain have reported that they have
+// it.
 func TestStateIsConfirmedSoonAfterAllRestart(t *testing.T) {
 	for seed := range uint64(100) {
 		sim := newBootstrapped(t, seed)
@@ -359,8 +362,8 @@
 	}
 }
 
-// newMemberWithPendingEntry returns a simulation and a member of its chain that has stored an entry which the head sent, with the
-// statuses that the others report once they have it too.
+// newMemberWithPendingEntry returns a simulation and a member of its chain that has stored an entry sent by the
+// head, with the statuses that the other members report once they have the entry too.
 func newMemberWithPendingEntry(t *testing.T) (sim *simulation, n *node, others map[Member]Status) {
 	t.Helper()
 	sim = newBootstrapped(t, 1)
@@ -398,9 +401,10 @@
 	require.False(t, n.machine.log.hasPending())
 }
 
-// A member that promised the next epoch reported its log then. An entry that it fetches afterwards may be on the whole chain and
-// yet not be part of the next view: in random history 2578 (with heartbeats of 30 ms after a start) it was acknowledged.
-func TestAnEntryPulledAfterAPromiseIsNotTakenForCommitted(t *testing.T) {
+// A member that promises a ballot of the next epoch reports its log with the promise. An entry that it fetches
+// afterwards may reach the whole chain without being part of the next view. With heartbeats every 30 ms after a
+// start, random history 2578 acknowledged such an entry.
+func TestEntryFetchedAfterPromiseIsNotInferredCommitted(t *testing.T) {
 	sim, n, others := newMemberWithPendingEntry(t)
 	proposer := sim.view().Head()
 	sim.step(n, func() Ready {
@@ -408,7 +412,7 @@
 		return n.machine.Step(sim.now, Envelope{From: proposer, To: n.machine.Self(), Body: prepare})
 	})
 	sim.deliverStatuses(n, others)
-	require.True(t, n.machine.log.hasPending(), "it has promised itself")
+	require.True(t, n.machine.log.hasPending(), "this member has promised a ballot")
 
 	sim, n, others = newMemberWithPendingEntry(t)
 	for member, status := range others {
@@ -417,19 +421,21 @@
 		break
 	}
 	sim.deliverStatuses(n, others)
-	require.True(t, n.machine.log.hasPending(), "another member of the chain has promised")
+	require.True(t, n.machine.log.hasPending(), "another member of the chain has promised a ballot")
 }
 
-// A reply that was on its way while this member adopted a view must not bring an entry of the epoch before beyond the view's base. Such an
-// entry may have the position of a later one, as an order that is sent again makes the same state: a member that takes it for the base of
-// the next view answers that it has stored that, and does not find it on its disk after a restart. History 4423 of the worst days stood
-// still for ever by that, and an acknowledged order could have been lost with one disk and the power of all machines.
-func TestFetchedEntryOfAnEarlierEpochIsNotTakenBeyondTheBase(t *testing.T) {
+// A fetch reply that is in flight while the member adopts a view must not add an entry of an earlier epoch beyond
+// the base of the view. Such an entry may have the same position as a later one, because a resubmitted order leads
+// to the same state. A member that mistook it for the base of the next view would reply that it has stored the
+// base, but would not find it on its disk after a restart. This stopped history 4423 of
+// TestWorstDaysKeepEveryPromise permanently, and an acknowledged order could have been lost with one disk and a
+// power failure of all machines.
+func TestFetchedEntryOfEarlierEpochIsRejectedBeyondBase(t *testing.T) {
 	self, source := Member{Address: "m0", Incarnation: 1}, Member{Address: "m1", Incarnation: 2}
 	view := View{Epoch: 2, Voters: []Member{self, source}, Chain: []Member{source}}
 	for _, test := range []struct {
-		epoch uint64
-		taken bool
+		epoch    uint64
+		accepted bool
 	}{{1, false}, {2, true}, {3, false}} {
 		stored := Stored{Self: self, View: &Proposal{View: view}}
 		m, err := New(DefaultConfig(), stored, time.Second)
@@ -440,12 +446,12 @@
 		entry := Entry{Epoch: test.epoch, Seq: 1, Order: order, History: state.History()}
 		m.transfer.inFlight, m.transfer.source = true, source
 		out := m.Step(2*time.Second, Envelope{From: source, To: self, Body: FetchReply{Entries: []Entry{entry}}})
-		require.Equal(t, test.taken, m.Status().Seq == 1, "epoch %d", test.epoch)
+		require.Equal(t, test.accepted, m.Status().Seq == 1, "epoch %d", test.epoch)
 		for _, record := range out.Records {
 			stored.Apply(record)
 		}
 		restarted, err := New(DefaultConfig(), stored, 3*time.Second)
 		require.NoError(t, err)
-		require.Equal(t, m.Status().Seq, restarted.Status().Seq, "epoch %d: what is in the log is there after a restart", test.epoch)
+		require.Equal(t, m.Status().Seq, restarted.Status().Seq, "epoch %d: the log must be the same after a restart", test.epoch)
 	}
 }
--- a/internal/fleet/replica/scenarios_test.go
+++ b/internal/fleet/replica/scenarios_test.go
@@ -12,39 +12,40 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// A member that is partitioned from the others for twenty seconds confirms, rejects and reads nothing, whatever its index in the
-// chain; the others commit orders, and it rejoins soon after.
-func TestAMemberThatIsCutOffForTwentySecondsSaysNothing(t *testing.T) {
+// A member that is partitioned from the others for twenty seconds confirms no order, rejection or read, whatever
+// its index in the chain. The other members commit orders, and the partitioned member rejoins soon after the
+// partition heals.
+func TestPartitionedMemberConfirmsNothing(t *testing.T) {
 	for index := range 3 {
 		sim := newBootstrapped(t, uint64(index))
-		cut := sim.nodeFor(sim.view().Chain[index])
-		sim.isolate(cut)
+		isolated := sim.nodeFor(sim.view().Chain[index])
+		sim.isolate(isolated)
 		sim.runUntil(sim.now + time.Second)
 		before := len(sim.ackLog)
 		for range 20 {
 			for _, base := range []int64{0, sim.lastAcked()} {
 				order := sim.newOrder(base, sim.lastAcked()+1, "to the partitioned member")
-				sim.submitAt(cut, order)
+				sim.submitAt(isolated, order)
 			}
-			require.EqualValues(t, -1, sim.readAt(cut, time.Second))
+			require.EqualValues(t, -1, sim.readAt(isolated, time.Second))
 			require.Len(t, sim.ackLog, before)
-			require.Less(t, cut.machine.StateConfirmed(), sim.now-time.Second)
-			sim.commitThroughOthers(t, cut)
+			require.Less(t, isolated.machine.StateConfirmed(), sim.now-time.Second)
+			sim.commitThroughOthers(t, isolated)
 			before = len(sim.ackLog)
 		}
 		sim.heal()
-		cut.partitioned = false
+		isolated.partitioned = false
 		sim.runUntil(sim.now + sim.catchUpTime)
-		require.Contains(t, sim.view().Chain, cut.machine.Self())
-		_, state := cut.machine.Committed()
+		require.Contains(t, sim.view().Chain, isolated.machine.Self())
+		_, state := isolated.machine.Committed()
 		require.Equal(t, sim.lastAcked(), state.Document.Revision)
 		require.Empty(t, sim.violationReport())
 	}
 }
 
-// After a partition into halves one of them has a majority of the odd number of voters and commits orders, the other one
-// confirms nothing; afterwards all have the same view.
-func TestHalvesGoOnAsOne(t *testing.T) {
+// During a partition into halves, one half has a majority of the odd number of voters and commits orders, and the
+// other half confirms nothing. After the partition all members have the same view.
+func TestOneHalfCommitsDuringPartition(t *testing.T) {
 	for _, members := range []int{3, 4, 5, 6, 7, 8} {
 		for seed := range uint64(20) {
 			sim := newSimulation(seed, 3)
@@ -70,7 +71,7 @@
 					break
 				}
 			}
-			require.True(t, acked, "%d members, seed %d: the half with a majority commits orders", members, seed)
+			require.True(t, acked, "%d members, seed %d: the half with a majority must commit orders", members, seed)
 			sim.runUntil(sim.now + 6*time.Second)
 			sim.heal()
 			sim.runUntil(sim.now + sim.catchUpTime)
@@ -82,82 +83,84 @@
 	}
 }
 
-// A minority misses changes; then one of the others loses its disk, the rest are down, and the partition heals.
-func TestAMinorityThatMissedChangesLeadsNothing(t *testing.T) {
+// A partitioned member misses orders. Then another member loses its disk, the third one is down, and the partition
+// heals. The stale member must not confirm a read or commit an order until the third member restarts.
+func TestStaleMinorityCommitsAndConfirmsNothing(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newBootstrapped(t, seed)
-		behind, wiped, dark := sim.nodes[seed%3], sim.nodes[(seed+1)%3], sim.nodes[(seed+2)%3]
-		sim.isolate(behind)
+		stale, wiped, down := sim.nodes[seed%3], sim.nodes[(seed+1)%3], sim.nodes[(seed+2)%3]
+		sim.isolate(stale)
 		sim.runUntil(sim.now + time.Second)
-		sim.commitThroughOthers(t, behind)
-		sim.commitThroughOthers(t, behind)
+		sim.commitThroughOthers(t, stale)
+		sim.commitThroughOthers(t, stale)
 		sim.wipe(wiped)
-		sim.crash(dark)
+		sim.crash(down)
 		sim.heal()
 		sim.runUntil(sim.now + 300*time.Millisecond)
 		sim.start(wiped)
 		old := sim.lastAcked()
 		for range 40 {
 			sim.submit(sim.newOrder(1, 9, "on what is old"))
-			require.EqualValues(t, -1, sim.readAt(behind, 100*time.Millisecond))
+			require.EqualValues(t, -1, sim.readAt(stale, 100*time.Millisecond))
 		}
 		require.Equal(t, old, sim.lastAcked())
-		sim.start(dark)
+		sim.start(down)
 		requireProgress(t, sim, 6*time.Second, "seed %d", seed)
 		require.Equal(t, old+1, sim.lastAcked())
 	}
 }
 
-// A member is down while 300 orders are committed, and restarts as the head crashes.
-func TestAMemberReturnsAfterThreeHundredChangesAsTheHeadDies(t *testing.T) {
+// A member is down while 300 orders are committed, and restarts when the head crashes.
+func TestMemberRestartsAfter300OrdersAsHeadCrashes(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newBootstrapped(t, seed)
-		away := sim.nodeFor(sim.view().Tail())
-		sim.crash(away)
+		restarted := sim.nodeFor(sim.view().Tail())
+		sim.crash(restarted)
 		for range 300 {
 			sim.commitQuickly(t)
 		}
 		head := sim.nodeFor(sim.view().Head())
-		sim.start(away)
+		sim.start(restarted)
 		sim.runUntil(sim.now + time.Duration(sim.rand.IntN(700))*time.Millisecond)
 		sim.crash(head)
 		requireProgress(t, sim, 3*time.Second, "seed %d", seed)
 		require.EqualValues(t, 302, sim.lastAcked())
-		require.Contains(t, sim.view().Chain, away.disk.Self)
+		require.Contains(t, sim.view().Chain, restarted.disk.Self)
 	}
 }
 
-// The time that a restarted or empty member takes to catch up does not depend on the number of orders that it missed.
-func TestAMemberThatWasAwayCatchesUpWhateverItMissed(t *testing.T) {
-	for _, changes := range []int{10, 100, 1000, 5000} {
+// The time that a restarted member or a member with an empty disk needs to catch up does not depend on the number
+// of orders that it missed.
+func TestCatchUpTimeDoesNotDependOnMissedOrders(t *testing.T) {
+	for _, missed := range []int{10, 100, 1000, 5000} {
 		for _, wiped := range []bool{false, true} {
 			sim := newBootstrapped(t, 3)
-			away := sim.nodeFor(sim.view().Tail())
+			restarted := sim.nodeFor(sim.view().Tail())
 			if wiped {
-				sim.wipe(away)
+				sim.wipe(restarted)
 			} else {
-				sim.crash(away)
+				sim.crash(restarted)
 			}
 			sim.runUntil(sim.now + time.Second)
-			for range changes {
+			for range missed {
 				sim.commitQuickly(t)
 			}
-			sim.start(away)
+			sim.start(restarted)
 			began := sim.now
-			for !away.machine.InChain() || away.machine.Log().seq < uint64(changes) {
+			for !restarted.machine.InChain() || restarted.machine.Log().seq < uint64(missed) {
 				sim.runUntil(sim.now + 10*time.Millisecond)
-				require.Less(t, sim.now-began, sim.catchUpTime, "%d changes, wiped %v", changes, wiped)
+				require.Less(t, sim.now-began, sim.catchUpTime, "%d orders missed, wiped %v", missed, wiped)
 			}
-			t.Logf("%d changes, wiped %v: in the chain with everything after %v", changes, wiped, sim.now-began)
-			require.LessOrEqual(t, away.machine.log.entries.Len(), maxEntries)
+			t.Logf("%d orders missed, wiped %v: in the chain and up to date after %v", missed, wiped, sim.now-began)
+			require.LessOrEqual(t, restarted.machine.log.entries.Len(), maxEntries)
 			require.Empty(t, sim.violationReport())
 		}
 	}
 }
 
-// A partitioned head has stored an order that no other member has. It returns after the others committed another order on the
-// same base.
-func TestPartitionedHeadDiscardsTheOrderThatOnlyItHas(t *testing.T) {
+// A partitioned head has stored an order that no other member has. It rejoins after the other members have
+// committed another order with the same base, and must discard its own.
+func TestPartitionedHeadDiscardsUnreplicatedOrder(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newBootstrapped(t, seed)
 		head := sim.nodeFor(sim.view().Head())
@@ -179,9 +182,10 @@
 	}
 }
 
-// The same order is submitted to both halves of a partition, its acknowledgement is lost, and it is submitted again later: after
-// two further orders, after the head was replaced, after a restart from a snapshot.
-func TestAnOrderSentAgainIsAcknowledgedAgainWhateverCameBetween(t *testing.T) {
+// The same order is submitted to both halves of a partition, and its acknowledgement is lost. The order is
+// resubmitted after two further orders, after the loss of the head, and after a restart from a snapshot, and must
+// be acknowledged each time.
+func TestResubmittedOrderIsAcknowledgedAgain(t *testing.T) {
 	for seed := range uint64(30) {
 		sim := newSimulation(seed, 5)
 		sim.maxFailures = 2
@@ -198,20 +202,20 @@
 		require.Contains(t, sim.ackedRevisions, order.Digest())
 		sim.heal()
 		sim.runUntil(sim.now + 2*time.Second)
-		again := func(about string) {
-			answered := sim.ackCount(order)
+		resubmit := func(occasion string) {
+			acknowledged := sim.ackCount(order)
 			for range 60 {
 				sim.submit(order)
 				sim.runUntil(sim.now + 50*time.Millisecond)
 			}
-			require.Greater(t, sim.ackCount(order), answered, "%s, seed %d", about, seed)
-			require.Empty(t, sim.violationReport(), "%s, seed %d", about, seed)
+			require.Greater(t, sim.ackCount(order), acknowledged, "%s, seed %d", occasion, seed)
+			require.Empty(t, sim.violationReport(), "%s, seed %d", occasion, seed)
 		}
 		sim.submitUntilCommitted(t, 2, 3)
 		sim.submitUntilCommitted(t, 3, 4)
-		again("after two further orders")
+		resubmit("after two further orders")
 		sim.wipe(sim.nodeFor(sim.view().Head()))
-		again("after the loss of the head")
+		resubmit("after the loss of the head")
 		for _, n := range sim.nodes {
 			sim.start(n)
 		}
@@ -221,13 +225,14 @@
 			n.compactDisk()
 			sim.start(n)
 		}
-		again("after a restart from a snapshot")
+		resubmit("after a restart from a snapshot")
 	}
 }
 
-// Two operators submit the same revision on the same base, at two members, in the same millisecond; one replaces the document,
-// the other patches it. One of them is acknowledged, the other one is rejected or gets no reply.
-func TestTwoOperatorsWithOneNumberAreNotBothAcknowledged(t *testing.T) {
+// Two operators submit the same revision with the same base, at two members, in the same millisecond. One replaces
+// the document and the other patches it. One order is acknowledged; the other one is rejected or receives no
+// reply.
+func TestConflictingOrdersAreNotBothAcknowledged(t *testing.T) {
 	for seed := range uint64(100) {
 		sim := newBootstrapped(t, seed)
 		patch := sim.newOrder(1, 2, "patch")
@@ -253,12 +258,12 @@
 		sim := newBootstrapped(t, seed)
 		victim := sim.nodes[seed%3]
 		for round := range 2 {
-			was := victim.disk.Self
+			previous := victim.disk.Self
 			sim.wipe(victim)
 			sim.runUntil(sim.now + 200*time.Millisecond)
 			sim.start(victim)
 			sim.runUntil(sim.now + sim.catchUpTime)
-			require.NotContains(t, sim.view().Voters, was)
+			require.NotContains(t, sim.view().Voters, previous)
 			require.Contains(t, sim.view().Chain, victim.disk.Self, "round %d, seed %d", round, seed)
 		}
 		sim.wipe(sim.nodes[(seed+1)%3])
@@ -266,8 +271,9 @@
 	}
 }
 
-// The head freezes for twenty seconds and then handles what was sent to it meanwhile.
-func TestAFrozenHeadThawsWithRequestsInItsSockets(t *testing.T) {
+// The head is suspended for twenty seconds and then handles the messages that arrived meanwhile. It must not
+// acknowledge the order among them or confirm a read on the basis of its old view.
+func TestUnfrozenHeadHandlesBufferedRequests(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newBootstrapped(t, seed)
 		head := sim.nodeFor(sim.view().Head())
@@ -283,7 +289,7 @@
 			sim.runUntil(sim.now + time.Second)
 		}
 		sim.unfreeze(head)
-		require.EqualValues(t, -1, sim.readAt(head, 5*time.Millisecond), "not before a majority has answered")
+		require.EqualValues(t, -1, sim.readAt(head, 5*time.Millisecond), "no read may be confirmed before a majority has replied")
 		sim.runUntil(sim.now + sim.catchUpTime)
 		require.NotContains(t, sim.ackedRevisions, late.Digest())
 		require.Contains(t, sim.view().Chain, head.machine.Self())
@@ -309,9 +315,10 @@
 	}
 }
 
-// A lease runs from when the heartbeat was sent whose reply confirms it, however long that was in flight. (Counted from the
-// arrival of the reply it would be wrong only where a complete view change overtakes the reply; no random history shows that.)
-func TestALeaseRunsFromWhenItsHeartbeatWasSent(t *testing.T) {
+// A lease starts when the heartbeat is sent whose reply confirms it, however long the reply is in flight. (A lease
+// that started at the arrival of the reply would be wrong only if a complete view change overtook the reply; no
+// random history shows that.)
+func TestLeaseStartsWhenHeartbeatIsSent(t *testing.T) {
 	sim := newBootstrapped(t, 3)
 	n := sim.nodes[0]
 	before := n.machine.ViewConfirmed()
@@ -327,19 +334,20 @@
 	require.Less(t, n.machine.ViewConfirmed(), sim.now-300*time.Millisecond)
 }
 
-// Two voters have failed when a standby member has caught up: one for good, the other one, which is first in the list, for a moment.
-// The vote of the one that has been unreachable for longest is replaced, and the other one has its vote when it is back.
-func TestTheVoterThatFailedFirstIsReplacedFirst(t *testing.T) {
+// Two voters have failed when a standby member has caught up: one permanently, and the other one, which is first
+// in the list of voters, temporarily. The voter that has been unreachable the longest must be replaced, and the
+// other one must still be a voter when it restarts.
+func TestVoterThatFailedFirstIsReplacedFirst(t *testing.T) {
 	for seed := range uint64(30) {
 		sim := newFiveMembers(t, seed)
 		voters := sim.view().Voters
-		gone, briefly := sim.nodeOf(voters[4]), sim.nodeOf(voters[0])
-		sim.removeNode(gone)
-		sim.join("r1", gone.domain)
+		failed, restarting := sim.nodeOf(voters[4]), sim.nodeOf(voters[0])
+		sim.removeNode(failed)
+		sim.join("r1", failed.domain)
 		standby := sim.nodes[len(sim.nodes)-1]
 		sim.isolate(standby)
 		sim.runUntil(sim.now + 2*time.Second)
-		sim.crash(briefly)
+		sim.crash(restarting)
 		sim.runUntil(sim.now + time.Second)
 		sim.heal()
 		standby.partitioned = false
@@ -347,14 +355,14 @@
 		require.Contains(t, sim.view().Voters, standby.machine.Self(), "seed %d: %v", seed, sim.view())
 		require.Contains(t, sim.view().Voters, voters[0], "seed %d: %v", seed, sim.view())
 		require.NotContains(t, sim.view().Voters, voters[4], "seed %d: %v", seed, sim.view())
-		sim.start(briefly)
+		sim.start(restarting)
 		sim.runUntil(sim.now + 2*sim.catchUpTime)
 		require.True(t, sim.survivesNextLoss(2), "seed %d: %v", seed, sim.view())
 		requireProgress(t, sim, 2*time.Second, "seed %d", seed)
 	}
 }
 
-// nodeOf returns the node of a member.
+// nodeOf returns the node of a member, identified by address and incarnation.
 func (sim *simulation) nodeOf(member Member) *node {
 	return sim.nodes[slices.IndexFunc(sim.nodes, func(n *node) bool { return n.disk.Self == member })]
 }
--- a/internal/fleet/replica/second_loss_test.go
+++ b/internal/fleet/replica/second_loss_test.go
@@ -12,9 +12,9 @@
 var lossDelays = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
 	1500 * time.Millisecond, 2500 * time.Millisecond, 4 * time.Second}
 
-// In a planned replacement the new machine starts first and catches up, then the old one is shut down gracefully. As soon as that one has
-// stopped, the disk of another one is lost.
-func TestADiskIsLostRightAfterAPlannedReplacement(t *testing.T) {
+// In a planned replacement the new machine starts first and catches up, then the old machine is shut down
+// gracefully. The disk of another machine is lost as soon as the old one has stopped.
+func TestDiskLostRightAfterPlannedReplacement(t *testing.T) {
 	for _, delay := range lossDelays {
 		for seed := range uint64(60) {
 			sim := newBootstrapped(t, seed)
@@ -38,9 +38,10 @@
 	}
 }
 
-// stopsAfterPowerLoss reports whether a fleet stops for good where a machine that is replaced as planned never comes back, all machines
-// lose power a time after its SIGTERM, and another disk is lost with it.
-func stopsAfterPowerLoss(t *testing.T, seed uint64, sinceTerm time.Duration) bool {
+// isUnavailableAfterPowerLoss reports whether a fleet becomes permanently unavailable in the following case: a
+// machine that is being replaced as planned never restarts, all machines lose power at a time after its SIGTERM,
+// and the disk of another machine is lost.
+func isUnavailableAfterPowerLoss(t *testing.T, seed uint64, sinceTerm time.Duration) bool {
 	t.Helper()
 	sim := newBootstrapped(t, seed)
 	sim.join("m9", "")
@@ -63,29 +64,31 @@
 	return sim.ackCount(order) == 0
 }
 
-// Until the view without the leaver is agreed, the loss of another disk together with the power of all machines is one disk more than
-// the leaver's, which does not come back: the fleet stops. How long that is, is the price of an order of events that cannot be helped: a
-// member that has not been replaced yet still has its vote.
+// Until the view without the leaving member is agreed, a power failure of all machines together with the loss of
+// another disk is one disk loss too many, because the disk of the leaving member does not come back either: the
+// fleet becomes unavailable. This interval cannot be avoided, because a member that has not been replaced yet
+// still has its vote. The test measures how long it lasts.
 func TestPowerLossAfterSIGTERM(t *testing.T) {
 	const replaced = 150 * time.Millisecond
 	seeds := fewerWithRaceDetector(40)
 	for _, sinceTerm := range []time.Duration{0, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 		100 * time.Millisecond, replaced, 300 * time.Millisecond} {
-		stops := 0
+		unavailable := 0
 		for seed := range seeds {
-			if stopsAfterPowerLoss(t, seed, sinceTerm) {
-				stops++
+			if isUnavailableAfterPowerLoss(t, seed, sinceTerm) {
+				unavailable++
 			}
 		}
-		t.Logf("%v after SIGTERM: %d of %d fleets stop", sinceTerm, stops, seeds)
+		t.Logf("%v after SIGTERM: %d of %d fleets are unavailable", sinceTerm, unavailable, seeds)
 		if sinceTerm >= replaced {
-			require.Zero(t, stops, "%v after SIGTERM", sinceTerm)
+			require.Zero(t, unavailable, "%v after SIGTERM", sinceTerm)
 		}
 	}
 }
 
-// The same with an old machine that fails: once its failure is detected, the new one has its vote.
-func TestDiskLostAfterAStandbyReplacedAFailedVoter(t *testing.T) {
+// This corresponds to TestDiskLostRightAfterPlannedReplacement for an old machine that fails: the new machine
+// becomes a voter once the failure is detected.
+func TestDiskLostAfterStandbyReplacesFailedVoter(t *testing.T) {
 	for _, delay := range lossDelays[3:] {
 		for seed := range uint64(60) {
 			sim := newBootstrapped(t, seed)
@@ -103,9 +106,9 @@
 	}
 }
 
-// The second loss leaves the disk intact: the fleet may be unavailable until both members are back, and then has all that was
-// acknowledged.
-func TestPowerLossOfAnotherMemberRightAfterARepair(t *testing.T) {
+// The second loss leaves the disk intact: the fleet may be unavailable until both members have restarted, and must
+// then have everything acknowledged.
+func TestPowerLossOfAnotherMemberRightAfterRepair(t *testing.T) {
 	repairs := map[string]func(sim *simulation, victim *node){
 		"restart": func(sim *simulation, victim *node) {
 			sim.crash(victim)
@@ -139,8 +142,8 @@
 	}
 }
 
-// A restarted member is behind, and the disk of a member that has all orders is lost.
-func TestDiskLostRightAfterARestart(t *testing.T) {
+// A restarted member is behind, and a member that has all orders loses its disk.
+func TestDiskLostRightAfterRestart(t *testing.T) {
 	for _, delay := range lossDelays {
 		for seed := range uint64(24) {
 			sim := newBootstrapped(t, seed)
@@ -156,8 +159,8 @@
 	}
 }
 
-// A voter is replaced while messages are slow, and meanwhile another member loses power or its disk.
-func TestLossDuringTheReplacementOfAVoter(t *testing.T) {
+// A voter is replaced while messages are slow. Meanwhile another member loses its power or its disk.
+func TestLossDuringReplacementOfVoter(t *testing.T) {
 	for seed := range uint64(200) {
 		sim := newBootstrapped(t, seed)
 		sim.join("m9", "")
@@ -180,9 +183,10 @@
 	}
 }
 
-// A new member is fetching a snapshot, some chunks of which are corrupt, when the source or another member crashes.
-func TestALossWhileASnapshotIsHalfSent(t *testing.T) {
-	halfway := 0
+// A new member is fetching a snapshot, of which some chunks are corrupt, when the source or another member
+// crashes.
+func TestLossDuringSnapshotTransfer(t *testing.T) {
+	duringTransfer := 0
 	for seed := range uint64(30) {
 		sim := newBootstrapped(t, seed)
 		sim.corruptChunks, sim.transferRate = true, 300<<10
@@ -198,7 +202,7 @@
 		sim.start(victim)
 		sim.runUntil(sim.now + time.Duration(200+sim.rand.IntN(600))*time.Millisecond)
 		if len(victim.machine.transfer.incoming.chunks) > 0 {
-			halfway++
+			duringTransfer++
 		}
 		second := sim.nodes[(seed+1+seed/3%2)%3]
 		sim.crash(second)
@@ -209,7 +213,7 @@
 		require.Contains(t, sim.view().Chain, victim.disk.Self, "seed %d", seed)
 		require.True(t, sim.survivesNextLoss(1), "seed %d: %v", seed, sim.view())
 	}
-	require.Greater(t, halfway, 20, "of 30 losses happen during a transfer")
+	require.Greater(t, duringTransfer, 20, "number of 30 losses that occur during a transfer")
 }
 
 func TestLeavingMemberWithTheOnlyOtherReplicaWaits(t *testing.T) {
@@ -221,18 +225,18 @@
 		stopped := time.Duration(0)
 		sim.leave(leaving, func() { stopped = sim.now })
 		sim.runUntil(sim.now + 2*time.Second)
-		require.Zero(t, stopped, "seed %d: it has one of F+1 replicas", seed)
+		require.Zero(t, stopped, "seed %d: the member has one of the MaxFailures+1 replicas", seed)
 		requireProgress(t, sim, 2*time.Second, "seed %d", seed)
 		sim.start(down)
 		for stopped == 0 {
 			sim.runUntil(sim.now + 50*time.Millisecond)
 		}
-		require.Contains(t, sim.view().Chain, down.disk.Self, "seed %d: it was released once another member had replaced it", seed)
+		require.Contains(t, sim.view().Chain, down.disk.Self, "seed %d: the member must not be released before another one has replaced it", seed)
 		requireProgress(t, sim, 2*time.Second, "seed %d", seed)
 	}
 }
 
-func TestLeavingMemberCrashesBetweenItsLastPromiseAndItsExit(t *testing.T) {
+func TestLeavingMemberCrashesBetweenPromiseAndExit(t *testing.T) {
 	for seed := range uint64(100) {
 		sim := newBootstrapped(t, seed)
 		sim.join("m9", "")
@@ -250,7 +254,7 @@
 	}
 }
 
-func TestTwoSimultaneousReplacementsAfterTheLossOfARack(t *testing.T) {
+func TestTwoSimultaneousReplacementsAfterLossOfRack(t *testing.T) {
 	for seed := range uint64(30) {
 		sim := newSimulation(seed, 3)
 		sim.maxFailures = 2
--- a/internal/fleet/replica/simulation_checks_test.go
+++ b/internal/fleet/replica/simulation_checks_test.go
@@ -14,12 +14,12 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
-// violationReport returns the first violations, one a line, empty if there are none.
+// violationReport returns the first violations, one per line, or an empty string if there are none.
 func (sim *simulation) violationReport() string {
 	return strings.Join(sim.violations[:min(len(sim.violations), 40)], "\n")
 }
 
-// checkView checks that all members have the same view of an epoch.
+// checkView checks that all members have the same view for each epoch.
 func (sim *simulation) checkView(n *node) {
 	view := n.machine.View()
 	if view.Epoch == n.checkedEpoch {
@@ -33,13 +33,14 @@
 	sim.views[view.Epoch] = text
 }
 
-// vote is what a member votes on.
+// vote identifies a vote by its member and its epoch.
 type vote struct {
 	member Member
 	epoch  uint64
 }
 
-// checkVotes checks that no member promises or accepts a lower ballot of an epoch than before, whatever it has forgotten.
+// checkVotes checks that no member promises or accepts a lower ballot for an epoch than it did before, even if it
+// has lost stored data.
 func (sim *simulation) checkVotes(n *node, messages []Envelope) {
 	for _, envelope := range messages {
 		switch body := envelope.Body.(type) {
@@ -53,12 +54,13 @@
 
 func (sim *simulation) checkVote(on vote, ballot Ballot) {
 	if previous := sim.votes[on]; ballot.compare(previous) < 0 {
-		sim.reportViolation("%s votes for ballot %d of epoch %d after %d", on.member.Address, ballot.Round, on.epoch, previous.Round)
+		sim.reportViolation("%s votes for ballot %d of epoch %d after ballot %d", on.member.Address, ballot.Round, on.epoch, previous.Round)
 	}
 	sim.votes[on] = MaxBallot(sim.votes[on], ballot)
 }
 
-// checkLease checks that a state that a member takes for confirmed was the last acknowledged one then.
+// checkLease checks that a state which a member considers confirmed was the last acknowledged one at the time of
+// the confirmation.
 func (sim *simulation) checkLease(n *node) {
 	confirmed := n.machine.StateConfirmed()
 	if confirmed == 0 {
@@ -70,14 +72,15 @@
 	_, state := n.machine.Committed()
 	for _, ack := range sim.ackLog {
 		if ack.at < confirmed && ack.revision > state.Document.Revision {
-			sim.reportViolation("%s takes revision %d for the last one at %v, %d was acknowledged at %v", n.address,
+			sim.reportViolation("%s confirms revision %d as the latest one at %v, but revision %d was acknowledged at %v", n.address,
 				state.Document.Revision, confirmed, ack.revision, ack.at)
 		}
 	}
 }
 
-// lostCount returns the number of members that count as lost: those that do not serve, those that have served for less than
-// catchUpTime, and those that have left for good with a vote that no other member could take so far.
+// lostCount returns the number of members that count as lost: those that do not serve, those that have served for
+// less than catchUpTime, and those that have left permanently with a vote that no other member could take over so
+// far.
 func (sim *simulation) lostCount() int {
 	lost := 0
 	for _, n := range sim.nodes {
@@ -85,36 +88,36 @@
 			lost++
 		}
 	}
-	return lost + sim.vacatedVotes()
+	return lost + sim.vacantVotes()
 }
 
-// takeVoteTime is the time within which a member without a vote takes one that is vacant.
-const takeVoteTime = time.Second
+// promotionTimeout is the time within which a member without a vote takes over a vacant one.
+const promotionTimeout = time.Second
 
-// vacatedVotes returns the number of votes of members that have left for good, while no member is there that could take one, or has
-// been there for takeVoteTime: where two members leave at once, a standby member replaces only one of them, and the other one may
-// go with its vote.
-func (sim *simulation) vacatedVotes() int {
+// vacantVotes returns the number of votes held by members that have left permanently. It returns 0 once a member
+// that could take over a vote has been available for promotionTimeout. Votes can remain vacant: if two members
+// leave at the same time, one standby member replaces only one of them, and the other one may leave with its vote.
+func (sim *simulation) vacantVotes() int {
 	view := sim.view()
 	sim.departed = slices.DeleteFunc(sim.departed, func(m Member) bool { return !slices.Contains(view.Voters, m) })
 	spare := slices.ContainsFunc(sim.nodes, func(n *node) bool {
 		return !sim.isLost(n) && !n.cannotVote && !n.leaving && !slices.Contains(view.Voters, n.machine.Self())
 	})
 	if !spare {
-		sim.withoutSpareAt = sim.now
+		sim.lastWithoutSpareAt = sim.now
 	}
-	if sim.now-sim.withoutSpareAt > takeVoteTime {
+	if sim.now-sim.lastWithoutSpareAt > promotionTimeout {
 		return 0
 	}
 	return len(sim.departed)
 }
 
 func (sim *simulation) isLost(n *node) bool {
-	return !n.cannotVote && (!n.up || n.frozen || n.doomed || n.diskFails || n.diskFull || n.partitioned || sim.now-n.upSince < sim.catchUpTime)
+	return !n.cannotVote && (!n.up || n.frozen || n.crashPending || n.diskFails || n.diskFull || n.partitioned || sim.now-n.upSince < sim.catchUpTime)
 }
 
-// checkSurvivesNextLoss checks that the fleet survives any next loss: a majority of the voters and a complete replica remain,
-// whichever members are lost with their disks.
+// checkSurvivesNextLoss checks that the fleet survives the next loss: whichever members are lost with their disks,
+// a majority of the voters and a complete replica remain.
 func (sim *simulation) checkSurvivesNextLoss() {
 	if !sim.checkRedundancy || sim.redundancyCheckedAt == sim.now {
 		return
@@ -131,9 +134,9 @@
 	}
 	if !sim.survivesNextLoss(more) {
 		if sim.unsafeFor += sinceLastCheck; sim.unsafeFor > sinceLastCheck {
-			return // it was reported
+			return // already reported
 		}
-		sim.reportViolation("the loss of %d more leaves no majority or no replica: view %v", more, sim.view())
+		sim.reportViolation("the loss of %d more members leaves no majority or no replica: view %v", more, sim.view())
 	}
 }
 
@@ -148,7 +151,7 @@
 	return sim.survivesAny(view, intact, more)
 }
 
-// survivesAny reports whether a view survives the loss of any more of the intact members.
+// survivesAny reports whether a view survives the loss of any combination of the given number of intact members.
 func (sim *simulation) survivesAny(view View, intact []*node, more int) bool {
 	if more == 0 || len(intact) == 0 {
 		voters, replicas := 0, 0
@@ -170,10 +173,10 @@
 	return true
 }
 
-// requireProgress requires that an order is committed within a time and that nothing was violated.
-func requireProgress(t *testing.T, sim *simulation, within time.Duration, about ...any) {
+// requireProgress requires that an order is committed within a time and that no invariant was violated.
+func requireProgress(t *testing.T, sim *simulation, within time.Duration, msgAndArgs ...any) {
 	t.Helper()
 	elapsed := sim.submitUntilCommitted(t, sim.lastAcked(), sim.lastAcked()+1)
-	require.Less(t, elapsed, within, about...)
-	require.Empty(t, sim.violationReport(), about...)
+	require.Less(t, elapsed, within, msgAndArgs...)
+	require.Empty(t, sim.violationReport(), msgAndArgs...)
 }
--- a/internal/fleet/replica/simulation_dataprocess_test.go
+++ b/internal/fleet/replica/simulation_dataprocess_test.go
@@ -9,57 +9,58 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// The times of the polls are those of the data plane's process; revokeAfter is a bound that a platform sets.
+// The poll timeouts and intervals are those of a data plane process; revokeAfter is a bound that the platform sets.
 const (
-	revokeAfter        = 3 * time.Second
-	longPollTimeout    = 700 * time.Millisecond
-	pollGrace          = 400 * time.Millisecond
-	maxConfirmationAge = 800 * time.Millisecond
-	pollBackoff        = 100 * time.Millisecond
-	dataProcesses      = 3
-	reachChangeDelay   = 4 * time.Second // at most, until a data process reaches other members
+	revokeAfter             = 3 * time.Second
+	longPollTimeout         = 700 * time.Millisecond
+	pollGrace               = 400 * time.Millisecond
+	maxConfirmationAge      = 800 * time.Millisecond
+	pollBackoff             = 100 * time.Millisecond
+	dataProcesses           = 3
+	reachabilityChangeDelay = 4 * time.Second // maximum time until the set of members that a data process reaches changes
 )
 
-// dataProcess is a process of the data plane: it follows the members by long poll, and uses the configuration while its lease lasts.
-// It draws from a source of its own, so that the members' histories are the same with it and without.
+// dataProcess is a process of the data plane: it receives configurations from the members by long polling, and
+// uses the latest one while its lease is valid. It has its own random source, so that the histories of the members
+// are the same with and without data processes.
 type dataProcess struct {
 	sim     *simulation
 	name    string
 	random  *rand.Rand
 	state   *distribution.ClientState
-	offset  time.Duration // of its clock
+	offset  time.Duration // offset of its clock
 	reaches func(n *node) bool
 
 	frozen   bool
 	deferred []func()
-	lastPoll int   // the number of the last poll: replies to others come too late
-	revision int64 // the newest that it has used
-	uses     int   // checks at which it might use its configuration
+	lastPoll int   // number of the last poll; replies to earlier polls are ignored
+	revision int64 // newest revision that the process has used
+	uses     int   // number of checks at which its configuration was valid
 }
 
-// startDataProcesses starts processes that fail closed, and whose links and processor time come and go.
+// startDataProcesses starts data processes that fail closed, with intermittent links and random stalls.
 func (sim *simulation) startDataProcesses(seed uint64) {
 	for i := range dataProcesses {
 		d := &dataProcess{sim: sim, name: fmt.Sprintf("d%d", i), random: rand.New(rand.NewPCG(seed, uint64(100+i))),
 			state: distribution.NewClientState(true, revokeAfter), reaches: func(*node) bool { return true }}
 		d.offset = time.Duration(d.random.Int64N(int64(time.Hour)))
 		sim.dataProcesses = append(sim.dataProcesses, d)
-		sim.schedule(d.within(300*time.Millisecond), d.poll)
-		sim.schedule(d.within(reachChangeDelay), d.changeReach)
-		sim.schedule(d.within(reachChangeDelay), d.freeze)
+		sim.schedule(d.randomDuration(300*time.Millisecond), d.poll)
+		sim.schedule(d.randomDuration(reachabilityChangeDelay), d.changeReachability)
+		sim.schedule(d.randomDuration(reachabilityChangeDelay), d.freeze)
 		sim.schedule(tickInterval, d.use)
 	}
 }
 
 func (d *dataProcess) now() time.Duration { return d.sim.now + d.offset }
 
-// within returns a random time up to a limit.
-func (d *dataProcess) within(limit time.Duration) time.Duration {
+// randomDuration returns a random duration below a limit.
+func (d *dataProcess) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(d.random.Int64N(int64(limit)))
 }
 
-// changeReach draws which members the process reaches: all, one, or none.
-func (d *dataProcess) changeReach() {
+// changeReachability chooses at random which members the process reaches: all, one, or none.
+func (d *dataProcess) changeReachability() {
 	switch only := d.sim.nodes[d.random.IntN(len(d.sim.nodes))].address; d.random.IntN(4) {
 	case 0:
 		d.reaches = func(*node) bool { return false }
@@ -68,13 +69,13 @@
 	case 3:
 		d.reaches = func(*node) bool { return true }
 	}
-	d.sim.schedule(d.within(reachChangeDelay), d.changeReach)
+	d.sim.schedule(d.randomDuration(reachabilityChangeDelay), d.changeReachability)
 }
 
-// freeze has the process stand still for a while: what comes meanwhile is handled afterwards.
+// freeze suspends the process for a random time. Events that arrive meanwhile are handled afterwards.
 func (d *dataProcess) freeze() {
 	d.frozen = true
-	d.sim.schedule(d.within(revokeAfter), func() {
+	d.sim.schedule(d.randomDuration(revokeAfter), func() {
 		d.frozen = false
 		deferred := d.deferred
 		d.deferred = nil
@@ -83,10 +84,10 @@
 		}
 		d.check()
 	})
-	d.sim.schedule(d.within(4*reachChangeDelay)+revokeAfter, d.freeze)
+	d.sim.schedule(d.randomDuration(4*reachabilityChangeDelay)+revokeAfter, d.freeze)
 }
 
-// run runs an event of the process, when it does not stand still.
+// run runs an event of the process, or defers it while the process is frozen.
 func (d *dataProcess) run(event func()) {
 	if d.frozen {
 		d.deferred = append(d.deferred, event)
@@ -95,7 +96,7 @@
 	event()
 }
 
-// use uses the configuration from time to time, as requests come.
+// use periodically checks the configuration, as incoming requests would use it.
 func (d *dataProcess) use() {
 	if !d.frozen {
 		d.check()
@@ -103,7 +104,8 @@
 	d.sim.schedule(tickInterval, d.use)
 }
 
-// check checks that the configuration that the process may use now is not older than it may be, nor than the one before.
+// check checks that the configuration which the process may use now is not older than its lease permits, nor older
+// than one that it has used before.
 func (d *dataProcess) check() {
 	table := d.state.Table()
 	if table == nil || d.now() >= d.state.LeaseEnd() {
@@ -111,18 +113,18 @@
 	}
 	d.uses++
 	if table.Revision < d.revision {
-		d.sim.reportViolation("%s uses revision %d after %d", d.name, table.Revision, d.revision)
+		d.sim.reportViolation("%s uses revision %d after revision %d", d.name, table.Revision, d.revision)
 	}
 	d.revision = max(d.revision, table.Revision)
 	for _, ack := range d.sim.ackLog {
 		if ack.revision > table.Revision && ack.at+revokeAfter < d.sim.now {
-			d.sim.reportViolation("%s uses revision %d, %d was acknowledged at %v", d.name, table.Revision, ack.revision, ack.at)
+			d.sim.reportViolation("%s uses revision %d, but revision %d was acknowledged at %v", d.name, table.Revision, ack.revision, ack.at)
 			return
 		}
 	}
 }
 
-// poll sends a poll to a random member, and another one when its time is over.
+// poll sends a poll to a random member, and another poll if there is no reply in time.
 func (d *dataProcess) poll() {
 	if d.frozen {
 		d.deferred = append(d.deferred, d.poll)
@@ -154,10 +156,11 @@
 }
 
 func (d *dataProcess) delay() time.Duration {
-	return 200*time.Microsecond + d.within(d.sim.maxDelay)
+	return 200*time.Microsecond + d.randomDuration(d.sim.maxDelay)
 }
 
-// receive applies the reply to a poll and sends the next one: at once, unless the member cannot confirm its view.
+// receive applies the reply to a poll and sends the next poll: at once, or after a backoff if the member could not
+// confirm its view.
 func (d *dataProcess) receive(number int, sentAt time.Duration, reply *distribution.PollReply) {
 	if number != d.lastPoll {
 		return
@@ -171,28 +174,28 @@
 	if _, err := d.state.Apply(sentAt, reply); err != nil && !d.sim.faults.configForgotten {
 		d.sim.reportViolation("%s cannot apply a reply: %v", d.name, err)
 	}
-	d.checkHandedOut(reply)
+	d.checkServedConfig(reply)
 	d.check()
 	if !reply.Confirmed || reply.ConfirmedAgo > maxConfirmationAge {
-		d.sim.schedule(d.within(pollBackoff), d.poll)
+		d.sim.schedule(d.randomDuration(pollBackoff), d.poll)
 		return
 	}
 	d.poll()
 }
 
-// checkHandedOut checks that all members hand out the same configuration under a number.
-func (d *dataProcess) checkHandedOut(reply *distribution.PollReply) {
+// checkServedConfig checks that all members serve the same configuration under one ConfigSeq.
+func (d *dataProcess) checkServedConfig(reply *distribution.PollReply) {
 	table := d.state.Table()
 	if table == nil || len(reply.Update) == 0 || d.sim.faults.configForgotten {
 		return
 	}
-	if other, known := d.sim.handedOut[reply.ConfigSeq]; known && other != table.Revision {
-		d.sim.reportViolation("%s gets revision %d as configuration %d, another one got %d", d.name, table.Revision, reply.ConfigSeq, other)
+	if other, known := d.sim.servedRevisions[reply.ConfigSeq]; known && other != table.Revision {
+		d.sim.reportViolation("%s received revision %d as configuration %d, another process received revision %d", d.name, table.Revision, reply.ConfigSeq, other)
 	}
-	d.sim.handedOut[reply.ConfigSeq] = table.Revision
+	d.sim.servedRevisions[reply.ConfigSeq] = table.Revision
 }
 
-// awaitPoll answers a poll at a member once there is something new, or when it has waited for long enough.
+// awaitPoll replies to a poll at a member as soon as there is a new configuration, or when the poll has timed out.
 func (sim *simulation) awaitPoll(n *node, starts int, request *distribution.PollRequest, deadline time.Duration, done func(*distribution.PollReply)) {
 	if !n.up || n.starts != starts {
 		return
@@ -211,12 +214,12 @@
 	}
 	var reply distribution.PollReply
 	if err := source.Answer(sim.now, request, &reply, source.Encode); err != nil {
-		sim.reportViolation("%s cannot answer a poll: %v", n.address, err)
+		sim.reportViolation("%s cannot reply to a poll: %v", n.address, err)
 	}
 	done(&reply)
 }
 
-// source returns what a member answers polls from.
+// source returns the data from which a member answers polls.
 func (n *node) source(faults injectedFaults) *distribution.Source {
 	seq, state := n.machine.Committed()
 	source := &distribution.Source{Seq: seq, State: state, ConfirmedAt: n.machine.StateConfirmed()}
--- a/internal/fleet/replica/simulation_disk_test.go
+++ b/internal/fleet/replica/simulation_disk_test.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// doomTimeout is how long a process that is to crash at a write waits for one.
-const doomTimeout = 300 * time.Millisecond
+// scheduledCrashTimeout is how long a process that should crash at a write waits for one; after that it crashes
+// anyway.
+const scheduledCrashTimeout = 300 * time.Millisecond
 
-// restartInterval is after how long a process that could not start is started again.
+// restartInterval is the delay before a process that could not start is started again.
 const restartInterval = 200 * time.Millisecond
 
-// FileDisk is a member's disk with the files of package storage on it. That package's tests of this one provide it, as it depends on
-// this one.
+// FileDisk is a member's disk with files of package storage. An external test file of this package provides it,
+// because package storage imports this package.
 type FileDisk interface {
-	// Open starts another life of the process on what is there.
+	// Open restarts the process and returns the stored state.
 	Open() (Stored, error)
-	// Write stores records. After an error Recover must succeed before the next one.
+	// Write stores records. After an error Recover must succeed before the next write.
 	Write(records []Record) error
 	// Recover makes the disk writable again after a failed write, by a compaction.
 	Recover() error
-	// CrashAfter has the process crash at one of its next operations, 1 for the very next.
+	// CrashAfter makes the process crash at one of its next operations, 1 being the very next one.
 	CrashAfter(operations int)
-	// Crashed reports whether it has.
+	// Crashed reports whether the process has crashed.
 	Crashed() bool
-	// SetFull has the disk refuse writes, or take them again.
+	// SetFull makes the disk reject writes, or accept them again.
 	SetFull(full bool)
-	// LosePower loses any part of what was not synced. The process must have ended.
+	// LosePower loses a random part of what was not synced. The process must have ended.
 	LosePower()
 	// Wipe empties the disk.
 	Wipe()
-	// Close ends the life of the process.
+	// Close ends the process.
 	Close()
-	// Lie has the disk report syncs that it does not do.
-	Lie(lies DiskLies)
+	// IgnoreSyncs makes the disk report syncs as done without doing them.
+	IgnoreSyncs(ignored IgnoredSyncs)
 }
 
-// DiskLies are the syncs that a disk reports without doing them.
-type DiskLies struct {
-	Files       bool // of files
-	Directories bool // of their names
+// IgnoredSyncs selects the syncs that a disk reports as done without doing them.
+type IgnoredSyncs struct {
+	Files       bool // syncs of file contents
+	Directories bool // syncs of directories
 }
 
-// NewFileDisk returns a FileDisk over an empty directory below a temporary one; what it loses is drawn from a seed.
+// NewFileDisk returns a FileDisk on an empty directory. The seed determines what a power failure loses.
 var NewFileDisk func(directory string, seed uint64) FileDisk
 
-// openFiles reads a member's files, and gives a new member its identity, which is stored before it takes part.
+// openFiles reads the files of a member. A new member gets an identity, which is stored before the member starts.
 func (sim *simulation) openFiles(n *node) bool {
 	if n.files == nil {
 		n.files = sim.newDisk(sim.rand.Uint64())
-		n.files.Lie(sim.faults.diskLies)
+		n.files.IgnoreSyncs(sim.faults.ignoredSyncs)
 	}
 	stored, err := n.files.Open()
 	if err != nil {
@@ -62,7 +63,7 @@
 	}
 	n.disk = sim.newIdentity(n)
 	identity := SaveIdentity{Self: n.disk.Self, Founder: n.disk.Founder, Founders: n.disk.Founders}
-	if err := n.files.Write([]Record{identity}); err != nil { // the disk is full: the process ends, and is started again
+	if err := n.files.Write([]Record{identity}); err != nil { // the disk is full: the process exits and is restarted
 		n.files.Close()
 		sim.schedule(restartInterval, func() { sim.start(n) })
 		return false
@@ -70,7 +71,8 @@
 	return true
 }
 
-// writeFiles stores records in a member's files, and reports whether its process goes on and what it did is to be sent.
+// writeFiles stores records in the files of a member. It reports whether the process continues and its messages
+// may be sent.
 func (sim *simulation) writeFiles(n *node, before Checkpoint, records []Record) bool {
 	if len(records) == 0 {
 		return true
@@ -92,7 +94,7 @@
 	return true
 }
 
-// recoverFiles tries to write to a member's disk again after a failure.
+// recoverFiles tries to make the disk of a member writable again after a failure.
 func (sim *simulation) recoverFiles(n *node) {
 	err := n.files.Recover()
 	if n.files.Crashed() {
@@ -104,23 +106,24 @@
 	}
 }
 
-// crashAtWrite crashes a process whose disk has ended its life.
+// crashAtWrite crashes a process at a scheduled crash of its disk.
 func (sim *simulation) crashAtWrite(n *node) {
 	sim.crash(n)
-	n.doomed = false
+	n.crashPending = false
 	if n.onCrash != nil {
 		n.onCrash()
 		n.onCrash = nil
 	}
 }
 
-// doom has a member's process crash at one of its next operations on the disk, or after that time at the latest.
-func (sim *simulation) doom(n *node, operations int, onCrash func()) {
+// scheduleCrash makes the process of a member crash at one of its next disk operations, or after
+// scheduledCrashTimeout at the latest.
+func (sim *simulation) scheduleCrash(n *node, operations int, onCrash func()) {
 	starts := n.starts
-	n.doomed, n.onCrash = true, onCrash
+	n.crashPending, n.onCrash = true, onCrash
 	n.files.CrashAfter(operations)
-	sim.schedule(doomTimeout, func() {
-		if n.doomed && n.starts == starts {
+	sim.schedule(scheduledCrashTimeout, func() {
+		if n.crashPending && n.starts == starts {
 			sim.crashAtWrite(n)
 		}
 	})
--- a/internal/fleet/replica/simulation_faults_test.go
+++ b/internal/fleet/replica/simulation_faults_test.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// injectedFaults are faults of the members' environment that break an assumption of the protocols. A simulation with one of
-// them must report violations, or it would not notice a fault of the members either.
+// injectedFaults are faults that break an assumption of the protocols. A simulation with one of them must report
+// violations; otherwise it would not detect a real fault of the members either.
 type injectedFaults struct {
 	entriesNotStored        bool // a member forwards entries without storing them
 	promisesNotStored       bool
-	wipedKeepsIdentity      bool // a member whose disk was lost keeps its incarnation
+	wipedKeepsIdentity      bool // a member whose disk is lost keeps its incarnation
 	digestsDropped          bool // a restarted member forgets which orders were committed
 	readsUnconfirmed        bool
 	rejectionUnconfirmed    bool
-	rejectionOfEarlierEpoch bool // a rejection of an earlier epoch is confirmed by a later one
-	leaseUnconfirmed        bool // a lease is counted from now
-	outsiderClaimsBase      bool // voters outside the chain report complete logs, those in it do not
-	promiseCountedTwice     bool // a voter's promise is delivered as another voter's too
-	acceptCountedTwice      bool // a voter's acceptance is delivered as another voter's too
-	committedEarly          bool // the head gets Committed as soon as it has sent an entry
-	lastEntryLost           bool // a restarted member has lost its last entry
-	lastViewLost            bool // a restarted member has lost its last view
+	rejectionOfEarlierEpoch bool // a later epoch confirms a rejection of an earlier one
+	leaseUnconfirmed        bool // a lease starts at the time of the check
+	outsiderClaimsBase      bool // voters outside the chain report complete logs, and those in the chain do not
+	promiseCountedTwice     bool // a voter's promise is also delivered as another voter's
+	acceptCountedTwice      bool // a voter's acceptance is also delivered as another voter's
+	committedEarly          bool // the head receives Committed as soon as it has sent an entry
+	lastEntryLost           bool // a restarted member loses its last entry
+	lastViewLost            bool // a restarted member loses its last view
 	leavesUnreleased        bool // a leaving member does not wait until it is released
-	orderAltered            bool // a member down the chain gets a different order from the head's
+	orderAltered            bool // a member of the chain receives an order that differs from the head's
 
-	// Faults of the polls of data processes.
-	pollUnconfirmed  bool // a member says that its configuration is confirmed now
-	pollBeforeCommit bool // a member hands out an order before it is committed
-	leaseFromReply   bool // a data process counts its lease from when the reply came
-	configForgotten  bool // a data process forgets its configuration with each reply
+	// Faults of the polling by data processes.
+	pollUnconfirmed  bool // a member reports its configuration as confirmed now
+	pollBeforeCommit bool // a member serves an order before it is committed
+	leaseFromReply   bool // the lease of a data process starts when the reply arrives
+	configForgotten  bool // a data process discards its configuration with each reply
 
 	// Faults of disks of files.
-	diskLies            DiskLies
-	failedWritesIgnored bool // a member goes on as if a failed write had succeeded
+	ignoredSyncs        IgnoredSyncs
+	failedWritesIgnored bool // a member continues as if a failed write had succeeded
 }
 
-// dropRecord reports whether a record is not stored.
+// dropRecord reports whether a record is dropped instead of stored.
 func (f injectedFaults) dropRecord(record Record) bool {
 	switch record.(type) {
 	case SavePromise, SaveAccepted:
@@ -48,7 +48,7 @@
 	return false
 }
 
-// injectDiskFaults applies the injected faults to a disk before a start.
+// injectDiskFaults applies the injected faults to the disk of a member before it starts.
 func (sim *simulation) injectDiskFaults(n *node) {
 	disk := &n.disk
 	if sim.faults.lastEntryLost && len(disk.Entries) > 0 {
@@ -109,7 +109,7 @@
 	return envelope
 }
 
-// forge delivers a voter's reply as another voter's too.
+// forge also delivers the reply of a voter as a reply of another voter.
 func (sim *simulation) forge(to *node, envelope Envelope) {
 	if to.machine == nil {
 		return
@@ -131,11 +131,11 @@
 	}
 }
 
-// leaveTimeout is how long a leaving member waits until it is released.
+// leaveTimeout is how long a leaving member waits to be released.
 const leaveTimeout = 6 * time.Second
 
-// leave shuts a member down gracefully, as the control process does on SIGTERM: it stays until it is released, or for
-// leaveTimeout.
+// leave shuts a member down gracefully, as the control process does on SIGTERM: it runs until it is released, or
+// for at most leaveTimeout.
 func (sim *simulation) leave(n *node, then func()) {
 	if !n.up || n.frozen {
 		sim.crash(n)
@@ -171,7 +171,7 @@
 	}
 }
 
-// freeze suspends a process: what arrives meanwhile is handled on unfreeze.
+// freeze suspends a process. Events that arrive meanwhile are handled on unfreeze.
 func (sim *simulation) freeze(n *node) { n.frozen = n.up }
 
 func (sim *simulation) unfreeze(n *node) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// partition drops the messages of one member to another one, or both ways.
+// partition drops the messages from one member to another, optionally in both directions.
 func (sim *simulation) partition(from, to *node, both bool) {
 	sim.partitions[[2]string{from.address, to.address}] = true
 	if both {
@@ -191,7 +191,7 @@
 	}
 }
 
-// isPartitioned reports whether messages of one member do not reach another one.
+// isPartitioned reports whether messages from one member to another are dropped.
 func (sim *simulation) isPartitioned(from, to *node) bool {
 	return sim.partitions[[2]string{from.address, to.address}]
 }
@@ -223,7 +223,7 @@
 	}
 }
 
-// removeNode removes a member for good.
+// removeNode removes a member permanently.
 func (sim *simulation) removeNode(removed *node) {
 	sim.crash(removed)
 	for i, n := range sim.nodes {
@@ -234,14 +234,14 @@
 	}
 }
 
-// join starts an empty member beside the others.
+// join starts a new member with an empty disk.
 func (sim *simulation) join(address, domain string) {
 	n := &node{address: address, domain: domain}
 	sim.nodes = append(sim.nodes, n)
 	sim.start(n)
 }
 
-// replace removes a machine for good and starts an empty one at another address in its stead.
+// replace removes a machine permanently and starts an empty one at another address in its place.
 func (sim *simulation) replace(n *node, after time.Duration) {
 	sim.crash(n)
 	for i := range sim.nodes {
@@ -253,7 +253,7 @@
 	}
 }
 
-// compactDisk replaces all entries but the last one on a member's disk by a snapshot, as a compaction does.
+// compactDisk replaces all entries but the last one on the disk of a member by a snapshot, as a compaction does.
 func (n *node) compactDisk() {
 	if len(n.disk.Entries) < 2 {
 		return
--- a/internal/fleet/replica/simulation_operator_test.go
+++ b/internal/fleet/replica/simulation_operator_test.go
@@ -13,7 +13,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// confirmationTimeout is how long a member waits for the confirmation of a rejection before it gives no reply.
+// confirmationTimeout is how long a member waits for the confirmation of a rejection. After that it does not
+// reply.
 const confirmationTimeout = 700 * time.Millisecond
 
 // ack is the first acknowledgement of an order.
@@ -22,7 +23,7 @@
 	at       time.Duration
 }
 
-// onReply records the outcome of an order as the operator sees it: a rejection only once it is confirmed.
+// onReply records the outcome of an order as the operator sees it: a rejection counts only after it is confirmed.
 func (sim *simulation) onReply(n *node, reply Reply) {
 	order, known := sim.submitted[reply.ID]
 	if !known {
@@ -63,9 +64,9 @@
 		result := configResult{known: true, rejected: true}
 		sim.completedCalls = append(sim.completedCalls, operation{op.call, result, sim.submittedAt[reply.ID], sim.now})
 	}
-	unknown := errkind.KindOf(reply.Err) == errkind.OutcomeUnknown // neither an acknowledgement nor a rejection
+	unknown := errkind.KindOf(reply.Err) == errkind.OutcomeUnknown // the reply is neither an acknowledgement nor a rejection
 	if revision, acked := sim.ackedRevisions[order.Digest()]; acked && !unknown {
-		sim.reportViolation("the order of revision %d was acknowledged and is rejected", revision)
+		sim.reportViolation("the order for revision %d was acknowledged and later rejected", revision)
 	}
 }
 
@@ -74,12 +75,12 @@
 	sim.ackCounts[digest]++
 	if previous, again := sim.ackedRevisions[digest]; again {
 		if previous != revision {
-			sim.reportViolation("one order was acknowledged as revision %d and as %d", previous, revision)
+			sim.reportViolation("one order was acknowledged as revision %d and as revision %d", previous, revision)
 		}
 		return
 	}
 	if other, acked := sim.ackedByBase[order.Base]; acked && other != digest {
-		sim.reportViolation("two orders on %d were acknowledged", order.Base)
+		sim.reportViolation("two orders with base revision %d were acknowledged", order.Base)
 	}
 	if op := sim.operations[digest]; op != nil {
 		op.result, op.endedAt = configResult{known: true}, sim.now
@@ -88,7 +89,7 @@
 	sim.ackLog = append(sim.ackLog, ack{revision, sim.now})
 }
 
-// lastAcked returns the highest revision that was acknowledged.
+// lastAcked returns the highest acknowledged revision.
 func (sim *simulation) lastAcked() int64 {
 	latest := int64(0)
 	for _, ack := range sim.ackLog {
@@ -97,7 +98,7 @@
 	return latest
 }
 
-// submit submits an order to the head that a random member knows.
+// submit submits an order to the head according to the view of a random member.
 func (sim *simulation) submit(order operator.Order) {
 	n := sim.nodes[sim.rand.IntN(len(sim.nodes))]
 	if !n.up || n.frozen {
@@ -113,7 +114,7 @@
 	sim.step(head, func() Ready { return head.machine.Submit(sim.now, id, order) })
 }
 
-// submitAt submits an order to the head that a member knows, unless the two are partitioned.
+// submitAt submits an order to the head according to the view of the given member, unless the two are partitioned.
 func (sim *simulation) submitAt(n *node, order operator.Order) {
 	if !n.up || n.frozen {
 		return
@@ -128,7 +129,8 @@
 	sim.step(head, func() Ready { return head.machine.Submit(sim.now, id, order) })
 }
 
-// read reads at the tail that a random member knows, and checks that the result is not older than what was acknowledged before.
+// read reads at the tail according to the view of a random member, and checks that the result is not older than
+// the last revision acknowledged before the read.
 func (sim *simulation) read(done func(revision int64)) {
 	n := sim.nodes[sim.rand.IntN(len(sim.nodes))]
 	if !n.up || n.frozen {
@@ -153,14 +155,14 @@
 	}
 	_, state := tail.machine.Committed()
 	if state.Document.Revision < latest {
-		sim.reportViolation("%s reads %d, %d was acknowledged before", tail.address, state.Document.Revision, latest)
+		sim.reportViolation("%s reads revision %d, but revision %d was acknowledged before", tail.address, state.Document.Revision, latest)
 	}
 	result := configResult{known: true, revision: state.Document.Revision}
 	sim.completedCalls = append(sim.completedCalls, operation{configCall{read: true}, result, since, sim.now})
 	done(state.Document.Revision)
 }
 
-// readAt reads at a member and returns the revision that it confirms within a time, -1 if none.
+// readAt reads at a member and returns the revision that it confirms within a time, -1 if it confirms none.
 func (sim *simulation) readAt(n *node, within time.Duration) int64 {
 	read := int64(-1)
 	sim.awaitRead(n, n.starts, sim.now, sim.lastAcked(), func(revision int64) { read = revision })
@@ -168,7 +170,7 @@
 	return read
 }
 
-// newOrder returns an order on a base revision and records it as an operation.
+// newOrder returns an order with a base revision and records it as an operation.
 func (sim *simulation) newOrder(base, revision int64, text string) operator.Order {
 	body := fmt.Sprintf(`{"Revision":%d,"Note":%q}`, revision, text)
 	order := operator.Order{Method: http.MethodPatch, Base: base, Body: []byte(body)}
@@ -176,7 +178,8 @@
 	return order
 }
 
-// submitUntilCommitted submits an order until it is acknowledged, as the operator does, and returns how long that took.
+// submitUntilCommitted submits an order repeatedly until it is acknowledged, as the operator does, and returns how
+// long that took.
 func (sim *simulation) submitUntilCommitted(t *testing.T, base, revision int64) time.Duration {
 	t.Helper()
 	begin := sim.now
@@ -192,7 +195,7 @@
 	return 0
 }
 
-// commitThroughOthers submits an order at the members other than one until it is acknowledged.
+// commitThroughOthers submits an order at all members except one until it is acknowledged.
 func (sim *simulation) commitThroughOthers(t *testing.T, except *node) {
 	t.Helper()
 	order := sim.newOrder(sim.lastAcked(), sim.lastAcked()+1, fmt.Sprint("by the others at ", sim.now))
@@ -210,13 +213,14 @@
 	require.Fail(t, "not acknowledged")
 }
 
-// commitQuickly submits an order until it is acknowledged, as often as a message takes down the chain.
+// commitQuickly submits an order until it is acknowledged, at an interval of about the time that a message takes
+// through the chain.
 func (sim *simulation) commitQuickly(t *testing.T) {
 	t.Helper()
 	sim.commitEvery(t, sim.newOrder(sim.lastAcked(), sim.lastAcked()+1, "quick"), 15*time.Millisecond)
 }
 
-// commitEvery submits an order again and again, at an interval, until it is acknowledged.
+// commitEvery submits an order repeatedly, at an interval, until it is acknowledged.
 func (sim *simulation) commitEvery(t *testing.T, order operator.Order, interval time.Duration) {
 	t.Helper()
 	for range 1000 {
@@ -229,7 +233,8 @@
 	require.Fail(t, "not acknowledged")
 }
 
-// commitLargeOrders commits orders that exceed maxEntryBytes, so that only a snapshot leads from the beginning to the present state.
+// commitLargeOrders commits orders whose total size exceeds maxEntryBytes, so that a new member can reach the
+// current state only through a snapshot.
 func (sim *simulation) commitLargeOrders(t *testing.T) {
 	t.Helper()
 	const orders, size = 6, 400 << 10
@@ -248,7 +253,7 @@
 	}
 }
 
-// incompressibleText returns text whose compressed form is not much shorter.
+// incompressibleText returns random text that does not compress much.
 func (sim *simulation) incompressibleText(size int) string {
 	text := make([]byte, size)
 	for i := range text {
@@ -257,25 +262,25 @@
 	return string(text)
 }
 
-// operate submits orders on the last acknowledged revision, each of them several times.
-func (sim *simulation) operate(name int) {
+// operate submits orders based on the last acknowledged revision, each of them several times.
+func (sim *simulation) operate(number int) {
 	if sim.now > sim.operateUntil {
 		return
 	}
 	base := sim.lastAcked()
-	order := sim.newOrder(base, base+1+int64(sim.rand.IntN(3)), fmt.Sprintf("operator %d at %v", name, sim.now))
+	order := sim.newOrder(base, base+1+int64(sim.rand.IntN(3)), fmt.Sprintf("operator %d at %v", number, sim.now))
 	for i := range 1 + sim.rand.IntN(4) {
 		sim.schedule(time.Duration(i*(20+sim.rand.IntN(700)))*time.Millisecond, func() { sim.submit(order) })
 	}
-	if sim.rand.IntN(6) == 0 { // an old order again
+	if sim.rand.IntN(6) == 0 { // resubmit the order later
 		old := order
 		sim.schedule(time.Duration(sim.rand.IntN(9))*time.Second, func() { sim.submit(old) })
 	}
 	sim.schedule(time.Duration(sim.rand.IntN(300))*time.Millisecond, func() { sim.read(func(int64) {}) })
-	sim.schedule(time.Duration(100+sim.rand.IntN(900))*time.Millisecond, func() { sim.operate(name) })
+	sim.schedule(time.Duration(100+sim.rand.IntN(900))*time.Millisecond, func() { sim.operate(number) })
 }
 
-// isRejection reports whether an error rejects an order for good, so that sending it again cannot succeed.
+// isRejection reports whether an error rejects an order permanently, so that resubmitting it cannot succeed.
 func isRejection(err error) bool {
 	var kindErr *errkind.Error
 	return errors.As(err, &kindErr) && (kindErr.Kind == errkind.InvalidConfig || kindErr.Kind == errkind.VersionConflict)
--- a/internal/fleet/replica/simulation_test.go
+++ b/internal/fleet/replica/simulation_test.go
@@ -9,8 +9,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// simulation runs members, their disks and their network in virtual time. It records every order and reply, and every
-// violation of an invariant.
+// simulation runs members, their disks and their network in virtual time. It records every order and reply, and
+// every violation of an invariant.
 type simulation struct {
 	rand        *rand.Rand
 	now         time.Duration
@@ -21,7 +21,7 @@
 	faults      injectedFaults
 	seeds       []string
 	maxFailures int
-	maxDelay    time.Duration // of a message
+	maxDelay    time.Duration // maximum delay of a message
 
 	lastID         uint64
 	submitted      map[uint64]operator.Order
@@ -32,45 +32,45 @@
 	ackedByBase    map[int64]operator.Digest
 	views          map[uint64]string
 	violations     []string
-	unjudged       bool // the check of linearizability took too long
+	inconclusive   bool // the linearizability check timed out
 
-	operations     map[operator.Digest]*operation // by what was sent, each once
-	completedCalls []operation                    // rejections and reads
-	operateUntil   time.Duration                  // operators submit orders until then
+	operations     map[operator.Digest]*operation // one operation for each order, by digest
+	completedCalls []operation                    // completed rejections and reads
+	operateUntil   time.Duration                  // time until which operators submit orders
 
-	checkRedundancy     bool          // check at each tick that the next loss would be survived
-	unsafeFor           time.Duration // total time for which it would not have been
+	checkRedundancy     bool          // check at each tick that the fleet would survive the next loss
+	unsafeFor           time.Duration // total time for which it would not have survived it
 	catchUpTime         time.Duration
 	redundancyCheckedAt time.Duration
-	slowUntil           time.Duration // messages are slow until then
-	excessLossAt        time.Duration // when more than maxFailures members were lost
-	departed            []Member      // that have left for good with their votes
-	withoutSpareAt      time.Duration // the last time at which no member could take another vote
+	slowUntil           time.Duration // time until which messages are slow
+	excessLossAt        time.Duration // last time at which more than maxFailures members were lost
+	departed            []Member      // members that have left permanently while holding a vote
+	lastWithoutSpareAt  time.Duration // last time at which no member could take over a vote
 	corruptChunks       bool
 	transferRate        int // 0: the default
 
-	dataProcesses []*dataProcess
-	votes         map[vote]Ballot  // the highest that each member has promised or accepted
-	handedOut     map[uint64]int64 // revisions of the configurations that members handed out, by their numbers
+	dataProcesses   []*dataProcess
+	votes           map[vote]Ballot  // highest ballot that each member has promised or accepted
+	servedRevisions map[uint64]int64 // revisions of the configurations that members have served, by ConfigSeq
 
-	newDisk func(seed uint64) FileDisk // a disk of files for each member; nil: the disks are in memory
+	newDisk func(seed uint64) FileDisk // creates a disk of files for a member; nil: disks are in memory
 
 	configure    func(*Config) // changes the configuration of each member that starts; nil: the defaults
-	crashRefuses bool          // connections to a process that has crashed are refused; else its machine is silent
-	lossPercent  int           // of the packets that are lost and sent again
-	writeTime    time.Duration // of a write to disk
-	stall        time.Duration // of each tenth of a second, for which every process stands still
+	crashRefuses bool          // a crashed process refuses connections; else its machine does not respond
+	lossPercent  int           // percentage of packets that are lost and retransmitted
+	writeTime    time.Duration // duration of a write to disk
+	stall        time.Duration // part of each stallPeriod in which every process is suspended
 }
 
 type node struct {
 	address      string
 	domain       string
 	machine      *Machine
-	disk         Stored    // what is stored; with files, what was found there at the last start
+	disk         Stored    // stored state; with files, the state read at the last start
 	files        FileDisk  // nil: the disk is in memory
-	doomed       bool      // its process crashes at one of its next writes
-	onCrash      func()    // is called then
-	previousView *Proposal // the stored view before the present one
+	crashPending bool      // the process crashes at one of its next writes
+	onCrash      func()    // called at that crash
+	previousView *Proposal // the stored view before the current one
 	up           bool
 	frozen       bool
 	cannotVote   bool
@@ -81,7 +81,7 @@
 	partitioned  bool
 	upSince      time.Duration
 	deferred     []func()      // events that arrived while the node was frozen
-	busyUntil    time.Duration // with a write to disk, or without processor time
+	busyUntil    time.Duration // until then a write to disk is in progress
 	starts       int
 	checkedEpoch uint64 // the last epoch whose view was checked
 }
@@ -117,22 +117,22 @@
 
 func newSimulation(seed uint64, members int) *simulation {
 	sim := &simulation{
-		rand:           rand.New(rand.NewPCG(seed, 1)),
-		now:            time.Millisecond,
-		partitions:     map[[2]string]bool{},
-		maxFailures:    1,
-		maxDelay:       defaultMaxDelay,
-		submitted:      map[uint64]operator.Order{},
-		submittedAt:    map[uint64]time.Duration{},
-		ackedRevisions: map[operator.Digest]int64{},
-		ackCounts:      map[operator.Digest]int{},
-		ackedByBase:    map[int64]operator.Digest{},
-		views:          map[uint64]string{},
-		operations:     map[operator.Digest]*operation{},
-		handedOut:      map[uint64]int64{},
-		votes:          map[vote]Ballot{},
-		operateUntil:   24 * time.Second,
-		catchUpTime:    4 * time.Second,
+		rand:            rand.New(rand.NewPCG(seed, 1)),
+		now:             time.Millisecond,
+		partitions:      map[[2]string]bool{},
+		maxFailures:     1,
+		maxDelay:        defaultMaxDelay,
+		submitted:       map[uint64]operator.Order{},
+		submittedAt:     map[uint64]time.Duration{},
+		ackedRevisions:  map[operator.Digest]int64{},
+		ackCounts:       map[operator.Digest]int{},
+		ackedByBase:     map[int64]operator.Digest{},
+		views:           map[uint64]string{},
+		operations:      map[operator.Digest]*operation{},
+		servedRevisions: map[uint64]int64{},
+		votes:           map[vote]Ballot{},
+		operateUntil:    24 * time.Second,
+		catchUpTime:     4 * time.Second,
 	}
 	for i := range members {
 		sim.seeds = append(sim.seeds, fmt.Sprintf("m%d", i))
@@ -172,7 +172,8 @@
 	return config
 }
 
-// availableSeeds returns the seeds that the settings of a process name when it starts: addresses of machines that exist then.
+// availableSeeds returns the seeds in the settings of a process that starts now: the addresses of the machines
+// that exist.
 func (sim *simulation) availableSeeds() []string {
 	var seeds []string
 	for _, n := range sim.nodes[:min(len(sim.seeds), len(sim.nodes))] {
@@ -207,7 +208,7 @@
 	sim.tick(n, n.starts)
 }
 
-// newIdentity returns what a member stores that finds its disk empty.
+// newIdentity returns what a member stores if it finds its disk empty.
 func (sim *simulation) newIdentity(n *node) Stored {
 	stored := Stored{Self: Member{Address: n.address, Incarnation: sim.rand.Uint64() | 1, Domain: n.domain}}
 	if n.founder {
@@ -234,7 +235,8 @@
 	sim.schedule(tickInterval, func() { sim.tick(n, starts) })
 }
 
-// step calls a member's machine and carries out the Ready: it stores, sends and replies, in this order.
+// step calls the machine of a member and processes the Ready: it stores the records, sends the messages and
+// delivers the replies, in this order.
 func (sim *simulation) step(n *node, run func() Ready) {
 	if !n.up {
 		return
@@ -278,10 +280,11 @@
 	}
 }
 
-// retransmissionTimeout is the time after which a lost packet is sent again, doubled each time.
+// retransmissionTimeout is the time after which a lost packet is retransmitted. It doubles with each
+// retransmission.
 const retransmissionTimeout = 200 * time.Millisecond
 
-// retransmissionDelay returns how much later a message comes because of lost packets.
+// retransmissionDelay returns the additional delay of a message caused by lost packets.
 func (sim *simulation) retransmissionDelay() (delay time.Duration) {
 	for timeout := retransmissionTimeout; sim.lossPercent > 0 && sim.rand.IntN(100) < sim.lossPercent; timeout *= 2 {
 		delay += timeout
@@ -289,10 +292,10 @@
 	return delay
 }
 
-// stallPeriod is the period of the stalls of processes whose processor time is a quota.
+// stallPeriod is the period of the stalls of processes with a processor quota.
 const stallPeriod = 100 * time.Millisecond
 
-// busyFor returns for how long a process cannot handle an event.
+// busyFor returns how long a process is unable to handle an event.
 func (sim *simulation) busyFor(n *node) time.Duration {
 	busy := max(0, n.busyUntil-sim.now)
 	if sim.stall > 0 {
@@ -302,7 +305,7 @@
 	return busy
 }
 
-// sendAfter sends a message once a write has ended.
+// sendAfter sends a message after a write has finished.
 func (sim *simulation) sendAfter(from *node, wait time.Duration, envelope Envelope) {
 	if wait == 0 {
 		sim.send(from, envelope)
--- a/internal/fleet/replica/storage_disk_test.go
+++ b/internal/fleet/replica/storage_disk_test.go
@@ -9,12 +9,12 @@
 	"linenwheel.dev/linenwheel/internal/fleet/storage/disktest"
 )
 
-// The histories of package replica run on the disks of package storage, which imports it.
-func init() { //nolint:gochecknoinits // the tests of the package itself cannot import this one
+// The histories of package replica also run on disks of package storage, which imports package replica.
+func init() { //nolint:gochecknoinits // the internal tests of package replica cannot import package storage
 	replica.NewFileDisk = newStorageDisk
 }
 
-// storageDisk is a member's disk: a store of package storage over a disk that crashes tear.
+// storageDisk is a member's disk: a store of package storage on a simulated disk that tears writes.
 type storageDisk struct {
 	directory string
 	disk      *disktest.Disk
@@ -53,8 +53,8 @@
 	}
 }
 
-func (s *storageDisk) Lie(lies replica.DiskLies) {
-	s.disk.Lies = disktest.Lies{Files: lies.Files, Directories: lies.Directories}
+func (s *storageDisk) IgnoreSyncs(ignored replica.IgnoredSyncs) {
+	s.disk.IgnoredSyncs = disktest.IgnoredSyncs{Files: ignored.Files, Directories: ignored.Directories}
 }
 
 func must(err error) {
--- a/internal/fleet/replica/torn_writes_test.go
+++ b/internal/fleet/replica/torn_writes_test.go
@@ -10,17 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The longest way, in operations on the disk, to the moments at which a process crashes.
+// Maximum numbers of disk operations until a scheduled crash.
 const (
 	maxOperationsToTear    = 4
 	maxOperationsToCompact = 24
 )
 
-// powerFailureDelay is how long all processes go on writing before all machines lose power.
+// powerFailureDelay is how long all processes continue to write before all machines lose power.
 const powerFailureDelay = 30 * time.Millisecond
 
-// runTornWrites plays a random history of members whose disks are files of package storage: beside all other faults, processes crash in the
-// middle of writes and compactions, with and without the power of their machines, and disks are full.
+// runTornWrites runs a random history of members whose disks are files of package storage. In addition to all
+// other faults, processes crash in the middle of writes and compactions, with and without a power failure of their
+// machines, and disks become full.
 func runTornWrites(t testing.TB, seed uint64, shape fleetShape, faults injectedFaults) *randomFaults {
 	t.Helper()
 	sim := &randomFaults{simulation: newSimulation(seed, 3), shape: shape, withFiles: true, faultCounts: map[string]int{}}
@@ -32,7 +33,7 @@
 		disks++
 		return NewFileDisk(filepath.Join(directory, strconv.Itoa(disks)), seed)
 	}
-	sim.play(seed)
+	sim.runAndCheck(seed)
 	for _, n := range sim.nodes {
 		sim.crash(n)
 	}
@@ -40,7 +41,8 @@
 	return sim
 }
 
-// fastDirectory returns a directory in memory where there is one: what is durable is the business of package disktest.
+// fastDirectory returns a directory in memory if there is one. Real durability is not needed, because package
+// disktest simulates it.
 func fastDirectory() string {
 	const inMemory = "/dev/shm"
 	if info, err := os.Stat(inMemory); err == nil && info.IsDir() {
@@ -49,7 +51,7 @@
 	return os.TempDir()
 }
 
-// fileFaults returns the kinds of faults of disks that are files.
+// fileFaults returns the kinds of faults that affect disks of files.
 func (sim *randomFaults) fileFaults(n *node, duration time.Duration) []faultKind {
 	return []faultKind{
 		{"torn write", 1, 0, func() { sim.crashInWrite(n, duration) }},
@@ -59,12 +61,13 @@
 	}
 }
 
-// crashInWrite has a process crash in one of its next writes, every second time with the power of its machine.
+// crashInWrite makes a process crash in one of its next writes, with a power failure of its machine half of the
+// time.
 func (sim *randomFaults) crashInWrite(n *node, duration time.Duration) {
-	if !n.up || n.doomed {
+	if !n.up || n.crashPending {
 		return
 	}
-	sim.doom(n, 1+sim.rand.IntN(maxOperationsToTear), func() { sim.restartTorn(n, duration) })
+	sim.scheduleCrash(n, 1+sim.rand.IntN(maxOperationsToTear), func() { sim.restartTorn(n, duration) })
 }
 
 func (sim *randomFaults) restartTorn(n *node, duration time.Duration) {
@@ -74,12 +77,12 @@
 	sim.startAfter(n, duration)
 }
 
-// crashInCompaction has a process compact its disk and crash on the way.
+// crashInCompaction makes a process compact its disk and crash during the compaction.
 func (sim *randomFaults) crashInCompaction(n *node, duration time.Duration) {
-	if !n.up || n.frozen || n.doomed {
+	if !n.up || n.frozen || n.crashPending {
 		return
 	}
-	sim.doom(n, 1+sim.rand.IntN(maxOperationsToCompact), func() { sim.restartTorn(n, duration) })
+	sim.scheduleCrash(n, 1+sim.rand.IntN(maxOperationsToCompact), func() { sim.restartTorn(n, duration) })
 	_ = n.files.Recover()
 	if n.files.Crashed() {
 		sim.crashAtWrite(n)
@@ -88,7 +91,7 @@
 
 func (sim *randomFaults) fillDiskFor(n *node, duration time.Duration) {
 	if n.files == nil {
-		return // it has not started yet
+		return // the member has not started yet
 	}
 	n.files.SetFull(true)
 	n.diskFull = true
@@ -98,38 +101,38 @@
 	})
 }
 
-// powerCycleInWrites has all processes crash at their next writes, and then all machines lose power.
+// powerCycleInWrites makes all processes crash at their next writes, and then all machines lose power.
 func (sim *randomFaults) powerCycleInWrites(duration time.Duration) {
 	for _, n := range sim.nodes {
-		if n.up && !n.doomed {
-			sim.doom(n, 1+sim.rand.IntN(maxOperationsToTear), nil)
+		if n.up && !n.crashPending {
+			sim.scheduleCrash(n, 1+sim.rand.IntN(maxOperationsToTear), nil)
 		}
 	}
 	sim.schedule(powerFailureDelay, func() { sim.powerCycle(duration) })
 }
 
-func TestTornWritesKeepEveryPromise(t *testing.T) {
-	moves := map[string]int{}
-	acknowledged, uses, unjudged := 0, 0, 0
+func TestTornWritesPreserveInvariants(t *testing.T) {
+	counts := map[string]int{}
+	acknowledged, uses, inconclusive := 0, 0, 0
 	count := histories() / 2
 	for seed := firstHistory(); seed < firstHistory()+count; seed++ {
 		shape := shapes[seed%uint64(len(shapes))]
 		sim := runTornWrites(t, seed, shape, injectedFaults{})
 		require.Empty(t, sim.violationReport(), "seed %d, %+v", seed, shape)
 		acknowledged += len(sim.ackLog)
-		if sim.unjudged {
-			unjudged++
+		if sim.inconclusive {
+			inconclusive++
 		}
 		for _, d := range sim.dataProcesses {
 			uses += d.uses
 		}
 		for name, count := range sim.faultCounts {
-			moves[name] += count
+			counts[name] += count
 		}
 	}
-	t.Logf("%d histories, %d orders acknowledged, %d uses of a configuration, moves: %v", count, acknowledged, uses, moves)
-	requireJudged(t, unjudged, int(count))
-	require.Len(t, moves, 18, "every kind of fault was injected")
+	t.Logf("%d histories, %d orders acknowledged, %d uses of a configuration, moves: %v", count, acknowledged, uses, counts)
+	requireConclusive(t, inconclusive, int(count))
+	require.Len(t, counts, 18, "every kind of fault must be injected")
 	require.Greater(t, acknowledged, int(count)*10)
 	require.Greater(t, uses, int(count)*100)
 }
--- a/internal/fleet/storage/crash_test.go
+++ b/internal/fleet/storage/crash_test.go
@@ -13,7 +13,7 @@
 
 const crashSeeds = 400
 
-// openDisk starts another life of the process on a disk.
+// openDisk restarts the process on a disk.
 func openDisk(t *testing.T, disk *disktest.Disk, dir string) (*Store, replica.Stored) {
 	t.Helper()
 	disk.Restart()
@@ -22,9 +22,9 @@
 	return store, stored
 }
 
-// losesWhatAStartHasRead reports whether a record that a process wrote and did not sync, and the next process has read, is lost with the
-// power after that.
-func losesWhatAStartHasRead(t *testing.T, seed uint64, lies disktest.Lies) bool {
+// losesRecordsReadAtStart reports whether a power failure loses a record that one process wrote without syncing it
+// and that the next process has read.
+func losesRecordsReadAtStart(t *testing.T, seed uint64, ignored disktest.IgnoredSyncs) bool {
 	t.Helper()
 	dir := t.TempDir()
 	disk := disktest.New(dir, rand.New(rand.NewPCG(seed, 1)))
@@ -34,7 +34,7 @@
 	require.ErrorIs(t, store.Write([]replica.Record{entryRecord(1, 2)}), disktest.ErrCrashed)
 	store.Close()
 
-	disk.Lies = lies
+	disk.IgnoredSyncs = ignored
 	store, read := openDisk(t, disk, dir)
 	store.Close()
 	require.NoError(t, disk.LosePower())
@@ -44,21 +44,22 @@
 	return len(left.Entries) < len(read.Entries)
 }
 
-// What a start has read from the disk it tells the other members, before it writes anything: it must not be lost after that.
-func TestWhatAStartHasReadSurvivesALossOfPower(t *testing.T) {
+// A process reports the records that it reads at its start to the other members before it writes anything, so a
+// later power failure must not lose them.
+func TestRecordsReadAtStartSurvivePowerLoss(t *testing.T) {
 	lost := 0
 	for seed := range uint64(crashSeeds) {
-		require.False(t, losesWhatAStartHasRead(t, seed, disktest.Lies{}), "seed %d", seed)
-		if losesWhatAStartHasRead(t, seed, disktest.Lies{AtStart: true}) {
+		require.False(t, losesRecordsReadAtStart(t, seed, disktest.IgnoredSyncs{}), "seed %d", seed)
+		if losesRecordsReadAtStart(t, seed, disktest.IgnoredSyncs{AtStart: true}) {
 			lost++
 		}
 	}
-	require.Positive(t, lost, "without the sync at the start it is lost")
+	require.Positive(t, lost, "without the sync at the start, records are lost")
 }
 
-// A compaction that crashes at any operation, with the power of the machine or without, leaves what was stored; so does a crash while
-// the next process compacts again.
-func TestCompactionThatCrashesAnywhereLosesNothing(t *testing.T) {
+// A compaction that crashes at any operation, with or without a power failure, preserves the stored state. So does
+// a crash of the next process while it compacts again.
+func TestCrashDuringCompactionLosesNothing(t *testing.T) {
 	const operations = 30
 	for crashAt := 1; crashAt <= operations; crashAt++ {
 		for seed := range uint64(12) {
@@ -82,8 +83,9 @@
 	}
 }
 
-// A write that a full disk refuses, whatever part of it is in the file, leaves what was there; the disk is usable once there is space.
-func TestFullDiskLeavesWhatWasThere(t *testing.T) {
+// A write that fails because the disk is full preserves the records that were synced before, whatever part of the
+// write reached the file. The disk is usable again when there is space.
+func TestFullDiskKeepsSyncedRecords(t *testing.T) {
 	for seed := range uint64(crashSeeds) {
 		dir := t.TempDir()
 		disk := disktest.New(dir, rand.New(rand.NewPCG(seed, 1)))
--- a/internal/fleet/storage/disktest/disktest.go
+++ b/internal/fleet/storage/disktest/disktest.go
@@ -1,6 +1,7 @@
-// Package disktest is a disk for tests of crashes: a directory of real files, of which it knows what has been synced. It can end the
-// process that writes at any operation, refuse writes as a full disk does, and after that lose what a loss of power may lose: any part
-// of what was written since the last sync of a file, and the names that were made or removed since the last sync of the directory.
+// Package disktest simulates a disk for crash tests: a directory of real files, together with a record of what has
+// been synced. It can crash the writing process at any operation and reject writes like a full disk. After that it
+// can simulate a power failure, which may lose any part of what was written since the last sync of a file, and any
+// names that were created or removed since the last sync of the directory.
 package disktest
 
 import (
@@ -11,62 +12,63 @@
 	"syscall"
 )
 
-// ErrCrashed is what every operation returns from the one on at which the process crashed.
+// ErrCrashed is returned by the operation at which the process crashes, and by every later one.
 var ErrCrashed = errors.New("disktest: the process has crashed")
 
-// sectorBytes is the size of what a disk writes whole or not at all.
+// sectorBytes is the size in bytes of the unit that a disk writes atomically.
 const sectorBytes = 512
 
-// Lies are syncs that a disk reports as done and does not do, to show that a test notices.
-type Lies struct {
-	Files       bool // the content of files
-	Directories bool // the names of files
-	AtStart     bool // whatever is synced before the first write after a start
+// IgnoredSyncs selects syncs that the disk reports as done without doing them, to show that a test detects it.
+type IgnoredSyncs struct {
+	Files       bool // syncs of file contents
+	Directories bool // syncs of directories
+	AtStart     bool // all syncs before the first write after a start
 }
 
 // Disk implements storage.FileSystem over a directory. It is not safe for concurrent use.
 type Disk struct {
-	Lies Lies
-
-	dir       string
-	random    *rand.Rand
-	synced    map[string]int64 // bytes of each file that are durable, by its name
-	names     map[string]bool  // that are durable
-	removed   map[string][]byte
-	full      bool
-	crashed   bool
-	written   bool // since the last start
-	crashLeft int  // operations until the process crashes, 0 = it does not
+	IgnoredSyncs IgnoredSyncs
+
+	dir                  string
+	random               *rand.Rand
+	synced               map[string]int64 // number of durable bytes of each file, by its name
+	names                map[string]bool  // names of files that are durable
+	removed              map[string][]byte
+	full                 bool
+	crashed              bool
+	written              bool // there was a write since the last start
+	operationsUntilCrash int  // 0: the process does not crash
 }
 
-// New returns a disk over an empty directory. What it loses is drawn from random.
+// New returns a disk on an empty directory. Random choices of what a power failure loses come from random.
 func New(dir string, random *rand.Rand) *Disk {
 	return &Disk{dir: dir, random: random, synced: map[string]int64{}, names: map[string]bool{}, removed: map[string][]byte{}}
 }
 
-// CrashAfter has the process crash at one of the next operations, 1 for the very next; 0 takes that back.
-func (d *Disk) CrashAfter(operations int) { d.crashLeft = operations }
+// CrashAfter makes the process crash at one of the next operations, 1 being the very next one; 0 cancels the
+// crash.
+func (d *Disk) CrashAfter(operations int) { d.operationsUntilCrash = operations }
 
 // Crashed reports whether the process has crashed since the last Restart.
 func (d *Disk) Crashed() bool { return d.crashed }
 
-// Restart begins another life of the process.
-func (d *Disk) Restart() { d.crashed, d.crashLeft, d.written = false, 0, false }
+// Restart marks the process as restarted, and cancels a crash that was scheduled.
+func (d *Disk) Restart() { d.crashed, d.operationsUntilCrash, d.written = false, 0, false }
 
-// SetFull has the disk refuse writes, or take them again.
+// SetFull makes the disk reject writes, or accept them again.
 func (d *Disk) SetFull(full bool) { d.full = full }
 
-// operation counts one operation and reports whether the process crashes at it.
+// operation counts one operation and reports whether the process crashes at it or has crashed before.
 func (d *Disk) operation() bool {
-	if d.crashLeft > 0 {
-		d.crashLeft--
-		d.crashed = d.crashed || d.crashLeft == 0
+	if d.operationsUntilCrash > 0 {
+		d.operationsUntilCrash--
+		d.crashed = d.crashed || d.operationsUntilCrash == 0
 	}
 	return d.crashed
 }
 
-// BeforeWrite refuses the write where the disk is full. Where the process crashes, or the disk is full, a part of what was to be
-// written may be in the file.
+// BeforeWrite rejects the write if the disk is full. If the process crashes or the disk is full, a part of the
+// data may end up in the file.
 func (d *Disk) BeforeWrite(path string, bytes int) error {
 	d.written = true
 	before := d.crashed
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// appendPart appends the beginning of a command that was cut off.
+// appendPart appends the beginning of a torn command.
 func (d *Disk) appendPart(path string, bytes int) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -93,14 +95,14 @@
 	return errors.Join(err, file.Close())
 }
 
-// Sync makes the content of a file durable. Where the process crashes, it may be or not.
+// Sync makes the content of a file durable. If the process crashes, the content may or may not be durable.
 func (d *Disk) Sync(file *os.File) error {
 	before := d.crashed
 	crashes := d.operation()
 	if before || crashes && d.random.IntN(2) == 0 {
 		return ErrCrashed
 	}
-	if !d.Lies.Files && !d.liesAtStart() {
+	if !d.IgnoredSyncs.Files && !d.ignoresSyncAtStart() {
 		info, err := file.Stat()
 		if err != nil {
 			return err
@@ -113,16 +115,16 @@
 	return nil
 }
 
-func (d *Disk) liesAtStart() bool { return d.Lies.AtStart && !d.written }
+func (d *Disk) ignoresSyncAtStart() bool { return d.IgnoredSyncs.AtStart && !d.written }
 
-// SyncDirectory makes the names of the files durable. Where the process crashes, they may be or not.
+// SyncDirectory makes the names of the files durable. If the process crashes, they may or may not be durable.
 func (d *Disk) SyncDirectory(string) error {
 	before := d.crashed
 	crashes := d.operation()
 	if before || crashes && d.random.IntN(2) == 0 {
 		return ErrCrashed
 	}
-	if !d.Lies.Directories && !d.liesAtStart() {
+	if !d.IgnoredSyncs.Directories && !d.ignoresSyncAtStart() {
 		if err := d.syncNames(); err != nil {
 			return err
 		}
@@ -146,7 +148,7 @@
 	return nil
 }
 
-// Remove removes a file. Its name comes back with a loss of power before the directory is synced.
+// Remove removes a file. The file may reappear after a power failure if the directory was not synced in between.
 func (d *Disk) Remove(path string) error {
 	before := d.crashed
 	crashes := d.operation()
@@ -170,7 +172,8 @@
 	return nil
 }
 
-// LosePower loses what may be lost of what was not synced. What is left is durable. The process must have ended.
+// LosePower simulates a power failure: it loses a random part of what was not synced. The remainder is durable.
+// The process must have ended.
 func (d *Disk) LosePower() error {
 	for name, content := range d.removed {
 		if d.random.IntN(2) == 0 {
@@ -188,10 +191,10 @@
 			return err
 		}
 	}
-	return d.settle()
+	return d.markAllDurable()
 }
 
-// loseUnsynced loses a file whose name was not synced, or some of the content that was not.
+// loseUnsynced removes a file whose name was not synced, or damages the part of its content that was not synced.
 func (d *Disk) loseUnsynced(name string) error {
 	path := filepath.Join(d.dir, name)
 	if !d.names[name] && d.random.IntN(2) == 0 {
@@ -208,7 +211,8 @@
 	return os.WriteFile(path, d.damage(content, synced), 0o600)
 }
 
-// damage returns a file of which any part after the synced one may be missing: its end, or sectors between others that are there.
+// damage returns the content of a file whose unsynced part is damaged: its end is missing, or random sectors are
+// zeroed.
 func (d *Disk) damage(content []byte, synced int) []byte {
 	end := synced + d.random.IntN(len(content)-synced+1)
 	if d.random.IntN(2) == 0 {
@@ -222,8 +226,8 @@
 	return content
 }
 
-// settle takes what is there for durable.
-func (d *Disk) settle() error {
+// markAllDurable records the present files and their contents as durable.
+func (d *Disk) markAllDurable() error {
 	clear(d.synced)
 	if err := d.syncNames(); err != nil {
 		return err
@@ -251,5 +255,5 @@
 	}
 	d.full = false
 	clear(d.removed)
-	return d.settle()
+	return d.markAllDurable()
 }
--- a/internal/fleet/storage/storage.go
+++ b/internal/fleet/storage/storage.go
@@ -1,10 +1,10 @@
-// Package storage keeps the durable state of a control process in a buntdb file. It adds what the database does not provide:
-// every value carries a checksum; the file is truncated at the first torn or damaged database command before the database
-// reads it; a write takes effect only after its own sync; and compaction writes a new generation of the file, whose directory
-// entry is synced before the old generation is removed.
+// Package storage keeps the durable state of a control process in a buntdb file. It adds what the database does
+// not provide: every value carries a checksum; the file is truncated at the first torn or damaged database command
+// before the database reads it; a write takes effect only after its own sync; and compaction writes a new
+// generation of the file, whose directory entry is synced before the old generation is removed.
 //
-// Nothing is deleted within a generation, and each record contains the epoch to which it belongs: whichever of the unsynced
-// records survive a power failure, reading them yields a state that the process was in.
+// Nothing is deleted within a generation, and each record contains the epoch to which it belongs: whichever of the
+// unsynced records survive a power failure, reading them yields a state that the process was in.
 package storage
 
 import (
