--- a/decide/memory.go
+++ b/decide/memory.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// MemoryVersion is the version of the encoded form of Memory. It grows when an older reader would misread a field; fields
+// SnapshotVersion is the version of the encoded form of Memory. It grows when an older reader would misread a field; fields
 // that a reader may ignore do not change it.
-const MemoryVersion = 1
+const SnapshotVersion = 1
 
 const (
 	maxClockSkew = 5 * time.Second  // by which the clocks of two machines may differ
@@ -20,32 +20,34 @@
 	maxBackends  = 1 << 20          // largest number of backends that is accepted
 )
 
-// FitMemory holds the sums over the samples of a curve: their number, latencies in seconds, and loads squared.
-type FitMemory struct {
+// CurveSnapshot holds the sums over the samples of a curve: their number, latencies in seconds, and loads squared.
+type CurveSnapshot struct {
 	N  float64 `json:"n"`
 	Y  float64 `json:"y"`
 	V2 float64 `json:"v2"`
 }
 
-func (f sampleSums) toMemory() FitMemory { return FitMemory{f.count, f.latency, f.loadSquared} }
-func (f FitMemory) toSums() sampleSums   { return sampleSums{f.N, f.Y, f.V2} }
-
-// KindMemory is what is known of the backends of one kind, in the node's own zone or in the others (Across).
-type KindMemory struct {
-	Kind   string    `json:"kind"`
-	Across bool      `json:"across,omitempty"`
-	Fit    FitMemory `json:"fit"`
-	Recent FitMemory `json:"recent"`
-	Idle   float64   `json:"idle"` // seconds
-	Crowd  float64   `json:"crowd"`
-	Bend   float64   `json:"bend"`
-	Seen   bool      `json:"seen"`
-	Batch  float64   `json:"batch"`
-	BatchN int       `json:"batch_n"`
+func (f sampleSums) toSnapshot() CurveSnapshot {
+	return CurveSnapshot{f.count, f.latency, f.loadSquared}
+}
+func (f CurveSnapshot) toSums() sampleSums { return sampleSums{f.N, f.Y, f.V2} }
+
+// KindSnapshot is what is known of the backends of one kind, in the node's own zone or in the others (Across).
+type KindSnapshot struct {
+	Kind   string        `json:"kind"`
+	Across bool          `json:"across,omitempty"`
+	Fit    CurveSnapshot `json:"fit"`
+	Recent CurveSnapshot `json:"recent"`
+	Idle   float64       `json:"idle"` // seconds
+	Crowd  float64       `json:"crowd"`
+	Bend   float64       `json:"bend"`
+	Seen   bool          `json:"seen"`
+	Batch  float64       `json:"batch"`
+	BatchN int           `json:"batch_n"`
 }
 
-// ClassMemory is what is known of a class of requests.
-type ClassMemory struct {
+// ClassSnapshot is what is known of a class of requests.
+type ClassSnapshot struct {
 	Class string  `json:"class"`
 	N     float64 `json:"n"`
 	Y     float64 `json:"y"`
@@ -53,8 +55,8 @@
 	Cost  float64 `json:"cost"`
 }
 
-// ZoneMemory is what is known of the network to a zone.
-type ZoneMemory struct {
+// ZoneSnapshot is what is known of the network to a zone.
+type ZoneSnapshot struct {
 	Zone  string        `json:"zone"`
 	Heard time.Duration `json:"heard"`
 	Fails int           `json:"fails"`
@@ -62,74 +64,74 @@
 	Times int           `json:"times"`
 }
 
-// HealthMemory is the health of one class of requests at a backend.
-type HealthMemory struct {
+// HealthSnapshot is the health of one class of requests at a backend.
+type HealthSnapshot struct {
 	Class string        `json:"class"`
 	Run   float64       `json:"run"`
 	Until time.Duration `json:"until"`
 	Times int           `json:"times"`
 }
 
-// BackendMemory is what is known of one backend.
-type BackendMemory struct {
-	ID       BackendID      `json:"id"`
-	Kind     string         `json:"kind"`
-	Started  time.Duration  `json:"started"` // what is known of another process of the backend is void
-	Nominal  float64        `json:"nominal"`
-	Read     float64        `json:"read"`
-	ReadAt   time.Duration  `json:"read_at"`
-	Y        float64        `json:"y"`
-	Expect   float64        `json:"expect"`
-	N        float64        `json:"n"`
-	Slow     float64        `json:"slow"`
-	Share    float64        `json:"share"`
-	Each     float64        `json:"each,omitempty"` // 0 = derived again, together with Others
-	Others   float64        `json:"others,omitempty"`
-	Risk     float64        `json:"risk"`
-	ColdTop  float64        `json:"cold_top"` // units a second, -1 = no limit
-	ColdNext time.Duration  `json:"cold_next"`
-	Next     float64        `json:"next"`
-	Turn     int            `json:"turn"` // -1 = none
-	Fails    int            `json:"fails"`
-	Silent   int            `json:"silent"`
-	Good     float64        `json:"good"`
-	Bad      float64        `json:"bad"`
-	Lost     float64        `json:"lost"`
-	Run      float64        `json:"run"`
-	Away     bool           `json:"away"`
-	Until    time.Duration  `json:"until"`
-	Ills     []HealthMemory `json:"ills,omitempty"`
+// BackendSnapshot is what is known of one backend.
+type BackendSnapshot struct {
+	ID       BackendID        `json:"id"`
+	Kind     string           `json:"kind"`
+	Started  time.Duration    `json:"started"` // what is known of another process of the backend is void
+	Nominal  float64          `json:"nominal"`
+	Read     float64          `json:"read"`
+	ReadAt   time.Duration    `json:"read_at"`
+	Y        float64          `json:"y"`
+	Expect   float64          `json:"expect"`
+	N        float64          `json:"n"`
+	Slow     float64          `json:"slow"`
+	Share    float64          `json:"share"`
+	Each     float64          `json:"each,omitempty"` // 0 = derived again, together with Others
+	Others   float64          `json:"others,omitempty"`
+	Risk     float64          `json:"risk"`
+	ColdTop  float64          `json:"cold_top"` // units a second, -1 = no limit
+	ColdNext time.Duration    `json:"cold_next"`
+	Next     float64          `json:"next"`
+	Turn     int              `json:"turn"` // -1 = none
+	Fails    int              `json:"fails"`
+	Silent   int              `json:"silent"`
+	Good     float64          `json:"good"`
+	Bad      float64          `json:"bad"`
+	Lost     float64          `json:"lost"`
+	Run      float64          `json:"run"`
+	Away     bool             `json:"away"`
+	Until    time.Duration    `json:"until"`
+	Ills     []HealthSnapshot `json:"ills,omitempty"`
 }
 
-// Memory is a snapshot of what a Balancer knows, without its open requests. Names are those of its Settings; times are on
+// Snapshot is a snapshot of what a Balancer knows, without its open requests. Names are those of its Settings; times are on
 // the clock that all nodes share. The JSON form is stored and sent between versions: tags never change.
-type Memory struct {
-	Version   int             `json:"version"`
-	At        time.Duration   `json:"at"`   // when it was taken
-	Zone      string          `json:"zone"` // of the node, which other zones are relative to
-	Kinds     []KindMemory    `json:"kinds"`
-	Classes   []ClassMemory   `json:"classes"`
-	Zones     []ZoneMemory    `json:"zones"`
-	Backends  []BackendMemory `json:"backends"`
-	Trials    []BackendID     `json:"trials,omitempty"` // backends whose ejection has ended
-	Clock     float64         `json:"clock"`            // virtual time of the weighted round robin
-	Part      float64         `json:"part"`
-	Asked     float64         `json:"asked"` // since the last solve
-	Sent      float64         `json:"sent"`
-	Borne     float64         `json:"borne"`
-	Lately    float64         `json:"lately"`
-	Heard     float64         `json:"heard"`
-	SolvedAgo time.Duration   `json:"solved_ago"`
-	AskRate   float64         `json:"ask_rate"` // units a second
-	Rate      float64         `json:"rate"`
-	BearRate  float64         `json:"bear_rate"`
-	Lates     float64         `json:"lates"`
-	Answers   float64         `json:"answers"`
-	Bads      float64         `json:"bads"`
-	Tokens    float64         `json:"tokens"`
-	Quota     []float64       `json:"quota,omitempty"` // by tenant
-	Tenants   []string        `json:"tenants,omitempty"`
-	Shedding  bool            `json:"shedding"`
+type Snapshot struct {
+	Version   int               `json:"version"`
+	At        time.Duration     `json:"at"`   // when it was taken
+	Zone      string            `json:"zone"` // of the node, which other zones are relative to
+	Kinds     []KindSnapshot    `json:"kinds"`
+	Classes   []ClassSnapshot   `json:"classes"`
+	Zones     []ZoneSnapshot    `json:"zones"`
+	Backends  []BackendSnapshot `json:"backends"`
+	Trials    []BackendID       `json:"trials,omitempty"` // backends whose ejection has ended
+	Clock     float64           `json:"clock"`            // virtual time of the weighted round robin
+	Part      float64           `json:"part"`
+	Asked     float64           `json:"asked"` // since the last solve
+	Sent      float64           `json:"sent"`
+	Borne     float64           `json:"borne"`
+	Lately    float64           `json:"lately"`
+	Heard     float64           `json:"heard"`
+	SolvedAgo time.Duration     `json:"solved_ago"`
+	AskRate   float64           `json:"ask_rate"` // units a second
+	Rate      float64           `json:"rate"`
+	BearRate  float64           `json:"bear_rate"`
+	Lates     float64           `json:"lates"`
+	Answers   float64           `json:"answers"`
+	Bads      float64           `json:"bads"`
+	Tokens    float64           `json:"tokens"`
+	Quota     []float64         `json:"quota,omitempty"` // by tenant
+	Tenants   []string          `json:"tenants,omitempty"`
+	Shedding  bool              `json:"shedding"`
 }
 
 // checker keeps the first thing that is wrong with a snapshot.
@@ -172,9 +174,9 @@
 }
 
 // check returns an error that names the first value that cannot be right.
-func (m *Memory) check(now time.Duration) error {
-	if m.Version != MemoryVersion {
-		return fmt.Errorf("its version is %d, %d is read", m.Version, MemoryVersion)
+func (m *Snapshot) check(now time.Duration) error {
+	if m.Version != SnapshotVersion {
+		return fmt.Errorf("its version is %d, %d is read", m.Version, SnapshotVersion)
 	}
 	if m.At < 0 || m.At > now+maxClockSkew {
 		return fmt.Errorf("it is of %v, now it is %v", m.At, now)
@@ -214,7 +216,7 @@
 	return c.err
 }
 
-func (k *BackendMemory) check(c *checker) {
+func (k *BackendSnapshot) check(c *checker) {
 	c.numbers("a figure of a backend", k.Each, k.Others, k.Nominal, k.Read, k.Y, k.Expect, k.N, k.Slow, k.Share, k.Risk, k.Next, k.Good,
 		k.Bad, k.Lost, k.Run)
 	c.times("a time of a backend", k.ReadAt, k.ColdNext, k.Until)
--- a/decide/restore.go
+++ b/decide/restore.go
@@ -11,9 +11,9 @@
 )
 
 // Snapshot returns what is known as plain data. It changes nothing.
-func (b *Balancer) Snapshot(now time.Duration) Memory {
-	m := Memory{
-		Version: MemoryVersion, At: now, Zone: b.settings.Zones[b.settings.Zone], Clock: b.virtualTime, Part: b.subsetFraction,
+func (b *Balancer) Snapshot(now time.Duration) Snapshot {
+	m := Snapshot{
+		Version: SnapshotVersion, At: now, Zone: b.settings.Zones[b.settings.Zone], Clock: b.virtualTime, Part: b.subsetFraction,
 		Asked: b.arrivedWork, Sent: b.sentWork, Borne: b.warmServedWork, Lately: b.newOverdue, Heard: b.newResponses,
 		AskRate: b.arrivalRate, Rate: b.sendRate, BearRate: b.warmServiceRate,
 		Lates: b.timeouts, Answers: b.responses, Bads: b.failures,
@@ -26,17 +26,17 @@
 		m.Tenants = append(m.Tenants, t.Name)
 	}
 	for i, k := range b.kindModels {
-		m.Kinds = append(m.Kinds, KindMemory{
-			Kind: b.settings.Kinds[i/2], Across: i%2 == 1, Fit: k.sums.toMemory(), Recent: k.recentSums.toMemory(),
+		m.Kinds = append(m.Kinds, KindSnapshot{
+			Kind: b.settings.Kinds[i/2], Across: i%2 == 1, Fit: k.sums.toSnapshot(), Recent: k.recentSums.toSnapshot(),
 			Idle: k.idleLatency, Crowd: k.inFlightCoeff, Bend: k.loadCoeff, Seen: k.measured,
 			Batch: k.idleBatchSum, BatchN: k.idleBatchCount,
 		})
 	}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassMemory{Class: c.Name, N: c.sampleCount, Y: c.latencySum, Work: c.work, Cost: c.meanCost})
+		m.Classes = append(m.Classes, ClassSnapshot{Class: c.Name, N: c.sampleCount, Y: c.latencySum, Work: c.work, Cost: c.meanCost})
 	}
 	for i, z := range b.zones {
-		m.Zones = append(m.Zones, ZoneMemory{Zone: b.settings.Zones[i], Heard: z.lastResponse, Fails: z.failures,
+		m.Zones = append(m.Zones, ZoneSnapshot{Zone: b.settings.Zones[i], Heard: z.lastResponse, Fails: z.failures,
 			Until: z.ejectedUntil, Times: z.ejections})
 	}
 	for _, s := range b.backends {
@@ -49,8 +49,8 @@
 }
 
 // snapshotBackend returns what is known of one backend.
-func (b *Balancer) snapshotBackend(s *backendState, now time.Duration) BackendMemory {
-	k := BackendMemory{
+func (b *Balancer) snapshotBackend(s *backendState, now time.Duration) BackendSnapshot {
+	k := BackendSnapshot{
 		ID: s.ID, Kind: b.settings.Kinds[s.Kind], Started: s.Started,
 		Nominal: s.maxWeight, Read: s.reportedLatency, ReadAt: s.reportedAt,
 		Y: s.latencySum, Expect: s.expectedSum, N: s.sampleCount, Slow: s.slowdown,
@@ -66,7 +66,7 @@
 	}
 	for i, h := range s.classHealth {
 		if h.consecutiveFailures > 0 || h.ejections > 0 || h.ejectedUntil > now {
-			k.Ills = append(k.Ills, HealthMemory{Class: b.classes[i].Name, Run: h.consecutiveFailures, Until: h.ejectedUntil, Times: h.ejections})
+			k.Ills = append(k.Ills, HealthSnapshot{Class: b.classes[i].Name, Run: h.consecutiveFailures, Until: h.ejectedUntil, Times: h.ejections})
 		}
 	}
 	return k
@@ -77,7 +77,7 @@
 // out. A snapshot that cannot be right changes nothing and gives an error that says what is wrong. Restored at once, with
 // the same settings and list, a Balancer makes the same decisions as the first one but for random choices; an older
 // snapshot weighs as if no response had come since.
-func (b *Balancer) Restore(now time.Duration, m Memory) error {
+func (b *Balancer) Restore(now time.Duration, m Snapshot) error {
 	if err := b.checkRestore(now, &m); err != nil {
 		return fmt.Errorf("memory: %w", err)
 	}
@@ -107,7 +107,7 @@
 }
 
 // checkRestore returns an error where a snapshot cannot be restored here and now.
-func (b *Balancer) checkRestore(now time.Duration, m *Memory) error {
+func (b *Balancer) checkRestore(now time.Duration, m *Snapshot) error {
 	if err := m.check(now); err != nil {
 		return err
 	}
@@ -124,10 +124,10 @@
 
 // restoreBackends loads what is known of the backends and rebuilds the pick queue in the order that it had. Backends that
 // the snapshot does not know come last.
-func (b *Balancer) restoreBackends(m *Memory, age time.Duration) {
+func (b *Balancer) restoreBackends(m *Snapshot, age time.Duration) {
 	shift := m.Clock - b.virtualTime
 	b.virtualTime = m.Clock
-	known := map[BackendID]*BackendMemory{}
+	known := map[BackendID]*BackendSnapshot{}
 	for i := range m.Backends {
 		known[m.Backends[i].ID] = &m.Backends[i]
 	}
@@ -165,7 +165,7 @@
 }
 
 // restoreFleet loads what is known of the traffic, the subset and the zones.
-func (b *Balancer) restoreFleet(m *Memory, age time.Duration) {
+func (b *Balancer) restoreFleet(m *Snapshot, age time.Duration) {
 	own := b.decayWeight(age, backendDecay)
 	b.restoreKinds(m, age)
 	for _, k := range m.Classes {
@@ -199,7 +199,7 @@
 }
 
 // restoreKinds loads the models of the kinds.
-func (b *Balancer) restoreKinds(m *Memory, age time.Duration) {
+func (b *Balancer) restoreKinds(m *Snapshot, age time.Duration) {
 	keep := b.decayWeight(age, kindDecay)
 	for _, k := range m.Kinds {
 		i := slices.Index(b.settings.Kinds, k.Kind)
@@ -226,7 +226,7 @@
 
 // restoreBackend loads what is known of one backend. Failures older than the longest ejection are ignored: the backend may
 // have recovered, and a node that ejected its whole fleet must not continue so.
-func (b *Balancer) restoreBackend(s *backendState, k *BackendMemory, age time.Duration) {
+func (b *Balancer) restoreBackend(s *backendState, k *BackendSnapshot, age time.Duration) {
 	own := b.decayWeight(age, backendDecay)
 	s.maxWeight, s.reportedLatency, s.reportedAt = max(s.maxWeight, k.Nominal), k.Read, k.ReadAt
 	s.latencySum, s.expectedSum, s.sampleCount, s.slowdown = k.Y*own, k.Expect*own, k.N*own, k.Slow
--- a/decide/restore_test.go
+++ b/decide/restore_test.go
@@ -43,7 +43,7 @@
 	text, err := json.Marshal(w.b.Snapshot(w.now))
 	require.NoError(t, err)
 	v.list(EndpointsStored, list...)
-	var m Memory
+	var m Snapshot
 	require.NoError(t, json.Unmarshal(text, &m))
 	err = v.b.Restore(v.now, m)
 	v.wakes, v.nextID = append([]wake(nil), w.wakes...), w.nextID
@@ -147,7 +147,7 @@
 		w.now = first.now
 		w.list(EndpointsStored, mixed(12)...)
 		before := w.b.Snapshot(w.now)
-		var m Memory
+		var m Snapshot
 		if json.Unmarshal([]byte(text), &m) != nil {
 			return // it is no Memory at all
 		}
--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/memory.go
@@ -13,8 +13,8 @@
 // module's snapshot. Only decide.Memory has a version: a reader may ignore an unknown field of a host. The JSON form is
 // stored and sent between versions: tags never change.
 type Memory struct {
-	Hosts  []HostMemory  `json:"hosts"`
-	Module decide.Memory `json:"module"`
+	Hosts  []HostMemory    `json:"hosts"`
+	Module decide.Snapshot `json:"module"`
 }
 
 // HostMemory is a host of the endpoint list.
@@ -92,7 +92,7 @@
 }
 
 // withLocalIDs returns the backends that have an id here, under that id.
-func withLocalIDs(backends []decide.BackendMemory, localIDs map[decide.BackendID]decide.BackendID) (known []decide.BackendMemory) {
+func withLocalIDs(backends []decide.BackendSnapshot, localIDs map[decide.BackendID]decide.BackendID) (known []decide.BackendSnapshot) {
 	for _, b := range backends {
 		if id, ok := localIDs[b.ID]; ok {
 			b.ID = id
--- a/internal/node/dispatch/warmstart.go
+++ b/internal/node/dispatch/warmstart.go
@@ -33,7 +33,7 @@
 }
 
 // LastObserved is when a host last responded according to a snapshot, in the module's time; 0 = never.
-func LastObserved(m *decide.Memory) (at time.Duration) {
+func LastObserved(m *decide.Snapshot) (at time.Duration) {
 	for i := range m.Zones {
 		at = max(at, m.Zones[i].Heard)
 	}
@@ -68,29 +68,29 @@
 // where own was taken. Slow-start limits are kept by all nodes together, so nothing is taken over of a host in slow start;
 // coldTime is that of the rules. random draws when ejected hosts are tried, so that nodes which learn from one node do not
 // try them together.
-func Blend(own, other decide.Memory, coldTime time.Duration, random *rand.Rand) decide.Memory {
+func Blend(own, other decide.Snapshot, coldTime time.Duration, random *rand.Rand) decide.Snapshot {
 	m := own
 	m.Version, m.Zone, m.At = other.Version, other.Zone, LastObserved(&other)
 	if other.Answers > own.Answers {
 		m.Lates, m.Answers, m.Bads = other.Lates, other.Answers, other.Bads
 	}
-	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(kind *decide.KindMemory) (string, float64) {
+	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(kind *decide.KindSnapshot) (string, float64) {
 		weight := kind.Fit.N + kind.Recent.N
 		if kind.Seen {
 			weight += 1e-9 // its idle latency outlives the evidence
 		}
 		return fmt.Sprint(kind.Kind, kind.Across), weight
 	})
-	m.Classes = preferHeavier(own.Classes, other.Classes, func(class *decide.ClassMemory) (string, float64) {
+	m.Classes = preferHeavier(own.Classes, other.Classes, func(class *decide.ClassSnapshot) (string, float64) {
 		return class.Class, class.N
 	})
-	m.Zones = preferHeavier(own.Zones, other.Zones, func(zone *decide.ZoneMemory) (string, float64) {
+	m.Zones = preferHeavier(own.Zones, other.Zones, func(zone *decide.ZoneSnapshot) (string, float64) {
 		return zone.Zone, float64(zone.Heard)
 	})
 	for i := range m.Zones {
 		m.Zones[i].Until = min(m.Zones[i].Until, m.At+maxAhead)
 	}
-	known := map[decide.BackendID]*decide.BackendMemory{}
+	known := map[decide.BackendID]*decide.BackendSnapshot{}
 	for i := range other.Backends {
 		known[other.Backends[i].ID] = &other.Backends[i]
 	}
@@ -131,10 +131,10 @@
 }
 
 // evidence is the number of attempts that the state of a host rests on, each weighed by its age.
-func evidence(b *decide.BackendMemory) float64 { return b.N + b.Good + b.Bad + b.Lost }
+func evidence(b *decide.BackendSnapshot) float64 { return b.N + b.Good + b.Bad + b.Lost }
 
 // mergeBackend returns the state of one host as another node knows it, with what is the node's own kept.
-func mergeBackend(own, other decide.BackendMemory, clock float64, wholeFleet bool) decide.BackendMemory {
+func mergeBackend(own, other decide.BackendSnapshot, clock float64, wholeFleet bool) decide.BackendSnapshot {
 	b := other
 	b.Read, b.ReadAt = own.Read, own.ReadAt // from this node's list
 	b.Each, b.Others = 0, 0
@@ -151,14 +151,14 @@
 }
 
 // setShare sets a host's share of the load; it keeps its place in the round.
-func setShare(b *decide.BackendMemory, share, clock float64) {
+func setShare(b *decide.BackendSnapshot, share, clock float64) {
 	b.Next = clock + max(0, b.Next-clock)*b.Share/share
 	b.Share = share
 }
 
 // clampTimes limits the times of a warm host to what a snapshot taken at a time may contain. The end of an ejection is drawn
 // from the second half of what is left of it.
-func clampTimes(b decide.BackendMemory, at time.Duration, random *rand.Rand) decide.BackendMemory {
+func clampTimes(b decide.BackendSnapshot, at time.Duration, random *rand.Rand) decide.BackendSnapshot {
 	clamp := func(until time.Duration) time.Duration {
 		if wait := until - at; wait > 0 {
 			until = at + time.Duration(float64(wait)*(0.5+random.Float64()/2))
--- a/internal/node/dispatch/warmstart_test.go
+++ b/internal/node/dispatch/warmstart_test.go
@@ -201,8 +201,8 @@
 	m, c := learnedSnapshot(t, 0)
 	p, mine := newcomer(t, c, 100, fleet()...)
 	own := p.balancer.Snapshot(toDuration(mine.Now()))
-	find := func(m *decide.Memory, name string) *decide.BackendMemory {
-		i := slices.IndexFunc(m.Backends, func(b decide.BackendMemory) bool { return b.ID == p.hostIDs[name] })
+	find := func(m *decide.Snapshot, name string) *decide.BackendSnapshot {
+		i := slices.IndexFunc(m.Backends, func(b decide.BackendSnapshot) bool { return b.ID == p.hostIDs[name] })
 		return &m.Backends[i]
 	}
 	find(&m.Module, "dead").Until = m.Module.At + 10*time.Second
@@ -241,7 +241,7 @@
 	assert.Equal(t, whole.Kinds, less.Kinds, "what rests on less is not taken")
 	lighter.Kinds[0].Fit.N = 0
 	assert.Equal(t, 9.0, Blend(own, lighter, 0, random).Kinds[0].Idle, "but where nothing is known, the idle latency alone is")
-	lighter.Backends = []decide.BackendMemory{{ID: p.hostIDs["well"], Slow: 1}}
+	lighter.Backends = []decide.BackendSnapshot{{ID: p.hostIDs["well"], Slow: 1}}
 	less = Blend(whole, lighter, 0, random)
 	assert.Equal(t, find(&whole, "well").N, find(&less, "well").N)
 	assert.Equal(t, m.Module.Answers, whole.Answers)
@@ -252,7 +252,7 @@
 	find(&own, "dead").Share, find(&own, "dead").Turn = 0, -1
 	outside := Blend(own, m.Module, 0, random)
 	assert.False(t, find(&outside, "dead").Away, "it is outside of the node's part: a trial would only cost")
-	original := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Memory{Quota: []float64{1}, Tenants: []string{"t"}}}
+	original := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Snapshot{Quota: []float64{1}, Tenants: []string{"t"}}}
 	assert.Equal(t, Memory{Hosts: []HostMemory{{Name: "h"}}}, original.WarmStart())
 	assert.Equal(t, 5.0, original.Hosts[0].Left)
 }
--- a/lab/newcomer/newcomer.go
+++ b/lab/newcomer/newcomer.go
@@ -161,7 +161,7 @@
 	way  Way
 	open map[uint64]try
 	out  Outcome
-	old  *decide.Memory
+	old  *decide.Snapshot
 }
 
 type try struct {
@@ -237,13 +237,13 @@
 }
 
 // learn has a new node take what it is told, by way of its form as text.
-func (p *play) learn(b sim.Begun, m decide.Memory) error {
+func (p *play) learn(b sim.Begun, m decide.Snapshot) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
 	p.out.Bytes = len(text)
-	var told decide.Memory
+	var told decide.Snapshot
 	if err := json.Unmarshal(text, &told); err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 }
 
 // swapped tells of each rater what is known of the next.
-func swapped(m decide.Memory) decide.Memory {
+func swapped(m decide.Snapshot) decide.Snapshot {
 	list := slices.Clone(m.Backends)
 	for i := range list {
 		list[i] = m.Backends[(i+1)%len(list)]
