--- a/decide/restore.go
+++ b/decide/restore.go
@@ -13,37 +13,37 @@
 // Snapshot returns what is known as plain data. It changes nothing.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	m := Snapshot{
-		Version: SnapshotVersion, At: now, Zone: b.settings.Zones[b.settings.Zone], Clock: b.virtualTime, Part: b.subsetFraction,
-		Asked: b.arrivedWork, Sent: b.sentWork, Borne: b.warmServedWork, Lately: b.newOverdue, Heard: b.newResponses,
-		AskRate: b.arrivalRate, Rate: b.sendRate, BearRate: b.warmServiceRate,
-		Lates: b.timeouts, Answers: b.responses, Bads: b.failures,
-		Tokens: b.retryTokens, Quota: slices.Clone(b.tenantTokens), Shedding: b.shedding,
+		Version: SnapshotVersion, TakenAt: now, Zone: b.settings.Zones[b.settings.Zone], VirtualTime: b.virtualTime, SubsetFraction: b.subsetFraction,
+		ArrivedWork: b.arrivedWork, SentWork: b.sentWork, WarmServedWork: b.warmServedWork, NewOverdue: b.newOverdue, NewResponses: b.newResponses,
+		ArrivalRate: b.arrivalRate, SendRate: b.sendRate, WarmServiceRate: b.warmServiceRate,
+		Timeouts: b.timeouts, Responses: b.responses, Failures: b.failures,
+		RetryTokens: b.retryTokens, TenantTokens: slices.Clone(b.tenantTokens), Shedding: b.shedding,
 	}
 	if b.started { // else it has never solved
-		m.SolvedAgo = max(0, now-b.lastSolve)
+		m.SinceSolve = max(0, now-b.lastSolve)
 	}
 	for _, t := range b.settings.Tenants {
 		m.Tenants = append(m.Tenants, t.Name)
 	}
 	for i, k := range b.kindModels {
 		m.Kinds = append(m.Kinds, KindSnapshot{
-			Kind: b.settings.Kinds[i/2], Across: i%2 == 1, Fit: k.sums.toSnapshot(), Recent: k.recentSums.toSnapshot(),
-			Idle: k.idleLatency, Crowd: k.inFlightCoeff, Bend: k.loadCoeff, Seen: k.measured,
-			Batch: k.idleBatchSum, BatchN: k.idleBatchCount,
+			Kind: b.settings.Kinds[i/2], OtherZones: i%2 == 1, Sums: k.sums.toSnapshot(), RecentSums: k.recentSums.toSnapshot(),
+			IdleLatency: k.idleLatency, InFlightCoeff: k.inFlightCoeff, LoadCoeff: k.loadCoeff, Measured: k.measured,
+			IdleBatchSum: k.idleBatchSum, IdleBatchCount: k.idleBatchCount,
 		})
 	}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassSnapshot{Class: c.Name, N: c.sampleCount, Y: c.latencySum, Work: c.work, Cost: c.meanCost})
+		m.Classes = append(m.Classes, ClassSnapshot{Class: c.Name, SampleCount: c.sampleCount, LatencySum: c.latencySum, Work: c.work, MeanCost: c.meanCost})
 	}
 	for i, z := range b.zones {
-		m.Zones = append(m.Zones, ZoneSnapshot{Zone: b.settings.Zones[i], Heard: z.lastResponse, Fails: z.failures,
-			Until: z.ejectedUntil, Times: z.ejections})
+		m.Zones = append(m.Zones, ZoneSnapshot{Zone: b.settings.Zones[i], LastResponse: z.lastResponse, ConsecutiveFailures: z.failures,
+			EjectedUntil: z.ejectedUntil, Ejections: z.ejections})
 	}
 	for _, s := range b.backends {
 		m.Backends = append(m.Backends, b.snapshotBackend(s, now))
 	}
 	for _, s := range b.trialQueue {
-		m.Trials = append(m.Trials, s.ID)
+		m.TrialQueue = append(m.TrialQueue, s.ID)
 	}
 	return m
 }
@@ -52,21 +52,21 @@
 func (b *Balancer) snapshotBackend(s *backendState, now time.Duration) BackendSnapshot {
 	k := BackendSnapshot{
 		ID: s.ID, Kind: b.settings.Kinds[s.Kind], Started: s.Started,
-		Nominal: s.maxWeight, Read: s.reportedLatency, ReadAt: s.reportedAt,
-		Y: s.latencySum, Expect: s.expectedSum, N: s.sampleCount, Slow: s.slowdown,
-		Share: s.share, Each: s.attemptScale, Others: s.othersInFlight, Risk: s.riskPenalty,
-		ColdTop: s.slowStartLimit, ColdNext: max(0, min(s.slowStartNext, now+maxFuture)),
-		Next: s.nextPick, Turn: s.queueIndex,
-		Fails: s.ejections, Silent: s.consecutiveTimeouts, Run: s.consecutiveFailures,
-		Good: s.responses, Bad: s.failures, Lost: s.timeouts,
-		Away: s.ejected, Until: s.ejectedUntil,
-	}
-	if math.IsInf(k.ColdTop, 1) {
-		k.ColdTop = -1
+		MaxWeight: s.maxWeight, ReportedLatency: s.reportedLatency, ReportedAt: s.reportedAt,
+		LatencySum: s.latencySum, ExpectedSum: s.expectedSum, SampleCount: s.sampleCount, Slowdown: s.slowdown,
+		Share: s.share, AttemptScale: s.attemptScale, OthersInFlight: s.othersInFlight, RiskPenalty: s.riskPenalty,
+		SlowStartLimit: s.slowStartLimit, SlowStartNext: max(0, min(s.slowStartNext, now+maxFuture)),
+		NextPick: s.nextPick, QueueIndex: s.queueIndex,
+		ConsecutiveEjections: s.ejections, ConsecutiveTimeouts: s.consecutiveTimeouts, ConsecutiveFailures: s.consecutiveFailures,
+		Responses: s.responses, Failures: s.failures, Timeouts: s.timeouts,
+		Ejected: s.ejected, EjectedUntil: s.ejectedUntil,
+	}
+	if math.IsInf(k.SlowStartLimit, 1) {
+		k.SlowStartLimit = -1
 	}
 	for i, h := range s.classHealth {
 		if h.consecutiveFailures > 0 || h.ejections > 0 || h.ejectedUntil > now {
-			k.Ills = append(k.Ills, HealthSnapshot{Class: b.classes[i].Name, Run: h.consecutiveFailures, Until: h.ejectedUntil, Times: h.ejections})
+			k.ClassHealth = append(k.ClassHealth, HealthSnapshot{Class: b.classes[i].Name, ConsecutiveFailures: h.consecutiveFailures, EjectedUntil: h.ejectedUntil, Ejections: h.ejections})
 		}
 	}
 	return k
@@ -82,11 +82,11 @@
 		return fmt.Errorf("memory: %w", err)
 	}
 	b.now = now
-	age := max(0, now-m.At)
+	age := max(0, now-m.TakenAt)
 	b.restoreFleet(&m, age)
 	b.restoreBackends(&m, age)
 	b.trialQueue = b.trialQueue[:0]
-	for _, id := range m.Trials {
+	for _, id := range m.TrialQueue {
 		if s := b.byID[id]; s != nil && len(b.trialQueue) < 2*len(b.backends) {
 			b.trialQueue = append(b.trialQueue, s)
 		}
@@ -125,8 +125,8 @@
 // restoreBackends loads what is known of the backends and rebuilds the pick queue in the order that it had. Backends that
 // the snapshot does not know come last.
 func (b *Balancer) restoreBackends(m *Snapshot, age time.Duration) {
-	shift := m.Clock - b.virtualTime
-	b.virtualTime = m.Clock
+	shift := m.VirtualTime - b.virtualTime
+	b.virtualTime = m.VirtualTime
 	known := map[BackendID]*BackendSnapshot{}
 	for i := range m.Backends {
 		known[m.Backends[i].ID] = &m.Backends[i]
@@ -140,11 +140,11 @@
 			continue
 		}
 		b.restoreBackend(s, k, age)
-		turns[s] = k.Turn
+		turns[s] = k.QueueIndex
 	}
 	b.pickQueue = b.pickQueue[:0]
 	for _, s := range b.backends {
-		if k := known[s.ID]; k == nil || k.Each == 0 {
+		if k := known[s.ID]; k == nil || k.AttemptScale == 0 {
 			s.estimateOthers(b.ownLoad(s), b.nodesPerBackend)
 		}
 		s.queueIndex = -1
@@ -171,31 +171,31 @@
 	for _, k := range m.Classes {
 		for i := range b.classes {
 			if c := &b.classes[i]; c.Name == k.Class {
-				c.sampleCount, c.latencySum, c.work, c.meanCost = k.N*own, k.Y*own, k.Work, k.Cost
+				c.sampleCount, c.latencySum, c.work, c.meanCost = k.SampleCount*own, k.LatencySum*own, k.Work, k.MeanCost
 			}
 		}
 	}
 	fresh := age <= b.scaled(1, maxEjection)
 	for _, k := range m.Zones {
 		if i := slices.Index(b.settings.Zones, k.Zone); i >= 0 && fresh {
-			b.zones[i] = zoneHealth{lastResponse: k.Heard, failures: k.Fails, ejectedUntil: k.Until, ejections: k.Times}
+			b.zones[i] = zoneHealth{lastResponse: k.LastResponse, failures: k.ConsecutiveFailures, ejectedUntil: k.EjectedUntil, ejections: k.Ejections}
 		}
 	}
 	for i, t := range b.settings.Tenants {
 		if j := slices.Index(m.Tenants, t.Name); j >= 0 {
-			b.tenantTokens[i] = m.Quota[j]
+			b.tenantTokens[i] = m.TenantTokens[j]
 		}
 	}
-	b.subsetFraction, b.retryTokens = m.Part, min(m.Tokens, maxRetryTokens)
+	b.subsetFraction, b.retryTokens = m.SubsetFraction, min(m.RetryTokens, maxRetryTokens)
 	b.nodesPerBackend = max(1, float64(b.settings.Nodes)*b.subsetFraction)
-	b.arrivedWork, b.sentWork, b.warmServedWork, b.newOverdue, b.newResponses = m.Asked, m.Sent, m.Borne, m.Lately, m.Heard
-	b.arrivalRate, b.sendRate, b.warmServiceRate = m.AskRate, m.Rate, m.BearRate
+	b.arrivedWork, b.sentWork, b.warmServedWork, b.newOverdue, b.newResponses = m.ArrivedWork, m.SentWork, m.WarmServedWork, m.NewOverdue, m.NewResponses
+	b.arrivalRate, b.sendRate, b.warmServiceRate = m.ArrivalRate, m.SendRate, m.WarmServiceRate
 	if age > b.scaled(1, rateLifetime) {
 		b.arrivedWork, b.sentWork, b.warmServedWork, b.newOverdue, b.newResponses = 0, 0, 0, 0, 0
 		b.arrivalRate, b.sendRate, b.warmServiceRate = 0, 0, 0
 	}
-	b.timeouts, b.responses, b.failures = m.Lates*own, m.Answers*own, m.Bads*own
-	b.lastSolve = b.now - min(m.SolvedAgo, 2*solveInterval) // a solve interval at most, whatever the snapshot says
+	b.timeouts, b.responses, b.failures = m.Timeouts*own, m.Responses*own, m.Failures*own
+	b.lastSolve = b.now - min(m.SinceSolve, 2*solveInterval) // a solve interval at most, whatever the snapshot says
 }
 
 // restoreKinds loads the models of the kinds.
@@ -207,14 +207,14 @@
 			continue
 		}
 		model := &b.kindModels[2*i]
-		if k.Across {
+		if k.OtherZones {
 			model = &b.kindModels[2*i+1]
 		}
 		*model = kindModel{
-			sums: k.Fit.toSums(), recentSums: k.Recent.toSums(),
-			idleLatency: k.Idle, inFlightCoeff: k.Crowd, loadCoeff: k.Bend,
-			measured:     k.Seen && age < b.scaled(1, idleLifetime),
-			idleBatchSum: k.Batch, idleBatchCount: min(k.BatchN, idleBatchSize-1),
+			sums: k.Sums.toSums(), recentSums: k.RecentSums.toSums(),
+			idleLatency: k.IdleLatency, inFlightCoeff: k.InFlightCoeff, loadCoeff: k.LoadCoeff,
+			measured:     k.Measured && age < b.scaled(1, idleLifetime),
+			idleBatchSum: k.IdleBatchSum, idleBatchCount: min(k.IdleBatchCount, idleBatchSize-1),
 		}
 		model.sums.decay(keep)
 		model.recentSums.decay(keep)
@@ -228,22 +228,22 @@
 // have recovered, and a node that ejected its whole fleet must not continue so.
 func (b *Balancer) restoreBackend(s *backendState, k *BackendSnapshot, age time.Duration) {
 	own := b.decayWeight(age, backendDecay)
-	s.maxWeight, s.reportedLatency, s.reportedAt = max(s.maxWeight, k.Nominal), k.Read, k.ReadAt
-	s.latencySum, s.expectedSum, s.sampleCount, s.slowdown = k.Y*own, k.Expect*own, k.N*own, k.Slow
-	s.responses, s.failures, s.timeouts, s.riskPenalty = k.Good*own, k.Bad*own, k.Lost*own, k.Risk
-	s.share, s.nextPick, s.slowStartNext, s.slowStartLimit = k.Share, k.Next, k.ColdNext, k.ColdTop
-	s.attemptScale, s.othersInFlight = k.Each, k.Others
-	if k.ColdTop < 0 {
+	s.maxWeight, s.reportedLatency, s.reportedAt = max(s.maxWeight, k.MaxWeight), k.ReportedLatency, k.ReportedAt
+	s.latencySum, s.expectedSum, s.sampleCount, s.slowdown = k.LatencySum*own, k.ExpectedSum*own, k.SampleCount*own, k.Slowdown
+	s.responses, s.failures, s.timeouts, s.riskPenalty = k.Responses*own, k.Failures*own, k.Timeouts*own, k.RiskPenalty
+	s.share, s.nextPick, s.slowStartNext, s.slowStartLimit = k.Share, k.NextPick, k.SlowStartNext, k.SlowStartLimit
+	s.attemptScale, s.othersInFlight = k.AttemptScale, k.OthersInFlight
+	if k.SlowStartLimit < 0 {
 		s.slowStartLimit = math.Inf(1)
 	}
 	if age > b.scaled(1, maxEjection) {
 		return
 	}
-	s.ejections, s.consecutiveTimeouts, s.consecutiveFailures, s.ejected, s.ejectedUntil = k.Fails, k.Silent, k.Run, k.Away, k.Until
-	for _, e := range k.Ills {
+	s.ejections, s.consecutiveTimeouts, s.consecutiveFailures, s.ejected, s.ejectedUntil = k.ConsecutiveEjections, k.ConsecutiveTimeouts, k.ConsecutiveFailures, k.Ejected, k.EjectedUntil
+	for _, e := range k.ClassHealth {
 		for i := range b.classes {
 			if b.classes[i].Name == e.Class {
-				s.classHealth[i] = classHealth{consecutiveFailures: e.Run, ejectedUntil: e.Until, ejections: e.Times}
+				s.classHealth[i] = classHealth{consecutiveFailures: e.ConsecutiveFailures, ejectedUntil: e.EjectedUntil, ejections: e.Ejections}
 			}
 		}
 	}
--- a/decide/restore_test.go
+++ b/decide/restore_test.go
@@ -103,7 +103,7 @@
 	w := afterTraffic(t, testSettings(), 3, 600)
 	m := w.b.Snapshot(w.now)
 	for i := range m.Backends {
-		m.Backends[i].Slow, m.Backends[i].Away = 7, true
+		m.Backends[i].Slowdown, m.Backends[i].Ejected = 7, true
 	}
 	m.Backends[0].Started, m.Backends[1].Kind = 1, "other"
 	m.Classes[0].Class, m.Classes[0].Work = "other", 9
@@ -157,10 +157,10 @@
 		w.run(mixed(12), 60) // checks the rules, and that no value is NaN
 	})
 	never := newWorld(t, testSettings(), 2, 0).b.Snapshot(first.now)
-	require.Zero(t, never.SolvedAgo, "one that has no list yet")
+	require.Zero(t, never.SinceSolve, "one that has no list yet")
 	first.b.View(first.now + time.Hour)
 	m := first.b.Snapshot(first.now)
 	require.Equal(t, first.b.now, first.now, "looking on changes nothing")
-	m.Kinds[0].Fit.Y = math.NaN()
+	m.Kinds[0].Sums.LatencySum = math.NaN()
 	require.Error(t, first.b.Restore(first.now, m), "a figure that JSON cannot hold")
 }
--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/memory.go
@@ -72,12 +72,12 @@
 			}
 		}
 		var trials []decide.BackendID
-		for _, id := range m.Module.Trials {
+		for _, id := range m.Module.TrialQueue {
 			if id, ok := localIDs[id]; ok {
 				trials = append(trials, id)
 			}
 		}
-		m.Module.Backends, m.Module.Trials = withLocalIDs(m.Module.Backends, localIDs), trials
+		m.Module.Backends, m.Module.TrialQueue = withLocalIDs(m.Module.Backends, localIDs), trials
 		if err = d.balancer.Restore(toDuration(now), m.Module); err != nil {
 			err = fmt.Errorf("recalling what was known: %w", err)
 			return
--- a/internal/node/dispatch/memory_test.go
+++ b/internal/node/dispatch/memory_test.go
@@ -28,7 +28,7 @@
 	ejected := func(p *Dispatcher) map[string]bool {
 		is := map[string]bool{}
 		for _, h := range p.View().Hosts {
-			is[h.Name] = h.Module.Away
+			is[h.Name] = h.Module.Ejected
 		}
 		return is
 	}
@@ -48,7 +48,7 @@
 	assert.Empty(t, q.queue, "the drain was told longer ago than the rule allows")
 	q.Report(0, Served, nil)
 
-	got.Module.Part = 7
+	got.Module.SubsetFraction = 7
 	before := successor.Remember()
 	require.ErrorContains(t, successor.Recall(got), "part is 7")
 	assert.Equal(t, before, successor.Remember())
--- a/internal/node/dispatch/warmstart.go
+++ b/internal/node/dispatch/warmstart.go
@@ -22,7 +22,7 @@
 
 // WarmStart is the part of a snapshot that another node may have: what it can use, and nothing of tenants.
 func (m Memory) WarmStart() Memory {
-	m.Module.Quota, m.Module.Tenants, m.Module.Trials = nil, nil, nil
+	m.Module.TenantTokens, m.Module.Tenants, m.Module.TrialQueue = nil, nil, nil
 	hosts := make([]HostMemory, 0, len(m.Hosts))
 	for _, h := range m.Hosts {
 		h.Left = 0
@@ -35,9 +35,9 @@
 // LastObserved is when a host last responded according to a snapshot, in the module's time; 0 = never.
 func LastObserved(m *decide.Snapshot) (at time.Duration) {
 	for i := range m.Zones {
-		at = max(at, m.Zones[i].Heard)
+		at = max(at, m.Zones[i].LastResponse)
 	}
-	return min(at, m.At)
+	return min(at, m.TakenAt)
 }
 
 // ApplyWarmStart takes over what another node knows of the hosts that are listed here, at the same address and as the same process. It
@@ -70,47 +70,47 @@
 // try them together.
 func Blend(own, other decide.Snapshot, coldTime time.Duration, random *rand.Rand) decide.Snapshot {
 	m := own
-	m.Version, m.Zone, m.At = other.Version, other.Zone, LastObserved(&other)
-	if other.Answers > own.Answers {
-		m.Lates, m.Answers, m.Bads = other.Lates, other.Answers, other.Bads
+	m.Version, m.Zone, m.TakenAt = other.Version, other.Zone, LastObserved(&other)
+	if other.Responses > own.Responses {
+		m.Timeouts, m.Responses, m.Failures = other.Timeouts, other.Responses, other.Failures
 	}
 	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(kind *decide.KindSnapshot) (string, float64) {
-		weight := kind.Fit.N + kind.Recent.N
-		if kind.Seen {
+		weight := kind.Sums.SampleCount + kind.RecentSums.SampleCount
+		if kind.Measured {
 			weight += 1e-9 // its idle latency outlives the evidence
 		}
-		return fmt.Sprint(kind.Kind, kind.Across), weight
+		return fmt.Sprint(kind.Kind, kind.OtherZones), weight
 	})
 	m.Classes = preferHeavier(own.Classes, other.Classes, func(class *decide.ClassSnapshot) (string, float64) {
-		return class.Class, class.N
+		return class.Class, class.SampleCount
 	})
 	m.Zones = preferHeavier(own.Zones, other.Zones, func(zone *decide.ZoneSnapshot) (string, float64) {
-		return zone.Zone, float64(zone.Heard)
+		return zone.Zone, float64(zone.LastResponse)
 	})
 	for i := range m.Zones {
-		m.Zones[i].Until = min(m.Zones[i].Until, m.At+maxAhead)
+		m.Zones[i].EjectedUntil = min(m.Zones[i].EjectedUntil, m.TakenAt+maxAhead)
 	}
 	known := map[decide.BackendID]*decide.BackendSnapshot{}
 	for i := range other.Backends {
 		known[other.Backends[i].ID] = &other.Backends[i]
 	}
-	wholeFleet := own.Part >= 1 && other.Part >= 1 // else the two use different hosts
+	wholeFleet := own.SubsetFraction >= 1 && other.SubsetFraction >= 1 // else the two use different hosts
 	m.Backends = nil
 	sum, newSum := 0.0, 0.0
 	for _, b := range own.Backends {
-		if b.Started > 0 && own.At < b.Started+coldTime {
+		if b.Started > 0 && own.TakenAt < b.Started+coldTime {
 			continue
 		}
 		sum += b.Share
 		if theirs := known[b.ID]; theirs != nil && evidence(theirs) > evidence(&b) {
-			b = mergeBackend(b, *theirs, m.Clock, wholeFleet)
+			b = mergeBackend(b, *theirs, m.VirtualTime, wholeFleet)
 		}
-		m.Backends = append(m.Backends, clampTimes(b, m.At, random))
+		m.Backends = append(m.Backends, clampTimes(b, m.TakenAt, random))
 		newSum += b.Share
 	}
 	for i := range m.Backends { // keep the sum of the shares, or there would seem to be less capacity
 		if b := &m.Backends[i]; b.Share > 0 {
-			setShare(b, b.Share*sum/newSum, m.Clock)
+			setShare(b, b.Share*sum/newSum, m.VirtualTime)
 		}
 	}
 	return m
@@ -131,19 +131,21 @@
 }
 
 // evidence is the number of attempts that the state of a host rests on, each weighed by its age.
-func evidence(b *decide.BackendSnapshot) float64 { return b.N + b.Good + b.Bad + b.Lost }
+func evidence(b *decide.BackendSnapshot) float64 {
+	return b.SampleCount + b.Responses + b.Failures + b.Timeouts
+}
 
 // mergeBackend returns the state of one host as another node knows it, with what is the node's own kept.
 func mergeBackend(own, other decide.BackendSnapshot, clock float64, wholeFleet bool) decide.BackendSnapshot {
 	b := other
-	b.Read, b.ReadAt = own.Read, own.ReadAt // from this node's list
-	b.Each, b.Others = 0, 0
-	b.Next, b.Turn, b.Share = own.Next, own.Turn, own.Share
+	b.ReportedLatency, b.ReportedAt = own.ReportedLatency, own.ReportedAt // from this node's list
+	b.AttemptScale, b.OthersInFlight = 0, 0
+	b.NextPick, b.QueueIndex, b.Share = own.NextPick, own.QueueIndex, own.Share
 	switch {
 	case own.Share <= 0: // it is not used here: its faults would only cost this node trials
-		b.Away, b.Until, b.Fails, b.Silent, b.Run = own.Away, own.Until, own.Fails, own.Silent, own.Run
-	case other.Away || wholeFleet && other.Share <= 0:
-		b.Share, b.Turn = 0, -1
+		b.Ejected, b.EjectedUntil, b.ConsecutiveEjections, b.ConsecutiveTimeouts, b.ConsecutiveFailures = own.Ejected, own.EjectedUntil, own.ConsecutiveEjections, own.ConsecutiveTimeouts, own.ConsecutiveFailures
+	case other.Ejected || wholeFleet && other.Share <= 0:
+		b.Share, b.QueueIndex = 0, -1
 	case wholeFleet:
 		setShare(&b, other.Share, clock)
 	}
@@ -152,7 +154,7 @@
 
 // setShare sets a host's share of the load; it keeps its place in the round.
 func setShare(b *decide.BackendSnapshot, share, clock float64) {
-	b.Next = clock + max(0, b.Next-clock)*b.Share/share
+	b.NextPick = clock + max(0, b.NextPick-clock)*b.Share/share
 	b.Share = share
 }
 
@@ -165,11 +167,11 @@
 		}
 		return min(until, at+maxAhead)
 	}
-	b.ReadAt, b.Until = min(b.ReadAt, at), clamp(b.Until)
-	b.ColdNext, b.ColdTop = 0, -1
-	b.Ills = slices.Clone(b.Ills)
-	for i := range b.Ills {
-		b.Ills[i].Until = clamp(b.Ills[i].Until)
+	b.ReportedAt, b.EjectedUntil = min(b.ReportedAt, at), clamp(b.EjectedUntil)
+	b.SlowStartNext, b.SlowStartLimit = 0, -1
+	b.ClassHealth = slices.Clone(b.ClassHealth)
+	for i := range b.ClassHealth {
+		b.ClassHealth[i].EjectedUntil = clamp(b.ClassHealth[i].EjectedUntil)
 	}
 	return b
 }
--- a/internal/node/dispatch/warmstart_test.go
+++ b/internal/node/dispatch/warmstart_test.go
@@ -20,7 +20,7 @@
 // received nothing for idle milliseconds, and its clock.
 func learnedSnapshot(t *testing.T, idle float64) (Memory, *clock.Manual) {
 	p, c, _ := newTestDispatcher(t, fleet()...)
-	for i := 0; i < 100 || !view(p)["dead"].Module.Away; i++ {
+	for i := 0; i < 100 || !view(p)["dead"].Module.Ejected; i++ {
 		serveOne(p, c, "dead")
 	}
 	c.Advance(idle)
@@ -99,7 +99,7 @@
 	} {
 		p, mine := newcomer(t, c, way.later, fleet()...)
 		require.NoError(t, way.take(p), way.name)
-		require.Equal(t, way.away, view(p)["dead"].Module.Away, way.name)
+		require.Equal(t, way.away, view(p)["dead"].Module.Ejected, way.name)
 		if way.away {
 			now := view(p)
 			require.Zero(t, now["dead"].Module.Share, way.name)
@@ -127,13 +127,13 @@
 	before := p.balancer.Snapshot(toDuration(mine.Now()))
 	require.NoError(t, p.ApplyWarmStart(m))
 	now := view(p)
-	assert.True(t, now["dead"].Module.Away)
+	assert.True(t, now["dead"].Module.Ejected)
 	assert.Zero(t, now["well"].Module.Share, "it drains")
 	after := p.balancer.Snapshot(toDuration(mine.Now()))
-	assert.Equal(t, before.Clock, after.Clock)
-	assert.Equal(t, before.Part, after.Part)
-	assert.Equal(t, before.Tokens, after.Tokens)
-	assert.Zero(t, after.Rate)
+	assert.Equal(t, before.VirtualTime, after.VirtualTime)
+	assert.Equal(t, before.SubsetFraction, after.SubsetFraction)
+	assert.Equal(t, before.RetryTokens, after.RetryTokens)
+	assert.Zero(t, after.SendRate)
 	for i, b := range after.Backends {
 		if b.ID == p.hostIDs["cold"] { // its slow-start limit is the node's own
 			assert.Equal(t, before.Backends[i], b)
@@ -150,7 +150,7 @@
 	for _, list := range [][]Host{again, moved} {
 		p, _ = newcomer(t, c, 100, list...)
 		require.NoError(t, p.ApplyWarmStart(m))
-		assert.False(t, view(p)["dead"].Module.Away)
+		assert.False(t, view(p)["dead"].Module.Ejected)
 	}
 }
 
@@ -181,15 +181,15 @@
 			o.Hosts[i].Address = "b" + o.Hosts[i].Address
 		}
 	}), ErrNoWarmStart)
-	assert.ErrorIs(t, bad(t, func(o *Memory) { o.Module.Zones[0].Heard = 0 }), ErrNoWarmStart)
+	assert.ErrorIs(t, bad(t, func(o *Memory) { o.Module.Zones[0].LastResponse = 0 }), ErrNoWarmStart)
 	assert.ErrorContains(t, bad(t, func(o *Memory) { o.Module.Zone = "y" }), "zone")
 	assert.ErrorContains(t, bad(t, func(o *Memory) { o.Module.Version++ }), "version")
 	rapid.Check(t, func(r *rapid.T) {
 		_ = bad(r, func(o *Memory) {
 			x := rapid.SampledFrom([]float64{-1, 1e300, 7}).Draw(r, "x")
 			b := &o.Module.Backends[rapid.IntRange(0, 1).Draw(r, "host")]
-			*rapid.SampledFrom([]*float64{&b.Slow, &b.Y, &b.N, &b.Good, &b.Share, &o.Module.Kinds[0].Idle, &o.Module.Classes[0].Work,
-				&o.Module.Answers}).Draw(r, "field") = x
+			*rapid.SampledFrom([]*float64{&b.Slowdown, &b.LatencySum, &b.SampleCount, &b.Responses, &b.Share, &o.Module.Kinds[0].IdleLatency, &o.Module.Classes[0].Work,
+				&o.Module.Responses}).Draw(r, "field") = x
 		})
 	})
 	assert.Greater(t, rejected, 40)
@@ -205,54 +205,54 @@
 		i := slices.IndexFunc(m.Backends, func(b decide.BackendSnapshot) bool { return b.ID == p.hostIDs[name] })
 		return &m.Backends[i]
 	}
-	find(&m.Module, "dead").Until = m.Module.At + 10*time.Second
+	find(&m.Module, "dead").EjectedUntil = m.Module.TakenAt + 10*time.Second
 	tried := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		got := Blend(own, m.Module, 0, rand.New(rand.NewPCG(seed, 0)))
-		until := find(&got, "dead").Until
-		assert.GreaterOrEqual(t, until, m.Module.At+4*time.Second)
-		assert.LessOrEqual(t, until, m.Module.At+10*time.Second)
+		until := find(&got, "dead").EjectedUntil
+		assert.GreaterOrEqual(t, until, m.Module.TakenAt+4*time.Second)
+		assert.LessOrEqual(t, until, m.Module.TakenAt+10*time.Second)
 		tried[until] = true
 	}
 	assert.Len(t, tried, 20)
 
 	random := rand.New(rand.NewPCG(1, 1))
-	find(&own, "well").Read, find(&own, "well").ReadAt = 3, own.At
+	find(&own, "well").ReportedLatency, find(&own, "well").ReportedAt = 3, own.TakenAt
 	whole := Blend(own, m.Module, 0, random)
 	sum := 0.0
 	for _, b := range whole.Backends {
 		sum += b.Share
 	}
 	assert.InDelta(t, 1, sum, 1e-9)
-	assert.Positive(t, find(&m.Module, "cold").ColdTop)
-	assert.Equal(t, -1.0, find(&whole, "cold").ColdTop, "it is warm by this node's rules")
-	assert.Equal(t, 3.0, find(&whole, "well").Read, "which came with this node's list")
-	assert.Equal(t, whole.At, find(&whole, "well").ReadAt)
-	find(&m.Module, "dead").Until += 25 * time.Second
-	m.Module.Part, m.Module.Zones[0].Until = 0.5, m.Module.At+31*time.Second
-	m.Module.Zones[0].Heard -= 10 * time.Second
+	assert.Positive(t, find(&m.Module, "cold").SlowStartLimit)
+	assert.Equal(t, -1.0, find(&whole, "cold").SlowStartLimit, "it is warm by this node's rules")
+	assert.Equal(t, 3.0, find(&whole, "well").ReportedLatency, "which came with this node's list")
+	assert.Equal(t, whole.TakenAt, find(&whole, "well").ReportedAt)
+	find(&m.Module, "dead").EjectedUntil += 25 * time.Second
+	m.Module.SubsetFraction, m.Module.Zones[0].EjectedUntil = 0.5, m.Module.TakenAt+31*time.Second
+	m.Module.Zones[0].LastResponse -= 10 * time.Second
 	part := Blend(own, m.Module, 0, random)
 	assert.Equal(t, find(&part, "well").Share, find(&part, "slow").Share, "they are the other part's")
 	assert.Zero(t, find(&part, "dead").Share)
 	lighter := m.Module
 	lighter.Kinds, lighter.Backends = slices.Clone(lighter.Kinds), nil
-	lighter.Kinds[0].Fit.N, lighter.Kinds[0].Recent.N, lighter.Kinds[0].Idle = whole.Kinds[0].Fit.N/2, 0, 9
+	lighter.Kinds[0].Sums.SampleCount, lighter.Kinds[0].RecentSums.SampleCount, lighter.Kinds[0].IdleLatency = whole.Kinds[0].Sums.SampleCount/2, 0, 9
 	less := Blend(whole, lighter, 0, random)
 	assert.Equal(t, whole.Kinds, less.Kinds, "what rests on less is not taken")
-	lighter.Kinds[0].Fit.N = 0
-	assert.Equal(t, 9.0, Blend(own, lighter, 0, random).Kinds[0].Idle, "but where nothing is known, the idle latency alone is")
-	lighter.Backends = []decide.BackendSnapshot{{ID: p.hostIDs["well"], Slow: 1}}
+	lighter.Kinds[0].Sums.SampleCount = 0
+	assert.Equal(t, 9.0, Blend(own, lighter, 0, random).Kinds[0].IdleLatency, "but where nothing is known, the idle latency alone is")
+	lighter.Backends = []decide.BackendSnapshot{{ID: p.hostIDs["well"], Slowdown: 1}}
 	less = Blend(whole, lighter, 0, random)
-	assert.Equal(t, find(&whole, "well").N, find(&less, "well").N)
-	assert.Equal(t, m.Module.Answers, whole.Answers)
+	assert.Equal(t, find(&whole, "well").SampleCount, find(&less, "well").SampleCount)
+	assert.Equal(t, m.Module.Responses, whole.Responses)
 	assert.Less(t, find(&whole, "slow").Share, 0.8*find(&own, "slow").Share)
 	for range 20 { // whatever the draws
 		require.NoError(t, p.balancer.Restore(toDuration(mine.Now()), Blend(own, m.Module, 0, random)))
 	}
-	find(&own, "dead").Share, find(&own, "dead").Turn = 0, -1
+	find(&own, "dead").Share, find(&own, "dead").QueueIndex = 0, -1
 	outside := Blend(own, m.Module, 0, random)
-	assert.False(t, find(&outside, "dead").Away, "it is outside of the node's part: a trial would only cost")
-	original := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Snapshot{Quota: []float64{1}, Tenants: []string{"t"}}}
+	assert.False(t, find(&outside, "dead").Ejected, "it is outside of the node's part: a trial would only cost")
+	original := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Snapshot{TenantTokens: []float64{1}, Tenants: []string{"t"}}}
 	assert.Equal(t, Memory{Hosts: []HostMemory{{Name: "h"}}}, original.WarmStart())
 	assert.Equal(t, 5.0, original.Hosts[0].Left)
 }
--- a/lab/newcomer/newcomer.go
+++ b/lab/newcomer/newcomer.go
@@ -218,7 +218,7 @@
 		return nil
 	}
 	if p.way == Old {
-		if age := b.Now - p.old.At; age < wholeMinute*time.Millisecond {
+		if age := b.Now - p.old.TakenAt; age < wholeMinute*time.Millisecond {
 			return fmt.Errorf("what is told is %v old", age)
 		}
 		return p.learn(b, *p.old)
--- a/node/lesson_test.go
+++ b/node/lesson_test.go
@@ -32,11 +32,11 @@
 	at := n.clock.Now()
 	l, err := ReadLesson(text, "x:1", n.conf, at, 1e4)
 	require.NoError(t, err)
-	assert.Positive(t, l.Pilot.Module.Answers)
+	assert.Positive(t, l.Pilot.Module.Responses)
 	assert.Nil(t, l.Drained)
 	assert.Empty(t, l.Bans.Out)
 	assert.Zero(t, l.Life)
-	assert.Empty(t, l.Pilot.Module.Quota)
+	assert.Empty(t, l.Pilot.Module.TenantTokens)
 
 	state, err := statedir.Decode(text)
 	require.NoError(t, err)
