--- a/decide/view.go
+++ b/decide/view.go
@@ -4,32 +4,32 @@
 
 // BackendView is the present state of one backend, for status pages and metrics.
 type BackendView struct {
-	ID       BackendID
-	Share    float64       // of the node's load
-	Rate     float64       // units a second
-	Top      float64       // highest rate, units a second
-	Idle     time.Duration // learned latency without load
-	Latency  time.Duration // learned latency at the present load
-	Slow     float64       // latency relative to its kind
-	InSubset bool          // it is in the subset of this node
-	Away     bool          // ejected: it gets nothing but a trial request
-	Until    time.Duration // end of its ejection
-	Cold     float64       // fraction of its capacity that it is sure to have, 1 = warm
-	ColdTop  float64       // limit of its slow start, units a second; infinite when warm
-	Risk     time.Duration // penalty for its failures
-	Out      int           // attempts in flight
-	Overdue  int           // attempts in flight that should have been answered by now
-	Ills     []int         // indices of the classes that it is ejected for
+	ID               BackendID
+	Share            float64       // of the node's load
+	Rate             float64       // units a second
+	MaxRate          float64       // highest rate, units a second
+	IdleLatency      time.Duration // learned latency without load
+	Latency          time.Duration // learned latency at the present load
+	Slowdown         float64       // latency relative to its kind
+	InSubset         bool          // it is in the subset of this node
+	Ejected          bool          // ejected: it gets nothing but a trial request
+	EjectedUntil     time.Duration // end of its ejection
+	CapacityFraction float64       // fraction of its capacity that it is sure to have, 1 = warm
+	SlowStartLimit   float64       // limit of its slow start, units a second; infinite when warm
+	RiskPenalty      time.Duration // penalty for its failures
+	InFlight         int           // attempts in flight
+	Overdue          int           // attempts in flight that should have been answered by now
+	EjectedClasses   []int         // indices of the classes that it is ejected for
 }
 
 // View is the present state of a Balancer.
 type View struct {
-	DemandRate float64 // arriving work, units a second
-	Rate       float64 // sent work, units a second
-	Part       float64 // fraction of the fleet that the node sends to
-	Shedding   bool    // more work arrives than there is capacity for
-	Tokens     float64 // retries that may be made now
-	Backends   []BackendView
+	ArrivalRate    float64 // arriving work, units a second
+	Rate           float64 // sent work, units a second
+	SubsetFraction float64 // fraction of the fleet that the node sends to
+	Shedding       bool    // more work arrives than there is capacity for
+	RetryTokens    float64 // retries that may be made now
+	Backends       []BackendView
 }
 
 // View returns the present view. It changes nothing.
@@ -39,18 +39,18 @@
 	b.now = now
 	defer func() { b.now = previous }()
 	for _, s := range b.backends {
-		e := BackendView{ID: s.ID, Share: s.share, Rate: s.share * b.sendRate, Top: s.maxRate,
-			Idle:    seconds(s.slowdown * s.model.idleLatency),
-			Latency: seconds(s.latencyAtLoad(b.ownLoad(s))), Slow: s.slowdown, InSubset: b.inSubset(s),
-			Away: s.ejected, Until: s.ejectedUntil,
-			Cold: b.capacityFraction(s), ColdTop: s.slowStartLimit,
-			Risk: seconds(s.riskPenalty), Out: s.inFlight, Overdue: s.overdue}
+		e := BackendView{ID: s.ID, Share: s.share, Rate: s.share * b.sendRate, MaxRate: s.maxRate,
+			IdleLatency: seconds(s.slowdown * s.model.idleLatency),
+			Latency:     seconds(s.latencyAtLoad(b.ownLoad(s))), Slowdown: s.slowdown, InSubset: b.inSubset(s),
+			Ejected: s.ejected, EjectedUntil: s.ejectedUntil,
+			CapacityFraction: b.capacityFraction(s), SlowStartLimit: s.slowStartLimit,
+			RiskPenalty: seconds(s.riskPenalty), InFlight: s.inFlight, Overdue: s.overdue}
 		if s.queueIndex < 0 {
 			e.Share, e.Rate = 0, 0
 		}
 		for i := range s.classHealth {
 			if now < s.classHealth[i].ejectedUntil {
-				e.Ills = append(e.Ills, i)
+				e.EjectedClasses = append(e.EjectedClasses, i)
 			}
 		}
 		v.Backends = append(v.Backends, e)
--- a/internal/fleet/dataplane/picker.go
+++ b/internal/fleet/dataplane/picker.go
@@ -186,7 +186,7 @@
 			load := balancer.Load(p.now(), id)
 			all[service] = append(all[service], backendStatus{ID: id, Share: view.Share, Prefilling: load.Prefilling,
 				Decoding: load.Decoding, QueueDelay: load.QueueDelay.Round(time.Millisecond).String(), Slowdown: load.Slowdown, FailureRate: load.FailureRate,
-				Latency: view.Latency.Round(time.Microsecond).String(), Slow: view.Slow, Ejected: view.Away, InFlight: view.Out})
+				Latency: view.Latency.Round(time.Microsecond).String(), Slow: view.Slowdown, Ejected: view.Ejected, InFlight: view.InFlight})
 		}
 	}
 	return all
--- a/lab/sim/trace.go
+++ b/lab/sim/trace.go
@@ -137,14 +137,14 @@
 				continue
 			}
 			seen++
-			share, rate, top = share+b.Share, rate+b.Rate, top+b.Top
-			idle, latency, risk = idle+b.Idle.Seconds()*1000, latency+b.Latency.Seconds()*1000, risk+b.Risk.Seconds()*1000
-			slow, out, overdue = slow+b.Slow, out+float64(b.Out), overdue+b.Overdue
+			share, rate, top = share+b.Share, rate+b.Rate, top+b.MaxRate
+			idle, latency, risk = idle+b.IdleLatency.Seconds()*1000, latency+b.Latency.Seconds()*1000, risk+b.RiskPenalty.Seconds()*1000
+			slow, out, overdue = slow+b.Slowdown, out+float64(b.InFlight), overdue+b.Overdue
 			least, most = min(least, b.Share), max(most, b.Share)
-			if b.Away {
+			if b.Ejected {
 				away++
 			}
-			if b.Cold < 1 {
+			if b.CapacityFraction < 1 {
 				cold++
 			}
 		}
--- a/node/door.go
+++ b/node/door.go
@@ -180,7 +180,7 @@
 	excluded := 0
 	count := func(p *dispatch.Dispatcher) {
 		for _, h := range p.View().Hosts {
-			if n.orders.book.Out(h.Name) || h.Status == dispatch.Ready && h.Module.Away {
+			if n.orders.book.Out(h.Name) || h.Status == dispatch.Ready && h.Module.Ejected {
 				excluded++
 			}
 		}
--- a/node/status.go
+++ b/node/status.go
@@ -108,8 +108,8 @@
 	v := n.pilot.View()
 	index, at := n.watch.Seen()
 	s := Status{Name: n.conf.Name, Address: n.loop.Addr(), Since: n.since, Now: v.Now, Phase: n.phaseNow(),
-		Instances: n.fleet, Open: n.core.Unanswered(), Clients: n.north.Connections(), AskRate: v.DemandRate, Rate: v.Rate,
-		Part: v.Part, Shedding: v.Shedding, List: ListStatus{Index: index, Age: -1, Hosts: len(v.Hosts)}, Hosts: []HostStatus{}}
+		Instances: n.fleet, Open: n.core.Unanswered(), Clients: n.north.Connections(), AskRate: v.ArrivalRate, Rate: v.Rate,
+		Part: v.SubsetFraction, Shedding: v.Shedding, List: ListStatus{Index: index, Age: -1, Hosts: len(v.Hosts)}, Hosts: []HostStatus{}}
 	if at > 0 {
 		s.List.Age = v.Now - at
 	}
@@ -143,24 +143,24 @@
 
 func (n *Node) hostStatus(h dispatch.HostView, now float64) HostStatus {
 	m := h.Module
-	s := HostStatus{Name: h.Name, Address: h.Address, Status: statusWords[h.Status], Health: "well", Warm: m.Cold,
-		Share: m.Share, Rate: m.Rate, Idle: float64(m.Idle) / 1e6, Latency: float64(m.Latency) / 1e6, Slow: m.Slow,
-		Open: m.Out, Overdue: m.Overdue}
-	if !math.IsInf(m.ColdTop, 1) {
-		s.Most = m.ColdTop
+	s := HostStatus{Name: h.Name, Address: h.Address, Status: statusWords[h.Status], Health: "well", Warm: m.CapacityFraction,
+		Share: m.Share, Rate: m.Rate, Idle: float64(m.IdleLatency) / 1e6, Latency: float64(m.Latency) / 1e6, Slow: m.Slowdown,
+		Open: m.InFlight, Overdue: m.Overdue}
+	if !math.IsInf(m.SlowStartLimit, 1) {
+		s.Most = m.SlowStartLimit
 	}
-	until := float64(m.Until)/1e6 - now
+	until := float64(m.EjectedUntil)/1e6 - now
 	switch {
-	case m.Away && until > 0:
+	case m.Ejected && until > 0:
 		s.Health, s.Until = "away", until
-	case m.Away:
+	case m.Ejected:
 		s.Health = "trial due"
-	case m.Cold < 1:
+	case m.CapacityFraction < 1:
 		s.Health = "cold"
 	case !m.InSubset:
 		s.Health = "spared"
 	}
-	for _, class := range m.Ills {
+	for _, class := range m.EjectedClasses {
 		s.Silent = append(s.Silent, n.conf.Settings.Classes[class].Name)
 	}
 	return s
