--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -89,7 +89,7 @@
 	b.actions.Wake(b.scaled(b.random.Float64(), solveInterval), timerSolve)
 	b.sweepInterval = max(seconds(b.latencyTarget/sweepsPerTarget), minSweepInterval)
 	b.actions.Wake(b.sweepInterval, timerSweep)
-	if b.settings.Ask {
+	if b.settings.WatchEndpoints {
 		b.actions.Wake(time.Duration(b.random.Float64()*float64(b.settings.FetchSpread())), timerWatch)
 	}
 }
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -18,9 +18,9 @@
 			{Name: "book", Effect: Keyed, Group: GroupCell, KeyTTL: second, Target: second / 2, Deadline: second, Value: 5},
 			{Name: "pay", Effect: Unsafe, Target: second / 2, Deadline: second, Value: 5},
 		},
-		Limits: Limits{MaxAttempts: 3, Cancel: true, SecondCopies: true},
-		Rules: Rules{AnswerSlack: second / 50, DrainGrace: second / 4, ColdFrom: 0.1, ColdTime: 20 * second,
-			FallMultiple: 3, FallTime: 2 * second},
+		Limits: Limits{MaxAttempts: 3, Cancel: true, Hedging: true},
+		Rules: Rules{ResponseSlack: second / 50, DrainGrace: second / 4, SlowStartFloor: 0.1, SlowStartTime: 20 * second,
+			OverloadMultiple: 3, OverloadTime: 2 * second},
 	}
 }
 
@@ -134,7 +134,7 @@
 
 func TestFailedListCallIsRetriedAfterBackoff(t *testing.T) {
 	set := testSettings()
-	set.Ask = true
+	set.WatchEndpoints = true
 	b, r := start(t, set, backends(2)...)
 	b.Timer(2*second, timerWatch)
 	if r.watches != 1 {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -92,7 +92,7 @@
 	b.List(b.now, EndpointsFull, []Backend{{ID: 101, Started: b.now}, {ID: 102, Started: b.now}})
 	for _, s := range b.backends {
 		require.Positive(t, s.slowStartLimit)
-		require.LessOrEqual(t, s.slowStartLimit*10, set.Rules.ColdFrom*10*40/20, "as when all 20 were there")
+		require.LessOrEqual(t, s.slowStartLimit*10, set.Rules.SlowStartFloor*10*40/20, "as when all 20 were there")
 	}
 }
 
@@ -166,7 +166,7 @@
 				if fleet[0].healthy(s) && users[s.ID] == 0 {
 					t.Fatalf("no node uses a backend that is able")
 				}
-				if fraction := fleet[0].capacityFraction(s); fraction < 1 && cold[s.ID] > 1.5*set.Rules.FallMultiple*fraction*maxLoad*s.size { // subsets differ
+				if fraction := fleet[0].capacityFraction(s); fraction < 1 && cold[s.ID] > 1.5*set.Rules.OverloadMultiple*fraction*maxLoad*s.size { // subsets differ
 					t.Fatalf("%.2f a second for a cold backend, where a warm one bears %.2f, at %.2f of it", cold[s.ID], maxLoad*s.size, fraction)
 				}
 			}
@@ -222,7 +222,7 @@
 		}
 	}
 	bears := 3.0 * 50 / 10 // served by each warm backend, of all nodes
-	require.LessOrEqual(t, total, set.Rules.ColdFrom*bears*1.2)
+	require.LessOrEqual(t, total, set.Rules.SlowStartFloor*bears*1.2)
 	require.Less(t, soon, users/4)
 }
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -113,7 +113,7 @@
 		b.recordLatency(a.backend, a, (b.now-a.sentAt).Seconds()/q.work)
 	}
 	c := &b.classes[q.class]
-	mayCopy := b.settings.Limits.SecondCopies && (c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll)
+	mayCopy := b.settings.Limits.Hedging && (c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll)
 	lost := a.backend.classHealth[q.class].lastResponse <= a.sentAt || a.backend.newestAnswered > a.sentAt // else it may only be queued
 	if mayCopy && lost && !q.closed && !q.streamStarted && q.openAttempts == 1 {
 		b.retry(q)
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -105,7 +105,7 @@
 	var first *sentAttempt
 	for i := range q.attempts {
 		a := &q.attempts[i]
-		if !a.done && !w.set.Limits.SecondCopies {
+		if !a.done && !w.set.Limits.Hedging {
 			w.t.Fatalf("request %d has two attempts out", q.ID)
 		}
 		if first == nil && (!a.done || a.mayHaveRun) {
@@ -239,7 +239,7 @@
 		}
 	}
 	for _, q := range w.requests {
-		if q.finalResponses == 0 && !q.over && w.now > q.Deadline+w.set.Rules.AnswerSlack {
+		if q.finalResponses == 0 && !q.over && w.now > q.Deadline+w.set.Rules.ResponseSlack {
 			w.t.Fatalf("request %d has no answer at %v, due %v", q.ID, w.now, q.Deadline)
 		}
 	}
@@ -298,7 +298,7 @@
 func variants() map[string]Settings {
 	one := testSettings()
 	single := testSettings()
-	single.Limits.SecondCopies = false
+	single.Limits.Hedging = false
 	groups := testSettings()
 	groups.Classes[1].Group = GroupZone
 	groups.Classes[1].KeyTTL = 50 * time.Millisecond
@@ -308,7 +308,7 @@
 	short := testSettings() // keys expire before a response would be given up
 	short.Classes[1].Group, short.Classes[1].KeyTTL = GroupAll, 50*time.Millisecond
 	many := testSettings()
-	many.Nodes, many.Node, many.Ask = 40, 17, true
+	many.Nodes, many.Node, many.WatchEndpoints = 40, 17, true
 	many.Weights = WeightLive
 	return map[string]Settings{"copies": one, "single": single, "zone group": groups, "short window": short, "one attempt": everywhere,
 		"many nodes": many}
@@ -457,12 +457,12 @@
 		}
 		for i, end := range times {
 			n := 0
-			for j := i; j >= 0 && times[j] > end-r.FallTime; j-- {
+			for j := i; j >= 0 && times[j] > end-r.OverloadTime; j-- {
 				n++
 			}
-			age := min(1, (end-e.Started).Seconds()/r.ColdTime.Seconds())
-			fraction := r.ColdFrom + (1-r.ColdFrom)*age
-			if budget := r.FallMultiple * fraction * perBackend * r.FallTime.Seconds(); float64(n) > budget {
+			age := min(1, (end-e.Started).Seconds()/r.SlowStartTime.Seconds())
+			fraction := r.SlowStartFloor + (1-r.SlowStartFloor)*age
+			if budget := r.OverloadMultiple * fraction * perBackend * r.OverloadTime.Seconds(); float64(n) > budget {
 				t.Fatalf("backend %d got %d in a window, its budget is %.1f", e.ID, n, budget)
 			}
 		}
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -63,20 +63,20 @@
 
 // Rules are the parameters of the rules that every node keeps.
 type Rules struct {
-	AnswerSlack  time.Duration // after the deadline in which a final response still counts
-	FetchWithin  time.Duration // in which a node must have asked for the endpoint list
-	DrainGrace   time.Duration // after which nothing may be sent to a draining backend
-	ColdFrom     float64       // fraction of its capacity that a backend starts with, at least
-	ColdTime     time.Duration // after its start at which a backend is warm, at the latest
-	FallMultiple float64       // a backend in slow start fails when sent more than this multiple of its capacity
-	FallTime     time.Duration // for this long
+	ResponseSlack    time.Duration // after the deadline in which a final response still counts
+	FetchWithin      time.Duration // in which a node must have asked for the endpoint list
+	DrainGrace       time.Duration // after which nothing may be sent to a draining backend
+	SlowStartFloor   float64       // fraction of its capacity that a backend starts with, at least
+	SlowStartTime    time.Duration // after its start at which a backend is warm, at the latest
+	OverloadMultiple float64       // a backend in slow start fails when sent more than this multiple of its capacity
+	OverloadTime     time.Duration // for this long
 }
 
 // Limits are what the deployment permits.
 type Limits struct {
-	MaxAttempts  int  // of one request, the first included
-	Cancel       bool // attempts may be cancelled
-	SecondCopies bool // hedging: a request may have two attempts in flight
+	MaxAttempts int  // of one request, the first included
+	Cancel      bool // attempts may be cancelled
+	Hedging     bool // hedging: a request may have two attempts in flight
 }
 
 // Settings describe a deployment as one node sees it. Names are for the log and for Memory; everything else refers to
@@ -91,7 +91,7 @@
 	Kinds          []string
 	Weights        WeightMeaning
 	OverQuotaValue float64 // value of a request beyond its tenant's quota, as a fraction of its class's value
-	Ask            bool    // the endpoint list comes only when asked for with Actions.Watch
+	WatchEndpoints bool    // the endpoint list comes only when asked for with Actions.Watch
 	Limits         Limits
 	Prices         Prices
 	Rules          Rules
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -10,11 +10,11 @@
 // capacityFraction is the fraction of its capacity that a backend is sure to have: below 1 it is in slow start.
 func (b *Balancer) capacityFraction(s *backendState) float64 {
 	rules := &b.settings.Rules
-	if s.Started <= 0 || rules.ColdTime <= 0 || b.now >= s.Started+rules.ColdTime {
+	if s.Started <= 0 || rules.SlowStartTime <= 0 || b.now >= s.Started+rules.SlowStartTime {
 		return 1
 	}
-	progress := max(0, (b.now-s.Started).Seconds()/rules.ColdTime.Seconds())
-	return rules.ColdFrom + (1-rules.ColdFrom)*progress
+	progress := max(0, (b.now-s.Started).Seconds()/rules.SlowStartTime.Seconds())
+	return rules.SlowStartFloor + (1-rules.SlowStartFloor)*progress
 }
 
 // warmLoad is the load of warm backends, units a second by size: the work that they answer, since what is sent to them may
@@ -41,9 +41,9 @@
 		return math.Inf(1)
 	}
 	rules := &b.settings.Rules
-	window, nodes := rules.FallTime.Seconds(), float64(b.settings.Nodes)*b.subsetFraction
+	window, nodes := rules.OverloadTime.Seconds(), float64(b.settings.Nodes)*b.subsetFraction
 	warmRate := b.warmLoad() * s.size * nodes
-	budget := slowStartBudgetFraction * rules.FallMultiple * fraction * warmRate * window
+	budget := slowStartBudgetFraction * rules.OverloadMultiple * fraction * warmRate * window
 	if budget <= 1 {
 		return 0
 	}
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -199,12 +199,12 @@
 	} else if f.plan.slowWarmup {
 		age *= age * age
 	}
-	return f.set.Rules.ColdFrom + (1-f.set.Rules.ColdFrom)*age
+	return f.set.Rules.SlowStartFloor + (1-f.set.Rules.SlowStartFloor)*age
 }
 
 // recordSend records an attempt and judges the window that ends now.
 func (r *simulatedBackend) recordSend(f *simulatedFleet, s receivedAttempt) {
-	share, window := r.capacity(f), f.set.Rules.FallTime
+	share, window := r.capacity(f), f.set.Rules.OverloadTime
 	if share >= 1 {
 		return
 	}
@@ -218,7 +218,7 @@
 			knew++
 		}
 	}
-	n, sum := f.set.Rules.FallMultiple*share*r.rate*window.Seconds(), float64(len(r.sends))
+	n, sum := f.set.Rules.OverloadMultiple*share*r.rate*window.Seconds(), float64(len(r.sends))
 	f.windows++
 	if s.retry {
 		f.further++
@@ -276,8 +276,8 @@
 	f := &simulatedFleet{rand: rand.New(rand.NewPCG(seed, 11)), now: second, plan: p, set: testSettings(), byID: map[BackendID]*simulatedBackend{}}
 	f.set.Nodes = p.nodes
 	f.set.Weights = WeightSize
-	f.set.Rules = Rules{AnswerSlack: second / 50, DrainGrace: second / 2, ColdFrom: 0.15, ColdTime: slowStartSeconds * second,
-		FallMultiple: 3, FallTime: second}
+	f.set.Rules = Rules{ResponseSlack: second / 50, DrainGrace: second / 2, SlowStartFloor: 0.15, SlowStartTime: slowStartSeconds * second,
+		OverloadMultiple: 3, OverloadTime: second}
 	f.set.Classes[0].Target, f.set.Classes[0].Deadline = 600*time.Millisecond, 1500*time.Millisecond
 	f.set.Classes[1].Target, f.set.Classes[1].Deadline, f.set.Classes[1].KeyTTL = 600*time.Millisecond, 1500*time.Millisecond, 3*second
 	f.set.Classes[2].Target, f.set.Classes[2].Deadline = 1500*time.Millisecond, 5*second
--- a/internal/codec/simline/wire_test.go
+++ b/internal/codec/simline/wire_test.go
@@ -27,8 +27,8 @@
 
 func TestEnlist(t *testing.T) {
 	s, seed, _ := enlisted(t)
-	if seed != 5138197539985895 || s.Nodes != 3 || s.Node != 2 || s.Zone != 1 || !s.Ask ||
-		s.Weights != decide.WeightLive || !s.Limits.Cancel || s.Rules.FallMultiple != 3 {
+	if seed != 5138197539985895 || s.Nodes != 3 || s.Node != 2 || s.Zone != 1 || !s.WatchEndpoints ||
+		s.Weights != decide.WeightLive || !s.Limits.Cancel || s.Rules.OverloadMultiple != 3 {
 		t.Errorf("seed %d, settings %+v", seed, s)
 	}
 	pay := decide.Class{Name: "pay", Effect: decide.Keyed, Group: decide.GroupCell, KeyTTL: 2500 * time.Millisecond}
--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -280,14 +280,14 @@
 		}
 	}
 	c.Settings = decide.Settings{Nodes: f.GroupSize, Node: f.MyNumber, Zone: zone, Zones: f.Zones, Kinds: f.Kinds,
-		Weights: meaning, OverQuotaValue: f.OverShare, Ask: f.Discovery == "ask",
+		Weights: meaning, OverQuotaValue: f.OverShare, WatchEndpoints: f.Discovery == "ask",
 		Limits: decide.Limits{MaxAttempts: f.Limits.MaxAttempts, Cancel: f.Limits.Cancel,
-			SecondCopies: f.Limits.SecondCopies},
+			Hedging: f.Limits.SecondCopies},
 		Prices: decide.Prices{CrossZone: f.Deductions.CrossZone},
-		Rules: decide.Rules{AnswerSlack: seconds(f.Safety.AnswerSlack), FetchWithin: seconds(f.Safety.AskWithin),
-			DrainGrace: seconds(f.Safety.DrainGrace), ColdFrom: f.Safety.StartCapacity,
-			ColdTime: seconds(f.Safety.Cold), FallMultiple: f.Safety.FallMultiple,
-			FallTime: seconds(f.Safety.Fall)},
+		Rules: decide.Rules{ResponseSlack: seconds(f.Safety.AnswerSlack), FetchWithin: seconds(f.Safety.AskWithin),
+			DrainGrace: seconds(f.Safety.DrainGrace), SlowStartFloor: f.Safety.StartCapacity,
+			SlowStartTime: seconds(f.Safety.Cold), OverloadMultiple: f.Safety.FallMultiple,
+			OverloadTime: seconds(f.Safety.Fall)},
 	}
 	names := map[string]bool{}
 	for i, k := range f.Classes {
--- a/internal/node/dispatch/dispatcher.go
+++ b/internal/node/dispatch/dispatcher.go
@@ -61,7 +61,7 @@
 	d := &Dispatcher{clock: c, log: logger, wakeTimer: wake, drainGrace: settings.Rules.DrainGrace.Seconds() * 1000,
 		zoneIndex: indexByName(settings.Zones), kindIndex: indexByName(settings.Kinds), hosts: map[decide.BackendID]*host{},
 		hostIDs: map[string]decide.BackendID{}, tickets: map[decide.RequestID]*Ticket{},
-		coldTime: settings.Rules.ColdTime, random: rand.New(rand.NewPCG(seed, warmStartSeed))}
+		coldTime: settings.Rules.SlowStartTime, random: rand.New(rand.NewPCG(seed, warmStartSeed))}
 	balancer, err := decide.New(settings, seed, actions{d})
 	if err != nil {
 		return nil, err
--- a/internal/node/dispatch/dispatcher_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -25,8 +25,8 @@
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond,
 			Deadline: 2 * time.Second, Value: 1}},
 		Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
-		Rules: decide.Rules{DrainGrace: 500 * time.Millisecond, ColdFrom: 0.2, ColdTime: 20 * time.Second,
-			FallMultiple: 3, FallTime: time.Second}}, 1, c,
+		Rules: decide.Rules{DrainGrace: 500 * time.Millisecond, SlowStartFloor: 0.2, SlowStartTime: 20 * time.Second,
+			OverloadMultiple: 3, OverloadTime: time.Second}}, 1, c,
 		slog.New(slog.NewTextHandler((*logLines)(lines), nil)), nil)
 	require.NoError(t, err)
 	for i := range hosts {
--- a/lab/newcomer/newcomer.go
+++ b/lab/newcomer/newcomer.go
@@ -248,7 +248,7 @@
 		return err
 	}
 	own := b.Own.(*decide.Balancer)
-	return own.Restore(b.Now, dispatch.Blend(own.Snapshot(b.Now), told, b.Settings.Rules.ColdTime, rand.New(rand.NewPCG(b.Seed, 1))))
+	return own.Restore(b.Now, dispatch.Blend(own.Snapshot(b.Now), told, b.Settings.Rules.SlowStartTime, rand.New(rand.NewPCG(b.Seed, 1))))
 }
 
 // swapped tells of each rater what is known of the next.
--- a/lab/rivals/rivals_test.go
+++ b/lab/rivals/rivals_test.go
@@ -36,7 +36,7 @@
 		{Name: "unsafe", Effect: decide.Unsafe, Target: time.Second, Deadline: 2 * time.Second, Value: 1},
 		{Name: "keyed", Effect: decide.Keyed, Target: time.Second, Deadline: 2 * time.Second,
 			KeyTTL: 300 * time.Millisecond, Value: 1}},
-	Limits: decide.Limits{MaxAttempts: 4}, Rules: decide.Rules{ColdFrom: 0.15, ColdTime: 24 * time.Second}}
+	Limits: decide.Limits{MaxAttempts: 4}, Rules: decide.Rules{SlowStartFloor: 0.15, SlowStartTime: 24 * time.Second}}
 
 const start = time.Hour
 
--- a/lab/rivals/shell.go
+++ b/lab/rivals/shell.go
@@ -191,7 +191,7 @@
 			s.review = min(s.review, h.until)
 		}
 		if h.cold {
-			s.review = min(s.review, h.Started+s.set.Rules.ColdTime)
+			s.review = min(s.review, h.Started+s.set.Rules.SlowStartTime)
 		}
 		if h.ready {
 			s.ready = append(s.ready, h)
@@ -203,10 +203,10 @@
 // whole over the time by which raters are warm.
 func (s *shell) warmth(h *host) float64 {
 	r := &s.set.Rules
-	if h.Started <= 0 || r.ColdTime <= 0 || s.now >= h.Started+r.ColdTime {
+	if h.Started <= 0 || r.SlowStartTime <= 0 || s.now >= h.Started+r.SlowStartTime {
 		return 1
 	}
-	return max(r.ColdFrom, (s.now-h.Started).Seconds()/r.ColdTime.Seconds())
+	return max(r.SlowStartFloor, (s.now-h.Started).Seconds()/r.SlowStartTime.Seconds())
 }
 
 // weigh is the weight of a rater now.
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -12,15 +12,15 @@
 // lab/live writes into a node's configuration.
 func Settings(day *world.Day, node int) decide.Settings {
 	s := day.Site
-	set := decide.Settings{Nodes: day.Nodes, Node: node, Ask: day.List.Lines > 0, Zone: day.Zone(node), Zones: s.Size.Zones,
+	set := decide.Settings{Nodes: day.Nodes, Node: node, WatchEndpoints: day.List.Lines > 0, Zone: day.Zone(node), Zones: s.Size.Zones,
 		OverQuotaValue: s.Load.OverShareWorth,
 		Limits: decide.Limits{MaxAttempts: max(1, s.Node.MaxAttempts), Cancel: s.Node.Cancel,
-			SecondCopies: s.Node.SecondCopies},
+			Hedging: s.Node.SecondCopies},
 		Prices: decide.Prices{CrossZone: s.Prices.CrossZone},
-		Rules: decide.Rules{AnswerSlack: span(s.Rules.AnswerSlack.Lo), FetchWithin: 10 * time.Second,
-			DrainGrace: span(s.Rules.DrainGrace.Lo),
-			ColdFrom:   s.Rules.ColdFrom, ColdTime: span(s.Rules.ColdTime.Lo), FallMultiple: s.Rules.FallMultiple,
-			FallTime: span(s.Rules.FallTime.Lo)}}
+		Rules: decide.Rules{ResponseSlack: span(s.Rules.AnswerSlack.Lo), FetchWithin: 10 * time.Second,
+			DrainGrace:     span(s.Rules.DrainGrace.Lo),
+			SlowStartFloor: s.Rules.ColdFrom, SlowStartTime: span(s.Rules.ColdTime.Lo), OverloadMultiple: s.Rules.FallMultiple,
+			OverloadTime: span(s.Rules.FallTime.Lo)}}
 	for _, k := range s.Kinds {
 		set.Kinds = append(set.Kinds, k.Name)
 		if k.ListedWeight == "nominal" {
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -146,7 +146,7 @@
 // callSpread is the time in milliseconds over which the calls for the list of all nodes are spread, where it comes only
 // when asked for and one service has it for all of them.
 func callSpread(s *decide.Settings) float64 {
-	if !s.Ask || s.Nodes < 2 {
+	if !s.WatchEndpoints || s.Nodes < 2 {
 		return 0
 	}
 	return s.FetchSpread().Seconds() * 1000
--- a/node/node.go
+++ b/node/node.go
@@ -456,7 +456,7 @@
 // no pause lasts for more than half of the time in which sends to a rater that departs must stop, and calls there cost nothing.
 func listLimits(conf *Config, o *Options) discovery.Limits {
 	l := watchLimits(o)
-	if grace := conf.Settings.Rules.DrainGrace.Seconds() * 1000; !conf.Settings.Ask {
+	if grace := conf.Settings.Rules.DrainGrace.Seconds() * 1000; !conf.Settings.WatchEndpoints {
 		l.LastPause = min(l.LastPause, max(l.FirstPause, grace/2))
 	}
 	return l
