--- a/cmd/drill/serve.go
+++ b/cmd/drill/serve.go
@@ -155,14 +155,14 @@
 		}
 	case "ABANDONED":
 		if id := f.ID("rid"); f.Err() == nil {
-			b.Gone(s.now, id)
+			b.ClientGone(s.now, id)
 		}
 	case "BEGUN":
 		id := f.ID("rid")
 		latency := f.Seconds("elapsed_s")
 		f.Backend("backend")
 		if attempt := int(f.Uint("go", 31)); f.Err() == nil {
-			b.Begun(s.now, id, attempt, latency)
+			b.StreamStarted(s.now, id, attempt, latency)
 		}
 	case "PROBE_DONE":
 		if o := f.Probed(inst.names); f.Err() == nil {
@@ -190,6 +190,6 @@
 
 func (s *server) finishList(f *simline.Fields, inst *instance) {
 	if s.left == 0 && f.Err() == nil {
-		inst.balancer.List(s.now, s.list, s.have)
+		inst.balancer.UpdateEndpoints(s.now, s.list, s.have)
 	}
 }
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.List(second, EndpointsStored, list)
+	b.UpdateEndpoints(second, EndpointsStored, list)
 	return b, r
 }
 
@@ -74,9 +74,9 @@
 		b, r := start(t, testSettings(), backends(3)...)
 		gone := Backend{ID: 2, State: Draining}
 		if kind == EndpointsFull {
-			b.List(2*second, kind, []Backend{{ID: 1}, {ID: 3}})
+			b.UpdateEndpoints(2*second, kind, []Backend{{ID: 1}, {ID: 3}})
 		} else {
-			b.List(2*second, kind, []Backend{gone})
+			b.UpdateEndpoints(2*second, kind, []Backend{gone})
 		}
 		for id := range RequestID(30) {
 			b.Request(2*second, Request{ID: id, Tenant: -1, Deadline: 3 * second})
@@ -116,8 +116,8 @@
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
 	b, r := start(t, testSettings(), backends(2)...)
 	b.Outcome(second, Outcome{Request: 9, Backend: 1, Result: Good})
-	b.Gone(second, 9)
-	b.Begun(second, 9, 0, 0)
+	b.ClientGone(second, 9)
+	b.StreamStarted(second, 9, 0, 0)
 	b.Probed(second, Outcome{Backend: 77})
 	b.Timer(second, 99)
 	b.Request(second, Request{ID: 1, Class: 5})
@@ -126,7 +126,7 @@
 	done := Outcome{Request: 2, Backend: r.sends[0].to, Over: true, Result: Good}
 	b.Outcome(second, done)
 	b.Outcome(second, done)
-	b.List(second, EndpointsDelta, []Backend{{ID: 50, State: Deleted}, {ID: 51, Zone: 8}, {ID: 52, Kind: -1}})
+	b.UpdateEndpoints(second, EndpointsDelta, []Backend{{ID: 50, State: Deleted}, {ID: 51, Zone: 8}, {ID: 52, Kind: -1}})
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
 		t.Errorf("sends %v, refused %v, failed %v", r.sends, r.rejected, r.failed)
 	}
@@ -141,12 +141,12 @@
 		t.Fatalf("%d calls for the list, want 1", r.watches)
 	}
 	wakes := len(r.wakes)
-	b.List(4*second, EndpointsUnavailable, nil)
+	b.UpdateEndpoints(4*second, EndpointsUnavailable, nil)
 	if r.watches != 1 || len(r.wakes) != wakes+1 || r.wakes[wakes] < watchBackoff/2 {
 		t.Fatalf("after a failure: %d calls, wakes %v", r.watches, r.wakes)
 	}
 	b.Timer(6*second, timerWatch)
-	b.List(6*second, EndpointsFull, backends(2))
+	b.UpdateEndpoints(6*second, EndpointsFull, backends(2))
 	b.Timer(9*second, timerWatch)
 	if r.watches != 2 {
 		t.Errorf("%d calls, want 2: none while the subscription stands", r.watches)
@@ -456,7 +456,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.List(second, EndpointsStored, backends(8))
+	b.UpdateEndpoints(second, EndpointsStored, backends(8))
 	id, now := RequestID(0), 2*second
 	round := func() {
 		id++
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -8,10 +8,10 @@
 // watchBackoff is the pause before a failed call for the endpoint list is repeated; it doubles with each failure.
 const watchBackoff = time.Second
 
-// List applies an update of the endpoint list and solves for new shares. kind tells whether entries are the whole list or
+// UpdateEndpoints applies an update of the endpoint list and solves for new shares. kind tells whether entries are the whole list or
 // the changed ones; with EndpointsUnavailable they are ignored and the earlier list stays. Entries of an unknown zone or kind are
 // ignored.
-func (b *Balancer) List(now time.Duration, kind EndpointsKind, entries []Backend) {
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind EndpointsKind, entries []Backend) {
 	b.now = now
 	if kind == EndpointsUnavailable {
 		b.watching = false
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -34,7 +34,7 @@
 	}
 
 	now := time.Second // any clock that only moves forward
-	b.List(now, decide.EndpointsStored, []decide.Backend{{ID: 7}})
+	b.UpdateEndpoints(now, decide.EndpointsStored, []decide.Backend{{ID: 7}})
 	b.Request(now, decide.Request{ID: 1, Tenant: -1, Deadline: now + time.Second})
 	fmt.Println("sent to backend", p.sentTo)
 
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -87,9 +87,9 @@
 	set.Nodes = 10
 	b, err := New(set, 1, &recorder{})
 	require.NoError(t, err)
-	b.List(second, EndpointsStored, backends(20))
+	b.UpdateEndpoints(second, EndpointsStored, backends(20))
 	b.now, b.arrivalRate, b.sendRate, b.lastSolve = 9*second, 40, 40, 9*second
-	b.List(b.now, EndpointsFull, []Backend{{ID: 101, Started: b.now}, {ID: 102, Started: b.now}})
+	b.UpdateEndpoints(b.now, EndpointsFull, []Backend{{ID: 101, Started: b.now}, {ID: 102, Started: b.now}})
 	for _, s := range b.backends {
 		require.Positive(t, s.slowStartLimit)
 		require.LessOrEqual(t, s.slowStartLimit*10, set.Rules.SlowStartFloor*10*40/20, "as when all 20 were there")
@@ -119,7 +119,7 @@
 			set.Node = i
 			b, err := New(set, uint64(i), &recorder{})
 			require.NoError(t, err)
-			b.List(now, EndpointsStored, list)
+			b.UpdateEndpoints(now, EndpointsStored, list)
 			fleet[i] = b
 		}
 		ejected := map[BackendID]bool{}
@@ -135,7 +135,7 @@
 			cold, warmLoads, users := map[BackendID]float64{}, map[BackendID]float64{}, map[BackendID]int{}
 			warm := slices.ContainsFunc(list, func(e Backend) bool { return e.Started == 0 && !ejected[e.ID] })
 			for _, b := range fleet {
-				b.List(now, EndpointsFull, list)
+				b.UpdateEndpoints(now, EndpointsFull, list)
 				for _, s := range b.backends {
 					if s.ejected = ejected[s.ID]; s.ejected && s.queueIndex >= 0 {
 						b.setShare(s, 0)
@@ -202,13 +202,13 @@
 		set.Node = node
 		b, err := New(set, uint64(node), &recorder{})
 		require.NoError(t, err)
-		b.List(second, EndpointsStored, backends(10))
+		b.UpdateEndpoints(second, EndpointsStored, backends(10))
 		b.now, b.arrivalRate, b.sendRate, b.warmServiceRate = 2*second, 9, 6, 3 // units a second, of each node
 		b.lastSolve = b.now
 		b.solve()
 		cold := backends(10)[4]
 		cold.Started = b.now
-		b.List(b.now, EndpointsDelta, []Backend{cold})
+		b.UpdateEndpoints(b.now, EndpointsDelta, []Backend{cold})
 		s := b.byID[cold.ID]
 		if !b.inSubset(s) {
 			require.Zero(t, s.share)
--- a/decide/picker.go
+++ b/decide/picker.go
@@ -85,8 +85,8 @@
 	return s.share
 }
 
-// Expected is the latency that a backend would have with one more attempt of this node, as learned so far.
-func (b *Balancer) Expected(id BackendID) time.Duration {
+// ExpectedLatency is the latency that a backend would have with one more attempt of this node, as learned so far.
+func (b *Balancer) ExpectedLatency(id BackendID) time.Duration {
 	s := b.byID[id]
 	if s == nil {
 		return 0
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -115,9 +115,9 @@
 	b.actions.Send(q.id, s.ID, abandon)
 }
 
-// Gone handles the departure of a request's client: open attempts are cancelled where the limits permit it, and none is
+// ClientGone handles the departure of a request's client: open attempts are cancelled where the limits permit it, and none is
 // started any more.
-func (b *Balancer) Gone(now time.Duration, id RequestID) {
+func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	b.now = now
 	q := b.requests[id]
 	if q == nil || q.closed {
@@ -132,8 +132,8 @@
 	b.release(q)
 }
 
-// Begun handles the first byte of a streamed response of attempt n, latency after it was sent.
-func (b *Balancer) Begun(now time.Duration, id RequestID, n int, latency time.Duration) {
+// StreamStarted handles the first byte of a streamed response of attempt n, latency after it was sent.
+func (b *Balancer) StreamStarted(now time.Duration, id RequestID, n int, latency time.Duration) {
 	b.now = now
 	q := b.requests[id]
 	if q == nil || n < 0 || n >= len(q.attempts) || !q.attempts[n].open {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -193,7 +193,7 @@
 			}
 		}
 	}
-	w.b.List(w.now, kind, entries)
+	w.b.UpdateEndpoints(w.now, kind, entries)
 }
 
 func (w *world) arrive() {
@@ -284,7 +284,7 @@
 			q := w.requests[w.nextID-1]
 			if q.finalResponses == 0 && !q.over {
 				q.over = true
-				w.b.Gone(w.now, q.ID)
+				w.b.ClientGone(w.now, q.ID)
 			}
 		}
 		w.step(5 * time.Millisecond)
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	b.List(second, EndpointsStored, list)
+	b.UpdateEndpoints(second, EndpointsStored, list)
 	for i := range b.kindModels {
 		p := &b.kindModels[i]
 		p.idleLatency, p.loadCoeff, p.measured = 0.02+0.1*random.Float64(), 0.0001*math.Pow(100, random.Float64()), true
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -128,7 +128,7 @@
 	for _, r := range n.f.backends {
 		n.knownStarts[r.ID] = r.Started
 	}
-	b.List(n.f.now, EndpointsStored, n.f.list())
+	b.UpdateEndpoints(n.f.now, EndpointsStored, n.f.list())
 }
 
 func (n *simulatedNode) Wake(after time.Duration, token uint64) {
@@ -241,7 +241,7 @@
 				f.after(time.Duration(f.rand.Float64()*float64(f.plan.spread)), func() {
 					if n.knownStarts[r.ID] != r.Started {
 						n.knownStarts[r.ID] = r.Started
-						n.b.List(f.now, EndpointsDelta, []Backend{r.Backend})
+						n.b.UpdateEndpoints(f.now, EndpointsDelta, []Backend{r.Backend})
 					}
 				})
 			}
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -22,7 +22,7 @@
 			list = append(list, Backend{ID: id})
 		}
 		b.arrivalRate = minRatePerBackend * float64(k)
-		b.List(second, EndpointsStored, list)
+		b.UpdateEndpoints(second, EndpointsStored, list)
 		b.arrivalRate = minRatePerBackend * float64(k)
 		b.chooseSubset()
 		mine := map[BackendID]bool{}
--- a/internal/fleet/routing/balancer.go
+++ b/internal/fleet/routing/balancer.go
@@ -184,7 +184,7 @@
 		}
 	}
 	b.loads.retain(b.byTag)
-	b.shares.List(now, decide.EndpointsFull, entries)
+	b.shares.UpdateEndpoints(now, decide.EndpointsFull, entries)
 }
 
 // Pick returns an attempt at a backend, nil where none may get the request. Requests with a prefix go by its hash; so do retries,
--- a/internal/fleet/routing/feedback.go
+++ b/internal/fleet/routing/feedback.go
@@ -17,7 +17,7 @@
 // events.
 func (b *Balancer) FirstToken(now time.Duration, attempt *Attempt) {
 	b.sink.now = now
-	b.shares.Begun(now, attempt.requestID, 0, now-attempt.sentAt)
+	b.shares.StreamStarted(now, attempt.requestID, 0, now-attempt.sentAt)
 	if m := b.members[attempt.Backend.ID]; m != nil {
 		m.recordResponse(now)
 	}
--- a/internal/node/dispatch/dispatcher.go
+++ b/internal/node/dispatch/dispatcher.go
@@ -129,7 +129,7 @@
 			}
 			t.done = true // first, so that nothing is sent for it any more
 			t.enqueue(v)
-			d.balancer.Gone(toDuration(now), t.id)
+			d.balancer.ClientGone(toDuration(now), t.id)
 			t.finish()
 		}
 	})
--- a/internal/node/dispatch/hosts.go
+++ b/internal/node/dispatch/hosts.go
@@ -46,7 +46,7 @@
 					"first", unknown[:min(len(unknown), maxLoggedHosts)])
 			})
 		}
-		d.balancer.List(toDuration(now), listKinds[from], entries)
+		d.balancer.UpdateEndpoints(toDuration(now), listKinds[from], entries)
 		for i := range hosts {
 			if hosts[i].Status == Removed {
 				d.removeHost(hosts[i].Name)
--- a/internal/node/dispatch/ticket.go
+++ b/internal/node/dispatch/ticket.go
@@ -187,7 +187,7 @@
 		}
 		t.done = true // first, so that nothing is sent for it any more
 		t.withdrawUnpicked()
-		t.dispatcher.balancer.Gone(toDuration(now), t.id)
+		t.dispatcher.balancer.ClientGone(toDuration(now), t.id)
 		t.finish()
 	})
 }
--- a/lab/holiday/parts.go
+++ b/lab/holiday/parts.go
@@ -99,7 +99,7 @@
 			panic(err) // the settings are these
 		}
 		f.nodes = append(f.nodes, m)
-		m.module.List(f.now, decide.EndpointsFull, list)
+		m.module.UpdateEndpoints(f.now, decide.EndpointsFull, list)
 	}
 	f.arrive()
 	return f
--- a/lab/rivals/rivals.go
+++ b/lab/rivals/rivals.go
@@ -23,10 +23,10 @@
 
 // Policy decides at one node. A [decide.Balancer] is one. Times are those of the node's clock.
 type Policy interface {
-	List(now time.Duration, kind decide.EndpointsKind, entries []decide.Backend)
+	UpdateEndpoints(now time.Duration, kind decide.EndpointsKind, entries []decide.Backend)
 	Request(now time.Duration, r decide.Request)
 	Outcome(now time.Duration, o decide.Outcome)
-	Gone(now time.Duration, id decide.RequestID)
+	ClientGone(now time.Duration, id decide.RequestID)
 	Timer(now time.Duration, token uint64)
 	Probed(now time.Duration, o decide.Outcome)
 }
--- a/lab/rivals/rivals_test.go
+++ b/lab/rivals/rivals_test.go
@@ -47,7 +47,7 @@
 	for i, w := range weights {
 		list = append(list, decide.Backend{ID: decide.BackendID(i + 1), Weight: w})
 	}
-	p.List(start, decide.EndpointsFull, list)
+	p.UpdateEndpoints(start, decide.EndpointsFull, list)
 	return p.(*shell), a
 }
 
@@ -176,7 +176,7 @@
 
 func keepsRules(t *rapid.T, how func(*shell) picker) {
 	p, a := proxy(how, Usual, 1, 2, 1, 3)
-	p.List(start, decide.EndpointsDelta, []decide.Backend{{ID: 2, Weight: 2, State: decide.Draining}, {ID: 4,
+	p.UpdateEndpoints(start, decide.EndpointsDelta, []decide.Backend{{ID: 2, Weight: 2, State: decide.Draining}, {ID: 4,
 		Weight: 3, Started: start}})
 	type open struct {
 		id      decide.RequestID
@@ -239,7 +239,7 @@
 		ask(p, now, decide.RequestID(i+1), 0)
 		finish(p, now, decide.RequestID(i+1), 0, a.sent[len(a.sent)-1], decide.Good)
 	}
-	p.List(now, decide.EndpointsDelta, []decide.Backend{{ID: 4, Weight: 1, Started: now}})
+	p.UpdateEndpoints(now, decide.EndpointsDelta, []decide.Backend{{ID: 4, Weight: 1, Started: now}})
 	a.sent = a.sent[:0]
 	for i := range 300 { // three seconds at 100 a second: 0.15 to 0.2 of a quarter of them
 		now += 10 * time.Millisecond
--- a/lab/rivals/shell.go
+++ b/lab/rivals/shell.go
@@ -127,8 +127,8 @@
 	return s, nil
 }
 
-// List takes news of the raters.
-func (s *shell) List(now time.Duration, kind decide.EndpointsKind, entries []decide.Backend) {
+// UpdateEndpoints takes news of the raters.
+func (s *shell) UpdateEndpoints(now time.Duration, kind decide.EndpointsKind, entries []decide.Backend) {
 	s.now = now
 	if kind == decide.EndpointsUnavailable {
 		return
@@ -402,8 +402,8 @@
 	s.drop(c)
 }
 
-// Gone takes the news that a client has left.
-func (s *shell) Gone(now time.Duration, id decide.RequestID) {
+// ClientGone takes the news that a client has left.
+func (s *shell) ClientGone(now time.Duration, id decide.RequestID) {
 	s.now = now
 	c := s.calls[id]
 	if c == nil || c.closed {
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -120,7 +120,7 @@
 		entries = append(entries, g.entry(e))
 	}
 	begun := n.begin()
-	n.policy.List(clock(g.now), how, entries)
+	n.policy.UpdateEndpoints(clock(g.now), how, entries)
 	n.end(begun)
 }
 
@@ -186,7 +186,7 @@
 	c.over = true // first, so that nothing is sent for it any more
 	n.open--
 	begun := n.begin()
-	n.policy.Gone(clock(n.engine.now), id(at, c.gen))
+	n.policy.ClientGone(clock(n.engine.now), id(at, c.gen))
 	n.end(begun)
 	n.forget(at, c)
 }
