--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -86,11 +86,11 @@
 func (b *Balancer) startTimers() {
 	b.started = true
 	b.lastSolve = b.now
-	b.actions.Wake(b.scaled(b.random.Float64(), solveInterval), timerSolve)
+	b.actions.SetTimer(b.scaled(b.random.Float64(), solveInterval), timerSolve)
 	b.sweepInterval = max(seconds(b.latencyTarget/sweepsPerTarget), minSweepInterval)
-	b.actions.Wake(b.sweepInterval, timerSweep)
+	b.actions.SetTimer(b.sweepInterval, timerSweep)
 	if b.settings.WatchEndpoints {
-		b.actions.Wake(time.Duration(b.random.Float64()*float64(b.settings.FetchSpread())), timerWatch)
+		b.actions.SetTimer(time.Duration(b.random.Float64()*float64(b.settings.FetchSpread())), timerWatch)
 	}
 }
 
@@ -108,13 +108,13 @@
 	switch token {
 	case timerSolve:
 		b.solve()
-		b.actions.Wake(b.scaled(0.9+0.2*b.random.Float64(), solveInterval), timerSolve)
+		b.actions.SetTimer(b.scaled(0.9+0.2*b.random.Float64(), solveInterval), timerSolve)
 	case timerSweep:
 		b.sweepOverdue()
 		if b.newOverdue > overdueSolveRatio*b.newResponses+overdueSolveRatio*20 { // work piles up: the next solve would come too late
 			b.solve()
 		}
-		b.actions.Wake(b.sweepInterval, timerSweep)
+		b.actions.SetTimer(b.sweepInterval, timerSweep)
 	case timerWatch:
 		if !b.watching {
 			b.actions.Watch()
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -42,13 +42,13 @@
 func (r *recorder) Send(id RequestID, to BackendID, _ time.Duration) {
 	r.sends = append(r.sends, send{id, to})
 }
-func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.rejected = append(r.rejected, id) }
-func (r *recorder) Fail(id RequestID)                    { r.failed = append(r.failed, id) }
-func (r *recorder) Cancel(RequestID, int)                {}
-func (r *recorder) Probe(BackendID)                      {}
-func (r *recorder) Wake(after time.Duration, _ uint64)   { r.wakes = append(r.wakes, after) }
-func (r *recorder) Watch()                               { r.watches++ }
-func (r *recorder) Log(line string)                      { r.logs = append(r.logs, line) }
+func (r *recorder) Reject(id RequestID, _ time.Duration)   { r.rejected = append(r.rejected, id) }
+func (r *recorder) Fail(id RequestID)                      { r.failed = append(r.failed, id) }
+func (r *recorder) Cancel(RequestID, int)                  {}
+func (r *recorder) Probe(BackendID)                        {}
+func (r *recorder) SetTimer(after time.Duration, _ uint64) { r.wakes = append(r.wakes, after) }
+func (r *recorder) Watch()                                 { r.watches++ }
+func (r *recorder) Log(line string)                        { r.logs = append(r.logs, line) }
 
 func start(t *testing.T, set Settings, list ...Backend) (*Balancer, *recorder) {
 	t.Helper()
@@ -479,11 +479,11 @@
 type noActions struct{}
 
 func (noActions) Send(RequestID, BackendID, time.Duration) {}
-func (noActions) Refuse(RequestID, time.Duration)          {}
+func (noActions) Reject(RequestID, time.Duration)          {}
 func (noActions) Fail(RequestID)                           {}
 func (noActions) Cancel(RequestID, int)                    {}
 func (noActions) Probe(BackendID)                          {}
-func (noActions) Wake(time.Duration, uint64)               {}
+func (noActions) SetTimer(time.Duration, uint64)           {}
 func (noActions) Watch()                                   {}
 func (noActions) Log(string)                               {}
 
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -94,5 +94,5 @@
 func (b *Balancer) retryWatch() {
 	wait := min(watchBackoff<<min(b.watchFailures, 10), max(b.settings.Rules.FetchWithin/2, watchBackoff))
 	b.watchFailures++
-	b.actions.Wake(time.Duration((0.5+b.random.Float64())*float64(wait)), timerWatch)
+	b.actions.SetTimer(time.Duration((0.5+b.random.Float64())*float64(wait)), timerWatch)
 }
--- a/decide/events.go
+++ b/decide/events.go
@@ -106,16 +106,16 @@
 type Actions interface {
 	// Send starts an attempt that the host gives up at the time abandon.
 	Send(id RequestID, to BackendID, abandon time.Duration)
-	// Refuse rejects a request: its client may retry it safely, after wait if above 0.
-	Refuse(id RequestID, wait time.Duration)
+	// Reject rejects a request: its client may retry it safely, after wait if above 0.
+	Reject(id RequestID, wait time.Duration)
 	// Fail ends a request as failed: it may have run.
 	Fail(id RequestID)
 	// Cancel cancels an attempt, whose Outcome is still wanted.
 	Cancel(id RequestID, attempt int)
 	// Probe asks for a health check of a backend.
 	Probe(to BackendID)
-	// Wake asks for a Timer event with this token after a time.
-	Wake(after time.Duration, token uint64)
+	// SetTimer asks for a Timer event with this token after a time.
+	SetTimer(after time.Duration, token uint64)
 	// Watch subscribes to the endpoint list.
 	Watch()
 	// Log adds a line to the node's log.
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -11,11 +11,11 @@
 type proxy struct{ sentTo decide.BackendID }
 
 func (p *proxy) Send(_ decide.RequestID, to decide.BackendID, _ time.Duration) { p.sentTo = to }
-func (p *proxy) Refuse(decide.RequestID, time.Duration)                        {}
+func (p *proxy) Reject(decide.RequestID, time.Duration)                        {}
 func (p *proxy) Fail(decide.RequestID)                                         {}
 func (p *proxy) Cancel(decide.RequestID, int)                                  {}
 func (p *proxy) Probe(decide.BackendID)                                        {}
-func (p *proxy) Wake(time.Duration, uint64)                                    {}
+func (p *proxy) SetTimer(time.Duration, uint64)                                {}
 func (p *proxy) Watch()                                                        {}
 func (p *proxy) Log(string)                                                    {}
 
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -86,7 +86,7 @@
 	q.closed = true
 	c := &b.classes[q.class]
 	if !q.rejected && (c.Effect == Safe || !q.mayHaveRun || c.Effect == Keyed && c.Group == GroupAll) {
-		b.actions.Refuse(q.id, 0) // a client asked to wait would retry after its latency target
+		b.actions.Reject(q.id, 0) // a client asked to wait would retry after its latency target
 	} else {
 		b.actions.Fail(q.id)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -136,7 +136,7 @@
 	return q
 }
 
-func (w *world) Refuse(id RequestID, _ time.Duration) {
+func (w *world) Reject(id RequestID, _ time.Duration) {
 	w.record("refuse %d", id)
 	q := w.final(id)
 	c := w.set.Classes[q.Class]
@@ -165,7 +165,7 @@
 func (w *world) Watch()             { w.record("watch") }
 func (w *world) Log(line string)    { w.record("log %s", line) }
 
-func (w *world) Wake(after time.Duration, token uint64) {
+func (w *world) SetTimer(after time.Duration, token uint64) {
 	w.wakes = append(w.wakes, wake{w.now + after, token})
 }
 
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -131,7 +131,7 @@
 	b.UpdateEndpoints(n.f.now, EndpointsStored, n.f.list())
 }
 
-func (n *simulatedNode) Wake(after time.Duration, token uint64) {
+func (n *simulatedNode) SetTimer(after time.Duration, token uint64) {
 	life := n.incarnation
 	n.f.after(after, func() {
 		if n.incarnation == life {
@@ -139,7 +139,7 @@
 		}
 	})
 }
-func (n *simulatedNode) Refuse(id RequestID, _ time.Duration) { n.open[id].done = true }
+func (n *simulatedNode) Reject(id RequestID, _ time.Duration) { n.open[id].done = true }
 func (n *simulatedNode) Fail(id RequestID)                    { n.open[id].done = true }
 func (n *simulatedNode) Probe(BackendID)                      {}
 func (n *simulatedNode) Watch()                               {}
--- a/internal/codec/simline/reply.go
+++ b/internal/codec/simline/reply.go
@@ -72,8 +72,8 @@
 	r.close()
 }
 
-// Refuse writes DECLINE.
-func (r *Reply) Refuse(id decide.RequestID, wait time.Duration) {
+// Reject writes DECLINE.
+func (r *Reply) Reject(id decide.RequestID, wait time.Duration) {
 	r.open("DECLINE")
 	r.id(id)
 	r.seconds(wait)
@@ -102,8 +102,8 @@
 	r.close()
 }
 
-// Wake writes ARM.
-func (r *Reply) Wake(after time.Duration, token uint64) {
+// SetTimer writes ARM.
+func (r *Reply) SetTimer(after time.Duration, token uint64) {
 	r.open("ARM")
 	r.seconds(after)
 	r.uint(token)
--- a/internal/fleet/routing/balancer.go
+++ b/internal/fleet/routing/balancer.go
@@ -105,15 +105,15 @@
 
 // The other decisions do not arise or are the proxy's to make.
 
-func (d *decisionSink) Refuse(decide.RequestID, time.Duration) {}
+func (d *decisionSink) Reject(decide.RequestID, time.Duration) {}
 func (d *decisionSink) Fail(decide.RequestID)                  {}
 func (d *decisionSink) Cancel(decide.RequestID, int)           {}
 func (d *decisionSink) Probe(decide.BackendID)                 {}
 func (d *decisionSink) Watch()                                 {}
 func (d *decisionSink) Log(string)                             {}
 
-// Wake sets a timer of decide.
-func (d *decisionSink) Wake(after time.Duration, token uint64) {
+// SetTimer sets a timer of decide.
+func (d *decisionSink) SetTimer(after time.Duration, token uint64) {
 	d.balancer.timers = append(d.balancer.timers, timer{d.now + after, token})
 }
 
--- a/internal/node/dispatch/actions.go
+++ b/internal/node/dispatch/actions.go
@@ -38,8 +38,8 @@
 		Speaks: h.Protocol, Until: toMillis(abandon)})
 }
 
-// Refuse queues a rejection.
-func (a actions) Refuse(id decide.RequestID, wait time.Duration) {
+// Reject queues a rejection.
+func (a actions) Reject(id decide.RequestID, wait time.Duration) {
 	a.finish(id, Action{Kind: Reject, Wait: toMillis(wait)})
 }
 
@@ -70,8 +70,8 @@
 	a.dispatcher.logLater(func() { a.dispatcher.log.Error("the module asked for a probe: this node makes none") })
 }
 
-// Wake sets a timer.
-func (a actions) Wake(after time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (a actions) SetTimer(after time.Duration, token uint64) {
 	d := a.dispatcher
 	due := d.clock.Now() + toMillis(after)
 	if len(d.timers) == 0 || due < d.timers[0].due {
--- a/lab/holiday/parts.go
+++ b/lab/holiday/parts.go
@@ -152,8 +152,8 @@
 	})
 }
 
-// Refuse and the rest carry out what has no part in this.
-func (m *member) Refuse(id decide.RequestID, _ time.Duration) { delete(m.out, id) }
+// Reject and the rest carry out what has no part in this.
+func (m *member) Reject(id decide.RequestID, _ time.Duration) { delete(m.out, id) }
 
 // Fail ends a request.
 func (m *member) Fail(id decide.RequestID) { delete(m.out, id) }
@@ -170,8 +170,8 @@
 // Log is not kept.
 func (m *member) Log(string) {}
 
-// Wake sets a timer.
-func (m *member) Wake(after time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (m *member) SetTimer(after time.Duration, token uint64) {
 	m.f.after(after, func() { m.module.Timer(m.f.now, token) })
 }
 
--- a/lab/rivals/rivals_test.go
+++ b/lab/rivals/rivals_test.go
@@ -22,11 +22,11 @@
 func (a *stage) Send(_ decide.RequestID, to decide.BackendID, _ time.Duration) {
 	a.sent = append(a.sent, to)
 }
-func (a *stage) Refuse(decide.RequestID, time.Duration) { a.refused++ }
+func (a *stage) Reject(decide.RequestID, time.Duration) { a.refused++ }
 func (a *stage) Fail(decide.RequestID)                  { a.failed++ }
 func (a *stage) Cancel(decide.RequestID, int)           {}
 func (a *stage) Probe(to decide.BackendID)              { a.probes = append(a.probes, to) }
-func (a *stage) Wake(time.Duration, uint64)             {}
+func (a *stage) SetTimer(time.Duration, uint64)         {}
 func (a *stage) Watch()                                 {}
 func (a *stage) Log(string)                             {}
 
--- a/lab/rivals/shell.go
+++ b/lab/rivals/shell.go
@@ -395,7 +395,7 @@
 	c.closed = true
 	k := &s.set.Classes[c.Class]
 	if !c.ran || k.Effect == decide.Safe || k.Effect == decide.Keyed && k.Group == decide.GroupAll {
-		s.act.Refuse(c.ID, 0)
+		s.act.Reject(c.ID, 0)
 	} else {
 		s.act.Fail(c.ID)
 	}
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -297,8 +297,8 @@
 	c.relays[place].at = g.try(at, c, n, rater, place, abandonAt)
 }
 
-// Refuse gives a back-off answer.
-func (n *node) Refuse(r decide.RequestID, wait time.Duration) {
+// Reject gives a back-off answer.
+func (n *node) Reject(r decide.RequestID, wait time.Duration) {
 	n.final(r, world.Refused, 503, float64(wait)/1e6, "refuses")
 }
 
@@ -350,8 +350,8 @@
 	g.probe(n, rater)
 }
 
-// Wake sets a timer.
-func (n *node) Wake(after time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (n *node) SetTimer(after time.Duration, token uint64) {
 	at := n.engine.now + float64(after)/1e6
 	if !(at < math.MaxInt32) {
 		return
