--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -80,7 +80,7 @@
 		}
 		for id := range RequestID(30) {
 			b.Request(2*second, Request{ID: id, Tenant: -1, Deadline: 3 * second})
-			b.Outcome(2*second, Outcome{Request: id, Over: true, Latency: second / 100, Result: Good})
+			b.Outcome(2*second, Outcome{Request: id, Over: true, Latency: second / 100, Result: Succeeded})
 		}
 		if len(r.sends) != 30 {
 			t.Fatalf("kind %d: %d of 30 requests sent", kind, len(r.sends))
@@ -115,7 +115,7 @@
 
 func TestUnknownAndRepeatedEventsAreIgnored(t *testing.T) {
 	b, r := start(t, testSettings(), backends(2)...)
-	b.Outcome(second, Outcome{Request: 9, Backend: 1, Result: Good})
+	b.Outcome(second, Outcome{Request: 9, Backend: 1, Result: Succeeded})
 	b.ClientGone(second, 9)
 	b.StreamStarted(second, 9, 0, 0)
 	b.Probed(second, Outcome{Backend: 77})
@@ -123,7 +123,7 @@
 	b.Request(second, Request{ID: 1, Class: 5})
 	b.Request(second, Request{ID: 2, Tenant: 40, Deadline: 2 * second})
 	b.Request(second, Request{ID: 2, Deadline: 2 * second})
-	done := Outcome{Request: 2, Backend: r.sends[0].to, Over: true, Result: Good}
+	done := Outcome{Request: 2, Backend: r.sends[0].to, Over: true, Result: Succeeded}
 	b.Outcome(second, done)
 	b.Outcome(second, done)
 	b.UpdateEndpoints(second, EndpointsDelta, []Backend{{ID: 50, State: Deleted}, {ID: 51, Zone: 8}, {ID: 52, Kind: -1}})
@@ -171,7 +171,7 @@
 		for _, s := range r.sends[before:] {
 			count[s.to]++
 			l, result := latency(s.to)
-			ends = append(ends, end{now + l, Outcome{Request: s.id, Backend: s.to, Over: result == Good,
+			ends = append(ends, end{now + l, Outcome{Request: s.id, Backend: s.to, Over: result == Succeeded,
 				Latency: l, Result: result}})
 		}
 		rest := ends[:0]
@@ -185,7 +185,7 @@
 			for n, s := range r.sends[before:] {
 				l, result := latency(s.to)
 				rest = append(rest, end{now + l, Outcome{Request: s.id, Backend: s.to, Attempt: e.o.Attempt + 1 + n,
-					Over: result == Good, Latency: l, Result: result}})
+					Over: result == Succeeded, Latency: l, Result: result}})
 			}
 		}
 		ends = rest
@@ -202,9 +202,9 @@
 	b, r := start(t, testSettings(), backends(6)...)
 	count := serve(b, r, second, 20*second, 5*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 		if to == 3 {
-			return 200 * time.Millisecond, Good
+			return 200 * time.Millisecond, Succeeded
 		}
-		return 40 * time.Millisecond, Good
+		return 40 * time.Millisecond, Succeeded
 	})
 	if count[3] == 0 || count[3]*2 > count[1] {
 		t.Errorf("slow backend got %d, another %d", count[3], count[1])
@@ -218,7 +218,7 @@
 			if bad && to == 2 {
 				return 2 * time.Millisecond, Failed
 			}
-			return 40 * time.Millisecond, Good
+			return 40 * time.Millisecond, Succeeded
 		}
 	}
 	during := serve(b, r, second, 10*second, 5*time.Millisecond, failing(true))
@@ -239,7 +239,7 @@
 		if n++; n%20 == 0 || to == 2 && n%3 == 0 {
 			return 40 * time.Millisecond, Failed
 		}
-		return 40 * time.Millisecond, Good
+		return 40 * time.Millisecond, Succeeded
 	})
 	for id := BackendID(1); id <= 6; id++ {
 		if bad := id == 2; bad != (count[id] < 400) {
@@ -251,7 +251,7 @@
 // A backend that fails one attempt in six still adds capacity under load (seen: the largest backend ejected from an overloaded
 // fleet), and lost responses must not count as slowness (seen on a day of connection resets).
 func TestPartlyFailingBackendIsPenalizedNotEjected(t *testing.T) {
-	for _, result := range []Result{Failed, Late} {
+	for _, result := range []Result{Failed, TimedOut} {
 		b, r := start(t, testSettings(), backends(4)...)
 		n, away := 0, 0
 		chance := rand.New(rand.NewPCG(7, 7))
@@ -263,12 +263,12 @@
 			n++
 			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // the fleet is under load
 			if to == 2 && chance.IntN(6) == 0 {
-				if result == Late {
-					return second / 2, Late
+				if result == TimedOut {
+					return second / 2, TimedOut
 				}
 				return took, Failed
 			}
-			return took, Good
+			return took, Succeeded
 		})
 		s := b.byID[2]
 		if away > 0 || s.slowdown > 1.3 || b.failureRisk(s) < 0.05 || b.failureRisk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
@@ -312,11 +312,11 @@
 			if s.to == 3 {
 				sent[class]++
 			}
-			o := Outcome{Request: s.id, Backend: s.to, Attempt: n, Result: Good, Over: true}
+			o := Outcome{Request: s.id, Backend: s.to, Attempt: n, Result: Succeeded, Over: true}
 			out := b.byID[s.to].inFlight // it is attractive: more in flight makes the others slower
 			l := time.Duration(float64(40*time.Millisecond) * (1 + float64(out*out)/20))
 			if s.to == 3 && class == 1 {
-				o.Result, o.Over, l = Late, b.requests[s.id].closed, second/2
+				o.Result, o.Over, l = TimedOut, b.requests[s.id].closed, second/2
 				late++
 			}
 			o.Latency = l
@@ -334,7 +334,7 @@
 	b, r := start(t, testSettings(), backends(4)...)
 	for id := range RequestID(8) {
 		b.Request(second, Request{ID: id, Class: 1, Tenant: -1, Deadline: 2 * second})
-		b.Outcome(second, Outcome{Request: id, Backend: r.sends[id].to, Result: Rejected})
+		b.Outcome(second, Outcome{Request: id, Backend: r.sends[id].to, Result: InvalidRequest})
 	}
 	if len(r.sends) != 8 || len(r.failed) != 8 {
 		t.Errorf("%d sends and %d failures of 8 requests", len(r.sends), len(r.failed))
@@ -354,7 +354,7 @@
 		b.Request(2*second, Request{ID: id, Tenant: -1, Deadline: 3 * second})
 	}
 	for _, s := range r.sends {
-		b.Outcome(3*second, Outcome{Request: s.id, Backend: 1, Latency: second, Result: Late})
+		b.Outcome(3*second, Outcome{Request: s.id, Backend: 1, Latency: second, Result: TimedOut})
 	}
 	if s := b.byID[1]; s.consecutiveTimeouts != 1 || s.ejected {
 		t.Errorf("silent %d, away %v after one backlog of %d", s.consecutiveTimeouts, s.ejected, len(r.sends))
@@ -373,7 +373,7 @@
 		}
 	}
 	count := serve(b, r, 5*second, 60*second, 10*time.Millisecond, func(BackendID) (time.Duration, Result) {
-		return 20 * time.Millisecond, Good
+		return 20 * time.Millisecond, Succeeded
 	})
 	for id := BackendID(1); id <= 3; id++ {
 		if count[id] < 100 {
@@ -391,7 +391,7 @@
 		set.Nodes, set.Node = nodes, node
 		b, r := start(t, set, backends(fleet)...)
 		serve(b, r, second, 3*second, 50*time.Millisecond, func(BackendID) (time.Duration, Result) {
-			return 20 * time.Millisecond, Good
+			return 20 * time.Millisecond, Succeeded
 		})
 		for _, s := range b.backends {
 			if s.share > 0 {
@@ -435,7 +435,7 @@
 func TestAdmissionFollowsInFlight(t *testing.T) {
 	b, r := start(t, testSettings(), backends(4)...)
 	serve(b, r, second, 10*second, 5*time.Millisecond, func(BackendID) (time.Duration, Result) {
-		return 40 * time.Millisecond, Good
+		return 40 * time.Millisecond, Succeeded
 	})
 	from, sent := RequestID(1e12), len(r.sends)
 	first := flood(b, r, 12*second, from)
@@ -443,7 +443,7 @@
 		t.Errorf("%d taken before one is refused", first)
 	}
 	for _, s := range r.sends[sent:] {
-		b.Outcome(13*second, Outcome{Request: s.id, Backend: s.to, Over: true, Latency: second / 20, Result: Good})
+		b.Outcome(13*second, Outcome{Request: s.id, Backend: s.to, Over: true, Latency: second / 20, Result: Succeeded})
 	}
 	b.Timer(13*second, timerSolve)
 	if again := flood(b, r, 13*second, 2*from); again < first/3 {
@@ -464,7 +464,7 @@
 		b.Request(now, Request{ID: id, Tenant: -1, Deadline: now + second})
 		to := b.requests[id].attempts[0].backend.ID
 		b.Outcome(now+time.Millisecond, Outcome{Request: id, Backend: to, Over: true,
-			Latency: time.Millisecond, Result: Good})
+			Latency: time.Millisecond, Result: Succeeded})
 		b.Timer(now, timerSweep)
 	}
 	for range 2000 {
--- a/decide/events.go
+++ b/decide/events.go
@@ -16,7 +16,7 @@
 	ReportOther     ReportField = iota // a value that is not used
 	ReportInFlight                     // requests in flight
 	ReportQueue                        // requests queued
-	ReportBusy                         // fraction of the processor in use
+	ReportCPU                          // fraction of the processor in use
 	ReportLatency                      // recent service time, milliseconds
 	ReportServed                       // requests served per second
 	ReportErrors                       // errors per second
@@ -70,19 +70,19 @@
 
 // The results.
 const (
-	Good      Result = iota // success
-	Failed                  // error response; may have run
-	Full                    // rejected for overload; never ran
-	Late                    // no response in time; may have run
-	NoConnect               // no connection; never ran
-	Reset                   // the connection broke; may have run
-	Cancelled               // cancelled; may have run
-	NotSent                 // never sent
-	Rejected                // the backend finds fault with the request itself; may have run
+	Succeeded      Result = iota // success
+	Failed                       // error response; may have run
+	Overloaded                   // rejected for overload; never ran
+	TimedOut                     // no response in time; may have run
+	ConnectFailed                // no connection; never ran
+	Reset                        // the connection broke; may have run
+	Cancelled                    // cancelled; may have run
+	NotSent                      // never sent
+	InvalidRequest               // the backend finds fault with the request itself; may have run
 )
 
 // MayHaveRun tells whether an attempt with this result may have been executed.
-func (r Result) MayHaveRun() bool { return r != Full && r != NoConnect && r != NotSent }
+func (r Result) MayHaveRun() bool { return r != Overloaded && r != ConnectFailed && r != NotSent }
 
 // Load is a load report. A value is valid where its bit in Has is set.
 type Load struct {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -40,6 +40,6 @@
 
 	now += 30 * time.Millisecond
 	b.Outcome(now, decide.Outcome{Request: 1, Backend: 7, Over: true,
-		Latency: 30 * time.Millisecond, Result: decide.Good})
+		Latency: 30 * time.Millisecond, Result: decide.Succeeded})
 	// Output: sent to backend 7
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -237,7 +237,7 @@
 			for i := range rate {
 				now += step
 				for len(open) > 0 && time.Duration(open[0])*step+second+latency <= now {
-					b.Outcome(now, Outcome{Request: open[0], Over: true, Latency: latency, Result: Good})
+					b.Outcome(now, Outcome{Request: open[0], Over: true, Latency: latency, Result: Succeeded})
 					open = open[1:]
 				}
 				if now >= solve {
--- a/decide/health.go
+++ b/decide/health.go
@@ -46,24 +46,24 @@
 	case NotSent, Cancelled:
 		s.inTrial = false
 		return
-	case Rejected: // the backend is up and answers; what it was sent is of no use to any other one
+	case InvalidRequest: // the backend is up and answers; what it was sent is of no use to any other one
 		q.rejected = true
 		s.ejections, s.consecutiveFailures, s.ejected, s.inTrial = 0, 0, false, false
 		return
-	case Failed, Reset, NoConnect, Full: // a single failure may happen at any backend
-		if s.consecutiveFailures++; o.Result != Full {
+	case Failed, Reset, ConnectFailed, Overloaded: // a single failure may happen at any backend
+		if s.consecutiveFailures++; o.Result != Overloaded {
 			s.failures++
 			b.failures++
 		}
 		if !s.ejected && !b.isFaulty(s) {
 			return
 		}
-	case Late:
+	case TimedOut:
 		if unresponsive := b.recordTimeout(q, a, o.Latency); !s.ejected && !unresponsive {
 			return
 		}
 	}
-	if o.Result != Full && o.Result != Failed && s.Zone != b.settings.Zone {
+	if o.Result != Overloaded && o.Result != Failed && s.Zone != b.settings.Zone {
 		b.recordZoneFailure(s.Zone)
 	}
 	b.eject(s)
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -163,7 +163,7 @@
 	if o.Result.MayHaveRun() {
 		q.mayHaveRun, a.mayHaveRun = true, true
 	}
-	if o.Result == Good {
+	if o.Result == Succeeded {
 		if !q.streamStarted {
 			b.recordResponse(q, a, o.Latency)
 		}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -89,12 +89,12 @@
 	}
 	w.checkRetry(q, d)
 	q.attempts = append(q.attempts, sentAttempt{to: d, at: w.now})
-	result, after := Good, time.Duration(w.rand.ExpFloat64()*float64(80*time.Millisecond))
+	result, after := Succeeded, time.Duration(w.rand.ExpFloat64()*float64(80*time.Millisecond))
 	if w.rand.Float64() < w.faulty {
-		result = []Result{Failed, Full, Late, NoConnect, Reset}[w.rand.IntN(5)]
+		result = []Result{Failed, Overloaded, TimedOut, ConnectFailed, Reset}[w.rand.IntN(5)]
 	}
-	if at := w.now + after; result == Late || at > abandon {
-		result, after = Late, max(abandon-w.now, 0)
+	if at := w.now + after; result == TimedOut || at > abandon {
+		result, after = TimedOut, max(abandon-w.now, 0)
 	}
 	w.ends = append(w.ends, ending{w.now + after, id, len(q.attempts) - 1, result})
 }
@@ -214,7 +214,7 @@
 		q := w.requests[e.id]
 		a := &q.attempts[e.attempt]
 		a.done, a.mayHaveRun = true, e.result.MayHaveRun()
-		if e.result == Good {
+		if e.result == Succeeded {
 			q.over = true
 		}
 		w.b.Outcome(w.now, Outcome{Request: e.id, Backend: a.to.ID, Attempt: e.attempt,
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -157,7 +157,7 @@
 				id++
 				now += time.Microsecond
 				l.Request(now, Request{ID: id, Tenant: -1, Deadline: now + second})
-				l.Outcome(now, Outcome{Request: id, Over: true, Latency: second / 50, Result: Good})
+				l.Outcome(now, Outcome{Request: id, Over: true, Latency: second / 50, Result: Succeeded})
 			}
 		})
 	}
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -155,7 +155,7 @@
 			return
 		}
 		q.attempts[i] = true
-		q.done = q.done || how == Good
+		q.done = q.done || how == Succeeded
 		n.b.Outcome(n.f.now, Outcome{Request: id, Backend: to, Attempt: i, Over: q.done, Latency: n.f.now - sent, Result: how})
 	})
 }
@@ -166,7 +166,7 @@
 	q.attempts = append(q.attempts, false)
 	r := f.byID[to]
 	if r.down {
-		n.end(id, i, to, time.Millisecond, NoConnect)
+		n.end(id, i, to, time.Millisecond, ConnectFailed)
 		return
 	}
 	r.recordSend(f, receivedAttempt{f.now, n.knownStarts[to] == r.Started, i > 0})
@@ -174,18 +174,18 @@
 	r.backlog = max(0, r.backlog-able*(f.now-r.at).Seconds())
 	r.at = f.now
 	if r.backlog > 1.5*able {
-		n.end(id, i, to, time.Millisecond, Full)
+		n.end(id, i, to, time.Millisecond, Overloaded)
 		return
 	}
 	r.backlog++
 	took := seconds(0.06 + 0.06*f.rand.ExpFloat64() + r.backlog/able)
 	switch luck := f.rand.Float64(); {
 	case r.hang || luck < 0.005 || f.now+took > abandon:
-		n.end(id, i, to, abandon-f.now, Late)
+		n.end(id, i, to, abandon-f.now, TimedOut)
 	case luck < 0.05 || r.bad && luck < 0.7:
 		n.end(id, i, to, took/2, Failed)
 	default:
-		n.end(id, i, to, took, Good)
+		n.end(id, i, to, took, Succeeded)
 	}
 }
 
--- a/internal/codec/simline/settings.go
+++ b/internal/codec/simline/settings.go
@@ -86,7 +86,7 @@
 		"live": decide.WeightLive,
 	}
 	columns = map[string]decide.ReportField{
-		"concurrent": decide.ReportInFlight, "depth": decide.ReportQueue, "load_share": decide.ReportBusy,
+		"concurrent": decide.ReportInFlight, "depth": decide.ReportQueue, "load_share": decide.ReportCPU,
 		"mean_ms": decide.ReportLatency, "tps": decide.ReportServed, "err_ps": decide.ReportErrors,
 	}
 	discoveries = map[string]bool{"ask": true, "push": false}
--- a/internal/codec/simline/wire.go
+++ b/internal/codec/simline/wire.go
@@ -218,8 +218,8 @@
 }
 
 var results = map[string]decide.Result{
-	"GOOD": decide.Good, "BAD": decide.Failed, "FULL": decide.Full, "LATE": decide.Late,
-	"NOCONN": decide.NoConnect, "RST": decide.Reset, "CXL": decide.Cancelled, "NOP": decide.NotSent,
+	"GOOD": decide.Succeeded, "BAD": decide.Failed, "FULL": decide.Overloaded, "LATE": decide.TimedOut,
+	"NOCONN": decide.ConnectFailed, "RST": decide.Reset, "CXL": decide.Cancelled, "NOP": decide.NotSent,
 }
 
 func (f *Fields) result(field string) decide.Result {
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -97,7 +97,7 @@
 	defer response.Close()
 	e.attempts++
 	if response.NotExecuted() {
-		e.reportDone(attempt, decide.Full, response.Load)
+		e.reportDone(attempt, decide.Overloaded, response.Load)
 		if response.Status == http.StatusMisdirectedRequest {
 			return attemptRetryable, errkind.New(errkind.Rejected, "another backend has the address")
 		}
@@ -133,7 +133,7 @@
 		e.reportDone(attempt, decide.Cancelled, routing.Load{})
 		return attemptFailed, errkind.New(errkind.BackendLost, "")
 	case ctx.Err() != nil:
-		e.reportDone(attempt, decide.Late, routing.Load{})
+		e.reportDone(attempt, decide.TimedOut, routing.Load{})
 		return attemptFailed, errkind.New(errkind.DeadlineExceededInFlight, "")
 	case outcome == backend.Malformed:
 		e.reportDone(attempt, decide.Failed, routing.Load{})
@@ -145,7 +145,7 @@
 
 // handleNotSent decides what follows an attempt to which no byte was sent.
 func (e *exchange) handleNotSent(ctx context.Context, attempt *routing.Attempt) (attemptResult, *errkind.Error) {
-	result := decide.NoConnect
+	result := decide.ConnectFailed
 	if ctx.Err() != nil {
 		result = decide.NotSent
 	}
--- a/internal/fleet/proxy/stream.go
+++ b/internal/fleet/proxy/stream.go
@@ -72,7 +72,7 @@
 		e.handler.Metrics.CountForwarded(response.Status)
 		return attemptDone, nil
 	case err == nil:
-		e.reportDone(attempt, decide.Good, response.Load)
+		e.reportDone(attempt, decide.Succeeded, response.Load)
 		e.handler.Metrics.CountForwarded(response.Status)
 		return attemptDone, nil
 	case errors.As(err, &clientFailed) || e.clientDisconnected():
--- a/internal/fleet/proxy/stream_test.go
+++ b/internal/fleet/proxy/stream_test.go
@@ -45,7 +45,7 @@
 		e, balancer, attempt := newPausingExchange(t)
 		e.recordChunk(attempt)
 		e.recordChunkAfter(test.pause, attempt)
-		require.Equal(t, test.kind, endOf(balancer, attempt, decide.Good))
+		require.Equal(t, test.kind, endOf(balancer, attempt, decide.Succeeded))
 	}
 }
 
@@ -57,7 +57,7 @@
 	resumed := pickStream(balancer, broken.Backend.ID)
 	e.recordChunkAfter(time.Second, resumed)
 	e.recordChunkAfter(100*time.Millisecond, resumed)
-	require.Equal(t, routing.EventEnded, endOf(balancer, resumed, decide.Good))
+	require.Equal(t, routing.EventEnded, endOf(balancer, resumed, decide.Succeeded))
 }
 
 func TestPauseOfAResumedStreamIsRecorded(t *testing.T) {
@@ -67,5 +67,5 @@
 	resumed := pickStream(balancer, broken.Backend.ID)
 	e.recordChunkAfter(time.Second, resumed)
 	e.recordChunkAfter(time.Second, resumed)
-	require.Equal(t, routing.EventPaused, endOf(balancer, resumed, decide.Good))
+	require.Equal(t, routing.EventPaused, endOf(balancer, resumed, decide.Succeeded))
 }
--- a/internal/fleet/routing/balancer_test.go
+++ b/internal/fleet/routing/balancer_test.go
@@ -45,8 +45,8 @@
 		first, second := a.Pick(time.Second, prefixed(key)), b.Pick(time.Second, prefixed(key))
 		require.Equal(t, first.Backend.ID, second.Backend.ID)
 		homes[first.Backend.ID]++
-		a.Done(time.Second, first, decide.Good, Load{})
-		b.Done(time.Second, second, decide.Good, Load{})
+		a.Done(time.Second, first, decide.Succeeded, Load{})
+		b.Done(time.Second, second, decide.Succeeded, Load{})
 	}
 	for id, count := range homes {
 		require.InDelta(t, 300.0/9, count, 25, id)
@@ -61,8 +61,8 @@
 		if was.Backend.ID != "r04" {
 			require.Equal(t, was.Backend.ID, is.Backend.ID)
 		}
-		before.Done(time.Second, was, decide.Good, Load{})
-		after.Done(time.Second, is, decide.Good, Load{})
+		before.Done(time.Second, was, decide.Succeeded, Load{})
+		after.Done(time.Second, is, decide.Succeeded, Load{})
 	}
 }
 
@@ -80,7 +80,7 @@
 		attempt := b.Pick(time.Second, request)
 		require.NotNil(t, attempt)
 		require.Equal(t, "r03", attempt.Backend.ID)
-		b.Done(time.Second, attempt, decide.Good, Load{})
+		b.Done(time.Second, attempt, decide.Succeeded, Load{})
 	}
 	require.Nil(t, b.Pick(time.Second, &Request{Exclude: []string{"r02", "r03"}, Deadline: time.Hour}))
 }
@@ -116,7 +116,7 @@
 		}
 		now += 50*time.Millisecond + time.Duration(tokens/taughtSpeed*float64(time.Second))
 		b.FirstToken(now, attempt)
-		b.Done(now, attempt, decide.Good, Load{})
+		b.Done(now, attempt, decide.Succeeded, Load{})
 	}
 	return now
 }
@@ -137,18 +137,18 @@
 	b := newTestBalancer(t, 9, 1)
 	now := teachPrefillSpeed(b)
 	home := b.Pick(now, prefixed("k"))
-	b.Done(now, home, decide.Good, Load{})
+	b.Done(now, home, decide.Succeeded, Load{})
 	require.True(t, b.Observe(now, sentEvent(home.Backend.ID, 7, 90_000)))
 	moved := b.Pick(now, prefixed("k"))
 	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 	require.Equal(t, ReasonMoved, moved.Reason)
 	require.False(t, moved.PrefixCached, "the prefix has to be prefilled there")
-	b.Done(now, moved, decide.Good, Load{})
+	b.Done(now, moved, decide.Succeeded, Load{})
 	patient := prefixed("k")
 	patient.Target = time.Minute
 	stays := b.Pick(now, patient)
 	require.True(t, stays.PrefixCached, "one with time to spare goes where its prefix is cached")
-	b.Done(now, stays, decide.Good, Load{})
+	b.Done(now, stays, decide.Succeeded, Load{})
 	b.Observe(now, attemptEvent(EventEnded, home.Backend.ID, 7))
 	back := b.Pick(now, prefixed("k"))
 	require.Equal(t, home.Backend.ID, back.Backend.ID, "once the prompt is prefilled, the home goes first again")
@@ -160,7 +160,7 @@
 	huge := prefixed("k")
 	huge.OwnTokens = 200_000 // two seconds on an idle backend
 	home := b.Pick(now, huge)
-	b.Done(now, home, decide.Good, Load{})
+	b.Done(now, home, decide.Succeeded, Load{})
 	b.Observe(now, sentEvent(home.Backend.ID, 7, 10_000))
 	again := b.Pick(now, huge)
 	require.Equal(t, home.Backend.ID, again.Backend.ID, "a move would gain nothing and have the prefix prefilled again")
@@ -172,7 +172,7 @@
 	long := prefixedCheaply()
 	long.OwnTokens = 45_000
 	home := b.Pick(now, long)
-	b.Done(now, home, decide.Good, Load{})
+	b.Done(now, home, decide.Succeeded, Load{})
 	for attempt := range uint32(6) {
 		running := sentEvent(home.Backend.ID, attempt, 10)
 		running.Long = true
@@ -181,7 +181,7 @@
 	}
 	moved := b.Pick(now, long)
 	require.NotEqual(t, home.Backend.ID, moved.Backend.ID, "every stream there would stall")
-	b.Done(now, moved, decide.Good, Load{})
+	b.Done(now, moved, decide.Succeeded, Load{})
 	for attempt := range uint32(6) {
 		b.Observe(now, attemptEvent(EventEnded, home.Backend.ID, attempt))
 	}
@@ -193,7 +193,7 @@
 	b := newTestBalancer(t, 9, 1)
 	now := teachPrefillSpeed(b)
 	home := b.Pick(now, prefixedCheaply())
-	b.Done(now, home, decide.Good, Load{})
+	b.Done(now, home, decide.Succeeded, Load{})
 	for attempt := range uint32(20) {
 		now += 50 * time.Millisecond
 		b.Observe(now, sentEvent(home.Backend.ID, attempt, 500))
@@ -203,7 +203,7 @@
 	}
 	moved := b.Pick(now, prefixedCheaply())
 	require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
-	b.Done(now, moved, decide.Good, Load{})
+	b.Done(now, moved, decide.Succeeded, Load{})
 	now += 10 * slowdownWindow
 	back := b.Pick(now, prefixedCheaply())
 	require.True(t, back.PrefixCached)
@@ -217,7 +217,7 @@
 		request := prefixedCheaply()
 		request.Long = true
 		home := b.Pick(now, request)
-		b.Done(now, home, decide.Good, Load{})
+		b.Done(now, home, decide.Succeeded, Load{})
 		for attempt := range uint32(12) {
 			sent := sentEvent(home.Backend.ID, attempt, 500)
 			sent.Long = true
@@ -236,7 +236,7 @@
 	b := newTestBalancer(t, 9, 1)
 	now := teachPrefillSpeed(b)
 	home := b.Pick(now, prefixedCheaply())
-	b.Done(now, home, decide.Good, Load{})
+	b.Done(now, home, decide.Succeeded, Load{})
 	for attempt := range uint32(6) {
 		b.Observe(now, sentEvent(home.Backend.ID, attempt, 100))
 	}
@@ -248,7 +248,7 @@
 	b := newTestBalancer(t, 9, 1)
 	now := teachPrefillSpeed(b)
 	home := b.Pick(now, prefixedCheaply())
-	b.Done(now, home, decide.Good, Load{})
+	b.Done(now, home, decide.Succeeded, Load{})
 	for attempt := range uint32(100) { // it has 64
 		running := sentEvent(home.Backend.ID, attempt, 1)
 		running.Long = true
@@ -311,7 +311,7 @@
 	request.Long = true
 	attempt := a.Pick(now, request)
 	a.FirstToken(now+100*time.Millisecond, attempt)
-	a.Done(now+time.Second, attempt, decide.Good, Load{})
+	a.Done(now+time.Second, attempt, decide.Succeeded, Load{})
 	events := a.DrainEvents()
 	require.Len(t, events, 3)
 	require.Empty(t, a.DrainEvents(), "each is reported once")
@@ -384,7 +384,7 @@
 			elapsed *= 4
 		}
 		b.FirstToken(now+elapsed, attempt)
-		b.Done(now+elapsed, attempt, decide.Good, Load{})
+		b.Done(now+elapsed, attempt, decide.Succeeded, Load{})
 	}
 	require.Less(t, picks["r00"], picks["r01"])
 	require.Less(t, picks["r00"], picks["r02"])
@@ -402,17 +402,17 @@
 		require.NotNil(t, attempt)
 		if attempt.Backend.ID != "r00" {
 			b.FirstToken(now+10*time.Millisecond, attempt)
-			b.Done(now+10*time.Millisecond, attempt, decide.Good, Load{})
+			b.Done(now+10*time.Millisecond, attempt, decide.Succeeded, Load{})
 			continue
 		}
 		if down {
 			picksDown++
-			b.Done(now, attempt, decide.NoConnect, Load{})
+			b.Done(now, attempt, decide.ConnectFailed, Load{})
 			continue
 		}
 		picksAfter++
 		b.FirstToken(now+10*time.Millisecond, attempt)
-		b.Done(now+10*time.Millisecond, attempt, decide.Good, Load{})
+		b.Done(now+10*time.Millisecond, attempt, decide.Succeeded, Load{})
 	}
 	require.Less(t, picksDown, 40)
 	require.Greater(t, picksAfter, 100)
@@ -425,7 +425,7 @@
 	for i := range 1000 {
 		key := fmt.Sprint("also", i)
 		attempt := b.Pick(time.Second, prefixed(key))
-		b.Done(time.Second, attempt, decide.Good, Load{})
+		b.Done(time.Second, attempt, decide.Succeeded, Load{})
 		if attempt.Backend.ID == backend {
 			return key
 		}
@@ -438,18 +438,18 @@
 	a, b := newTestBalancer(t, 9, 1), newTestBalancer(t, 9, 2)
 	now := time.Second
 	home := a.Pick(now, prefixed("k"))
-	a.Done(now, home, decide.NoConnect, Load{})
+	a.Done(now, home, decide.ConnectFailed, Load{})
 	a.Unreachable(now, home)
 	later := otherPrefixAt(t, home.Backend.ID)
 	b.Observe(now, attemptEvent(EventUnreachable, home.Backend.ID, 0))
 	for _, balancer := range []*Balancer{a, b} {
 		moved := balancer.Pick(now+time.Millisecond, prefixed("k"))
 		require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
-		balancer.Done(now, moved, decide.Good, Load{})
+		balancer.Done(now, moved, decide.Succeeded, Load{})
 		require.True(t, balancer.Pick(now+maxAvoidance, prefixed("k")).PrefixCached, "what moved stays")
 		back := balancer.Pick(now+maxAvoidance, prefixed(later))
 		require.Equal(t, home.Backend.ID, back.Backend.ID, "it is tried again after a while")
-		balancer.Done(now, back, decide.Good, Load{})
+		balancer.Done(now, back, decide.Succeeded, Load{})
 	}
 }
 
@@ -458,11 +458,11 @@
 	now := time.Second
 	responded := b.Pick(now, prefixed("k"))
 	b.FirstToken(now, responded)
-	b.Done(now, responded, decide.Good, Load{})
+	b.Done(now, responded, decide.Succeeded, Load{})
 	b.Observe(now+ownEvidenceMaxAge/2, attemptEvent(EventUnreachable, responded.Backend.ID, 0))
 	again := b.Pick(now+ownEvidenceMaxAge/2, prefixed("k"))
 	require.Equal(t, responded.Backend.ID, again.Backend.ID, "its response to this node goes before")
-	b.Done(now, again, decide.Good, Load{})
+	b.Done(now, again, decide.Succeeded, Load{})
 	now += time.Minute
 	for _, backend := range testBackends(9) {
 		b.Observe(now, attemptEvent(EventUnreachable, backend.ID, 0))
@@ -508,14 +508,14 @@
 	attempt := b.Pick(time.Second, request)
 	b.FirstToken(time.Second, attempt)
 	attempt.RecordPause()
-	b.Done(2*time.Second, attempt, decide.Good, Load{})
+	b.Done(2*time.Second, attempt, decide.Succeeded, Load{})
 	events := b.DrainEvents()
 	require.Equal(t, EventPaused, events[len(events)-1].Kind)
 }
 
 // What other nodes are to learn of a response that paused and then broke off is that the backend failed.
 func TestPausedResponseThatBreaksOffIsReportedAsFailed(t *testing.T) {
-	for _, result := range []Result{decide.Reset, decide.Failed, decide.Late} {
+	for _, result := range []Result{decide.Reset, decide.Failed, decide.TimedOut} {
 		b := newTestBalancer(t, 2, 1)
 		request := prefixedCheaply()
 		request.Long = true
--- a/internal/fleet/routing/feedback.go
+++ b/internal/fleet/routing/feedback.go
@@ -33,7 +33,7 @@
 	b.sink.now = now
 	if m := b.members[attempt.Backend.ID]; m != nil && m.balancerID == attempt.balancerID {
 		m.inFlight--
-		if result == decide.Good || result == decide.Full {
+		if result == decide.Succeeded || result == decide.Overloaded {
 			m.recordResponse(now)
 		}
 	}
@@ -56,7 +56,7 @@
 // isFailure reports whether an attempt's end counts against its backend.
 func isFailure(result Result) bool {
 	switch result {
-	case decide.Failed, decide.Reset, decide.Full, decide.Late:
+	case decide.Failed, decide.Reset, decide.Overloaded, decide.TimedOut:
 		return true
 	}
 	return false
--- a/internal/node/dispatch/types.go
+++ b/internal/node/dispatch/types.go
@@ -18,9 +18,9 @@
 	Rejected                 // the host finds fault with the request itself; it may have run
 )
 
-var balancerResults = [...]decide.Result{Served: decide.Good, Failed: decide.Failed, Declined: decide.Full,
-	Late: decide.Late, NoConnect: decide.NoConnect, Reset: decide.Reset, Cancelled: decide.Cancelled, Unsent: decide.NotSent,
-	Rejected: decide.Rejected}
+var balancerResults = [...]decide.Result{Served: decide.Succeeded, Failed: decide.Failed, Declined: decide.Overloaded,
+	Late: decide.TimedOut, NoConnect: decide.ConnectFailed, Reset: decide.Reset, Cancelled: decide.Cancelled, Unsent: decide.NotSent,
+	Rejected: decide.InvalidRequest}
 
 // Status is the listed state of a host.
 type Status uint8
--- a/lab/holiday/parts.go
+++ b/lab/holiday/parts.go
@@ -134,7 +134,7 @@
 	o := decide.Outcome{Request: id, Backend: to, Attempt: n}
 	if m.f.dead[to] {
 		m.f.after(time.Millisecond, func() {
-			o.Result = decide.NoConnect
+			o.Result = decide.ConnectFailed
 			m.module.Outcome(m.f.now, o)
 		})
 		return
@@ -147,7 +147,7 @@
 	m.f.after(took, func() {
 		p.busy--
 		delete(m.out, id)
-		o.Result, o.Latency, o.Over = decide.Good, took, true
+		o.Result, o.Latency, o.Over = decide.Succeeded, took, true
 		m.module.Outcome(m.f.now, o)
 	})
 }
--- a/lab/rivals/pickers.go
+++ b/lab/rivals/pickers.go
@@ -273,7 +273,7 @@
 
 func (p *prequal) probed(s *shell, o *decide.Outcome) {
 	h := s.byID[o.Backend]
-	if h == nil || o.Result != decide.Good || o.Load.Has>>decide.ReportInFlight&1 == 0 {
+	if h == nil || o.Result != decide.Succeeded || o.Load.Has>>decide.ReportInFlight&1 == 0 {
 		return
 	}
 	e := probe{host: h, at: s.now, rif: o.Load.Values[decide.ReportInFlight], uses: min(p.uses(s), 8)}
--- a/lab/rivals/rivals_test.go
+++ b/lab/rivals/rivals_test.go
@@ -56,7 +56,7 @@
 }
 
 func finish(p Policy, now time.Duration, id decide.RequestID, attempt int, to decide.BackendID, r decide.Result) {
-	p.Outcome(now, decide.Outcome{Request: id, Backend: to, Attempt: attempt, Over: r == decide.Good,
+	p.Outcome(now, decide.Outcome{Request: id, Backend: to, Attempt: attempt, Over: r == decide.Succeeded,
 		Latency: 50 * time.Millisecond, Result: r})
 }
 
@@ -125,7 +125,7 @@
 	ask(s, start, 1, 0)
 	require.Len(t, a.probes, 1)
 	for id := decide.BackendID(1); id <= 3; id++ {
-		o := decide.Outcome{Backend: id, Result: decide.Good,
+		o := decide.Outcome{Backend: id, Result: decide.Succeeded,
 			Load: decide.Load{Has: 1<<decide.ReportInFlight | 1<<decide.ReportLatency}}
 		o.Load.Values[decide.ReportInFlight], o.Load.Values[decide.ReportLatency] = 2, float64(4-id)
 		s.Probed(start, o)
@@ -189,7 +189,7 @@
 	var calls []*open
 	now := start
 	finals := func() int { return a.refused + a.failed }
-	results := []decide.Result{decide.Good, decide.Failed, decide.Full, decide.Late, decide.NoConnect, decide.Reset}
+	results := []decide.Result{decide.Succeeded, decide.Failed, decide.Overloaded, decide.TimedOut, decide.ConnectFailed, decide.Reset}
 	steps := rapid.IntRange(50, 300).Draw(t, "steps")
 	for i := range steps {
 		now += time.Duration(rapid.IntRange(0, 50).Draw(t, "gap")) * time.Millisecond
@@ -213,7 +213,7 @@
 			finish(p, now, c.id, c.n-1, 0, r)
 			if len(a.sent) == before {
 				calls = append(calls[:at], calls[at+1:]...)
-				if r != decide.Good {
+				if r != decide.Succeeded {
 					require.Equal(t, ended+1, finals())
 				}
 				continue
@@ -237,14 +237,14 @@
 	for i := range 200 { // a rate is known
 		now += 10 * time.Millisecond
 		ask(p, now, decide.RequestID(i+1), 0)
-		finish(p, now, decide.RequestID(i+1), 0, a.sent[len(a.sent)-1], decide.Good)
+		finish(p, now, decide.RequestID(i+1), 0, a.sent[len(a.sent)-1], decide.Succeeded)
 	}
 	p.UpdateEndpoints(now, decide.EndpointsDelta, []decide.Backend{{ID: 4, Weight: 1, Started: now}})
 	a.sent = a.sent[:0]
 	for i := range 300 { // three seconds at 100 a second: 0.15 to 0.2 of a quarter of them
 		now += 10 * time.Millisecond
 		ask(p, now, decide.RequestID(i+1000), 0)
-		finish(p, now, decide.RequestID(i+1000), 0, a.sent[len(a.sent)-1], decide.Good)
+		finish(p, now, decide.RequestID(i+1000), 0, a.sent[len(a.sent)-1], decide.Succeeded)
 	}
 	n := 0
 	for _, to := range a.sent {
--- a/lab/rivals/shell.go
+++ b/lab/rivals/shell.go
@@ -328,12 +328,12 @@
 	if o.Result.MayHaveRun() && !c.ran {
 		c.ran, c.ranOn, c.ranAt = true, h, a.at
 	}
-	s.how.done(s, h, o.Latency, o.Result == decide.Good)
+	s.how.done(s, h, o.Latency, o.Result == decide.Succeeded)
 	switch o.Result {
-	case decide.Good, decide.Rejected:
+	case decide.Succeeded, decide.InvalidRequest:
 		h.fails, h.ejects = 0, 0
 	case decide.Cancelled, decide.NotSent:
-	case decide.Full:
+	case decide.Overloaded:
 		if s.with.FullFails {
 			s.failed(h)
 		}
@@ -347,7 +347,7 @@
 	if c.out > 0 {
 		return
 	}
-	if o.Result != decide.Rejected && s.mayRetry(c) {
+	if o.Result != decide.InvalidRequest && s.mayRetry(c) {
 		s.excluded = c
 		next := s.choose(c)
 		s.excluded = nil
--- a/lab/sim/attempt.go
+++ b/lab/sim/attempt.go
@@ -123,7 +123,7 @@
 	case back:
 		g.came(at, a, a.result)
 	case refused:
-		g.came(at, a, decide.NoConnect)
+		g.came(at, a, decide.ConnectFailed)
 	case reset:
 		if !a.ended && a.conn != 0 {
 			g.dropConn(a)
@@ -131,7 +131,7 @@
 		g.came(at, a, decide.Reset)
 	case connectLate:
 		if !a.ended && (a.phase == dialing || g.now < a.writeAt) {
-			g.end(at, a, decide.NoConnect)
+			g.end(at, a, decide.ConnectFailed)
 		}
 	case abandon:
 		g.abandoned(at, a)
@@ -207,7 +207,7 @@
 		Value: a.request + 1, Extra: a.key, Work: float32(a.work)})
 	if c.full {
 		a.phase = through
-		g.says(at, a, decide.Full, record.AnswerTurned)
+		g.says(at, a, decide.Overloaded, record.AnswerTurned)
 		return
 	}
 	a.phase = atRater
@@ -281,7 +281,7 @@
 		return
 	}
 	e := g.sees(a, record.Answered, how)
-	if r == decide.Good {
+	if r == decide.Succeeded {
 		e.Value = g.body(a)
 	}
 	g.see(e)
@@ -316,15 +316,15 @@
 	case a.off:
 		g.end(at, a, decide.Cancelled)
 	case a.probe:
-		g.end(at, a, decide.Late)
+		g.end(at, a, decide.TimedOut)
 	case a.phase == dialing || g.now < a.writeAt: // the rater is to blame only if it had its full time
 		r := decide.NotSent
 		if a.until-a.sent >= g.day.Site.Conns.ConnectTimeout.Lo {
-			r = decide.NoConnect
+			r = decide.ConnectFailed
 		}
 		g.end(at, a, r)
 	default:
-		g.end(at, a, decide.Late)
+		g.end(at, a, decide.TimedOut)
 	}
 }
 
--- a/lab/sim/count.go
+++ b/lab/sim/count.go
@@ -84,10 +84,10 @@
 		return
 	}
 	switch r {
-	case decide.Full:
+	case decide.Overloaded:
 		t.now.Refused++
 		t.met[rater].Refused++
-	case decide.NoConnect:
+	case decide.ConnectFailed:
 		t.now.NoConnect++
 		t.met[rater].NoConnect++
 	case decide.Reset:
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -205,7 +205,7 @@
 	c := g.calls.at(a.call)
 	c.relays[a.place].at = 0
 	c.out--
-	if r == decide.Good && !c.over {
+	if r == decide.Succeeded && !c.over {
 		c.over = true
 		n.open--
 		g.answer(a.call, c, world.Served, 200, g.body(a), 0)
--- a/lab/sim/raters.go
+++ b/lab/sim/raters.go
@@ -74,7 +74,7 @@
 	}
 	switch e.What {
 	case world.Turned:
-		g.says(at, a, decide.Full, record.AnswerTurned)
+		g.says(at, a, decide.Overloaded, record.AnswerTurned)
 	case world.Failed:
 		g.says(at, a, decide.Failed, record.AnswerError)
 	default:
@@ -92,7 +92,7 @@
 				return
 			}
 		}
-		g.says(at, a, decide.Good, record.AnswerServed)
+		g.says(at, a, decide.Succeeded, record.AnswerServed)
 	}
 }
 
