--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	minLimitFraction    = 0.55 // fraction of the bearable latency up to which the least valuable work is admitted
-	repeatValueFraction = 0.3  // value of a client's own retry, much of whose time has passed
+	minLimitFraction    = 0.55 // the least valuable work is admitted up to this fraction of the highest latency limit
+	repeatValueFraction = 0.3  // relative value of a client's retry, which has used up much of its time
 )
 
-// admissionClassOf is the index of a request's admission class: by its class, by whether its tenant is beyond its quota as far
-// as can be seen from this node's fraction of the traffic, and by whether it is a client's own retry. It takes one from the quota.
+// admissionClassOf returns the index of a request's admission class. It depends on the request's class, on whether
+// its tenant exceeds its quota as seen from this node's fraction of the traffic, and on whether it is a client's
+// retry. It takes a quota token.
 func (b *Balancer) admissionClassOf(r *Request) int {
 	index := 4 * r.Class
 	if known := r.Tenant >= 0 && r.Tenant < len(b.tenantTokens); known && b.tenantTokens[r.Tenant] >= 1 {
@@ -25,12 +26,12 @@
 	return index
 }
 
-// setAdmissionLimits sets the expected latency up to which each admission class is admitted, for a capacity in units a
-// second: the class with the lowest value a unit is rejected first. It logs the beginning of an overload.
+// setAdmissionLimits sets the expected latency up to which each admission class is admitted, given a capacity in
+// units per second. The class with the lowest value per unit is rejected first. It logs the start of an overload.
 func (b *Balancer) setAdmissionLimits(capacity float64) {
 	if short := b.arrivalRate > capacity; short != b.shedding {
 		if b.shedding = short; short {
-			b.actions.Log(fmt.Sprintf("overload: room for %.1f of %.1f units/s", capacity, b.arrivalRate))
+			b.actions.Log(fmt.Sprintf("overload: capacity for %.1f of %.1f arriving units/s", capacity, b.arrivalRate))
 		}
 	}
 	maxLatency := math.Inf(1)
@@ -50,7 +51,7 @@
 	}
 }
 
-// refillTenantTokens adds this node's fraction of each tenant's quota for an elapsed time in seconds.
+// refillTenantTokens adds this node's fraction of each tenant's quota for the elapsed time in seconds.
 func (b *Balancer) refillTenantTokens(elapsed float64) {
 	for i := range b.tenantTokens {
 		rate := b.settings.Tenants[i].Quota / float64(b.settings.Nodes)
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// watchBackoff is the pause before a failed call for the endpoint list is repeated; it doubles with each failure.
+// watchBackoff is the first wait before a failed call for the endpoint list is retried; it doubles with each
+// failure.
 const watchBackoff = time.Second
 
-// UpdateEndpoints applies an update of the endpoint list and solves for new shares. kind tells whether entries are the whole list or
-// the changed ones; with EndpointsUnavailable they are ignored and the earlier list stays. Entries of an unknown zone or kind are
-// ignored.
+// UpdateEndpoints applies an update of the endpoint list and solves for new shares. kind says whether entries are
+// the whole list or the changes; with EndpointsUnavailable the previous list stays. Entries with an unknown zone or
+// kind are ignored.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind EndpointsKind, entries []Backend) {
 	b.now = now
 	if kind == EndpointsUnavailable {
@@ -33,7 +34,7 @@
 	for _, s := range b.backends {
 		if s.State == Serving {
 			b.servingSize += s.size
-		} else { // a draining backend is picked no more
+		} else { // draining backends are no longer picked
 			b.setShare(s, 0)
 		}
 		if s.State == Deleted {
@@ -49,7 +50,7 @@
 	b.solve()
 }
 
-// updateBackend adds or updates the backend of one entry. A later start time resets what was learned of the process before.
+// updateBackend adds or updates one backend. A later start time discards the state of the previous process.
 func (b *Balancer) updateBackend(entry *Backend) {
 	if entry.Zone < 0 || entry.Zone >= len(b.zones) || entry.Kind < 0 || entry.Kind >= len(b.settings.Kinds) {
 		return
@@ -74,13 +75,13 @@
 	switch s.size = max(s.size, 1); {
 	case b.settings.Weights == WeightSize && entry.Weight > 0:
 		s.size = entry.Weight
-	case b.settings.Weights == WeightLive && entry.Weight > 0: // the size is the highest weight seen; less means work in flight
+	case b.settings.Weights == WeightLive && entry.Weight > 0: // the size is the highest weight seen; a lower weight means requests in flight
 		s.maxWeight = max(s.maxWeight, entry.Weight)
 		b.recordReport(s, s.maxWeight/entry.Weight-1)
 	}
 }
 
-// resetProcess drops what was learned of a backend's earlier process.
+// resetProcess discards what was learned about the previous process of a backend.
 func (s *backendState) resetProcess() {
 	s.latencySum, s.expectedSum, s.sampleCount, s.slowdown = 0, 0, 0, 1
 	s.responses, s.failures, s.timeouts, s.consecutiveFailures = 0, 0, 0, 0
@@ -89,8 +90,8 @@
 	clear(s.classHealth)
 }
 
-// retryWatch asks for the list again after a backoff with jitter, so that an overloaded list service is not buried in calls,
-// but soon enough for Rules.FetchWithin.
+// retryWatch schedules another call for the endpoint list. The backoff has jitter, to avoid flooding an overloaded
+// list service with calls, and is short enough for Rules.FetchWithin.
 func (b *Balancer) retryWatch() {
 	wait := min(watchBackoff<<min(b.watchFailures, 10), max(b.settings.Rules.FetchWithin/2, watchBackoff))
 	b.watchFailures++
--- a/decide/events.go
+++ b/decide/events.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// RequestID identifies a request. The host never uses an id twice with one Balancer.
+// RequestID identifies a request. The host never reuses an id with the same Balancer.
 type RequestID uint64
 
-// BackendID identifies a backend. It stays the same when the process of the backend restarts.
+// BackendID identifies a backend. It stays the same when the backend's process restarts.
 type BackendID uint32
 
-// ReportField is a value of a load report.
+// ReportField identifies a value of a load report.
 type ReportField uint8
 
-// The values that load reports can hold.
+// The values that a load report can contain.
 const (
 	ReportOther     ReportField = iota // a value that is not used
 	ReportInFlight                     // requests in flight
@@ -38,21 +38,21 @@
 	ID      BackendID
 	Zone    int // index in Settings.Zones
 	Kind    int // index in Settings.Kinds
-	Cell    int // for GroupCell
+	Cell    int // the cell that GroupCell refers to
 	State   State
-	Weight  float64       // as Settings.Weights says
+	Weight  float64       // Settings.Weights says what it means
 	Started time.Duration // when its process started; 0 = long ago
 }
 
-// EndpointsKind tells how the entries of an update are to be read.
+// EndpointsKind says what the entries of an endpoint list update are.
 type EndpointsKind uint8
 
-// The kinds of list.
+// The kinds of update.
 const (
-	EndpointsDelta       EndpointsKind = iota // only the entries that changed
+	EndpointsDelta       EndpointsKind = iota // only the changed entries
 	EndpointsFull                             // every backend
-	EndpointsStored                           // every backend, as this node knew them before it was restarted
-	EndpointsUnavailable                      // no entries: a call failed or the subscription broke; the earlier list stays
+	EndpointsStored                           // every backend, from this node's state before its restart
+	EndpointsUnavailable                      // no entries: a call failed or the subscription broke; the previous list stays
 )
 
 // Request is a request that has arrived.
@@ -61,8 +61,8 @@
 	Class    int           // index in Settings.Classes
 	Tenant   int           // index in Settings.Tenants, -1 = none
 	Deadline time.Duration // when the client gives up
-	Cost     float64       // expected work in seconds on a standard core; 0 = not known
-	Repeat   bool          // it is a retry of the client
+	Cost     float64       // expected work in seconds on a standard core; 0 = unknown
+	Repeat   bool          // this is a retry by the client
 }
 
 // Result is how an attempt or a health check ended.
@@ -78,13 +78,13 @@
 	Reset                        // the connection broke; may have run
 	Cancelled                    // cancelled; may have run
 	NotSent                      // never sent
-	InvalidRequest               // the backend finds fault with the request itself; may have run
+	InvalidRequest               // the backend rejected the request as invalid; may have run
 )
 
-// MayHaveRun tells whether an attempt with this result may have been executed.
+// MayHaveRun reports whether an attempt with this result may have been executed.
 func (r Result) MayHaveRun() bool { return r != Overloaded && r != ConnectFailed && r != NotSent }
 
-// Load is a load report. A value is valid where its bit in Has is set.
+// Load is a load report. A value is valid if its bit in Has is set.
 type Load struct {
 	Has    uint16
 	Values [ReportFieldsEnd]float64
@@ -101,20 +101,20 @@
 	Load    Load
 }
 
-// Actions is what a host does for a Balancer. A Balancer calls it from within an event only; the methods must not call back
-// into the Balancer.
+// Actions are the operations that a host carries out for a Balancer. A Balancer calls them only while it handles an
+// event; the methods must not call back into the Balancer.
 type Actions interface {
-	// Send starts an attempt that the host gives up at the time abandon.
+	// Send starts an attempt, which the host must abandon at the given time.
 	Send(id RequestID, to BackendID, abandon time.Duration)
-	// Reject rejects a request: its client may retry it safely, after wait if above 0.
+	// Reject rejects a request: its client may safely retry it, after wait if that is above 0.
 	Reject(id RequestID, wait time.Duration)
 	// Fail ends a request as failed: it may have run.
 	Fail(id RequestID)
-	// Cancel cancels an attempt, whose Outcome is still wanted.
+	// Cancel cancels an attempt. The host must still report its Outcome.
 	Cancel(id RequestID, attempt int)
-	// Probe asks for a health check of a backend.
+	// Probe requests a health check of a backend.
 	Probe(to BackendID)
-	// SetTimer asks for a Timer event with this token after a time.
+	// SetTimer requests a Timer event with this token after the given time.
 	SetTimer(after time.Duration, token uint64)
 	// Watch subscribes to the endpoint list.
 	Watch()
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	dropFactor          = 5.0             // times idle latency from which on a response counts as dropped (the paper's)
-	priorRise           = 0.5             // rise of an unmeasured curve up to the fair load, in idle latencies
-	priorSamples        = 8.0             // samples of its own that weigh as much as what is known of a backend's kind
-	priorInFlight       = 4.0             // attempts in flight by size up to which an unmeasured curve rises so
-	extrapolationReach  = 4.0             // times the usual number in flight at which latency is taken to double
-	idleBatchSize       = 4               // samples in a mean that may set a kind's idle latency
-	idleRisePerSecond   = 0.02            // by which an idle latency rises until it is measured again
+	dropFactor          = 5.0             // multiple of the idle latency above which a response counts as dropped (from the paper)
+	priorRise           = 0.5             // rise of an unmeasured curve from no load to the fair load, in idle latencies
+	priorSamples        = 8.0             // a backend's own samples that weigh as much as the prior from its kind
+	priorInFlight       = 4.0             // attempts in flight per size, at least, over which an unmeasured curve has that rise
+	extrapolationReach  = 4.0             // multiple of the usual number in flight at which latency at least doubles
+	idleBatchSize       = 4               // samples in a batch whose mean may set a kind's idle latency
+	idleRisePerSecond   = 0.02            // rate at which an idle latency rises until it is measured again
 	kindDecay           = 3 * time.Second // time constant of a kind's samples
-	backendDecay        = 8 * time.Second // time constant of a backend's own samples, which are rarer
-	driftThreshold      = 0.2             // deviation of recent samples from their kind's curve that moves it (the paper's)
-	minDriftSamples     = 8.0             // recent samples needed for that
-	driftKeepWeight     = 0.25            // weight that older samples keep then
-	maxBackendSamples   = 16.0            // a backend's own samples beyond which older ones fade faster
-	sampleClip          = 3.0             // times the expected latency that a sample counts for at most
-	latencyPerReported  = 0.5             // idle latencies that each reported request per core adds
-	reportKindWeight    = 0.1             // samples that a load report counts for with its kind
-	reportBackendWeight = 8.0             // samples that a load report counts for with its backend
-	reportLifetime      = 2 * time.Second // age up to which a load report counts
+	backendDecay        = 8 * time.Second // time constant of a backend's own samples, which are less frequent
+	driftThreshold      = 0.2             // deviation of recent samples from their kind's curve that refits it faster (from the paper)
+	minDriftSamples     = 8.0             // recent samples required for that
+	driftKeepWeight     = 0.25            // weight that older samples keep in that case
+	maxBackendSamples   = 16.0            // number of a backend's own samples above which older ones decay faster
+	sampleClip          = 3.0             // samples are clipped at this multiple of the expected latency
+	latencyPerReported  = 0.5             // idle latencies added by each reported request per core
+	reportKindWeight    = 0.1             // weight of a load report in its kind's curve, in samples
+	reportBackendWeight = 8.0             // weight of a load report in its backend's slowdown, in samples
+	reportLifetime      = 2 * time.Second // age up to which a load report is used
 )
 
 // sampleSums holds decaying sums over samples of latency at a load, for a curve latency = idle + coeff * load^2.
@@ -41,12 +41,12 @@
 	f.count, f.latency, f.loadSquared = f.count*keep, f.latency*keep, f.loadSquared*keep
 }
 
-// latencyWith is the learned latency, in seconds, of a backend of the kind with so many attempts in flight by size.
+// latencyWith returns the kind's learned latency, in seconds, at a number of attempts in flight per size.
 func (m *kindModel) latencyWith(inFlight float64) float64 {
 	return m.idleLatency + m.inFlightCoeff*inFlight*inFlight
 }
 
-// addSample records the latency, in seconds, of an attempt at a backend of the kind with so many in flight by size.
+// addSample records an attempt's latency, in seconds, with the number in flight at its backend, per size.
 func (m *kindModel) addSample(inFlight, latency float64) {
 	if m.measured {
 		latency = min(latency, sampleClip*m.latencyWith(inFlight))
@@ -61,34 +61,34 @@
 	}
 }
 
-// latencyWith is the learned latency, in seconds, of a backend with so many attempts of this node in flight.
+// latencyWith returns the learned latency, in seconds, of a backend with a number of this node's attempts in flight.
 func (s *backendState) latencyWith(attempts float64) float64 {
 	return s.slowdown * s.model.latencyWith(s.estimatedInFlight(attempts))
 }
 
-// estimatedInFlight is how many attempts of all nodes a backend is taken to have in flight, by size, while this node has so
-// many there.
+// estimatedInFlight returns the estimated number of all nodes' attempts at a backend, per size, given this node's
+// number.
 func (s *backendState) estimatedInFlight(attempts float64) float64 {
 	return attempts*s.attemptScale/s.size + s.othersInFlight
 }
 
-// latencyAtLoad is the learned latency, in seconds, at a load in units a second by size: the curve of the kind for a backend
-// that is slower by its slowdown. By Little's law a load u keeps u times its latency in flight; loadCoeff is chosen so that
-// both curves reach twice the idle latency at the same load.
+// latencyAtLoad returns the learned latency, in seconds, at a load in units per second per size: the curve of the
+// kind, scaled by the backend's slowdown. By Little's law a load u keeps u times its latency in flight; loadCoeff is
+// chosen so that both curves reach twice the idle latency at the same load.
 func (s *backendState) latencyAtLoad(load float64) float64 {
 	slowdown := s.slowdown
 	return slowdown*s.model.idleLatency + s.model.loadCoeff*slowdown*slowdown*slowdown*load*load
 }
 
-// loadAtLatency is the load, in units a second by size, at which the curve reaches a latency in seconds.
+// loadAtLatency returns the load, in units per second per size, at which the curve reaches a latency in seconds.
 func (s *backendState) loadAtLatency(latency float64) float64 {
 	slowdown := s.slowdown
 	headroom := latency - slowdown*s.model.idleLatency
 	return math.Sqrt(max(0, headroom) / (s.model.loadCoeff*slowdown*slowdown*slowdown + 1e-12))
 }
 
-// recordLatency adds the latency of an attempt, in seconds a unit, to the curves of its backend and kind. While the attempt
-// is open it may be called again with a higher latency; the difference is added.
+// recordLatency adds the latency of an attempt, in seconds per unit, to the curves of its backend and kind. It may
+// be called again with a higher latency while the attempt is open; only the difference is added then.
 func (b *Balancer) recordLatency(s *backendState, a *attempt, latency float64) {
 	model, expected := s.model, s.model.latencyWith(a.inFlight)
 	if a.recordedLatency == 0 {
@@ -100,7 +100,7 @@
 	a.recordedLatency = max(latency, a.recordedLatency)
 }
 
-// applyLoadReport records the first useful value of a load report that came with a response.
+// applyLoadReport records the first usable value of a load report that came with a response.
 func (b *Balancer) applyLoadReport(s *backendState, l *Load) {
 	for _, field := range [...]ReportField{ReportInFlight, ReportQueue} {
 		if l.Has>>field&1 != 0 {
@@ -110,8 +110,8 @@
 	}
 }
 
-// recordReport records how many requests a backend says it has in flight, from the endpoint list or a load report: the
-// latency that follows counts as several samples while it is fresh. Unlike latencies, it shows the load from all nodes.
+// recordReport records how many requests a backend reports as in flight, in the endpoint list or a load report. The
+// implied latency counts as several samples while fresh. Unlike measured latencies, it shows the load of all nodes.
 func (b *Balancer) recordReport(s *backendState, reported float64) {
 	model := s.model
 	s.reportedLatency, s.reportedAt = model.idleLatency*(1+latencyPerReported*reported/s.size), b.now
@@ -120,7 +120,7 @@
 	model.recentSums.add(sampleSums{reportKindWeight, reportKindWeight * latency, reportKindWeight * inFlight * inFlight})
 }
 
-// updateClassWork learns how much work a request of each class is, so that curves do not depend on the mix.
+// updateClassWork estimates the mean work of each class, so that the curves do not depend on the mix of classes.
 func (b *Balancer) updateClassWork(keep float64) {
 	count, latency := 0.0, 0.0
 	for _, c := range b.classes {
@@ -135,8 +135,8 @@
 	}
 }
 
-// refitCurves decays old samples and fits the curves. A rise at most backends moves their kind's curve, since what one can
-// add to that is clipped; a backend that is off the curve alone gets a slowdown alone.
+// refitCurves decays old samples and fits the curves. A rise of latency at most backends moves the curve of their
+// kind, since each backend's samples are clipped; a rise at one backend alone changes only its slowdown.
 func (b *Balancer) refitCurves(elapsed, keep float64) {
 	fair := b.fairLoad()
 	for _, s := range b.backends {
@@ -149,7 +149,7 @@
 		s.responses, s.failures, s.timeouts = s.responses*keep, s.failures*keep, s.timeouts*keep
 	}
 	for i := range b.kindModels {
-		model, twin := &b.kindModels[i], &b.kindModels[i^1] // the idle latency is much the same in this zone and in the others
+		model, twin := &b.kindModels[i], &b.kindModels[i^1] // the idle latency is nearly the same in this zone and in others
 		if twin.measured && (!model.measured || twin.idleLatency < model.idleLatency) {
 			model.idleLatency, model.measured = twin.idleLatency, true
 		}
@@ -157,8 +157,8 @@
 	}
 }
 
-// refit fits a kind's curve, where nodes send to one backend on average. Where the recent samples are off the curve, the
-// older ones lose most of their weight.
+// refit fits a kind's curve; nodes is the number of nodes that send to one backend on average. If recent samples
+// deviate from the curve, older ones lose most of their weight.
 func (m *kindModel) refit(elapsed, fair, nodes float64) {
 	keep := math.Exp(-elapsed / kindDecay.Seconds())
 	if recent := &m.recentSums; recent.count >= minDriftSamples && math.Abs(recent.latency/(recent.count*m.idleLatency+m.inFlightCoeff*recent.loadSquared)-1) > driftThreshold {
@@ -169,13 +169,14 @@
 	m.recentSums = sampleSums{}
 	typical := max(fair*nodes*m.idleLatency, priorInFlight)
 	m.inFlightCoeff = (max(0, m.sums.latency-m.sums.count*m.idleLatency) + priorRise*priorSamples*m.idleLatency) / (m.sums.loadSquared + priorSamples*typical*typical)
-	meanSquare := (m.sums.loadSquared + priorSamples*typical*typical) / (m.sums.count + priorSamples) // no rise up to there says little about far beyond
+	meanSquare := (m.sums.loadSquared + priorSamples*typical*typical) / (m.sums.count + priorSamples) // limits the extrapolation: samples without a rise say little about much higher loads
 	m.inFlightCoeff = max(m.inFlightCoeff, m.idleLatency/(extrapolationReach*extrapolationReach*meanSquare))
-	m.loadCoeff = 4 * m.inFlightCoeff * m.idleLatency * m.idleLatency * nodes * nodes // over this node's own load, a fraction of the total
+	m.loadCoeff = 4 * m.inFlightCoeff * m.idleLatency * m.idleLatency * nodes * nodes // relative to this node's own load, a fraction of the total
 	m.idleLatency *= 1 + idleRisePerSecond*elapsed
 }
 
-// updateSlowdown sets how much slower than its kind a backend is, from its own samples, its load report and the prior.
+// updateSlowdown sets a backend's slowdown relative to its kind, from its own samples, its load report and the
+// prior.
 func (s *backendState) updateSlowdown(now time.Duration) {
 	count, latency, expected := s.sampleCount, s.latencySum, s.expectedSum
 	if now-s.reportedAt < reportLifetime && s.reportedAt > 0 {
--- a/decide/picker.go
+++ b/decide/picker.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxSkips          = 16  // turns passed over beyond one round in search of a free backend
-	turnLatencyFactor = 1.5 // expected latency over idle latency up to which a backend takes its turn
+	maxSkips          = 16  // turns skipped beyond one round in the search for a free backend
+	turnLatencyFactor = 1.5 // expected over idle latency up to which a backend takes its turn
 )
 
-// pick returns the backend of the next turn. A backend that owes an overdue response, or that one more attempt would slow
-// down, passes its turn. Where all do, pick falls back to the backend with the lowest expected latency, penalties
-// included, if that is below limit (seconds), else it returns nil and the request is rejected.
+// pick returns the backend whose turn is next. A backend with an overdue response, or one that another attempt would
+// slow down, is skipped. If all are skipped, pick falls back to the backend with the lowest expected latency,
+// including its risk penalty, if that is below limit (in seconds). Otherwise it returns nil.
 func (b *Balancer) pick(q *request, limit float64) *backendState {
 	for i := 0; len(b.pickQueue) > 0 && i < len(b.pickQueue)+maxSkips; i++ {
 		s := b.pickQueue[0]
@@ -33,13 +33,13 @@
 	return best
 }
 
-// acceptsNow tells whether a backend may get an attempt of a request now: its slow start permits one, whichever attempt it
-// is, and it is not ejected for the request's class.
+// acceptsNow reports whether a backend may get an attempt of a request now: its slow start permits one, be it a
+// first attempt, a retry or a hedged request, and it is not ejected for the request's class.
 func (b *Balancer) acceptsNow(s *backendState, q *request) bool {
 	return b.now >= max(s.slowStartNext, s.classHealth[q.class].ejectedUntil)
 }
 
-// advanceTurn moves a backend behind its next turn, if it has any.
+// advanceTurn moves a backend in the pick queue to its next turn.
 func (b *Balancer) advanceTurn(s *backendState) {
 	if s.queueIndex >= 0 {
 		s.nextPick += 1 / s.share
@@ -47,7 +47,7 @@
 	}
 }
 
-// setShare sets a backend's share. It keeps its place in the round; a share of 0 takes it out.
+// setShare sets a backend's share. The backend keeps its position in the round; a share of 0 removes it.
 func (b *Balancer) setShare(s *backendState, share float64) {
 	if share <= 1e-9 {
 		s.share = 0
@@ -65,8 +65,8 @@
 	s.share = share
 }
 
-// Usable tells whether a backend may get a request now: it is serving, neither it nor its zone is ejected, and its slow
-// start permits one. Hosts call it before Placed.
+// Usable reports whether a backend may get a request now: it is serving, neither it nor its zone is ejected, and its
+// slow start permits a request. Hosts call it before Assign.
 func (b *Balancer) Usable(now time.Duration, id BackendID) bool {
 	s := b.byID[id]
 	if s == nil {
@@ -76,7 +76,7 @@
 	return b.healthy(s) && now >= s.slowStartNext
 }
 
-// Share is a backend's share of the node's load, from 0 to 1; 0 where it gets none.
+// Share returns a backend's share of the node's load, from 0 to 1; 0 if it gets none.
 func (b *Balancer) Share(id BackendID) float64 {
 	s := b.byID[id]
 	if s == nil || s.queueIndex < 0 {
@@ -85,7 +85,7 @@
 	return s.share
 }
 
-// ExpectedLatency is the latency that a backend would have with one more attempt of this node, as learned so far.
+// ExpectedLatency returns the learned latency that a backend would have with one more attempt of this node.
 func (b *Balancer) ExpectedLatency(id BackendID) time.Duration {
 	s := b.byID[id]
 	if s == nil {
@@ -94,8 +94,8 @@
 	return seconds(s.latencyWith(float64(s.inFlight) + 1))
 }
 
-// pickQueue is a heap of the backends with a share, by the virtual time of their next turn. It implements
-// container/heap.Interface and keeps each backend's queueIndex.
+// pickQueue is a heap of the backends with a share, ordered by the virtual time of their next turn. It implements
+// container/heap.Interface and maintains each backend's queueIndex.
 type pickQueue []*backendState
 
 func (t pickQueue) Len() int           { return len(t) }
@@ -105,14 +105,12 @@
 	t[i].queueIndex, t[j].queueIndex = i, j
 }
 
-// Push appends a backend; for container/heap only.
 func (t *pickQueue) Push(x any) {
 	s := x.(*backendState)
 	s.queueIndex = len(*t)
 	*t = append(*t, s)
 }
 
-// Pop removes the last backend; for container/heap only.
 func (t *pickQueue) Pop() any {
 	last := len(*t) - 1
 	s := (*t)[last]
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -7,14 +7,14 @@
 
 const costSmoothing = 0.02 // weight of a new cost hint in the mean of its class
 
-// Request handles an arrived request: it is sent to a backend or rejected before Request returns.
+// Request handles a new request. It is sent to a backend or rejected before Request returns.
 func (b *Balancer) Request(now time.Duration, r Request) {
 	q := b.openRequest(now, &r)
 	if q == nil {
 		return
 	}
 	limit := b.admissionClasses[b.admissionClassOf(&r)].latencyLimit
-	s := b.pickTrial(q) // before any rejection: a node that ejected every backend must find out when they recover
+	s := b.pickTrial(q) // before any rejection, so that a node that has ejected all backends notices when they recover
 	if s == nil {
 		s = b.pick(q, limit)
 	}
@@ -26,9 +26,9 @@
 	b.send(q, s)
 }
 
-// Assign handles a request whose backend the host has picked itself, because it knows what the curves do not, such as which
-// backend has the request's data cached. The attempt is sent, learned from and counted like any other, and takes the
-// backend's next turn. It returns false, and has done nothing, where the backend may get no request now.
+// Assign handles a request whose backend the host has chosen itself, because it knows what the curves do not, such
+// as which backend has the request's data cached. The attempt is sent, learned from and counted like any other, and
+// uses the backend's next turn. Assign returns false and changes nothing if the backend may not get a request now.
 func (b *Balancer) Assign(now time.Duration, r Request, to BackendID) bool {
 	s := b.byID[to]
 	if s == nil || !b.Usable(now, to) {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// openRequest records an arrived request. It returns nil where the class is unknown or the id is open already.
+// openRequest records a new request. It returns nil if the class is unknown or the id is already open.
 func (b *Balancer) openRequest(now time.Duration, r *Request) *request {
 	b.now = now
 	if r.Class < 0 || r.Class >= len(b.classes) || b.requests[r.ID] != nil {
@@ -53,7 +53,7 @@
 	q := b.newRequest()
 	*q = request{id: r.ID, class: r.Class, work: b.classes[r.Class].work, arrived: now, deadline: r.Deadline,
 		attempts: q.attempts[:0]}
-	if mean := &b.classes[r.Class].meanCost; r.Cost > 0 { // the hint tells heavy requests from light ones
+	if mean := &b.classes[r.Class].meanCost; r.Cost > 0 { // the cost hint separates heavy requests from light ones
 		*mean = cmp.Or(*mean, r.Cost)*(1-costSmoothing) + r.Cost*costSmoothing
 		q.work *= max(0.1, min(r.Cost / *mean, 10))
 	}
@@ -72,7 +72,7 @@
 	return q
 }
 
-// release returns a request to the free list once it is closed and has no open attempt.
+// release returns a request to the free list once it is closed and has no open attempts.
 func (b *Balancer) release(q *request) {
 	if q.closed && q.openAttempts == 0 {
 		delete(b.requests, q.id)
@@ -80,13 +80,13 @@
 	}
 }
 
-// finish ends a request without a response: as rejected, which permits the client to retry, where a repeat is harmless, else
-// as failed.
+// finish ends a request without a response: as rejected, so that its client may retry, if that is safe, else as
+// failed.
 func (b *Balancer) finish(q *request) {
 	q.closed = true
 	c := &b.classes[q.class]
 	if !q.rejected && (c.Effect == Safe || !q.mayHaveRun || c.Effect == Keyed && c.Group == GroupAll) {
-		b.actions.Reject(q.id, 0) // a client asked to wait would retry after its latency target
+		b.actions.Reject(q.id, 0) // a client told to wait would retry after its latency target
 	} else {
 		b.actions.Fail(q.id)
 	}
@@ -103,7 +103,7 @@
 	b.sentWork += q.work
 	q.openAttempts++
 	s.inFlight++
-	if b.capacityFraction(s) < 1 { // first attempts, retries and hedged requests add up
+	if b.capacityFraction(s) < 1 { // first attempts, retries and hedged requests share the limit
 		s.slowStartNext = b.now + seconds(slowStartGap/s.slowStartLimit)
 	}
 	if h := &s.classHealth[q.class]; h.ejections > 0 { // one at a time until a response arrives
@@ -115,8 +115,8 @@
 	b.actions.Send(q.id, s.ID, abandon)
 }
 
-// ClientGone handles the departure of a request's client: open attempts are cancelled where the limits permit it, and none is
-// started any more.
+// ClientGone handles the disconnection of a request's client: no more attempts are started, and open ones are
+// cancelled if the limits permit it.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	b.now = now
 	q := b.requests[id]
@@ -132,7 +132,7 @@
 	b.release(q)
 }
 
-// StreamStarted handles the first byte of a streamed response of attempt n, latency after it was sent.
+// StreamStarted handles the first byte of a streamed response to attempt n, latency after the attempt was sent.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, n int, latency time.Duration) {
 	b.now = now
 	q := b.requests[id]
@@ -143,8 +143,8 @@
 	b.recordResponse(q, &q.attempts[n], latency)
 }
 
-// Outcome handles the end of an attempt: it updates curves and health, and retries or finishes the request where no other
-// attempt is open. Unknown attempts and repeated ends are ignored.
+// Outcome handles the end of an attempt: it updates curves and health, and retries or finishes the request if no
+// other attempt is open. Unknown attempts and repeated ends are ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	b.now = now
 	q := b.requests[o.Request]
--- a/decide/restore.go
+++ b/decide/restore.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Snapshot returns what is known as plain data. It changes nothing.
+// Snapshot returns the state as plain data. It changes nothing.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	m := Snapshot{
 		Version: SnapshotVersion, TakenAt: now, Zone: b.settings.Zones[b.settings.Zone], VirtualTime: b.virtualTime, SubsetFraction: b.subsetFraction,
@@ -19,7 +19,7 @@
 		Timeouts: b.timeouts, Responses: b.responses, Failures: b.failures,
 		RetryTokens: b.retryTokens, TenantTokens: slices.Clone(b.tenantTokens), Shedding: b.shedding,
 	}
-	if b.started { // else it has never solved
+	if b.started { // otherwise there was no solve yet
 		m.SinceSolve = max(0, now-b.lastSolve)
 	}
 	for _, t := range b.settings.Tenants {
@@ -48,7 +48,6 @@
 	return m
 }
 
-// snapshotBackend returns what is known of one backend.
 func (b *Balancer) snapshotBackend(s *backendState, now time.Duration) BackendSnapshot {
 	k := BackendSnapshot{
 		ID: s.ID, Kind: b.settings.Kinds[s.Kind], Started: s.Started,
@@ -72,14 +71,14 @@
 	return k
 }
 
-// Restore loads the snapshot of another Balancer into one that has its endpoint list and no open request. What the snapshot
-// knows of backends, kinds, classes, zones and tenants that are not here, and of earlier processes of backends, is left
-// out. A snapshot that cannot be right changes nothing and gives an error that says what is wrong. Restored at once, with
-// the same settings and list, a Balancer makes the same decisions as the first one but for random choices; an older
-// snapshot weighs as if no response had come since.
+// Restore loads the snapshot of another Balancer into one that has its endpoint list and no open requests. It
+// ignores backends, kinds, classes, zones and tenants that do not exist here, and the state of earlier backend
+// processes. An invalid snapshot changes nothing and returns an error that names the fault. Restored at once, with
+// the same settings and list, a Balancer makes the same decisions as the original one except for random choices; the
+// state of an older snapshot is decayed as if no responses had arrived since.
 func (b *Balancer) Restore(now time.Duration, m Snapshot) error {
 	if err := b.checkRestore(now, &m); err != nil {
-		return fmt.Errorf("memory: %w", err)
+		return fmt.Errorf("snapshot: %w", err)
 	}
 	b.now = now
 	age := max(0, now-m.TakenAt)
@@ -95,7 +94,7 @@
 	if m.Shedding {
 		capacity = 0
 	}
-	b.shedding = b.arrivalRate > capacity // as it was: not a change to be logged
+	b.shedding = b.arrivalRate > capacity // unchanged, so that it is not logged as a change
 	b.setAdmissionLimits(capacity)
 	if age > b.scaled(1, solveInterval) {
 		for _, s := range b.backends {
@@ -106,24 +105,24 @@
 	return nil
 }
 
-// checkRestore returns an error where a snapshot cannot be restored here and now.
+// checkRestore returns an error if a snapshot cannot be restored here and now.
 func (b *Balancer) checkRestore(now time.Duration, m *Snapshot) error {
 	if err := m.check(now); err != nil {
 		return err
 	}
 	switch {
 	case m.Zone != b.settings.Zones[b.settings.Zone]:
-		return fmt.Errorf("it is of zone %q", m.Zone)
+		return fmt.Errorf("taken in zone %q", m.Zone)
 	case !b.started:
-		return errors.New("there is no list yet")
+		return errors.New("no endpoint list yet")
 	case len(b.requests) > 0:
-		return fmt.Errorf("%d requests are open", len(b.requests))
+		return fmt.Errorf("%d open requests", len(b.requests))
 	}
 	return nil
 }
 
-// restoreBackends loads what is known of the backends and rebuilds the pick queue in the order that it had. Backends that
-// the snapshot does not know come last.
+// restoreBackends loads the state of the backends and rebuilds the pick queue in its order, with unknown backends
+// last.
 func (b *Balancer) restoreBackends(m *Snapshot, age time.Duration) {
 	shift := m.VirtualTime - b.virtualTime
 	b.virtualTime = m.VirtualTime
@@ -159,12 +158,12 @@
 	heap.Init(&b.pickQueue)
 }
 
-// decayWeight is the weight that evidence of an age keeps, with lifetime as its time constant.
+// decayWeight returns the weight that evidence of the given age keeps, with lifetime as the time constant.
 func (b *Balancer) decayWeight(age, lifetime time.Duration) float64 {
 	return math.Exp(-age.Seconds() / b.timeScale / lifetime.Seconds())
 }
 
-// restoreFleet loads what is known of the traffic, the subset and the zones.
+// restoreFleet loads the state of the traffic, the subset and the zones.
 func (b *Balancer) restoreFleet(m *Snapshot, age time.Duration) {
 	own := b.decayWeight(age, backendDecay)
 	b.restoreKinds(m, age)
@@ -195,10 +194,9 @@
 		b.arrivalRate, b.sendRate, b.warmServiceRate = 0, 0, 0
 	}
 	b.timeouts, b.responses, b.failures = m.Timeouts*own, m.Responses*own, m.Failures*own
-	b.lastSolve = b.now - min(m.SinceSolve, 2*solveInterval) // a solve interval at most, whatever the snapshot says
+	b.lastSolve = b.now - min(m.SinceSolve, 2*solveInterval) // two solve intervals at most, whatever the snapshot says
 }
 
-// restoreKinds loads the models of the kinds.
 func (b *Balancer) restoreKinds(m *Snapshot, age time.Duration) {
 	keep := b.decayWeight(age, kindDecay)
 	for _, k := range m.Kinds {
@@ -224,8 +222,8 @@
 	}
 }
 
-// restoreBackend loads what is known of one backend. Failures older than the longest ejection are ignored: the backend may
-// have recovered, and a node that ejected its whole fleet must not continue so.
+// restoreBackend loads the state of one backend. Failures older than the longest ejection are ignored: the backend
+// may have recovered, and a node that had ejected its whole fleet must not continue to do so.
 func (b *Balancer) restoreBackend(s *backendState, k *BackendSnapshot, age time.Duration) {
 	own := b.decayWeight(age, backendDecay)
 	s.maxWeight, s.reportedLatency, s.reportedAt = max(s.maxWeight, k.MaxWeight), k.ReportedLatency, k.ReportedAt
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	retryTokensPerRequest = .2   // retries that a first attempt earns
-	maxRetryTokens        = 10.0 // retries that can be saved up
+	retryTokensPerRequest = .2   // retry tokens earned by a first attempt
+	maxRetryTokens        = 10.0 // capacity of the retry token bucket
 )
 
-// earnRetryTokens adds to the retry budget for a first attempt.
 func (b *Balancer) earnRetryTokens() {
 	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
 }
 
-// retry starts a further attempt of a request and tells whether it could.
+// retry starts another attempt of a request and reports whether it could.
 func (b *Balancer) retry(q *request) bool {
 	s := b.pickRetry(q)
 	if s == nil {
@@ -26,9 +25,9 @@
 	return true
 }
 
-// pickRetry returns the backend for a further attempt: the one whose turn comes first among those that can answer in time.
-// It returns nil where the effect of the class, the time left, the retry budget or the fleet permits none. The budget
-// keeps retries from amplifying a fault.
+// pickRetry returns the backend for another attempt: the one whose turn comes first among those that can respond in
+// time. It returns nil if the class's effect, the time left, the retry budget or the state of the fleet permits
+// none. The budget keeps retries from amplifying a fault.
 func (b *Balancer) pickRetry(q *request) *backendState {
 	c := &b.classes[q.class]
 	if q.rejected || c.Effect == Unsafe && q.mayHaveRun || b.retryTokens < 1 ||
@@ -38,7 +37,7 @@
 	left := min(q.deadline, q.arrived+c.Target) - b.now
 	var best *backendState
 	for _, s := range b.backends {
-		// A request bound to a group may go to a warm backend of the group that is outside this node's subset.
+		// A request bound to a group may also go to a warm backend of the group outside this node's subset.
 		bound := c.Effect == Keyed && c.Group != GroupAll && q.mayHaveRun
 		candidate := s.queueIndex >= 0 || bound && b.healthy(s) && b.capacityFraction(s) >= 1
 		if !candidate || s.overdue > 0 || !b.acceptsNow(s, q) || !b.mayRetryOn(q, s) {
@@ -54,9 +53,9 @@
 	return best
 }
 
-// mayRetryOn tells whether a request may be sent to a backend after its earlier attempts: never twice to one, and a keyed
-// request only within the group that drops duplicates, for as long as it does so after the first attempt that has run or may
-// yet run.
+// mayRetryOn reports whether a request may be sent to a backend given its earlier attempts: never twice to the same
+// one, and a keyed request only within the group that drops duplicates, for its KeyTTL after the first attempt that
+// has run or may yet run.
 func (b *Balancer) mayRetryOn(q *request, s *backendState) bool {
 	if slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.backend == s }) {
 		return false
@@ -70,8 +69,8 @@
 	return deduplicated && b.now < q.attempts[i].sentAt+c.KeyTTL
 }
 
-// sweepOverdue marks attempts that should have been answered by now. They are evidence against their backend before any
-// time-out, and where there is time left another backend may still answer.
+// sweepOverdue marks attempts that should have been answered by now. They are evidence against their backend before
+// any timeout, and there may be time left for another backend to respond.
 func (b *Balancer) sweepOverdue() {
 	for i := range b.classes {
 		c := &b.classes[i]
@@ -93,8 +92,8 @@
 	}
 }
 
-// overdueAfter is how long after it was sent an attempt of a class is overdue: at the last moment that leaves time for
-// another backend, but not before twice the mean latency.
+// overdueAfter returns the time after which an attempt of a class is overdue: the last moment that leaves time for
+// another backend, but at least twice the mean latency.
 func (b *Balancer) overdueAfter(c *class) time.Duration {
 	if c.sampleCount < 1 {
 		return c.Target / 2
@@ -103,7 +102,7 @@
 	return seconds(max(2*mean, c.Target.Seconds()-2*mean))
 }
 
-// markOverdue marks attempt n of a request as overdue, and hedges the request where a second copy is permitted.
+// markOverdue marks attempt n of a request as overdue, and hedges the request if a second attempt is permitted.
 func (b *Balancer) markOverdue(q *request, n int) {
 	a := &q.attempts[n]
 	a.overdue = true
@@ -114,14 +113,15 @@
 	}
 	c := &b.classes[q.class]
 	mayCopy := b.settings.Limits.Hedging && (c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll)
-	lost := a.backend.classHealth[q.class].lastResponse <= a.sentAt || a.backend.newestAnswered > a.sentAt // else it may only be queued
+	lost := a.backend.classHealth[q.class].lastResponse <= a.sentAt || a.backend.newestAnswered > a.sentAt // otherwise it may just be queued
 	if mayCopy && lost && !q.closed && !q.streamStarted && q.openAttempts == 1 {
 		b.retry(q)
 	}
 }
 
-// indicatesSlowness tells whether an attempt without a response says that its backend is slow: not if the class gets no
-// responses there, nor if an attempt that was sent later was answered, for then this response is lost.
+// indicatesSlowness reports whether a missing response indicates that the backend is slow. It does not if the
+// backend answers no attempts of the class, or has answered an attempt that was sent later: then this response is
+// lost.
 func (b *Balancer) indicatesSlowness(q *request, a *attempt) bool {
 	return a.backend.classHealth[q.class].ejections == 0 && a.backend.newestAnswered <= a.sentAt
 }
--- a/decide/shares.go
+++ b/decide/shares.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	targetFraction         = 0.8  // of the latency target that mean latency may fill, which leaves room for its spread
-	levelCount             = 10   // levels of share a backend in one pass of the solver (the paper's)
-	minBackendsForFinePass = 100  // backends from which on a second, finer pass pays (the paper's)
-	damping                = 0.5  // fraction of the way to the solved share that one solve moves
-	searchStep             = 0.25 // fraction of the paper's step that shares grow by, since solves are frequent
-	penaltyTargets         = 3.0  // latency targets that a price of 1 weighs as much as
+	targetFraction         = 0.8  // fraction of the latency target that the mean latency may reach, which leaves room for its variance
+	levelCount             = 10   // share levels per backend in one pass of the solver (from the paper)
+	minBackendsForFinePass = 100  // number of backends from which a second, finer pass is worthwhile (from the paper)
+	damping                = 0.5  // fraction of the distance to the solved share by which one solve moves a share
+	searchStep             = 0.25 // fraction of the paper's step by which shares grow, since solves are frequent here
+	penaltyTargets         = 3.0  // latency penalty for a price of 1, in latency targets
 	rateDecaySeconds       = 1.5  // time constant of the smoothed rates
-	ownEvidenceInFlight    = 2.0  // mean attempts in flight whose number says half of what the other nodes have there
+	ownEvidenceInFlight    = 2.0  // mean attempts in flight at which their present number determines half of the estimate for other nodes
 )
 
-// solve learns from the time since the last solve and sets all shares anew.
+// solve updates the models from the time since the last solve and recomputes all shares.
 func (b *Balancer) solve() {
 	b.closeInterval()
 	for b.chooseSubset(); ; b.subsetFraction, b.nodesPerBackend = 1, float64(b.settings.Nodes) {
@@ -28,14 +28,14 @@
 			b.solveLevels(need, 2.0/(levelCount*levelCount), true)
 		}
 		b.assignShares(need)
-		if len(b.pickQueue) > 0 || b.subsetFraction == 1 { // a subset without a backend to pick from gives way to the whole fleet
+		if len(b.pickQueue) > 0 || b.subsetFraction == 1 { // a subset without a backend to pick from is replaced by the whole fleet
 			return
 		}
 	}
 }
 
-// setMaxRates sets the highest rate of every eligible backend, and its penalties. It returns how many are eligible and the
-// capacity of them together, units a second.
+// setMaxRates sets the maximum rate of every eligible backend, and its penalties. It returns the number of eligible
+// backends and their total capacity in units per second.
 func (b *Balancer) setMaxRates() (eligible int, capacity float64) {
 	fair := b.fairLoad()
 	for _, s := range b.backends {
@@ -46,24 +46,24 @@
 		eligible++
 		idle := s.slowdown * s.model.idleLatency
 		s.slowStartLimit = b.slowStartLimit(s)
-		if s.slowStartNext == 0 && s.slowStartLimit > 0 { // nodes that learn of it together must not send together
+		if s.slowStartNext == 0 && s.slowStartLimit > 0 { // nodes that learn of a start at the same time must not send at the same time
 			s.slowStartNext = b.now + seconds(b.random.Float64()/s.slowStartLimit)
 		}
 		s.riskPenalty = penaltyTargets * b.latencyTarget * b.failureRisk(s)
 		s.maxRate = min(s.size*s.loadAtLatency(max(min(2*idle, targetFraction*b.latencyTarget), 1.2*idle)), s.slowStartLimit)
 		capacity += s.maxRate
-		load := max(b.ownLoad(s), fair) // the step of the search: no further than idle over latency
+		load := max(b.ownLoad(s), fair) // bounds the step of the search, in proportion to idle latency over latency
 		s.maxRate = min(s.maxRate, s.size*load*(1+searchStep*idle/s.latencyAtLoad(load)))
 	}
 	return eligible, capacity
 }
 
-// solveLevels raises rates in steps at whichever backend's curve adds the least latency for a step, until need (units a
-// second) is met. Since the curves are convex, the price of the last step gives the level of every backend; it is found
-// by bisection. The fine pass stays within one coarse level around the coarse result.
+// solveLevels raises rates in steps at whichever backend's curve adds the least latency for a step, until need
+// (units per second) is met. Since the curves are convex, the price of the last step determines the level of every
+// backend; it is found by bisection. The fine pass stays within one coarse level of the coarse result.
 func (b *Balancer) solveLevels(need, step float64, fine bool) {
 	low, high := 0.0, 0.0
-	for _, s := range b.backends { // no level costs more than the last unit at maxRate
+	for _, s := range b.backends { // upper bound: no level costs more than the last unit at maxRate
 		high = max(high, s.crossZonePenalty+s.riskPenalty+3*s.latencyAtLoad(s.maxRate/s.size))
 	}
 	for range 24 {
@@ -83,12 +83,12 @@
 	}
 }
 
-// levelAtPrice is the highest level, as a rate, whose last step costs no more than price.
+// levelAtPrice returns the highest level, as a rate, whose last step costs no more than price.
 func (s *backendState) levelAtPrice(price, step float64, fine bool) float64 {
 	if s.maxRate <= 0 {
 		return 0
 	}
-	// One more unit at the load u adds idle + 3 * loadCoeff * u^2.
+	// One more unit at the load u adds a latency of idle + 3 * loadCoeff * u^2.
 	level := s.size * s.loadAtLatency((price-s.crossZonePenalty-s.riskPenalty+2*s.slowdown*s.model.idleLatency)/3) / s.maxRate
 	level = math.Floor(min(level, 1)/step) * step
 	if fine {
@@ -98,7 +98,7 @@
 	return level * s.maxRate
 }
 
-// assignShares hands out by headroom what the levels left over, and moves the shares towards the result.
+// assignShares distributes the demand left over by the levels by headroom, and moves shares towards the result.
 func (b *Balancer) assignShares(need float64) {
 	sum, headroom := 0.0, 1e-9
 	for _, s := range b.backends {
@@ -114,7 +114,7 @@
 			slowStartRate += s.solvedRate
 		}
 	}
-	warmFactor := max(1, (need-slowStartRate)/warmRate) // the rest goes to warm backends: one in slow start gets its limit at most
+	warmFactor := max(1, (need-slowStartRate)/warmRate) // the rest goes to warm backends: a backend in slow start never gets more than its limit
 	total := slowStartRate + warmFactor*warmRate
 	for _, s := range b.backends {
 		share := s.solvedRate / total
@@ -130,10 +130,10 @@
 	heap.Init(&b.pickQueue)
 }
 
-// estimateOthers sets what other nodes are taken to have in flight at a backend. They are taken to do as this node does: if
-// each of many nodes took its own small load for all of it, all would send to the backends that are fastest when idle.
-// Where this node has many attempts in flight their number also says something of the others'; where it has few, the
-// mean says more.
+// estimateOthers sets the estimate of what other nodes have in flight at a backend. It assumes that they act like
+// this node: if each of many nodes took its own small load for the total, all would send to the backends that are
+// fastest when idle. Many attempts of this node in flight are also evidence of the others' number; with few, the
+// mean is better.
 func (s *backendState) estimateOthers(load, nodes float64) {
 	meanInFlight := load * s.latencyAtLoad(load) * s.size
 	ownWeight := meanInFlight / (meanInFlight + ownEvidenceInFlight)
@@ -162,10 +162,10 @@
 	b.refitCurves(elapsed, keep)
 }
 
-// ownLoad is what a backend gets from this node, units a second by size.
+// ownLoad returns the load that this node puts on a backend, in units per second per size.
 func (b *Balancer) ownLoad(s *backendState) float64 { return s.share * b.sendRate / s.size }
 
-// fairLoad is the load of every backend of the subset if all arriving work were spread by size.
+// fairLoad returns the load of every backend of the subset if all arriving work were spread by size.
 func (b *Balancer) fairLoad() float64 {
 	return max(b.arrivalRate, 1) / max(b.servingSize*b.subsetFraction, 1)
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	slowStartGap            = 0.8 // fraction of the mean gap that must lie between two attempts in slow start
-	slowStartBudgetFraction = 0.8 // fraction of the budget of Rules to use, since a backend's size is a guess
+	slowStartGap            = 0.8 // minimum gap between two attempts in slow start, as a fraction of the mean gap
+	slowStartBudgetFraction = 0.8 // fraction of the budget from Rules that is used, since a backend's size is an estimate
 )
 
-// capacityFraction is the fraction of its capacity that a backend is sure to have: below 1 it is in slow start.
+// capacityFraction returns the fraction of its capacity that a backend surely has: below 1 it is in slow start.
 func (b *Balancer) capacityFraction(s *backendState) float64 {
 	rules := &b.settings.Rules
 	if s.Started <= 0 || rules.SlowStartTime <= 0 || b.now >= s.Started+rules.SlowStartTime {
@@ -17,8 +17,8 @@
 	return rules.SlowStartFloor + (1-rules.SlowStartFloor)*progress
 }
 
-// warmLoad is the load of warm backends, units a second by size: the work that they answer, since what is sent to them may
-// queue up there. Without warm backends it is the load that each would have in the largest fleet seen.
+// warmLoad returns the load of warm backends in units per second per size. It counts the work that they complete,
+// since work sent to them may queue up there. Without warm backends it is each one's load in the largest fleet seen.
 func (b *Balancer) warmLoad() float64 {
 	size := 0.0
 	for _, s := range b.backends {
@@ -32,9 +32,9 @@
 	return b.warmServiceRate / size
 }
 
-// slowStartLimit is the rate that this node may send to a backend, units a second; infinite for a warm one. For one in slow
-// start it is such that all nodes together stay within the budget of Rules, chance included, if each keeps to its limit.
-// The budget follows from what warm backends answer now, which is no more than they can do.
+// slowStartLimit returns the rate in units per second that this node may send to a backend, infinite if it is warm.
+// For a backend in slow start, all nodes together stay within the budget of Rules if each keeps to its limit, with a
+// margin for random variation. The budget follows the throughput of warm backends, which is at most their capacity.
 func (b *Balancer) slowStartLimit(s *backendState) float64 {
 	fraction := b.capacityFraction(s)
 	if fraction >= 1 {
@@ -47,6 +47,6 @@
 	if budget <= 1 {
 		return 0
 	}
-	root := (math.Sqrt(9+4*(budget-1)) - 3) / 2 // mean + 3 deviations + 1 stays within the budget
+	root := (math.Sqrt(9+4*(budget-1)) - 3) / 2 // mean + 3 standard deviations + 1 stays within the budget
 	return min(root*root/window, fraction*warmRate) / nodes
 }
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// SnapshotVersion is the version of the encoded form of Snapshot. It grows when an older reader would misread a field; fields
-// that a reader may ignore do not change it.
+// SnapshotVersion is the version of the encoded form of Snapshot. It increases when an older reader would misread a
+// field, not for fields that a reader may ignore.
 const SnapshotVersion = 1
 
 const (
-	maxClockSkew = 5 * time.Second  // by which the clocks of two machines may differ
-	idleLifetime = 20 * kindDecay   // age from which on an idle latency is no more than a guess
-	rateLifetime = 4 * time.Second  // age from which on the smoothed rates are void
-	maxNumber    = 1e15             // largest number that is accepted
-	maxSlowdown  = 1000             // largest slowdown, and the inverse of the smallest
-	maxCount     = 1 << 20          // largest count of events
-	maxFuture    = 32 * time.Second // by which a time may lie ahead of the snapshot
-	maxBackends  = 1 << 20          // largest number of backends that is accepted
+	maxClockSkew = 5 * time.Second  // maximum difference between the clocks of two machines
+	idleLifetime = 20 * kindDecay   // age above which a learned idle latency is only an estimate
+	rateLifetime = 4 * time.Second  // age above which the smoothed rates are discarded
+	maxNumber    = 1e15             // largest accepted number
+	maxSlowdown  = 1000             // largest accepted slowdown, and the inverse of the smallest
+	maxCount     = 1 << 20          // largest accepted count of events
+	maxFuture    = 32 * time.Second // maximum time by which a timestamp may lie after that of the snapshot
+	maxBackends  = 1 << 20          // largest accepted number of backends
 )
 
-// CurveSnapshot holds the sums over the samples of a curve: their number, latencies in seconds, and loads squared.
+// CurveSnapshot holds sums over the samples of a curve: their number, latencies in seconds, and squared loads.
 type CurveSnapshot struct {
 	SampleCount    float64 `json:"n"`
 	LatencySum     float64 `json:"y"`
@@ -34,7 +34,7 @@
 	return sampleSums{f.SampleCount, f.LatencySum, f.LoadSquaredSum}
 }
 
-// KindSnapshot is what is known of the backends of one kind, in the node's own zone or in the others (Across).
+// KindSnapshot is the model of the backends of one kind, in the node's own zone or in the other zones.
 type KindSnapshot struct {
 	Kind           string        `json:"kind"`
 	OtherZones     bool          `json:"across,omitempty"`
@@ -48,16 +48,16 @@
 	IdleBatchCount int           `json:"batch_n"`
 }
 
-// ClassSnapshot is what is known of a class of requests.
+// ClassSnapshot is the state of a class of requests.
 type ClassSnapshot struct {
 	Class       string  `json:"class"`
 	SampleCount float64 `json:"n"`
 	LatencySum  float64 `json:"y"`
-	Work        float64 `json:"work"` // units a request
+	Work        float64 `json:"work"` // units per request
 	MeanCost    float64 `json:"cost"`
 }
 
-// ZoneSnapshot is what is known of the network to a zone.
+// ZoneSnapshot is the health of the network connection to a zone.
 type ZoneSnapshot struct {
 	Zone                string        `json:"zone"`
 	LastResponse        time.Duration `json:"heard"`
@@ -74,11 +74,11 @@
 	Ejections           int           `json:"times"`
 }
 
-// BackendSnapshot is what is known of one backend.
+// BackendSnapshot is the state of one backend.
 type BackendSnapshot struct {
 	ID                   BackendID        `json:"id"`
 	Kind                 string           `json:"kind"`
-	Started              time.Duration    `json:"started"` // what is known of another process of the backend is void
+	Started              time.Duration    `json:"started"` // the state of another process of the backend is ignored
 	MaxWeight            float64          `json:"nominal"`
 	ReportedLatency      float64          `json:"read"`
 	ReportedAt           time.Duration    `json:"read_at"`
@@ -87,13 +87,13 @@
 	SampleCount          float64          `json:"n"`
 	Slowdown             float64          `json:"slow"`
 	Share                float64          `json:"share"`
-	AttemptScale         float64          `json:"each,omitempty"` // 0 = derived again, together with Others
+	AttemptScale         float64          `json:"each,omitempty"` // 0 = recomputed, together with OthersInFlight
 	OthersInFlight       float64          `json:"others,omitempty"`
 	RiskPenalty          float64          `json:"risk"`
-	SlowStartLimit       float64          `json:"cold_top"` // units a second, -1 = no limit
+	SlowStartLimit       float64          `json:"cold_top"` // units per second, -1 = no limit
 	SlowStartNext        time.Duration    `json:"cold_next"`
 	NextPick             float64          `json:"next"`
-	QueueIndex           int              `json:"turn"` // -1 = none
+	QueueIndex           int              `json:"turn"` // in the pick queue, -1 = not in it
 	ConsecutiveEjections int              `json:"fails"`
 	ConsecutiveTimeouts  int              `json:"silent"`
 	Responses            float64          `json:"good"`
@@ -105,12 +105,12 @@
 	ClassHealth          []HealthSnapshot `json:"ills,omitempty"`
 }
 
-// Snapshot is a snapshot of what a Balancer knows, without its open requests. Names are those of its Settings; times are on
-// the clock that all nodes share. The JSON form is stored and sent between versions: tags never change.
+// Snapshot is the state of a Balancer without its open requests. Names are those of its Settings; times are on the
+// clock that all nodes share. The JSON form is stored, and sent between versions: tags never change.
 type Snapshot struct {
 	Version         int               `json:"version"`
-	TakenAt         time.Duration     `json:"at"`   // when it was taken
-	Zone            string            `json:"zone"` // of the node, which other zones are relative to
+	TakenAt         time.Duration     `json:"at"`
+	Zone            string            `json:"zone"` // of the node, as opposed to OtherZones
 	Kinds           []KindSnapshot    `json:"kinds"`
 	Classes         []ClassSnapshot   `json:"classes"`
 	Zones           []ZoneSnapshot    `json:"zones"`
@@ -118,13 +118,13 @@
 	TrialQueue      []BackendID       `json:"trials,omitempty"` // backends whose ejection has ended
 	VirtualTime     float64           `json:"clock"`            // virtual time of the weighted round robin
 	SubsetFraction  float64           `json:"part"`
-	ArrivedWork     float64           `json:"asked"` // since the last solve
+	ArrivedWork     float64           `json:"asked"` // units, since the last solve
 	SentWork        float64           `json:"sent"`
 	WarmServedWork  float64           `json:"borne"`
 	NewOverdue      float64           `json:"lately"`
 	NewResponses    float64           `json:"heard"`
 	SinceSolve      time.Duration     `json:"solved_ago"`
-	ArrivalRate     float64           `json:"ask_rate"` // units a second
+	ArrivalRate     float64           `json:"ask_rate"` // units per second
 	SendRate        float64           `json:"rate"`
 	WarmServiceRate float64           `json:"bear_rate"`
 	Timeouts        float64           `json:"lates"`
@@ -136,7 +136,7 @@
 	Shedding        bool              `json:"shedding"`
 }
 
-// checker keeps the first thing that is wrong with a snapshot.
+// checker keeps the first error found in a snapshot.
 type checker struct {
 	at  time.Duration
 	err error
@@ -148,7 +148,7 @@
 	}
 }
 
-// numbers checks that values are 0 or more and not too large.
+// numbers checks that values are at least 0 and at most maxNumber.
 func (c *checker) numbers(what string, values ...float64) {
 	for _, x := range values {
 		if !(x >= 0 && x <= maxNumber) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// times checks that points in time lie before the snapshot or shortly after it.
+// times checks that timestamps are not negative and at most maxFuture after the snapshot.
 func (c *checker) times(what string, values ...time.Duration) {
 	for _, t := range values {
 		if t < 0 || t > c.at+maxFuture {
@@ -166,7 +166,7 @@
 	}
 }
 
-// counts checks that counts are 0 or more and not too large.
+// counts checks that counts are at least 0 and at most maxCount.
 func (c *checker) counts(what string, values ...int) {
 	for _, n := range values {
 		if n < 0 || n > maxCount {
@@ -175,19 +175,19 @@
 	}
 }
 
-// check returns an error that names the first value that cannot be right.
+// check returns an error that names the first invalid value.
 func (m *Snapshot) check(now time.Duration) error {
 	if m.Version != SnapshotVersion {
-		return fmt.Errorf("its version is %d, %d is read", m.Version, SnapshotVersion)
+		return fmt.Errorf("version is %d, supported is %d", m.Version, SnapshotVersion)
 	}
 	if m.TakenAt < 0 || m.TakenAt > now+maxClockSkew {
-		return fmt.Errorf("it is of %v, now it is %v", m.TakenAt, now)
+		return fmt.Errorf("taken at %v, which is after the present time %v", m.TakenAt, now)
 	}
 	if len(m.Backends) > maxBackends || len(m.TenantTokens) != len(m.Tenants) {
-		return fmt.Errorf("it has %d backends, %d quotas and %d tenants", len(m.Backends), len(m.TenantTokens), len(m.Tenants))
+		return fmt.Errorf("%d backends, %d quotas and %d tenants", len(m.Backends), len(m.TenantTokens), len(m.Tenants))
 	}
 	c := &checker{at: m.TakenAt}
-	c.numbers("a figure of the traffic", m.VirtualTime, m.ArrivedWork, m.SentWork, m.WarmServedWork, m.NewOverdue, m.NewResponses, m.ArrivalRate, m.SendRate, m.WarmServiceRate, m.Timeouts,
+	c.numbers("a traffic value", m.VirtualTime, m.ArrivedWork, m.SentWork, m.WarmServedWork, m.NewOverdue, m.NewResponses, m.ArrivalRate, m.SendRate, m.WarmServiceRate, m.Timeouts,
 		m.Responses, m.Failures, m.RetryTokens)
 	c.numbers("a quota", m.TenantTokens...)
 	if !(m.SubsetFraction > 0 && m.SubsetFraction <= 1) {
@@ -195,7 +195,7 @@
 	}
 	c.times("solved_ago", m.SinceSolve)
 	for _, k := range m.Kinds {
-		c.numbers("a figure of a kind", k.Sums.SampleCount, k.Sums.LatencySum, k.Sums.LoadSquaredSum, k.RecentSums.SampleCount, k.RecentSums.LatencySum, k.RecentSums.LoadSquaredSum, k.InFlightCoeff, k.LoadCoeff,
+		c.numbers("a value of a kind", k.Sums.SampleCount, k.Sums.LatencySum, k.Sums.LoadSquaredSum, k.RecentSums.SampleCount, k.RecentSums.LatencySum, k.RecentSums.LoadSquaredSum, k.InFlightCoeff, k.LoadCoeff,
 			k.IdleBatchSum, k.IdleLatency)
 		c.counts("batch_n", k.IdleBatchCount)
 		if !(k.IdleLatency > 0) {
@@ -203,7 +203,7 @@
 		}
 	}
 	for _, k := range m.Classes {
-		c.numbers("a figure of a class", k.SampleCount, k.LatencySum, k.MeanCost, k.Work)
+		c.numbers("a value of a class", k.SampleCount, k.LatencySum, k.MeanCost, k.Work)
 		if !(k.Work > 1e-6) {
 			c.fail("work", k.Work)
 		}
@@ -219,7 +219,7 @@
 }
 
 func (k *BackendSnapshot) check(c *checker) {
-	c.numbers("a figure of a backend", k.AttemptScale, k.OthersInFlight, k.MaxWeight, k.ReportedLatency, k.LatencySum, k.ExpectedSum, k.SampleCount, k.Slowdown, k.Share, k.RiskPenalty, k.NextPick, k.Responses,
+	c.numbers("a value of a backend", k.AttemptScale, k.OthersInFlight, k.MaxWeight, k.ReportedLatency, k.LatencySum, k.ExpectedSum, k.SampleCount, k.Slowdown, k.Share, k.RiskPenalty, k.NextPick, k.Responses,
 		k.Failures, k.Timeouts, k.ConsecutiveFailures)
 	c.times("a time of a backend", k.ReportedAt, k.SlowStartNext, k.EjectedUntil)
 	c.counts("a count of a backend", k.ConsecutiveEjections, k.ConsecutiveTimeouts, k.QueueIndex+1)
@@ -230,8 +230,8 @@
 		c.fail("cold_top", k.SlowStartLimit)
 	}
 	for _, e := range k.ClassHealth {
-		c.numbers("a figure of an ill", e.ConsecutiveFailures)
-		c.times("a time of an ill", e.EjectedUntil)
-		c.counts("a count of an ill", e.Ejections)
+		c.numbers("a value of a class's health", e.ConsecutiveFailures)
+		c.times("a time of a class's health", e.EjectedUntil)
+		c.counts("a count of a class's health", e.Ejections)
 	}
 }
--- a/decide/subset.go
+++ b/decide/subset.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	minRatePerBackend  = 4.0 // units a second that a node wants to send to each backend of its subset
-	minSubsetBackends  = 6.0 // backends in a subset, at least
-	minNodesPerBackend = 4.0 // nodes whose subset a backend is in, at least
+	minRatePerBackend  = 4.0 // units per second that a node aims to send to each backend of its subset
+	minSubsetBackends  = 6.0 // minimum number of backends in a subset
+	minNodesPerBackend = 4.0 // minimum number of nodes whose subsets contain a backend
 )
 
-// chooseSubset sets the fraction of the fleet that this node sends to, so that it sends each backend enough to learn from
-// and a backend has no connection from every node. A subset begins at the node's own position on the ring and ends where
-// it holds its fraction of all size, and half that fraction of the size that is healthy. The beginnings are evenly spread,
-// so that every backend is in about as many subsets as any other.
+// chooseSubset sets the fraction of the fleet that this node sends to, so that each backend of the subset gets
+// enough requests to learn from and not every node connects to every backend. A subset starts at the node's own
+// position on the ring and ends where it holds its fraction of the total size, and half that fraction of the healthy
+// size. The starts are evenly spread, so that all backends are in about the same number of subsets.
 func (b *Balancer) chooseSubset() {
 	candidates, healthySize := b.subsetOrder[:0], 0.0
 	for _, s := range b.backends {
@@ -44,11 +44,11 @@
 	b.nodesPerBackend = max(1, float64(b.settings.Nodes)*b.subsetFraction)
 }
 
-// inSubset tells whether a backend is in the subset of this node.
 func (b *Balancer) inSubset(s *backendState) bool { return s.subsetOffset <= b.subsetFraction }
 
-// assignRingPositions gives each backend an arc of the ring as long as its size, in an order that depends on the ids alone:
-// a stretch of the ring then holds the same fraction of the fleet's size wherever it lies. Every node gets the same ring.
+// assignRingPositions assigns each backend an arc of the ring as long as its size, in an order that depends on the
+// ids only: sections of the ring of equal length then hold the same fraction of the fleet's size. All nodes compute
+// the same ring.
 func (b *Balancer) assignRingPositions() {
 	order := slices.Clone(b.backends)
 	slices.SortFunc(order, func(s, t *backendState) int { return cmp.Compare(uint32(s.ID)*2654435769, uint32(t.ID)*2654435769) })
--- a/decide/view.go
+++ b/decide/view.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// BackendView is the present state of one backend, for status pages and metrics.
+// BackendView is the current state of one backend, for status pages and metrics.
 type BackendView struct {
 	ID               BackendID
 	Share            float64       // of the node's load
-	Rate             float64       // units a second
-	MaxRate          float64       // highest rate, units a second
+	Rate             float64       // units per second
+	MaxRate          float64       // units per second
 	IdleLatency      time.Duration // learned latency without load
-	Latency          time.Duration // learned latency at the present load
+	Latency          time.Duration // learned latency at the current load
 	Slowdown         float64       // latency relative to its kind
 	InSubset         bool          // it is in the subset of this node
-	Ejected          bool          // ejected: it gets nothing but a trial request
-	EjectedUntil     time.Duration // end of its ejection
-	CapacityFraction float64       // fraction of its capacity that it is sure to have, 1 = warm
-	SlowStartLimit   float64       // limit of its slow start, units a second; infinite when warm
+	Ejected          bool          // it gets only trial requests
+	EjectedUntil     time.Duration
+	CapacityFraction float64       // fraction of its capacity that it is guaranteed to have, 1 = warm
+	SlowStartLimit   float64       // units per second; infinite if warm
 	RiskPenalty      time.Duration // penalty for its failures
 	InFlight         int           // attempts in flight
 	Overdue          int           // attempts in flight that should have been answered by now
-	EjectedClasses   []int         // indices of the classes that it is ejected for
+	EjectedClasses   []int         // indices in Settings.Classes
 }
 
-// View is the present state of a Balancer.
+// View is the current state of a Balancer.
 type View struct {
-	ArrivalRate    float64 // arriving work, units a second
-	Rate           float64 // sent work, units a second
+	ArrivalRate    float64 // arriving work, units per second
+	Rate           float64 // sent work, units per second
 	SubsetFraction float64 // fraction of the fleet that the node sends to
-	Shedding       bool    // more work arrives than there is capacity for
-	RetryTokens    float64 // retries that may be made now
+	Shedding       bool    // more work arrives than the capacity allows
+	RetryTokens    float64 // number of retries that are possible now
 	Backends       []BackendView
 }
 
-// View returns the present view. It changes nothing.
+// View returns the current state. It changes nothing.
 func (b *Balancer) View(now time.Duration) View {
 	v := View{b.arrivalRate, b.sendRate, b.subsetFraction, b.shedding, b.retryTokens, nil}
 	previous := b.now
@@ -58,11 +58,11 @@
 	return v
 }
 
-// SubsetFraction is the fraction of the fleet that this node sends to, above 0 and at most 1.
+// SubsetFraction returns the fraction of the fleet that this node sends to, above 0 and at most 1.
 func (b *Balancer) SubsetFraction() float64 { return b.subsetFraction }
 
-// Capacity is the capacity of the backends in use for this node, units a second, as of the last solve. learned tells whether it
-// rests on any response.
+// Capacity returns the capacity, as of the last solve, of the backends in use by this node, in units per second.
+// learned reports whether it is based on any response.
 func (b *Balancer) Capacity() (capacity float64, learned bool) {
 	for _, s := range b.backends {
 		capacity += s.maxRate
--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/memory.go
@@ -10,7 +10,7 @@
 )
 
 // Memory is a snapshot of a Pilot as plain data, for another process: the endpoint list, since when its hosts drain, and the
-// module's snapshot. Only decide.Memory has a version: a reader may ignore an unknown field of a host. The JSON form is
+// module's snapshot. Only decide.Snapshot has a version: a reader may ignore an unknown field of a host. The JSON form is
 // stored and sent between versions: tags never change.
 type Memory struct {
 	Hosts  []HostMemory    `json:"hosts"`
