--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -9,7 +9,7 @@
 
 const second = time.Second
 
-// testSettings are those of a small deployment, which tests adapt.
+// testSettings returns the settings of a small deployment, for tests to adapt.
 func testSettings() Settings {
 	return Settings{
 		Nodes: 1, Zones: []string{"here", "there"}, Kinds: []string{"fast", "slow"},
@@ -87,14 +87,14 @@
 		}
 		for _, s := range r.sends {
 			if s.to == 2 {
-				t.Fatalf("kind %d: request %d went to the departed backend", kind, s.id)
+				t.Fatalf("kind %d: request %d went to the draining or removed backend", kind, s.id)
 			}
 		}
 	}
 }
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"Nodes":      func(s *Settings) { s.Nodes = 0 },
 		"Classes":    func(s *Settings) { s.Classes = nil },
 		"Zone":       func(s *Settings) { s.Zone = 2 },
@@ -103,13 +103,13 @@
 		"Classes[0]": func(s *Settings) { s.Classes[0].Target = 0 },
 	} {
 		set := testSettings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s spoilt: error %v does not name it", name, err)
+			t.Errorf("invalid %s: error %v does not name it", name, err)
 		}
 	}
 	if _, err := New(testSettings(), 1, nil); err == nil {
-		t.Error("no actions: no error")
+		t.Error("nil actions: no error")
 	}
 }
 
@@ -128,7 +128,7 @@
 	b.Outcome(second, done)
 	b.UpdateEndpoints(second, EndpointsDelta, []Backend{{ID: 50, State: Deleted}, {ID: 51, Zone: 8}, {ID: 52, Kind: -1}})
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Errorf("sends %v, refused %v, failed %v", r.sends, r.rejected, r.failed)
+		t.Errorf("sends %v, rejected %v, failed %v", r.sends, r.rejected, r.failed)
 	}
 }
 
@@ -149,11 +149,12 @@
 	b.UpdateEndpoints(6*second, EndpointsFull, backends(2))
 	b.Timer(9*second, timerWatch)
 	if r.watches != 2 {
-		t.Errorf("%d calls, want 2: none while the subscription stands", r.watches)
+		t.Errorf("%d calls, want 2: none while the subscription is active", r.watches)
 	}
 }
 
-// serve sends a request in every interval for a span of time, while each backend answers after its own latency.
+// serve sends a request in every interval for a span of time; each backend responds after its own latency. It
+// returns the number of attempts at each backend.
 func serve(b *Balancer, r *recorder, from, span time.Duration, every time.Duration,
 	latency func(BackendID) (time.Duration, Result)) map[BackendID]int {
 	count := map[BackendID]int{}
@@ -207,7 +208,7 @@
 		return 40 * time.Millisecond, Succeeded
 	})
 	if count[3] == 0 || count[3]*2 > count[1] {
-		t.Errorf("slow backend got %d, another %d", count[3], count[1])
+		t.Errorf("slow backend got %d requests, another %d", count[3], count[1])
 	}
 }
 
@@ -224,14 +225,14 @@
 	during := serve(b, r, second, 10*second, 5*time.Millisecond, failing(true))
 	after := serve(b, r, 11*second, 40*second, 5*time.Millisecond, failing(false))
 	if during[2] > during[1]/10 {
-		t.Errorf("failing backend got %d, another %d", during[2], during[1])
+		t.Errorf("failing backend got %d requests, another %d", during[2], during[1])
 	}
 	if after[2] < after[1]/4 {
-		t.Errorf("recovered backend got %d, another %d", after[2], after[1])
+		t.Errorf("recovered backend got %d requests, another %d", after[2], after[1])
 	}
 }
 
-// Occasional failures at every backend alike must not eject one; many at a single backend must.
+// Occasional failures at all backends must not eject any of them; frequent failures at a single backend must.
 func TestFailuresExplainedByChanceEjectNothing(t *testing.T) {
 	b, r := start(t, testSettings(), backends(6)...)
 	n := 0
@@ -248,20 +249,21 @@
 	}
 }
 
-// A backend that fails one attempt in six still adds capacity under load (seen: the largest backend ejected from an overloaded
-// fleet), and lost responses must not count as slowness (seen on a day of connection resets).
+// A backend that fails one attempt in six still adds capacity under load and must not be ejected (seen: the
+// largest backend of an overloaded fleet was), and lost responses must not count as slowness (seen in a benchmark
+// with connection resets).
 func TestPartlyFailingBackendIsPenalizedNotEjected(t *testing.T) {
 	for _, result := range []Result{Failed, TimedOut} {
 		b, r := start(t, testSettings(), backends(4)...)
-		n, away := 0, 0
+		n, ejected := 0, 0
 		chance := rand.New(rand.NewPCG(7, 7))
 		serve(b, r, second, 20*second, 2*time.Millisecond, func(to BackendID) (time.Duration, Result) {
 			s := b.byID[to]
 			if b.byID[2].ejected {
-				away++
+				ejected++
 			}
 			n++
-			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // the fleet is under load
+			took := time.Duration(float64(40*time.Millisecond) * (1 + float64(s.inFlight*s.inFlight)/300)) // latency rises with load
 			if to == 2 && chance.IntN(6) == 0 {
 				if result == TimedOut {
 					return second / 2, TimedOut
@@ -271,15 +273,15 @@
 			return took, Succeeded
 		})
 		s := b.byID[2]
-		if away > 0 || s.slowdown > 1.3 || b.failureRisk(s) < 0.05 || b.failureRisk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
-			t.Errorf("result %d: away for %d of %d, slow %v, risk %v, share %v and %v", result, away, n, s.slowdown,
+		if ejected > 0 || s.slowdown > 1.3 || b.failureRisk(s) < 0.05 || b.failureRisk(b.byID[1]) > 0.02 || s.share >= b.byID[1].share {
+			t.Errorf("result %d: ejected for %d of %d attempts, slowdown %v, risk %v, share %v and %v", result, ejected, n, s.slowdown,
 				b.failureRisk(s), s.share, b.byID[1].share)
 		}
 	}
 }
 
-// A backend may answer one class and never another: it must be ejected for that class alone (seen on a day of a failing
-// class), and a keyed request that waits there is hedged elsewhere.
+// A backend may answer one class and never another: it must be ejected for that class only (seen in a benchmark
+// with a failing class), and a keyed request that waits there must be hedged elsewhere.
 func TestUnansweredClassIsSentElsewhere(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Group = GroupAll
@@ -289,7 +291,7 @@
 		o  Outcome
 	}
 	var ends []end
-	sent, late, copies := [3]int{}, 0, 0
+	sent, late, hedged := [3]int{}, 0, 0
 	for i, now := 0, 2*second; now < 22*second; i, now = i+1, now+5*time.Millisecond {
 		before := len(r.sends)
 		b.Request(now, Request{ID: RequestID(i), Class: 1 + i%2, Tenant: -1, Deadline: now + second})
@@ -308,13 +310,13 @@
 		}
 		for _, s := range r.sends[before:] {
 			class, n := 1+int(s.id)%2, len(b.requests[s.id].attempts)-1
-			copies += n
+			hedged += n
 			if s.to == 3 {
 				sent[class]++
 			}
 			o := Outcome{Request: s.id, Backend: s.to, Attempt: n, Result: Succeeded, Over: true}
-			out := b.byID[s.to].inFlight // it is attractive: more in flight makes the others slower
-			l := time.Duration(float64(40*time.Millisecond) * (1 + float64(out*out)/20))
+			inFlight := b.byID[s.to].inFlight // latency rises with load, so the less loaded faulty backend is attractive
+			l := time.Duration(float64(40*time.Millisecond) * (1 + float64(inFlight*inFlight)/20))
 			if s.to == 3 && class == 1 {
 				o.Result, o.Over, l = TimedOut, b.requests[s.id].closed, second/2
 				late++
@@ -323,13 +325,13 @@
 			ends = append(ends, end{now + l, o})
 		}
 	}
-	if sent[1] > 40 || sent[2] < 300 || copies == 0 {
-		t.Errorf("the backend got %d of the class that it leaves unanswered, %d of the other; %d copies", sent[1],
-			sent[2], copies)
+	if sent[1] > 40 || sent[2] < 300 || hedged == 0 {
+		t.Errorf("the backend got %d attempts of the class that it never answers, %d of the other; %d hedged requests", sent[1],
+			sent[2], hedged)
 	}
 }
 
-// A request that a backend rejects as invalid must not be retried, and is no evidence against the backend.
+// A request that a backend rejects as invalid must not be retried, and must not count against the backend.
 func TestRejectedRequestIsNotRetried(t *testing.T) {
 	b, r := start(t, testSettings(), backends(4)...)
 	for id := range RequestID(8) {
@@ -341,12 +343,13 @@
 	}
 	for _, s := range b.backends {
 		if s.ejected {
-			t.Errorf("backend %d is away", s.ID)
+			t.Errorf("backend %d is ejected", s.ID)
 		}
 	}
 }
 
-// A backlog times out several attempts at once; they count as one time-out (seen on bench days ebene, rough-2).
+// A backlog times out several attempts at once; they count as one timeout (seen in the benchmark scenarios ebene
+// and rough-2).
 func TestOneBacklogCountsAsOneTimeout(t *testing.T) {
 	b, r := start(t, testSettings(), backends(1)...)
 	b.responses, b.timeouts = 90, 20
@@ -357,11 +360,11 @@
 		b.Outcome(3*second, Outcome{Request: s.id, Backend: 1, Latency: second, Result: TimedOut})
 	}
 	if s := b.byID[1]; s.consecutiveTimeouts != 1 || s.ejected {
-		t.Errorf("silent %d, away %v after one backlog of %d", s.consecutiveTimeouts, s.ejected, len(r.sends))
+		t.Errorf("%d consecutive timeouts, ejected %v after one backlog of %d attempts", s.consecutiveTimeouts, s.ejected, len(r.sends))
 	}
 }
 
-// With every backend ejected there are no shares; the pick queue must be in order when they return.
+// While all backends are ejected there are no shares; the pick queue must be valid when they return.
 func TestAllBackendsEjectedKeepsSharesInOrder(t *testing.T) {
 	b, r := start(t, testSettings(), backends(3)...)
 	serve(b, r, second, 3*second, 10*time.Millisecond, func(BackendID) (time.Duration, Result) {
@@ -377,12 +380,13 @@
 	})
 	for id := BackendID(1); id <= 3; id++ {
 		if count[id] < 100 {
-			t.Errorf("backend %d got only %d after all came back", id, count[id])
+			t.Errorf("backend %d got only %d requests after all recovered", id, count[id])
 		}
 	}
 }
 
-// If every node used every backend, the backends would run out of connections (seen on bench day ub, id1ea5d).
+// If every node used every backend, the backends would run out of connections (seen in the benchmark scenarios ub
+// and id1ea5d).
 func TestEachBackendIsUsedByFewNodes(t *testing.T) {
 	const nodes, fleet = 60, 300
 	users := map[BackendID]int{}
@@ -406,7 +410,7 @@
 	}
 }
 
-// Under overload the work of the lowest value is rejected first, and tenants beyond their quota before others.
+// Under overload, work of the lowest value is rejected first, and tenants above their quota before others.
 func TestOverloadRejectsLowestValueFirst(t *testing.T) {
 	b, _ := start(t, testSettings(), backends(2)...)
 	b.settings.OverQuotaValue = 0.1
@@ -414,24 +418,25 @@
 	limit := func(class, sub int) float64 { return b.admissionClasses[4*class+sub].latencyLimit }
 	for class := range b.classes {
 		if limit(class, 0) <= limit(class, 1) {
-			t.Errorf("class %d: a tenant beyond its share is preferred", class)
+			t.Errorf("class %d: a tenant above its quota is preferred", class)
 		}
 	}
 	if limit(1, 0) <= limit(0, 0) || limit(1, 0) > b.latencyTarget {
-		t.Errorf("dear %v, cheap %v, aim %v", limit(1, 0), limit(0, 0), b.latencyTarget)
+		t.Errorf("high value %v, low value %v, latency target %v", limit(1, 0), limit(0, 0), b.latencyTarget)
 	}
 }
 
 // flood sends requests until one is rejected and returns how many were admitted.
 func flood(b *Balancer, r *recorder, now time.Duration, from RequestID) (admitted int) {
-	for refused := len(r.rejected); len(r.rejected) == refused && admitted < 1000; admitted++ {
+	for rejected := len(r.rejected); len(r.rejected) == rejected && admitted < 1000; admitted++ {
 		b.Request(now, Request{ID: from + RequestID(admitted), Class: 1, Tenant: -1, Deadline: now + second})
 	}
 	return admitted - 1
 }
 
-// Admission must follow the number in flight, not the arrival rate: a burst is rejected only once too much is in flight, and
-// admitted again as soon as that is answered (seen on bench days of misbehaving clients and churn).
+// Admission must follow the number in flight, not the arrival rate: a burst is rejected only once too much is in
+// flight, and requests are admitted again as soon as that is answered (seen in benchmarks with misbehaving clients
+// and with churn).
 func TestAdmissionFollowsInFlight(t *testing.T) {
 	b, r := start(t, testSettings(), backends(4)...)
 	serve(b, r, second, 10*second, 5*time.Millisecond, func(BackendID) (time.Duration, Result) {
@@ -440,18 +445,18 @@
 	from, sent := RequestID(1e12), len(r.sends)
 	first := flood(b, r, 12*second, from)
 	if first < 8 || first > 500 {
-		t.Errorf("%d taken before one is refused", first)
+		t.Errorf("%d admitted before the first rejection", first)
 	}
 	for _, s := range r.sends[sent:] {
 		b.Outcome(13*second, Outcome{Request: s.id, Backend: s.to, Over: true, Latency: second / 20, Result: Succeeded})
 	}
 	b.Timer(13*second, timerSolve)
 	if again := flood(b, r, 13*second, 2*from); again < first/3 {
-		t.Errorf("%d taken at first, %d after all was answered", first, again)
+		t.Errorf("%d admitted at first, %d after all were answered", first, again)
 	}
 }
 
-func TestSteadyPathAllocatesNothing(t *testing.T) {
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	b, err := New(testSettings(), 1, noActions{})
 	if err != nil {
 		t.Fatal(err)
@@ -471,7 +476,7 @@
 		round()
 	}
 	if n := testing.AllocsPerRun(1000, round); n > 0 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request", n)
 	}
 }
 
@@ -487,15 +492,15 @@
 func (noActions) Watch()                                   {}
 func (noActions) Log(string)                               {}
 
-// FuzzEvents plays events drawn from bytes; the world checks the rules.
+// FuzzEvents sends events derived from the fuzz input to a Balancer; the harness checks the rules.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("a few requests"), uint64(1))
 	f.Add([]byte{0, 255, 3, 9, 200, 31, 8, 77, 1, 1, 1, 60}, uint64(2))
-	f.Fuzz(func(t *testing.T, plan []byte, seed uint64) {
-		w := newWorld(t, testSettings(), seed, 0.4)
-		list := mixed(6)
+	f.Fuzz(func(t *testing.T, input []byte, seed uint64) {
+		w := newHarness(t, testSettings(), seed, 0.4)
+		list := mixedBackends(6)
 		w.list(EndpointsStored, list...)
-		for _, step := range plan {
+		for _, step := range input {
 			switch step % 4 {
 			case 0, 1:
 				w.arrive()
@@ -508,7 +513,7 @@
 	})
 }
 
-// The long latency of a heavy request must not count against its backend when a cost hint explains it.
+// The long latency of an expensive request must not count against its backend if a cost hint explains it.
 func TestCostHintsScaleWork(t *testing.T) {
 	b, _ := start(t, testSettings(), backends(1)...)
 	for id := range RequestID(20) {
@@ -517,6 +522,6 @@
 	b.Request(second, Request{ID: 1000, Tenant: -1, Deadline: 2 * second, Cost: 0.05})
 	light, heavy := b.requests[0].work, b.requests[1000].work
 	if light < 0.9 || light > 1.1 || heavy < 4*light {
-		t.Errorf("work %v and %v for hints of 1 to 5", light, heavy)
+		t.Errorf("work %v and %v for cost hints in the ratio 1 to 5", light, heavy)
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// proxy carries out what a Balancer asks for. A real one would open connections and set timers.
+// proxy carries out the actions of a Balancer. A real one would open connections and set timers.
 type proxy struct{ sentTo decide.BackendID }
 
 func (p *proxy) Send(_ decide.RequestID, to decide.BackendID, _ time.Duration) { p.sentTo = to }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -13,15 +13,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of drawn histories; -rapid.seed changes it.
+// TestMain fixes the seed of property tests; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "2")
 	os.Exit(m.Run())
 }
 
-// Guards subsets: whatever the sizes and ids, a subset holds its fraction of the fleet's size to within one backend; a backend
-// that joins or leaves moves only those at the edges of a subset; and whichever backends are ejected, a subset holds half its
-// fraction of the healthy ones, so that none is without a healthy backend while there is one.
+// Guards the subsets, for any sizes and ids: a subset holds its fraction of the fleet's size to within one
+// backend; a backend that joins or leaves changes only the backends at the edges of a subset; and whichever
+// backends are ejected, a subset holds half its fraction of the healthy ones, so that no subset lacks a healthy
+// backend while there is one.
 func TestSubsetHoldsItsFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Balancer{zones: make([]zoneHealth, 1)}
@@ -35,7 +36,7 @@
 		b.settings.Nodes = 100000
 		b.settings.Node = rapid.IntRange(0, 1000).Draw(t, "node")
 		n := float64(len(b.backends))
-		wanted := rapid.Float64Range(0.01, 1).Draw(t, "part")
+		wanted := rapid.Float64Range(0.01, 1).Draw(t, "fraction")
 		b.arrivalRate = wanted * n * minRatePerBackend
 		inside := func() (in map[*backendState]bool, all, healthy float64) {
 			b.assignRingPositions()
@@ -54,7 +55,7 @@
 		}
 		before, have, _ := inside()
 		if share := min(1, max(wanted, minSubsetBackends/n)) * b.servingSize; math.Abs(have-share) > maxSize+1e-6 {
-			t.Fatalf("a part of %.3f holds %.2f of %.2f", wanted, have, b.servingSize)
+			t.Fatalf("a subset of fraction %.3f holds %.2f of %.2f", wanted, have, b.servingSize)
 		}
 		removed := b.backends[0]
 		b.backends, b.servingSize = b.backends[1:], b.servingSize-removed.size
@@ -66,22 +67,22 @@
 			}
 		}
 		if limit := 2 * (2 + int(maxSize/0.5)); moved > limit {
-			t.Fatalf("%d backends came into a part or left it when one went, %d at most are at its edges", moved, limit)
+			t.Fatalf("%d backends joined or left the subset when one was removed, at most %d are at its edges", moved, limit)
 		}
 		healthy := 0.0
 		for _, s := range b.backends {
-			if s.ejected = rapid.Bool().Draw(t, "away"); !s.ejected {
+			if s.ejected = rapid.Bool().Draw(t, "ejected"); !s.ejected {
 				healthy += s.size
 			}
 		}
 		if _, _, have := inside(); have < healthy*min(1, max(wanted, minSubsetBackends/n))/2-1e-6 || healthy > 0 && have == 0 {
-			t.Fatalf("a part of %.3f holds %.2f of %.2f that are able", wanted, have, healthy)
+			t.Fatalf("a subset of fraction %.3f holds %.2f of %.2f healthy", wanted, have, healthy)
 		}
 	})
 }
 
-// Guards the slow-start rule while most of a fleet is gone and the rest has just started: the limit must not follow the arrival
-// rate of the whole fleet.
+// Guards the slow-start rule when most of a fleet is gone and the rest has just started: the limit must not follow
+// the arrival rate of the whole fleet.
 func TestSlowStartLimitWhenFewBackendsAreLeft(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 10
@@ -92,19 +93,20 @@
 	b.UpdateEndpoints(b.now, EndpointsFull, []Backend{{ID: 101, Started: b.now}, {ID: 102, Started: b.now}})
 	for _, s := range b.backends {
 		require.Positive(t, s.slowStartLimit)
-		require.LessOrEqual(t, s.slowStartLimit*10, set.Rules.SlowStartFloor*10*40/20, "as when all 20 were there")
+		require.LessOrEqual(t, s.slowStartLimit*10, set.Rules.SlowStartFloor*10*40/20, "the same as with all 20 backends")
 	}
 }
 
-// Guards what many nodes do together, whatever the order of joins, losses and returns: every healthy backend is in some node's
-// subset, every node has a backend to pick while a warm one is healthy, and what all nodes send to a backend in slow start stays
-// below what overloads it, though each estimates the others from its own subset.
+// Guards the combined behaviour of many nodes, for any order of joins, failures and recoveries: every healthy
+// backend is in some node's subset, every node has a backend to pick while a warm one is healthy, and the total
+// that all nodes send to a backend in slow start does not overload it, although each node estimates the others
+// from its own subset.
 func TestFleetKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.Weights = WeightSize
 		set.Nodes = rapid.IntRange(1, 60).Draw(t, "nodes")
-		rate := rapid.Float64Range(0.5, 40).Draw(t, "rate of each node")
+		rate := rapid.Float64Range(0.5, 40).Draw(t, "rate per node")
 		now, next := 10*second, 0
 		join := func(started time.Duration) Backend {
 			next++
@@ -124,11 +126,11 @@
 		}
 		ejected := map[BackendID]bool{}
 		for range rapid.IntRange(1, 5).Draw(t, "steps") {
-			at := rapid.IntRange(0, len(list)-1).Draw(t, "first of them")
-			hit, replaced := list[at:min(len(list), at+rapid.IntRange(1, len(list)).Draw(t, "how many"))], rapid.Bool().Draw(t, "replaced")
-			for i := range hit {
-				if ejected[hit[i].ID] = !replaced && rapid.Bool().Draw(t, "lost, else back"); replaced {
-					hit[i] = join(now)
+			at := rapid.IntRange(0, len(list)-1).Draw(t, "first")
+			affected, replaced := list[at:min(len(list), at+rapid.IntRange(1, len(list)).Draw(t, "count"))], rapid.Bool().Draw(t, "replaced")
+			for i := range affected {
+				if ejected[affected[i].ID] = !replaced && rapid.Bool().Draw(t, "ejected, else recovered"); replaced {
+					affected[i] = join(now)
 				}
 			}
 			now += time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds")) * second
@@ -143,9 +145,9 @@
 				}
 				b.arrivalRate, b.sendRate, b.lastSolve = rate, rate, now
 				b.solve()
-				b.solve() // the first one still moves from shares of ejected backends
+				b.solve() // the first solve still starts from the shares of ejected backends
 				if warm && len(b.pickQueue) == 0 {
-					t.Fatalf("a node has no turn to give, part %.3f", b.subsetFraction)
+					t.Fatalf("a node has an empty pick queue, subset fraction %.3f", b.subsetFraction)
 				}
 				for _, s := range b.backends {
 					if b.healthy(s) && b.inSubset(s) {
@@ -158,24 +160,25 @@
 					}
 				}
 			}
-			maxLoad := rate * float64(set.Nodes) / fleet[0].servingSize // by size: the load if spread evenly, or that of a warm backend
+			maxLoad := rate * float64(set.Nodes) / fleet[0].servingSize // units per second per size: evenly spread, or the highest of a warm backend
 			for _, load := range warmLoads {
 				maxLoad = max(maxLoad, load)
 			}
 			for _, s := range fleet[0].backends {
 				if fleet[0].healthy(s) && users[s.ID] == 0 {
-					t.Fatalf("no node uses a backend that is able")
+					t.Fatalf("no node uses a healthy backend")
 				}
-				if fraction := fleet[0].capacityFraction(s); fraction < 1 && cold[s.ID] > 1.5*set.Rules.OverloadMultiple*fraction*maxLoad*s.size { // subsets differ
-					t.Fatalf("%.2f a second for a cold backend, where a warm one bears %.2f, at %.2f of it", cold[s.ID], maxLoad*s.size, fraction)
+				if fraction := fleet[0].capacityFraction(s); fraction < 1 && cold[s.ID] > 1.5*set.Rules.OverloadMultiple*fraction*maxLoad*s.size { // the factor 1.5: subsets differ
+					t.Fatalf("%.2f units/s for a backend in slow start where a warm one serves %.2f, at a capacity fraction of %.2f", cold[s.ID], maxLoad*s.size, fraction)
 				}
 			}
 		}
 	})
 }
 
-// Guards the estimate of attempts in flight: a single node counts its own; one of many nodes with few in flight goes by the
-// mean, and does not take one more of its own for one more at each node.
+// Guards the estimate of other nodes' attempts in flight: a single node counts its own; one of many nodes with few
+// attempts in flight uses the mean, and does not count each additional attempt of its own as one more at every
+// node.
 func TestEstimateOfOtherNodes(t *testing.T) {
 	p := &kindModel{idleLatency: 0.1, inFlightCoeff: 0.01, loadCoeff: 0.0004}
 	for _, c := range []struct{ u, users, each, others float64 }{
@@ -188,12 +191,13 @@
 		require.InDelta(t, c.each, s.attemptScale, 0.25, fmt.Sprint(c))
 		require.InDelta(t, c.others, s.othersInFlight, 0.4, fmt.Sprint(c))
 		mean := c.u * s.latencyAtLoad(c.u) * s.size
-		require.InDelta(t, c.users*mean/s.size, s.estimatedInFlight(mean), 1e-9, "on average it is what all hold that do as it does")
+		require.InDelta(t, c.users*mean/s.size, s.estimatedInFlight(mean), 1e-9, "on average the total of nodes that all act like this one")
 	}
 }
 
-// Guards the slow-start rule under overload: the limit follows what warm backends answer, not the arrival or send rate, which may be
-// three times and twice as much; and nodes that learn of a start together must not send to it together.
+// Guards the slow-start rule under overload: the limit follows what warm backends complete, not the arrival or
+// send rate, which may be three times and twice as high; and nodes that learn of a start at the same time must not
+// send to it at the same time.
 func TestSlowStartLimitFollowsWarmLoad(t *testing.T) {
 	set := testSettings()
 	set.Nodes = 50
@@ -203,7 +207,7 @@
 		b, err := New(set, uint64(node), &recorder{})
 		require.NoError(t, err)
 		b.UpdateEndpoints(second, EndpointsStored, backends(10))
-		b.now, b.arrivalRate, b.sendRate, b.warmServiceRate = 2*second, 9, 6, 3 // units a second, of each node
+		b.now, b.arrivalRate, b.sendRate, b.warmServiceRate = 2*second, 9, 6, 3 // units per second of each node
 		b.lastSolve = b.now
 		b.solve()
 		cold := backends(10)[4]
@@ -221,13 +225,14 @@
 			soon++
 		}
 	}
-	bears := 3.0 * 50 / 10 // served by each warm backend, of all nodes
-	require.LessOrEqual(t, total, set.Rules.SlowStartFloor*bears*1.2)
+	warmRate := 3.0 * 50 / 10 // units per second that each warm backend serves for all nodes
+	require.LessOrEqual(t, total, set.Rules.SlowStartFloor*warmRate*1.2)
 	require.Less(t, soon, users/4)
 }
 
-// TestNothingIsRejectedAtTheStart guards against rejections while nothing has been learned: load jumps from none to thousands a second on
-// ten idle backends, with responses that come at once, late, or not before the first solve.
+// TestNothingIsRejectedAtTheStart guards against rejections before anything has been learned: load jumps from none
+// to thousands of requests per second on ten idle backends, whose responses come at once, late, or not before the
+// first solve.
 func TestNothingIsRejectedAtTheStart(t *testing.T) {
 	for _, rate := range []int{1000, 5000, 20000} {
 		for _, latency := range []time.Duration{second / 2000, second / 20, second / 5} {
@@ -248,7 +253,7 @@
 				open = append(open, RequestID(i))
 			}
 			if len(r.rejected)+len(r.failed) > 0 {
-				t.Errorf("%d a second, answers after %v: %d of %d refused", rate, latency, len(r.rejected), rate)
+				t.Errorf("%d requests/s, responses after %v: %d of %d rejected", rate, latency, len(r.rejected), rate)
 			}
 		}
 	}
--- a/decide/restore_test.go
+++ b/decide/restore_test.go
@@ -14,9 +14,9 @@
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of drawn histories
 )
 
-// afterTraffic returns a world after some random traffic, with no request open.
-func afterTraffic(t *testing.T, set Settings, seed uint64, ticks int) *world {
-	w, list := newWorld(t, set, seed, 0.15), mixed(12)
+// afterTraffic returns a harness after some random traffic, without open requests.
+func afterTraffic(t *testing.T, set Settings, seed uint64, ticks int) *harness {
+	w, list := newHarness(t, set, seed, 0.15), mixedBackends(12)
 	w.list(EndpointsStored, list...)
 	for i := range ticks {
 		w.arrive()
@@ -31,10 +31,10 @@
 	return w
 }
 
-// restored returns a world with the same backends, whose Balancer has restored the snapshot of that of w. Both get the same
-// random sources, so that they must act alike from here on.
-func restored(t *testing.T, w *world, set Settings, later time.Duration) (*world, error) {
-	v := newWorld(t, set, 77, w.faulty)
+// restored returns a harness with the same backends, whose Balancer has restored a snapshot of w's Balancer. Both
+// get the same random sources, so that they must act alike from here on.
+func restored(t *testing.T, w *harness, set Settings, later time.Duration) (*harness, error) {
+	v := newHarness(t, set, 77, w.faulty)
 	v.now = w.now + later
 	var list []Backend
 	for _, s := range w.b.backends {
@@ -47,14 +47,14 @@
 	require.NoError(t, json.Unmarshal(text, &m))
 	err = v.b.Restore(v.now, m)
 	v.wakes, v.nextID = append([]wake(nil), w.wakes...), w.nextID
-	for _, x := range []*world{w, v} {
+	for _, x := range []*harness{w, v} {
 		x.rand, x.b.random, x.trace = rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4)), nil
 	}
 	return v, err
 }
 
-// Guards against state that is lost, rounded or misread on its way into another Balancer: from then on the two must act alike,
-// to the last action, whatever faults the first one had seen.
+// Guards against state that is lost, rounded or misread when it is restored: from then on the two Balancers must
+// take the same actions, whatever faults the first one had seen.
 func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	all := variants()
 	rapid.Check(t, func(r *rapid.T) {
@@ -63,7 +63,7 @@
 		v, err := restored(t, w, set, 0)
 		require.NoError(t, err)
 		for range 400 {
-			for _, x := range []*world{w, v} {
+			for _, x := range []*harness{w, v} {
 				x.arrive()
 				x.step(5 * time.Millisecond)
 			}
@@ -73,7 +73,8 @@
 	})
 }
 
-// Guards against old state that weighs like fresh state: a backend that was slow or ejected a minute ago may have recovered.
+// Guards against old state that weighs as much as fresh state: a backend that was slow or ejected a minute ago may
+// have recovered.
 func TestOldSnapshotWeighsLess(t *testing.T) {
 	w := afterTraffic(t, testSettings(), 3, 600)
 	bad := w.b.backends[0]
@@ -87,7 +88,7 @@
 		slow[age] = s.slowdown
 		require.Equal(t, age < 16*time.Second, s.ejected, age)
 		if age >= time.Minute {
-			require.False(t, v.b.kindModels[0].measured, "an idle latency of %v ago is a guess", age)
+			require.False(t, v.b.kindModels[0].measured, "an idle latency from %v ago is only an estimate", age)
 			require.Zero(t, v.b.sendRate)
 		}
 	}
@@ -97,8 +98,8 @@
 	require.InDelta(t, 1, slow[time.Hour], 1e-9)
 }
 
-// Guards against state that is applied to something else: another process of a backend, another kind under its id, a class, a
-// zone.
+// Guards against state that is applied to a different object: another process of a backend, another kind under its
+// id, another class or zone.
 func TestRestoreIgnoresUnknownEntries(t *testing.T) {
 	w := afterTraffic(t, testSettings(), 3, 600)
 	m := w.b.Snapshot(w.now)
@@ -107,7 +108,7 @@
 	}
 	m.Backends[0].Started, m.Backends[1].Kind = 1, "other"
 	m.Classes[0].Class, m.Classes[0].Work = "other", 9
-	v := newWorld(t, testSettings(), 1, 0)
+	v := newHarness(t, testSettings(), 1, 0)
 	v.now = w.now
 	var list []Backend
 	for _, s := range w.b.backends {
@@ -119,18 +120,18 @@
 		require.Equal(t, i > 1 && s.ID != 999, s.ejected, i)
 	}
 	require.Equal(t, 1.0, v.b.classes[0].work)
-	require.GreaterOrEqual(t, len(v.b.pickQueue), 3, "those that nothing is known of keep their turns")
+	require.GreaterOrEqual(t, len(v.b.pickQueue), 3, "backends that are not in the snapshot keep their turns")
 	m.Zone = "elsewhere"
 	require.ErrorContains(t, v.b.Restore(w.now, m), `zone "elsewhere"`)
 }
 
-// Guards against an invalid snapshot that is applied in part, or that makes the Balancer panic, break a rule or compute with
-// NaN.
+// Guards against an invalid snapshot that is applied in part, or that makes the Balancer panic, break a rule or
+// compute with NaN.
 func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	first := afterTraffic(t, testSettings(), 5, 800)
 	base, err := json.Marshal(first.b.Snapshot(first.now))
 	require.NoError(t, err)
-	odd := []string{"-1", "1e300", "0", "null", "1e-300", "9e18", "true", `""`, "[]", "1048577", "4e9", "0.5"}
+	replacements := []string{"-1", "1e300", "0", "null", "1e-300", "9e18", "true", `""`, "[]", "1048577", "4e9", "0.5"}
 	rapid.Check(t, func(r *rapid.T) {
 		text := string(base)
 		for range rapid.IntRange(1, 6).Draw(r, "changes") {
@@ -141,26 +142,26 @@
 			}
 			at += colon + 1
 			end := at + strings.IndexAny(text[at:]+",", ",}]")
-			text = text[:at] + rapid.SampledFrom(odd).Draw(r, "value") + text[end:]
+			text = text[:at] + rapid.SampledFrom(replacements).Draw(r, "value") + text[end:]
 		}
-		w := newWorld(t, testSettings(), 9, 0.1)
+		w := newHarness(t, testSettings(), 9, 0.1)
 		w.now = first.now
-		w.list(EndpointsStored, mixed(12)...)
+		w.list(EndpointsStored, mixedBackends(12)...)
 		before := w.b.Snapshot(w.now)
 		var m Snapshot
 		if json.Unmarshal([]byte(text), &m) != nil {
-			return // it is no Memory at all
+			return // not a Snapshot at all
 		}
 		if w.b.Restore(w.now, m) != nil {
 			require.Equal(t, before, w.b.Snapshot(w.now))
 		}
-		w.run(mixed(12), 60) // checks the rules, and that no value is NaN
+		w.run(mixedBackends(12), 60) // the harness checks the rules, and for NaN
 	})
-	never := newWorld(t, testSettings(), 2, 0).b.Snapshot(first.now)
-	require.Zero(t, never.SinceSolve, "one that has no list yet")
+	neverStarted := newHarness(t, testSettings(), 2, 0).b.Snapshot(first.now)
+	require.Zero(t, neverStarted.SinceSolve, "a Balancer without an endpoint list")
 	first.b.View(first.now + time.Hour)
 	m := first.b.Snapshot(first.now)
-	require.Equal(t, first.b.now, first.now, "looking on changes nothing")
+	require.Equal(t, first.b.now, first.now, "View changes nothing")
 	m.Kinds[0].Sums.LatencySum = math.NaN()
-	require.Error(t, first.b.Restore(first.now, m), "a figure that JSON cannot hold")
+	require.Error(t, first.b.Restore(first.now, m), "a number that JSON cannot represent")
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// world feeds a Balancer with seeded random events and checks its actions against the rules. It models no queues or speeds: it
-// is a source of legal and odd event streams, not of realistic ones.
-type world struct {
+// harness sends seeded random events to a Balancer and checks its actions against the rules. It models no queues
+// or speeds: it is a source of valid and unusual event streams, not of realistic ones.
+type harness struct {
 	t    *testing.T
 	rand *rand.Rand
 	set  Settings
@@ -29,7 +29,7 @@
 
 type listedBackend struct {
 	Backend
-	drainingSince time.Duration // when the Balancer was notified that it drains or is deleted, 0 = serving
+	drainingSince time.Duration // when the Balancer was notified that the backend drains or is deleted, 0 = serving
 }
 
 type sentRequest struct {
@@ -58,9 +58,9 @@
 	result  Result
 }
 
-func newWorld(t *testing.T, set Settings, seed uint64, faulty float64) *world {
+func newHarness(t *testing.T, set Settings, seed uint64, faulty float64) *harness {
 	t.Helper()
-	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 7)), set: set, now: 100 * second, faulty: faulty,
+	w := &harness{t: t, rand: rand.New(rand.NewPCG(seed, 7)), set: set, now: 100 * second, faulty: faulty,
 		requests: map[RequestID]*sentRequest{}, backends: map[BackendID]*listedBackend{}}
 	b, err := New(set, seed, w)
 	if err != nil {
@@ -70,11 +70,11 @@
 	return w
 }
 
-func (w *world) record(format string, args ...any) {
+func (w *harness) record(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) Send(id RequestID, to BackendID, abandon time.Duration) {
+func (w *harness) Send(id RequestID, to BackendID, abandon time.Duration) {
 	w.record("send %d %d %v", id, to, abandon)
 	q, d := w.requests[id], w.backends[to]
 	switch {
@@ -83,9 +83,9 @@
 	case q.over || q.finalResponses > 0:
 		w.t.Fatalf("request %d sent after its end", id)
 	case d.drainingSince > 0 && w.now > d.drainingSince+w.set.Rules.DrainGrace:
-		w.t.Fatalf("request %d sent to %d, departed at %v", id, to, d.drainingSince)
+		w.t.Fatalf("request %d sent to %d, draining since %v", id, to, d.drainingSince)
 	case len(q.attempts) >= w.set.Limits.MaxAttempts:
-		w.t.Fatalf("request %d sent too often", id)
+		w.t.Fatalf("request %d has too many attempts", id)
 	}
 	w.checkRetry(q, d)
 	q.attempts = append(q.attempts, sentAttempt{to: d, at: w.now})
@@ -100,13 +100,13 @@
 }
 
 // checkRetry checks a send against the class of the request and its earlier attempts.
-func (w *world) checkRetry(q *sentRequest, d *listedBackend) {
+func (w *harness) checkRetry(q *sentRequest, d *listedBackend) {
 	c := w.set.Classes[q.Class]
 	var first *sentAttempt
 	for i := range q.attempts {
 		a := &q.attempts[i]
 		if !a.done && !w.set.Limits.Hedging {
-			w.t.Fatalf("request %d has two attempts out", q.ID)
+			w.t.Fatalf("request %d has two attempts in flight", q.ID)
 		}
 		if first == nil && (!a.done || a.mayHaveRun) {
 			first = a
@@ -124,32 +124,32 @@
 	}
 }
 
-func (w *world) final(id RequestID) *sentRequest {
+func (w *harness) final(id RequestID) *sentRequest {
 	q := w.requests[id]
 	if q == nil {
-		w.t.Fatalf("answer to unknown request %d", id)
+		w.t.Fatalf("final response to unknown request %d", id)
 	}
 	if q.over || q.finalResponses > 0 {
-		w.t.Fatalf("request %d answered twice", id)
+		w.t.Fatalf("request %d has two final responses", id)
 	}
 	q.finalResponses++
 	return q
 }
 
-func (w *world) Reject(id RequestID, _ time.Duration) {
-	w.record("refuse %d", id)
+func (w *harness) Reject(id RequestID, _ time.Duration) {
+	w.record("reject %d", id)
 	q := w.final(id)
 	c := w.set.Classes[q.Class]
 	for _, a := range q.attempts {
 		if (!a.done || a.mayHaveRun) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
-			w.t.Fatalf("request %d refused though it may have run", id)
+			w.t.Fatalf("request %d rejected though it may have run", id)
 		}
 	}
 }
 
-func (w *world) Fail(id RequestID) { w.record("fail %d", id); w.final(id) }
+func (w *harness) Fail(id RequestID) { w.record("fail %d", id); w.final(id) }
 
-func (w *world) Cancel(id RequestID, n int) {
+func (w *harness) Cancel(id RequestID, n int) {
 	w.record("cancel %d %d", id, n)
 	if q := w.requests[id]; q == nil || n >= len(q.attempts) {
 		w.t.Fatalf("cancel of unknown attempt %d of %d", n, id)
@@ -161,16 +161,16 @@
 	}
 }
 
-func (w *world) Probe(to BackendID) { w.record("probe %d", to) }
-func (w *world) Watch()             { w.record("watch") }
-func (w *world) Log(line string)    { w.record("log %s", line) }
+func (w *harness) Probe(to BackendID) { w.record("probe %d", to) }
+func (w *harness) Watch()             { w.record("watch") }
+func (w *harness) Log(line string)    { w.record("log %s", line) }
 
-func (w *world) SetTimer(after time.Duration, token uint64) {
+func (w *harness) SetTimer(after time.Duration, token uint64) {
 	w.wakes = append(w.wakes, wake{w.now + after, token})
 }
 
-// list updates the endpoint list, by changes or as a whole.
-func (w *world) list(kind EndpointsKind, entries ...Backend) {
+// list updates the endpoint list, by changes or completely.
+func (w *harness) list(kind EndpointsKind, entries ...Backend) {
 	if kind != EndpointsDelta {
 		for _, d := range w.backends {
 			if d.drainingSince == 0 {
@@ -196,7 +196,7 @@
 	w.b.UpdateEndpoints(w.now, kind, entries)
 }
 
-func (w *world) arrive() {
+func (w *harness) arrive() {
 	q := Request{ID: w.nextID, Class: w.rand.IntN(len(w.set.Classes)), Tenant: -1, Repeat: w.rand.IntN(9) == 0}
 	w.nextID++
 	q.Deadline = w.now + w.set.Classes[q.Class].Deadline*time.Duration(3+w.rand.IntN(8))/10
@@ -204,8 +204,8 @@
 	w.b.Request(w.now, q)
 }
 
-// step advances the time, with the timers and ends of attempts that fall due.
-func (w *world) step(span time.Duration) {
+// step advances the time, and handles the timers and ends of attempts that are due.
+func (w *harness) step(span time.Duration) {
 	w.now += span
 	sort.SliceStable(w.ends, func(i, j int) bool { return w.ends[i].at < w.ends[j].at })
 	for len(w.ends) > 0 && w.ends[0].at <= w.now {
@@ -240,13 +240,13 @@
 	}
 	for _, q := range w.requests {
 		if q.finalResponses == 0 && !q.over && w.now > q.Deadline+w.set.Rules.ResponseSlack {
-			w.t.Fatalf("request %d has no answer at %v, due %v", q.ID, w.now, q.Deadline)
+			w.t.Fatalf("request %d has no final response at %v, due %v", q.ID, w.now, q.Deadline)
 		}
 	}
 }
 
-// churn changes the list at random: drains, removals, restarts, joins.
-func (w *world) churn(list []Backend) {
+// churn changes the list at random: backends drain, are removed, restart or join.
+func (w *harness) churn(list []Backend) {
 	e := &list[w.rand.IntN(len(list))]
 	switch w.rand.IntN(5) {
 	case 0:
@@ -271,7 +271,7 @@
 	w.list(EndpointsFull, whole...)
 }
 
-func (w *world) run(list []Backend, ticks int) {
+func (w *harness) run(list []Backend, ticks int) {
 	w.list(EndpointsStored, list...)
 	for range ticks {
 		for range w.rand.IntN(6) {
@@ -280,7 +280,7 @@
 		if w.rand.IntN(20) == 0 {
 			w.churn(list)
 		}
-		if w.rand.IntN(20) == 0 && w.nextID > 0 { // a client leaves
+		if w.rand.IntN(20) == 0 && w.nextID > 0 { // a client disconnects
 			q := w.requests[w.nextID-1]
 			if q.finalResponses == 0 && !q.over {
 				q.over = true
@@ -305,7 +305,7 @@
 	everywhere := testSettings()
 	everywhere.Classes[1].Group = GroupAll
 	everywhere.Limits.MaxAttempts = 1
-	short := testSettings() // keys expire before a response would be given up
+	short := testSettings() // keys expire before an attempt would be abandoned
 	short.Classes[1].Group, short.Classes[1].KeyTTL = GroupAll, 50*time.Millisecond
 	many := testSettings()
 	many.Nodes, many.Node, many.WatchEndpoints = 40, 17, true
@@ -314,7 +314,7 @@
 		"many nodes": many}
 }
 
-func mixed(n int) []Backend {
+func mixedBackends(n int) []Backend {
 	list := backends(n)
 	for i := range list {
 		list[i].Zone, list[i].Kind, list[i].Weight = i%2, i%3/2, 1
@@ -328,10 +328,10 @@
 		for seed := range uint64(8) {
 			faulty := []float64{0.02, 0.3, 0.9, 1}[seed%4]
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
-				w := newWorld(t, set, seed, faulty)
-				w.run(mixed(12), 1500)
+				w := newHarness(t, set, seed, faulty)
+				w.run(mixedBackends(12), 1500)
 				if len(w.requests) < 1000 {
-					t.Fatalf("only %d requests were made", len(w.requests))
+					t.Fatalf("only %d requests were sent", len(w.requests))
 				}
 			})
 		}
@@ -339,7 +339,7 @@
 }
 
 func TestEveryRequestIsAnsweredWithoutBackends(t *testing.T) {
-	w := newWorld(t, testSettings(), 1, 0)
+	w := newHarness(t, testSettings(), 1, 0)
 	w.list(EndpointsStored)
 	for range 50 {
 		w.arrive()
@@ -347,21 +347,21 @@
 	w.step(5 * time.Millisecond)
 	for id, q := range w.requests {
 		if q.finalResponses != 1 {
-			t.Errorf("request %d: %d answers", id, q.finalResponses)
+			t.Errorf("request %d: %d final responses", id, q.finalResponses)
 		}
 	}
-	w.list(EndpointsFull, mixed(4)...)
+	w.list(EndpointsFull, mixedBackends(4)...)
 	w.list(EndpointsFull) // every backend is removed again
 	w.arrive()
 	if q := w.requests[w.nextID-1]; q.finalResponses != 1 || len(q.attempts) != 0 {
-		t.Errorf("with all backends gone: %d answers, %d sends", q.finalResponses, len(q.attempts))
+		t.Errorf("without backends: %d final responses, %d sends", q.finalResponses, len(q.attempts))
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	play := func(between func()) []string {
-		w := newWorld(t, testSettings(), 5, 0.2)
-		list := mixed(10)
+	run := func(between func()) []string {
+		w := newHarness(t, testSettings(), 5, 0.2)
+		list := mixedBackends(10)
 		w.list(EndpointsStored, list...)
 		for range 300 {
 			w.arrive()
@@ -370,22 +370,22 @@
 		}
 		return w.trace
 	}
-	alone := play(func() {})
-	other := newWorld(t, testSettings(), 6, 0.5)
-	other.list(EndpointsStored, mixed(7)...)
-	beside := play(func() { other.arrive(); other.step(5 * time.Millisecond) })
-	if len(alone) != len(beside) {
-		t.Fatalf("%d actions alone, %d beside another instance", len(alone), len(beside))
+	alone := run(func() {})
+	other := newHarness(t, testSettings(), 6, 0.5)
+	other.list(EndpointsStored, mixedBackends(7)...)
+	interleaved := run(func() { other.arrive(); other.step(5 * time.Millisecond) })
+	if len(alone) != len(interleaved) {
+		t.Fatalf("%d actions alone, %d interleaved with another instance", len(alone), len(interleaved))
 	}
 	for i := range alone {
-		if alone[i] != beside[i] {
-			t.Fatalf("action %d: %q alone, %q beside another instance", i, alone[i], beside[i])
+		if alone[i] != interleaved[i] {
+			t.Fatalf("action %d: %q alone, %q interleaved with another instance", i, alone[i], interleaved[i])
 		}
 	}
 }
 
-// Together all nodes must stay within the slow-start budget of a backend in every window, whatever their fraction of the
-// traffic. The budget is in requests, relative to what an average backend serves when all are up.
+// All nodes together must stay within the slow-start budget of a backend in every window, whatever their fractions
+// of the traffic. The budget is in requests, relative to what an average backend serves when all are up.
 func TestSlowStartStaysWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -399,24 +399,24 @@
 		{"restarted twice", 3, 2, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			const fleet, perTick = 12, 8 // requests a tick over all nodes, so 1600/s: 133 a backend
+			const fleet, perTick = 12, 8 // requests per tick over all nodes: 1600/s, 133/s per backend
 			set := testSettings()
 			set.Nodes, set.Classes = c.nodes, set.Classes[:1]
 			list := backends(fleet)
 			sent := map[BackendID][]time.Duration{}
-			var worlds []*world
+			var harnesses []*harness
 			for i := range c.nodes {
 				set.Node = i
-				w := newWorld(t, set, uint64(i), 0)
+				w := newHarness(t, set, uint64(i), 0)
 				w.list(EndpointsStored, list...)
-				worlds = append(worlds, w)
+				harnesses = append(harnesses, w)
 			}
 			pick := rand.New(rand.NewPCG(9, 9))
 			restart := func() {
 				for i := range c.cold {
-					list[i].Started = worlds[0].now
+					list[i].Started = harnesses[0].now
 				}
-				for _, w := range worlds {
+				for _, w := range harnesses {
 					w.list(EndpointsDelta, list[:c.cold]...)
 				}
 			}
@@ -429,7 +429,7 @@
 					if c.uneven {
 						i = min(i, pick.IntN(c.nodes), pick.IntN(c.nodes))
 					}
-					w := worlds[i]
+					w := harnesses[i]
 					w.arrive()
 					for _, a := range w.requests[w.nextID-1].attempts {
 						if a.to.Started > 0 {
@@ -437,7 +437,7 @@
 						}
 					}
 				}
-				for _, w := range worlds {
+				for _, w := range harnesses {
 					w.step(5 * time.Millisecond)
 				}
 			}
@@ -463,25 +463,26 @@
 			age := min(1, (end-e.Started).Seconds()/r.SlowStartTime.Seconds())
 			fraction := r.SlowStartFloor + (1-r.SlowStartFloor)*age
 			if budget := r.OverloadMultiple * fraction * perBackend * r.OverloadTime.Seconds(); float64(n) > budget {
-				t.Fatalf("backend %d got %d in a window, its budget is %.1f", e.ID, n, budget)
+				t.Fatalf("backend %d got %d attempts in a window, its budget is %.1f", e.ID, n, budget)
 			}
 		}
 	}
 }
 
-// Guards against rejections while there is capacity: where the idle latency is already 0.6 of the shortest target, a cap there
-// leaves hardly any capacity, and a quarter of the work was rejected that a plain policy served.
+// Guards against rejections while there is capacity: if the idle latency is already 0.6 of the shortest target, a
+// latency cap relative to the target leaves hardly any capacity, and a quarter of the work was rejected that a
+// simple policy served.
 func TestIdleLatencyNearTargetLeavesCapacity(t *testing.T) {
 	b, _ := start(t, testSettings(), backends(4)...)
-	b.kindModels[0] = kindModel{idleLatency: 0.6 * b.latencyTarget, loadCoeff: 0.12 * b.latencyTarget, measured: true} // a unit a second: 0.72 of the target
+	b.kindModels[0] = kindModel{idleLatency: 0.6 * b.latencyTarget, loadCoeff: 0.12 * b.latencyTarget, measured: true} // at one unit per second: 0.72 of the target
 	for _, c := range []struct {
-		asked float64
-		short bool
+		rate     float64
+		shedding bool
 	}{{4.8, false}, {6, true}} {
-		b.now, b.arrivalRate = b.lastSolve, c.asked
+		b.now, b.arrivalRate = b.lastSolve, c.rate
 		b.solve()
-		if b.shedding != c.short {
-			t.Errorf("asked for %.1f units/s of 4 backends: shedding %t", c.asked, b.shedding)
+		if b.shedding != c.shedding {
+			t.Errorf("%.1f units/s arriving for 4 backends: shedding %t", c.rate, b.shedding)
 		}
 	}
 }
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// balancerWithCurves returns the Balancer of a single node with n backends whose curves it knows: three kinds, each backend with its
-// own slowdown, at a fraction of their capacity.
+// balancerWithCurves returns the Balancer of a single node with n backends of known curves: three kinds, each
+// backend with its own slowdown, at a fraction of their total capacity.
 func balancerWithCurves(tb testing.TB, n int, seed uint64, fraction float64) *Balancer {
 	tb.Helper()
 	set := testSettings()
@@ -36,7 +36,7 @@
 		s.slowdown = 0.5 + random.Float64()
 		capacity += s.size * s.loadAtLatency(min(2*s.slowdown*s.model.idleLatency, targetFraction*b.latencyTarget))
 	}
-	// The step of the search bounds every backend near the fair load: many solves lift that.
+	// Each solve's search step limits every backend to a rate near the fair load; repeated solves lift that limit.
 	b.arrivalRate, b.sendRate = fraction*capacity, fraction*capacity
 	for range 40 {
 		b.solve()
@@ -44,27 +44,28 @@
 	return b
 }
 
-// totalLatency is the sum of the latencies of all units if each backend gets the rate that of returns.
-func (b *Balancer) totalLatency(of func(s *backendState) float64) (sum float64) {
+// totalLatency returns the sum of the latencies of all units if each backend gets the rate that rateOf returns.
+func (b *Balancer) totalLatency(rateOf func(s *backendState) float64) (sum float64) {
 	for _, s := range b.backends {
-		u := of(s)
+		u := rateOf(s)
 		sum += u * (s.crossZonePenalty + s.riskPenalty + s.latencyAtLoad(u/s.size))
 	}
 	return sum
 }
 
-// optimum is the lowest total latency of the same load under the same maximum rates. The curves are convex, so every backend that
-// is neither empty nor full adds the same latency for one more unit; that is found by bisection, to the last bit.
+// optimum returns the lowest total latency for the same load under the same maximum rates. The curves are convex,
+// so every backend that is neither empty nor full adds the same latency for one more unit; that price is found by
+// bisection, to the last bit.
 func (b *Balancer) optimum(need float64) float64 {
-	at := func(s *backendState, price float64) float64 {
-		room := price - s.crossZonePenalty - s.riskPenalty - s.slowdown*s.model.idleLatency
-		return min(s.maxRate, s.size*math.Sqrt(max(0, room)/(3*s.model.loadCoeff*math.Pow(s.slowdown, 3)))) //nolint:staticcheck // QF1005: a product would round elsewhere
+	rateAt := func(s *backendState, price float64) float64 {
+		headroom := price - s.crossZonePenalty - s.riskPenalty - s.slowdown*s.model.idleLatency
+		return min(s.maxRate, s.size*math.Sqrt(max(0, headroom)/(3*s.model.loadCoeff*math.Pow(s.slowdown, 3)))) //nolint:staticcheck // QF1005: a product would round differently
 	}
 	low, high := 0.0, 1e6
 	for range 200 {
 		price, sum := (low+high)/2, 0.0
 		for _, s := range b.backends {
-			sum += at(s, price)
+			sum += rateAt(s, price)
 		}
 		if sum < need {
 			low = price
@@ -72,11 +73,11 @@
 			high = price
 		}
 	}
-	return b.totalLatency(func(s *backendState) float64 { return at(s, high) })
+	return b.totalLatency(func(s *backendState) float64 { return rateAt(s, high) })
 }
 
-// TestSolveIsNearTheOptimum guards the quality of the solve: it stays near the exact optimum of the same problem, at every load (the paper's
-// own: 99.9%). With ten backends the ten levels are coarse for some.
+// TestSolveIsNearTheOptimum guards the quality of the solve: at every load it stays near the exact optimum of the
+// same problem (99.9% in the paper). With ten backends, ten levels are coarse for some problems.
 func TestSolveIsNearTheOptimum(t *testing.T) {
 	for _, c := range []struct {
 		n           int
@@ -85,8 +86,8 @@
 	}{{10, 20, 0.995, 0.95}, {30, 20, 0.997, 0.99}, {100, 10, 0.999, 0.998}, {1000, 2, 0.999, 0.998}} {
 		worst, sum, count := 1.0, 0.0, 0
 		for seed := range c.seeds {
-			for _, part := range []float64{0.2, 0.5, 0.8, 0.95} {
-				b := balancerWithCurves(t, c.n, seed, part)
+			for _, fraction := range []float64{0.2, 0.5, 0.8, 0.95} {
+				b := balancerWithCurves(t, c.n, seed, fraction)
 				need := 0.0
 				for _, s := range b.backends {
 					need += s.solvedRate
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestOptimumMatchesLinearProgram guards the optimum that the solve is compared with: a linear program over 20 points of each curve comes to
-// the same, but for the interpolation between them.
+// TestOptimumMatchesLinearProgram guards the optimum that the solve is compared with: a linear program over 20
+// points of each curve has the same result, except for the interpolation between the points.
 func TestOptimumMatchesLinearProgram(t *testing.T) {
 	const points = 20
 	for seed := range uint64(5) {
@@ -133,7 +134,8 @@
 	}
 }
 
-// BenchmarkSolve is one solve, comparable with the paper's Table 4 (20 ms for 10 backends to 21.1 s for 1,000).
+// BenchmarkSolve measures one solve, comparable with Table 4 of the paper (20 ms for 10 backends to 21.1 s for
+// 1,000).
 func BenchmarkSolve(b *testing.B) {
 	for _, n := range []int{10, 30, 100, 300, 1000, 3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -146,7 +148,7 @@
 	}
 }
 
-// BenchmarkRequest is one request that is sent and answered by one attempt.
+// BenchmarkRequest measures one request that is answered by its first attempt.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -15,8 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedFleet is a fleet in virtual time: nodes with a Balancer each, none of which knows of the others, and backends that
-// start cold. No backend fails from overload here: attempts are counted in every window, and all windows are judged.
+// simulatedFleet is a fleet in virtual time: nodes with a Balancer each, which do not communicate, and backends
+// that start cold. No backend fails from overload here: attempts are counted in every window, and all windows are
+// checked.
 type simulatedFleet struct {
 	rand     *rand.Rand
 	now      time.Duration
@@ -25,41 +26,41 @@
 	plan     fleetPlan
 	nodes    []*simulatedNode
 	backends []*simulatedBackend
-	arrival  []float64 // by node, sums of the rates up to it
+	arrival  []float64 // by node, cumulative arrival rates
 	lastID   RequestID
 	seq      int
 	byID     map[BackendID]*simulatedBackend
 
-	windows int     // that end with an attempt at a backend in slow start
-	over    int     // windows above the bound of which over two thirds came from nodes that knew of the start
-	maxUse  float64 // the fullest of all windows that mostly came from such nodes, relative to the bound
-	further int     // retries and hedged requests at a backend in slow start
+	windows int     // windows that end with an attempt at a backend in slow start
+	over    int     // windows above the bound with over two thirds of attempts from nodes that knew of the start
+	maxUse  float64 // highest use of the bound in a window with that many attempts from such nodes
+	retries int     // retries and hedged requests at a backend in slow start
 }
 
-// fleetPlan is a scenario: backends restart at second 7, others join at 9, there is a burst from 8 to 12, and nodes are killed
-// from 8 on. Some backends hang from 5 on, and some mostly fail from 6 on.
+// fleetPlan is a scenario: backends restart at second 7, others join at 9, there is a burst from 8 to 12, and
+// nodes are killed from 8 on. Some backends hang from 5 on, and some fail most attempts from 6 on.
 type fleetPlan struct {
 	nodes, backends int
-	load            float64       // fraction of the capacity of all backends
-	rate            float64       // units a second of a warm backend of size 1
-	spread          time.Duration // over which nodes learn of a start
+	load            float64       // arrival rate, as a fraction of the capacity of all backends
+	rate            float64       // units per second of a warm backend of size 1
+	spread          time.Duration // time over which nodes learn of a start
 	restarting      float64       // fraction of backends that restart together
 	hang, fail      float64       // fractions of backends
-	killed          float64       // fraction of nodes that restart without state,
-	roll            bool          // a tenth of them at a time
-	keyed           bool          // all work is keyed,
-	cells           bool          // in groups of cells
-	slowWarmup      bool          // backends warm up late instead of evenly
-	burstAtStart    int           // requests that arrive at a killed node in the tenth of a second after its start
+	killed          float64       // fraction of nodes that restart without state
+	roll            bool          // a tenth of the killed nodes restarts at a time
+	keyed           bool          // all requests are keyed
+	cells           bool          // keys are shared within cells
+	slowWarmup      bool          // backends gain capacity late instead of linearly
+	burstAtStart    int           // requests that arrive at a restarted node within 0.1 s
 }
 
 type simulatedBackend struct {
 	Backend
-	rate            float64 // units a second when warm
+	rate            float64 // units per second when warm
 	down, bad, hang bool
 	backlog         float64
-	at              time.Duration     // of the backlog
-	sends           []receivedAttempt // in the last window
+	at              time.Duration     // time that backlog was computed for
+	sends           []receivedAttempt // attempts in the last window
 }
 
 type receivedAttempt struct {
@@ -77,7 +78,7 @@
 }
 
 type simulatedRequest struct {
-	attempts []bool // over
+	attempts []bool // whether each has ended
 	done     bool
 }
 
@@ -132,9 +133,9 @@
 }
 
 func (n *simulatedNode) SetTimer(after time.Duration, token uint64) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.f.after(after, func() {
-		if n.incarnation == life {
+		if n.incarnation == incarnation {
 			n.b.Timer(n.f.now, token)
 		}
 	})
@@ -146,17 +147,17 @@
 func (n *simulatedNode) Log(string)                           {}
 func (n *simulatedNode) Cancel(id RequestID, i int)           { n.end(id, i, 0, time.Millisecond, Cancelled) }
 
-// end reports the end of an attempt to the node after a wait.
-func (n *simulatedNode) end(id RequestID, i int, to BackendID, wait time.Duration, how Result) {
-	life, sent := n.incarnation, n.f.now
+// end reports the end of an attempt to the node after a delay.
+func (n *simulatedNode) end(id RequestID, i int, to BackendID, wait time.Duration, result Result) {
+	incarnation, sent := n.incarnation, n.f.now
 	n.f.after(wait, func() {
 		q := n.open[id]
-		if n.incarnation != life || q.attempts[i] {
+		if n.incarnation != incarnation || q.attempts[i] {
 			return
 		}
 		q.attempts[i] = true
-		q.done = q.done || how == Succeeded
-		n.b.Outcome(n.f.now, Outcome{Request: id, Backend: to, Attempt: i, Over: q.done, Latency: n.f.now - sent, Result: how})
+		q.done = q.done || result == Succeeded
+		n.b.Outcome(n.f.now, Outcome{Request: id, Backend: to, Attempt: i, Over: q.done, Latency: n.f.now - sent, Result: result})
 	})
 }
 
@@ -170,19 +171,19 @@
 		return
 	}
 	r.recordSend(f, receivedAttempt{f.now, n.knownStarts[to] == r.Started, i > 0})
-	able := r.rate * r.capacity(f)
-	r.backlog = max(0, r.backlog-able*(f.now-r.at).Seconds())
+	capacity := r.rate * r.capacityFraction(f)
+	r.backlog = max(0, r.backlog-capacity*(f.now-r.at).Seconds())
 	r.at = f.now
-	if r.backlog > 1.5*able {
+	if r.backlog > 1.5*capacity {
 		n.end(id, i, to, time.Millisecond, Overloaded)
 		return
 	}
 	r.backlog++
-	took := seconds(0.06 + 0.06*f.rand.ExpFloat64() + r.backlog/able)
-	switch luck := f.rand.Float64(); {
-	case r.hang || luck < 0.005 || f.now+took > abandon:
+	took := seconds(0.06 + 0.06*f.rand.ExpFloat64() + r.backlog/capacity)
+	switch draw := f.rand.Float64(); {
+	case r.hang || draw < 0.005 || f.now+took > abandon:
 		n.end(id, i, to, abandon-f.now, TimedOut)
-	case luck < 0.05 || r.bad && luck < 0.7:
+	case draw < 0.05 || r.bad && draw < 0.7:
 		n.end(id, i, to, took/2, Failed)
 	default:
 		n.end(id, i, to, took, Succeeded)
@@ -191,8 +192,9 @@
 
 const slowStartSeconds = 24
 
-// capacity is the fraction of its capacity that a backend has; how it grows during slow start is not specified.
-func (r *simulatedBackend) capacity(f *simulatedFleet) float64 {
+// capacityFraction returns the fraction of its capacity that a backend has; its growth during slow start is
+// unspecified.
+func (r *simulatedBackend) capacityFraction(f *simulatedFleet) float64 {
 	age := min(1, (f.now-r.Started).Seconds()/slowStartSeconds)
 	if r.Started == 0 {
 		age = 1
@@ -202,28 +204,28 @@
 	return f.set.Rules.SlowStartFloor + (1-f.set.Rules.SlowStartFloor)*age
 }
 
-// recordSend records an attempt and judges the window that ends now.
+// recordSend records an attempt and checks the window that ends now.
 func (r *simulatedBackend) recordSend(f *simulatedFleet, s receivedAttempt) {
-	share, window := r.capacity(f), f.set.Rules.OverloadTime
-	if share >= 1 {
+	fraction, window := r.capacityFraction(f), f.set.Rules.OverloadTime
+	if fraction >= 1 {
 		return
 	}
 	r.sends = append(r.sends, s)
 	for r.sends[0].at <= f.now-window {
 		r.sends = r.sends[1:]
 	}
-	knew := 0.0
+	informed := 0.0
 	for _, s := range r.sends {
 		if s.startKnown {
-			knew++
+			informed++
 		}
 	}
-	n, sum := f.set.Rules.OverloadMultiple*share*r.rate*window.Seconds(), float64(len(r.sends))
+	budget, total := f.set.Rules.OverloadMultiple*fraction*r.rate*window.Seconds(), float64(len(r.sends))
 	f.windows++
 	if s.retry {
-		f.further++
+		f.retries++
 	}
-	if use := sum / (n + 2*math.Sqrt(n) + 2); knew > sum*2/3 {
+	if use := total / (budget + 2*math.Sqrt(budget) + 2); informed > total*2/3 {
 		f.maxUse = max(f.maxUse, use)
 		if use > 1 {
 			f.over++
@@ -231,9 +233,9 @@
 	}
 }
 
-// restart restarts backends, or starts new ones.
-func (f *simulatedFleet) restart(some []*simulatedBackend) {
-	for _, r := range some {
+// restart restarts the given backends, or starts new ones.
+func (f *simulatedFleet) restart(backends []*simulatedBackend) {
+	for _, r := range backends {
 		r.down = true
 		f.after(time.Second/2+time.Duration(f.rand.Int64N(int64(time.Second))), func() {
 			r.down, r.Started, r.backlog, r.sends = false, f.now, 0, nil
@@ -249,11 +251,11 @@
 	}
 }
 
-func (f *simulatedFleet) sample(part float64) (some []*simulatedBackend) {
-	for _, i := range f.rand.Perm(len(f.backends))[:int(math.Ceil(part*float64(len(f.backends))))] {
-		some = append(some, f.backends[i])
+func (f *simulatedFleet) sample(fraction float64) (backends []*simulatedBackend) {
+	for _, i := range f.rand.Perm(len(f.backends))[:int(math.Ceil(fraction*float64(len(f.backends))))] {
+		backends = append(backends, f.backends[i])
 	}
-	return some
+	return backends
 }
 
 func (f *simulatedFleet) arrive() {
@@ -261,7 +263,7 @@
 	f.request(f.nodes[at])
 }
 
-// request lets a request arrive at a node.
+// request sends a new request to a node.
 func (f *simulatedFleet) request(n *simulatedNode) {
 	f.lastID++
 	class := f.rand.IntN(len(f.set.Classes))
@@ -352,43 +354,44 @@
 	return f
 }
 
-// Guards the slow-start rule over the sum of all nodes: chance may add 2*sqrt(N)+2 to a budget of N, and no window that mostly came
-// from nodes that knew of the start may have more. Every attempt at a backend in slow start counts: first ones, retries and hedged
-// requests, from nodes with several times the mean load, from restarted nodes, and while other backends fail and hang.
+// Guards the slow-start rule for the total of all nodes: random variation may add 2*sqrt(N)+2 to a budget of N,
+// and no window with most attempts from nodes that knew of the start may have more. Every attempt at a backend in
+// slow start counts: first attempts, retries and hedged requests, from nodes with several times the mean load,
+// from restarted nodes, and while other backends fail and hang.
 func TestSlowStartBudgetOverAllNodes(t *testing.T) {
 	usual := fleetPlan{load: 0.5, rate: 15, spread: second, restarting: 0.25, fail: 0.125}
 	changes := map[string]func(p *fleetPlan){
-		"raters fail":                 func(*fleetPlan) {},
-		"raters fail, keyed alone":    func(p *fleetPlan) { p.keyed = true },
-		"raters hang":                 func(p *fleetPlan) { p.hang = 0.125 },
-		"bound to cells":              func(p *fleetPlan) { p.keyed, p.cells = true, true },
-		"told late, nodes killed":     func(p *fleetPlan) { p.spread, p.killed, p.load = 6*second, 0.7, 0.7 },
-		"all cold, nodes roll":        func(p *fleetPlan) { p.restarting, p.killed, p.roll = 1, 1, true },
-		"late to warm up, much asked": func(p *fleetPlan) { p.slowWarmup, p.load, p.killed = true, 0.8, 0.5 },
-		"small raters":                func(p *fleetPlan) { p.rate, p.load, p.keyed = 6, 0.3, true },
-		"a rush on nodes killed":      func(p *fleetPlan) { p.restarting, p.killed, p.load, p.burstAtStart = 0.5, 0.7, 0.7, 20 },
+		"one in eight backends fails":             func(*fleetPlan) {},
+		"one in eight backends fails, keyed only": func(p *fleetPlan) { p.keyed = true },
+		"one in eight backends hangs":             func(p *fleetPlan) { p.hang = 0.125 },
+		"bound to cells":                          func(p *fleetPlan) { p.keyed, p.cells = true, true },
+		"starts reported late, nodes killed":      func(p *fleetPlan) { p.spread, p.killed, p.load = 6*second, 0.7, 0.7 },
+		"all cold, rolling node restarts":         func(p *fleetPlan) { p.restarting, p.killed, p.roll = 1, 1, true },
+		"late warm-up, high load":                 func(p *fleetPlan) { p.slowWarmup, p.load, p.killed = true, 0.8, 0.5 },
+		"small backends":                          func(p *fleetPlan) { p.rate, p.load, p.keyed = 6, 0.3, true },
+		"a burst at killed nodes":                 func(p *fleetPlan) { p.restarting, p.killed, p.load, p.burstAtStart = 0.5, 0.7, 0.7, 20 },
 	}
 	windows, retries := 0, 0
 	for _, c := range []struct {
-		nodes, raters int
-		seeds         []uint64
-		names         []string
+		nodes, backends int
+		seeds           []uint64
+		names           []string
 	}{
 		{2, 8, []uint64{0, 1, 2}, slices.Sorted(maps.Keys(changes))},
 		{20, 40, []uint64{5}, slices.Sorted(maps.Keys(changes))},
-		{30, 60, []uint64{4}, []string{"raters fail, keyed alone", "told late, nodes killed", "late to warm up, much asked", "a rush on nodes killed"}},
-		{300, 40, []uint64{4}, []string{"raters fail, keyed alone"}},
+		{30, 60, []uint64{4}, []string{"one in eight backends fails, keyed only", "starts reported late, nodes killed", "late warm-up, high load", "a burst at killed nodes"}},
+		{300, 40, []uint64{4}, []string{"one in eight backends fails, keyed only"}},
 	} {
 		for _, name := range c.names {
 			t.Run(fmt.Sprintf("%d nodes/%s", c.nodes, name), func(t *testing.T) {
 				for _, seed := range c.seeds {
 					p := usual
-					p.nodes, p.backends = c.nodes, c.raters
+					p.nodes, p.backends = c.nodes, c.backends
 					changes[name](&p)
 					f := simulateFleet(p, seed)
-					t.Logf("seed %d: %d windows, the fullest %.2f of the bound, %d further attempts", seed, f.windows, f.maxUse, f.further)
-					require.Zero(t, f.over, "of %d windows, the fullest %.2f of the bound", f.windows, f.maxUse)
-					windows, retries = windows+f.windows, retries+f.further
+					t.Logf("seed %d: %d windows, highest use %.2f of the bound, %d retries and hedged requests", seed, f.windows, f.maxUse, f.retries)
+					require.Zero(t, f.over, "windows above the bound, of %d; highest use %.2f of the bound", f.windows, f.maxUse)
+					windows, retries = windows+f.windows, retries+f.retries
 				}
 			})
 		}
@@ -397,10 +400,10 @@
 	require.Greater(t, retries, 100)
 }
 
-// slowStartRecorder is a world that records when a backend in slow start may get the next attempt. A start, and a return to the
-// list, begin at a random point of a gap.
+// slowStartRecorder is a harness that checks when a backend in slow start may get the next attempt. After a start,
+// and after a return to the list, the first gap begins at a random point.
 type slowStartRecorder struct {
-	*world
+	*harness
 	next     map[backendProcess]time.Duration
 	attempts int
 }
@@ -415,26 +418,26 @@
 		g.attempts++
 		this := backendProcess{s, s.Started}
 		if s.queueIndex < 0 || g.now < g.next[this] {
-			g.t.Fatalf("attempt %d of a request at a cold backend at %v, its turn %d, the next from %v",
+			g.t.Fatalf("attempt %d of a request at a backend in slow start at %v, queue index %d, next permitted at %v",
 				len(g.requests[id].attempts), g.now, s.queueIndex, g.next[this])
 		}
 		g.next[this] = g.now + seconds(slowStartGap/s.slowStartLimit)
 	}
-	g.world.Send(id, to, abandon)
+	g.harness.Send(id, to, abandon)
 }
 
-// Guards the slow-start rule of one node over any history: a backend in slow start gets its attempts a gap apart, whatever kind
-// they are, and none from a node that has no limit for it.
+// Guards the slow-start rule of one node for any history: attempts at a backend in slow start are at least a gap
+// apart, whatever kind they are, and a node without a limit for the backend sends none.
 func TestSlowStartLimitsEveryKindOfAttempt(t *testing.T) {
 	all, slowStarts, retries := variants(), 0, 0
 	rapid.Check(t, func(r *rapid.T) {
 		set := all[rapid.SampledFrom(slices.Sorted(maps.Keys(all))).Draw(r, "settings")]
 		set.Nodes = rapid.IntRange(1, 40).Draw(r, "nodes")
 		set.Node = rapid.IntRange(0, set.Nodes-1).Draw(r, "node")
-		w := newWorld(t, set, rapid.Uint64().Draw(r, "seed"), rapid.Float64Range(0, 0.9).Draw(r, "faulty"))
-		g := &slowStartRecorder{world: w, next: map[backendProcess]time.Duration{}}
+		w := newHarness(t, set, rapid.Uint64().Draw(r, "seed"), rapid.Float64Range(0, 0.9).Draw(r, "faulty"))
+		g := &slowStartRecorder{harness: w, next: map[backendProcess]time.Duration{}}
 		w.b.actions = g
-		list := mixed(rapid.IntRange(2, 16).Draw(r, "backends"))
+		list := mixedBackends(rapid.IntRange(2, 16).Draw(r, "backends"))
 		w.list(EndpointsStored, list...)
 		for range 300 {
 			for range w.rand.IntN(6) {
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -11,32 +11,32 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against memory that grows with the ids of requests and backends ever seen, or with updates of the list: the state holds
-// listed backends, backends with an attempt in flight, and open requests only.
+// Guards against state that grows with the number of request or backend ids ever seen, or of list updates: the
+// Balancer holds only listed backends, backends with an attempt in flight, and open requests.
 func TestStateIsBoundedByListedBackendsAndOpenRequests(t *testing.T) {
 	all := variants()
 	rapid.Check(t, func(r *rapid.T) {
 		set := all[rapid.SampledFrom(slices.Sorted(maps.Keys(all))).Draw(r, "settings")]
-		w := newWorld(t, set, rapid.Uint64().Draw(r, "seed"), 0.2)
-		fresh, listed, open, maxOpen := BackendID(1), map[BackendID]Backend{}, 0, 0
-		replace := func(n int) { // a list of new backends
+		w := newHarness(t, set, rapid.Uint64().Draw(r, "seed"), 0.2)
+		nextBackendID, listed, open, maxOpen := BackendID(1), map[BackendID]Backend{}, 0, 0
+		replace := func(n int) { // replaces all backends by new ones
 			clear(listed)
 			for range n {
-				e := mixed(1)[0]
-				e.ID, e.Started = fresh, w.now
-				fresh++
+				e := mixedBackends(1)[0]
+				e.ID, e.Started = nextBackendID, w.now
+				nextBackendID++
 				listed[e.ID] = e
 			}
 		}
 		update := func() { w.list(EndpointsFull, slices.Collect(maps.Values(listed))...) }
 		check := func() {
-			out := map[BackendID]bool{}
+			permitted := map[BackendID]bool{}
 			open = 0
 			for id, q := range w.requests {
 				busy := false
 				for _, a := range q.attempts {
 					if !a.done {
-						out[a.to.ID], busy = true, true
+						permitted[a.to.ID], busy = true, true
 					}
 				}
 				if busy || q.finalResponses == 0 && !q.over {
@@ -46,9 +46,9 @@
 				}
 			}
 			for id := range listed {
-				out[id] = true
+				permitted[id] = true
 			}
-			require.LessOrEqual(r, len(w.b.byID), len(out))
+			require.LessOrEqual(r, len(w.b.byID), len(permitted))
 			require.Len(r, w.b.backends, len(w.b.byID))
 			require.LessOrEqual(r, len(w.b.requests), open)
 			require.LessOrEqual(r, len(w.b.freeRequests)+len(w.b.requests), maxOpen)
@@ -57,11 +57,11 @@
 		replace(rapid.IntRange(1, 8).Draw(r, "first"))
 		update()
 		for range rapid.IntRange(20, 60).Draw(r, "versions") {
-			switch rapid.IntRange(0, 2).Draw(r, "how") {
+			switch rapid.IntRange(0, 2).Draw(r, "update") {
 			case 0:
 				replace(rapid.IntRange(0, 8).Draw(r, "backends"))
 				update()
-			case 1: // one goes, by itself
+			case 1: // a single backend is removed
 				for id, e := range listed {
 					e.State = Deleted
 					delete(listed, id)
@@ -89,6 +89,6 @@
 		require.Len(r, w.b.byID, len(listed))
 		text, err := json.Marshal(w.b.Snapshot(w.now))
 		require.NoError(r, err)
-		require.Less(r, len(text), 4096+2048*len(listed), "what it hands on")
+		require.Less(r, len(text), 4096+2048*len(listed), "size of the snapshot")
 	})
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// subset returns the backends that one of many nodes uses, k of them if it can choose.
+// subset returns the backends that one of many nodes uses: k of them, if the scheme can choose the number.
 type subset func(node, nodes int, ids []BackendID, k int) map[BackendID]bool
 
 func hashed(a, b uint64) uint64 { return rand.NewPCG(a, b).Uint64() }
@@ -40,7 +40,8 @@
 		})
 		return chosen(sorted[:k])
 	},
-	// Deterministic subsetting of Google's book on site reliability: rounds of nodes deal out the backends, shuffled in each round.
+	// Deterministic subsetting from Google's SRE book: the nodes of a round divide the backends among themselves,
+	// in an order that is shuffled for each round.
 	"deterministic": func(node, _ int, ids []BackendID, k int) map[BackendID]bool {
 		each := len(ids) / k
 		round := slices.Clone(ids)
@@ -59,8 +60,9 @@
 	return m
 }
 
-// TestSubsetsAgainstOtherSchemes guards against subsets that cover the fleet less evenly than known schemes, or that move more when a backend
-// leaves. uses is the number of nodes that use a backend; moved is the fraction of pairs that are new when one has left.
+// TestSubsetsAgainstOtherSchemes guards against subsets that cover the fleet less evenly than known schemes, or
+// that change more when a backend leaves. uses is the number of nodes that use a backend; moved is the fraction of
+// node and backend pairs that are new after a backend has left.
 func TestSubsetsAgainstOtherSchemes(t *testing.T) {
 	for _, c := range []struct{ nodes, backends, k int }{{20, 60, 12}, {80, 60, 6}, {200, 60, 6}} {
 		var ids []BackendID
@@ -90,7 +92,7 @@
 			spread[name], moves[name] = float64(maxUses)/mean, float64(moved)/float64(pairs)
 			t.Logf("%d nodes, %d backends, %s: %.1f uses on average, %d to %d; moved %.4f", c.nodes, c.backends, name, mean, minUses, maxUses, moves[name])
 			if name == "arc" && minUses == 0 {
-				t.Errorf("%d nodes, %d backends: one of them is in no part", c.nodes, c.backends)
+				t.Errorf("%d nodes, %d backends: one of them is in no subset", c.nodes, c.backends)
 			}
 		}
 		if spread["arc"] > spread["rendezvous"] || moves["arc"] > moves["deterministic"] {
