--- a/internal/fleet/routing/balancer.go
+++ b/internal/fleet/routing/balancer.go
@@ -7,23 +7,23 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// Backend is what the registry and the configuration say of a backend.
+// Backend is a backend as described by the registry and the configuration.
 type Backend struct {
 	ID            string
 	Address       string
-	Slots         int     // requests that it runs at once, 0 = not known
-	KVTokens      float64 // capacity of its KV cache in tokens, 0 = not known
-	HeartbeatLate bool    // its last heartbeat is longer ago than usual: it gets no request while others may
+	Slots         int     // maximum number of concurrent requests, 0 = unknown
+	KVTokens      float64 // capacity of its KV cache in tokens, 0 = unknown
+	HeartbeatLate bool    // its last heartbeat is overdue: it gets no requests
 	Draining      bool    // it gets no new requests
 }
 
-// Request is what a pick depends on.
+// Request describes a request as far as a pick depends on it.
 type Request struct {
 	Prefix       string        // key of the prompt's shared prefix, "" = none
-	Long         bool          // the response lasts long after its first token
-	Route        string        // requests of one route are compared in size
-	Cost         float64       // expected work, in any unit that is the same for all requests of a service; 0 = not known
-	OwnTokens    float64       // tokens of the prompt that no other request shares
+	Long         bool          // the response continues long after its first token
+	Route        string        // sizes of requests are compared within a route
+	Cost         float64       // expected work, in any unit that is the same for all requests of a service; 0 = unknown
+	OwnTokens    float64       // tokens of the prompt that are not shared with other requests
 	SharedTokens float64       // tokens of the prefix
 	Target       time.Duration // latency target of the time to the first token
 	Deadline     time.Duration // on the caller's clock
@@ -33,13 +33,13 @@
 // Result is how an attempt ended.
 type Result = decide.Result
 
-// Attempt is one request sent to one backend. Pick makes it; it ends with one call of Done.
+// Attempt is one request sent to one backend. Pick returns it; it must be ended with one call of Done.
 type Attempt struct {
 	Backend      Backend
-	Expected     time.Duration // expected time to the first token, 0 = not known
+	Expected     time.Duration // expected time to the first token, 0 = unknown
 	Reason       Reason
 	PrefixCached bool          // the backend is expected to have the prefix in its cache
-	HomeExpected time.Duration // expected time to the first token at the prefix's home, 0 where the hash was not used
+	HomeExpected time.Duration // expected time to the first token at the prefix's home, 0 if the hash was not used
 
 	requestID      decide.RequestID
 	balancerID     decide.BackendID // of the backend
@@ -50,16 +50,16 @@
 	paused         bool
 }
 
-// RecordPause records that the response paused for longer than its route allows. It is called before Done.
+// RecordPause records that the response paused for longer than its route allows. It must be called before Done.
 func (a *Attempt) RecordPause() { a.paused = true }
 
-// eventID names the attempt in events. Nodes count from random numbers of their own.
+// eventID identifies the attempt in events. Each node counts from a random number.
 func (a *Attempt) eventID() uint32 { return uint32(a.requestID) }
 
 // Reason says why a backend was picked.
 type Reason string
 
-// The reasons. Their texts are in the log.
+// The reasons. Their texts appear in the log.
 const (
 	ReasonHome       Reason = "home" // it is the home of the prompt's prefix
 	ReasonMoved      Reason = "move" // a smaller loss is expected there than at the home
@@ -67,8 +67,8 @@
 	ReasonLastResort Reason = "need" // all others are ejected or avoided
 )
 
-// Balancer picks the backends of one service and learns from what becomes of the attempts. It is not safe for concurrent use.
-// Times passed to its methods must not fall.
+// Balancer picks the backends of one service and learns from the results of the attempts. It is not safe for
+// concurrent use. The times passed to its methods must not decrease.
 type Balancer struct {
 	shares      *decide.Balancer
 	sink        *decisionSink
@@ -77,33 +77,33 @@
 	byTag       map[uint32]*member
 	lastID      decide.BackendID
 	lastRequest decide.RequestID
-	timers      []timer // of shares
+	timers      []timer // timers set by shares
 	loads       *loadTable
 	promptSizes meanPromptSizes
 	events      []Event // of this node's attempts, for the other nodes
 }
 
-// timer is a call that decide.Balancer has asked for.
+// timer is a timer that decide.Balancer has set.
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-// decisionSink receives the decisions of a decide.Balancer. Retries and rejections are the proxy's, and each attempt is a request
-// of its own to decide, so only its choice of a backend and its timers matter.
+// decisionSink receives the decisions of a decide.Balancer. The proxy makes retries and rejections, and to decide
+// each attempt is a request of its own, so only its choice of a backend and its timers matter here.
 type decisionSink struct {
 	balancer *Balancer
-	now      time.Duration // of the call that is being made
+	now      time.Duration // time of the current call
 	chosen   decide.BackendID
 	found    bool // chosen was set
 }
 
-// Send notes the backend that decide has chosen.
+// Send records the backend that decide has chosen.
 func (d *decisionSink) Send(_ decide.RequestID, to decide.BackendID, _ time.Duration) {
 	d.chosen, d.found = to, true
 }
 
-// The other decisions do not arise or are the proxy's to make.
+// The other decisions do not occur or are made by the proxy.
 
 func (d *decisionSink) Reject(decide.RequestID, time.Duration) {}
 func (d *decisionSink) Fail(decide.RequestID)                  {}
@@ -112,21 +112,22 @@
 func (d *decisionSink) Watch()                                 {}
 func (d *decisionSink) Log(string)                             {}
 
-// SetTimer sets a timer of decide.
+// SetTimer sets a timer for decide.
 func (d *decisionSink) SetTimer(after time.Duration, token uint64) {
 	d.balancer.timers = append(d.balancer.timers, timer{d.now + after, token})
 }
 
 // Config describes a service to its Balancer.
 type Config struct {
-	Target   time.Duration // longest latency target of its routes, a millisecond at least
-	Deadline time.Duration // longest timeout of its routes, Target at least
-	Nodes    int           // nodes of the data plane, 1 at least
-	Node     int           // number of this node, one that others are unlikely to have
+	Target   time.Duration // longest latency target of its routes, at least a millisecond
+	Deadline time.Duration // longest timeout of its routes, at least Target
+	Nodes    int           // number of data-plane nodes, at least 1
+	Node     int           // number of this node, unlikely to be used by another node
 	Seed     uint64        // of all random draws
 }
 
-// NewBalancer returns a Balancer without backends. It returns an error where decide does not accept the configuration.
+// NewBalancer returns a Balancer without backends. It returns an error if decide rejects the settings derived from
+// config.
 func NewBalancer(config Config) (*Balancer, error) {
 	b := &Balancer{members: map[string]*member{}, byID: map[decide.BackendID]*member{}, byTag: map[uint32]*member{}, loads: newLoadTable(),
 		promptSizes: meanPromptSizes{}, lastRequest: decide.RequestID(config.Seed >> 1)}
@@ -141,7 +142,7 @@
 	return b, err
 }
 
-// runTimers calls decide's timers that are due.
+// runTimers fires decide's timers that are due.
 func (b *Balancer) runTimers(now time.Duration) {
 	b.sink.now = now
 	pending := slices.Clone(b.timers)
@@ -155,7 +156,7 @@
 	}
 }
 
-// SetBackends replaces the list of backends. Those that stay keep what was learned of them.
+// SetBackends replaces the list of backends. What was learned about backends that stay is kept.
 func (b *Balancer) SetBackends(now time.Duration, backends []Backend) {
 	b.sink.now = now
 	present := make(map[string]bool, len(backends))
@@ -187,8 +188,9 @@
 	b.shares.UpdateEndpoints(now, decide.EndpointsFull, entries)
 }
 
-// Pick returns an attempt at a backend, nil where none may get the request. Requests with a prefix go by its hash; so do retries,
-// with or without one: decide's round robin would offer their excluded backends again.
+// Pick returns an attempt at a backend, nil if none may get the request. Requests with a prefix are routed by its
+// hash, and so are retries with or without a prefix: decide's round robin would offer their excluded backends
+// again.
 func (b *Balancer) Pick(now time.Duration, request *Request) *Attempt {
 	b.runTimers(now)
 	b.lastRequest++
--- a/internal/fleet/routing/balancer_test.go
+++ b/internal/fleet/routing/balancer_test.go
@@ -30,7 +30,7 @@
 	return &Request{Prefix: key, OwnTokens: 500, SharedTokens: 5000, Target: 500 * time.Millisecond, Deadline: time.Hour}
 }
 
-// prefixedCheaply returns a request whose prefix costs little to prefill again.
+// prefixedCheaply returns a request whose prefix is cheap to prefill again.
 func prefixedCheaply() *Request {
 	request := prefixed("k")
 	request.OwnTokens, request.SharedTokens = 4000, 500
@@ -97,11 +97,12 @@
 	}
 }
 
-// taughtSpeed is what teachPrefillSpeed teaches, in tokens a second.
-const taughtSpeed = 100_000.0
+// trainedSpeed is the prefill speed that trainPrefillSpeed simulates, in tokens per second.
+const trainedSpeed = 100_000.0
 
-// teachPrefillSpeed lets a balancer learn that its backends prefill at taughtSpeed, and returns the time after that.
-func teachPrefillSpeed(b *Balancer) time.Duration {
+// trainPrefillSpeed lets a balancer learn that its backends prefill at trainedSpeed, and returns the time after
+// that.
+func trainPrefillSpeed(b *Balancer) time.Duration {
 	now := time.Second
 	for i := range 40 {
 		request := prefixed(fmt.Sprint("teach", i))
@@ -114,7 +115,7 @@
 		if !attempt.PrefixCached { // the backend prefills the prefix too
 			tokens += request.SharedTokens
 		}
-		now += 50*time.Millisecond + time.Duration(tokens/taughtSpeed*float64(time.Second))
+		now += 50*time.Millisecond + time.Duration(tokens/trainedSpeed*float64(time.Second))
 		b.FirstToken(now, attempt)
 		b.Done(now, attempt, decide.Succeeded, Load{})
 	}
@@ -126,7 +127,7 @@
 	return &Event{Kind: kind, Backend: TagOf(backend), Attempt: attempt}
 }
 
-// sentEvent returns the event that another node sent a backend a prompt.
+// sentEvent returns the event of another node that sent a prompt to a backend.
 func sentEvent(backend string, attempt uint32, tokens float64) *Event {
 	event := attemptEvent(EventSent, backend, attempt)
 	event.Tokens = tokens
@@ -135,7 +136,7 @@
 
 func TestRequestLeavesAHomeBusyWithALongPrefill(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	home := b.Pick(now, prefixed("k"))
 	b.Done(now, home, decide.Succeeded, Load{})
 	require.True(t, b.Observe(now, sentEvent(home.Backend.ID, 7, 90_000)))
@@ -144,31 +145,31 @@
 	require.Equal(t, ReasonMoved, moved.Reason)
 	require.False(t, moved.PrefixCached, "the prefix has to be prefilled there")
 	b.Done(now, moved, decide.Succeeded, Load{})
-	patient := prefixed("k")
-	patient.Target = time.Minute
-	stays := b.Pick(now, patient)
-	require.True(t, stays.PrefixCached, "one with time to spare goes where its prefix is cached")
-	b.Done(now, stays, decide.Succeeded, Load{})
+	notUrgent := prefixed("k")
+	notUrgent.Target = time.Minute
+	second := b.Pick(now, notUrgent)
+	require.True(t, second.PrefixCached, "a request with time to spare goes where its prefix is cached")
+	b.Done(now, second, decide.Succeeded, Load{})
 	b.Observe(now, attemptEvent(EventEnded, home.Backend.ID, 7))
 	back := b.Pick(now, prefixed("k"))
-	require.Equal(t, home.Backend.ID, back.Backend.ID, "once the prompt is prefilled, the home goes first again")
+	require.Equal(t, home.Backend.ID, back.Backend.ID, "once the prompt is prefilled, the home is preferred again")
 }
 
 func TestPromptThatIsLateEverywhereStaysAtItsHome(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	huge := prefixed("k")
 	huge.OwnTokens = 200_000 // two seconds on an idle backend
 	home := b.Pick(now, huge)
 	b.Done(now, home, decide.Succeeded, Load{})
 	b.Observe(now, sentEvent(home.Backend.ID, 7, 10_000))
 	again := b.Pick(now, huge)
-	require.Equal(t, home.Backend.ID, again.Backend.ID, "a move would gain nothing and have the prefix prefilled again")
+	require.Equal(t, home.Backend.ID, again.Backend.ID, "another backend would gain nothing and would prefill the prefix again")
 }
 
 func TestLongPromptLeavesABackendWithManyStreams(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	long := prefixedCheaply()
 	long.OwnTokens = 45_000
 	home := b.Pick(now, long)
@@ -180,7 +181,7 @@
 		b.Observe(now, attemptEvent(EventFirstToken, home.Backend.ID, attempt))
 	}
 	moved := b.Pick(now, long)
-	require.NotEqual(t, home.Backend.ID, moved.Backend.ID, "every stream there would stall")
+	require.NotEqual(t, home.Backend.ID, moved.Backend.ID, "all its streams would stall")
 	b.Done(now, moved, decide.Succeeded, Load{})
 	for attempt := range uint32(6) {
 		b.Observe(now, attemptEvent(EventEnded, home.Backend.ID, attempt))
@@ -191,7 +192,7 @@
 
 func TestBackendThatOtherNodesFindSlowLosesRequests(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	home := b.Pick(now, prefixedCheaply())
 	b.Done(now, home, decide.Succeeded, Load{})
 	for attempt := range uint32(20) {
@@ -207,13 +208,13 @@
 	now += 10 * slowdownWindow
 	back := b.Pick(now, prefixedCheaply())
 	require.True(t, back.PrefixCached)
-	require.Less(t, back.Expected, 200*time.Millisecond, "it is tried again after a while, by a client's request")
+	require.Less(t, back.Expected, 200*time.Millisecond, "it is tried again after a while, with a client's request")
 }
 
 func TestBackendThatOtherNodesFindFailingLosesRequests(t *testing.T) {
 	for _, kind := range []EventKind{EventFailed, EventPaused} {
 		b := newTestBalancer(t, 9, 1)
-		now := teachPrefillSpeed(b)
+		now := trainPrefillSpeed(b)
 		request := prefixedCheaply()
 		request.Long = true
 		home := b.Pick(now, request)
@@ -234,7 +235,7 @@
 
 func TestUnresponsiveBackendLosesRequestsBeforeAnyTimeout(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	home := b.Pick(now, prefixedCheaply())
 	b.Done(now, home, decide.Succeeded, Load{})
 	for attempt := range uint32(6) {
@@ -246,10 +247,10 @@
 
 func TestBackendWithoutFreeSlotsLosesRequests(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	home := b.Pick(now, prefixedCheaply())
 	b.Done(now, home, decide.Succeeded, Load{})
-	for attempt := range uint32(100) { // it has 64
+	for attempt := range uint32(100) { // the backend has 64 slots
 		running := sentEvent(home.Backend.ID, attempt, 1)
 		running.Long = true
 		b.Observe(now, running)
@@ -262,7 +263,7 @@
 
 func TestAttemptsWithoutAnEndExpire(t *testing.T) {
 	b := newTestBalancer(t, 2, 1)
-	now := teachPrefillSpeed(b)
+	now := trainPrefillSpeed(b)
 	b.Observe(now, sentEvent("r00", 7, 90_000))
 	load := b.loads.backend(TagOf("r00"))
 	require.Positive(t, b.loads.queueDelay(now, load))
@@ -284,7 +285,7 @@
 
 func TestPrefillCurveIsThatOfAnIdleBackend(t *testing.T) {
 	b := newTestBalancer(t, 9, 1)
-	teachPrefillSpeed(b)
+	trainPrefillSpeed(b)
 	require.InDelta(t, 0.1, b.loads.prefill.time(10_000).Seconds(), 0.015)
 	require.InDelta(t, 0.05, b.loads.prefill.base.Seconds(), 0.01)
 }
@@ -314,7 +315,7 @@
 	a.Done(now+time.Second, attempt, decide.Succeeded, Load{})
 	events := a.DrainEvents()
 	require.Len(t, events, 3)
-	require.Empty(t, a.DrainEvents(), "each is reported once")
+	require.Empty(t, a.DrainEvents(), "each event is returned once")
 	kinds := []EventKind{EventSent, EventFirstToken, EventEnded}
 	for i := range events {
 		require.Equal(t, kinds[i], events[i].Kind)
@@ -338,7 +339,7 @@
 	sent.Prefix = TagOf("k")
 	b.Observe(now, sent)
 	now += 10 * prefixMaxAge
-	require.Len(t, b.loads.cachedAt(now, TagOf("k")), 1, "nothing has taken its place")
+	require.Len(t, b.loads.cachedAt(now, TagOf("k")), 1, "nothing has evicted it")
 	b.Observe(now, sentEvent("r00", 2, 60_000))
 	require.Empty(t, b.loads.cachedAt(now, TagOf("k")))
 	b.SetBackends(now, backends[1:])
@@ -349,7 +350,7 @@
 	prefixes := newPrefixCache()
 	for prefix := uint32(1); prefix <= 3*maxPrefixes; prefix++ {
 		prefixes.record(0, prefix, 1, 0)
-		prefixes.record(0, 1, 2, 0) // one in use stays
+		prefixes.record(0, 1, 2, 0) // a prefix in use is retained
 	}
 	require.LessOrEqual(t, len(prefixes.young)+len(prefixes.old), maxPrefixes)
 	require.Len(t, prefixes.locations(1), 2)
@@ -446,7 +447,7 @@
 		moved := balancer.Pick(now+time.Millisecond, prefixed("k"))
 		require.NotEqual(t, home.Backend.ID, moved.Backend.ID)
 		balancer.Done(now, moved, decide.Succeeded, Load{})
-		require.True(t, balancer.Pick(now+maxAvoidance, prefixed("k")).PrefixCached, "what moved stays")
+		require.True(t, balancer.Pick(now+maxAvoidance, prefixed("k")).PrefixCached, "the moved prefix stays at its new backend")
 		back := balancer.Pick(now+maxAvoidance, prefixed(later))
 		require.Equal(t, home.Backend.ID, back.Backend.ID, "it is tried again after a while")
 		balancer.Done(now, back, decide.Succeeded, Load{})
@@ -461,7 +462,7 @@
 	b.Done(now, responded, decide.Succeeded, Load{})
 	b.Observe(now+ownEvidenceMaxAge/2, attemptEvent(EventUnreachable, responded.Backend.ID, 0))
 	again := b.Pick(now+ownEvidenceMaxAge/2, prefixed("k"))
-	require.Equal(t, responded.Backend.ID, again.Backend.ID, "its response to this node goes before")
+	require.Equal(t, responded.Backend.ID, again.Backend.ID, "its response to this node outweighs the report")
 	b.Done(now, again, decide.Succeeded, Load{})
 	now += time.Minute
 	for _, backend := range testBackends(9) {
@@ -473,7 +474,7 @@
 			avoided++
 		}
 	}
-	require.LessOrEqual(t, avoided, 4, "less than half of them")
+	require.LessOrEqual(t, avoided, 4, "less than half of the members")
 }
 
 func TestAvoidedBackendIsBetterThanNone(t *testing.T) {
@@ -485,18 +486,18 @@
 }
 
 func TestRendezvousSpreadsEvenlyAndStably(t *testing.T) {
-	picks := []string{"a", "b", "c"}
+	candidates := []string{"a", "b", "c"}
 	counts := map[string]int{}
 	for i := range 3000 {
 		key := fmt.Sprint(i)
-		place := Rendezvous(key, picks)
-		counts[place]++
-		if place != "c" {
-			require.Equal(t, place, Rendezvous(key, picks[:2]))
+		owner := Rendezvous(key, candidates)
+		counts[owner]++
+		if owner != "c" {
+			require.Equal(t, owner, Rendezvous(key, candidates[:2]))
 		}
 	}
-	for _, place := range picks {
-		require.InDelta(t, 1000, counts[place], 120)
+	for _, owner := range candidates {
+		require.InDelta(t, 1000, counts[owner], 120)
 	}
 	require.Empty(t, Rendezvous("k", nil))
 }
@@ -513,7 +514,7 @@
 	require.Equal(t, EventPaused, events[len(events)-1].Kind)
 }
 
-// What other nodes are to learn of a response that paused and then broke off is that the backend failed.
+// A response that paused and then broke off must be reported to other nodes as a failure of the backend.
 func TestPausedResponseThatBreaksOffIsReportedAsFailed(t *testing.T) {
 	for _, result := range []Result{decide.Reset, decide.Failed, decide.TimedOut} {
 		b := newTestBalancer(t, 2, 1)
--- a/internal/fleet/routing/event.go
+++ b/internal/fleet/routing/event.go
@@ -7,37 +7,39 @@
 	"time"
 )
 
-// errPackedEvent says that bytes are no events, or events of another version.
-var errPackedEvent = errors.New("routing: events are not as this version packs them")
+// errPackedEvent is returned for bytes that are not events in the format of this version.
+var errPackedEvent = errors.New("routing: malformed or unsupported packed events")
 
-// EventKind says what happened to an attempt. Its numbers are on the wire.
+// EventKind says what happened to an attempt. Its numbers are sent over the wire.
 type EventKind uint8
 
 // The kinds of events.
 const (
 	EventSent        EventKind = iota + 1 // the request was sent to the backend
-	EventFirstToken                       // the first token of its response has come
-	EventEnded                            // it has ended and holds no slot of the backend any more
+	EventFirstToken                       // the first token of its response has arrived
+	EventEnded                            // it has ended and no longer holds a slot of the backend
 	EventFailed                           // it has ended in a way that counts against the backend
 	EventPaused                           // it has ended, and paused for longer than its route allows
-	EventUnreachable                      // no connection to the backend could be made
+	EventUnreachable                      // no connection to the backend could be established
 )
 
-// Event is one step of an attempt, as nodes report it to each other. A node learns from the events of all others what it cannot
-// see itself: what a backend has to prefill, how many requests it runs, how fast it responds, and whether it fails.
+// Event is one step of an attempt, as nodes report it to each other. From the events of all others a node learns
+// what it cannot see itself: what a backend has to prefill, how many requests it runs, how fast it responds, and
+// whether it fails.
 type Event struct {
 	Kind             EventKind
 	Backend          uint32        // TagOf the backend's id
-	Attempt          uint32        // names the attempt at that backend
-	Age              time.Duration // how long ago it happened
+	Attempt          uint32        // identifies the attempt at that backend
+	Age              time.Duration // time since it happened
 	Tokens           float64       // EventSent: tokens of the prompt that the backend has to prefill
 	Prefix           uint32        // EventSent: TagOf the prompt's prefix, 0 = none
-	Long             bool          // EventSent, EventFirstToken: an event of its end will follow, as that is long after its first token
+	Long             bool          // EventSent, EventFirstToken: the end comes long after the first token, and will be reported
 	TimeToFirstToken time.Duration // EventFirstToken: since the request was sent
 }
 
-// TagOf shortens an id for events; it returns 0 for "" only. Two backends with the same tag would be taken for one: among 10,000
-// that has a chance of one in a hundred, and costs some badly picked backends.
+// TagOf returns a short hash of an id for events; it is 0 only for "". Two backends with the same tag would be
+// treated as one: among 10,000 backends the probability of a collision is about one in a hundred, and the cost is
+// a few poor picks.
 func TagOf(id string) uint32 {
 	if id == "" {
 		return 0
@@ -47,8 +49,8 @@
 	return max(1, hash.Sum32())
 }
 
-// The packed form of an event, in bytes, little-endian: kind and flag, backend, attempt, age in milliseconds; then for EventSent
-// the tokens and the prefix, for EventFirstToken the time in microseconds.
+// The packed form of an event, in bytes, little-endian: kind and flag, backend, attempt, age in milliseconds; then
+// the tokens and the prefix for EventSent, the time in microseconds for EventFirstToken.
 const (
 	longFlag       = 0x80
 	commonSize     = 1 + 4 + 4 + 2
@@ -57,7 +59,8 @@
 	maxEventAge    = 1<<16 - 1 // milliseconds
 )
 
-// AppendEvent appends the packed form of an event. Numbers that do not fit are cut: ages saturate at maxEventAge.
+// AppendEvent appends the packed form of an event. Numbers that do not fit are truncated; ages saturate at
+// maxEventAge.
 func AppendEvent(packed []byte, event Event) []byte {
 	head := byte(event.Kind)
 	if event.Long {
@@ -77,7 +80,7 @@
 	return packed
 }
 
-// UnpackEvents reads packed events. It returns an error where any of them is not well formed.
+// UnpackEvents decodes packed events. It returns an error if any of them is malformed.
 func UnpackEvents(packed []byte) ([]Event, error) {
 	events := make([]Event, 0, len(packed)/firstTokenSize)
 	for len(packed) > 0 {
@@ -101,7 +104,7 @@
 	return events, nil
 }
 
-// packedSize returns the bytes of an event of a kind, 0 for a kind that this version does not know.
+// packedSize returns the size in bytes of an event of a kind, 0 for a kind that this version does not know.
 func packedSize(kind EventKind) int {
 	switch kind {
 	case EventSent:
--- a/internal/fleet/routing/event_test.go
+++ b/internal/fleet/routing/event_test.go
@@ -24,7 +24,7 @@
 	unpacked, err := UnpackEvents(packed)
 	require.NoError(t, err)
 	require.Equal(t, events, unpacked)
-	for cut := 1; cut < len(packed); cut++ { // whatever is cut off, nothing is read beyond it
+	for cut := 1; cut < len(packed); cut++ { // truncated input is never read beyond its end
 		got, err := UnpackEvents(packed[:cut])
 		if err == nil {
 			require.Less(t, len(got), len(events))
--- a/internal/fleet/routing/feedback.go
+++ b/internal/fleet/routing/feedback.go
@@ -6,15 +6,15 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// Load is what a backend stated of itself with a response.
+// Load is the load that a backend reported with a response.
 type Load struct {
-	Known   bool // the backend stated it
+	Known   bool // the backend reported its load
 	Running int  // requests
 	Waiting int
 }
 
-// FirstToken records that the first token of an attempt's response has come. Further calls for the same attempt do not count as
-// events.
+// FirstToken records that the first token of an attempt's response has arrived. Only the first call for an attempt
+// is recorded as an event.
 func (b *Balancer) FirstToken(now time.Duration, attempt *Attempt) {
 	b.sink.now = now
 	b.shares.StreamStarted(now, attempt.requestID, 0, now-attempt.sentAt)
@@ -28,7 +28,8 @@
 	}
 }
 
-// Done records the end of an attempt, and the load that its backend stated. It is called once for each attempt.
+// Done records the end of an attempt and the load that its backend reported. It must be called once for each
+// attempt.
 func (b *Balancer) Done(now time.Duration, attempt *Attempt, result Result, load Load) {
 	b.sink.now = now
 	if m := b.members[attempt.Backend.ID]; m != nil && m.balancerID == attempt.balancerID {
@@ -38,11 +39,11 @@
 		}
 	}
 	switch {
-	case isFailure(result): // a response that paused before it broke off is a failure too
+	case isFailure(result): // also for a response that paused before it broke off
 		b.record(now, Event{Kind: EventFailed, Backend: attempt.tag, Attempt: attempt.eventID()})
 	case attempt.paused:
 		b.record(now, Event{Kind: EventPaused, Backend: attempt.tag, Attempt: attempt.eventID()})
-	case attempt.long || !attempt.firstTokenSeen: // else the first token was the end, as far as the load goes
+	case attempt.long || !attempt.firstTokenSeen: // otherwise the first token was the end as far as the load is concerned
 		b.record(now, Event{Kind: EventEnded, Backend: attempt.tag, Attempt: attempt.eventID()})
 	}
 	outcome := decide.Outcome{Request: attempt.requestID, Backend: attempt.balancerID, Over: true, Latency: now - attempt.sentAt, Result: result}
@@ -53,7 +54,7 @@
 	b.shares.Outcome(now, outcome)
 }
 
-// isFailure reports whether an attempt's end counts against its backend.
+// isFailure reports whether the result of an attempt counts against its backend.
 func isFailure(result Result) bool {
 	switch result {
 	case decide.Failed, decide.Reset, decide.Overloaded, decide.TimedOut:
@@ -62,7 +63,7 @@
 	return false
 }
 
-// record applies an event of this node's attempts and keeps it for the other nodes.
+// record applies an event of this node's attempts and stores it for the other nodes.
 func (b *Balancer) record(now time.Duration, event Event) {
 	b.loads.apply(now, &event, true)
 	b.events = append(b.events, event)
@@ -75,7 +76,8 @@
 	return events
 }
 
-// Observe applies an event of another node's attempts. It reports whether the event was about a backend of this service.
+// Observe applies an event of another node's attempts. It reports whether the event is about a backend of this
+// service.
 func (b *Balancer) Observe(now time.Duration, event *Event) bool {
 	m := b.byTag[event.Backend]
 	if m == nil {
--- a/internal/fleet/routing/load.go
+++ b/internal/fleet/routing/load.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// Parameters of what is known of a backend's load.
+// Parameters of the load estimates.
 const (
-	prefillMaxAge         = 4 * time.Second        // after which a prompt counts as prefilled, whatever events have come
-	streamMaxAge          = 10 * time.Second       // after which a stream counts as ended
-	minRemainingPrefill   = 60 * time.Millisecond  // that a prompt whose prefill is overdue is taken to need at least
-	eventDelay            = 120 * time.Millisecond // within which other nodes' events arrive
-	slowdownWindow        = 2 * time.Second        // after which the time of a response weighs 1/e
-	slowdownPrior         = 6.0                    // responses at the usual speed that are taken as seen
-	minSlowdownSample     = 0.5                    // times the expected time that one response counts as at least
-	maxSlowdownSample     = 10.0                   // and at most
-	overdueFactor         = 2.0                    // times its expected time after which a missing response counts as slow
-	unresponsiveFactor    = 6.0                    // and after which it counts as a failure,
-	minUnresponsive       = time.Second            // but no sooner
-	failureWindow         = 3 * time.Second        // after which a failure weighs 1/e
-	failurePrior          = 3.0                    // attempts without a failure that are taken as seen
-	streamDurationGain    = 0.02                   // fraction by which a stream moves the learned duration
-	initialStreamDuration = time.Second            // before any stream has ended
+	prefillMaxAge         = 4 * time.Second        // age at which a prompt counts as prefilled, regardless of events
+	streamMaxAge          = 10 * time.Second       // age at which a stream counts as ended
+	minRemainingPrefill   = 60 * time.Millisecond  // minimum remaining time assumed for a prompt whose prefill is overdue
+	eventDelay            = 120 * time.Millisecond // time within which other nodes' events arrive
+	slowdownWindow        = 2 * time.Second        // age at which the time of a response has the weight 1/e
+	slowdownPrior         = 6.0                    // weight of the prior, in responses at the usual speed
+	minSlowdownSample     = 0.5                    // lower bound of a response's time, as a multiple of the expected time
+	maxSlowdownSample     = 10.0                   // upper bound
+	overdueFactor         = 2.0                    // multiple of its expected time after which a missing response counts as slow
+	unresponsiveFactor    = 6.0                    // multiple after which it counts as a failure,
+	minUnresponsive       = time.Second            // but not earlier than this
+	failureWindow         = 3 * time.Second        // age at which a failure has the weight 1/e
+	failurePrior          = 3.0                    // weight of the prior, in attempts without a failure
+	streamDurationGain    = 0.02                   // weight of a new stream in the learned duration
+	initialStreamDuration = time.Second            // estimate before any stream has ended
 )
 
-// prefillingAttempt is an attempt whose first token has not come.
+// prefillingAttempt is an attempt whose first token has not arrived.
 type prefillingAttempt struct {
 	attempt  uint32 // Event.Attempt
 	tokens   float64
 	sentAt   time.Duration
-	expected time.Duration // time to the first token at a backend of the usual speed
+	expected time.Duration // time to the first token on a backend of the usual speed
 	alone    bool          // the backend had nothing else to prefill
 	long     bool
-	local    bool // of this node
+	local    bool // sent by this node
 }
 
-// waited returns for how long the first token has certainly not come: events of other nodes are late.
+// waited returns the time for which the first token has certainly been missing. For other nodes' attempts it
+// allows for the delay of events.
 func (p *prefillingAttempt) waited(now time.Duration) time.Duration {
 	if p.local {
 		return now - p.sentAt
@@ -44,34 +45,34 @@
 	return now - p.sentAt - eventDelay
 }
 
-// decodingAttempt is a long response whose first token has come.
+// decodingAttempt is a long response whose first token has arrived.
 type decodingAttempt struct {
 	attempt uint32 // Event.Attempt
 	sentAt  time.Duration
 }
 
-// backendLoad is what is known of one backend: its attempts in flight and how it has responded of late.
+// backendLoad is what is known about one backend: its attempts in flight and its recent responses.
 type backendLoad struct {
-	prefilling      []prefillingAttempt // in the order in which they were sent
+	prefilling      []prefillingAttempt // in sending order
 	decoding        []decodingAttempt
-	kvTokens        float64      // size of its KV cache, 0 = not known
-	prefilledTokens float64      // that it has been sent in all
-	slowdown        decayedRatio // of true to expected times to the first token, in seconds
-	failures        decayedRatio // of failures to attempts
-	stalls          decayedRatio // of streams that paused for too long to streams
+	kvTokens        float64      // size of its KV cache, 0 = unknown
+	prefilledTokens float64      // total that it has been sent
+	slowdown        decayedRatio // actual over expected times to the first token, in seconds
+	failures        decayedRatio // failures over attempts
+	stalls          decayedRatio // streams with an overlong pause over all streams
 }
 
-// removePrefilling forgets an attempt whose first token has not come.
+// removePrefilling removes an attempt whose first token has not arrived.
 func (b *backendLoad) removePrefilling(attempt uint32) {
 	b.prefilling = slices.DeleteFunc(b.prefilling, func(p prefillingAttempt) bool { return p.attempt == attempt })
 }
 
-// findPrefilling returns the index of an attempt whose first token has not come, -1 where it is not known.
+// findPrefilling returns the index of an attempt whose first token has not arrived, -1 if it is unknown.
 func (b *backendLoad) findPrefilling(attempt uint32) int {
 	return slices.IndexFunc(b.prefilling, func(p prefillingAttempt) bool { return p.attempt == attempt })
 }
 
-// findDecoding returns the index of a stream, -1 where it is not known.
+// findDecoding returns the index of a stream, -1 if it is unknown.
 func (b *backendLoad) findDecoding(attempt uint32) int {
 	return slices.IndexFunc(b.decoding, func(d decodingAttempt) bool { return d.attempt == attempt })
 }
@@ -82,7 +83,7 @@
 	decayedAt              time.Duration
 }
 
-// decay brings the sums to a time; a sample weighs 1/e after the window.
+// decay decays the sums up to the given time; a sample has the weight 1/e after the window.
 func (r *decayedRatio) decay(now, window time.Duration) {
 	if now > r.decayedAt {
 		weight := math.Exp(-float64(now-r.decayedAt) / float64(window))
@@ -97,11 +98,12 @@
 	r.numerator += numerator
 }
 
-// loadTable holds the load of all backends of a service, from the attempts of this node and from the events of others.
+// loadTable holds the load of all backends of a service, from the attempts of this node and from the events of
+// others.
 type loadTable struct {
 	backends       map[uint32]*backendLoad // by tag
 	prefill        prefillCurve
-	streamDuration time.Duration // for which a long response holds its slot, learned
+	streamDuration time.Duration // learned time for which a long response holds its slot
 	prefixes       prefixCache
 }
 
@@ -109,7 +111,7 @@
 	return &loadTable{backends: map[uint32]*backendLoad{}, prefill: newPrefillCurve(), streamDuration: initialStreamDuration, prefixes: newPrefixCache()}
 }
 
-// backend returns the load of the backend with a tag, which it adds where it is not known.
+// backend returns the load of the backend with a tag, and adds the backend if it is unknown.
 func (l *loadTable) backend(tag uint32) *backendLoad {
 	load := l.backends[tag]
 	if load == nil {
@@ -135,7 +137,7 @@
 	return tags
 }
 
-// retain forgets the backends that are not members any more.
+// retain removes the backends that are no longer members.
 func (l *loadTable) retain(members map[uint32]*member) {
 	for tag := range l.backends {
 		if members[tag] == nil {
@@ -144,7 +146,7 @@
 	}
 }
 
-// apply applies an event, of this node's attempts or another's. It happened event.Age ago.
+// apply applies an event of an attempt of this node (local) or another node. It happened event.Age ago.
 func (l *loadTable) apply(now time.Duration, event *Event, local bool) {
 	load := l.backend(event.Backend)
 	at := now - event.Age
@@ -162,7 +164,7 @@
 	}
 }
 
-// recordSent adds an attempt to those whose first token has not come, with the time that is expected for it.
+// recordSent adds an attempt to those whose first token has not arrived, with the expected time until it does.
 func (l *loadTable) recordSent(at time.Duration, load *backendLoad, event *Event, local bool) {
 	expected := l.queueDelay(at, load) + l.prefillTime(at, load, event.Tokens)
 	entry := prefillingAttempt{attempt: event.Attempt, tokens: event.Tokens, sentAt: at, alone: len(load.prefilling) == 0, long: event.Long, local: local,
@@ -172,8 +174,8 @@
 	l.prefixes.record(at, event.Prefix, event.Backend, load.prefilledTokens)
 }
 
-// recordFirstToken learns from the time to an attempt's first token; a long response becomes a stream. Of attempts that were never
-// reported, or have expired, nothing is learned.
+// recordFirstToken learns from the time to an attempt's first token; a long response becomes a stream. Nothing is
+// learned from attempts that were never reported or have expired.
 func (l *loadTable) recordFirstToken(now time.Duration, load *backendLoad, event *Event) {
 	i := load.findPrefilling(event.Attempt)
 	if i < 0 {
@@ -195,7 +197,7 @@
 	}
 }
 
-// recordEnd forgets an attempt and learns from a stream how long it lasted and whether it paused for too long.
+// recordEnd removes an attempt. From a stream it learns the duration and whether there was an overlong pause.
 func (l *loadTable) recordEnd(now time.Duration, load *backendLoad, attempt uint32, paused bool) {
 	load.removePrefilling(attempt)
 	i := load.findDecoding(attempt)
@@ -211,8 +213,8 @@
 	load.decoding = slices.Delete(load.decoding, i, i+1)
 }
 
-// slowdown returns how many times slower than usual a backend responds, 1 at least. Responses that are overdue count before they
-// come.
+// slowdown returns how many times slower than usual a backend responds, at least 1. Overdue responses count before
+// they arrive.
 func (l *loadTable) slowdown(now time.Duration, load *backendLoad) float64 {
 	load.slowdown.decay(now, slowdownWindow)
 	expected, elapsed := load.slowdown.denominator, load.slowdown.numerator
@@ -228,7 +230,8 @@
 	return max(1, (elapsed+prior)/(expected+prior))
 }
 
-// failureRate returns the fraction of a backend's attempts that fail. Those without a response for very long count as failures.
+// failureRate returns the fraction of a backend's attempts that fail. Attempts without a response for a very long
+// time count as failures.
 func (l *loadTable) failureRate(now time.Duration, load *backendLoad) float64 {
 	load.failures.decay(now, failureWindow)
 	attempts, failures := load.failures.denominator, load.failures.numerator
@@ -248,32 +251,32 @@
 	return load.stalls.numerator / (load.stalls.denominator + failurePrior)
 }
 
-// prefillTime returns how long a backend takes to the first token of a prompt, from when it begins with its prefill.
+// prefillTime returns the time that a backend takes from the start of a prompt's prefill to the first token.
 func (l *loadTable) prefillTime(now time.Duration, load *backendLoad, tokens float64) time.Duration {
 	return time.Duration(l.slowdown(now, load) * float64(l.prefill.base+l.prefill.time(tokens)))
 }
 
-// queueDelay returns for how long a backend is expected to be busy with the prompts that it has. It forgets those that are too
-// old.
+// queueDelay returns the expected time for which a backend is busy with the prompts that it has. It discards
+// prompts that are too old.
 func (l *loadTable) queueDelay(now time.Duration, load *backendLoad) time.Duration {
 	load.prefilling = slices.DeleteFunc(load.prefilling, func(p prefillingAttempt) bool { return now-p.sentAt > prefillMaxAge })
 	slowdown := l.slowdown(now, load)
-	var idleAt time.Duration // when the backend is done with the prompts looked at so far
+	var idleAt time.Duration // when the backend has prefilled the prompts processed so far
 	for _, entry := range load.prefilling {
 		idleAt = max(idleAt, entry.sentAt) + time.Duration(slowdown*float64(l.prefill.time(entry.tokens)))
 		doneBy := idleAt
 		if !entry.local {
 			doneBy += eventDelay
 		}
-		if doneBy < now { // it should be done, and is not
+		if doneBy < now { // it should have been prefilled, but is not
 			idleAt = now + minRemainingPrefill
 		}
 	}
 	return max(0, idleAt-now)
 }
 
-// slotDelay returns for how long a request waits for one of a backend's slots, 0 where their number is not known. It forgets
-// streams that are too old.
+// slotDelay returns the expected wait of a request for one of a backend's slots, 0 if their number is unknown. It
+// discards streams that are too old.
 func (l *loadTable) slotDelay(now time.Duration, load *backendLoad, slots int) time.Duration {
 	load.decoding = slices.DeleteFunc(load.decoding, func(d decodingAttempt) bool { return now-d.sentAt > streamMaxAge })
 	waiting := len(load.prefilling) + len(load.decoding) + 1 - slots
--- a/internal/fleet/routing/loss.go
+++ b/internal/fleet/routing/loss.go
@@ -8,18 +8,19 @@
 
 // Parameters of the expected loss. A loss is in units of the value of a request of its route's mean size.
 const (
-	prefillPenalty    = 4.0   // lost for each latency target of time spent on prefilling a prefix that is cached elsewhere
-	stallPenalty      = 0.5   // lost for each stream beside a prompt whose prefill takes as long as the latency target
-	stallThreshold    = 0.5   // fraction of the target for which a prefill may last before the streams beside it stall too long
-	latenessThreshold = 0.9   // fraction of the target at which half of the responses are taken to be late
-	latenessWidth     = 0.1   // fraction of the target by which true times scatter about the expected ones
-	delayPenalty      = 0.05  // lost for each latency target of expected time, so that the sooner of two that are in time is picked
-	minTargetSeconds  = 0.001 // below which a latency target is not taken at its word
+	prefillPenalty    = 4.0   // loss per latency target of time spent on prefilling a prefix that is cached elsewhere
+	stallPenalty      = 0.5   // loss per stream concurrent with a prefill, per latency target of prefill time above stallThreshold
+	stallThreshold    = 0.5   // fraction of the target that a prefill may take before concurrent streams stall too long
+	latenessThreshold = 0.9   // expected time, as a fraction of the target, at which half of the responses are assumed to be late
+	latenessWidth     = 0.1   // spread of actual times around the expected one, as a fraction of the target
+	delayPenalty      = 0.05  // loss per latency target of expected time, so that the faster of two backends that are in time is picked
+	minTargetSeconds  = 0.001 // lower bound of the latency target
 )
 
-// expectedLoss returns the one measure by which members are compared: what a request is expected to lose of its value at a
-// member, as its first token is late or the attempt fails, and what others lose by it, as its prefix is prefilled once more or
-// streams stall during its prefill. Cached are the tags of the members that have its prefix.
+// expectedLoss returns the measure by which members are compared: the expected loss of a request's own value at a
+// member, because its first token is late or the attempt fails, plus the loss of other requests, because its
+// prefix is prefilled once more or streams stall during its prefill. cached holds the tags of the members that
+// have its prefix.
 func (b *Balancer) expectedLoss(now time.Duration, request *Request, m *member, cached []uint32) float64 {
 	target := max(request.Target.Seconds(), minTargetSeconds)
 	load := b.loads.backend(m.tag)
--- a/internal/fleet/routing/prefillcurve.go
+++ b/internal/fleet/routing/prefillcurve.go
@@ -4,25 +4,26 @@
 
 // Parameters of the prefill curve.
 const (
-	curveGain       = 0.02                  // least fraction by which a sample moves the curve
-	curveMinTokens  = 1000                  // from which on a prompt is a sample of the curve
-	initialLevel    = 0.02                  // seconds a thousand tokens before any sample,
-	initialSamples  = 4                     // which weighs as much as so many samples
-	baseMinTokens   = 100                   // below which a prompt is no sample at all
-	baseGainDown    = 0.05                  // fraction by which a short prompt that was faster than the base moves it
-	baseGainUp      = 0.01                  // and one that was slower: the base is that of an idle backend
-	initialBase     = 50 * time.Millisecond // before any sample
+	curveGain       = 0.02                  // minimum weight of a new sample in the curve
+	curveMinTokens  = 1000                  // minimum size of a prompt that is a sample of the curve
+	initialLevel    = 0.02                  // seconds per thousand tokens before any sample
+	initialSamples  = 4                     // weight of initialLevel, in samples
+	baseMinTokens   = 100                   // minimum size of a prompt that is a sample at all
+	baseGainDown    = 0.05                  // weight of a short prompt that was faster than the base
+	baseGainUp      = 0.01                  // weight of one that was slower; lower, because the base is that of an idle backend
+	initialBase     = 50 * time.Millisecond // estimate before any sample
 	minBase         = time.Millisecond
-	maxSampleFactor = 3.0 // times the expected time that a sample counts as at most
+	maxSampleFactor = 3.0 // samples are clipped at this multiple of the expected time
 )
 
-// prefillCurve is the learned time to the first token at an idle backend, over the tokens of the prompt: a fixed base, a linear
-// part, and a quadratic one, as each token attends to all before it. Time per token is then a line over the number of tokens,
-// which is fitted by least squares with weights that decay.
+// prefillCurve is the learned time to the first token on an idle backend as a function of the number of prompt
+// tokens: a fixed base, a linear part, and a quadratic part, since each token attends to all tokens before it. The
+// time per token is then a linear function of the number of tokens, which is fitted by least squares with decaying
+// weights.
 type prefillCurve struct {
 	base         time.Duration
 	samples      int
-	sx, sy       float64 // decayed means of x, thousands of tokens, and of y, seconds a thousand tokens
+	sx, sy       float64 // decayed means of x, thousands of tokens, and of y, seconds per thousand tokens
 	sxx, sxy     float64 // decayed means of their products
 	slope, level float64 // of the line: y = level + slope*x
 }
@@ -42,7 +43,7 @@
 	}
 }
 
-// observeBase moves the base towards the time of a short prompt, less that of its tokens.
+// observeBase updates the base with the time of a short prompt, less the time for its tokens.
 func (c *prefillCurve) observeBase(elapsed time.Duration) {
 	gain := baseGainDown
 	if elapsed > c.base {
@@ -51,7 +52,7 @@
 	c.base = max(minBase, c.base+time.Duration(gain*float64(elapsed-c.base)))
 }
 
-// fit adds a sample to the line.
+// fit adds a sample and refits the line.
 func (c *prefillCurve) fit(tokens float64, elapsed time.Duration) {
 	x := tokens / 1000
 	y := (elapsed - c.base).Seconds() / x
@@ -66,12 +67,12 @@
 	c.sxy += gain * (x*y - c.sxy)
 	c.slope = 0
 	if spread := c.sxx - c.sx*c.sx; spread > 0 {
-		c.slope = max(0, (c.sxy-c.sx*c.sy)/(spread+1)) // the 1 keeps prompts of one size from giving any slope
+		c.slope = max(0, (c.sxy-c.sx*c.sy)/(spread+1)) // the 1 avoids a spurious slope from prompts of nearly one size
 	}
 	c.level = max(0, c.sy-c.slope*c.sx)
 }
 
-// time returns how long an idle backend prefills so many tokens, beyond the base.
+// time returns the time that an idle backend takes to prefill the given number of tokens, beyond the base.
 func (c *prefillCurve) time(tokens float64) time.Duration {
 	x := tokens / 1000
 	return time.Duration((c.level + c.slope*x) * x * float64(time.Second))
--- a/internal/fleet/routing/prefixcache.go
+++ b/internal/fleet/routing/prefixcache.go
@@ -4,28 +4,29 @@
 
 // Parameters of the prefix cache.
 const (
-	prefixMaxAge         = 20 * time.Second // for which a prefix counts as cached where the size of a backend's KV cache is not known
-	cacheFraction        = 0.5              // of a KV cache that a backend may prefill until an unused prefix is taken to be evicted
-	maxBackendsPerPrefix = 8                // that are remembered
-	maxPrefixes          = 8192             // that are remembered, in two generations
+	prefixMaxAge         = 20 * time.Second // time for which a prefix counts as cached if the size of a backend's KV cache is unknown
+	cacheFraction        = 0.5              // fraction of the KV cache that a backend may prefill before an unused prefix counts as evicted
+	maxBackendsPerPrefix = 8                // recorded backends per prefix
+	maxPrefixes          = 8192             // recorded prefixes, in two generations
 )
 
-// cachedPrefix says that a prefix was sent to a backend.
+// cachedPrefix records that a prefix was sent to a backend.
 type cachedPrefix struct {
 	backend         uint32        // tag of the backend
-	sentAt          time.Duration // last
-	prefilledTokens float64       // that the backend had been sent by then
+	sentAt          time.Duration // latest time
+	prefilledTokens float64       // total tokens that the backend had been sent by then
 }
 
-// prefixCache remembers which backends were sent which prefixes, by this node or by others. Prefixes are kept in two generations:
-// when the younger one is full, the older one is dropped.
+// prefixCache records which prefixes were sent to which backends, by this node or by others. Prefixes are kept in
+// two generations: when the younger one is full, the older one is dropped.
 type prefixCache struct {
 	young, old map[uint32][]cachedPrefix // by tag of the prefix
 }
 
 func newPrefixCache() prefixCache { return prefixCache{young: map[uint32][]cachedPrefix{}} }
 
-// record remembers that a prefix was sent to a backend, which had been sent so many tokens by then. Prefix 0 stands for none.
+// record records that a prefix was sent to a backend, with the total number of tokens that the backend had been
+// sent by then. Prefix 0 means no prefix.
 func (c *prefixCache) record(at time.Duration, prefix, backend uint32, prefilledTokens float64) {
 	if prefix == 0 {
 		return
@@ -50,8 +51,8 @@
 	c.young[prefix] = append(locations, cachedPrefix{backend, at, prefilledTokens})
 }
 
-// locations returns the backends that a prefix was sent to, and moves the prefix to the younger generation. Where that is full,
-// it drops the older generation first.
+// locations returns the backends that a prefix was sent to, and moves the prefix to the younger generation. If
+// that is full, the older generation is dropped first.
 func (c *prefixCache) locations(prefix uint32) []cachedPrefix {
 	if locations, found := c.young[prefix]; found {
 		return locations
@@ -66,8 +67,8 @@
 	return locations
 }
 
-// likelyCached reports whether a backend is likely to have the prefix still, by the tokens that it has been sent since and the
-// size of its KV cache in tokens, 0 = not known.
+// likelyCached reports whether a backend is likely to still have the prefix cached, given the total tokens that it
+// has been sent and the size of its KV cache in tokens (0 = unknown).
 func (p *cachedPrefix) likelyCached(now time.Duration, prefilledTokens, kvTokens float64) bool {
 	if kvTokens <= 0 {
 		return now-p.sentAt <= prefixMaxAge
--- a/internal/fleet/routing/prefixpick.go
+++ b/internal/fleet/routing/prefixpick.go
@@ -10,18 +10,19 @@
 
 // Parameters of picks by prefix.
 const (
-	inFlightBoundFactor = 1.5 // times its even part of this node's attempts that a member may hold and still get its prefixes
-	inFlightBoundSlack  = 6.0 // attempts that it may hold beyond that
-	maxCandidates       = 8   // members after the home whose expected loss is compared
+	inFlightBoundFactor = 1.5 // a member gets its prefixes while it has at most this multiple of its even fraction of this node's attempts
+	inFlightBoundSlack  = 6.0 // plus this number of attempts
+	maxCandidates       = 8   // number of members after the home whose expected loss is compared
 )
 
-// rankedMember is a member with its place in the hash's order.
+// rankedMember is a member with its hash score.
 type rankedMember struct {
 	member *member
 	score  float64
 }
 
-// rankByHash returns the members that may get a request, in the order of the hash of its prefix. The first one is its home.
+// rankByHash returns the members that may get a request, in the order of the rendezvous hash of its prefix. The
+// first one is its home.
 func (b *Balancer) rankByHash(now time.Duration, request *Request) []rankedMember {
 	var order []rankedMember
 	for _, m := range b.sortedMembers() {
@@ -34,8 +35,9 @@
 	return order
 }
 
-// pickByPrefix picks the home of a request's prefix, or one of the next members in the hash's order where a smaller loss is
-// expected there, although the prefix may have to be prefilled there too. It returns nil where no member may get the request.
+// pickByPrefix picks the home of a request's prefix, or one of the next members in hash order if a smaller loss is
+// expected there even though the prefix may have to be prefilled there too. It returns nil if no member may get
+// the request.
 func (b *Balancer) pickByPrefix(now time.Duration, request *Request, r decide.Request) *Attempt {
 	order := b.rankByHash(now, request)
 	if len(order) == 0 {
@@ -60,8 +62,8 @@
 	return nil
 }
 
-// preferLowestLoss moves the member with the lowest expected loss to the front. Where no member has the prefix cached, the home
-// counts as having it: it is as likely as any to have it still.
+// preferLowestLoss moves the member with the lowest expected loss to the front. If no member is known to have the
+// prefix cached, the home is assumed to have it: it is at least as likely as any other.
 func (b *Balancer) preferLowestLoss(now time.Duration, request *Request, order []rankedMember) {
 	if len(order) < 2 {
 		return
@@ -83,8 +85,8 @@
 	}
 }
 
-// inFlightBound returns how many attempts of this node a member may hold and still get requests by prefix, where so many members
-// may get them.
+// inFlightBound returns the number of this node's attempts below which a member still gets requests by prefix,
+// given the number of members that may get them.
 func (b *Balancer) inFlightBound(candidates int) float64 {
 	inFlight := 1
 	for _, m := range b.members {
--- a/internal/fleet/routing/roundrobin.go
+++ b/internal/fleet/routing/roundrobin.go
@@ -7,8 +7,8 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// pickRoundRobin picks the next backend of decide's weighted round robin that may get the request. Turns of those that may not
-// are given back as not sent.
+// pickRoundRobin picks the next backend of decide's weighted round robin that may get the request. Turns of
+// backends that may not get it are reported back to decide as not sent.
 func (b *Balancer) pickRoundRobin(now time.Duration, request *Request, r decide.Request) *Attempt {
 	for range len(b.members) {
 		b.sink.found = false
@@ -29,8 +29,8 @@
 	return b.pickLastResort(now, request, r)
 }
 
-// pickLastResort picks the usable member with the fewest attempts of this node where the round robin has none to offer. An
-// avoided one is better than none.
+// pickLastResort picks the usable member with the fewest attempts of this node if the round robin offers none. An
+// avoided member is better than none.
 func (b *Balancer) pickLastResort(now time.Duration, request *Request, r decide.Request) *Attempt {
 	var best *member
 	for _, m := range b.sortedMembers() {
--- a/internal/fleet/routing/status.go
+++ b/internal/fleet/routing/status.go
@@ -6,26 +6,26 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// BackendLoad is what is known of a backend's load from the attempts of this node and from the events of others.
+// BackendLoad is the known load of a backend, from this node's attempts and from other nodes' events.
 type BackendLoad struct {
-	Prefilling  int           // attempts whose first token has not come
+	Prefilling  int           // attempts whose first token has not arrived
 	Decoding    int           // long responses in progress
-	QueueDelay  time.Duration // until it is done with the prompts that it has
-	Slowdown    float64       // times the usual time to the first token
-	FailureRate float64       // of its attempts, 0 to 1
+	QueueDelay  time.Duration // time until it has prefilled the prompts that it has
+	Slowdown    float64       // multiple of the usual time to the first token
+	FailureRate float64       // fraction of its attempts that fail, 0 to 1
 }
 
-// View returns how this node's requests are shared among the backends, and how those do.
+// View returns the shares of this node's requests among the backends, and the backends' state.
 func (b *Balancer) View(now time.Duration) decide.View { return b.shares.View(now) }
 
-// Load returns what is known of the load of the backend with an id. It forgets prompts that are too old.
+// Load returns the known load of the backend with an id. It discards prompts that are too old.
 func (b *Balancer) Load(now time.Duration, id string) BackendLoad {
 	load := b.loads.backend(TagOf(id))
 	return BackendLoad{Prefilling: len(load.prefilling), Decoding: len(load.decoding), QueueDelay: b.loads.queueDelay(now, load),
 		Slowdown: b.loads.slowdown(now, load), FailureRate: b.loads.failureRate(now, load)}
 }
 
-// BackendID returns the id of a backend by its number in View, "" where there is none.
+// BackendID returns the id of a backend by its number in View, "" if there is none.
 func (b *Balancer) BackendID(id decide.BackendID) string {
 	if m := b.byID[id]; m != nil {
 		return m.backend.ID
--- a/internal/fleet/routing/unreachable.go
+++ b/internal/fleet/routing/unreachable.go
@@ -4,30 +4,31 @@
 
 // Parameters of the avoidance of unreachable backends.
 const (
-	initialAvoidance  = 800 * time.Millisecond // doubled each time that the backend is found unreachable again
+	initialAvoidance  = 800 * time.Millisecond // doubled each time the backend is found unreachable again
 	maxAvoidance      = 2 * time.Second
 	maxDoublings      = 4
-	ownEvidenceMaxAge = 300 * time.Millisecond // a response to this node so short ago outweighs another node's report
+	ownEvidenceMaxAge = 300 * time.Millisecond // a response to this node within this time outweighs another node's report
 )
 
-// avoidance keeps requests from a backend that could not be reached. decide ejects a backend after more failures than chance
-// explains, of which each node sees few; that a connection could not be made is reported to all nodes at once and keeps requests
-// away for a while.
+// avoidance keeps requests away from a backend that could not be reached. decide ejects a backend only after more
+// failures than chance explains, and each node sees few of them; a failed connection is reported to all nodes at
+// once and keeps their requests away for a while.
 type avoidance struct {
 	until    time.Duration
 	failures int // in a row
 }
 
-// avoided reports whether requests are to go elsewhere.
+// avoided reports whether requests should go to other members.
 func (m *member) avoided(now time.Duration) bool { return now < m.avoidance.until }
 
-// recordResponse records a sign of life, which ends an avoidance.
+// recordResponse records a response, which ends an avoidance.
 func (m *member) recordResponse(now time.Duration) {
 	m.respondedAt = now
 	m.avoidance = avoidance{}
 }
 
-// avoid starts an avoidance. During one, attempts that were sent before it tell nothing new.
+// avoid starts an avoidance. During an avoidance, failures of attempts that were sent before it are not new
+// evidence.
 func (m *member) avoid(now time.Duration) {
 	if m.avoided(now) {
 		return
@@ -36,7 +37,8 @@
 	m.avoidance.failures++
 }
 
-// Unreachable records that this node could not reach the backend of an attempt. It comes beside Done.
+// Unreachable records that this node could not connect to the backend of an attempt. It is called in addition to
+// Done.
 func (b *Balancer) Unreachable(now time.Duration, attempt *Attempt) {
 	if m := b.members[attempt.Backend.ID]; m != nil {
 		m.avoid(now)
@@ -44,8 +46,9 @@
 	}
 }
 
-// observeUnreachable applies another node's report that it could not reach a member. A node whose own links are at fault reports
-// many members: so a recent response to this node outweighs the report, and no more than half of the members are avoided.
+// observeUnreachable applies another node's report that it could not connect to a member. A node with faulty
+// network links of its own reports many members: therefore a recent response to this node outweighs the report,
+// and such reports cause at most half of the members to be avoided.
 func (b *Balancer) observeUnreachable(now time.Duration, m *member) {
 	if m.respondedAt > 0 && now-m.respondedAt < ownEvidenceMaxAge {
 		return
