--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -110,7 +110,7 @@
 		b.actions.SetTimer(b.scaled(0.9+0.2*b.random.Float64(), solveInterval), timerSolve)
 	case timerSweep:
 		b.sweepOverdue()
-		if b.newOverdue > overdueSolveRatio*b.newResponses+overdueSolveRatio*20 { // work is piling up: the next regular solve would be too late
+		if b.newOverdue > overdueSolveRatio*b.newResponses+overdueSolveRatio*20 { // the next regular solve would be too late
 			b.solve()
 		}
 		b.actions.SetTimer(b.sweepInterval, timerSweep)
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -75,7 +75,7 @@
 	switch s.size = max(s.size, 1); {
 	case b.settings.Weights == WeightSize && entry.Weight > 0:
 		s.size = entry.Weight
-	case b.settings.Weights == WeightLive && entry.Weight > 0: // the size is the highest weight seen; a lower weight means requests in flight
+	case b.settings.Weights == WeightLive && entry.Weight > 0: // the highest weight is the size; a lower one means requests in flight
 		s.maxWeight = max(s.maxWeight, entry.Weight)
 		b.recordReport(s, s.maxWeight/entry.Weight-1)
 	}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -160,7 +160,7 @@
 					}
 				}
 			}
-			maxLoad := rate * float64(set.Nodes) / fleet[0].servingSize // units per second per size: evenly spread, or the highest of a warm backend
+			maxLoad := rate * float64(set.Nodes) / fleet[0].servingSize // units/s per size: evenly spread, or the highest warm load
 			for _, load := range warmLoads {
 				maxLoad = max(maxLoad, load)
 			}
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -169,7 +169,7 @@
 	m.recentSums = sampleSums{}
 	typical := max(fair*nodes*m.idleLatency, priorInFlight)
 	m.inFlightCoeff = (max(0, m.sums.latency-m.sums.count*m.idleLatency) + priorRise*priorSamples*m.idleLatency) / (m.sums.loadSquared + priorSamples*typical*typical)
-	meanSquare := (m.sums.loadSquared + priorSamples*typical*typical) / (m.sums.count + priorSamples) // limits the extrapolation: samples without a rise say little about much higher loads
+	meanSquare := (m.sums.loadSquared + priorSamples*typical*typical) / (m.sums.count + priorSamples) // no rise so far says little about much higher loads
 	m.inFlightCoeff = max(m.inFlightCoeff, m.idleLatency/(extrapolationReach*extrapolationReach*meanSquare))
 	m.loadCoeff = 4 * m.inFlightCoeff * m.idleLatency * m.idleLatency * nodes * nodes // relative to this node's own load, a fraction of the total
 	m.idleLatency *= 1 + idleRisePerSecond*elapsed
--- a/decide/shares.go
+++ b/decide/shares.go
@@ -13,7 +13,7 @@
 	searchStep             = 0.25 // fraction of the paper's step by which shares grow, since solves are frequent here
 	penaltyTargets         = 3.0  // latency penalty for a price of 1, in latency targets
 	rateDecaySeconds       = 1.5  // time constant of the smoothed rates
-	ownEvidenceInFlight    = 2.0  // mean attempts in flight at which their present number determines half of the estimate for other nodes
+	ownEvidenceInFlight    = 2.0  // mean attempts in flight at which half of the estimate rests on their present number
 )
 
 // solve updates the models from the time since the last solve and recomputes all shares.
@@ -46,7 +46,7 @@
 		eligible++
 		idle := s.slowdown * s.model.idleLatency
 		s.slowStartLimit = b.slowStartLimit(s)
-		if s.slowStartNext == 0 && s.slowStartLimit > 0 { // nodes that learn of a start at the same time must not send at the same time
+		if s.slowStartNext == 0 && s.slowStartLimit > 0 { // nodes that learn of a start together must not all send at once
 			s.slowStartNext = b.now + seconds(b.random.Float64()/s.slowStartLimit)
 		}
 		s.riskPenalty = penaltyTargets * b.latencyTarget * b.failureRisk(s)
@@ -114,7 +114,7 @@
 			slowStartRate += s.solvedRate
 		}
 	}
-	warmFactor := max(1, (need-slowStartRate)/warmRate) // the rest goes to warm backends: a backend in slow start never gets more than its limit
+	warmFactor := max(1, (need-slowStartRate)/warmRate) // the rest goes to warm backends, never above a slow-start limit
 	total := slowStartRate + warmFactor*warmRate
 	for _, s := range b.backends {
 		share := s.solvedRate / total
--- a/internal/fleet/routing/loss.go
+++ b/internal/fleet/routing/loss.go
@@ -13,7 +13,7 @@
 	stallThreshold    = 0.5   // fraction of the target that a prefill may take before concurrent streams stall too long
 	latenessThreshold = 0.9   // expected time, as a fraction of the target, at which half of the responses are assumed to be late
 	latenessWidth     = 0.1   // spread of actual times around the expected one, as a fraction of the target
-	delayPenalty      = 0.05  // loss per latency target of expected time, so that the faster of two backends that are in time is picked
+	delayPenalty      = 0.05  // loss per latency target of expected time, to prefer the faster of two backends that are in time
 	minTargetSeconds  = 0.001 // lower bound of the latency target
 )
 
--- a/internal/fleet/routing/prefixcache.go
+++ b/internal/fleet/routing/prefixcache.go
@@ -5,7 +5,7 @@
 // Parameters of the prefix cache.
 const (
 	prefixMaxAge         = 20 * time.Second // time for which a prefix counts as cached if the size of a backend's KV cache is unknown
-	cacheFraction        = 0.5              // fraction of the KV cache that a backend may prefill before an unused prefix counts as evicted
+	cacheFraction        = 0.5              // fraction of the KV cache that, once prefilled with other prompts, evicts a prefix
 	maxBackendsPerPrefix = 8                // recorded backends per prefix
 	maxPrefixes          = 8192             // recorded prefixes, in two generations
 )
--- a/internal/fleet/routing/prefixpick.go
+++ b/internal/fleet/routing/prefixpick.go
@@ -10,7 +10,7 @@
 
 // Parameters of picks by prefix.
 const (
-	inFlightBoundFactor = 1.5 // a member gets its prefixes while it has at most this multiple of its even fraction of this node's attempts
+	inFlightBoundFactor = 1.5 // multiple of its even fraction of this node's attempts up to which a member gets its prefixes
 	inFlightBoundSlack  = 6.0 // plus this number of attempts
 	maxCandidates       = 8   // number of members after the home whose expected loss is compared
 )
