--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,15 +7,15 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// proxy carries out what a Balancer asks for. A real one would open connections and set timers.
+// proxy carries out the actions of a Balancer. A real one would open connections and set timers.
 type proxy struct{ sentTo decide.BackendID }
 
 func (p *proxy) Send(_ decide.RequestID, to decide.BackendID, _ time.Duration) { p.sentTo = to }
-func (p *proxy) Refuse(decide.RequestID, time.Duration)                        {}
+func (p *proxy) Reject(decide.RequestID, time.Duration)                        {}
 func (p *proxy) Fail(decide.RequestID)                                         {}
 func (p *proxy) Cancel(decide.RequestID, int)                                  {}
 func (p *proxy) Probe(decide.BackendID)                                        {}
-func (p *proxy) Wake(time.Duration, uint64)                                    {}
+func (p *proxy) SetTimer(time.Duration, uint64)                                {}
 func (p *proxy) Watch()                                                        {}
 func (p *proxy) Log(string)                                                    {}
 
@@ -34,12 +34,12 @@
 	}
 
 	now := time.Second // any clock that only moves forward
-	b.List(now, decide.EndpointsStored, []decide.Backend{{ID: 7}})
+	b.UpdateEndpoints(now, decide.EndpointsStored, []decide.Backend{{ID: 7}})
 	b.Request(now, decide.Request{ID: 1, Tenant: -1, Deadline: now + time.Second})
 	fmt.Println("sent to backend", p.sentTo)
 
 	now += 30 * time.Millisecond
 	b.Outcome(now, decide.Outcome{Request: 1, Backend: 7, Over: true,
-		Latency: 30 * time.Millisecond, Result: decide.Good})
+		Latency: 30 * time.Millisecond, Result: decide.Succeeded})
 	// Output: sent to backend 7
 }
--- a/internal/codec/simline/settings.go
+++ b/internal/codec/simline/settings.go
@@ -86,7 +86,7 @@
 		"live": decide.WeightLive,
 	}
 	columns = map[string]decide.ReportField{
-		"concurrent": decide.ReportInFlight, "depth": decide.ReportQueue, "load_share": decide.ReportBusy,
+		"concurrent": decide.ReportInFlight, "depth": decide.ReportQueue, "load_share": decide.ReportCPU,
 		"mean_ms": decide.ReportLatency, "tps": decide.ReportServed, "err_ps": decide.ReportErrors,
 	}
 	discoveries = map[string]bool{"ask": true, "push": false}
@@ -134,23 +134,23 @@
 		Kinds:          p.names("machine_types"),
 		Weights:        choice(p, "weights", weights),
 		OverQuotaValue: p.float("over_share_worth"),
-		Ask:            choice(p, "discovery", discoveries),
+		WatchEndpoints: choice(p, "discovery", discoveries),
 		Limits: decide.Limits{
-			MaxAttempts:  p.count("limits.max_attempts"),
-			Cancel:       p.flag("limits.cancel"),
-			SecondCopies: p.flag("limits.second_copies"),
+			MaxAttempts: p.count("limits.max_attempts"),
+			Cancel:      p.flag("limits.cancel"),
+			Hedging:     p.flag("limits.second_copies"),
 		},
 		Prices: decide.Prices{
 			CrossZone: p.float("deductions.cross_zone"),
 		},
 		Rules: decide.Rules{
-			AnswerSlack:  seconds(p.float("safety.answer_slack_s")),
-			FetchWithin:  seconds(p.float("safety.ask_within_s")),
-			DrainGrace:   seconds(p.float("safety.drain_grace_s")),
-			ColdFrom:     p.float("safety.start_capacity"),
-			ColdTime:     seconds(p.float("safety.cold_s")),
-			FallMultiple: p.float("safety.fall_multiple"),
-			FallTime:     seconds(p.float("safety.fall_s")),
+			ResponseSlack:    seconds(p.float("safety.answer_slack_s")),
+			FetchWithin:      seconds(p.float("safety.ask_within_s")),
+			DrainGrace:       seconds(p.float("safety.drain_grace_s")),
+			SlowStartFloor:   p.float("safety.start_capacity"),
+			SlowStartTime:    seconds(p.float("safety.cold_s")),
+			OverloadMultiple: p.float("safety.fall_multiple"),
+			OverloadTime:     seconds(p.float("safety.fall_s")),
 		},
 	}
 	zone, ok := byName(s.Zones)[p.values["locality"]]
--- a/internal/codec/simline/wire_test.go
+++ b/internal/codec/simline/wire_test.go
@@ -27,8 +27,8 @@
 
 func TestEnlist(t *testing.T) {
 	s, seed, _ := enlisted(t)
-	if seed != 5138197539985895 || s.Nodes != 3 || s.Node != 2 || s.Zone != 1 || !s.Ask ||
-		s.Weights != decide.WeightLive || !s.Limits.Cancel || s.Rules.FallMultiple != 3 {
+	if seed != 5138197539985895 || s.Nodes != 3 || s.Node != 2 || s.Zone != 1 || !s.WatchEndpoints ||
+		s.Weights != decide.WeightLive || !s.Limits.Cancel || s.Rules.OverloadMultiple != 3 {
 		t.Errorf("seed %d, settings %+v", seed, s)
 	}
 	pay := decide.Class{Name: "pay", Effect: decide.Keyed, Group: decide.GroupCell, KeyTTL: 2500 * time.Millisecond}
@@ -126,9 +126,9 @@
 	r.Reset()
 	r.Act(3)
 	r.Send(0x0ed89b25d3a91c4, 51530247, 8492250*time.Microsecond)
-	r.Wake(500*time.Millisecond, 2)
+	r.SetTimer(500*time.Millisecond, 2)
 	r.Act(5)
-	r.Refuse(1, 0)
+	r.Reject(1, 0)
 	r.Fail(2)
 	r.Cancel(3, 1)
 	r.Probe(9)
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -100,7 +100,7 @@
 	defer response.Close()
 	e.attempts++
 	if response.NotExecuted() {
-		e.reportDone(attempt, decide.Full, response.Load)
+		e.reportDone(attempt, decide.Overloaded, response.Load)
 		if response.Status == http.StatusMisdirectedRequest {
 			return attemptRetryable, errkind.New(errkind.Rejected, "the address belongs to another backend")
 		}
@@ -136,7 +136,7 @@
 		e.reportDone(attempt, decide.Cancelled, routing.Load{})
 		return attemptFailed, errkind.New(errkind.BackendLost, "")
 	case ctx.Err() != nil:
-		e.reportDone(attempt, decide.Late, routing.Load{})
+		e.reportDone(attempt, decide.TimedOut, routing.Load{})
 		return attemptFailed, errkind.New(errkind.DeadlineExceededInFlight, "")
 	case outcome == backend.Malformed:
 		e.reportDone(attempt, decide.Failed, routing.Load{})
@@ -148,7 +148,7 @@
 
 // handleNotSent decides what follows an attempt in which no byte was sent to the backend.
 func (e *exchange) handleNotSent(ctx context.Context, attempt *routing.Attempt) (attemptResult, *errkind.Error) {
-	result := decide.NoConnect
+	result := decide.ConnectFailed
 	if ctx.Err() != nil {
 		result = decide.NotSent
 	}
--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/memory.go
@@ -10,11 +10,11 @@
 )
 
 // Memory is a snapshot of a Pilot as plain data, for another process: the endpoint list, since when its hosts drain, and the
-// module's snapshot. Only decide.Memory has a version: a reader may ignore an unknown field of a host. The JSON form is
+// module's snapshot. Only decide.Snapshot has a version: a reader may ignore an unknown field of a host. The JSON form is
 // stored and sent between versions: tags never change.
 type Memory struct {
-	Hosts  []HostMemory  `json:"hosts"`
-	Module decide.Memory `json:"module"`
+	Hosts  []HostMemory    `json:"hosts"`
+	Module decide.Snapshot `json:"module"`
 }
 
 // HostMemory is a host of the endpoint list.
@@ -72,12 +72,12 @@
 			}
 		}
 		var trials []decide.BackendID
-		for _, id := range m.Module.Trials {
+		for _, id := range m.Module.TrialQueue {
 			if id, ok := localIDs[id]; ok {
 				trials = append(trials, id)
 			}
 		}
-		m.Module.Backends, m.Module.Trials = withLocalIDs(m.Module.Backends, localIDs), trials
+		m.Module.Backends, m.Module.TrialQueue = withLocalIDs(m.Module.Backends, localIDs), trials
 		if err = d.balancer.Restore(toDuration(now), m.Module); err != nil {
 			err = fmt.Errorf("recalling what was known: %w", err)
 			return
@@ -92,7 +92,7 @@
 }
 
 // withLocalIDs returns the backends that have an id here, under that id.
-func withLocalIDs(backends []decide.BackendMemory, localIDs map[decide.BackendID]decide.BackendID) (known []decide.BackendMemory) {
+func withLocalIDs(backends []decide.BackendSnapshot, localIDs map[decide.BackendID]decide.BackendID) (known []decide.BackendSnapshot) {
 	for _, b := range backends {
 		if id, ok := localIDs[b.ID]; ok {
 			b.ID = id
--- a/lab/holiday/parts.go
+++ b/lab/holiday/parts.go
@@ -99,7 +99,7 @@
 			panic(err) // the settings are these
 		}
 		f.nodes = append(f.nodes, m)
-		m.module.List(f.now, decide.EndpointsFull, list)
+		m.module.UpdateEndpoints(f.now, decide.EndpointsFull, list)
 	}
 	f.arrive()
 	return f
@@ -134,7 +134,7 @@
 	o := decide.Outcome{Request: id, Backend: to, Attempt: n}
 	if m.f.dead[to] {
 		m.f.after(time.Millisecond, func() {
-			o.Result = decide.NoConnect
+			o.Result = decide.ConnectFailed
 			m.module.Outcome(m.f.now, o)
 		})
 		return
@@ -147,13 +147,13 @@
 	m.f.after(took, func() {
 		p.busy--
 		delete(m.out, id)
-		o.Result, o.Latency, o.Over = decide.Good, took, true
+		o.Result, o.Latency, o.Over = decide.Succeeded, took, true
 		m.module.Outcome(m.f.now, o)
 	})
 }
 
-// Refuse and the rest carry out what has no part in this.
-func (m *member) Refuse(id decide.RequestID, _ time.Duration) { delete(m.out, id) }
+// Reject and the rest carry out what has no part in this.
+func (m *member) Reject(id decide.RequestID, _ time.Duration) { delete(m.out, id) }
 
 // Fail ends a request.
 func (m *member) Fail(id decide.RequestID) { delete(m.out, id) }
@@ -170,8 +170,8 @@
 // Log is not kept.
 func (m *member) Log(string) {}
 
-// Wake sets a timer.
-func (m *member) Wake(after time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (m *member) SetTimer(after time.Duration, token uint64) {
 	m.f.after(after, func() { m.module.Timer(m.f.now, token) })
 }
 
--- a/lab/rivals/shell.go
+++ b/lab/rivals/shell.go
@@ -127,8 +127,8 @@
 	return s, nil
 }
 
-// List takes news of the raters.
-func (s *shell) List(now time.Duration, kind decide.EndpointsKind, entries []decide.Backend) {
+// UpdateEndpoints takes news of the raters.
+func (s *shell) UpdateEndpoints(now time.Duration, kind decide.EndpointsKind, entries []decide.Backend) {
 	s.now = now
 	if kind == decide.EndpointsUnavailable {
 		return
@@ -191,7 +191,7 @@
 			s.review = min(s.review, h.until)
 		}
 		if h.cold {
-			s.review = min(s.review, h.Started+s.set.Rules.ColdTime)
+			s.review = min(s.review, h.Started+s.set.Rules.SlowStartTime)
 		}
 		if h.ready {
 			s.ready = append(s.ready, h)
@@ -203,10 +203,10 @@
 // whole over the time by which raters are warm.
 func (s *shell) warmth(h *host) float64 {
 	r := &s.set.Rules
-	if h.Started <= 0 || r.ColdTime <= 0 || s.now >= h.Started+r.ColdTime {
+	if h.Started <= 0 || r.SlowStartTime <= 0 || s.now >= h.Started+r.SlowStartTime {
 		return 1
 	}
-	return max(r.ColdFrom, (s.now-h.Started).Seconds()/r.ColdTime.Seconds())
+	return max(r.SlowStartFloor, (s.now-h.Started).Seconds()/r.SlowStartTime.Seconds())
 }
 
 // weigh is the weight of a rater now.
@@ -328,12 +328,12 @@
 	if o.Result.MayHaveRun() && !c.ran {
 		c.ran, c.ranOn, c.ranAt = true, h, a.at
 	}
-	s.how.done(s, h, o.Latency, o.Result == decide.Good)
+	s.how.done(s, h, o.Latency, o.Result == decide.Succeeded)
 	switch o.Result {
-	case decide.Good, decide.Rejected:
+	case decide.Succeeded, decide.InvalidRequest:
 		h.fails, h.ejects = 0, 0
 	case decide.Cancelled, decide.NotSent:
-	case decide.Full:
+	case decide.Overloaded:
 		if s.with.FullFails {
 			s.failed(h)
 		}
@@ -347,7 +347,7 @@
 	if c.out > 0 {
 		return
 	}
-	if o.Result != decide.Rejected && s.mayRetry(c) {
+	if o.Result != decide.InvalidRequest && s.mayRetry(c) {
 		s.excluded = c
 		next := s.choose(c)
 		s.excluded = nil
@@ -395,15 +395,15 @@
 	c.closed = true
 	k := &s.set.Classes[c.Class]
 	if !c.ran || k.Effect == decide.Safe || k.Effect == decide.Keyed && k.Group == decide.GroupAll {
-		s.act.Refuse(c.ID, 0)
+		s.act.Reject(c.ID, 0)
 	} else {
 		s.act.Fail(c.ID)
 	}
 	s.drop(c)
 }
 
-// Gone takes the news that a client has left.
-func (s *shell) Gone(now time.Duration, id decide.RequestID) {
+// ClientGone takes the news that a client has left.
+func (s *shell) ClientGone(now time.Duration, id decide.RequestID) {
 	s.now = now
 	c := s.calls[id]
 	if c == nil || c.closed {
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -120,7 +120,7 @@
 		entries = append(entries, g.entry(e))
 	}
 	begun := n.begin()
-	n.policy.List(clock(g.now), how, entries)
+	n.policy.UpdateEndpoints(clock(g.now), how, entries)
 	n.end(begun)
 }
 
@@ -186,7 +186,7 @@
 	c.over = true // first, so that nothing is sent for it any more
 	n.open--
 	begun := n.begin()
-	n.policy.Gone(clock(n.engine.now), id(at, c.gen))
+	n.policy.ClientGone(clock(n.engine.now), id(at, c.gen))
 	n.end(begun)
 	n.forget(at, c)
 }
@@ -205,7 +205,7 @@
 	c := g.calls.at(a.call)
 	c.relays[a.place].at = 0
 	c.out--
-	if r == decide.Good && !c.over {
+	if r == decide.Succeeded && !c.over {
 		c.over = true
 		n.open--
 		g.answer(a.call, c, world.Served, 200, g.body(a), 0)
@@ -297,8 +297,8 @@
 	c.relays[place].at = g.try(at, c, n, rater, place, abandonAt)
 }
 
-// Refuse gives a back-off answer.
-func (n *node) Refuse(r decide.RequestID, wait time.Duration) {
+// Reject gives a back-off answer.
+func (n *node) Reject(r decide.RequestID, wait time.Duration) {
 	n.final(r, world.Refused, 503, float64(wait)/1e6, "refuses")
 }
 
@@ -350,8 +350,8 @@
 	g.probe(n, rater)
 }
 
-// Wake sets a timer.
-func (n *node) Wake(after time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (n *node) SetTimer(after time.Duration, token uint64) {
 	at := n.engine.now + float64(after)/1e6
 	if !(at < math.MaxInt32) {
 		return
