--- a/internal/node/consensus/storage/storage.go
+++ b/internal/node/consensus/storage/storage.go
@@ -37,8 +37,8 @@
 
 // Files of a directory. A segment or an image has its number in its name.
 var (
-	logForm   = wal.Form{Magic: "lwagreed", Prefix: "log"}
-	imageForm = wal.Form{Magic: "lwimage", Prefix: "image"}
+	logForm   = wal.Format{Magic: "lwagreed", Prefix: "log"}
+	imageForm = wal.Format{Magic: "lwimage", Prefix: "image"}
 )
 
 const (
@@ -113,8 +113,8 @@
 	if err != nil {
 		return err
 	}
-	s.log.Folder, s.log.Form, s.log.Header, s.log.Most, s.log.Synced = s.folder, logForm, header, segmentBytes, synced
-	s.log.Ended = func(_ int, name string) { s.segments = append(s.segments, name) }
+	s.log.Folder, s.log.Format, s.log.Header, s.log.MaxBytes, s.log.Synced = s.folder, logForm, header, segmentBytes, synced
+	s.log.OnEnd = func(_ int, name string) { s.segments = append(s.segments, name) }
 	if len(s.segments) == 0 { // write one now: from here on, a directory without a log is one that has lost it
 		if err := s.append(kindHard, &pb.HardState{}); err != nil {
 			return err
@@ -128,7 +128,7 @@
 
 // Close closes the log and unlocks the directory.
 func (s *Store) Close() error {
-	err := s.log.Cut()
+	err := s.log.EndSegment()
 	return errors.Join(err, s.lock.Close())
 }
 
--- a/internal/node/consensus/storage/write.go
+++ b/internal/node/consensus/storage/write.go
@@ -80,7 +80,7 @@
 
 // writeImage makes an image durable, in a file of its own.
 func (s *Store) writeImage(image *pb.Snapshot) error {
-	w := wal.Writer{Folder: s.folder, Form: imageForm, Header: s.log.Header, Most: 1 << 62, Number: s.nextImage, Synced: true}
+	w := wal.Writer{Folder: s.folder, Format: imageForm, Header: s.log.Header, MaxBytes: 1 << 62, Number: s.nextImage, Synced: true}
 	s.nextImage++
 	b, err := appendRecord(nil, kindMeta, image.GetMetadata())
 	if err != nil {
@@ -93,7 +93,7 @@
 	if err := w.Write(b); err != nil {
 		return err
 	}
-	return w.Cut()
+	return w.EndSegment()
 }
 
 // Begin makes the image that a member is bootstrapped with durable, in an empty directory.
@@ -124,7 +124,7 @@
 
 // compact writes what is still needed of the log to a new segment, and only then removes the old segments and all images but the last.
 func (s *Store) compact() error {
-	if err := s.log.Cut(); err != nil {
+	if err := s.log.EndSegment(); err != nil {
 		return err
 	}
 	old := s.segments
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -121,8 +121,8 @@
 		j.retention = max(j.retention, set.retention(k.Windows))
 	}
 	j.wake = sync.NewCond(&j.mu)
-	j.writer = wal.Writer{Folder: f, Form: segmentForm, Header: head, Most: set.SegmentBytes, Synced: true, Number: 1, Begun: j.removeExpired,
-		Ended: func(_ int, name string) { j.closedSegments = append(j.closedSegments, segment{name, j.lastRecord}) }}
+	j.writer = wal.Writer{Folder: f, Format: segmentForm, Header: head, MaxBytes: set.SegmentBytes, Synced: true, Number: 1, OnBegin: j.removeExpired,
+		OnEnd: func(_ int, name string) { j.closedSegments = append(j.closedSegments, segment{name, j.lastRecord}) }}
 	names, err := segmentNames(f)
 	if err != nil {
 		return nil, nil, nil, err
@@ -187,7 +187,7 @@
 		b := j.batch
 		if b.count == 0 {
 			j.mu.Unlock()
-			_ = j.writer.Cut() // all of it is synced
+			_ = j.writer.EndSegment() // all of it is synced
 			return
 		}
 		j.batch = newBatch(buffer)
--- a/internal/node/idempotency/journal/record.go
+++ b/internal/node/idempotency/journal/record.go
@@ -13,7 +13,7 @@
 const Version = 1
 
 // segmentForm is the files' form: they keep the magic bytes and the prefix of the first release.
-var segmentForm = wal.Form{Magic: "lwrepeat", Prefix: "repeats"}
+var segmentForm = wal.Format{Magic: "lwrepeat", Prefix: "repeats"}
 
 // header is the first content of a segment.
 type header struct {
--- a/internal/node/wal/segments.go
+++ b/internal/node/wal/segments.go
@@ -17,16 +17,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostRecord is how many bytes a record may have.
-const MostRecord = 1 << 20
+// MaxRecordBytes is how many bytes a record may have.
+const MaxRecordBytes = 1 << 20
 
 // headLength is that of a record: 4 bytes of length, 8 of checksum.
 const headLength = 12
 
 // What can be wrong with a segment.
 var (
-	ErrTorn   = errors.New("cut off or damaged")
-	ErrRecord = errors.New("a record is over 1 MiB")
+	ErrTorn           = errors.New("cut off or damaged")
+	ErrRecordTooLarge = errors.New("a record is over 1 MiB")
 )
 
 // Append adds a record to dst. Its content is what fill adds to the bytes that it is given.
@@ -45,7 +45,7 @@
 		return nil, b, ErrTorn
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n > MostRecord || len(b)-headLength < int(n) {
+	if n > MaxRecordBytes || len(b)-headLength < int(n) {
 		return nil, b, ErrTorn
 	}
 	content = b[headLength : headLength+int(n)]
@@ -55,14 +55,14 @@
 	return content, b[headLength+int(n):], nil
 }
 
-// Form is a kind of segment: the word that its files begin with, and what stands before the number in their names.
-type Form struct{ Magic, Prefix string }
+// Format is a kind of segment: the word that its files begin with, and what stands before the number in their names.
+type Format struct{ Magic, Prefix string }
 
 // Name is that of the segment with a number; names sort as their numbers do.
-func (f Form) Name(n int) string { return fmt.Sprintf("%s-%08d.log", f.Prefix, n) }
+func (f Format) Name(n int) string { return fmt.Sprintf("%s-%08d.log", f.Prefix, n) }
 
 // Number undoes Name.
-func (f Form) Number(name string) (n int, ok bool) {
+func (f Format) Number(name string) (n int, ok bool) {
 	digits, found := strings.CutPrefix(name, f.Prefix+"-")
 	digits, found2 := strings.CutSuffix(digits, ".log")
 	if !found || !found2 || len(digits) != 8 {
@@ -79,7 +79,7 @@
 
 // Read reads a segment: its header goes to head, each record to tell. Both may end the reading with an error. offset is
 // where what is wrong begins.
-func (f Form) Read(text []byte, head, tell func(content []byte) error) (offset int, err error) {
+func (f Format) Read(text []byte, head, tell func(content []byte) error) (offset int, err error) {
 	if len(text) < len(f.Magic) || string(text[:len(f.Magic)]) != f.Magic {
 		return 0, ErrTorn
 	}
@@ -104,14 +104,14 @@
 
 // Writer appends to the segments of a folder. It is not for several goroutines at once.
 type Writer struct {
-	Folder Folder
-	Form   Form
-	Header []byte            // of each segment
-	Most   int               // bytes of a segment
-	Synced bool              // each Write lasts when it returns; else when the system writes it
-	Number int               // of the next segment
-	Begun  func()            // called before a segment is begun; nil = nothing
-	Ended  func(int, string) // a segment that is not written to any more, by number and name; nil = nothing
+	Folder   Folder
+	Format   Format
+	Header   []byte            // of each segment
+	MaxBytes int               // bytes of a segment
+	Synced   bool              // each Write lasts when it returns; else when the system writes it
+	Number   int               // of the next segment
+	OnBegin  func()            // called before a segment is begun; nil = nothing
+	OnEnd    func(int, string) // a segment that is not written to any more, by number and name; nil = nothing
 
 	out  File
 	name string
@@ -120,8 +120,8 @@
 
 // Write writes sealed records, to a new segment where the present one is full or has failed.
 func (w *Writer) Write(records []byte) (err error) {
-	if w.out != nil && w.size+len(records) > w.Most {
-		if err := w.Cut(); err != nil {
+	if w.out != nil && w.size+len(records) > w.MaxBytes {
+		if err := w.EndSegment(); err != nil {
 			return err
 		}
 	}
@@ -145,8 +145,8 @@
 	return err
 }
 
-// Cut ends the present segment, if there is one: the next record begins another.
-func (w *Writer) Cut() error {
+// EndSegment ends the present segment, if there is one: the next record begins another.
+func (w *Writer) EndSegment() error {
 	if w.out == nil {
 		return nil
 	}
@@ -160,22 +160,22 @@
 
 func (w *Writer) retire() {
 	w.out = nil
-	if w.Ended != nil {
-		w.Ended(w.Number-1, w.name)
+	if w.OnEnd != nil {
+		w.OnEnd(w.Number-1, w.name)
 	}
 }
 
 func (w *Writer) begin() error {
-	if w.Begun != nil {
-		w.Begun()
+	if w.OnBegin != nil {
+		w.OnBegin()
 	}
-	w.name = w.Form.Name(w.Number)
+	w.name = w.Format.Name(w.Number)
 	w.Number++
 	f, err := w.Folder.Create(w.name)
 	if err != nil {
 		return fmt.Errorf("beginning %s: %w", w.name, err)
 	}
-	first := Append([]byte(w.Form.Magic), func(b []byte) []byte { return append(b, w.Header...) })
+	first := Append([]byte(w.Format.Magic), func(b []byte) []byte { return append(b, w.Header...) })
 	_, err = f.Write(first)
 	if err == nil {
 		err = w.Folder.Sync()
--- a/internal/node/wal/segments_test.go
+++ b/internal/node/wal/segments_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var form = Form{Magic: "lwtest", Prefix: "test"}
+var form = Format{Magic: "lwtest", Prefix: "test"}
 
 // Guards against a folder that other users may read, a second process in it, and a record lost or taken twice where one
 // segment follows another. What a journal does with cuts and failures is in internal/node/idempotency/journal.
@@ -25,12 +25,12 @@
 	require.ErrorIs(t, err, ErrInUse)
 	require.NoError(t, lock.Close())
 	ended := []string{}
-	w := Writer{Folder: disk, Form: form, Header: []byte("head"), Most: 60, Synced: true, Number: 7,
-		Ended: func(_ int, name string) { ended = append(ended, name) }}
+	w := Writer{Folder: disk, Format: form, Header: []byte("head"), MaxBytes: 60, Synced: true, Number: 7,
+		OnEnd: func(_ int, name string) { ended = append(ended, name) }}
 	for i := range byte(9) {
 		require.NoError(t, w.Write(Append(nil, func(b []byte) []byte { return append(b, i) })))
 	}
-	require.NoError(t, w.Cut())
+	require.NoError(t, w.EndSegment())
 	read := []byte{}
 	for _, name := range ended {
 		text, err := disk.Read(name)
