--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -84,7 +84,7 @@
 	require.Equal(t, uint64(12), index)
 	require.Equal(t, "copy", string(image))
 	for _, change := range []string{protocol.AddLearner, protocol.Remove} {
-		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
+		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, ReadsVersion: 2}))
 	}
 	c.Close()
 	require.NoError(t, <-served)
--- a/internal/node/consensus/member/membership.go
+++ b/internal/node/consensus/member/membership.go
@@ -92,11 +92,11 @@
 	for _, c := range change.GetChanges() {
 		switch c.GetType() {
 		case pb.ConfChangeAddLearnerNode:
-			m.state.Learns(e.GetIndex(), member)
+			m.state.AddLearner(e.GetIndex(), member)
 		case pb.ConfChangeAddNode:
-			m.state.Votes(e.GetIndex(), c.GetNodeId())
+			m.state.PromoteLearner(e.GetIndex(), c.GetNodeId())
 		case pb.ConfChangeRemoveNode:
-			m.state.Leaves(e.GetIndex(), c.GetNodeId())
+			m.state.RemoveMember(e.GetIndex(), c.GetNodeId())
 		}
 	}
 	m.conf, m.log.confChangeIndex = m.node.ApplyConfChange(&change), e.GetIndex()
--- a/internal/node/consensus/member/propose.go
+++ b/internal/node/consensus/member/propose.go
@@ -19,9 +19,9 @@
 	if !m.Leads() {
 		return ErrNotLeader
 	}
-	maxVersion := m.state.Members().Speaks()
+	maxVersion := m.state.Members().WritableVersion()
 	if c.Component == statemachine.ComponentMembers { // such a command raises what may be written
-		maxVersion = m.state.Members().Known()
+		maxVersion = m.state.Members().CommonVersion()
 	}
 	c.Version, c.At = statemachine.VersionOf(c.Component, c.Body), m.clusterTime+now-m.localTime
 	if c.Version > maxVersion {
--- a/internal/node/consensus/replica/membership.go
+++ b/internal/node/consensus/replica/membership.go
@@ -38,7 +38,7 @@
 	case known:
 		return fmt.Errorf("number %x was taken out: empty the directory of %q", learner.ID, learner.Name)
 	}
-	named, found := members.Named(learner.Name)
+	named, found := members.ByName(learner.Name)
 	switch {
 	case learner.Replaces == 0 && found:
 		return fmt.Errorf("there is a %q: replace it", learner.Name)
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -129,7 +129,7 @@
 		return kept, err
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	l.state.Alone(statemachine.Member{ID: store.ID, Name: settings.Name, Address: settings.Listen, Starts: store.Starts})
+	l.state.MakeSoleMember(statemachine.Member{ID: store.ID, Name: settings.Name, Address: settings.Listen, Starts: store.Starts})
 	data, err := l.state.Freeze()()
 	if err != nil {
 		return kept, err
--- a/internal/node/consensus/replica/run.go
+++ b/internal/node/consensus/replica/run.go
@@ -158,9 +158,9 @@
 	own.starts, own.version = r.store.Starts, statemachine.Version
 	for id, p := range r.peers {
 		m, ok := r.member.State().Members().Get(id)
-		if ok && (m.Starts < p.starts || p.version > 0 && m.Speaks != p.version) {
+		if ok && (m.Starts < p.starts || p.version > 0 && m.ReadsVersion != p.version) {
 			_ = r.member.Propose(r.clock.Now(), statemachine.Command{Component: statemachine.ComponentMembers,
-				Body: encode(statemachine.Started{ID: id, Starts: p.starts, Speaks: p.version})}) // the next tick tries again
+				Body: encode(statemachine.Started{ID: id, Starts: p.starts, ReadsVersion: p.version})}) // the next tick tries again
 		}
 	}
 }
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -56,7 +56,7 @@
 	name := func(b byte) []byte { return bytes.Repeat([]byte{b}, 16) }
 	add(1_000_100, 0, 71, "", Opening{Name: "node-1"})
 	add(1_000_200, 0, 72, "", Opening{Name: "node-2"})
-	add(1_000_300, 0, 0, ComponentMembers, Started{ID: 11, Starts: 4, Speaks: 2})
+	add(1_000_300, 0, 0, ComponentMembers, Started{ID: 11, Starts: 4, ReadsVersion: 2})
 	n := map[uint64]uint64{}
 	do := func(at float64, session uint64, component string, body any) {
 		n[session]++
@@ -143,10 +143,10 @@
 	}
 	golden.Check(t, "history.jsonl", text.Bytes())
 
-	m := Bootstrap([]Member{{ID: 11, Name: "k0", Address: "h0:1", Speaks: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, Speaks: 2}}, 1e6)
-	m.Learns(0, Member{ID: 13, Name: "k2", Address: "h2:1", Replaces: 12, Speaks: 2})
-	m.Learns(0, Member{ID: 14, Name: "k3", Address: "h3:1", Speaks: 2})
-	m.Leaves(0, 14)
+	m := Bootstrap([]Member{{ID: 11, Name: "k0", Address: "h0:1", ReadsVersion: 2}, {ID: 12, Name: "k1", Address: "h1:1", Starts: 3, ReadsVersion: 2}}, 1e6)
+	m.AddLearner(0, Member{ID: 13, Name: "k2", Address: "h2:1", Replaces: 12, ReadsVersion: 2})
+	m.AddLearner(0, Member{ID: 14, Name: "k3", Address: "h3:1", ReadsVersion: 2})
+	m.RemoveMember(0, 14)
 	replies := []Reply{}
 	for line := range bytes.Lines(golden.File(t, "history.jsonl", nil)) {
 		var c Command
--- a/internal/node/statemachine/image.go
+++ b/internal/node/statemachine/image.go
@@ -48,7 +48,7 @@
 	}
 	plain, compact := map[string]func() (json.RawMessage, error){}, map[string]func() ([]byte, error){}
 	for name, component := range m.components {
-		if c, ok := component.(compactComponent); ok && m.members.Speaks() >= 2 {
+		if c, ok := component.(compactComponent); ok && m.members.WritableVersion() >= 2 {
 			header.Version = 2
 			compact[name] = c.FreezeCompact()
 			continue
--- a/internal/node/statemachine/machine_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -96,8 +96,8 @@
 	assert.Equal(t, Faulty, apply(t, m, Command{Session: s, Number: n + 1, Component: "none"}).Code)
 	big := New()
 	for i := range uint64(3 * MaxMembers) {
-		big.Learns(i+1, Member{ID: i + 1, Name: "k"})
-		big.Leaves(i+1, i+1)
+		big.AddLearner(i+1, Member{ID: i + 1, Name: "k"})
+		big.RemoveMember(i+1, i+1)
 	}
 	assert.LessOrEqual(t, len(big.Members().All()), MaxMembers)
 }
--- a/internal/node/statemachine/members.go
+++ b/internal/node/statemachine/members.go
@@ -25,13 +25,13 @@
 
 // Member is a process that holds a replica of the log.
 type Member struct {
-	ID       uint64 `json:"id"`                 // drawn when its directory was made, never used again
-	Name     string `json:"name"`               // of the machine, for people; a replacement has the same
-	Address  string `json:"address"`            // where the others reach it
-	Role     Role   `json:"role"`               //
-	Replaces uint64 `json:"replaces,omitempty"` // of a learner: the voter whose place it takes; 0 = none, it is one more
-	Starts   uint64 `json:"starts"`             // how often it has started, as far as is committed
-	Speaks   int    `json:"speaks,omitempty"`   // newest Version that its release reads; 0 = the first, or not known yet
+	ID           uint64 `json:"id"`                 // drawn when its directory was made, never used again
+	Name         string `json:"name"`               // of the machine, for people; a replacement has the same
+	Address      string `json:"address"`            // where the others reach it
+	Role         Role   `json:"role"`               //
+	Replaces     uint64 `json:"replaces,omitempty"` // of a learner: the voter whose place it takes; 0 = none, it is one more
+	Starts       uint64 `json:"starts"`             // how often it has started, as far as is committed
+	ReadsVersion int    `json:"speaks,omitempty"`   // newest Version that its release reads; 0 = the first, or not known yet
 }
 
 // Members is the component that holds the membership. Who is a member is changed by the consensus library's own entries
@@ -52,8 +52,8 @@
 	return machine
 }
 
-// Alone makes a member the only one, after a majority of the others is lost for good.
-func (m *Machine) Alone(member Member) {
+// MakeSoleMember makes a member the only one, after a majority of the others is lost for good.
+func (m *Machine) MakeSoleMember(member Member) {
 	for id, other := range m.members.byID {
 		other.Role, other.Replaces = Removed, 0
 		m.members.byID[id] = other
@@ -62,18 +62,18 @@
 	m.members.byID[member.ID] = member
 }
 
-// Learns applies the entry that adds a member as a learner.
-func (m *Machine) Learns(index uint64, member Member) {
+// AddLearner applies the entry that adds a member as a learner.
+func (m *Machine) AddLearner(index uint64, member Member) {
 	m.index = index
 	member.Role = Learner
 	if _, known := m.members.byID[member.ID]; !known && len(m.members.byID) >= MaxMembers {
-		m.members.forgetOneRemoved()
+		m.members.evictRemovedMember()
 	}
 	m.members.byID[member.ID] = member
 }
 
-// forgetOneRemoved drops the removed member with the lowest number. Should it come back, it is rejected as unknown.
-func (m *Members) forgetOneRemoved() {
+// evictRemovedMember drops the removed member with the lowest number. Should it come back, it is rejected as unknown.
+func (m *Members) evictRemovedMember() {
 	for _, member := range m.All() {
 		if member.Role == Removed {
 			delete(m.byID, member.ID)
@@ -82,11 +82,11 @@
 	}
 }
 
-// Votes applies the entry that makes a learner a voter.
-func (m *Machine) Votes(index, id uint64) { m.setRole(index, id, Voter) }
+// PromoteLearner applies the entry that makes a learner a voter.
+func (m *Machine) PromoteLearner(index, id uint64) { m.setRole(index, id, Voter) }
 
-// Leaves applies the entry that removes a member.
-func (m *Machine) Leaves(index, id uint64) { m.setRole(index, id, Removed) }
+// RemoveMember applies the entry that removes a member.
+func (m *Machine) RemoveMember(index, id uint64) { m.setRole(index, id, Removed) }
 
 func (m *Machine) setRole(index, id uint64, role Role) {
 	m.index = index
@@ -96,11 +96,11 @@
 	}
 }
 
-// Speaks returns the Version that may be written: all members read it, and operators have confirmed that none goes back.
-func (m *Members) Speaks() int { return min(max(1, m.raisedVersion), m.Known()) }
+// WritableVersion returns the Version that may be written: all members read it, and operators have confirmed that none goes back.
+func (m *Members) WritableVersion() int { return min(max(1, m.raisedVersion), m.CommonVersion()) }
 
-// Known returns the newest Version that all members read.
-func (m *Members) Known() int {
+// CommonVersion returns the newest Version that all members read.
+func (m *Members) CommonVersion() int {
 	version := Version
 	for _, member := range m.byID {
 		if member.Role != Removed {
@@ -110,7 +110,7 @@
 	return version
 }
 
-func (m Member) newestVersion() int { return max(1, m.Speaks) }
+func (m Member) newestVersion() int { return max(1, m.ReadsVersion) }
 
 // Get returns a member by its number.
 func (m *Members) Get(id uint64) (Member, bool) {
@@ -118,8 +118,8 @@
 	return member, ok
 }
 
-// Named returns the member that has a name now, the voter if a learner is about to replace it.
-func (m *Members) Named(name string) (found Member, ok bool) {
+// ByName returns the member that has a name now, the voter if a learner is about to replace it.
+func (m *Members) ByName(name string) (found Member, ok bool) {
 	for _, member := range m.All() {
 		if member.Name == name && member.Role != Removed && (!ok || member.Role == Voter) {
 			found, ok = member, true
@@ -133,9 +133,9 @@
 
 // Started is the body of a command by which the leader records how often a member has started, and what its release reads.
 type Started struct {
-	ID     uint64 `json:"id"`
-	Starts uint64 `json:"starts"`
-	Speaks int    `json:"speaks,omitempty"`
+	ID           uint64 `json:"id"`
+	Starts       uint64 `json:"starts"`
+	ReadsVersion int    `json:"speaks,omitempty"`
 }
 
 // Raise is the body of a command that lets a Version be written from now on. All members must read it.
@@ -159,7 +159,7 @@
 	if !ok {
 		return Reply{Code: Faulty, Text: fmt.Sprintf("%x is no member", c.ID)}
 	}
-	member.Starts, member.Speaks = max(member.Starts, c.Starts), c.Speaks
+	member.Starts, member.ReadsVersion = max(member.Starts, c.Starts), c.ReadsVersion
 	m.byID[c.ID] = member
 	return Reply{Code: OK}
 }
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -31,7 +31,7 @@
 	m := Bootstrap(founders, 1e6)
 	replay(m)
 	assert.Equal(t, Conflict, apply(t, m, Command{Component: ComponentMembers, Body: encode(Raise{Raise: 2})}).Code)
-	assert.Equal(t, 1, m.Members().Speaks())
+	assert.Equal(t, 1, m.Members().WritableVersion())
 	m = Bootstrap(founders, 1e6)
 	m.members.raisedVersion = 0 // as the first release bootstraps it
 	replay(m)
@@ -40,13 +40,13 @@
 	require.NoError(t, other.Restore(image))
 	assert.Equal(t, string(image), frozen(t, other))
 	for _, id := range []uint64{11, 12, 13} {
-		assert.Equal(t, 1, other.Members().Speaks())
-		apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, Speaks: 2})})
+		assert.Equal(t, 1, other.Members().WritableVersion())
+		apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, ReadsVersion: 2})})
 	}
-	assert.Equal(t, 1, other.Members().Speaks(), "one of them may go back")
+	assert.Equal(t, 1, other.Members().WritableVersion(), "one of them may go back")
 	assert.Equal(t, string(image[:12]), frozen(t, other)[:12])
 	apply(t, other, Command{Component: ComponentMembers, Body: encode(Raise{Raise: 2})})
-	assert.Equal(t, 2, other.Members().Speaks())
+	assert.Equal(t, 2, other.Members().WritableVersion())
 	compact := frozen(t, other)
 	assert.Contains(t, compact, `"version":2`)
 	third := New()
--- a/lab/circle/size/size.go
+++ b/lab/circle/size/size.go
@@ -148,7 +148,7 @@
 	for i := range set.Keepers {
 		k := &keeper{w: w, id: uint64(101 + i), name: fmt.Sprint("k", i)}
 		w.keepers = append(w.keepers, k)
-		voters = append(voters, statemachine.Member{ID: k.id, Name: k.name, Address: k.name + ".example:7070", Speaks: statemachine.Version})
+		voters = append(voters, statemachine.Member{ID: k.id, Name: k.name, Address: k.name + ".example:7070", ReadsVersion: statemachine.Version})
 	}
 	image, err := member.Bootstrap(voters, 1e6)
 	if err != nil {
--- a/lab/circle/virtual/nodes.go
+++ b/lab/circle/virtual/nodes.go
@@ -81,7 +81,7 @@
 // takeOver has a further process take the node's place: this one answers what it has, for a while.
 func (n *node) takeOver() {
 	w := n.w
-	if n.life == 0 || n.heir != nil || w.members[0].group == nil || w.members[0].group.State().Members().Speaks() < 2 {
+	if n.life == 0 || n.heir != nil || w.members[0].group == nil || w.members[0].group.State().Members().WritableVersion() < 2 {
 		return
 	}
 	w.counts["fault: a node taken over"]++
--- a/lab/circle/virtual/trouble.go
+++ b/lab/circle/virtual/trouble.go
@@ -214,7 +214,7 @@
 			return
 		} else if !ok {
 			lead.run(func() {
-				_ = lead.group.AddLearner(statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Replaces: in, Speaks: w.set.Speaks}) // it is tried again
+				_ = lead.group.AddLearner(statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Replaces: in, ReadsVersion: w.set.Speaks}) // it is tried again
 			})
 		}
 	}
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -156,7 +156,7 @@
 	var voters []statemachine.Member
 	for i := range set.Members {
 		m := w.join(fmt.Sprintf("k%d", i))
-		voters = append(voters, statemachine.Member{ID: m.id, Name: m.name, Address: m.name, Speaks: set.Speaks})
+		voters = append(voters, statemachine.Member{ID: m.id, Name: m.name, Address: m.name, ReadsVersion: set.Speaks})
 	}
 	image, err := member.Bootstrap(voters, 1e6)
 	if err != nil {
