--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -388,7 +388,7 @@
 	}
 	set := statemachine.Set{Name: args[0], Value: args[1]}
 	if was >= 0 {
-		set.Was = new(uint64(was))
+		set.ExpectedNumber = new(uint64(was))
 	}
 	r, err := f.log.Do(ctx, statemachine.ComponentRegister, set)
 	switch {
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -69,7 +69,7 @@
 	defer stop()
 	want := statemachine.Reply{Code: statemachine.OK, Text: "t", Body: json.RawMessage(`"Y29weQ=="`), Index: 12}
 	for range 2 {
-		r, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b", Was: new(uint64(3))})
+		r, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b", ExpectedNumber: new(uint64(3))})
 		require.NoError(t, err)
 		require.Equal(t, want, r)
 	}
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -63,7 +63,7 @@
 		add(at, session, n[session], component, body)
 	}
 	do(1_000_400, 1, ComponentRegister, Set{Name: "colour", Value: "blue"})
-	do(1_000_500, 2, ComponentRegister, Set{Name: "colour", Value: "red", Was: new(uint64(4))})
+	do(1_000_500, 2, ComponentRegister, Set{Name: "colour", Value: "red", ExpectedNumber: new(uint64(4))})
 	do(1_000_600, 1, ComponentRegister, Set{Name: "size", Value: "large"})
 	for _, o := range []Order{{"node-1", "drain", ""}, {"node-1", "suspend", "rater-2"}, {"node-2", "suspend", "rater-3"}, {"node-2", "suspend", "rater-4"},
 		{"node-2", "resume", "rater-3"}, {"node-3", "drain", ""}, {"node-3", "activate", ""}} {
--- a/internal/node/statemachine/machine_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -89,7 +89,7 @@
 		set  Set
 		want Code
 	}{{Set{Name: "new", Value: "x"}, Full}, {Set{Name: "1", Value: ""}, OK}, {Set{Name: "new", Value: "x"}, OK},
-		{Set{Name: "", Value: "x"}, Faulty}, {Set{Name: "new", Value: "y", Was: new(uint64(3))}, Conflict}} {
+		{Set{Name: "", Value: "x"}, Faulty}, {Set{Name: "new", Value: "y", ExpectedNumber: new(uint64(3))}, Conflict}} {
 		n++
 		assert.Equal(t, c.want, apply(t, m, Command{Session: s, Number: n, Confirmed: n - 1, Component: ComponentRegister, Body: encode(c.set)}).Code)
 	}
--- a/internal/node/statemachine/orders.go
+++ b/internal/node/statemachine/orders.go
@@ -18,15 +18,15 @@
 
 // Ordered is what holds for a node. It belongs to the node's name, so that it holds for a replacement on an empty machine too.
 type Ordered struct {
-	Drained bool     `json:"drained,omitempty"`
-	Out     []string `json:"out,omitempty"` // cordoned backends, sorted
+	Drained  bool     `json:"drained,omitempty"`
+	Cordoned []string `json:"out,omitempty"` // cordoned backends, sorted
 }
 
 // Order is the body of a command: an operator's order to a node. It is idempotent.
 type Order struct {
-	Node  string `json:"node"`
-	Do    string `json:"do"` // suspend, resume, drain, activate
-	Rater string `json:"rater,omitempty"`
+	Node    string `json:"node"`
+	Action  string `json:"do"` // suspend, resume, drain, activate
+	Backend string `json:"rater,omitempty"`
 }
 
 // OrdersOf is the body of a query for the orders of a node.
@@ -46,29 +46,29 @@
 		return Reply{Code: Faulty, Text: err.Error()}
 	}
 	current, known := o.nodes[c.Node]
-	at, cordoned := slices.BinarySearch(current.Out, c.Rater)
-	needsBackend := c.Do == "suspend" || c.Do == "resume"
+	at, cordoned := slices.BinarySearch(current.Cordoned, c.Backend)
+	needsBackend := c.Action == "suspend" || c.Action == "resume"
 	switch {
-	case c.Node == "" || len(c.Node) > maxNameBytes || needsBackend && (c.Rater == "" || len(c.Rater) > maxNameBytes):
+	case c.Node == "" || len(c.Node) > maxNameBytes || needsBackend && (c.Backend == "" || len(c.Backend) > maxNameBytes):
 		return Reply{Code: Faulty, Text: fmt.Sprintf("a node and a rater have names of 1 to %d bytes", maxNameBytes)}
-	case !known && len(o.nodes) >= MaxOrdered || c.Do == "suspend" && !cordoned && len(current.Out) >= MaxCordoned:
+	case !known && len(o.nodes) >= MaxOrdered || c.Action == "suspend" && !cordoned && len(current.Cordoned) >= MaxCordoned:
 		return Reply{Code: Full, Text: "too much is ordered"}
 	}
-	switch c.Do {
+	switch c.Action {
 	case "drain", "activate":
-		current.Drained = c.Do == "drain"
+		current.Drained = c.Action == "drain"
 	case "suspend":
 		if !cordoned {
-			current.Out = slices.Insert(slices.Clone(current.Out), at, c.Rater) // an image that is being encoded may share the old one
+			current.Cordoned = slices.Insert(slices.Clone(current.Cordoned), at, c.Backend) // an image that is being encoded may share the old one
 		}
 	case "resume":
 		if cordoned {
-			current.Out = slices.Delete(slices.Clone(current.Out), at, at+1)
+			current.Cordoned = slices.Delete(slices.Clone(current.Cordoned), at, at+1)
 		}
 	default:
-		return Reply{Code: Faulty, Text: fmt.Sprintf("there is no order %q", c.Do)}
+		return Reply{Code: Faulty, Text: fmt.Sprintf("there is no order %q", c.Action)}
 	}
-	if o.nodes[c.Node] = current; !current.Drained && len(current.Out) == 0 {
+	if o.nodes[c.Node] = current; !current.Drained && len(current.Cordoned) == 0 {
 		delete(o.nodes, c.Node)
 	}
 	return Reply{Code: OK, Body: encode(current)}
--- a/internal/node/statemachine/register.go
+++ b/internal/node/statemachine/register.go
@@ -25,9 +25,9 @@
 
 // Set is the body of a command that sets a value. An empty one deletes the name.
 type Set struct {
-	Name  string  `json:"name"`
-	Value string  `json:"value"`
-	Was   *uint64 `json:"was,omitempty"` // compare and set: apply it only if this is the number of the present value
+	Name           string  `json:"name"`
+	Value          string  `json:"value"`
+	ExpectedNumber *uint64 `json:"was,omitempty"` // compare and set: apply it only if this is the number of the present value
 }
 
 // Get is the body of a query: for one name, or for all if it is empty.
@@ -51,7 +51,7 @@
 	switch {
 	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Value) > MaxValueBytes:
 		return Reply{Code: Faulty, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", maxNameBytes, MaxValueBytes)}
-	case s.Was != nil && *s.Was != current.Number:
+	case s.ExpectedNumber != nil && *s.ExpectedNumber != current.Number:
 		return Reply{Code: Conflict, Text: fmt.Sprintf("number %d holds", current.Number), Body: encode(current)}
 	case s.Value != "" && current.Number == 0 && len(r.values) >= MaxNames:
 		return Reply{Code: Full, Text: fmt.Sprintf("%d names are held", len(r.values))}
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -186,7 +186,7 @@
 			set := statemachine.Set{Name: a.Name, Value: a.Value}
 			if a.Based = luck.IntN(3) == 0; a.Based {
 				a.Was = seen[a.Name]
-				set.Was = &a.Was
+				set.ExpectedNumber = &a.Was
 			}
 			r, err = log.Do(ctx, statemachine.ComponentRegister, set)
 		}
--- a/lab/circle/virtual/clients.go
+++ b/lab/circle/virtual/clients.go
@@ -76,7 +76,7 @@
 			set := statemachine.Set{Name: name, Value: a.op.Value}
 			if w.luck.IntN(3) == 0 {
 				a.op.Based, a.op.Was = true, w.lastSeen(name)
-				set.Was = &a.op.Was
+				set.ExpectedNumber = &a.op.Was
 			}
 			a.body = encode(set)
 		}
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -614,11 +614,11 @@
 			err = json.Unmarshal(reply.Body, &held)
 		}
 		out := false
-		for _, o := range held.Out {
+		for _, o := range held.Cordoned {
 			out = out || o == rater
 		}
 		if err != nil || out != (do == "suspend") {
-			p.wrong("orders lost", "%s was told yes to %s of %s, and holds %v (%v)", node, do, rater, held.Out, err)
+			p.wrong("orders lost", "%s was told yes to %s of %s, and holds %v (%v)", node, do, rater, held.Cordoned, err)
 		}
 	}
 	sort.Strings(r.Broken)
--- a/node/peers.go
+++ b/node/peers.go
@@ -54,7 +54,7 @@
 func (p *peers) hold(node string, o Order) error {
 	ctx, stop := context.WithTimeout(context.Background(), orderLimit)
 	defer stop()
-	r, err := p.log.Do(ctx, statemachine.ComponentOrders, statemachine.Order{Node: node, Do: o.Do, Rater: o.Rater})
+	r, err := p.log.Do(ctx, statemachine.ComponentOrders, statemachine.Order{Node: node, Action: o.Do, Backend: o.Rater})
 	if err == nil && r.Code != statemachine.OK {
 		err = errors.New(r.Text)
 	}
@@ -117,7 +117,7 @@
 
 // obeyHeld lets what is held for this node be in force.
 func (n *Node) obeyHeld(held statemachine.Ordered) {
-	k := Knowledge{Bans: cordon.Memory{Out: held.Out}}
+	k := Knowledge{Bans: cordon.Memory{Out: held.Cordoned}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
 		if !drained {
@@ -126,7 +126,7 @@
 		k.Drained = &since
 	}
 	n.recallOrders(k)
-	if held.Drained || len(held.Out) > 0 {
-		n.log.Info("what operators had ordered this node is in force", "drained", held.Drained, "raters_out", len(held.Out))
+	if held.Drained || len(held.Cordoned) > 0 {
+		n.log.Info("what operators had ordered this node is in force", "drained", held.Drained, "raters_out", len(held.Cordoned))
 	}
 }
