--- a/internal/node/idempotency/replicated/claim.go
+++ b/internal/node/idempotency/replicated/claim.go
@@ -22,8 +22,8 @@
 		tenant = n.config.Tenants[c.Tenant]
 	}
 	t := middleware.ClaimResult{Token: rand.Uint64()>>1 | 1}
-	claim := statemachine.Claim{Name: c.Key[:], Print: c.Fingerprint[:], Tenant: tenant, Answered: c.Windows.Answered, Doubt: c.Windows.Doubt,
-		Run: n.config.ClaimValidity + n.config.MaxRun, Node: n.config.Node, Life: n.life, Token: t.Token}
+	claim := statemachine.Claim{Name: c.Key[:], Fingerprint: c.Fingerprint[:], Tenant: tenant, AnsweredWindow: c.Windows.Answered, InDoubtWindow: c.Windows.Doubt,
+		RunTimeout: n.config.ClaimValidity + n.config.MaxRun, Node: n.config.Node, Incarnation: n.life, Token: t.Token}
 	for poll := minPollInterval; ; poll = min(2*poll, maxPollInterval) {
 		asked := n.clock.Now()
 		if asked >= deadline {
@@ -90,7 +90,7 @@
 func (n *Keys) lookup(c idempotency.Call, deadline float64) (o statemachine.ClaimReply, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), n.duration(max(0, min(n.config.RequestTimeout, deadline-n.clock.Now()))))
 	defer stop()
-	r, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: c.Key[:], Print: c.Fingerprint[:]})
+	r, err := n.client.Read(ctx, statemachine.ComponentCalls, statemachine.Lookup{Name: c.Key[:], Fingerprint: c.Fingerprint[:]})
 	switch {
 	case err != nil:
 		return o, err
--- a/internal/node/idempotency/replicated/probe.go
+++ b/internal/node/idempotency/replicated/probe.go
@@ -15,10 +15,10 @@
 func (n *Keys) Run(ctx context.Context) {
 	defer n.background.Wait()
 	defer close(n.stopping)
-	p := &prober{names: n, start: statemachine.ProcessStart{Node: n.config.Node, Life: n.life, Secret: secretSum(n.config.Secret),
-		Before: n.config.Predecessor}}
+	p := &prober{names: n, start: statemachine.ProcessStart{Node: n.config.Node, Incarnation: n.life, Secret: secretSum(n.config.Secret),
+		Predecessor: n.config.Predecessor}}
 	predecessorEnded := n.predecessorEnded
-	if p.start.Before == 0 {
+	if p.start.Predecessor == 0 {
 		predecessorEnded = nil
 	}
 	for ctx.Err() == nil {
@@ -42,7 +42,7 @@
 		select {
 		case <-wait:
 		case <-predecessorEnded: // what it had claimed and not ended may have executed
-			predecessorEnded, p.start.Before, p.announced = nil, 0, false
+			predecessorEnded, p.start.Predecessor, p.announced = nil, 0, false
 			cancel()
 		case <-ctx.Done():
 			cancel()
--- a/internal/node/statemachine/calls.go
+++ b/internal/node/statemachine/calls.go
@@ -37,15 +37,15 @@
 
 // Claim claims a name for one run. The windows are in ms, from the end of the run on.
 type Claim struct {
-	Name     []byte  `json:"name"`  // 16 bytes, a hash of the idempotency key
-	Print    []byte  `json:"print"` // 16 bytes, a fingerprint of the content
-	Tenant   string  `json:"tenant,omitempty"`
-	Answered float64 `json:"answered"` // how long the response is known, ms
-	Doubt    float64 `json:"doubt"`    // how long it is known that the call may have been executed, ms
-	Run      float64 `json:"run"`      // ms after which a run that nobody completes is in doubt
-	Node     string  `json:"node"`
-	Life     uint64  `json:"life"`  // incarnation of the node's process, drawn at its start
-	Token    uint64  `json:"token"` // of this run, drawn by the node
+	Name           []byte  `json:"name"`  // 16 bytes, a hash of the idempotency key
+	Fingerprint    []byte  `json:"print"` // 16 bytes, a fingerprint of the content
+	Tenant         string  `json:"tenant,omitempty"`
+	AnsweredWindow float64 `json:"answered"` // how long the response is known, ms
+	InDoubtWindow  float64 `json:"doubt"`    // how long it is known that the call may have been executed, ms
+	RunTimeout     float64 `json:"run"`      // ms after which a run that nobody completes is in doubt
+	Node           string  `json:"node"`
+	Incarnation    uint64  `json:"life"`  // incarnation of the node's process, drawn at its start
+	Token          uint64  `json:"token"` // of this run, drawn by the node
 }
 
 // Completion ends a run.
@@ -65,11 +65,11 @@
 
 // ProcessStart reports that a process of a node has started: what its predecessors claimed and did not complete is in doubt.
 type ProcessStart struct {
-	Node   string `json:"node"`
-	Life   uint64 `json:"life"`
-	Secret []byte `json:"secret"` // digest of the secret that names are hashed with; the first one reported binds the fleet
-	// Before is the incarnation of a process that still completes its own runs while this one takes over (hot restart); 0 = none.
-	Before uint64 `json:"before,omitempty"`
+	Node        string `json:"node"`
+	Incarnation uint64 `json:"life"`
+	Secret      []byte `json:"secret"` // digest of the secret that names are hashed with; the first one reported binds the fleet
+	// Predecessor is the incarnation of a process that still completes its own runs while this one takes over (hot restart); 0 = none.
+	Predecessor uint64 `json:"before,omitempty"`
 }
 
 // callsCommand is the body of a command: one of its fields is set.
@@ -90,8 +90,8 @@
 
 // Lookup queries the state of a name. Without a name it queries the Usage.
 type Lookup struct {
-	Name  []byte `json:"name"`
-	Print []byte `json:"print"`
+	Name        []byte `json:"name"`
+	Fingerprint []byte `json:"print"`
 }
 
 // ClaimReply is the body of the reply to a Claim or a Lookup.
--- a/internal/node/statemachine/calls_test.go
+++ b/internal/node/statemachine/calls_test.go
@@ -45,8 +45,8 @@
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1:
 				token, window := uint64(step+1), rapid.SampledFrom([]float64{1000, 100, 3000}).Draw(t, "window")
-				r := do(ClaimCommand(Claim{Name: name(i), Print: name(9), Answered: window, Doubt: window, Run: 500, Node: fmt.Sprint(step % 2),
-					Life: 1, Token: token}))
+				r := do(ClaimCommand(Claim{Name: name(i), Fingerprint: name(9), AnsweredWindow: window, InDoubtWindow: window, RunTimeout: 500, Node: fmt.Sprint(step % 2),
+					Incarnation: 1, Token: token}))
 				require.Equal(t, OK, r.Code, r.Text)
 				var o ClaimReply
 				require.NoError(t, json.Unmarshal(r.Body, &o))
@@ -79,7 +79,7 @@
 					}
 				}
 			case 3:
-				do(ProcessStartCommand(ProcessStart{Node: fmt.Sprint(step % 2), Life: uint64(step + 2)}))
+				do(ProcessStartCommand(ProcessStart{Node: fmt.Sprint(step % 2), Incarnation: uint64(step + 2)}))
 			default: // one member goes on from an image
 				text, fresh := frozen(t, b), New()
 				require.NoError(t, fresh.Restore([]byte(text)))
@@ -101,31 +101,31 @@
 		n++
 		return apply(t, m, Command{At: at, Session: s, Number: n, Confirmed: n - 1, Component: ComponentCalls, Body: encode(body)})
 	}
-	claim := Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "a", Life: 1, Token: 7}
+	claim := Claim{Name: name(1), Fingerprint: name(1), AnsweredWindow: 1000, InDoubtWindow: 1000, RunTimeout: 500, Node: "a", Incarnation: 1, Token: 7}
 	outcome := func(r Reply) (o ClaimReply) {
 		require.Equal(t, OK, r.Code, r.Text)
 		require.NoError(t, json.Unmarshal(r.Body, &o))
 		return o
 	}
-	assert.Equal(t, OK, do(1, ProcessStartCommand(ProcessStart{Node: "a", Life: 1, Secret: []byte("x")})).Code)
-	assert.Equal(t, Conflict, do(1, ProcessStartCommand(ProcessStart{Node: "b", Life: 1, Secret: []byte("y")})).Code)
+	assert.Equal(t, OK, do(1, ProcessStartCommand(ProcessStart{Node: "a", Incarnation: 1, Secret: []byte("x")})).Code)
+	assert.Equal(t, Conflict, do(1, ProcessStartCommand(ProcessStart{Node: "b", Incarnation: 1, Secret: []byte("y")})).Code)
 	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(claim))).Result)
 	assert.Equal(t, ClaimGranted, outcome(do(2, ClaimCommand(claim))).Result, "the same run claimed again")
 	other := claim
 	other.Token, other.Node = 8, "b"
 	assert.Equal(t, ClaimReply{Result: ClaimRunning, Node: "a"}, outcome(do(3, ClaimCommand(other))))
 	assert.Equal(t, Conflict, do(3, CompletionCommand(Completion{Name: name(1), Token: 8, Outcome: OutcomeNotExecuted})).Code)
-	assert.Equal(t, OK, do(4, ProcessStartCommand(ProcessStart{Node: "a", Life: 2, Secret: []byte("x")})).Code)
+	assert.Equal(t, OK, do(4, ProcessStartCommand(ProcessStart{Node: "a", Incarnation: 2, Secret: []byte("x")})).Code)
 	assert.Equal(t, ClaimInDoubt, outcome(do(5, ClaimCommand(other))).Result, "its node has started again")
-	assert.Equal(t, ClaimInDoubt, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(1), Print: name(1)})})).Result)
-	other.Print = name(2)
+	assert.Equal(t, ClaimInDoubt, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(1), Fingerprint: name(1)})})).Result)
+	other.Fingerprint = name(2)
 	assert.Equal(t, ClaimMismatch, outcome(do(6, ClaimCommand(other))).Result)
-	other.Name, other.Print = name(3), name(3)
+	other.Name, other.Fingerprint = name(3), name(3)
 	assert.Equal(t, ClaimGranted, outcome(do(7, ClaimCommand(other))).Result)
 	assert.Equal(t, OK, do(8, CompletionCommand(Completion{Name: name(3), Token: 8, Outcome: OutcomeServed, Body: make([]byte, MaxOneBodyBytes+1)})).Code)
 	assert.Equal(t, ClaimExecuted, outcome(do(9, ClaimCommand(other))).Result)
 	assert.Equal(t, Faulty, do(9, ClaimCommand(Claim{Name: []byte("short")})).Code)
-	assert.Equal(t, ClaimUnknown, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Print: name(4)})})).Result)
+	assert.Equal(t, ClaimUnknown, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Fingerprint: name(4)})})).Result)
 }
 
 // TestFullTableRejectsWithAWaitAndRestores guards, where the table is full, against a claim that is rejected without a time to claim
@@ -141,8 +141,8 @@
 	c, now := fresh(), 1000.0
 	named := func(i int) []byte { return fmt.Appendf(nil, "%016d", i) }
 	claim := func(i int, tenant string, token uint64) (o ClaimReply) {
-		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: named(i), Print: named(i), Tenant: tenant, Answered: 60000, Doubt: 60000, Run: 30000,
-			Node: "n", Life: 1, Token: token})))
+		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: named(i), Fingerprint: named(i), Tenant: tenant, AnsweredWindow: 60000, InDoubtWindow: 60000, RunTimeout: 30000,
+			Node: "n", Incarnation: 1, Token: token})))
 		require.Equal(t, OK, r.Code, r.Text)
 		require.NoError(t, json.Unmarshal(r.Body, &o))
 		return o
@@ -199,7 +199,7 @@
 func TestAbandonedRunIsInDoubtUntilItsWindowEnds(t *testing.T) {
 	c := newCalls()
 	at := func(now float64, token uint64) (o ClaimReply) {
-		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: name(1), Print: name(1), Answered: 1000, Doubt: 1000, Run: 500, Node: "n", Life: 1, Token: token})))
+		r := c.Apply(0, now, 0, encode(ClaimCommand(Claim{Name: name(1), Fingerprint: name(1), AnsweredWindow: 1000, InDoubtWindow: 1000, RunTimeout: 500, Node: "n", Incarnation: 1, Token: token})))
 		require.NoError(t, json.Unmarshal(r.Body, &o))
 		return o
 	}
--- a/internal/node/statemachine/callsimage.go
+++ b/internal/node/statemachine/callsimage.go
@@ -20,13 +20,13 @@
 }
 
 type knownImage struct {
-	Name   []byte  `json:"n"`
-	Print  []byte  `json:"p"`
-	Class  int     `json:"c"`
-	Tenant int     `json:"t"`
-	Served bool    `json:"s,omitempty"`
-	Age    float64 `json:"a"`
-	Body   []byte  `json:"b,omitempty"`
+	Name        []byte  `json:"n"`
+	Fingerprint []byte  `json:"p"`
+	Class       int     `json:"c"`
+	Tenant      int     `json:"t"`
+	Served      bool    `json:"s,omitempty"`
+	Age         float64 `json:"a"`
+	Body        []byte  `json:"b,omitempty"`
 }
 
 type claimOwnerImage struct {
@@ -49,7 +49,7 @@
 		frozen.Classes = append(frozen.Classes, [2]float64{class.AnsweredWindow, class.InDoubtWindow})
 	}
 	for _, k := range c.table.Snapshot() {
-		known := knownImage{Name: bytes.Clone(k.Key[:]), Print: bytes.Clone(k.Fingerprint[:]), Class: k.Class, Tenant: k.Tenant, Served: k.Served, Age: k.Age}
+		known := knownImage{Name: bytes.Clone(k.Key[:]), Fingerprint: bytes.Clone(k.Fingerprint[:]), Class: k.Class, Tenant: k.Tenant, Served: k.Served, Age: k.Age}
 		if body, ok := k.Body.([]byte); ok {
 			known.Body = body
 		}
@@ -101,7 +101,7 @@
 
 func (k *knownImage) call() idempotency.Call {
 	name, _ := toName(k.Name)
-	fingerprint, _ := toName(k.Print)
+	fingerprint, _ := toName(k.Fingerprint)
 	return idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: k.Class, Tenant: k.Tenant}
 }
 
@@ -218,7 +218,7 @@
 		return k
 	}
 	k.Served = flags[0]&flagServed != 0
-	k.Name, k.Print, k.Class, k.Tenant, k.Age = r.next(16), r.next(16), int(r.number()), int(r.number()), r.float()
+	k.Name, k.Fingerprint, k.Class, k.Tenant, k.Age = r.next(16), r.next(16), int(r.number()), int(r.number()), r.float()
 	if flags[0]&flagBody != 0 {
 		k.Body = append([]byte{}, r.bytes()...)
 	}
@@ -227,13 +227,13 @@
 
 func (w *imageWriter) owner(owner *claimOwner) {
 	w.bytes([]byte(owner.Node))
-	w.number(owner.Life)
+	w.number(owner.Incarnation)
 	w.number(owner.Token)
 	w.float(owner.Until)
 }
 
 func (r *imageReader) owner() claimOwner {
-	return claimOwner{Node: string(r.bytes()), Life: r.number(), Token: r.number(), Until: r.float()}
+	return claimOwner{Node: string(r.bytes()), Incarnation: r.number(), Token: r.number(), Until: r.float()}
 }
 
 // LoadCompact restores a compact image.
--- a/internal/node/statemachine/callstable.go
+++ b/internal/node/statemachine/callstable.go
@@ -24,11 +24,11 @@
 
 // claimOwner is who runs a call.
 type claimOwner struct {
-	Ref   idempotency.Ref `json:"-"`
-	Node  string          `json:"node"`
-	Life  uint64          `json:"life"`
-	Token uint64          `json:"token"`
-	Until float64         `json:"until"` // cluster time from which on the run is in doubt, ms
+	Ref         idempotency.Ref `json:"-"`
+	Node        string          `json:"node"`
+	Incarnation uint64          `json:"life"`
+	Token       uint64          `json:"token"`
+	Until       float64         `json:"until"` // cluster time from which on the run is in doubt, ms
 }
 
 func newCalls() *calls {
@@ -100,17 +100,17 @@
 
 // valid reports whether all windows are in their bounds; NaN is not.
 func (c *Claim) valid() bool {
-	return c.Answered >= 0 && c.Answered <= maxRetentionMillis && c.Doubt >= 0 && c.Doubt <= maxRetentionMillis && c.Run > 0 && c.Run <= maxRetentionMillis
+	return c.AnsweredWindow >= 0 && c.AnsweredWindow <= maxRetentionMillis && c.InDoubtWindow >= 0 && c.InDoubtWindow <= maxRetentionMillis && c.RunTimeout > 0 && c.RunTimeout <= maxRetentionMillis
 }
 
 // claim grants a name to its claimant, unless the call has been claimed before.
 func (c *calls) claim(now float64, claim *Claim) Reply {
 	name, ok := toName(claim.Name)
-	fingerprint, ok2 := toName(claim.Print)
+	fingerprint, ok2 := toName(claim.Fingerprint)
 	if !ok || !ok2 || !claim.valid() {
 		return Reply{Code: Faulty, Text: "want a name, a print and windows"}
 	}
-	class, ok := c.findOrAddClass(claim.Answered, claim.Doubt)
+	class, ok := c.findOrAddClass(claim.AnsweredWindow, claim.InDoubtWindow)
 	if !ok {
 		return Reply{Code: Full, Text: "too many different windows"}
 	}
@@ -120,7 +120,7 @@
 	decision := c.table.Claim(now, idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: c.classOf(name, class),
 		Tenant: int(xxhash.Sum64String(claim.Tenant) % tenantBuckets)})
 	if decision.Verdict == idempotency.Run {
-		c.setRunning(name, claimOwner{Ref: decision.Ref, Node: claim.Node, Life: claim.Life, Token: claim.Token, Until: now + math.Ceil(claim.Run)})
+		c.setRunning(name, claimOwner{Ref: decision.Ref, Node: claim.Node, Incarnation: claim.Incarnation, Token: claim.Token, Until: now + math.Ceil(claim.RunTimeout)})
 	}
 	return Reply{Code: OK, Body: encode(c.replyTo(name, decision))}
 }
@@ -204,7 +204,7 @@
 		return Reply{Code: Conflict, Text: "names are hashed under another secret in this fleet"}
 	}
 	n := c.endInDoubt(now, func(owner claimOwner) bool {
-		return owner.Node == start.Node && owner.Life != start.Life && owner.Life != start.Before
+		return owner.Node == start.Node && owner.Incarnation != start.Incarnation && owner.Incarnation != start.Predecessor
 	})
 	return Reply{Code: OK, Text: fmt.Sprint(n)}
 }
@@ -225,7 +225,7 @@
 	if !known {
 		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimUnknown})}
 	}
-	fingerprint, _ := toName(lookup.Print)
+	fingerprint, _ := toName(lookup.Fingerprint)
 	decision := c.table.Peek(idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: class})
 	return Reply{Code: OK, Body: encode(c.replyTo(name, decision))}
 }
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -69,10 +69,10 @@
 		{"node-2", "resume", "rater-3"}, {"node-3", "drain", ""}, {"node-3", "activate", ""}} {
 		do(1_000_700, 1, ComponentOrders, o)
 	}
-	do(1_000_800, 1, ComponentCalls, ProcessStartCommand(ProcessStart{Node: "node-1", Life: 5, Secret: []byte("secret"), Before: 4}))
+	do(1_000_800, 1, ComponentCalls, ProcessStartCommand(ProcessStart{Node: "node-1", Incarnation: 5, Secret: []byte("secret"), Predecessor: 4}))
 	for b := byte(1); b <= 6; b++ {
-		do(1_000_900+float64(b), 2, ComponentCalls, ClaimCommand(Claim{Name: name(b), Print: name(b + 100), Tenant: fmt.Sprint("tenant ", b), Answered: 60_000 + float64(b%2),
-			Doubt: 90_000, Run: 30_000, Node: fmt.Sprint("node-", b%2+1), Life: 5, Token: uint64(b) + 40}))
+		do(1_000_900+float64(b), 2, ComponentCalls, ClaimCommand(Claim{Name: name(b), Fingerprint: name(b + 100), Tenant: fmt.Sprint("tenant ", b), AnsweredWindow: 60_000 + float64(b%2),
+			InDoubtWindow: 90_000, RunTimeout: 30_000, Node: fmt.Sprint("node-", b%2+1), Incarnation: 5, Token: uint64(b) + 40}))
 	}
 	for b, e := range []Completion{{Outcome: OutcomeServed, Body: []byte("an answer")}, {Outcome: OutcomeServed}, {Outcome: OutcomeInDoubt}, {Outcome: OutcomeNotExecuted}} {
 		e.Name, e.Token = name(byte(b+1)), uint64(b)+41
@@ -114,8 +114,8 @@
 		ComponentMembers:  {struct{}{}},
 		ComponentRegister: {Get{}, Get{Name: "colour"}},
 		ComponentOrders:   {OrdersOf{Node: "node-1"}, OrdersOf{Node: "node-2"}},
-		ComponentCalls: {Lookup{}, Lookup{Name: bytes.Repeat([]byte{1}, 16), Print: bytes.Repeat([]byte{101}, 16)}, Lookup{Name: bytes.Repeat([]byte{2}, 16), Print: bytes.Repeat([]byte{102}, 16)},
-			Lookup{Name: bytes.Repeat([]byte{3}, 16), Print: bytes.Repeat([]byte{103}, 16)}, Lookup{Name: bytes.Repeat([]byte{5}, 16), Print: bytes.Repeat([]byte{105}, 16)}},
+		ComponentCalls: {Lookup{}, Lookup{Name: bytes.Repeat([]byte{1}, 16), Fingerprint: bytes.Repeat([]byte{101}, 16)}, Lookup{Name: bytes.Repeat([]byte{2}, 16), Fingerprint: bytes.Repeat([]byte{102}, 16)},
+			Lookup{Name: bytes.Repeat([]byte{3}, 16), Fingerprint: bytes.Repeat([]byte{103}, 16)}, Lookup{Name: bytes.Repeat([]byte{5}, 16), Fingerprint: bytes.Repeat([]byte{105}, 16)}},
 		ComponentPolicy:      {PolicyQuestion{}, PolicyQuestion{Progress: true}, PolicyQuestion{Outcome: "faulty"}, PolicyQuestion{Proposed: "second"}, PolicyQuestion{Document: new(uint64(1))}},
 		ComponentQuotaLeases: {struct{}{}},
 	} {
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -64,8 +64,8 @@
 // TestCommandsHaveTheLowestVersionThatExpressesThem guards against commands of this release that are marked as of the first.
 func TestCommandsHaveTheLowestVersionThatExpressesThem(t *testing.T) {
 	for want, commands := range map[int][]Command{
-		1: {{Component: ComponentRegister}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Life: 1}))}, {Component: ComponentPolicy}},
-		2: {{Component: ComponentQuotaLeases, Body: encode(QuotaLeaseCommand{Report: &lease.Report{}})}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Life: 2, Before: 1}))}},
+		1: {{Component: ComponentRegister}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Incarnation: 1}))}, {Component: ComponentPolicy}},
+		2: {{Component: ComponentQuotaLeases, Body: encode(QuotaLeaseCommand{Report: &lease.Report{}})}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Incarnation: 2, Predecessor: 1}))}},
 	} {
 		for _, c := range commands {
 			assert.Equal(t, want, VersionOf(c.Component, c.Body), string(c.Body))
--- a/lab/circle/measure.go
+++ b/lab/circle/measure.go
@@ -346,8 +346,8 @@
 		binary.BigEndian.PutUint64(name, uint64(i))
 		one, stop := context.WithTimeout(ctx, 10*time.Second)
 		defer stop()
-		if _, err := log.Do(one, statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: name, Tenant: fmt.Sprint(i % 20),
-			Answered: 3.6e6, Doubt: 3.6e6, Run: 60000, Node: "n", Life: 1, Token: uint64(i)})); err != nil {
+		if _, err := log.Do(one, statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: name, Fingerprint: name, Tenant: fmt.Sprint(i % 20),
+			AnsweredWindow: 3.6e6, InDoubtWindow: 3.6e6, RunTimeout: 60000, Node: "n", Incarnation: 1, Token: uint64(i)})); err != nil {
 			return err
 		}
 		_, err := log.Do(one, statemachine.ComponentCalls, statemachine.CompletionCommand(statemachine.Completion{Name: name, Token: uint64(i), Outcome: statemachine.OutcomeServed, Body: body}))
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -81,8 +81,8 @@
 		policies = append(policies, us)
 		number++
 		name := fmt.Appendf(nil, "%016d", number)
-		if _, us, err = apply(number, statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: name, Tenant: "partner-0", Answered: 60000,
-			Doubt: 60000, Run: claim, Node: "costs", Life: 1, Token: number})); err != nil {
+		if _, us, err = apply(number, statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: name, Fingerprint: name, Tenant: "partner-0", AnsweredWindow: 60000,
+			InDoubtWindow: 60000, RunTimeout: claim, Node: "costs", Incarnation: 1, Token: number})); err != nil {
 			return c, err
 		}
 		names = append(names, us)
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -200,7 +200,7 @@
 	}
 	if !told {
 		secret := make([]byte, 32)
-		n.do("begun", statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Life: n.process, Secret: secret}), within, heard)
+		n.do("begun", statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Incarnation: n.process, Secret: secret}), within, heard)
 		return
 	}
 	n.read("look", statemachine.ComponentCalls, statemachine.Lookup{Name: make([]byte, 16)}, within, heard)
@@ -239,8 +239,8 @@
 	for i := range name {
 		name[i], print[i] = byte(n.w.luck.Uint32()), byte(n.w.luck.Uint32())
 	}
-	take := statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
-		Run: claim + 5000, Node: n.name, Life: n.process, Token: token})
+	take := statemachine.ClaimCommand(statemachine.Claim{Name: name, Fingerprint: print, Tenant: fmt.Sprint("partner-", c.Partner), AnsweredWindow: 60000, InDoubtWindow: 60000,
+		RunTimeout: claim + 5000, Node: n.name, Incarnation: n.process, Token: token})
 	n.do("name", statemachine.ComponentCalls, take, takeLimit, func(r *statemachine.Reply) {
 		var o statemachine.ClaimReply
 		if r == nil {
--- a/lab/circle/virtual/charges.go
+++ b/lab/circle/virtual/charges.go
@@ -191,7 +191,7 @@
 	case n.w.set.Wrong == ForgetsLives:
 		after(statemachine.Reply{Text: "0"}, agreed)
 	default:
-		n.do(begun+lastPoll*10, statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Life: uint64(life), Before: uint64(before), Secret: []byte("s")}), asking{life: true}, after)
+		n.do(begun+lastPoll*10, statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Incarnation: uint64(life), Predecessor: uint64(before), Secret: []byte("s")}), asking{life: true}, after)
 	}
 }
 
@@ -240,8 +240,8 @@
 	claimed := t.p.Claimed
 	t.p.Claimed = true
 	lose := w.luck.IntN(12) == 0
-	n.do(min(t.asked+takeFor, t.deadline), statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: chargeName(t.p.Name), Print: make([]byte, 16), Answered: known,
-		Doubt: known, Run: claimFor + longest, Node: n.name, Life: uint64(t.life), Token: t.token}), asking{lose: lose}, func(r statemachine.Reply, how outcome) {
+	n.do(min(t.asked+takeFor, t.deadline), statemachine.ComponentCalls, statemachine.ClaimCommand(statemachine.Claim{Name: chargeName(t.p.Name), Fingerprint: make([]byte, 16), AnsweredWindow: known,
+		InDoubtWindow: known, RunTimeout: claimFor + longest, Node: n.name, Incarnation: uint64(t.life), Token: t.token}), asking{lose: lose}, func(r statemachine.Reply, how outcome) {
 		if how != agreed {
 			n.up = false
 			switch {
@@ -291,7 +291,7 @@
 			t.tell(judge.Waited, 0)
 			return
 		}
-		n.read(min(w.now+takeFor, t.deadline), statemachine.Lookup{Name: chargeName(t.p.Name), Print: make([]byte, 16)}, func(r statemachine.Reply, how outcome) {
+		n.read(min(w.now+takeFor, t.deadline), statemachine.Lookup{Name: chargeName(t.p.Name), Fingerprint: make([]byte, 16)}, func(r statemachine.Reply, how outcome) {
 			var o statemachine.ClaimReply
 			switch {
 			case how != agreed || r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil || o.Result == statemachine.ClaimRunning:
