--- a/internal/node/consensus/client/client.go
+++ b/internal/node/consensus/client/client.go
@@ -115,7 +115,7 @@
 			return statemachine.Reply{}, notApplied(err)
 		}
 		s.confirm(number)
-		if a.Reply.Code != statemachine.Lost {
+		if a.Reply.Code != statemachine.SessionLost {
 			return *a.Reply, nil
 		}
 		s.abandon()
--- a/internal/node/statemachine/calls_test.go
+++ b/internal/node/statemachine/calls_test.go
@@ -124,7 +124,7 @@
 	assert.Equal(t, ClaimGranted, outcome(do(7, ClaimCommand(other))).Result)
 	assert.Equal(t, OK, do(8, CompletionCommand(Completion{Name: name(3), Token: 8, Outcome: OutcomeServed, Body: make([]byte, MaxOneBodyBytes+1)})).Code)
 	assert.Equal(t, ClaimExecuted, outcome(do(9, ClaimCommand(other))).Result)
-	assert.Equal(t, Faulty, do(9, ClaimCommand(Claim{Name: []byte("short")})).Code)
+	assert.Equal(t, Invalid, do(9, ClaimCommand(Claim{Name: []byte("short")})).Code)
 	assert.Equal(t, ClaimUnknown, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Fingerprint: name(4)})})).Result)
 }
 
--- a/internal/node/statemachine/callstable.go
+++ b/internal/node/statemachine/callstable.go
@@ -54,7 +54,7 @@
 func (c *calls) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var cmd callsCommand
 	if err := json.Unmarshal(body, &cmd); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	now = math.Floor(now) // whole ms: an image restores exactly the same times
 	c.expire(now)
@@ -66,7 +66,7 @@
 	case cmd.Start != nil:
 		return c.startProcess(now, cmd.Start)
 	}
-	return Reply{Code: Faulty, Text: "want take, ended or fresh"}
+	return Reply{Code: Invalid, Text: "want take, ended or fresh"}
 }
 
 // expire ends the runs in doubt that nobody completed in time.
@@ -108,7 +108,7 @@
 	name, ok := toName(claim.Name)
 	fingerprint, ok2 := toName(claim.Fingerprint)
 	if !ok || !ok2 || !claim.valid() {
-		return Reply{Code: Faulty, Text: "want a name, a print and windows"}
+		return Reply{Code: Invalid, Text: "want a name, a print and windows"}
 	}
 	class, ok := c.findOrAddClass(claim.AnsweredWindow, claim.InDoubtWindow)
 	if !ok {
@@ -219,7 +219,7 @@
 	}
 	name, ok := toName(lookup.Name)
 	if err != nil || !ok {
-		return Reply{Code: Faulty, Text: "want a name"}
+		return Reply{Code: Invalid, Text: "want a name"}
 	}
 	class, known := c.table.ClassOf(name)
 	if !known {
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -42,7 +42,7 @@
 
 // TestEncodedWordsKeepTheirForm guards against a changed name of a component, code, role or result: they are on disks and between processes.
 func TestEncodedWordsKeepTheirForm(t *testing.T) {
-	words := []any{ComponentMembers, ComponentRegister, ComponentCalls, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, OK, Conflict, Faulty, Full, Lost, Voter, Learner, Removed,
+	words := []any{ComponentMembers, ComponentRegister, ComponentCalls, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, OK, Conflict, Invalid, Full, SessionLost, Voter, Learner, Removed,
 		ClaimGranted, ClaimRunning, ClaimReplayed, ClaimExecuted, ClaimInDoubt, ClaimMismatch, ClaimFull, ClaimUnknown, OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt,
 		rollout.Looking, rollout.Pausing, rollout.Agreed, rollout.Refused}
 	golden.Check(t, "words", fmt.Append(nil, words))
--- a/internal/node/statemachine/machine.go
+++ b/internal/node/statemachine/machine.go
@@ -67,11 +67,11 @@
 
 // The codes.
 const (
-	OK       Code = "ok"
-	Conflict Code = "conflict" // the command was based on a state that is not current; the body has the current one
-	Faulty   Code = "faulty"   // the command is invalid, whoever sends it
-	Full     Code = "full"     // a bound is reached
-	Lost     Code = "lost"     // the session is gone: whether the command was applied is unknown
+	OK          Code = "ok"
+	Conflict    Code = "conflict" // the command was based on a state that is not current; the body has the current one
+	Invalid     Code = "faulty"   // the command is invalid, whoever sends it
+	Full        Code = "full"     // a bound is reached
+	SessionLost Code = "lost"     // the session is gone: whether the command was applied is unknown
 )
 
 // Reply is the result of a command or a query.
@@ -166,7 +166,7 @@
 	}
 	s := m.sessions[c.Session]
 	if s == nil {
-		return c, Reply{Code: Lost, Text: "the session is not known any more"}, nil
+		return c, Reply{Code: SessionLost, Text: "the session is not known any more"}, nil
 	}
 	s.Used = index
 	s.confirm(c.Confirmed)
@@ -195,5 +195,5 @@
 }
 
 func unknownComponent(name string) Reply {
-	return Reply{Code: Faulty, Text: fmt.Sprintf("there is no part %q", name)}
+	return Reply{Code: Invalid, Text: fmt.Sprintf("there is no part %q", name)}
 }
--- a/internal/node/statemachine/machine_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -48,7 +48,7 @@
 				}
 				set := Set{Name: fmt.Sprint("r", i%3), Value: fmt.Sprint("v", i)}
 				r := apply(t, m, Command{At: at, Session: s, Number: n, Confirmed: done[s], Component: ComponentRegister, Body: encode(set)})
-				if first, again := sets[[2]uint64{s, n}]; again && r.Code != Lost {
+				if first, again := sets[[2]uint64{s, n}]; again && r.Code != SessionLost {
 					assert.Equal(t, first, r, "the reply of the first")
 				} else if !again {
 					sets[[2]uint64{s, n}] = r
@@ -76,7 +76,7 @@
 		apply(t, m, Command{Body: encode(Opening{Name: "more"})})
 	}
 	assert.Equal(t, MaxSessions, m.Sessions())
-	assert.Equal(t, Lost, apply(t, m, Command{Session: first, Number: 1, Component: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
+	assert.Equal(t, SessionLost, apply(t, m, Command{Session: first, Number: 1, Component: ComponentRegister, Body: encode(Set{Name: "a", Value: "b"})}).Code)
 	s := apply(t, m, Command{Body: encode(Opening{Name: "s"})}).Index
 	assert.Equal(t, Full, apply(t, m, Command{Session: s, Number: Window + 1, Component: ComponentRegister}).Code)
 	for i := range MaxNames {
@@ -89,11 +89,11 @@
 		set  Set
 		want Code
 	}{{Set{Name: "new", Value: "x"}, Full}, {Set{Name: "1", Value: ""}, OK}, {Set{Name: "new", Value: "x"}, OK},
-		{Set{Name: "", Value: "x"}, Faulty}, {Set{Name: "new", Value: "y", ExpectedNumber: new(uint64(3))}, Conflict}} {
+		{Set{Name: "", Value: "x"}, Invalid}, {Set{Name: "new", Value: "y", ExpectedNumber: new(uint64(3))}, Conflict}} {
 		n++
 		assert.Equal(t, c.want, apply(t, m, Command{Session: s, Number: n, Confirmed: n - 1, Component: ComponentRegister, Body: encode(c.set)}).Code)
 	}
-	assert.Equal(t, Faulty, apply(t, m, Command{Session: s, Number: n + 1, Component: "none"}).Code)
+	assert.Equal(t, Invalid, apply(t, m, Command{Session: s, Number: n + 1, Component: "none"}).Code)
 	big := New()
 	for i := range uint64(3 * MaxMembers) {
 		big.AddLearner(i+1, Member{ID: i + 1, Name: "k"})
--- a/internal/node/statemachine/members.go
+++ b/internal/node/statemachine/members.go
@@ -150,14 +150,14 @@
 		Raise
 	}
 	if err := json.Unmarshal(body, &c); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	if c.Raise.Raise > 0 {
 		return m.raise(c.Raise.Raise)
 	}
 	member, ok := m.byID[c.ID]
 	if !ok {
-		return Reply{Code: Faulty, Text: fmt.Sprintf("%x is no member", c.ID)}
+		return Reply{Code: Invalid, Text: fmt.Sprintf("%x is no member", c.ID)}
 	}
 	member.Starts, member.ReadsVersion = max(member.Starts, c.Starts), c.ReadsVersion
 	m.byID[c.ID] = member
--- a/internal/node/statemachine/orders.go
+++ b/internal/node/statemachine/orders.go
@@ -43,14 +43,14 @@
 func (o *orders) Apply(_ uint64, _ float64, _ uint64, body json.RawMessage) Reply {
 	var c Order
 	if err := json.Unmarshal(body, &c); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	current, known := o.nodes[c.Node]
 	at, cordoned := slices.BinarySearch(current.Cordoned, c.Backend)
 	needsBackend := c.Action == "suspend" || c.Action == "resume"
 	switch {
 	case c.Node == "" || len(c.Node) > maxNameBytes || needsBackend && (c.Backend == "" || len(c.Backend) > maxNameBytes):
-		return Reply{Code: Faulty, Text: fmt.Sprintf("a node and a rater have names of 1 to %d bytes", maxNameBytes)}
+		return Reply{Code: Invalid, Text: fmt.Sprintf("a node and a rater have names of 1 to %d bytes", maxNameBytes)}
 	case !known && len(o.nodes) >= MaxOrdered || c.Action == "suspend" && !cordoned && len(current.Cordoned) >= MaxCordoned:
 		return Reply{Code: Full, Text: "too much is ordered"}
 	}
@@ -66,7 +66,7 @@
 			current.Cordoned = slices.Delete(slices.Clone(current.Cordoned), at, at+1)
 		}
 	default:
-		return Reply{Code: Faulty, Text: fmt.Sprintf("there is no order %q", c.Action)}
+		return Reply{Code: Invalid, Text: fmt.Sprintf("there is no order %q", c.Action)}
 	}
 	if o.nodes[c.Node] = current; !current.Drained && len(current.Cordoned) == 0 {
 		delete(o.nodes, c.Node)
@@ -78,7 +78,7 @@
 func (o *orders) Query(body json.RawMessage) Reply {
 	var q OrdersOf
 	if err := json.Unmarshal(body, &q); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	return Reply{Code: OK, Body: encode(o.nodes[q.Node])}
 }
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -32,7 +32,7 @@
 func (p rolloutComponent) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var c PolicyCommand
 	if err := json.Unmarshal(body, &c); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	switch {
 	case c.Report != nil:
@@ -46,21 +46,21 @@
 	case c.Dead != "":
 		return Reply{Code: OK, Body: encode(p.Dead(now, c.Dead))}
 	}
-	return Reply{Code: Faulty, Text: "want report, propose or dead"}
+	return Reply{Code: Invalid, Text: "want report, propose or dead"}
 }
 
 // Query answers a PolicyQuestion.
 func (p rolloutComponent) Query(body json.RawMessage) Reply {
 	var q PolicyQuestion
 	if err := json.Unmarshal(body, &q); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	switch {
 	case q.Outcome != "":
 		if o, ok := p.Outcome(q.Outcome); ok {
 			return Reply{Code: OK, Body: encode(o)}
 		}
-		return Reply{Code: Faulty, Text: "no such proposal is known: it was never taken, or it is too long ago"}
+		return Reply{Code: Invalid, Text: "no such proposal is known: it was never taken, or it is too long ago"}
 	case q.Document != nil || q.Proposed != "":
 		number := uint64(0)
 		if q.Document != nil {
@@ -69,7 +69,7 @@
 		if d, ok := p.Find(number, q.Proposed); ok {
 			return Reply{Code: OK, Body: encode(d)}
 		}
-		return Reply{Code: Faulty, Text: "no such document is kept"}
+		return Reply{Code: Invalid, Text: "no such document is kept"}
 	}
 	if q.Progress {
 		return Reply{Code: OK, Body: encode(p.Progress())}
--- a/internal/node/statemachine/quotaleases.go
+++ b/internal/node/statemachine/quotaleases.go
@@ -22,13 +22,13 @@
 func (q quotaLeaseComponent) Apply(_ uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var c QuotaLeaseCommand
 	if err := json.Unmarshal(body, &c); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	switch {
 	case c.Report != nil:
 		g, err := q.Report(now, *c.Report)
 		if err != nil {
-			return Reply{Code: Faulty, Text: err.Error()}
+			return Reply{Code: Invalid, Text: err.Error()}
 		}
 		return Reply{Code: OK, Body: encode(g)}
 	case c.Tree != nil:
@@ -37,7 +37,7 @@
 		}
 		return Reply{Code: OK}
 	}
-	return Reply{Code: Faulty, Text: "want report or tree"}
+	return Reply{Code: Invalid, Text: "want report or tree"}
 }
 
 // Query returns what is leased, owed and due.
--- a/internal/node/statemachine/register.go
+++ b/internal/node/statemachine/register.go
@@ -44,13 +44,13 @@
 func (r *register) Apply(index uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var s Set
 	if err := json.Unmarshal(body, &s); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	current := r.values[s.Name]
 	current.Name = s.Name
 	switch {
 	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Value) > MaxValueBytes:
-		return Reply{Code: Faulty, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", maxNameBytes, MaxValueBytes)}
+		return Reply{Code: Invalid, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", maxNameBytes, MaxValueBytes)}
 	case s.ExpectedNumber != nil && *s.ExpectedNumber != current.Number:
 		return Reply{Code: Conflict, Text: fmt.Sprintf("number %d holds", current.Number), Body: encode(current)}
 	case s.Value != "" && current.Number == 0 && len(r.values) >= MaxNames:
@@ -70,7 +70,7 @@
 func (r *register) Query(body json.RawMessage) Reply {
 	var g Get
 	if err := json.Unmarshal(body, &g); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	if g.Name != "" {
 		v := r.values[g.Name]
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -25,7 +25,7 @@
 		for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 			_, r, err := m.Apply(m.Index()+1, lines.Bytes())
 			require.NoError(t, err)
-			require.NotEqual(t, Faulty, r.Code, r.Text)
+			require.NotEqual(t, Invalid, r.Code, r.Text)
 		}
 	}
 	m := Bootstrap(founders, 1e6)
--- a/internal/node/statemachine/sessions.go
+++ b/internal/node/statemachine/sessions.go
@@ -24,7 +24,7 @@
 func (m *Machine) openSession(index uint64, c *Command) Reply {
 	var opening Opening
 	if json.Unmarshal(c.Body, &opening) != nil || len(opening.Name) > maxNameBytes {
-		return Reply{Code: Faulty, Text: "a session wants a name of 128 bytes at most"}
+		return Reply{Code: Invalid, Text: "a session wants a name of 128 bytes at most"}
 	}
 	if len(m.sessions) >= MaxSessions {
 		m.evictSession()
@@ -61,7 +61,7 @@
 	case applied:
 		return r, true
 	case number <= s.Done:
-		return Reply{Code: Lost, Text: "its reply was confirmed before"}, true
+		return Reply{Code: SessionLost, Text: "its reply was confirmed before"}, true
 	case number > s.Done+Window:
 		return Reply{Code: Full, Text: "too many commands of the session are under way"}, true
 	}
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -698,7 +698,7 @@
 		} else {
 			a.again()
 		}
-	case answer.Reply.Code == statemachine.Lost && a.command:
+	case answer.Reply.Code == statemachine.SessionLost && a.command:
 		n.giveUp(a.request.Session)
 		n.enter(a)
 	default:
--- a/lab/circle/virtual/clients.go
+++ b/lab/circle/virtual/clients.go
@@ -213,7 +213,7 @@
 		a.op.Value = v.Value
 	case r.Code == statemachine.Conflict:
 		a.op.Clash = true
-	case r.Code == statemachine.Lost:
+	case r.Code == statemachine.SessionLost:
 		a.op.Told = math.Inf(1)
 	case r.Code != statemachine.OK:
 		w.fault("%s: %s", r.Code, r.Text)
--- a/lab/circle/virtual/nodes.go
+++ b/lab/circle/virtual/nodes.go
@@ -181,7 +181,7 @@
 			l.done++
 			delete(l.told, l.done)
 		}
-		if r.Code != statemachine.Lost {
+		if r.Code != statemachine.SessionLost {
 			then(r, agreed)
 			return
 		}
