--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -89,15 +89,15 @@
 	var founders []statemachine.Member
 	for _, k := range set.Replicas {
 		stops = append(stops, start("old", k.Name))
-		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, protocol.Request{Want: protocol.Status}).ID, Name: k.Name, Address: k.Address})
+		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, protocol.Request{Kind: protocol.Status}).ID, Name: k.Name, Address: k.Address})
 	}
 	for _, k := range set.Replicas {
-		ask("old", k.Name, protocol.Request{Want: protocol.Found, Members: founders, Now: 1e12})
+		ask("old", k.Name, protocol.Request{Kind: protocol.Bootstrap, Members: founders, Now: 1e12})
 	}
 	old := client.New(set)
 	_, err := old.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Brno"})
 	require.NoError(t, err)
-	index, image, err := old.Copy(ctx)
+	index, image, err := old.Backup(ctx)
 	require.NoError(t, err)
 	copied := filepath.Join(dir, "copy")
 	require.NoError(t, backup.Write(copied, "old", index, image))
@@ -140,7 +140,7 @@
 	defer start("new", "a")()
 	now := client.New(client.Config{Fleet: "new", Name: "test", Replicas: set.Replicas, AttemptTimeout: 10 * time.Second})
 	defer now.Close()
-	index, image, err = now.Copy(ctx)
+	index, image, err = now.Backup(ctx)
 	require.NoError(t, err)
 	running := filepath.Join(dir, "copy-of-new")
 	require.NoError(t, backup.Write(running, "new", index, image))
@@ -150,9 +150,9 @@
 	assert.Contains(t, start("new", "b")(), `it is "b" of "old"`, "a folder of the fleet before")
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
-	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Want: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
+	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Kind: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
 	require.NoError(t, now.Change(ctx, protocol.AddLearner, fresh))
-	for ctx.Err() == nil && ask("new", "b", protocol.Request{Want: protocol.Status}).Applied == 0 {
+	for ctx.Err() == nil && ask("new", "b", protocol.Request{Kind: protocol.Status}).Applied == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	_, err = now.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Praha"})
--- a/cmd/linenwheel/peers.go
+++ b/cmd/linenwheel/peers.go
@@ -100,7 +100,7 @@
 	if address == "" {
 		return nil, fmt.Errorf("peers.member has no %q", name)
 	}
-	a, err := client.Call(ctx, f.set, client.Replica{Name: name, Address: address}, protocol.Request{Want: protocol.Status})
+	a, err := client.Call(ctx, f.set, client.Replica{Name: name, Address: address}, protocol.Request{Kind: protocol.Status})
 	if err != nil {
 		return nil, fmt.Errorf("%s at %s: %w", name, address, err)
 	}
@@ -236,7 +236,7 @@
 	now := float64(time.Now().UnixMilli())
 	for _, m := range members {
 		_, err := client.Call(ctx, f.set, client.Replica{Name: m.Name, Address: m.Address},
-			protocol.Request{Want: protocol.Found, Members: members, Now: now})
+			protocol.Request{Kind: protocol.Bootstrap, Members: members, Now: now})
 		if err != nil {
 			return fmt.Errorf("peers: %s: %w", m.Name, err)
 		}
@@ -426,7 +426,7 @@
 	patient.AttemptTimeout = f.patience // there may be much of it
 	log := client.New(patient)
 	defer log.Close()
-	index, image, err := log.Copy(ctx)
+	index, image, err := log.Backup(ctx)
 	if err == nil {
 		err = backup.Write(args[0], f.set.Fleet, index, image)
 	}
--- a/internal/node/consensus/client/client.go
+++ b/internal/node/consensus/client/client.go
@@ -105,7 +105,7 @@
 			return statemachine.Reply{}, notApplied(err)
 		}
 		a, uncertain, err := c.call(ctx, func() protocol.Request {
-			return protocol.Request{Want: protocol.Do, Session: s.id, Number: number, Confirmed: s.confirmedUpTo(), Component: component, Body: text}
+			return protocol.Request{Kind: protocol.Do, Session: s.id, Number: number, Confirmed: s.confirmedUpTo(), Component: component, Body: text}
 		})
 		if err != nil {
 			s.abandon()
@@ -132,7 +132,7 @@
 		return statemachine.Reply{}, err
 	}
 	a, _, err := c.call(ctx, func() protocol.Request {
-		return protocol.Request{Want: protocol.Read, Component: component, Body: text}
+		return protocol.Request{Kind: protocol.Read, Component: component, Body: text}
 	})
 	if err != nil {
 		return statemachine.Reply{}, notApplied(err)
@@ -158,7 +158,7 @@
 	if conn == nil {
 		return statemachine.Reply{}, errNoConnection
 	}
-	a, _, err := conn.call(ctx, protocol.Request{Want: protocol.Wait, Component: component, Body: body, Known: knownText})
+	a, _, err := conn.call(ctx, protocol.Request{Kind: protocol.LongPoll, Component: component, Body: body, Known: knownText})
 	if err == nil && a.Reply == nil {
 		err = fmt.Errorf("no hint: %s", a.Text)
 	}
@@ -168,9 +168,9 @@
 	return *a.Reply, nil
 }
 
-// Copy returns an image of the leader's state, and the index of the last entry in it.
-func (c *Client) Copy(ctx context.Context) (index uint64, image []byte, err error) {
-	a, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Want: protocol.Copy} })
+// Backup returns an image of the leader's state, and the index of the last entry in it.
+func (c *Client) Backup(ctx context.Context) (index uint64, image []byte, err error) {
+	a, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Kind: protocol.Backup} })
 	if err == nil {
 		index, err = a.Reply.Index, json.Unmarshal(a.Reply.Body, &image)
 	}
@@ -179,7 +179,7 @@
 
 // Change asks the leader to change the membership: want is protocol.AddLearner or protocol.Remove.
 func (c *Client) Change(ctx context.Context, want string, m statemachine.Member) error {
-	_, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Want: want, Members: []statemachine.Member{m}} })
+	_, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Kind: want, Members: []statemachine.Member{m}} })
 	return err
 }
 
--- a/internal/node/consensus/client/connection.go
+++ b/internal/node/consensus/client/connection.go
@@ -112,7 +112,7 @@
 		return a, false, err
 	}
 	if len(text) > statemachine.MaxCommandBytes {
-		return protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MaxCommandBytes)}, false, nil
+		return protocol.Answer{Fault: protocol.Rejected, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MaxCommandBytes)}, false, nil
 	}
 	c.writing.Lock()
 	err = c.raw.Write(transport.KindRequest, text, c.writeTimeout)
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -79,7 +79,7 @@
 	r, err = c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{Progress: true}, "known")
 	require.NoError(t, err)
 	require.Equal(t, want, r)
-	index, image, err := c.Copy(ctx)
+	index, image, err := c.Backup(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(12), index)
 	require.Equal(t, "copy", string(image))
--- a/internal/node/consensus/client/retry.go
+++ b/internal/node/consensus/client/retry.go
@@ -44,13 +44,13 @@
 				c.switchFrom(index, "")
 			case a.Fault == "":
 				return a, uncertain, nil
-			case a.Fault == protocol.Refused:
+			case a.Fault == protocol.Rejected:
 				return a, uncertain, fmt.Errorf("%w: %s", ErrRefused, a.Text)
 			default:
 				last = fmt.Errorf("%s: %s", c.config.Replicas[index].Name, a.Text)
-				uncertain = uncertain || a.Fault == protocol.Later
+				uncertain = uncertain || a.Fault == protocol.RetryLater
 				c.switchFrom(index, a.Leader)
-				if redirected := a.Fault == protocol.Elsewhere || a.Leader != ""; redirected && attempt < immediateRedirects {
+				if redirected := a.Fault == protocol.NotLeader || a.Leader != ""; redirected && attempt < immediateRedirects {
 					continue
 				}
 			}
--- a/internal/node/consensus/client/session.go
+++ b/internal/node/consensus/client/session.go
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	a, _, err := c.call(ctx, func() protocol.Request {
-		return protocol.Request{Want: protocol.Do, Number: rand.Uint64()>>1 | 1, Body: body}
+		return protocol.Request{Kind: protocol.Do, Number: rand.Uint64()>>1 | 1, Body: body}
 	})
 	if err != nil { // should it be opened all the same: a session that nobody uses does no harm
 		return nil, notApplied(err)
--- a/internal/node/consensus/protocol/golden_test.go
+++ b/internal/node/consensus/protocol/golden_test.go
@@ -13,5 +13,5 @@
 	golden.JSON[Answer](t, "answer")
 	golden.JSON[State](t, "state")
 	golden.JSON[Member](t, "member")
-	golden.Check(t, "words", fmt.Append(nil, []string{Do, Read, Wait, Status, Picture, Found, AddLearner, Remove, Copy, Elsewhere, Nobody, Later, Refused}))
+	golden.Check(t, "words", fmt.Append(nil, []string{Do, Read, LongPoll, Status, LocalRegister, Bootstrap, AddLearner, Remove, Backup, NotLeader, NoLeader, RetryLater, Rejected}))
 }
--- a/internal/node/consensus/protocol/protocol.go
+++ b/internal/node/consensus/protocol/protocol.go
@@ -10,21 +10,21 @@
 
 // Requests, by Request.Want.
 const (
-	Do         = "do"      // propose a command, and answer once it is applied
-	Read       = "read"    // query, linearizable
-	Wait       = "wait"    // query, answered once the answer differs from Known: a long poll, whose answer is a hint; the release before refuses it
-	Status     = "status"  // the state of this replica
-	Picture    = "picture" // the register as this replica has it, however old, to compare replicas by
-	Found      = "found"   // bootstrap: make this empty replica one of the first members
-	AddLearner = "learn"   // add a member, as a learner that is promoted once it has caught up
-	Remove     = "remove"  // remove a member
-	Copy       = "copy"    // an image of the leader's state, for a backup: base64 in the reply's body
+	Do            = "do"      // propose a command, and answer once it is applied
+	Read          = "read"    // query, linearizable
+	LongPoll      = "wait"    // query, answered once the answer differs from Known: a long poll, whose answer is a hint; the release before refuses it
+	Status        = "status"  // the state of this replica
+	LocalRegister = "picture" // the register as this replica has it, however old, to compare replicas by
+	Bootstrap     = "found"   // bootstrap: make this empty replica one of the first members
+	AddLearner    = "learn"   // add a member, as a learner that is promoted once it has caught up
+	Remove        = "remove"  // remove a member
+	Backup        = "copy"    // an image of the leader's state, for a backup: base64 in the reply's body
 )
 
 // Request is a request of a client. Want says which of the fields are used.
 type Request struct {
 	ID        uint64                `json:"id"` // number on the connection
-	Want      string                `json:"want"`
+	Kind      string                `json:"want"`
 	Session   uint64                `json:"s,omitempty"`
 	Number    uint64                `json:"n,omitempty"`
 	Confirmed uint64                `json:"d,omitempty"`
@@ -37,10 +37,10 @@
 
 // Faults, by Answer.Fault.
 const (
-	Elsewhere = "elsewhere" // another replica leads; Leader says which
-	Nobody    = "nobody"    // this replica knows of no leader
-	Later     = "later"     // it is not known whether the command was proposed; sent again under its number, it is applied once
-	Refused   = "refused"   // rejected for good; Text says why
+	NotLeader  = "elsewhere" // another replica leads; Leader says which
+	NoLeader   = "nobody"    // this replica knows of no leader
+	RetryLater = "later"     // it is not known whether the command was proposed; sent again under its number, it is applied once
+	Rejected   = "refused"   // rejected for good; Text says why
 )
 
 // Answer answers the request with the same ID. Reply, State or Fault is set.
--- a/internal/node/consensus/replica/clients.go
+++ b/internal/node/consensus/replica/clients.go
@@ -75,7 +75,7 @@
 			}
 		}
 		do := func() { r.handle(request, respond) }
-		if request.Want == protocol.Wait {
+		if request.Kind == protocol.LongPoll {
 			do = func() { r.longPoll(c, request, respond) }
 		}
 		if !r.submit(do) {
@@ -86,14 +86,14 @@
 
 // handle handles any request but a long poll.
 func (r *Replica) handle(request *protocol.Request, respond func(protocol.Answer)) {
-	switch request.Want {
+	switch request.Kind {
 	case protocol.Status:
 		respond(protocol.Answer{State: r.status()})
-	case protocol.Picture:
+	case protocol.LocalRegister:
 		respond(r.query(&protocol.Request{Component: statemachine.ComponentRegister, Body: encode(statemachine.Get{})}))
-	case protocol.Found:
+	case protocol.Bootstrap:
 		if err := r.bootstrap(request); err != nil {
-			respond(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
+			respond(protocol.Answer{Fault: protocol.Rejected, Text: err.Error()})
 			return
 		}
 		respond(protocol.Answer{State: r.status()})
@@ -106,12 +106,12 @@
 		}
 		r.lastRead++
 		r.reads[r.lastRead] = r.pending(request, respond)
-	case protocol.Copy:
+	case protocol.Backup:
 		r.copyState(respond)
 	case protocol.AddLearner, protocol.Remove:
 		r.changeMembership(request, respond)
 	default:
-		respond(protocol.Answer{Fault: protocol.Refused, Text: fmt.Sprintf("nobody wants %q", request.Want)})
+		respond(protocol.Answer{Fault: protocol.Rejected, Text: fmt.Sprintf("nobody wants %q", request.Kind)})
 	}
 }
 
@@ -139,7 +139,7 @@
 	go func() { // encoding a large state takes long
 		image, err := freeze()
 		if err != nil {
-			respond(protocol.Answer{Fault: protocol.Refused, Text: err.Error()})
+			respond(protocol.Answer{Fault: protocol.Rejected, Text: err.Error()})
 			return
 		}
 		respond(protocol.Answer{Reply: &statemachine.Reply{Code: statemachine.OK, Index: index, Body: encode(image)}})
@@ -151,7 +151,7 @@
 // earlier one, whose answer nobody waits for any more.
 func (r *Replica) longPoll(c *transport.Conn, request *protocol.Request, respond func(protocol.Answer)) {
 	if earlier := r.longPolls[c]; earlier != nil {
-		earlier.respond(protocol.Answer{Fault: protocol.Later, Text: "a later one has come"})
+		earlier.respond(protocol.Answer{Fault: protocol.RetryLater, Text: "a later one has come"})
 	}
 	delete(r.longPolls, c)
 	if !r.member.Leads() {
@@ -200,7 +200,7 @@
 // redirectAll sends all clients that wait here to the leader. Their commands may have been committed, or be lost with this
 // replica's leadership: sent again under its number, each is applied once.
 func (r *Replica) redirectAll(text string) {
-	answer := protocol.Answer{Fault: protocol.Later, Text: text, Leader: r.nameOf(r.leader)}
+	answer := protocol.Answer{Fault: protocol.RetryLater, Text: text, Leader: r.nameOf(r.leader)}
 	for key, list := range r.proposals {
 		delete(r.proposals, key)
 		for _, p := range list {
@@ -227,7 +227,7 @@
 	for c, p := range r.longPolls {
 		if r.expired(p) {
 			delete(r.longPolls, c)
-			p.respond(protocol.Answer{Fault: protocol.Later, Text: "there is nothing new"})
+			p.respond(protocol.Answer{Fault: protocol.RetryLater, Text: "there is nothing new"})
 		}
 	}
 	for key, list := range r.proposals {
@@ -240,14 +240,14 @@
 
 // failure returns the answer to a request that failed. It names the leader, and says whether the request is worth sending again.
 func (r *Replica) failure(err error) protocol.Answer {
-	a := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: r.nameOf(r.leader)}
+	a := protocol.Answer{Fault: protocol.Rejected, Text: err.Error(), Leader: r.nameOf(r.leader)}
 	switch {
 	case errors.Is(err, member.ErrNotLeader) && r.member.Leader() == 0:
-		a.Fault = protocol.Nobody
+		a.Fault = protocol.NoLeader
 	case errors.Is(err, member.ErrNotLeader):
-		a.Fault = protocol.Elsewhere
+		a.Fault = protocol.NotLeader
 	case errors.Is(err, member.ErrBacklog), errors.Is(err, member.ErrBusy):
-		a.Fault = protocol.Later
+		a.Fault = protocol.RetryLater
 	}
 	return a
 }
--- a/internal/node/consensus/replica/clients_test.go
+++ b/internal/node/consensus/replica/clients_test.go
@@ -30,7 +30,7 @@
 	for i := range 16 {
 		wait.Go(func() {
 			for j := range statemachine.MaxSessions / 16 {
-				open := protocol.Request{Want: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
+				open := protocol.Request{Kind: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
 					if _, err := client.Call(t.Context(), config, config.Replicas[0], open); err == nil {
 						break
@@ -67,7 +67,7 @@
 }
 
 func (c *rawClient) longPoll(known rollout.Progress) uint64 {
-	return c.send(protocol.Request{Want: protocol.Wait, Component: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{Progress: true}), Known: encode(known)})
+	return c.send(protocol.Request{Kind: protocol.LongPoll, Component: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{Progress: true}), Known: encode(known)})
 }
 
 func (c *rawClient) receive() (answer protocol.Answer) {
@@ -106,16 +106,16 @@
 	assert.Equal(t, first, now, "the answer differs at once")
 
 	one := connect(t, config, config.Replicas[0])
-	one.send(protocol.Request{Want: protocol.Status})
+	one.send(protocol.Request{Kind: protocol.Status})
 	before, last := one.receive().State.Committed, one.longPoll(first)
 	for range 100 {
 		earlier := last
 		last = one.longPoll(first)
 		answer := one.receive()
 		require.Equal(t, earlier, answer.ID)
-		require.Equal(t, protocol.Later, answer.Fault)
+		require.Equal(t, protocol.RetryLater, answer.Fault)
 	}
-	one.send(protocol.Request{Want: protocol.Status})
+	one.send(protocol.Request{Kind: protocol.Status})
 	assert.Less(t, one.receive().State.Committed, before+50, "they cost no entries")
 	second := propose(2)
 	answer := one.receive()
@@ -143,13 +143,13 @@
 	for !lost {
 		for _, to := range config.Replicas {
 			one := connect(t, config, to)
-			one.send(protocol.Request{Want: protocol.Status})
+			one.send(protocol.Request{Kind: protocol.Status})
 			state := one.receive().State
 			waits := one.longPoll(rollout.Progress{})
-			status := one.send(protocol.Request{Want: protocol.Status})
+			status := one.send(protocol.Request{Kind: protocol.Status})
 			answer := one.receive()
 			if answer.ID == waits { // it does not lead
-				require.Contains(t, []string{protocol.Elsewhere, protocol.Nobody, protocol.Later}, answer.Fault)
+				require.Contains(t, []string{protocol.NotLeader, protocol.NoLeader, protocol.RetryLater}, answer.Fault)
 				elsewhere++
 				continue
 			}
@@ -160,7 +160,7 @@
 			require.NoError(t, c.Change(ctx, protocol.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
 			answer = one.receive()
 			require.Equal(t, waits, answer.ID)
-			assert.Equal(t, protocol.Later, answer.Fault)
+			assert.Equal(t, protocol.RetryLater, answer.Fault)
 			assert.Contains(t, answer.Text, "lead")
 			lost = true
 		}
--- a/internal/node/consensus/replica/membership.go
+++ b/internal/node/consensus/replica/membership.go
@@ -12,11 +12,11 @@
 // changeMembership answers a request to add or remove a member once that is proposed.
 func (r *Replica) changeMembership(request *protocol.Request, respond func(protocol.Answer)) {
 	if len(request.Members) != 1 {
-		respond(protocol.Answer{Fault: protocol.Refused, Text: "want one member"})
+		respond(protocol.Answer{Fault: protocol.Rejected, Text: "want one member"})
 		return
 	}
 	change := r.addLearner
-	if request.Want == protocol.Remove {
+	if request.Kind == protocol.Remove {
 		change = r.remove
 	}
 	if err := change(request.Members[0]); err != nil {
--- a/internal/node/consensus/replica/peers_test.go
+++ b/internal/node/consensus/replica/peers_test.go
@@ -26,7 +26,7 @@
 	for lead == nil || other == nil { // none may lead at the moment
 		lead, other = nil, nil
 		for _, to := range config.Replicas {
-			a, err := client.Call(t.Context(), config, to, protocol.Request{Want: protocol.Status})
+			a, err := client.Call(t.Context(), config, to, protocol.Request{Kind: protocol.Status})
 			require.NoError(t, err)
 			if a.State.Role == "leader" {
 				lead = a.State
--- a/internal/node/consensus/replica/replica_test.go
+++ b/internal/node/consensus/replica/replica_test.go
@@ -52,7 +52,7 @@
 	}
 	t.Cleanup(func() { stop(); run.Wait() })
 	for _, to := range config.Replicas {
-		_, err := client.Call(ctx, config, to, protocol.Request{Want: protocol.Found, Members: members, Now: 1})
+		_, err := client.Call(ctx, config, to, protocol.Request{Kind: protocol.Bootstrap, Members: members, Now: 1})
 		require.NoError(t, err)
 	}
 	return config
@@ -175,7 +175,7 @@
 	findLeader := func() (client.Replica, *protocol.State) {
 		for {
 			for _, k := range config.Replicas {
-				if a, err := client.Call(t.Context(), config, k, protocol.Request{Want: protocol.Status}); err == nil && a.State.Role == "leader" {
+				if a, err := client.Call(t.Context(), config, k, protocol.Request{Kind: protocol.Status}); err == nil && a.State.Role == "leader" {
 					return k, a.State
 				}
 			}
@@ -191,7 +191,7 @@
 	}
 	at, first := findLeader()
 	leaving := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
-	_, err = client.Call(t.Context(), config, at, protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{leaving}})
+	_, err = client.Call(t.Context(), config, at, protocol.Request{Kind: protocol.Remove, Members: []statemachine.Member{leaving}})
 	require.Error(t, err, "the request is to be sent again")
 	next := first
 	for next.ID == first.ID {
@@ -221,7 +221,7 @@
 		for unresponsive := false; !unresponsive; { // until the leader has noticed
 			require.NoError(t, c.Change(t.Context(), protocol.AddLearner, m)) // the change may be lost with a leader
 			for _, k := range config.Replicas {
-				a, err := client.Call(t.Context(), config, k, protocol.Request{Want: protocol.Status})
+				a, err := client.Call(t.Context(), config, k, protocol.Request{Kind: protocol.Status})
 				require.NoError(t, err)
 				for _, listed := range a.State.Members {
 					if listed.ID == m.ID {
--- a/internal/node/idempotency/replicated/replicated_test.go
+++ b/internal/node/idempotency/replicated/replicated_test.go
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	work.Go(func() { _ = k.Run(ctx) })
 	ask := client.Config{Fleet: "f", Name: "n", AttemptTimeout: time.Minute, Replicas: []client.Replica{to}}
-	_, err = client.Call(ctx, ask, to, protocol.Request{Want: protocol.Found, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
+	_, err = client.Call(ctx, ask, to, protocol.Request{Kind: protocol.Bootstrap, Members: []statemachine.Member{{ID: k.ID(), Name: to.Name, Address: to.Address}}, Now: 1})
 	require.NoError(t, err)
 	return ask
 }
--- a/lab/circle/circle.go
+++ b/lab/circle/circle.go
@@ -198,7 +198,7 @@
 	for _, name := range voters {
 		for { // asked again, a keeper says that it is founded
 			_, err := client.Call(ctx, c.look(), client.Replica{Name: name, Address: c.find(name).address},
-				protocol.Request{Want: protocol.Found, Members: members, Now: 1e12})
+				protocol.Request{Kind: protocol.Bootstrap, Members: members, Now: 1e12})
 			if err == nil {
 				break
 			}
@@ -230,7 +230,7 @@
 // state asks a keeper how it does.
 func (c *Circle) state(ctx context.Context, name string) (*protocol.State, error) {
 	k := c.find(name)
-	a, err := client.Call(ctx, c.look(), client.Replica{Name: name, Address: k.address}, protocol.Request{Want: protocol.Status})
+	a, err := client.Call(ctx, c.look(), client.Replica{Name: name, Address: k.address}, protocol.Request{Kind: protocol.Status})
 	if err != nil {
 		return nil, err
 	}
@@ -366,7 +366,7 @@
 			if m.Name == name && m.Role != statemachine.Removed {
 				gone = false
 				_, _ = client.Call(ctx, c.look(), client.Replica{Name: lead.Name, Address: c.find(lead.Name).address},
-					protocol.Request{Want: protocol.Remove, Members: []statemachine.Member{m.Member}}) // it is tried again
+					protocol.Request{Kind: protocol.Remove, Members: []statemachine.Member{m.Member}}) // it is tried again
 			}
 		}
 		if gone && !lead.Changing {
@@ -504,7 +504,7 @@
 			}
 		case "":
 			_, _ = client.Call(ctx, c.look(), client.Replica{Name: lead.Name, Address: c.find(lead.Name).address},
-				protocol.Request{Want: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
+				protocol.Request{Kind: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
 		}
 		select {
 		case <-ctx.Done():
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -416,7 +416,7 @@
 		switch {
 		case have < 0:
 			_, _ = client.Call(p.ctx, p.settings("rig"), client.Replica{Name: lead.Name, Address: p.find(lead.Name).address},
-				protocol.Request{Want: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
+				protocol.Request{Kind: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
 		case lead.Members[have].Role != statemachine.Learner: // to wait on would be for ever
 			return fmt.Errorf("%s stands still and has learnt nothing, and its role is %q", n, lead.Members[have].Role)
 		default:
@@ -611,7 +611,7 @@
 				return
 			}
 			a, err := client.Call(p.ctx, p.look(), client.Replica{Name: n, Address: p.find(n).address},
-				protocol.Request{Want: protocol.Picture})
+				protocol.Request{Kind: protocol.LocalRegister})
 			if err != nil { // it is slow to answer: the look is made again
 				p.counts.add("met: a keeper that was slow to answer")
 				break
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -165,7 +165,7 @@
 
 // passOn sends those who wait here elsewhere.
 func (k *keeper) passOn() {
-	a := protocol.Answer{Fault: protocol.Later, Text: "another keeper leads since it was asked", Leader: k.w.nameOf(k.group.Leader())}
+	a := protocol.Answer{Fault: protocol.RetryLater, Text: "another keeper leads since it was asked", Leader: k.w.nameOf(k.group.Leader())}
 	for _, n := range k.w.nodes {
 		for _, ask := range n.asked {
 			k.answer(ask, a) // where it waits here
@@ -307,14 +307,14 @@
 func (k *keeper) deal(a *asking) {
 	r := &a.request
 	var err error
-	switch r.Want {
+	switch r.Kind {
 	case protocol.Do:
 		c := statemachine.Command{Session: r.Session, Number: r.Number, Confirmed: r.Confirmed, Component: r.Component, Body: r.Body}
 		if err = k.group.Propose(k.w.now, c); err == nil {
 			k.waiting[key{r.Session, r.Number}] = a
 			return
 		}
-	case protocol.Wait:
+	case protocol.LongPoll:
 		if err = member.ErrNotLeader; k.group.Leads() {
 			k.waits = append(slices.DeleteFunc(k.waits, func(earlier *asking) bool { return earlier.node == a.node }), a)
 			k.hint()
@@ -327,14 +327,14 @@
 			return
 		}
 	}
-	fault := protocol.Answer{Fault: protocol.Refused, Text: err.Error(), Leader: k.w.nameOf(k.group.Leader())}
+	fault := protocol.Answer{Fault: protocol.Rejected, Text: err.Error(), Leader: k.w.nameOf(k.group.Leader())}
 	switch {
 	case errors.Is(err, member.ErrNotLeader) && fault.Leader == "":
-		fault.Fault = protocol.Nobody
+		fault.Fault = protocol.NoLeader
 	case errors.Is(err, member.ErrNotLeader):
-		fault.Fault = protocol.Elsewhere
+		fault.Fault = protocol.NotLeader
 	case errors.Is(err, member.ErrBacklog):
-		fault.Fault = protocol.Later
+		fault.Fault = protocol.RetryLater
 	}
 	k.answer(a, fault)
 }
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -370,7 +370,7 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := protocol.Request{Want: protocol.Wait, Component: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{Progress: true}), Known: body(n.policy.Known())}
+	r := protocol.Request{Kind: protocol.LongPoll, Component: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{Progress: true}), Known: body(n.policy.Known())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
 	a.done = func(r *statemachine.Reply) {
 		var news rollout.Progress
@@ -436,14 +436,14 @@
 
 // do has a command agreed.
 func (n *node) do(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	a := n.make(word, protocol.Request{Want: protocol.Do, Component: part, Body: body(v)}, within, done)
+	a := n.make(word, protocol.Request{Kind: protocol.Do, Component: part, Body: body(v)}, within, done)
 	a.command = true
 	n.enter(a)
 }
 
 // read asks a question.
 func (n *node) read(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	n.make(word, protocol.Request{Want: protocol.Read, Component: part, Body: body(v)}, within, done).send()
+	n.make(word, protocol.Request{Kind: protocol.Read, Component: part, Body: body(v)}, within, done).send()
 }
 
 func (n *node) make(word string, r protocol.Request, within float64, done func(*statemachine.Reply)) *asking {
@@ -478,7 +478,7 @@
 		return
 	}
 	n.opening = true
-	r := protocol.Request{Want: protocol.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
+	r := protocol.Request{Kind: protocol.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
 	n.make("session", r, lostWait, func(r *statemachine.Reply) {
 		n.opening = false
 		waiting := n.openers
@@ -660,7 +660,7 @@
 	if a.over || n.life != a.life || a.tries != this {
 		return
 	}
-	if a.request.Want == protocol.Wait { // whoever asks something next finds another
+	if a.request.Kind == protocol.LongPoll { // whoever asks something next finds another
 		a.end()
 		a.done(nil)
 		return
@@ -681,17 +681,17 @@
 	}
 	from := n.at
 	switch {
-	case a.request.Want == protocol.Wait:
+	case a.request.Kind == protocol.LongPoll:
 		a.end()
 		a.done(answer.Reply)
-	case answer.Fault == protocol.Refused:
+	case answer.Fault == protocol.Rejected:
 		n.w.fault("%s: %s was refused: %s", n.name, a.word, answer.Text)
 		a.fail()
 	case answer.Fault != "":
-		if answer.Fault == protocol.Elsewhere {
+		if answer.Fault == protocol.NotLeader {
 			n.w.result.Counts["met: another keeper leads"]++
 		}
-		elsewhere := answer.Fault == protocol.Elsewhere || answer.Leader != ""
+		elsewhere := answer.Fault == protocol.NotLeader || answer.Leader != ""
 		n.turn(from, answer.Leader)
 		if elsewhere && a.tries <= 2 {
 			a.send()
@@ -705,7 +705,7 @@
 		a.end()
 		took := n.w.now - a.began
 		if n.w.count && a.word != "propose" {
-			if a.request.Want == protocol.Do {
+			if a.request.Kind == protocol.Do {
 				n.w.agreed = append(n.w.agreed, took)
 				if !n.fresh {
 					n.w.settled = append(n.w.settled, took)
