--- a/internal/node/consensus/member/election.go
+++ b/internal/node/consensus/member/election.go
@@ -47,7 +47,7 @@
 func (m *Member) Step(message *pb.Message) {
 	// The commit index of a leader's heartbeat is at most what this member has acknowledged.
 	if last, _ := m.log.LastIndex(); message.GetType() == pb.MsgHeartbeat && message.GetCommit() > last {
-		m.failed = ErrLost
+		m.failed = ErrEntriesMissing
 		return
 	}
 	switch message.GetType() {
@@ -72,9 +72,9 @@
 	m.node.ReportSnapshot(id, status)
 }
 
-// Hand begins a transfer of leadership to the active member that has most of the log, and reports whether there is one and
+// TransferLeadership begins a transfer of leadership to the active member that has most of the log, and reports whether there is one and
 // this member leads.
-func (m *Member) Hand() bool {
+func (m *Member) TransferLeadership() bool {
 	var target, maxMatch uint64
 	m.node.WithProgress(func(id uint64, kind raft.ProgressType, p tracker.Progress) {
 		if kind == raft.ProgressTypePeer && id != m.settings.ID && p.RecentActive && (p.Match > maxMatch || p.Match == maxMatch && id < target) {
--- a/internal/node/consensus/member/image.go
+++ b/internal/node/consensus/member/image.go
@@ -28,8 +28,8 @@
 	freeze      func() ([]byte, error)
 }
 
-// Make encodes the image. It may take long, and may run on any goroutine while the member goes on.
-func (i *Image) Make() (*pb.Snapshot, error) {
+// Encode encodes the image. It may take long, and may run on any goroutine while the member goes on.
+func (i *Image) Encode() (*pb.Snapshot, error) {
 	data, err := i.freeze()
 	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: i.conf, Index: &i.index, Term: &i.term}}, err
 }
@@ -50,8 +50,8 @@
 	return &Image{index: m.applied, term: term, conf: proto.Clone(m.conf).(*pb.ConfState), freeze: m.state.Freeze()}
 }
 
-// Kept reports that an image is durable, and compacts the log in memory up to Settings.Trail entries before it.
-func (m *Member) Kept(image *pb.Snapshot) {
+// ImageSaved reports that an image is durable, and compacts the log in memory up to Settings.Trail entries before it.
+func (m *Member) ImageSaved(image *pb.Snapshot) {
 	m.imageInProgress, m.imageBytes = false, len(image.GetData())
 	index := image.GetMetadata().GetIndex()
 	if _, err := m.log.CreateSnapshot(index, image.GetMetadata().GetConfState(), image.GetData()); err != nil {
--- a/internal/node/consensus/member/member.go
+++ b/internal/node/consensus/member/member.go
@@ -28,12 +28,12 @@
 	ErrNotLeader = errors.New("this member does not lead")
 	// ErrBusy says that a change of the membership or a transfer of leadership is in progress.
 	ErrBusy = errors.New("a change of members is under way")
-	// ErrYoung says that a command needs a version that may not be written yet (statemachine.Members.Speaks).
-	ErrYoung = errors.New("not all keepers know what this asks for, or nobody has said yet that none goes back: linenwheel peers raise")
+	// ErrVersionNotWritable says that a command needs a version that may not be written yet (statemachine.Members.Speaks).
+	ErrVersionNotWritable = errors.New("not all keepers know what this asks for, or nobody has said yet that none goes back: linenwheel peers raise")
 	// ErrBacklog says that Settings.Uncommitted is reached.
 	ErrBacklog = errors.New("too much waits to be agreed")
-	// ErrLost ends a member: its disk lacks entries that it had acknowledged, so that its vote could undo what was committed.
-	ErrLost = errors.New("the directory lacks entries that this member had acknowledged: it is an older copy, or was damaged")
+	// ErrEntriesMissing ends a member: its disk lacks entries that it had acknowledged, so that its vote could undo what was committed.
+	ErrEntriesMissing = errors.New("the directory lacks entries that this member had acknowledged: it is an older copy, or was damaged")
 )
 
 // Settings are the parameters of a member. Times are in ticks.
@@ -177,8 +177,8 @@
 	return status.GetTerm(), status.GetCommit(), m.applied
 }
 
-// Behind returns, at the leader, the index up to which a member is known to have the log, and whether it was heard from lately.
-func (m *Member) Behind(id uint64) (match uint64, active bool) {
+// FollowerProgress returns, at the leader, the index up to which a member is known to have the log, and whether it was heard from lately.
+func (m *Member) FollowerProgress(id uint64) (match uint64, active bool) {
 	m.node.WithProgress(func(other uint64, _ raft.ProgressType, p tracker.Progress) {
 		if other == id {
 			match, active = p.Match, p.RecentActive
--- a/internal/node/consensus/member/member_test.go
+++ b/internal/node/consensus/member/member_test.go
@@ -54,7 +54,7 @@
 	}
 	assert.InDelta(t, 5000+now-begin, m.State().Now(), 3)
 	leaseCommand := statemachine.Command{Component: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
-	assert.ErrorIs(t, m.Propose(now, leaseCommand), ErrYoung, "not before all members are known to read it")
+	assert.ErrorIs(t, m.Propose(now, leaseCommand), ErrVersionNotWritable, "not before all members are known to read it")
 	require.NoError(t, m.Propose(now, statemachine.Command{Component: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
 	takeWork()
 	finishWrites()
@@ -75,7 +75,7 @@
 		return err
 	}
 	require.NoError(t, heartbeat(committed))
-	assert.ErrorIs(t, heartbeat(committed+1), ErrLost)
+	assert.ErrorIs(t, heartbeat(committed+1), ErrEntriesMissing)
 }
 
 // TestFailsAtAnImageOfALaterRelease guards against a member of an older release that goes on empty, or votes, once an image of a later
@@ -139,7 +139,7 @@
 	}
 	require.NoError(t, m.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
 	doWork()
-	_, active := m.Behind(2)
+	_, active := m.FollowerProgress(2)
 	require.True(t, active, "it is taken for active")
 	m.Promote()
 	doWork()
@@ -161,7 +161,7 @@
 	doWork()
 	acknowledge(m, 2)
 	doWork()
-	require.True(t, m.Hand())
+	require.True(t, m.TransferLeadership())
 	require.True(t, m.Leads())
 	require.ErrorIs(t, m.Remove(2), ErrBusy)
 	require.ErrorIs(t, m.AddLearner(statemachine.Member{ID: 3, Name: "c"}), ErrBusy)
--- a/internal/node/consensus/member/propose.go
+++ b/internal/node/consensus/member/propose.go
@@ -25,7 +25,7 @@
 	}
 	c.Version, c.At = statemachine.VersionOf(c.Component, c.Body), m.clusterTime+now-m.localTime
 	if c.Version > maxVersion {
-		return ErrYoung
+		return ErrVersionNotWritable
 	}
 	data, err := json.Marshal(c)
 	if err != nil {
--- a/internal/node/consensus/member/work.go
+++ b/internal/node/consensus/member/work.go
@@ -20,15 +20,15 @@
 
 // Write is work for the disk. Persisted must be called once all of it is durable, in the order in which Ready returned them.
 type Write struct {
-	Hard    *pb.HardState
-	Entries []*pb.Entry
-	Image   *pb.Snapshot // from the leader, in place of all that is stored
-	answers []*pb.Message
+	Hard             *pb.HardState
+	Entries          []*pb.Entry
+	Image            *pb.Snapshot // from the leader, in place of all that is stored
+	acknowledgements []*pb.Message
 }
 
-// Answers returns the messages to other members that may be sent once the write is durable, and not before: they acknowledge it.
-func (w *Write) Answers(own uint64) (messages []*pb.Message) {
-	for _, message := range w.answers {
+// Acknowledgements returns the messages to other members that may be sent once the write is durable, and not before: they acknowledge it.
+func (w *Write) Acknowledgements(own uint64) (messages []*pb.Message) {
+	for _, message := range w.acknowledgements {
 		if message.GetTo() != own {
 			messages = append(messages, message)
 		}
@@ -90,7 +90,7 @@
 }
 
 func writeOf(message *pb.Message) Write {
-	w := Write{Entries: message.GetEntries(), answers: message.GetResponses()}
+	w := Write{Entries: message.GetEntries(), acknowledgements: message.GetResponses()}
 	if message.Term != nil {
 		w.Hard = &pb.HardState{Term: message.Term, Vote: message.Vote, Commit: message.Commit}
 	}
@@ -141,7 +141,7 @@
 			return err
 		}
 	}
-	for _, response := range w.answers {
+	for _, response := range w.acknowledgements {
 		if response.GetTo() == m.settings.ID {
 			_ = m.node.Step(response) // from this member to itself: it is not refused
 		}
--- a/internal/node/consensus/replica/disk.go
+++ b/internal/node/consensus/replica/disk.go
@@ -77,20 +77,20 @@
 			if err := r.member.Persisted(w); err != nil {
 				r.log.Error("what was written cannot be taken", "error", err)
 			}
-			r.send(w.Answers(r.store.ID))
+			r.send(w.Acknowledgements(r.store.ID))
 		}
 	})
 	return nil
 }
 
 func (r *Replica) saveImage(image *member.Image) error {
-	snapshot, err := image.Make()
+	snapshot, err := image.Encode()
 	if err != nil {
 		return err
 	}
 	if err := r.store.Keep(snapshot, r.settings.Trail); err != nil {
 		return err
 	}
-	r.submit(func() { r.member.Kept(snapshot) })
+	r.submit(func() { r.member.ImageSaved(snapshot) })
 	return nil
 }
--- a/internal/node/consensus/replica/membership.go
+++ b/internal/node/consensus/replica/membership.go
@@ -66,7 +66,7 @@
 		return nil
 	case present.Role == statemachine.Voter && voters == 1:
 		return errors.New("it is the last that votes")
-	case leaving.ID == r.ID() && r.member.Hand():
+	case leaving.ID == r.ID() && r.member.TransferLeadership():
 		return member.ErrBusy
 	}
 	return r.member.Remove(leaving.ID)
--- a/internal/node/consensus/replica/peers.go
+++ b/internal/node/consensus/replica/peers.go
@@ -156,7 +156,7 @@
 // directory is an older copy, and a vote from there could undo what was committed.
 func (r *Replica) rejectionOf(h *transport.Hello) (reason string, final bool) {
 	m, known := r.member.State().Members().Get(h.ID)
-	match, _ := r.member.Behind(h.ID)
+	match, _ := r.member.FollowerProgress(h.ID)
 	_, committed, applied := r.member.Position()
 	acknowledged := min(match, committed)
 	var last peer
--- a/internal/node/consensus/replica/run.go
+++ b/internal/node/consensus/replica/run.go
@@ -89,7 +89,7 @@
 
 // transferLeadership transfers leadership, and waits for another member to have it and for clients to be redirected to it.
 func (r *Replica) transferLeadership() {
-	if !r.member.Leads() || !r.member.Hand() {
+	if !r.member.Leads() || !r.member.TransferLeadership() {
 		return
 	}
 	timeout := time.After(transferTimeout)
@@ -243,7 +243,7 @@
 		if sender := r.senders[m.ID]; sender != nil {
 			v.Up, v.Bytes = sender.Up()
 		}
-		v.Match, v.Heard = r.member.Behind(m.ID)
+		v.Match, v.Heard = r.member.FollowerProgress(m.ID)
 		s.Members = append(s.Members, v)
 	}
 	return s
--- a/lab/circle/size/keeper.go
+++ b/lab/circle/size/keeper.go
@@ -200,7 +200,7 @@
 		var answers []*pb.Message
 		for _, job := range jobs {
 			k.store(job)
-			answers = append(answers, job.Answers(k.id)...)
+			answers = append(answers, job.Acknowledgements(k.id)...)
 		}
 		k.take(raftWork, func() {
 			k.writing = false
@@ -238,7 +238,7 @@
 // keep makes an image last.
 func (k *keeper) keep(i *member.Image) {
 	life := k.life
-	snapshot, err := i.Make()
+	snapshot, err := i.Encode()
 	if err != nil {
 		k.w.fault("%s: %v", k.name, err)
 		return
@@ -261,7 +261,7 @@
 			s.Image = snapshot
 		}
 		k.w.result.Counts["met: an image"]++
-		k.take(raftWork, func() { k.group.Kept(snapshot) })
+		k.take(raftWork, func() { k.group.ImageSaved(snapshot) })
 	})
 }
 
--- a/lab/circle/virtual/virtual.go
+++ b/lab/circle/virtual/virtual.go
@@ -395,7 +395,7 @@
 		var answers []*pb.Message
 		for _, job := range jobs {
 			m.store(job)
-			answers = append(answers, job.Answers(m.id)...)
+			answers = append(answers, job.Acknowledgements(m.id)...)
 		}
 		m.run(func() {
 			m.busy = false
@@ -454,7 +454,7 @@
 // keep makes an image last, after what the disk has to do anyway.
 func (m *simulatedMember) keep(i *member.Image) {
 	life := m.life
-	snapshot, err := i.Make()
+	snapshot, err := i.Encode()
 	if err != nil {
 		m.w.fault("%s: %v", m.name, err)
 		return
@@ -484,7 +484,7 @@
 			s.Image = snapshot
 		}
 		m.w.counts["met: an image took the entries' place"]++
-		m.run(func() { m.group.Kept(snapshot) })
+		m.run(func() { m.group.ImageSaved(snapshot) })
 	})
 }
 
