--- a/internal/node/consensus/replica/disk.go
+++ b/internal/node/consensus/replica/disk.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.store.Keep(snapshot, r.settings.Trail); err != nil {
+	if err := r.store.SaveImage(snapshot, r.settings.Trail); err != nil {
 		return err
 	}
 	r.submit(func() { r.member.ImageSaved(snapshot) })
--- a/internal/node/consensus/replica/membership.go
+++ b/internal/node/consensus/replica/membership.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.store.Begin(image); err != nil {
+	if err := r.store.Bootstrap(image); err != nil {
 		return err
 	}
 	if err := r.openMember(); err != nil {
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return kept, err
 	}
-	if err := store.Begin(&pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: []uint64{store.ID}},
+	if err := store.Bootstrap(&pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: []uint64{store.ID}},
 		Index: new(l.Last), Term: new(uint64(1))}}); err != nil {
 		return kept, err
 	}
--- a/internal/node/consensus/storage/golden_test.go
+++ b/internal/node/consensus/storage/golden_test.go
@@ -35,18 +35,18 @@
 	want  member.Saved
 }{
 	"trimmed": {[]func(*Store) error{
-		func(s *Store) error { return s.Begin(fullImage(1, 1)) },
+		func(s *Store) error { return s.Bootstrap(fullImage(1, 1)) },
 		func(s *Store) error {
 			return s.Write([]member.Write{{Hard: hard(2, 8, 3), Entries: []*pb.Entry{entry(2, 1), entry(3, 2), fullEntry(4), entry(5, 2), entry(6, 2)}}})
 		},
-		func(s *Store) error { return s.Keep(fullImage(5, 2), 2) },
+		func(s *Store) error { return s.SaveImage(fullImage(5, 2), 2) },
 		func(s *Store) error {
 			return s.Write([]member.Write{{Entries: []*pb.Entry{fullEntry(7)}, Hard: hard(2, 8, 7)}})
 		},
 	}, member.Saved{Image: fullImage(5, 2), Hard: hard(2, 8, 7), From: &pb.Entry{Index: proto.Uint64(3), Term: proto.Uint64(2)},
 		Entries: []*pb.Entry{fullEntry(4), entry(5, 2), entry(6, 2), fullEntry(7)}}},
 	"reset": {[]func(*Store) error{
-		func(s *Store) error { return s.Begin(fullImage(1, 1)) },
+		func(s *Store) error { return s.Bootstrap(fullImage(1, 1)) },
 		func(s *Store) error {
 			return s.Write([]member.Write{{Hard: hard(1, 7, 1), Entries: []*pb.Entry{entry(2, 1)}}})
 		},
--- a/internal/node/consensus/storage/storage_test.go
+++ b/internal/node/consensus/storage/storage_test.go
@@ -57,7 +57,7 @@
 // steps are what a member does with its disk: entries, entries of a later term in place of some, an image of its own with
 // a trail, and one of the leader's in place of all.
 var steps = []func(*Store) error{
-	func(s *Store) error { return s.Begin(image(1, 1)) },
+	func(s *Store) error { return s.Bootstrap(image(1, 1)) },
 	func(s *Store) error {
 		return s.Write([]member.Write{{Hard: hard(1, 7, 1), Entries: []*pb.Entry{entry(2, 1), entry(3, 1)}}, {Entries: []*pb.Entry{entry(4, 1)}}})
 	},
@@ -68,13 +68,13 @@
 	func(s *Store) error {
 		return s.Write([]member.Write{{Entries: []*pb.Entry{entry(4, 2), entry(5, 2), entry(6, 2)}}})
 	},
-	func(s *Store) error { return s.Keep(image(5, 2), 2) },
+	func(s *Store) error { return s.SaveImage(image(5, 2), 2) },
 	func(s *Store) error {
 		return s.Write([]member.Write{{Entries: []*pb.Entry{entry(7, 2)}, Hard: hard(2, 8, 7)}})
 	},
 	func(s *Store) error { return s.Write([]member.Write{{Image: image(20, 3), Hard: hard(3, 9, 20)}}) },
 	func(s *Store) error { return s.Write([]member.Write{{Entries: []*pb.Entry{entry(21, 3)}}}) },
-	func(s *Store) error { return s.Keep(image(21, 3), 100) },
+	func(s *Store) error { return s.SaveImage(image(21, 3), 100) },
 }
 
 // savedState is what a member would go on from.
--- a/internal/node/consensus/storage/write.go
+++ b/internal/node/consensus/storage/write.go
@@ -96,8 +96,8 @@
 	return w.EndSegment()
 }
 
-// Begin makes the image that a member is bootstrapped with durable, in an empty directory.
-func (s *Store) Begin(image *pb.Snapshot) error {
+// Bootstrap makes the image that a member is bootstrapped with durable, in an empty directory.
+func (s *Store) Bootstrap(image *pb.Snapshot) error {
 	if s.saved.Image != nil {
 		return errors.New("this keeper has been founded before")
 	}
@@ -105,8 +105,8 @@
 	return s.writeImage(image)
 }
 
-// Keep makes an image durable and compacts the log: the entries before it are removed, but for the last trail of them.
-func (s *Store) Keep(image *pb.Snapshot, trail int) error {
+// SaveImage makes an image durable and compacts the log: the entries before it are removed, but for the last trail of them.
+func (s *Store) SaveImage(image *pb.Snapshot, trail int) error {
 	index := image.GetMetadata().GetIndex()
 	if index <= s.saved.Image.GetMetadata().GetIndex() {
 		return nil // a newer one came from the leader
