--- a/internal/node/consensus/replica/peers.go
+++ b/internal/node/consensus/replica/peers.go
@@ -29,7 +29,7 @@
 	name        string
 	starts      uint64 // how often it has started
 	incarnation uint64 // of its process; 0 = it has not connected
-	dial        uint64 // number of the connection since that start
+	connection  uint64 // number of the connection since that start
 	version     int    // newest statemachine.Version that it reads; 0 = not known
 }
 
@@ -141,11 +141,11 @@
 	switch {
 	case h.To != "" && h.To != r.settings.Name:
 		w.Reason = fmt.Sprintf("this is %q, not %q", r.settings.Name, h.To)
-	case h.Want != 0 && h.Want != r.store.ID: // it says this to another member: it ends no connection of its own to this one
-		w.Reason = fmt.Sprintf("this is number %x, not %x", r.store.ID, h.Want)
+	case h.WantID != 0 && h.WantID != r.store.ID: // it says this to another member: it ends no connection of its own to this one
+		w.Reason = fmt.Sprintf("this is number %x, not %x", r.store.ID, h.WantID)
 	case h.ID != 0:
 		if w.Reason, w.Final = r.rejectionOf(h); w.Reason == "" {
-			*r.peer(h.ID) = peer{name: h.Name, starts: h.Starts, incarnation: h.Life, dial: h.Dial, version: max(1, h.StateVersion)}
+			*r.peer(h.ID) = peer{name: h.Name, starts: h.Starts, incarnation: h.Incarnation, connection: h.Connection, version: max(1, h.StateVersion)}
 			r.retryNow(h.ID)
 		}
 	}
@@ -173,9 +173,9 @@
 		return fmt.Sprintf("its number is that of %q", m.Name), false
 	case h.Starts < starts:
 		return fmt.Sprintf("its directory is an older copy: it says start %d, and start %d was seen", h.Starts, starts), true
-	case h.Starts == last.starts && last.incarnation != 0 && h.Life != last.incarnation:
+	case h.Starts == last.starts && last.incarnation != 0 && h.Incarnation != last.incarnation:
 		return fmt.Sprintf("its directory is an older copy: start %d was that of another process", h.Starts), true
-	case h.Starts == last.starts && h.Dial < last.dial: // what this connection says of the member is outdated
+	case h.Starts == last.starts && h.Connection < last.connection: // what this connection says of the member is outdated
 		return "a later connection of it has come", false
 	case r.member.Leads() && acknowledged > h.Last:
 		return fmt.Sprintf("its directory is an older copy: it holds entry %d, and had %d", h.Last, acknowledged), true
@@ -265,8 +265,8 @@
 
 // dial connects to a member, on the goroutine of its sender. A final rejection ends this replica.
 func (r *Replica) dial(address, name string, id uint64, timeout time.Duration) (*transport.Conn, error) {
-	c, w, err := transport.Dial(address, transport.Hello{Fleet: r.settings.Fleet, Release: r.settings.Release, Name: r.settings.Name, To: name, Want: id,
-		ID: r.store.ID, Starts: r.store.Starts, Life: r.incarnation, Dial: r.dials.Add(1), Last: r.lastDurable.Load(), Applied: r.lastApplied.Load(),
+	c, w, err := transport.Dial(address, transport.Hello{Fleet: r.settings.Fleet, Release: r.settings.Release, Name: r.settings.Name, To: name, WantID: id,
+		ID: r.store.ID, Starts: r.store.Starts, Incarnation: r.incarnation, Connection: r.dials.Add(1), Last: r.lastDurable.Load(), Applied: r.lastApplied.Load(),
 		StateVersion: statemachine.Version}, timeout)
 	switch {
 	case errors.Is(err, transport.ErrRefused) && w.Final:
--- a/internal/node/consensus/replica/peers_test.go
+++ b/internal/node/consensus/replica/peers_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	as := func(change func(*transport.Hello)) (transport.Welcome, error) {
-		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Life: 9, Dial: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
+		h := transport.Hello{Fleet: "f", Name: other.Name, ID: other.ID, Starts: other.Starts + 1, Incarnation: 9, Connection: 1 << 40, Last: 1 << 40, Applied: 1 << 40}
 		change(&h)
 		conn, w, err := transport.Dial(address, h, config.AttemptTimeout)
 		if err == nil {
@@ -57,14 +57,14 @@
 		final  bool
 	}{
 		{"itself", func(*transport.Hello) {}, true, false},
-		{"an earlier connection that comes late", func(h *transport.Hello) { h.Dial, h.Last = 1, 0 }, false, false},
-		{"an older copy by its entries", func(h *transport.Hello) { h.Dial++; h.Last = 3 }, false, true},
-		{"an older copy that has come to the same start", func(h *transport.Hello) { h.Life = 8 }, false, true},
+		{"an earlier connection that comes late", func(h *transport.Hello) { h.Connection, h.Last = 1, 0 }, false, false},
+		{"an older copy by its entries", func(h *transport.Hello) { h.Connection++; h.Last = 3 }, false, true},
+		{"an older copy that has come to the same start", func(h *transport.Hello) { h.Incarnation = 8 }, false, true},
 		{"an older copy by its starts", func(h *transport.Hello) { h.Starts = 0 }, false, true},
 		{"another fleet", func(h *transport.Hello) { h.Fleet = "g" }, false, true},
 		{"a stranger", func(h *transport.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
 		{"a member under another name", func(h *transport.Hello) { h.Name = "x" }, false, false},
-		{"one that wants another number under this address", func(h *transport.Hello) { h.Want, h.Last = 5, 0 }, false, false},
+		{"one that wants another number under this address", func(h *transport.Hello) { h.WantID, h.Last = 5, 0 }, false, false},
 		{"one that wants another", func(h *transport.Hello) { h.To = "x" }, false, false},
 	} {
 		w, err := as(x.change)
@@ -75,7 +75,7 @@
 	require.NoError(t, c.Change(t.Context(), protocol.Remove, removed))
 	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"}) // committed after it, so that the leader has applied it
 	require.NoError(t, err)
-	w, err := as(func(h *transport.Hello) { h.Dial++ })
+	w, err := as(func(h *transport.Hello) { h.Connection++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
 	assert.True(t, w.Final)
 	assert.ErrorContains(t, c.Change(t.Context(), protocol.AddLearner, removed), "was taken out")
--- a/internal/node/consensus/transport/handshake.go
+++ b/internal/node/consensus/transport/handshake.go
@@ -17,11 +17,11 @@
 	Release      string `json:"release"` // for people
 	Name         string `json:"name"`
 	To           string `json:"to,omitempty"`      // name of the member that is wanted, "" = any
-	Want         uint64 `json:"want,omitempty"`    // its number, 0 = any
+	WantID       uint64 `json:"want,omitempty"`    // its number, 0 = any
 	ID           uint64 `json:"id,omitempty"`      // of a member, 0 = a client of the log
 	Starts       uint64 `json:"starts,omitempty"`  // how often the member has started
-	Life         uint64 `json:"life,omitempty"`    // incarnation, drawn by its process: two with the same Starts have copies of one directory
-	Dial         uint64 `json:"dial,omitempty"`    // number of this connection since the start: what an earlier one says is outdated
+	Incarnation  uint64 `json:"life,omitempty"`    // incarnation, drawn by its process: two with the same Starts have copies of one directory
+	Connection   uint64 `json:"dial,omitempty"`    // number of this connection since the start: what an earlier one says is outdated
 	Last         uint64 `json:"last,omitempty"`    // index of the last entry on its disk
 	Applied      uint64 `json:"applied,omitempty"` // index of the last entry that it has applied
 	StateVersion int    `json:"ledger,omitempty"`  // newest statemachine.Version that the member reads, 0 = the first
