--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -149,13 +149,13 @@
 	}
 	p.Base = uint64(base)
 	if n := len(p.Text); n > rollout.MaxDocumentBytes { // the log does not take a command of that size
-		return s.outcome(rollout.Outcome{Stage: rollout.Refused, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, rollout.MaxDocumentBytes)})
+		return s.outcome(rollout.Outcome{Stage: rollout.Rejected, Reason: fmt.Sprintf("it has %d bytes, %d at the most", n, rollout.MaxDocumentBytes)})
 	}
 	o, err := ask[rollout.Outcome](ctx, f, statemachine.PolicyCommand{Propose: &p})
 	if err != nil && !errors.Is(err, client.ErrUnknown) {
 		return fmt.Errorf("nothing has changed: %w", err)
 	}
-	for err == nil && wait && (o.Stage == rollout.Looking || o.Stage == rollout.Pausing) && ctx.Err() == nil {
+	for err == nil && wait && (o.Stage == rollout.Validating || o.Stage == rollout.Pausing) && ctx.Err() == nil {
 		time.Sleep(lookEvery)
 		var next rollout.Outcome
 		if next, err = question[rollout.Outcome](ctx, f, statemachine.PolicyQuestion{Outcome: p.ID}); err == nil {
@@ -170,10 +170,10 @@
 
 func (s *shell) outcome(o rollout.Outcome) error {
 	switch o.Stage {
-	case rollout.Agreed:
+	case rollout.Activated:
 		_, err := fmt.Fprintf(s.out, "linenwheel: agreed: number %d holds everywhere\n", o.Number)
 		return err
-	case rollout.Refused:
+	case rollout.Rejected:
 		return fmt.Errorf("policy: refused, nothing has changed: %s", o.Reason)
 	}
 	return fmt.Errorf("policy: %w, it is at %q: linenwheel policy status %s", errUndecided, o.Stage, o.ID)
@@ -236,7 +236,7 @@
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", d.Number, d.Hash, d.By, d.ID)
 	}
 	for _, o := range v.Ended {
-		if o.Stage == rollout.Refused {
+		if o.Stage == rollout.Rejected {
 			fmt.Fprintf(w, "refused\t-\t%s\t%s\n", o.Reason, o.ID)
 		}
 	}
--- a/internal/node/rollout/gate/gate_test.go
+++ b/internal/node/rollout/gate/gate_test.go
@@ -103,12 +103,12 @@
 	assert.Equal(t, core.Refused, a.Kind, "95%% of the lease are over")
 	assert.Equal(t, ReasonPolicy, a.Reason)
 	assert.Equal(t, 100.0, a.Wait)
-	step(rollout.Order{Number: 4, Lease: 100, Change: "p", Stage: rollout.Looking})
+	step(rollout.Order{Number: 4, Lease: 100, Change: "p", Stage: rollout.Validating})
 	assert.Equal(t, "line 3", g.holder.Report().Fault)
 	s.checkErr = nil
-	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
+	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Validating})
 	assert.Empty(t, g.holder.Report().Fault)
-	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Looking})
+	step(rollout.Order{Number: 4, Lease: 100, Change: "q", Stage: rollout.Validating})
 	assert.Equal(t, "q", s.reports[len(s.reports)-1].Looked)
 	assert.Equal(t, core.Served, call().Kind, "while it is validated")
 	step(rollout.Order{Number: 4, Change: "q", Stage: rollout.Pausing})
@@ -119,8 +119,8 @@
 	assert.Equal(t, core.Served, call().Kind)
 	assert.Equal(t, []uint64{4, 5}, s.activated)
 	s.activateErr = errors.New("line 7")
-	require.Positive(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
-	require.Zero(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Looking}))
+	require.Positive(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Validating}))
+	require.Zero(t, step(rollout.Order{Number: 6, Change: "r", Stage: rollout.Validating}))
 	assert.Equal(t, "r", g.holder.Report().Looked, "what could replace a number that it cannot activate")
 	pause, wait := g.step(context.Background())
 	require.Positive(t, pause, "without an answer it reports again after a while")
@@ -137,7 +137,7 @@
 func TestFollowsHints(t *testing.T) {
 	c, s := clock.NewManual(1000), &script{hints: make(chan rollout.Progress, 1)}
 	g := New(Settings{Name: "n", Lease: 100, MaxWait: 50, Ready: func() {}}, s, s, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.orders = []rollout.Order{{Lease: 100, Change: "p", Stage: rollout.Looking}, {Lease: 100, Change: "p", Stage: rollout.Looking}}
+	s.orders = []rollout.Order{{Lease: 100, Change: "p", Stage: rollout.Validating}, {Lease: 100, Change: "p", Stage: rollout.Validating}}
 	g.step(context.Background())
 	pause, maxWait := g.step(context.Background())
 	require.Equal(t, 20.0, pause)
@@ -146,7 +146,7 @@
 		s.hints <- n
 		return g.awaitHint(context.Background(), maxWait, pause)
 	}
-	assert.Zero(t, follow(rollout.Progress{Change: "q", Stage: rollout.Looking}), "it reports at once")
+	assert.Zero(t, follow(rollout.Progress{Change: "q", Stage: rollout.Validating}), "it reports at once")
 	assert.True(t, g.holder.Open(c.Now()))
 	assert.Zero(t, follow(rollout.Progress{Change: "p", Stage: rollout.Pausing}))
 	assert.False(t, g.holder.Open(c.Now()))
--- a/internal/node/rollout/leaseholder.go
+++ b/internal/node/rollout/leaseholder.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	lookingInterval = 20.0 // ms between two reports while a change is validated and no hint can be waited for,
-	pausingInterval = 4.0  // and in the pause, or shortly before
-	leaseFraction   = 0.95 // of a lease that is used, for clocks do not run at the same speed
+	validationInterval = 20.0 // ms between two reports while a change is validated and no hint can be waited for,
+	pauseInterval      = 4.0  // and in the pause, or shortly before
+	leaseFraction      = 0.95 // of a lease that is used, for clocks do not run at the same speed
 )
 
 // LeaseHolder is the state of a member: what it reports, and whether a call may begin. It follows orders (Obey) and hints
@@ -84,7 +84,7 @@
 func (h *LeaseHolder) Obey(sent float64, o Order) Step {
 	if o.Number != h.number {
 		h.until = 0
-		if o.Stage == Looking && h.looked != o.Change && o.Number > 0 && h.failed == o.Number {
+		if o.Stage == Validating && h.looked != o.Change && o.Number > 0 && h.failed == o.Number {
 			return Step{Look: o.Change} // else no change could end while this member is there, not even one that mends it
 		}
 		return Step{Activate: true, Number: o.Number, Hash: o.Hash}
@@ -100,16 +100,16 @@
 		h.lapsed, h.ready = false, true
 	}
 	switch {
-	case o.Stage == Looking && h.looked != o.Change:
+	case o.Stage == Validating && h.looked != o.Change:
 		s.Look, s.Pause = o.Change, 0
-	case o.Stage == Looking && o.Soon: // the pause lasts from the first member that knows of it to the last
-		s.Wait, s.Pause = s.Pause, pausingInterval
-	case o.Stage == Looking:
-		s.Wait, s.Pause = s.Pause, lookingInterval
+	case o.Stage == Validating && o.Soon: // the pause lasts from the first member that knows of it to the last
+		s.Wait, s.Pause = s.Pause, pauseInterval
+	case o.Stage == Validating:
+		s.Wait, s.Pause = s.Pause, validationInterval
 	case o.Stage == Pausing && h.paused != o.Change:
 		return h.pause(o.Change)
 	case o.Stage == Pausing:
-		s.Wait, s.Pause = h.RetryAfter(), pausingInterval
+		s.Wait, s.Pause = h.RetryAfter(), pauseInterval
 	}
 	return s
 }
@@ -130,9 +130,9 @@
 	switch {
 	case p == h.known: // nothing has changed
 		if h.paused != "" {
-			return Step{Pause: pausingInterval}
+			return Step{Pause: pauseInterval}
 		}
-		return Step{Pause: lookingInterval}
+		return Step{Pause: validationInterval}
 	case p.Number == h.number && p.Stage == Pausing && p.Change == h.looked && p.Change != h.paused:
 		return h.pause(p.Change)
 	case p.Number > h.number && h.paused != "":
@@ -145,7 +145,7 @@
 // accepted. It returns the ms until the next report.
 func (h *LeaseHolder) Saw(id string, unseen bool, fault error) (pause float64) {
 	if unseen {
-		return lookingInterval
+		return validationInterval
 	}
 	if h.looked, h.fault = id, ""; fault != nil {
 		h.fault = fault.Error()
--- a/internal/node/rollout/machine.go
+++ b/internal/node/rollout/machine.go
@@ -43,7 +43,7 @@
 	o := Order{Number: m.number, Hash: m.hash(), Lease: granted}
 	if c := m.change; c != nil {
 		o.Change, o.Stage = c.ID, c.Stage
-		o.Soon = c.Stage == Looking && m.fewLooking(c.ID)
+		o.Soon = c.Stage == Validating && m.fewUnvalidated(c.ID)
 	}
 	if r.InForce != m.number {
 		o.Lease = 0 // the next number came into force with this report
@@ -94,11 +94,11 @@
 		return o
 	}
 	refuse := func(format string, args ...any) Outcome {
-		return m.record(Outcome{ID: p.ID, Stage: Refused, Reason: fmt.Sprintf(format, args...)})
+		return m.record(Outcome{ID: p.ID, Stage: Rejected, Reason: fmt.Sprintf(format, args...)})
 	}
 	switch {
 	case p.ID == "" || len(p.ID) > maxNameBytes || len(p.By) > maxNameBytes:
-		return Outcome{ID: p.ID, Stage: Refused, Reason: "a proposal wants an id"} // not recorded: it cannot be asked for
+		return Outcome{ID: p.ID, Stage: Rejected, Reason: "a proposal wants an id"} // not recorded: it cannot be asked for
 	case len(p.Text) > MaxDocumentBytes:
 		return refuse("it has %d bytes, %d at the most", len(p.Text), MaxDocumentBytes)
 	case p.Base != m.number:
@@ -110,7 +110,7 @@
 	case m.change != nil:
 		return refuse("a change of %s is under way: %s", m.change.By, m.change.ID)
 	}
-	m.change = &Change{Document{ID: p.ID, By: p.By, Hash: Hash(p.Text), Text: p.Text}, Looking, now}
+	m.change = &Change{Document{ID: p.ID, By: p.By, Hash: Hash(p.Text), Text: p.Text}, Validating, now}
 	m.advance(now)
 	o, _ := m.Outcome(p.ID)
 	return o
@@ -153,13 +153,13 @@
 	if c == nil {
 		return
 	}
-	if c.Stage == Looking {
+	if c.Stage == Validating {
 		looked := func(member Member) bool { return member.Looked == c.ID }
 		switch {
 		case m.all(looked):
 			c.Stage, c.Since = Pausing, now
-		case now-c.Since > lookingTimeoutMillis:
-			m.refuse(fmt.Sprintf("%s has not looked at it in %.0f s", m.firstWithout(looked), lookingTimeoutMillis/1000))
+		case now-c.Since > validationTimeoutMillis:
+			m.refuse(fmt.Sprintf("%s has not looked at it in %.0f s", m.firstWithout(looked), validationTimeoutMillis/1000))
 			return
 		}
 	}
@@ -170,8 +170,8 @@
 	switch {
 	case m.all(paused):
 		m.activate(now)
-	case now-c.Since > pausingTimeoutMillis:
-		m.refuse(fmt.Sprintf("%s has not stopped in %.0f s: linenwheel policy dead declares it dead, if it is", m.firstWithout(paused), pausingTimeoutMillis/1000))
+	case now-c.Since > pauseTimeoutMillis:
+		m.refuse(fmt.Sprintf("%s has not stopped in %.0f s: linenwheel policy dead declares it dead, if it is", m.firstWithout(paused), pauseTimeoutMillis/1000))
 	}
 }
 
@@ -183,7 +183,7 @@
 	m.docs = append(m.docs, d)
 	m.docs = m.docs[max(0, len(m.docs)-Kept):]
 	m.change = nil
-	m.record(Outcome{ID: d.ID, Stage: Agreed, Number: m.number})
+	m.record(Outcome{ID: d.ID, Stage: Activated, Number: m.number})
 	for key, member := range m.members {
 		member.Until = 0
 		m.members[key] = member
@@ -191,13 +191,13 @@
 	m.nextExpiry = 0
 }
 
-// fewLooking reports whether at most soonThreshold members have not validated a proposal. It stops counting beyond: a report
+// fewUnvalidated reports whether at most soonThreshold members have not validated a proposal. It stops counting beyond: a report
 // costs little while there are many.
-func (m *Machine) fewLooking(id string) bool {
+func (m *Machine) fewUnvalidated(id string) bool {
 	missing := 0
 	for _, member := range m.members {
 		if member.Looked != id {
-			if missing++; missing > soonThreshold {
+			if missing++; missing > pauseNearThreshold {
 				return false
 			}
 		}
@@ -229,7 +229,7 @@
 func (m *Machine) refuse(reason string) {
 	id := m.change.ID
 	m.change = nil
-	m.record(Outcome{ID: id, Stage: Refused, Reason: reason})
+	m.record(Outcome{ID: id, Stage: Rejected, Reason: reason})
 }
 
 // record remembers the outcome of a proposal.
--- a/internal/node/rollout/machine_test.go
+++ b/internal/node/rollout/machine_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	switch o.Stage {
-	case Looking:
+	case Validating:
 		n.looked = o.Change
 		if planted == activatesEarly {
 			n.number, n.until = o.Number+1, sent+lease
@@ -197,12 +197,12 @@
 	report := reporter(t, m)
 	report(0, Report{Node: "a"})
 	report(0, Report{Node: "b"})
-	assert.Equal(t, Looking, m.Propose(1, Proposal{ID: "1", Text: "x", By: "ann"}).Stage)
+	assert.Equal(t, Validating, m.Propose(1, Proposal{ID: "1", Text: "x", By: "ann"}).Stage)
 	assert.Contains(t, m.Propose(2, Proposal{ID: "2", Text: "y", By: "bob"}).Reason, "a change of ann is under way")
 	report(3, Report{Node: "a", Looked: "1"})
 	report(4, Report{Node: "b", Looked: "1", Fault: "policy:3:1: quota.requests: too much"})
 	o, _ := m.Outcome("1")
-	assert.Equal(t, Outcome{ID: "1", Stage: Refused, Reason: "b cannot take it: policy:3:1: quota.requests: too much"}, o)
+	assert.Equal(t, Outcome{ID: "1", Stage: Rejected, Reason: "b cannot take it: policy:3:1: quota.requests: too much"}, o)
 	assert.Zero(t, m.Number())
 	m.Propose(5, Proposal{ID: "3", Text: "z", By: "ann"})
 	report(6, Report{Node: "a", Looked: "3"})
@@ -235,7 +235,7 @@
 	m.Propose(1, Proposal{ID: "1", Text: "x"})
 	report(2, Report{Node: "a", Looked: "1"})
 	for at := 500.0; at < 14000; at += 500 {
-		assert.Equal(t, Looking, report(at, Report{Node: "a", Looked: "1"}).Stage)
+		assert.Equal(t, Validating, report(at, Report{Node: "a", Looked: "1"}).Stage)
 	}
 	assert.Equal(t, 1, m.Dead(14000, "g"))
 	assert.Equal(t, Pausing, report(14001, Report{Node: "a", Looked: "1"}).Stage)
@@ -259,12 +259,12 @@
 // that is proposed to replace it: no change could end while it is there.
 func TestValidatesThoughActivationFails(t *testing.T) {
 	h := NewLeaseHolder("a", 1, 1000, false)
-	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(0, Order{Number: 2, Change: "p", Stage: Looking}))
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(0, Order{Number: 2, Change: "p", Stage: Validating}))
 	assert.Equal(t, h.RetryAfter(), h.Failed(2))
-	assert.Equal(t, Step{Look: "p"}, h.Obey(1, Order{Number: 2, Change: "p", Stage: Looking}))
+	assert.Equal(t, Step{Look: "p"}, h.Obey(1, Order{Number: 2, Change: "p", Stage: Validating}))
 	assert.Zero(t, h.Saw("p", false, nil))
 	assert.Equal(t, "p", h.Report().Looked)
-	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Looking}), "the number in force is tried again")
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Validating}), "the number in force is tried again")
 	assert.False(t, h.Open(3))
 }
 
@@ -273,8 +273,8 @@
 func TestReportsQuicklyBeforeThePause(t *testing.T) {
 	h := NewLeaseHolder("a", 1, 1000, false)
 	h.Saw("p", false, nil)
-	assert.Equal(t, lookingInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking}).Pause)
-	assert.Equal(t, pausingInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking, Soon: true}).Pause)
+	assert.Equal(t, validationInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating}).Pause)
+	assert.Equal(t, pauseInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating, Soon: true}).Pause)
 	m := New()
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		_, err := m.Report(0, Report{Node: name, Lease: 1000})
@@ -294,7 +294,7 @@
 func TestHintsNeverLetCallsBegin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, now, change := NewLeaseHolder("n", 1, 1000, rapid.Bool().Draw(t, "goes on")), 0.0, rapid.SampledFrom([]string{"", "p", "q"})
-		stage, number := rapid.SampledFrom([]Stage{"", Looking, Pausing}), rapid.Uint64Range(0, 2)
+		stage, number := rapid.SampledFrom([]Stage{"", Validating, Pausing}), rapid.Uint64Range(0, 2)
 		for range 20 {
 			now += rapid.Float64Range(0, 400).Draw(t, "time")
 			_, _, until := h.InForce()
@@ -313,12 +313,12 @@
 		}
 	})
 	h := NewLeaseHolder("n", 1, 1000, false)
-	h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Looking})
+	h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating})
 	h.Saw("p", false, nil)
-	s := h.Obey(1, Order{Lease: 1000, Change: "p", Stage: Looking})
+	s := h.Obey(1, Order{Lease: 1000, Change: "p", Stage: Validating})
 	assert.Greater(t, s.Wait, 300.0)
-	assert.Equal(t, Progress{0, "", "p", Looking}, h.Known())
-	assert.Equal(t, Step{Pause: lookingInterval}, h.Observe(h.Known()))
+	assert.Equal(t, Progress{0, "", "p", Validating}, h.Known())
+	assert.Equal(t, Step{Pause: validationInterval}, h.Observe(h.Known()))
 	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "q", Pausing}), "it has not validated that one")
 	assert.Equal(t, Step{}, h.Observe(Progress{1, "", "", ""}), "it has not paused")
 	assert.True(t, h.Open(2))
@@ -326,8 +326,8 @@
 	assert.Equal(t, "p", h.Report().Paused)
 	assert.False(t, h.Open(2))
 	s = h.Obey(3, Order{Change: "p", Stage: Pausing})
-	assert.Equal(t, Step{Pause: pausingInterval, Wait: 100}, s)
-	assert.Equal(t, Step{Pause: pausingInterval}, h.Observe(h.Known()))
+	assert.Equal(t, Step{Pause: pauseInterval, Wait: 100}, s)
+	assert.Equal(t, Step{Pause: pauseInterval}, h.Observe(h.Known()))
 	assert.Equal(t, Step{Activate: true, Number: 1, Hash: "x"}, h.Observe(Progress{1, "x", "", ""}))
 	assert.False(t, h.Open(4))
 	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "", ""}), "it was refused: an order renews the lease")
@@ -352,9 +352,9 @@
 	m, reportAgain := machineOf(4000)
 	reportAgain()
 	assert.Equal(t, 1e6+2000, m.nextExpiry, "until then no member is checked for its expiry")
-	require.Equal(t, Looking, m.Propose(1e6+1, Proposal{ID: "a change"}).Stage)
+	require.Equal(t, Validating, m.Propose(1e6+1, Proposal{ID: "a change"}).Stage)
 	small, reportToFew := machineOf(4)
-	require.Equal(t, Looking, small.Propose(1e6+1, Proposal{ID: "a change"}).Stage)
+	require.Equal(t, Validating, small.Propose(1e6+1, Proposal{ID: "a change"}).Stage)
 	assert.LessOrEqual(t, testing.AllocsPerRun(100, reportAgain), testing.AllocsPerRun(100, reportToFew), "while a change is validated")
 }
 
@@ -368,14 +368,14 @@
 	m.Propose(1, Proposal{ID: "1", Text: "x"})
 	report(2, Report{Node: "g", GoesOn: true, Looked: "1"})
 	assert.Equal(t, Pausing, report(3, Report{Node: "a", Looked: "1"}).Stage)
-	for at := 4.0; at < pausingTimeoutMillis; at += 500 {
+	for at := 4.0; at < pauseTimeoutMillis; at += 500 {
 		o := report(at, Report{Node: "a", Looked: "1", Paused: "1"})
 		assert.Equal(t, Pausing, o.Stage)
 		assert.Zero(t, o.Lease)
 	}
-	assert.Equal(t, 1000.0, report(pausingTimeoutMillis+4, Report{Node: "a", Looked: "1", Paused: "1"}).Lease)
+	assert.Equal(t, 1000.0, report(pauseTimeoutMillis+4, Report{Node: "a", Looked: "1", Paused: "1"}).Lease)
 	o, _ := m.Outcome("1")
-	assert.Equal(t, Refused, o.Stage)
+	assert.Equal(t, Rejected, o.Stage)
 	assert.Contains(t, o.Reason, "g has not stopped in 10 s: linenwheel policy dead")
 	assert.Zero(t, m.Number())
 }
--- a/internal/node/rollout/rollout.go
+++ b/internal/node/rollout/rollout.go
@@ -33,10 +33,10 @@
 	MinLease         = 100.0  // ms
 	MaxLease         = 8000.0 // ms
 
-	maxNameBytes         = 128
-	lookingTimeoutMillis = 15000.0 // for all live members to validate a document,
-	pausingTimeoutMillis = 10000.0 // and for all to pause: then the change is refused, and the old number stays in force
-	soonThreshold        = 3       // members that have not validated yet when all begin to report quickly
+	maxNameBytes            = 128
+	validationTimeoutMillis = 15000.0 // for all live members to validate a document,
+	pauseTimeoutMillis      = 10000.0 // and for all to pause: then the change is refused, and the old number stays in force
+	pauseNearThreshold      = 3       // members that have not validated yet when all begin to report quickly
 )
 
 // Document is a policy with its number.
@@ -57,10 +57,10 @@
 
 // The stages.
 const (
-	Looking Stage = "looking" // each live member validates the document
-	Pausing Stage = "pausing" // each live member stops beginning calls
-	Agreed  Stage = "agreed"  // it is in force, under Outcome.Number
-	Refused Stage = "refused" // nothing changed
+	Validating Stage = "looking" // each live member validates the document
+	Pausing    Stage = "pausing" // each live member stops beginning calls
+	Activated  Stage = "agreed"  // it is in force, under Outcome.Number
+	Rejected   Stage = "refused" // nothing changed
 )
 
 // Change is a change in progress.
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -44,7 +44,7 @@
 func TestEncodedWordsKeepTheirForm(t *testing.T) {
 	words := []any{ComponentMembers, ComponentRegister, ComponentCalls, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, OK, Conflict, Invalid, Full, SessionLost, Voter, Learner, Removed,
 		ClaimGranted, ClaimRunning, ClaimReplayed, ClaimExecuted, ClaimInDoubt, ClaimMismatch, ClaimFull, ClaimUnknown, OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt,
-		rollout.Looking, rollout.Pausing, rollout.Agreed, rollout.Refused}
+		rollout.Validating, rollout.Pausing, rollout.Activated, rollout.Rejected}
 	golden.Check(t, "words", fmt.Append(nil, words))
 }
 
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -413,9 +413,9 @@
 			n.read("propose", statemachine.ComponentPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
 				var o rollout.Outcome
 				switch {
-				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Looking || o.Stage == rollout.Pausing:
+				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Validating || o.Stage == rollout.Pausing:
 					n.after(lookingPause, again)
-				case o.Stage == rollout.Agreed:
+				case o.Stage == rollout.Activated:
 					n.w.result.Took = n.w.now - began
 				default:
 					n.w.fault("the change of policy was refused: %s", o.Reason)
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -406,16 +406,16 @@
 			r, err := p.log.Do(one, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
 			stop()
 			var o rollout.Outcome
-			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == rollout.Agreed || o.Stage == rollout.Refused) {
+			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == rollout.Activated || o.Stage == rollout.Rejected) {
 				p.mu.Lock()
 				p.result.Changes[string(o.Stage)]++
 				for i := range p.brief {
-					if p.brief[i].to.IsZero() && o.Stage == rollout.Agreed && windows != "1s" {
+					if p.brief[i].to.IsZero() && o.Stage == rollout.Activated && windows != "1s" {
 						p.brief[i].to = time.Now()
 					}
 				}
 				p.mu.Unlock()
-				if o.Stage == rollout.Agreed {
+				if o.Stage == rollout.Activated {
 					number = o.Number
 				}
 				break
--- a/lab/policies/documents_test.go
+++ b/lab/policies/documents_test.go
@@ -45,12 +45,12 @@
 	number := uint64(0)
 	propose := func(text string) (o rollout.Outcome) {
 		p := rollout.Proposal{ID: fmt.Sprint("p", time.Now().UnixNano()), Text: text, Base: number, By: "the lab"}
-		for o.Stage = rollout.Looking; (o.Stage == rollout.Looking || o.Stage == rollout.Pausing) && ctx.Err() == nil; {
+		for o.Stage = rollout.Validating; (o.Stage == rollout.Validating || o.Stage == rollout.Pausing) && ctx.Err() == nil; {
 			r, err := log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p})
 			require.NoError(t, err)
 			require.NoError(t, json.Unmarshal(r.Body, &o))
 		}
-		if o.Stage == rollout.Agreed {
+		if o.Stage == rollout.Activated {
 			number = o.Number
 		}
 		return o
@@ -80,12 +80,12 @@
 			return 429
 		}
 	}
-	require.Equal(t, rollout.Agreed, propose(document(1)).Stage)
+	require.Equal(t, rollout.Activated, propose(document(1)).Stage)
 	all("the first", oneOf(1))
 	_, err = log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &rollout.Proposal{ID: "long", Text: strings.Repeat("#", 1<<20), Base: 1}})
 	require.ErrorIs(t, err, client.ErrRefused)
 	o := propose("[quota]\n\nrequests = -1\n")
-	assert.Equal(t, rollout.Refused, o.Stage)
+	assert.Equal(t, rollout.Rejected, o.Stage)
 	assert.Regexp(t, `^n\d cannot take it: policy [0-9a-f]+:3:1: quota.requests: `, o.Reason)
 	o = propose("[log]\nlevel = \"debug\"\n")
 	assert.Regexp(t, `^n\d cannot take it: policy [0-9a-f]+:2:1: log.level: is no policy`, o.Reason)
@@ -112,12 +112,12 @@
 	none := "[quota]\nrequests = 100000\n[[quota.node]]\nname = \"morava\"\nceiling_requests = 0.000001\nborrows = false\nburst = \"1ms\"\n" +
 		"[[quota.node]]\nname = \"vltava\"\nceiling_requests = 0.000001\nborrows = false\nburst = \"1ms\"\n"
 	o = propose(none)
-	require.Equal(t, rollout.Agreed, o.Stage, o.Reason)
+	require.Equal(t, rollout.Activated, o.Stage, o.Reason)
 	all("one that refuses every call", every(429))
-	require.Equal(t, rollout.Agreed, propose(document(1)).Stage)
+	require.Equal(t, rollout.Activated, propose(document(1)).Stage)
 	all("taken back", oneOf(1))
 	hup("info", 100000)
-	require.Equal(t, rollout.Agreed, propose("").Stage)
+	require.Equal(t, rollout.Activated, propose("").Stage)
 	all("an empty one: each node's own file", every(200))
 	nodes[1].Kill()
 	require.NoError(t, nodes[1].Start(ctx))
--- a/lab/policies/policies.go
+++ b/lab/policies/policies.go
@@ -74,7 +74,7 @@
 }
 
 // The steps of a change that faults are made in. Looking and pausing are known from outside some ms late.
-var steps = []string{"proposed", string(rollout.Looking), string(rollout.Pausing), "over"}
+var steps = []string{"proposed", string(rollout.Validating), string(rollout.Pausing), "over"}
 
 var tenants = [2]string{"vltava", "morava"} // admitted by even, odd numbers
 
@@ -256,7 +256,7 @@
 		}
 		p.mu.Lock()
 		switch o.Stage {
-		case rollout.Agreed:
+		case rollout.Activated:
 			p.result.Agreed++
 			p.number.Store(o.Number)
 			p.result.ChangeMs = append(p.result.ChangeMs, float64(time.Since(began))/1e6)
@@ -265,7 +265,7 @@
 				return fmt.Errorf("%s became number %d, not %d", id, o.Number, number)
 			}
 			return nil
-		case rollout.Refused:
+		case rollout.Rejected:
 			p.result.Refused++
 			p.mu.Unlock()
 			return nil
--- a/lab/policies/virtual/virtual.go
+++ b/lab/policies/virtual/virtual.go
@@ -179,7 +179,7 @@
 		under = c.ID
 	}
 	w.after(w.bound(), func() {
-		if o, ok := w.log.machine.Outcome(under); ok && (o.Stage == rollout.Looking || o.Stage == rollout.Pausing) {
+		if o, ok := w.log.machine.Outcome(under); ok && (o.Stage == rollout.Validating || o.Stage == rollout.Pausing) {
 			w.fault("%s is still %s after the last fault", under, o.Stage)
 		}
 		last := &operator{w: w, name: "the last", last: true}
@@ -255,7 +255,7 @@
 	}
 	dies := rollout.Stage("")
 	if !o.last && w.set.Faults > 0 && w.luck.IntN(3) == 0 {
-		dies = []rollout.Stage{proposed, rollout.Looking, rollout.Pausing}[w.luck.IntN(3)]
+		dies = []rollout.Stage{proposed, rollout.Validating, rollout.Pausing}[w.luck.IntN(3)]
 	}
 	o.ask(rollout.Proposal{ID: id, Text: text, Base: o.base, By: o.name}, dies)
 }
@@ -271,12 +271,12 @@
 	w.log.ask(&command{propose: &p, told: func(c *command) {
 		end := c.outcome
 		switch end.Stage {
-		case rollout.Agreed:
+		case rollout.Activated:
 			o.base = end.Number
 			if o.last {
 				o.agreed = end.Number
 			}
-		case rollout.Refused:
+		case rollout.Rejected:
 			o.base, o.reason = w.log.machine.Number(), end.Reason
 		default:
 			if dies == end.Stage {
