--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -217,7 +217,7 @@
 		case m.Until > 0:
 			lease = "yes"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%x\n", m.Node, m.InForce, lease, m.Looked, m.Paused, m.Life)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%x\n", m.Node, m.InForce, lease, m.Validated, m.Paused, m.Incarnation)
 	}
 	return w.Flush()
 }
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -75,14 +75,14 @@
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "a", Address: address}}, AttemptTimeout: lookEvery * 20})
 	defer log.Close()
 	say := func(r rollout.Report) {
-		r.Node, r.Life, r.InForce, r.Lease, r.GoesOn = "n", 1, 4, rollout.MaxLease, true // it does not go, however slow this machine is
+		r.Node, r.Incarnation, r.InForce, r.Lease, r.WithoutLease = "n", 1, 4, rollout.MaxLease, true // it does not go, however slow this machine is
 		_, err := log.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &r})
 		require.NoError(t, err)
 	}
 	say(rollout.Report{})
 	call(1, `it is at "looking": linenwheel policy status p5`, "policy", "propose", "-wait=false", "-id", "p5", one)
 	call(1, "a change of ", "policy", "propose", two)
-	say(rollout.Report{Looked: "p5", Fault: "policy:2:1: quota.requests: too few"})
+	say(rollout.Report{Validated: "p5", Rejection: "policy:2:1: quota.requests: too few"})
 	call(1, "nothing has changed: n cannot take it: policy:2:1: quota.requests: too few", "policy", "status", "p5")
 	call(0, "n cannot take it", "policy", "history")
 	call(0, "1 processes of n are taken for dead", "policy", "dead", "n")
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -40,11 +40,11 @@
 
 // Settings are the parameters of a gate. Times are in ms.
 type Settings struct {
-	Name    string
-	Lease   float64
-	MaxWait float64 // that a call waits for a lease
-	GoesOn  bool    // calls begin without a lease too
-	Ready   func()  // called once, when the first policy is in force
+	Name         string
+	Lease        float64
+	MaxWait      float64 // that a call waits for a lease
+	WithoutLease bool    // calls begin without a lease too
+	Ready        func()  // called once, when the first policy is in force
 }
 
 // Gate lets calls begin. Its methods may be called from any goroutine.
@@ -65,7 +65,7 @@
 // New returns a gate. It lets no call begin before Run has an order from the fleet.
 func New(settings Settings, fleet Fleet, node Node, c clock.Clock, log *slog.Logger) *Gate {
 	return &Gate{settings: settings, fleet: fleet, node: node, clock: c, log: log, change: make(chan struct{}),
-		holder: rollout.NewLeaseHolder(settings.Name, rand.Uint64()>>1|1, settings.Lease, settings.GoesOn)}
+		holder: rollout.NewLeaseHolder(settings.Name, rand.Uint64()>>1|1, settings.Lease, settings.WithoutLease)}
 }
 
 // Wrap is a core.Stage: it returns a handler that lets calls begin only while there is a lease.
--- a/internal/node/rollout/golden_test.go
+++ b/internal/node/rollout/golden_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, i.Outcomes, m.outcomes)
 	require.Len(t, m.members, len(i.Members))
 	for _, member := range i.Members {
-		require.Equal(t, member, m.members[memberKey(member.Node, member.Life)])
+		require.Equal(t, member, m.members[memberKey(member.Node, member.Incarnation)])
 	}
 	text, err := m.Freeze()()
 	require.NoError(t, err)
--- a/internal/node/rollout/leaseholder.go
+++ b/internal/node/rollout/leaseholder.go
@@ -12,21 +12,21 @@
 // (Observe). Times are in ms on the member's own clock, which must never go back, and go on while the process stands still.
 // Its methods must not be called concurrently.
 type LeaseHolder struct {
-	name   string
-	life   uint64
-	lease  float64 // requested, ms
-	goesOn bool    // calls begin without a lease too
-
-	number uint64 // in force
-	hash   string
-	failed uint64   // the number that could not be activated, 0 = none
-	until  float64  // until when calls may begin
-	looked string   // ID of the proposal that was validated,
-	fault  string   // and why it is rejected
-	paused string   // ID of the proposal that calls are paused for
-	known  Progress // as of the last order
-	ready  bool     // there was a lease
-	lapsed bool     // it was reported that the lease has expired
+	name         string
+	incarnation  uint64
+	lease        float64 // requested, ms
+	withoutLease bool    // calls begin without a lease too
+
+	number    uint64 // in force
+	hash      string
+	failed    uint64   // the number that could not be activated, 0 = none
+	until     float64  // until when calls may begin
+	validated string   // ID of the proposal that was validated,
+	rejection string   // and why it is rejected
+	paused    string   // ID of the proposal that calls are paused for
+	known     Progress // as of the last order
+	ready     bool     // there was a lease
+	lapsed    bool     // it was reported that the lease has expired
 }
 
 // Step is what a member does next. What is set is done in this order: Activate or Look, then Wait or Pause.
@@ -45,7 +45,7 @@
 // NewLeaseHolder returns a lease holder that lets no call begin yet. lease is in ms. With goesOn, calls begin without a lease too,
 // once there was one.
 func NewLeaseHolder(name string, life uint64, lease float64, goesOn bool) *LeaseHolder {
-	return &LeaseHolder{name: name, life: life, lease: lease, goesOn: goesOn}
+	return &LeaseHolder{name: name, incarnation: life, lease: lease, withoutLease: goesOn}
 }
 
 // Open reports whether a call may begin.
@@ -58,13 +58,13 @@
 
 // Report returns the next report.
 func (h *LeaseHolder) Report() Report {
-	return Report{Node: h.name, Life: h.life, InForce: h.number, Lease: h.lease, GoesOn: h.goesOn, Looked: h.looked, Fault: h.fault, Paused: h.paused}
+	return Report{Node: h.name, Incarnation: h.incarnation, InForce: h.number, Lease: h.lease, WithoutLease: h.withoutLease, Validated: h.validated, Rejection: h.rejection, Paused: h.paused}
 }
 
 // Leave lets no call begin any more, and returns the last report.
 func (h *LeaseHolder) Leave() Report {
 	h.until = 0
-	return Report{Node: h.name, Life: h.life, InForce: h.number, Leaves: true}
+	return Report{Node: h.name, Incarnation: h.incarnation, InForce: h.number, Leaving: true}
 }
 
 // RetryAfter returns the ms after which to retry what has failed, and to ask again for a hint that has not come.
@@ -84,7 +84,7 @@
 func (h *LeaseHolder) Obey(sent float64, o Order) Step {
 	if o.Number != h.number {
 		h.until = 0
-		if o.Stage == Validating && h.looked != o.Change && o.Number > 0 && h.failed == o.Number {
+		if o.Stage == Validating && h.validated != o.Change && o.Number > 0 && h.failed == o.Number {
 			return Step{Look: o.Change} // else no change could end while this member is there, not even one that mends it
 		}
 		return Step{Activate: true, Number: o.Number, Hash: o.Hash}
@@ -93,16 +93,16 @@
 	s := Step{Pause: h.lease / 3}
 	if o.Lease > 0 && o.Stage != Pausing {
 		h.paused, h.until = "", sent+leaseFraction*o.Lease
-		if h.goesOn {
+		if h.withoutLease {
 			h.until = math.Inf(1)
 		}
 		s.Renewed, s.Known = h.lapsed, !h.ready
 		h.lapsed, h.ready = false, true
 	}
 	switch {
-	case o.Stage == Validating && h.looked != o.Change:
+	case o.Stage == Validating && h.validated != o.Change:
 		s.Look, s.Pause = o.Change, 0
-	case o.Stage == Validating && o.Soon: // the pause lasts from the first member that knows of it to the last
+	case o.Stage == Validating && o.PauseNear: // the pause lasts from the first member that knows of it to the last
 		s.Wait, s.Pause = s.Pause, pauseInterval
 	case o.Stage == Validating:
 		s.Wait, s.Pause = s.Pause, validationInterval
@@ -116,7 +116,7 @@
 
 // pause lets no call begin, for a change.
 func (h *LeaseHolder) pause(id string) Step {
-	h.until, h.looked, h.fault, h.paused = 0, id, "", id
+	h.until, h.validated, h.rejection, h.paused = 0, id, "", id
 	return Step{Paused: true}
 }
 
@@ -133,7 +133,7 @@
 			return Step{Pause: pauseInterval}
 		}
 		return Step{Pause: validationInterval}
-	case p.Number == h.number && p.Stage == Pausing && p.Change == h.looked && p.Change != h.paused:
+	case p.Number == h.number && p.Stage == Pausing && p.Change == h.validated && p.Change != h.paused:
 		return h.pause(p.Change)
 	case p.Number > h.number && h.paused != "":
 		return Step{Activate: true, Number: p.Number, Hash: p.Hash}
@@ -147,15 +147,15 @@
 	if unseen {
 		return validationInterval
 	}
-	if h.looked, h.fault = id, ""; fault != nil {
-		h.fault = fault.Error()
+	if h.validated, h.rejection = id, ""; fault != nil {
+		h.rejection = fault.Error()
 	}
 	return 0
 }
 
 // Activated records that a number is in force.
 func (h *LeaseHolder) Activated(number uint64, hash string) {
-	h.number, h.hash, h.failed, h.looked, h.fault, h.paused, h.lapsed = number, hash, 0, "", "", "", false
+	h.number, h.hash, h.failed, h.validated, h.rejection, h.paused, h.lapsed = number, hash, 0, "", "", "", false
 }
 
 // Failed records that a number could not be activated: it is tried again, and what is proposed meanwhile is validated. It returns
--- a/internal/node/rollout/machine.go
+++ b/internal/node/rollout/machine.go
@@ -28,12 +28,12 @@
 		return Order{}, fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", maxNameBytes, MinLease, MaxLease)
 	}
 	m.Tick(now)
-	key := memberKey(r.Node, r.Life)
+	key := memberKey(r.Node, r.Incarnation)
 	member, known := m.members[key]
 	if !known && len(m.members) >= MaxMembers {
 		return Order{}, fmt.Errorf("there are %d members", len(m.members))
 	}
-	member.Node, member.Life, member.InForce = r.Node, r.Life, r.InForce
+	member.Node, member.Incarnation, member.InForce = r.Node, r.Incarnation, r.InForce
 	member.Live = max(member.Live, now+r.Lease)
 	granted := m.renewLease(now, &member, &r)
 	m.applyToChange(&member, &r)
@@ -43,7 +43,7 @@
 	o := Order{Number: m.number, Hash: m.hash(), Lease: granted}
 	if c := m.change; c != nil {
 		o.Change, o.Stage = c.ID, c.Stage
-		o.Soon = c.Stage == Validating && m.fewUnvalidated(c.ID)
+		o.PauseNear = c.Stage == Validating && m.fewUnvalidated(c.ID)
 	}
 	if r.InForce != m.number {
 		o.Lease = 0 // the next number came into force with this report
@@ -55,7 +55,7 @@
 // granted, ms. A lease is never shortened: the member goes by the longest one that it was told of.
 func (m *Machine) renewLease(now float64, member *Member, r *Report) (granted float64) {
 	switch {
-	case r.Leaves:
+	case r.Leaving:
 		member.Until, member.Live = 0, 0
 		return 0
 	case r.InForce != m.number || r.Lease == 0: // it has to activate the number first
@@ -64,7 +64,7 @@
 		return 0
 	}
 	member.Until = max(member.Until, now+r.Lease)
-	if r.GoesOn {
+	if r.WithoutLease {
 		member.Until = Forever
 	}
 	return r.Lease
@@ -76,9 +76,9 @@
 	if c == nil {
 		return
 	}
-	if r.Looked == c.ID {
-		if member.Looked = c.ID; r.Fault != "" {
-			m.refuse(fmt.Sprintf("%s cannot take it: %s", r.Node, r.Fault))
+	if r.Validated == c.ID {
+		if member.Validated = c.ID; r.Rejection != "" {
+			m.refuse(fmt.Sprintf("%s cannot take it: %s", r.Node, r.Rejection))
 			return
 		}
 	}
@@ -154,7 +154,7 @@
 		return
 	}
 	if c.Stage == Validating {
-		looked := func(member Member) bool { return member.Looked == c.ID }
+		looked := func(member Member) bool { return member.Validated == c.ID }
 		switch {
 		case m.all(looked):
 			c.Stage, c.Since = Pausing, now
@@ -196,7 +196,7 @@
 func (m *Machine) fewUnvalidated(id string) bool {
 	missing := 0
 	for _, member := range m.members {
-		if member.Looked != id {
+		if member.Validated != id {
 			if missing++; missing > pauseNearThreshold {
 				return false
 			}
--- a/internal/node/rollout/machine_test.go
+++ b/internal/node/rollout/machine_test.go
@@ -88,8 +88,8 @@
 		}
 		sent := now
 		now += rapid.Float64Range(0, 15).Draw(t, "there")
-		o, err := m.Report(now, Report{Node: n.name, Life: n.life, InForce: n.number, Lease: lease, Looked: n.looked, Paused: n.paused,
-			Fault: map[bool]string{true: "line 1: it does not suit"}[n.refuses && n.looked != ""]})
+		o, err := m.Report(now, Report{Node: n.name, Incarnation: n.life, InForce: n.number, Lease: lease, Validated: n.looked, Paused: n.paused,
+			Rejection: map[bool]string{true: "line 1: it does not suit"}[n.refuses && n.looked != ""]})
 		require.NoError(t, err)
 		now += rapid.Float64Range(0, 15).Draw(t, "back")
 		if lost {
@@ -183,7 +183,7 @@
 func reporter(t *testing.T, m *Machine) func(now float64, r Report) Order {
 	t.Helper()
 	return func(now float64, r Report) Order {
-		r.Life, r.Lease = 1, 1000
+		r.Incarnation, r.Lease = 1, 1000
 		o, err := m.Report(now, r)
 		require.NoError(t, err)
 		return o
@@ -199,17 +199,17 @@
 	report(0, Report{Node: "b"})
 	assert.Equal(t, Validating, m.Propose(1, Proposal{ID: "1", Text: "x", By: "ann"}).Stage)
 	assert.Contains(t, m.Propose(2, Proposal{ID: "2", Text: "y", By: "bob"}).Reason, "a change of ann is under way")
-	report(3, Report{Node: "a", Looked: "1"})
-	report(4, Report{Node: "b", Looked: "1", Fault: "policy:3:1: quota.requests: too much"})
+	report(3, Report{Node: "a", Validated: "1"})
+	report(4, Report{Node: "b", Validated: "1", Rejection: "policy:3:1: quota.requests: too much"})
 	o, _ := m.Outcome("1")
 	assert.Equal(t, Outcome{ID: "1", Stage: Rejected, Reason: "b cannot take it: policy:3:1: quota.requests: too much"}, o)
 	assert.Zero(t, m.Number())
 	m.Propose(5, Proposal{ID: "3", Text: "z", By: "ann"})
-	report(6, Report{Node: "a", Looked: "3"})
-	assert.Equal(t, Pausing, report(7, Report{Node: "b", Looked: "3"}).Stage)
-	assert.Zero(t, report(8, Report{Node: "a", Looked: "3", Paused: "3"}).Number, "b has not paused")
-	assert.Zero(t, report(900, Report{Node: "a", Looked: "3", Paused: "3"}).Lease)
-	got := report(1008, Report{Node: "a", Looked: "3", Paused: "3"}) // the lease of b has expired
+	report(6, Report{Node: "a", Validated: "3"})
+	assert.Equal(t, Pausing, report(7, Report{Node: "b", Validated: "3"}).Stage)
+	assert.Zero(t, report(8, Report{Node: "a", Validated: "3", Paused: "3"}).Number, "b has not paused")
+	assert.Zero(t, report(900, Report{Node: "a", Validated: "3", Paused: "3"}).Lease)
+	got := report(1008, Report{Node: "a", Validated: "3", Paused: "3"}) // the lease of b has expired
 	assert.Equal(t, uint64(1), got.Number)
 	assert.Zero(t, got.Lease, "it must activate the number first")
 	assert.Contains(t, m.Propose(1009, Proposal{ID: "4", Text: "w", Base: 0, By: "bob"}).Reason, "number 1 of ann has come between")
@@ -221,7 +221,7 @@
 	o, _ = m.Outcome("5")
 	assert.Contains(t, o.Reason, "a has not looked at it in 15 s")
 	assert.Contains(t, m.Propose(20001, Proposal{ID: "6", Text: string(make([]byte, MaxDocumentBytes+1)), Base: 1}).Reason, "bytes")
-	_, err := m.Report(20002, Report{Node: "c", Life: 1, Lease: MaxLease + 1})
+	_, err := m.Report(20002, Report{Node: "c", Incarnation: 1, Lease: MaxLease + 1})
 	require.Error(t, err)
 }
 
@@ -231,15 +231,15 @@
 	m := New()
 	report := reporter(t, m)
 	report(0, Report{Node: "a"})
-	report(0, Report{Node: "g", GoesOn: true})
+	report(0, Report{Node: "g", WithoutLease: true})
 	m.Propose(1, Proposal{ID: "1", Text: "x"})
-	report(2, Report{Node: "a", Looked: "1"})
+	report(2, Report{Node: "a", Validated: "1"})
 	for at := 500.0; at < 14000; at += 500 {
-		assert.Equal(t, Validating, report(at, Report{Node: "a", Looked: "1"}).Stage)
+		assert.Equal(t, Validating, report(at, Report{Node: "a", Validated: "1"}).Stage)
 	}
 	assert.Equal(t, 1, m.Dead(14000, "g"))
-	assert.Equal(t, Pausing, report(14001, Report{Node: "a", Looked: "1"}).Stage)
-	assert.Equal(t, uint64(1), report(14002, Report{Node: "a", Looked: "1", Paused: "1"}).Number)
+	assert.Equal(t, Pausing, report(14001, Report{Node: "a", Validated: "1"}).Stage)
+	assert.Equal(t, uint64(1), report(14002, Report{Node: "a", Validated: "1", Paused: "1"}).Number)
 }
 
 // TestMemberThatStartsInThePauseIsNotWaitedFor guards against a change that waits for a process whose first report comes in the pause, or
@@ -249,9 +249,9 @@
 	report := reporter(t, m)
 	report(0, Report{Node: "a"})
 	m.Propose(1, Proposal{ID: "1", Text: "x"})
-	assert.Equal(t, Pausing, report(2, Report{Node: "a", Looked: "1"}).Stage)
+	assert.Equal(t, Pausing, report(2, Report{Node: "a", Validated: "1"}).Stage)
 	assert.Zero(t, report(3, Report{Node: "b"}).Lease)
-	assert.Equal(t, uint64(1), report(4, Report{Node: "a", Looked: "1", Paused: "1"}).Number)
+	assert.Equal(t, uint64(1), report(4, Report{Node: "a", Validated: "1", Paused: "1"}).Number)
 	assert.Equal(t, uint64(1), report(5, Report{Node: "b"}).Number)
 }
 
@@ -263,7 +263,7 @@
 	assert.Equal(t, h.RetryAfter(), h.Failed(2))
 	assert.Equal(t, Step{Look: "p"}, h.Obey(1, Order{Number: 2, Change: "p", Stage: Validating}))
 	assert.Zero(t, h.Saw("p", false, nil))
-	assert.Equal(t, "p", h.Report().Looked)
+	assert.Equal(t, "p", h.Report().Validated)
 	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Validating}), "the number in force is tried again")
 	assert.False(t, h.Open(3))
 }
@@ -274,19 +274,19 @@
 	h := NewLeaseHolder("a", 1, 1000, false)
 	h.Saw("p", false, nil)
 	assert.Equal(t, validationInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating}).Pause)
-	assert.Equal(t, pauseInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating, Soon: true}).Pause)
+	assert.Equal(t, pauseInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating, PauseNear: true}).Pause)
 	m := New()
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		_, err := m.Report(0, Report{Node: name, Lease: 1000})
 		require.NoError(t, err)
 	}
 	m.Propose(1, Proposal{ID: "p", Text: "x"})
-	o, err := m.Report(2, Report{Node: "a", Lease: 1000, Looked: "p"})
+	o, err := m.Report(2, Report{Node: "a", Lease: 1000, Validated: "p"})
 	require.NoError(t, err)
-	assert.False(t, o.Soon)
-	o, err = m.Report(2, Report{Node: "b", Lease: 1000, Looked: "p"})
+	assert.False(t, o.PauseNear)
+	o, err = m.Report(2, Report{Node: "b", Lease: 1000, Validated: "p"})
 	require.NoError(t, err)
-	assert.True(t, o.Soon)
+	assert.True(t, o.PauseNear)
 }
 
 // TestHintsNeverLetCallsBegin guards against a hint that lets calls begin, or for longer than orders have; one that does not save the reports
@@ -338,7 +338,7 @@
 func TestReportDoesNotScanAllMembers(t *testing.T) {
 	machineOf := func(members int) (m *Machine, reportAgain func()) {
 		m = New()
-		r := Report{Life: 1, Lease: 2000}
+		r := Report{Incarnation: 1, Lease: 2000}
 		for i := range members {
 			r.Node = fmt.Sprint("n", i)
 			_, err := m.Report(1e6, r)
@@ -364,16 +364,16 @@
 	m := New()
 	report := reporter(t, m)
 	report(0, Report{Node: "a"})
-	report(0, Report{Node: "g", GoesOn: true})
+	report(0, Report{Node: "g", WithoutLease: true})
 	m.Propose(1, Proposal{ID: "1", Text: "x"})
-	report(2, Report{Node: "g", GoesOn: true, Looked: "1"})
-	assert.Equal(t, Pausing, report(3, Report{Node: "a", Looked: "1"}).Stage)
+	report(2, Report{Node: "g", WithoutLease: true, Validated: "1"})
+	assert.Equal(t, Pausing, report(3, Report{Node: "a", Validated: "1"}).Stage)
 	for at := 4.0; at < pauseTimeoutMillis; at += 500 {
-		o := report(at, Report{Node: "a", Looked: "1", Paused: "1"})
+		o := report(at, Report{Node: "a", Validated: "1", Paused: "1"})
 		assert.Equal(t, Pausing, o.Stage)
 		assert.Zero(t, o.Lease)
 	}
-	assert.Equal(t, 1000.0, report(pauseTimeoutMillis+4, Report{Node: "a", Looked: "1", Paused: "1"}).Lease)
+	assert.Equal(t, 1000.0, report(pauseTimeoutMillis+4, Report{Node: "a", Validated: "1", Paused: "1"}).Lease)
 	o, _ := m.Outcome("1")
 	assert.Equal(t, Rejected, o.Stage)
 	assert.Contains(t, o.Reason, "g has not stopped in 10 s: linenwheel policy dead")
--- a/internal/node/rollout/query.go
+++ b/internal/node/rollout/query.go
@@ -89,7 +89,7 @@
 func (m *Machine) Freeze() func() (json.RawMessage, error) {
 	i := image{Number: m.number, Docs: slices.Clone(m.docs), Outcomes: slices.Clone(m.outcomes),
 		Members: slices.SortedFunc(maps.Values(m.members), func(a, b Member) int {
-			return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Life, b.Life))
+			return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 		})}
 	if m.change != nil {
 		c := *m.change
@@ -106,7 +106,7 @@
 	}
 	*m = Machine{number: i.Number, docs: i.Docs, change: i.Change, outcomes: i.Outcomes, members: map[string]Member{}}
 	for _, member := range i.Members {
-		m.members[memberKey(member.Node, member.Life)] = member
+		m.members[memberKey(member.Node, member.Incarnation)] = member
 	}
 	return nil
 }
--- a/internal/node/rollout/rollout.go
+++ b/internal/node/rollout/rollout.go
@@ -80,13 +80,13 @@
 
 // Member is one process of a node, as the machine knows it.
 type Member struct {
-	Node    string  `json:"node"`
-	Life    uint64  `json:"life"`             // incarnation
-	InForce uint64  `json:"holds"`            // the number that it has in force
-	Until   float64 `json:"until"`            // when its lease expires, cluster time in ms; Forever = it goes on without one
-	Live    float64 `json:"live"`             // until when it counts as live without a lease too, cluster time in ms
-	Looked  string  `json:"looked,omitempty"` // ID of the proposal that it has validated
-	Paused  string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
+	Node        string  `json:"node"`
+	Incarnation uint64  `json:"life"`             // incarnation
+	InForce     uint64  `json:"holds"`            // the number that it has in force
+	Until       float64 `json:"until"`            // when its lease expires, cluster time in ms; Forever = it goes on without one
+	Live        float64 `json:"live"`             // until when it counts as live without a lease too, cluster time in ms
+	Validated   string  `json:"looked,omitempty"` // ID of the proposal that it has validated
+	Paused      string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
 }
 
 // Forever is the expiry of a member that goes on with its number without a lease.
@@ -94,25 +94,25 @@
 
 // Report is what a member reports, often enough to renew its lease.
 type Report struct {
-	Node    string  `json:"node"`
-	Life    uint64  `json:"life"`             // incarnation
-	InForce uint64  `json:"holds"`            // the number that it has in force
-	Lease   float64 `json:"lease"`            // the lease that it requests, ms; 0 = none, it judges no calls yet
-	GoesOn  bool    `json:"goes_on"`          // it goes on without a lease: no change is agreed while it is unreachable
-	Looked  string  `json:"looked,omitempty"` // ID of the proposal that it has validated,
-	Fault   string  `json:"fault,omitempty"`  // and why it rejects it, "" = it accepts it
-	Paused  string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
-	Leaves  bool    `json:"leaves"`           // it ends, and begins no calls any more
+	Node         string  `json:"node"`
+	Incarnation  uint64  `json:"life"`             // incarnation
+	InForce      uint64  `json:"holds"`            // the number that it has in force
+	Lease        float64 `json:"lease"`            // the lease that it requests, ms; 0 = none, it judges no calls yet
+	WithoutLease bool    `json:"goes_on"`          // it goes on without a lease: no change is agreed while it is unreachable
+	Validated    string  `json:"looked,omitempty"` // ID of the proposal that it has validated,
+	Rejection    string  `json:"fault,omitempty"`  // and why it rejects it, "" = it accepts it
+	Paused       string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
+	Leaving      bool    `json:"leaves"`           // it ends, and begins no calls any more
 }
 
 // Order answers a report.
 type Order struct {
-	Number uint64  `json:"number"` // of the policy in force; 0 = none, each node's own file alone applies
-	Hash   string  `json:"hash,omitempty"`
-	Lease  float64 `json:"lease"` // ms from the moment at which the report was sent; 0 = no lease
-	Change string  `json:"change,omitempty"`
-	Stage  Stage   `json:"stage,omitempty"`
-	Soon   bool    `json:"soon,omitempty"` // at most soonThreshold members have not validated yet: the pause is near
+	Number    uint64  `json:"number"` // of the policy in force; 0 = none, each node's own file alone applies
+	Hash      string  `json:"hash,omitempty"`
+	Lease     float64 `json:"lease"` // ms from the moment at which the report was sent; 0 = no lease
+	Change    string  `json:"change,omitempty"`
+	Stage     Stage   `json:"stage,omitempty"`
+	PauseNear bool    `json:"soon,omitempty"` // at most soonThreshold members have not validated yet: the pause is near
 }
 
 // Progress is how far the rollout is. A member that has nothing to report waits until it changes. It is a hint, which may be
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -84,16 +84,16 @@
 	propose := func(at float64, p rollout.Proposal) { do(at, 2, ComponentPolicy, PolicyCommand{Propose: &p}) }
 	propose(1_001_100, rollout.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
 	propose(1_001_110, rollout.Proposal{ID: "late", Text: "another", By: "bob"})
-	report(1_001_120, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000})
-	report(1_001_130, rollout.Report{Node: "node-2", Life: 6, InForce: 1, Lease: 8000, GoesOn: true})
-	report(1_001_135, rollout.Report{Node: "node-3", Life: 7, InForce: 1, Lease: 8000})
+	report(1_001_120, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000})
+	report(1_001_130, rollout.Report{Node: "node-2", Incarnation: 6, InForce: 1, Lease: 8000, WithoutLease: true})
+	report(1_001_135, rollout.Report{Node: "node-3", Incarnation: 7, InForce: 1, Lease: 8000})
 	propose(1_001_140, rollout.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
-	report(1_001_150, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "faulty", Fault: "line 1"})
+	report(1_001_150, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000, Validated: "faulty", Rejection: "line 1"})
 	do(1_001_160, 1, ComponentPolicy, PolicyCommand{Dead: "node-3"})
 	propose(1_001_170, rollout.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
-	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second"})
-	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, InForce: 1, Lease: 8000, GoesOn: true, Looked: "second"})
-	report(1_001_200, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second", Paused: "second"})
+	report(1_001_180, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000, Validated: "second"})
+	report(1_001_190, rollout.Report{Node: "node-2", Incarnation: 6, InForce: 1, Lease: 8000, WithoutLease: true, Validated: "second"})
+	report(1_001_200, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000, Validated: "second", Paused: "second"})
 	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Kept: .1,
 		Memory: 30, PayBack: 10, PayPart: .25, MostWait: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}, Burst: 2},
 			{Name: "c", Share: .1, Alone: true}, {Name: "d", Parent: "a", Share: .4, Long: quota.Amount{30}, Keep: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -75,7 +75,7 @@
 		}
 		holds, rooms = g.Number, append(rooms, us)
 		number++
-		if _, us, err = apply(number, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &rollout.Report{Node: "costs", Life: 1, Lease: policyLease}}); err != nil {
+		if _, us, err = apply(number, statemachine.ComponentPolicy, statemachine.PolicyCommand{Report: &rollout.Report{Node: "costs", Incarnation: 1, Lease: policyLease}}); err != nil {
 			return c, err
 		}
 		policies = append(policies, us)
--- a/lab/policies/virtual/log.go
+++ b/lab/policies/virtual/log.go
@@ -209,7 +209,7 @@
 
 // noteLate notes who says its first word while calls are held, which that very word may have begun: it found that another's time is over.
 func (l *agreed) noteLate(r *rollout.Report) {
-	id := fmt.Sprint(r.Node, r.Life)
+	id := fmt.Sprint(r.Node, r.Incarnation)
 	if l.machine.Progress().Stage == rollout.Pausing && l.live[id] <= l.time {
 		l.late[id] = true
 	}
@@ -238,7 +238,7 @@
 		w.result.Changes = append(w.result.Changes, w.now-p.at)
 		if at := strings.Index(d.Text, " not for "); at >= 0 {
 			for _, m := range l.machine.View().Members { // whoever says its first word with this very command, or while calls were held, was not asked
-				if (c.report == nil || c.report.Node != m.Node) && !l.late[fmt.Sprint(m.Node, m.Life)] && m.Node == d.Text[at+len(" not for "):] && m.Live > l.time {
+				if (c.report == nil || c.report.Node != m.Node) && !l.late[fmt.Sprint(m.Node, m.Incarnation)] && m.Node == d.Text[at+len(" not for "):] && m.Live > l.time {
 					w.fault("number %d holds, and %s, which is live, cannot take it", number, m.Node)
 				}
 			}
--- a/lab/policies/virtual/node.go
+++ b/lab/policies/virtual/node.go
@@ -356,7 +356,7 @@
 func (n *node) kill() {
 	n.settle()
 	n.up, n.stopped, n.sound, n.missed = false, false, false, 0
-	if id := n.w.log.machine.Under(); id != "" && n.holder.Report().Looked == id {
+	if id := n.w.log.machine.Under(); id != "" && n.holder.Report().Validated == id {
 		n.missed = n.w.log.machine.Number() + 1
 	}
 	n.w.count("fault: a node killed")
