--- a/cmd/linenwheel/policy.go
+++ b/cmd/linenwheel/policy.go
@@ -75,7 +75,7 @@
 			if len(args) != 1 {
 				return flag.ErrHelp
 			}
-			n, err := ask[int](ctx, f, statemachine.PolicyCommand{Dead: args[0]})
+			n, err := ask[int](ctx, f, statemachine.PolicyCommand{DeadNode: args[0]})
 			if err == nil {
 				fmt.Fprintf(s.out, "linenwheel: %d processes of %s are taken for dead\n", n, args[0])
 			}
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -105,7 +105,7 @@
 func (g *Gate) open() (open bool, change <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.holder.Open(g.clock.Now()), g.change
+	return g.holder.Admits(g.clock.Now()), g.change
 }
 
 // InForce returns the number that calls begin under, its document's hash, and until when on the node's clock, ms; +Inf = without
@@ -174,7 +174,7 @@
 		return g.holder.RetryAfter(), 0
 	}
 	var next rollout.Step
-	g.update(func(h *rollout.LeaseHolder) { next = h.Obey(sent, o) })
+	g.update(func(h *rollout.LeaseHolder) { next = h.ApplyOrder(sent, o) })
 	if next.Renewed {
 		g.log.Info("the lease on the policy is renewed: calls begin again", "number", o.Number)
 	}
@@ -229,7 +229,7 @@
 		}
 	}
 	var next rollout.Step
-	g.update(func(h *rollout.LeaseHolder) { next = h.Observe(hint) })
+	g.update(func(h *rollout.LeaseHolder) { next = h.ApplyHint(hint) })
 	if next.Paused {
 		g.logPause(hint.Change)
 	}
@@ -253,7 +253,7 @@
 			g.log.Info("this node can take a policy that was proposed", "proposal", id, "hash", d.Hash)
 		}
 	}
-	g.update(func(h *rollout.LeaseHolder) { pause = h.Saw(id, unseen, err) })
+	g.update(func(h *rollout.LeaseHolder) { pause = h.RecordValidation(id, unseen, err) })
 	return pause
 }
 
@@ -272,10 +272,10 @@
 	}
 	if err := g.node.Activate(d); err != nil {
 		g.log.Error("this node cannot take the policy that holds: it begins no calls", "number", number, "error", err)
-		g.update(func(h *rollout.LeaseHolder) { pause = h.Failed(number) })
+		g.update(func(h *rollout.LeaseHolder) { pause = h.RecordActivationFailure(number) })
 		return pause
 	}
-	g.update(func(h *rollout.LeaseHolder) { h.Activated(number, d.Hash) })
+	g.update(func(h *rollout.LeaseHolder) { h.RecordActivation(number, d.Hash) })
 	g.log.Info("a policy is in force", "number", number, "hash", d.Hash, "by", d.By)
 	return 0
 }
--- a/internal/node/rollout/gate/gate_test.go
+++ b/internal/node/rollout/gate/gate_test.go
@@ -147,14 +147,14 @@
 		return g.awaitHint(context.Background(), maxWait, pause)
 	}
 	assert.Zero(t, follow(rollout.Progress{Change: "q", Stage: rollout.Validating}), "it reports at once")
-	assert.True(t, g.holder.Open(c.Now()))
+	assert.True(t, g.holder.Admits(c.Now()))
 	assert.Zero(t, follow(rollout.Progress{Change: "p", Stage: rollout.Pausing}))
-	assert.False(t, g.holder.Open(c.Now()))
+	assert.False(t, g.holder.Admits(c.Now()))
 	assert.Equal(t, "p", g.holder.Report().Paused)
 	assert.Zero(t, follow(rollout.Progress{Number: 1, Hash: "x"}))
 	assert.Equal(t, []uint64{1}, s.activated)
 	assert.Equal(t, 1, s.fetches, "it has validated that document")
-	assert.False(t, g.holder.Open(c.Now()), "it has no lease on it")
+	assert.False(t, g.holder.Admits(c.Now()), "it has no lease on it")
 	done := make(chan float64)
 	go func() { done <- g.awaitHint(context.Background(), maxWait, pause) }()
 	for over := false; !over; {
--- a/internal/node/rollout/leaseholder.go
+++ b/internal/node/rollout/leaseholder.go
@@ -48,8 +48,8 @@
 	return &LeaseHolder{name: name, incarnation: life, lease: lease, withoutLease: goesOn}
 }
 
-// Open reports whether a call may begin.
-func (h *LeaseHolder) Open(now float64) bool { return now < h.until }
+// Admits reports whether a call may begin.
+func (h *LeaseHolder) Admits(now float64) bool { return now < h.until }
 
 // InForce returns the number that calls begin under, its document's hash, and until when; +Inf = without a lease.
 func (h *LeaseHolder) InForce() (number uint64, hash string, until float64) {
@@ -72,16 +72,16 @@
 
 // Lapsed reports, once, that the lease has expired.
 func (h *LeaseHolder) Lapsed(now float64) bool {
-	if h.lapsed || h.until <= 0 || h.Open(now) {
+	if h.lapsed || h.until <= 0 || h.Admits(now) {
 		return false
 	}
 	h.lapsed = true
 	return true
 }
 
-// Obey follows the order that answers a report. The lease counts from sent, the time before the report was sent: so it expires
+// ApplyOrder follows the order that answers a report. The lease counts from sent, the time before the report was sent: so it expires
 // here before it does at the machine.
-func (h *LeaseHolder) Obey(sent float64, o Order) Step {
+func (h *LeaseHolder) ApplyOrder(sent float64, o Order) Step {
 	if o.Number != h.number {
 		h.until = 0
 		if o.Stage == Validating && h.validated != o.Change && o.Number > 0 && h.failed == o.Number {
@@ -123,10 +123,10 @@
 // Known returns the progress as of the last order. A hint is waited for until it differs.
 func (h *LeaseHolder) Known() Progress { return h.known }
 
-// Observe follows a hint, which was true some time and may be outdated. It saves the report that would only learn the same: it
+// ApplyHint follows a hint, which was true some time and may be outdated. It saves the report that would only learn the same: it
 // pauses calls for a change that has come so far, and activates a number once they are paused. It never lets calls begin: only
 // an order does.
-func (h *LeaseHolder) Observe(p Progress) Step {
+func (h *LeaseHolder) ApplyHint(p Progress) Step {
 	switch {
 	case p == h.known: // nothing has changed
 		if h.paused != "" {
@@ -141,9 +141,9 @@
 	return Step{}
 }
 
-// Saw records the validation of a proposal's document: unseen = it could not be fetched, fault = why it is rejected, nil = it is
+// RecordValidation records the validation of a proposal's document: unseen = it could not be fetched, fault = why it is rejected, nil = it is
 // accepted. It returns the ms until the next report.
-func (h *LeaseHolder) Saw(id string, unseen bool, fault error) (pause float64) {
+func (h *LeaseHolder) RecordValidation(id string, unseen bool, fault error) (pause float64) {
 	if unseen {
 		return validationInterval
 	}
@@ -153,14 +153,14 @@
 	return 0
 }
 
-// Activated records that a number is in force.
-func (h *LeaseHolder) Activated(number uint64, hash string) {
+// RecordActivation records that a number is in force.
+func (h *LeaseHolder) RecordActivation(number uint64, hash string) {
 	h.number, h.hash, h.failed, h.validated, h.rejection, h.paused, h.lapsed = number, hash, 0, "", "", "", false
 }
 
-// Failed records that a number could not be activated: it is tried again, and what is proposed meanwhile is validated. It returns
+// RecordActivationFailure records that a number could not be activated: it is tried again, and what is proposed meanwhile is validated. It returns
 // the ms until the next report.
-func (h *LeaseHolder) Failed(number uint64) (pause float64) {
+func (h *LeaseHolder) RecordActivationFailure(number uint64) (pause float64) {
 	h.failed = number
 	return h.RetryAfter()
 }
--- a/internal/node/rollout/machine.go
+++ b/internal/node/rollout/machine.go
@@ -65,7 +65,7 @@
 	}
 	member.Until = max(member.Until, now+r.Lease)
 	if r.WithoutLease {
-		member.Until = Forever
+		member.Until = NoExpiry
 	}
 	return r.Lease
 }
@@ -116,9 +116,9 @@
 	return o
 }
 
-// Dead forgets the processes of a node, so that nobody waits for them, and returns their number. It is an operator's word and
+// RemoveNode forgets the processes of a node, so that nobody waits for them, and returns their number. It is an operator's word and
 // must be true: a process that still judges calls would break the invariant.
-func (m *Machine) Dead(now float64, node string) (n int) {
+func (m *Machine) RemoveNode(now float64, node string) (n int) {
 	for key, member := range m.members {
 		if member.Node == node {
 			delete(m.members, key)
@@ -181,7 +181,7 @@
 	d := m.change.Document
 	d.Number, d.At = m.number, now
 	m.docs = append(m.docs, d)
-	m.docs = m.docs[max(0, len(m.docs)-Kept):]
+	m.docs = m.docs[max(0, len(m.docs)-MaxDocuments):]
 	m.change = nil
 	m.record(Outcome{ID: d.ID, Stage: Activated, Number: m.number})
 	for key, member := range m.members {
@@ -235,6 +235,6 @@
 // record remembers the outcome of a proposal.
 func (m *Machine) record(o Outcome) Outcome {
 	m.outcomes = append(m.outcomes, o)
-	m.outcomes = m.outcomes[max(0, len(m.outcomes)-Remembered):]
+	m.outcomes = m.outcomes[max(0, len(m.outcomes)-MaxOutcomes):]
 	return o
 }
--- a/internal/node/rollout/machine_test.go
+++ b/internal/node/rollout/machine_test.go
@@ -237,7 +237,7 @@
 	for at := 500.0; at < 14000; at += 500 {
 		assert.Equal(t, Validating, report(at, Report{Node: "a", Validated: "1"}).Stage)
 	}
-	assert.Equal(t, 1, m.Dead(14000, "g"))
+	assert.Equal(t, 1, m.RemoveNode(14000, "g"))
 	assert.Equal(t, Pausing, report(14001, Report{Node: "a", Validated: "1"}).Stage)
 	assert.Equal(t, uint64(1), report(14002, Report{Node: "a", Validated: "1", Paused: "1"}).Number)
 }
@@ -259,22 +259,22 @@
 // that is proposed to replace it: no change could end while it is there.
 func TestValidatesThoughActivationFails(t *testing.T) {
 	h := NewLeaseHolder("a", 1, 1000, false)
-	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(0, Order{Number: 2, Change: "p", Stage: Validating}))
-	assert.Equal(t, h.RetryAfter(), h.Failed(2))
-	assert.Equal(t, Step{Look: "p"}, h.Obey(1, Order{Number: 2, Change: "p", Stage: Validating}))
-	assert.Zero(t, h.Saw("p", false, nil))
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.ApplyOrder(0, Order{Number: 2, Change: "p", Stage: Validating}))
+	assert.Equal(t, h.RetryAfter(), h.RecordActivationFailure(2))
+	assert.Equal(t, Step{Look: "p"}, h.ApplyOrder(1, Order{Number: 2, Change: "p", Stage: Validating}))
+	assert.Zero(t, h.RecordValidation("p", false, nil))
 	assert.Equal(t, "p", h.Report().Validated)
-	assert.Equal(t, Step{Activate: true, Number: 2}, h.Obey(2, Order{Number: 2, Change: "p", Stage: Validating}), "the number in force is tried again")
-	assert.False(t, h.Open(3))
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.ApplyOrder(2, Order{Number: 2, Change: "p", Stage: Validating}), "the number in force is tried again")
+	assert.False(t, h.Admits(3))
 }
 
 // TestReportsQuicklyBeforeThePause guards against a pause as long as the interval of the slowest report: when few members have not validated
 // yet, all report quickly.
 func TestReportsQuicklyBeforeThePause(t *testing.T) {
 	h := NewLeaseHolder("a", 1, 1000, false)
-	h.Saw("p", false, nil)
-	assert.Equal(t, validationInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating}).Pause)
-	assert.Equal(t, pauseInterval, h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating, PauseNear: true}).Pause)
+	h.RecordValidation("p", false, nil)
+	assert.Equal(t, validationInterval, h.ApplyOrder(0, Order{Lease: 1000, Change: "p", Stage: Validating}).Pause)
+	assert.Equal(t, pauseInterval, h.ApplyOrder(0, Order{Lease: 1000, Change: "p", Stage: Validating, PauseNear: true}).Pause)
 	m := New()
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		_, err := m.Report(0, Report{Node: name, Lease: 1000})
@@ -300,37 +300,37 @@
 			_, _, until := h.InForce()
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				h.Obey(now, Order{Number: number.Draw(t, "number"), Change: change.Draw(t, "change"), Stage: stage.Draw(t, "stage"), Lease: 1000})
+				h.ApplyOrder(now, Order{Number: number.Draw(t, "number"), Change: change.Draw(t, "change"), Stage: stage.Draw(t, "stage"), Lease: 1000})
 			case 1:
-				h.Activated(number.Draw(t, "number"), "")
+				h.RecordActivation(number.Draw(t, "number"), "")
 			case 2:
-				h.Saw(change.Draw(t, "change"), false, nil)
+				h.RecordValidation(change.Draw(t, "change"), false, nil)
 			default:
-				h.Observe(Progress{number.Draw(t, "number"), "", change.Draw(t, "change"), stage.Draw(t, "stage")})
+				h.ApplyHint(Progress{number.Draw(t, "number"), "", change.Draw(t, "change"), stage.Draw(t, "stage")})
 				_, _, after := h.InForce()
 				assert.LessOrEqual(t, after, until)
 			}
 		}
 	})
 	h := NewLeaseHolder("n", 1, 1000, false)
-	h.Obey(0, Order{Lease: 1000, Change: "p", Stage: Validating})
-	h.Saw("p", false, nil)
-	s := h.Obey(1, Order{Lease: 1000, Change: "p", Stage: Validating})
+	h.ApplyOrder(0, Order{Lease: 1000, Change: "p", Stage: Validating})
+	h.RecordValidation("p", false, nil)
+	s := h.ApplyOrder(1, Order{Lease: 1000, Change: "p", Stage: Validating})
 	assert.Greater(t, s.Wait, 300.0)
 	assert.Equal(t, Progress{0, "", "p", Validating}, h.Known())
-	assert.Equal(t, Step{Pause: validationInterval}, h.Observe(h.Known()))
-	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "q", Pausing}), "it has not validated that one")
-	assert.Equal(t, Step{}, h.Observe(Progress{1, "", "", ""}), "it has not paused")
-	assert.True(t, h.Open(2))
-	assert.Equal(t, Step{Paused: true}, h.Observe(Progress{0, "", "p", Pausing}))
+	assert.Equal(t, Step{Pause: validationInterval}, h.ApplyHint(h.Known()))
+	assert.Equal(t, Step{}, h.ApplyHint(Progress{0, "", "q", Pausing}), "it has not validated that one")
+	assert.Equal(t, Step{}, h.ApplyHint(Progress{1, "", "", ""}), "it has not paused")
+	assert.True(t, h.Admits(2))
+	assert.Equal(t, Step{Paused: true}, h.ApplyHint(Progress{0, "", "p", Pausing}))
 	assert.Equal(t, "p", h.Report().Paused)
-	assert.False(t, h.Open(2))
-	s = h.Obey(3, Order{Change: "p", Stage: Pausing})
+	assert.False(t, h.Admits(2))
+	s = h.ApplyOrder(3, Order{Change: "p", Stage: Pausing})
 	assert.Equal(t, Step{Pause: pauseInterval, Wait: 100}, s)
-	assert.Equal(t, Step{Pause: pauseInterval}, h.Observe(h.Known()))
-	assert.Equal(t, Step{Activate: true, Number: 1, Hash: "x"}, h.Observe(Progress{1, "x", "", ""}))
-	assert.False(t, h.Open(4))
-	assert.Equal(t, Step{}, h.Observe(Progress{0, "", "", ""}), "it was refused: an order renews the lease")
+	assert.Equal(t, Step{Pause: pauseInterval}, h.ApplyHint(h.Known()))
+	assert.Equal(t, Step{Activate: true, Number: 1, Hash: "x"}, h.ApplyHint(Progress{1, "x", "", ""}))
+	assert.False(t, h.Admits(4))
+	assert.Equal(t, Step{}, h.ApplyHint(Progress{0, "", "", ""}), "it was refused: an order renews the lease")
 }
 
 // TestReportDoesNotScanAllMembers guards against a report that looks at every other member: the cost of a fleet's reports would grow with
--- a/internal/node/rollout/query.go
+++ b/internal/node/rollout/query.go
@@ -21,17 +21,17 @@
 // Number returns the number of the policy in force, 0 = none.
 func (m *Machine) Number() uint64 { return m.number }
 
-// Under returns the ID of the change in progress, "" = none.
-func (m *Machine) Under() string {
+// ChangeID returns the ID of the change in progress, "" = none.
+func (m *Machine) ChangeID() string {
 	if m.change == nil {
 		return ""
 	}
 	return m.change.ID
 }
 
-// Find returns a document by its number, or by the ID of its proposal if that is not empty: one that was in force, or that of the
+// FindDocument returns a document by its number, or by the ID of its proposal if that is not empty: one that was in force, or that of the
 // change in progress.
-func (m *Machine) Find(number uint64, id string) (Document, bool) {
+func (m *Machine) FindDocument(number uint64, id string) (Document, bool) {
 	if id != "" && m.change != nil && m.change.ID == id {
 		return m.change.Document, true
 	}
--- a/internal/node/rollout/rollout.go
+++ b/internal/node/rollout/rollout.go
@@ -28,8 +28,8 @@
 const (
 	MaxMembers       = 4096
 	MaxDocumentBytes = 128 << 10
-	Kept             = 16     // documents, the one in force included
-	Remembered       = 64     // outcomes of proposals
+	MaxDocuments     = 16     // documents, the one in force included
+	MaxOutcomes      = 64     // outcomes of proposals
 	MinLease         = 100.0  // ms
 	MaxLease         = 8000.0 // ms
 
@@ -89,8 +89,8 @@
 	Paused      string  `json:"paused,omitempty"` // ID of the proposal that it has paused for
 }
 
-// Forever is the expiry of a member that goes on with its number without a lease.
-const Forever = math.MaxFloat64
+// NoExpiry is the expiry of a member that goes on with its number without a lease.
+const NoExpiry = math.MaxFloat64
 
 // Report is what a member reports, often enough to renew its lease.
 type Report struct {
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -89,7 +89,7 @@
 	report(1_001_135, rollout.Report{Node: "node-3", Incarnation: 7, InForce: 1, Lease: 8000})
 	propose(1_001_140, rollout.Proposal{ID: "faulty", Text: "a wrong document", Base: 1, By: "bob"})
 	report(1_001_150, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000, Validated: "faulty", Rejection: "line 1"})
-	do(1_001_160, 1, ComponentPolicy, PolicyCommand{Dead: "node-3"})
+	do(1_001_160, 1, ComponentPolicy, PolicyCommand{DeadNode: "node-3"})
 	propose(1_001_170, rollout.Proposal{ID: "second", Text: "a second document", Base: 1, By: "ada"})
 	report(1_001_180, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000, Validated: "second"})
 	report(1_001_190, rollout.Report{Node: "node-2", Incarnation: 6, InForce: 1, Lease: 8000, WithoutLease: true, Validated: "second"})
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -11,9 +11,9 @@
 
 // PolicyCommand is the body of a command: one of its fields is set.
 type PolicyCommand struct {
-	Report  *rollout.Report   `json:"report,omitempty"`
-	Propose *rollout.Proposal `json:"propose,omitempty"`
-	Dead    string            `json:"dead,omitempty"` // name of a node that an operator declares dead
+	Report   *rollout.Report   `json:"report,omitempty"`
+	Propose  *rollout.Proposal `json:"propose,omitempty"`
+	DeadNode string            `json:"dead,omitempty"` // name of a node that an operator declares dead
 }
 
 // PolicyQuestion is the body of a query: for a document by its number or the ID of its proposal, for the outcome of a
@@ -43,8 +43,8 @@
 		return Reply{Code: OK, Body: encode(o)}
 	case c.Propose != nil:
 		return Reply{Code: OK, Body: encode(p.Propose(now, *c.Propose))}
-	case c.Dead != "":
-		return Reply{Code: OK, Body: encode(p.Dead(now, c.Dead))}
+	case c.DeadNode != "":
+		return Reply{Code: OK, Body: encode(p.RemoveNode(now, c.DeadNode))}
 	}
 	return Reply{Code: Invalid, Text: "want report, propose or dead"}
 }
@@ -66,7 +66,7 @@
 		if q.Document != nil {
 			number = *q.Document
 		}
-		if d, ok := p.Find(number, q.Proposed); ok {
+		if d, ok := p.FindDocument(number, q.Proposed); ok {
 			return Reply{Code: OK, Body: encode(d)}
 		}
 		return Reply{Code: Invalid, Text: "no such document is kept"}
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -315,7 +315,7 @@
 			n.restPolicy(n.policy.RetryAfter())
 			return
 		}
-		s := n.policy.Obey(asked, o)
+		s := n.policy.ApplyOrder(asked, o)
 		if s.Known {
 			n.got(&n.policed)
 		}
@@ -329,7 +329,7 @@
 				if !unseen {
 					n.looked = d.Hash
 				}
-				n.restPolicy(n.policy.Saw(s.Look, unseen, nil))
+				n.restPolicy(n.policy.RecordValidation(s.Look, unseen, nil))
 			})
 		case s.Wait > 0:
 			n.hint(n.w.now+n.around(s.Wait), s.Pause)
@@ -351,7 +351,7 @@
 // takePolicy has a number in force, whose document it has looked at or asks for.
 func (n *node) takePolicy(s rollout.Step) {
 	took := func() {
-		n.policy.Activated(s.Number, s.Hash)
+		n.policy.RecordActivation(s.Number, s.Hash)
 		n.w.result.Counts["met: a policy taken"]++
 		n.renewPolicy()
 	}
@@ -378,7 +378,7 @@
 			n.restPolicy(pause)
 			return
 		}
-		if s := n.policy.Observe(news); s.Activate {
+		if s := n.policy.ApplyHint(news); s.Activate {
 			n.takePolicy(s)
 		} else {
 			n.restPolicy(s.Pause)
--- a/lab/policies/virtual/log.go
+++ b/lab/policies/virtual/log.go
@@ -221,13 +221,13 @@
 	w := l.w
 	stage := rollout.Stage("")
 	if id := c.order.Change + c.outcome.ID; id != "" || l.stage != "" {
-		if v := l.machine.Under(); v != "" {
+		if v := l.machine.ChangeID(); v != "" {
 			o, _ := l.machine.Outcome(v)
 			stage = o.Stage
 		}
 	}
 	if number := l.machine.Number(); number != before {
-		d, _ := l.machine.Find(number, "")
+		d, _ := l.machine.FindDocument(number, "")
 		p := w.proposals[d.ID]
 		if number != before+1 || p == nil || p.text != d.Text {
 			w.fault("number %d came after %d, of %q", number, before, d.ID)
--- a/lab/policies/virtual/node.go
+++ b/lab/policies/virtual/node.go
@@ -185,7 +185,7 @@
 	if n.w.set.Wrong == LongLease {
 		o.Lease *= 4
 	}
-	s := n.holder.Obey(c.asked, o)
+	s := n.holder.ApplyOrder(c.asked, o)
 	if s.Renewed {
 		n.w.count("met: a lease renewed")
 	}
@@ -250,9 +250,9 @@
 // hear takes a hint.
 func (n *node) hear(news rollout.Progress) {
 	if n.w.set.Wrong == HintRenews {
-		n.holder.Obey(n.clock(), rollout.Order{Number: news.Number, Lease: n.w.set.Lease, Change: news.Change, Stage: news.Stage})
+		n.holder.ApplyOrder(n.clock(), rollout.Order{Number: news.Number, Lease: n.w.set.Lease, Change: news.Change, Stage: news.Stage})
 	}
-	s := n.holder.Observe(news)
+	s := n.holder.ApplyHint(news)
 	switch {
 	case s.Activate:
 		n.w.count("met: a number taken by a hint")
@@ -268,7 +268,7 @@
 func (n *node) ask(number uint64, id string, found func(d rollout.Document, ok bool)) {
 	var d rollout.Document
 	ok, over := false, false
-	n.w.log.read(n, func(m *rollout.Machine) { d, ok = m.Find(number, id) }, func() {
+	n.w.log.read(n, func(m *rollout.Machine) { d, ok = m.FindDocument(number, id) }, func() {
 		n.after(0, func() {
 			if !over {
 				over = true
@@ -306,7 +306,7 @@
 				holds, _, _ := n.holder.InForce()
 				n.receipt = holds + 1
 			}
-			n.after(n.holder.Saw(id, !ok, err), n.step)
+			n.after(n.holder.RecordValidation(id, !ok, err), n.step)
 		})
 	})
 }
@@ -319,7 +319,7 @@
 			}
 			if n.cannot(d.Text) != nil {
 				n.w.count("met: a node that cannot take what holds")
-				n.after(n.holder.Failed(number), n.step)
+				n.after(n.holder.RecordActivationFailure(number), n.step)
 				return
 			}
 			if n.stopping > 0 && number >= n.stopping+3 {
@@ -332,7 +332,7 @@
 				n.w.count("met: a node that died after it looked and came back after the next change but one")
 			}
 			n.stopping, n.missed, n.disk, n.receipt = 0, 0, number, 0
-			n.holder.Activated(number, d.Hash)
+			n.holder.RecordActivation(number, d.Hash)
 			n.step()
 		})
 	}
@@ -356,7 +356,7 @@
 func (n *node) kill() {
 	n.settle()
 	n.up, n.stopped, n.sound, n.missed = false, false, false, 0
-	if id := n.w.log.machine.Under(); id != "" && n.holder.Report().Validated == id {
+	if id := n.w.log.machine.ChangeID(); id != "" && n.holder.Report().Validated == id {
 		n.missed = n.w.log.machine.Number() + 1
 	}
 	n.w.count("fault: a node killed")
