--- a/internal/node/wal/segments.go
+++ b/internal/node/wal/segments.go
@@ -1,11 +1,11 @@
-// Package wal keeps records on a disk in files that are only appended to.
+// Package wal is a write-ahead log: it stores records on disk in append-only files, called segments.
 //
-// A segment begins with its form's magic word and a header; header and records each carry their length and a checksum
-// (xxHash64). A write that is cut off leaves a torn tail, which Read names: what stands before it counts. Nothing is ever
-// written behind a torn tail or a failed write: the next record begins a new segment, for what a disk did with the pages
-// of a failed sync is not known.
+// A segment begins with the magic word of its format, followed by a header. The header and each record carry their
+// length and a checksum (xxHash64). An interrupted write leaves a torn tail. Read returns its offset, and the
+// records before it are valid. Nothing is ever written after a torn tail or a failed write: the next record starts
+// a new segment, because it is not known what the disk did with the pages of a failed sync.
 //
-// Bounds: a segment ends at the size that its Writer is given, or a record beyond; a record has 1 MiB at the most.
+// Bounds: a segment ends at Writer.MaxBytes, which a single larger write may exceed. A record has at most 1 MiB.
 package wal
 
 import (
@@ -17,19 +17,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxRecordBytes is how many bytes a record may have.
+// MaxRecordBytes is the maximum size of a record, in bytes.
 const MaxRecordBytes = 1 << 20
 
-// headLength is that of a record: 4 bytes of length, 8 of checksum.
+// headLength is the size of a record's header: 4 bytes of length and 8 bytes of checksum.
 const headLength = 12
 
-// What can be wrong with a segment.
+// Errors of a segment.
 var (
-	ErrTorn           = errors.New("cut off or damaged")
-	ErrRecordTooLarge = errors.New("a record is over 1 MiB")
+	ErrTorn           = errors.New("truncated or damaged")
+	ErrRecordTooLarge = errors.New("record is larger than 1 MiB")
 )
 
-// Append adds a record to dst. Its content is what fill adds to the bytes that it is given.
+// Append appends a record to dst. Its content is what fill appends to the slice that it receives.
 func Append(dst []byte, fill func([]byte) []byte) []byte {
 	start := len(dst)
 	dst = fill(append(dst, make([]byte, headLength)...))
@@ -39,7 +39,7 @@
 	return dst
 }
 
-// Next takes the first record from the front of b; the error is ErrTorn.
+// Next splits the first record off the front of b. The error is ErrTorn.
 func Next(b []byte) (content, rest []byte, err error) {
 	if len(b) < headLength {
 		return nil, b, ErrTorn
@@ -55,13 +55,14 @@
 	return content, b[headLength+int(n):], nil
 }
 
-// Format is a kind of segment: the word that its files begin with, and what stands before the number in their names.
+// Format is a kind of segment: the magic word that its files begin with, and the prefix of their names before the
+// number.
 type Format struct{ Magic, Prefix string }
 
-// Name is that of the segment with a number; names sort as their numbers do.
+// Name returns the file name of the segment with a number. Names sort in the order of their numbers.
 func (f Format) Name(n int) string { return fmt.Sprintf("%s-%08d.log", f.Prefix, n) }
 
-// Number undoes Name.
+// Number returns the number of the segment with a file name; it is the inverse of Name.
 func (f Format) Number(name string) (n int, ok bool) {
 	digits, found := strings.CutPrefix(name, f.Prefix+"-")
 	digits, found2 := strings.CutSuffix(digits, ".log")
@@ -77,15 +78,15 @@
 	return n, true
 }
 
-// Read reads a segment: its header goes to head, each record to tell. Both may end the reading with an error. offset is
-// where what is wrong begins.
-func (f Format) Read(text []byte, head, tell func(content []byte) error) (offset int, err error) {
+// Read reads a segment: it passes the header to onHeader and each record to onRecord. Either may stop the reading
+// by returning an error. After an error, offset is where the invalid or rejected part begins.
+func (f Format) Read(text []byte, onHeader, onRecord func(content []byte) error) (offset int, err error) {
 	if len(text) < len(f.Magic) || string(text[:len(f.Magic)]) != f.Magic {
 		return 0, ErrTorn
 	}
 	content, rest, err := Next(text[len(f.Magic):])
 	if err == nil {
-		err = head(content)
+		err = onHeader(content)
 	}
 	if err != nil {
 		return len(f.Magic), err
@@ -93,7 +94,7 @@
 	for len(rest) > 0 {
 		offset = len(text) - len(rest)
 		if content, rest, err = Next(rest); err == nil {
-			err = tell(content)
+			err = onRecord(content)
 		}
 		if err != nil {
 			return offset, err
@@ -102,23 +103,23 @@
 	return 0, nil
 }
 
-// Writer appends to the segments of a folder. It is not for several goroutines at once.
+// Writer appends to the segments of a folder. It is not safe for concurrent use.
 type Writer struct {
 	Folder   Folder
 	Format   Format
-	Header   []byte            // of each segment
-	MaxBytes int               // bytes of a segment
-	Synced   bool              // each Write lasts when it returns; else when the system writes it
-	Number   int               // of the next segment
-	OnBegin  func()            // called before a segment is begun; nil = nothing
-	OnEnd    func(int, string) // a segment that is not written to any more, by number and name; nil = nothing
+	Header   []byte            // written at the start of each segment
+	MaxBytes int               // size in bytes at which a segment ends
+	Synced   bool              // each Write is durable when it returns; if false, once the operating system writes it back
+	Number   int               // number of the next segment
+	OnBegin  func()            // called before a segment is started; may be nil
+	OnEnd    func(int, string) // called with the number and name of a segment that receives no more writes; may be nil
 
 	out  File
 	name string
 	size int
 }
 
-// Write writes sealed records, to a new segment where the present one is full or has failed.
+// Write writes encoded records. It starts a new segment if the current one is full or has failed.
 func (w *Writer) Write(records []byte) (err error) {
 	if w.out != nil && w.size+len(records) > w.MaxBytes {
 		if err := w.EndSegment(); err != nil {
@@ -139,13 +140,13 @@
 		}
 	}
 	if err != nil {
-		_ = w.out.Close() // the first error counts
+		_ = w.out.Close() // the first error is returned
 		w.retire()
 	}
 	return err
 }
 
-// EndSegment ends the present segment, if there is one: the next record begins another.
+// EndSegment closes the current segment, if there is one. The next record starts a new one.
 func (w *Writer) EndSegment() error {
 	if w.out == nil {
 		return nil
@@ -173,18 +174,18 @@
 	w.Number++
 	f, err := w.Folder.Create(w.name)
 	if err != nil {
-		return fmt.Errorf("beginning %s: %w", w.name, err)
+		return fmt.Errorf("creating segment %s: %w", w.name, err)
 	}
-	first := Append([]byte(w.Format.Magic), func(b []byte) []byte { return append(b, w.Header...) })
-	_, err = f.Write(first)
+	header := Append([]byte(w.Format.Magic), func(b []byte) []byte { return append(b, w.Header...) })
+	_, err = f.Write(header)
 	if err == nil {
 		err = w.Folder.Sync()
 	}
 	if err != nil {
-		_ = f.Close() // the first error counts
+		_ = f.Close() // the first error is returned
 		w.retire()
-		return fmt.Errorf("beginning %s: %w", w.name, err)
+		return fmt.Errorf("creating segment %s: %w", w.name, err)
 	}
-	w.out, w.size = f, len(first)
+	w.out, w.size = f, len(header)
 	return nil
 }
--- a/internal/node/wal/segments_test.go
+++ b/internal/node/wal/segments_test.go
@@ -11,8 +11,9 @@
 
 var form = Format{Magic: "lwtest", Prefix: "test"}
 
-// Guards against a folder that other users may read, a second process in it, and a record lost or taken twice where one
-// segment follows another. What a journal does with cuts and failures is in internal/node/idempotency/journal.
+// TestOnDisk guards against a folder that other users can read or that two processes use at once, and against a
+// record that is lost or read twice at the boundary between two segments. Truncated files and failed writes are
+// tested in internal/node/idempotency/journal.
 func TestOnDisk(t *testing.T) {
 	disk := Disk{Path: filepath.Join(t.TempDir(), "new", "folder")}
 	require.NoError(t, disk.Make())
