--- a/internal/node/consensus/backup/backup.go
+++ b/internal/node/consensus/backup/backup.go
@@ -1,5 +1,5 @@
-// Package backup writes and reads backups of the agreed state: a line of JSON that says whose it is, and an image of
-// package statemachine.
+// Package backup writes and reads backups of the replicated state. A backup is a line of JSON that identifies the
+// fleet, followed by an image of package statemachine.
 package backup
 
 import (
@@ -15,13 +15,13 @@
 
 // Errors of Read.
 var (
-	// ErrForm says that a file is no backup, or one of a later release.
-	ErrForm = errors.New("is no copy of what a fleet agreed on, or one of a later release")
-	// ErrDamaged says that a backup's checksum is wrong.
+	// ErrForm says that a file is not a backup, or was written by a later release.
+	ErrForm = errors.New("is not a backup of a fleet's state, or was written by a later release")
+	// ErrDamaged says that the checksum of a backup does not match.
 	ErrDamaged = errors.New("is damaged")
 )
 
-// version is the newest version of the files that this release reads.
+// version is the newest version of backup files that this release reads.
 const version = 1
 
 // header is the first line of a backup.
@@ -32,8 +32,8 @@
 	Sum   uint64 `json:"sum"` // xxhash of the image
 }
 
-// Write writes an image, as of the entry with this index, to a file that must not exist. It syncs the file and then its
-// directory: after a nil error the backup survives a loss of power, by its name.
+// Write writes an image, which contains the entries up to index, to a file that must not exist. It syncs the file
+// and then its directory: after a nil error, the file and its name survive a power failure.
 func Write(file, fleet string, index uint64, image []byte) error {
 	return write(file, fleet, index, image, (*os.File).Sync)
 }
@@ -60,7 +60,7 @@
 	return errors.Join(sync(directory), directory.Close())
 }
 
-// Read reads what Write has written. The error wraps ErrForm or ErrDamaged, or is the file's.
+// Read reads a backup that Write has written. The error wraps ErrForm or ErrDamaged, or is an error of the file.
 func Read(file string) (fleet string, index uint64, image []byte, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/node/consensus/backup/backup_test.go
+++ b/internal/node/consensus/backup/backup_test.go
@@ -11,8 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// TestReadsAndWritesTheBackupOfAnEarlierBuild guards against a backup that an earlier build of this release wrote and this one does not
-// read, or the other way round.
+// TestReadsAndWritesTheBackupOfAnEarlierBuild guards against a backup that an earlier build of this release wrote
+// and this build cannot read, or the reverse.
 func TestReadsAndWritesTheBackupOfAnEarlierBuild(t *testing.T) {
 	image := []byte("{\"version\":2}\n\x00\x01\xff")
 	file := filepath.Join(t.TempDir(), "backup")
@@ -27,7 +27,8 @@
 	require.Equal(t, image, got)
 }
 
-// TestReadRejectsWhatIsNoBackup guards against recovering a fleet from a file that is damaged, of a later release, or no backup at all.
+// TestReadRejectsWhatIsNoBackup guards against recovering a fleet from a file that is damaged, was written by a
+// later release, or is not a backup.
 func TestReadRejectsWhatIsNoBackup(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "backup")
 	require.NoError(t, Write(file, "morava", 42, []byte("image")))
@@ -52,7 +53,8 @@
 	}
 }
 
-// TestBackupIsSyncedWithItsDirectory guards against a backup that is on the disk after a loss of power, but has no name there.
+// TestBackupIsSyncedWithItsDirectory guards against a backup whose content survives a power failure but whose
+// directory entry is lost.
 func TestBackupIsSyncedWithItsDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "backup")
 	var synced []string
@@ -61,7 +63,7 @@
 		return f.Sync()
 	}
 	require.NoError(t, write(file, "morava", 42, []byte("image"), record))
-	require.Equal(t, []string{file, filepath.Dir(file)}, synced, "the content before its name")
+	require.Equal(t, []string{file, filepath.Dir(file)}, synced, "the content is synced before the directory entry")
 
 	failing := func(f *os.File) error {
 		if f.Name() == filepath.Dir(file) {
@@ -69,5 +71,5 @@
 		}
 		return f.Sync()
 	}
-	require.ErrorIs(t, write(file+"2", "morava", 42, []byte("image"), failing), os.ErrInvalid, "a name that may be lost is not reported as written")
+	require.ErrorIs(t, write(file+"2", "morava", 42, []byte("image"), failing), os.ErrInvalid, "a directory entry that may be lost is not reported as written")
 }
--- a/internal/node/consensus/client/client.go
+++ b/internal/node/consensus/client/client.go
@@ -1,7 +1,8 @@
-// Package client is the client of the agreed log: commands that are applied once however often they have to be sent, and
-// queries. The methods of a Client block until their context ends, and may be called from any goroutine.
+// Package client is the client of the replicated log. It sends queries, and commands, which are applied once
+// however often they have to be retried. The methods of a Client block until they succeed, fail, or their context
+// ends, and are safe for concurrent use.
 //
-// Bounds: one connection, to the leader as far as it is known; statemachine.Window commands in flight.
+// Bounds: one connection, to the last known leader; statemachine.Window commands in flight.
 package client
 
 import (
@@ -20,62 +21,63 @@
 // Errors of a client.
 var (
 	// ErrNoQuorum says that the command was not applied and will not be: no majority of replicas could be reached.
-	ErrNoQuorum = errors.New("no majority of keepers can be reached: nothing was changed")
-	// ErrUnknown says that the command may have been applied, or may yet be.
-	ErrUnknown = errors.New("no answer came in time: whether it was agreed is not known")
-	// ErrRefused says that a replica has rejected the request for a reason that will not go away.
+	ErrNoQuorum = errors.New("no majority of replicas is reachable: nothing was changed")
+	// ErrUnknown says that the command may have been applied, or may still be applied.
+	ErrUnknown = errors.New("no answer in time: it is unknown whether the command was applied")
+	// ErrRefused says that a replica has permanently rejected the request.
 	ErrRefused = errors.New("refused")
 
-	errNoReplica    = errors.New("no keeper is configured")
-	errClosed       = errors.New("there is nobody to ask")
-	errNoConnection = errors.New("there is no connection")
-	errBroken       = errors.New("the connection broke")
-	errTimeout      = errors.New("no answer came in time")
-	errOpening      = errors.New("no session could be opened in time")
-	errWindowFull   = errors.New("as many commands as may be are in flight")
-	errAbandoned    = errors.New("the session was abandoned")
+	errNoReplica    = errors.New("no replica is configured")
+	errClosed       = errors.New("client is closed or has no replicas")
+	errNoConnection = errors.New("no connection")
+	errBroken       = errors.New("connection closed")
+	errTimeout      = errors.New("no answer in time")
+	errOpening      = errors.New("could not open a session in time")
+	errWindowFull   = errors.New("too many commands in flight")
+	errAbandoned    = errors.New("session was abandoned")
 )
 
 const maxSpread = time.Second
 
-// Replica is a member that can be called.
+// Replica is the name and the address of a replica.
 type Replica struct{ Name, Address string }
 
 // Config is the configuration of a client.
 type Config struct {
 	Fleet          string
-	Name           string // of this client, for people
+	Name           string // of this client; informational
 	Release        string
 	Replicas       []Replica
-	AttemptTimeout time.Duration // for one replica to answer before the next one is tried
-	Spread         time.Duration // the first request is delayed by a random part of it; 0 = not at all
+	AttemptTimeout time.Duration // timeout of one replica, after which the next one is tried
+	Spread         time.Duration // maximum random delay of the first request; 0 = no delay
 }
 
-// Spread returns the Config.Spread of one of as many nodes that start together. The first requests of a node keep the leader
-// busy for part of a millisecond, and those of nodes that run already should not queue behind all of them.
+// Spread returns the Config.Spread for each of a number of nodes that start at the same time. The first requests
+// of a node keep the leader busy for a fraction of a millisecond, and requests of nodes that are already running
+// should not queue behind all of them.
 func Spread(nodes int) time.Duration { return min(time.Duration(nodes)*time.Millisecond, maxSpread) }
 
-// Client is a client of the log.
+// Client is a client of the replicated log.
 type Client struct {
 	config    Config
-	notBefore time.Time     // of the first request
-	opening   chan struct{} // has room for one: it is full while a session is opened, so that one is
+	notBefore time.Time     // earliest time of the first request
+	opening   chan struct{} // a mutex that can be waited for with a context: capacity 1, full while a session is being looked up or opened
 
-	mu          sync.Mutex // guards what follows
-	current     int        // index of the replica that is called
-	failedDials int        // in a row
+	mu          sync.Mutex // guards the fields below
+	current     int        // index of the replica that requests go to
+	failedDials int        // consecutive
 	conn        *connection
 	session     *session
 	closed      bool
 }
 
-// New returns a client. It connects with the first request.
+// New returns a client. It connects when the first request is made.
 func New(config Config) *Client {
 	return &Client{config: config, notBefore: time.Now().Add(rand.N(max(1, config.Spread))), opening: make(chan struct{}, 1),
 		current: rand.IntN(max(1, len(config.Replicas)))}
 }
 
-// Close closes the connection. Requests that wait for an answer fail.
+// Close closes the connection. Requests in flight fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,8 +87,9 @@
 	}
 }
 
-// Do sends a command to a component until it is applied, and returns its reply, or until ctx ends. The error then wraps
-// ErrNoQuorum or ErrRefused where the command was certainly not applied, and ErrUnknown where it may have been.
+// Do sends a command to a component, with retries until it is applied or ctx ends, and returns the reply. The
+// error wraps ErrNoQuorum or ErrRefused if the command was certainly not applied, and ErrUnknown if it may have
+// been applied.
 func (c *Client) Do(ctx context.Context, component string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -125,7 +128,7 @@
 	}
 }
 
-// Read queries a component. The answer is linearizable: it is from the state at some moment after Read was called.
+// Read queries a component. The answer is linearizable: it reflects the state at some moment after Read was called.
 func (c *Client) Read(ctx context.Context, component string, body any) (statemachine.Reply, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -140,9 +143,10 @@
 	return *a.Reply, nil
 }
 
-// Wait is a long poll: it sends a query to the replica that was called last, and returns once the answer differs from known, or
-// ctx ends. The answer is a hint, for that replica may not lead any more. It makes no entry in the log. An error has no effect:
-// the connection and the replica stay the current ones, until another request fails with them.
+// Wait performs a long poll: it sends a query over the current connection, and returns once the answer differs
+// from known or ctx ends. The answer is a hint, because the replica may no longer be the leader. A long poll
+// creates no log entry. An error has no effect on the client: the connection and the replica remain the current
+// ones until another request fails on them.
 func (c *Client) Wait(ctx context.Context, component string, query, known any) (statemachine.Reply, error) {
 	body, err := json.Marshal(query)
 	if err != nil {
@@ -160,7 +164,7 @@
 	}
 	a, _, err := conn.call(ctx, protocol.Request{Kind: protocol.LongPoll, Component: component, Body: body, Known: knownText})
 	if err == nil && a.Reply == nil {
-		err = fmt.Errorf("no hint: %s", a.Text)
+		err = fmt.Errorf("long poll was not answered: %s", a.Text)
 	}
 	if err != nil {
 		return statemachine.Reply{}, err
@@ -168,7 +172,7 @@
 	return *a.Reply, nil
 }
 
-// Backup returns an image of the leader's state, and the index of the last entry in it.
+// Backup returns an image of the leader's state and the index of the last entry that it contains.
 func (c *Client) Backup(ctx context.Context) (index uint64, image []byte, err error) {
 	a, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Kind: protocol.Backup} })
 	if err == nil {
@@ -177,13 +181,13 @@
 	return index, image, err
 }
 
-// Change asks the leader to change the membership: want is protocol.AddLearner or protocol.Remove.
-func (c *Client) Change(ctx context.Context, want string, m statemachine.Member) error {
-	_, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Kind: want, Members: []statemachine.Member{m}} })
+// Change asks the leader to change the membership: kind is protocol.AddLearner or protocol.Remove.
+func (c *Client) Change(ctx context.Context, kind string, m statemachine.Member) error {
+	_, _, err := c.call(ctx, func() protocol.Request { return protocol.Request{Kind: kind, Members: []statemachine.Member{m}} })
 	return err
 }
 
-// Call sends one request to one replica, whether it leads or not: for its status, or to bootstrap it.
+// Call sends one request to one replica, whether it is the leader or not: to get its status or to bootstrap it.
 func Call(ctx context.Context, config Config, to Replica, r protocol.Request) (protocol.Answer, error) {
 	conn, err := dial(to, &config, config.AttemptTimeout)
 	if err != nil {
@@ -199,7 +203,8 @@
 	return a, err
 }
 
-// notApplied returns the error of a request that was not applied: ErrRefused if a replica has rejected it, else ErrNoQuorum.
+// notApplied returns the error of a request that was not applied: it wraps ErrRefused if a replica has rejected
+// the request, and otherwise ErrNoQuorum.
 func notApplied(err error) error {
 	if errors.Is(err, ErrRefused) {
 		return err
--- a/internal/node/consensus/client/client_test.go
+++ b/internal/node/consensus/client/client_test.go
@@ -12,7 +12,8 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// TestSpreadDelaysTheFirstRequest guards against nodes that start together and call the replicas together.
+// TestSpreadDelaysTheFirstRequest guards against nodes that start together and all call the replicas at the same
+// moment.
 func TestSpreadDelaysTheFirstRequest(t *testing.T) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -24,7 +25,7 @@
 		delayed := New(config).notBefore.Sub(start)
 		first, last = min(first, delayed), max(last, delayed)
 	}
-	assert.Greater(t, last-first, time.Hour/2) // by chance not once in 2^90 runs
+	assert.Greater(t, last-first, time.Hour/2) // fails by chance less than once in 2^90 runs
 	c := New(config)
 	defer c.Close()
 	c.notBefore = time.Now().Add(time.Hour)
@@ -34,7 +35,7 @@
 	require.ErrorIs(t, err, ErrNoQuorum)
 	require.NoError(t, listen.(*net.TCPListener).SetDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err = listen.Accept()
-	assert.ErrorContains(t, err, "timeout", "it has connected")
+	assert.ErrorContains(t, err, "timeout", "it must not connect before the delay is over")
 	assert.Equal(t, 300*time.Millisecond, Spread(300))
 	assert.Equal(t, time.Second, Spread(5000))
 }
--- a/internal/node/consensus/client/connection.go
+++ b/internal/node/consensus/client/connection.go
@@ -12,17 +12,17 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// connection is a connection with many requests in flight.
+// connection is a connection to a replica that multiplexes requests.
 type connection struct {
 	raw          *transport.Conn
 	writeTimeout time.Duration
-	broken       chan struct{} // closed once no more answers come
+	broken       chan struct{} // closed once no more answers are received
 	writing      sync.Mutex    // held while a request is written
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	lastID   uint64
 	inFlight map[uint64]chan protocol.Answer
-	leaving  bool // closes once nothing is in flight
+	leaving  bool // close the connection once nothing is in flight
 }
 
 func dial(to Replica, config *Config, timeout time.Duration) (*connection, error) {
@@ -35,7 +35,7 @@
 	return c, nil
 }
 
-// close closes the connection: its requests fail. That it cannot be closed is of no use to know.
+// close closes the connection: requests in flight fail. An error of closing does not matter.
 func (c *connection) close() { _ = c.raw.Close() }
 
 // closeWhenIdle closes the connection once no request is in flight.
@@ -56,7 +56,7 @@
 	}
 }
 
-// receive hands answers to those who wait for them, until the connection ends.
+// receive delivers answers to the waiting calls until the connection ends.
 func (c *connection) receive() {
 	defer close(c.broken)
 	defer c.close()
@@ -72,7 +72,7 @@
 	}
 }
 
-// add gives a request a number and returns the channel that gets its answer, which has room for it.
+// add assigns an ID to a request and returns the channel for its answer, which is buffered.
 func (c *connection) add(r *protocol.Request) <-chan protocol.Answer {
 	answer := make(chan protocol.Answer, 1)
 	c.mu.Lock()
@@ -83,7 +83,7 @@
 	return answer
 }
 
-// remove forgets a request and returns the channel that its answer is for, nil if nobody waits for it.
+// remove removes a request and returns the channel for its answer, or nil if no call waits for it.
 func (c *connection) remove(id uint64) chan<- protocol.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 	return answer
 }
 
-// finish forgets a request, and closes a leaving connection whose last one it was.
+// finish removes a request, and closes the connection if it is leaving and no other request is in flight.
 func (c *connection) finish(id uint64) {
 	c.mu.Lock()
 	delete(c.inFlight, id)
@@ -103,7 +103,7 @@
 	}
 }
 
-// call sends one request and waits for its answer. sent reports whether the replica may have it.
+// call sends one request and waits for its answer. sent reports whether the replica may have received it.
 func (c *connection) call(ctx context.Context, r protocol.Request) (a protocol.Answer, sent bool, err error) {
 	answer := c.add(&r)
 	defer c.finish(r.ID)
@@ -112,7 +112,7 @@
 		return a, false, err
 	}
 	if len(text) > statemachine.MaxCommandBytes {
-		return protocol.Answer{Fault: protocol.Rejected, Text: fmt.Sprintf("a request has %d bytes at the most", statemachine.MaxCommandBytes)}, false, nil
+		return protocol.Answer{Fault: protocol.Rejected, Text: fmt.Sprintf("request is larger than %d bytes", statemachine.MaxCommandBytes)}, false, nil
 	}
 	c.writing.Lock()
 	err = c.raw.Write(transport.KindRequest, text, c.writeTimeout)
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -18,11 +18,11 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// randomNumber matches the number of a command that opens a session.
+// randomNumber matches the random number of a command that opens a session.
 var randomNumber = regexp.MustCompile(`"n":\d{10,}`)
 
-// TestRequestsAreThoseOfAnEarlierBuild guards against a client whose handshake or requests, of any kind, have changed on the wire, or that
-// cannot read an answer with every field set.
+// TestRequestsAreThoseOfAnEarlierBuild guards against a change on the wire of the client's handshake or of any
+// kind of request, and against a client that cannot read an answer with a complete reply.
 func TestRequestsAreThoseOfAnEarlierBuild(t *testing.T) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/node/consensus/client/retry.go
+++ b/internal/node/consensus/client/retry.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	firstPause         = 5 * time.Millisecond // between attempts; doubles after each
+	firstPause         = 5 * time.Millisecond // between attempts; doubled after each one
 	maxPause           = 200 * time.Millisecond
-	immediateRedirects = 2 // that are followed without a pause
-	maxDialDoublings   = 2 // of AttemptTimeout, for connections where all replicas are slow
+	immediateRedirects = 2 // redirects to another replica that are followed without a pause
+	maxDialDoublings   = 2 // of AttemptTimeout, for connecting when all replicas are slow
 )
 
-// call sends a request to one replica after the other until one answers it for good, or ctx ends. uncertain reports whether an
-// earlier attempt may have proposed it.
+// call sends a request to one replica after another until one gives a final answer or ctx ends. uncertain reports
+// whether an earlier attempt may have proposed the request.
 func (c *Client) call(ctx context.Context, request func() protocol.Request) (a protocol.Answer, uncertain bool, err error) {
 	last := errNoReplica
 	pause := firstPause
@@ -60,7 +60,7 @@
 	}
 }
 
-// sleep waits for d, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -70,8 +70,8 @@
 	}
 }
 
-// switchFrom makes the replica with a name the current one, or the next one if there is none, unless another request has
-// switched from the replica with this index before.
+// switchFrom makes the replica with a name the current one, or the next replica if none has that name. It does
+// nothing if another request has already switched away from the replica with this index.
 func (c *Client) switchFrom(index int, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// drop closes a connection that has failed.
+// drop closes and forgets a connection that has failed.
 func (c *Client) drop(conn *connection) {
 	conn.close()
 	c.mu.Lock()
@@ -100,8 +100,8 @@
 	}
 }
 
-// connect returns the connection to the current replica, and the replica's index. It holds the lock while it connects, so that
-// concurrent requests share the connection.
+// connect returns the connection to the current replica and the replica's index. It holds the lock while it
+// connects, so that concurrent requests share one connection.
 func (c *Client) connect(ctx context.Context) (conn *connection, index int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +112,8 @@
 		return c.conn, c.current, nil
 	}
 	to := c.config.Replicas[c.current]
-	timeout := c.config.AttemptTimeout << min(maxDialDoublings, c.failedDials/len(c.config.Replicas)) // doubled once each has failed
+	// The timeout doubles after each round in which all replicas have failed.
+	timeout := c.config.AttemptTimeout << min(maxDialDoublings, c.failedDials/len(c.config.Replicas))
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, max(time.Millisecond, time.Until(deadline)))
 	}
--- a/internal/node/consensus/client/session.go
+++ b/internal/node/consensus/client/session.go
@@ -11,24 +11,24 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// session numbers commands so that each is applied once, at most statemachine.Window in flight.
+// session numbers commands, so that each is applied only once. At most statemachine.Window are in flight.
 type session struct {
 	id uint64
 
-	mu        sync.Mutex    // guards what follows
-	freed     chan struct{} // closed and replaced when a number is confirmed, closed when the session is abandoned
-	last      uint64        // number given out last
-	done      uint64        // all numbers up to this one are confirmed
+	mu        sync.Mutex    // guards the fields below
+	freed     chan struct{} // closed and replaced when a number is confirmed; closed when the session is abandoned
+	last      uint64        // last assigned number
+	done      uint64        // all numbers up to and including this one are confirmed
 	confirmed map[uint64]bool
-	abandoned bool // the fate of a command is unknown: its number stays in flight, so that no more can be given out
+	abandoned bool // the outcome of a command is unknown: its number stays in flight, so the session must not be used any more
 }
 
 func newSession(id uint64) *session {
 	return &session{id: id, freed: make(chan struct{}), confirmed: map[uint64]bool{}}
 }
 
-// nextNumber returns the number of the next command. While Window are in flight it waits, until ctx ends: the error is
-// errWindowFull then. Once the session is abandoned, it is errAbandoned.
+// nextNumber returns the number of the next command. It waits while Window commands are in flight. The error is
+// errWindowFull if ctx ends meanwhile, and errAbandoned once the session is abandoned.
 func (s *session) nextNumber(ctx context.Context) (uint64, error) {
 	for {
 		number, freed, err := s.tryNextNumber()
@@ -43,7 +43,8 @@
 	}
 }
 
-// tryNextNumber is nextNumber without the wait: it returns a channel that is closed when it is worth trying again.
+// tryNextNumber is nextNumber without the wait: if no number is free, it returns a channel that is closed when to
+// try again.
 func (s *session) tryNextNumber() (number uint64, freed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	return s.last, nil, nil
 }
 
-// confirm records that the reply to a command has come.
+// confirm records that the reply to a command was received.
 func (s *session) confirm(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,7 @@
 	}
 }
 
-// confirmedUpTo returns the number up to which the state machine may forget replies.
+// confirmedUpTo returns the number up to which the state machine may drop replies.
 func (s *session) confirmedUpTo() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,11 +95,11 @@
 	return s.abandoned
 }
 
-// beginOpening waits until no other request opens a session, or ctx ends. After a nil error the caller must take its element out
-// of c.opening.
+// beginOpening waits until no other request is opening a session, or ctx ends. After a nil error the caller must
+// receive from c.opening.
 func (c *Client) beginOpening(ctx context.Context) error {
 	select {
-	case c.opening <- struct{}{}: // also where ctx has ended already: most requests find a session
+	case c.opening <- struct{}{}: // even if ctx has already ended: most requests find an open session
 		return nil
 	default:
 	}
@@ -110,8 +111,8 @@
 	}
 }
 
-// openSession returns the session, a new one where there is none or it was abandoned. While another request opens one it
-// waits for that, until ctx ends.
+// openSession returns the session. It opens a new one if there is none or the current one was abandoned. While
+// another request is opening a session, it waits for that request, until ctx ends.
 func (c *Client) openSession(ctx context.Context) (*session, error) {
 	if err := c.beginOpening(ctx); err != nil {
 		return nil, notApplied(err)
@@ -130,7 +131,7 @@
 	a, _, err := c.call(ctx, func() protocol.Request {
 		return protocol.Request{Kind: protocol.Do, Number: rand.Uint64()>>1 | 1, Body: body}
 	})
-	if err != nil { // should it be opened all the same: a session that nobody uses does no harm
+	if err != nil { // the session may still have been opened; an unused one does no harm
 		return nil, notApplied(err)
 	}
 	if a.Reply.Code != statemachine.OK {
--- a/internal/node/consensus/client/session_test.go
+++ b/internal/node/consensus/client/session_test.go
@@ -12,10 +12,10 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// waitLimit only ends a test that hangs.
+// waitLimit is the time after which a hanging test fails.
 const waitLimit = time.Minute
 
-// doUntilCancelled sends a command whose context ends at once, and returns how that ends.
+// doUntilCancelled sends a command whose context has ended, and returns the error.
 func doUntilCancelled(t *testing.T, c *Client) error {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -29,13 +29,13 @@
 	case err := <-ended:
 		return err
 	case <-time.After(waitLimit):
-		require.Fail(t, "the command outlives its context")
+		require.Fail(t, "the command continues after its context has ended")
 		return nil
 	}
 }
 
-// TestCommandWaitsForAFreeNumberOnlyAsLongAsItsContext guards against a command that waits for others in flight when its caller has
-// gone.
+// TestCommandWaitsForAFreeNumberOnlyAsLongAsItsContext guards against a command that waits for other commands in
+// flight after the context of its caller has ended.
 func TestCommandWaitsForAFreeNumberOnlyAsLongAsItsContext(t *testing.T) {
 	c := New(Config{})
 	c.session = newSession(1)
@@ -44,17 +44,17 @@
 		require.NoError(t, err)
 	}
 	err := doUntilCancelled(t, c)
-	require.ErrorIs(t, err, ErrNoQuorum, "it was certainly not applied")
+	require.ErrorIs(t, err, ErrNoQuorum, "the command was certainly not applied")
 	require.ErrorIs(t, err, errWindowFull)
 
 	c.session.confirm(1)
 	number, err := c.session.nextNumber(t.Context())
-	require.NoError(t, err, "the one that gave up has taken no number")
+	require.NoError(t, err, "the cancelled command has used no number")
 	require.EqualValues(t, statemachine.Window+1, number)
 }
 
-// TestCommandWaitsForASessionOnlyAsLongAsItsContext guards against a command that waits for another one that opens the session, at a
-// replica that does not answer, when its caller has gone.
+// TestCommandWaitsForASessionOnlyAsLongAsItsContext guards against a command that, after the context of its caller
+// has ended, waits for another command that is opening the session on a replica that does not answer.
 func TestCommandWaitsForASessionOnlyAsLongAsItsContext(t *testing.T) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,7 +67,7 @@
 		}
 		conn := transport.NewConn(raw)
 		if _, err := conn.Accept("f", func(transport.Hello) transport.Welcome { return transport.Welcome{Name: "k0", ID: 1} }); err == nil {
-			_, _, _ = conn.Read() // the request that opens a session, which is never answered
+			_, _, _ = conn.Read() // the request that opens a session; it is never answered
 			close(requested)
 		}
 	}()
@@ -86,7 +86,8 @@
 	require.Error(t, <-first)
 }
 
-// TestWaitingCommandLearnsThatItsSessionWasAbandoned guards against a wait that outlasts the session.
+// TestWaitingCommandLearnsThatItsSessionWasAbandoned guards against a command that waits for a free number of an
+// abandoned session.
 func TestWaitingCommandLearnsThatItsSessionWasAbandoned(t *testing.T) {
 	s := newSession(1)
 	for range statemachine.Window {
--- a/internal/node/consensus/member/election.go
+++ b/internal/node/consensus/member/election.go
@@ -6,18 +6,19 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// maxElectionDoublings bounds the backoff of elections: 16 times the first timeout.
+// maxElectionDoublings bounds the backoff of elections to 16 times the base timeout.
 const maxElectionDoublings = 4
 
 // Tick advances the member's clock by one tick.
 //
-// The library draws election timeouts from the system's random source, so that no history could be replayed. A follower
-// therefore only has its clock advanced, and campaigns when this package's own draw says so: after Settings.Election ticks
-// without a message from a leader, and up to as many more.
+// The library draws election timeouts from the system's random source, which would make histories impossible to
+// replay. For a follower, Tick therefore only advances the library's clock, and this package decides when to
+// campaign: after a random timeout between Settings.Election and twice as many ticks without a message from a
+// leader.
 //
-// A vote counts once it is on the voter's disk. So that disks slower than the election timeout do not keep a cluster from ever
-// having a leader, no tick counts while this member's own disk is at work, and a candidate whose votes did not come in time
-// doubles its timeout, up to maxElectionDoublings times.
+// A vote counts only once it is on the voter's disk. To let a cluster elect a leader even if its disks are slower
+// than the election timeout, ticks do not count while writes of this member are pending, and a candidate that does
+// not win in time doubles its timeout, up to maxElectionDoublings times.
 func (m *Member) Tick() {
 	if m.Leads() {
 		m.electionElapsed, m.lostElections = 0, 0
@@ -29,23 +30,24 @@
 		return
 	}
 	if m.electionElapsed++; m.electionElapsed >= m.electionTimeout {
-		if m.role == raft.StateCandidate { // it won the pre-vote: one that is partitioned off never comes so far
+		if m.role == raft.StateCandidate { // it won the pre-vote, which a partitioned member never does
 			m.lostElections = min(m.lostElections+1, maxElectionDoublings)
 		}
 		m.resetElectionTimeout()
-		_ = m.node.Campaign() // fails at a learner, which must not campaign
+		_ = m.node.Campaign() // fails for a learner, which must not campaign
 	}
 }
 
-// resetElectionTimeout starts the election timeout anew, with a new draw.
+// resetElectionTimeout restarts the election timeout with a new random duration.
 func (m *Member) resetElectionTimeout() {
 	base := m.settings.Election << m.lostElections
 	m.electionElapsed, m.electionTimeout = 0, base+m.random.IntN(base)
 }
 
-// Step handles a message of another member. One that the library refuses is dropped, as the network may drop it.
+// Step handles a message from another member. A message that the library refuses is dropped, as if the network had
+// lost it.
 func (m *Member) Step(message *pb.Message) {
-	// The commit index of a leader's heartbeat is at most what this member has acknowledged.
+	// The commit index in a leader's heartbeat never exceeds the last index that this member has acknowledged.
 	if last, _ := m.log.LastIndex(); message.GetType() == pb.MsgHeartbeat && message.GetCommit() > last {
 		m.failed = ErrEntriesMissing
 		return
@@ -60,10 +62,10 @@
 	_ = m.node.Step(message)
 }
 
-// Unreachable reports that messages to a member are lost.
+// Unreachable reports that messages to a member are being lost.
 func (m *Member) Unreachable(id uint64) { m.node.ReportUnreachable(id) }
 
-// ImageSent reports whether an image has reached the member that it was sent to.
+// ImageSent reports whether the image for a member was sent.
 func (m *Member) ImageSent(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
@@ -72,8 +74,8 @@
 	m.node.ReportSnapshot(id, status)
 }
 
-// TransferLeadership begins a transfer of leadership to the active member that has most of the log, and reports whether there is one and
-// this member leads.
+// TransferLeadership starts a transfer of leadership to the active member with the most complete log. It reports
+// whether there is such a member and this member is the leader.
 func (m *Member) TransferLeadership() bool {
 	var target, maxMatch uint64
 	m.node.WithProgress(func(id uint64, kind raft.ProgressType, p tracker.Progress) {
--- a/internal/node/consensus/member/logger.go
+++ b/internal/node/consensus/member/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Quiet is a raft.Logger that passes errors to Warn and drops the rest, for the library logs each message that it refuses. A
-// nil Warn drops errors too.
+// Quiet is a raft.Logger that passes errors to Warn and drops everything else, because the library logs each
+// message that it refuses. If Warn is nil, errors are dropped too.
 type Quiet struct{ Warn func(text string) }
 
 func (q Quiet) warn(text string) {
@@ -24,7 +24,8 @@
 // Infof drops its arguments.
 func (Quiet) Infof(string, ...any) {}
 
-// Warning drops its arguments: the library warns of each refused message, and networks reorder and repeat messages all the time.
+// Warning drops its arguments: the library warns about each refused message, and networks often reorder and
+// duplicate messages.
 func (Quiet) Warning(...any) {}
 
 // Warningf drops its arguments.
--- a/internal/node/consensus/member/member_test.go
+++ b/internal/node/consensus/member/member_test.go
@@ -10,14 +10,15 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// testSettings are the settings of a member in these tests.
+// testSettings returns the settings of a member in these tests.
 func testSettings(id uint64) Settings {
 	return Settings{ID: id, Election: 3, Heartbeat: 1, ImageEvery: 1 << 20, Trail: 10, Uncommitted: 1 << 20, Logger: Quiet{}}
 }
 
-// TestClusterTimeRunsEvenlyUnderLoad guards against cluster time that falls behind under load, because the time that each entry takes to
-// be committed is lost, or that runs ahead: windows and leases would last for ever, or end before the node that counts on them. It also
-// guards against a command that a member of an older release could not read.
+// TestClusterTimeRunsEvenlyUnderLoad guards against cluster time that falls behind under load, because the time
+// that each entry takes to be committed is lost, or that runs ahead: windows and leases would last forever, or
+// expire before the node that relies on them expects it. It also guards against proposing a command that a member
+// of an older release cannot read.
 func TestClusterTimeRunsEvenlyUnderLoad(t *testing.T) {
 	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
 	require.NoError(t, err)
@@ -30,7 +31,7 @@
 		require.NoError(t, err)
 		pending = append(pending, w.Write...)
 	}
-	finishWrites := func() { // the disk has made durable what it was given
+	finishWrites := func() { // all pending writes have become durable
 		for len(pending) > 0 {
 			w := pending[0]
 			pending = pending[1:]
@@ -48,21 +49,21 @@
 	for i := range uint64(1000) {
 		require.NoError(t, m.Propose(now, statemachine.Command{Number: i + 1, Body: []byte(`{"name":"c"}`)}))
 		takeWork()
-		now += 1.5 // until the disk has it, with the next one proposed right after
+		now += 1.5 // the time until the write is durable; the next command is proposed directly after it
 		finishWrites()
 		assert.LessOrEqual(t, m.State().Now(), 5000+now-begin, "cluster time runs ahead")
 	}
 	assert.InDelta(t, 5000+now-begin, m.State().Now(), 3)
 	leaseCommand := statemachine.Command{Component: statemachine.ComponentQuotaLeases, Body: []byte(`{}`)}
-	assert.ErrorIs(t, m.Propose(now, leaseCommand), ErrVersionNotWritable, "not before all members are known to read it")
+	assert.ErrorIs(t, m.Propose(now, leaseCommand), ErrVersionNotWritable, "not before all members are known to read that version")
 	require.NoError(t, m.Propose(now, statemachine.Command{Component: statemachine.ComponentMembers, Body: []byte(`{"id":1,"starts":1,"speaks":2}`)}))
 	takeWork()
 	finishWrites()
 	assert.NoError(t, m.Propose(now, leaseCommand))
 }
 
-// TestFailsWithoutAcknowledgedEntries guards against a member that goes on voting though it lacks entries that it had acknowledged to the
-// leader.
+// TestFailsWithoutAcknowledgedEntries guards against a member that continues to vote although it lacks entries
+// that it had acknowledged to the leader.
 func TestFailsWithoutAcknowledgedEntries(t *testing.T) {
 	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}, 5000)
 	require.NoError(t, err)
@@ -78,8 +79,9 @@
 	assert.ErrorIs(t, heartbeat(committed+1), ErrEntriesMissing)
 }
 
-// TestFailsAtAnImageOfALaterRelease guards against a member of an older release that goes on empty, or votes, once an image of a later
-// release has reached it from the leader, or lies on its disk.
+// TestFailsAtAnImageOfALaterRelease guards against a member of an older release that continues with an empty
+// state, or votes, after it has received an image of a later release from the leader, or has found one on its
+// disk.
 func TestFailsAtAnImageOfALaterRelease(t *testing.T) {
 	settings := testSettings(2)
 	image := &pb.Snapshot{Data: []byte(`{"version":99}`), Metadata: &pb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(4)),
@@ -96,7 +98,7 @@
 	require.ErrorIs(t, m.Persisted(w.Write[0]), statemachine.ErrVersion)
 }
 
-// newLeader returns the leader of a cluster of one member, and the function that does all work that it wants.
+// newLeader returns the leader of a cluster of one member, and a function that completes all outstanding work.
 func newLeader(t *testing.T) (m *Member, doWork func()) {
 	t.Helper()
 	image, err := Bootstrap([]statemachine.Member{{ID: 1, Name: "a"}}, 5000)
@@ -123,14 +125,15 @@
 	return m, doWork
 }
 
-// acknowledge has a member acknowledge all that is committed.
+// acknowledge simulates a member's acknowledgement of everything that is committed.
 func acknowledge(m *Member, id uint64) {
 	term, committed, _ := m.Position()
 	m.Step(&pb.Message{Type: pb.MsgAppResp.Enum(), From: &id, To: new(uint64(1)), Term: &term, Index: &committed})
 }
 
-// TestLearnerIsPromotedOnlyAfterAMessage guards against a vote for a new member that never sent a message: the library takes it for active
-// at first, in a young cluster it is hardly behind, and with another member down no majority would be left.
+// TestLearnerIsPromotedOnlyAfterAMessage guards against making a voter of a new member that never sent a message:
+// the library initially assumes that it is active, in a new cluster it is hardly behind, and with one more member
+// down there would be no majority.
 func TestLearnerIsPromotedOnlyAfterAMessage(t *testing.T) {
 	m, doWork := newLeader(t)
 	role := func() statemachine.Role {
@@ -140,18 +143,18 @@
 	require.NoError(t, m.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
 	doWork()
 	_, active := m.FollowerProgress(2)
-	require.True(t, active, "it is taken for active")
+	require.True(t, active, "the library assumes that it is active")
 	m.Promote()
 	doWork()
-	require.Equal(t, statemachine.Learner, role(), "it may not run at all")
+	require.Equal(t, statemachine.Learner, role(), "it may not be running at all")
 	acknowledge(m, 2)
 	m.Promote()
 	doWork()
 	require.Equal(t, statemachine.Voter, role(), "it has caught up")
 }
 
-// TestMembershipChangeDuringLeaderTransferIsBusy guards against a change of the membership that is rejected for good because leadership is
-// being transferred: the client is to send it again.
+// TestMembershipChangeDuringLeaderTransferIsBusy guards against a membership change that is rejected permanently
+// because leadership is being transferred: the client must be able to retry it.
 func TestMembershipChangeDuringLeaderTransferIsBusy(t *testing.T) {
 	m, doWork := newLeader(t)
 	require.NoError(t, m.AddLearner(statemachine.Member{ID: 2, Name: "b"}))
--- a/internal/node/consensus/member/membership.go
+++ b/internal/node/consensus/member/membership.go
@@ -13,11 +13,11 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// maxPromotionLag is how many entries a learner may be behind when it becomes a voter.
+// maxPromotionLag is the number of entries that a learner may be behind when it is promoted to a voter.
 const maxPromotionLag = 100
 
-// AddLearner proposes to add a learner. It becomes a voter once it has caught up (Promote), in place of the member that its
-// Replaces names, or as one more.
+// AddLearner proposes to add a learner. Promote makes it a voter once it has caught up, either in place of the
+// member that its Replaces field names or as an additional one.
 func (m *Member) AddLearner(learner statemachine.Member) error {
 	return m.proposeConfChange(learner, confChange(pb.ConfChangeAddLearnerNode, learner.ID))
 }
@@ -27,8 +27,8 @@
 	return m.proposeConfChange(statemachine.Member{ID: id}, confChange(pb.ConfChangeRemoveNode, id))
 }
 
-// Promote proposes to make a learner that has caught up a voter, if there is one. It is to be called now and then at the
-// leader: whoever added the learner need not be there any more.
+// Promote proposes to make a voter of a learner that has caught up, if there is one. The leader must call it
+// periodically, because the client that added the learner may be gone.
 func (m *Member) Promote() {
 	if !m.Leads() || m.Changing() {
 		return
@@ -36,8 +36,8 @@
 	status := m.node.Status()
 	for _, learner := range m.state.Members().All() {
 		p, ok := status.Progress[learner.ID]
-		// The library takes a new member for active at first, and in a young cluster nobody is behind: one that has acknowledged
-		// nothing may not run at all.
+		// The library initially assumes that a new member is active, and in a new cluster no member is behind. A
+		// learner that has acknowledged nothing may not be running at all.
 		if learner.Role != statemachine.Learner || !ok || !p.RecentActive || p.Match == 0 || p.Match+maxPromotionLag < status.GetCommit() {
 			continue
 		}
@@ -45,7 +45,7 @@
 		if learner.Replaces != 0 {
 			change.Changes = append(change.Changes, confChangeSingle(pb.ConfChangeRemoveNode, learner.Replaces))
 		}
-		_ = m.proposeConfChange(learner, change) // the next call tries again
+		_ = m.proposeConfChange(learner, change) // the next call retries
 		return
 	}
 }
@@ -58,8 +58,8 @@
 	return &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)}
 }
 
-// proposeConfChange proposes a change with its member as the context, from which the state machine takes the member's name and
-// address.
+// proposeConfChange proposes a membership change. Its context is the encoded member, from which the state machine
+// reads the member's name and address.
 func (m *Member) proposeConfChange(member statemachine.Member, change *pb.ConfChangeV2) error {
 	if !m.Leads() {
 		return ErrNotLeader
@@ -77,7 +77,7 @@
 	return err
 }
 
-// applyConfChange applies a committed change of the membership.
+// applyConfChange applies a committed membership change.
 func (m *Member) applyConfChange(e *pb.Entry) error {
 	var change pb.ConfChangeV2
 	if err := proto.Unmarshal(e.GetData(), &change); err != nil {
@@ -108,6 +108,6 @@
 	return slices.Contains(m.conf.GetVoters(), m.settings.ID) || slices.Contains(m.conf.GetVotersOutgoing(), m.settings.ID)
 }
 
-// Changing reports whether a change of the voters is in progress (joint consensus): until it ends, a majority of the old voters
-// is needed too.
+// Changing reports whether a change of the voters is in progress (joint consensus). Until it ends, decisions also
+// need a majority of the old voters.
 func (m *Member) Changing() bool { return len(m.conf.GetVotersOutgoing()) > 0 }
--- a/internal/node/consensus/member/work.go
+++ b/internal/node/consensus/member/work.go
@@ -9,24 +9,26 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Work is what a member wants done. The package comment says in which order.
+// Work is the work that a member requests. The package comment defines the order.
 type Work struct {
-	Messages []*pb.Message // to other members; they need not wait for a disk
-	Write    []Write       // to make durable, in order
+	Messages []*pb.Message // to other members; may be sent at once
+	Write    []Write       // to be made durable, in order
 	Applied  []Applied
 	Reads    []Read
-	Image    *Image // to make and save, nil = none
+	Image    *Image // to be encoded and saved; nil = none
 }
 
-// Write is work for the disk. Persisted must be called once all of it is durable, in the order in which Ready returned them.
+// Write is a write to the disk. Persisted must be called for each Write once it is completely durable, in the
+// order in which Ready returned them.
 type Write struct {
 	Hard             *pb.HardState
 	Entries          []*pb.Entry
-	Image            *pb.Snapshot // from the leader, in place of all that is stored
-	acknowledgements []*pb.Message
+	Image            *pb.Snapshot  // from the leader; replaces everything that is stored
+	acknowledgements []*pb.Message // to deliver once the write is durable, including those to this member
 }
 
-// Acknowledgements returns the messages to other members that may be sent once the write is durable, and not before: they acknowledge it.
+// Acknowledgements returns the messages to other members that acknowledge the write. They must not be sent before
+// the write is durable. own is the ID of this member.
 func (w *Write) Acknowledgements(own uint64) (messages []*pb.Message) {
 	for _, message := range w.acknowledgements {
 		if message.GetTo() != own {
@@ -36,17 +38,18 @@
 	return messages
 }
 
-// Applied is a command that was committed and has been applied here.
+// Applied is a committed command that has been applied on this member.
 type Applied struct {
 	Index   uint64
 	Command statemachine.Command
 	Reply   statemachine.Reply
 }
 
-// Read allows to answer the query with this number: the state here contains all that was committed when Member.Read was called.
+// Read confirms that the query with this number may be answered: the state of this member contains everything that
+// was committed when Member.Read was called.
 type Read struct{ Number uint64 }
 
-// Ready returns all that is to be done. now is in ms on any clock that runs evenly. After an error the member must end.
+// Ready returns all outstanding work. now is in ms on any monotonic clock. After an error the member must stop.
 func (m *Member) Ready(now float64) (w Work, err error) {
 	for m.failed == nil && m.node.HasReady() {
 		ready := m.node.Ready()
@@ -67,13 +70,14 @@
 	return w, m.failed
 }
 
-// dispatch adds a message of the library to the work. With asynchronous storage writes, what is to be stored and what is to be
-// applied comes as messages too, with the responses to give once that is done.
+// dispatch adds a message of the library to the work. With asynchronous storage writes, the library also requests
+// storing and applying by messages, which carry the responses to deliver once that is done.
 func (m *Member) dispatch(message *pb.Message, w *Work) {
 	switch message.GetTo() {
 	case raft.LocalAppendThread:
 		for _, response := range message.GetResponses() {
-			if response.GetType() == pb.MsgVoteResp && !response.GetReject() { // whoever got this vote gets the time to lead
+			// The candidate that gets this vote must have the time to become leader.
+			if response.GetType() == pb.MsgVoteResp && !response.GetReject() {
 				m.resetElectionTimeout()
 			}
 		}
@@ -82,7 +86,7 @@
 	case raft.LocalApplyThread:
 		m.failed = m.apply(message.GetEntries(), w)
 		for _, response := range message.GetResponses() {
-			_ = m.node.Step(response) // from this member to itself: it is not refused
+			_ = m.node.Step(response) // from this member to itself, which is never refused
 		}
 	default:
 		w.Messages = append(w.Messages, message)
@@ -110,7 +114,7 @@
 			if err := m.applyConfChange(e); err != nil {
 				return err
 			}
-		case len(e.GetData()) > 0: // the first entry of a new leader is empty
+		case len(e.GetData()) > 0: // a new leader's first entry is empty
 			command, reply, err := m.state.Apply(e.GetIndex(), e.GetData())
 			if err != nil {
 				return err
@@ -121,7 +125,7 @@
 	return nil
 }
 
-// Persisted confirms that a write is durable. After an error the member must end.
+// Persisted confirms that a write is durable. After an error the member must stop.
 func (m *Member) Persisted(w Write) error {
 	m.pendingWrites--
 	if w.Image != nil {
@@ -143,7 +147,7 @@
 	}
 	for _, response := range w.acknowledgements {
 		if response.GetTo() == m.settings.ID {
-			_ = m.node.Step(response) // from this member to itself: it is not refused
+			_ = m.node.Step(response) // from this member to itself, which is never refused
 		}
 	}
 	return nil
--- a/internal/node/consensus/protocol/golden_test.go
+++ b/internal/node/consensus/protocol/golden_test.go
@@ -7,7 +7,8 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// TestEncodedTypesKeepTheirForm guards against requests and answers whose JSON, or whose words, have changed.
+// TestEncodedTypesKeepTheirForm guards against a change of the JSON form of requests and answers, or of the values
+// of constants.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Request](t, "request")
 	golden.JSON[Answer](t, "answer")
--- a/internal/node/consensus/protocol/protocol.go
+++ b/internal/node/consensus/protocol/protocol.go
@@ -1,5 +1,5 @@
-// Package protocol has the messages between clients of the agreed log and replicas: requests, numbered on their connection, and
-// an answer to each, in any order. They are encoded as JSON.
+// Package protocol defines the messages between clients and replicas of the replicated log: requests, which are
+// numbered per connection, and one answer to each, in any order. Messages are encoded as JSON.
 package protocol
 
 import (
@@ -8,47 +8,47 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Requests, by Request.Want.
+// Values of Request.Kind.
 const (
-	Do            = "do"      // propose a command, and answer once it is applied
-	Read          = "read"    // query, linearizable
-	LongPoll      = "wait"    // query, answered once the answer differs from Known: a long poll, whose answer is a hint; the release before refuses it
-	Status        = "status"  // the state of this replica
-	LocalRegister = "picture" // the register as this replica has it, however old, to compare replicas by
-	Bootstrap     = "found"   // bootstrap: make this empty replica one of the first members
-	AddLearner    = "learn"   // add a member, as a learner that is promoted once it has caught up
+	Do            = "do"      // propose a command; answered once it is applied
+	Read          = "read"    // linearizable query
+	LongPoll      = "wait"    // query, answered once the answer differs from Known; only a hint; the previous release rejects it
+	Status        = "status"  // state of this replica
+	LocalRegister = "picture" // the register as this replica has it, possibly stale; used to compare replicas
+	Bootstrap     = "found"   // make this empty replica one of the first members
+	AddLearner    = "learn"   // add a member as a learner, which is promoted once it has caught up
 	Remove        = "remove"  // remove a member
-	Backup        = "copy"    // an image of the leader's state, for a backup: base64 in the reply's body
+	Backup        = "copy"    // return an image of the leader's state for a backup, as base64 in the reply's body
 )
 
-// Request is a request of a client. Want says which of the fields are used.
+// Request is a request of a client. Kind determines which of the other fields are used.
 type Request struct {
-	ID        uint64                `json:"id"` // number on the connection
+	ID        uint64                `json:"id"` // unique on the connection
 	Kind      string                `json:"want"`
 	Session   uint64                `json:"s,omitempty"`
 	Number    uint64                `json:"n,omitempty"`
 	Confirmed uint64                `json:"d,omitempty"`
 	Component string                `json:"p,omitempty"`
 	Body      json.RawMessage       `json:"b,omitempty"`
-	Known     json.RawMessage       `json:"k,omitempty"`       // of Wait: the answer that the client has
-	Members   []statemachine.Member `json:"members,omitempty"` // of Found: the first members; of Learn and Remove: the one that is added or removed
-	Now       float64               `json:"now,omitempty"`     // of Found: cluster time to begin with, ms
+	Known     json.RawMessage       `json:"k,omitempty"`       // of LongPoll: the answer that the client already has
+	Members   []statemachine.Member `json:"members,omitempty"` // of Bootstrap: the first members; of AddLearner and Remove: one member
+	Now       float64               `json:"now,omitempty"`     // of Bootstrap: initial cluster time, ms
 }
 
-// Faults, by Answer.Fault.
+// Values of Answer.Fault.
 const (
-	NotLeader  = "elsewhere" // another replica leads; Leader says which
-	NoLeader   = "nobody"    // this replica knows of no leader
-	RetryLater = "later"     // it is not known whether the command was proposed; sent again under its number, it is applied once
-	Rejected   = "refused"   // rejected for good; Text says why
+	NotLeader  = "elsewhere" // another replica is the leader; Answer.Leader names it
+	NoLeader   = "nobody"    // this replica does not know of a leader
+	RetryLater = "later"     // unknown whether the command was proposed; a retry with the same number is applied once
+	Rejected   = "refused"   // rejected permanently; Answer.Text is the reason
 )
 
-// Answer answers the request with the same ID. Reply, State or Fault is set.
+// Answer is the answer to the request with the same ID. Exactly one of Reply, State and Fault is set.
 type Answer struct {
 	ID     uint64              `json:"id"`
 	Fault  string              `json:"fault,omitempty"`
 	Text   string              `json:"text,omitempty"`
-	Leader string              `json:"leader,omitempty"` // name of the leader, if it is known
+	Leader string              `json:"leader,omitempty"` // name of the leader, if known
 	Reply  *statemachine.Reply `json:"reply,omitempty"`
 	State  *State              `json:"state,omitempty"`
 }
@@ -69,17 +69,17 @@
 	Changing  bool     `json:"changing"`
 	Synced    bool     `json:"synced"`
 	Sessions  int      `json:"sessions"`
-	Images    uint64   `json:"images"` // made since the start
-	Writes    uint64   `json:"writes"` // to the disk since the start
+	Images    uint64   `json:"images"` // created since the start
+	Writes    uint64   `json:"writes"` // disk writes since the start
 	Clients   int      `json:"clients"`
 	Members   []Member `json:"members"`
 }
 
-// Member is what a replica knows of a member.
+// Member is the state of a member as this replica knows it.
 type Member struct {
 	statemachine.Member
-	Up    bool   `json:"up"`              // this replica is connected to it
-	Match uint64 `json:"match,omitempty"` // index up to which it is known to have the log; of the leader only
-	Heard bool   `json:"heard"`           // whether the leader has heard from it lately; of the leader only
+	Up    bool   `json:"up"`              // whether this replica is connected to it
+	Match uint64 `json:"match,omitempty"` // index up to which it is known to have the log; set by the leader only
+	Heard bool   `json:"heard"`           // whether the leader has heard from it recently; set by the leader only
 	Bytes uint64 `json:"bytes"`           // sent to it since the start
 }
--- a/internal/node/consensus/storage/golden_test.go
+++ b/internal/node/consensus/storage/golden_test.go
@@ -14,10 +14,10 @@
 	"linenwheel.dev/linenwheel/internal/node/consensus/member"
 )
 
-// identityText is the identity file as the first release wrote it, before the second start.
+// identityText is the identity file as the first release wrote it at the first start.
 const identityText = `{"version":1,"fleet":"morava","name":"keeper-1","id":4611686018427387905,"starts":1}`
 
-// fullImage and fullEntry have every field that is stored.
+// fullImage returns an image with every stored field set.
 func fullImage(i, term uint64) *pb.Snapshot {
 	return &pb.Snapshot{Data: []byte("the state"), Metadata: &pb.SnapshotMetadata{Index: &i, Term: &term, ConfState: &pb.ConfState{
 		Voters: []uint64{11, 12}, Learners: []uint64{13}, VotersOutgoing: []uint64{11, 14}, LearnersNext: []uint64{14}, AutoLeave: proto.Bool(true)}}}
@@ -29,7 +29,8 @@
 	return e
 }
 
-// directories are those in testdata, with what they hold. Together they have every kind of record.
+// directories are the directories in testdata, by name, with the steps that produce them and the state that they
+// hold. Together they contain every kind of record.
 var directories = map[string]struct {
 	steps []func(*Store) error
 	want  member.Saved
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestOpensTheDirectoryOfAnEarlierBuild guards against a replica that cannot open, or reads otherwise, the directory that an earlier build
-// of this release wrote.
+// TestOpensTheDirectoryOfAnEarlierBuild guards against a replica that cannot open a directory written by an
+// earlier build of this release, or that reads it differently.
 func TestOpensTheDirectoryOfAnEarlierBuild(t *testing.T) {
 	for name, d := range directories {
 		t.Run(name, func(t *testing.T) {
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestWritesTheDirectoryOfAnEarlierBuild guards against a directory whose bytes have changed: an earlier build must read it after a
-// rollback.
+// TestWritesTheDirectoryOfAnEarlierBuild guards against a change of the bytes in a directory: an earlier build
+// must be able to read it after a rollback.
 func TestWritesTheDirectoryOfAnEarlierBuild(t *testing.T) {
 	for name, d := range directories {
 		t.Run(name, func(t *testing.T) {
@@ -112,13 +113,13 @@
 			want, err := os.ReadDir(filepath.Join("testdata", "golden", name))
 			require.NoError(t, err)
 			for _, f := range want {
-				require.True(t, files[f.Name()], "%s is not written", f.Name())
+				require.True(t, files[f.Name()], "%s was not written", f.Name())
 			}
 		})
 	}
 }
 
-// TestIdentityKeepsItsForm guards against an identity whose JSON has changed.
+// TestIdentityKeepsItsForm guards against a change of the identity's JSON form.
 func TestIdentityKeepsItsForm(t *testing.T) {
 	var i Identity
 	require.NoError(t, json.Unmarshal([]byte(identityText), &i))
--- a/internal/node/consensus/storage/recover.go
+++ b/internal/node/consensus/storage/recover.go
@@ -12,7 +12,7 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// recover reads the newest complete image and the log, and checks that they belong together.
+// recover reads the newest complete image and the log, and checks that they are consistent.
 func (s *Store) recover() error {
 	names, err := s.folder.List()
 	if err != nil {
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// decodeImage returns an image, nil if it is not complete: a crash has interrupted its writing, and the one before is there.
+// decodeImage decodes an image. It returns nil if the image is incomplete: a crash interrupted its writing, and
+// the previous image still exists.
 func decodeImage(text []byte) *pb.Snapshot {
 	image, complete := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{}}, false
 	_, err := imageForm.Read(text, func([]byte) error { return nil }, func(record []byte) error {
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// replaySegment replays the records of a segment. A crash tears the last record; one with a complete record after it was damaged.
+// replaySegment replays the records of a segment. A crash can only tear the last record; if a complete record
+// follows a torn one, the segment is damaged.
 func (s *Store) replaySegment(name string, text []byte) error {
 	offset, err := logForm.Read(text, func(header []byte) error {
 		var owner Identity
@@ -117,7 +119,7 @@
 	return false
 }
 
-// replay applies one record of the log to what is saved.
+// replay applies one record of the log to the saved state.
 func (s *Store) replay(record []byte) error {
 	if len(record) == 0 {
 		return ErrDamaged
@@ -144,8 +146,8 @@
 	return ErrDamaged
 }
 
-// addEntry appends an entry. One that is there already changes nothing; one of another term replaces it and all after it, which
-// were not committed.
+// addEntry appends an entry. An entry that is already present changes nothing. An entry of another term replaces
+// the one with its index and all later entries, which were not committed.
 func (s *Store) addEntry(e *pb.Entry) error {
 	entries, index := s.saved.Entries, e.GetIndex()
 	if len(entries) == 0 {
@@ -160,16 +162,16 @@
 	case index > last+1:
 		return fmt.Errorf("entry %d follows %d: %w", index, last, ErrDamaged)
 	case index < first:
-		return nil // written again after a trim, by a compaction that a crash interrupted
+		return nil // trimmed before; a compaction that was interrupted by a crash has rewritten it
 	case index == last+1:
 		s.saved.Entries = append(s.saved.Entries, e)
 	case entries[index-first].GetTerm() != e.GetTerm():
-		s.saved.Entries = append(slices.Clip(entries[:index-first]), e) // a copy: the member has the old ones too
+		s.saved.Entries = append(slices.Clip(entries[:index-first]), e) // a copy, because the member still uses the old slice
 	}
 	return nil
 }
 
-// trim drops the entries up to one.
+// trim drops the entries up to and including the given one.
 func (s *Store) trim(until *pb.Entry) {
 	if s.saved.From.GetIndex() < until.GetIndex() || s.saved.From == nil {
 		s.saved.From = until
@@ -179,17 +181,18 @@
 	}
 }
 
-// reconcile checks that the image and the log together hold all that was acknowledged, and drops entries that the image replaces.
+// reconcile checks that the image and the log together hold everything that was acknowledged, and drops the
+// entries that the image replaces.
 func (s *Store) reconcile() error {
 	saved := &s.saved
 	image := saved.Image.GetMetadata()
 	switch {
 	case saved.Image == nil && (len(saved.Entries) > 0 || saved.From != nil):
-		return fmt.Errorf("there is no whole image: %w", ErrDamaged)
+		return fmt.Errorf("no complete image: %w", ErrDamaged)
 	case saved.Image == nil:
 		return nil
 	case len(s.segments) == 0:
-		return fmt.Errorf("there is no log beside an image of entry %d: %w", image.GetIndex(), ErrDamaged)
+		return fmt.Errorf("no log, but an image of entry %d: %w", image.GetIndex(), ErrDamaged)
 	}
 	if !continues(saved.Entries, image) {
 		if err := s.resetLog(image); err != nil {
@@ -197,19 +200,19 @@
 		}
 	}
 	if saved.From.GetIndex() > image.GetIndex() {
-		return fmt.Errorf("the log follows entry %d, the image is of %d: %w", saved.From.GetIndex(), image.GetIndex(), ErrDamaged)
+		return fmt.Errorf("log starts after entry %d, but the image is of entry %d: %w", saved.From.GetIndex(), image.GetIndex(), ErrDamaged)
 	}
 	last := saved.LastIndex()
 	for saved.From == nil && len(saved.Entries) > 0 && saved.Entries[0].GetIndex() <= image.GetIndex() {
 		saved.Entries = saved.Entries[1:]
 	}
 	if commit := saved.Hard.GetCommit(); commit > max(last, image.GetIndex()) {
-		return fmt.Errorf("entry %d was agreed, and %d is the last: %w", commit, last, ErrDamaged)
+		return fmt.Errorf("entry %d is committed, but the last entry is %d: %w", commit, last, ErrDamaged)
 	}
 	return nil
 }
 
-// continues reports whether the entries contain the image's, or begin right after it.
+// continues reports whether the entries contain the last entry of the image, or begin directly after it.
 func continues(entries []*pb.Entry, image *pb.SnapshotMetadata) bool {
 	if len(entries) > 0 && entries[0].GetIndex() == image.GetIndex()+1 {
 		return true
@@ -219,8 +222,8 @@
 	})
 }
 
-// resetLog drops entries that an image from the leader has replaced, where a crash came before the record that says so. The next
-// entry follows the image.
+// resetLog drops the entries that an image from the leader has replaced, in case a crash prevented the record that
+// does so. The next entry follows the image.
 func (s *Store) resetLog(image *pb.SnapshotMetadata) error {
 	saved := &s.saved
 	if len(saved.Entries) > 0 && saved.Entries[0].GetIndex() > image.GetIndex()+1 {
--- a/internal/node/consensus/storage/storage.go
+++ b/internal/node/consensus/storage/storage.go
@@ -1,11 +1,13 @@
-// Package storage keeps one member of the agreed log on a disk: its identity, its votes, its entries and images of the state.
+// Package storage stores one member of the replicated log on disk: its identity, its votes, its log entries and
+// images (snapshots) of the state.
 //
-// A directory has an identity file, segments of the log, which are only appended to, and images, each a file of its own that is
-// complete only with its last record. A crash leaves what was synced and perhaps a torn record at the end, which is skipped.
-// Anything else that is missing or damaged means that the member would vote without remembering what it had acknowledged:
-// Open then fails with ErrDamaged, and the machine is to be replaced as one that has lost its disk.
+// A directory contains an identity file, append-only segments of the log, and images. Each image is a separate
+// file that is complete only with its last record. A crash leaves what was synced and possibly a torn record at
+// the end, which is skipped. If anything else is missing or damaged, the member would vote without remembering
+// what it had acknowledged: Open then fails with ErrDamaged, and the replica must be replaced like one that has
+// lost its disk.
 //
-// Bounds: on the disk two images, the entries since the last one, and those that trail it.
+// Bounds: the disk holds two images, the entries since the newer one, and a trail of entries before it.
 package storage
 
 import (
@@ -26,16 +28,18 @@
 
 // Errors of Open.
 var (
-	// ErrDamaged says that the directory lacks what this member has acknowledged: it must not vote from it.
-	ErrDamaged = errors.New("the directory does not hold all that was promised from it: empty it, and have this keeper replaced")
+	// ErrDamaged says that the directory lacks data that this member has acknowledged: the member must not vote
+	// with it.
+	ErrDamaged = errors.New("directory lacks data that this replica has acknowledged: empty it and replace the replica")
 	// ErrForeign says that the directory belongs to another member.
-	ErrForeign = errors.New("the directory belongs to another fleet or keeper")
+	ErrForeign = errors.New("directory belongs to another fleet or replica")
 )
 
-// Version is the version of the files. A release reads its own and the one before; this is the first.
+// Version is the version of the files. A release reads its own version and the previous one. This is the first
+// version.
 const Version = 1
 
-// Files of a directory. A segment or an image has its number in its name.
+// Formats of the files in a directory. The name of a segment or an image contains its number.
 var (
 	logForm   = wal.Format{Magic: "lwagreed", Prefix: "log"}
 	imageForm = wal.Format{Magic: "lwimage", Prefix: "image"}
@@ -43,45 +47,46 @@
 
 const (
 	identityFile = "member.json"
-	segmentBytes = 8 << 20   // after which a new segment begins
-	chunkBytes   = 512 << 10 // of an image in one record
+	segmentBytes = 8 << 20   // size at which a new segment is started
+	chunkBytes   = 512 << 10 // size of the part of an image that one record holds
 )
 
-// The kinds of record, the first byte of each.
+// The kinds of record. The first byte of a record is its kind.
 const (
 	kindHard  = 'h' // hard state: term, vote and commit index
 	kindEntry = 'e'
-	kindTrim  = 't' // entries up to this one were compacted away
-	kindReset = 'r' // the log goes on after this entry alone
-	kindMeta  = 'm' // of an image: its first record
-	kindChunk = 'p' // of an image: data
-	kindEnd   = 'z' // of an image: its last record
+	kindTrim  = 't' // entries up to and including this one were compacted away
+	kindReset = 'r' // all entries were dropped; the log continues after this index
+	kindMeta  = 'm' // first record of an image
+	kindChunk = 'p' // data of an image
+	kindEnd   = 'z' // last record of an image
 )
 
-// Identity says whose directory it is.
+// Identity identifies the member that a directory belongs to.
 type Identity struct {
 	Version int    `json:"version"`
 	Fleet   string `json:"fleet"`
 	Name    string `json:"name"`
-	ID      uint64 `json:"id"`     // drawn when the directory was made
-	Starts  uint64 `json:"starts"` // how often it was opened, this time included
+	ID      uint64 `json:"id"`     // drawn at random when the directory was created
+	Starts  uint64 `json:"starts"` // how often the directory was opened, including this time
 }
 
 // Store is an open directory. Its methods must not be called concurrently.
 type Store struct {
 	Identity
 	disk      wal.Disk
-	folder    wal.Folder // disk, or what wraps it
+	folder    wal.Folder // disk, or a wrapper around it
 	lock      *os.File
 	log       wal.Writer
-	segments  []string // of the log that are not written to any more
+	segments  []string // closed segments of the log
 	nextImage int      // number of the next image
 	saved     member.Saved
-	buffer    []byte // records to write with the next flush
+	buffer    []byte // records to be written by the next flush
 }
 
-// Open opens the directory of a member, made where there is none, and counts the start. The error wraps ErrDamaged, ErrForeign
-// or wal.ErrInUse, or is the disk's. wrap, if not nil, wraps the disk, for tests whose disk fails where they want.
+// Open opens the directory of a member, creating it if necessary, and counts the start. The error wraps
+// ErrDamaged, ErrForeign or wal.ErrInUse, or is an error of the disk. wrap, if not nil, wraps the disk; tests
+// inject faults with it.
 func Open(path, fleet, name string, synced bool, wrap func(wal.Folder) wal.Folder) (*Store, error) {
 	s := &Store{disk: wal.Disk{Path: path}, nextImage: 1}
 	s.folder = s.disk
@@ -96,7 +101,7 @@
 		return nil, err
 	}
 	if err := s.open(fleet, name, synced); err != nil {
-		_ = s.lock.Close() // the first error counts
+		_ = s.lock.Close() // the first error is returned
 		return nil, err
 	}
 	return s, nil
@@ -115,7 +120,7 @@
 	}
 	s.log.Folder, s.log.Format, s.log.Header, s.log.MaxBytes, s.log.Synced = s.folder, logForm, header, segmentBytes, synced
 	s.log.OnEnd = func(_ int, name string) { s.segments = append(s.segments, name) }
-	if len(s.segments) == 0 { // write one now: from here on, a directory without a log is one that has lost it
+	if len(s.segments) == 0 { // write a first record: from now on, a directory without a log has lost it
 		if err := s.append(kindHard, &pb.HardState{}); err != nil {
 			return err
 		}
@@ -123,16 +128,16 @@
 	return s.flush()
 }
 
-// Saved returns what the directory holds of the member. The caller must not change it.
+// Saved returns the member's stored state. The caller must not modify it.
 func (s *Store) Saved() member.Saved { return s.saved }
 
-// Close closes the log and unlocks the directory.
+// Close closes the log and releases the lock on the directory.
 func (s *Store) Close() error {
 	err := s.log.EndSegment()
 	return errors.Join(err, s.lock.Close())
 }
 
-// openIdentity reads the identity, or draws it for an empty directory, and counts the start.
+// openIdentity reads the identity, or creates one for an empty directory, and counts the start.
 func (s *Store) openIdentity(fleet, name string) error {
 	text, err := s.disk.Read(identityFile)
 	switch {
@@ -144,15 +149,15 @@
 	case err != nil:
 		return err
 	case json.Unmarshal(text, &s.Identity) != nil || s.Version > Version:
-		return fmt.Errorf("%s cannot be read: %w", identityFile, ErrDamaged)
+		return fmt.Errorf("cannot read %s: %w", identityFile, ErrDamaged)
 	case s.Fleet != fleet || s.Name != name:
-		return fmt.Errorf("it is %q of %q: %w", s.Name, s.Fleet, ErrForeign)
+		return fmt.Errorf("directory is of replica %q of fleet %q: %w", s.Name, s.Fleet, ErrForeign)
 	}
 	s.Starts++
 	return s.writeAtomically(identityFile, s.Identity)
 }
 
-// requireNoLog fails if there are files of a member whose identity is lost.
+// requireNoLog fails if the directory contains files of a member whose identity file is lost.
 func (s *Store) requireNoLog() error {
 	names, err := s.disk.List()
 	if err != nil {
@@ -160,13 +165,14 @@
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, ".log") {
-			return fmt.Errorf("%s is missing beside %s: %w", identityFile, name, ErrDamaged)
+			return fmt.Errorf("%s is missing, but %s exists: %w", identityFile, name, ErrDamaged)
 		}
 	}
 	return nil
 }
 
-// writeAtomically replaces a small file: after a crash it is the old one or the new one, complete.
+// writeAtomically replaces a small file. After a crash, the file is completely the old one or completely the new
+// one.
 func (s *Store) writeAtomically(name string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/node/consensus/storage/storage_test.go
+++ b/internal/node/consensus/storage/storage_test.go
@@ -17,7 +17,7 @@
 
 var errDisk = errors.New("the disk failed")
 
-// fullDisk is a folder whose disk is full after free bytes.
+// fullDisk is a folder on a disk that is full after free bytes have been written.
 type fullDisk struct {
 	wal.Folder
 	free *int
@@ -54,8 +54,8 @@
 	return &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}
 }
 
-// steps are what a member does with its disk: entries, entries of a later term in place of some, an image of its own with
-// a trail, and one of the leader's in place of all.
+// steps are the writes of a member: entries, entries of a later term that replace some of them, an image of its
+// own with a trail, and an image from the leader that replaces everything.
 var steps = []func(*Store) error{
 	func(s *Store) error { return s.Bootstrap(image(1, 1)) },
 	func(s *Store) error {
@@ -77,7 +77,7 @@
 	func(s *Store) error { return s.SaveImage(image(21, 3), 100) },
 }
 
-// savedState is what a member would go on from.
+// savedState is the state that a member would resume from.
 type savedState struct {
 	image, from, term, vote, commit uint64
 	entries                         [][2]uint64
@@ -92,8 +92,8 @@
 	return p
 }
 
-// covers reports whether nothing that was durable before a failed step is lost after it: the state is that of before, that of after, or
-// one between.
+// covers reports whether nothing that was durable before a failed step is lost: the state is the one before the
+// step, the one after it, or one in between.
 func (p savedState) covers(before, after savedState) bool {
 	last := func(p savedState) uint64 {
 		if n := len(p.entries); n > 0 {
@@ -116,8 +116,8 @@
 		(p.term != before.term || p.vote == before.vote)
 }
 
-// TestFullDiskAtAnyByteLosesNothingDurable guards against votes and entries that are lost where the disk is full at any byte of any step,
-// against a directory that does not open then, and against one that cannot be written to any more.
+// TestFullDiskAtAnyByteLosesNothingDurable guards against votes and entries that are lost when the disk becomes
+// full at any byte of any step, and against a directory that cannot be opened or written to afterwards.
 func TestFullDiskAtAnyByteLosesNothingDurable(t *testing.T) {
 	for step := range steps {
 		for capacity := 0; ; capacity += 3 {
@@ -131,14 +131,14 @@
 			free = capacity
 			err = steps[step](s)
 			after := stateOf(s.Saved())
-			_ = s.Close() // nothing is written after what was cut off
+			_ = s.Close() // nothing is written after the truncated record
 			again, reopenErr := Open(dir, "f", "a", true, nil)
 			require.NoError(t, reopenErr, "step %d cut at byte %d", step, capacity)
 			got := stateOf(again.Saved())
 			assert.Equal(t, s.ID, again.ID)
 			assert.Equal(t, uint64(2), again.Starts)
 			if err == nil {
-				got.from, after.from = 0, 0 // what the first entry follows is not needed
+				got.from, after.from = 0, 0 // the entry before the first one need not be the same
 				assert.Equal(t, after, got, "step %d", step)
 				require.NoError(t, again.Close())
 				break
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestOpenRefusesDamagedForeignAndLockedDirectories guards against a member that votes from a directory which lacks what it had
-// acknowledged, belongs to another, or is open in a second process.
+// TestOpenRefusesDamagedForeignAndLockedDirectories guards against a member that votes with a directory that lacks
+// acknowledged data, belongs to another member, or is open in another process.
 func TestOpenRefusesDamagedForeignAndLockedDirectories(t *testing.T) {
 	fill := func() (string, *Store) {
 		dir := t.TempDir()
--- a/internal/node/consensus/storage/write.go
+++ b/internal/node/consensus/storage/write.go
@@ -11,7 +11,7 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// appendRecord appends a record to b.
+// appendRecord appends a record of a kind to b.
 func appendRecord(b []byte, kind byte, m proto.Message) ([]byte, error) {
 	var err error
 	b = wal.Append(b, func(b []byte) []byte {
@@ -27,7 +27,7 @@
 	return err
 }
 
-// flush writes the buffer to the log. If the store is synced, it is durable when flush returns.
+// flush writes the buffer to the log. If the store is synced, the records are durable when flush returns.
 func (s *Store) flush() error {
 	if len(s.buffer) == 0 {
 		return nil
@@ -39,7 +39,8 @@
 	return err
 }
 
-// Write makes writes durable together, in their order. After an error the member must end: what is on the disk is not known.
+// Write makes writes durable together, in order. After an error the member must stop, because the state of the
+// disk is unknown.
 func (s *Store) Write(writes []member.Write) error {
 	for _, w := range writes {
 		if w.Image != nil {
@@ -65,7 +66,8 @@
 	return s.flush()
 }
 
-// install replaces all entries by an image from the leader. The image is durable before the record that drops the entries.
+// install replaces all entries by an image from the leader. The image is made durable before the record that drops
+// the entries.
 func (s *Store) install(image *pb.Snapshot) error {
 	if err := s.flush(); err != nil {
 		return err
@@ -78,7 +80,7 @@
 	return s.append(kindReset, from)
 }
 
-// writeImage makes an image durable, in a file of its own.
+// writeImage makes an image durable in a separate file.
 func (s *Store) writeImage(image *pb.Snapshot) error {
 	w := wal.Writer{Folder: s.folder, Format: imageForm, Header: s.log.Header, MaxBytes: 1 << 62, Number: s.nextImage, Synced: true}
 	s.nextImage++
@@ -96,7 +98,7 @@
 	return w.EndSegment()
 }
 
-// Bootstrap makes the image that a member is bootstrapped with durable, in an empty directory.
+// Bootstrap makes the image that a member is bootstrapped with durable. The directory must be empty.
 func (s *Store) Bootstrap(image *pb.Snapshot) error {
 	if s.saved.Image != nil {
 		return errors.New("this keeper has been founded before")
@@ -105,11 +107,12 @@
 	return s.writeImage(image)
 }
 
-// SaveImage makes an image durable and compacts the log: the entries before it are removed, but for the last trail of them.
+// SaveImage makes an image durable and compacts the log: it removes the entries before the image, except for the
+// last trail entries.
 func (s *Store) SaveImage(image *pb.Snapshot, trail int) error {
 	index := image.GetMetadata().GetIndex()
 	if index <= s.saved.Image.GetMetadata().GetIndex() {
-		return nil // a newer one came from the leader
+		return nil // a newer image has come from the leader
 	}
 	if err := s.writeImage(image); err != nil {
 		return err
@@ -122,7 +125,8 @@
 	return s.compact()
 }
 
-// compact writes what is still needed of the log to a new segment, and only then removes the old segments and all images but the last.
+// compact writes the part of the log that is still needed to a new segment, and only then removes the old segments
+// and all images except the last.
 func (s *Store) compact() error {
 	if err := s.log.EndSegment(); err != nil {
 		return err
--- a/internal/node/consensus/transport/golden_test.go
+++ b/internal/node/consensus/transport/golden_test.go
@@ -10,14 +10,14 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// TestEncodedTypesKeepTheirForm guards against a handshake whose JSON has changed, in any of its fields.
+// TestEncodedTypesKeepTheirForm guards against a change of the JSON form of the handshake, in any field.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Hello](t, "hello")
 	golden.JSON[Welcome](t, "welcome")
 }
 
-// TestFramesOfAnEarlierBuild guards against frames that an earlier build of this release does not read, or that it wrote and this one
-// does not read: one of each kind, and a message of two frames.
+// TestFramesOfAnEarlierBuild guards against frames that this build writes and an earlier build of this release
+// cannot read, or the reverse. It uses a frame of each kind and a message of two frames.
 func TestFramesOfAnEarlierBuild(t *testing.T) {
 	kinds := []Kind{KindHello, KindAnswer, KindRaft, KindRequest, KindRaft}
 	messages := [][]byte{[]byte(`{"fleet":"morava"}`), []byte("an answer"), {0, 1, 2, 255}, {}, bytes.Repeat([]byte("part"), maxFrameBytes/4+1)}
@@ -31,7 +31,7 @@
 	defer func() { _ = near.Close() }()
 	go func() {
 		defer func() { _ = far.Close() }()
-		_, _ = far.Write(earlier) // the reader sees an error
+		_, _ = far.Write(earlier) // the reader reports an error
 	}()
 	c := NewConn(near)
 	for i, want := range kinds {
--- a/internal/node/consensus/transport/handshake.go
+++ b/internal/node/consensus/transport/handshake.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-const handshakeTimeout = 3 * time.Second // for each message of whoever connects
+const handshakeTimeout = 3 * time.Second // for each handshake message, on the accepting side
 
-// Hello is the first message on a connection, of whoever connects.
+// Hello is the first message on a connection. The connecting side sends it.
 type Hello struct {
 	Fleet        string `json:"fleet"`
-	Min          int    `json:"min"` // oldest and newest Version spoken
+	Min          int    `json:"min"` // oldest and newest supported Version
 	Max          int    `json:"max"`
-	Release      string `json:"release"` // for people
+	Release      string `json:"release"` // informational
 	Name         string `json:"name"`
-	To           string `json:"to,omitempty"`      // name of the member that is wanted, "" = any
-	WantID       uint64 `json:"want,omitempty"`    // its number, 0 = any
-	ID           uint64 `json:"id,omitempty"`      // of a member, 0 = a client of the log
-	Starts       uint64 `json:"starts,omitempty"`  // how often the member has started
-	Incarnation  uint64 `json:"life,omitempty"`    // incarnation, drawn by its process: two with the same Starts have copies of one directory
-	Connection   uint64 `json:"dial,omitempty"`    // number of this connection since the start: what an earlier one says is outdated
+	To           string `json:"to,omitempty"`      // expected name of the member; "" = any
+	WantID       uint64 `json:"want,omitempty"`    // expected ID of the member; 0 = any
+	ID           uint64 `json:"id,omitempty"`      // ID of the connecting member; 0 = a client
+	Starts       uint64 `json:"starts,omitempty"`  // number of starts of the member
+	Incarnation  uint64 `json:"life,omitempty"`    // random number of the process; differs between copies of one directory with the same Starts
+	Connection   uint64 `json:"dial,omitempty"`    // number of this connection since the start: the Hello of an earlier one is outdated
 	Last         uint64 `json:"last,omitempty"`    // index of the last entry on its disk
-	Applied      uint64 `json:"applied,omitempty"` // index of the last entry that it has applied
-	StateVersion int    `json:"ledger,omitempty"`  // newest statemachine.Version that the member reads, 0 = the first
+	Applied      uint64 `json:"applied,omitempty"` // index of the last applied entry
+	StateVersion int    `json:"ledger,omitempty"`  // newest statemachine.Version that the member reads; 0 = the first
 }
 
-// Welcome answers a Hello.
+// Welcome is the answer to a Hello.
 type Welcome struct {
-	Reason  string `json:"reason,omitempty"` // why the connection is rejected, "" = it is accepted
-	Final   bool   `json:"final,omitempty"`  // it will always be rejected
+	Reason  string `json:"reason,omitempty"` // why the connection is rejected; "" = accepted
+	Final   bool   `json:"final,omitempty"`  // the rejection is permanent
 	Version int    `json:"version,omitempty"`
 	Name    string `json:"name"`
 	ID      uint64 `json:"id"`
 }
 
-// Dial connects and does the handshake. The error wraps ErrRefused where the peer has rejected it; w.Final then says that it
-// always will.
+// Dial connects to an address and performs the handshake. The error wraps ErrRefused if the peer has rejected the
+// connection; w.Final then tells whether the rejection is permanent.
 func Dial(address string, hello Hello, timeout time.Duration) (c *Conn, w Welcome, err error) {
 	raw, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -52,21 +52,21 @@
 	case err == nil && w.Reason != "":
 		err = fmt.Errorf("%w by %s: %s", ErrRefused, address, w.Reason)
 	case err == nil && hello.To != "" && w.Name != hello.To:
-		err = fmt.Errorf("%s is %q, not %q", address, w.Name, hello.To)
+		err = fmt.Errorf("%s is replica %q, not %q", address, w.Name, hello.To)
 	}
 	if err != nil {
-		_ = c.Close() // the first error counts
+		_ = c.Close() // the first error is returned
 		return nil, w, err
 	}
 	c.Version = w.Version
 	return c, w, raw.SetReadDeadline(time.Time{})
 }
 
-// Accept does the handshake of an accepted connection. Whether a process of the same fleet, whose version is spoken, is welcome
-// is decided by admit. The error wraps ErrRefused if the connection was rejected.
+// Accept performs the handshake of an accepted connection. admit decides whether to accept a process of the same
+// fleet whose version is supported. The error wraps ErrRefused if the connection was rejected.
 func (c *Conn) Accept(fleet string, admit func(Hello) Welcome) (hello Hello, err error) {
 	if err := c.readJSON(&hello, handshakeTimeout); err != nil {
-		return hello, fmt.Errorf("it did not say who it is: %w", err)
+		return hello, fmt.Errorf("reading the handshake: %w", err)
 	}
 	var w Welcome
 	switch version := min(hello.Max, Version); {
--- a/internal/node/consensus/transport/sender.go
+++ b/internal/node/consensus/transport/sender.go
@@ -10,14 +10,14 @@
 
 // Limits are the parameters of a Sender.
 type Limits struct {
-	Bytes      int           // that may wait for a slow peer
-	Write      time.Duration // in which the peer must take some of what is sent
-	FirstPause time.Duration // between attempts to connect; doubles after each, and is spread by half
+	Bytes      int           // size of the queue for a slow peer
+	Write      time.Duration // timeout for the peer to accept up to maxFrameBytes
+	FirstPause time.Duration // between connection attempts; doubles after each, randomized by half
 	LastPause  time.Duration
 }
 
-// Sender keeps a connection to a peer and sends messages to it, in order, or drops them. Its methods never block, and may be
-// called on any goroutine.
+// Sender maintains a connection to a peer and sends messages to it in order, or drops them. Its methods never
+// block and are safe for concurrent use.
 type Sender struct {
 	limits       Limits
 	dial         func() (*Conn, error)
@@ -25,16 +25,16 @@
 	onConnection func(err error)
 
 	wake      chan struct{} // the queue is not empty
-	retry     chan struct{} // ends the pause between two attempts
+	retry     chan struct{} // ends the pause between two connection attempts
 	done      chan struct{} // closed by Close
 	closeOnce sync.Once
 	up        atomic.Bool
 	sentBytes atomic.Uint64 // bytes sent
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	queue  []outgoing
-	bytes  int  // in the queue
-	closed bool // the queue takes nothing any more
+	bytes  int  // size of the queue
+	closed bool // the queue accepts no more messages
 	conn   *Conn
 }
 
@@ -42,12 +42,12 @@
 type outgoing struct {
 	kind    Kind
 	message []byte
-	sent    func(ok bool) // nil = nobody wants to know
+	sent    func(ok bool) // called with the outcome; may be nil
 }
 
-// NewSender returns a sender that runs until Close. dial connects, and runs on the sender's goroutine. onDrop is called for each
-// message that is dropped, on any goroutine. onConnection is called with the error of the first attempt to connect that fails, and with
-// nil once one succeeds again.
+// NewSender returns a sender that runs until Close. dial connects to the peer and runs on the sender's goroutine.
+// onDrop is called for each dropped message, on any goroutine. onConnection is called with the error when a
+// connection attempt fails for the first time, and with nil once an attempt succeeds again.
 func NewSender(limits Limits, dial func() (*Conn, error), onDrop func(), onConnection func(err error)) *Sender {
 	s := &Sender{limits: limits, dial: dial, onDrop: onDrop, onConnection: onConnection, wake: make(chan struct{}, 1),
 		retry: make(chan struct{}, 1), done: make(chan struct{})}
@@ -55,8 +55,9 @@
 	return s
 }
 
-// Send queues a message, or drops it where the queue is full. If sent is not nil, it is called once, on any goroutine, perhaps
-// before Send returns: with true when the message was handed to the kernel, with false when it was dropped.
+// Send queues a message, or drops it if the queue is full. If sent is not nil, it is called once, on any goroutine
+// and possibly before Send returns: with true when the message was passed to the kernel, with false when it was
+// dropped.
 func (s *Sender) Send(kind Kind, message []byte, sent func(ok bool)) {
 	s.mu.Lock()
 	fits := !s.closed && (len(s.queue) == 0 || s.bytes+len(message) <= s.limits.Bytes)
@@ -84,10 +85,10 @@
 	}
 }
 
-// Up reports whether there is a connection, and how many bytes were sent since NewSender.
+// Up reports whether there is a connection, and returns the number of bytes sent since NewSender.
 func (s *Sender) Up() (up bool, bytes uint64) { return s.up.Load(), s.sentBytes.Load() }
 
-// Retry ends the pause between two attempts to connect, because the peer is known to be there.
+// Retry ends the pause between two connection attempts, because the peer is known to be reachable.
 func (s *Sender) Retry() {
 	select {
 	case s.retry <- struct{}{}:
@@ -95,7 +96,7 @@
 	}
 }
 
-// Close ends the sender. What is queued is dropped.
+// Close stops the sender. Queued messages are dropped.
 func (s *Sender) Close() {
 	s.closeOnce.Do(func() {
 		close(s.done)
@@ -126,7 +127,7 @@
 }
 
 func (s *Sender) run() {
-	defer func() { // whoever waits to learn whether an image was sent must not wait for ever
+	defer func() { // report queued messages as dropped: a caller that waits for the outcome of an image must not wait forever
 		s.mu.Lock()
 		s.closed = true
 		s.mu.Unlock()
@@ -140,7 +141,7 @@
 				s.onConnection(err)
 				failed = true
 			}
-			s.drop(s.takeQueue()...) // it would be outdated by the time there is a connection
+			s.drop(s.takeQueue()...) // the messages would be outdated by the time there is a connection
 			pause = s.backOff(pause)
 			continue
 		}
@@ -158,7 +159,7 @@
 	}
 }
 
-// backOff waits before the next attempt to connect, and returns the pause after that one.
+// backOff waits before the next connection attempt, and returns the pause to use after that attempt.
 func (s *Sender) backOff(pause time.Duration) time.Duration {
 	t := time.NewTimer(pause/2 + rand.N(pause))
 	defer t.Stop()
@@ -172,8 +173,8 @@
 	}
 }
 
-// serve sends until the connection breaks. A goroutine that reads sees that at once: a peer says nothing to a sender, so that
-// whatever comes ends the connection.
+// serve sends messages until the connection breaks. A reading goroutine detects that at once: a peer never sends
+// anything to a sender, so that whatever is read ends the connection.
 func (s *Sender) serve(c *Conn) {
 	broken := make(chan struct{})
 	go func() {
@@ -209,12 +210,13 @@
 			messages = messages[n:]
 		}
 		if cap(frames) > 4*maxFrameBytes {
-			frames = nil // a large message should not hold its memory
+			frames = nil // do not keep the memory of a large message
 		}
 	}
 }
 
-// write writes frames in pieces, each within the limit: a slow peer is waited for as long as it takes something.
+// write writes frames in pieces, each with a timeout of its own: a slow peer is tolerated as long as it makes
+// progress.
 func (s *Sender) write(c *Conn, frames []byte) error {
 	for len(frames) > 0 {
 		n := min(len(frames), maxFrameBytes)
--- a/internal/node/consensus/transport/transport.go
+++ b/internal/node/consensus/transport/transport.go
@@ -1,11 +1,12 @@
-// Package transport carries messages between the processes of one fleet: a handshake that says who connects, frames with a
-// length and a checksum, and a Sender that never blocks its caller.
+// Package transport carries messages between the processes of one fleet: a handshake that identifies the
+// connecting process, frames with a length and a checksum, and a Sender that never blocks its caller.
 //
-// A frame is the length of its payload (4 bytes, big endian), the xxhash of what follows (8 bytes), the kind (1 byte) and the
-// payload. A message that is longer than a frame has the more bit set in the kind of all frames but the last.
+// A frame consists of the length of its payload (4 bytes, big endian), the xxhash of kind and payload (8 bytes),
+// the kind (1 byte) and the payload. If a message is longer than one frame, the more bit is set in the kind of
+// every frame but the last.
 //
-// Bounds: a frame has maxFrameBytes of payload, a message maxMessageBytes; a sender holds what its Limits say and drops the
-// rest. A peer that sends anything else loses its connection.
+// Bounds: a frame has at most maxFrameBytes of payload, a message at most maxMessageBytes. A sender queues up to
+// Limits.Bytes and drops the rest. The connection of a peer that sends anything else is closed.
 package transport
 
 import (
@@ -22,14 +23,14 @@
 
 // Errors that end a connection.
 var (
-	// ErrFrame says that the peer has sent what no member or client of the fleet sends.
-	ErrFrame = errors.New("a frame that nobody of this fleet sends")
-	// ErrRefused says that the peer, or this end, has rejected the handshake.
-	ErrRefused = errors.New("turned away")
+	// ErrFrame says that the peer has sent something that no member or client of the fleet sends.
+	ErrFrame = errors.New("invalid frame")
+	// ErrRefused says that the peer or this end has rejected the handshake.
+	ErrRefused = errors.New("connection rejected")
 )
 
-// Version is the newest version of the frames and of what they carry. A release speaks its own and the one before; this is the
-// first.
+// Version is the newest version of the frames and their content. A release supports its own version and the
+// previous one. This is the first version.
 const Version = 1
 
 const (
@@ -44,34 +45,34 @@
 // Kind is the kind of a message.
 type Kind byte
 
-// The kinds.
+// The kinds of message.
 const (
 	KindHello   Kind = 1
 	KindAnswer  Kind = 2
 	KindRaft    Kind = 3
 	KindRequest Kind = 4
-	more        Kind = 0x80 // a bit of a frame's kind: the message goes on with the next frame
+	more        Kind = 0x80 // flag in a frame's kind: the message continues in the next frame
 )
 
 // Conn is a connection. One goroutine may read while another writes.
 type Conn struct {
 	raw     net.Conn
 	in      *bufio.Reader
-	Version int // that both ends speak, after the handshake
+	Version int // the negotiated version, after the handshake
 }
 
-// NewConn wraps an accepted connection; Accept then does the handshake.
+// NewConn wraps an accepted connection. Accept then performs the handshake.
 func NewConn(raw net.Conn) *Conn {
 	return &Conn{raw: raw, in: bufio.NewReaderSize(raw, maxFrameBytes/2)}
 }
 
-// Close closes the connection. It may be called on any goroutine, and more than once.
+// Close closes the connection. It is safe for concurrent use and may be called more than once.
 func (c *Conn) Close() error { return c.raw.Close() }
 
 // Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.raw.RemoteAddr().String() }
 
-// Append appends a message in frames to dst.
+// Append appends a message to dst, encoded as frames.
 func Append(dst []byte, kind Kind, message []byte) []byte {
 	for {
 		frameKind, n := kind, len(message)
@@ -90,8 +91,8 @@
 	}
 }
 
-// Read reads the next message. Its memory grows with what has arrived, not with the length that a frame claims: a stranger must
-// not be able to make a process allocate.
+// Read reads the next message. Memory is allocated frame by frame as data arrives, and a frame is limited in size:
+// an unauthenticated peer must not be able to cause large allocations by announcing a length.
 func (c *Conn) Read() (kind Kind, message []byte, err error) {
 	var header [frameHeaderBytes]byte
 	for {
@@ -100,7 +101,7 @@
 		}
 		n, frameKind := binary.BigEndian.Uint32(header[:]), Kind(header[12])
 		if n > maxFrameBytes || len(message)+int(n) > maxMessageBytes || kind != 0 && frameKind&^more != kind {
-			return 0, nil, fmt.Errorf("%w: one of %d bytes", ErrFrame, n)
+			return 0, nil, fmt.Errorf("%w: unexpected kind or length of %d bytes", ErrFrame, n)
 		}
 		kind = frameKind &^ more
 		offset := len(message)
@@ -116,7 +117,7 @@
 		_, _ = sum.Write(header[12:]) // never fails
 		_, _ = sum.Write(message[offset:])
 		if sum.Sum64() != binary.BigEndian.Uint64(header[4:]) {
-			return 0, nil, fmt.Errorf("%w: its checksum is wrong", ErrFrame)
+			return 0, nil, fmt.Errorf("%w: checksum mismatch", ErrFrame)
 		}
 		if frameKind&more == 0 {
 			return kind, message, nil
@@ -124,7 +125,7 @@
 	}
 }
 
-// Write writes a message. A connection whose peer does not take it within the timeout is broken then.
+// Write writes a message. If the peer does not accept it within the timeout, the connection is unusable afterwards.
 func (c *Conn) Write(kind Kind, message []byte, timeout time.Duration) error {
 	return c.writeFrames(Append(make([]byte, 0, min(len(message)+frameHeaderBytes, firstBufferBytes)), kind, message), timeout)
 }
--- a/internal/node/consensus/transport/transport_test.go
+++ b/internal/node/consensus/transport/transport_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadRejectsWhatWasNotSent guards against a message that arrives otherwise than it was sent, and against accepting a peer that claims a
-// length to make this end allocate, never ends a message, changes a byte, or breaks off in the middle.
+// TestReadRejectsWhatWasNotSent guards against a message that is received differently from how it was sent, and
+// against accepting a message with a changed byte, a truncated message, one without an end, and a length that is
+// announced to cause allocations.
 func TestReadRejectsWhatWasNotSent(t *testing.T) {
 	read := func(raw []byte) (Kind, string, error) {
 		near, far := net.Pipe()
@@ -38,7 +39,7 @@
 			_, _, err := read(bad)
 			require.Error(t, err, "byte %d of %d changed", at, len(raw))
 			_, _, err = read(raw[:at])
-			require.Error(t, err, "cut at %d of %d", at, len(raw))
+			require.Error(t, err, "truncated at %d of %d", at, len(raw))
 		}
 	}
 	frame := Append(nil, KindRaft|more, make([]byte, maxFrameBytes))
@@ -48,9 +49,9 @@
 	_, _, err := read(claim)
 	runtime.ReadMemStats(&after)
 	require.ErrorIs(t, err, ErrFrame)
-	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(10<<20), "2 GB claimed")
+	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(10<<20), "a length of 2 GB was announced")
 	_, _, err = read(append(append([]byte{}, frame...), Append(nil, KindRequest, nil)...))
-	require.ErrorIs(t, err, ErrFrame, "another kind goes on")
+	require.ErrorIs(t, err, ErrFrame, "continued with another kind")
 
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -62,5 +63,5 @@
 		}
 	}()
 	_, _, err = NewConn(near).Read()
-	require.ErrorIs(t, err, ErrFrame, "more than a message may have")
+	require.ErrorIs(t, err, ErrFrame, "longer than maxMessageBytes")
 }
