--- a/internal/node/statemachine/binary.go
+++ b/internal/node/statemachine/binary.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// imageWriter encodes the compact form of images: numbers as varints, floats as their bits, bytes behind their length.
+// imageWriter encodes the compact form of images: numbers as varints, floats as their IEEE 754 bits in big endian
+// order, byte slices prefixed by their length.
 type imageWriter struct{ buf []byte }
 
 func (w *imageWriter) number(n uint64) { w.buf = binary.AppendUvarint(w.buf, n) }
@@ -17,8 +18,9 @@
 	w.buf = append(w.buf, b...)
 }
 
-// imageReader decodes what imageWriter wrote. Once the buffer has ended too early, failed is set and all methods return zero
-// values; the caller checks it at the end, and before it uses a value that must be valid.
+// imageReader decodes the output of imageWriter. If the buffer ends too early, failed is set and all methods
+// return zero values from then on. The caller checks failed at the end, and before it uses a value that must be
+// valid.
 type imageReader struct {
 	buf    []byte
 	failed bool
@@ -34,7 +36,7 @@
 	return n
 }
 
-// next returns the next n bytes, which share the image's memory, or nil.
+// next returns the next n bytes, which share the image's memory, or nil if there are fewer.
 func (r *imageReader) next(n uint64) []byte {
 	if n > uint64(len(r.buf)) {
 		r.failed, r.buf = true, nil
--- a/internal/node/statemachine/calls_test.go
+++ b/internal/node/statemachine/calls_test.go
@@ -12,9 +12,9 @@
 
 func name(i int) []byte { return append(make([]byte, 15), byte(i+1)) }
 
-// TestRandomCallHistoriesRunNoNameTwice plays runs that are claimed, end, are abandoned by their nodes and come again with other windows.
-// It guards against a name that runs twice within its windows, two responses for one name, and a member that goes on otherwise from
-// an image.
+// TestRandomCallHistoriesRunNoNameTwice applies histories of runs that are claimed, end, are abandoned by their
+// nodes and are claimed again with other windows. It guards against a name that runs twice within its windows, two
+// responses for one name, and a member that behaves differently after it was restored from an image.
 func TestRandomCallHistoriesRunNoNameTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -32,7 +32,7 @@
 		type run struct {
 			token  uint64
 			since  float64
-			window float64 // of its claim
+			window float64 // window of its claim
 		}
 		ran, answer := map[int]run{}, map[int]string{}
 		forget := func(i int) {
@@ -51,7 +51,7 @@
 				var o ClaimReply
 				require.NoError(t, json.Unmarshal(r.Body, &o))
 				had, known := ran[i]
-				if known && now-had.since > had.window-2 { // the least that a run is known, to whole ms
+				if known && now-had.since > had.window-2 { // the shortest time for which a run is remembered, to whole ms
 					forget(i)
 					known = false
 				}
@@ -80,7 +80,7 @@
 				}
 			case 3:
 				do(ProcessStartCommand(ProcessStart{Node: fmt.Sprint(step % 2), Incarnation: uint64(step + 2)}))
-			default: // one member goes on from an image
+			default: // one member is restored from an image
 				text, fresh := frozen(t, b), New()
 				require.NoError(t, fresh.Restore([]byte(text)))
 				require.Equal(t, text, frozen(t, fresh))
@@ -91,8 +91,9 @@
 	})
 }
 
-// TestClaimsCompletionsAndLookups guards against a second secret in one fleet, a run that another claimant completes, one that a later
-// process of its node does not end, a body that does not fit, and another content under a name.
+// TestClaimsCompletionsAndLookups guards against a second secret in one fleet, a run that another claimant can
+// complete, a run that is not ended by a later process of its node, a body that is too large, and different
+// content under one name.
 func TestClaimsCompletionsAndLookups(t *testing.T) {
 	m := New()
 	s := apply(t, m, Command{Body: encode(Opening{Name: "n"})}).Index
@@ -116,7 +117,7 @@
 	assert.Equal(t, ClaimReply{Result: ClaimRunning, Node: "a"}, outcome(do(3, ClaimCommand(other))))
 	assert.Equal(t, Conflict, do(3, CompletionCommand(Completion{Name: name(1), Token: 8, Outcome: OutcomeNotExecuted})).Code)
 	assert.Equal(t, OK, do(4, ProcessStartCommand(ProcessStart{Node: "a", Incarnation: 2, Secret: []byte("x")})).Code)
-	assert.Equal(t, ClaimInDoubt, outcome(do(5, ClaimCommand(other))).Result, "its node has started again")
+	assert.Equal(t, ClaimInDoubt, outcome(do(5, ClaimCommand(other))).Result, "its node has restarted")
 	assert.Equal(t, ClaimInDoubt, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(1), Fingerprint: name(1)})})).Result)
 	other.Fingerprint = name(2)
 	assert.Equal(t, ClaimMismatch, outcome(do(6, ClaimCommand(other))).Result)
@@ -128,8 +129,9 @@
 	assert.Equal(t, ClaimUnknown, outcome(m.Query(Request{ComponentCalls, encode(Lookup{Name: name(4), Fingerprint: name(4)})})).Result)
 }
 
-// TestFullTableRejectsWithAWaitAndRestores guards, where the table is full, against a claim that is rejected without a time to claim
-// again, a run that is forgotten, and a replica that cannot start from the image of such a table.
+// TestFullTableRejectsWithAWaitAndRestores uses a full table. It guards against a claim that is rejected without
+// the time after which to retry, a run that is forgotten, and a replica that cannot start from the image of such a
+// table.
 func TestFullTableRejectsWithAWaitAndRestores(t *testing.T) {
 	const capacity = 400
 	fresh := func() *calls {
@@ -162,14 +164,14 @@
 	}
 	require.Equal(t, ClaimGranted, claim(1, "large", 7).Result)
 	n, o := fill("large")
-	assert.Greater(t, n, capacity/2, "it may use four times the capacity that nobody uses")
+	assert.Greater(t, n, capacity/2, "one tenant may use four times the unused capacity")
 	assert.Equal(t, ClaimReply{Result: ClaimFull, Wait: 60000}, o)
 	for i := range 10 {
 		_, o = fill(fmt.Sprint("another ", i))
 		assert.Equal(t, ClaimFull, o.Result)
 	}
 	assert.Greater(t, c.table.Counts().Entries, capacity-10)
-	for _, compact := range []bool{false, true} { // replicas go on from its image
+	for _, compact := range []bool{false, true} { // restore the component from its image
 		text, err := c.Freeze()()
 		require.NoError(t, err)
 		other := fresh()
@@ -191,11 +193,11 @@
 	assert.Equal(t, OK, end(1, 7, "answer"))
 	assert.Equal(t, ClaimReply{Result: ClaimReplayed, Body: []byte("answer")}, claim(1, "large", 8))
 	now += 60001
-	assert.Equal(t, ClaimGranted, claim(2, "large", 8).Result, "windows are over")
+	assert.Equal(t, ClaimGranted, claim(2, "large", 8).Result, "the windows are over")
 }
 
-// TestAbandonedRunIsInDoubtUntilItsWindowEnds guards against a run that nobody completes and that counts as running for ever, or is
-// forgotten before its window ends.
+// TestAbandonedRunIsInDoubtUntilItsWindowEnds guards against a run that is never completed and counts as running
+// forever, or that is forgotten before its window ends.
 func TestAbandonedRunIsInDoubtUntilItsWindowEnds(t *testing.T) {
 	c := newCalls()
 	at := func(now float64, token uint64) (o ClaimReply) {
--- a/internal/node/statemachine/callsimage.go
+++ b/internal/node/statemachine/callsimage.go
@@ -10,13 +10,13 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// callsImage is the image of the calls.
+// callsImage is the JSON image of the calls.
 type callsImage struct {
 	Now     float64           `json:"now"` // cluster time, ms
 	Classes [][2]float64      `json:"classes"`
 	Secret  []byte            `json:"secret,omitempty"`
-	Known   []knownImage      `json:"known"`   // calls that have ended, in the order of their ends
-	Running []claimOwnerImage `json:"running"` // by their names
+	Known   []knownImage      `json:"known"`   // calls that have ended, in the order in which they ended
+	Running []claimOwnerImage `json:"running"` // in the order of their names
 }
 
 type knownImage struct {
@@ -34,7 +34,7 @@
 	Holder claimOwner `json:"holder"`
 }
 
-// imageTime returns the table's time, ms; that of a table which has seen no time yet is 0.
+// imageTime returns the time of the table, in ms; 0 if the table has not seen any time yet.
 func (c *calls) imageTime() float64 {
 	if now := c.table.Now(); !math.IsInf(now, 0) {
 		return now
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// Freeze captures the state for an image. Names are copied; bodies are not, for they never change.
+// Freeze captures the state for an image. Names are copied; bodies are not, because they never change.
 func (c *calls) Freeze() func() (json.RawMessage, error) {
 	frozen := callsImage{Now: c.imageTime(), Secret: c.secret, Known: []knownImage{}, Running: []claimOwnerImage{}}
 	for _, class := range c.classes {
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// reset empties the component and sets what an image begins with.
+// reset empties the component and restores the header of an image.
 func (c *calls) reset(header *callsImage) error {
 	c.classes = c.classes[:0]
 	for _, windows := range header.Classes {
 		c.classes = append(c.classes, idempotency.Class{AtMostOnce: true, AnsweredWindow: windows[0], InDoubtWindow: windows[1]})
 	}
 	if len(c.classes) == 0 {
-		return errors.New("it has no classes")
+		return errors.New("no classes")
 	}
 	c.table, c.secret = newCallTable(c.classes, c.capacity), header.Secret
 	c.table.Tick(header.Now)
@@ -112,17 +112,17 @@
 		known.Body = k.Body
 	}
 	if !c.table.Restore(now, known) {
-		return errors.New("there is no room for what it holds")
+		return errors.New("no capacity for an ended call")
 	}
 	return nil
 }
 
-// resume adds a call that runs. It was admitted, and stays so however much its tenant uses by now.
+// resume adds a running call. It was admitted before and remains so, however much capacity its tenant uses by now.
 func (c *calls) resume(now float64, k *knownImage, owner claimOwner) error {
 	call := k.call()
 	ref, ok := c.table.Resume(now, call)
 	if !ok {
-		return errors.New("there is no room for what runs")
+		return errors.New("no capacity for a running call")
 	}
 	owner.Ref = ref
 	c.setRunning(call.Key, owner)
@@ -135,15 +135,15 @@
 	flagBody
 )
 
-// Sizes that a buffer for the compact image is made with, in bytes. They are no bounds.
+// Estimated sizes, in bytes, for allocating the buffer of the compact image. They are not limits.
 const (
 	compactHeaderBytes = 64
 	compactEntryBytes  = 56
 	compactOwnerBytes  = 64
 )
 
-// FreezeCompact captures the state for the compact image. The calls that have ended come first, in the order of their ends,
-// which is that of their eviction; those that run follow, by their names.
+// FreezeCompact captures the state for the compact image. The calls that have ended come first, in the order in
+// which they ended and will be evicted. The running calls follow, in the order of their names.
 func (c *calls) FreezeCompact() func() ([]byte, error) {
 	now, secret, classes := c.imageTime(), c.secret, slices.Clone(c.classes)
 	entries := c.table.Snapshot()
@@ -159,7 +159,7 @@
 		return 0
 	})
 	size := compactHeaderBytes
-	var owners []claimOwner // of those that run
+	var owners []claimOwner // of the running calls
 	for _, k := range entries {
 		size += compactEntryBytes
 		if k.Running {
@@ -211,7 +211,8 @@
 	}
 }
 
-// known reads what imageWriter.known wrote. Bodies are copied, so that they do not keep the whole image in memory.
+// known reads an entry that imageWriter.known wrote. The body is copied, so that it does not keep the whole image
+// in memory.
 func (r *imageReader) known() (k knownImage) {
 	flags := r.next(1)
 	if flags == nil {
--- a/internal/node/statemachine/callstable.go
+++ b/internal/node/statemachine/callstable.go
@@ -12,23 +12,24 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// calls is the component of the idempotency keys: the table that a single node has too, and the owner of each run.
+// calls is the component that holds the idempotency keys: the table that a node without replication also uses, and
+// the owner of each run.
 type calls struct {
 	table      *idempotency.Table
-	classes    []idempotency.Class // of the table, by number; those of an image are made in the same order
+	classes    []idempotency.Class // of the table, by number; an image restores them in the same order
 	running    map[idempotency.Key]claimOwner
-	nextExpiry float64 // cluster time at which the first run counts as in doubt, ms; +Inf = nothing runs
-	secret     []byte  // digest that binds the fleet, nil = no process has started
-	capacity   int     // names: MaxCalls, but for tests
+	nextExpiry float64 // cluster time at which the next run becomes in doubt, ms; +Inf = no runs
+	secret     []byte  // digest of the fleet's secret; nil = no process has started yet
+	capacity   int     // maximum number of names: MaxCalls except in tests
 }
 
-// claimOwner is who runs a call.
+// claimOwner is the owner of a claim: the process that runs the call.
 type claimOwner struct {
 	Ref         idempotency.Ref `json:"-"`
 	Node        string          `json:"node"`
 	Incarnation uint64          `json:"life"`
 	Token       uint64          `json:"token"`
-	Until       float64         `json:"until"` // cluster time from which on the run is in doubt, ms
+	Until       float64         `json:"until"` // cluster time at which the run becomes in doubt, ms
 }
 
 func newCalls() *calls {
@@ -45,7 +46,7 @@
 	return table
 }
 
-// toName converts the 16 bytes of a name or a fingerprint.
+// toName converts the 16 bytes of a name or a fingerprint. It returns false if b has another length.
 func toName(b []byte) (n idempotency.Key, ok bool) {
 	return n, len(b) == copy(n[:], b) && len(b) == len(n)
 }
@@ -56,7 +57,7 @@
 	if err := json.Unmarshal(body, &cmd); err != nil {
 		return Reply{Code: Invalid, Text: err.Error()}
 	}
-	now = math.Floor(now) // whole ms: an image restores exactly the same times
+	now = math.Floor(now) // whole ms, so that an image restores exactly the same times
 	c.expire(now)
 	switch {
 	case cmd.Claim != nil:
@@ -69,7 +70,7 @@
 	return Reply{Code: Invalid, Text: "want take, ended or fresh"}
 }
 
-// expire ends the runs in doubt that nobody completed in time.
+// expire ends, as in doubt, the runs that were not completed in time.
 func (c *calls) expire(now float64) {
 	c.table.Tick(now)
 	if now >= c.nextExpiry {
@@ -77,8 +78,9 @@
 	}
 }
 
-// endInDoubt ends the runs of the selected owners and returns their number. It goes by the order of the names, for the table
-// evicts by the order of the ends, which must be the same on all members.
+// endInDoubt ends the runs of the selected owners as in doubt, and returns their number. It proceeds in the order
+// of the names, because the table evicts calls in the order in which they ended, which must be the same on all
+// members.
 func (c *calls) endInDoubt(now float64, selected func(claimOwner) bool) int {
 	var names []idempotency.Key
 	for name, owner := range c.running {
@@ -98,12 +100,12 @@
 	return len(names)
 }
 
-// valid reports whether all windows are in their bounds; NaN is not.
+// valid reports whether all windows are within their bounds. NaN is not.
 func (c *Claim) valid() bool {
 	return c.AnsweredWindow >= 0 && c.AnsweredWindow <= maxRetentionMillis && c.InDoubtWindow >= 0 && c.InDoubtWindow <= maxRetentionMillis && c.RunTimeout > 0 && c.RunTimeout <= maxRetentionMillis
 }
 
-// claim grants a name to its claimant, unless the call has been claimed before.
+// claim grants a name to its claimant unless the call has been claimed before.
 func (c *calls) claim(now float64, claim *Claim) Reply {
 	name, ok := toName(claim.Name)
 	fingerprint, ok2 := toName(claim.Fingerprint)
@@ -114,7 +116,7 @@
 	if !ok {
 		return Reply{Code: Full, Text: "too many different windows"}
 	}
-	if owner, running := c.running[name]; running && owner.Token == claim.Token { // the same run, claimed again in another session
+	if owner, running := c.running[name]; running && owner.Token == claim.Token { // the same run, retried in another session
 		return Reply{Code: OK, Body: encode(ClaimReply{Result: ClaimGranted})}
 	}
 	decision := c.table.Claim(now, idempotency.Call{Key: name, Fingerprint: idempotency.Fingerprint(fingerprint), Class: c.classOf(name, class),
@@ -130,7 +132,8 @@
 	c.nextExpiry = min(c.nextExpiry, owner.Until)
 }
 
-// findOrAddClass returns the number of the table's class with these windows, in ms.
+// findOrAddClass returns the number of the table's class with the given windows, in ms, adding it if necessary. It
+// returns false if the table has no room for another class.
 func (c *calls) findOrAddClass(answered, doubt float64) (int, bool) {
 	want := idempotency.Class{AtMostOnce: true, AnsweredWindow: math.Floor(answered), InDoubtWindow: math.Floor(doubt)}
 	if index := slices.Index(c.classes, want); index >= 0 {
@@ -143,7 +146,8 @@
 	return index, ok
 }
 
-// classOf returns the class of a known name, else the given one: a change of the windows meanwhile does not make it another call.
+// classOf returns the class of a known name, otherwise the given one: if the windows have been changed meanwhile,
+// it is still the same call.
 func (c *calls) classOf(name idempotency.Key, class int) int {
 	if known, ok := c.table.ClassOf(name); ok {
 		return known
@@ -151,7 +155,7 @@
 	return class
 }
 
-// replyTo translates a decision of the table.
+// replyTo translates a decision of the table into a reply.
 func (c *calls) replyTo(name idempotency.Key, decision idempotency.Decision) ClaimReply {
 	reply := ClaimReply{Wait: decision.RetryAfter}
 	switch decision.Verdict {
@@ -173,7 +177,8 @@
 	return reply
 }
 
-// complete ends a run with its outcome. It is refused once the run is in doubt: another node may have got that answer.
+// complete ends a run with its outcome. It is rejected once the run is in doubt, because another node may already
+// have been told so.
 func (c *calls) complete(now float64, completion *Completion) Reply {
 	name, ok := toName(completion.Name)
 	owner, running := c.running[name]
@@ -183,7 +188,7 @@
 	end, body, size := idempotency.OutcomeInDoubt, any(nil), 0
 	switch completion.Outcome {
 	case OutcomeServed:
-		end, size = idempotency.OutcomeServed, MaxBodyBytes+1 // a size that the table keeps no body of
+		end, size = idempotency.OutcomeServed, MaxBodyBytes+1 // a size for which the table keeps no body
 		if len(completion.Body) > 0 && len(completion.Body) <= MaxOneBodyBytes {
 			body, size = completion.Body, len(completion.Body)
 		}
@@ -195,7 +200,8 @@
 	return Reply{Code: OK}
 }
 
-// startProcess ends in doubt what earlier processes of the node had running, but for one that still completes its own runs.
+// startProcess ends, as in doubt, the runs of earlier processes of the node, except for a predecessor that still
+// completes its own runs.
 func (c *calls) startProcess(now float64, start *ProcessStart) Reply {
 	if c.secret == nil {
 		c.secret = start.Secret
@@ -209,7 +215,8 @@
 	return Reply{Code: OK, Text: fmt.Sprint(n)}
 }
 
-// Query answers a Lookup. It changes nothing: what has expired since the last entry is seen with the next.
+// Query answers a Lookup. It changes nothing: runs that have expired since the last entry are ended by the next
+// entry.
 func (c *calls) Query(body json.RawMessage) Reply {
 	var lookup Lookup
 	err := json.Unmarshal(body, &lookup)
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -14,7 +14,8 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// TestEncodedTypesKeepTheirForm guards against a command, query, reply or image whose JSON has changed, in any of its fields.
+// TestEncodedTypesKeepTheirForm guards against a change of the JSON form of a command, query, reply or image, in
+// any field.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Command](t, "command")
 	golden.JSON[Reply](t, "reply")
@@ -40,7 +41,8 @@
 	golden.JSON[QuotaLeaseCommand](t, "room-command")
 }
 
-// TestEncodedWordsKeepTheirForm guards against a changed name of a component, code, role or result: they are on disks and between processes.
+// TestEncodedWordsKeepTheirForm guards against a changed name of a component, code, role or result: these names
+// are stored on disk and sent between processes.
 func TestEncodedWordsKeepTheirForm(t *testing.T) {
 	words := []any{ComponentMembers, ComponentRegister, ComponentCalls, ComponentOrders, ComponentPolicy, ComponentQuotaLeases, OK, Conflict, Invalid, Full, SessionLost, Voter, Learner, Removed,
 		ClaimGranted, ClaimRunning, ClaimReplayed, ClaimExecuted, ClaimInDoubt, ClaimMismatch, ClaimFull, ClaimUnknown, OutcomeServed, OutcomeNotExecuted, OutcomeInDoubt,
@@ -48,7 +50,8 @@
 	golden.Check(t, "words", fmt.Append(nil, words))
 }
 
-// script returns the commands of a history after which no component is empty: of each kind one at least.
+// script returns the commands of a history that contains at least one command of each kind and leaves no component
+// empty.
 func script() (commands []Command) {
 	add := func(at float64, session, number uint64, component string, body any) {
 		commands = append(commands, Command{Version: Version, At: at, Session: session, Number: number, Confirmed: number / 4, Component: component, Body: encode(body)})
@@ -82,7 +85,7 @@
 		do(at, 1, ComponentPolicy, PolicyCommand{Report: &r})
 	}
 	propose := func(at float64, p rollout.Proposal) { do(at, 2, ComponentPolicy, PolicyCommand{Propose: &p}) }
-	propose(1_001_100, rollout.Proposal{ID: "first", Text: "a document", By: "ada"}) // nobody has to look: it holds
+	propose(1_001_100, rollout.Proposal{ID: "first", Text: "a document", By: "ada"}) // activated at once: no member has to validate it
 	propose(1_001_110, rollout.Proposal{ID: "late", Text: "another", By: "bob"})
 	report(1_001_120, rollout.Report{Node: "node-1", Incarnation: 5, InForce: 1, Lease: 8000})
 	report(1_001_130, rollout.Report{Node: "node-2", Incarnation: 6, InForce: 1, Lease: 8000, WithoutLease: true})
@@ -134,8 +137,9 @@
 	return out
 }
 
-// TestImagesAndHistoryOfAnEarlierBuild guards against commands, replies, images and answers that this build writes or reads otherwise
-// than an earlier one of the release: the golden files hold a history, the replies to its commands, the images in both forms, and the answers to every query.
+// TestImagesAndHistoryOfAnEarlierBuild guards against commands, replies, images and answers that this build writes
+// or reads differently from an earlier build of the release. The golden files hold a history, the replies to its
+// commands, the images in both forms, and the answers to all queries.
 func TestImagesAndHistoryOfAnEarlierBuild(t *testing.T) {
 	var text bytes.Buffer
 	for _, c := range script() {
@@ -151,7 +155,7 @@
 	for line := range bytes.Lines(golden.File(t, "history.jsonl", nil)) {
 		var c Command
 		require.NoError(t, json.Unmarshal(line, &c))
-		require.Equal(t, string(bytes.TrimSpace(line)), string(encode(c)), "a command is encoded again as it was")
+		require.Equal(t, string(bytes.TrimSpace(line)), string(encode(c)), "a command that was read is encoded to the same bytes")
 		_, r, err := m.Apply(m.Index()+1, line)
 		require.NoError(t, err)
 		require.Equal(t, OK, r.Code, "%s: %s", line, r.Text)
--- a/internal/node/statemachine/image.go
+++ b/internal/node/statemachine/image.go
@@ -9,11 +9,11 @@
 	"slices"
 )
 
-// errTruncated says that a compact image ends too early.
-var errTruncated = errors.New("it is cut off")
+// errTruncated says that a compact image is truncated.
+var errTruncated = errors.New("truncated")
 
-// image is the encoded state, on disk and between members: one JSON value, and for version 2 a line feed and the compact
-// images of the components that Compact lists, one after the other.
+// image is the encoded state, on disk and between members. It is one JSON value; in version 2, a line feed and the
+// concatenated compact images of the components listed in Compact follow.
 type image struct {
 	Version    int                        `json:"version"`
 	Index      uint64                     `json:"index"`
@@ -24,21 +24,21 @@
 	Compact    []blob                     `json:"compact,omitempty"`
 }
 
-// blob says how many bytes the compact image of a component has.
+// blob describes the compact image of a component: its size in bytes.
 type blob struct {
 	Part string `json:"part"`
 	Size int    `json:"size"`
 }
 
-// compactComponent is a component whose image has a second, binary form of a third of the bytes. It is written only once
-// every member can read it.
+// compactComponent is a component whose image also has a binary form, with a third of the size. The binary form is
+// written only once every member can read it.
 type compactComponent interface {
 	FreezeCompact() func() ([]byte, error)
 	LoadCompact(image []byte) error
 }
 
-// Freeze captures the state and returns the function that encodes its image. That function may run at any time and on any
-// goroutine, while the machine goes on.
+// Freeze captures the state and returns a function that encodes its image. That function may run at any time and
+// on any goroutine while further entries are applied.
 func (m *Machine) Freeze() func() ([]byte, error) {
 	header := image{Version: 1, Raised: m.members.raisedVersion, Index: m.index, Now: m.now, Sessions: map[uint64]session{}, Components: map[string]json.RawMessage{}}
 	for id, s := range m.sessions {
@@ -54,7 +54,7 @@
 			continue
 		}
 		if c, ok := component.(interface{ Empty() bool }); ok && c.Empty() {
-			continue // an older release need not know a component that was never used
+			continue // an older release need not support a component that was never used
 		}
 		header.Version = max(header.Version, VersionOf(name, nil))
 		plain[name] = component.Freeze()
@@ -62,7 +62,8 @@
 	return func() ([]byte, error) { return header.encode(plain, compact) }
 }
 
-// encode encodes the components, each map in the order of its names: the same state always gives the same bytes.
+// encode encodes the components, each map in the order of its names, so that the same state always gives the same
+// bytes.
 func (i image) encode(plain map[string]func() (json.RawMessage, error), compact map[string]func() ([]byte, error)) ([]byte, error) {
 	for _, name := range slices.Sorted(maps.Keys(plain)) {
 		text, err := plain[name]()
@@ -92,7 +93,8 @@
 	return out, nil
 }
 
-// Restore replaces the whole state by an image. The error wraps ErrVersion or ErrImage, and leaves the machine as it was.
+// Restore replaces the complete state by an image. The error wraps ErrVersion or ErrImage, and leaves the machine
+// unchanged.
 func (m *Machine) Restore(text []byte) error {
 	var header image
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// loadCompact restores the components whose compact images lie one after the other in blobs.
+// loadCompact restores the components whose compact images are concatenated in blobs.
 func (m *Machine) loadCompact(index []blob, blobs []byte) error {
 	for _, b := range index {
 		component, ok := m.components[b.Part].(compactComponent)
--- a/internal/node/statemachine/machine_test.go
+++ b/internal/node/statemachine/machine_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // makes the random histories reproducible
 )
 
 // apply applies a command as the next entry.
@@ -28,8 +28,9 @@
 	return string(text)
 }
 
-// TestRandomHistoriesApplyEachCommandOnce plays commands that come once, repeated, late and from evicted sessions. It guards against
-// one that is applied twice, time that goes back, state without a bound, and a machine that goes on otherwise from its image.
+// TestRandomHistoriesApplyEachCommandOnce applies commands that arrive once, repeatedly, late and from evicted
+// sessions. It guards against a command that is applied twice, time that goes back, unbounded state, and a machine
+// that behaves differently after it was restored from its image.
 func TestRandomHistoriesApplyEachCommandOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -49,7 +50,7 @@
 				set := Set{Name: fmt.Sprint("r", i%3), Value: fmt.Sprint("v", i)}
 				r := apply(t, m, Command{At: at, Session: s, Number: n, Confirmed: done[s], Component: ComponentRegister, Body: encode(set)})
 				if first, again := sets[[2]uint64{s, n}]; again && r.Code != SessionLost {
-					assert.Equal(t, first, r, "the reply of the first")
+					assert.Equal(t, first, r, "a retry gets the reply of the first attempt")
 				} else if !again {
 					sets[[2]uint64{s, n}] = r
 				}
@@ -68,7 +69,8 @@
 	})
 }
 
-// TestBoundsHold guards against more sessions, names or members than the bounds, and an evicted session that counts as a new one.
+// TestBoundsHold guards against more sessions, names or members than the bounds allow, and against an evicted
+// session that is treated as a new one.
 func TestBoundsHold(t *testing.T) {
 	m := New()
 	first := apply(t, m, Command{Body: encode(Opening{Name: "first"})}).Index
@@ -102,8 +104,8 @@
 	assert.LessOrEqual(t, len(big.Members().All()), MaxMembers)
 }
 
-// TestRejectsWhatALaterReleaseWrote guards against a member that skips what a later release wrote, and goes on with another state than
-// the others.
+// TestRejectsWhatALaterReleaseWrote guards against a member that skips data written by a later release and
+// continues with a state that differs from that of the others.
 func TestRejectsWhatALaterReleaseWrote(t *testing.T) {
 	m := New()
 	_, _, err := m.Apply(1, []byte(fmt.Sprintf(`{"v":%d,"n":1}`, Version+1)))
--- a/internal/node/statemachine/members.go
+++ b/internal/node/statemachine/members.go
@@ -9,14 +9,14 @@
 // ComponentMembers is the name of the component that holds the membership.
 const ComponentMembers = "members"
 
-// MaxMembers bounds the members that are known, removed ones included.
+// MaxMembers is the maximum number of known members, including removed ones.
 const MaxMembers = 256
 
 // Role is the role of a member.
 type Role string
 
-// The roles. A member is a learner before it votes. A removed one stays known by its number, so that it is rejected should it
-// come back.
+// The roles. A member is a learner before it becomes a voter. A removed member remains known by its ID, so that it
+// is rejected if it comes back.
 const (
 	Voter   Role = "voter"
 	Learner Role = "learner"
@@ -25,23 +25,24 @@
 
 // Member is a process that holds a replica of the log.
 type Member struct {
-	ID           uint64 `json:"id"`                 // drawn when its directory was made, never used again
-	Name         string `json:"name"`               // of the machine, for people; a replacement has the same
-	Address      string `json:"address"`            // where the others reach it
+	ID           uint64 `json:"id"`                 // random, drawn when its directory was created; never reused
+	Name         string `json:"name"`               // of the machine; a replacement has the same name
+	Address      string `json:"address"`            // at which the other members connect to it
 	Role         Role   `json:"role"`               //
-	Replaces     uint64 `json:"replaces,omitempty"` // of a learner: the voter whose place it takes; 0 = none, it is one more
-	Starts       uint64 `json:"starts"`             // how often it has started, as far as is committed
-	ReadsVersion int    `json:"speaks,omitempty"`   // newest Version that its release reads; 0 = the first, or not known yet
+	Replaces     uint64 `json:"replaces,omitempty"` // of a learner: ID of the voter that it replaces; 0 = it is an additional member
+	Starts       uint64 `json:"starts"`             // number of starts, as committed
+	ReadsVersion int    `json:"speaks,omitempty"`   // newest Version that its release reads; 0 = the first, or unknown
 }
 
-// Members is the component that holds the membership. Who is a member is changed by the consensus library's own entries
-// (Machine.Learns, Votes, Leaves); what is known of a member, by commands.
+// Members is the component that holds the membership. The set of members and their roles are changed by the
+// consensus library's own entries (Machine.AddLearner, PromoteLearner, RemoveMember), the other properties of a
+// member by commands.
 type Members struct {
 	byID          map[uint64]Member
-	raisedVersion int // operators have confirmed that no member goes back to a release which does not read this version
+	raisedVersion int // operators have confirmed that no member will be downgraded to a release that does not read this version
 }
 
-// Bootstrap returns the machine that a cluster begins with. now is cluster time, in ms.
+// Bootstrap returns the initial machine of a cluster. now is the cluster time, in ms.
 func Bootstrap(voters []Member, now float64) *Machine {
 	machine := New()
 	machine.now, machine.members.raisedVersion = now, Version
@@ -52,7 +53,7 @@
 	return machine
 }
 
-// MakeSoleMember makes a member the only one, after a majority of the others is lost for good.
+// MakeSoleMember makes a member the only one, after a majority of the others has been permanently lost.
 func (m *Machine) MakeSoleMember(member Member) {
 	for id, other := range m.members.byID {
 		other.Role, other.Replaces = Removed, 0
@@ -72,7 +73,7 @@
 	m.members.byID[member.ID] = member
 }
 
-// evictRemovedMember drops the removed member with the lowest number. Should it come back, it is rejected as unknown.
+// evictRemovedMember drops the removed member with the lowest ID. If it comes back, it is rejected as unknown.
 func (m *Members) evictRemovedMember() {
 	for _, member := range m.All() {
 		if member.Role == Removed {
@@ -96,10 +97,11 @@
 	}
 }
 
-// WritableVersion returns the Version that may be written: all members read it, and operators have confirmed that none goes back.
+// WritableVersion returns the newest Version that may be written: all members read it, and operators have
+// confirmed that none will be downgraded below it.
 func (m *Members) WritableVersion() int { return min(max(1, m.raisedVersion), m.CommonVersion()) }
 
-// CommonVersion returns the newest Version that all members read.
+// CommonVersion returns the newest Version that all members can read.
 func (m *Members) CommonVersion() int {
 	version := Version
 	for _, member := range m.byID {
@@ -112,13 +114,13 @@
 
 func (m Member) newestVersion() int { return max(1, m.ReadsVersion) }
 
-// Get returns a member by its number.
+// Get returns a member by its ID.
 func (m *Members) Get(id uint64) (Member, bool) {
 	member, ok := m.byID[id]
 	return member, ok
 }
 
-// ByName returns the member that has a name now, the voter if a learner is about to replace it.
+// ByName returns the current member with a name: the voter, if a learner with the same name is about to replace it.
 func (m *Members) ByName(name string) (found Member, ok bool) {
 	for _, member := range m.All() {
 		if member.Name == name && member.Role != Removed && (!ok || member.Role == Voter) {
@@ -128,17 +130,19 @@
 	return found, ok
 }
 
-// All returns all members, removed ones included, by their numbers.
+// All returns all members, including removed ones, in the order of their IDs.
 func (m *Members) All() []Member { return sortedValues(m.byID) }
 
-// Started is the body of a command by which the leader records how often a member has started, and what its release reads.
+// Started is the body of a command by which the leader records how often a member has started and which version
+// its release reads.
 type Started struct {
 	ID           uint64 `json:"id"`
 	Starts       uint64 `json:"starts"`
 	ReadsVersion int    `json:"speaks,omitempty"`
 }
 
-// Raise is the body of a command that lets a Version be written from now on. All members must read it.
+// Raise is the body of a command that allows a Version to be written from now on. All members must be able to read
+// it.
 type Raise struct {
 	Raise int `json:"raise"`
 }
--- a/internal/node/statemachine/orders.go
+++ b/internal/node/statemachine/orders.go
@@ -12,17 +12,18 @@
 
 // Bounds of the orders.
 const (
-	MaxOrdered  = 1024 // nodes with orders
-	MaxCordoned = 1024 // backends cordoned at one node
+	MaxOrdered  = 1024 // maximum number of nodes with orders
+	MaxCordoned = 1024 // maximum number of backends cordoned at one node
 )
 
-// Ordered is what holds for a node. It belongs to the node's name, so that it holds for a replacement on an empty machine too.
+// Ordered is the state that operators have ordered for a node. It is stored under the node's name, so that it also
+// applies to a replacement on an empty machine.
 type Ordered struct {
 	Drained  bool     `json:"drained,omitempty"`
 	Cordoned []string `json:"out,omitempty"` // cordoned backends, sorted
 }
 
-// Order is the body of a command: an operator's order to a node. It is idempotent.
+// Order is the body of a command that carries an operator's order to a node. It is idempotent.
 type Order struct {
 	Node    string `json:"node"`
 	Action  string `json:"do"` // suspend, resume, drain, activate
@@ -34,12 +35,12 @@
 	Node string `json:"node"`
 }
 
-// orders maps the names of nodes to their orders. A node without any is not in it.
+// orders maps the names of nodes to their orders. A node without orders has no entry.
 type orders struct{ nodes map[string]Ordered }
 
 func newOrders() *orders { return &orders{nodes: map[string]Ordered{}} }
 
-// Apply applies an Order and replies with what holds now.
+// Apply applies an Order and replies with the resulting Ordered.
 func (o *orders) Apply(_ uint64, _ float64, _ uint64, body json.RawMessage) Reply {
 	var c Order
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -59,7 +60,7 @@
 		current.Drained = c.Action == "drain"
 	case "suspend":
 		if !cordoned {
-			current.Cordoned = slices.Insert(slices.Clone(current.Cordoned), at, c.Backend) // an image that is being encoded may share the old one
+			current.Cordoned = slices.Insert(slices.Clone(current.Cordoned), at, c.Backend) // an image that is being encoded may share the old slice
 		}
 	case "resume":
 		if cordoned {
--- a/internal/node/statemachine/policy.go
+++ b/internal/node/statemachine/policy.go
@@ -9,15 +9,15 @@
 // ComponentPolicy is the name of the component that rolls out the fleet's policy.
 const ComponentPolicy = "policy"
 
-// PolicyCommand is the body of a command: one of its fields is set.
+// PolicyCommand is the body of a command. Exactly one of its fields is set.
 type PolicyCommand struct {
 	Report   *rollout.Report   `json:"report,omitempty"`
 	Propose  *rollout.Proposal `json:"propose,omitempty"`
 	DeadNode string            `json:"dead,omitempty"` // name of a node that an operator declares dead
 }
 
-// PolicyQuestion is the body of a query: for a document by its number or the ID of its proposal, for the outcome of a
-// proposal, for the progress of the rollout, or, if nothing is set, for all.
+// PolicyQuestion is the body of a query: for a document by its number or the ID of its proposal, for the outcome
+// of a proposal, for the progress of the rollout, or, if no field is set, for the complete view.
 type PolicyQuestion struct {
 	Document *uint64 `json:"document,omitempty"`
 	Proposed string  `json:"proposed,omitempty"`
@@ -25,7 +25,7 @@
 	Progress bool    `json:"news,omitempty"`
 }
 
-// rolloutComponent adapts the rollout's state machine, which has the Freeze and Load of a Component.
+// rolloutComponent adapts the rollout's state machine to Component. Freeze and Load are those of the rollout.
 type rolloutComponent struct{ *rollout.Machine }
 
 // Apply applies a PolicyCommand.
--- a/internal/node/statemachine/quotaleases.go
+++ b/internal/node/statemachine/quotaleases.go
@@ -9,13 +9,14 @@
 // ComponentQuotaLeases is the name of the component that divides the fleet's quota among its nodes.
 const ComponentQuotaLeases = "room"
 
-// QuotaLeaseCommand is the body of a command: one of its fields is set.
+// QuotaLeaseCommand is the body of a command. Exactly one of its fields is set.
 type QuotaLeaseCommand struct {
 	Report *lease.Report `json:"report,omitempty"`
 	Tree   *lease.Tree   `json:"tree,omitempty"`
 }
 
-// quotaLeaseComponent adapts the leases' state machine, which has the Freeze and Load of a Component, and an Empty.
+// quotaLeaseComponent adapts the state machine of the quota leases to Component. Freeze, Load and Empty are those
+// of the leases.
 type quotaLeaseComponent struct{ *lease.Machine }
 
 // Apply applies a QuotaLeaseCommand.
@@ -40,7 +41,7 @@
 	return Reply{Code: Invalid, Text: "want report or tree"}
 }
 
-// Query returns what is leased, owed and due.
+// Query returns the view of the quota leases.
 func (q quotaLeaseComponent) Query(json.RawMessage) Reply {
 	return Reply{Code: OK, Body: encode(q.View())}
 }
--- a/internal/node/statemachine/register.go
+++ b/internal/node/statemachine/register.go
@@ -15,27 +15,27 @@
 	MaxValueBytes = 4096
 )
 
-// Value is the value of a name.
+// Value is a name with its value.
 type Value struct {
 	Name   string  `json:"name"`
 	Value  string  `json:"value"`
-	Number uint64  `json:"number"` // index of the entry that set it; 0 = the name has no value
+	Number uint64  `json:"number"` // index of the entry that set the value; 0 = the name has no value
 	At     float64 `json:"at"`     // cluster time, ms
 }
 
-// Set is the body of a command that sets a value. An empty one deletes the name.
+// Set is the body of a command that sets a value. An empty value deletes the name.
 type Set struct {
 	Name           string  `json:"name"`
 	Value          string  `json:"value"`
-	ExpectedNumber *uint64 `json:"was,omitempty"` // compare and set: apply it only if this is the number of the present value
+	ExpectedNumber *uint64 `json:"was,omitempty"` // compare and set: apply only if the current value has this number
 }
 
-// Get is the body of a query: for one name, or for all if it is empty.
+// Get is the body of a query for one name, or for all names if Name is empty.
 type Get struct {
 	Name string `json:"name,omitempty"`
 }
 
-// register maps names to small values. Operators and tests see by it that the log works.
+// register maps names to small values. Operators and tests use it to verify that the log works.
 type register struct{ values map[string]Value }
 
 func newRegister() *register { return &register{values: map[string]Value{}} }
--- a/internal/node/statemachine/release_test.go
+++ b/internal/node/statemachine/release_test.go
@@ -13,8 +13,9 @@
 	"linenwheel.dev/linenwheel/internal/node/quota/lease"
 )
 
-// TestReadsAndWritesTheFormsOfTheFirstRelease guards against a release that cannot read what the one before wrote, or that writes what
-// that one cannot read while it is still in the fleet: testdata has entries of the first release, and the image that it made of them.
+// TestReadsAndWritesTheFormsOfTheFirstRelease guards against a release that cannot read what the previous release
+// wrote, or that writes what the previous release cannot read while that one is still in the fleet. testdata
+// contains entries of the first release and the image that it created from them.
 func TestReadsAndWritesTheFormsOfTheFirstRelease(t *testing.T) {
 	image, err := os.ReadFile("testdata/image-1.json")
 	require.NoError(t, err)
@@ -43,7 +44,7 @@
 		assert.Equal(t, 1, other.Members().WritableVersion())
 		apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: id, Starts: 1, ReadsVersion: 2})})
 	}
-	assert.Equal(t, 1, other.Members().WritableVersion(), "one of them may go back")
+	assert.Equal(t, 1, other.Members().WritableVersion(), "one of them may be downgraded")
 	assert.Equal(t, string(image[:12]), frozen(t, other)[:12])
 	apply(t, other, Command{Component: ComponentMembers, Body: encode(Raise{Raise: 2})})
 	assert.Equal(t, 2, other.Members().WritableVersion())
@@ -57,11 +58,13 @@
 			assert.Fail(t, "a truncated image was restored", "at byte %d of %d", cut, len(compact))
 		}
 	}
-	apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as a leader of the first release proposes it
-	assert.Equal(t, string(image[:12]), frozen(t, other)[:12], "it is written as the first release does again")
+	apply(t, other, Command{Component: ComponentMembers, Body: encode(Started{ID: 12, Starts: 2})}) // as the first release proposes it
+	assert.Equal(t, string(image[:12]), frozen(t, other)[:12], "the image has the form of the first release again")
 }
 
-// TestCommandsHaveTheLowestVersionThatExpressesThem guards against commands of this release that are marked as of the first.
+// TestCommandsHaveTheLowestVersionThatExpressesThem guards against a command that only this release can read but
+// that is marked as readable by the first, and against a command that is marked with a later version than
+// necessary.
 func TestCommandsHaveTheLowestVersionThatExpressesThem(t *testing.T) {
 	for want, commands := range map[int][]Command{
 		1: {{Component: ComponentRegister}, {Component: ComponentCalls, Body: encode(ProcessStartCommand(ProcessStart{Node: "before", Incarnation: 1}))}, {Component: ComponentPolicy}},
--- a/internal/node/statemachine/sessions.go
+++ b/internal/node/statemachine/sessions.go
@@ -2,13 +2,13 @@
 
 import "encoding/json"
 
-// session is a client of the log. Replies are kept until the client confirms them, so that a command that is sent again gets
-// the reply of the first.
+// session is the state of one client session. Replies are kept until the client confirms them, so that a retried
+// command gets the reply of the first attempt.
 type session struct {
 	Name    string           `json:"name"`
 	Opened  float64          `json:"opened"` // cluster time, ms
-	Used    uint64           `json:"used"`   // index of its last command
-	Done    uint64           `json:"done"`   // the client has the replies to all numbers up to this one
+	Used    uint64           `json:"used"`   // index of the session's last command
+	Done    uint64           `json:"done"`   // the client has received the replies to all numbers up to this one
 	Replies map[uint64]Reply `json:"replies,omitempty"`
 }
 
@@ -20,7 +20,8 @@
 // Sessions returns the number of open sessions.
 func (m *Machine) Sessions() int { return len(m.sessions) }
 
-// openSession opens a session that is numbered by the entry's index. At MaxSessions it evicts the one that was unused for longest.
+// openSession opens a session whose number is the index of the entry. At MaxSessions it evicts the least recently
+// used session.
 func (m *Machine) openSession(index uint64, c *Command) Reply {
 	var opening Opening
 	if json.Unmarshal(c.Body, &opening) != nil || len(opening.Name) > maxNameBytes {
@@ -33,7 +34,7 @@
 	return Reply{Code: OK, Index: index}
 }
 
-// evictSession drops the session whose last command is the oldest. Each entry uses one session, so that there is just one such.
+// evictSession removes the least recently used session. Each entry uses one session, so that the choice is unique.
 func (m *Machine) evictSession() {
 	var oldestID uint64
 	var oldest *session
@@ -45,17 +46,18 @@
 	delete(m.sessions, oldestID)
 }
 
-// confirm drops the replies to all numbers up to this one, which the client has.
+// confirm drops the replies to all numbers up to the given one, which the client has received.
 func (s *session) confirm(number uint64) {
 	for s.Done < number {
 		if s.Done++; len(s.Replies) == 0 {
-			s.Done = number // at most Window steps, however far a client claims to be
+			s.Done = number // bounds the loop to Window steps, whatever number a client sends
 		}
 		delete(s.Replies, s.Done)
 	}
 }
 
-// earlierReply returns the reply of a command that must not be applied: one that was applied before, or that is outside the window.
+// earlierReply returns the reply to a command that must not be applied, because it was applied before or is
+// outside the window.
 func (s *session) earlierReply(number uint64) (Reply, bool) {
 	switch r, applied := s.Replies[number]; {
 	case applied:
