--- a/internal/node/consensus/replica/clients.go
+++ b/internal/node/consensus/replica/clients.go
@@ -14,12 +14,12 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-const answerTimeout = 5 * time.Second // for a client to take an answer
+const answerTimeout = 5 * time.Second // for a client to accept an answer
 
-// proposalKey identifies a command by its session and its number there.
+// proposalKey identifies a command by its session and its number in the session.
 type proposalKey struct{ session, number uint64 }
 
-// pendingRequest is a client's request that is not answered yet.
+// pendingRequest is a request of a client that has not been answered yet.
 type pendingRequest struct {
 	request *protocol.Request
 	respond func(protocol.Answer) // never blocks; may be called on any goroutine
@@ -32,19 +32,19 @@
 
 func (r *Replica) expired(p *pendingRequest) bool { return r.ticks-p.since > requestTicks }
 
-// query answers a request that is a query from the state here.
+// query answers a query from the state of this replica.
 func (r *Replica) query(request *protocol.Request) protocol.Answer {
 	reply := r.member.Query(statemachine.Request{Component: request.Component, Body: request.Body})
 	return protocol.Answer{Reply: &reply}
 }
 
-// serveClient serves the requests of a client, which are answered in any order.
+// serveClient serves the requests of a client. They may be answered in any order.
 func (r *Replica) serveClient(c *transport.Conn) error {
 	answers, done := make(chan protocol.Answer, 2*maxPending), make(chan struct{})
 	defer close(done)
 	defer r.submit(func() { delete(r.longPolls, c) })
 	go func() {
-		defer func() { _ = c.Close() }() // of a client that takes no answers
+		defer func() { _ = c.Close() }() // the client does not accept answers
 		for {
 			select {
 			case a := <-answers:
@@ -70,7 +70,7 @@
 			a.ID = request.ID
 			select {
 			case answers <- a:
-			default: // it requests more than it takes
+			default: // the client sends requests faster than it accepts answers
 				_ = c.Close()
 			}
 		}
@@ -84,7 +84,7 @@
 	}
 }
 
-// handle handles any request but a long poll.
+// handle handles any request except a long poll.
 func (r *Replica) handle(request *protocol.Request, respond func(protocol.Answer)) {
 	switch request.Kind {
 	case protocol.Status:
@@ -115,11 +115,11 @@
 	}
 }
 
-// propose proposes a command, which is answered once it is applied.
+// propose proposes a command. It is answered once it is applied.
 func (r *Replica) propose(request *protocol.Request, respond func(protocol.Answer)) {
 	c := statemachine.Command{Session: request.Session, Number: request.Number, Confirmed: request.Confirmed, Component: request.Component, Body: request.Body}
 	if c.Session == 0 {
-		c.Component = "" // else it would count as a command of the cluster itself
+		c.Component = "" // otherwise it would count as a command of the cluster itself
 	}
 	if err := r.member.Propose(r.clock.Now(), c); err != nil {
 		respond(r.failure(err))
@@ -129,14 +129,14 @@
 	r.proposals[key] = append(r.proposals[key], r.pending(request, respond))
 }
 
-// copyState answers with an image of the state, for a backup.
+// copyState answers a request for a backup with an image of the state.
 func (r *Replica) copyState(respond func(protocol.Answer)) {
 	if !r.member.Leads() {
 		respond(r.failure(member.ErrNotLeader))
 		return
 	}
 	freeze, index := r.member.State().Freeze(), r.member.State().Index()
-	go func() { // encoding a large state takes long
+	go func() { // encoding a large state takes a long time
 		image, err := freeze()
 		if err != nil {
 			respond(protocol.Answer{Fault: protocol.Rejected, Text: err.Error()})
@@ -146,9 +146,9 @@
 	}()
 }
 
-// longPoll answers a query once the answer differs from the one that the client knows. The answer is a hint and no more: this
-// replica does not confirm that it still leads, and there is no entry for it. A later long poll on the connection replaces an
-// earlier one, whose answer nobody waits for any more.
+// longPoll answers a query once the answer differs from the one that the client knows. The answer is only a hint:
+// this replica does not confirm that it is still the leader, and no log entry is created. A later long poll on the
+// same connection replaces an earlier one, because the client no longer waits for that one.
 func (r *Replica) longPoll(c *transport.Conn, request *protocol.Request, respond func(protocol.Answer)) {
 	if earlier := r.longPolls[c]; earlier != nil {
 		earlier.respond(protocol.Answer{Fault: protocol.RetryLater, Text: "a later one has come"})
@@ -180,7 +180,7 @@
 	}
 }
 
-// answerProposal answers the clients that wait for a command which has been applied.
+// answerProposal answers the clients that wait for a command that has been applied.
 func (r *Replica) answerProposal(a member.Applied) {
 	key := proposalKey{a.Command.Session, a.Command.Number}
 	for _, p := range r.proposals[key] {
@@ -189,7 +189,7 @@
 	delete(r.proposals, key)
 }
 
-// answerRead answers a query now that the leader has confirmed that it still leads.
+// answerRead answers a query after this replica has confirmed that it is still the leader.
 func (r *Replica) answerRead(read member.Read) {
 	if p := r.reads[read.Number]; p != nil {
 		delete(r.reads, read.Number)
@@ -197,8 +197,9 @@
 	}
 }
 
-// redirectAll sends all clients that wait here to the leader. Their commands may have been committed, or be lost with this
-// replica's leadership: sent again under its number, each is applied once.
+// redirectAll redirects all waiting clients to the leader. Their commands may have been committed, or may have
+// been lost when this replica lost leadership. A command that is sent again with the same number is applied only
+// once.
 func (r *Replica) redirectAll(text string) {
 	answer := protocol.Answer{Fault: protocol.RetryLater, Text: text, Leader: r.nameOf(r.leader)}
 	for key, list := range r.proposals {
@@ -217,7 +218,7 @@
 	}
 }
 
-// expireRequests drops the requests whose clients have given up by now, and ends long polls whose answer has not changed.
+// expireRequests drops requests whose clients no longer wait, and ends long polls whose answer has not changed.
 func (r *Replica) expireRequests() {
 	for number, p := range r.reads {
 		if r.expired(p) {
@@ -238,7 +239,7 @@
 	}
 }
 
-// failure returns the answer to a request that failed. It names the leader, and says whether the request is worth sending again.
+// failure returns the answer to a failed request. It names the leader, and its fault tells whether to retry.
 func (r *Replica) failure(err error) protocol.Answer {
 	a := protocol.Answer{Fault: protocol.Rejected, Text: err.Error(), Leader: r.nameOf(r.leader)}
 	switch {
@@ -252,7 +253,7 @@
 	return a
 }
 
-// encode encodes a value of a type that cannot fail.
+// encode encodes a value of a type whose encoding cannot fail.
 func encode(v any) json.RawMessage {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/node/consensus/replica/clients_test.go
+++ b/internal/node/consensus/replica/clients_test.go
@@ -18,8 +18,8 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// TestClientReplacesAnEvictedSession guards against a client that goes on with a session that those of others evicted: none of its
-// commands would be applied any more.
+// TestClientReplacesAnEvictedSession guards against a client that continues to use a session that was evicted by
+// those of other clients: none of its commands would be applied any more.
 func TestClientReplacesAnEvictedSession(t *testing.T) {
 	config := startFleet(t, 1, 1500, nil)
 	c := client.New(config)
@@ -45,7 +45,7 @@
 	assert.Equal(t, statemachine.OK, r.Code, r.Text)
 }
 
-// rawClient is a connection of a client, whose requests arrive in the order in which they are sent.
+// rawClient is a client connection on which requests arrive in the order in which they are sent.
 type rawClient struct {
 	t    *testing.T
 	raw  *transport.Conn
@@ -77,8 +77,9 @@
 	return answer
 }
 
-// TestLongPollAnswersOnceTheAnswerChanges guards against a long poll that is not answered once the answer has changed; one that costs an
-// entry, or is answered without a change; more than one on a connection; and a client that does not get the answer.
+// TestLongPollAnswersOnceTheAnswerChanges guards against a long poll that is not answered when the answer has
+// changed, is answered without a change, or creates a log entry; against more than one long poll on a connection;
+// and against a client that does not receive the answer.
 func TestLongPollAnswersOnceTheAnswerChanges(t *testing.T) {
 	config := startFleet(t, 1, 1500, nil)
 	c := client.New(config)
@@ -94,7 +95,7 @@
 	}
 	_, err := wait(ctx, rollout.Progress{})
 	require.ErrorContains(t, err, "no connection")
-	propose := func(number uint64) rollout.Progress { // no node has to validate it: it is active at once
+	propose := func(number uint64) rollout.Progress { // there is no node that has to validate it, so it is activated at once
 		p := rollout.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
 		_, err := c.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
@@ -103,7 +104,7 @@
 	first := propose(1)
 	now, err := wait(ctx, rollout.Progress{})
 	require.NoError(t, err)
-	assert.Equal(t, first, now, "the answer differs at once")
+	assert.Equal(t, first, now, "the answer differs from the beginning")
 
 	one := connect(t, config, config.Replicas[0])
 	one.send(protocol.Request{Kind: protocol.Status})
@@ -116,7 +117,7 @@
 		require.Equal(t, protocol.RetryLater, answer.Fault)
 	}
 	one.send(protocol.Request{Kind: protocol.Status})
-	assert.Less(t, one.receive().State.Committed, before+50, "they cost no entries")
+	assert.Less(t, one.receive().State.Committed, before+50, "long polls create no log entries")
 	second := propose(2)
 	answer := one.receive()
 	assert.Equal(t, last, answer.ID)
@@ -130,7 +131,8 @@
 	propose(3) // on the same connection
 }
 
-// TestLongPollEndsWhereThereIsNoLeader guards against a client that waits in vain at a replica that does not lead, or not any more.
+// TestLongPollEndsWhereThereIsNoLeader guards against a client whose long poll waits on a replica that is not, or
+// no longer, the leader.
 func TestLongPollEndsWhereThereIsNoLeader(t *testing.T) {
 	config := startFleet(t, 3, 1500, nil)
 	c := client.New(config)
@@ -148,7 +150,7 @@
 			waits := one.longPoll(rollout.Progress{})
 			status := one.send(protocol.Request{Kind: protocol.Status})
 			answer := one.receive()
-			if answer.ID == waits { // it does not lead
+			if answer.ID == waits { // the replica is not the leader
 				require.Contains(t, []string{protocol.NotLeader, protocol.NoLeader, protocol.RetryLater}, answer.Fault)
 				elsewhere++
 				continue
--- a/internal/node/consensus/replica/disk.go
+++ b/internal/node/consensus/replica/disk.go
@@ -2,14 +2,15 @@
 
 import "linenwheel.dev/linenwheel/internal/node/consensus/member"
 
-// diskJob is work for the disk: a write, or an image to make and save.
+// diskJob is a job for the disk goroutine: a write, or an image to encode and save.
 type diskJob struct {
 	write member.Write
 	image *member.Image // nil = a write
 }
 
-// queueForDisk queues the work for the disk. What the channel has no room for waits in diskQueue for the next flush: the owner
-// must not wait for the disk, which waits for the owner when it reports a write.
+// queueForDisk queues work for the disk goroutine. Jobs that do not fit into the channel stay in diskQueue until
+// the next flush: the owner must not wait for the disk goroutine, which in turn waits for the owner when it
+// reports a write.
 func (r *Replica) queueForDisk(work member.Work) {
 	for _, w := range work.Write {
 		r.diskQueue = append(r.diskQueue, diskJob{write: w})
@@ -28,7 +29,7 @@
 	}
 }
 
-// runDisk does the disk's work, in order, until the channel is closed.
+// runDisk carries out the jobs for the disk in order, until the channel is closed.
 func (r *Replica) runDisk() error {
 	for first := range r.disk {
 		writes, image := r.nextBatch(first)
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// nextBatch returns the writes that wait, to share one sync, up to the next image.
+// nextBatch returns the queued writes up to the next image, so that they share one sync.
 func (r *Replica) nextBatch(first diskJob) (writes []member.Write, image *member.Image) {
 	if first.image != nil {
 		return nil, first.image
@@ -65,7 +66,7 @@
 	return writes, nil
 }
 
-// write makes writes durable, and only then has their acknowledgements sent.
+// write makes writes durable, and only then causes their acknowledgements to be sent.
 func (r *Replica) write(writes []member.Write) error {
 	if err := r.store.Write(writes); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	r.submit(func() {
 		for _, w := range writes {
 			if err := r.member.Persisted(w); err != nil {
-				r.log.Error("what was written cannot be taken", "error", err)
+				r.log.Error("cannot complete a durable write", "error", err)
 			}
 			r.send(w.Acknowledgements(r.store.ID))
 		}
--- a/internal/node/consensus/replica/membership.go
+++ b/internal/node/consensus/replica/membership.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// changeMembership answers a request to add or remove a member once that is proposed.
+// changeMembership handles a request to add or remove a member. It is answered once the change is proposed.
 func (r *Replica) changeMembership(request *protocol.Request, respond func(protocol.Answer)) {
 	if len(request.Members) != 1 {
 		respond(protocol.Answer{Fault: protocol.Rejected, Text: "want one member"})
@@ -48,8 +48,9 @@
 	return r.member.AddLearner(learner)
 }
 
-// remove proposes to remove a member that is not the last voter. It is idempotent. The leader transfers its leadership first and
-// returns ErrBusy, for the client to try again: else there would be no leader until the others' election timeout.
+// remove proposes to remove a member that is not the last voter. It is idempotent. A leader that is to be removed
+// first transfers its leadership and returns ErrBusy, so that the client retries: otherwise there would be no
+// leader until the election timeout of the other members.
 func (r *Replica) remove(leaving statemachine.Member) error {
 	members := r.member.State().Members()
 	present, known := members.Get(leaving.ID)
@@ -72,7 +73,7 @@
 	return r.member.Remove(leaving.ID)
 }
 
-// bootstrap makes this replica, which must be empty, one of the first members. It is idempotent.
+// bootstrap makes this replica one of the first members. The replica must be empty. bootstrap is idempotent.
 func (r *Replica) bootstrap(request *protocol.Request) error {
 	included := false
 	for _, m := range request.Members {
@@ -90,7 +91,7 @@
 	case !included:
 		return errors.New("it is not among the members that it is founded with")
 	case term > 0 || len(r.peers) > 0:
-		return nil // the others were bootstrapped before and have a leader already, which sends this one its state
+		return nil // the others have been bootstrapped already and have a leader, which sends this replica the state
 	}
 	image, err := member.Bootstrap(request.Members, request.Now)
 	if err != nil {
@@ -102,6 +103,6 @@
 	if err := r.openMember(); err != nil {
 		return err
 	}
-	r.log.Info("the keeper was founded", "members", len(request.Members))
+	r.log.Info("replica bootstrapped", "members", len(request.Members))
 	return nil
 }
--- a/internal/node/consensus/replica/peers.go
+++ b/internal/node/consensus/replica/peers.go
@@ -16,24 +16,24 @@
 
 // Limits of the connections to members.
 const (
-	minDialTimeout = 100 * time.Millisecond // the first attempt has the election timeout, and this at least
+	minDialTimeout = 100 * time.Millisecond // the first attempt uses the election timeout, but at least this
 	maxDialTimeout = 2 * time.Second
-	minSendTimeout = 2 * time.Second // for a member to take some of what is sent
+	minSendTimeout = 2 * time.Second // for a member to accept a part of the data
 	minDialPause   = 50 * time.Millisecond
 	maxDialPause   = time.Second
-	acceptPause    = 50 * time.Millisecond // after a failure, as when there are no descriptors for a moment
+	acceptPause    = 50 * time.Millisecond // after a failed accept, for example without free file descriptors
 )
 
-// peer is what a member has said of itself in the Hello that was accepted last.
+// peer is what a member has reported about itself in the last accepted Hello.
 type peer struct {
 	name        string
-	starts      uint64 // how often it has started
-	incarnation uint64 // of its process; 0 = it has not connected
-	connection  uint64 // number of the connection since that start
-	version     int    // newest statemachine.Version that it reads; 0 = not known
+	starts      uint64 // number of starts
+	incarnation uint64 // random number of its process; 0 = it has not connected
+	connection  uint64 // number of its connection since that start
+	version     int    // newest statemachine.Version that it reads; 0 = unknown
 }
 
-// peer returns the record of a member, made where there is none.
+// peer returns the record of a member, creating it if necessary.
 func (r *Replica) peer(id uint64) *peer {
 	p := r.peers[id]
 	if p == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// serve serves one connection of a member or a client to its end.
+// serve serves one connection of a member or a client until it ends.
 func (r *Replica) serve(c *transport.Conn) {
 	defer func() { _ = c.Close() }()
 	r.mu.Lock()
@@ -76,7 +76,7 @@
 	hello, err := c.Accept(r.settings.Fleet, r.welcome)
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
-			r.log.Warn("a peer was turned away", "peer", hello.Name, "remote", c.Remote(), "error", err)
+			r.log.Warn("connection rejected", "peer", hello.Name, "remote", c.Remote(), "error", err)
 		}
 		return
 	}
@@ -89,11 +89,11 @@
 		err = r.servePeer(c, hello.ID)
 	}
 	if errors.Is(err, transport.ErrFrame) {
-		r.log.Warn("a peer was turned away", "peer", hello.Name, "remote", c.Remote(), "error", err)
+		r.log.Warn("connection rejected", "peer", hello.Name, "remote", c.Remote(), "error", err)
 	}
 }
 
-// closeEarlier closes earlier connections of a member: only its last one counts.
+// closeEarlier closes earlier connections of a member: only the latest one is valid.
 func (r *Replica) closeEarlier(c *transport.Conn, id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +105,7 @@
 	r.conns[c] = id
 }
 
-// servePeer steps the messages of a member.
+// servePeer passes the messages of a member to the state machine.
 func (r *Replica) servePeer(c *transport.Conn, id uint64) error {
 	for {
 		kind, text, err := c.Read()
@@ -122,7 +122,7 @@
 	}
 }
 
-// welcome answers the Hello of a connection, on any goroutine but the owner's.
+// welcome answers the Hello of a connection. It must not be called on the owner's goroutine.
 func (r *Replica) welcome(h transport.Hello) transport.Welcome {
 	answer := make(chan transport.Welcome, 1)
 	if r.submit(func() { answer <- r.admit(&h) }) {
@@ -135,13 +135,13 @@
 	return transport.Welcome{Reason: "this keeper ends"}
 }
 
-// admit accepts or rejects a connection, and records what an accepted member says of itself.
+// admit accepts or rejects a connection, and records what an accepted member reports about itself.
 func (r *Replica) admit(h *transport.Hello) transport.Welcome {
 	w := transport.Welcome{Name: r.settings.Name, ID: r.store.ID}
 	switch {
 	case h.To != "" && h.To != r.settings.Name:
 		w.Reason = fmt.Sprintf("this is %q, not %q", r.settings.Name, h.To)
-	case h.WantID != 0 && h.WantID != r.store.ID: // it says this to another member: it ends no connection of its own to this one
+	case h.WantID != 0 && h.WantID != r.store.ID: // it must not invalidate the member's own connection to this replica
 		w.Reason = fmt.Sprintf("this is number %x, not %x", r.store.ID, h.WantID)
 	case h.ID != 0:
 		if w.Reason, w.Final = r.rejectionOf(h); w.Reason == "" {
@@ -152,8 +152,9 @@
 	return w
 }
 
-// rejectionOf returns why a member is rejected, "" if it is accepted. final says that it will always be: it was removed, or its
-// directory is an older copy, and a vote from there could undo what was committed.
+// rejectionOf returns the reason why a member is rejected; "" = it is accepted. final reports a permanent
+// rejection: the member was removed, or its directory is an older copy, with which its vote could undo committed
+// entries.
 func (r *Replica) rejectionOf(h *transport.Hello) (reason string, final bool) {
 	m, known := r.member.State().Members().Get(h.ID)
 	match, _ := r.member.FollowerProgress(h.ID)
@@ -167,7 +168,7 @@
 	switch {
 	case known && m.Role == statemachine.Removed:
 		return "it was taken out or replaced: its directory is to be emptied", true
-	case !known && applied > 0 && h.Applied <= applied: // one that has applied more may have been added since, while this one was away
+	case !known && applied > 0 && h.Applied <= applied: // one that has applied more may have been added meanwhile
 		return "it is no member (yet)", false
 	case known && m.Name != h.Name:
 		return fmt.Sprintf("its number is that of %q", m.Name), false
@@ -175,7 +176,7 @@
 		return fmt.Sprintf("its directory is an older copy: it says start %d, and start %d was seen", h.Starts, starts), true
 	case h.Starts == last.starts && last.incarnation != 0 && h.Incarnation != last.incarnation:
 		return fmt.Sprintf("its directory is an older copy: start %d was that of another process", h.Starts), true
-	case h.Starts == last.starts && h.Connection < last.connection: // what this connection says of the member is outdated
+	case h.Starts == last.starts && h.Connection < last.connection: // this Hello is outdated
 		return "a later connection of it has come", false
 	case r.member.Leads() && acknowledged > h.Last:
 		return fmt.Sprintf("its directory is an older copy: it holds entry %d, and had %d", h.Last, acknowledged), true
@@ -183,7 +184,7 @@
 	return "", false
 }
 
-// retryNow ends the pause of the sender to a member that has just connected from its side.
+// retryNow ends the pause of the sender to a member that has just connected to this replica.
 func (r *Replica) retryNow(id uint64) {
 	if s := r.senders[id]; s != nil {
 		if up, _ := s.Up(); !up {
@@ -192,7 +193,7 @@
 	}
 }
 
-// addressOf returns a member's address: that of this replica's own settings, else the committed one.
+// addressOf returns the address of a member: the one in this replica's settings, otherwise the committed one.
 func (r *Replica) addressOf(id uint64) string {
 	if address := r.settings.Addresses[r.nameOf(id)]; address != "" {
 		return address
@@ -201,7 +202,8 @@
 	return m.Address
 }
 
-// send queues messages to other members. What cannot be sent is reported as lost, and the consensus library sends it again.
+// send queues messages to other members. A message that cannot be sent is reported as lost, and the consensus
+// library sends it again.
 func (r *Replica) send(messages []*pb.Message) {
 	for _, message := range messages {
 		id := message.GetTo()
@@ -212,19 +214,20 @@
 		}
 		text, err := proto.Marshal(message)
 		if err != nil {
-			r.log.Warn("a message cannot be written", "error", err)
+			r.log.Warn("cannot encode a message to a peer", "error", err)
 			continue
 		}
 		var sent func(bool)
 		if message.GetType() == pb.MsgSnap {
-			// On a goroutine of its own, for the owner itself calls this where the sender drops the message at once.
+			// On a separate goroutine, because the owner itself calls this function if the sender drops the message
+			// at once.
 			sent = func(ok bool) { go r.submit(func() { r.member.ImageSent(id, ok) }) }
 		}
 		sender.Send(transport.KindRaft, text, sent)
 	}
 }
 
-// sender returns the sender to a member, made where there is none; nil if its address is not known.
+// sender returns the sender to a member, creating it if necessary; nil = the member's address is not known.
 func (r *Replica) sender(id uint64) *transport.Sender {
 	if s := r.senders[id]; s != nil {
 		return s
@@ -241,7 +244,7 @@
 			c, err := r.dial(address, name, id, timeout)
 			if err == nil {
 				timeout = first
-			} else { // else two members that are both slow to answer would never connect
+			} else { // otherwise two members that are both slow to answer would never connect
 				timeout = min(2*timeout, max(first, maxDialTimeout))
 			}
 			return c, err
@@ -249,21 +252,21 @@
 		func() {
 			select {
 			case r.inbox <- func() { r.member.Unreachable(id) }:
-			default: // the missing answers of the member show it too
+			default: // the missing answers of the member have the same effect
 			}
 		},
 		func(err error) {
 			if err != nil {
-				r.log.Warn("a keeper cannot be reached", "peer", name, "address", address, "error", err)
+				r.log.Warn("cannot connect to a peer replica", "peer", name, "address", address, "error", err)
 			} else {
-				r.log.Info("a keeper can be reached again", "peer", name, "address", address)
+				r.log.Info("connected to a peer replica again", "peer", name, "address", address)
 			}
 		})
 	r.senders[id] = s
 	return s
 }
 
-// dial connects to a member, on the goroutine of its sender. A final rejection ends this replica.
+// dial connects to a member, on the goroutine of its sender. A permanent rejection stops this replica.
 func (r *Replica) dial(address, name string, id uint64, timeout time.Duration) (*transport.Conn, error) {
 	c, w, err := transport.Dial(address, transport.Hello{Fleet: r.settings.Fleet, Release: r.settings.Release, Name: r.settings.Name, To: name, WantID: id,
 		ID: r.store.ID, Starts: r.store.Starts, Incarnation: r.incarnation, Connection: r.dials.Add(1), Last: r.lastDurable.Load(), Applied: r.lastApplied.Load(),
@@ -272,11 +275,11 @@
 	case errors.Is(err, transport.ErrRefused) && w.Final:
 		select {
 		case r.rejections <- err:
-		default: // another one is there already
+		default: // another rejection is already queued
 		}
 	case err == nil && w.ID != id:
 		_ = c.Close()
-		return nil, fmt.Errorf("%s is another keeper %q than the one that is wanted: number %x, not %x", address, name, w.ID, id)
+		return nil, fmt.Errorf("%s is another replica %q than expected: ID %x, not %x", address, name, w.ID, id)
 	}
 	return c, err
 }
--- a/internal/node/consensus/replica/peers_test.go
+++ b/internal/node/consensus/replica/peers_test.go
@@ -12,10 +12,11 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// TestAdmitsOnlyTheMembersOfTheFleet guards against a member that is rejected for good because an earlier connection of its own arrives
-// late, and against an older copy, a stranger, a wrong name or another fleet that is admitted.
+// TestAdmitsOnlyTheMembersOfTheFleet guards against a member that is rejected permanently because an earlier
+// connection of its own arrives late, and against accepting an older copy of a directory, a non-member, a wrong
+// name or another fleet.
 func TestAdmitsOnlyTheMembersOfTheFleet(t *testing.T) {
-	config := startFleet(t, 3, 1500, nil) // no other becomes leader meanwhile, even on an overloaded machine
+	config := startFleet(t, 3, 1500, nil) // long enough that no other member becomes leader meanwhile, even on an overloaded machine
 	c := client.New(config)
 	defer c.Close()
 	for range 20 {
@@ -23,7 +24,7 @@
 		require.NoError(t, err)
 	}
 	var lead, other *protocol.State
-	for lead == nil || other == nil { // none may lead at the moment
+	for lead == nil || other == nil { // there may be no leader at the moment
 		lead, other = nil, nil
 		for _, to := range config.Replicas {
 			a, err := client.Call(t.Context(), config, to, protocol.Request{Kind: protocol.Status})
@@ -57,15 +58,15 @@
 		final  bool
 	}{
 		{"itself", func(*transport.Hello) {}, true, false},
-		{"an earlier connection that comes late", func(h *transport.Hello) { h.Connection, h.Last = 1, 0 }, false, false},
+		{"an earlier connection that arrives late", func(h *transport.Hello) { h.Connection, h.Last = 1, 0 }, false, false},
 		{"an older copy by its entries", func(h *transport.Hello) { h.Connection++; h.Last = 3 }, false, true},
-		{"an older copy that has come to the same start", func(h *transport.Hello) { h.Incarnation = 8 }, false, true},
-		{"an older copy by its starts", func(h *transport.Hello) { h.Starts = 0 }, false, true},
+		{"an older copy with the same number of starts", func(h *transport.Hello) { h.Incarnation = 8 }, false, true},
+		{"an older copy by its number of starts", func(h *transport.Hello) { h.Starts = 0 }, false, true},
 		{"another fleet", func(h *transport.Hello) { h.Fleet = "g" }, false, true},
-		{"a stranger", func(h *transport.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
+		{"a non-member", func(h *transport.Hello) { h.ID, h.Applied = 77, 0 }, false, false},
 		{"a member under another name", func(h *transport.Hello) { h.Name = "x" }, false, false},
-		{"one that wants another number under this address", func(h *transport.Hello) { h.WantID, h.Last = 5, 0 }, false, false},
-		{"one that wants another", func(h *transport.Hello) { h.To = "x" }, false, false},
+		{"a member that expects another ID at this address", func(h *transport.Hello) { h.WantID, h.Last = 5, 0 }, false, false},
+		{"a member that expects another name", func(h *transport.Hello) { h.To = "x" }, false, false},
 	} {
 		w, err := as(x.change)
 		assert.Equal(t, x.ok, err == nil, "%s: %v", x.what, err)
@@ -73,7 +74,8 @@
 	}
 	removed := statemachine.Member{ID: other.ID, Name: other.Name, Address: "nowhere:1"}
 	require.NoError(t, c.Change(t.Context(), protocol.Remove, removed))
-	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"}) // committed after it, so that the leader has applied it
+	// This command is committed after the removal, so that the leader has then applied the removal.
+	_, err := c.Do(t.Context(), statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "c"})
 	require.NoError(t, err)
 	w, err := as(func(h *transport.Hello) { h.Connection++ })
 	require.ErrorContains(t, err, "it was taken out or replaced")
--- a/internal/node/consensus/replica/recover.go
+++ b/internal/node/consensus/replica/recover.go
@@ -16,20 +16,22 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Leftover is the state that one replica's directory, or a backup, holds of a fleet that has lost a majority for good.
+// Leftover is the remaining state of a fleet that has permanently lost a majority, read from the directory of one
+// replica or from a backup.
 type Leftover struct {
 	Fleet   string
 	Name    string
-	Agreed  uint64                // index up to which this replica knew entries to be committed
-	Last    uint64                // index of its last entry; those after Agreed may have been committed, or not
-	At      float64               // cluster time at the last entry, ms
-	Members []statemachine.Member // as of then
+	Agreed  uint64                // index up to which this replica knew that entries were committed
+	Last    uint64                // index of its last entry; entries after Agreed may or may not have been committed
+	At      float64               // cluster time of the last entry, ms
+	Members []statemachine.Member // as of the last entry
 	Calls   statemachine.Usage
 	Policy  uint64 // number of the active policy
 	state   *statemachine.Machine
 }
 
-// InspectDisk reads the directory of a replica that does not run. It changes nothing there but the number of starts.
+// InspectDisk reads the directory of a replica that is not running. It changes nothing there except the number of
+// starts.
 func InspectDisk(settings Settings, fleet string) (l Leftover, err error) {
 	store, err := storage.Open(settings.Directory, fleet, settings.Name, true, nil)
 	if err != nil {
@@ -38,7 +40,7 @@
 	defer func() { err = errors.Join(err, store.Close()) }()
 	saved := store.Saved()
 	if saved.Image == nil {
-		return l, fmt.Errorf("%s holds nothing", settings.Directory)
+		return l, fmt.Errorf("%s contains no state", settings.Directory)
 	}
 	l = Leftover{Fleet: fleet, Name: settings.Name, Last: max(saved.Image.GetMetadata().GetIndex(), saved.LastIndex())}
 	hard := saved.Hard
@@ -46,7 +48,7 @@
 		hard = &pb.HardState{}
 	}
 	l.Agreed = max(hard.GetCommit(), saved.Image.GetMetadata().GetIndex())
-	// Entries after Agreed may have been committed and acknowledged to a client: they all count.
+	// Entries after Agreed may have been committed and acknowledged to a client, so all of them are applied.
 	saved.Hard = &pb.HardState{Term: new(max(1, hard.GetTerm())), Vote: hard.Vote, Commit: new(l.Last)}
 	if l.state, err = replay(store.ID, saved, l.Last); err != nil {
 		return l, err
@@ -54,7 +56,7 @@
 	return l, l.describe()
 }
 
-// replay returns the state after the entries up to last, which saved says are committed.
+// replay returns the state after applying the entries up to last, which are marked as committed in saved.
 func replay(id uint64, saved member.Saved, last uint64) (*statemachine.Machine, error) {
 	m, err := member.New(member.Settings{ID: id, Election: 10, Heartbeat: 1, ImageEvery: 1 << 40, Trail: 0, Uncommitted: 1, Logger: member.Quiet{}}, saved)
 	if err != nil {
@@ -75,12 +77,12 @@
 			return m.State(), nil
 		}
 		if len(work.Applied)+len(work.Write)+len(work.Messages) == 0 {
-			return nil, fmt.Errorf("its entries end at %d, not at %d", applied, last)
+			return nil, fmt.Errorf("entries end at %d instead of %d", applied, last)
 		}
 	}
 }
 
-// describe fills in the fields that an operator decides by.
+// describe fills in the fields that operators base their decision on.
 func (l *Leftover) describe() error {
 	l.At, l.Members = l.state.Now(), l.state.Members().All()
 	var policy struct {
@@ -88,14 +90,14 @@
 	}
 	for component, to := range map[string]any{statemachine.ComponentCalls: &l.Calls, statemachine.ComponentPolicy: &policy} {
 		if reply := l.state.Query(statemachine.Request{Component: component, Body: []byte("{}")}); json.Unmarshal(reply.Body, to) != nil {
-			return fmt.Errorf("its part %s cannot be read", component)
+			return fmt.Errorf("cannot read component %s", component)
 		}
 	}
 	l.Policy = policy.Number
 	return nil
 }
 
-// InspectBackup reads a file that linenwheel peers copy has written.
+// InspectBackup reads a backup that linenwheel peers copy has written.
 func InspectBackup(file string) (l Leftover, err error) {
 	fleet, index, image, err := backup.Read(file)
 	if err != nil {
@@ -108,19 +110,20 @@
 	return l, l.describe()
 }
 
-// Recover bootstraps a fleet of another name from a leftover, with this replica as its only member, and returns where the
-// directory as it was is kept, "" if there was none. The other name keeps apart the replicas of the fleet that was lost: should
-// they come back and find a majority, they could commit entries without this one.
+// Recover bootstraps a fleet with a different name from a leftover, with this replica as its only member. It
+// returns the path to which the previous directory was moved; "" = there was none. The different name separates
+// the replicas of the lost fleet: if they came back and formed a majority, they could commit entries without this
+// replica.
 func Recover(settings Settings, l Leftover, log *slog.Logger) (kept string, err error) {
 	if settings.Fleet == l.Fleet {
-		return "", errors.New("the fleet that goes on needs another name than the one that was lost: else machines that come back could agree without it")
+		return "", errors.New("the recovered fleet needs a different name from the lost one: otherwise replicas that come back could form a majority without it")
 	}
 	kept = fmt.Sprintf("%s.of-%s", settings.Directory, l.Fleet)
 	if _, err := os.Stat(kept); err == nil {
-		return "", fmt.Errorf("%s is there already", kept)
+		return "", fmt.Errorf("%s already exists", kept)
 	}
 	if err := os.Rename(settings.Directory, kept); errors.Is(err, fs.ErrNotExist) {
-		kept = "" // an empty machine
+		kept = "" // there was no directory
 	} else if err != nil {
 		return "", err
 	}
@@ -138,6 +141,6 @@
 		Index: new(l.Last), Term: new(uint64(1))}}); err != nil {
 		return kept, err
 	}
-	log.Warn("a fleet goes on with what one keeper had left", "fleet", settings.Fleet, "before", l.Fleet, "agreed", l.Agreed, "last", l.Last)
+	log.Warn("fleet recovered from the state of one replica", "fleet", settings.Fleet, "before", l.Fleet, "agreed", l.Agreed, "last", l.Last)
 	return kept, nil
 }
--- a/internal/node/consensus/replica/replica_test.go
+++ b/internal/node/consensus/replica/replica_test.go
@@ -24,8 +24,9 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// startFleet bootstraps n replicas in this process, with an election timeout in ms, and returns a client's configuration. They reach each
-// other at what proxy returns for an address; nil = directly. They end with the test.
+// startFleet bootstraps n replicas in this process, with an election timeout in ms, and returns the configuration
+// of a client. The replicas connect to each other at the address that proxy returns for theirs; nil = directly.
+// They stop at the end of the test.
 func startFleet(t testing.TB, n int, election float64, proxy func(address string) string) client.Config {
 	t.Helper()
 	config := client.Config{Fleet: "f", Name: "test", AttemptTimeout: 10 * time.Second}
@@ -58,7 +59,8 @@
 	return config
 }
 
-// delayFirstAnswer returns the address of a proxy to another one, which delays the first answer on each connection.
+// delayFirstAnswer returns the address of a proxy to another address. It delays the first answer on each
+// connection.
 func delayFirstAnswer(t *testing.T, to string, delay time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,20 +91,21 @@
 	return l.Addr().String()
 }
 
-// TestElectsALeaderThoughMembersAnswerSlowly guards against replicas that never have a leader because each gives up connecting to the
-// others, which are slow to answer, as soon as it would campaign.
+// TestElectsALeaderThoughMembersAnswerSlowly guards against replicas that never elect a leader because each one
+// stops connecting to the others, which are slow to answer, as soon as it would campaign.
 func TestElectsALeaderThoughMembersAnswerSlowly(t *testing.T) {
 	const election = 250
 	const delay = 3 * election * time.Millisecond
 	c := client.New(startFleet(t, 3, election, func(address string) string { return delayFirstAnswer(t, address, delay) }))
 	defer c.Close()
-	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute) // it only ends what hangs
+	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute) // only stops a hanging test
 	defer stop()
 	_, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b"})
 	require.NoError(t, err)
 }
 
-// BenchmarkDo measures commands of many clients, committed by three replicas in one process that sync their disks.
+// BenchmarkDo measures concurrent commands that are committed by three replicas in one process, which sync their
+// disks.
 func BenchmarkDo(b *testing.B) {
 	c := client.New(startFleet(b, 3, 250, nil))
 	defer c.Close()
@@ -124,10 +127,10 @@
 	wait.Wait()
 }
 
-// TestCompactionBoundsMemoryAndDisk guards against a replica whose memory or disk grows with the log: of 48 MiB of commands no more than
-// an image, the entries since and two files may be left.
+// TestCompactionBoundsMemoryAndDisk guards against a replica whose memory or disk usage grows with the log: after
+// 48 MiB of commands, at most an image, the entries since then and two files may be left.
 func TestCompactionBoundsMemoryAndDisk(t *testing.T) {
-	dir := filepath.Dir(t.TempDir()) // of this test
+	dir := filepath.Dir(t.TempDir()) // parent of all directories of this test
 	c := client.New(startFleet(t, 1, 1500, nil))
 	defer c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Minute)
@@ -150,7 +153,7 @@
 			return err
 		}
 		info, err := e.Info()
-		if errors.Is(err, fs.ErrNotExist) { // an image that was replaced meanwhile
+		if errors.Is(err, fs.ErrNotExist) { // an image that has been replaced meanwhile
 			return nil
 		}
 		size += info.Size()
@@ -164,8 +167,8 @@
 	assert.Less(t, memory.HeapAlloc, uint64(32<<20))
 }
 
-// TestRemovingTheLeaderTransfersLeadershipFirst guards against a fleet that is without a leader for an election timeout when operators
-// remove the leader.
+// TestRemovingTheLeaderTransfersLeadershipFirst guards against a fleet that has no leader for an election timeout
+// when operators remove the leader.
 func TestRemovingTheLeaderTransfersLeadershipFirst(t *testing.T) {
 	config := startFleet(t, 3, 1500, nil)
 	c := client.New(config)
@@ -192,21 +195,22 @@
 	at, first := findLeader()
 	leaving := statemachine.Member{ID: first.ID, Name: at.Name, Address: at.Address}
 	_, err = client.Call(t.Context(), config, at, protocol.Request{Kind: protocol.Remove, Members: []statemachine.Member{leaving}})
-	require.Error(t, err, "the request is to be sent again")
+	require.Error(t, err, "the request must be retried")
 	next := first
 	for next.ID == first.ID {
 		_, next = findLeader()
 	}
-	require.Equal(t, statemachine.Voter, role(next, first.ID), "another findLeader before it is out")
+	require.Equal(t, statemachine.Voter, role(next, first.ID), "another member is the leader before the first one is removed")
 	require.NoError(t, c.Change(t.Context(), protocol.Remove, leaving))
 	for role(next, first.ID) != statemachine.Removed {
 		_, next = findLeader()
 	}
 }
 
-// TestUnresponsiveLearnerIsNotPromoted guards against a vote for a new member that accepts connections and never sends a message: with one
-// more member down, the others would be no majority of the voters. The second one is added right after the leader has checked who is
-// active, as long as can be before it checks again.
+// TestUnresponsiveLearnerIsNotPromoted guards against making a voter of a new member that accepts connections but
+// never sends a message: with one more member down, the others would not be a majority of the voters. The second
+// such member is added directly after the leader has checked which members are active, so that the longest
+// possible time passes before it checks again.
 func TestUnresponsiveLearnerIsNotPromoted(t *testing.T) {
 	config := startFleet(t, 3, 250, nil)
 	c := client.New(config)
@@ -216,10 +220,10 @@
 	for id := range uint64(2) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer func() { _ = l.Close() }() // the kernel accepts connections, nobody reads them
+		defer func() { _ = l.Close() }() // the kernel accepts connections, but nothing reads from them
 		m := statemachine.Member{ID: 1 + id, Name: fmt.Sprint("silent", id), Address: l.Addr().String()}
-		for unresponsive := false; !unresponsive; { // until the leader has noticed
-			require.NoError(t, c.Change(t.Context(), protocol.AddLearner, m)) // the change may be lost with a leader
+		for unresponsive := false; !unresponsive; { // until the leader reports it as inactive
+			require.NoError(t, c.Change(t.Context(), protocol.AddLearner, m)) // the change may be lost when the leader changes
 			for _, k := range config.Replicas {
 				a, err := client.Call(t.Context(), config, k, protocol.Request{Kind: protocol.Status})
 				require.NoError(t, err)
--- a/internal/node/consensus/replica/run.go
+++ b/internal/node/consensus/replica/run.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	transferTimeout = 500 * time.Millisecond // for another member to become leader when this one ends
-	redirectTime    = 200 * time.Millisecond // for clients to be told the new leader then
+	transferTimeout = 500 * time.Millisecond // for another member to become leader when this one stops
+	redirectTime    = 200 * time.Millisecond // for redirecting clients to the new leader after that
 )
 
-// Run takes part until ctx ends, then transfers leadership and ends. An error says why it had to end before.
+// Run runs the replica until ctx ends, then transfers leadership and stops. The error is the reason if it had to
+// stop earlier.
 func (r *Replica) Run(ctx context.Context) error {
-	r.log.Info("the keeper has started", "address", r.Addr(), "id", fmt.Sprintf("%x", r.store.ID), "starts", r.store.Starts,
+	r.log.Info("replica started", "address", r.Addr(), "id", fmt.Sprintf("%x", r.store.ID), "starts", r.store.Starts,
 		"applied", r.member.State().Index())
 	var workers sync.WaitGroup
 	diskFailed := make(chan error, 1)
@@ -39,17 +40,17 @@
 	return err
 }
 
-// run owns the state machine.
+// run is the goroutine that owns the state machine.
 func (r *Replica) run(ctx context.Context, ticks <-chan time.Time, diskFailed <-chan error) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case err := <-diskFailed:
-			r.log.Error("the disk fails: this keeper votes no more", "error", err)
-			return fmt.Errorf("keeping: %w", err)
+			r.log.Error("disk write failed: replica stops and no longer votes", "error", err)
+			return fmt.Errorf("writing to the disk: %w", err)
 		case err := <-r.rejections:
-			r.log.Error("the others turn this keeper away: it votes no more", "error", err)
+			r.log.Error("rejected by another replica: replica stops and no longer votes", "error", err)
 			return err
 		case <-ticks:
 			r.tick()
@@ -58,13 +59,13 @@
 		}
 		r.drainInbox()
 		if err := r.flush(); err != nil {
-			r.log.Error("the agreed log cannot be carried out: this keeper votes no more", "error", err)
+			r.log.Error("cannot apply the replicated log: replica stops and no longer votes", "error", err)
 			return err
 		}
 	}
 }
 
-// drainInbox runs what is in the inbox, at most maxBatch functions, so that they share one flush.
+// drainInbox runs the queued functions of the inbox, at most maxBatch, so that they share one flush.
 func (r *Replica) drainInbox() {
 	for range maxBatch {
 		select {
@@ -76,8 +77,8 @@
 	}
 }
 
-// submit has the owner of the state machine run a function, and reports false once the replica has ended. The owner itself must
-// not call it: it would wait for itself where the inbox is full.
+// submit passes a function to the owner of the state machine, and returns false once the replica has stopped. The
+// owner itself must not call it: if the inbox were full, it would deadlock.
 func (r *Replica) submit(do func()) bool {
 	select {
 	case r.inbox <- do:
@@ -87,7 +88,8 @@
 	}
 }
 
-// transferLeadership transfers leadership, and waits for another member to have it and for clients to be redirected to it.
+// transferLeadership transfers leadership, and waits until another member is the leader and clients have had time
+// to be redirected to it.
 func (r *Replica) transferLeadership() {
 	if !r.member.Leads() || !r.member.TransferLeadership() {
 		return
@@ -109,14 +111,14 @@
 		select {
 		case do := <-r.inbox:
 			do()
-			_ = r.flush() // the replica ends in any case
+			_ = r.flush() // the replica stops in any case
 		case <-redirected:
 			return
 		}
 	}
 }
 
-// shutdown ends all connections, senders and workers.
+// shutdown closes all connections and senders, and waits for the workers.
 func (r *Replica) shutdown(workers *sync.WaitGroup) {
 	close(r.ended)
 	_ = r.listener.Close()
@@ -133,14 +135,14 @@
 	go func() { workers.Wait(); close(done) }()
 	for {
 		select {
-		case <-r.inbox: // whoever waits in submit goes on
+		case <-r.inbox: // unblock goroutines that wait in submit
 		case <-done:
 			return
 		}
 	}
 }
 
-// tick advances the member's clock.
+// tick advances the member's clock and expires old requests.
 func (r *Replica) tick() {
 	r.ticks++
 	r.member.Tick()
@@ -151,8 +153,9 @@
 	r.expireRequests()
 }
 
-// recordStarts proposes what the leader knows of the members and the log does not: how often they have started, so that every
-// member recognizes an older copy of a directory, and which version they read, so that none is written that one cannot read.
+// recordStarts proposes what the leader knows about the members and the log does not contain: how often each has
+// started, so that every member recognizes an older copy of a directory, and which version it reads, so that no
+// version is written that a member cannot read.
 func (r *Replica) recordStarts() {
 	own := r.peer(r.store.ID)
 	own.starts, own.version = r.store.Starts, statemachine.Version
@@ -160,12 +163,12 @@
 		m, ok := r.member.State().Members().Get(id)
 		if ok && (m.Starts < p.starts || p.version > 0 && m.ReadsVersion != p.version) {
 			_ = r.member.Propose(r.clock.Now(), statemachine.Command{Component: statemachine.ComponentMembers,
-				Body: encode(statemachine.Started{ID: id, Starts: p.starts, ReadsVersion: p.version})}) // the next tick tries again
+				Body: encode(statemachine.Started{ID: id, Starts: p.starts, ReadsVersion: p.version})}) // the next tick retries
 		}
 	}
 }
 
-// flush does what the state machine wants done.
+// flush carries out the outstanding work of the state machine.
 func (r *Replica) flush() error {
 	work, err := r.member.Ready(r.clock.Now())
 	if err != nil {
@@ -188,19 +191,19 @@
 	return nil
 }
 
-// observeMembership logs changes of the leader and of this member's vote, ends the senders to removed members, and redirects the
-// clients of a replica that does not lead.
+// observeMembership logs a change of the leader or of this member's right to vote, closes the senders to removed
+// members, and redirects clients if this replica is not the leader.
 func (r *Replica) observeMembership() {
 	if leader := r.member.Leader(); leader != r.leader {
 		r.leader = leader
 		term, _, _ := r.member.Position()
 		if leader == 0 {
-			r.log.Warn("nobody leads", "term", term)
+			r.log.Warn("no leader", "term", term)
 		} else {
-			r.log.Info("a keeper leads", "leader", r.nameOf(leader), "term", term)
+			r.log.Info("leader changed", "leader", r.nameOf(leader), "term", term)
 		}
 	}
-	for id, s := range r.senders { // at the address of one that was replaced another answers
+	for id, s := range r.senders { // another replica answers at the address of a replaced one
 		if m, ok := r.member.State().Members().Get(id); ok && m.Role == statemachine.Removed {
 			s.Close()
 			delete(r.senders, id)
@@ -208,7 +211,7 @@
 	}
 	if voter := r.member.Voter(); voter != r.voter {
 		r.voter = voter
-		r.log.Info("the keeper's vote has changed", "votes", voter)
+		r.log.Info("voter status changed", "votes", voter)
 	}
 	switch {
 	case r.member.Leads():
@@ -219,7 +222,7 @@
 	}
 }
 
-// nameOf returns a member's name, "" if it is not known.
+// nameOf returns the name of a member; "" = not known.
 func (r *Replica) nameOf(id uint64) string {
 	if m, ok := r.member.State().Members().Get(id); ok {
 		return m.Name
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -1,8 +1,8 @@
-// Package gate holds a node to the policy of its fleet: it renews the lease on the policy's number, follows what package rollout
-// says of a change, and lets calls begin only while the lease lasts.
+// Package gate makes a node comply with the policy of its fleet: it renews the lease on the policy's number,
+// carries out policy changes as package rollout defines them, and admits calls only while the lease is valid.
 //
-// The lease counts on the node's own clock from the moment before it was requested, so that it expires here before it does for
-// the fleet. That clock must go on while the process stands still.
+// The lease is measured on the node's own clock from before the request was sent, so that it expires here before
+// it expires for the fleet. That clock must continue to run while the process is suspended.
 package gate
 
 import (
@@ -17,24 +17,25 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// ReasonPolicy is the reason with which calls are rejected.
+// ReasonPolicy is the reason given when a call is rejected.
 const ReasonPolicy = "the fleet's policy is not known here"
 
-const lastReportTimeout = 200 * time.Millisecond // for the report that the node ends
+const lastReportTimeout = 200 * time.Millisecond // for the report that the node stops
 
-// Fleet is the rollout's machine, replicated. Its methods may block until ctx ends.
+// Fleet provides access to the fleet's replicated rollout.Machine. Its methods may block until ctx ends.
 type Fleet interface {
-	// Report sends a report and returns the order that answers it.
+	// Report sends a report and returns the order that the fleet answers with.
 	Report(ctx context.Context, r rollout.Report) (rollout.Order, error)
 	// Document returns a document by its number, or by its proposal if id is not empty.
 	Document(ctx context.Context, number uint64, id string) (rollout.Document, error)
-	// Progress returns the progress once it differs from known; an error says that it cannot be waited for now.
+	// Progress returns the progress once it differs from known. An error means that waiting is not possible at the
+	// moment.
 	Progress(ctx context.Context, known rollout.Progress) (rollout.Progress, error)
 }
 
-// Node is what the policy is for. Run calls its methods one after the other.
+// Node is the node that the policy applies to. Run calls its methods sequentially.
 type Node interface {
-	Check(d rollout.Document) error    // returns why the node rejects a document
+	Check(d rollout.Document) error    // returns the reason why the node rejects a document
 	Activate(d rollout.Document) error // brings it into force
 }
 
@@ -42,12 +43,12 @@
 type Settings struct {
 	Name         string
 	Lease        float64
-	MaxWait      float64 // that a call waits for a lease
-	WithoutLease bool    // calls begin without a lease too
-	Ready        func()  // called once, when the first policy is in force
+	MaxWait      float64 // maximum time that a call waits for a lease
+	WithoutLease bool    // admit calls without a lease too
+	OnReady      func()  // called once, when the first lease on a policy is obtained
 }
 
-// Gate lets calls begin. Its methods may be called from any goroutine.
+// Gate admits calls under the fleet's policy. Its methods are safe for concurrent use.
 type Gate struct {
 	settings Settings
 	fleet    Fleet
@@ -55,20 +56,20 @@
 	clock    clock.Clock
 	log      *slog.Logger
 
-	validated rollout.Document // the last one; of Run alone
+	validated rollout.Document // last validated document; used by Run only
 
 	mu     sync.Mutex
-	holder *rollout.LeaseHolder // changed by Run alone, with the lock; Run reads it without
-	change chan struct{}        // closed, and made anew, whenever holder has changed
+	holder *rollout.LeaseHolder // modified by Run only, holding the lock; Run reads it without the lock
+	change chan struct{}        // closed and replaced whenever holder has changed
 }
 
-// New returns a gate. It lets no call begin before Run has an order from the fleet.
+// New returns a gate. It admits no call before Run has received an order from the fleet.
 func New(settings Settings, fleet Fleet, node Node, c clock.Clock, log *slog.Logger) *Gate {
 	return &Gate{settings: settings, fleet: fleet, node: node, clock: c, log: log, change: make(chan struct{}),
 		holder: rollout.NewLeaseHolder(settings.Name, rand.Uint64()>>1|1, settings.Lease, settings.WithoutLease)}
 }
 
-// Wrap is a core.Stage: it returns a handler that lets calls begin only while there is a lease.
+// Wrap is a core.Stage: it returns a handler that admits calls only while there is a lease.
 func (g *Gate) Wrap(next core.Handler) core.Handler {
 	return func(request *core.Call) core.Answer {
 		if a, ok := g.admit(request); !ok {
@@ -78,7 +79,8 @@
 	}
 }
 
-// admit waits until the call may begin, at most MaxWait or until its deadline. If it may not, it returns the answer to it.
+// admit waits until the call may begin, at most MaxWait and until its deadline. If the call is not admitted, it
+// returns the answer to the call.
 func (g *Gate) admit(request *core.Call) (a core.Answer, ok bool) {
 	if open, _ := g.open(); open {
 		return a, true
@@ -101,22 +103,22 @@
 	}
 }
 
-// open reports whether a call may begin, and returns the channel that is closed when that may change.
+// open reports whether a call may begin, and returns a channel that is closed when that may have changed.
 func (g *Gate) open() (open bool, change <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.holder.Admits(g.clock.Now()), g.change
 }
 
-// InForce returns the number that calls begin under, its document's hash, and until when on the node's clock, ms; +Inf = without
-// a lease.
+// InForce returns the number of the policy in force, the hash of its document, and the time on the node's clock
+// until which calls may begin, in ms; +Inf = without a lease.
 func (g *Gate) InForce() (number uint64, hash string, until float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.holder.InForce()
 }
 
-// update changes the lease holder, and wakes the calls that wait.
+// update modifies the lease holder and wakes the waiting calls.
 func (g *Gate) update(do func(h *rollout.LeaseHolder)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +127,7 @@
 	g.change = make(chan struct{})
 }
 
-// Run renews the lease and follows orders until ctx ends. Then no call begins any more, and the fleet is notified.
+// Run renews the lease and follows orders until ctx ends. It then stops admitting calls and notifies the fleet.
 func (g *Gate) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause, wait := g.step(ctx)
@@ -140,10 +142,10 @@
 	g.update(func(h *rollout.LeaseHolder) { leaving = h.Leave() })
 	lastCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastReportTimeout)
 	defer cancel()
-	_, _ = g.fleet.Report(lastCtx, leaving) // if it is lost, the lease expires
+	_, _ = g.fleet.Report(lastCtx, leaving) // if the report is lost, the lease expires
 }
 
-// sleep waits for some ms, or until ctx ends.
+// sleep waits for a time in ms or until ctx ends.
 func (g *Gate) sleep(ctx context.Context, ms float64) {
 	done := make(chan struct{})
 	stop := g.clock.At(g.clock.Now()+ms, func() { close(done) })
@@ -154,16 +156,17 @@
 	}
 }
 
-// spread returns a random time with this mean, so that members do not report in step.
+// spread returns a random time with the mean ms, so that members do not report at the same moments.
 func spread(ms float64) float64 { return ms * (0.75 + rand.Float64()/2) }
 
-// requestContext returns the context of a round of requests to the fleet: what takes longer than a lease is of no use.
+// requestContext returns the context of a round of requests to the fleet: an answer that takes longer than a lease
+// is useless.
 func (g *Gate) requestContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(g.settings.Lease*1e6))
 }
 
-// step sends one report and follows the order. It returns the ms until the next report, 0 = at once, and for how many ms a hint may
-// be waited for instead, 0 = not.
+// step sends one report and follows the order. It returns the time until the next report, in ms; 0 = at once, and
+// the time for which to wait for a hint instead, in ms; 0 = do not wait for a hint.
 func (g *Gate) step(ctx context.Context) (pause, wait float64) {
 	sent := g.clock.Now()
 	ctx, cancel := g.requestContext(ctx)
@@ -176,11 +179,11 @@
 	var next rollout.Step
 	g.update(func(h *rollout.LeaseHolder) { next = h.ApplyOrder(sent, o) })
 	if next.Renewed {
-		g.log.Info("the lease on the policy is renewed: calls begin again", "number", o.Number)
+		g.log.Info("policy lease renewed: calls are admitted again", "number", o.Number)
 	}
 	if next.Known {
-		g.log.Info("the fleet's policy is known", "number", o.Number, "hash", o.Hash)
-		g.settings.Ready()
+		g.log.Info("fleet policy received", "number", o.Number, "hash", o.Hash)
+		g.settings.OnReady()
 	}
 	switch {
 	case next.Activate:
@@ -200,20 +203,20 @@
 	number, _, _ := g.holder.InForce()
 	g.mu.Unlock()
 	if lapsed {
-		g.log.Warn("the lease on the policy has run out: calls are turned away", "number", number)
+		g.log.Warn("policy lease expired: calls are rejected", "number", number)
 	}
 }
 
 func (g *Gate) logPause(id string) {
-	g.log.Info("calls are held: a change of the policy takes hold", "proposal", id)
+	g.log.Info("calls paused: a policy change is being activated", "proposal", id)
 }
 
-// awaitHint waits for a hint, for maxWait ms at most, and follows it. It returns the ms until the next report; pause is returned
-// where no hint can be waited for.
+// awaitHint waits for a hint, at most for maxWait ms, and follows it. It returns the time until the next report,
+// in ms, which is pause if waiting for a hint is not possible.
 func (g *Gate) awaitHint(ctx context.Context, maxWait, pause float64) float64 {
 	due := g.clock.Now() + spread(maxWait)
 	var hint rollout.Progress
-	for timedOut := true; timedOut; { // several requests, so that a lost one costs RetryAfter and not maxWait
+	for timedOut := true; timedOut; { // several requests, so that a lost one costs RetryAfter instead of maxWait
 		requestCtx, cancel := context.WithCancel(ctx)
 		stop := g.clock.At(min(due, g.clock.Now()+g.holder.RetryAfter()), cancel)
 		var err error
@@ -241,24 +244,25 @@
 	return next.Pause
 }
 
-// validate fetches a proposal's document and has the node check it. It returns the ms until the next report.
+// validate fetches the document of a proposal and lets the node check it. It returns the time until the next
+// report, in ms.
 func (g *Gate) validate(ctx context.Context, id string) (pause float64) {
 	d, err := g.fleet.Document(ctx, 0, id)
 	unseen := err != nil
 	if !unseen {
 		g.validated = d
 		if err = g.node.Check(d); err != nil {
-			g.log.Warn("this node cannot take a policy that was proposed", "proposal", id, "error", err)
+			g.log.Warn("proposed policy rejected by this node", "proposal", id, "error", err)
 		} else {
-			g.log.Info("this node can take a policy that was proposed", "proposal", id, "hash", d.Hash)
+			g.log.Info("proposed policy accepted by this node", "proposal", id, "hash", d.Hash)
 		}
 	}
 	g.update(func(h *rollout.LeaseHolder) { pause = h.RecordValidation(id, unseen, err) })
 	return pause
 }
 
-// activate brings a policy into force, while no call begins. It returns the ms until the next report. The document that was
-// validated last is not fetched again; number 0 has none.
+// activate brings a policy into force while no calls are admitted. It returns the time until the next report, in
+// ms. The last validated document is not fetched again. Number 0 has no document.
 func (g *Gate) activate(ctx context.Context, number uint64, hash string) (pause float64) {
 	d := rollout.Document{}
 	if hash != "" && hash == g.validated.Hash {
@@ -271,11 +275,11 @@
 		}
 	}
 	if err := g.node.Activate(d); err != nil {
-		g.log.Error("this node cannot take the policy that holds: it begins no calls", "number", number, "error", err)
+		g.log.Error("cannot activate the policy in force: calls are rejected", "number", number, "error", err)
 		g.update(func(h *rollout.LeaseHolder) { pause = h.RecordActivationFailure(number) })
 		return pause
 	}
 	g.update(func(h *rollout.LeaseHolder) { h.RecordActivation(number, d.Hash) })
-	g.log.Info("a policy is in force", "number", number, "hash", d.Hash, "by", d.By)
+	g.log.Info("policy activated", "number", number, "hash", d.Hash, "by", d.By)
 	return 0
 }
--- a/internal/node/rollout/golden_test.go
+++ b/internal/node/rollout/golden_test.go
@@ -8,7 +8,8 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// TestEncodedTypesKeepTheirForm guards against encoded forms of the package whose JSON has changed, in any of their fields.
+// TestEncodedTypesKeepTheirForm guards against a change of the JSON form of the package's encoded types, in any
+// field.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Document](t, "document")
 	golden.JSON[Change](t, "change")
@@ -23,8 +24,8 @@
 	golden.Check(t, "hash", []byte(Hash("a document")))
 }
 
-// TestLoadsTheImageOfAnEarlierBuild guards against a machine that reads an image of an earlier build of this release otherwise than that
-// build did.
+// TestLoadsTheImageOfAnEarlierBuild guards against a machine that reads an image of an earlier build of this
+// release differently from that build.
 func TestLoadsTheImageOfAnEarlierBuild(t *testing.T) {
 	var i image
 	golden.Fill(t, &i)
--- a/internal/node/rollout/machine.go
+++ b/internal/node/rollout/machine.go
@@ -7,22 +7,26 @@
 	"slices"
 )
 
-// Machine is the replicated state of the rollout. It is deterministic: the order of a map decides nothing.
+// Machine is the replicated state of the rollout. It is deterministic: results never depend on the iteration order
+// of a map.
 type Machine struct {
-	number     uint64     // of the policy in force
+	number     uint64     // number of the policy in force
 	docs       []Document // the last one is in force
 	members    map[string]Member
-	nextExpiry float64 // cluster time before which no member expires, ms: a report need not look at all of them
-	change     *Change // in progress, nil = none
+	nextExpiry float64 // cluster time before which no member expires, ms, so that a report need not check all members
+	change     *Change // change in progress; nil = none
 	outcomes   []Outcome
 }
 
-// New returns a machine without a policy: each node's own file alone applies.
+// New returns a machine without a policy: only the node's own configuration file applies.
 func New() *Machine { return &Machine{members: map[string]Member{}} }
 
-func memberKey(node string, life uint64) string { return fmt.Sprintf("%s/%x", node, life) }
+func memberKey(node string, incarnation uint64) string {
+	return fmt.Sprintf("%s/%x", node, incarnation)
+}
 
-// Report applies the report of a member. The error says that it is invalid, or that MaxMembers is reached.
+// Report applies the report of a member. It returns an error if the report is invalid or MaxMembers has been
+// reached.
 func (m *Machine) Report(now float64, r Report) (Order, error) {
 	if r.Node == "" || len(r.Node) > maxNameBytes || r.Lease != 0 && !(r.Lease >= MinLease && r.Lease <= MaxLease) {
 		return Order{}, fmt.Errorf("a member has a name of 1 to %d bytes and a lease of %g to %g ms", maxNameBytes, MinLease, MaxLease)
@@ -46,21 +50,22 @@
 		o.PauseNear = c.Stage == Validating && m.fewUnvalidated(c.ID)
 	}
 	if r.InForce != m.number {
-		o.Lease = 0 // the next number came into force with this report
+		o.Lease = 0 // this report has brought the next number into force
 	}
 	return o, nil
 }
 
-// renewLease renews the lease of a member that has the number in force, unless a change is in the pause, and returns what is
-// granted, ms. A lease is never shortened: the member goes by the longest one that it was told of.
+// renewLease renews the lease of a member that uses the number in force, unless a change is in the pause, and
+// returns the granted lease in ms. A lease is never shortened, because the member relies on the longest lease that
+// it was granted.
 func (m *Machine) renewLease(now float64, member *Member, r *Report) (granted float64) {
 	switch {
 	case r.Leaving:
 		member.Until, member.Live = 0, 0
 		return 0
-	case r.InForce != m.number || r.Lease == 0: // it has to activate the number first
+	case r.InForce != m.number || r.Lease == 0: // the member has to activate the number first
 		return 0
-	case m.change != nil && m.change.Stage == Pausing: // the lease that it has runs out
+	case m.change != nil && m.change.Stage == Pausing: // its current lease is left to expire
 		return 0
 	}
 	member.Until = max(member.Until, now+r.Lease)
@@ -70,7 +75,8 @@
 	return r.Lease
 }
 
-// applyToChange records what a member has done for the change in progress, and refuses a change that the member rejects.
+// applyToChange records the member's progress with the current change, and rejects the change if the member
+// rejects it.
 func (m *Machine) applyToChange(member *Member, r *Report) {
 	c := m.change
 	if c == nil {
@@ -87,7 +93,7 @@
 	}
 }
 
-// Propose begins a change, or returns the outcome of one that was proposed before.
+// Propose starts a change, or returns the outcome of a proposal that was made before.
 func (m *Machine) Propose(now float64, p Proposal) Outcome {
 	m.Tick(now)
 	if o, ok := m.Outcome(p.ID); ok {
@@ -98,7 +104,7 @@
 	}
 	switch {
 	case p.ID == "" || len(p.ID) > maxNameBytes || len(p.By) > maxNameBytes:
-		return Outcome{ID: p.ID, Stage: Rejected, Reason: "a proposal wants an id"} // not recorded: it cannot be asked for
+		return Outcome{ID: p.ID, Stage: Rejected, Reason: "a proposal wants an id"} // not recorded, because it cannot be queried
 	case len(p.Text) > MaxDocumentBytes:
 		return refuse("it has %d bytes, %d at the most", len(p.Text), MaxDocumentBytes)
 	case p.Base != m.number:
@@ -116,8 +122,9 @@
 	return o
 }
 
-// RemoveNode forgets the processes of a node, so that nobody waits for them, and returns their number. It is an operator's word and
-// must be true: a process that still judges calls would break the invariant.
+// RemoveNode removes the processes of a node, so that no change waits for them, and returns their number. An
+// operator declares the node dead, and must be right: a process that still handles calls would break the
+// invariant.
 func (m *Machine) RemoveNode(now float64, node string) (n int) {
 	for key, member := range m.members {
 		if member.Node == node {
@@ -129,7 +136,7 @@
 	return n
 }
 
-// Tick forgets members that have expired, and advances the change.
+// Tick removes expired members and advances the change in progress.
 func (m *Machine) Tick(now float64) {
 	if now >= m.nextExpiry {
 		m.nextExpiry = math.Inf(1)
@@ -144,22 +151,22 @@
 	m.advance(now)
 }
 
-// expiry returns when the member counts no more, cluster time in ms.
+// expiry returns the cluster time, in ms, from which on the member no longer counts.
 func (m *Member) expiry() float64 { return max(m.Until, m.Live) }
 
-// advance takes the change through its stages, as far as the members allow.
+// advance moves the change through its stages as far as the reports of the members allow.
 func (m *Machine) advance(now float64) {
 	c := m.change
 	if c == nil {
 		return
 	}
 	if c.Stage == Validating {
-		looked := func(member Member) bool { return member.Validated == c.ID }
+		validated := func(member Member) bool { return member.Validated == c.ID }
 		switch {
-		case m.all(looked):
+		case m.all(validated):
 			c.Stage, c.Since = Pausing, now
 		case now-c.Since > validationTimeoutMillis:
-			m.refuse(fmt.Sprintf("%s has not looked at it in %.0f s", m.firstWithout(looked), validationTimeoutMillis/1000))
+			m.refuse(fmt.Sprintf("%s has not looked at it in %.0f s", m.firstWithout(validated), validationTimeoutMillis/1000))
 			return
 		}
 	}
@@ -175,7 +182,7 @@
 	}
 }
 
-// activate brings the document of the change into force. All leases were on the number before: they are over.
+// activate brings the document of the change into force. All leases were on the previous number, so they end.
 func (m *Machine) activate(now float64) {
 	m.number++
 	d := m.change.Document
@@ -191,8 +198,8 @@
 	m.nextExpiry = 0
 }
 
-// fewUnvalidated reports whether at most soonThreshold members have not validated a proposal. It stops counting beyond: a report
-// costs little while there are many.
+// fewUnvalidated reports whether at most pauseNearThreshold members have not validated a proposal. It stops
+// counting above the threshold, so that a report is cheap while many are missing.
 func (m *Machine) fewUnvalidated(id string) bool {
 	missing := 0
 	for _, member := range m.members {
@@ -205,7 +212,8 @@
 	return true
 }
 
-// all reports whether a condition holds for all members. It stops at the first without: a report costs little while most are missing.
+// all reports whether a condition holds for all members. It stops at the first member for which it does not hold,
+// so that a report is cheap while many are missing.
 func (m *Machine) all(condition func(Member) bool) bool {
 	for _, member := range m.members {
 		if !condition(member) {
@@ -215,7 +223,8 @@
 	return true
 }
 
-// firstWithout returns the node, the first by name, of a member for which a condition does not hold; "" = there is none.
+// firstWithout returns the first node, by name, that has a member for which a condition does not hold; "" = there
+// is none.
 func (m *Machine) firstWithout(condition func(Member) bool) string {
 	for _, key := range slices.Sorted(maps.Keys(m.members)) {
 		if member := m.members[key]; !condition(member) {
@@ -225,14 +234,14 @@
 	return ""
 }
 
-// refuse ends the change in progress.
+// refuse rejects the change in progress.
 func (m *Machine) refuse(reason string) {
 	id := m.change.ID
 	m.change = nil
 	m.record(Outcome{ID: id, Stage: Rejected, Reason: reason})
 }
 
-// record remembers the outcome of a proposal.
+// record stores the outcome of a proposal.
 func (m *Machine) record(o Outcome) Outcome {
 	m.outcomes = append(m.outcomes, o)
 	m.outcomes = m.outcomes[max(0, len(m.outcomes)-MaxOutcomes):]
--- a/internal/node/rollout/machine_test.go
+++ b/internal/node/rollout/machine_test.go
@@ -8,21 +8,22 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // makes the random histories reproducible
 )
 
-// mutant is a fault that is planted in a member, for the check to find.
+// mutant is a fault that is injected into a member to verify that the check detects it.
 type mutant string
 
 const (
-	sound          mutant = ""
-	ignoresExpiry  mutant = "it goes on when its lease has expired"
-	longerLease    mutant = "it counts its lease longer than was granted"
-	activatesEarly mutant = "it activates a document when it sees it"
-	judgesUnasked  mutant = "it judges before it has reported"
+	noFault        mutant = ""
+	ignoresExpiry  mutant = "it admits calls after its lease has expired"
+	longerLease    mutant = "it uses its lease for longer than was granted"
+	activatesEarly mutant = "it activates a document when it validates it"
+	admitsUnasked  mutant = "it admits calls before its first report"
 )
 
-// node is a member in virtual time: it reports, follows orders, and judges calls by the number that it has in force.
+// node is a member in virtual time: it reports, follows orders, and handles calls under the number that it has in
+// force.
 type node struct {
 	name        string
 	life        uint64
@@ -30,51 +31,51 @@
 	until       float64
 	looked      string
 	paused      string
-	refuses     bool
+	rejects     bool
 	down        bool
 	stopped     bool
-	partitioned bool // from the replicas, not from clients
-	fresh       bool // it has not reported yet
+	partitioned bool // from the replicas, but not from clients
+	fresh       bool // it has not sent a report yet
 }
 
-// follow follows the order that answers a report which was sent at a time.
-func (n *node) follow(o Order, sent, lease float64, planted mutant) {
+// follow follows the order that answers a report sent at the time sent.
+func (n *node) follow(o Order, sent, lease float64, injected mutant) {
 	n.fresh = false
 	if o.Number != n.number {
 		n.number, n.until, n.paused, n.looked = o.Number, 0, "", ""
 	} else if o.Lease > 0 {
 		n.until = sent + o.Lease
-		if planted == longerLease {
+		if injected == longerLease {
 			n.until += 5 * lease
 		}
 	}
 	switch o.Stage {
 	case Validating:
 		n.looked = o.Change
-		if planted == activatesEarly {
+		if injected == activatesEarly {
 			n.number, n.until = o.Number+1, sent+lease
 		}
 	case Pausing:
 		n.looked, n.paused, n.until = o.Change, o.Change, 0
-	default: // the change was refused, or there is none
+	default: // the change was rejected, or there is none
 		n.paused = ""
 	}
 }
 
-// judges reports whether the member judges a call now.
-func (n *node) judges(now float64, planted mutant) bool {
-	ready := now < n.until || planted == ignoresExpiry && !n.fresh && n.paused == "" || planted == judgesUnasked && n.fresh
+// admits reports whether the member admits a call now.
+func (n *node) admits(now float64, injected mutant) bool {
+	ready := now < n.until || injected == ignoresExpiry && !n.fresh && n.paused == "" || injected == admitsUnasked && n.fresh
 	return !n.down && !n.stopped && ready
 }
 
-// judged is a call: by which number it was judged, and when it began.
-type judged struct {
+// admittedCall is a call that was admitted: under which number, and when it began.
+type admittedCall struct {
 	number uint64
 	at     float64
 }
 
-// play plays one history, and returns the calls in the order in which they began, and the machine.
-func play(t *rapid.T, planted mutant) (calls []judged, m *Machine) {
+// runHistory runs one random history. It returns the calls in the order in which they began, and the machine.
+func runHistory(t *rapid.T, injected mutant) (calls []admittedCall, m *Machine) {
 	const lease = 1000.0
 	m = New()
 	now := 1e6
@@ -89,18 +90,18 @@
 		sent := now
 		now += rapid.Float64Range(0, 15).Draw(t, "there")
 		o, err := m.Report(now, Report{Node: n.name, Incarnation: n.life, InForce: n.number, Lease: lease, Validated: n.looked, Paused: n.paused,
-			Rejection: map[bool]string{true: "line 1: it does not suit"}[n.refuses && n.looked != ""]})
+			Rejection: map[bool]string{true: "line 1: it does not suit"}[n.rejects && n.looked != ""]})
 		require.NoError(t, err)
 		now += rapid.Float64Range(0, 15).Draw(t, "back")
 		if lost {
 			return
 		}
-		n.follow(o, sent, lease, planted)
+		n.follow(o, sent, lease, injected)
 	}
 	for range rapid.IntRange(5, 60).Draw(t, "steps") {
 		now += rapid.Float64Range(0, 200).Draw(t, "ms")
 		n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
-		for _, other := range nodes { // most of them report often
+		for _, other := range nodes { // most of them report frequently
 			if !other.down && !other.stopped && rapid.IntRange(0, 2).Draw(t, "reports") > 0 {
 				report(other, false)
 			}
@@ -111,27 +112,27 @@
 				report(n, rapid.IntRange(0, 7).Draw(t, "lost") == 0)
 			}
 		case 4, 5, 6: // a call
-			if n.judges(now, planted) {
-				calls = append(calls, judged{n.number, now})
+			if n.admits(now, injected) {
+				calls = append(calls, admittedCall{n.number, now})
 			}
 		case 7:
 			proposed++
 			o := m.Propose(now, Proposal{ID: fmt.Sprint("p", proposed), Text: fmt.Sprint("doc ", proposed), Base: m.Number(), By: "x"})
 			again := m.Propose(now, Proposal{ID: fmt.Sprint("p", proposed), Text: "another", Base: 99})
-			assert.Equal(t, o, again, "proposed again, it gets its outcome")
+			assert.Equal(t, o, again, "proposing it again returns its outcome")
 		case 8:
 			if rapid.Bool().Draw(t, "cut") {
 				n.partitioned = !n.partitioned
 			} else {
 				n.stopped = !n.stopped
 			}
-		default: // killed, or started again without any state
+		default: // killed, or restarted without any state
 			if n.down = !n.down; !n.down {
-				*n = node{name: n.name, life: n.life + 1, fresh: true, refuses: rapid.IntRange(0, 9).Draw(t, "refuses") == 0}
+				*n = node{name: n.name, life: n.life + 1, fresh: true, rejects: rapid.IntRange(0, 9).Draw(t, "refuses") == 0}
 			}
 		}
 		before := m.Number()
-		if rapid.IntRange(0, 5).Draw(t, "image") == 0 { // another leader goes on
+		if rapid.IntRange(0, 5).Draw(t, "image") == 0 { // another leader continues from the image
 			text, err := m.Freeze()()
 			require.NoError(t, err)
 			other := New()
@@ -143,8 +144,8 @@
 	return calls, m
 }
 
-// numbersNeverFall reports whether no call began under a number once one had begun under a later one.
-func numbersNeverFall(calls []judged) bool {
+// numbersNeverDecrease reports whether no call began under a number after a call had begun under a later one.
+func numbersNeverDecrease(calls []admittedCall) bool {
 	for i := 1; i < len(calls); i++ {
 		if calls[i].number < calls[i-1].number {
 			return false
@@ -153,33 +154,33 @@
 	return true
 }
 
-// TestNoCallBeginsUnderAnOlderNumber guards, over random histories of members that report, hang, die, come back and lose answers, against a
-// call that begins under a number once one has begun under the next.
+// TestNoCallBeginsUnderAnOlderNumber runs random histories of members that report, hang, crash, restart and lose
+// answers. It guards against a call that begins under a number after a call has begun under the next number.
 func TestNoCallBeginsUnderAnOlderNumber(t *testing.T) {
 	changed := 0
 	rapid.Check(t, func(t *rapid.T) {
-		calls, m := play(t, sound)
-		assert.True(t, numbersNeverFall(calls), "%v", calls)
+		calls, m := runHistory(t, noFault)
+		assert.True(t, numbersNeverDecrease(calls), "%v", calls)
 		changed += int(m.Number())
 	})
-	assert.Greater(t, changed, 20, "hardly anything changed: nothing was tested")
+	assert.Greater(t, changed, 20, "too few changes were activated for a meaningful test")
 }
 
-// TestPlantedFaultsAreCaught guards against a check that finds nothing.
+// TestPlantedFaultsAreCaught guards against a check that detects nothing.
 func TestPlantedFaultsAreCaught(t *testing.T) {
-	for _, planted := range []mutant{ignoresExpiry, longerLease, activatesEarly, judgesUnasked} {
+	for _, injected := range []mutant{ignoresExpiry, longerLease, activatesEarly, admitsUnasked} {
 		caught := false
 		for seed := 1; seed < 4000 && !caught; seed++ {
-			caught = !numbersNeverFall(rapid.Custom(func(t *rapid.T) []judged {
-				calls, _ := play(t, planted)
+			caught = !numbersNeverDecrease(rapid.Custom(func(t *rapid.T) []admittedCall {
+				calls, _ := runHistory(t, injected)
 				return calls
 			}).Example(seed))
 		}
-		assert.True(t, caught, planted)
+		assert.True(t, caught, injected)
 	}
 }
 
-// reporter returns a function that reports to a machine for leases of 1 s.
+// reporter returns a function that sends reports with leases of 1 s to a machine.
 func reporter(t *testing.T, m *Machine) func(now float64, r Report) Order {
 	t.Helper()
 	return func(now float64, r Report) Order {
@@ -190,8 +191,8 @@
 	}
 }
 
-// TestRejectedChangesHaveNoEffect guards against a document that one member rejects and others activate, two operators who both win, a
-// change that waits for ever, and a refusal that does not say why.
+// TestRejectedChangesHaveNoEffect guards against a document that one member rejects and others activate, two
+// concurrent proposals that both succeed, a change that waits forever, and a rejection without a reason.
 func TestRejectedChangesHaveNoEffect(t *testing.T) {
 	m := New()
 	report := reporter(t, m)
@@ -211,11 +212,11 @@
 	assert.Zero(t, report(900, Report{Node: "a", Validated: "3", Paused: "3"}).Lease)
 	got := report(1008, Report{Node: "a", Validated: "3", Paused: "3"}) // the lease of b has expired
 	assert.Equal(t, uint64(1), got.Number)
-	assert.Zero(t, got.Lease, "it must activate the number first")
+	assert.Zero(t, got.Lease, "the member must activate the number first")
 	assert.Contains(t, m.Propose(1009, Proposal{ID: "4", Text: "w", Base: 0, By: "bob"}).Reason, "number 1 of ann has come between")
 	assert.Equal(t, 1000.0, report(1010, Report{Node: "a", InForce: 1}).Lease)
 	m.Propose(1011, Proposal{ID: "5", Text: "v", Base: 1})
-	for at := 1100.0; at < 20000; at += 500 { // a is live and never validates
+	for at := 1100.0; at < 20000; at += 500 { // a is live but never validates
 		report(at, Report{Node: "a", InForce: 1})
 	}
 	o, _ = m.Outcome("5")
@@ -225,8 +226,9 @@
 	require.Error(t, err)
 }
 
-// TestMemberWithoutLeaseBlocksAChangeUntilDeclaredDead guards against a change that is agreed while a member that goes on without a lease is
-// unreachable, or that is not agreed once it is declared dead.
+// TestMemberWithoutLeaseBlocksAChangeUntilDeclaredDead guards against a change that is activated while a member
+// that admits calls without a lease is unreachable, and against one that is not activated once that member is
+// declared dead.
 func TestMemberWithoutLeaseBlocksAChangeUntilDeclaredDead(t *testing.T) {
 	m := New()
 	report := reporter(t, m)
@@ -242,8 +244,8 @@
 	assert.Equal(t, uint64(1), report(14002, Report{Node: "a", Validated: "1", Paused: "1"}).Number)
 }
 
-// TestMemberThatStartsInThePauseIsNotWaitedFor guards against a change that waits for a process whose first report comes in the pause, or
-// lets it judge calls meanwhile.
+// TestMemberThatStartsInThePauseIsNotWaitedFor guards against a change that waits for a process whose first report
+// arrives during the pause, or that lets such a process handle calls during the pause.
 func TestMemberThatStartsInThePauseIsNotWaitedFor(t *testing.T) {
 	m := New()
 	report := reporter(t, m)
@@ -255,8 +257,9 @@
 	assert.Equal(t, uint64(1), report(5, Report{Node: "b"}).Number)
 }
 
-// TestValidatesThoughActivationFails guards against a member that cannot activate the number in force, and therefore validates no document
-// that is proposed to replace it: no change could end while it is there.
+// TestValidatesThoughActivationFails guards against a member that cannot activate the number in force and
+// therefore does not validate the documents that are proposed to replace it: no change could complete while that
+// member is live.
 func TestValidatesThoughActivationFails(t *testing.T) {
 	h := NewLeaseHolder("a", 1, 1000, false)
 	assert.Equal(t, Step{Activate: true, Number: 2}, h.ApplyOrder(0, Order{Number: 2, Change: "p", Stage: Validating}))
@@ -264,12 +267,12 @@
 	assert.Equal(t, Step{Look: "p"}, h.ApplyOrder(1, Order{Number: 2, Change: "p", Stage: Validating}))
 	assert.Zero(t, h.RecordValidation("p", false, nil))
 	assert.Equal(t, "p", h.Report().Validated)
-	assert.Equal(t, Step{Activate: true, Number: 2}, h.ApplyOrder(2, Order{Number: 2, Change: "p", Stage: Validating}), "the number in force is tried again")
+	assert.Equal(t, Step{Activate: true, Number: 2}, h.ApplyOrder(2, Order{Number: 2, Change: "p", Stage: Validating}), "activation of the number in force is retried")
 	assert.False(t, h.Admits(3))
 }
 
-// TestReportsQuicklyBeforeThePause guards against a pause as long as the interval of the slowest report: when few members have not validated
-// yet, all report quickly.
+// TestReportsQuicklyBeforeThePause guards against a pause that lasts as long as the longest interval between
+// reports: when only few members have not validated yet, all members must report frequently.
 func TestReportsQuicklyBeforeThePause(t *testing.T) {
 	h := NewLeaseHolder("a", 1, 1000, false)
 	h.RecordValidation("p", false, nil)
@@ -289,8 +292,9 @@
 	assert.True(t, o.PauseNear)
 }
 
-// TestHintsNeverLetCallsBegin guards against a hint that lets calls begin, or for longer than orders have; one that does not save the reports
-// which would only learn the same; and a member that gets the same hint again and again and reports each time at once.
+// TestHintsNeverLetCallsBegin guards against a hint that admits calls, or admits them for longer than the orders
+// do; against a hint that does not save the reports whose answers would contain the same information; and against
+// a member that reports at once each time it receives the same hint.
 func TestHintsNeverLetCallsBegin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, now, change := NewLeaseHolder("n", 1, 1000, rapid.Bool().Draw(t, "goes on")), 0.0, rapid.SampledFrom([]string{"", "p", "q"})
@@ -319,8 +323,8 @@
 	assert.Greater(t, s.Wait, 300.0)
 	assert.Equal(t, Progress{0, "", "p", Validating}, h.Known())
 	assert.Equal(t, Step{Pause: validationInterval}, h.ApplyHint(h.Known()))
-	assert.Equal(t, Step{}, h.ApplyHint(Progress{0, "", "q", Pausing}), "it has not validated that one")
-	assert.Equal(t, Step{}, h.ApplyHint(Progress{1, "", "", ""}), "it has not paused")
+	assert.Equal(t, Step{}, h.ApplyHint(Progress{0, "", "q", Pausing}), "the member has not validated that proposal")
+	assert.Equal(t, Step{}, h.ApplyHint(Progress{1, "", "", ""}), "the member has not paused")
 	assert.True(t, h.Admits(2))
 	assert.Equal(t, Step{Paused: true}, h.ApplyHint(Progress{0, "", "p", Pausing}))
 	assert.Equal(t, "p", h.Report().Paused)
@@ -330,11 +334,11 @@
 	assert.Equal(t, Step{Pause: pauseInterval}, h.ApplyHint(h.Known()))
 	assert.Equal(t, Step{Activate: true, Number: 1, Hash: "x"}, h.ApplyHint(Progress{1, "x", "", ""}))
 	assert.False(t, h.Admits(4))
-	assert.Equal(t, Step{}, h.ApplyHint(Progress{0, "", "", ""}), "it was refused: an order renews the lease")
+	assert.Equal(t, Step{}, h.ApplyHint(Progress{0, "", "", ""}), "the change was rejected: only an order renews the lease")
 }
 
-// TestReportDoesNotScanAllMembers guards against a report that looks at every other member: the cost of a fleet's reports would grow with
-// the square of its size.
+// TestReportDoesNotScanAllMembers guards against a report that checks every other member: the cost of all reports
+// would grow with the square of the size of the fleet.
 func TestReportDoesNotScanAllMembers(t *testing.T) {
 	machineOf := func(members int) (m *Machine, reportAgain func()) {
 		m = New()
@@ -358,8 +362,9 @@
 	assert.LessOrEqual(t, testing.AllocsPerRun(100, reportAgain), testing.AllocsPerRun(100, reportToFew), "while a change is validated")
 }
 
-// TestChangeIsRefusedWhenAMemberDoesNotPause guards against calls that are paused for ever by a member that goes on without a lease, has
-// validated and then does not pause: the change is refused, names it, and the old number stays in force.
+// TestChangeIsRefusedWhenAMemberDoesNotPause guards against calls that stay paused forever because a member that
+// admits calls without a lease has validated a change but does not pause: the change must be rejected with the
+// name of that member, and the old number must stay in force.
 func TestChangeIsRefusedWhenAMemberDoesNotPause(t *testing.T) {
 	m := New()
 	report := reporter(t, m)
--- a/internal/node/rollout/query.go
+++ b/internal/node/rollout/query.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Outcome returns the state of a proposal; false = it is not known, or too long ago.
+// Outcome returns the state of a proposal; false = the proposal is unknown or no longer remembered.
 func (m *Machine) Outcome(id string) (Outcome, bool) {
 	if m.change != nil && m.change.ID == id {
 		return Outcome{ID: id, Stage: m.change.Stage}, true
@@ -29,8 +29,8 @@
 	return m.change.ID
 }
 
-// FindDocument returns a document by its number, or by the ID of its proposal if that is not empty: one that was in force, or that of the
-// change in progress.
+// FindDocument returns a document by its number or, if id is not empty, by the ID of its proposal. The document is
+// one that is or was in force, or that of the change in progress.
 func (m *Machine) FindDocument(number uint64, id string) (Document, bool) {
 	if id != "" && m.change != nil && m.change.ID == id {
 		return m.change.Document, true
@@ -41,7 +41,7 @@
 	return Document{}, false
 }
 
-// hash returns the hash of the document in force, "" = there is none.
+// hash returns the hash of the document in force; "" = none.
 func (m *Machine) hash() string {
 	if n := len(m.docs); n > 0 {
 		return m.docs[n-1].Hash
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// Progress returns how far the rollout is.
+// Progress returns the progress of the rollout.
 func (m *Machine) Progress() Progress {
 	p := Progress{Number: m.number, Hash: m.hash()}
 	if m.change != nil {
@@ -58,7 +58,7 @@
 	return p
 }
 
-// View returns what operators see.
+// View returns the state of the rollout for operators, without the texts of documents.
 func (m *Machine) View() View {
 	v := View{Number: m.number, Members: []Member{}, History: []Document{}, Ended: slices.Clone(m.outcomes)}
 	if m.change != nil {
@@ -80,12 +80,13 @@
 type image struct {
 	Number   uint64     `json:"number"`
 	Docs     []Document `json:"docs"`
-	Members  []Member   `json:"members"` // by node and incarnation
+	Members  []Member   `json:"members"` // sorted by node and incarnation
 	Change   *Change    `json:"change"`
 	Outcomes []Outcome  `json:"outcomes"`
 }
 
-// Freeze captures the state and returns the function that encodes it, at any time and on any goroutine.
+// Freeze captures the state and returns a function that encodes it. That function may run at any time and on any
+// goroutine.
 func (m *Machine) Freeze() func() (json.RawMessage, error) {
 	i := image{Number: m.number, Docs: slices.Clone(m.docs), Outcomes: slices.Clone(m.outcomes),
 		Members: slices.SortedFunc(maps.Values(m.members), func(a, b Member) int {
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -511,7 +511,7 @@
 		return err
 	}
 	// Its own log may have reached the same limit: then its status alone tells that it ended by its own will.
-	if !strings.Contains(string(log), "the disk fails: this keeper votes no more") && p.find(n).process.Exit().Code != 1 {
+	if !strings.Contains(string(log), "disk write failed: replica stops and no longer votes") && p.find(n).process.Exit().Code != 1 {
 		return errors.New("a keeper whose disk is full does not say so")
 	}
 	p.counts.add("met: a keeper that left for its disk")
--- a/node/policy.go
+++ b/node/policy.go
@@ -24,7 +24,7 @@
 		}
 		first()
 	}
-	return gate.New(gate.Settings{Name: n.conf.Name, Lease: o.Lease.Ms, MaxWait: o.Hold.Ms, WithoutLease: o.Without == "go-on", Ready: heard},
+	return gate.New(gate.Settings{Name: n.conf.Name, Lease: o.Lease.Ms, MaxWait: o.Hold.Ms, WithoutLease: o.Without == "go-on", OnReady: heard},
 		policyLog{n.peers}, policyNode{n}, n.clock, log)
 }
 
