--- a/internal/node/consensus/client/session.go
+++ b/internal/node/consensus/client/session.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// tryNextNumber is nextNumber without the wait: if no number is free, it returns a channel that is closed when to
-// try again.
+// tryNextNumber is nextNumber without the wait: if no number is free, it returns a channel that is closed once it is
+// worth retrying.
 func (s *session) tryNextNumber() (number uint64, freed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -165,8 +165,8 @@
 	return context.WithTimeout(ctx, time.Duration(g.settings.Lease*1e6))
 }
 
-// step sends one report and follows the order. It returns the time until the next report, in ms; 0 = at once, and
-// the time for which to wait for a hint instead, in ms; 0 = do not wait for a hint.
+// step sends one report and follows the order. pause is the time until the next report, in ms; 0 = at once. wait is
+// the time for which to wait for a hint before that report instead, in ms; 0 = do not wait for a hint.
 func (g *Gate) step(ctx context.Context) (pause, wait float64) {
 	sent := g.clock.Now()
 	ctx, cancel := g.requestContext(ctx)
