--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -123,7 +123,7 @@
 	}
 	assert.Contains(t, rescue(0, "new", "a"), "Nothing was done")
 	assert.Greater(t, upTo(rescue(0, "new", "a")), upTo(rescue(0, "new", "c")))
-	assert.Contains(t, rescue(1, "old", "a", "-yes"), "needs another name")
+	assert.Contains(t, rescue(1, "old", "a", "-yes"), "needs a different name from the lost one")
 	rescue(0, "wrong", "c", "-yes") // the one that holds less is gone on with by mistake
 	stop := start("wrong", "c")
 	mistaken := client.New(client.Config{Fleet: "wrong", Name: "test", Replicas: set.Replicas, AttemptTimeout: time.Second})
@@ -131,7 +131,7 @@
 	require.NoError(t, err)
 	mistaken.Close()
 	assert.Contains(t, string(reply.Body), `"Brno"`, "what was agreed last is missing, and it was told so")
-	assert.Contains(t, start("wrong", "a")(), `it is "a" of "old"`, "what holds more is not thrown away for it")
+	assert.Contains(t, start("wrong", "a")(), `directory is of replica "a" of fleet "old"`, "what holds more is not thrown away for it")
 	stop()
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "c")))
 	said := rescue(0, "new", "a", "-yes") // under a third name all is there
@@ -147,7 +147,7 @@
 	r, err := now.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), "Brno again")
-	assert.Contains(t, start("new", "b")(), `it is "b" of "old"`, "a folder of the fleet before")
+	assert.Contains(t, start("new", "b")(), `directory is of replica "b" of fleet "old"`, "a folder of the fleet before")
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
 	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Kind: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
--- a/cmd/linenwheel/policy_test.go
+++ b/cmd/linenwheel/policy_test.go
@@ -69,7 +69,7 @@
 	long := write("long.toml", strings.Repeat("# <>\n", 1<<20/5))
 	call(1, "refused, nothing has changed: it has 1048575 bytes, 131072 at the most", "policy", "propose", long)
 	escaped := write("escaped.toml", strings.Repeat("# <<<<<<<\n", 10000)) // one that grows on its way
-	call(1, "nothing has changed: policy: refused: a request has", "policy", "propose", escaped)
+	call(1, "nothing has changed: policy: refused: request is larger than 262144 bytes", "policy", "propose", escaped)
 	call(2, "has 1048575 bytes", "policy", "check", "-config", write("c.json", good), long)
 
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "a", Address: address}}, AttemptTimeout: lookEvery * 20})
