--- a/cmd/linenwheel-keep/main_test.go
+++ b/cmd/linenwheel-keep/main_test.go
@@ -89,15 +89,15 @@
 	var founders []statemachine.Member
 	for _, k := range set.Replicas {
 		stops = append(stops, start("old", k.Name))
-		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, protocol.Request{Want: protocol.Status}).ID, Name: k.Name, Address: k.Address})
+		founders = append(founders, statemachine.Member{ID: ask("old", k.Name, protocol.Request{Kind: protocol.Status}).ID, Name: k.Name, Address: k.Address})
 	}
 	for _, k := range set.Replicas {
-		ask("old", k.Name, protocol.Request{Want: protocol.Found, Members: founders, Now: 1e12})
+		ask("old", k.Name, protocol.Request{Kind: protocol.Bootstrap, Members: founders, Now: 1e12})
 	}
 	old := client.New(set)
 	_, err := old.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Brno"})
 	require.NoError(t, err)
-	index, image, err := old.Copy(ctx)
+	index, image, err := old.Backup(ctx)
 	require.NoError(t, err)
 	copied := filepath.Join(dir, "copy")
 	require.NoError(t, backup.Write(copied, "old", index, image))
@@ -123,7 +123,7 @@
 	}
 	assert.Contains(t, rescue(0, "new", "a"), "Nothing was done")
 	assert.Greater(t, upTo(rescue(0, "new", "a")), upTo(rescue(0, "new", "c")))
-	assert.Contains(t, rescue(1, "old", "a", "-yes"), "needs another name")
+	assert.Contains(t, rescue(1, "old", "a", "-yes"), "needs a different name from the lost one")
 	rescue(0, "wrong", "c", "-yes") // the one that holds less is gone on with by mistake
 	stop := start("wrong", "c")
 	mistaken := client.New(client.Config{Fleet: "wrong", Name: "test", Replicas: set.Replicas, AttemptTimeout: time.Second})
@@ -131,7 +131,7 @@
 	require.NoError(t, err)
 	mistaken.Close()
 	assert.Contains(t, string(reply.Body), `"Brno"`, "what was agreed last is missing, and it was told so")
-	assert.Contains(t, start("wrong", "a")(), `it is "a" of "old"`, "what holds more is not thrown away for it")
+	assert.Contains(t, start("wrong", "a")(), `directory is of replica "a" of fleet "old"`, "what holds more is not thrown away for it")
 	stop()
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "c")))
 	said := rescue(0, "new", "a", "-yes") // under a third name all is there
@@ -140,19 +140,19 @@
 	defer start("new", "a")()
 	now := client.New(client.Config{Fleet: "new", Name: "test", Replicas: set.Replicas, AttemptTimeout: 10 * time.Second})
 	defer now.Close()
-	index, image, err = now.Copy(ctx)
+	index, image, err = now.Backup(ctx)
 	require.NoError(t, err)
 	running := filepath.Join(dir, "copy-of-new")
 	require.NoError(t, backup.Write(running, "new", index, image))
 	r, err := now.Read(ctx, statemachine.ComponentRegister, statemachine.Get{Name: "city"})
 	require.NoError(t, err)
 	assert.Contains(t, string(r.Body), "Brno again")
-	assert.Contains(t, start("new", "b")(), `it is "b" of "old"`, "a folder of the fleet before")
+	assert.Contains(t, start("new", "b")(), `directory is of replica "b" of fleet "old"`, "a folder of the fleet before")
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "b")))
 	defer start("new", "b")()
-	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Want: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
+	fresh := statemachine.Member{ID: ask("new", "b", protocol.Request{Kind: protocol.Status}).ID, Name: "b", Address: set.Replicas[1].Address}
 	require.NoError(t, now.Change(ctx, protocol.AddLearner, fresh))
-	for ctx.Err() == nil && ask("new", "b", protocol.Request{Want: protocol.Status}).Applied == 0 {
+	for ctx.Err() == nil && ask("new", "b", protocol.Request{Kind: protocol.Status}).Applied == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	_, err = now.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "city", Value: "Praha"})
--- a/internal/node/consensus/client/golden_test.go
+++ b/internal/node/consensus/client/golden_test.go
@@ -18,11 +18,11 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// randomNumber matches the number of a command that opens a session.
+// randomNumber matches the random number of a command that opens a session.
 var randomNumber = regexp.MustCompile(`"n":\d{10,}`)
 
-// TestRequestsAreThoseOfAnEarlierBuild guards against a client whose handshake or requests, of any kind, have changed on the wire, or that
-// cannot read an answer with every field set.
+// TestRequestsAreThoseOfAnEarlierBuild guards against a change on the wire of the client's handshake or of any
+// kind of request, and against a client that cannot read an answer with a complete reply.
 func TestRequestsAreThoseOfAnEarlierBuild(t *testing.T) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -69,7 +69,7 @@
 	defer stop()
 	want := statemachine.Reply{Code: statemachine.OK, Text: "t", Body: json.RawMessage(`"Y29weQ=="`), Index: 12}
 	for range 2 {
-		r, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b", Was: new(uint64(3))})
+		r, err := c.Do(ctx, statemachine.ComponentRegister, statemachine.Set{Name: "a", Value: "b", ExpectedNumber: new(uint64(3))})
 		require.NoError(t, err)
 		require.Equal(t, want, r)
 	}
@@ -79,12 +79,12 @@
 	r, err = c.Wait(ctx, statemachine.ComponentPolicy, statemachine.PolicyQuestion{Progress: true}, "known")
 	require.NoError(t, err)
 	require.Equal(t, want, r)
-	index, image, err := c.Copy(ctx)
+	index, image, err := c.Backup(ctx)
 	require.NoError(t, err)
 	require.Equal(t, uint64(12), index)
 	require.Equal(t, "copy", string(image))
 	for _, change := range []string{protocol.AddLearner, protocol.Remove} {
-		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, Speaks: 2}))
+		require.NoError(t, c.Change(ctx, change, statemachine.Member{ID: 5, Name: "keeper-2", Address: "h:1", Role: statemachine.Learner, Replaces: 4, Starts: 1, ReadsVersion: 2}))
 	}
 	c.Close()
 	require.NoError(t, <-served)
--- a/internal/node/consensus/replica/clients_test.go
+++ b/internal/node/consensus/replica/clients_test.go
@@ -18,8 +18,8 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// TestClientReplacesAnEvictedSession guards against a client that goes on with a session that those of others evicted: none of its
-// commands would be applied any more.
+// TestClientReplacesAnEvictedSession guards against a client that continues to use a session that was evicted by
+// those of other clients: none of its commands would be applied any more.
 func TestClientReplacesAnEvictedSession(t *testing.T) {
 	config := startFleet(t, 1, 1500, nil)
 	c := client.New(config)
@@ -30,7 +30,7 @@
 	for i := range 16 {
 		wait.Go(func() {
 			for j := range statemachine.MaxSessions / 16 {
-				open := protocol.Request{Want: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
+				open := protocol.Request{Kind: protocol.Do, Number: uint64(1 + i*1000 + j), Body: []byte(`{"name":"another"}`)}
 				for t.Context().Err() == nil {
 					if _, err := client.Call(t.Context(), config, config.Replicas[0], open); err == nil {
 						break
@@ -45,7 +45,7 @@
 	assert.Equal(t, statemachine.OK, r.Code, r.Text)
 }
 
-// rawClient is a connection of a client, whose requests arrive in the order in which they are sent.
+// rawClient is a client connection on which requests arrive in the order in which they are sent.
 type rawClient struct {
 	t    *testing.T
 	raw  *transport.Conn
@@ -67,7 +67,7 @@
 }
 
 func (c *rawClient) longPoll(known rollout.Progress) uint64 {
-	return c.send(protocol.Request{Want: protocol.Wait, Component: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{Progress: true}), Known: encode(known)})
+	return c.send(protocol.Request{Kind: protocol.LongPoll, Component: statemachine.ComponentPolicy, Body: encode(statemachine.PolicyQuestion{Progress: true}), Known: encode(known)})
 }
 
 func (c *rawClient) receive() (answer protocol.Answer) {
@@ -77,8 +77,9 @@
 	return answer
 }
 
-// TestLongPollAnswersOnceTheAnswerChanges guards against a long poll that is not answered once the answer has changed; one that costs an
-// entry, or is answered without a change; more than one on a connection; and a client that does not get the answer.
+// TestLongPollAnswersOnceTheAnswerChanges guards against a long poll that is not answered when the answer has
+// changed, is answered without a change, or creates a log entry; against more than one long poll on a connection;
+// and against a client that does not receive the answer.
 func TestLongPollAnswersOnceTheAnswerChanges(t *testing.T) {
 	config := startFleet(t, 1, 1500, nil)
 	c := client.New(config)
@@ -94,7 +95,7 @@
 	}
 	_, err := wait(ctx, rollout.Progress{})
 	require.ErrorContains(t, err, "no connection")
-	propose := func(number uint64) rollout.Progress { // no node has to validate it: it is active at once
+	propose := func(number uint64) rollout.Progress { // there is no node that has to validate it, so it is activated at once
 		p := rollout.Proposal{ID: fmt.Sprint(number), Text: fmt.Sprint(number), Base: number - 1, By: "test"}
 		_, err := c.Do(ctx, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &p})
 		require.NoError(t, err)
@@ -103,20 +104,20 @@
 	first := propose(1)
 	now, err := wait(ctx, rollout.Progress{})
 	require.NoError(t, err)
-	assert.Equal(t, first, now, "the answer differs at once")
+	assert.Equal(t, first, now, "the answer differs from the beginning")
 
 	one := connect(t, config, config.Replicas[0])
-	one.send(protocol.Request{Want: protocol.Status})
+	one.send(protocol.Request{Kind: protocol.Status})
 	before, last := one.receive().State.Committed, one.longPoll(first)
 	for range 100 {
 		earlier := last
 		last = one.longPoll(first)
 		answer := one.receive()
 		require.Equal(t, earlier, answer.ID)
-		require.Equal(t, protocol.Later, answer.Fault)
+		require.Equal(t, protocol.RetryLater, answer.Fault)
 	}
-	one.send(protocol.Request{Want: protocol.Status})
-	assert.Less(t, one.receive().State.Committed, before+50, "they cost no entries")
+	one.send(protocol.Request{Kind: protocol.Status})
+	assert.Less(t, one.receive().State.Committed, before+50, "long polls create no log entries")
 	second := propose(2)
 	answer := one.receive()
 	assert.Equal(t, last, answer.ID)
@@ -130,7 +131,8 @@
 	propose(3) // on the same connection
 }
 
-// TestLongPollEndsWhereThereIsNoLeader guards against a client that waits in vain at a replica that does not lead, or not any more.
+// TestLongPollEndsWhereThereIsNoLeader guards against a client whose long poll waits on a replica that is not, or
+// no longer, the leader.
 func TestLongPollEndsWhereThereIsNoLeader(t *testing.T) {
 	config := startFleet(t, 3, 1500, nil)
 	c := client.New(config)
@@ -143,13 +145,13 @@
 	for !lost {
 		for _, to := range config.Replicas {
 			one := connect(t, config, to)
-			one.send(protocol.Request{Want: protocol.Status})
+			one.send(protocol.Request{Kind: protocol.Status})
 			state := one.receive().State
 			waits := one.longPoll(rollout.Progress{})
-			status := one.send(protocol.Request{Want: protocol.Status})
+			status := one.send(protocol.Request{Kind: protocol.Status})
 			answer := one.receive()
-			if answer.ID == waits { // it does not lead
-				require.Contains(t, []string{protocol.Elsewhere, protocol.Nobody, protocol.Later}, answer.Fault)
+			if answer.ID == waits { // the replica is not the leader
+				require.Contains(t, []string{protocol.NotLeader, protocol.NoLeader, protocol.RetryLater}, answer.Fault)
 				elsewhere++
 				continue
 			}
@@ -160,7 +162,7 @@
 			require.NoError(t, c.Change(ctx, protocol.Remove, statemachine.Member{ID: state.ID, Name: state.Name}))
 			answer = one.receive()
 			require.Equal(t, waits, answer.ID)
-			assert.Equal(t, protocol.Later, answer.Fault)
+			assert.Equal(t, protocol.RetryLater, answer.Fault)
 			assert.Contains(t, answer.Text, "lead")
 			lost = true
 		}
--- a/internal/node/statemachine/register.go
+++ b/internal/node/statemachine/register.go
@@ -15,27 +15,27 @@
 	MaxValueBytes = 4096
 )
 
-// Value is the value of a name.
+// Value is a name with its value.
 type Value struct {
 	Name   string  `json:"name"`
 	Value  string  `json:"value"`
-	Number uint64  `json:"number"` // index of the entry that set it; 0 = the name has no value
+	Number uint64  `json:"number"` // index of the entry that set the value; 0 = the name has no value
 	At     float64 `json:"at"`     // cluster time, ms
 }
 
-// Set is the body of a command that sets a value. An empty one deletes the name.
+// Set is the body of a command that sets a value. An empty value deletes the name.
 type Set struct {
-	Name  string  `json:"name"`
-	Value string  `json:"value"`
-	Was   *uint64 `json:"was,omitempty"` // compare and set: apply it only if this is the number of the present value
+	Name           string  `json:"name"`
+	Value          string  `json:"value"`
+	ExpectedNumber *uint64 `json:"was,omitempty"` // compare and set: apply only if the current value has this number
 }
 
-// Get is the body of a query: for one name, or for all if it is empty.
+// Get is the body of a query for one name, or for all names if Name is empty.
 type Get struct {
 	Name string `json:"name,omitempty"`
 }
 
-// register maps names to small values. Operators and tests see by it that the log works.
+// register maps names to small values. Operators and tests use it to verify that the log works.
 type register struct{ values map[string]Value }
 
 func newRegister() *register { return &register{values: map[string]Value{}} }
@@ -44,14 +44,14 @@
 func (r *register) Apply(index uint64, now float64, _ uint64, body json.RawMessage) Reply {
 	var s Set
 	if err := json.Unmarshal(body, &s); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	current := r.values[s.Name]
 	current.Name = s.Name
 	switch {
 	case s.Name == "" || len(s.Name) > maxNameBytes || len(s.Value) > MaxValueBytes:
-		return Reply{Code: Faulty, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", maxNameBytes, MaxValueBytes)}
-	case s.Was != nil && *s.Was != current.Number:
+		return Reply{Code: Invalid, Text: fmt.Sprintf("a name has 1 to %d bytes, a value %d at the most", maxNameBytes, MaxValueBytes)}
+	case s.ExpectedNumber != nil && *s.ExpectedNumber != current.Number:
 		return Reply{Code: Conflict, Text: fmt.Sprintf("number %d holds", current.Number), Body: encode(current)}
 	case s.Value != "" && current.Number == 0 && len(r.values) >= MaxNames:
 		return Reply{Code: Full, Text: fmt.Sprintf("%d names are held", len(r.values))}
@@ -70,7 +70,7 @@
 func (r *register) Query(body json.RawMessage) Reply {
 	var g Get
 	if err := json.Unmarshal(body, &g); err != nil {
-		return Reply{Code: Faulty, Text: err.Error()}
+		return Reply{Code: Invalid, Text: err.Error()}
 	}
 	if g.Name != "" {
 		v := r.values[g.Name]
--- a/internal/node/wal/segments_test.go
+++ b/internal/node/wal/segments_test.go
@@ -9,10 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-var form = Form{Magic: "lwtest", Prefix: "test"}
+var form = Format{Magic: "lwtest", Prefix: "test"}
 
-// Guards against a folder that other users may read, a second process in it, and a record lost or taken twice where one
-// segment follows another. What a journal does with cuts and failures is in internal/node/idempotency/journal.
+// TestOnDisk guards against a folder that other users can read or that two processes use at once, and against a
+// record that is lost or read twice at the boundary between two segments. Truncated files and failed writes are
+// tested in internal/node/idempotency/journal.
 func TestOnDisk(t *testing.T) {
 	disk := Disk{Path: filepath.Join(t.TempDir(), "new", "folder")}
 	require.NoError(t, disk.Make())
@@ -25,12 +26,12 @@
 	require.ErrorIs(t, err, ErrInUse)
 	require.NoError(t, lock.Close())
 	ended := []string{}
-	w := Writer{Folder: disk, Form: form, Header: []byte("head"), Most: 60, Synced: true, Number: 7,
-		Ended: func(_ int, name string) { ended = append(ended, name) }}
+	w := Writer{Folder: disk, Format: form, Header: []byte("head"), MaxBytes: 60, Synced: true, Number: 7,
+		OnEnd: func(_ int, name string) { ended = append(ended, name) }}
 	for i := range byte(9) {
 		require.NoError(t, w.Write(Append(nil, func(b []byte) []byte { return append(b, i) })))
 	}
-	require.NoError(t, w.Cut())
+	require.NoError(t, w.EndSegment())
 	read := []byte{}
 	for _, name := range ended {
 		text, err := disk.Read(name)
--- a/lab/circle/play.go
+++ b/lab/circle/play.go
@@ -186,7 +186,7 @@
 			set := statemachine.Set{Name: a.Name, Value: a.Value}
 			if a.Based = luck.IntN(3) == 0; a.Based {
 				a.Was = seen[a.Name]
-				set.Was = &a.Was
+				set.ExpectedNumber = &a.Was
 			}
 			r, err = log.Do(ctx, statemachine.ComponentRegister, set)
 		}
@@ -416,7 +416,7 @@
 		switch {
 		case have < 0:
 			_, _ = client.Call(p.ctx, p.settings("rig"), client.Replica{Name: lead.Name, Address: p.find(lead.Name).address},
-				protocol.Request{Want: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
+				protocol.Request{Kind: protocol.AddLearner, Members: []statemachine.Member{m}}) // it is tried again
 		case lead.Members[have].Role != statemachine.Learner: // to wait on would be for ever
 			return fmt.Errorf("%s stands still and has learnt nothing, and its role is %q", n, lead.Members[have].Role)
 		default:
@@ -511,7 +511,7 @@
 		return err
 	}
 	// Its own log may have reached the same limit: then its status alone tells that it ended by its own will.
-	if !strings.Contains(string(log), "the disk fails: this keeper votes no more") && p.find(n).process.Exit().Code != 1 {
+	if !strings.Contains(string(log), "disk write failed: replica stops and no longer votes") && p.find(n).process.Exit().Code != 1 {
 		return errors.New("a keeper whose disk is full does not say so")
 	}
 	p.counts.add("met: a keeper that left for its disk")
@@ -611,7 +611,7 @@
 				return
 			}
 			a, err := client.Call(p.ctx, p.look(), client.Replica{Name: n, Address: p.find(n).address},
-				protocol.Request{Want: protocol.Picture})
+				protocol.Request{Kind: protocol.LocalRegister})
 			if err != nil { // it is slow to answer: the look is made again
 				p.counts.add("met: a keeper that was slow to answer")
 				break
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -200,7 +200,7 @@
 	}
 	if !told {
 		secret := make([]byte, 32)
-		n.do("begun", statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Life: n.process, Secret: secret}), within, heard)
+		n.do("begun", statemachine.ComponentCalls, statemachine.ProcessStartCommand(statemachine.ProcessStart{Node: n.name, Incarnation: n.process, Secret: secret}), within, heard)
 		return
 	}
 	n.read("look", statemachine.ComponentCalls, statemachine.Lookup{Name: make([]byte, 16)}, within, heard)
@@ -239,8 +239,8 @@
 	for i := range name {
 		name[i], print[i] = byte(n.w.luck.Uint32()), byte(n.w.luck.Uint32())
 	}
-	take := statemachine.ClaimCommand(statemachine.Claim{Name: name, Print: print, Tenant: fmt.Sprint("partner-", c.Partner), Answered: 60000, Doubt: 60000,
-		Run: claim + 5000, Node: n.name, Life: n.process, Token: token})
+	take := statemachine.ClaimCommand(statemachine.Claim{Name: name, Fingerprint: print, Tenant: fmt.Sprint("partner-", c.Partner), AnsweredWindow: 60000, InDoubtWindow: 60000,
+		RunTimeout: claim + 5000, Node: n.name, Incarnation: n.process, Token: token})
 	n.do("name", statemachine.ComponentCalls, take, takeLimit, func(r *statemachine.Reply) {
 		var o statemachine.ClaimReply
 		if r == nil {
@@ -315,7 +315,7 @@
 			n.restPolicy(n.policy.RetryAfter())
 			return
 		}
-		s := n.policy.Obey(asked, o)
+		s := n.policy.ApplyOrder(asked, o)
 		if s.Known {
 			n.got(&n.policed)
 		}
@@ -329,7 +329,7 @@
 				if !unseen {
 					n.looked = d.Hash
 				}
-				n.restPolicy(n.policy.Saw(s.Look, unseen, nil))
+				n.restPolicy(n.policy.RecordValidation(s.Look, unseen, nil))
 			})
 		case s.Wait > 0:
 			n.hint(n.w.now+n.around(s.Wait), s.Pause)
@@ -351,7 +351,7 @@
 // takePolicy has a number in force, whose document it has looked at or asks for.
 func (n *node) takePolicy(s rollout.Step) {
 	took := func() {
-		n.policy.Activated(s.Number, s.Hash)
+		n.policy.RecordActivation(s.Number, s.Hash)
 		n.w.result.Counts["met: a policy taken"]++
 		n.renewPolicy()
 	}
@@ -370,7 +370,7 @@
 
 // hint waits for one, until a report is due; one that was lost is not waited for until then.
 func (n *node) hint(due, pause float64) {
-	r := protocol.Request{Want: protocol.Wait, Component: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{Progress: true}), Known: body(n.policy.Known())}
+	r := protocol.Request{Kind: protocol.LongPoll, Component: statemachine.ComponentPolicy, Body: body(statemachine.PolicyQuestion{Progress: true}), Known: body(n.policy.Known())}
 	a := &asking{node: n, life: n.life, word: "wait", request: r, began: n.w.now}
 	a.done = func(r *statemachine.Reply) {
 		var news rollout.Progress
@@ -378,7 +378,7 @@
 			n.restPolicy(pause)
 			return
 		}
-		if s := n.policy.Observe(news); s.Activate {
+		if s := n.policy.ApplyHint(news); s.Activate {
 			n.takePolicy(s)
 		} else {
 			n.restPolicy(s.Pause)
@@ -413,9 +413,9 @@
 			n.read("propose", statemachine.ComponentPolicy, statemachine.PolicyQuestion{Outcome: id}, endLimit, func(r *statemachine.Reply) {
 				var o rollout.Outcome
 				switch {
-				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Looking || o.Stage == rollout.Pausing:
+				case r == nil || json.Unmarshal(r.Body, &o) != nil || o.Stage == rollout.Validating || o.Stage == rollout.Pausing:
 					n.after(lookingPause, again)
-				case o.Stage == rollout.Agreed:
+				case o.Stage == rollout.Activated:
 					n.w.result.Took = n.w.now - began
 				default:
 					n.w.fault("the change of policy was refused: %s", o.Reason)
@@ -436,14 +436,14 @@
 
 // do has a command agreed.
 func (n *node) do(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	a := n.make(word, protocol.Request{Want: protocol.Do, Component: part, Body: body(v)}, within, done)
+	a := n.make(word, protocol.Request{Kind: protocol.Do, Component: part, Body: body(v)}, within, done)
 	a.command = true
 	n.enter(a)
 }
 
 // read asks a question.
 func (n *node) read(word, part string, v any, within float64, done func(*statemachine.Reply)) {
-	n.make(word, protocol.Request{Want: protocol.Read, Component: part, Body: body(v)}, within, done).send()
+	n.make(word, protocol.Request{Kind: protocol.Read, Component: part, Body: body(v)}, within, done).send()
 }
 
 func (n *node) make(word string, r protocol.Request, within float64, done func(*statemachine.Reply)) *asking {
@@ -478,7 +478,7 @@
 		return
 	}
 	n.opening = true
-	r := protocol.Request{Want: protocol.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
+	r := protocol.Request{Kind: protocol.Do, Number: n.w.luck.Uint64()>>1 | 1, Body: body(statemachine.Opening{Name: n.name})}
 	n.make("session", r, lostWait, func(r *statemachine.Reply) {
 		n.opening = false
 		waiting := n.openers
@@ -660,7 +660,7 @@
 	if a.over || n.life != a.life || a.tries != this {
 		return
 	}
-	if a.request.Want == protocol.Wait { // whoever asks something next finds another
+	if a.request.Kind == protocol.LongPoll { // whoever asks something next finds another
 		a.end()
 		a.done(nil)
 		return
@@ -681,31 +681,31 @@
 	}
 	from := n.at
 	switch {
-	case a.request.Want == protocol.Wait:
+	case a.request.Kind == protocol.LongPoll:
 		a.end()
 		a.done(answer.Reply)
-	case answer.Fault == protocol.Refused:
+	case answer.Fault == protocol.Rejected:
 		n.w.fault("%s: %s was refused: %s", n.name, a.word, answer.Text)
 		a.fail()
 	case answer.Fault != "":
-		if answer.Fault == protocol.Elsewhere {
+		if answer.Fault == protocol.NotLeader {
 			n.w.result.Counts["met: another keeper leads"]++
 		}
-		elsewhere := answer.Fault == protocol.Elsewhere || answer.Leader != ""
+		elsewhere := answer.Fault == protocol.NotLeader || answer.Leader != ""
 		n.turn(from, answer.Leader)
 		if elsewhere && a.tries <= 2 {
 			a.send()
 		} else {
 			a.again()
 		}
-	case answer.Reply.Code == statemachine.Lost && a.command:
+	case answer.Reply.Code == statemachine.SessionLost && a.command:
 		n.giveUp(a.request.Session)
 		n.enter(a)
 	default:
 		a.end()
 		took := n.w.now - a.began
 		if n.w.count && a.word != "propose" {
-			if a.request.Want == protocol.Do {
+			if a.request.Kind == protocol.Do {
 				n.w.agreed = append(n.w.agreed, took)
 				if !n.fresh {
 					n.w.settled = append(n.w.settled, took)
--- a/lab/circle/virtual/nodes.go
+++ b/lab/circle/virtual/nodes.go
@@ -81,7 +81,7 @@
 // takeOver has a further process take the node's place: this one answers what it has, for a while.
 func (n *node) takeOver() {
 	w := n.w
-	if n.life == 0 || n.heir != nil || w.members[0].group == nil || w.members[0].group.State().Members().Speaks() < 2 {
+	if n.life == 0 || n.heir != nil || w.members[0].group == nil || w.members[0].group.State().Members().WritableVersion() < 2 {
 		return
 	}
 	w.counts["fault: a node taken over"]++
@@ -181,7 +181,7 @@
 			l.done++
 			delete(l.told, l.done)
 		}
-		if r.Code != statemachine.Lost {
+		if r.Code != statemachine.SessionLost {
 			then(r, agreed)
 			return
 		}
--- a/lab/life/life.go
+++ b/lab/life/life.go
@@ -406,16 +406,16 @@
 			r, err := p.log.Do(one, statemachine.ComponentPolicy, statemachine.PolicyCommand{Propose: &proposal}) // again, it tells what became of it
 			stop()
 			var o rollout.Outcome
-			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == rollout.Agreed || o.Stage == rollout.Refused) {
+			if err == nil && json.Unmarshal(r.Body, &o) == nil && (o.Stage == rollout.Activated || o.Stage == rollout.Rejected) {
 				p.mu.Lock()
 				p.result.Changes[string(o.Stage)]++
 				for i := range p.brief {
-					if p.brief[i].to.IsZero() && o.Stage == rollout.Agreed && windows != "1s" {
+					if p.brief[i].to.IsZero() && o.Stage == rollout.Activated && windows != "1s" {
 						p.brief[i].to = time.Now()
 					}
 				}
 				p.mu.Unlock()
-				if o.Stage == rollout.Agreed {
+				if o.Stage == rollout.Activated {
 					number = o.Number
 				}
 				break
@@ -614,11 +614,11 @@
 			err = json.Unmarshal(reply.Body, &held)
 		}
 		out := false
-		for _, o := range held.Out {
+		for _, o := range held.Cordoned {
 			out = out || o == rater
 		}
 		if err != nil || out != (do == "suspend") {
-			p.wrong("orders lost", "%s was told yes to %s of %s, and holds %v (%v)", node, do, rater, held.Out, err)
+			p.wrong("orders lost", "%s was told yes to %s of %s, and holds %v (%v)", node, do, rater, held.Cordoned, err)
 		}
 	}
 	sort.Strings(r.Broken)
