--- a/internal/node/dispatch/dispatcher_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -169,8 +169,8 @@
 		first     Outcome
 		late      float64 // after the first send
 		permitted bool
-	}{{decide.Keyed, Reset, 299, true}, {decide.Keyed, Reset, 300, false}, {decide.Keyed, NoConnect, 300, true},
-		{decide.Safe, Reset, 300, true}, {decide.Unsafe, NoConnect, 300, true}} {
+	}{{decide.Keyed, Reset, 299, true}, {decide.Keyed, Reset, 300, false}, {decide.Keyed, ConnectFailed, 300, true},
+		{decide.Safe, Reset, 300, true}, {decide.Unsafe, ConnectFailed, 300, true}} {
 		clk := clock.NewManual(epoch)
 		p, err := New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 3},
 			Classes: []decide.Class{{Name: "alert", Effect: c.effect, KeyTTL: 300 * time.Millisecond, Target: time.Second, Deadline: 2 * time.Second,
--- a/internal/node/dispatch/types.go
+++ b/internal/node/dispatch/types.go
@@ -7,19 +7,19 @@
 
 // The outcomes.
 const (
-	Served    Outcome = iota // a complete response
-	Failed                   // an error response; it may have run
-	Declined                 // rejected by the host for overload; it never ran
-	Late                     // no response in time; it may have run
-	NoConnect                // the connection failed before the last byte went out; it never ran
-	Reset                    // the connection broke after that; it may have run
-	Cancelled                // given up because it was cancelled; it may have run
-	Unsent                   // its last byte never went out, through no fault of the host: cancelled, out of time or out of memory
-	Rejected                 // the host finds fault with the request itself; it may have run
+	Served        Outcome = iota // a complete response
+	Failed                       // an error response; it may have run
+	Declined                     // rejected by the host for overload; it never ran
+	TimedOut                     // no response in time; it may have run
+	ConnectFailed                // the connection failed before the last byte went out; it never ran
+	Reset                        // the connection broke after that; it may have run
+	Cancelled                    // given up because it was cancelled; it may have run
+	NotSent                      // its last byte never went out, through no fault of the host: cancelled, out of time or out of memory
+	Rejected                     // the host finds fault with the request itself; it may have run
 )
 
 var balancerResults = [...]decide.Result{Served: decide.Good, Failed: decide.Failed, Declined: decide.Full,
-	Late: decide.Late, NoConnect: decide.NoConnect, Reset: decide.Reset, Cancelled: decide.Cancelled, Unsent: decide.NotSent,
+	TimedOut: decide.Late, ConnectFailed: decide.NoConnect, Reset: decide.Reset, Cancelled: decide.Cancelled, NotSent: decide.NotSent,
 	Rejected: decide.Rejected}
 
 // Status is the listed state of a host.
--- a/internal/node/upstream/connpool/body_test.go
+++ b/internal/node/upstream/connpool/body_test.go
@@ -39,9 +39,9 @@
 	}{
 		"reset":                      {size, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.Reset},
 		"called off":                 {size, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.Cancelled},
-		"out of time":                {size, func(b *bench, _ net.Conn, _ chan struct{}) { b.clock.Advance(1e9) }, dispatch.Late},
-		"called off before the last": {size - 1, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.Unsent},
-		"reset before the last":      {size - 1, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.NoConnect},
+		"out of time":                {size, func(b *bench, _ net.Conn, _ chan struct{}) { b.clock.Advance(1e9) }, dispatch.TimedOut},
+		"called off before the last": {size - 1, func(_ *bench, _ net.Conn, off chan struct{}) { close(off) }, dispatch.NotSent},
+		"reset before the last":      {size - 1, func(_ *bench, host net.Conn, _ chan struct{}) { reset(t, host) }, dispatch.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -27,12 +27,12 @@
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	open, closed := make(chan struct{}), make(chan struct{})
 	close(closed)
-	assert.Equal(t, dispatch.NoConnect, p.unsent(errors.New("refused"), 1000, open))
-	assert.Equal(t, dispatch.NoConnect, p.unsent(slow, 2000, open), "it had its full time")
-	assert.Equal(t, dispatch.Unsent, p.unsent(slow, 1000, open))
-	assert.Equal(t, dispatch.Unsent, p.unsent(context.Canceled, 2000, closed), "it has not run")
+	assert.Equal(t, dispatch.ConnectFailed, p.unsent(errors.New("refused"), 1000, open))
+	assert.Equal(t, dispatch.ConnectFailed, p.unsent(slow, 2000, open), "it had its full time")
+	assert.Equal(t, dispatch.NotSent, p.unsent(slow, 1000, open))
+	assert.Equal(t, dispatch.NotSent, p.unsent(context.Canceled, 2000, closed), "it has not run")
 	o, _ := p.Relay(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
-	assert.Equal(t, dispatch.Unsent, o, "no connection is allowed at all")
+	assert.Equal(t, dispatch.NotSent, o, "no connection is allowed at all")
 }
 
 // Guards against requests given to connections that are dead after a time shorter than the settings name, against
@@ -94,7 +94,7 @@
 	require.False(t, owed)
 	require.True(t, permitted)
 	o, _ := p.Relay(h, call, 2000, make(chan struct{}))
-	assert.Equal(t, dispatch.Unsent, o)
+	assert.Equal(t, dispatch.NotSent, o)
 	assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 }
 
@@ -117,7 +117,7 @@
 	p, h := silent(t, clock.NewManual(1000))
 	for range 2 {
 		o, _ := p.Relay(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, Stands: func() bool { return false }}, 2000, make(chan struct{}))
-		assert.Equal(t, dispatch.Unsent, o)
+		assert.Equal(t, dispatch.NotSent, o)
 		assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 	}
 }
@@ -129,7 +129,7 @@
 	taken := []*conn{{pool: p, host: h}, {pool: p, host: h}}
 	p.open, p.to[h] = 2, 2
 	o, _ := p.Relay(h, &core.Call{}, 2000, make(chan struct{}))
-	assert.Equal(t, dispatch.Unsent, o)
+	assert.Equal(t, dispatch.NotSent, o)
 	assert.Equal(t, map[string]Use{"h": {2, 0}}, p.Uses())
 	for _, c := range taken {
 		c.release()
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -260,7 +260,7 @@
 			require.NoError(t, raw.CloseWrite())
 			b.arrived(raw)
 			call, ended := b.attempt("2", client)
-			assert.Equal(t, result{dispatch.Unsent, ""}, <-ended)
+			assert.Equal(t, result{dispatch.NotSent, ""}, <-ended)
 			assert.True(t, call.HasLeft())
 			assert.Equal(t, map[string]connpool.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 			close(b.free)
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -379,7 +379,7 @@
 		if whole() {
 			return dispatch.Reset, nil
 		}
-		return dispatch.NoConnect, nil
+		return dispatch.ConnectFailed, nil
 	}
 	if s, ok := about.(Silent); ok && s.Silent() {
 		return p.silent(c, whole), nil
@@ -393,9 +393,9 @@
 			case e.whole: // it ended the connection after an answer
 				done <- e
 			case errors.Is(err, errHost): // the last byte never went out
-				return dispatch.NoConnect, nil
+				return dispatch.ConnectFailed, nil
 			default:
-				return dispatch.Unsent, nil
+				return dispatch.NotSent, nil
 			}
 		}
 		if more > 0 {
@@ -408,18 +408,18 @@
 	case e = <-done:
 	case <-off:
 		if e = c.giveUp(done); !e.whole {
-			return cut(whole, dispatch.Unsent, dispatch.Cancelled), nil
+			return cut(whole, dispatch.NotSent, dispatch.Cancelled), nil
 		}
 	case <-late:
 		if e = c.giveUp(done); !e.whole {
-			return cut(whole, dispatch.NoConnect, dispatch.Late), nil
+			return cut(whole, dispatch.ConnectFailed, dispatch.TimedOut), nil
 		}
 	}
 	if e.err != nil {
 		broke = errors.Is(e.err, errBroken) && p.clock.Now()-sent < p.limits.Load().Wear.Quick
 		c.net.Close()
 		if !whole() {
-			return dispatch.NoConnect, nil
+			return dispatch.ConnectFailed, nil
 		}
 		return p.unread(host, e.err), nil
 	}
@@ -442,7 +442,7 @@
 	c.disarm()
 	now := whole()
 	if p.put(c, now); !now && !whole() { // closed, its last byte never goes out
-		return dispatch.NoConnect
+		return dispatch.ConnectFailed
 	}
 	return dispatch.Served
 }
@@ -470,18 +470,18 @@
 		select {
 		case <-off:
 			c.giveUp(done)
-			return nil, nil, dispatch.Unsent, nil
+			return nil, nil, dispatch.NotSent, nil
 		default:
 		}
 		left := int(until - p.clock.Now()) // never more than there is
 		if left <= 0 {
 			c.giveUp(done)
-			return nil, nil, dispatch.Unsent, nil
+			return nil, nil, dispatch.NotSent, nil
 		}
 		back := func() (*conn, any, dispatch.Outcome, error) {
 			c.disarm()
 			p.put(c, true)
-			return nil, nil, dispatch.Unsent, nil
+			return nil, nil, dispatch.NotSent, nil
 		}
 		if !call.Standing() { // the node stood still for longer than its claim: another may have it
 			return back()
@@ -505,7 +505,7 @@
 		}
 		c.giveUp(done)
 		if c.since == 0 {
-			return nil, nil, dispatch.NoConnect, nil
+			return nil, nil, dispatch.ConnectFailed, nil
 		}
 	}
 }
@@ -544,14 +544,14 @@
 func (p *Pool) unsent(err error, until float64, off <-chan struct{}) dispatch.Outcome {
 	select {
 	case <-off:
-		return dispatch.Unsent
+		return dispatch.NotSent
 	default:
 	}
 	var timeout net.Error
 	if errors.Is(err, errFull) || errors.As(err, &timeout) && timeout.Timeout() && p.clock.Now() >= until-1 {
-		return dispatch.Unsent
+		return dispatch.NotSent
 	}
-	return dispatch.NoConnect
+	return dispatch.ConnectFailed
 }
 
 // giveUp closes a connection whose relay ends. An answer that came in the same moment is returned.
