--- a/cmd/linenwheel-etcd/soak_test.go
+++ b/cmd/linenwheel-etcd/soak_test.go
@@ -54,7 +54,7 @@
 	require.NoError(t, err)
 	o.Inventory.Trust, o.Inventory.Etcd.Agent, o.Inventory.Guard.Share, o.Inventory.Guard.Floor = []string{"etcd"}, addr, 1, 0
 	steps := 0
-	src, err := node.NewSources(conf, &o, slog.New(slog.DiscardHandler), func(dispatch.Source, []dispatch.Host) { steps++ })
+	src, err := node.NewSources(conf, &o, slog.New(slog.DiscardHandler), func(dispatch.ListKind, []dispatch.Host) { steps++ })
 	require.NoError(t, err)
 	work.Go(func() { src.Run(ctx) })
 	has := func() map[string]string {
--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -67,7 +67,7 @@
 }
 
 // sources begins to follow the sources of the options. stop ends that.
-func (s *shell) sources(give func(dispatch.Source, []dispatch.Host)) (src *node.Sources, stop func(), err error) {
+func (s *shell) sources(give func(dispatch.ListKind, []dispatch.Host)) (src *node.Sources, stop func(), err error) {
 	conf, file, faults := s.load()
 	if len(faults) > 0 {
 		return nil, nil, faults
@@ -100,7 +100,7 @@
 }
 
 func (s *shell) showInventory(asJSON bool) error {
-	src, stop, err := s.sources(func(dispatch.Source, []dispatch.Host) {})
+	src, stop, err := s.sources(func(dispatch.ListKind, []dispatch.Host) {})
 	if err != nil {
 		return err
 	}
@@ -288,11 +288,11 @@
 
 func (s *shell) watchInventory() error {
 	steps := make(chan string, 1024)
-	_, stop, err := s.sources(func(kind dispatch.Source, list []dispatch.Host) {
-		word := map[dispatch.Source]string{dispatch.Changes: "changes", dispatch.Full: "whole list", dispatch.Stored: "list from before"}[kind]
+	_, stop, err := s.sources(func(kind dispatch.ListKind, list []dispatch.Host) {
+		word := map[dispatch.ListKind]string{dispatch.Delta: "changes", dispatch.Full: "whole list", dispatch.Stored: "list from before"}[kind]
 		text := fmt.Sprintf("%s  %s, %d hosts", time.Now().UTC().Format("15:04:05.000"), word, len(list))
 		for _, h := range list {
-			if kind == dispatch.Changes {
+			if kind == dispatch.Delta {
 				text += fmt.Sprintf("\n    %s  %s", h.Name, describe(h))
 			}
 		}
--- a/internal/node/dispatch/dispatcher_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -101,7 +101,7 @@
 	p, c, lines := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
 	q := open(p)
 	first := q.Pick()
-	p.SetHosts(Changes, []Host{{Name: "h", Zone: "z", Kind: "k", Status: Draining},
+	p.SetHosts(Delta, []Host{{Name: "h", Zone: "z", Kind: "k", Status: Draining},
 		{Name: "g", Zone: "z", Kind: "k", Status: Removed}})
 	c.Advance(501)
 	for _, name := range []string{"h", "g"} {
@@ -139,7 +139,7 @@
 // Guards against one unknown entry making the list unusable, and against two hosts with one id.
 func TestUnknownZoneIsIgnoredAndIDsAreUnique(t *testing.T) {
 	p, _, lines := newTestDispatcher(t, Host{Name: "h", Address: "a"})
-	p.SetHosts(Changes, []Host{{Name: "x", Zone: "nowhere", Kind: "k"}, {Name: "g", Zone: "z", Kind: "k"}})
+	p.SetHosts(Delta, []Host{{Name: "x", Zone: "nowhere", Kind: "k"}, {Name: "g", Zone: "z", Kind: "k"}})
 	assert.Len(t, *lines, 1)
 	assert.Len(t, p.hosts, 2)
 	p.hosts[p.newID("new")] = &host{}
@@ -152,10 +152,10 @@
 	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
 	entry := func(name string, status Status) Host { return Host{Name: name, Zone: "z", Kind: "k", Status: status} }
 	for _, name := range []string{"x", "y", "z"} {
-		p.SetHosts(Changes, []Host{entry(name, Ready)})
-		p.SetHosts(Changes, []Host{entry(name, Removed)})
+		p.SetHosts(Delta, []Host{entry(name, Ready)})
+		p.SetHosts(Delta, []Host{entry(name, Removed)})
 	}
-	p.SetHosts(Changes, []Host{entry("w", Ready)})
+	p.SetHosts(Delta, []Host{entry("w", Ready)})
 	p.SetHosts(Full, []Host{entry("v", Ready)})
 	assert.Len(t, p.hosts, 1)
 	assert.Len(t, p.hostIDs, 1)
--- a/internal/node/dispatch/hosts.go
+++ b/internal/node/dispatch/hosts.go
@@ -18,9 +18,9 @@
 
 // SetHosts applies an update of the endpoint list. Hosts of a zone or kind that the settings do not name are ignored and
 // logged.
-func (d *Dispatcher) SetHosts(from Source, hosts []Host) {
+func (d *Dispatcher) SetHosts(from ListKind, hosts []Host) {
 	d.update(func(now float64) {
-		if from != Changes {
+		if from != Delta {
 			inList := map[string]bool{}
 			for i := range hosts {
 				inList[hosts[i].Name] = true
@@ -46,7 +46,7 @@
 					"first", unknown[:min(len(unknown), maxLoggedHosts)])
 			})
 		}
-		d.balancer.List(toDuration(now), listKinds[from], entries)
+		d.balancer.List(toDuration(now), balancerListKinds[from], entries)
 		for i := range hosts {
 			if hosts[i].Status == Removed {
 				d.removeHost(hosts[i].Name)
--- a/internal/node/dispatch/memory_test.go
+++ b/internal/node/dispatch/memory_test.go
@@ -21,7 +21,7 @@
 			q.Report(v.Relay, map[bool]Outcome{true: ConnectFailed, false: Served}[v.Host == a], nil)
 		}
 	}
-	p.SetHosts(Changes, []Host{{Name: "d", Zone: "z", Kind: "k", Status: Draining}})
+	p.SetHosts(Delta, []Host{{Name: "d", Zone: "z", Kind: "k", Status: Draining}})
 	m := p.Remember()
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
--- a/internal/node/dispatch/state_test.go
+++ b/internal/node/dispatch/state_test.go
@@ -32,12 +32,12 @@
 				if len(listed) > 0 {
 					gone := listed[0]
 					gone.Status, listed = Removed, listed[1:]
-					p.SetHosts(Changes, []Host{gone})
+					p.SetHosts(Delta, []Host{gone})
 				}
 			case 2:
 				odd := host()
 				odd.Zone = "another"
-				p.SetHosts(Changes, []Host{odd, {Name: "never seen", Status: Removed}})
+				p.SetHosts(Delta, []Host{odd, {Name: "never seen", Status: Removed}})
 			}
 			for range rapid.IntRange(0, 20).Draw(r, "requests") {
 				q := p.Open(Request{Tenant: -1, Deadline: c.Now() + 900})
--- a/internal/node/dispatch/types.go
+++ b/internal/node/dispatch/types.go
@@ -44,17 +44,17 @@
 	Since                     float64 // milliseconds; when its process started; 0 = long ago
 }
 
-// Source tells how an endpoint list is to be read.
-type Source uint8
+// ListKind tells how an endpoint list is to be read.
+type ListKind uint8
 
 // The kinds of list.
 const (
-	Changes Source = iota // only the entries that changed
-	Full                  // every host
-	Stored                // every host as the node knew it last, possibly stale
+	Delta  ListKind = iota // only the entries that changed
+	Full                   // every host
+	Stored                 // every host as the node knew it last, possibly stale
 )
 
-var listKinds = [...]decide.EndpointsKind{Changes: decide.EndpointsDelta, Full: decide.EndpointsFull, Stored: decide.EndpointsStored}
+var balancerListKinds = [...]decide.EndpointsKind{Delta: decide.EndpointsDelta, Full: decide.EndpointsFull, Stored: decide.EndpointsStored}
 
 // Request is what the balancer has to know of a request.
 type Request struct {
--- a/internal/node/endpoints/cordon/ban.go
+++ b/internal/node/endpoints/cordon/ban.go
@@ -34,9 +34,9 @@
 }
 
 // Take notes what the sources give, the whole list or what has changed, and returns it as the module is to see it.
-func (b *Book) Take(from dispatch.Source, list []dispatch.Host) []dispatch.Host {
+func (b *Book) Take(from dispatch.ListKind, list []dispatch.Host) []dispatch.Host {
 	b.make()
-	if from != dispatch.Changes {
+	if from != dispatch.Delta {
 		clear(b.listed)
 	}
 	shown := list
--- a/internal/node/endpoints/cordon/ban_test.go
+++ b/internal/node/endpoints/cordon/ban_test.go
@@ -47,7 +47,7 @@
 				if listed[who] = h.Status != dispatch.Removed; !listed[who] {
 					delete(listed, who)
 				}
-				see(b.Take(dispatch.Changes, []dispatch.Host{h}))
+				see(b.Take(dispatch.Delta, []dispatch.Host{h}))
 			case 2, 3:
 				list, err := b.Suspend(who)
 				require.Equal(t, !listed[who] && !out[who], err != nil)
@@ -103,7 +103,7 @@
 	require.Empty(t, b.Fleet(6, []string{"a", "later"}))
 	_, err := b.Resume(7, "a")
 	require.ErrorIs(t, err, ErrFleet)
-	shown := b.Take(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
+	shown := b.Take(dispatch.Delta, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
 	require.Equal(t, dispatch.Draining, shown[0].Status)
 	_, err = b.Suspend("a")
 	require.NoError(t, err)
--- a/internal/node/endpoints/keeper.go
+++ b/internal/node/endpoints/keeper.go
@@ -22,8 +22,8 @@
 type Settings struct {
 	merge.Settings
 	Node string
-	Give func(dispatch.Source, []dispatch.Host) // gets each step, one after the other
-	Last func()                                 // called when the list has changed; may be nil
+	Give func(dispatch.ListKind, []dispatch.Host) // gets each step, one after the other
+	Last func()                                   // called when the list has changed; may be nil
 }
 
 // Keeper keeps the list. All of its methods may be called from any goroutine.
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -86,10 +86,10 @@
 }
 
 // give is between the keeper and the pilot.
-func (f *fleet) give(kind dispatch.Source, list []dispatch.Host) {
+func (f *fleet) give(kind dispatch.ListKind, list []dispatch.Host) {
 	f.mu.Lock()
 	now, before, truth := f.clock.Now(), maps.Clone(f.hosts), f.truth()
-	if kind != dispatch.Changes {
+	if kind != dispatch.Delta {
 		clear(f.hosts)
 	}
 	for _, h := range list {
--- a/internal/node/endpoints/merge/set.go
+++ b/internal/node/endpoints/merge/set.go
@@ -153,15 +153,15 @@
 	based    bool    // there is a later one
 
 	held  map[string]dispute
-	shift shift           // of all that is held
-	look  float64         // when the next second look is due; +Inf = never
-	pause float64         // from there to the one after it
-	open  bool            // it was told that something is held, and not yet that nothing is
-	now   float64         // when something was told last
-	sweep float64         // when the next sweep is due
-	kind  dispatch.Source // of the next step
-	dirty map[string]had  // what changed since the last one,
-	order []string        // in this order
+	shift shift             // of all that is held
+	look  float64           // when the next second look is due; +Inf = never
+	pause float64           // from there to the one after it
+	open  bool              // it was told that something is held, and not yet that nothing is
+	now   float64           // when something was told last
+	sweep float64           // when the next sweep is due
+	kind  dispatch.ListKind // of the next step
+	dirty map[string]had    // what changed since the last one,
+	order []string          // in this order
 	notes []Note
 }
 
@@ -855,12 +855,12 @@
 
 // Step gives what has changed since the last one, as the pilot takes it; false if nothing has. A step is the set as it
 // is now: what came and went in between does not show.
-func (s *Set) Step() (kind dispatch.Source, list []dispatch.Host, ok bool) {
+func (s *Set) Step() (kind dispatch.ListKind, list []dispatch.Host, ok bool) {
 	kind = s.kind
-	if kind == dispatch.Changes && len(s.order) == 0 || kind == dispatch.Full && !s.based {
+	if kind == dispatch.Delta && len(s.order) == 0 || kind == dispatch.Full && !s.based {
 		return kind, nil, false
 	}
-	if kind == dispatch.Changes {
+	if kind == dispatch.Delta {
 		for _, name := range s.order {
 			old := s.dirty[name]
 			if h, now := s.hosts[name]; now {
@@ -873,9 +873,9 @@
 	} else {
 		list = s.Hosts()
 	}
-	s.kind, s.order = dispatch.Changes, s.order[:0]
+	s.kind, s.order = dispatch.Delta, s.order[:0]
 	clear(s.dirty)
-	return kind, list, len(list) > 0 || kind != dispatch.Changes
+	return kind, list, len(list) > 0 || kind != dispatch.Delta
 }
 
 // Hosts is the whole list, by name.
--- a/internal/node/endpoints/merge/set_test.go
+++ b/internal/node/endpoints/merge/set_test.go
@@ -51,7 +51,7 @@
 
 func (p pilotLike) step(s *Set) {
 	kind, list, ok := s.Step()
-	if ok && kind != dispatch.Changes {
+	if ok && kind != dispatch.Delta {
 		clear(p)
 	}
 	for _, h := range list {
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -340,7 +340,7 @@
 			b.dialling = func() {
 				is.Status = c.change.Status
 				is.Address = cmp.Or(c.change.Address, is.Address)
-				module.SetHosts(dispatch.Changes, []dispatch.Host{is})
+				module.SetHosts(dispatch.Delta, []dispatch.Host{is})
 				b.clock.Advance(c.after)
 			}
 			call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
--- a/node/door.go
+++ b/node/door.go
@@ -82,7 +82,7 @@
 }
 
 // inventory takes news of the list: the module sees it without the raters that are out by hand.
-func (n *Node) inventory(from dispatch.Source, list []dispatch.Host) {
+func (n *Node) inventory(from dispatch.ListKind, list []dispatch.Host) {
 	n.orders.mu.Lock()
 	n.tell(from, n.orders.book.Take(from, list))
 	n.orders.mu.Unlock()
@@ -119,7 +119,7 @@
 		return err
 	}
 	if len(changed) > 0 {
-		n.tell(dispatch.Changes, changed)
+		n.tell(dispatch.Delta, changed)
 	}
 	if was == n.orders.book.Out(o.Rater) {
 		return nil // it was told before
@@ -137,7 +137,7 @@
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
 	if changed := n.orders.book.Fleet(n.clock.Now(), names); len(changed) > 0 {
-		n.tell(dispatch.Changes, changed)
+		n.tell(dispatch.Delta, changed)
 		n.log.Info("raters are out or back by the options", "out", len(names))
 	}
 }
@@ -242,7 +242,7 @@
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
 	if changed := n.orders.book.Recall(k.Bans); len(changed) > 0 {
-		n.tell(dispatch.Changes, changed)
+		n.tell(dispatch.Delta, changed)
 	}
 }
 
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -24,12 +24,12 @@
 // plain hands discovery's list to the pilot as it is. The guard is not asked: by the platform's rules a drain has been
 // told once discovery has written it, so one that is held would only be a rule broken later.
 type plain struct {
-	give func(dispatch.Source, []dispatch.Host)
+	give func(dispatch.ListKind, []dispatch.Host)
 }
 
 // Take passes a list on.
 func (p plain) Take(l discovery.List) error {
-	kind := dispatch.Changes
+	kind := dispatch.Delta
 	if l.Whole {
 		kind = dispatch.Full
 	}
@@ -97,7 +97,7 @@
 }
 
 // gather makes the list of the sources that the options name. Discovery is asked by watch, which has what all watches need.
-func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
+func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.ListKind, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
 	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
@@ -235,7 +235,7 @@
 }
 
 // NewSources makes the list, which give is handed in steps, one after the other, once Run is called.
-func NewSources(conf *Config, o *Options, log *slog.Logger, give func(dispatch.Source, []dispatch.Host)) (*Sources, error) {
+func NewSources(conf *Config, o *Options, log *slog.Logger, give func(dispatch.ListKind, []dispatch.Host)) (*Sources, error) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0") // the loop wants one; nobody is let in
 	if err != nil {
 		return nil, err
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -117,7 +117,7 @@
 }
 
 // tell gives a list to the pilots, each the hosts of its own fleet.
-func (n *Node) tell(from dispatch.Source, list []dispatch.Host) {
+func (n *Node) tell(from dispatch.ListKind, list []dispatch.Host) {
 	t := n.thrift
 	if t == nil {
 		if !n.opts.Load().South.Thrift.Cross && slices.ContainsFunc(list, needsThrift) {
