--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -253,7 +253,7 @@
 	call.markDispatched()
 	for {
 		switch verdict := call.ticket.Pick(); verdict.Kind {
-		case dispatch.Answer:
+		case dispatch.Respond:
 			c.drainVerdicts(call)
 			return Answer{Kind: Served, Payload: verdict.Payload}
 		case dispatch.Reject:
@@ -287,14 +287,14 @@
 func (c *Core) carryOut(call *Call, verdict dispatch.Action) {
 	switch verdict.Kind {
 	case dispatch.Send:
-		for len(call.cancels) <= verdict.Relay { // an attempt that a rule forbade has no verdict
+		for len(call.cancels) <= verdict.AttemptIndex { // an attempt that a rule forbade has no verdict
 			call.cancels = append(call.cancels, nil)
 		}
 		cancel := make(chan struct{})
-		call.cancels[verdict.Relay] = cancel
+		call.cancels[verdict.AttemptIndex] = cancel
 		go c.runAttempt(call, verdict, cancel)
 	case dispatch.Cancel:
-		close(call.cancels[verdict.Relay])
+		close(call.cancels[verdict.AttemptIndex])
 	}
 }
 
@@ -305,10 +305,10 @@
 		if err := recover(); err != nil {
 			c.log.Error("a carrier panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
 		}
-		used := call.ticket.Report(verdict.Relay, outcome, payload)
+		used := call.ticket.Report(verdict.AttemptIndex, outcome, payload)
 		if f, ok := payload.(Flowing); ok && !used {
 			f.Drop()
 		}
 	}()
-	outcome, payload = c.carrier.Relay(Host{Name: verdict.Host, Address: verdict.Address, Protocol: verdict.Speaks}, call, verdict.Until, cancel)
+	outcome, payload = c.carrier.Relay(Host{Name: verdict.Host, Address: verdict.Address, Protocol: verdict.Protocol}, call, verdict.Until, cancel)
 }
--- a/internal/node/dispatch/actions.go
+++ b/internal/node/dispatch/actions.go
@@ -34,8 +34,8 @@
 		return
 	}
 	t.openAttempts++
-	t.enqueue(Action{Kind: Send, Relay: n, Host: h.Name, Address: h.Address,
-		Speaks: h.Protocol, Until: toMillis(abandon)})
+	t.enqueue(Action{Kind: Send, AttemptIndex: n, Host: h.Name, Address: h.Address,
+		Protocol: h.Protocol, Until: toMillis(abandon)})
 }
 
 // Refuse queues a rejection.
@@ -62,7 +62,7 @@
 		return
 	}
 	t.attempts[n].cancelled = true
-	t.enqueue(Action{Kind: Cancel, Relay: n})
+	t.enqueue(Action{Kind: Cancel, AttemptIndex: n})
 }
 
 // Probe only logs: the module asks for no health check.
--- a/internal/node/dispatch/dispatcher_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -44,10 +44,10 @@
 	q := open(p)
 	v := q.Pick()
 	require.Equal(t, Action{Kind: Send, Host: "h", Address: "a:1", Until: epoch + 600}, v)
-	q.Report(v.Relay, Served, "body")
-	q.Report(v.Relay, Failed, nil) // a second report of one attempt is ignored
+	q.Report(v.AttemptIndex, Served, "body")
+	q.Report(v.AttemptIndex, Failed, nil) // a second report of one attempt is ignored
 	q.ClientLeft()
-	assert.Equal(t, Action{Kind: Answer, Payload: "body"}, q.Pick())
+	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, q.Pick())
 	assert.Equal(t, Action{Kind: Done, Ran: true}, q.Pick())
 	assert.Empty(t, p.tickets)
 }
@@ -74,7 +74,7 @@
 	gone.Report(0, Declined, nil)
 	p.update(func(float64) { actions{p}.Send(served.id, served.attempts[0].hostID, 0) })
 	served.Report(0, Served, "body")
-	assert.Equal(t, Action{Kind: Answer, Payload: "body"}, served.Pick())
+	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, served.Pick())
 	assert.Equal(t, Action{Kind: Done, Ran: true}, served.Pick())
 	gone.ClientLeft()
 	assert.Equal(t, Action{Kind: Done}, gone.Pick())
@@ -108,7 +108,7 @@
 		p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs[name], 0) })
 	}
 	assert.Len(t, *lines, 2)
-	q.Report(first.Relay, Declined, nil)
+	q.Report(first.AttemptIndex, Declined, nil)
 	assert.Equal(t, Reject, q.Pick().Kind, "nothing may have run and no host is left")
 	p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs["h"], 0) })
 	assert.Equal(t, Done, q.Pick().Kind)
@@ -182,7 +182,7 @@
 		clk.Advance(100)
 		_, permitted := q.May(v.Host, v.Address)
 		require.True(t, permitted, "the first attempt")
-		q.Report(v.Relay, c.first, nil)
+		q.Report(v.AttemptIndex, c.first, nil)
 		v = q.Pick()
 		require.Equal(t, Send, v.Kind)
 		clk.Advance(c.late - 100)
--- a/internal/node/dispatch/memory_test.go
+++ b/internal/node/dispatch/memory_test.go
@@ -18,7 +18,7 @@
 		q := open(p)
 		for v := q.Pick(); v.Kind == Send; v = q.Pick() {
 			c.Advance(5)
-			q.Report(v.Relay, map[bool]Outcome{true: ConnectFailed, false: Served}[v.Host == a], nil)
+			q.Report(v.AttemptIndex, map[bool]Outcome{true: ConnectFailed, false: Served}[v.Host == a], nil)
 		}
 	}
 	p.SetHosts(Delta, []Host{{Name: "d", Zone: "z", Kind: "k", Status: Draining}})
--- a/internal/node/dispatch/state_test.go
+++ b/internal/node/dispatch/state_test.go
@@ -51,9 +51,9 @@
 					out = append(out, q)
 				case 1:
 					q.ClientLeft()
-					q.Report(v.Relay, Cancelled, nil)
+					q.Report(v.AttemptIndex, Cancelled, nil)
 				default:
-					q.Report(v.Relay, []Outcome{2: Served, 3: Failed}[how], nil)
+					q.Report(v.AttemptIndex, []Outcome{2: Served, 3: Failed}[how], nil)
 				}
 			}
 			c.Advance(rapid.Float64Range(0, 300).Draw(r, "pass"))
--- a/internal/node/dispatch/ticket.go
+++ b/internal/node/dispatch/ticket.go
@@ -125,12 +125,12 @@
 func (t *Ticket) withdrawUnpicked() {
 	t.queue = slices.DeleteFunc(t.queue, func(v Action) bool {
 		if v.Kind == Send {
-			a := &t.attempts[v.Relay]
+			a := &t.attempts[v.AttemptIndex]
 			a.ended = true
 			t.openAttempts--
-			t.reportUnsent(v.Relay, true)
+			t.reportUnsent(v.AttemptIndex, true)
 		}
-		return v.Kind == Send || v.Kind == Cancel && t.attempts[v.Relay].ended
+		return v.Kind == Send || v.Kind == Cancel && t.attempts[v.AttemptIndex].ended
 	})
 }
 
@@ -168,7 +168,7 @@
 		t.openAttempts--
 		if o == Served && !t.done {
 			t.withdrawUnpicked()
-			t.enqueue(Action{Kind: Answer, Relay: n, Payload: payload})
+			t.enqueue(Action{Kind: Respond, AttemptIndex: n, Payload: payload})
 			used = true
 			t.finish()
 		}
--- a/internal/node/dispatch/types.go
+++ b/internal/node/dispatch/types.go
@@ -70,24 +70,24 @@
 
 // The kinds of verdict.
 const (
-	Send   Kind = iota // start attempt Verdict.Relay at the host, to be given up at Until, and report its end
-	Cancel             // cancel attempt Verdict.Relay, whose end must still be reported
-	Answer             // respond with Verdict.Payload, that of the attempt that served the request
-	Reject             // reject the request: a retry is safe, after Verdict.Wait if above 0
-	Fail               // respond that the request failed
-	Done               // nothing more will come
+	Send    Kind = iota // start attempt Verdict.Relay at the host, to be given up at Until, and report its end
+	Cancel              // cancel attempt Verdict.Relay, whose end must still be reported
+	Respond             // respond with Verdict.Payload, that of the attempt that served the request
+	Reject              // reject the request: a retry is safe, after Verdict.Wait if above 0
+	Fail                // respond that the request failed
+	Done                // nothing more will come
 )
 
 // Action is the next thing to do for a request. Each request gets exactly one of Answer, Reject and Fail, or none if its
 // client has left.
 type Action struct {
-	Kind    Kind
-	Relay   int     // index of the attempt, from 0
-	Host    string  // name of the host
-	Address string  // of the host
-	Speaks  string  // protocol of the host; empty = HTTP/1.1
-	Until   float64 // milliseconds; when the attempt is given up
-	Wait    float64 // milliseconds
-	Ran     bool    // with Reject, Fail and Done: the request may have run
-	Payload any
+	Kind         Kind
+	AttemptIndex int     // index of the attempt, from 0
+	Host         string  // name of the host
+	Address      string  // of the host
+	Protocol     string  // protocol of the host; empty = HTTP/1.1
+	Until        float64 // milliseconds; when the attempt is given up
+	Wait         float64 // milliseconds
+	Ran          bool    // with Reject, Fail and Done: the request may have run
+	Payload      any
 }
--- a/internal/node/dispatch/warmstart_test.go
+++ b/internal/node/dispatch/warmstart_test.go
@@ -41,9 +41,9 @@
 		}
 		c.Advance(map[bool]float64{true: 60, false: 15}[v.Host == "slow"])
 		if v.Host == dead {
-			q.Report(v.Relay, ConnectFailed, nil)
+			q.Report(v.AttemptIndex, ConnectFailed, nil)
 		} else {
-			q.Report(v.Relay, Served, nil)
+			q.Report(v.AttemptIndex, Served, nil)
 		}
 	}
 	c.Advance(5)
--- a/internal/node/endpoints/files_test.go
+++ b/internal/node/endpoints/files_test.go
@@ -93,7 +93,7 @@
 				look()
 				switch v.Kind {
 				case dispatch.Send:
-					q.Report(v.Relay, dispatch.Served, nil)
+					q.Report(v.AttemptIndex, dispatch.Served, nil)
 					if !known[v.Address] {
 						mu.Lock()
 						faults = append(faults, "a relay to "+v.Address)
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -134,7 +134,7 @@
 				f.fault("a relay to %s, %.0f ms after it was told to depart", v.Host, now-at)
 			}
 			f.mu.Unlock()
-			q.Report(v.Relay, dispatch.Served, nil)
+			q.Report(v.AttemptIndex, dispatch.Served, nil)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
