--- a/internal/node/core/call.go
+++ b/internal/node/core/call.go
@@ -9,18 +9,18 @@
 // Call is one request of a client. The exported fields are set by the server and must not change while the call is served; a
 // stage that wants to change one passes on a changed copy (Fork).
 type Call struct {
-	ID       string  // unique among the open calls
-	Class    int     // index in the settings' classes
-	Tenant   int     // index in the settings' tenants, -1 = none
-	Key      []byte  // idempotency key; nil = none
-	Deadline float64 // when the client gives up, milliseconds on the node's clock
-	Cost     float64 // expected work in seconds; 0 = not known
-	Repeat   bool    // it is a retry of the client
-	Caller   string  // authenticated caller; "" = none
-	Hops     int     // gateways it has passed
-	Alone    bool    // no other call is open on its client's connection
-	Payload  any     // the message, which only the server and the carrier can read
-	Client   any     // the client's connection, which only they can read; nil = none, as of a copy for several clients
+	ID          string  // unique among the open calls
+	Class       int     // index in the settings' classes
+	Tenant      int     // index in the settings' tenants, -1 = none
+	Key         []byte  // idempotency key; nil = none
+	Deadline    float64 // when the client gives up, milliseconds on the node's clock
+	Cost        float64 // expected work in seconds; 0 = not known
+	ClientRetry bool    // it is a retry of the client
+	Caller      string  // authenticated caller; "" = none
+	Hops        int     // gateways it has passed
+	Alone       bool    // no other call is open on its client's connection
+	Payload     any     // the message, which only the server and the carrier can read
+	Client      any     // the client's connection, which only they can read; nil = none, as of a copy for several clients
 
 	// Stands is asked before the first byte of an attempt: whether this node may still run the call. nil = it may.
 	Stands func() bool
@@ -120,7 +120,7 @@
 // decides what that means for the copy.
 func (c *Call) Fork() *Call {
 	return &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Cost: c.Cost,
-		Repeat: c.Repeat, Caller: c.Caller, Hops: c.Hops, Payload: c.Payload, Stands: c.Stands}
+		ClientRetry: c.ClientRetry, Caller: c.Caller, Hops: c.Hops, Payload: c.Payload, Stands: c.Stands}
 }
 
 // markDispatched records that the dispatcher has the call, and tells it if the client has left meanwhile.
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -249,7 +249,7 @@
 func (c *Core) dispatch(call *Call) Answer {
 	call.cancels = call.cancelBuffer[:0]
 	c.dispatcher.Begin(&call.ticket, dispatch.Request{Class: call.Class, Tenant: call.Tenant, Deadline: call.Deadline,
-		Cost: call.Cost, Repeat: call.Repeat})
+		Cost: call.Cost, ClientRetry: call.ClientRetry})
 	call.markDispatched()
 	for {
 		switch verdict := call.ticket.Pick(); verdict.Kind {
--- a/internal/node/dispatch/ticket.go
+++ b/internal/node/dispatch/ticket.go
@@ -48,7 +48,7 @@
 		}
 		d.tickets[t.id] = t
 		d.balancer.Request(toDuration(now), decide.Request{ID: t.id, Class: r.Class, Tenant: r.Tenant,
-			Deadline: toDuration(r.Deadline), Cost: r.Cost, Repeat: r.Repeat})
+			Deadline: toDuration(r.Deadline), Cost: r.Cost, Repeat: r.ClientRetry})
 	})
 }
 
--- a/internal/node/dispatch/types.go
+++ b/internal/node/dispatch/types.go
@@ -58,11 +58,11 @@
 
 // Request is what the balancer has to know of a request.
 type Request struct {
-	Class    int     // index in the settings' classes
-	Tenant   int     // index in the settings' tenants, -1 = none
-	Deadline float64 // milliseconds; when the client gives up
-	Cost     float64 // expected work in seconds; 0 = not known
-	Repeat   bool    // it is a retry of the client
+	Class       int     // index in the settings' classes
+	Tenant      int     // index in the settings' tenants, -1 = none
+	Deadline    float64 // milliseconds; when the client gives up
+	Cost        float64 // expected work in seconds; 0 = not known
+	ClientRetry bool    // it is a retry of the client
 }
 
 // Kind is what a Verdict asks for.
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -88,7 +88,7 @@
 		}
 	}
 	if retry, _ := m.Get("Req-Retry"); string(retry) == "1" {
-		call.Repeat = true
+		call.ClientRetry = true
 	}
 	return call, refusal
 }
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -219,7 +219,7 @@
 	case s.set.Classes[class].Keyed && len(i.Key) == 0:
 		return wrong("the key is missing")
 	}
-	call = &core.Call{ID: string(i.ID), Class: class, Tenant: -1, Deadline: came + float64(i.Deadline), Repeat: i.Retry, Payload: m,
+	call = &core.Call{ID: string(i.ID), Class: class, Tenant: -1, Deadline: came + float64(i.Deadline), ClientRetry: i.Retry, Payload: m,
 		Client: client}
 	if s.set.Classes[class].Keyed {
 		call.Key = i.Key
--- a/internal/node/upstream/httpbackend/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -61,7 +61,7 @@
 	if len(call.Key) > 0 {
 		m.Fields = append(m.Fields, http1.Field{Name: []byte("Idempotency-Key"), Value: call.Key})
 	}
-	if call.Repeat {
+	if call.ClientRetry {
 		m.Fields = append(m.Fields, http1.Field{Name: []byte("Req-Retry"), Value: []byte("1")})
 	}
 	return m
--- a/internal/node/upstream/thriftbackend/thrifthost.go
+++ b/internal/node/upstream/thriftbackend/thrifthost.go
@@ -77,7 +77,7 @@
 }
 
 func (p *Protocol) info(call *core.Call, left int) mapping.Info {
-	i := mapping.Info{ID: []byte(call.ID), Deadline: int64(left), Key: call.Key, Retry: call.Repeat}
+	i := mapping.Info{ID: []byte(call.ID), Deadline: int64(left), Key: call.Key, Retry: call.ClientRetry}
 	if call.Tenant >= 0 && call.Tenant < len(p.set.Tenants) {
 		i.Owner = []byte(p.set.Tenants[call.Tenant])
 	}
--- a/internal/node/upstream/thriftbackend/thrifthost_test.go
+++ b/internal/node/upstream/thriftbackend/thrifthost_test.go
@@ -107,13 +107,13 @@
 	got, err := r.Next()
 	require.NoError(t, err)
 	require.NotNil(t, got)
-	return &core.Call{ID: "q1", Tenant: 0, Payload: got, Repeat: true}
+	return &core.Call{ID: "q1", Tenant: 0, Payload: got, ClientRetry: true}
 }
 
 // Guards against a relay that is not the client's call with the time that remains, in every pair of forms and from HTTP; and
 // against an answer taken for another outcome than the protocol's.
 func TestRelaysAndAnswers(t *testing.T) {
-	over := &core.Call{ID: "q1", Tenant: 0, Repeat: true, Payload: &http1.Message{Body: []byte("record")}}
+	over := &core.Call{ID: "q1", Tenant: 0, ClientRetry: true, Payload: &http1.Message{Body: []byte("record")}}
 	for _, f := range forms {
 		p := New(Settings{Form: f, Limits: thrift.DefaultLimits, Methods: []string{"postCharge"}, Tenants: tenants})
 		calls := []*core.Call{over}
