--- a/internal/node/dispatch/view.go
+++ b/internal/node/dispatch/view.go
@@ -10,23 +10,23 @@
 // HostView is the present state of a host, for status pages and metrics.
 type HostView struct {
 	Host
-	Left   float64 // milliseconds; when the node learned that it drains, +Inf = it does not
-	Listed bool    // the module knows it; else Module is zero
-	Module decide.BackendView
+	DrainingSince float64 // milliseconds; when the node learned that it drains, +Inf = it does not
+	Known         bool    // the module knows it; else Module is zero
+	Module        decide.BackendView
 }
 
 // View is the present state of a Pilot, with the hosts in the order of their names.
 type View struct {
-	decide.View         // without Backends
-	Now         float64 // milliseconds
-	Hosts       []HostView
-	Open        int // requests
+	decide.View          // without Backends
+	Now          float64 // milliseconds
+	Hosts        []HostView
+	OpenRequests int // requests
 }
 
 // View returns the present view. It changes nothing.
 func (d *Dispatcher) View() (v View) {
 	d.update(func(now float64) {
-		v.View, v.Now, v.Open = d.balancer.View(toDuration(now)), now, len(d.tickets)
+		v.View, v.Now, v.OpenRequests = d.balancer.View(toDuration(now)), now, len(d.tickets)
 		known := map[decide.BackendID]decide.BackendView{}
 		for _, b := range v.Backends {
 			known[b.ID] = b
