--- a/internal/node/dispatch/memory.go
+++ b/internal/node/dispatch/snapshot.go
@@ -9,59 +9,59 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// Memory is a snapshot of a Pilot as plain data, for another process: the endpoint list, since when its hosts drain, and the
-// module's snapshot. Only decide.Memory has a version: a reader may ignore an unknown field of a host. The JSON form is
+// Snapshot is a snapshot of a Pilot as plain data, for another process: the endpoint list, since when its hosts drain, and the
+// module's snapshot. Only decide.Snapshot has a version: a reader may ignore an unknown field of a host. The JSON form is
 // stored and sent between versions: tags never change.
-type Memory struct {
-	Hosts  []HostMemory  `json:"hosts"`
-	Module decide.Memory `json:"module"`
+type Snapshot struct {
+	Hosts  []HostSnapshot `json:"hosts"`
+	Module decide.Memory  `json:"module"`
 }
 
-// HostMemory is a host of the endpoint list.
-type HostMemory struct {
-	ID      decide.BackendID `json:"id"` // in Module
-	Name    string           `json:"name"`
-	Address string           `json:"address"`
-	Zone    string           `json:"zone"`
-	Kind    string           `json:"kind"`
-	Speaks  string           `json:"protocol,omitempty"`
-	Cell    int              `json:"cell"`
-	Status  Status           `json:"status"`
-	Weight  float64          `json:"weight"`
-	Since   float64          `json:"since"`          // milliseconds
-	Left    float64          `json:"left,omitempty"` // milliseconds; when the node learned that it drains, 0 = it does not
+// HostSnapshot is a host of the endpoint list.
+type HostSnapshot struct {
+	ID            decide.BackendID `json:"id"` // in Module
+	Name          string           `json:"name"`
+	Address       string           `json:"address"`
+	Zone          string           `json:"zone"`
+	Kind          string           `json:"kind"`
+	Protocol      string           `json:"protocol,omitempty"`
+	Cell          int              `json:"cell"`
+	Status        Status           `json:"status"`
+	Weight        float64          `json:"weight"`
+	Since         float64          `json:"since"`          // milliseconds
+	DrainingSince float64          `json:"left,omitempty"` // milliseconds; when the node learned that it drains, 0 = it does not
 }
 
 // KnownHosts returns the hosts, for an update with Stored.
-func (m *Memory) KnownHosts() []Host {
+func (m *Snapshot) KnownHosts() []Host {
 	hosts := make([]Host, 0, len(m.Hosts))
 	for _, h := range m.Hosts {
-		hosts = append(hosts, Host{Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Protocol: h.Speaks, Cell: h.Cell,
+		hosts = append(hosts, Host{Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Protocol: h.Protocol, Cell: h.Cell,
 			Status: h.Status, Weight: h.Weight, Since: h.Since})
 	}
 	return hosts
 }
 
-// Remember returns a snapshot. Its hosts are in the order of their names.
-func (d *Dispatcher) Remember() (m Memory) {
+// Snapshot returns a snapshot. Its hosts are in the order of their names.
+func (d *Dispatcher) Snapshot() (m Snapshot) {
 	d.update(func(now float64) {
 		m.Module = d.balancer.Snapshot(toDuration(now))
 		for id, h := range d.hosts {
-			e := HostMemory{ID: id, Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Speaks: h.Protocol, Cell: h.Cell,
+			e := HostSnapshot{ID: id, Name: h.Name, Address: h.Address, Zone: h.Zone, Kind: h.Kind, Protocol: h.Protocol, Cell: h.Cell,
 				Status: h.Status, Weight: h.Weight, Since: h.Since}
 			if !math.IsInf(h.drainingSince, 1) {
-				e.Left = h.drainingSince
+				e.DrainingSince = h.drainingSince
 			}
 			m.Hosts = append(m.Hosts, e)
 		}
 	})
-	slices.SortFunc(m.Hosts, func(a, b HostMemory) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(m.Hosts, func(a, b HostSnapshot) int { return cmp.Compare(a.Name, b.Name) })
 	return m
 }
 
-// Recall restores the snapshot of another Pilot, as far as its hosts are listed here. It may be repeated until the first
+// Restore restores the snapshot of another Pilot, as far as its hosts are listed here. It may be repeated until the first
 // request. A snapshot that cannot be right changes nothing and gives an error.
-func (d *Dispatcher) Recall(m Memory) (err error) {
+func (d *Dispatcher) Restore(m Snapshot) (err error) {
 	d.update(func(now float64) {
 		// Ids differ where names have the same hash and came in another order.
 		localIDs := map[decide.BackendID]decide.BackendID{}
@@ -83,8 +83,8 @@
 			return
 		}
 		for _, e := range m.Hosts {
-			if h := d.hosts[d.hostIDs[e.Name]]; h != nil && h.Name == e.Name && h.Status != Ready && e.Left > 0 {
-				h.drainingSince = min(h.drainingSince, e.Left)
+			if h := d.hosts[d.hostIDs[e.Name]]; h != nil && h.Name == e.Name && h.Status != Ready && e.DrainingSince > 0 {
+				h.drainingSince = min(h.drainingSince, e.DrainingSince)
 			}
 		}
 	})
--- a/internal/node/dispatch/memory_test.go
+++ b/internal/node/dispatch/snapshot_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	p.SetHosts(Delta, []Host{{Name: "d", Zone: "z", Kind: "k", Status: Draining}})
-	m := p.Remember()
+	m := p.Snapshot()
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
 	ejected := func(p *Dispatcher) map[string]bool {
@@ -36,11 +36,11 @@
 
 	successor, c2, _ := newTestDispatcher(t)
 	c2.Advance(c.Now() - epoch + 520)
-	var got Memory
+	var got Snapshot
 	require.NoError(t, json.Unmarshal(text, &got))
 	list := got.KnownHosts()
 	successor.SetHosts(Stored, []Host{list[2], list[1], list[0]})
-	require.NoError(t, successor.Recall(got))
+	require.NoError(t, successor.Restore(got))
 	assert.Equal(t, ejected(p), ejected(successor))
 	q := open(successor)
 	require.Equal(t, b, q.Pick().Host)
@@ -49,7 +49,7 @@
 	q.Report(0, Served, nil)
 
 	got.Module.Part = 7
-	before := successor.Remember()
-	require.ErrorContains(t, successor.Recall(got), "part is 7")
-	assert.Equal(t, before, successor.Remember())
+	before := successor.Snapshot()
+	require.ErrorContains(t, successor.Restore(got), "part is 7")
+	assert.Equal(t, before, successor.Snapshot())
 }
--- a/internal/node/dispatch/warmstart.go
+++ b/internal/node/dispatch/warmstart.go
@@ -21,11 +21,11 @@
 var ErrNoWarmStart = errors.New("it knows none of the hosts of the list, or has heard nothing")
 
 // WarmStart is the part of a snapshot that another node may have: what it can use, and nothing of tenants.
-func (m Memory) WarmStart() Memory {
+func (m Snapshot) WarmStart() Snapshot {
 	m.Module.Quota, m.Module.Tenants, m.Module.Trials = nil, nil, nil
-	hosts := make([]HostMemory, 0, len(m.Hosts))
+	hosts := make([]HostSnapshot, 0, len(m.Hosts))
 	for _, h := range m.Hosts {
-		h.Left = 0
+		h.DrainingSince = 0
 		hosts = append(hosts, h)
 	}
 	m.Hosts = hosts
@@ -43,7 +43,7 @@
 // ApplyWarmStart takes over what another node knows of the hosts that are listed here, at the same address and as the same process. It
 // may be repeated until the first request. The evidence weighs by its age as in Recall, counted from the last response that
 // the other node received. A snapshot that cannot be right, or is of no use (ErrNoWarmStart), changes nothing.
-func (d *Dispatcher) ApplyWarmStart(m Memory) (err error) {
+func (d *Dispatcher) ApplyWarmStart(m Snapshot) (err error) {
 	d.update(func(now float64) {
 		localIDs := map[decide.BackendID]decide.BackendID{}
 		for i := range m.Hosts {
--- a/internal/node/dispatch/warmstart_test.go
+++ b/internal/node/dispatch/warmstart_test.go
@@ -18,15 +18,15 @@
 
 // learnedSnapshot returns the snapshot of a node in a fleet where dead refuses connections and the others serve, once it has
 // received nothing for idle milliseconds, and its clock.
-func learnedSnapshot(t *testing.T, idle float64) (Memory, *clock.Manual) {
+func learnedSnapshot(t *testing.T, idle float64) (Snapshot, *clock.Manual) {
 	p, c, _ := newTestDispatcher(t, fleet()...)
 	for i := 0; i < 100 || !view(p)["dead"].Module.Away; i++ {
 		serveOne(p, c, "dead")
 	}
 	c.Advance(idle)
 	p.Tick()
-	var m Memory
-	text, err := json.Marshal(p.Remember().WarmStart())
+	var m Snapshot
+	text, err := json.Marshal(p.Snapshot().WarmStart())
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &m))
 	return m, c
@@ -92,10 +92,10 @@
 		take  func(*Dispatcher) error
 	}{
 		{"learned", 0, true, func(p *Dispatcher) error { return p.ApplyWarmStart(m) }},
-		{"restored", 0, true, func(p *Dispatcher) error { return p.Recall(m) }},
+		{"restored", 0, true, func(p *Dispatcher) error { return p.Restore(m) }},
 		{"learned, a minute old", 60e3, false, func(p *Dispatcher) error { return p.ApplyWarmStart(m) }},
 		{"learned of a node that was drained a minute ago", 60e3, false, func(p *Dispatcher) error { return p.ApplyWarmStart(drained) }},
-		{"restored, a minute old", 60e3, false, func(p *Dispatcher) error { return p.Recall(m) }},
+		{"restored, a minute old", 60e3, false, func(p *Dispatcher) error { return p.Restore(m) }},
 	} {
 		p, mine := newcomer(t, c, way.later, fleet()...)
 		require.NoError(t, way.take(p), way.name)
@@ -160,32 +160,32 @@
 	text, err := json.Marshal(m)
 	require.NoError(t, err)
 	rejected := 0
-	bad := func(r require.TestingT, change func(*Memory)) error {
-		var other Memory
+	bad := func(r require.TestingT, change func(*Snapshot)) error {
+		var other Snapshot
 		require.NoError(r, json.Unmarshal(text, &other))
 		change(&other)
 		p, mine, _ := newTestDispatcher(t)
 		mine.Advance(c.Now() - epoch + 100)
 		p.SetHosts(Full, withDefaults(fleet()))
-		before := p.Remember()
+		before := p.Snapshot()
 		err := p.ApplyWarmStart(other)
 		if err != nil {
 			rejected++
-			require.Equal(r, before, p.Remember())
+			require.Equal(r, before, p.Snapshot())
 		}
 		return err
 	}
-	assert.NoError(t, bad(t, func(*Memory) {}))
-	assert.ErrorIs(t, bad(t, func(o *Memory) {
+	assert.NoError(t, bad(t, func(*Snapshot) {}))
+	assert.ErrorIs(t, bad(t, func(o *Snapshot) {
 		for i := range o.Hosts {
 			o.Hosts[i].Address = "b" + o.Hosts[i].Address
 		}
 	}), ErrNoWarmStart)
-	assert.ErrorIs(t, bad(t, func(o *Memory) { o.Module.Zones[0].Heard = 0 }), ErrNoWarmStart)
-	assert.ErrorContains(t, bad(t, func(o *Memory) { o.Module.Zone = "y" }), "zone")
-	assert.ErrorContains(t, bad(t, func(o *Memory) { o.Module.Version++ }), "version")
+	assert.ErrorIs(t, bad(t, func(o *Snapshot) { o.Module.Zones[0].Heard = 0 }), ErrNoWarmStart)
+	assert.ErrorContains(t, bad(t, func(o *Snapshot) { o.Module.Zone = "y" }), "zone")
+	assert.ErrorContains(t, bad(t, func(o *Snapshot) { o.Module.Version++ }), "version")
 	rapid.Check(t, func(r *rapid.T) {
-		_ = bad(r, func(o *Memory) {
+		_ = bad(r, func(o *Snapshot) {
 			x := rapid.SampledFrom([]float64{-1, 1e300, 7}).Draw(r, "x")
 			b := &o.Module.Backends[rapid.IntRange(0, 1).Draw(r, "host")]
 			*rapid.SampledFrom([]*float64{&b.Slow, &b.Y, &b.N, &b.Good, &b.Share, &o.Module.Kinds[0].Idle, &o.Module.Classes[0].Work,
@@ -252,7 +252,7 @@
 	find(&own, "dead").Share, find(&own, "dead").Turn = 0, -1
 	outside := Blend(own, m.Module, 0, random)
 	assert.False(t, find(&outside, "dead").Away, "it is outside of the node's part: a trial would only cost")
-	original := Memory{Hosts: []HostMemory{{Name: "h", Left: 5}}, Module: decide.Memory{Quota: []float64{1}, Tenants: []string{"t"}}}
-	assert.Equal(t, Memory{Hosts: []HostMemory{{Name: "h"}}}, original.WarmStart())
-	assert.Equal(t, 5.0, original.Hosts[0].Left)
+	original := Snapshot{Hosts: []HostSnapshot{{Name: "h", DrainingSince: 5}}, Module: decide.Memory{Quota: []float64{1}, Tenants: []string{"t"}}}
+	assert.Equal(t, Snapshot{Hosts: []HostSnapshot{{Name: "h"}}}, original.WarmStart())
+	assert.Equal(t, 5.0, original.Hosts[0].DrainingSince)
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -18,10 +18,10 @@
 
 // Knowledge is what a node knows of its hosts, as plain data for the process that comes after it.
 type Knowledge struct {
-	Node  string          `json:"node"`
-	Index int64           `json:"index"` // that discovery told last, 0 = none
-	At    float64         `json:"at"`    // when this was so
-	Pilot dispatch.Memory `json:"pilot"`
+	Node  string            `json:"node"`
+	Index int64             `json:"index"` // that discovery told last, 0 = none
+	At    float64           `json:"at"`    // when this was so
+	Pilot dispatch.Snapshot `json:"pilot"`
 
 	// What operators have ordered.
 	Bans    cordon.Memory `json:"bans"`
@@ -37,7 +37,7 @@
 // Knowledge gives what the node knows now.
 func (n *Node) Knowledge() Knowledge {
 	index, _ := n.watch.Seen()
-	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Pilot: n.pilot.Remember()}
+	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Pilot: n.pilot.Snapshot()}
 	n.orders.mu.Lock()
 	k.Bans = n.orders.book.Remember()
 	n.orders.mu.Unlock()
@@ -81,7 +81,7 @@
 	} else if _, at := n.watch.Seen(); at == 0 && len(k.Pilot.Hosts) > 0 {
 		n.inventory(dispatch.Stored, k.Pilot.KnownHosts())
 	}
-	return n.pilot.Recall(k.Pilot)
+	return n.pilot.Restore(k.Pilot)
 }
 
 // Ready is closed once each source of the list was asked first, well or not: the node can serve.
--- a/node/lesson.go
+++ b/node/lesson.go
@@ -22,7 +22,7 @@
 
 // lesson gives what this node knows to one that starts anew, in the form of a state on a disk.
 func (n *Node) lesson() ([]byte, error) {
-	k := Knowledge{Node: n.conf.Name, At: n.clock.Now(), Pilot: n.pilot.Remember().WarmStart()}
+	k := Knowledge{Node: n.conf.Name, At: n.clock.Now(), Pilot: n.pilot.Snapshot().WarmStart()}
 	text, err := json.Marshal(k)
 	if err != nil {
 		return nil, err
