--- a/internal/node/core/call.go
+++ b/internal/node/core/call.go
@@ -101,10 +101,12 @@
 	return c.aborted
 }
 
-// May tells, before the first byte of an attempt, whether the final answer is still owed (another attempt may have been served,
+// MaySend tells, before the first byte of an attempt, whether the final answer is still owed (another attempt may have been served,
 // or the client may have left), and whether the rules permit an attempt at a host, which may have begun to drain or moved to
 // another address since the attempt was decided. Carriers call it.
-func (c *Call) May(host Host) (owed, permitted bool) { return c.ticket.May(host.Name, host.Address) }
+func (c *Call) MaySend(host Host) (owed, permitted bool) {
+	return c.ticket.MaySend(host.Name, host.Address)
+}
 
 // Standing asks Stands. Carriers call it before the first byte of an attempt.
 func (c *Call) Standing() bool { return c.Stands == nil || c.Stands() }
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -252,7 +252,7 @@
 		Cost: call.Cost, ClientRetry: call.ClientRetry})
 	call.markDispatched()
 	for {
-		switch verdict := call.ticket.Pick(); verdict.Kind {
+		switch verdict := call.ticket.Next(); verdict.Kind {
 		case dispatch.Respond:
 			c.drainVerdicts(call)
 			return Answer{Kind: Served, Payload: verdict.Payload}
@@ -273,11 +273,11 @@
 // drainVerdicts carries out, in the background, the remaining verdicts of a call that is answered but has open attempts, such
 // as a hedged request.
 func (c *Core) drainVerdicts(call *Call) {
-	if call.ticket.Answered() {
+	if call.ticket.Complete() {
 		return
 	}
 	go func() {
-		for verdict := call.ticket.Pick(); verdict.Kind != dispatch.Done; verdict = call.ticket.Pick() {
+		for verdict := call.ticket.Next(); verdict.Kind != dispatch.Done; verdict = call.ticket.Next() {
 			c.carryOut(call, verdict)
 		}
 	}()
--- a/internal/node/dispatch/dispatcher_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -42,13 +42,13 @@
 func TestExactlyOneFinalResponse(t *testing.T) {
 	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
 	q := open(p)
-	v := q.Pick()
+	v := q.Next()
 	require.Equal(t, Action{Kind: Send, Host: "h", Address: "a:1", Until: epoch + 600}, v)
 	q.Report(v.AttemptIndex, Served, "body")
 	q.Report(v.AttemptIndex, Failed, nil) // a second report of one attempt is ignored
 	q.ClientLeft()
-	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, q.Pick())
-	assert.Equal(t, Action{Kind: Done, Ran: true}, q.Pick())
+	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, q.Next())
+	assert.Equal(t, Action{Kind: Done, Ran: true}, q.Next())
 	assert.Empty(t, p.tickets)
 }
 
@@ -56,10 +56,10 @@
 func TestFinishReportsWhatMayHaveRun(t *testing.T) {
 	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
 	out := open(p)
-	require.Equal(t, Send, out.Pick().Kind)
+	require.Equal(t, Send, out.Next().Kind)
 	p.Finish()
-	assert.Equal(t, Action{Kind: Fail, Ran: true}, out.Pick())
-	assert.False(t, open(p).Pick().Ran, "one that comes after that never ran")
+	assert.Equal(t, Action{Kind: Fail, Ran: true}, out.Next())
+	assert.False(t, open(p).Next().Ran, "one that comes after that never ran")
 }
 
 // Guards against a retry that is decided at the moment of the shutdown, of the client's leaving or of another attempt's response and
@@ -68,19 +68,19 @@
 	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
 	finished, gone, served := open(p), open(p), open(p)
 	for _, q := range []*Ticket{finished, gone, served} {
-		require.Equal(t, Send, q.Pick().Kind)
+		require.Equal(t, Send, q.Next().Kind)
 	}
 	finished.Report(0, Declined, nil) // a retry is decided
 	gone.Report(0, Declined, nil)
 	p.update(func(float64) { actions{p}.Send(served.id, served.attempts[0].hostID, 0) })
 	served.Report(0, Served, "body")
-	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, served.Pick())
-	assert.Equal(t, Action{Kind: Done, Ran: true}, served.Pick())
+	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, served.Next())
+	assert.Equal(t, Action{Kind: Done, Ran: true}, served.Next())
 	gone.ClientLeft()
-	assert.Equal(t, Action{Kind: Done}, gone.Pick())
+	assert.Equal(t, Action{Kind: Done}, gone.Next())
 	p.Finish()
-	assert.Equal(t, Action{Kind: Reject}, finished.Pick())
-	assert.Equal(t, Action{Kind: Done}, finished.Pick())
+	assert.Equal(t, Action{Kind: Reject}, finished.Next())
+	assert.Equal(t, Action{Kind: Done}, finished.Next())
 	assert.Empty(t, p.tickets)
 }
 
@@ -88,11 +88,11 @@
 func TestClientLeavingCancelsAttempts(t *testing.T) {
 	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
 	q := open(p)
-	require.Equal(t, Send, q.Pick().Kind)
+	require.Equal(t, Send, q.Next().Kind)
 	q.ClientLeft()
-	assert.Equal(t, Cancel, q.Pick().Kind)
+	assert.Equal(t, Cancel, q.Next().Kind)
 	q.Report(0, Cancelled, nil)
-	assert.Equal(t, Done, q.Pick().Kind)
+	assert.Equal(t, Done, q.Next().Kind)
 	assert.Empty(t, p.tickets)
 }
 
@@ -100,7 +100,7 @@
 func TestNoAttemptAtDrainedHosts(t *testing.T) {
 	p, c, lines := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
 	q := open(p)
-	first := q.Pick()
+	first := q.Next()
 	p.SetHosts(Delta, []Host{{Name: "h", Zone: "z", Kind: "k", Status: Draining},
 		{Name: "g", Zone: "z", Kind: "k", Status: Removed}})
 	c.Advance(501)
@@ -109,9 +109,9 @@
 	}
 	assert.Len(t, *lines, 2)
 	q.Report(first.AttemptIndex, Declined, nil)
-	assert.Equal(t, Reject, q.Pick().Kind, "nothing may have run and no host is left")
+	assert.Equal(t, Reject, q.Next().Kind, "nothing may have run and no host is left")
 	p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs["h"], 0) })
-	assert.Equal(t, Done, q.Pick().Kind)
+	assert.Equal(t, Done, q.Next().Kind)
 }
 
 // Guards against a host in slow start taken for a warm one: discovery and the module must use one clock.
@@ -119,7 +119,7 @@
 	p, _, _ := newTestDispatcher(t, Host{Name: "warm", Address: "w"}, Host{Name: "cold", Address: "c", Since: epoch - 100})
 	cold := 0
 	for range 100 {
-		if v := open(p).Pick(); v.Address == "c" {
+		if v := open(p).Next(); v.Address == "c" {
 			cold++
 		}
 	}
@@ -178,15 +178,15 @@
 		require.NoError(t, err)
 		p.SetHosts(Full, []Host{{Name: "h1", Zone: "z", Kind: "k", Weight: 1}, {Name: "h2", Zone: "z", Kind: "k", Weight: 1}})
 		q := p.Open(Request{Tenant: -1, Deadline: epoch + 2000})
-		v := q.Pick()
+		v := q.Next()
 		clk.Advance(100)
-		_, permitted := q.May(v.Host, v.Address)
+		_, permitted := q.MaySend(v.Host, v.Address)
 		require.True(t, permitted, "the first attempt")
 		q.Report(v.AttemptIndex, c.first, nil)
-		v = q.Pick()
+		v = q.Next()
 		require.Equal(t, Send, v.Kind)
 		clk.Advance(c.late - 100)
-		owed, permitted := q.May(v.Host, v.Address)
+		owed, permitted := q.MaySend(v.Host, v.Address)
 		assert.True(t, owed)
 		assert.Equal(t, c.permitted, permitted, c)
 	}
--- a/internal/node/dispatch/snapshot_test.go
+++ b/internal/node/dispatch/snapshot_test.go
@@ -16,7 +16,7 @@
 	p, c, _ := newTestDispatcher(t, Host{Name: a, Address: "a:1"}, Host{Name: b, Address: "a:2"}, Host{Name: "d", Address: "a:3"})
 	for range 30 { // a is dead, b serves
 		q := open(p)
-		for v := q.Pick(); v.Kind == Send; v = q.Pick() {
+		for v := q.Next(); v.Kind == Send; v = q.Next() {
 			c.Advance(5)
 			q.Report(v.AttemptIndex, map[bool]Outcome{true: ConnectFailed, false: Served}[v.Host == a], nil)
 		}
@@ -43,7 +43,7 @@
 	require.NoError(t, successor.Restore(got))
 	assert.Equal(t, ejected(p), ejected(successor))
 	q := open(successor)
-	require.Equal(t, b, q.Pick().Host)
+	require.Equal(t, b, q.Next().Host)
 	successor.update(func(float64) { actions{successor}.Send(q.id, successor.hostIDs["d"], 0) })
 	assert.Empty(t, q.queue, "the drain was told longer ago than the rule allows")
 	q.Report(0, Served, nil)
--- a/internal/node/dispatch/state_test.go
+++ b/internal/node/dispatch/state_test.go
@@ -41,9 +41,9 @@
 			}
 			for range rapid.IntRange(0, 20).Draw(r, "requests") {
 				q := p.Open(Request{Tenant: -1, Deadline: c.Now() + 900})
-				v := q.Pick()
+				v := q.Next()
 				if v.Kind != Send {
-					require.Equal(r, Done, q.Pick().Kind)
+					require.Equal(r, Done, q.Next().Kind)
 					continue
 				}
 				switch how := rapid.IntRange(0, 3).Draw(r, "end"); how {
--- a/internal/node/dispatch/ticket.go
+++ b/internal/node/dispatch/ticket.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// Pick blocks until there is something to do for the request. After Done it always returns Done.
-func (t *Ticket) Pick() Action {
+// Next blocks until there is something to do for the request. After Done it always returns Done.
+func (t *Ticket) Next() Action {
 	for {
 		t.dispatcher.mu.Lock()
 		if len(t.queue) > 0 {
@@ -71,18 +71,18 @@
 	}
 }
 
-// Answered tells whether nothing more will come: the final response is given and no attempt is open.
-func (t *Ticket) Answered() bool {
+// Complete tells whether nothing more will come: the final response is given and no attempt is open.
+func (t *Ticket) Complete() bool {
 	t.dispatcher.mu.Lock()
 	defer t.dispatcher.mu.Unlock()
 	return t.done && t.openAttempts == 0 && len(t.queue) == 0
 }
 
-// May tells, just before the first byte of an attempt goes out, whether the final response is still owed, and whether the
+// MaySend tells, just before the first byte of an attempt goes out, whether the final response is still owed, and whether the
 // rules permit an attempt at a host at an address now: not at a draining host after its grace, not at an earlier address,
 // and not after one that may have run once duplicates are no longer dropped. Since the attempt was decided its connection
 // may have taken long to come up.
-func (t *Ticket) May(name, address string) (owed, permitted bool) {
+func (t *Ticket) MaySend(name, address string) (owed, permitted bool) {
 	d := t.dispatcher
 	if d == nil {
 		return true, true
--- a/internal/node/dispatch/warmstart_test.go
+++ b/internal/node/dispatch/warmstart_test.go
@@ -35,7 +35,7 @@
 // serveOne serves one request, to which all hosts but dead respond, and returns which host got it first.
 func serveOne(p *Dispatcher, c *clock.Manual, dead string) (first string) {
 	q := p.Open(Request{Tenant: -1, Deadline: c.Now() + 900})
-	for v := q.Pick(); v.Kind == Send; v = q.Pick() {
+	for v := q.Next(); v.Kind == Send; v = q.Next() {
 		if first == "" {
 			first = v.Host
 		}
--- a/internal/node/endpoints/files_test.go
+++ b/internal/node/endpoints/files_test.go
@@ -89,7 +89,7 @@
 			for ctx.Err() == nil {
 				q := p.Open(dispatch.Request{Tenant: -1, Deadline: c.Now() + 900})
 				asked.Add(1)
-				v := q.Pick()
+				v := q.Next()
 				look()
 				switch v.Kind {
 				case dispatch.Send:
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -127,7 +127,7 @@
 	for ctx.Err() == nil {
 		now := f.clock.Now()
 		q := f.pilot.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
-		if v := q.Pick(); v.Kind == dispatch.Send {
+		if v := q.Next(); v.Kind == dispatch.Send {
 			f.mu.Lock()
 			f.relays++
 			if at, told := f.left[v.Host]; told && now > at+grace+1 {
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -87,10 +87,10 @@
 	p, h := silent(t, c)
 	module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: h.Address, Zone: "z", Kind: "k", Weight: 1}})
 	call := &core.Call{ID: "q", Tenant: -1, Deadline: 1900}
-	owed, _ := call.May(h)
+	owed, _ := call.MaySend(h)
 	require.True(t, owed)
 	require.Equal(t, core.Served, core.New(core.Settings{Calls: 1}, module, served{}, quiet).Serve(call).Kind)
-	owed, permitted := call.May(h)
+	owed, permitted := call.MaySend(h)
 	require.False(t, owed)
 	require.True(t, permitted)
 	o, _ := p.Relay(h, call, 2000, make(chan struct{}))
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -486,7 +486,7 @@
 		if !call.Standing() { // the node stood still for longer than its claim: another may have it
 			return back()
 		}
-		if owed, permitted := call.May(host); !owed || !permitted {
+		if owed, permitted := call.MaySend(host); !owed || !permitted {
 			return back()
 		}
 		out, about, err := c.speaks.Request(nil, host, call, left)
