--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -22,11 +22,11 @@
 // Host names a host. Its address may later belong to another one.
 type Host struct{ Name, Address, Protocol string }
 
-// Carrier runs attempts at hosts.
-type Carrier interface {
-	// Relay runs one attempt and blocks until it ends, until the time until (milliseconds) or until off is closed. It
+// Transport runs attempts at hosts.
+type Transport interface {
+	// RunAttempt runs one attempt and blocks until it ends, until the time until (milliseconds) or until off is closed. It
 	// sends at most once. The payload belongs to an outcome Served.
-	Relay(to Host, call *Call, until float64, off <-chan struct{}) (dispatch.Outcome, any)
+	RunAttempt(to Host, call *Call, until float64, off <-chan struct{}) (dispatch.Outcome, any)
 }
 
 // Gate admits calls for as long as they can be served.
@@ -72,7 +72,7 @@
 type Core struct {
 	settings   Settings
 	dispatcher *dispatch.Dispatcher
-	carrier    Carrier
+	transport  Transport
 	log        *slog.Logger
 	serve      Handler
 
@@ -95,8 +95,8 @@
 }
 
 // New makes a Core that dispatches calls with dispatcher and runs their attempts with carrier.
-func New(settings Settings, dispatcher *dispatch.Dispatcher, carrier Carrier, log *slog.Logger) *Core {
-	c := &Core{settings: settings, dispatcher: dispatcher, carrier: carrier, log: log, openCalls: map[string]*Call{},
+func New(settings Settings, dispatcher *dispatch.Dispatcher, carrier Transport, log *slog.Logger) *Core {
+	c := &Core{settings: settings, dispatcher: dispatcher, transport: carrier, log: log, openCalls: map[string]*Call{},
 		endings: map[ending]tally{}}
 	c.serve = settings.Stages.chain(c.dispatch)
 	return c
@@ -310,5 +310,5 @@
 			f.Drop()
 		}
 	}()
-	outcome, payload = c.carrier.Relay(Host{Name: verdict.Host, Address: verdict.Address, Protocol: verdict.Protocol}, call, verdict.Until, cancel)
+	outcome, payload = c.transport.RunAttempt(Host{Name: verdict.Host, Address: verdict.Address, Protocol: verdict.Protocol}, call, verdict.Until, cancel)
 }
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -17,11 +17,11 @@
 // carrier is a Carrier that returns what its function returns.
 type carrier func(to Host, call *Call, off <-chan struct{}) (dispatch.Outcome, any)
 
-func (c carrier) Relay(to Host, call *Call, _ float64, off <-chan struct{}) (dispatch.Outcome, any) {
+func (c carrier) RunAttempt(to Host, call *Call, _ float64, off <-chan struct{}) (dispatch.Outcome, any) {
 	return c(to, call, off)
 }
 
-func newCore(tb testing.TB, set Settings, c Carrier) *Core {
+func newCore(tb testing.TB, set Settings, c Transport) *Core {
 	now := clock.NewManual(1000)
 	p, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond,
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, dispatch.ConnectFailed, p.unsent(slow, 2000, open), "it had its full time")
 	assert.Equal(t, dispatch.NotSent, p.unsent(slow, 1000, open))
 	assert.Equal(t, dispatch.NotSent, p.unsent(context.Canceled, 2000, closed), "it has not run")
-	o, _ := p.Relay(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
+	o, _ := p.RunAttempt(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
 	assert.Equal(t, dispatch.NotSent, o, "no connection is allowed at all")
 }
 
@@ -64,7 +64,7 @@
 // served answers each relay at once.
 type served struct{}
 
-func (served) Relay(core.Host, *core.Call, float64, <-chan struct{}) (dispatch.Outcome, any) {
+func (served) RunAttempt(core.Host, *core.Call, float64, <-chan struct{}) (dispatch.Outcome, any) {
 	return dispatch.Served, nil
 }
 
@@ -93,7 +93,7 @@
 	owed, permitted := call.MaySend(h)
 	require.False(t, owed)
 	require.True(t, permitted)
-	o, _ := p.Relay(h, call, 2000, make(chan struct{}))
+	o, _ := p.RunAttempt(h, call, 2000, make(chan struct{}))
 	assert.Equal(t, dispatch.NotSent, o)
 	assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 }
@@ -116,7 +116,7 @@
 func TestNothingGoesOutOnceTheClaimIsOver(t *testing.T) {
 	p, h := silent(t, clock.NewManual(1000))
 	for range 2 {
-		o, _ := p.Relay(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, Stands: func() bool { return false }}, 2000, make(chan struct{}))
+		o, _ := p.RunAttempt(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, Stands: func() bool { return false }}, 2000, make(chan struct{}))
 		assert.Equal(t, dispatch.NotSent, o)
 		assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 	}
@@ -128,7 +128,7 @@
 	p := New(Settings{Connections: 9, ToOne: func() int { return part }}, clock.NewManual(1000), nil, slog.New(slog.DiscardHandler))
 	taken := []*conn{{pool: p, host: h}, {pool: p, host: h}}
 	p.open, p.to[h] = 2, 2
-	o, _ := p.Relay(h, &core.Call{}, 2000, make(chan struct{}))
+	o, _ := p.RunAttempt(h, &core.Call{}, 2000, make(chan struct{}))
 	assert.Equal(t, dispatch.NotSent, o)
 	assert.Equal(t, map[string]Use{"h": {2, 0}}, p.Uses())
 	for _, c := range taken {
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -94,7 +94,7 @@
 func (b *bench) relay(call *core.Call, off chan struct{}) chan result {
 	ended := make(chan result, 1)
 	go func() {
-		o, payload := b.pool.Relay(core.Host{Name: "h", Address: b.rater.Addr().String()}, call, 1e9, off)
+		o, payload := b.pool.RunAttempt(core.Host{Name: "h", Address: b.rater.Addr().String()}, call, 1e9, off)
 		r := result{outcome: o}
 		if m, ok := payload.(*http1.Message); ok {
 			r.body = string(m.Body)
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -346,8 +346,8 @@
 	c.pool.mu.Unlock()
 }
 
-// Relay is that of core.Carrier.
-func (p *Pool) Relay(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
+// RunAttempt is that of core.Carrier.
+func (p *Pool) RunAttempt(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
 	done := make(chan end, 1)
 	late := make(chan struct{})
 	c, about, o, err := p.begin(host, call, until, done, off)
