--- a/internal/node/core/content.go
+++ b/internal/node/core/content.go
@@ -10,8 +10,8 @@
 	Size() int // bytes of memory in use, roughly
 }
 
-// Flowing is implemented by the payload of a served answer whose body may still be arriving.
-type Flowing interface {
+// StreamedPayload is implemented by the payload of a served answer whose body may still be arriving.
+type StreamedPayload interface {
 	Flows() bool // the body is still arriving
 	Drop()       // discards the rest of it
 }
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -31,11 +31,11 @@
 
 // Gate admits calls for as long as they can be served.
 type Gate interface {
-	// Take tells whether a call is admitted, and when that was, in milliseconds. alone: no other call is open on its
+	// Admit tells whether a call is admitted, and when that was, in milliseconds. alone: no other call is open on its
 	// client's connection.
-	Take(class int, deadline float64, alone bool) (now float64, ok bool)
-	// Answered records the end of a call that was admitted at since.
-	Answered(class int, since float64, served, alone bool)
+	Admit(class int, deadline float64, alone bool) (now float64, ok bool)
+	// Completed records the end of a call that was admitted at since.
+	Completed(class int, since float64, served, alone bool)
 }
 
 // Settings configure a Core.
@@ -102,9 +102,9 @@
 	return c
 }
 
-// Take admits a call or rejects it, without blocking. rejection says why: too many calls are open, one with the same id is open,
+// Admit admits a call or rejects it, without blocking. rejection says why: too many calls are open, one with the same id is open,
 // which hosts could not tell apart, or the node stops too soon. Each admitted call must be passed to Serve.
-func (c *Core) Take(call *Call) (rejection Answer, admitted bool) {
+func (c *Core) Admit(call *Call) (rejection Answer, admitted bool) {
 	c.mu.Lock()
 	_, duplicate := c.openCalls[call.ID]
 	full := len(c.openCalls) >= c.settings.Calls
@@ -116,7 +116,7 @@
 	case full:
 		rejection = Refuse(Busy, ReasonBusy, 0)
 	case c.settings.Gate != nil:
-		if call.admittedAt, admitted = c.settings.Gate.Take(call.Class, call.Deadline, call.Alone); !admitted {
+		if call.admittedAt, admitted = c.settings.Gate.Admit(call.Class, call.Deadline, call.Alone); !admitted {
 			rejection = Refuse(Busy, ReasonStop, 0)
 		}
 	default:
@@ -139,8 +139,8 @@
 	return rejection, admitted
 }
 
-// Resize changes how many calls may be open at once. Open calls above the limit are served.
-func (c *Core) Resize(calls int) {
+// SetMaxCalls changes how many calls may be open at once. Open calls above the limit are served.
+func (c *Core) SetMaxCalls(calls int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settings.Calls = calls
@@ -150,7 +150,7 @@
 // Flowing the call stays open: the caller must report its end with Flowed.
 func (c *Core) Serve(call *Call) Answer {
 	answer := c.serveRecovered(call)
-	if f, ok := answer.Payload.(Flowing); ok && answer.Kind == Served && f.Flows() {
+	if f, ok := answer.Payload.(StreamedPayload); ok && answer.Kind == Served && f.Flows() {
 		if call.HasLeft() {
 			f.Drop()
 			answer = Answer{Kind: Left}
@@ -162,8 +162,8 @@
 	return answer
 }
 
-// Flowed reports the end of an answer whose body was still arriving when Serve returned it: kind is what the call counts as.
-func (c *Core) Flowed(call *Call, kind Kind) { c.finish(call, Answer{Kind: kind}, false) }
+// StreamEnded reports the end of an answer whose body was still arriving when Serve returned it: kind is what the call counts as.
+func (c *Core) StreamEnded(call *Call, kind Kind) { c.finish(call, Answer{Kind: kind}, false) }
 
 // finish closes a call. timed tells whether the time it took is that of a complete answer.
 func (c *Core) finish(call *Call, answer Answer, timed bool) {
@@ -173,7 +173,7 @@
 	c.mu.Unlock()
 	c.settings.Figures.Ended(call.Class, answer.Kind.metricsKind())
 	if c.settings.Gate != nil {
-		c.settings.Gate.Answered(call.Class, call.admittedAt, timed, call.Alone)
+		c.settings.Gate.Completed(call.Class, call.admittedAt, timed, call.Alone)
 	}
 }
 
@@ -306,7 +306,7 @@
 			c.log.Error("a carrier panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
 		}
 		used := call.ticket.Report(verdict.AttemptIndex, outcome, payload)
-		if f, ok := payload.(Flowing); ok && !used {
+		if f, ok := payload.(StreamedPayload); ok && !used {
 			f.Drop()
 		}
 	}()
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -52,9 +52,9 @@
 	c := newCore(t, Settings{Calls: 1}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
 		return dispatch.Served, "body"
 	}))
-	_, ok := c.Take(&Call{ID: "q", Tenant: -1, Deadline: 1900})
+	_, ok := c.Admit(&Call{ID: "q", Tenant: -1, Deadline: 1900})
 	require.True(t, ok)
-	refusal, ok := c.Take(&Call{ID: "q2"})
+	refusal, ok := c.Admit(&Call{ID: "q2"})
 	assert.False(t, ok)
 	assert.Equal(t, Refuse(Busy, ReasonBusy, 0), refusal)
 	assert.Equal(t, Answer{Kind: Served, Payload: "body"}, c.Serve(&Call{ID: "q", Tenant: -1, Deadline: 1900}))
@@ -68,7 +68,7 @@
 		panic("on purpose")
 	}))
 	call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
-	c.Take(call)
+	c.Admit(call)
 	assert.Equal(t, Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: true}, c.Serve(call))
 	assert.Equal(t, 1, relays)
 }
@@ -82,7 +82,7 @@
 		return dispatch.Cancelled, nil
 	}))
 	call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
-	c.Take(call)
+	c.Admit(call)
 	go func() {
 		<-out
 		call.Leave()
@@ -102,7 +102,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
-		if _, ok := c.Take(call); !ok {
+		if _, ok := c.Admit(call); !ok {
 			b.Fatal("not taken")
 		}
 		if a := c.Serve(call); a.Kind != Served {
@@ -129,7 +129,7 @@
 	}))
 	c.log = slog.New(slog.NewTextHandler(&text, nil))
 	call := &Call{ID: "q", Tenant: -1, Deadline: 1900}
-	c.Take(call)
+	c.Admit(call)
 	assert.Equal(t, Fail(Unavailable, ReasonPanic), c.Serve(call))
 	assert.Contains(t, text.String(), "TestPanickingStageFailsTheCall")
 	assert.Zero(t, c.Unanswered())
--- a/internal/node/downstream/httpserver/flow.go
+++ b/internal/node/downstream/httpserver/flow.go
@@ -12,12 +12,12 @@
 func (c *conn) flow(m *http1.Message, call *core.Call, answer *http1.Message) {
 	if c.ended { // its client has gone, or has its last answer, which is not to be broken off
 		answer.Rest.Drop()
-		c.server.core.Flowed(call, core.Left)
+		c.server.core.StreamEnded(call, core.Left)
 		c.call, c.busy = nil, false
 		return
 	}
 	kind := c.passOn(m, answer)
-	c.server.core.Flowed(call, kind)
+	c.server.core.StreamEnded(call, kind)
 	c.call, c.busy = nil, false
 	switch {
 	case kind != core.Served:
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -30,7 +30,7 @@
 		c.upload = bodypipe.New(c.server.set.Bodies.Budget, c.hold, c.net.Resume)
 		m.Rest = c.upload
 	}
-	if a, ok := c.server.core.Take(call); !ok {
+	if a, ok := c.server.core.Admit(call); !ok {
 		c.final(m, a)
 		return
 	}
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -187,7 +187,7 @@
 		c.write(m, fault)
 		return
 	}
-	if a, ok := c.server.core.Take(call); !ok {
+	if a, ok := c.server.core.Admit(call); !ok {
 		c.write(m, result(m, a))
 		return
 	}
--- a/internal/node/shutdown/driver/gate.go
+++ b/internal/node/shutdown/driver/gate.go
@@ -61,16 +61,16 @@
 // Disconnected counts one out.
 func (g *Gate) Disconnected(alone bool) { g.event(func(float64) { g.machine.Disconnected(alone) }) }
 
-// Take tells whether a call is taken, and when that was, and counts it in.
-func (g *Gate) Take(class int, deadline float64, alone bool) (now float64, ok bool) {
+// Admit tells whether a call is taken, and when that was, and counts it in.
+func (g *Gate) Admit(class int, deadline float64, alone bool) (now float64, ok bool) {
 	g.event(func(at float64) {
 		now, ok = at, !g.duty.Policy(at, g.drain).Refuse && g.machine.Take(at, class, deadline, alone)
 	})
 	return now, ok
 }
 
-// Answered counts out a call that was taken at a time.
-func (g *Gate) Answered(class int, since float64, served, alone bool) {
+// Completed counts out a call that was taken at a time.
+func (g *Gate) Completed(class int, since float64, served, alone bool) {
 	g.event(func(now float64) { g.machine.Answered(class, now-since, served, alone) })
 }
 
--- a/internal/node/shutdown/driver/gate_test.go
+++ b/internal/node/shutdown/driver/gate_test.go
@@ -64,7 +64,7 @@
 		g.Connected(true)
 		var both sync.WaitGroup
 		taken := false
-		both.Go(func() { _, taken = g.Take(0, 1e12+900, true) })
+		both.Go(func() { _, taken = g.Admit(0, 1e12+900, true) })
 		both.Go(func() { g.Stop(times) })
 		both.Wait()
 		require.Equal(t, "announce", <-did)
@@ -73,16 +73,16 @@
 		require.Equal(t, "refuse", <-did)
 		both.Go(func() { c.Advance(2050) })
 		both.Go(func() {
-			if _, ok := g.Take(0, 1e12+501, true); ok { // while it can be answered
-				g.Answered(0, c.Now(), true, true)
+			if _, ok := g.Admit(0, 1e12+501, true); ok { // while it can be answered
+				g.Completed(0, c.Now(), true, true)
 			}
 		})
 		both.Wait()
 		require.Equal(t, "idle", <-did)
 		require.Equal(t, "finish", <-did)
-		_, ok := g.Take(0, 1e12+2600, true)
+		_, ok := g.Admit(0, 1e12+2600, true)
 		require.False(t, ok)
-		g.Answered(0, 1e12, false, true)
+		g.Completed(0, 1e12, false, true)
 		select {
 		case <-g.Ended():
 			require.Fail(t, "somebody may still wait for an answer on its way")
--- a/node/door.go
+++ b/node/door.go
@@ -254,7 +254,7 @@
 	room := o.Room(&conf)
 	requests := n.mostCalls(room)
 	n.pool.Resize(room.Hosts)
-	n.core.Resize(requests)
+	n.core.SetMaxCalls(requests)
 	n.north.Resize(room.Clients, room.Crowded)
 	n.loop.Resize(room.Clients + room.Spare)
 	conf.MemoryMB *= memory
