--- a/internal/node/core/answer.go
+++ b/internal/node/core/answer.go
@@ -7,19 +7,19 @@
 
 // The kinds of final answer, and none.
 const (
-	Served  Kind = iota // the response of a host
-	Refused             // rejected: a retry is safe
-	Failed              // failed: it may have run
-	Left                // the client has left: no answer
+	Served     Kind = iota // the response of a host
+	Refused                // rejected: a retry is safe
+	Failed                 // failed: it may have run
+	ClientLeft             // the client has left: no answer
 )
 
-var kindNames = [...]string{Served: "served", Refused: "refused", Failed: "failed", Left: "left"}
+var kindNames = [...]string{Served: "served", Refused: "refused", Failed: "failed", ClientLeft: "left"}
 
 func (k Kind) String() string { return kindNames[k] }
 
 // metricsKind is the kind's counter in the metrics.
 func (k Kind) metricsKind() metrics.Kind {
-	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, Left: metrics.Left}[k]
+	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, ClientLeft: metrics.Left}[k]
 }
 
 // Fault tells a server how to express a rejection or a failure in its protocol.
--- a/internal/node/core/call.go
+++ b/internal/node/core/call.go
@@ -30,7 +30,7 @@
 	cancelled  chan struct{} // closed when the client has left or the call is aborted; made by Left
 	aborted    bool          // the node stops, and the call was not dispatched: no stage may wait any longer
 	admittedAt float64       // milliseconds
-	onLeave    func()        // nil = nothing
+	onCancel   func()        // nil = nothing
 	dispatched bool          // the dispatcher has it, as ticket
 	ticket     dispatch.Ticket
 
@@ -38,11 +38,11 @@
 	cancels      []chan struct{}  // by attempt; closed to cancel it
 }
 
-// Leave records that the client has left, and cancels what is done for it. It may be called at any time, more than once and
+// Cancel records that the client has left, and cancels what is done for it. It may be called at any time, more than once and
 // from any goroutine.
-func (c *Call) Leave() {
+func (c *Call) Cancel() {
 	c.mu.Lock()
-	wasLeft, opened, hook := c.clientLeft, c.dispatched, c.onLeave
+	wasLeft, opened, hook := c.clientLeft, c.dispatched, c.onCancel
 	c.clientLeft = true
 	if !wasLeft && !c.aborted && c.cancelled != nil {
 		close(c.cancelled)
@@ -56,11 +56,11 @@
 	}
 }
 
-// OnLeave calls f when the client leaves, at once if it has left. It is for a stage that forks the call; a second function
+// OnCancel calls f when the client leaves, at once if it has left. It is for a stage that forks the call; a second function
 // replaces the first.
-func (c *Call) OnLeave(f func()) {
+func (c *Call) OnCancel(f func()) {
 	c.mu.Lock()
-	c.onLeave = f
+	c.onCancel = f
 	left := c.clientLeft
 	c.mu.Unlock()
 	if left {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Left returns a channel that is closed once the client has left or the node has aborted the call. A stage that waits must
+// Done returns a channel that is closed once the client has left or the node has aborted the call. A stage that waits must
 // also wait for it.
-func (c *Call) Left() <-chan struct{} {
+func (c *Call) Done() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cancelled == nil {
@@ -111,8 +111,8 @@
 // Standing asks Stands. Carriers call it before the first byte of an attempt.
 func (c *Call) Standing() bool { return c.Stands == nil || c.Stands() }
 
-// HasLeft tells whether the client has left.
-func (c *Call) HasLeft() bool {
+// Cancelled tells whether the client has left.
+func (c *Call) Cancelled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.clientLeft
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -151,9 +151,9 @@
 func (c *Core) Serve(call *Call) Answer {
 	answer := c.serveRecovered(call)
 	if f, ok := answer.Payload.(StreamedPayload); ok && answer.Kind == Served && f.Flows() {
-		if call.HasLeft() {
+		if call.Cancelled() {
 			f.Drop()
-			answer = Answer{Kind: Left}
+			answer = Answer{Kind: ClientLeft}
 		} else {
 			return answer
 		}
@@ -193,7 +193,7 @@
 	defer func() {
 		if err := recover(); err != nil {
 			c.log.Error("a stage panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
-			call.Leave() // cancels its open attempts
+			call.Cancel() // cancels its open attempts
 			if call.dispatched {
 				c.drainVerdicts(call)
 			}
@@ -201,7 +201,7 @@
 		}
 	}()
 	answer = c.serve(call)
-	if answer.Kind == Left && !call.HasLeft() {
+	if answer.Kind == ClientLeft && !call.Cancelled() {
 		answer = Fail(Unavailable, ReasonLost)
 		if call.isAborted() {
 			answer.Reason = ReasonStop
@@ -263,7 +263,7 @@
 			c.drainVerdicts(call)
 			return Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: verdict.Ran}
 		case dispatch.Done:
-			return Answer{Kind: Left, Ran: verdict.Ran}
+			return Answer{Kind: ClientLeft, Ran: verdict.Ran}
 		default:
 			c.carryOut(call, verdict)
 		}
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -85,12 +85,12 @@
 	c.Admit(call)
 	go func() {
 		<-out
-		call.Leave()
-		call.Leave()
+		call.Cancel()
+		call.Cancel()
 	}()
-	assert.Equal(t, Answer{Kind: Left, Ran: true}, c.Serve(call))
-	<-call.Left()
-	assert.Equal(t, []Ending{{Left, "", 1, 1}}, c.Endings())
+	assert.Equal(t, Answer{Kind: ClientLeft, Ran: true}, c.Serve(call))
+	<-call.Done()
+	assert.Equal(t, []Ending{{ClientLeft, "", 1, 1}}, c.Endings())
 }
 
 // BenchmarkServe is one call through the core with an empty chain and a carrier that answers at once.
--- a/internal/node/downstream/httpserver/conn.go
+++ b/internal/node/downstream/httpserver/conn.go
@@ -209,7 +209,7 @@
 		c.upload.End(err)
 		c.upload = nil
 		if call := c.call; call != nil {
-			go call.Leave() // nobody can serve it
+			go call.Cancel() // nobody can serve it
 		}
 		c.unreadable(err)
 		return false
@@ -289,6 +289,6 @@
 	c.server.mu.Unlock()
 	c.server.gate.Disconnected(true)
 	if call != nil {
-		call.Leave()
+		call.Cancel()
 	}
 }
--- a/internal/node/downstream/httpserver/flow.go
+++ b/internal/node/downstream/httpserver/flow.go
@@ -12,7 +12,7 @@
 func (c *conn) flow(m *http1.Message, call *core.Call, answer *http1.Message) {
 	if c.ended { // its client has gone, or has its last answer, which is not to be broken off
 		answer.Rest.Drop()
-		c.server.core.StreamEnded(call, core.Left)
+		c.server.core.StreamEnded(call, core.ClientLeft)
 		c.call, c.busy = nil, false
 		return
 	}
@@ -67,7 +67,7 @@
 		}
 	}
 	answer.Rest.Drop()
-	return core.Left
+	return core.ClientLeft
 }
 
 // bodyWriter writes a body piece by piece.
--- a/internal/node/downstream/httpserver/response.go
+++ b/internal/node/downstream/httpserver/response.go
@@ -18,7 +18,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.free()
-	if a.Kind == core.Left {
+	if a.Kind == core.ClientLeft {
 		return
 	}
 	if answer, ok := a.Payload.(*http1.Message); ok && answer.Rest != nil {
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -236,7 +236,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, m.Seq)
-	if a.Kind == core.Left || c.ended {
+	if a.Kind == core.ClientLeft || c.ended {
 		return
 	}
 	c.write(m, result(m, a))
@@ -301,7 +301,7 @@
 // leave gives up the calls of a client that is not served any more.
 func (c *conn) leave() {
 	for _, call := range c.open {
-		go call.Leave() // which may take locks that wait for this one
+		go call.Cancel() // which may take locks that wait for this one
 	}
 }
 
@@ -359,7 +359,7 @@
 	c.slot.Release()
 	c.server.gate.Disconnected(false)
 	for _, call := range calls {
-		call.Leave()
+		call.Cancel()
 	}
 }
 
--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -154,7 +154,7 @@
 		s.mu.Lock()
 		if !class.Enabled && s.successor == nil && !s.holds(c.Key) { // its keys are known until they expire, and no more are claimed
 			s.mu.Unlock()
-			if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
+			if t := s.lookup(class, c, call.Deadline, call.Done()); t.Verdict != idempotency.Run {
 				_, _, a := s.remoteAnswer(t)
 				return a
 			}
@@ -164,10 +164,10 @@
 		s.mu.Unlock()
 		switch d.Verdict {
 		case idempotency.Run:
-			call.OnLeave(func() { s.removeWaiter(r) })
+			call.OnCancel(func() { s.removeWaiter(r) })
 			s.execute(r, d.Ref, next, class, c)
-			if call.HasLeft() {
-				return core.Answer{Kind: core.Left}
+			if call.Cancelled() {
+				return core.Answer{Kind: core.ClientLeft}
 			}
 			return r.answer
 		case idempotency.Join:
--- a/internal/node/idempotency/middleware/middleware_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -67,8 +67,8 @@
 	select {
 	case a := <-r.end:
 		return a
-	case <-call.Left():
-		return core.Answer{Kind: core.Left, Ran: true}
+	case <-call.Done():
+		return core.Answer{Kind: core.ClientLeft, Ran: true}
 	}
 }
 
@@ -120,18 +120,18 @@
 		}
 	}
 	s.awaitWaiters(3)
-	first.Leave()
-	second.Leave()
-	assert.Equal(t, core.Left, (<-answers[second]).Kind)
+	first.Cancel()
+	second.Cancel()
+	assert.Equal(t, core.ClientLeft, (<-answers[second]).Kind)
 	r.end <- served
 	assert.Equal(t, served, <-answers[third])
-	assert.Equal(t, core.Left, (<-answers[first]).Kind)
+	assert.Equal(t, core.ClientLeft, (<-answers[first]).Kind)
 
 	last := newCall(0, "k2", "b")
 	go func() { answers[first] <- serve(last) }()
 	run := <-r.begun
-	last.Leave()
-	<-run.Left()
+	last.Cancel()
+	<-run.Done()
 	<-answers[first]
 	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), serve(newCall(0, "k2", "b")), "it may have run")
 
@@ -141,7 +141,7 @@
 	joined := newCall(0, "k3", "b")
 	go func() { answers[second] <- serve(joined) }()
 	s.awaitWaiters(2)
-	r.end <- core.Answer{Kind: core.Left}
+	r.end <- core.Answer{Kind: core.ClientLeft}
 	<-r.begun
 	r.end <- served
 	assert.Equal(t, served, <-answers[second])
--- a/internal/node/idempotency/middleware/run.go
+++ b/internal/node/idempotency/middleware/run.go
@@ -56,12 +56,12 @@
 func (s *Middleware) mayRun(r *run, class *classState, c idempotency.Call, res *result) bool {
 	var t ClaimResult
 	if res.claims != nil {
-		t = res.claims.Claim(c, r.call.Deadline, r.call.Left())
+		t = res.claims.Claim(c, r.call.Deadline, r.call.Done())
 		if t.Verdict == idempotency.Run {
 			res.claim, r.call.Stands = &t, t.Valid
 		}
 	} else {
-		t = s.lookup(class, c, r.call.Deadline, r.call.Left())
+		t = s.lookup(class, c, r.call.Deadline, r.call.Done())
 	}
 	if t.Verdict == idempotency.Run || res.claims != nil && t.Verdict == idempotency.RunUnrecorded {
 		return true
@@ -123,10 +123,10 @@
 	defer stop()
 	select {
 	case <-r.finished:
-		return r.answer, r.answer.Kind == core.Left && !call.HasLeft()
-	case <-call.Left():
+		return r.answer, r.answer.Kind == core.ClientLeft && !call.Cancelled()
+	case <-call.Done():
 		s.removeWaiter(r)
-		return core.Answer{Kind: core.Left}, false
+		return core.Answer{Kind: core.ClientLeft}, false
 	case <-expired:
 		s.removeWaiter(r)
 		return core.Fail(core.Unavailable, ReasonTimeout), false
@@ -140,6 +140,6 @@
 	abandoned := r.waiters == 0
 	s.mu.Unlock()
 	if abandoned {
-		r.call.Leave()
+		r.call.Cancel()
 	}
 }
--- a/internal/node/idempotency/middleware/transfer.go
+++ b/internal/node/idempotency/middleware/transfer.go
@@ -37,7 +37,7 @@
 	select {
 	case <-p.ready:
 		return !p.withheld.Load()
-	case <-call.Left():
+	case <-call.Done():
 	case <-expired:
 	}
 	return false
@@ -159,7 +159,7 @@
 // Complete implements Fleet for the predecessor.
 func (s *Middleware) Complete(c idempotency.Call, _ ClaimResult, outcome idempotency.Outcome, body []byte) {
 	payload, size := any(nil), 0
-	a := core.Answer{Kind: core.Left} // it did not run: one of the waiters may be the next
+	a := core.Answer{Kind: core.ClientLeft} // it did not run: one of the waiters may be the next
 	switch outcome {
 	case idempotency.OutcomeServed:
 		a = core.Fail(core.Known, ReasonExecuted)
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -128,7 +128,7 @@
 	return func(call *core.Call) core.Answer {
 		d, ok := s.admit(call)
 		if !ok {
-			return core.Answer{Kind: core.Left}
+			return core.Answer{Kind: core.ClientLeft}
 		}
 		if d.Verdict == quota.Rejected {
 			return core.Refuse(core.OverQuota, ReasonQuota, d.RetryAfter)
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -107,8 +107,8 @@
 		s.awaitQueued(i + 1)
 	}
 	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind, "no more may wait")
-	calls[0].Leave()
-	assert.Equal(t, outcome{0, core.Answer{Kind: core.Left}}, <-out)
+	calls[0].Cancel()
+	assert.Equal(t, outcome{0, core.Answer{Kind: core.ClientLeft}}, <-out)
 	s.awaitQueued(2)
 	c.Advance(210)
 	assert.Equal(t, outcome{1, served}, <-out, "the block goes first")
--- a/internal/node/quota/middleware/queue.go
+++ b/internal/node/quota/middleware/queue.go
@@ -48,7 +48,7 @@
 	select {
 	case d = <-w.decided:
 		return d, true
-	case <-call.Left():
+	case <-call.Done():
 		s.mu.Lock()
 		s.queue = slices.DeleteFunc(s.queue, func(other *waiter) bool { return other == w })
 		select {
--- a/internal/node/rollout/gate/gate.go
+++ b/internal/node/rollout/gate/gate.go
@@ -95,8 +95,8 @@
 		case <-change:
 		case <-timeout:
 			return core.Refuse(core.Busy, ReasonPolicy, g.settings.Lease), false
-		case <-request.Left():
-			return core.Answer{Kind: core.Left}, false
+		case <-request.Done():
+			return core.Answer{Kind: core.ClientLeft}, false
 		}
 	}
 }
--- a/internal/node/rollout/gate/gate_test.go
+++ b/internal/node/rollout/gate/gate_test.go
@@ -127,8 +127,8 @@
 	require.Zero(t, wait)
 	g.update(func(h *rollout.LeaseHolder) { h.Leave() })
 	request := &core.Call{Deadline: c.Now() + 1000}
-	request.Leave()
-	assert.Equal(t, core.Left, next(request).Kind)
+	request.Cancel()
+	assert.Equal(t, core.ClientLeft, next(request).Kind)
 }
 
 // TestFollowsHints guards against a gate that does not pause calls for a change which has come so far, or does not activate the number in
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -261,7 +261,7 @@
 			b.arrived(raw)
 			call, ended := b.attempt("2", client)
 			assert.Equal(t, result{dispatch.NotSent, ""}, <-ended)
-			assert.True(t, call.HasLeft())
+			assert.True(t, call.Cancelled())
 			assert.Equal(t, map[string]connpool.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 			close(b.free)
 		}
@@ -314,8 +314,8 @@
 		require.NoError(t, err)
 		module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
 		call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
-		b.dialling = call.Leave
-		assert.Equal(t, core.Answer{Kind: core.Left}, core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call), cancel)
+		b.dialling = call.Cancel
+		assert.Equal(t, core.Answer{Kind: core.ClientLeft}, core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call), cancel)
 	}
 }
 
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -497,7 +497,7 @@
 		out = c.measure(out, about)
 		fit, gone, err := c.net.WriteRequest(out, client, func() { c.ask(about) })
 		if gone { // the poller has not heard of it yet
-			call.Leave()
+			call.Cancel()
 			return back()
 		}
 		if fit {
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -86,7 +86,7 @@
 						return next(call)
 					}
 					begun[flood].Add(1)
-					<-call.Left()
+					<-call.Done()
 					a := next(call) // the client has gone: nothing may go out
 					gone <- at
 					return a
--- a/node/node.go
+++ b/node/node.go
@@ -87,7 +87,7 @@
 	Served  = core.Served
 	Refused = core.Refused
 	Failed  = core.Failed
-	Left    = core.Left
+	Left    = core.ClientLeft
 
 	Busy        = core.Busy
 	OverQuota   = core.OverQuota
--- a/node/stage_test.go
+++ b/node/stage_test.go
@@ -29,7 +29,7 @@
 				return next(call)
 			}
 			entered <- call.ID
-			<-call.Left()
+			<-call.Done()
 			left <- call.ID
 			return Answer{Kind: Left}
 		}
