--- a/internal/node/core/answer.go
+++ b/internal/node/core/answer.go
@@ -27,16 +27,16 @@
 
 // The faults. All but Busy, OverQuota and Unavailable are the client's own.
 const (
-	NoFault     Fault = iota
-	Busy              // the node is at its limit
-	OverQuota         // the tenant is at its quota
-	Unavailable       // no host could serve it
-	Invalid           // the call is malformed or inconsistent
-	Unproven          // the caller is not authenticated
-	Forbidden         // the caller is not authorized
-	Mismatch          // the idempotency key belongs to a different call
-	Looping           // the call has passed this node before
-	Known             // an earlier call with its idempotency key has run, or may have
+	NoFault         Fault = iota
+	Busy                  // the node is at its limit
+	OverQuota             // the tenant is at its quota
+	Unavailable           // no host could serve it
+	Invalid               // the call is malformed or inconsistent
+	Unauthenticated       // the caller is not authenticated
+	Forbidden             // the caller is not authorized
+	KeyMismatch           // the idempotency key belongs to a different call
+	LoopDetected          // the call has passed this node before
+	Duplicate             // an earlier call with its idempotency key has run, or may have
 )
 
 // Answer is a call's final answer.
--- a/internal/node/downstream/httpserver/response.go
+++ b/internal/node/downstream/httpserver/response.go
@@ -61,8 +61,8 @@
 }
 
 // failures are the statuses of failures by whose fault they are; none of them is one of a refusal.
-var failures = map[core.Fault]int{core.Invalid: 400, core.Unproven: 401, core.Forbidden: 403, core.Mismatch: 422,
-	core.Looping: 508, core.Known: 409}
+var failures = map[core.Fault]int{core.Invalid: 400, core.Unauthenticated: 401, core.Forbidden: 403, core.KeyMismatch: 422,
+	core.LoopDetected: 508, core.Duplicate: 409}
 
 // status words an answer that was not served.
 func status(a core.Answer) int {
--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -66,7 +66,7 @@
 	serve("none")
 	serve("none")
 	assert.Equal(t, map[string]int{"a": 1, "d": 1, "short": 2, "none": 2}, ran)
-	assert.Equal(t, core.Fail(core.Mismatch, ReasonMismatch), wrapped(newCall(0, "a", "other")))
+	assert.Equal(t, core.Fail(core.KeyMismatch, ReasonMismatch), wrapped(newCall(0, "a", "other")))
 	c.Advance(900) // 1911
 	assert.Equal(t, served, serve("a"))
 	require.NoError(t, s.SetClasses(classesWithWindows(5000, 5000)))
@@ -81,7 +81,7 @@
 	assert.Equal(t, 2, ran["a"])
 	require.NoError(t, s.SetClasses(classesRemoved))
 	c.Advance(999) // 2999
-	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), serve("d"))
+	assert.Equal(t, core.Fail(core.Duplicate, ReasonInDoubt), serve("d"))
 	c.Advance(1)
 	serve("d")
 	assert.Equal(t, 2, ran["d"])
--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -210,11 +210,11 @@
 func rejection(v idempotency.Verdict, wait float64) core.Answer {
 	switch v {
 	case idempotency.Executed:
-		return core.Fail(core.Known, ReasonExecuted)
+		return core.Fail(core.Duplicate, ReasonExecuted)
 	case idempotency.InDoubt:
-		return core.Fail(core.Known, ReasonInDoubt)
+		return core.Fail(core.Duplicate, ReasonInDoubt)
 	case idempotency.Mismatch:
-		return core.Fail(core.Mismatch, ReasonMismatch)
+		return core.Fail(core.KeyMismatch, ReasonMismatch)
 	}
 	return core.Refuse(core.Busy, ReasonNoCapacity, wait)
 }
--- a/internal/node/idempotency/middleware/middleware_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -98,7 +98,7 @@
 		assert.Equal(t, served, <-answers)
 	}
 	assert.Equal(t, served, serve(newCall(0, "k", "body")))
-	assert.Equal(t, core.Fail(core.Mismatch, ReasonMismatch), serve(newCall(0, "k", "other")))
+	assert.Equal(t, core.Fail(core.KeyMismatch, ReasonMismatch), serve(newCall(0, "k", "other")))
 	assert.Len(t, r.begun, 1)
 	assert.Empty(t, s.runs)
 }
@@ -133,7 +133,7 @@
 	last.Cancel()
 	<-run.Done()
 	<-answers[first]
-	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), serve(newCall(0, "k2", "b")), "it may have run")
+	assert.Equal(t, core.Fail(core.Duplicate, ReasonInDoubt), serve(newCall(0, "k2", "b")), "it may have run")
 
 	// The run is cancelled and has not executed: the call that joined at that moment runs next.
 	go func() { answers[first] <- serve(newCall(0, "k3", "b")) }()
@@ -173,7 +173,7 @@
 	})
 	refused := core.Refuse(core.Busy, "full", 0)
 	doubtful := core.Answer{Kind: core.Failed, Fault: core.Unavailable, Ran: true}
-	doubt := core.Fail(core.Known, ReasonInDoubt)
+	doubt := core.Fail(core.Duplicate, ReasonInDoubt)
 	for i, c := range []struct {
 		class       int
 		first, then core.Answer
@@ -223,7 +223,7 @@
 	over = open()
 	s, _ = newStage(t, set)
 	assert.Equal(t, served, s.Wrap(handle)(newCall(4, "k", "b")))
-	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), s.Wrap(handle)(newCall(4, "k2", "b")))
+	assert.Equal(t, core.Fail(core.Duplicate, ReasonInDoubt), s.Wrap(handle)(newCall(4, "k2", "b")))
 	assert.Equal(t, 2, count)
 	set.Journal.Close()
 	<-over
--- a/internal/node/idempotency/middleware/transfer.go
+++ b/internal/node/idempotency/middleware/transfer.go
@@ -162,7 +162,7 @@
 	a := core.Answer{Kind: core.ClientLeft} // it did not run: one of the waiters may be the next
 	switch outcome {
 	case idempotency.OutcomeServed:
-		a = core.Fail(core.Known, ReasonExecuted)
+		a = core.Fail(core.Duplicate, ReasonExecuted)
 		if len(body) > 0 {
 			payload = s.config.Decode(body)
 		}
@@ -172,7 +172,7 @@
 			size = s.config.Table.MaxBodyBytes + 1 // too large to be kept: only known to have executed
 		}
 	case idempotency.OutcomeInDoubt:
-		a = core.Fail(core.Known, ReasonInDoubt)
+		a = core.Fail(core.Duplicate, ReasonInDoubt)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +198,7 @@
 	s.predecessor.lost = true
 	left := len(s.predecessor.runs)
 	for key, t := range s.predecessor.runs {
-		s.endRemoteRun(key, t, idempotency.OutcomeInDoubt, core.Fail(core.Known, ReasonInDoubt), nil, 0)
+		s.endRemoteRun(key, t, idempotency.OutcomeInDoubt, core.Fail(core.Duplicate, ReasonInDoubt), nil, 0)
 	}
 	s.mu.Unlock()
 	if left > 0 {
--- a/node/node.go
+++ b/node/node.go
@@ -93,10 +93,10 @@
 	OverQuota   = core.OverQuota
 	Unavailable = core.Unavailable
 	Invalid     = core.Invalid
-	Unproven    = core.Unproven
+	Unproven    = core.Unauthenticated
 	Forbidden   = core.Forbidden
-	Mismatch    = core.Mismatch
-	Looping     = core.Looping
+	Mismatch    = core.KeyMismatch
+	Looping     = core.LoopDetected
 )
 
 // Refuse makes a back-off answer: trying again is harmless, after so many milliseconds if above 0.
