--- a/internal/node/core/call.go
+++ b/internal/node/core/call.go
@@ -9,21 +9,21 @@
 // Call is one request of a client. The exported fields are set by the server and must not change while the call is served; a
 // stage that wants to change one passes on a changed copy (Fork).
 type Call struct {
-	ID          string  // unique among the open calls
-	Class       int     // index in the settings' classes
-	Tenant      int     // index in the settings' tenants, -1 = none
-	Key         []byte  // idempotency key; nil = none
-	Deadline    float64 // when the client gives up, milliseconds on the node's clock
-	Cost        float64 // expected work in seconds; 0 = not known
-	ClientRetry bool    // it is a retry of the client
-	Caller      string  // authenticated caller; "" = none
-	Hops        int     // gateways it has passed
-	Alone       bool    // no other call is open on its client's connection
-	Payload     any     // the message, which only the server and the carrier can read
-	Client      any     // the client's connection, which only they can read; nil = none, as of a copy for several clients
-
-	// Stands is asked before the first byte of an attempt: whether this node may still run the call. nil = it may.
-	Stands func() bool
+	ID               string  // unique among the open calls
+	Class            int     // index in the settings' classes
+	Tenant           int     // index in the settings' tenants, -1 = none
+	Key              []byte  // idempotency key; nil = none
+	Deadline         float64 // when the client gives up, milliseconds on the node's clock
+	Cost             float64 // expected work in seconds; 0 = not known
+	ClientRetry      bool    // it is a retry of the client
+	Caller           string  // authenticated caller; "" = none
+	Hops             int     // gateways it has passed
+	SoleOnConnection bool    // no other call is open on its client's connection
+	Payload          any     // the message, which only the server and the carrier can read
+	Client           any     // the client's connection, which only they can read; nil = none, as of a copy for several clients
+
+	// MayRun is asked before the first byte of an attempt: whether this node may still run the call. nil = it may.
+	MayRun func() bool
 
 	mu         sync.Mutex
 	clientLeft bool
@@ -108,8 +108,8 @@
 	return c.ticket.MaySend(host.Name, host.Address)
 }
 
-// Standing asks Stands. Carriers call it before the first byte of an attempt.
-func (c *Call) Standing() bool { return c.Stands == nil || c.Stands() }
+// RunAllowed asks Stands. Carriers call it before the first byte of an attempt.
+func (c *Call) RunAllowed() bool { return c.MayRun == nil || c.MayRun() }
 
 // Cancelled tells whether the client has left.
 func (c *Call) Cancelled() bool {
@@ -122,7 +122,7 @@
 // decides what that means for the copy.
 func (c *Call) Fork() *Call {
 	return &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Cost: c.Cost,
-		ClientRetry: c.ClientRetry, Caller: c.Caller, Hops: c.Hops, Payload: c.Payload, Stands: c.Stands}
+		ClientRetry: c.ClientRetry, Caller: c.Caller, Hops: c.Hops, Payload: c.Payload, MayRun: c.MayRun}
 }
 
 // markDispatched records that the dispatcher has the call, and tells it if the client has left meanwhile.
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -116,7 +116,7 @@
 	case full:
 		rejection = Refuse(Busy, ReasonBusy, 0)
 	case c.settings.Gate != nil:
-		if call.admittedAt, admitted = c.settings.Gate.Admit(call.Class, call.Deadline, call.Alone); !admitted {
+		if call.admittedAt, admitted = c.settings.Gate.Admit(call.Class, call.Deadline, call.SoleOnConnection); !admitted {
 			rejection = Refuse(Busy, ReasonStop, 0)
 		}
 	default:
@@ -173,7 +173,7 @@
 	c.mu.Unlock()
 	c.settings.Figures.Ended(call.Class, answer.Kind.metricsKind())
 	if c.settings.Gate != nil {
-		c.settings.Gate.Completed(call.Class, call.admittedAt, timed, call.Alone)
+		c.settings.Gate.Completed(call.Class, call.admittedAt, timed, call.SoleOnConnection)
 	}
 }
 
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -81,7 +81,7 @@
 	if n != 1 || err != nil || wait == 0 {
 		return nil, text(400, "", http1.DeadlineField+" is missing or bad")
 	}
-	call = &core.Call{ID: string(id), Alone: true, Class: class, Tenant: -1, Key: key, Deadline: came + float64(wait) + s.extra(m), Payload: m, Client: client}
+	call = &core.Call{ID: string(id), SoleOnConnection: true, Class: class, Tenant: -1, Key: key, Deadline: came + float64(wait) + s.extra(m), Payload: m, Client: client}
 	if owner, n := m.Get("Req-Owner"); n > 0 {
 		if i, ok := s.set.Tenants[string(owner)]; ok {
 			call.Tenant = i
--- a/internal/node/idempotency/middleware/run.go
+++ b/internal/node/idempotency/middleware/run.go
@@ -58,7 +58,7 @@
 	if res.claims != nil {
 		t = res.claims.Claim(c, r.call.Deadline, r.call.Done())
 		if t.Verdict == idempotency.Run {
-			res.claim, r.call.Stands = &t, t.Valid
+			res.claim, r.call.MayRun = &t, t.Valid
 		}
 	} else {
 		t = s.lookup(class, c, r.call.Deadline, r.call.Done())
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -116,7 +116,7 @@
 func TestNothingGoesOutOnceTheClaimIsOver(t *testing.T) {
 	p, h := silent(t, clock.NewManual(1000))
 	for range 2 {
-		o, _ := p.RunAttempt(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, Stands: func() bool { return false }}, 2000, make(chan struct{}))
+		o, _ := p.RunAttempt(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, MayRun: func() bool { return false }}, 2000, make(chan struct{}))
 		assert.Equal(t, dispatch.NotSent, o)
 		assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 	}
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -483,7 +483,7 @@
 			p.put(c, true)
 			return nil, nil, dispatch.NotSent, nil
 		}
-		if !call.Standing() { // the node stood still for longer than its claim: another may have it
+		if !call.RunAllowed() { // the node stood still for longer than its claim: another may have it
 			return back()
 		}
 		if owed, permitted := call.MaySend(host); !owed || !permitted {
