--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -40,11 +40,11 @@
 
 // Settings configure a Core.
 type Settings struct {
-	Calls  int  // open at once, at most
-	Gate   Gate // nil = every call is admitted
-	Stages Stages
-	// Figures counts calls by class; nil = nothing is counted.
-	Figures *metrics.Set
+	MaxCalls int  // open at once, at most
+	Gate     Gate // nil = every call is admitted
+	Stages   Stages
+	// Metrics counts calls by class; nil = nothing is counted.
+	Metrics *metrics.Set
 }
 
 // The reasons that this package gives itself.
@@ -107,8 +107,8 @@
 func (c *Core) Admit(call *Call) (rejection Answer, admitted bool) {
 	c.mu.Lock()
 	_, duplicate := c.openCalls[call.ID]
-	full := len(c.openCalls) >= c.settings.Calls
-	limitReached, maxCalls := full && !c.atLimit, c.settings.Calls
+	full := len(c.openCalls) >= c.settings.MaxCalls
+	limitReached, maxCalls := full && !c.atLimit, c.settings.MaxCalls
 	c.atLimit = full
 	switch {
 	case duplicate:
@@ -129,9 +129,9 @@
 		c.count(rejection)
 	}
 	c.mu.Unlock()
-	c.settings.Figures.Taken()
+	c.settings.Metrics.Taken()
 	if !admitted {
-		c.settings.Figures.Ended(call.Class, rejection.Kind.metricsKind())
+		c.settings.Metrics.Ended(call.Class, rejection.Kind.metricsKind())
 	}
 	if limitReached {
 		c.log.Warn("the cap on open calls is reached: more get a back-off answer", "calls", maxCalls)
@@ -143,7 +143,7 @@
 func (c *Core) SetMaxCalls(calls int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settings.Calls = calls
+	c.settings.MaxCalls = calls
 }
 
 // Serve serves an admitted call and blocks until its one final answer, or Left. Where the payload of a served answer is still
@@ -171,7 +171,7 @@
 	delete(c.openCalls, call.ID) // before the answer goes out: the client may use the id again right after it
 	c.count(answer)
 	c.mu.Unlock()
-	c.settings.Figures.Ended(call.Class, answer.Kind.metricsKind())
+	c.settings.Metrics.Ended(call.Class, answer.Kind.metricsKind())
 	if c.settings.Gate != nil {
 		c.settings.Gate.Completed(call.Class, call.admittedAt, timed, call.SoleOnConnection)
 	}
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -45,11 +45,11 @@
 			}
 		}
 	}
-	set := Stages{Last: []Stage{stage("last")}, Quota: stage("quota"), Caller: stage("caller"), Region: stage("region"),
-		Repeats: stage("repeats"), First: []Stage{stage("first"), nil}}
+	set := Stages{Last: []Stage{stage("last")}, Quota: stage("quota"), Auth: stage("caller"), Region: stage("region"),
+		Idempotency: stage("repeats"), First: []Stage{stage("first"), nil}}
 	set.chain(func(*Call) Answer { return Answer{} })(&Call{})
 	assert.Equal(t, []string{"first", "caller", "quota", "repeats", "region", "last"}, seen)
-	c := newCore(t, Settings{Calls: 1}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
+	c := newCore(t, Settings{MaxCalls: 1}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
 		return dispatch.Served, "body"
 	}))
 	_, ok := c.Admit(&Call{ID: "q", Tenant: -1, Deadline: 1900})
@@ -63,7 +63,7 @@
 // Guards against a carrier's panic that ends the node or is taken for an attempt that never ran.
 func TestPanickingCarrierFailsTheCall(t *testing.T) {
 	relays := 0
-	c := newCore(t, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
+	c := newCore(t, Settings{MaxCalls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
 		relays++
 		panic("on purpose")
 	}))
@@ -76,7 +76,7 @@
 // Guards against attempts that continue for a client that has left, and against an answer for it.
 func TestClientLeavingCancelsAttempts(t *testing.T) {
 	out := make(chan struct{})
-	c := newCore(t, Settings{Calls: 2}, carrier(func(_ Host, _ *Call, off <-chan struct{}) (dispatch.Outcome, any) {
+	c := newCore(t, Settings{MaxCalls: 2}, carrier(func(_ Host, _ *Call, off <-chan struct{}) (dispatch.Outcome, any) {
 		close(out)
 		<-off
 		return dispatch.Cancelled, nil
@@ -96,7 +96,7 @@
 // BenchmarkServe is one call through the core with an empty chain and a carrier that answers at once.
 func BenchmarkServe(b *testing.B) {
 	payload := any("body")
-	c := newCore(b, Settings{Calls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
+	c := newCore(b, Settings{MaxCalls: 2}, carrier(func(Host, *Call, <-chan struct{}) (dispatch.Outcome, any) {
 		return dispatch.Served, payload
 	}))
 	b.ReportAllocs()
@@ -116,7 +116,7 @@
 func TestPanickingStageFailsTheCall(t *testing.T) {
 	var text bytes.Buffer
 	off := make(chan struct{})
-	c := newCore(t, Settings{Calls: 2, Stages: Stages{Quota: func(next Handler) Handler {
+	c := newCore(t, Settings{MaxCalls: 2, Stages: Stages{Quota: func(next Handler) Handler {
 		return func(call *Call) Answer {
 			go next(call)
 			<-off
--- a/internal/node/core/stages.go
+++ b/internal/node/core/stages.go
@@ -11,17 +11,17 @@
 
 // Stages are the middleware in front of the dispatcher, in the order in which a call passes them. Nil ones are left out.
 type Stages struct {
-	First   []Stage // of an embedder, before all others
-	Caller  Stage   // authentication and authorization
-	Quota   Stage   // quotas of tenants
-	Repeats Stage   // idempotency
-	Region  Stage   // forwarding to other regions
-	Last    []Stage // of an embedder, directly before the dispatcher
+	First       []Stage // of an embedder, before all others
+	Auth        Stage   // authentication and authorization
+	Quota       Stage   // quotas of tenants
+	Idempotency Stage   // idempotency
+	Region      Stage   // forwarding to other regions
+	Last        []Stage // of an embedder, directly before the dispatcher
 }
 
 // chain wraps a handler in the stages, the first outermost.
 func (s Stages) chain(h Handler) Handler {
-	all := slices.Concat(s.First, []Stage{s.Caller, s.Quota, s.Repeats, s.Region}, s.Last)
+	all := slices.Concat(s.First, []Stage{s.Auth, s.Quota, s.Idempotency, s.Region}, s.Last)
 	for _, stage := range slices.Backward(all) {
 		if stage != nil {
 			h = stage(h)
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -89,7 +89,7 @@
 	call := &core.Call{ID: "q", Tenant: -1, Deadline: 1900}
 	owed, _ := call.MaySend(h)
 	require.True(t, owed)
-	require.Equal(t, core.Served, core.New(core.Settings{Calls: 1}, module, served{}, quiet).Serve(call).Kind)
+	require.Equal(t, core.Served, core.New(core.Settings{MaxCalls: 1}, module, served{}, quiet).Serve(call).Kind)
 	owed, permitted := call.MaySend(h)
 	require.False(t, owed)
 	require.True(t, permitted)
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -288,7 +288,7 @@
 		}
 	}
 	answer := make(chan core.Answer, 1)
-	go func() { answer <- core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call) }()
+	go func() { answer <- core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call) }()
 	first := b.accept()
 	_, err = http.ReadRequest(bufio.NewReader(first))
 	require.NoError(t, err)
@@ -315,7 +315,7 @@
 		module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
 		call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
 		b.dialling = call.Cancel
-		assert.Equal(t, core.Answer{Kind: core.ClientLeft}, core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call), cancel)
+		assert.Equal(t, core.Answer{Kind: core.ClientLeft}, core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call), cancel)
 	}
 }
 
@@ -345,7 +345,7 @@
 			}
 			call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
 			answer := make(chan core.Answer, 1)
-			go func() { answer <- core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call) }()
+			go func() { answer <- core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call) }()
 			host := b.accept()
 			if c.goes {
 				b.serve(host)
--- a/node/node.go
+++ b/node/node.go
@@ -229,7 +229,7 @@
 	if err != nil {
 		return nil, err
 	}
-	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
+	calls := core.Settings{MaxCalls: n.mostCalls(room), Gate: n.gate, Stages: stages, Metrics: n.figures}
 	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
 	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
 	side = n.north
@@ -293,7 +293,7 @@
 		if n.repeats, err = n.recognise(&o.Repeats, sparse.With("part", "repeats")); err != nil {
 			return stages, nil, err
 		}
-		stages.Repeats = n.repeats.Wrap
+		stages.Idempotency = n.repeats.Wrap
 	}
 	return stages, first, nil
 }
