--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -49,19 +49,19 @@
 
 // The reasons that this package gives itself.
 const (
-	ReasonSameID = "a request with this Req-Id is open"
-	ReasonBusy   = "busy"
-	ReasonModule = "the module gave it up" // rejected or failed by the decision module
-	ReasonPanic  = "a stage panicked"
-	ReasonLost   = "a stage lost the call"
-	ReasonStop   = "the node is stopping"
+	ReasonDuplicateID = "a request with this Req-Id is open"
+	ReasonBusy        = "busy"
+	ReasonModule      = "the module gave it up" // rejected or failed by the decision module
+	ReasonPanic       = "a stage panicked"
+	ReasonNoAnswer    = "a stage lost the call"
+	ReasonStopping    = "the node is stopping"
 )
 
 // maxReasons is how many reasons are counted separately; further ones count as "other".
 const maxReasons = 64
 
-// Ending counts the final answers of one kind and reason. Its JSON form must not change.
-type Ending struct {
+// AnswerCount counts the final answers of one kind and reason. Its JSON form must not change.
+type AnswerCount struct {
 	Kind   Kind   `json:"Kind"`
 	Reason string `json:"Reason"`
 	Calls  uint64 `json:"Calls"`
@@ -79,7 +79,7 @@
 	mu        sync.Mutex
 	openCalls map[string]*Call // by id, until they are answered
 	atLimit   bool             // the last call was rejected for the limit
-	endings   map[ending]tally
+	counts    map[answerKey]tally
 	answers   uint64 // final answers given so far
 }
 
@@ -89,7 +89,7 @@
 	last  uint64 // number of the last of them among all
 }
 
-type ending struct {
+type answerKey struct {
 	kind   Kind
 	reason string
 }
@@ -97,7 +97,7 @@
 // New makes a Core that dispatches calls with dispatcher and runs their attempts with carrier.
 func New(settings Settings, dispatcher *dispatch.Dispatcher, carrier Transport, log *slog.Logger) *Core {
 	c := &Core{settings: settings, dispatcher: dispatcher, transport: carrier, log: log, openCalls: map[string]*Call{},
-		endings: map[ending]tally{}}
+		counts: map[answerKey]tally{}}
 	c.serve = settings.Stages.chain(c.dispatch)
 	return c
 }
@@ -112,12 +112,12 @@
 	c.atLimit = full
 	switch {
 	case duplicate:
-		rejection = Fail(Invalid, ReasonSameID)
+		rejection = Fail(Invalid, ReasonDuplicateID)
 	case full:
 		rejection = Refuse(Busy, ReasonBusy, 0)
 	case c.settings.Gate != nil:
 		if call.admittedAt, admitted = c.settings.Gate.Admit(call.Class, call.Deadline, call.SoleOnConnection); !admitted {
-			rejection = Refuse(Busy, ReasonStop, 0)
+			rejection = Refuse(Busy, ReasonStopping, 0)
 		}
 	default:
 		admitted = true
@@ -202,12 +202,12 @@
 	}()
 	answer = c.serve(call)
 	if answer.Kind == ClientLeft && !call.Cancelled() {
-		answer = Fail(Unavailable, ReasonLost)
+		answer = Fail(Unavailable, ReasonNoAnswer)
 		if call.isAborted() {
-			answer.Reason = ReasonStop
+			answer.Reason = ReasonStopping
 		}
 	}
-	if answer.Reason != "" && answer.Reason != ReasonModule && answer.Reason != ReasonStop {
+	if answer.Reason != "" && answer.Reason != ReasonModule && answer.Reason != ReasonStopping {
 		c.log.Info("a stage ended a call", "answer", answer.Kind.String(), "reason", answer.Reason)
 	}
 	return answer
@@ -215,12 +215,12 @@
 
 // count counts a final answer. The caller holds the lock.
 func (c *Core) count(answer Answer) {
-	e := ending{answer.Kind, answer.Reason}
-	if _, ok := c.endings[e]; !ok && len(c.endings) >= maxReasons {
+	e := answerKey{answer.Kind, answer.Reason}
+	if _, ok := c.counts[e]; !ok && len(c.counts) >= maxReasons {
 		e.reason = "other"
 	}
 	c.answers++
-	c.endings[e] = tally{c.endings[e].calls + 1, c.answers}
+	c.counts[e] = tally{c.counts[e].calls + 1, c.answers}
 }
 
 // Unanswered is the number of calls that have no final answer yet.
@@ -230,15 +230,15 @@
 	return len(c.openCalls)
 }
 
-// Endings returns the counts of final answers so far, ordered by kind and reason.
-func (c *Core) Endings() []Ending {
+// AnswerCounts returns the counts of final answers so far, ordered by kind and reason.
+func (c *Core) AnswerCounts() []AnswerCount {
 	c.mu.Lock()
-	endings := make([]Ending, 0, len(c.endings))
-	for e, n := range c.endings {
-		endings = append(endings, Ending{e.kind, e.reason, n.calls, n.last})
+	endings := make([]AnswerCount, 0, len(c.counts))
+	for e, n := range c.counts {
+		endings = append(endings, AnswerCount{e.kind, e.reason, n.calls, n.last})
 	}
 	c.mu.Unlock()
-	slices.SortFunc(endings, func(a, b Ending) int {
+	slices.SortFunc(endings, func(a, b AnswerCount) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Reason, b.Reason))
 	})
 	return endings
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -90,7 +90,7 @@
 	}()
 	assert.Equal(t, Answer{Kind: ClientLeft, Ran: true}, c.Serve(call))
 	<-call.Done()
-	assert.Equal(t, []Ending{{ClientLeft, "", 1, 1}}, c.Endings())
+	assert.Equal(t, []AnswerCount{{ClientLeft, "", 1, 1}}, c.AnswerCounts())
 }
 
 // BenchmarkServe is one call through the core with an empty chain and a carrier that answers at once.
--- a/internal/node/core/golden_test.go
+++ b/internal/node/core/golden_test.go
@@ -7,4 +7,4 @@
 )
 
 // Guards against a change of the encoded form of a node's counts.
-func TestEncodedTypesKeepTheirForm(t *testing.T) { golden.JSON[[]Ending](t, "endings") }
+func TestEncodedTypesKeepTheirForm(t *testing.T) { golden.JSON[[]AnswerCount](t, "endings") }
--- a/node/node.go
+++ b/node/node.go
@@ -313,7 +313,7 @@
 }
 
 // Endings counts the final answers given so far, by kind and reason.
-func (n *Node) Endings() []core.Ending { return n.core.Endings() }
+func (n *Node) Endings() []core.AnswerCount { return n.core.AnswerCounts() }
 
 // Addr is the address that the node listens on.
 func (n *Node) Addr() string { return n.loop.Addr() }
--- a/node/status.go
+++ b/node/status.go
@@ -122,7 +122,7 @@
 		u := uses[h.Name]
 		s.Hosts[len(s.Hosts)-1].Conns, s.Hosts[len(s.Hosts)-1].Unused = u.Open, u.Idle
 	}
-	for _, e := range n.core.Endings() {
+	for _, e := range n.core.AnswerCounts() {
 		s.Endings = append(s.Endings, EndingStatus{e.Kind.String(), e.Reason, e.Calls, e.Last})
 	}
 	slices.SortFunc(s.Endings, func(a, b EndingStatus) int { return cmp.Compare(b.Last, a.Last) })
