--- a/internal/node/quota/debts.go
+++ b/internal/node/quota/debts.go
@@ -7,7 +7,7 @@
 
 // recordDebt records the debt of a call that was lent, or uses up what was repaid for one that was paid.
 func (t *Tree) recordDebt(d Decision, load float64) {
-	if d.Verdict == Go {
+	if d.Verdict == WithinGuarantee {
 		return
 	}
 	child := d.grant.leaf // will be the child of the lender on the path to the leaf
--- a/internal/node/quota/decide.go
+++ b/internal/node/quota/decide.go
@@ -14,8 +14,8 @@
 	Value    float64
 }
 
-// Ask decides on a call, and charges it if it goes on.
-func (t *Tree) Ask(now float64, c Call) Decision {
+// Admit decides on a call, and charges it if it goes on.
+func (t *Tree) Admit(now float64, c Call) Decision {
 	t.advance(now)
 	cost := Amount{1, c.Value}
 	for i := int32(c.Leaf); i >= 0; i = t.nodes[i].parent {
@@ -39,7 +39,7 @@
 func (t *Tree) decide(leaf int32, priority int, cost Amount) Decision {
 	n := &t.nodes[leaf]
 	if t.hasTokens(n, priority, cost, false) {
-		return Decision{Verdict: Go, From: int(leaf)}
+		return Decision{Verdict: WithinGuarantee, From: int(leaf)}
 	}
 	top := priority == t.config.Priorities-1
 	if d, ok := t.checkLimits(leaf, cost); !ok && !top {
@@ -185,9 +185,9 @@
 	}
 }
 
-// Return returns what a call was charged that certainly did not run. What another tree has charged, which this one
+// Refund returns what a call was charged that certainly did not run. What another tree has charged, which this one
 // has replaced, is ignored.
-func (t *Tree) Return(now float64, d Decision) {
+func (t *Tree) Refund(now float64, d Decision) {
 	if d.Verdict == Rejected || d.grant.tree != t {
 		return
 	}
--- a/internal/node/quota/fluid.go
+++ b/internal/node/quota/fluid.go
@@ -26,16 +26,16 @@
 	f.weight[index], f.limit[index] = weight, limit
 }
 
-// Sum adds the value of each node to those of all its ancestors.
-func (f *Fluid) Sum(values []float64) {
+// AddToAncestors adds the value of each node to those of all its ancestors.
+func (f *Fluid) AddToAncestors(values []float64) {
 	for i := len(values) - 1; i > 0; i-- {
 		values[f.parent[i]] += values[i]
 	}
 }
 
-// Due divides a capacity among nodes that request so much: each gets the part of its weight as far as it requests it,
+// Allocate divides a capacity among nodes that request so much: each gets the part of its weight as far as it requests it,
 // and what is left goes to those that want more, level by level, in proportion to their weights.
-func (f *Fluid) Due(capacity float64, requested []float64) []float64 {
+func (f *Fluid) Allocate(capacity float64, requested []float64) []float64 {
 	want, due := make([]float64, len(requested)), make([]float64, len(requested))
 	copy(want, requested)
 	for i := len(want) - 1; i > 0; i-- { // children come after their parents
--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -17,8 +17,8 @@
 
 // NodeLease is what a lease has of a node, as a fraction of what the root of the whole tree can do in a second.
 type NodeLease struct {
-	At   int
-	Load float64
+	NodeIndex int
+	Load      float64
 }
 
 // buckets are those that a node has without a lease.
@@ -37,7 +37,7 @@
 	}
 	loads := make([]float64, len(t.nodes))
 	for _, p := range parts {
-		loads[p.At] += p.Load
+		loads[p.NodeIndex] += p.Load
 	}
 	for i := len(loads) - 1; i > 0; i-- { // children come after their parents
 		loads[t.nodes[i].parent] += loads[i]
--- a/internal/node/quota/lease/debts.go
+++ b/internal/node/quota/lease/debts.go
@@ -58,7 +58,7 @@
 // collectDebts has the lenders that request more than their guarantee repaid by the siblings that owe them.
 func (m *Machine) collectDebts(requested []float64) {
 	want := slices.Clone(requested)
-	m.shape.fluid.Sum(want)
+	m.shape.fluid.AddToAncestors(want)
 	for _, children := range m.shape.children {
 		collects := func(c int) bool { return m.accounts[c].Credit > 0 && want[c] > m.shape.weight[c] }
 		credit, repaid := 0.0, 0.0
--- a/internal/node/quota/lease/divide.go
+++ b/internal/node/quota/lease/divide.go
@@ -36,14 +36,14 @@
 	}
 	m.dividedAt = now
 	used := m.sumDemand(func(a NodeDemand) float64 { return a.Admitted })
-	m.shape.fluid.Sum(used)
+	m.shape.fluid.AddToAncestors(used)
 	m.updateDebts(min(span, m.tree.Set.Memory*1000)/1000, used)
 	want := m.sumDemand(func(a NodeDemand) float64 { return a.Requested })
 	m.collectDebts(want)
 	for i := range m.accounts {
 		m.shape.fluid.Set(i, max(minWeight, m.guarantee(i)), m.maxLeased(i))
 	}
-	due := m.shape.fluid.Due(m.tree.Leased, want)
+	due := m.shape.fluid.Allocate(m.tree.Leased, want)
 	total := 0.0
 	for i := range due {
 		if len(m.shape.children[i]) == 0 {
@@ -80,7 +80,7 @@
 			due[leaf] = account.Due * min(1, a.Requested/account.Want) * loadUnits
 		}
 	}
-	s.fluid.Sum(due)
+	s.fluid.AddToAncestors(due)
 	fraction := make([]float64, len(due))
 	for i := range due {
 		parentFraction := 1.0
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -74,7 +74,7 @@
 	}
 	for i := range tree.Nodes() {
 		l := tree.Loads(i)
-		lends, borrows := tree.Ways(i)
+		lends, borrows := tree.Sharing(i)
 		weight, limit := max(l.Guarantee, minWeight), l.RateLimit
 		if !borrows {
 			limit = min(limit, weight)
--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -206,7 +206,7 @@
 	l.number, l.until, l.leasedNodes, l.load = g.Number, until, map[int]bool{}, 0
 	for _, p := range g.Parts {
 		if p.Node >= 0 && p.Node < s.tree.Nodes() && p.Load > 0 && !math.IsInf(p.Load.Fraction(), 1) {
-			parts = append(parts, quota.NodeLease{At: p.Node, Load: p.Load.Fraction()})
+			parts = append(parts, quota.NodeLease{NodeIndex: p.Node, Load: p.Load.Fraction()})
 			l.leasedNodes[p.Node] = true
 			l.load += p.Load.Fraction()
 		}
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -149,7 +149,7 @@
 		leaf, cost := s.tree.Charged(d)
 		s.leases.demand.Admit(leaf, -s.load(cost))
 	}
-	s.tree.Return(s.clock.Now(), d)
+	s.tree.Refund(s.clock.Now(), d)
 }
 
 // leafOf returns the index of the node that a call belongs to. It is called under the lock.
--- a/internal/node/quota/middleware/queue.go
+++ b/internal/node/quota/middleware/queue.go
@@ -31,7 +31,7 @@
 	request := quota.Call{Leaf: s.leafOf(call), Priority: class.Priority, Value: class.Value}
 	s.recordRequest(now, request)
 	if len(s.queue) == 0 || !s.mustQueue(request) { // a call does not overtake those that wait before it
-		d = s.tree.Ask(now, request)
+		d = s.tree.Admit(now, request)
 	} else {
 		d = quota.Decision{Verdict: quota.Rejected, Reason: quota.NoCapacity, RetryAfter: s.config.MaxWait}
 	}
@@ -84,7 +84,7 @@
 		now := s.clock.Now()
 		s.expireLease(now)
 		s.queue = slices.DeleteFunc(s.queue, func(w *waiter) bool {
-			d := s.tree.Ask(now, w.request)
+			d := s.tree.Admit(now, w.request)
 			if d.Verdict == quota.Rejected && now < w.deadline {
 				return false
 			}
@@ -103,7 +103,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for _, w := range s.queue {
-		d := s.tree.Ask(now, w.request)
+		d := s.tree.Admit(now, w.request)
 		s.recordDecision(w.request, d)
 		w.decided <- d
 	}
--- a/internal/node/quota/quota.go
+++ b/internal/node/quota/quota.go
@@ -92,10 +92,10 @@
 
 // The verdicts.
 const (
-	Go       Verdict = iota // within its guarantee
-	Borrowed                // with capacity that others leave, of the node Decision.From
-	Repaid                  // with capacity that others have repaid to it
-	Rejected                // rejected; retry after Decision.RetryAfter
+	WithinGuarantee Verdict = iota // within its guarantee
+	Borrowed                       // with capacity that others leave, of the node Decision.From
+	Repaid                         // with capacity that others have repaid to it
+	Rejected                       // rejected; retry after Decision.RetryAfter
 )
 
 // Reason says why a call was rejected.
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -67,7 +67,7 @@
 		return 1
 	})
 	for _, a := range all {
-		each(a.at, a.call, b.Ask(a.at*1000, a.call))
+		each(a.at, a.call, b.Admit(a.at*1000, a.call))
 	}
 }
 
@@ -105,7 +105,7 @@
 						got[c.Leaf] += boolToFloat(d.Verdict != Rejected) / (to - from)
 					}
 				})
-				for leaf, want := range b.Due(100*capacity, asked) {
+				for leaf, want := range b.FairRates(100*capacity, asked) {
 					assert.InDelta(t, want, got[leaf], 0.05*want, "%s of %v at %g, seed %d", b.Name(leaf), flows, capacity, seed)
 				}
 			}
@@ -231,7 +231,7 @@
 		for range o.count {
 			was := b.Status(now, leaf)
 			root := b.Status(now, Root)
-			d := b.Ask(now, Call{Leaf: leaf, Priority: o.priority, Value: o.worth})
+			d := b.Admit(now, Call{Leaf: leaf, Priority: o.priority, Value: o.worth})
 			kept := set.Kept * float64(1-o.priority)
 			covered := was.Tokens[Requests]-kept*was.Cap[Requests] >= 1 && was.Tokens[Value]-kept*was.Cap[Value] >= o.worth
 			room := root.Tokens[Requests] >= 1 && root.Tokens[Value] >= o.worth
@@ -245,7 +245,7 @@
 				return "rejected a call with all capacity free"
 			case d.Verdict == Rejected && !(d.RetryAfter >= 0 && d.RetryAfter <= set.MostWait*1000):
 				return "told to wait longer than allowed"
-			case d.Verdict != Go && d.Verdict != Rejected && o.priority == 0 && leaves[o.leaf] == "c":
+			case d.Verdict != WithinGuarantee && d.Verdict != Rejected && o.priority == 0 && leaves[o.leaf] == "c":
 				ceiling.tokens = min(set.Burst*40, ceiling.tokens+(latest-ceiling.at)/1000*40)
 				if ceiling.at = latest; ceiling.tokens < -1e-6 {
 					return "exceeded a rate limit"
@@ -257,7 +257,7 @@
 			}
 			if o.returned && d.Verdict != Rejected {
 				before := b.Status(now, leaf).Tokens[Requests]
-				b.Return(now, d)
+				b.Refund(now, d)
 				if after := b.Status(now, leaf).Tokens[Requests]; after < before {
 					return "charged what was returned"
 				}
@@ -447,7 +447,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				book.Ask(float64(i)/5, Call{Leaf: leaves[i%10]})
+				book.Admit(float64(i)/5, Call{Leaf: leaves[i%10]})
 			}
 		})
 	}
@@ -479,7 +479,7 @@
 	ask := func(b *Tree, now float64, name string) (n int) {
 		leaf, ok := b.Find(name)
 		require.True(t, ok)
-		for b.Ask(now, Call{Leaf: leaf}).Verdict != Rejected {
+		for b.Admit(now, Call{Leaf: leaf}).Verdict != Rejected {
 			n++
 		}
 		return n
--- a/internal/node/quota/status.go
+++ b/internal/node/quota/status.go
@@ -26,7 +26,7 @@
 	t.refresh(int32(i))
 	n := &t.nodes[i]
 	s := Status{Name: t.names[i], Leaf: n.firstChild < 0, Credit: n.credit * t.nodes[Root].own[Requests].rate,
-		Debt: n.debt * t.nodes[Root].own[Requests].rate, Going: n.counts[Go], Borrowed: n.counts[Borrowed], Paid: n.counts[Repaid],
+		Debt: n.debt * t.nodes[Root].own[Requests].rate, Going: n.counts[WithinGuarantee], Borrowed: n.counts[Borrowed], Paid: n.counts[Repaid],
 		Refused: n.counts[Rejected], Reason: n.reason.String()}
 	if n.parent >= 0 {
 		s.Parent = t.names[n.parent]
@@ -69,14 +69,14 @@
 	return l
 }
 
-// Ways reports whether a node lends, and whether it borrows.
-func (t *Tree) Ways(i int) (lends, borrows bool) {
+// Sharing reports whether a node lends, and whether it borrows.
+func (t *Tree) Sharing(i int) (lends, borrows bool) {
 	return !t.nodes[i].noLending, !t.nodes[i].noBorrowing
 }
 
-// Due divides a capacity, in requests per second, among leaves that request so much, see Fluid.Due. The decisions of
+// FairRates divides a capacity, in requests per second, among leaves that request so much, see Fluid.FairRates. The decisions of
 // a tree are measured against it.
-func (t *Tree) Due(capacity float64, requested map[int]float64) map[int]float64 {
+func (t *Tree) FairRates(capacity float64, requested map[int]float64) map[int]float64 {
 	f, want := Fluid{}, make([]float64, len(t.nodes))
 	for i := range t.nodes {
 		f.Add(int(t.nodes[i].parent), t.nodes[i].weight, t.rateLimit(i))
@@ -84,7 +84,7 @@
 	for i, rate := range requested {
 		want[i] += rate
 	}
-	due, out := f.Due(capacity, want), map[int]float64{}
+	due, out := f.Allocate(capacity, want), map[int]float64{}
 	for i := range requested {
 		out[i] = due[i]
 	}
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -145,7 +145,7 @@
 	w, now := r.n.w, r.clock()
 	r.demand.Request(at, 1/rootRate)
 	r.lapse(now)
-	d := r.book.Ask(now, quota.Call{Leaf: at})
+	d := r.book.Admit(now, quota.Call{Leaf: at})
 	if d.Verdict == quota.Rejected {
 		w.counts["met: a call refused"]++
 		return
@@ -215,7 +215,7 @@
 	w.counts["met: a lease"]++
 	var parts []quota.NodeLease
 	for _, p := range g.Parts {
-		parts = append(parts, quota.NodeLease{At: p.Node, Load: p.Load.Fraction()})
+		parts = append(parts, quota.NodeLease{NodeIndex: p.Node, Load: p.Load.Fraction()})
 	}
 	if w.set.Wrong == SavedRoom {
 		parts = append(parts, r.parts...)
--- a/lab/quotas/compare.go
+++ b/lab/quotas/compare.go
@@ -141,7 +141,7 @@
 		asked[at] += rate
 	}
 	due, got := 0.0, 0.0
-	for at, rate := range b.Due(Rate*c.Capacity, asked) {
+	for at, rate := range b.FairRates(Rate*c.Capacity, asked) {
 		leaf := b.Name(at)
 		o.Due[leaf] = rate
 		o.Worst = max(o.Worst, math.Abs(o.Got[leaf]-rate)/rate)
--- a/lab/quotas/dividers.go
+++ b/lab/quotas/dividers.go
@@ -167,7 +167,7 @@
 
 func (b book) Ask(now float64, leaf string, priority int) bool {
 	at, _ := b.Find(leaf)
-	return b.Tree.Ask(now*1000, quota.Call{Leaf: at, Priority: priority}).Verdict != quota.Rejected
+	return b.Tree.Admit(now*1000, quota.Call{Leaf: at, Priority: priority}).Verdict != quota.Rejected
 }
 
 func (b book) Capacity(now, part float64) { b.SetCapacity(now*1000, part) }
--- a/lab/quotas/fleet.go
+++ b/lab/quotas/fleet.go
@@ -179,7 +179,7 @@
 		at, _ := b.Find(leaf)
 		want[at] = rate
 	}
-	for at, rate := range b.Due(Rate, want) {
+	for at, rate := range b.FairRates(Rate, want) {
 		leaf := b.Name(at)
 		p.out.Due[leaf] = rate
 		p.out.Worst = max(p.out.Worst, math.Abs(p.out.Got[leaf]-rate)/rate)
@@ -212,7 +212,7 @@
 		panic(fmt.Sprint("no leaf ", f.Leaf))
 	}
 	s.demand.Request(leaf, 1/Rate)
-	if d := s.book.Ask(at, quota.Call{Leaf: leaf, Priority: f.Priority}); d.Verdict == quota.Rejected {
+	if d := s.book.Admit(at, quota.Call{Leaf: leaf, Priority: f.Priority}); d.Verdict == quota.Rejected {
 		return
 	}
 	s.demand.Admit(leaf, 1/Rate)
@@ -250,7 +250,7 @@
 	}
 	parts := make([]quota.NodeLease, 0, len(g.Parts))
 	for _, part := range g.Parts {
-		parts = append(parts, quota.NodeLease{At: part.Node, Load: part.Load.Fraction()})
+		parts = append(parts, quota.NodeLease{NodeIndex: part.Node, Load: part.Load.Fraction()})
 	}
 	s.book.Lease(at+2*p.times.Way, p.set.Root, oneCall, parts)
 	s.holds, s.until = g.Number, at+g.Length
--- a/lab/rooms/rooms.go
+++ b/lab/rooms/rooms.go
@@ -246,7 +246,7 @@
 		at, _ := book.Find(name)
 		asked[at] = rate
 	}
-	for at, due := range book.Due(p.set.Rate, asked) {
+	for at, due := range book.FairRates(p.set.Rate, asked) {
 		name := book.Name(at)
 		r.Due[name] = due
 		r.Worst = max(r.Worst, math.Abs(r.Got[name]-due)/due)
