--- a/internal/node/options/quota.go
+++ b/internal/node/options/quota.go
@@ -99,12 +99,12 @@
 // Tree puts the options in the terms of package quota, for the whole fleet.
 func (q *Quota) Tree() quota.Settings {
 	set := quota.Settings{Root: quota.Amount{q.Requests, q.Worth}, Floor: q.Floor,
-		Priorities: max(1, len(q.Priorities)), Burst: q.Burst.Ms / 1000, LongWindow: q.LongWindow.Ms / 1000, Kept: q.Kept,
-		Memory: q.Memory.Ms / 1000, PayBack: q.PayBack.Ms / 1000, PayPart: q.PayPart, MostWait: q.MostWait.Ms / 1000}
+		Priorities: max(1, len(q.Priorities)), Burst: q.Burst.Ms / 1000, LongWindow: q.LongWindow.Ms / 1000, Reserved: q.Kept,
+		DebtDecay: q.Memory.Ms / 1000, RepayTime: q.PayBack.Ms / 1000, RepayFraction: q.PayPart, MaxRetryAfter: q.MostWait.Ms / 1000}
 	for _, n := range q.Nodes {
 		set.Nodes = append(set.Nodes, quota.Node{Name: n.Name, Parent: n.Parent, Share: n.Share,
-			Guarantee: quota.Amount{n.Requests, n.Worth}, Ceiling: quota.Amount{n.CeilingRequests, n.CeilingWorth},
-			Long: quota.Amount{n.LongRequests, n.LongWorth}, Burst: n.Burst.Ms / 1000, Keep: !n.Lends, Alone: !n.Borrows})
+			Guarantee: quota.Amount{n.Requests, n.Worth}, RateLimit: quota.Amount{n.CeilingRequests, n.CeilingWorth},
+			LongLimit: quota.Amount{n.LongRequests, n.LongWorth}, Burst: n.Burst.Ms / 1000, NoLending: !n.Lends, NoBorrowing: !n.Borrows})
 	}
 	if q.Unknown == "" {
 		set.Nodes = append(set.Nodes, quota.Node{Name: Others})
--- a/internal/node/quota/debts.go
+++ b/internal/node/quota/debts.go
@@ -56,7 +56,7 @@
 // maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack. What it borrows beyond
 // is a gift.
 func (t *Tree) maxDebt(n *node) float64 {
-	return t.config.PayBack * t.config.PayPart * t.guaranteedFraction(n)
+	return t.config.RepayTime * t.config.RepayFraction * t.guaranteedFraction(n)
 }
 
 // repay makes a debtor give up part of what it was just filled with, while a lender collects its debts.
@@ -66,8 +66,8 @@
 		n.repayRate = 0
 		return
 	}
-	n.repayRate = max(n.repayRate, n.debt/t.config.PayBack)
-	load := min(n.debt, span*min(n.repayRate, t.config.PayPart*t.guaranteedFraction(n)))
+	n.repayRate = max(n.repayRate, n.debt/t.config.RepayTime)
+	load := min(n.debt, span*min(n.repayRate, t.config.RepayFraction*t.guaranteedFraction(n)))
 	n.debt -= load
 	p.repaid += load
 	for m := range measures {
--- a/internal/node/quota/decide.go
+++ b/internal/node/quota/decide.go
@@ -70,7 +70,7 @@
 // hasTokens reports whether the own bucket of a node covers a call, beyond what is reserved for higher priorities
 // and, if spare is set, what debtors have repaid to their lenders.
 func (t *Tree) hasTokens(n *node, priority int, cost Amount, spare bool) bool {
-	reserved, repaid := t.config.Kept*float64(t.config.Priorities-1-priority), 0.0
+	reserved, repaid := t.config.Reserved*float64(t.config.Priorities-1-priority), 0.0
 	if spare {
 		repaid = n.repaid
 	}
@@ -148,9 +148,9 @@
 // retryAfter returns the milliseconds after which a rejected caller should retry. The rejected callers of a leaf get
 // times one behind the other, at the rate that the leaf may always have, with jitter.
 func (t *Tree) retryAfter(n *node) float64 {
-	rate := max(n.own[Requests].rate*t.capacity, 1/cmp.Or(t.config.MostWait, 1))
+	rate := max(n.own[Requests].rate*t.capacity, 1/cmp.Or(t.config.MaxRetryAfter, 1))
 	n.nextRetry = max(n.nextRetry, t.now) + 1000/rate
-	maxWait := t.config.MostWait * 1000
+	maxWait := t.config.MaxRetryAfter * 1000
 	if n.nextRetry > t.now+maxWait {
 		n.nextRetry = t.now + maxWait
 	}
--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -9,8 +9,8 @@
 	s.Root, s.Nodes = scale(s.Root), slices.Clone(s.Nodes)
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
-		n.Guarantee, n.Ceiling, n.Long = scale(n.Guarantee), scale(n.Ceiling), scale(n.Long)
-		n.Keep = n.Keep || leases
+		n.Guarantee, n.RateLimit, n.LongLimit = scale(n.Guarantee), scale(n.RateLimit), scale(n.LongLimit)
+		n.NoLending = n.NoLending || leases
 	}
 	return s
 }
--- a/internal/node/quota/lease/debts.go
+++ b/internal/node/quota/lease/debts.go
@@ -7,13 +7,13 @@
 
 // maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack.
 func (m *Machine) maxDebt(i int) float64 {
-	return m.tree.Set.PayBack * m.tree.Set.PayPart * m.shape.weight[i]
+	return m.tree.Set.RepayTime * m.tree.Set.RepayFraction * m.shape.weight[i]
 }
 
 // updateDebts changes credits and debts by what was used for some seconds. The order of the operations is part of the
 // agreement: every replica must compute the same floats.
 func (m *Machine) updateDebts(seconds float64, used []float64) {
-	keep := 1 / (1 + seconds/m.tree.Set.Memory)
+	keep := 1 / (1 + seconds/m.tree.Set.DebtDecay)
 	for p, children := range m.shape.children {
 		over, under, collecting := 0.0, 0.0, false
 		for _, c := range children {
@@ -73,8 +73,8 @@
 				a.RepayRate = 0
 				continue
 			}
-			a.RepayRate = max(a.RepayRate, a.Debt/m.tree.Set.PayBack)
-			a.GivenUp = min(a.RepayRate, m.tree.Set.PayPart*m.shape.weight[c])
+			a.RepayRate = max(a.RepayRate, a.Debt/m.tree.Set.RepayTime)
+			a.GivenUp = min(a.RepayRate, m.tree.Set.RepayFraction*m.shape.weight[c])
 			repaid += a.GivenUp
 		}
 		for _, c := range children {
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -15,11 +15,11 @@
 
 func tree(number uint64, burst float64, nodes ...quota.Node) Tree {
 	return Tree{Number: number, Leased: 0.9, Set: quota.Settings{Root: quota.Amount{100}, Floor: 0.05, Nodes: nodes, Priorities: 1, Burst: burst,
-		LongWindow: 60, Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}}
+		LongWindow: 60, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}
 }
 
-var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}}, {Name: "c", Share: .2, Alone: true},
-	{Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4, Long: quota.Amount{30}}}
+var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, RateLimit: quota.Amount{40}}, {Name: "c", Share: .2, NoBorrowing: true},
+	{Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4, LongLimit: quota.Amount{30}}}
 
 // leaseHolder is a member as the specification sees it: it uses a lease until that expires or it receives another.
 type leaseHolder struct {
--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -37,7 +37,7 @@
 // leasedSet is 100 requests per second, of which half belong to each tenant and nine tenths are leased; this node is one of ten.
 func leasedSet(number uint64) lease.Tree {
 	return lease.Tree{Number: number, Leased: 0.9, Set: quota.Settings{Root: quota.Amount{100}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60,
-		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: 0.5}, {Name: "vltava", Share: 0.5}, {Name: "none"}}}}
+		DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: 0.5}, {Name: "vltava", Share: 0.5}, {Name: "none"}}}}
 }
 
 func leasedStage(t *testing.T) (s *Middleware, f *leaseService, second func() int) {
@@ -95,8 +95,8 @@
 	s.renew(ctx)
 	second()
 	s.renew(ctx)
-	small, err := quota.New(quota.Settings{Root: quota.Amount{1}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Memory: 30, PayBack: 10,
-		PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "none"}}}, 1)
+	small, err := quota.New(quota.Settings{Root: quota.Amount{1}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, DebtDecay: 30, RepayTime: 10,
+		RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "none"}}}, 1)
 	require.NoError(t, err)
 	unseen := core.Refuse(core.Busy, "", 0)
 	s.Wrap(func(*core.Call) core.Answer {
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -29,10 +29,10 @@
 
 // tree is ten requests per second, half of them of each of two tenants, one of which has a gateway; the third has nothing.
 func tree(t *testing.T, share float64) *quota.Tree {
-	b, err := quota.New(quota.Settings{Root: quota.Amount{10}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Kept: 0,
-		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: share, Alone: true},
-			{Name: "vltava", Share: 0.5, Alone: true}, {Name: "g1", Parent: "vltava", Share: 0.4, Alone: true},
-			{Name: "none", Alone: true}}}, 1)
+	b, err := quota.New(quota.Settings{Root: quota.Amount{10}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Reserved: 0,
+		DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: share, NoBorrowing: true},
+			{Name: "vltava", Share: 0.5, NoBorrowing: true}, {Name: "g1", Parent: "vltava", Share: 0.4, NoBorrowing: true},
+			{Name: "none", NoBorrowing: true}}}, 1)
 	require.NoError(t, err)
 	return b
 }
@@ -154,8 +154,8 @@
 
 // BenchmarkStage is a call through the middleware alone.
 func BenchmarkStage(b *testing.B) {
-	book, err := quota.New(quota.Settings{Root: quota.Amount{1e6}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Memory: 30,
-		PayBack: 10, PayPart: 0.25, MostWait: 2, Nodes: []quota.Node{{Name: "morava", Share: 1}}}, 1)
+	book, err := quota.New(quota.Settings{Root: quota.Amount{1e6}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, DebtDecay: 30,
+		RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: 1}}}, 1)
 	require.NoError(b, err)
 	s := New(Settings{Classes: []Class{{0, 3}}, Tenants: []string{"morava"}, Unknown: "morava"}, book, clock.NewSystem(),
 		slog.New(slog.DiscardHandler))
--- a/internal/node/quota/quota.go
+++ b/internal/node/quota/quota.go
@@ -49,28 +49,28 @@
 	Parent string `json:"Parent"` // empty for those at the top
 	// Guarantee is what it may always have: the fraction Share of its parent's guarantee if that is set, else rates per second as
 	// long as the nodes together can do what the root says.
-	Share     float64 `json:"Share"`
-	Guarantee Amount  `json:"Guarantee"`
-	Ceiling   Amount  `json:"Ceiling"` // rate limits, per second; 0 = none
-	Long      Amount  `json:"Long"`    // rate limits, per second, over LongWindow; 0 = none
-	Burst     float64 `json:"Burst"`   // seconds of its guarantee that its bucket holds; 0 = Settings.Burst
-	Keep      bool    `json:"Keep"`    // it lends nothing
-	Alone     bool    `json:"Alone"`   // it borrows nothing
+	Share       float64 `json:"Share"`
+	Guarantee   Amount  `json:"Guarantee"`
+	RateLimit   Amount  `json:"Ceiling"` // rate limits, per second; 0 = none
+	LongLimit   Amount  `json:"Long"`    // rate limits, per second, over LongWindow; 0 = none
+	Burst       float64 `json:"Burst"`   // seconds of its guarantee that its bucket holds; 0 = Settings.Burst
+	NoLending   bool    `json:"Keep"`    // it lends nothing
+	NoBorrowing bool    `json:"Alone"`   // it borrows nothing
 }
 
 // Settings describe a tree.
 type Settings struct {
-	Root       Amount  `json:"Root"`  // what all nodes together can do per second; a value of 0 = not counted
-	Floor      float64 `json:"Floor"` // the least fraction of Root that is divided, whatever SetCapacity says
-	Nodes      []Node  `json:"Nodes"`
-	Priorities int     `json:"Priorities"` // number of priorities; 0 is the lowest
-	Burst      float64 `json:"Burst"`      // seconds, see Node
-	LongWindow float64 `json:"LongWindow"` // seconds
-	Kept       float64 `json:"Kept"`       // fraction of a bucket that each priority reserves from those below it
-	Memory     float64 `json:"Memory"`     // seconds after which a credit weighs 1/e
-	PayBack    float64 `json:"PayBack"`    // seconds in which a debt is repaid once it is collected
-	PayPart    float64 `json:"PayPart"`    // maximum fraction of a guarantee that goes into that
-	MostWait   float64 `json:"MostWait"`   // maximum seconds of Decision.RetryAfter
+	Root          Amount  `json:"Root"`  // what all nodes together can do per second; a value of 0 = not counted
+	Floor         float64 `json:"Floor"` // the least fraction of Root that is divided, whatever SetCapacity says
+	Nodes         []Node  `json:"Nodes"`
+	Priorities    int     `json:"Priorities"` // number of priorities; 0 is the lowest
+	Burst         float64 `json:"Burst"`      // seconds, see Node
+	LongWindow    float64 `json:"LongWindow"` // seconds
+	Reserved      float64 `json:"Kept"`       // fraction of a bucket that each priority reserves from those below it
+	DebtDecay     float64 `json:"Memory"`     // seconds after which a credit weighs 1/e
+	RepayTime     float64 `json:"PayBack"`    // seconds in which a debt is repaid once it is collected
+	RepayFraction float64 `json:"PayPart"`    // maximum fraction of a guarantee that goes into that
+	MaxRetryAfter float64 `json:"MostWait"`   // maximum seconds of Decision.RetryAfter
 }
 
 // FieldError names the setting that is out of range.
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -17,8 +17,8 @@
 
 // settings are those of nodes that can do 100 requests per second together; the second priority is that of spending-cap blocks.
 func settings(nodes ...Node) Settings {
-	return Settings{Root: Amount{100, 0}, Floor: 0.05, Nodes: nodes, Priorities: 2, Burst: 1, LongWindow: 600, Kept: 0.2,
-		Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}
+	return Settings{Root: Amount{100, 0}, Floor: 0.05, Nodes: nodes, Priorities: 2, Burst: 1, LongWindow: 600, Reserved: 0.2,
+		DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}
 }
 
 // partners are three tenants at the top, the first with two gateways.
@@ -232,7 +232,7 @@
 			was := b.Status(now, leaf)
 			root := b.Status(now, Root)
 			d := b.Admit(now, Call{Leaf: leaf, Priority: o.priority, Value: o.worth})
-			kept := set.Kept * float64(1-o.priority)
+			kept := set.Reserved * float64(1-o.priority)
 			covered := was.Tokens[Requests]-kept*was.Cap[Requests] >= 1 && was.Tokens[Value]-kept*was.Cap[Value] >= o.worth
 			room := root.Tokens[Requests] >= 1 && root.Tokens[Value] >= o.worth
 			switch {
@@ -243,7 +243,7 @@
 			case d.Verdict == Rejected && root.Tokens[Requests] == root.Cap[Requests] && root.Tokens[Value] == root.Cap[Value] &&
 				d.Reason != AtRateLimit && d.Reason != AtLongLimit:
 				return "rejected a call with all capacity free"
-			case d.Verdict == Rejected && !(d.RetryAfter >= 0 && d.RetryAfter <= set.MostWait*1000):
+			case d.Verdict == Rejected && !(d.RetryAfter >= 0 && d.RetryAfter <= set.MaxRetryAfter*1000):
 				return "told to wait longer than allowed"
 			case d.Verdict != WithinGuarantee && d.Verdict != Rejected && o.priority == 0 && leaves[o.leaf] == "c":
 				ceiling.tokens = min(set.Burst*40, ceiling.tokens+(latest-ceiling.at)/1000*40)
@@ -275,7 +275,7 @@
 				return "a bucket ran over"
 			case s.Debt < -1e-9 || s.Credit < -1e-9:
 				return "a debt below nothing"
-			case i != Root && s.Debt > set.PayBack*set.PayPart*s.Rate[Requests]/capacity*(1+1e-9):
+			case i != Root && s.Debt > set.RepayTime*set.RepayFraction*s.Rate[Requests]/capacity*(1+1e-9):
 				return "a debt that cannot be paid in time"
 			}
 		}
@@ -288,8 +288,8 @@
 
 // nestedSettings are settings with both measures, a rate limit and a node that lends nothing.
 func nestedSettings() Settings {
-	set := settings(Node{Name: "a", Share: .5}, Node{Name: "b", Share: .3, Keep: true},
-		Node{Name: "c", Share: .2, Ceiling: Amount{40, 0}}, partners[3], partners[4])
+	set := settings(Node{Name: "a", Share: .5}, Node{Name: "b", Share: .3, NoLending: true},
+		Node{Name: "c", Share: .2, RateLimit: Amount{40, 0}}, partners[3], partners[4])
 	set.Root[Value] = 300
 	return set
 }
@@ -309,11 +309,11 @@
 // Guards against a checker that cannot fail: each planted fault must be found.
 func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
 	for what, plant := range map[string]func(*Tree){
-		"a guarantee that shrinks":  func(b *Tree) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.config.Kept = 0.8 },
+		"a guarantee that shrinks":  func(b *Tree) { b.nodes[b.index["b"]].own[Requests].rate = 1; b.config.Reserved = 0.8 },
 		"a ceiling that is not one": func(b *Tree) { b.nodes[b.index["c"]].limit[Requests] = bucket{} },
-		"a debt without a bound":    func(b *Tree) { b.config.PayBack = 1e5 },
+		"a debt without a bound":    func(b *Tree) { b.config.RepayTime = 1e5 },
 		"blocks like charges":       func(b *Tree) { b.config.Priorities = 3 },
-		"waits without a bound":     func(b *Tree) { b.config.MostWait = 100 },
+		"waits without a bound":     func(b *Tree) { b.config.MaxRetryAfter = 100 },
 	} {
 		caught := ""
 		ops := rapid.Custom(drawSteps)
@@ -387,8 +387,8 @@
 		"a: parent: \"b\" is no node":             {{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}},
 		"guarantee: its children's add up to 110": {{Name: "a", Share: .6}, {Name: "b", Share: .5}},
 		"a: guarantee: its children's add up":     {{Name: "a", Share: .6}, {Name: "b", Parent: "a", Guarantee: Amount{61}}},
-		"a: ceiling: 40 a second is below":        {{Name: "a", Share: .6, Ceiling: Amount{40}}},
-		"a: long: 40 a second is below":           {{Name: "a", Share: .6, Long: Amount{40}}},
+		"a: ceiling: 40 a second is below":        {{Name: "a", Share: .6, RateLimit: Amount{40}}},
+		"a: long: 40 a second is below":           {{Name: "a", Share: .6, LongLimit: Amount{40}}},
 		"a: share: 1.5 lies outside":              {{Name: "a", Share: 1.5}},
 		"a: share: stands beside a guarantee":     {{Name: "a", Share: .5, Guarantee: Amount{5}}},
 		"a: burst: -1 s lies outside":             {{Name: "a", Share: .5, Burst: -1}},
@@ -398,7 +398,7 @@
 		require.ErrorAs(t, err, &wrong, want)
 		assert.Contains(t, err.Error(), want)
 	}
-	for field, change := range map[string]func(*Settings){"kept": func(s *Settings) { s.Kept = math.NaN() },
+	for field, change := range map[string]func(*Settings){"kept": func(s *Settings) { s.Reserved = math.NaN() },
 		"priorities": func(s *Settings) { s.Priorities = 8 }, "root": func(s *Settings) { s.Root = Amount{} }} {
 		set := settings()
 		change(&set)
@@ -471,8 +471,8 @@
 
 // Guards against a hot restart that gives every tenant a new burst, or loses what one had saved up.
 func TestBalancesAreTransferred(t *testing.T) {
-	set := Settings{Root: Amount{100}, Floor: 0.1, Priorities: 1, Burst: 2, LongWindow: 10, Memory: 10, PayBack: 10, PayPart: 0.5, MostWait: 1,
-		Nodes: []Node{{Name: "spent", Guarantee: Amount{10}, Long: Amount{10}, Alone: true}, {Name: "saved", Guarantee: Amount{10}, Alone: true},
+	set := Settings{Root: Amount{100}, Floor: 0.1, Priorities: 1, Burst: 2, LongWindow: 10, DebtDecay: 10, RepayTime: 10, RepayFraction: 0.5, MaxRetryAfter: 1,
+		Nodes: []Node{{Name: "spent", Guarantee: Amount{10}, LongLimit: Amount{10}, NoBorrowing: true}, {Name: "saved", Guarantee: Amount{10}, NoBorrowing: true},
 			{Name: "gone", Guarantee: Amount{10}}}}
 	old, err := New(set, 1)
 	require.NoError(t, err)
@@ -493,7 +493,7 @@
 	heir.RestoreBalances(5000, 500, list)
 	require.Equal(t, 5, ask(heir, 5000, "spent"), "what has run in since")
 	require.Equal(t, 20, ask(heir, 5000, "saved"))
-	heir.RestoreBalances(5000, -1, []Balance{{Name: "saved", Own: Amount{9, 9}}, {Name: "spent", Own: Amount{-9, 1}, Ceiling: Amount{1, 1}, Long: Amount{1, 1}}})
+	heir.RestoreBalances(5000, -1, []Balance{{Name: "saved", Own: Amount{9, 9}}, {Name: "spent", Own: Amount{-9, 1}, RateLimit: Amount{1, 1}, LongLimit: Amount{1, 1}}})
 	require.Zero(t, ask(heir, 5000, "saved"), "a balance only takes away")
 	require.Zero(t, ask(heir, 6900, "spent"), "no debt is larger than the burst")
 	require.Positive(t, ask(heir, 7200, "spent"))
--- a/internal/node/quota/time.go
+++ b/internal/node/quota/time.go
@@ -25,7 +25,7 @@
 		return
 	}
 	n.refreshedAt, n.filledUntil = t.seconds, t.capacitySeconds
-	fade := math.Exp(-span / t.config.Memory)
+	fade := math.Exp(-span / t.config.DebtDecay)
 	n.lendable *= fade
 	if n.repayUntil <= t.seconds-span {
 		n.repaid *= fade
@@ -46,7 +46,7 @@
 		return
 	}
 	if !n.noLending && !math.IsInf(over, 1) {
-		n.lendable = min(n.lendable+over, t.config.Memory*t.guaranteedFraction(n))
+		n.lendable = min(n.lendable+over, t.config.DebtDecay*t.guaranteedFraction(n))
 	}
 	t.repay(n, span)
 	for n.firstContender >= 0 && t.nodes[n.firstContender].lastRequest+contendSeconds < t.seconds {
--- a/internal/node/quota/transfer.go
+++ b/internal/node/quota/transfer.go
@@ -35,10 +35,10 @@
 
 // Balance is the levels of a node's buckets, as fractions of their caps; negative where one is overdrawn.
 type Balance struct {
-	Name    string `json:"name"`
-	Own     Amount `json:"own"`
-	Ceiling Amount `json:"ceiling"`
-	Long    Amount `json:"long"`
+	Name      string `json:"name"`
+	Own       Amount `json:"own"`
+	RateLimit Amount `json:"ceiling"`
+	LongLimit Amount `json:"long"`
 }
 
 // Balances returns the balances of the nodes whose buckets are not all full.
@@ -48,8 +48,8 @@
 		t.refresh(int32(i))
 		n, balance, full := &t.nodes[i], Balance{Name: name}, true
 		for m := range measures {
-			balance.Own[m], balance.Ceiling[m], balance.Long[m] = n.own[m].level(), n.limit[m].level(), n.longLimit[m].level()
-			full = full && min(balance.Own[m], balance.Ceiling[m], balance.Long[m]) == 1
+			balance.Own[m], balance.RateLimit[m], balance.LongLimit[m] = n.own[m].level(), n.limit[m].level(), n.longLimit[m].level()
+			full = full && min(balance.Own[m], balance.RateLimit[m], balance.LongLimit[m]) == 1
 		}
 		if !full {
 			balances = append(balances, balance)
@@ -72,8 +72,8 @@
 		n, balance := &t.nodes[index], &balances[i]
 		for m := range measures {
 			n.own[m].restore(balance.Own[m], seconds)
-			n.limit[m].restore(balance.Ceiling[m], seconds)
-			n.longLimit[m].restore(balance.Long[m], seconds)
+			n.limit[m].restore(balance.RateLimit[m], seconds)
+			n.longLimit[m].restore(balance.LongLimit[m], seconds)
 		}
 	}
 }
--- a/internal/node/quota/tree.go
+++ b/internal/node/quota/tree.go
@@ -83,15 +83,15 @@
 		value  float64
 		lo, hi float64
 	}{{"root", s.Root[Requests], 1e-9, 1e12}, {"root worth", s.Root[Value], 0, 1e15}, {"burst", s.Burst, 1e-3, 3600},
-		{"long_window", s.LongWindow, 1, 1e6}, {"kept", s.Kept, 0, 0.9}, {"memory", s.Memory, 1e-3, 1e6},
-		{"pay_back", s.PayBack, 1e-3, 1e6}, {"pay_part", s.PayPart, 0, 1}, {"most_wait", s.MostWait, 0, 1e6},
+		{"long_window", s.LongWindow, 1, 1e6}, {"kept", s.Reserved, 0, 0.9}, {"memory", s.DebtDecay, 1e-3, 1e6},
+		{"pay_back", s.RepayTime, 1e-3, 1e6}, {"pay_part", s.RepayFraction, 0, 1}, {"most_wait", s.MaxRetryAfter, 0, 1e6},
 		{"floor", s.Floor, 1e-6, 1}} {
 		if !(f.value >= f.lo && f.value <= f.hi) {
 			return &FieldError{"", f.name, fmt.Sprintf("%g lies outside %g to %g", f.value, f.lo, f.hi)}
 		}
 	}
-	if s.Priorities < 1 || s.Priorities > 8 || s.Kept*float64(s.Priorities-1) >= 1 {
-		return &FieldError{"", "priorities", fmt.Sprintf("%d, each keeping %g of a bucket", s.Priorities, s.Kept)}
+	if s.Priorities < 1 || s.Priorities > 8 || s.Reserved*float64(s.Priorities-1) >= 1 {
+		return &FieldError{"", "priorities", fmt.Sprintf("%d, each keeping %g of a bucket", s.Priorities, s.Reserved)}
 	}
 	return nil
 }
@@ -163,10 +163,10 @@
 		switch {
 		case !(own >= 0) || math.IsInf(own, 1):
 			return invalid("guarantee", "%g a second", own)
-		case n.Ceiling[m] != 0 && !(n.Ceiling[m] >= own):
-			return invalid("ceiling", "%g a second is below the guarantee, %g", n.Ceiling[m], own)
-		case n.Long[m] != 0 && !(n.Long[m] >= own):
-			return invalid("long", "%g a second is below the guarantee, %g", n.Long[m], own)
+		case n.RateLimit[m] != 0 && !(n.RateLimit[m] >= own):
+			return invalid("ceiling", "%g a second is below the guarantee, %g", n.RateLimit[m], own)
+		case n.LongLimit[m] != 0 && !(n.LongLimit[m] >= own):
+			return invalid("long", "%g a second is below the guarantee, %g", n.LongLimit[m], own)
 		}
 	}
 	return nil
@@ -175,7 +175,7 @@
 // addNode adds a node below a parent, -1 for the root.
 func (t *Tree) addNode(name string, parent int, n Node) {
 	burst := cmp.Or(n.Burst, t.config.Burst)
-	s := node{parent: int32(parent), firstChild: -1, sibling: -1, noBorrowing: n.Alone, noLending: n.Keep, firstContender: -1, lastContender: -1, nextContender: -1,
+	s := node{parent: int32(parent), firstChild: -1, sibling: -1, noBorrowing: n.NoBorrowing, noLending: n.NoLending, firstContender: -1, lastContender: -1, nextContender: -1,
 		prevContender: -1, nextLender: -1, lastBorrower: -1}
 	for m := range measures {
 		rate := n.Guarantee[m]
@@ -185,10 +185,10 @@
 		// What is reserved for higher priorities comes on top of the burst.
 		full := rate * burst / t.unreserved()
 		s.own[m] = bucket{full, rate, full}
-		if c := n.Ceiling[m]; c > 0 {
+		if c := n.RateLimit[m]; c > 0 {
 			s.limit[m] = bucket{c * burst, c, c * burst}
 		}
-		if c := n.Long[m]; c > 0 {
+		if c := n.LongLimit[m]; c > 0 {
 			s.longLimit[m] = bucket{c * t.config.LongWindow, c, c * t.config.LongWindow}
 		}
 	}
@@ -203,7 +203,7 @@
 }
 
 // unreserved returns the fraction of a bucket that is not reserved for higher priorities.
-func (t *Tree) unreserved() float64 { return 1 - t.config.Kept*float64(t.config.Priorities-1) }
+func (t *Tree) unreserved() float64 { return 1 - t.config.Reserved*float64(t.config.Priorities-1) }
 
 // minWeight is the weight of a node without a guarantee, which lives on what others leave.
 const minWeight = 1e-6
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -94,9 +94,9 @@
 	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second"})
 	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, InForce: 1, Lease: 8000, GoesOn: true, Looked: "second"})
 	report(1_001_200, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second", Paused: "second"})
-	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Kept: .1,
-		Memory: 30, PayBack: 10, PayPart: .25, MostWait: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{40}, Burst: 2},
-			{Name: "c", Share: .1, Alone: true}, {Name: "d", Parent: "a", Share: .4, Long: quota.Amount{30}, Keep: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
+	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Reserved: .1,
+		DebtDecay: 30, RepayTime: 10, RepayFraction: .25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, RateLimit: quota.Amount{40}, Burst: 2},
+			{Name: "c", Share: .1, NoBorrowing: true}, {Name: "d", Parent: "a", Share: .4, LongLimit: quota.Amount{30}, NoLending: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
 	do(1_001_300, 1, ComponentQuotaLeases, QuotaLeaseCommand{Tree: &tree})
 	for i := range 6 {
 		at := 1_001_400 + 500*float64(i)
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -103,7 +103,7 @@
 // treeOf divides twice what is asked for among the partners.
 func treeOf(rate float64) lease.Tree {
 	t := lease.Tree{Leased: 0.95, Set: quota.Settings{Root: quota.Amount{2 * rate}, Floor: 0.05, Priorities: 1, Burst: 1, LongWindow: 600,
-		Kept: 0.2, Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}}
+		Reserved: 0.2, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}
 	for i := range partners {
 		t.Set.Nodes = append(t.Set.Nodes, quota.Node{Name: fmt.Sprint("partner-", i), Share: 1.0 / partners})
 	}
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -41,7 +41,7 @@
 	"met: a debt that outlives its node's lease",
 }
 
-var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{quota.Requests: 0.4 * rootRate}},
+var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, RateLimit: quota.Amount{quota.Requests: 0.4 * rootRate}},
 	{Name: "c", Share: .2}, {Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4}}
 
 // rooms is what nodes let through, and what is owed.
@@ -78,7 +78,7 @@
 // openRooms has nodes begin, and calls come.
 func (w *world) openRooms() {
 	r := &rooms{tree: lease.Tree{Leased: leased, Set: quota.Settings{Root: quota.Amount{quota.Requests: rootRate}, Floor: 0.05, Nodes: partners,
-		Priorities: 2, Burst: burst, LongWindow: 60, Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}}, owed: map[string]float64{}, seen: 1e6}
+		Priorities: 2, Burst: burst, LongWindow: 60, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}, owed: map[string]float64{}, seen: 1e6}
 	w.rooms, r.hash = r, r.tree.Hash()
 	for i := range w.set.Nodes {
 		n := &node{w: w, number: i, name: string(rune('a' + i))}
@@ -249,7 +249,7 @@
 	for name, was := range r.owed {
 		weight := map[string]float64{"a": .5, "b": .3, "c": .2, "a1": .3, "a2": .2}[name]
 		since := (now - r.then) / 1000
-		if least := was*math.Exp(-since/r.tree.Set.Memory) - r.tree.Set.PayPart*weight*since; owed[name] < least-1e-9 {
+		if least := was*math.Exp(-since/r.tree.Set.DebtDecay) - r.tree.Set.RepayFraction*weight*since; owed[name] < least-1e-9 {
 			m.w.fault("%s owed %g, and %g s later %g", name, was, since, owed[name])
 		}
 	}
@@ -289,7 +289,7 @@
 		rate, most := rootRate, rootRate*burst+float64(book.Nodes()*r.starts) // a bucket of each life and place holds a call at the least
 		switch {
 		case book.Name(i) == "b": // what is saved of its guarantee, and of its ceiling
-			rate, most = partners[1].Ceiling[quota.Requests], 2*partners[1].Ceiling[quota.Requests]*burst+2*float64(r.starts)
+			rate, most = partners[1].RateLimit[quota.Requests], 2*partners[1].RateLimit[quota.Requests]*burst+2*float64(r.starts)
 		case i != quota.Root:
 			continue
 		}
--- a/lab/quotas/dividers.go
+++ b/lab/quotas/dividers.go
@@ -154,7 +154,7 @@
 // Settings are those of the node's way in the comparison.
 func Settings(tree []quota.Node, rate float64) quota.Settings {
 	return quota.Settings{Root: quota.Amount{rate}, Floor: 0.05, Nodes: tree, Priorities: 2, Burst: burst, LongWindow: 600,
-		Kept: 0.2, Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}
+		Reserved: 0.2, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}
 }
 
 func newBook(tree []quota.Node, rate float64) Divider {
--- a/lab/quotas/fleet.go
+++ b/lab/quotas/fleet.go
@@ -85,7 +85,7 @@
 	set := Settings(slices.Clone(Tree), Rate)
 	for i := range set.Nodes {
 		if limit := c.Limits[set.Nodes[i].Name]; limit > 0 {
-			set.Nodes[i].Ceiling = quota.Amount{limit}
+			set.Nodes[i].RateLimit = quota.Amount{limit}
 		}
 	}
 	p := &fleetPlay{c: c, set: set, times: t, rand: rand.New(rand.NewPCG(seed, 5)), machine: lease.New(), leases: leases,
@@ -114,7 +114,7 @@
 }
 
 // burstOf is what the root may save up, in seconds of its rate.
-func burstOf(s quota.Settings) float64 { return s.Burst / (1 - s.Kept*float64(s.Priorities-1)) }
+func burstOf(s quota.Settings) float64 { return s.Burst / (1 - s.Reserved*float64(s.Priorities-1)) }
 
 // meter is a bucket that counts how far it was overdrawn.
 type meter struct{ rate, cap, level, at float64 }
--- a/lab/rooms/rooms.go
+++ b/lab/rooms/rooms.go
@@ -233,7 +233,7 @@
 			counts[name] /= time.Since(p.from).Seconds()
 		}
 	}
-	set := quota.Settings{Root: quota.Amount{p.set.Rate}, Floor: 0.1, Priorities: 1, Burst: burst, LongWindow: 60, Memory: 30, PayBack: 10, PayPart: 0.25}
+	set := quota.Settings{Root: quota.Amount{p.set.Rate}, Floor: 0.1, Priorities: 1, Burst: burst, LongWindow: 60, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25}
 	for _, t := range tenants {
 		set.Nodes = append(set.Nodes, quota.Node{Name: t.name, Share: t.share})
 	}
