--- a/cmd/linenwheel/quota.go
+++ b/cmd/linenwheel/quota.go
@@ -118,7 +118,7 @@
 			name = "(all)"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%s\t%d\t%d\t%d\t%d\t%s\n", name, n.Parent, n.Rate[0], n.Tokens[0], n.Cap[0],
-			n.Credit, n.Debt, n.LentTo, n.Going, n.Borrowed, n.Paid, n.Refused, n.Reason)
+			n.Credit, n.Debt, n.LentTo, n.Guaranteed, n.Borrowed, n.Repaid, n.Rejected, n.Reason)
 	}
 	return w.Flush()
 }
@@ -133,8 +133,8 @@
 	if !ok {
 		return fmt.Errorf("quota: no node %q that has been asked for", name)
 	}
-	fmt.Fprintf(s.out, "%s: %d calls within its guarantee, %d borrowed, %d paid back, %d refused\n", name, n.Going, n.Borrowed,
-		n.Paid, n.Refused)
+	fmt.Fprintf(s.out, "%s: %d calls within its guarantee, %d borrowed, %d paid back, %d refused\n", name, n.Guaranteed, n.Borrowed,
+		n.Repaid, n.Rejected)
 	if n.Reason != "" {
 		fmt.Fprintf(s.out, "the last refusal was for: %s\n", n.Reason)
 	}
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -181,7 +181,7 @@
 	now := s.clock.Now()
 	for i := range s.tree.Nodes() {
 		n := s.tree.Status(now, i)
-		if !n.Leaf || n.Going+n.Borrowed+n.Paid+n.Refused > 0 {
+		if !n.Leaf || n.Guaranteed+n.Borrowed+n.Repaid+n.Rejected > 0 {
 			if nodes = append(nodes, n); len(nodes) == maxStatusNodes {
 				break
 			}
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -79,8 +79,8 @@
 	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind)
 	for _, n := range s.Status() {
 		if n.Name == "morava" {
-			assert.Equal(t, uint64(27), n.Going)
-			assert.Equal(t, uint64(2), n.Refused)
+			assert.Equal(t, uint64(27), n.Guaranteed)
+			assert.Equal(t, uint64(2), n.Rejected)
 		}
 	}
 }
--- a/internal/node/quota/quota_test.go
+++ b/internal/node/quota/quota_test.go
@@ -372,7 +372,7 @@
 	now := fresh.Status(20000, leaf)
 	assert.InDelta(t, was.Tokens[Requests]/was.Cap[Requests], now.Tokens[Requests]/now.Cap[Requests], 1e-9)
 	assert.LessOrEqual(t, now.Debt, 25.0+1e-9)
-	assert.Equal(t, was.Refused, now.Refused)
+	assert.Equal(t, was.Rejected, now.Rejected)
 	assert.Equal(t, 0.5, fresh.Capacity())
 	other, _ := fresh.Find("new")
 	assert.Equal(t, fresh.Status(20000, other).Cap, fresh.Status(20000, other).Tokens)
--- a/internal/node/quota/status.go
+++ b/internal/node/quota/status.go
@@ -4,20 +4,20 @@
 
 // Status is the state of a node, for operators.
 type Status struct {
-	Name     string  `json:"name"`
-	Parent   string  `json:"parent"`
-	Leaf     bool    `json:"leaf"`
-	Rate     Amount  `json:"rate"`              // guaranteed now, per second: requests, value
-	Tokens   Amount  `json:"tokens"`            // in its bucket; negative where it is overdrawn
-	Cap      Amount  `json:"cap"`               // of its bucket
-	Credit   float64 `json:"credit"`            // requests that its siblings owe it
-	Debt     float64 `json:"debt"`              // requests that it owes them
-	LentTo   string  `json:"lent_to,omitempty"` // the last sibling that borrowed from it
-	Going    uint64  `json:"going"`             // calls so far: within its guarantee
-	Borrowed uint64  `json:"borrowed"`          // with borrowed capacity
-	Paid     uint64  `json:"paid"`              // with capacity that was repaid to it
-	Refused  uint64  `json:"refused"`
-	Reason   string  `json:"reason,omitempty"` // of the last rejection
+	Name       string  `json:"name"`
+	Parent     string  `json:"parent"`
+	Leaf       bool    `json:"leaf"`
+	Rate       Amount  `json:"rate"`              // guaranteed now, per second: requests, value
+	Tokens     Amount  `json:"tokens"`            // in its bucket; negative where it is overdrawn
+	Cap        Amount  `json:"cap"`               // of its bucket
+	Credit     float64 `json:"credit"`            // requests that its siblings owe it
+	Debt       float64 `json:"debt"`              // requests that it owes them
+	LentTo     string  `json:"lent_to,omitempty"` // the last sibling that borrowed from it
+	Guaranteed uint64  `json:"going"`             // calls so far: within its guarantee
+	Borrowed   uint64  `json:"borrowed"`          // with borrowed capacity
+	Repaid     uint64  `json:"paid"`              // with capacity that was repaid to it
+	Rejected   uint64  `json:"refused"`
+	Reason     string  `json:"reason,omitempty"` // of the last rejection
 }
 
 // Status returns the state of one node.
@@ -26,8 +26,8 @@
 	t.refresh(int32(i))
 	n := &t.nodes[i]
 	s := Status{Name: t.names[i], Leaf: n.firstChild < 0, Credit: n.credit * t.nodes[Root].own[Requests].rate,
-		Debt: n.debt * t.nodes[Root].own[Requests].rate, Going: n.counts[WithinGuarantee], Borrowed: n.counts[Borrowed], Paid: n.counts[Repaid],
-		Refused: n.counts[Rejected], Reason: n.reason.String()}
+		Debt: n.debt * t.nodes[Root].own[Requests].rate, Guaranteed: n.counts[WithinGuarantee], Borrowed: n.counts[Borrowed], Repaid: n.counts[Repaid],
+		Rejected: n.counts[Rejected], Reason: n.reason.String()}
 	if n.parent >= 0 {
 		s.Parent = t.names[n.parent]
 	}
--- a/node/policy_test.go
+++ b/node/policy_test.go
@@ -25,7 +25,7 @@
 		a send POST /pay/1 id=q2 deadline=900 owner=t`)
 	require.Eventually(t, func() bool {
 		for _, q := range n.Quotas() {
-			if q.Name == "t" && q.Refused > 0 { // it waits
+			if q.Name == "t" && q.Rejected > 0 { // it waits
 				return true
 			}
 		}
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -32,8 +32,8 @@
 		a expect 429`)
 	for _, q := range n.Quotas() {
 		if q.Name == "t" {
-			assert.Equal(t, uint64(1), q.Going)
-			assert.Equal(t, uint64(1), q.Refused)
+			assert.Equal(t, uint64(1), q.Guaranteed)
+			assert.Equal(t, uint64(1), q.Rejected)
 		}
 	}
 	s.Run(`
