--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -65,9 +65,9 @@
 	s.endLease(s.clock.Now())
 }
 
-// Leased returns the hash of the tree, until when the lease is valid, in ms of the node's clock, and its load as a
+// LeaseStatus returns the hash of the tree, until when the lease is valid, in ms of the node's clock, and its load as a
 // fraction of all that the nodes together can do. ok = the node uses leases.
-func (s *Middleware) Leased() (tree string, until, load float64, ok bool) {
+func (s *Middleware) LeaseStatus() (tree string, until, load float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases == nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Run keeps the lease renewed until ctx ends, and then gives it back.
-func (s *Middleware) Run(ctx context.Context) {
+// RunLeases keeps the lease renewed until ctx ends, and then gives it back.
+func (s *Middleware) RunLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := s.renew(ctx)
 		s.sleep(ctx, minReportInterval, nil)
--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -120,7 +120,7 @@
 	s.renew(ctx)
 	assert.Equal(t, 1, f.machine.View().Members)
 	stop()
-	s.Run(ctx)
+	s.RunLeases(ctx)
 	assert.Zero(t, f.machine.View().Members)
 	assert.True(t, f.reports[len(f.reports)-1].Leaving)
 }
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -24,7 +24,7 @@
 type Settings struct {
 	Classes          []Class  // by number
 	Tenants          []string // names, by number
-	Unknown          string   // the node of tenants without one of their own; must be in the tree
+	DefaultNode      string   // the node of tenants without one of their own; must be in the tree
 	Gateway          string   // header with the name of a call's gateway, a child of its tenant's node; empty = none
 	Content          func(payload any) core.Content
 	MaxWait          float64                           // ms for which a call may wait for capacity; 0 = calls do not wait
@@ -60,7 +60,7 @@
 // setTree puts a tree into force. It is called under the lock, or before the middleware is shared.
 func (s *Middleware) setTree(tree *quota.Tree) {
 	s.tree, s.tenants = tree, s.tenants[:0]
-	unknown, _ := tree.Find(s.config.Unknown)
+	unknown, _ := tree.Find(s.config.DefaultNode)
 	for _, name := range s.config.Tenants {
 		index, ok := tree.Find(name)
 		if !ok {
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -39,7 +39,7 @@
 
 func newStage(t *testing.T, set Settings) (*Middleware, *clock.Manual) {
 	set.Classes = []Class{{0, 3}, {1, 8}}
-	set.Tenants, set.Unknown, set.Gateway = []string{"morava", "vltava"}, "none", "Gateway"
+	set.Tenants, set.DefaultNode, set.Gateway = []string{"morava", "vltava"}, "none", "Gateway"
 	set.Content = func(p any) core.Content { return p.(gatewayHeader) }
 	c := clock.NewManual(1000)
 	return New(set, tree(t, 0.5), c, slog.New(slog.DiscardHandler)), c
@@ -157,7 +157,7 @@
 	book, err := quota.New(quota.Settings{Root: quota.Amount{1e6}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, DebtDecay: 30,
 		RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: 1}}}, 1)
 	require.NoError(b, err)
-	s := New(Settings{Classes: []Class{{0, 3}}, Tenants: []string{"morava"}, Unknown: "morava"}, book, clock.NewSystem(),
+	s := New(Settings{Classes: []Class{{0, 3}}, Tenants: []string{"morava"}, DefaultNode: "morava"}, book, clock.NewSystem(),
 		slog.New(slog.DiscardHandler))
 	next := s.Wrap(func(*core.Call) core.Answer { return served })
 	call := &core.Call{}
--- a/node/node.go
+++ b/node/node.go
@@ -550,7 +550,7 @@
 				case <-n.ready:
 				case <-back.Done():
 				}
-				n.quota.Run(back)
+				n.quota.RunLeases(back)
 			})
 		}
 	}
--- a/node/quota.go
+++ b/node/quota.go
@@ -20,10 +20,10 @@
 	if err != nil {
 		return nil, err
 	}
-	set := middleware.Settings{Unknown: o.Unknown, Gateway: o.Gateway, Content: content, MaxWait: o.Wait.Ms, MaxWaiting: o.Waiting,
+	set := middleware.Settings{DefaultNode: o.Unknown, Gateway: o.Gateway, Content: content, MaxWait: o.Wait.Ms, MaxWaiting: o.Waiting,
 		CapacityInterval: o.LearnEvery.Ms}
-	if set.Unknown == "" {
-		set.Unknown = options.Others
+	if set.DefaultNode == "" {
+		set.DefaultNode = options.Others
 	}
 	for _, c := range n.conf.Settings.Classes {
 		set.Classes = append(set.Classes, middleware.Class{Priority: max(0, slices.Index(o.Priorities, c.Name)), Value: c.Value})
--- a/node/status.go
+++ b/node/status.go
@@ -134,7 +134,7 @@
 		}
 	}
 	if n.quota != nil {
-		if tree, until, load, ok := n.quota.Leased(); ok {
+		if tree, until, load, ok := n.quota.LeaseStatus(); ok {
 			s.Room = &RoomStatus{tree, max(0, until-n.clock.Now()), load}
 		}
 	}
