--- a/internal/node/options/quota.go
+++ b/internal/node/options/quota.go
@@ -126,8 +126,8 @@
 	if q.Unknown != "" && !slices.ContainsFunc(q.Nodes, func(n QuotaNode) bool { return n.Name == q.Unknown }) {
 		report(fmt.Sprintf("%q is no node", q.Unknown), "unknown")
 	}
-	if t := (lease.Tree{Leased: q.Leased, Set: q.Tree()}); q.On && q.Leased > 0 && len(t.Set.Nodes) > lease.MaxNodes {
-		report(fmt.Sprintf("stands beside %d nodes of the tree: %d at the most can be leased", len(t.Set.Nodes), lease.MaxNodes), "leased", "node")
+	if t := (lease.Tree{Leased: q.Leased, Settings: q.Tree()}); q.On && q.Leased > 0 && len(t.Settings.Nodes) > lease.MaxNodes {
+		report(fmt.Sprintf("stands beside %d nodes of the tree: %d at the most can be leased", len(t.Settings.Nodes), lease.MaxNodes), "leased", "node")
 	}
 	for i, name := range q.Priorities {
 		if slices.Index(q.Priorities, name) != i {
--- a/internal/node/quota/lease/debts.go
+++ b/internal/node/quota/lease/debts.go
@@ -7,13 +7,13 @@
 
 // maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack.
 func (m *Machine) maxDebt(i int) float64 {
-	return m.tree.Set.RepayTime * m.tree.Set.RepayFraction * m.shape.weight[i]
+	return m.tree.Settings.RepayTime * m.tree.Settings.RepayFraction * m.shape.weight[i]
 }
 
 // updateDebts changes credits and debts by what was used for some seconds. The order of the operations is part of the
 // agreement: every replica must compute the same floats.
 func (m *Machine) updateDebts(seconds float64, used []float64) {
-	keep := 1 / (1 + seconds/m.tree.Set.DebtDecay)
+	keep := 1 / (1 + seconds/m.tree.Settings.DebtDecay)
 	for p, children := range m.shape.children {
 		over, under, collecting := 0.0, 0.0, false
 		for _, c := range children {
@@ -51,7 +51,7 @@
 
 // updateLongWindow changes the account of the long window of a node by what was used for some seconds.
 func (m *Machine) updateLongWindow(i int, seconds, used float64) {
-	bound := m.shape.longLimit[i] * m.tree.Set.LongWindow
+	bound := m.shape.longLimit[i] * m.tree.Settings.LongWindow
 	m.accounts[i].Long = max(-bound, min(bound, m.accounts[i].Long+(m.shape.longLimit[i]-used)*seconds))
 }
 
@@ -73,8 +73,8 @@
 				a.RepayRate = 0
 				continue
 			}
-			a.RepayRate = max(a.RepayRate, a.Debt/m.tree.Set.RepayTime)
-			a.GivenUp = min(a.RepayRate, m.tree.Set.RepayFraction*m.shape.weight[c])
+			a.RepayRate = max(a.RepayRate, a.Debt/m.tree.Settings.RepayTime)
+			a.GivenUp = min(a.RepayRate, m.tree.Settings.RepayFraction*m.shape.weight[c])
 			repaid += a.GivenUp
 		}
 		for _, c := range children {
--- a/internal/node/quota/lease/divide.go
+++ b/internal/node/quota/lease/divide.go
@@ -37,7 +37,7 @@
 	m.dividedAt = now
 	used := m.sumDemand(func(a NodeDemand) float64 { return a.Admitted })
 	m.shape.fluid.AddToAncestors(used)
-	m.updateDebts(min(span, m.tree.Set.DebtDecay*1000)/1000, used)
+	m.updateDebts(min(span, m.tree.Settings.DebtDecay*1000)/1000, used)
 	want := m.sumDemand(func(a NodeDemand) float64 { return a.Requested })
 	m.collectDebts(want)
 	for i := range m.accounts {
--- a/internal/node/quota/lease/lease.go
+++ b/internal/node/quota/lease/lease.go
@@ -71,13 +71,13 @@
 
 // Report is what a member sends, often enough to have its lease renewed.
 type Report struct {
-	Node    string       `json:"node"`
-	Life    uint64       `json:"life"`   // incarnation of the process
-	Tree    string       `json:"tree"`   // hash of the tree that the member has
-	Length  float64      `json:"length"` // ms of the lease that it requests
-	Held    uint64       `json:"holds"`  // number of the lease that it uses; 0 = none
-	Demand  []NodeDemand `json:"asked"`
-	Leaving bool         `json:"leaves"` // it gives its lease back
+	Node      string       `json:"node"`
+	Life      uint64       `json:"life"`   // incarnation of the process
+	Tree      string       `json:"tree"`   // hash of the tree that the member has
+	Length    float64      `json:"length"` // ms of the lease that it requests
+	HeldLease uint64       `json:"holds"`  // number of the lease that it uses; 0 = none
+	Demand    []NodeDemand `json:"asked"`
+	Leaving   bool         `json:"leaves"` // it gives its lease back
 }
 
 // check returns an error if a report is out of bounds, for a tree with that many nodes.
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -14,7 +14,7 @@
 )
 
 func tree(number uint64, burst float64, nodes ...quota.Node) Tree {
-	return Tree{Number: number, Leased: 0.9, Set: quota.Settings{Root: quota.Amount{100}, Floor: 0.05, Nodes: nodes, Priorities: 1, Burst: burst,
+	return Tree{Number: number, Leased: 0.9, Settings: quota.Settings{Root: quota.Amount{100}, Floor: 0.05, Nodes: nodes, Priorities: 1, Burst: burst,
 		LongWindow: 60, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}
 }
 
@@ -78,7 +78,7 @@
 		require.NoError(rt, err)
 		if rapid.IntRange(0, 3).Draw(rt, "lost") > 0 {
 			spoil(h, &g)
-			h.parts, h.until, h.report.Held, h.tree = g.Parts, now+g.Length, g.Number, m.hash
+			h.parts, h.until, h.report.HeldLease, h.tree = g.Parts, now+g.Length, g.Number, m.hash
 		}
 		if broken = checkInvariants(m, holders, now, t); broken != "" {
 			return broken
@@ -179,7 +179,7 @@
 	tr.Number = 1
 	require.NoError(t, m.SetTree(now, tr))
 	assert.NotEmpty(t, say(2, 1, 1, 0.45), "the same tree under a further number ends no lease")
-	tr.Number, tr.Set.Burst = 2, 2
+	tr.Number, tr.Settings.Burst = 2, 2
 	debt := of("b").Debt
 	require.NoError(t, m.SetTree(now, tr))
 	assert.Equal(t, debt, of("b").Debt)
--- a/internal/node/quota/lease/machine.go
+++ b/internal/node/quota/lease/machine.go
@@ -84,7 +84,7 @@
 	index := map[string]int{}
 	for i, name := range s.names[:s.memberNodes()] {
 		index[name] = i
-		m.accounts[i].Long = s.longLimit[i] * t.Set.LongWindow
+		m.accounts[i].Long = s.longLimit[i] * t.Settings.LongWindow
 	}
 	for i := range s.longLimit {
 		if math.IsInf(s.longLimit[i], 1) {
@@ -141,7 +141,7 @@
 		return Grant{}, fmt.Errorf("there are %d members", len(m.members))
 	}
 	e.Node, e.Life, e.Demand, e.Reported = r.Node, r.Life, r.Demand, now
-	if r.Held == e.Number { // else it did not receive the reply, and it ignores one that arrives late
+	if r.HeldLease == e.Number { // else it did not receive the reply, and it ignores one that arrives late
 		e.Active = e.Granted
 	}
 	e.Granted = nil
--- a/internal/node/quota/lease/reply_test.go
+++ b/internal/node/quota/lease/reply_test.go
@@ -15,7 +15,7 @@
 	m, tr := New(), tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
 	require.NoError(t, m.SetTree(1e6, tr))
 	say := func(now float64, node string, holds uint64, want float64) (Grant, float64) {
-		g, err := m.Report(now, Report{Node: node, Life: 1, Tree: m.hash, Length: 2000, Held: holds, Demand: []NodeDemand{{1, want, want}}})
+		g, err := m.Report(now, Report{Node: node, Life: 1, Tree: m.hash, Length: 2000, HeldLease: holds, Demand: []NodeDemand{{1, want, want}}})
 		require.NoError(t, err)
 		sum := 0.0
 		for _, p := range g.Parts {
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -12,15 +12,15 @@
 
 // Tree is what the capacity of all nodes is divided by.
 type Tree struct {
-	Number uint64         `json:"number"` // of the policy that it came with; 0 = of a file
-	Leased float64        `json:"leased"` // fraction of the capacity that is leased; the rest belongs to the nodes in equal parts
-	Set    quota.Settings `json:"set"`    // of all nodes together
+	Number   uint64         `json:"number"` // of the policy that it came with; 0 = of a file
+	Leased   float64        `json:"leased"` // fraction of the capacity that is leased; the rest belongs to the nodes in equal parts
+	Settings quota.Settings `json:"set"`    // of all nodes together
 }
 
 // Hash returns a hash of what the tree says, whatever its number: a policy that does not change it makes no other
 // tree of it. It is empty for a tree that Check rejects because it has no JSON form.
 func (t *Tree) Hash() string {
-	text, err := json.Marshal(Tree{Leased: t.Leased, Set: t.Set})
+	text, err := json.Marshal(Tree{Leased: t.Leased, Settings: t.Settings})
 	if err != nil {
 		return "" // a value that is not a number: Check reports it
 	}
@@ -32,10 +32,10 @@
 	if !(t.Leased > 0 && t.Leased <= MaxLeasedFraction) {
 		return fmt.Errorf("%g of the room is leased: want more than 0, and %g at the most", t.Leased, MaxLeasedFraction)
 	}
-	if len(t.Set.Nodes) > MaxNodes {
-		return fmt.Errorf("the tree has %d nodes: %d at the most can be leased", len(t.Set.Nodes), MaxNodes)
+	if len(t.Settings.Nodes) > MaxNodes {
+		return fmt.Errorf("the tree has %d nodes: %d at the most can be leased", len(t.Settings.Nodes), MaxNodes)
 	}
-	_, err := quota.New(t.Set, 0)
+	_, err := quota.New(t.Settings, 0)
 	return err
 }
 
@@ -56,7 +56,7 @@
 
 // newShape returns the shape of a tree. The error is that of quota.New.
 func newShape(t *Tree) (*shape, error) {
-	tree, err := quota.New(t.Set, 0)
+	tree, err := quota.New(t.Settings, 0)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -78,7 +78,7 @@
 
 // load returns the cost of a call as a fraction of what all nodes together can do in a second.
 func (s *Middleware) load(cost quota.Amount) (load float64) {
-	for m, root := range s.leases.config.Tree.Set.Root {
+	for m, root := range s.leases.config.Tree.Settings.Root {
 		if root > 0 {
 			load = max(load, cost[m]/root)
 		}
@@ -90,7 +90,7 @@
 func (s *Middleware) endLease(now float64) {
 	l := s.leases
 	l.until, l.leasedNodes, l.load = 0, nil, 0
-	s.tree.Lease(now, l.config.Tree.Set.Root, l.config.MaxCost, nil)
+	s.tree.Lease(now, l.config.Tree.Settings.Root, l.config.MaxCost, nil)
 }
 
 // recordRequest counts a call for the next report, and ends a lease that has expired. It is called under the lock,
@@ -161,7 +161,7 @@
 	l, reportedAt := s.leases, s.clock.Now()
 	s.expireLease(reportedAt)
 	config, treeHash := l.config, l.treeHash
-	r := lease.Report{Node: config.Node, Life: l.life, Tree: treeHash, Length: config.Length, Held: l.number, Demand: l.demand.Report(reportedAt)}
+	r := lease.Report{Node: config.Node, Life: l.life, Tree: treeHash, Length: config.Length, HeldLease: l.number, Demand: l.demand.Report(reportedAt)}
 	s.mu.Unlock()
 	pause = min(maxReportInterval, config.Length/reportsPerLease)
 	ctx, stop := context.WithTimeout(ctx, time.Duration(config.Length*1e6))
@@ -211,5 +211,5 @@
 			l.load += p.Load.Fraction()
 		}
 	}
-	s.tree.Lease(s.clock.Now(), l.config.Tree.Set.Root, l.config.MaxCost, parts)
+	s.tree.Lease(s.clock.Now(), l.config.Tree.Settings.Root, l.config.MaxCost, parts)
 }
--- a/internal/node/quota/middleware/lease_test.go
+++ b/internal/node/quota/middleware/lease_test.go
@@ -36,13 +36,13 @@
 
 // leasedSet is 100 requests per second, of which half belong to each tenant and nine tenths are leased; this node is one of ten.
 func leasedSet(number uint64) lease.Tree {
-	return lease.Tree{Number: number, Leased: 0.9, Set: quota.Settings{Root: quota.Amount{100}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60,
+	return lease.Tree{Number: number, Leased: 0.9, Settings: quota.Settings{Root: quota.Amount{100}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60,
 		DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: 0.5}, {Name: "vltava", Share: 0.5}, {Name: "none"}}}}
 }
 
 func leasedStage(t *testing.T) (s *Middleware, f *leaseService, second func() int) {
 	s, c := newStage(t, Settings{})
-	part, err := quota.New(leasedSet(0).Set.Fraction(0.01, true), 1)
+	part, err := quota.New(leasedSet(0).Settings.Fraction(0.01, true), 1)
 	require.NoError(t, err)
 	s.Replace(part)
 	f = &leaseService{machine: lease.New(), now: c.Now}
@@ -105,7 +105,7 @@
 		return unseen
 	})(&core.Call{Tenant: 1, Payload: gatewayHeader(""), Deadline: 1e6})
 	tree3 := leasedSet(3)
-	tree3.Set.Burst = 2
+	tree3.Settings.Burst = 2
 	require.NoError(t, f.machine.SetTree(f.now(), tree3))
 	s.renew(ctx)
 	assert.Equal(t, tree3.Hash(), s.leases.foreignTree)
--- a/internal/node/statemachine/golden_test.go
+++ b/internal/node/statemachine/golden_test.go
@@ -94,7 +94,7 @@
 	report(1_001_180, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second"})
 	report(1_001_190, rollout.Report{Node: "node-2", Life: 6, InForce: 1, Lease: 8000, GoesOn: true, Looked: "second"})
 	report(1_001_200, rollout.Report{Node: "node-1", Life: 5, InForce: 1, Lease: 8000, Looked: "second", Paused: "second"})
-	tree := lease.Tree{Number: 1, Leased: .9, Set: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Reserved: .1,
+	tree := lease.Tree{Number: 1, Leased: .9, Settings: quota.Settings{Root: quota.Amount{100, 50}, Floor: .05, Priorities: 2, Burst: 1, LongWindow: 60, Reserved: .1,
 		DebtDecay: 30, RepayTime: 10, RepayFraction: .25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, RateLimit: quota.Amount{40}, Burst: 2},
 			{Name: "c", Share: .1, NoBorrowing: true}, {Name: "d", Parent: "a", Share: .4, LongLimit: quota.Amount{30}, NoLending: true}, {Name: "e", Guarantee: quota.Amount{1, 1}}}}}
 	do(1_001_300, 1, ComponentQuotaLeases, QuotaLeaseCommand{Tree: &tree})
@@ -102,7 +102,7 @@
 		at := 1_001_400 + 500*float64(i)
 		for j := range 2 {
 			do(at+float64(j), uint64(j+1), ComponentQuotaLeases, QuotaLeaseCommand{Report: &lease.Report{Node: fmt.Sprint("node-", j+1), Life: uint64(j + 5), Tree: tree.Hash(), Length: 8000,
-				Held: uint64(2*(i-1) + j + 1), Demand: []lease.NodeDemand{{Node: 1, Requested: .1 * float64(i), Admitted: .05}, {Node: 2, Requested: .9, Admitted: .4 * float64(j)}, {Node: 4, Requested: .02, Admitted: .01}}}})
+				HeldLease: uint64(2*(i-1) + j + 1), Demand: []lease.NodeDemand{{Node: 1, Requested: .1 * float64(i), Admitted: .05}, {Node: 2, Requested: .9, Admitted: .4 * float64(j)}, {Node: 4, Requested: .02, Admitted: .01}}}})
 		}
 	}
 	return commands
--- a/lab/circle/size/costs.go
+++ b/lab/circle/size/costs.go
@@ -61,7 +61,7 @@
 	var rooms, policies, names []float64
 	for range costRuns {
 		number++
-		report := lease.Report{Node: "costs", Life: 1, Tree: hash, Length: roomLease, Held: holds}
+		report := lease.Report{Node: "costs", Life: 1, Tree: hash, Length: roomLease, HeldLease: holds}
 		for i := range partners {
 			report.Demand = append(report.Demand, lease.NodeDemand{Node: 1 + i, Requested: 0.001, Admitted: 0.001})
 		}
--- a/lab/circle/size/node.go
+++ b/lab/circle/size/node.go
@@ -102,10 +102,10 @@
 
 // treeOf divides twice what is asked for among the partners.
 func treeOf(rate float64) lease.Tree {
-	t := lease.Tree{Leased: 0.95, Set: quota.Settings{Root: quota.Amount{2 * rate}, Floor: 0.05, Priorities: 1, Burst: 1, LongWindow: 600,
+	t := lease.Tree{Leased: 0.95, Settings: quota.Settings{Root: quota.Amount{2 * rate}, Floor: 0.05, Priorities: 1, Burst: 1, LongWindow: 600,
 		Reserved: 0.2, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}
 	for i := range partners {
-		t.Set.Nodes = append(t.Set.Nodes, quota.Node{Name: fmt.Sprint("partner-", i), Share: 1.0 / partners})
+		t.Settings.Nodes = append(t.Settings.Nodes, quota.Node{Name: fmt.Sprint("partner-", i), Share: 1.0 / partners})
 	}
 	return t
 }
@@ -121,7 +121,7 @@
 	n.conn, n.dialing, n.dialers, n.asked, n.id = nil, false, nil, nil, 0
 	n.session, n.opening, n.openers, n.held = 0, false, nil, nil
 	n.ordered, n.begun, n.named, n.policed, n.leased = false, false, false, false, false
-	n.demand, n.parts, n.holds, n.hurry = lease.NewDemand(n.w.now, 1/n.tree.Set.Root[quota.Requests]), nil, 0, nil
+	n.demand, n.parts, n.holds, n.hurry = lease.NewDemand(n.w.now, 1/n.tree.Settings.Root[quota.Requests]), nil, 0, nil
 	n.policy, n.looked = rollout.NewLeaseHolder(n.name, n.process, policyLease, false), ""
 	if fresh && n.w.upAt == 0 {
 		n.w.upAt = n.w.now
@@ -222,7 +222,7 @@
 	if !n.up {
 		return
 	}
-	leaf, load := 1+c.Partner, 1/n.tree.Set.Root[quota.Requests]
+	leaf, load := 1+c.Partner, 1/n.tree.Settings.Root[quota.Requests]
 	n.demand.Request(leaf, load)
 	n.demand.Admit(leaf, load)
 	if n.hurry != nil && !n.parts[leaf] {
@@ -270,7 +270,7 @@
 // renewRoom reports once, and goes by what it is given.
 func (n *node) renewRoom() {
 	n.hurry = nil
-	report := lease.Report{Node: n.name, Life: n.process, Tree: n.hash, Length: roomLease, Held: n.holds, Demand: n.demand.Report(n.w.now)}
+	report := lease.Report{Node: n.name, Life: n.process, Tree: n.hash, Length: roomLease, HeldLease: n.holds, Demand: n.demand.Report(n.w.now)}
 	next := func(pause float64) {
 		n.after(hasten, func() {
 			over := false
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -77,7 +77,7 @@
 
 // openRooms has nodes begin, and calls come.
 func (w *world) openRooms() {
-	r := &rooms{tree: lease.Tree{Leased: leased, Set: quota.Settings{Root: quota.Amount{quota.Requests: rootRate}, Floor: 0.05, Nodes: partners,
+	r := &rooms{tree: lease.Tree{Leased: leased, Settings: quota.Settings{Root: quota.Amount{quota.Requests: rootRate}, Floor: 0.05, Nodes: partners,
 		Priorities: 2, Burst: burst, LongWindow: 60, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}, owed: map[string]float64{}, seen: 1e6}
 	w.rooms, r.hash = r, r.tree.Hash()
 	for i := range w.set.Nodes {
@@ -89,7 +89,7 @@
 }
 
 func (w *world) openRoom(n *node, life int) {
-	book, err := quota.New(w.rooms.tree.Set.Fraction((1-leased)/float64(w.set.Nodes), true), 0)
+	book, err := quota.New(w.rooms.tree.Settings.Fraction((1-leased)/float64(w.set.Nodes), true), 0)
 	if err != nil {
 		panic(err) // the tree is sound
 	}
@@ -173,7 +173,7 @@
 
 func (r *room) drop(at float64) {
 	r.until, r.parts = 0, nil
-	r.book.Lease(at, r.n.w.rooms.tree.Set.Root, quota.Amount{quota.Requests: 1}, nil)
+	r.book.Lease(at, r.n.w.rooms.tree.Settings.Root, quota.Amount{quota.Requests: 1}, nil)
 }
 
 // renew reports, goes by what it is given, and comes again.
@@ -183,7 +183,7 @@
 		return
 	}
 	r.lapse(asked)
-	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, Held: r.holds, Demand: r.demand.Report(asked)}
+	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, HeldLease: r.holds, Demand: r.demand.Report(asked)}
 	n.do(w.now+leaseFor, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report}, asking{}, func(reply statemachine.Reply, how outcome) {
 		var g lease.Grant
 		switch {
@@ -225,7 +225,7 @@
 	}
 	r.lapse(now)
 	r.holds, r.until, r.parts = g.Number, until, parts
-	r.book.Lease(now, w.rooms.tree.Set.Root, quota.Amount{quota.Requests: 1}, parts)
+	r.book.Lease(now, w.rooms.tree.Settings.Root, quota.Amount{quota.Requests: 1}, parts)
 }
 
 // owe holds debts against those before: they fade over the memory and are paid at a rate, and go no other way.
@@ -249,7 +249,7 @@
 	for name, was := range r.owed {
 		weight := map[string]float64{"a": .5, "b": .3, "c": .2, "a1": .3, "a2": .2}[name]
 		since := (now - r.then) / 1000
-		if least := was*math.Exp(-since/r.tree.Set.DebtDecay) - r.tree.Set.RepayFraction*weight*since; owed[name] < least-1e-9 {
+		if least := was*math.Exp(-since/r.tree.Settings.DebtDecay) - r.tree.Settings.RepayFraction*weight*since; owed[name] < least-1e-9 {
 			m.w.fault("%s owed %g, and %g s later %g", name, was, since, owed[name])
 		}
 	}
--- a/lab/quotas/fleet.go
+++ b/lab/quotas/fleet.go
@@ -89,7 +89,7 @@
 		}
 	}
 	p := &fleetPlay{c: c, set: set, times: t, rand: rand.New(rand.NewPCG(seed, 5)), machine: lease.New(), leases: leases,
-		tree: lease.Tree{Leased: leasedPart, Set: set}, over: map[string]*meter{"": {Rate, Rate * burstOf(set), 0, 0}},
+		tree: lease.Tree{Leased: leasedPart, Settings: set}, over: map[string]*meter{"": {Rate, Rate * burstOf(set), 0, 0}},
 		out: FleetOutcome{Way: "each node its part", Got: map[string]float64{}, Due: map[string]float64{}}}
 	for leaf, limit := range c.Limits {
 		p.over[leaf] = &meter{limit, limit * set.Burst, 0, 0}
@@ -241,7 +241,7 @@
 	p.expire(at, s)
 	p.out.Reports++
 	g, err := p.machine.Report(at+p.times.Way, lease.Report{Node: fmt.Sprint("n", i), Life: 1, Tree: p.tree.Hash(),
-		Length: p.times.Length, Held: s.holds, Demand: s.demand.Report(at)})
+		Length: p.times.Length, HeldLease: s.holds, Demand: s.demand.Report(at)})
 	if err != nil {
 		panic(err)
 	}
--- a/node/quota.go
+++ b/node/quota.go
@@ -57,7 +57,7 @@
 		return
 	}
 	set := middleware.LeaseConfig{Service: roomLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, MaxCost: quota.Amount{quota.Requests: 1},
-		Tree: lease.Tree{Number: n.doc.Number, Leased: o.Leased, Set: o.Tree()}}
+		Tree: lease.Tree{Number: n.doc.Number, Leased: o.Leased, Settings: o.Tree()}}
 	for _, c := range n.conf.Settings.Classes {
 		set.MaxCost[quota.Value] = max(set.MaxCost[quota.Value], c.Value)
 	}
