--- a/internal/node/dispatch/actions.go
+++ b/internal/node/dispatch/actions.go
@@ -8,10 +8,12 @@
 	"linenwheel.dev/linenwheel/internal/log"
 )
 
-// actions implements decide.Actions. The module calls it from within its events, under the Pilot's lock.
+// actions implements decide.Actions. The decision module calls its methods while it handles an event, with the
+// Dispatcher's lock held.
 type actions struct{ dispatcher *Dispatcher }
 
-// Send queues an attempt, unless a rule forbids it: then the module is told that it was not sent.
+// Send queues an attempt. An attempt that the rules forbid is logged and reported to the decision module as not sent
+// instead.
 func (a actions) Send(id decide.RequestID, to decide.BackendID, abandon time.Duration) {
 	d := a.dispatcher
 	t, h := d.tickets[id], d.hosts[to]
@@ -28,9 +30,9 @@
 			name = h.Name
 		}
 		d.logLater(func() {
-			d.log.Error("a relay that the rules forbid was held back", "host", name, "ended", over)
+			d.log.Error("attempt forbidden by the rules was not sent", "host", name, "ended", over)
 		})
-		t.reportUnsent(n, t.done)
+		t.reportNotSent(n, t.done)
 		return
 	}
 	t.openAttempts++
@@ -47,10 +49,10 @@
 func (a actions) Fail(id decide.RequestID) { a.finish(id, Action{Kind: Fail}) }
 
 // finish queues the final response of a request.
-func (a actions) finish(id decide.RequestID, v Action) {
+func (a actions) finish(id decide.RequestID, response Action) {
 	if t := a.dispatcher.tickets[id]; t != nil && !t.done {
-		v.Ran = t.mayHaveRun || t.openAttempts > 0
-		t.enqueue(v)
+		response.Ran = t.mayHaveRun || t.openAttempts > 0
+		t.enqueue(response)
 		t.finish()
 	}
 }
@@ -65,12 +67,12 @@
 	t.enqueue(Action{Kind: Cancel, AttemptIndex: n})
 }
 
-// Probe only logs: the module asks for no health check.
+// Probe only logs an error: this node makes no health checks, and the decision module should not request any.
 func (a actions) Probe(decide.BackendID) {
-	a.dispatcher.logLater(func() { a.dispatcher.log.Error("the module asked for a probe: this node makes none") })
+	a.dispatcher.logLater(func() { a.dispatcher.log.Error("decision module requested a probe, but this node makes none") })
 }
 
-// Wake sets a timer.
+// Wake schedules a Timer event.
 func (a actions) Wake(after time.Duration, token uint64) {
 	d := a.dispatcher
 	due := d.clock.Now() + toMillis(after)
@@ -83,18 +85,18 @@
 // Watch does nothing: the node watches its endpoint list as long as it runs.
 func (a actions) Watch() {}
 
-// Log passes a line on to the node's log.
+// Log writes a line to the node's log.
 func (a actions) Log(line string) {
-	a.dispatcher.logLater(func() { log.Each(a.dispatcher.log).Warn("the module says", "line", line) })
+	a.dispatcher.logLater(func() { log.Each(a.dispatcher.log).Warn("decision module message", "line", line) })
 }
 
-// timer is a Timer event to come.
+// timer is a pending Timer event.
 type timer struct {
 	due   float64 // milliseconds
 	token uint64
 }
 
-// timers is a heap of timers by when they are due.
+// timers is a min-heap of timers, ordered by due time.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/node/dispatch/dispatcher.go
+++ b/internal/node/dispatch/dispatcher.go
@@ -1,17 +1,17 @@
-// Package dispatch is the facade over the decision module (package decide): network code asks what to do for a request,
-// reports how attempts ended and runs timers, in blocking style, and never sees the module's events and actions. It knows
-// no protocol and no socket. Each concern has its file:
+// Package dispatch is a facade over the decision module (package decide). Network code asks it what to do for a
+// request, reports how attempts ended and runs timers, all with blocking calls; it never sees the module's events
+// and actions. The package knows neither protocols nor sockets. Its files are:
 //
-//	types.go       what callers exchange with it
-//	dispatcher.go  the lock around the module, start and stop
+//	types.go       the types exchanged with callers
+//	dispatcher.go  the lock around the decision module, startup and shutdown
 //	ticket.go      one request and its attempts
 //	hosts.go       the endpoint list
-//	actions.go     what the module asks for, its timers
-//	memory.go      the state for a successor process
-//	warmstart.go   what a new node takes over from another node
+//	actions.go     the actions that the module requests, and its timers
+//	snapshot.go    the state for a successor process
+//	warmstart.go   the state that a new node adopts from another node
 //	view.go        the state for status pages
 //
-// Its state is bounded by the hosts that are listed and the requests that are open.
+// The state is bounded by the number of listed hosts and open requests.
 package dispatch
 
 import (
@@ -29,34 +29,35 @@
 // warmStartSeed is the second half of the seed of the random choices in a warm start.
 const warmStartSeed = 0x6c6573736f6e
 
-// Dispatcher guards the decision module of one node. All of its methods may be called from any goroutine.
+// Dispatcher serializes access to the decision module of one node. Its methods are safe for concurrent use.
 type Dispatcher struct {
 	clock       clock.Clock
 	log         *slog.Logger
 	drainGrace  float64   // milliseconds
 	rejectSafe  []bool    // by class: a rejection is harmless even if the request has run
-	retryWindow []float64 // by class: milliseconds after an attempt that may have run in which another one does no harm
+	retryWindow []float64 // by class: milliseconds after an attempt that may have run within which another one is harmless
 	zoneIndex   map[string]int
 	kindIndex   map[string]int
-	wakeTimer   func() // nil = nobody waits
+	wakeTimer   func() // called when a timer is due earlier than Tick last returned; may be nil
 	coldTime    time.Duration
 
-	mu             sync.Mutex
-	random         *rand.Rand // for warm starts only
-	balancer       *decide.Balancer
-	hosts          map[decide.BackendID]*host
-	hostIDs        map[string]decide.BackendID // by name
-	lastID         decide.RequestID
-	tickets        map[decide.RequestID]*Ticket
-	finished       bool // Finish was called
-	timers         timers
-	unsentOutcomes []decide.Outcome // of attempts that the rules forbade, reported to the module after its event
-	pendingLogs    []func()         // log lines to write once the lock is released
-	timerMoved     bool             // the next timer is due earlier than Tick last returned
+	mu          sync.Mutex
+	random      *rand.Rand // for warm starts only
+	balancer    *decide.Balancer
+	hosts       map[decide.BackendID]*host
+	hostIDs     map[string]decide.BackendID // by name
+	lastID      decide.RequestID
+	tickets     map[decide.RequestID]*Ticket
+	finished    bool // Finish was called
+	timers      timers
+	notSent     []decide.Outcome // of attempts that were not sent; reported to the module once it has handled its current event
+	pendingLogs []func()         // log lines to write once the lock is released
+	timerMoved  bool             // the next timer is due earlier than Tick last returned
 }
 
-// New makes the Pilot of one node. What the module logs passes the log's limit on floods. wake, if not nil, is called when
-// Tick is wanted earlier than it last said. It fails where the module rejects the settings.
+// New returns the Dispatcher of one node. Lines that the decision module logs bypass the log's rate limit. wake,
+// if not nil, is called when Tick must run earlier than it last returned. New fails if the module rejects the
+// settings.
 func New(settings decide.Settings, seed uint64, c clock.Clock, logger *slog.Logger, wake func()) (*Dispatcher, error) {
 	d := &Dispatcher{clock: c, log: logger, wakeTimer: wake, drainGrace: settings.Rules.DrainGrace.Seconds() * 1000,
 		zoneIndex: indexByName(settings.Zones), kindIndex: indexByName(settings.Kinds), hosts: map[decide.BackendID]*host{},
@@ -83,20 +84,21 @@
 	return m
 }
 
-// toDuration converts milliseconds to the module's time.
+// toDuration converts milliseconds to the decision module's time.
 func toDuration(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
 
-// toMillis converts the module's time to milliseconds.
+// toMillis converts the decision module's time to milliseconds.
 func toMillis(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// update runs f on the module under the lock, and afterwards, without the lock, writes the log lines and wakes the timer.
+// update runs f with the lock held and then reports the pending outcomes to the decision module. After releasing the
+// lock it writes the pending log lines and, if needed, wakes the timer.
 func (d *Dispatcher) update(f func(now float64)) {
 	d.mu.Lock()
 	now := d.clock.Now()
 	f(now)
-	for len(d.unsentOutcomes) > 0 {
-		o := d.unsentOutcomes[0]
-		d.unsentOutcomes = d.unsentOutcomes[1:]
+	for len(d.notSent) > 0 {
+		o := d.notSent[0]
+		d.notSent = d.notSent[1:]
 		d.balancer.Outcome(toDuration(now), o)
 	}
 	logs, wake := d.pendingLogs, d.timerMoved
@@ -110,11 +112,11 @@
 	}
 }
 
-// logLater writes a log line once the lock is released, since the reader of the log may be slow.
+// logLater defers a log line until the lock is released, since writing it may block.
 func (d *Dispatcher) logLater(write func()) { d.pendingLogs = append(d.pendingLogs, write) }
 
-// Finish gives every open request its final response now, and rejects every later one. A request with an attempt that may
-// have run is failed instead where a retry would do harm.
+// Finish completes every open request now and rejects every later one. A request that may have run fails instead of
+// being rejected if a retry could do harm.
 func (d *Dispatcher) Finish() {
 	d.update(func(now float64) {
 		d.finished = true
@@ -122,20 +124,20 @@
 			if t.done {
 				continue
 			}
-			t.withdrawUnpicked()
-			v := Action{Kind: Reject, Ran: t.mayHaveRun || t.openAttempts > 0}
-			if v.Ran && !d.rejectSafe[t.class] {
-				v.Kind = Fail
+			t.withdrawQueued()
+			response := Action{Kind: Reject, Ran: t.mayHaveRun || t.openAttempts > 0}
+			if response.Ran && !d.rejectSafe[t.class] {
+				response.Kind = Fail
 			}
-			t.done = true // first, so that nothing is sent for it any more
-			t.enqueue(v)
+			t.done = true // set first, so that nothing more is sent for the request
+			t.enqueue(response)
 			d.balancer.Gone(toDuration(now), t.id)
 			t.finish()
 		}
 	})
 }
 
-// Tick runs the timers that are due and returns when the next one is, in milliseconds; +Inf = never.
+// Tick runs the timers that are due and returns the time of the next one in milliseconds; +Inf = there is none.
 func (d *Dispatcher) Tick() (next float64) {
 	next = math.Inf(1)
 	d.update(func(now float64) {
--- a/internal/node/dispatch/dispatcher_test.go
+++ b/internal/node/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 
 func newTestDispatcher(t *testing.T, hosts ...Host) (*Dispatcher, *clock.Manual, *[]string) {
 	c, lines := clock.NewManual(epoch), &[]string{}
-	p, err := New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
+	d, err := New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond,
 			Deadline: 2 * time.Second, Value: 1}},
 		Limits: decide.Limits{MaxAttempts: 3, Cancel: true},
@@ -32,94 +32,97 @@
 	for i := range hosts {
 		hosts[i].Zone, hosts[i].Kind, hosts[i].Weight = "z", "k", 1
 	}
-	p.SetHosts(Full, hosts)
-	return p, c, lines
+	d.SetHosts(Full, hosts)
+	return d, c, lines
 }
 
-func open(p *Dispatcher) *Ticket { return p.Open(Request{Tenant: -1, Deadline: epoch + 900}) }
+func open(d *Dispatcher) *Ticket { return d.Open(Request{Tenant: -1, Deadline: epoch + 900}) }
 
 // Guards against more than one final response, and against attempts that stay open after it.
 func TestExactlyOneFinalResponse(t *testing.T) {
-	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
-	q := open(p)
-	v := q.Next()
-	require.Equal(t, Action{Kind: Send, Host: "h", Address: "a:1", Until: epoch + 600}, v)
-	q.Report(v.AttemptIndex, Served, "body")
-	q.Report(v.AttemptIndex, Failed, nil) // a second report of one attempt is ignored
-	q.ClientLeft()
-	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, q.Next())
-	assert.Equal(t, Action{Kind: Done, Ran: true}, q.Next())
-	assert.Empty(t, p.tickets)
+	d, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
+	ticket := open(d)
+	action := ticket.Next()
+	require.Equal(t, Action{Kind: Send, Host: "h", Address: "a:1", Until: epoch + 600}, action)
+	ticket.Report(action.AttemptIndex, Served, "body")
+	ticket.Report(action.AttemptIndex, Failed, nil) // a second report of one attempt is ignored
+	ticket.ClientLeft()
+	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, ticket.Next())
+	assert.Equal(t, Action{Kind: Done, Ran: true}, ticket.Next())
+	assert.Empty(t, d.tickets)
 }
 
-// Guards against a shutdown that ends with an attempt open and reports that the request never ran: idempotency would let it run again.
+// Guards against a shutdown that ends while an attempt is open and reports that the request never ran: the
+// idempotency layer would let it run again.
 func TestFinishReportsWhatMayHaveRun(t *testing.T) {
-	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
-	out := open(p)
-	require.Equal(t, Send, out.Next().Kind)
-	p.Finish()
-	assert.Equal(t, Action{Kind: Fail, Ran: true}, out.Next())
-	assert.False(t, open(p).Next().Ran, "one that comes after that never ran")
+	d, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
+	sent := open(d)
+	require.Equal(t, Send, sent.Next().Kind)
+	d.Finish()
+	assert.Equal(t, Action{Kind: Fail, Ran: true}, sent.Next())
+	assert.False(t, open(d).Next().Ran, "a request that arrives later never ran")
 }
 
-// Guards against a retry that is decided at the moment of the shutdown, of the client's leaving or of another attempt's response and
-// goes out after it, and against a shutdown that reports a request which was never sent as one that may have run.
+// Guards against a retry that is decided on just before the shutdown, the client's disconnect or the response of
+// another attempt, and is sent afterwards; and against a shutdown that reports a request which was never sent as
+// one that may have run.
 func TestNoAttemptAfterTheFinalResponse(t *testing.T) {
-	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
-	finished, gone, served := open(p), open(p), open(p)
-	for _, q := range []*Ticket{finished, gone, served} {
-		require.Equal(t, Send, q.Next().Kind)
+	d, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
+	finished, disconnected, served := open(d), open(d), open(d)
+	for _, ticket := range []*Ticket{finished, disconnected, served} {
+		require.Equal(t, Send, ticket.Next().Kind)
 	}
-	finished.Report(0, Declined, nil) // a retry is decided
-	gone.Report(0, Declined, nil)
-	p.update(func(float64) { actions{p}.Send(served.id, served.attempts[0].hostID, 0) })
+	finished.Report(0, Declined, nil) // a retry is queued
+	disconnected.Report(0, Declined, nil)
+	d.update(func(float64) { actions{d}.Send(served.id, served.attempts[0].hostID, 0) })
 	served.Report(0, Served, "body")
 	assert.Equal(t, Action{Kind: Respond, Payload: "body"}, served.Next())
 	assert.Equal(t, Action{Kind: Done, Ran: true}, served.Next())
-	gone.ClientLeft()
-	assert.Equal(t, Action{Kind: Done}, gone.Next())
-	p.Finish()
+	disconnected.ClientLeft()
+	assert.Equal(t, Action{Kind: Done}, disconnected.Next())
+	d.Finish()
 	assert.Equal(t, Action{Kind: Reject}, finished.Next())
 	assert.Equal(t, Action{Kind: Done}, finished.Next())
-	assert.Empty(t, p.tickets)
+	assert.Empty(t, d.tickets)
 }
 
-// Guards against state kept for a client that has left.
+// Guards against state that is kept after the client has disconnected.
 func TestClientLeavingCancelsAttempts(t *testing.T) {
-	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
-	q := open(p)
-	require.Equal(t, Send, q.Next().Kind)
-	q.ClientLeft()
-	assert.Equal(t, Cancel, q.Next().Kind)
-	q.Report(0, Cancelled, nil)
-	assert.Equal(t, Done, q.Next().Kind)
-	assert.Empty(t, p.tickets)
+	d, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a:1"})
+	ticket := open(d)
+	require.Equal(t, Send, ticket.Next().Kind)
+	ticket.ClientLeft()
+	assert.Equal(t, Cancel, ticket.Next().Kind)
+	ticket.Report(0, Cancelled, nil)
+	assert.Equal(t, Done, ticket.Next().Kind)
+	assert.Empty(t, d.tickets)
 }
 
-// Guards against attempts that the rules forbid, should the module ever ask for one.
+// Guards against attempts that the rules forbid, even if the decision module requests one.
 func TestNoAttemptAtDrainedHosts(t *testing.T) {
-	p, c, lines := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
-	q := open(p)
-	first := q.Next()
-	p.SetHosts(Delta, []Host{{Name: "h", Zone: "z", Kind: "k", Status: Draining},
+	d, c, lines := newTestDispatcher(t, Host{Name: "h", Address: "a:1"}, Host{Name: "g", Address: "a:2"})
+	ticket := open(d)
+	first := ticket.Next()
+	d.SetHosts(Delta, []Host{{Name: "h", Zone: "z", Kind: "k", Status: Draining},
 		{Name: "g", Zone: "z", Kind: "k", Status: Removed}})
 	c.Advance(501)
 	for _, name := range []string{"h", "g"} {
-		p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs[name], 0) })
+		d.update(func(float64) { actions{d}.Send(ticket.id, d.hostIDs[name], 0) })
 	}
 	assert.Len(t, *lines, 2)
-	q.Report(first.AttemptIndex, Declined, nil)
-	assert.Equal(t, Reject, q.Next().Kind, "nothing may have run and no host is left")
-	p.update(func(float64) { actions{p}.Send(q.id, p.hostIDs["h"], 0) })
-	assert.Equal(t, Done, q.Next().Kind)
+	ticket.Report(first.AttemptIndex, Declined, nil)
+	assert.Equal(t, Reject, ticket.Next().Kind, "nothing may have run and no host is left")
+	d.update(func(float64) { actions{d}.Send(ticket.id, d.hostIDs["h"], 0) })
+	assert.Equal(t, Done, ticket.Next().Kind)
 }
 
-// Guards against a host in slow start taken for a warm one: discovery and the module must use one clock.
+// Guards against a host in slow start being treated as a warm one: discovery and the decision module must use the
+// same clock.
 func TestSlowStartLimitsNewHost(t *testing.T) {
-	p, _, _ := newTestDispatcher(t, Host{Name: "warm", Address: "w"}, Host{Name: "cold", Address: "c", Since: epoch - 100})
+	d, _, _ := newTestDispatcher(t, Host{Name: "warm", Address: "w"}, Host{Name: "cold", Address: "c", Since: epoch - 100})
 	cold := 0
 	for range 100 {
-		if v := open(p).Next(); v.Address == "c" {
+		if action := open(d).Next(); action.Address == "c" {
 			cold++
 		}
 	}
@@ -128,41 +131,42 @@
 
 // Guards against timers that are lost, early, or announced too late.
 func TestTickRunsDueTimers(t *testing.T) {
-	p, c, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
-	next := p.Tick()
+	d, c, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
+	next := d.Tick()
 	require.Greater(t, next, c.Now())
-	assert.Equal(t, next, p.Tick(), "nothing is due yet")
+	assert.Equal(t, next, d.Tick(), "nothing is due yet")
 	c.Advance(next - c.Now())
-	assert.Greater(t, p.Tick(), next)
+	assert.Greater(t, d.Tick(), next)
 }
 
-// Guards against one unknown entry making the list unusable, and against two hosts with one id.
+// Guards against one unknown entry making the list unusable, and against two hosts with the same id.
 func TestUnknownZoneIsIgnoredAndIDsAreUnique(t *testing.T) {
-	p, _, lines := newTestDispatcher(t, Host{Name: "h", Address: "a"})
-	p.SetHosts(Delta, []Host{{Name: "x", Zone: "nowhere", Kind: "k"}, {Name: "g", Zone: "z", Kind: "k"}})
+	d, _, lines := newTestDispatcher(t, Host{Name: "h", Address: "a"})
+	d.SetHosts(Delta, []Host{{Name: "x", Zone: "nowhere", Kind: "k"}, {Name: "g", Zone: "z", Kind: "k"}})
 	assert.Len(t, *lines, 1)
-	assert.Len(t, p.hosts, 2)
-	p.hosts[p.newID("new")] = &host{}
-	id := p.newID("new")
-	assert.Nil(t, p.hosts[id])
+	assert.Len(t, d.hosts, 2)
+	d.hosts[d.newID("new")] = &host{}
+	id := d.newID("new")
+	assert.Nil(t, d.hosts[id])
 }
 
 // Guards against memory that grows with every host that joins under a new name and leaves.
 func TestRemovedHostsAreDropped(t *testing.T) {
-	p, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
+	d, _, _ := newTestDispatcher(t, Host{Name: "h", Address: "a"})
 	entry := func(name string, status Status) Host { return Host{Name: name, Zone: "z", Kind: "k", Status: status} }
 	for _, name := range []string{"x", "y", "z"} {
-		p.SetHosts(Delta, []Host{entry(name, Ready)})
-		p.SetHosts(Delta, []Host{entry(name, Removed)})
+		d.SetHosts(Delta, []Host{entry(name, Ready)})
+		d.SetHosts(Delta, []Host{entry(name, Removed)})
 	}
-	p.SetHosts(Delta, []Host{entry("w", Ready)})
-	p.SetHosts(Full, []Host{entry("v", Ready)})
-	assert.Len(t, p.hosts, 1)
-	assert.Len(t, p.hostIDs, 1)
+	d.SetHosts(Delta, []Host{entry("w", Ready)})
+	d.SetHosts(Full, []Host{entry("v", Ready)})
+	assert.Len(t, d.hosts, 1)
+	assert.Len(t, d.hostIDs, 1)
 }
 
-// Guards against work that may have run being sent again once duplicates are no longer dropped, or at all where it must not be,
-// because the connection of the retry came up late; and against counting the time of an attempt that never ran.
+// Guards against a request that may have run being sent again because the connection of its retry was established
+// late: after the time in which duplicates are dropped, or at all if the request is unsafe. Also guards against
+// counting that time from an attempt that never ran.
 func TestRetryWindowIsCheckedBeforeFirstByte(t *testing.T) {
 	for _, c := range []struct {
 		effect    decide.Effect
@@ -172,21 +176,21 @@
 	}{{decide.Keyed, Reset, 299, true}, {decide.Keyed, Reset, 300, false}, {decide.Keyed, ConnectFailed, 300, true},
 		{decide.Safe, Reset, 300, true}, {decide.Unsafe, ConnectFailed, 300, true}} {
 		clk := clock.NewManual(epoch)
-		p, err := New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 3},
+		d, err := New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 3},
 			Classes: []decide.Class{{Name: "alert", Effect: c.effect, KeyTTL: 300 * time.Millisecond, Target: time.Second, Deadline: 2 * time.Second,
 				Value: 1}}}, 1, clk, slog.New(slog.DiscardHandler), nil)
 		require.NoError(t, err)
-		p.SetHosts(Full, []Host{{Name: "h1", Zone: "z", Kind: "k", Weight: 1}, {Name: "h2", Zone: "z", Kind: "k", Weight: 1}})
-		q := p.Open(Request{Tenant: -1, Deadline: epoch + 2000})
-		v := q.Next()
+		d.SetHosts(Full, []Host{{Name: "h1", Zone: "z", Kind: "k", Weight: 1}, {Name: "h2", Zone: "z", Kind: "k", Weight: 1}})
+		ticket := d.Open(Request{Tenant: -1, Deadline: epoch + 2000})
+		action := ticket.Next()
 		clk.Advance(100)
-		_, permitted := q.MaySend(v.Host, v.Address)
+		_, permitted := ticket.MaySend(action.Host, action.Address)
 		require.True(t, permitted, "the first attempt")
-		q.Report(v.AttemptIndex, c.first, nil)
-		v = q.Next()
-		require.Equal(t, Send, v.Kind)
+		ticket.Report(action.AttemptIndex, c.first, nil)
+		action = ticket.Next()
+		require.Equal(t, Send, action.Kind)
 		clk.Advance(c.late - 100)
-		owed, permitted := q.MaySend(v.Host, v.Address)
+		owed, permitted := ticket.MaySend(action.Host, action.Address)
 		assert.True(t, owed)
 		assert.Equal(t, c.permitted, permitted, c)
 	}
--- a/internal/node/dispatch/hosts.go
+++ b/internal/node/dispatch/hosts.go
@@ -7,20 +7,20 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// maxLoggedHosts is how many of a list's ignored hosts the log names.
+// maxLoggedHosts is how many ignored hosts of one endpoint list are named in the log.
 const maxLoggedHosts = 8
 
 // host is a listed host.
 type host struct {
 	Host
-	drainingSince float64 // milliseconds; when the node learned that it drains or is gone; +Inf while it is ready
+	drainingSince float64 // milliseconds; when the node learned that the host drains or is removed; +Inf while it is ready
 }
 
-// SetHosts applies an update of the endpoint list. Hosts of a zone or kind that the settings do not name are ignored and
-// logged.
-func (d *Dispatcher) SetHosts(from ListKind, hosts []Host) {
+// SetHosts applies an update of the endpoint list. Hosts of a zone or kind that the settings do not name are
+// ignored and logged.
+func (d *Dispatcher) SetHosts(kind ListKind, hosts []Host) {
 	d.update(func(now float64) {
-		if from != Delta {
+		if kind != Delta {
 			inList := map[string]bool{}
 			for i := range hosts {
 				inList[hosts[i].Name] = true
@@ -42,11 +42,11 @@
 		}
 		if len(unknown) > 0 {
 			d.logLater(func() {
-				d.log.Warn("hosts of a zone or kind that the settings do not name are left out", "count", len(unknown),
+				d.log.Warn("hosts ignored: the settings do not name their zone or kind", "count", len(unknown),
 					"first", unknown[:min(len(unknown), maxLoggedHosts)])
 			})
 		}
-		d.balancer.List(toDuration(now), balancerListKinds[from], entries)
+		d.balancer.List(toDuration(now), balancerListKinds[kind], entries)
 		for i := range hosts {
 			if hosts[i].Status == Removed {
 				d.removeHost(hosts[i].Name)
@@ -55,14 +55,15 @@
 	})
 }
 
-// removeHost drops a host that is gone: others come under new names for as long as the node runs. Nothing is sent to a host
-// that is not listed.
+// removeHost forgets a host that is no longer listed: hosts join under new names for as long as the node runs, so
+// the state would otherwise grow without bound. Nothing is sent to a host that is not listed.
 func (d *Dispatcher) removeHost(name string) {
 	delete(d.hosts, d.hostIDs[name])
 	delete(d.hostIDs, name)
 }
 
-// updateHost records one entry and returns it as the module's. It returns false for an entry that cannot be used.
+// updateHost records one entry of the endpoint list and converts it for the decision module. It returns false for an
+// entry that cannot be used.
 func (d *Dispatcher) updateHost(now float64, e Host) (decide.Backend, bool) {
 	zone, zoneKnown := d.zoneIndex[e.Zone]
 	kind, kindKnown := d.kindIndex[e.Kind]
@@ -86,7 +87,8 @@
 		Weight: e.Weight, Started: toDuration(e.Since)}, true
 }
 
-// newID gives a host the same id at every node (FNV-1a of its name), or the next free one.
+// newID returns the id for a new host: the FNV-1a hash of its name, which is the same at every node, or the next
+// free id if that one is in use.
 func (d *Dispatcher) newID(name string) decide.BackendID {
 	id := decide.BackendID(2166136261)
 	for _, c := range []byte(name) {
--- a/internal/node/dispatch/snapshot.go
+++ b/internal/node/dispatch/snapshot.go
@@ -9,9 +9,9 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// Snapshot is a snapshot of a Pilot as plain data, for another process: the endpoint list, since when its hosts drain, and the
-// module's snapshot. Only decide.Snapshot has a version: a reader may ignore an unknown field of a host. The JSON form is
-// stored and sent between versions: tags never change.
+// Snapshot is the state of a Dispatcher as plain data, for another process: the endpoint list, the times since which
+// hosts drain, and the decision module's snapshot. Only the module's snapshot has a version: a reader may ignore an
+// unknown field of a host. The JSON form is stored and exchanged between versions, so tags must never change.
 type Snapshot struct {
 	Hosts  []HostSnapshot `json:"hosts"`
 	Module decide.Memory  `json:"module"`
@@ -19,7 +19,7 @@
 
 // HostSnapshot is a host of the endpoint list.
 type HostSnapshot struct {
-	ID            decide.BackendID `json:"id"` // in Module
+	ID            decide.BackendID `json:"id"` // the id of the host in Snapshot.Module
 	Name          string           `json:"name"`
 	Address       string           `json:"address"`
 	Zone          string           `json:"zone"`
@@ -29,10 +29,10 @@
 	Status        Status           `json:"status"`
 	Weight        float64          `json:"weight"`
 	Since         float64          `json:"since"`          // milliseconds
-	DrainingSince float64          `json:"left,omitempty"` // milliseconds; when the node learned that it drains, 0 = it does not
+	DrainingSince float64          `json:"left,omitempty"` // milliseconds; when the node learned that the host drains; 0 = it does not drain
 }
 
-// KnownHosts returns the hosts, for an update with Stored.
+// KnownHosts returns the hosts as an endpoint list of kind Stored.
 func (m *Snapshot) KnownHosts() []Host {
 	hosts := make([]Host, 0, len(m.Hosts))
 	for _, h := range m.Hosts {
@@ -42,7 +42,7 @@
 	return hosts
 }
 
-// Snapshot returns a snapshot. Its hosts are in the order of their names.
+// Snapshot returns the current state, with the hosts sorted by name.
 func (d *Dispatcher) Snapshot() (m Snapshot) {
 	d.update(func(now float64) {
 		m.Module = d.balancer.Snapshot(toDuration(now))
@@ -59,14 +59,14 @@
 	return m
 }
 
-// Restore restores the snapshot of another Pilot, as far as its hosts are listed here. It may be repeated until the first
-// request. A snapshot that cannot be right changes nothing and gives an error.
+// Restore restores the snapshot of another Dispatcher for the hosts that are listed here. It may be repeated until
+// the first request. An invalid snapshot changes nothing and returns an error.
 func (d *Dispatcher) Restore(m Snapshot) (err error) {
 	d.update(func(now float64) {
-		// Ids differ where names have the same hash and came in another order.
+		// The ids differ if two names have the same hash and were listed in another order.
 		localIDs := map[decide.BackendID]decide.BackendID{}
 		for i := range m.Hosts {
-			delete(localIDs, m.Hosts[i].ID) // of several hosts with one id the last one counts
+			delete(localIDs, m.Hosts[i].ID) // of several hosts with the same id, the last one counts
 			if id, ok := d.hostIDs[m.Hosts[i].Name]; ok {
 				localIDs[m.Hosts[i].ID] = id
 			}
@@ -79,7 +79,7 @@
 		}
 		m.Module.Backends, m.Module.Trials = withLocalIDs(m.Module.Backends, localIDs), trials
 		if err = d.balancer.Restore(toDuration(now), m.Module); err != nil {
-			err = fmt.Errorf("recalling what was known: %w", err)
+			err = fmt.Errorf("restoring the dispatcher snapshot: %w", err)
 			return
 		}
 		for _, e := range m.Hosts {
@@ -91,7 +91,7 @@
 	return err
 }
 
-// withLocalIDs returns the backends that have an id here, under that id.
+// withLocalIDs returns the backends that have a local id, with their ids replaced by it.
 func withLocalIDs(backends []decide.BackendMemory, localIDs map[decide.BackendID]decide.BackendID) (known []decide.BackendMemory) {
 	for _, b := range backends {
 		if id, ok := localIDs[b.ID]; ok {
--- a/internal/node/dispatch/state_test.go
+++ b/internal/node/dispatch/state_test.go
@@ -8,18 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against memory that grows with the hosts and requests ever seen: whatever updates come and however attempts end, the state
-// holds listed hosts, open requests and the module's few timers only.
+// Guards against memory that grows with the number of hosts and requests ever seen: whatever updates arrive and
+// however attempts end, the state holds only listed hosts, open requests and the few timers of the decision
+// module.
 func TestStateIsBoundedByListedHostsAndOpenRequests(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		p, c, _ := newTestDispatcher(t)
-		named := 0
+		d, c, _ := newTestDispatcher(t)
+		created := 0
 		host := func() Host {
-			named++
-			return Host{Name: fmt.Sprint("h", named), Address: fmt.Sprint("a:", named), Zone: "z", Kind: "k", Weight: 1}
+			created++
+			return Host{Name: fmt.Sprint("h", created), Address: fmt.Sprint("a:", created), Zone: "z", Kind: "k", Weight: 1}
 		}
 		var listed []Host
-		var out []*Ticket
+		var openTickets []*Ticket
 		for range rapid.IntRange(5, 40).Draw(r, "versions") {
 			switch rapid.IntRange(0, 3).Draw(r, "how") {
 			case 0:
@@ -27,46 +28,46 @@
 				for range rapid.IntRange(0, 6).Draw(r, "hosts") {
 					listed = append(listed, host())
 				}
-				p.SetHosts(Full, listed)
+				d.SetHosts(Full, listed)
 			case 1:
 				if len(listed) > 0 {
-					gone := listed[0]
-					gone.Status, listed = Removed, listed[1:]
-					p.SetHosts(Delta, []Host{gone})
+					removed := listed[0]
+					removed.Status, listed = Removed, listed[1:]
+					d.SetHosts(Delta, []Host{removed})
 				}
 			case 2:
-				odd := host()
-				odd.Zone = "another"
-				p.SetHosts(Delta, []Host{odd, {Name: "never seen", Status: Removed}})
+				unknown := host()
+				unknown.Zone = "another"
+				d.SetHosts(Delta, []Host{unknown, {Name: "never seen", Status: Removed}})
 			}
 			for range rapid.IntRange(0, 20).Draw(r, "requests") {
-				q := p.Open(Request{Tenant: -1, Deadline: c.Now() + 900})
-				v := q.Next()
-				if v.Kind != Send {
-					require.Equal(r, Done, q.Next().Kind)
+				ticket := d.Open(Request{Tenant: -1, Deadline: c.Now() + 900})
+				action := ticket.Next()
+				if action.Kind != Send {
+					require.Equal(r, Done, ticket.Next().Kind)
 					continue
 				}
 				switch how := rapid.IntRange(0, 3).Draw(r, "end"); how {
 				case 0:
-					out = append(out, q)
+					openTickets = append(openTickets, ticket)
 				case 1:
-					q.ClientLeft()
-					q.Report(v.AttemptIndex, Cancelled, nil)
+					ticket.ClientLeft()
+					ticket.Report(action.AttemptIndex, Cancelled, nil)
 				default:
-					q.Report(v.AttemptIndex, []Outcome{2: Served, 3: Failed}[how], nil)
+					ticket.Report(action.AttemptIndex, []Outcome{2: Served, 3: Failed}[how], nil)
 				}
 			}
 			c.Advance(rapid.Float64Range(0, 300).Draw(r, "pass"))
-			p.Tick()
-			require.LessOrEqual(r, len(p.hosts), len(listed))
-			require.Len(r, p.hostIDs, len(p.hosts))
-			require.LessOrEqual(r, len(p.tickets), len(out))
-			require.LessOrEqual(r, len(p.timers), 16)
+			d.Tick()
+			require.LessOrEqual(r, len(d.hosts), len(listed))
+			require.Len(r, d.hostIDs, len(d.hosts))
+			require.LessOrEqual(r, len(d.tickets), len(openTickets))
+			require.LessOrEqual(r, len(d.timers), 16)
 		}
-		for _, q := range out {
-			q.ClientLeft()
-			q.Report(0, Cancelled, nil)
+		for _, ticket := range openTickets {
+			ticket.ClientLeft()
+			ticket.Report(0, Cancelled, nil)
 		}
-		require.Empty(r, p.tickets)
+		require.Empty(r, d.tickets)
 	})
 }
--- a/internal/node/dispatch/ticket.go
+++ b/internal/node/dispatch/ticket.go
@@ -6,14 +6,14 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// Ticket is one request from its arrival to the end of its last attempt.
+// Ticket tracks one request from its arrival to the end of its last attempt.
 type Ticket struct {
 	dispatcher   *Dispatcher
 	id           decide.RequestID
 	attempts     []attempt
 	class        int
 	openAttempts int
-	done         bool // it has its final response, or its client has left
+	done         bool // the final response has been queued, or the client has disconnected
 	mayHaveRun   bool // an attempt that has ended may have run
 	queue        []Action
 	ready        chan struct{} // signals that queue or done changed
@@ -22,20 +22,20 @@
 // attempt is one request sent to one host.
 type attempt struct {
 	hostID     decide.BackendID
-	sentAt     float64 // when it was decided: it goes out no sooner
+	sentAt     float64 // when the attempt was decided on; it is sent no earlier
 	ended      bool
-	mayHaveRun bool // known once it has ended
+	mayHaveRun bool // valid once ended is true
 	cancelled  bool
 }
 
-// Open starts a request that has arrived.
+// Open registers a request that has arrived and returns its ticket.
 func (d *Dispatcher) Open(r Request) *Ticket {
 	t := &Ticket{}
 	d.Begin(t, r)
 	return t
 }
 
-// Begin is Open for a Ticket that the caller allocates, which must be a zero one.
+// Begin is like Open, but uses a Ticket allocated by the caller, which must be the zero value.
 func (d *Dispatcher) Begin(t *Ticket, r Request) {
 	t.dispatcher, t.ready = d, make(chan struct{}, 1)
 	d.update(func(now float64) {
@@ -52,15 +52,15 @@
 	})
 }
 
-// Next blocks until there is something to do for the request. After Done it always returns Done.
+// Next blocks until there is something to do for the request and returns it. After Done it always returns Done.
 func (t *Ticket) Next() Action {
 	for {
 		t.dispatcher.mu.Lock()
 		if len(t.queue) > 0 {
-			v := t.queue[0]
+			action := t.queue[0]
 			t.queue = t.queue[1:]
 			t.dispatcher.mu.Unlock()
-			return v
+			return action
 		}
 		done, ran := t.done && t.openAttempts == 0, t.mayHaveRun
 		t.dispatcher.mu.Unlock()
@@ -71,17 +71,18 @@
 	}
 }
 
-// Complete tells whether nothing more will come: the final response is given and no attempt is open.
+// Complete reports whether no further action will follow: the final response has been taken and no attempt is open.
 func (t *Ticket) Complete() bool {
 	t.dispatcher.mu.Lock()
 	defer t.dispatcher.mu.Unlock()
 	return t.done && t.openAttempts == 0 && len(t.queue) == 0
 }
 
-// MaySend tells, just before the first byte of an attempt goes out, whether the final response is still owed, and whether the
-// rules permit an attempt at a host at an address now: not at a draining host after its grace, not at an earlier address,
-// and not after one that may have run once duplicates are no longer dropped. Since the attempt was decided its connection
-// may have taken long to come up.
+// MaySend is called just before the first byte of an attempt is sent, since its connection may have taken long to
+// establish after the attempt was decided on. owed reports whether the request still lacks its final response.
+// permitted reports whether the rules allow an attempt at this host and address now: not at a draining host after
+// its grace period, not at an earlier address of the host, and not after an attempt that may have run once
+// duplicates are no longer dropped.
 func (t *Ticket) MaySend(name, address string) (owed, permitted bool) {
 	d := t.dispatcher
 	if d == nil {
@@ -94,7 +95,7 @@
 	return !t.done, h != nil && h.Address == address && now <= h.drainingSince+d.drainGrace && t.retryPermitted(id, now)
 }
 
-// retryPermitted tells whether an attempt at a host may go out in view of those before it.
+// retryPermitted reports whether an attempt at a host may be sent, given the attempts before it.
 func (t *Ticket) retryPermitted(hostID decide.BackendID, now float64) bool {
 	for i := range t.attempts {
 		a := &t.attempts[i]
@@ -108,8 +109,8 @@
 	return true
 }
 
-func (t *Ticket) enqueue(v Action) {
-	t.queue = append(t.queue, v)
+func (t *Ticket) enqueue(action Action) {
+	t.queue = append(t.queue, action)
 	t.signal()
 }
 
@@ -120,34 +121,35 @@
 	}
 }
 
-// withdrawUnpicked takes back the attempts that were decided and that nobody has picked: nothing goes out any more for a
-// request that is about to be done.
-func (t *Ticket) withdrawUnpicked() {
-	t.queue = slices.DeleteFunc(t.queue, func(v Action) bool {
-		if v.Kind == Send {
-			a := &t.attempts[v.AttemptIndex]
+// withdrawQueued removes the attempts that were decided on but not yet returned by Next, so that nothing is sent for
+// a request that is about to be done.
+func (t *Ticket) withdrawQueued() {
+	t.queue = slices.DeleteFunc(t.queue, func(action Action) bool {
+		if action.Kind == Send {
+			a := &t.attempts[action.AttemptIndex]
 			a.ended = true
 			t.openAttempts--
-			t.reportUnsent(v.AttemptIndex, true)
+			t.reportNotSent(action.AttemptIndex, true)
 		}
-		return v.Kind == Send || v.Kind == Cancel && t.attempts[v.AttemptIndex].ended
+		return action.Kind == Send || action.Kind == Cancel && t.attempts[action.AttemptIndex].ended
 	})
 }
 
-// reportUnsent has the module told, after its present event, that attempt n was not sent. over: the request is done.
-func (t *Ticket) reportUnsent(n int, over bool) {
-	t.dispatcher.unsentOutcomes = append(t.dispatcher.unsentOutcomes, decide.Outcome{Request: t.id, Backend: t.attempts[n].hostID,
+// reportNotSent schedules a report to the decision module, after its current event, that attempt n was not sent.
+// over: the request is done.
+func (t *Ticket) reportNotSent(n int, over bool) {
+	t.dispatcher.notSent = append(t.dispatcher.notSent, decide.Outcome{Request: t.id, Backend: t.attempts[n].hostID,
 		Attempt: n, Over: over, Result: decide.NotSent})
 }
 
-// finish marks that the request has its final response, or that nobody waits for it.
+// finish marks the request as done: it has its final response, or its client has disconnected.
 func (t *Ticket) finish() {
 	t.done = true
 	t.signal()
 	t.removeIfDone()
 }
 
-// removeIfDone drops a done ticket once it has no open attempt.
+// removeIfDone removes a done ticket once it has no open attempt.
 func (t *Ticket) removeIfDone() {
 	if t.done && t.openAttempts == 0 {
 		delete(t.dispatcher.tickets, t.id)
@@ -155,8 +157,8 @@
 	}
 }
 
-// Report tells how attempt n ended. The payload of the first one that served the request becomes its response; used tells
-// whether this is the one. A second report of one attempt is ignored.
+// Report records how attempt n ended. The payload of the first attempt that served the request becomes its response;
+// used reports whether it was this attempt. A second report for the same attempt is ignored.
 func (t *Ticket) Report(n int, o Outcome, payload any) (used bool) {
 	t.dispatcher.update(func(now float64) {
 		if n < 0 || n >= len(t.attempts) || t.attempts[n].ended {
@@ -167,7 +169,7 @@
 		t.mayHaveRun = t.mayHaveRun || a.mayHaveRun
 		t.openAttempts--
 		if o == Served && !t.done {
-			t.withdrawUnpicked()
+			t.withdrawQueued()
 			t.enqueue(Action{Kind: Respond, AttemptIndex: n, Payload: payload})
 			used = true
 			t.finish()
@@ -179,14 +181,14 @@
 	return used
 }
 
-// ClientLeft tells that the client has left.
+// ClientLeft records that the client has disconnected.
 func (t *Ticket) ClientLeft() {
 	t.dispatcher.update(func(now float64) {
 		if t.done {
 			return
 		}
-		t.done = true // first, so that nothing is sent for it any more
-		t.withdrawUnpicked()
+		t.done = true // set first, so that nothing more is sent for the request
+		t.withdrawQueued()
 		t.dispatcher.balancer.Gone(toDuration(now), t.id)
 		t.finish()
 	})
--- a/internal/node/dispatch/view.go
+++ b/internal/node/dispatch/view.go
@@ -7,23 +7,23 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// HostView is the present state of a host, for status pages and metrics.
+// HostView is the current state of a host, for status pages and metrics.
 type HostView struct {
 	Host
-	DrainingSince float64 // milliseconds; when the node learned that it drains, +Inf = it does not
-	Known         bool    // the module knows it; else Module is zero
+	DrainingSince float64 // milliseconds; when the node learned that the host drains; +Inf = it does not drain
+	Known         bool    // the decision module knows the host; otherwise Module is the zero value
 	Module        decide.BackendView
 }
 
-// View is the present state of a Pilot, with the hosts in the order of their names.
+// View is the current state of a Dispatcher, with the hosts sorted by name.
 type View struct {
-	decide.View          // without Backends
+	decide.View          // Backends is nil
 	Now          float64 // milliseconds
 	Hosts        []HostView
-	OpenRequests int // requests
+	OpenRequests int
 }
 
-// View returns the present view. It changes nothing.
+// View returns the current state without changing it.
 func (d *Dispatcher) View() (v View) {
 	d.update(func(now float64) {
 		v.View, v.Now, v.OpenRequests = d.balancer.View(toDuration(now)), now, len(d.tickets)
@@ -41,15 +41,15 @@
 	return v
 }
 
-// SubsetFraction is the fraction of the hosts that this node sends to, above 0 and at most 1.
+// SubsetFraction returns the fraction of the hosts that this node sends to, above 0 and at most 1.
 func (d *Dispatcher) SubsetFraction() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.balancer.SubsetFraction()
 }
 
-// Capacity is the capacity of the hosts in use for this node, in requests a second of average work. learned tells whether it
-// rests on any response.
+// Capacity returns how much of the capacity of the hosts in use is available to this node, in requests of average
+// cost per second. learned reports whether the estimate is based on any response.
 func (d *Dispatcher) Capacity() (capacity float64, learned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/dispatch/warmstart.go
+++ b/internal/node/dispatch/warmstart.go
@@ -10,17 +10,19 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// This file lets a new node start warm, with what another node of the fleet has learned: what hosts and classes cost, which
-// hosts fail, how the load is spread. It takes no commitments over: the endpoint list, the subset, quotas, the retry budget,
-// rates and slow-start limits stay the node's own.
+// A warm start lets a new node begin with what another node of the fleet has learned: the cost of hosts and
+// classes, which hosts fail, and how the load is distributed. Commitments are not adopted: the endpoint list, the
+// subset, quotas, the retry budget, rates and slow-start limits remain the node's own.
 
-// maxAhead is how far a time may lie ahead of a snapshot; the module rejects a snapshot with a later one.
+// maxAhead is how far a timestamp may lie ahead of its snapshot; the decision module rejects a snapshot with a
+// later one.
 const maxAhead = 30 * time.Second
 
-// ErrNoWarmStart is what Learn returns where the other node knows nothing of use here.
-var ErrNoWarmStart = errors.New("it knows none of the hosts of the list, or has heard nothing")
+// ErrNoWarmStart is returned by ApplyWarmStart if the other node's snapshot has no data of use here.
+var ErrNoWarmStart = errors.New("the snapshot knows none of the listed hosts, or its node has received no response")
 
-// WarmStart is the part of a snapshot that another node may have: what it can use, and nothing of tenants.
+// WarmStart returns the part of a snapshot that is meant for another node: what that node can use, without the
+// data of tenants.
 func (m Snapshot) WarmStart() Snapshot {
 	m.Module.Quota, m.Module.Tenants, m.Module.Trials = nil, nil, nil
 	hosts := make([]HostSnapshot, 0, len(m.Hosts))
@@ -32,7 +34,8 @@
 	return m
 }
 
-// LastObserved is when a host last responded according to a snapshot, in the module's time; 0 = never.
+// LastObserved returns the time of the last response of any host that a snapshot records, in the decision module's
+// time; 0 = never.
 func LastObserved(m *decide.Memory) (at time.Duration) {
 	for i := range m.Zones {
 		at = max(at, m.Zones[i].Heard)
@@ -40,9 +43,10 @@
 	return min(at, m.At)
 }
 
-// ApplyWarmStart takes over what another node knows of the hosts that are listed here, at the same address and as the same process. It
-// may be repeated until the first request. The evidence weighs by its age as in Recall, counted from the last response that
-// the other node received. A snapshot that cannot be right, or is of no use (ErrNoWarmStart), changes nothing.
+// ApplyWarmStart adopts what another node knows about the hosts that are listed here with the same address and the
+// same process. It may be repeated until the first request. Evidence is weighted by its age as in Restore, counted
+// from the last response that the other node received. A snapshot that is invalid, or of no use (ErrNoWarmStart),
+// changes nothing.
 func (d *Dispatcher) ApplyWarmStart(m Snapshot) (err error) {
 	d.update(func(now float64) {
 		localIDs := map[decide.BackendID]decide.BackendID{}
@@ -58,16 +62,16 @@
 			return
 		}
 		if err = d.balancer.Restore(toDuration(now), Blend(d.balancer.Snapshot(toDuration(now)), m.Module, d.coldTime, d.random)); err != nil {
-			err = fmt.Errorf("learning from another node: %w", err)
+			err = fmt.Errorf("applying a warm start: %w", err)
 		}
 	})
 	return err
 }
 
-// Blend returns own, the snapshot of a node that has just started, with what another node knows merged in. It may be restored
-// where own was taken. Slow-start limits are kept by all nodes together, so nothing is taken over of a host in slow start;
-// coldTime is that of the rules. random draws when ejected hosts are tried, so that nodes which learn from one node do not
-// try them together.
+// Blend merges what another node knows into own, the snapshot of a node that has just started, and returns the
+// result, which may be restored where own was taken. Slow-start limits hold for all nodes together, so nothing is
+// adopted about a host in slow start; coldTime is the slow-start time of the rules. random chooses when ejected
+// hosts are tried again, so that nodes that adopt the same snapshot do not try them at the same time.
 func Blend(own, other decide.Memory, coldTime time.Duration, random *rand.Rand) decide.Memory {
 	m := own
 	m.Version, m.Zone, m.At = other.Version, other.Zone, LastObserved(&other)
@@ -77,7 +81,7 @@
 	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(kind *decide.KindMemory) (string, float64) {
 		weight := kind.Fit.N + kind.Recent.N
 		if kind.Seen {
-			weight += 1e-9 // its idle latency outlives the evidence
+			weight += 1e-9 // the idle latency remains known when the evidence has decayed
 		}
 		return fmt.Sprint(kind.Kind, kind.Across), weight
 	})
@@ -94,7 +98,7 @@
 	for i := range other.Backends {
 		known[other.Backends[i].ID] = &other.Backends[i]
 	}
-	wholeFleet := own.Part >= 1 && other.Part >= 1 // else the two use different hosts
+	wholeFleet := own.Part >= 1 && other.Part >= 1 // otherwise the two nodes use different hosts
 	m.Backends = nil
 	sum, newSum := 0.0, 0.0
 	for _, b := range own.Backends {
@@ -108,7 +112,7 @@
 		m.Backends = append(m.Backends, clampTimes(b, m.At, random))
 		newSum += b.Share
 	}
-	for i := range m.Backends { // keep the sum of the shares, or there would seem to be less capacity
+	for i := range m.Backends { // keep the sum of the shares, or the capacity would appear smaller
 		if b := &m.Backends[i]; b.Share > 0 {
 			setShare(b, b.Share*sum/newSum, m.Clock)
 		}
@@ -116,7 +120,8 @@
 	return m
 }
 
-// preferHeavier returns own with each entry replaced by that of other with the same name, where that has the greater weight.
+// preferHeavier returns own with each entry replaced by the entry of other with the same name if that has a greater
+// weight.
 func preferHeavier[T any](own, other []T, weigh func(*T) (name string, weight float64)) []T {
 	merged := slices.Clone(own)
 	for i := range merged {
@@ -130,17 +135,17 @@
 	return merged
 }
 
-// evidence is the number of attempts that the state of a host rests on, each weighed by its age.
+// evidence returns the number of attempts that the state of a host is based on, weighted by their age.
 func evidence(b *decide.BackendMemory) float64 { return b.N + b.Good + b.Bad + b.Lost }
 
-// mergeBackend returns the state of one host as another node knows it, with what is the node's own kept.
+// mergeBackend returns the state of a host as another node knows it, except for the parts that are this node's own.
 func mergeBackend(own, other decide.BackendMemory, clock float64, wholeFleet bool) decide.BackendMemory {
 	b := other
 	b.Read, b.ReadAt = own.Read, own.ReadAt // from this node's list
 	b.Each, b.Others = 0, 0
 	b.Next, b.Turn, b.Share = own.Next, own.Turn, own.Share
 	switch {
-	case own.Share <= 0: // it is not used here: its faults would only cost this node trials
+	case own.Share <= 0: // the host is not used here: its failures would only cost this node trial requests
 		b.Away, b.Until, b.Fails, b.Silent, b.Run = own.Away, own.Until, own.Fails, own.Silent, own.Run
 	case other.Away || wholeFleet && other.Share <= 0:
 		b.Share, b.Turn = 0, -1
@@ -150,14 +155,14 @@
 	return b
 }
 
-// setShare sets a host's share of the load; it keeps its place in the round.
+// setShare sets a host's share of the load and preserves its place in the schedule.
 func setShare(b *decide.BackendMemory, share, clock float64) {
 	b.Next = clock + max(0, b.Next-clock)*b.Share/share
 	b.Share = share
 }
 
-// clampTimes limits the times of a warm host to what a snapshot taken at a time may contain. The end of an ejection is drawn
-// from the second half of what is left of it.
+// clampTimes limits the timestamps of a warm host to what a snapshot taken at the given time may contain. The end
+// of an ejection is drawn at random from the second half of its remaining time.
 func clampTimes(b decide.BackendMemory, at time.Duration, random *rand.Rand) decide.BackendMemory {
 	clamp := func(until time.Duration) time.Duration {
 		if wait := until - at; wait > 0 {
