--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -1,10 +1,10 @@
-// Package core owns the life of a call from when a server has read it to its one final answer. It knows no protocol and no
-// socket: a downstream server turns bytes into a Call and an Answer back into bytes, a Carrier runs one attempt at one
-// host. Between them are the stages (middleware), which may answer a call, delay it or change it, and the dispatcher
-// (package dispatch), whose verdicts this package carries out.
+// Package core manages the life cycle of a call from the time a server has read it until its single final answer.
+// It knows neither protocols nor sockets: a downstream server turns bytes into a Call and an Answer back into
+// bytes, and a Transport runs one attempt at one host. Between them are the stages (middleware), which may answer
+// a call, delay it or change it, and the dispatcher (package dispatch), whose actions this package carries out.
 //
-// Bounds: at most Settings.Calls calls are open at once, each with its id, its payload and its open attempts; at most
-// maxReasons reasons are counted separately.
+// Bounds: at most Settings.MaxCalls calls are open at once, each with its id, its payload and its open attempts;
+// at most maxReasons reasons are counted separately.
 package core
 
 import (
@@ -19,35 +19,36 @@
 	"linenwheel.dev/linenwheel/internal/node/metrics"
 )
 
-// Host names a host. Its address may later belong to another one.
+// Host identifies a host. Its address may later belong to another host.
 type Host struct{ Name, Address, Protocol string }
 
 // Transport runs attempts at hosts.
 type Transport interface {
-	// RunAttempt runs one attempt and blocks until it ends, until the time until (milliseconds) or until off is closed. It
-	// sends at most once. The payload belongs to an outcome Served.
-	RunAttempt(to Host, call *Call, until float64, off <-chan struct{}) (dispatch.Outcome, any)
+	// RunAttempt runs one attempt and blocks until it ends, until the time until (in milliseconds) or until cancel
+	// is closed. It sends the request at most once. The payload is that of the response if the outcome is
+	// dispatch.Served.
+	RunAttempt(to Host, call *Call, until float64, cancel <-chan struct{}) (dispatch.Outcome, any)
 }
 
-// Gate admits calls for as long as they can be served.
+// Gate admits calls as long as they can be served in time.
 type Gate interface {
-	// Admit tells whether a call is admitted, and when that was, in milliseconds. alone: no other call is open on its
-	// client's connection.
+	// Admit reports whether a call is admitted, and the time of admission in milliseconds. alone: no other call is
+	// open on the client's connection.
 	Admit(class int, deadline float64, alone bool) (now float64, ok bool)
-	// Completed records the end of a call that was admitted at since.
+	// Completed records the end of a call that was admitted at the time since.
 	Completed(class int, since float64, served, alone bool)
 }
 
 // Settings configure a Core.
 type Settings struct {
-	MaxCalls int  // open at once, at most
+	MaxCalls int  // maximum number of open calls
 	Gate     Gate // nil = every call is admitted
 	Stages   Stages
-	// Metrics counts calls by class; nil = nothing is counted.
+	// Metrics counts calls by class; nil = no metrics.
 	Metrics *metrics.Set
 }
 
-// The reasons that this package gives itself.
+// The reasons of answers that this package makes itself.
 const (
 	ReasonDuplicateID = "a request with this Req-Id is open"
 	ReasonBusy        = "busy"
@@ -57,7 +58,7 @@
 	ReasonStopping    = "the node is stopping"
 )
 
-// maxReasons is how many reasons are counted separately; further ones count as "other".
+// maxReasons is the maximum number of reasons that are counted separately; further ones are counted as "other".
 const maxReasons = 64
 
 // AnswerCount counts the final answers of one kind and reason. Its JSON form must not change.
@@ -68,7 +69,7 @@
 	Last   uint64 `json:"Last"` // number of the last of them among all final answers, from 1
 }
 
-// Core serves calls. All of its methods may be called from any goroutine.
+// Core serves calls. Its methods are safe for concurrent use.
 type Core struct {
 	settings   Settings
 	dispatcher *dispatch.Dispatcher
@@ -78,7 +79,7 @@
 
 	mu        sync.Mutex
 	openCalls map[string]*Call // by id, until they are answered
-	atLimit   bool             // the last call was rejected for the limit
+	atLimit   bool             // the last call was rejected because of the limit
 	counts    map[answerKey]tally
 	answers   uint64 // final answers given so far
 }
@@ -94,7 +95,7 @@
 	reason string
 }
 
-// New makes a Core that dispatches calls with dispatcher and runs their attempts with carrier.
+// New returns a Core that dispatches calls with dispatcher and runs their attempts with transport.
 func New(settings Settings, dispatcher *dispatch.Dispatcher, carrier Transport, log *slog.Logger) *Core {
 	c := &Core{settings: settings, dispatcher: dispatcher, transport: carrier, log: log, openCalls: map[string]*Call{},
 		counts: map[answerKey]tally{}}
@@ -102,8 +103,9 @@
 	return c
 }
 
-// Admit admits a call or rejects it, without blocking. rejection says why: too many calls are open, one with the same id is open,
-// which hosts could not tell apart, or the node stops too soon. Each admitted call must be passed to Serve.
+// Admit admits or rejects a call without blocking. rejection holds the reason: too many calls are open, a call
+// with the same id is open (hosts could not tell the two apart), or the node will stop before the call could be
+// served. Each admitted call must be passed to Serve.
 func (c *Core) Admit(call *Call) (rejection Answer, admitted bool) {
 	c.mu.Lock()
 	_, duplicate := c.openCalls[call.ID]
@@ -134,20 +136,21 @@
 		c.settings.Metrics.Ended(call.Class, rejection.Kind.metricsKind())
 	}
 	if limitReached {
-		c.log.Warn("the cap on open calls is reached: more get a back-off answer", "calls", maxCalls)
+		c.log.Warn("limit on open calls reached; further calls are rejected as busy", "calls", maxCalls)
 	}
 	return rejection, admitted
 }
 
-// SetMaxCalls changes how many calls may be open at once. Open calls above the limit are served.
+// SetMaxCalls changes the limit on open calls. Calls that are already open above the limit are still served.
 func (c *Core) SetMaxCalls(calls int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settings.MaxCalls = calls
 }
 
-// Serve serves an admitted call and blocks until its one final answer, or Left. Where the payload of a served answer is still
-// Flowing the call stays open: the caller must report its end with Flowed.
+// Serve serves an admitted call and blocks until its final answer, which has the kind ClientLeft if the client has
+// disconnected. If the body of a served answer is still arriving (StreamedPayload), the call stays open: the
+// caller must report its end with StreamEnded.
 func (c *Core) Serve(call *Call) Answer {
 	answer := c.serveRecovered(call)
 	if f, ok := answer.Payload.(StreamedPayload); ok && answer.Kind == Served && f.Flows() {
@@ -162,13 +165,14 @@
 	return answer
 }
 
-// StreamEnded reports the end of an answer whose body was still arriving when Serve returned it: kind is what the call counts as.
+// StreamEnded reports the end of an answer whose body was still arriving when Serve returned it. The call is
+// counted as kind.
 func (c *Core) StreamEnded(call *Call, kind Kind) { c.finish(call, Answer{Kind: kind}, false) }
 
-// finish closes a call. timed tells whether the time it took is that of a complete answer.
+// finish closes a call. timed reports whether its duration is that of a complete answer.
 func (c *Core) finish(call *Call, answer Answer, timed bool) {
 	c.mu.Lock()
-	delete(c.openCalls, call.ID) // before the answer goes out: the client may use the id again right after it
+	delete(c.openCalls, call.ID) // before the answer is sent: the client may reuse the id right after it
 	c.count(answer)
 	c.mu.Unlock()
 	c.settings.Metrics.Ended(call.Class, answer.Kind.metricsKind())
@@ -177,8 +181,8 @@
 	}
 }
 
-// Finish gives every open call its final answer now: that of the dispatcher, or a failure where a stage has the call, since only
-// the stage could tell whether it has run. Take must not be called any more.
+// Finish ends every open call now. A call gets the answer of the dispatcher, or fails if a stage still holds it,
+// since only the stage could tell whether it has run. Admit must not be called afterwards.
 func (c *Core) Finish() {
 	c.dispatcher.Finish()
 	c.mu.Lock()
@@ -188,14 +192,14 @@
 	}
 }
 
-// serveRecovered runs the chain and turns a panic of a stage into a failure of its call.
+// serveRecovered runs the chain of stages and turns a panic of a stage into a failure of its call.
 func (c *Core) serveRecovered(call *Call) (answer Answer) {
 	defer func() {
 		if err := recover(); err != nil {
-			c.log.Error("a stage panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
+			c.log.Error("stage panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
 			call.Cancel() // cancels its open attempts
 			if call.dispatched {
-				c.drainVerdicts(call)
+				c.drainActions(call)
 			}
 			answer = Fail(Unavailable, ReasonPanic)
 		}
@@ -208,12 +212,12 @@
 		}
 	}
 	if answer.Reason != "" && answer.Reason != ReasonModule && answer.Reason != ReasonStopping {
-		c.log.Info("a stage ended a call", "answer", answer.Kind.String(), "reason", answer.Reason)
+		c.log.Info("call ended by a stage", "answer", answer.Kind.String(), "reason", answer.Reason)
 	}
 	return answer
 }
 
-// count counts a final answer. The caller holds the lock.
+// count counts a final answer. c.mu must be held.
 func (c *Core) count(answer Answer) {
 	e := answerKey{answer.Kind, answer.Reason}
 	if _, ok := c.counts[e]; !ok && len(c.counts) >= maxReasons {
@@ -223,14 +227,14 @@
 	c.counts[e] = tally{c.counts[e].calls + 1, c.answers}
 }
 
-// Unanswered is the number of calls that have no final answer yet.
+// Unanswered returns the number of calls that have no final answer yet.
 func (c *Core) Unanswered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.openCalls)
 }
 
-// AnswerCounts returns the counts of final answers so far, ordered by kind and reason.
+// AnswerCounts returns the counts of the final answers so far, ordered by kind and reason.
 func (c *Core) AnswerCounts() []AnswerCount {
 	c.mu.Lock()
 	endings := make([]AnswerCount, 0, len(c.counts))
@@ -244,71 +248,72 @@
 	return endings
 }
 
-// dispatch is the end of the chain: it carries out the dispatcher's verdicts until one of them is the final answer. A call may
-// be dispatched once; a stage that wants another run forks it.
+// dispatch is the last handler of the chain: it carries out the dispatcher's actions until one of them is the final
+// answer. A call may be dispatched only once; a stage that needs another run forks the call.
 func (c *Core) dispatch(call *Call) Answer {
 	call.cancels = call.cancelBuffer[:0]
 	c.dispatcher.Begin(&call.ticket, dispatch.Request{Class: call.Class, Tenant: call.Tenant, Deadline: call.Deadline,
 		Cost: call.Cost, ClientRetry: call.ClientRetry})
 	call.markDispatched()
 	for {
-		switch verdict := call.ticket.Next(); verdict.Kind {
+		switch action := call.ticket.Next(); action.Kind {
 		case dispatch.Respond:
-			c.drainVerdicts(call)
-			return Answer{Kind: Served, Payload: verdict.Payload}
+			c.drainActions(call)
+			return Answer{Kind: Served, Payload: action.Payload}
 		case dispatch.Reject:
-			c.drainVerdicts(call)
-			return Answer{Kind: Refused, Fault: Busy, Reason: ReasonModule, Wait: verdict.Wait, Ran: verdict.Ran}
+			c.drainActions(call)
+			return Answer{Kind: Refused, Fault: Busy, Reason: ReasonModule, Wait: action.Wait, Ran: action.Ran}
 		case dispatch.Fail:
-			c.drainVerdicts(call)
-			return Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: verdict.Ran}
+			c.drainActions(call)
+			return Answer{Kind: Failed, Fault: Unavailable, Reason: ReasonModule, Ran: action.Ran}
 		case dispatch.Done:
-			return Answer{Kind: ClientLeft, Ran: verdict.Ran}
+			return Answer{Kind: ClientLeft, Ran: action.Ran}
 		default:
-			c.carryOut(call, verdict)
+			c.carryOut(call, action)
 		}
 	}
 }
 
-// drainVerdicts carries out, in the background, the remaining verdicts of a call that is answered but has open attempts, such
-// as a hedged request.
-func (c *Core) drainVerdicts(call *Call) {
+// drainActions carries out, in the background, the remaining actions for a call that is answered but still has open
+// attempts, such as a hedged request.
+func (c *Core) drainActions(call *Call) {
 	if call.ticket.Complete() {
 		return
 	}
 	go func() {
-		for verdict := call.ticket.Next(); verdict.Kind != dispatch.Done; verdict = call.ticket.Next() {
-			c.carryOut(call, verdict)
+		for action := call.ticket.Next(); action.Kind != dispatch.Done; action = call.ticket.Next() {
+			c.carryOut(call, action)
 		}
 	}()
 }
 
-// carryOut starts an attempt or cancels one. The verdicts of a call are carried out one after the other.
-func (c *Core) carryOut(call *Call, verdict dispatch.Action) {
-	switch verdict.Kind {
+// carryOut starts or cancels an attempt. The actions for a call are carried out one after the other.
+func (c *Core) carryOut(call *Call, action dispatch.Action) {
+	switch action.Kind {
 	case dispatch.Send:
-		for len(call.cancels) <= verdict.AttemptIndex { // an attempt that a rule forbade has no verdict
+		for len(call.cancels) <= action.AttemptIndex { // an attempt that the rules forbade has no action
 			call.cancels = append(call.cancels, nil)
 		}
 		cancel := make(chan struct{})
-		call.cancels[verdict.AttemptIndex] = cancel
-		go c.runAttempt(call, verdict, cancel)
+		call.cancels[action.AttemptIndex] = cancel
+		go c.runAttempt(call, action, cancel)
 	case dispatch.Cancel:
-		close(call.cancels[verdict.AttemptIndex])
+		close(call.cancels[action.AttemptIndex])
 	}
 }
 
-// runAttempt runs one attempt and reports its end. One whose carrier panics may have run.
-func (c *Core) runAttempt(call *Call, verdict dispatch.Action, cancel <-chan struct{}) {
+// runAttempt runs one attempt and reports its outcome. If the transport panics, the attempt counts as one that may
+// have run.
+func (c *Core) runAttempt(call *Call, action dispatch.Action, cancel <-chan struct{}) {
 	outcome, payload := dispatch.Failed, any(nil)
 	defer func() {
 		if err := recover(); err != nil {
-			c.log.Error("a carrier panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
+			c.log.Error("transport panicked", "error", fmt.Sprint(err), "stack", string(debug.Stack()))
 		}
-		used := call.ticket.Report(verdict.AttemptIndex, outcome, payload)
+		used := call.ticket.Report(action.AttemptIndex, outcome, payload)
 		if f, ok := payload.(StreamedPayload); ok && !used {
 			f.Drop()
 		}
 	}()
-	outcome, payload = c.transport.RunAttempt(Host{Name: verdict.Host, Address: verdict.Address, Protocol: verdict.Protocol}, call, verdict.Until, cancel)
+	outcome, payload = c.transport.RunAttempt(Host{Name: action.Host, Address: action.Address, Protocol: action.Protocol}, call, action.Until, cancel)
 }
--- a/internal/node/core/stages.go
+++ b/internal/node/core/stages.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// Handler serves a call and blocks until its final answer. A stage that waits must return an Answer of kind Left when Call.Left
-// is closed.
+// Handler serves a call and blocks until its final answer. A stage that waits must return an Answer of kind
+// ClientLeft when Call.Done is closed.
 type Handler func(*Call) Answer
 
 // Stage is middleware: it wraps the next handler.
 type Stage func(next Handler) Handler
 
-// Stages are the middleware in front of the dispatcher, in the order in which a call passes them. Nil ones are left out.
+// Stages are the middleware in front of the dispatcher, in the order in which a call passes them. Nil stages are
+// skipped.
 type Stages struct {
-	First       []Stage // of an embedder, before all others
+	First       []Stage // of the embedding program, before all others
 	Auth        Stage   // authentication and authorization
-	Quota       Stage   // quotas of tenants
+	Quota       Stage   // tenant quotas
 	Idempotency Stage   // idempotency
 	Region      Stage   // forwarding to other regions
-	Last        []Stage // of an embedder, directly before the dispatcher
+	Last        []Stage // of the embedding program, directly before the dispatcher
 }
 
 // chain wraps a handler in the stages, the first outermost.
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -346,7 +346,7 @@
 	c.pool.mu.Unlock()
 }
 
-// RunAttempt is that of core.Carrier.
+// RunAttempt implements core.Transport.
 func (p *Pool) RunAttempt(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
 	done := make(chan end, 1)
 	late := make(chan struct{})
