--- a/internal/node/quota/debts.go
+++ b/internal/node/quota/debts.go
@@ -1,16 +1,17 @@
 package quota
 
 const (
-	repaySeconds   = 1.0 // for which debts are collected after a lender wanted what it is owed
-	maxLenderLooks = 4   // children that are looked at for capacity to lend, per call
+	repaySeconds    = 1.0 // time for which debts are collected after a creditor last needed more than its own bucket
+	maxLenderChecks = 4   // children that are checked for capacity to lend, per call
 )
 
-// recordDebt records the debt of a call that was lent, or uses up what was repaid for one that was paid.
+// recordDebt records the debt of a call that was admitted with borrowed capacity, or uses up repaid capacity if
+// the call was admitted with that.
 func (t *Tree) recordDebt(d Decision, load float64) {
 	if d.Verdict == WithinGuarantee {
 		return
 	}
-	child := d.grant.leaf // will be the child of the lender on the path to the leaf
+	child := d.grant.leaf // after the loop: the child of the lender on the path to the leaf
 	for t.nodes[child].parent != d.grant.lender {
 		child = t.nodes[child].parent
 	}
@@ -22,11 +23,11 @@
 	t.nodes[d.grant.lender].repaid -= load
 }
 
-// assignDebt finds the sibling whose unused capacity a borrower has used, and records credit and debt. What no
-// sibling could call its own makes no debt.
+// assignDebt finds the sibling whose unused capacity a borrower has used, and records credit and debt. Capacity
+// that belongs to no sibling causes no debt.
 func (t *Tree) assignDebt(parent, borrower int32, load float64) {
 	p := &t.nodes[parent]
-	for range maxLenderLooks {
+	for range maxLenderChecks {
 		if p.nextLender < 0 {
 			if p.nextLender = p.firstChild; p.nextLender < 0 {
 				return
@@ -48,18 +49,18 @@
 	}
 }
 
-// guaranteedFraction returns the guarantee of a node as a fraction of all that the root can do.
+// guaranteedFraction returns the guarantee of a node as a fraction of the root's rate.
 func (t *Tree) guaranteedFraction(n *node) float64 {
 	return n.own[Requests].rate / t.nodes[Root].own[Requests].rate
 }
 
-// maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack. What it borrows beyond
-// is a gift.
+// maxDebt returns the largest debt of a node, in loads: what it can repay within Settings.RepayTime. What it borrows
+// beyond that need not be repaid.
 func (t *Tree) maxDebt(n *node) float64 {
 	return t.config.RepayTime * t.config.RepayFraction * t.guaranteedFraction(n)
 }
 
-// repay makes a debtor give up part of what it was just filled with, while a lender collects its debts.
+// repay takes from a debtor part of the tokens that it was just filled with, while a creditor collects its debts.
 func (t *Tree) repay(n *node, span float64) {
 	p := &t.nodes[n.parent]
 	if n.debt <= 0 || p.repayUntil <= t.seconds-span {
--- a/internal/node/quota/decide.go
+++ b/internal/node/quota/decide.go
@@ -4,17 +4,18 @@
 	"cmp"
 )
 
-// retryJitter is the fraction of a wait that is added or subtracted at random, so that rejected callers do not retry together.
+// retryJitter is the fraction of a wait that is added or subtracted at random, so that rejected callers do
+// not all retry at the same time.
 const retryJitter = 0.25
 
 // Call describes a call.
 type Call struct {
-	Leaf     int // index of the node that it belongs to
-	Priority int // from 0; calls of the highest are rejected only when there is no capacity at all
+	Leaf     int // index of the node that the call belongs to
+	Priority int // from 0; calls of the highest priority are rejected only when there is no capacity at all
 	Value    float64
 }
 
-// Admit decides on a call, and charges it if it goes on.
+// Admit decides on a call, and charges it if it is admitted.
 func (t *Tree) Admit(now float64, c Call) Decision {
 	t.advance(now)
 	cost := Amount{1, c.Value}
@@ -35,14 +36,14 @@
 	return d
 }
 
-// decide finds the node that pays for a call, and charges nothing.
+// decide determines which node's capacity a call uses, without charging it.
 func (t *Tree) decide(leaf int32, priority int, cost Amount) Decision {
 	n := &t.nodes[leaf]
 	if t.hasTokens(n, priority, cost, false) {
 		return Decision{Verdict: WithinGuarantee, From: int(leaf)}
 	}
-	top := priority == t.config.Priorities-1
-	if d, ok := t.checkLimits(leaf, cost); !ok && !top {
+	topPriority := priority == t.config.Priorities-1
+	if d, ok := t.checkLimits(leaf, cost); !ok && !topPriority {
 		return d
 	}
 	if n.noBorrowing || leaf == Root {
@@ -55,7 +56,7 @@
 	if lender < 0 {
 		return Decision{Verdict: Rejected, Reason: NoCapacity}
 	}
-	if !top && t.unleased == nil { // a lease is divided fairly already; what is left of it goes to whoever comes first
+	if !topPriority && t.unleased == nil { // leases are already divided fairly: what is left goes to the first that asks
 		l := &t.nodes[lender]
 		limit := maxAhead(l.own[Requests].tokens / l.own[Requests].cap)
 		for i := leaf; i != lender; i = t.nodes[i].parent {
@@ -67,8 +68,8 @@
 	return Decision{Verdict: Borrowed, From: int(lender)}
 }
 
-// hasTokens reports whether the own bucket of a node covers a call, beyond what is reserved for higher priorities
-// and, if spare is set, what debtors have repaid to their lenders.
+// hasTokens reports whether a node's own bucket covers a call, without what is reserved for higher priorities and,
+// if spare is set, without what debtors have repaid to their lenders.
 func (t *Tree) hasTokens(n *node, priority int, cost Amount, spare bool) bool {
 	reserved, repaid := t.config.Reserved*float64(t.config.Priorities-1-priority), 0.0
 	if spare {
@@ -79,7 +80,7 @@
 			return false
 		}
 		if n.own[m].cap == 0 && t.nodes[Root].own[m].cap > 0 && cost[m] > 0 {
-			return false // it has no guarantee of a measure that counts
+			return false // it has no guarantee for a measure that is counted
 		}
 	}
 	return true
@@ -102,7 +103,8 @@
 	return d, true
 }
 
-// lender returns the nearest ancestor with enough tokens, -1 for none, and records on the way who wants to borrow.
+// lender returns the nearest ancestor with enough tokens, -1 if there is none. On the way it records the nodes that
+// contend for spare capacity.
 func (t *Tree) lender(leaf int32, priority int, cost Amount) int32 {
 	for i := leaf; ; {
 		n := &t.nodes[i]
@@ -117,8 +119,9 @@
 	}
 }
 
-// creditor returns the nearest node, from the leaf up, to which its siblings have repaid what they owe, -1 for none.
-// On the way it has the debts collected that are owed to the leaf and its ancestors.
+// creditor returns the nearest node, from the leaf upwards, whose siblings have repaid enough of their debts to
+// cover the call, -1 if there is none. On the way it starts the collection of debts owed to the leaf and its
+// ancestors.
 func (t *Tree) creditor(leaf int32, priority int, cost Amount) int32 {
 	load := t.load(cost)
 	for i := leaf; t.nodes[i].parent >= 0 && !t.nodes[i].noBorrowing; i = t.nodes[i].parent {
@@ -135,7 +138,7 @@
 	return -1
 }
 
-// load returns the cost of a call in seconds of all that the root can do: the largest over the measures.
+// load returns the cost of a call in seconds of the root's full rate: the maximum over the measures.
 func (t *Tree) load(cost Amount) (load float64) {
 	for m := range measures {
 		if rate := t.nodes[Root].own[m].rate; rate > 0 {
@@ -145,8 +148,8 @@
 	return load
 }
 
-// retryAfter returns the milliseconds after which a rejected caller should retry. The rejected callers of a leaf get
-// times one behind the other, at the rate that the leaf may always have, with jitter.
+// retryAfter returns the milliseconds after which a rejected caller should retry. The retries of a leaf's rejected
+// callers are spaced at its guaranteed rate, with jitter.
 func (t *Tree) retryAfter(n *node) float64 {
 	rate := max(n.own[Requests].rate*t.capacity, 1/cmp.Or(t.config.MaxRetryAfter, 1))
 	n.nextRetry = max(n.nextRetry, t.now) + 1000/rate
@@ -157,7 +160,7 @@
 	return min(maxWait, (n.nextRetry-t.now)*(1-retryJitter+2*retryJitter*t.rand.Float64()))
 }
 
-// charge spends what a call was granted, or returns it with sign -1.
+// charge takes the cost of a call from the buckets, or puts it back if sign is -1.
 func (t *Tree) charge(g grant, sign float64) {
 	for i := g.leaf; i >= 0; i = t.nodes[i].parent {
 		n := &t.nodes[i]
@@ -185,8 +188,8 @@
 	}
 }
 
-// Refund returns what a call was charged that certainly did not run. What another tree has charged, which this one
-// has replaced, is ignored.
+// Refund puts back what was charged for a call that certainly did not run. A charge made by another tree, which
+// this one has replaced, is ignored.
 func (t *Tree) Refund(now float64, d Decision) {
 	if d.Verdict == Rejected || d.grant.tree != t {
 		return
@@ -198,7 +201,8 @@
 	t.charge(d.grant, -1)
 }
 
-// Charged returns what a call was charged, and its leaf; nothing if it was rejected, or charged by another tree.
+// Charged returns the leaf and the cost that a call was charged; the cost is zero if the call was rejected or was
+// charged by another tree.
 func (t *Tree) Charged(d Decision) (leaf int, cost Amount) {
 	if d.Verdict == Rejected || d.grant.tree != t {
 		return Root, cost
--- a/internal/node/quota/fairness.go
+++ b/internal/node/quota/fairness.go
@@ -5,12 +5,13 @@
 )
 
 const (
-	contendSeconds = 1.0  // for which a child counts as a contender after it wanted to borrow
-	fairSlack      = 0.02 // load by weight by which a child may be ahead of its fair share, with a bucket half full
-	maxBehind      = 1.0  // load by weight by which it may be behind: what it did not want then it does not get later
+	contendSeconds = 1.0  // time for which a child counts as a contender after it last tried to borrow
+	fairSlack      = 0.02 // load divided by weight by which a child may be ahead of its fair share, with the parent's bucket half full
+	maxBehind      = 1.0  // load divided by weight by which it may be behind: it cannot claim later what it did not request in time
 )
 
-// maxAhead returns how far a child may be ahead of its fair share, in loads by weight, of a bucket with this level.
+// maxAhead returns how far a child may be ahead of its fair share, in load divided by weight, when the parent's
+// bucket has this level.
 func maxAhead(fill float64) float64 {
 	if fill >= 1 {
 		return math.Inf(1)
@@ -18,30 +19,30 @@
 	return fairSlack * max(0, fill) / (1 - fill)
 }
 
-// contend records that a child wants some of its parent's spare capacity now.
-func (t *Tree) contend(x int32) {
-	n := &t.nodes[x]
+// contend records that a child requests some of its parent's spare capacity now.
+func (t *Tree) contend(child int32) {
+	n := &t.nodes[child]
 	p := &t.nodes[n.parent]
 	if n.contends {
-		t.withdraw(x)
+		t.withdraw(child)
 	} else {
-		n.borrowed = max(n.borrowed, p.fairShare) // what it did not use before is no claim
+		n.borrowed = max(n.borrowed, p.fairShare) // capacity that it did not use before is no claim
 	}
 	n.borrowed = max(n.borrowed, p.fairShare-maxBehind)
 	n.contends, n.lastRequest = true, t.seconds
 	p.contendingWeight += n.weight
 	n.prevContender, n.nextContender = p.lastContender, -1
 	if p.lastContender >= 0 {
-		t.nodes[p.lastContender].nextContender = x
+		t.nodes[p.lastContender].nextContender = child
 	} else {
-		p.firstContender = x
+		p.firstContender = child
 	}
-	p.lastContender = x
+	p.lastContender = child
 }
 
-// withdraw removes a child from the list of those that want capacity.
-func (t *Tree) withdraw(x int32) {
-	n := &t.nodes[x]
+// withdraw removes a child from its parent's list of contenders.
+func (t *Tree) withdraw(child int32) {
+	n := &t.nodes[child]
 	p := &t.nodes[n.parent]
 	if n.prevContender >= 0 {
 		t.nodes[n.prevContender].nextContender = n.nextContender
--- a/internal/node/quota/fluid.go
+++ b/internal/node/quota/fluid.go
@@ -1,7 +1,7 @@
 package quota
 
-// Fluid is a tree whose capacity is divided as a fluid would be among those that request it. The root has the index
-// 0.
+// Fluid is a tree whose capacity is divided among its nodes by weighted max-min fairness at each level, as a fluid
+// would be. The root has the index 0.
 type Fluid struct {
 	parent   []int
 	weight   []float64
@@ -9,8 +9,8 @@
 	children [][]int
 }
 
-// Add adds a node below one that was added before, and returns its index; the first one is the root. What a node has
-// is divided among its children by their weights, and none gets more than its limit.
+// Add adds a node below one that was added before and returns its index; the first node is the root. What a node
+// receives is divided among its children by their weights, and no child receives more than its limit.
 func (f *Fluid) Add(parent int, weight, limit float64) (index int) {
 	index = len(f.parent)
 	f.parent, f.weight, f.limit = append(f.parent, parent), append(f.weight, weight), append(f.limit, limit)
@@ -33,8 +33,9 @@
 	}
 }
 
-// Allocate divides a capacity among nodes that request so much: each gets the part of its weight as far as it requests it,
-// and what is left goes to those that want more, level by level, in proportion to their weights.
+// Allocate divides a capacity among nodes with the given requested amounts, level by level: each node receives its
+// part by weight, up to what it requests, and the rest goes to the nodes that request more, in proportion to their
+// weights.
 func (f *Fluid) Allocate(capacity float64, requested []float64) []float64 {
 	want, due := make([]float64, len(requested)), make([]float64, len(requested))
 	copy(want, requested)
@@ -49,7 +50,7 @@
 	return due
 }
 
-// divide divides what a node is due among its children: the level rises until nothing is left.
+// divide divides the allocation of a node among its children by progressive filling, until nothing is left.
 func (f *Fluid) divide(parent int, due, want []float64) {
 	unmet := make([]int, 0, len(f.children[parent]))
 	for _, c := range f.children[parent] {
--- a/internal/node/quota/lease.go
+++ b/internal/node/quota/lease.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Fraction returns the settings of a tree that holds a fraction of every rate. With leases it keeps no debts: they are
-// held by the machine of package lease.
+// Fraction returns the settings of a tree that has a fraction of every rate. With leases the tree keeps no debts,
+// which are kept by the state machine of package lease instead.
 func (s Settings) Fraction(fraction float64, leases bool) Settings {
 	scale := func(a Amount) Amount { return Amount{a[Requests] * fraction, a[Value] * fraction} }
 	s.Root, s.Nodes = scale(s.Root), slices.Clone(s.Nodes)
@@ -15,19 +15,21 @@
 	return s
 }
 
-// NodeLease is what a lease has of a node, as a fraction of what the root of the whole tree can do in a second.
+// NodeLease is the load that is leased for a node, as a fraction of what the root of the whole tree can do in a
+// second.
 type NodeLease struct {
 	NodeIndex int
 	Load      float64
 }
 
-// buckets are those that a node has without a lease.
+// buckets are the buckets that a node has without a lease.
 type buckets struct{ own, limit, longLimit [measures]bucket }
 
-// Lease puts a lease on top of what the settings say, in place of the previous one; no parts = none. whole is what
-// the root of all nodes can do in a second, call the most that one call costs: a bucket holds at least so much, else
-// a little capacity on each of many nodes could never be used. New capacity begins with empty tokens, and tokens of
-// capacity that goes are lost, so that its next holder has no more than its lease says.
+// Lease adds a lease to the rates of the settings, in place of the previous lease; no parts = no lease. rootRates
+// is what the root of all nodes can do in a second. maxCost is the maximum cost of one call: a bucket with a rate
+// holds at least that much, or else a little capacity on each of many nodes could never be used. Leased capacity
+// starts without tokens, and the tokens of capacity that is withdrawn are lost, so that its next holder has no
+// more than its lease allows.
 func (t *Tree) Lease(now float64, rootRates, maxCost Amount, parts []NodeLease) {
 	t.advance(now)
 	if t.unleased == nil {
@@ -63,7 +65,7 @@
 	}
 }
 
-// resize changes the rate and the cap of a bucket, which is up to date.
+// resize changes the rate and the cap of a bucket, which must be up to date.
 func (b *bucket) resize(rate, size, minSize float64) {
 	if rate > 0 {
 		size = max(size, minSize)
@@ -72,7 +74,7 @@
 	b.tokens = min(max(b.tokens, -size), size)
 }
 
-// setWeight sets a node's weight: its fraction of the guarantee of its parent, which is set already.
+// setWeight sets a node's weight: its fraction of the guarantee of its parent, which must be set already.
 func (t *Tree) setWeight(n *node) {
 	p := &t.nodes[n.parent]
 	weight := minWeight
--- a/internal/node/quota/status.go
+++ b/internal/node/quota/status.go
@@ -7,17 +7,17 @@
 	Name       string  `json:"name"`
 	Parent     string  `json:"parent"`
 	Leaf       bool    `json:"leaf"`
-	Rate       Amount  `json:"rate"`              // guaranteed now, per second: requests, value
-	Tokens     Amount  `json:"tokens"`            // in its bucket; negative where it is overdrawn
+	Rate       Amount  `json:"rate"`              // current guarantee per second: requests, value
+	Tokens     Amount  `json:"tokens"`            // in its bucket; negative if the bucket is overdrawn
 	Cap        Amount  `json:"cap"`               // of its bucket
 	Credit     float64 `json:"credit"`            // requests that its siblings owe it
 	Debt       float64 `json:"debt"`              // requests that it owes them
 	LentTo     string  `json:"lent_to,omitempty"` // the last sibling that borrowed from it
-	Guaranteed uint64  `json:"going"`             // calls so far: within its guarantee
-	Borrowed   uint64  `json:"borrowed"`          // with borrowed capacity
-	Repaid     uint64  `json:"paid"`              // with capacity that was repaid to it
-	Rejected   uint64  `json:"refused"`
-	Reason     string  `json:"reason,omitempty"` // of the last rejection
+	Guaranteed uint64  `json:"going"`             // number of calls admitted within its guarantee
+	Borrowed   uint64  `json:"borrowed"`          // admitted with borrowed capacity
+	Repaid     uint64  `json:"paid"`              // admitted with capacity that was repaid to it
+	Rejected   uint64  `json:"refused"`           // rejected
+	Reason     string  `json:"reason,omitempty"`  // of the last rejection
 }
 
 // Status returns the state of one node.
@@ -46,8 +46,8 @@
 // Parent returns the index of the parent of a node, -1 for the root.
 func (t *Tree) Parent(node int) int { return int(t.nodes[node].parent) }
 
-// Loads are the rates of a node as fractions of those of the root, each the least of all measures: all that the root
-// can do in a second is a load of 1. +Inf = no such limit.
+// Loads are the rates of a node as fractions of the root's rates, each the minimum over the measures: what the
+// root can do in a second is a load of 1. +Inf = no such limit.
 type Loads struct{ Guarantee, RateLimit, LongLimit float64 }
 
 // Loads returns the loads of a node at full capacity.
@@ -74,8 +74,8 @@
 	return !t.nodes[i].noLending, !t.nodes[i].noBorrowing
 }
 
-// FairRates divides a capacity, in requests per second, among leaves that request so much, see Fluid.FairRates. The decisions of
-// a tree are measured against it.
+// FairRates divides a capacity, in requests per second, among leaves with the given requested rates, see
+// Fluid.Allocate. The decisions of a tree are compared with it.
 func (t *Tree) FairRates(capacity float64, requested map[int]float64) map[int]float64 {
 	f, want := Fluid{}, make([]float64, len(t.nodes))
 	for i := range t.nodes {
--- a/internal/node/quota/time.go
+++ b/internal/node/quota/time.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// advance moves the time on, never back.
+// advance moves the time forward, never back.
 func (t *Tree) advance(now float64) {
 	if math.IsInf(t.now, -1) {
 		t.now = now
@@ -17,27 +17,27 @@
 	}
 }
 
-// refresh brings a node up to the present: it fills its buckets, and fades and repays its debts.
+// refresh brings a node up to date: it fills its buckets, and decays and repays its debts.
 func (t *Tree) refresh(i int32) {
 	n := &t.nodes[i]
-	span, work := t.seconds-n.refreshedAt, t.capacitySeconds-n.filledUntil
+	span, capacitySpan := t.seconds-n.refreshedAt, t.capacitySeconds-n.filledUntil
 	if span <= 0 {
 		return
 	}
 	n.refreshedAt, n.filledUntil = t.seconds, t.capacitySeconds
-	fade := math.Exp(-span / t.config.DebtDecay)
-	n.lendable *= fade
+	decay := math.Exp(-span / t.config.DebtDecay)
+	n.lendable *= decay
 	if n.repayUntil <= t.seconds-span {
-		n.repaid *= fade
+		n.repaid *= decay
 	}
 	if n.parent >= 0 && t.nodes[n.parent].repayUntil <= t.seconds-span {
-		n.credit *= fade
-		n.debt *= fade
+		n.credit *= decay
+		n.debt *= decay
 	}
-	over := math.Inf(1)
+	overflow := math.Inf(1)
 	for m := range measures {
 		if n.own[m].cap > 0 {
-			over = min(over, n.own[m].fill(work)/t.nodes[Root].own[m].rate)
+			overflow = min(overflow, n.own[m].fill(capacitySpan)/t.nodes[Root].own[m].rate)
 		}
 		n.limit[m].fill(span)
 		n.longLimit[m].fill(span)
@@ -45,8 +45,8 @@
 	if n.parent < 0 {
 		return
 	}
-	if !n.noLending && !math.IsInf(over, 1) {
-		n.lendable = min(n.lendable+over, t.config.DebtDecay*t.guaranteedFraction(n))
+	if !n.noLending && !math.IsInf(overflow, 1) {
+		n.lendable = min(n.lendable+overflow, t.config.DebtDecay*t.guaranteedFraction(n))
 	}
 	t.repay(n, span)
 	for n.firstContender >= 0 && t.nodes[n.firstContender].lastRequest+contendSeconds < t.seconds {
@@ -54,8 +54,8 @@
 	}
 }
 
-// SetCapacity sets what all nodes can do from now on, as a fraction of Settings.Root: all guarantees shrink and grow
-// alike. NaN is ignored.
+// SetCapacity sets the capacity of all nodes from now on, as a fraction of Settings.Root: all guarantees are
+// scaled by it. NaN is ignored.
 func (t *Tree) SetCapacity(now, fraction float64) {
 	t.advance(now)
 	if fraction == fraction { // not NaN
@@ -63,5 +63,5 @@
 	}
 }
 
-// Capacity returns the fraction that SetCapacity has set, within its bounds.
+// Capacity returns the fraction set by SetCapacity, limited to its bounds.
 func (t *Tree) Capacity() float64 { return t.capacity }
--- a/internal/node/quota/transfer.go
+++ b/internal/node/quota/transfer.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Inherit takes over the state of a tree that this one replaces, for the nodes that stay: the levels of their
-// buckets, their debts and counts, and the capacity. Other nodes begin with full buckets. The old tree must not be
-// used again.
+// Inherit copies the state of the tree that this one replaces, for the nodes that both trees have: the levels of
+// their buckets, their debts and counts, and the capacity. Other nodes start with full buckets. The old tree must
+// not be used again.
 func (t *Tree) Inherit(now float64, old *Tree) {
 	old.advance(now)
 	t.advance(now)
@@ -26,14 +26,14 @@
 	}
 }
 
-// inheritLevel gives a bucket the level of another one, -1 at least.
+// inheritLevel sets a bucket to the level of another bucket, but to at least -1.
 func inheritLevel(to, from *bucket) {
 	if from.cap > 0 {
 		to.tokens = to.cap * math.Max(-1, from.tokens/from.cap)
 	}
 }
 
-// Balance is the levels of a node's buckets, as fractions of their caps; negative where one is overdrawn.
+// Balance holds the levels of a node's buckets, as fractions of their caps; negative where one is overdrawn.
 type Balance struct {
 	Name      string `json:"name"`
 	Own       Amount `json:"own"`
@@ -58,8 +58,9 @@
 	return balances
 }
 
-// RestoreBalances takes balances that another tree of these nodes had age milliseconds ago; a negative age counts as 0. No
-// bucket holds more than was left then and has been filled in since. Balances of unknown nodes are ignored.
+// RestoreBalances restores the balances that another tree with these nodes had age milliseconds ago; a negative
+// age counts as 0. No bucket holds more than was left then plus what has been filled in since. Balances of unknown
+// nodes are ignored.
 func (t *Tree) RestoreBalances(now, age float64, balances []Balance) {
 	t.advance(now)
 	seconds := max(0, age) / 1000
@@ -86,7 +87,7 @@
 	return b.tokens / b.cap
 }
 
-// restore limits the bucket to a level, and what has been filled in for some seconds since.
+// restore limits the bucket to a level plus what has been filled in during the seconds since.
 func (b *bucket) restore(level, seconds float64) {
 	b.tokens = min(b.tokens, b.cap*max(-1, level)+b.rate*seconds)
 }
--- a/internal/node/quota/tree.go
+++ b/internal/node/quota/tree.go
@@ -13,23 +13,23 @@
 	noBorrowing, noLending      bool
 	weight                      float64 // fraction of its parent's guarantee
 
-	filledUntil float64 // capacity seconds up to which its own buckets are filled
+	filledUntil float64 // capacity seconds up to which its own buckets have been filled
 	refreshedAt float64 // seconds up to which everything else is up to date
 	own         [measures]bucket
 	limit       [measures]bucket // cap 0 = none
 	longLimit   [measures]bucket
 
-	// As a child, of its parent's spare capacity. Loads are seconds of all that the root can do.
-	borrowed                     float64 // load that it borrowed, divided by its weight
-	lastRequest                  float64 // seconds; when it last wanted to borrow
+	// As a child that borrows its parent's spare capacity. Loads are in seconds of the root's full capacity.
+	borrowed                     float64 // load that it has borrowed, divided by its weight
+	lastRequest                  float64 // seconds; when it last tried to borrow
 	contends                     bool    // it is in its parent's list of contenders
 	nextContender, prevContender int32   // in that list, which is sorted by lastRequest
 
-	// As a parent, of its own spare capacity.
-	fairShare                     float64 // of a contender by now, comparable to borrowed
+	// As a parent that lends its spare capacity.
+	fairShare                     float64 // what a contender may have borrowed by now, in the unit of borrowed
 	contendingWeight              float64 // sum of the weights of the contenders
 	firstContender, lastContender int32
-	nextLender                    int32 // the child that is looked at next for capacity to lend
+	nextLender                    int32 // the next child to be checked for capacity to lend
 
 	// Debts among siblings, as loads.
 	lendable     float64
@@ -37,18 +37,18 @@
 	debt         float64
 	repayRate    float64 // loads per second at which it repays while its debt is collected
 	lastBorrower int32   // the last sibling that borrowed from it, -1 = none
-	repayUntil   float64 // seconds; as a parent: until when debts among its children are collected
-	repaid       float64 // as a parent: what was repaid and not yet used by a creditor
+	repayUntil   float64 // seconds; as a parent: end of the collection of debts among its children
+	repaid       float64 // as a parent: load that was repaid and that no creditor has used yet
 
 	nextRetry float64 // ms; when the next rejected caller should retry
 	reason    Reason  // of the last rejection
 	counts    [Rejected + 1]uint64
 }
 
-// NodeBytes bounds the memory of one node with its place in the index, as this package's test measures it.
+// NodeBytes is an upper bound on the memory of one node with its index entry, checked by a test of this package.
 const NodeBytes = 640
 
-// Tree is the tree of quotas. It is not safe for concurrent use: its caller holds a lock.
+// Tree is the tree of quotas. It is not safe for concurrent use.
 type Tree struct {
 	config          Settings
 	rand            *rand.Rand
@@ -56,17 +56,18 @@
 	index           map[string]int
 	names           []string
 	burstSeconds    []float64 // by node: seconds of its rate that its bucket holds
-	unleased        []buckets // by node, without a lease; nil = there was no lease yet
+	unleased        []buckets // by node: the buckets without a lease; nil = there has been no lease yet
 	now             float64   // ms
 	seconds         float64   // since the first call
-	capacity        float64   // what all nodes can do, as a fraction of Settings.Root
+	capacity        float64   // current capacity of all nodes, as a fraction of Settings.Root
 	capacitySeconds float64   // integral of capacity over seconds
 }
 
 // Root is the index of the root.
 const Root = 0
 
-// New returns a tree with full buckets. The error is a *FieldError. The seed is that of the jitter of Decision.RetryAfter.
+// New returns a tree with full buckets. The error is a *FieldError. seed determines the jitter of
+// Decision.RetryAfter.
 func New(config Settings, seed uint64) (*Tree, error) {
 	t := &Tree{config: config, rand: rand.New(rand.NewPCG(seed, 0x71756f7461)), index: map[string]int{}, now: math.Inf(-1), capacity: 1}
 	if err := t.checkSettings(); err != nil {
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// build adds the nodes in the order of the settings, but parents before their children. The error is a *FieldError.
+// build adds the nodes in the order of the settings, except that parents precede their children. The error is a
+// *FieldError.
 func (t *Tree) build() error {
 	t.addNode("", -1, Node{Guarantee: t.config.Root})
 	pending := t.config.Nodes
@@ -104,11 +106,11 @@
 		var later []Node
 		for _, n := range pending {
 			parent, known := t.index[n.Parent]
-			_, twice := t.index[n.Name]
+			_, duplicate := t.index[n.Name]
 			switch {
 			case n.Name == "":
 				return &FieldError{"", "name", "is missing"}
-			case twice:
+			case duplicate:
 				return &FieldError{n.Name, "name", "stands there twice"}
 			case !known:
 				later = append(later, n)
@@ -182,7 +184,7 @@
 		if n.Share > 0 {
 			rate = n.Share * t.nodes[parent].own[m].rate
 		}
-		// What is reserved for higher priorities comes on top of the burst.
+		// The reserve for higher priorities is in addition to the burst.
 		full := rate * burst / t.unreserved()
 		s.own[m] = bucket{full, rate, full}
 		if c := n.RateLimit[m]; c > 0 {
@@ -205,10 +207,10 @@
 // unreserved returns the fraction of a bucket that is not reserved for higher priorities.
 func (t *Tree) unreserved() float64 { return 1 - t.config.Reserved*float64(t.config.Priorities-1) }
 
-// minWeight is the weight of a node without a guarantee, which lives on what others leave.
+// minWeight is the weight of a node without a guarantee, which can use only what others leave.
 const minWeight = 1e-6
 
-// Find returns the index of a node.
+// Find returns the index of a node; ok is false if there is none of that name.
 func (t *Tree) Find(name string) (node int, ok bool) {
 	node, ok = t.index[name]
 	return node, ok
