--- a/internal/node/quota/lease/debts.go
+++ b/internal/node/quota/lease/debts.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// maxDebt returns the largest debt of a node, in loads: what it can repay in Settings.PayBack.
+// maxDebt returns the largest debt of a node, in loads: what it can repay within Settings.RepayTime.
 func (m *Machine) maxDebt(i int) float64 {
 	return m.tree.Settings.RepayTime * m.tree.Settings.RepayFraction * m.shape.weight[i]
 }
 
-// updateDebts changes credits and debts by what was used for some seconds. The order of the operations is part of the
-// agreement: every replica must compute the same floats.
+// updateDebts updates credits and debts with what was used during the given seconds. The order of the floating-point
+// operations must not change: every replica must compute the same values.
 func (m *Machine) updateDebts(seconds float64, used []float64) {
-	keep := 1 / (1 + seconds/m.tree.Settings.DebtDecay)
+	decay := 1 / (1 + seconds/m.tree.Settings.DebtDecay)
 	for p, children := range m.shape.children {
 		over, under, collecting := 0.0, 0.0, false
 		for _, c := range children {
@@ -30,7 +30,7 @@
 			a.Debt -= min(a.Debt, a.GivenUp*seconds)
 			a.Credit -= min(a.Credit, a.Repaid*seconds)
 			if !collecting {
-				a.Debt, a.Credit = a.Debt*keep, a.Credit*keep
+				a.Debt, a.Credit = a.Debt*decay, a.Credit*decay
 			}
 			if d := used[c] - m.guarantee(c); d > 0 && under > 0 {
 				lent := max(0, min(min(over, under)*seconds*(d/over), m.maxDebt(c)-a.Debt))
@@ -49,13 +49,13 @@
 	}
 }
 
-// updateLongWindow changes the account of the long window of a node by what was used for some seconds.
+// updateLongWindow updates a node's account of the long window with what was used during the given seconds.
 func (m *Machine) updateLongWindow(i int, seconds, used float64) {
 	bound := m.shape.longLimit[i] * m.tree.Settings.LongWindow
 	m.accounts[i].Long = max(-bound, min(bound, m.accounts[i].Long+(m.shape.longLimit[i]-used)*seconds))
 }
 
-// collectDebts has the lenders that request more than their guarantee repaid by the siblings that owe them.
+// collectDebts lets lenders that request more than their guarantee collect from the siblings that owe them.
 func (m *Machine) collectDebts(requested []float64) {
 	want := slices.Clone(requested)
 	m.shape.fluid.AddToAncestors(want)
--- a/internal/node/quota/lease/demand.go
+++ b/internal/node/quota/lease/demand.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	minSmoothing   = 4000.0  // ms over which a rate is smoothed, at least
-	maxSmoothing   = 30000.0 // ms, at most
-	smoothingCalls = 30.0    // between them, over the time of so many calls
-	jumpFactor     = 2.0     // a rate that grows by this factor and by jumpCalls counts at once
+	minSmoothing   = 4000.0  // minimum ms over which a rate is smoothed
+	maxSmoothing   = 30000.0 // maximum ms
+	smoothingCalls = 30.0    // between these limits, a rate is smoothed over the time of this many calls
+	jumpFactor     = 2.0     // a rate that grows by this factor plus jumpCalls is adopted without smoothing
 	jumpCalls      = 4.0     // per second
 	forgetRate     = 0.01    // calls per second below which a node is forgotten
 )
@@ -23,14 +23,14 @@
 	nodes        map[int]*nodeDemand
 }
 
-// nodeDemand is the demand of one node of the tree, in loads since the last Take; rate is smoothed, per second, over
-// age ms.
+// nodeDemand is the demand of one node of the tree, in loads since the last Report; rate is the smoothed demand per
+// second, over age ms.
 type nodeDemand struct{ requested, admitted, rate, age float64 }
 
-// NewDemand begins to measure at a time, in ms; unit is the load of one call.
+// NewDemand returns a Demand that measures from now on, a time in ms; unit is the load of one call.
 func NewDemand(now, unit float64) *Demand { return &Demand{unit, now, map[int]*nodeDemand{}} }
 
-// node returns the demand of a node, which it adds if there is none.
+// node returns the demand of a node and adds it if there is none.
 func (d *Demand) node(at int) *nodeDemand {
 	s := d.nodes[at]
 	if s == nil {
@@ -40,14 +40,14 @@
 	return s
 }
 
-// Request records that a call of a node has arrived.
+// Request records that a call for a node has arrived.
 func (d *Demand) Request(at int, load float64) { d.node(at).requested += load }
 
 // Admit records that a call was admitted, or, with a negative load, that an admitted one did not run.
 func (d *Demand) Admit(at int, load float64) { d.node(at).admitted += load }
 
-// Report returns the demand since the last time, of the MaxReportedNodes nodes with the most, sorted by node. It returns none
-// within a millisecond of the last time.
+// Report returns the demand since the previous report, for the MaxReportedNodes nodes with the highest demand,
+// sorted by node. Within a millisecond of the previous report it returns none.
 func (d *Demand) Report(now float64) []NodeDemand {
 	span := now - d.measuredFrom
 	out := []NodeDemand{}
@@ -59,7 +59,7 @@
 		rate := s.requested / span * 1000
 		s.age += span
 		over := min(maxSmoothing, max(minSmoothing, smoothingCalls*d.callLoad/max(s.rate, 1e-12)*1000))
-		k := max(1-math.Exp(-span/over), span/s.age) // the mean, while there is little to smooth
+		k := max(1-math.Exp(-span/over), span/s.age) // the plain mean while there is little to smooth
 		if rate > jumpFactor*s.rate+jumpCalls*d.callLoad*1000/max(span, 1000) {
 			s.rate = rate
 		} else {
--- a/internal/node/quota/lease/divide.go
+++ b/internal/node/quota/lease/divide.go
@@ -8,15 +8,15 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// The division.
+// Parameters of the division of capacity.
 const (
 	divideInterval  = 50.0 // ms between two divisions
-	reserveFraction = 0.05 // fraction of the leased capacity that is left for those that will request more
-	maxHeadroom     = 3.0  // what a node gets, as a multiple of what it requests, while there is capacity
-	minWeight       = 1e-6 // of a node without a guarantee, which lives on what others leave
+	reserveFraction = 0.05 // fraction of the leased capacity kept for members that will request more
+	maxHeadroom     = 3.0  // maximum multiple of what it requests that a node gets while there is capacity
+	minWeight       = 1e-6 // of a node without a guarantee, which can use only what others leave
 )
 
-// sumDemand adds up a value of what members report, by node, without what is below it.
+// sumDemand sums a value over the reports of all members, by node, without its descendants.
 func (m *Machine) sumDemand(of func(NodeDemand) float64) []float64 {
 	out := make([]float64, len(m.shape.names))
 	for _, id := range slices.Sorted(maps.Keys(m.members)) {
@@ -27,8 +27,8 @@
 	return out
 }
 
-// divide updates debts by what was used since the last time, and computes what every node is due from now on: once in
-// divideInterval, or at once where a node is requested that nobody requested before.
+// divide updates the debts with what was used since the last division, and computes what every node is due from
+// now on. It does so once per divideInterval, or immediately if there is demand for a node that had none before.
 func (m *Machine) divide(now float64, newDemand bool) {
 	span := now - m.dividedAt
 	if span < divideInterval && !newDemand {
@@ -59,12 +59,12 @@
 	}
 }
 
-// guarantee returns what a node may always have now, in loads per second, with the repayment of debts.
+// guarantee returns the current guarantee of a node, in loads per second, adjusted by the repayment of debts.
 func (m *Machine) guarantee(i int) float64 {
 	return m.shape.weight[i] - m.accounts[i].GivenUp + m.accounts[i].Repaid
 }
 
-// grant returns the part of a member of what every node is due, as far as other members do not hold it.
+// grant returns a member's part of what every node is due, as far as other members do not hold it.
 func (m *Machine) grant(e *member) []NodeLoad {
 	s := m.shape
 	others, due := slices.Clone(m.leased), make([]float64, len(s.names))
@@ -105,7 +105,7 @@
 	return out
 }
 
-// maxLeased returns what all leases of a node add up to at most; +Inf = it is limited by its ancestors alone.
+// maxLeased returns the maximum sum of all leases of a node; +Inf = the node is limited only by its ancestors.
 func (m *Machine) maxLeased(i int) float64 {
 	if i == quota.Root {
 		return m.tree.Leased
--- a/internal/node/quota/lease/golden_test.go
+++ b/internal/node/quota/lease/golden_test.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against encoded forms of the package whose JSON has changed, in any of their fields.
+// Guards against a change of the JSON form of the package's encoded types, in any of their fields.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[NodeDemand](t, "asked")
 	golden.JSON[Report](t, "report")
@@ -22,8 +22,8 @@
 	golden.Check(t, "tree-hash", []byte(full.Hash()))
 }
 
-// Guards against a machine that restores another state from an image of an earlier build of this release than that build did. Every field
-// of the members and accounts is set; the tree is one that can be divided.
+// Guards against a machine that restores another state from the image of an earlier build than that build did.
+// Every field of the members and accounts is set; the tree is valid.
 func TestLoadsTheImageOfAnEarlierBuild(t *testing.T) {
 	divided := tree(3, 1, partners...)
 	m := New()
--- a/internal/node/quota/lease/lease.go
+++ b/internal/node/quota/lease/lease.go
@@ -1,33 +1,33 @@
-// Package lease divides the capacity of all nodes among them ahead of time, so that no call waits for an agreement.
-// It is pure: no I/O, goroutine, lock or clock; time is that of the replicated log, in milliseconds, and passed in.
-// Its Machine is a component of the replicated state machine: every replica applies the same reports at the same
-// times and holds the same leases.
+// Package lease divides the capacity of all nodes of the fleet among them ahead of time, so that no call waits for
+// consensus. It is pure: it does no I/O and has no goroutines, locks or clock; time is that of the replicated log,
+// in milliseconds, and passed in. Its Machine is a component of the replicated state machine: every replica
+// applies the same reports at the same times and holds the same leases.
 //
-// A member (one process of a node) reports how much load is requested of it and how much it has admitted, by node of
-// the quota tree. The machine divides the leased fraction of the capacity among all that is requested as a fluid
-// would be (quota.Fluid), and grants the member its part: a lease, which expires unless it is renewed. What a member
-// may still be using is never granted to another:
+// A member (one process of a node) reports how much load is requested of it and how much it has admitted, by node
+// of the quota tree. The machine divides the leased fraction of the capacity among all requested loads by weighted
+// max-min fairness (quota.Fluid) and grants the member its part: a lease, which expires unless it is renewed. What
+// a member may still be using is never granted to another member:
 //
-//   - of a member that may not have received its last reply, both its last lease and the one before it count;
-//   - a member that is lost keeps its lease until it expires.
+//   - if a member may not have received its last reply, both its last lease and the one before it count;
+//   - a lost member keeps its lease until the lease expires.
 //
-// So the leases in force add up to no more than the leased fraction of the root, and of every rate limit, at every
-// moment. A process that is lost takes its unspent lease with it until it expires.
+// At any time the leases in force therefore add up to no more than the leased fraction of the root and of every rate
+// limit. What a lost process has not spent of its lease cannot be used by others until the lease expires.
 //
 // # Debts
 //
-// What a node of the tree admits beyond its guarantee it borrows from its siblings that use less than theirs: their
-// credit and its debt grow, are remembered for Settings.Memory, and are held here, not at the members. A lender that
-// requests more than its guarantee collects what it is owed: siblings in debt give up at most PayPart of their
-// guarantees until it is repaid.
+// What a node of the tree admits beyond its guarantee, it borrows from siblings that use less than theirs: their
+// credit and its debt grow. Credits and debts decay with the time constant Settings.DebtDecay and are kept here,
+// not at the members. A lender that requests more than its guarantee collects what it is owed: siblings in debt
+// give up at most the fraction Settings.RepayFraction of their guarantees until the debt is repaid.
 //
-// The account of the long window is held here, too: where it is empty, the long rate is the limit of the node. A
-// lease that expires without a report counts as spent.
+// The account of the long window is kept here, too: while it is empty, the node is limited to its rate over the long
+// window. A lease that expires without a report counts as spent.
 //
 // # Bounds
 //
-// MaxNodes nodes of a tree, MaxMembers members, MaxReportedNodes nodes of one report. A report costs a look at its own
-// nodes and, once in divideInterval, one at all members and the tree, however many members there are.
+// MaxNodes nodes of a tree, MaxMembers members, MaxReportedNodes nodes of one report. A report visits only the
+// nodes that it names and, once per divideInterval, all members and the tree, however many members there are.
 package lease
 
 import (
@@ -49,27 +49,28 @@
 	loadUnits    = 1e9 // units of a Load of 1
 )
 
-// The errors of a machine. ErrOtherTree says that a tree was rejected because another one is in force.
+// Errors of a Machine. ErrOtherTree means that a tree was rejected because another one is in force.
 var (
 	ErrOtherTree = errors.New("the fleet goes by another tree of quotas")
 	errOtherTree = errors.New("its accounts are of another tree") // of an image
 )
 
-// Load is a fraction of all that the root can do in a second, in units of 1/loadUnits: an integer, so that sums are
+// Load is a fraction of what the root can do in a second, in units of 1/loadUnits. It is an integer so that sums are
 // exact.
 type Load int64
 
 // Fraction returns the load as a fraction of 1.
 func (l Load) Fraction() float64 { return float64(l) / loadUnits }
 
-// NodeDemand is what a member reports of one node of the tree, in loads per second; 1 = all that the root can do.
+// NodeDemand is what a member reports about one node of the tree, in loads per second; 1 = the full rate of the
+// root.
 type NodeDemand struct {
 	Node      int     `json:"a"`
-	Requested float64 `json:"w"` // requested
-	Admitted  float64 `json:"u"` // admitted
+	Requested float64 `json:"w"`
+	Admitted  float64 `json:"u"`
 }
 
-// Report is what a member sends, often enough to have its lease renewed.
+// Report is what a member sends regularly to have its lease renewed.
 type Report struct {
 	Node      string       `json:"node"`
 	Life      uint64       `json:"life"`   // incarnation of the process
@@ -77,7 +78,7 @@
 	Length    float64      `json:"length"` // ms of the lease that it requests
 	HeldLease uint64       `json:"holds"`  // number of the lease that it uses; 0 = none
 	Demand    []NodeDemand `json:"asked"`
-	Leaving   bool         `json:"leaves"` // it gives its lease back
+	Leaving   bool         `json:"leaves"` // the member returns its lease
 }
 
 // check returns an error if a report is out of bounds, for a tree with that many nodes.
@@ -98,16 +99,16 @@
 	return nil
 }
 
-// NodeLoad is what a lease has of a node.
+// NodeLoad is the load that is leased for a node.
 type NodeLoad struct {
 	Node int  `json:"a"`
 	Load Load `json:"l"`
 }
 
-// Grant answers a report.
+// Grant is the reply to a Report.
 type Grant struct {
-	Number uint64     `json:"number"` // of the lease; 0 = none, the member has another tree
-	Length float64    `json:"length"` // ms from the moment at which the report was made
+	Number uint64     `json:"number"` // of the lease; 0 = none, because the member has another tree
+	Length float64    `json:"length"` // ms from the time at which the report was made
 	Parts  []NodeLoad `json:"parts,omitempty"`
 	Tree   string     `json:"tree"` // hash of the tree in force; empty = none yet
 }
--- a/internal/node/quota/lease/lease_test.go
+++ b/internal/node/quota/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"linenwheel.dev/linenwheel/internal/node/quota"
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of random histories
 )
 
 func tree(number uint64, burst float64, nodes ...quota.Node) Tree {
@@ -21,7 +21,8 @@
 var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, RateLimit: quota.Amount{40}}, {Name: "c", Share: .2, NoBorrowing: true},
 	{Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4, LongLimit: quota.Amount{30}}}
 
-// leaseHolder is a member as the specification sees it: it uses a lease until that expires or it receives another.
+// leaseHolder is a member according to the specification: it uses a lease until the lease expires or it receives
+// another.
 type leaseHolder struct {
 	report Report
 	parts  []NodeLoad
@@ -29,9 +30,10 @@
 	tree   string // hash of the tree of its lease
 }
 
-// checkRandomHistory plays members that report, lose replies, stall, leave and return, on a tree that changes. It returns the first
-// violation: leases in force that exceed a limit, or accounts out of bounds. spoil may change a reply before the member gets it.
-func checkRandomHistory(rt *rapid.T, spoil func(h *leaseHolder, g *Grant)) (broken string) {
+// checkRandomHistory simulates members that report, lose replies, stall, leave and return, on a tree that changes.
+// It returns the first violation: leases in force that exceed a limit, or accounts out of bounds. spoil may change
+// a reply before the member receives it.
+func checkRandomHistory(rt *rapid.T, spoil func(h *leaseHolder, g *Grant)) (violation string) {
 	m, now, t := New(), 1e6, tree(0, 1, partners...)
 	require.NoError(rt, m.SetTree(now, t))
 	holders := map[int]*leaseHolder{}
@@ -58,7 +60,7 @@
 			t = tree(t.Number+1, rapid.SampledFrom([]float64{1, 2}).Draw(rt, "burst"), partners[:rapid.IntRange(1, 3).Draw(rt, "nodes")]...)
 			require.NoError(rt, m.SetTree(now, t))
 			continue
-		case 3: // a replica that starts from an image has the same state
+		case 3: // a replica that starts from an image must have the same state
 			text, err := m.Freeze()()
 			require.NoError(rt, err)
 			other := New()
@@ -80,17 +82,17 @@
 			spoil(h, &g)
 			h.parts, h.until, h.report.HeldLease, h.tree = g.Parts, now+g.Length, g.Number, m.hash
 		}
-		if broken = checkInvariants(m, holders, now, t); broken != "" {
-			return broken
+		if violation = checkInvariants(m, holders, now, t); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
 func checkInvariants(m *Machine, holders map[int]*leaseHolder, now float64, t Tree) string {
-	kept, due := m.leased, m.nextExpiry
-	if m.recount(); !assert.ObjectsAreEqual(kept, m.leased) || due > m.nextExpiry {
-		return fmt.Sprintf("%v is kept as taken until %v, members have %v until %v", kept, due, m.leased, m.nextExpiry)
+	leased, expiry := m.leased, m.nextExpiry
+	if m.recount(); !assert.ObjectsAreEqual(leased, m.leased) || expiry > m.nextExpiry {
+		return fmt.Sprintf("the machine counts %v as leased until %v, its members hold %v until %v", leased, expiry, m.leased, m.nextExpiry)
 	}
 	sums := make([]Load, len(m.shape.names))
 	for _, h := range holders {
@@ -108,7 +110,7 @@
 		}
 	}
 	for i, name := range m.shape.names[:m.shape.memberNodes()] {
-		if most := t.Leased * m.shape.limit[i]; i == 0 && sums[i].Fraction() > t.Leased || sums[i].Fraction() > most && !math.IsInf(most, 1) {
+		if limit := t.Leased * m.shape.limit[i]; i == 0 && sums[i].Fraction() > t.Leased || sums[i].Fraction() > limit && !math.IsInf(limit, 1) {
 			return fmt.Sprintf("%q: %g leased", name, sums[i].Fraction())
 		}
 		a := m.accounts[i]
@@ -119,16 +121,17 @@
 	return ""
 }
 
-// Guards against leases that add up to more than the leased fraction of the capacity or of a rate limit, whatever is lost, late,
-// restored or changed; against debts beyond their bounds; and against an image that restores another state.
+// Guards against leases that add up to more than the leased fraction of the capacity or of a rate limit, whatever
+// is lost, late, restored or changed; against debts beyond their bounds; and against an image that restores
+// another state.
 func TestLeasesNeverExceedTheLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		require.Empty(rt, checkRandomHistory(rt, func(*leaseHolder, *Grant) {}))
 	})
 }
 
-// Guards against a checker that finds nothing: members that use a lease after it has expired, that use the larger of two, or that use
-// one of another member.
+// Guards against a checker that finds nothing: it must notice members that use a lease after it has expired, use
+// the larger of two leases, or use a lease of another member.
 func TestInvariantCheckerFindsPlantedFaults(t *testing.T) {
 	for name, spoil := range map[string]func(*leaseHolder, *Grant){
 		"a lease longer than agreed": func(_ *leaseHolder, g *Grant) { g.Length *= 5 },
@@ -141,12 +144,12 @@
 	}
 }
 
-// Guards against debts that are lost with the process that made them, a lender that is not repaid when it wakes, and a debt that is
-// lost in a change of the tree.
+// Guards against debts that are lost with the process that made them, a lender that is not repaid when its demand
+// returns, and a debt that is lost in a change of the tree.
 func TestDebtsOutliveMembers(t *testing.T) {
 	m, now, tr := New(), 1e6, tree(0, 1, quota.Node{Name: "a", Share: .5}, quota.Node{Name: "b", Share: .5})
 	require.NoError(t, m.SetTree(now, tr))
-	say := func(life uint64, a, b, usedB float64) (got map[string]float64) {
+	report := func(life uint64, a, b, usedB float64) (got map[string]float64) {
 		g, err := m.Report(now, Report{Node: "n", Life: life, Tree: m.hash, Length: 1000, Demand: []NodeDemand{{1, a, 0}, {2, b, usedB}}})
 		require.NoError(t, err)
 		got = map[string]float64{}
@@ -156,7 +159,7 @@
 		return got
 	}
 	for range 40 {
-		say(1, 0, 1, 0.9)
+		report(1, 0, 1, 0.9)
 		now += 500
 	}
 	of := func(name string) (h NodeState) {
@@ -169,16 +172,16 @@
 	}
 	assert.Positive(t, of("a").Credit)
 	assert.Positive(t, of("b").Debt)
-	now += 1500 // the process is lost, its lease expires
+	now += 1500 // the process is lost and its lease expires
 	before := of("a").Credit
-	say(2, 1, 1, 0.45)
+	report(2, 1, 1, 0.45)
 	assert.InDelta(t, before, of("a").Credit, 0.2*before)
 	now += 1000
-	got := say(2, 1, 1, 0.45)
-	assert.Greater(t, got["a"], got["b"], "it is paid")
+	got := report(2, 1, 1, 0.45)
+	assert.Greater(t, got["a"], got["b"], "the lender is repaid")
 	tr.Number = 1
 	require.NoError(t, m.SetTree(now, tr))
-	assert.NotEmpty(t, say(2, 1, 1, 0.45), "the same tree under a further number ends no lease")
+	assert.NotEmpty(t, report(2, 1, 1, 0.45), "the same tree with a higher number must not end a lease")
 	tr.Number, tr.Settings.Burst = 2, 2
 	debt := of("b").Debt
 	require.NoError(t, m.SetTree(now, tr))
@@ -186,7 +189,8 @@
 	assert.ErrorIs(t, m.SetTree(now, tree(1, 1)), ErrOtherTree)
 }
 
-// Guards against a report that costs a look at every other member: the replicas' work would grow with the square of the members.
+// Guards against a report that visits every other member: the work of the replicas would grow with the square of
+// the number of members.
 func TestReportDoesNotCostALookAtEveryMember(t *testing.T) {
 	allocations := func(members int) float64 {
 		m, now := New(), 1e6
--- a/internal/node/quota/lease/machine.go
+++ b/internal/node/quota/lease/machine.go
@@ -7,33 +7,34 @@
 	"slices"
 )
 
-// member is one process of a node. The JSON names and the order of fields are those of the stored image.
+// member is one process of a node. The JSON names and the order of the fields are part of the stored image and
+// must not change.
 type member struct {
 	Node     string       `json:"node"`
 	Life     uint64       `json:"life"`
 	Until    float64      `json:"until"` // ms; when its lease expires
-	Reported float64      `json:"told"`  // ms; when it reported last
+	Reported float64      `json:"told"`  // ms; time of its last report
 	Demand   []NodeDemand `json:"asked"`
-	// Active is the lease that it uses, Granted the one that it was granted last. Until it reports that it holds Granted, it may be
-	// using either.
+	// Active is the lease that the member uses, Granted the one that it was granted last. Until the member reports
+	// that it holds Granted, it may be using either.
 	Active  []NodeLoad `json:"using"`
 	Granted []NodeLoad `json:"next"`
 	Number  uint64     `json:"number"` // of Granted
 }
 
-// account is the state of a node of the tree.
+// account is the state of one node of the tree.
 type account struct {
 	Credit    float64 `json:"credit"` // loads that its siblings owe it
 	Debt      float64 `json:"debt"`   // loads that it owes them
 	RepayRate float64 `json:"pays"`   // loads per second at which it repays while its debt is collected
-	GivenUp   float64 `json:"gives"`  // loads per second of its guarantee that it gives up now
-	Repaid    float64 `json:"gets"`   // loads per second that it gets on top of its guarantee now
+	GivenUp   float64 `json:"gives"`  // loads per second of its guarantee that it currently gives up
+	Repaid    float64 `json:"gets"`   // loads per second that it currently receives on top of its guarantee
 	Long      float64 `json:"long"`   // loads left in the long window
-	Due       float64 `json:"due"`    // loads per second, of all members together
-	Want      float64 `json:"want"`   // loads per second, as requested when Due was computed
+	Due       float64 `json:"due"`    // loads per second that all members together may lease
+	Want      float64 `json:"want"`   // loads per second requested when Due was computed
 }
 
-// Machine is the state that the replicas agree on. It is not safe for concurrent use.
+// Machine is the replicated state of the leases. It is not safe for concurrent use.
 type Machine struct {
 	tree       *Tree
 	hash       string
@@ -42,8 +43,8 @@
 	accounts   []account
 	dividedAt  float64 // ms
 	lastNumber uint64
-	leased     []Load  // what members may be using, by node without what is below it
-	nextExpiry float64 // ms; no lease expires before
+	leased     []Load  // what members may be using, by node, without its descendants
+	nextExpiry float64 // ms; no lease expires earlier
 }
 
 // New returns a machine that has no tree yet.
@@ -52,12 +53,12 @@
 // memberID returns the key of a member: its node and its incarnation.
 func memberID(r *Report) string { return fmt.Sprintf("%s/%x", r.Node, r.Life) }
 
-// SetTree puts a tree into force: the first one, one of a higher number, or one of the same number while there are no
-// members. The error wraps ErrOtherTree where another tree stays in force.
+// SetTree puts a tree into force if it is the first one, has a higher number, or has the same number while there
+// are no members. The error wraps ErrOtherTree if another tree stays in force.
 func (m *Machine) SetTree(now float64, t Tree) error {
 	m.Tick(now)
 	if m.tree != nil && t.Hash() == m.hash {
-		same := *m.tree // a frozen image may hold the previous one
+		same := *m.tree // a copy, because a frozen image may refer to the previous one
 		same.Number = max(same.Number, t.Number)
 		m.tree = &same
 		return nil
@@ -71,8 +72,8 @@
 	return m.replaceTree(now, t)
 }
 
-// replaceTree puts a tree into the place of the present one. Nodes of the same name keep their accounts and leases;
-// the leases of a node that is removed count at the root.
+// replaceTree replaces the current tree. Nodes of the same name keep their accounts and leases; the leases of a
+// node that is removed count at the root.
 func (m *Machine) replaceTree(now float64, t Tree) error {
 	s, err := newShape(&t)
 	if err != nil {
@@ -112,7 +113,7 @@
 func moveLease(parts []NodeLoad, names []string, index map[string]int) []NodeLoad {
 	sums := map[int]Load{}
 	for _, p := range parts {
-		sums[index[names[p.Node]]] += p.Load // index 0, the root, where no node has the name
+		sums[index[names[p.Node]]] += p.Load // index 0, the root, if no node has the name
 	}
 	var out []NodeLoad
 	for _, i := range slices.Sorted(maps.Keys(sums)) {
@@ -121,8 +122,8 @@
 	return out
 }
 
-// Report records what a member reports and grants it a lease. The Number of the grant is 0 where the member has
-// another tree: its lease expires.
+// Report records what a member reports and grants it a lease. The Number of the grant is 0 if the member has another
+// tree, in which case its lease is not renewed.
 func (m *Machine) Report(now float64, r Report) (Grant, error) {
 	m.Tick(now)
 	id := memberID(&r)
@@ -130,7 +131,7 @@
 		m.removeMember(id)
 		return Grant{}, nil
 	}
-	if m.tree == nil || r.Tree != m.hash { // its lease expires
+	if m.tree == nil || r.Tree != m.hash { // the lease is not renewed
 		return Grant{Tree: m.hash}, nil
 	}
 	if err := r.check(m.shape.memberNodes()); err != nil {
@@ -141,7 +142,7 @@
 		return Grant{}, fmt.Errorf("there are %d members", len(m.members))
 	}
 	e.Node, e.Life, e.Demand, e.Reported = r.Node, r.Life, r.Demand, now
-	if r.HeldLease == e.Number { // else it did not receive the reply, and it ignores one that arrives late
+	if r.HeldLease == e.Number { // otherwise the member did not receive the last reply; it ignores a reply that arrives late
 		e.Active = e.Granted
 	}
 	e.Granted = nil
@@ -157,8 +158,8 @@
 // reserved returns what the member may be using.
 func (e *member) reserved() []NodeLoad { return maxLease(e.Active, e.Granted) }
 
-// setMember adds or replaces a member. It and removeMember keep leased and nextExpiry up to date, so that a report does not cost a
-// look at every other member.
+// setMember adds or replaces a member. It and removeMember keep leased and nextExpiry up to date, so that a report
+// does not have to visit every other member.
 func (m *Machine) setMember(id string, e member) {
 	m.removeMember(id)
 	m.members[id] = e
@@ -172,8 +173,8 @@
 	delete(m.members, id)
 }
 
-// count adds a member to leased and nextExpiry, or takes it out of leased with sign -1. A Load is exact: taking out what was added
-// leaves nothing.
+// count adds a member to leased and nextExpiry, or removes it from leased if sign is -1. Loads are integers, so
+// removing what was added leaves exactly 0.
 func (m *Machine) count(e *member, sign Load) {
 	for _, p := range e.reserved() {
 		m.leased[m.shape.leafOf[p.Node]] += sign * p.Load
@@ -194,7 +195,7 @@
 	}
 }
 
-// Tick expires leases.
+// Tick removes the members whose leases have expired.
 func (m *Machine) Tick(now float64) {
 	if now < m.nextExpiry {
 		return
@@ -206,7 +207,7 @@
 			continue
 		}
 		delete(m.members, id)
-		for _, p := range e.reserved() { // it is not known how much of it was used: it counts as spent
+		for _, p := range e.reserved() { // how much of the lease was used is unknown, so all of it counts as spent
 			for i := p.Node; i >= 0; i = m.shape.parent[i] {
 				m.accounts[i].Long -= p.Load.Fraction() * (e.Until - e.Reported) / 1000
 			}
@@ -214,8 +215,8 @@
 	}
 }
 
-// maxLease returns what of two leases may be in use, by node: the larger part of each. Both are sorted, and so is the
-// result.
+// maxLease returns what may be in use if either of two leases may be: for each node the larger load. Both leases
+// must be sorted by node, and so is the result.
 func maxLease(a, b []NodeLoad) []NodeLoad {
 	out := make([]NodeLoad, 0, len(a)+len(b))
 	for len(a) > 0 || len(b) > 0 {
--- a/internal/node/quota/lease/snapshot.go
+++ b/internal/node/quota/lease/snapshot.go
@@ -9,10 +9,10 @@
 // NodeState is the state of a node, for operators.
 type NodeState struct {
 	Name   string  `json:"name"`
-	Due    float64 `json:"due"` // loads per second, of all members
+	Due    float64 `json:"due"` // loads per second that all members together may lease
 	Leased float64 `json:"leased"`
-	Credit float64 `json:"credit"` // loads
-	Debt   float64 `json:"debt"`
+	Credit float64 `json:"credit"` // loads that its siblings owe it
+	Debt   float64 `json:"debt"`   // loads that it owes them
 }
 
 // View is the state of the machine, for operators.
@@ -24,7 +24,7 @@
 	Nodes   []NodeState `json:"held"`
 }
 
-// View returns the nodes that are requested, leased, owe or are owed.
+// View returns the current state, with those nodes that have demand, leases, credit or debt.
 func (m *Machine) View() View {
 	v := View{Tree: m.hash, Members: len(m.members), Nodes: []NodeState{}}
 	if m.tree == nil {
@@ -64,7 +64,7 @@
 	return func() (json.RawMessage, error) { return json.Marshal(i) }
 }
 
-// Load replaces the state by a stored one. After an error the state is as it was.
+// Load replaces the state with a stored one. If it fails, the state is unchanged.
 func (m *Machine) Load(text json.RawMessage) error {
 	var i image
 	if err := json.Unmarshal(text, &i); err != nil {
--- a/internal/node/quota/lease/tree.go
+++ b/internal/node/quota/lease/tree.go
@@ -10,24 +10,24 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// Tree is what the capacity of all nodes is divided by.
+// Tree defines how the capacity of all nodes is divided.
 type Tree struct {
-	Number   uint64         `json:"number"` // of the policy that it came with; 0 = of a file
-	Leased   float64        `json:"leased"` // fraction of the capacity that is leased; the rest belongs to the nodes in equal parts
+	Number   uint64         `json:"number"` // of the policy that contains it; 0 = from a settings file
+	Leased   float64        `json:"leased"` // fraction of the capacity that is leased; the rest is divided equally among the nodes
 	Settings quota.Settings `json:"set"`    // of all nodes together
 }
 
-// Hash returns a hash of what the tree says, whatever its number: a policy that does not change it makes no other
-// tree of it. It is empty for a tree that Check rejects because it has no JSON form.
+// Hash returns a hash of the tree's content without its number: a policy that does not change the content leaves
+// the hash unchanged. It is empty for a tree that Check rejects because it has no JSON form.
 func (t *Tree) Hash() string {
 	text, err := json.Marshal(Tree{Leased: t.Leased, Settings: t.Settings})
 	if err != nil {
-		return "" // a value that is not a number: Check reports it
+		return "" // a value is not a finite number, which Check reports
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
 
-// Check returns an error if capacity cannot be divided by the tree.
+// Check returns an error if capacity cannot be divided according to the tree.
 func (t *Tree) Check() error {
 	if !(t.Leased > 0 && t.Leased <= MaxLeasedFraction) {
 		return fmt.Errorf("%g of the room is leased: want more than 0, and %g at the most", t.Leased, MaxLeasedFraction)
@@ -39,8 +39,9 @@
 	return err
 }
 
-// shape is the tree as it is divided. The indexes of its nodes are those of a quota.Tree; behind them every node that
-// has children has one more, a leaf for what is requested of the node itself.
+// shape is a Tree in the form in which capacity is divided. Its first nodes have the indexes of the quota.Tree.
+// They are followed by one additional leaf for every node with children, for what is requested of that node
+// itself.
 type shape struct {
 	fluid     quota.Fluid
 	names     []string
@@ -89,7 +90,7 @@
 	return s, nil
 }
 
-// memberNodes returns the number of nodes that members know; behind them are the added leaves.
+// memberNodes returns the number of nodes that members know; the additional leaves follow them.
 func (s *shape) memberNodes() int {
 	for i, name := range s.names {
 		if i > 0 && name == "" {
--- a/internal/node/quota/middleware/lease.go
+++ b/internal/node/quota/middleware/lease.go
@@ -14,45 +14,45 @@
 // LeaseService grants leases. Its methods block until ctx ends at the latest.
 type LeaseService interface {
 	Report(ctx context.Context, r lease.Report) (lease.Grant, error)
-	// Bring offers a tree; the error wraps lease.ErrOtherTree where another one stays in force.
+	// OfferTree offers a tree; the error wraps lease.ErrOtherTree if another tree stays in force.
 	OfferTree(ctx context.Context, t lease.Tree) error
 }
 
-// LeaseConfig describe the leases of a node. Times are milliseconds.
+// LeaseConfig configures the leases of a node. Times are in milliseconds.
 type LeaseConfig struct {
 	Service LeaseService
 	Node    string
 	Length  float64      // of a lease
 	Tree    lease.Tree   // of all nodes together
-	MaxCost quota.Amount // the maximum that one call costs
+	MaxCost quota.Amount // maximum cost of one call
 }
 
 const (
-	reportsPerLease   = 4     // minimum number of reports in the time of a lease
-	maxReportInterval = 500.0 // ms between two reports
-	minReportInterval = 100.0 // ms between two reports, even when calls are rejected without a lease of their node
-	usedFraction      = 0.95  // fraction of the time of a lease for which it is used: clocks drift
+	reportsPerLease   = 4     // minimum number of reports during the length of a lease
+	maxReportInterval = 500.0 // maximum ms between two reports
+	minReportInterval = 100.0 // minimum ms between two reports, even if calls are rejected for want of a lease of their node
+	usedFraction      = 0.95  // fraction of the length of a lease for which it is used, because clocks drift
 	returnTimeout     = 200 * time.Millisecond
 )
 
-// leaseState is the state of leases. It is guarded by the lock of the middleware, unless noted.
+// leaseState is the state of the leases. It is guarded by the lock of the middleware, except as noted.
 type leaseState struct {
 	config      LeaseConfig
 	treeHash    string
 	life        uint64
 	demand      *lease.Demand
-	until       float64 // ms; when the lease expires; 0 = there is none
+	until       float64 // ms; when the lease expires; 0 = there is no lease
 	leasedNodes map[int]bool
-	load        float64 // of the lease, as a fraction of all that the nodes together can do
+	load        float64 // of the lease, as a fraction of the capacity of all nodes together
 	wake        chan struct{}
 
-	// Used by Run alone.
+	// Used only by RunLeases.
 	number      uint64
-	foreignTree string // hash of the last other tree in force that was logged
+	foreignTree string // hash of the other tree in force that was logged last
 	renewed     bool
 }
 
-// UseLeases makes the node use leases. It is called before Run, and again when the tree has changed.
+// UseLeases makes the node use leases. It is called before RunLeases, and again when the tree has changed.
 func (s *Middleware) UseLeases(config LeaseConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +65,8 @@
 	s.endLease(s.clock.Now())
 }
 
-// LeaseStatus returns the hash of the tree, until when the lease is valid, in ms of the node's clock, and its load as a
-// fraction of all that the nodes together can do. ok = the node uses leases.
+// LeaseStatus returns the hash of the tree, the time at which the lease expires, in ms of the node's clock, and
+// its load as a fraction of the capacity of all nodes together. ok is false if the node does not use leases.
 func (s *Middleware) LeaseStatus() (tree string, until, load float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return s.leases.treeHash, s.leases.until, s.leases.load, true
 }
 
-// load returns the cost of a call as a fraction of what all nodes together can do in a second.
+// load returns the cost of a call as a fraction of what all nodes together can do in a second. s.mu must be held.
 func (s *Middleware) load(cost quota.Amount) (load float64) {
 	for m, root := range s.leases.config.Tree.Settings.Root {
 		if root > 0 {
@@ -86,15 +86,15 @@
 	return load
 }
 
-// endLease ends the lease: the node goes on with its own part. It is called under the lock.
+// endLease ends the lease: the node continues with its own part of the capacity. s.mu must be held.
 func (s *Middleware) endLease(now float64) {
 	l := s.leases
 	l.until, l.leasedNodes, l.load = 0, nil, 0
 	s.tree.Lease(now, l.config.Tree.Settings.Root, l.config.MaxCost, nil)
 }
 
-// recordRequest counts a call for the next report, and ends a lease that has expired. It is called under the lock,
-// before the call is decided.
+// recordRequest counts a call for the next report, and ends a lease that has expired. It is called before the
+// decision on the call. s.mu must be held.
 func (s *Middleware) recordRequest(now float64, request quota.Call) {
 	l := s.leases
 	if l == nil {
@@ -104,15 +104,15 @@
 	s.expireLease(now)
 }
 
-// expireLease ends a lease that has expired. It is called under the lock.
+// expireLease ends a lease that has expired. s.mu must be held.
 func (s *Middleware) expireLease(now float64) {
 	if l := s.leases; l != nil && l.until > 0 && now >= l.until {
 		s.endLease(now)
 	}
 }
 
-// recordDecision counts the decision on a call for the next report; one that was rejected without a lease of its node
-// asks for a report soon. It is called under the lock.
+// recordDecision counts the decision on a call for the next report; a call that was rejected without a lease of
+// its node triggers an early report. s.mu must be held.
 func (s *Middleware) recordDecision(request quota.Call, d quota.Decision) {
 	l := s.leases
 	switch {
@@ -127,7 +127,7 @@
 	}
 }
 
-// RunLeases keeps the lease renewed until ctx ends, and then gives it back.
+// RunLeases keeps the lease renewed until ctx ends, and then returns it.
 func (s *Middleware) RunLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := s.renew(ctx)
@@ -140,10 +140,10 @@
 	s.mu.Unlock()
 	last, stop := context.WithTimeout(context.WithoutCancel(ctx), returnTimeout)
 	defer stop()
-	_, _ = s.leases.config.Service.Report(last, r) // if it fails, the lease expires
+	_, _ = s.leases.config.Service.Report(last, r) // if this fails, the lease expires
 }
 
-// sleep waits so many ms, or until ctx ends, or until wake is ready.
+// sleep waits for ms milliseconds, or until ctx ends or wake is ready.
 func (s *Middleware) sleep(ctx context.Context, ms float64, wake <-chan struct{}) {
 	elapsed := make(chan struct{})
 	stop := s.clock.At(s.clock.Now()+ms, func() { close(elapsed) })
@@ -155,7 +155,7 @@
 	}
 }
 
-// renew reports once and uses what is granted; it returns the ms until the next report.
+// renew sends one report and puts the granted lease into force. It returns the ms until the next report.
 func (s *Middleware) renew(ctx context.Context) (pause float64) {
 	s.mu.Lock()
 	l, reportedAt := s.leases, s.clock.Now()
@@ -170,14 +170,14 @@
 	if err != nil {
 		if l.renewed {
 			l.renewed = false
-			s.log.Warn("the lease of the fleet's room is not renewed: this node goes on with its own part", "error", err)
+			s.log.Warn("quota lease not renewed; continuing with this node's own part of the capacity", "error", err)
 		}
 		return pause
 	}
 	if g.Number == 0 {
 		if err = config.Service.OfferTree(ctx, config.Tree); errors.Is(err, lease.ErrOtherTree) && l.foreignTree != g.Tree {
 			l.foreignTree = g.Tree
-			s.log.Warn("the fleet goes by another tree of quotas: this node has no lease", "own", treeHash, "fleet", g.Tree)
+			s.log.Warn("the fleet uses another quota tree; this node has no quota lease", "own", treeHash, "fleet", g.Tree)
 		}
 		if err == nil {
 			return 0
@@ -186,7 +186,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.treeHash != treeHash { // the tree has changed meanwhile
+	if l.treeHash != treeHash { // the tree has changed in the meantime
 		return 0
 	}
 	if until := reportedAt + usedFraction*min(g.Length, config.Length); s.clock.Now() < until {
@@ -194,12 +194,12 @@
 	}
 	if !l.renewed {
 		l.renewed, l.foreignTree = true, ""
-		s.log.Info("this node has a lease of the fleet's room", "tree", treeHash)
+		s.log.Info("quota lease granted", "tree", treeHash)
 	}
 	return pause
 }
 
-// useGrant puts a lease into force until a time, in ms of the node's clock. It is called under the lock.
+// useGrant puts a lease into force until a time, in ms of the node's clock. s.mu must be held.
 func (s *Middleware) useGrant(g lease.Grant, until float64) {
 	l := s.leases
 	parts := make([]quota.NodeLease, 0, len(g.Parts))
--- a/internal/node/quota/middleware/middleware.go
+++ b/internal/node/quota/middleware/middleware.go
@@ -1,8 +1,8 @@
-// Package middleware holds calls to the quotas of their tenants: it is the half of package quota that has a lock, a
-// clock and calls that wait.
+// Package middleware enforces the quotas of tenants on their calls. It adds to package quota what that leaves out: a
+// lock, a clock and calls that wait.
 //
-// A call that is rejected may wait a little for capacity, in the order of priority and value. What was charged for a
-// call that certainly did not run is returned. The node's own retries cost nothing: a call is charged once.
+// A call for which there is no capacity may wait briefly for it, in the order of priority and value. The charge
+// for a call that certainly did not run is refunded. The node's own retries cost nothing: a call is charged once.
 package middleware
 
 import (
@@ -14,29 +14,30 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// Class is what the middleware has to know of a class.
+// Class describes a class of calls to the middleware.
 type Class struct {
 	Priority int
 	Value    float64
 }
 
-// Settings describe the middleware.
+// Settings configure the middleware.
 type Settings struct {
-	Classes          []Class  // by number
-	Tenants          []string // names, by number
-	DefaultNode      string   // the node of tenants without one of their own; must be in the tree
-	Gateway          string   // header with the name of a call's gateway, a child of its tenant's node; empty = none
+	Classes          []Class  // by index in the settings' classes
+	Tenants          []string // names, by index in the settings' tenants
+	DefaultNode      string   // node of the tenants without one of their own; must be in the tree
+	Gateway          string   // header with the name of a call's gateway, whose node is a child of its tenant's; empty = none
 	Content          func(payload any) core.Content
-	MaxWait          float64                           // ms for which a call may wait for capacity; 0 = calls do not wait
+	MaxWait          float64                           // maximum ms for which a call waits for capacity; 0 = calls do not wait
 	MaxWaiting       int                               // maximum number of waiting calls
-	Capacity         func() (part float64, known bool) // what all nodes can do now, as a fraction of the root; nil = 1
-	CapacityInterval float64                           // ms between two calls of Room
+	Capacity         func() (part float64, known bool) // current capacity of all nodes, as a fraction of the root; nil = 1
+	CapacityInterval float64                           // ms between two calls of Capacity
 }
 
 // ReasonQuota is the reason of every rejection here; rejections are counted by this text.
 const ReasonQuota = "the tenant has no room"
 
-// Middleware is the middleware. All of its methods may be called from any goroutine, Run by one only.
+// Middleware enforces quotas. Its methods are safe for concurrent use, except that only one goroutine may call
+// RunLeases.
 type Middleware struct {
 	config Settings
 	clock  clock.Clock
@@ -44,9 +45,9 @@
 
 	mu             sync.Mutex
 	tree           *quota.Tree
-	tenants        []int // indexes of the tenants' nodes; the last is that of Unknown
+	tenants        []int // indexes of the tenants' nodes; the last one is that of DefaultNode
 	queue          []*waiter
-	retryScheduled bool        // the queue will be decided on again
+	retryScheduled bool        // a timer is set that decides on the queue again
 	leases         *leaseState // nil = the node does not use leases
 }
 
@@ -57,21 +58,21 @@
 	return s
 }
 
-// setTree puts a tree into force. It is called under the lock, or before the middleware is shared.
+// setTree sets the tree and looks up the tenants in it. s.mu must be held, unless the middleware is not shared yet.
 func (s *Middleware) setTree(tree *quota.Tree) {
 	s.tree, s.tenants = tree, s.tenants[:0]
-	unknown, _ := tree.Find(s.config.DefaultNode)
+	defaultNode, _ := tree.Find(s.config.DefaultNode)
 	for _, name := range s.config.Tenants {
 		index, ok := tree.Find(name)
 		if !ok {
-			index = unknown
+			index = defaultNode
 		}
 		s.tenants = append(s.tenants, index)
 	}
-	s.tenants = append(s.tenants, unknown)
+	s.tenants = append(s.tenants, defaultNode)
 }
 
-// Replace puts a new tree into the place of the present one; nodes that stay keep their balances.
+// Replace replaces the tree; nodes that both trees have keep their balances.
 func (s *Middleware) Replace(tree *quota.Tree) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 	tree.Inherit(now, s.tree)
 	old := s.tree
 	s.setTree(tree)
-	for _, w := range s.queue { // they belong to the nodes of the same names, or to Unknown
+	for _, w := range s.queue { // waiting calls move to the nodes of the same names, or to DefaultNode
 		name := old.Name(w.request.Leaf)
 		index, ok := tree.Find(name)
 		if !ok {
@@ -96,14 +97,15 @@
 	return s.tree.Balances(s.clock.Now())
 }
 
-// RestoreBalances takes the levels that another process of the node had age milliseconds ago.
+// RestoreBalances restores the levels that another process of the node had age milliseconds ago.
 func (s *Middleware) RestoreBalances(age float64, balances []quota.Balance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tree.RestoreBalances(s.clock.Now(), age, balances)
 }
 
-// WatchCapacity updates the capacity of the tree every Settings.CapacityInterval until ended is closed. It returns at once.
+// WatchCapacity updates the capacity of the tree every Settings.CapacityInterval until ended is closed. It returns
+// at once.
 func (s *Middleware) WatchCapacity(ended <-chan struct{}) {
 	if s.config.Capacity == nil {
 		return
@@ -123,7 +125,7 @@
 	})
 }
 
-// Wrap is the core.Stage.
+// Wrap is the core.Stage of the middleware.
 func (s *Middleware) Wrap(next core.Handler) core.Handler {
 	return func(call *core.Call) core.Answer {
 		d, ok := s.admit(call)
@@ -136,15 +138,15 @@
 		a := next(call)
 		if a.Kind != core.Served && !a.Ran {
 			s.mu.Lock()
-			s.returnGrant(d)
+			s.refund(d)
 			s.mu.Unlock()
 		}
 		return a
 	}
 }
 
-// returnGrant returns what a call was charged. It is called under the lock.
-func (s *Middleware) returnGrant(d quota.Decision) {
+// refund refunds what a call was charged. s.mu must be held.
+func (s *Middleware) refund(d quota.Decision) {
 	if s.leases != nil {
 		leaf, cost := s.tree.Charged(d)
 		s.leases.demand.Admit(leaf, -s.load(cost))
@@ -152,7 +154,7 @@
 	s.tree.Refund(s.clock.Now(), d)
 }
 
-// leafOf returns the index of the node that a call belongs to. It is called under the lock.
+// leafOf returns the index of the node that a call belongs to. s.mu must be held.
 func (s *Middleware) leafOf(call *core.Call) int {
 	tenant := call.Tenant
 	if tenant < 0 || tenant >= len(s.config.Tenants) {
@@ -170,10 +172,10 @@
 	return index
 }
 
-// maxStatusNodes bounds the nodes that Status describes; the root and the top come first.
+// maxStatusNodes is the maximum number of nodes that Status returns; the root and the top levels come first.
 const maxStatusNodes = 500
 
-// Status returns the state of the nodes that have been called, and of those above them.
+// Status returns the state of the leaves that have received calls, and of all inner nodes.
 func (s *Middleware) Status() []quota.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/quota/middleware/middleware_test.go
+++ b/internal/node/quota/middleware/middleware_test.go
@@ -13,7 +13,7 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// gatewayHeader is a payload whose gateway header is its text.
+// gatewayHeader is a payload whose gateway header has its text as the value.
 type gatewayHeader string
 
 func (h gatewayHeader) Path() []byte  { return nil }
@@ -27,7 +27,8 @@
 func (h gatewayHeader) Body() []byte { return nil }
 func (h gatewayHeader) Size() int    { return 0 }
 
-// tree is ten requests per second, half of them of each of two tenants, one of which has a gateway; the third has nothing.
+// tree returns a tree of ten requests per second: a share for the first tenant, half for the second, which has a
+// gateway, and nothing for the default node.
 func tree(t *testing.T, share float64) *quota.Tree {
 	b, err := quota.New(quota.Settings{Root: quota.Amount{10}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, Reserved: 0,
 		DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: share, NoBorrowing: true},
@@ -51,16 +52,16 @@
 
 var served = core.Answer{Kind: core.Served}
 
-// Guards against a call that is charged to another tenant than its own, one that is rejected without a time to retry after, one
-// that is charged though it certainly did not run, and a tree whose balances are lost in a reload.
+// Guards against a call that is charged to the wrong tenant, is rejected without a time to retry after, or is
+// charged although it certainly did not run, and against balances that are lost in a reload.
 func TestCallsAreChargedToTheirTenant(t *testing.T) {
 	s, c := newStage(t, Settings{})
-	unseen, doubtful := core.Refuse(core.Busy, "", 0), core.Answer{Kind: core.Failed, Ran: true}
+	notRun, mayHaveRun := core.Refuse(core.Busy, "", 0), core.Answer{Kind: core.Failed, Ran: true}
 	for range 20 {
-		assert.Equal(t, unseen, serve(s, 0, "", unseen), "it is given back")
+		assert.Equal(t, notRun, serve(s, 0, "", notRun), "the charge is refunded")
 	}
 	for range 5 {
-		assert.Equal(t, doubtful, serve(s, 0, "g1", doubtful), "a gateway of someone else does not count")
+		assert.Equal(t, mayHaveRun, serve(s, 0, "g1", mayHaveRun), "the gateway of another tenant is ignored")
 	}
 	a := serve(s, 0, "", served)
 	assert.Equal(t, core.Refused, a.Kind)
@@ -69,9 +70,9 @@
 	for range 2 {
 		assert.Equal(t, served, serve(s, 1, "g1", served))
 	}
-	assert.Equal(t, core.Refused, serve(s, 1, "g1", served).Kind, "the gateway's own part")
-	assert.Equal(t, served, serve(s, 1, "g2", served), "one that has none pays with its tenant's")
-	assert.Equal(t, core.Refused, serve(s, -1, "", served).Kind, "someone unknown has nothing")
+	assert.Equal(t, core.Refused, serve(s, 1, "g1", served).Kind, "limited to the gateway's own part")
+	assert.Equal(t, served, serve(s, 1, "g2", served), "a gateway without a node is charged to its tenant's")
+	assert.Equal(t, core.Refused, serve(s, -1, "", served).Kind, "unknown tenants have no guarantee")
 	c.Advance(1000)
 	s.Replace(tree(t, 0.2))
 	assert.Equal(t, served, serve(s, 0, "", served))
@@ -85,8 +86,8 @@
 	}
 }
 
-// Guards against waiting calls that are served in another order than by priority and value, that wait beyond their deadline or
-// after their client has left, and against capacity that is lost with one that left.
+// Guards against waiting calls that are not served in the order of priority and value, or that wait beyond their
+// deadline or after their client has disconnected, and against capacity that is lost with a disconnected client.
 func TestWaitingCallsAreServedInOrder(t *testing.T) {
 	s, c := newStage(t, Settings{MaxWait: 700, MaxWaiting: 3})
 	for range 5 {
@@ -106,12 +107,12 @@
 		}()
 		s.awaitQueued(i + 1)
 	}
-	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind, "no more may wait")
+	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind, "the queue is full")
 	calls[0].Cancel()
 	assert.Equal(t, outcome{0, core.Answer{Kind: core.ClientLeft}}, <-out)
 	s.awaitQueued(2)
 	c.Advance(210)
-	assert.Equal(t, outcome{1, served}, <-out, "the block goes first")
+	assert.Equal(t, outcome{1, served}, <-out, "the spending-cap block is served first")
 	c.Advance(200)
 	assert.Equal(t, outcome{0, served}, <-out)
 	go func() {
@@ -124,7 +125,7 @@
 	assert.Equal(t, core.Refused, (<-out).answer.Kind)
 }
 
-// awaitQueued blocks until n calls wait.
+// awaitQueued blocks until n calls are waiting.
 func (s *Middleware) awaitQueued(n int) {
 	for have := -1; have != n; runtime.Gosched() {
 		s.mu.Lock()
@@ -133,10 +134,10 @@
 	}
 }
 
-// Guards against guarantees that stay as they are when the capacity shrinks.
+// Guards against guarantees that do not shrink with the capacity.
 func TestGuaranteesFollowTheCapacity(t *testing.T) {
-	part := 0.5
-	s, c := newStage(t, Settings{CapacityInterval: 100, Capacity: func() (float64, bool) { return part, true }})
+	capacity := 0.5
+	s, c := newStage(t, Settings{CapacityInterval: 100, Capacity: func() (float64, bool) { return capacity, true }})
 	ended := make(chan struct{})
 	s.WatchCapacity(ended)
 	c.Advance(100)
@@ -145,19 +146,19 @@
 	}
 	c.Advance(500)
 	assert.Equal(t, served, serve(s, 0, "", served))
-	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind, "2.5 a second, not 5")
+	assert.Equal(t, core.Refused, serve(s, 0, "", served).Kind, "2.5 per second, not 5")
 	close(ended)
-	part = 1
+	capacity = 1
 	c.Advance(1000)
 	assert.Equal(t, 0.5, s.tree.Capacity())
 }
 
-// BenchmarkStage is a call through the middleware alone.
+// BenchmarkStage measures a call through the middleware alone.
 func BenchmarkStage(b *testing.B) {
-	book, err := quota.New(quota.Settings{Root: quota.Amount{1e6}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, DebtDecay: 30,
+	quotas, err := quota.New(quota.Settings{Root: quota.Amount{1e6}, Floor: 0.1, Priorities: 2, Burst: 1, LongWindow: 60, DebtDecay: 30,
 		RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2, Nodes: []quota.Node{{Name: "morava", Share: 1}}}, 1)
 	require.NoError(b, err)
-	s := New(Settings{Classes: []Class{{0, 3}}, Tenants: []string{"morava"}, DefaultNode: "morava"}, book, clock.NewSystem(),
+	s := New(Settings{Classes: []Class{{0, 3}}, Tenants: []string{"morava"}, DefaultNode: "morava"}, quotas, clock.NewSystem(),
 		slog.New(slog.DiscardHandler))
 	next := s.Wrap(func(*core.Call) core.Answer { return served })
 	call := &core.Call{}
--- a/internal/node/quota/middleware/queue.go
+++ b/internal/node/quota/middleware/queue.go
@@ -8,7 +8,7 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// retryInterval is the time between two decisions on the calls that wait, in milliseconds.
+// retryInterval is the time between two decisions on the waiting calls, in milliseconds.
 const retryInterval = 10
 
 // waiter is a call that waits for capacity.
@@ -23,14 +23,15 @@
 	return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority), cmp.Compare(b.request.Value, a.request.Value))
 }
 
-// admit decides on a call, after it has waited where it may. ok is false if the client has left meanwhile.
+// admit decides on a call, which may have to wait for capacity. ok is false if the client disconnected in the
+// meantime.
 func (s *Middleware) admit(call *core.Call) (d quota.Decision, ok bool) {
 	class := &s.config.Classes[call.Class]
 	now := s.clock.Now()
 	s.mu.Lock()
 	request := quota.Call{Leaf: s.leafOf(call), Priority: class.Priority, Value: class.Value}
 	s.recordRequest(now, request)
-	if len(s.queue) == 0 || !s.mustQueue(request) { // a call does not overtake those that wait before it
+	if len(s.queue) == 0 || !s.mustQueue(request) { // a call does not overtake the calls that wait before it
 		d = s.tree.Admit(now, request)
 	} else {
 		d = quota.Decision{Verdict: quota.Rejected, Reason: quota.NoCapacity, RetryAfter: s.config.MaxWait}
@@ -52,8 +53,8 @@
 		s.mu.Lock()
 		s.queue = slices.DeleteFunc(s.queue, func(other *waiter) bool { return other == w })
 		select {
-		case d = <-w.decided: // it was granted at that moment
-			s.returnGrant(d)
+		case d = <-w.decided: // decided on at the same moment
+			s.refund(d)
 		default:
 		}
 		s.mu.Unlock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// mustQueue reports whether a waiting call of the same node goes before this one. It is called under the lock.
+// mustQueue reports whether a waiting call of the same node takes precedence over this one. s.mu must be held.
 func (s *Middleware) mustQueue(request quota.Call) bool {
 	for _, w := range s.queue {
 		if w.request.Leaf == request.Leaf && compareWaiters(w, &waiter{request: request}) <= 0 {
@@ -71,7 +72,7 @@
 	return false
 }
 
-// scheduleRetry has the waiting calls decided on again after retryInterval. It is called under the lock.
+// scheduleRetry sets a timer that decides on the waiting calls again after retryInterval. s.mu must be held.
 func (s *Middleware) scheduleRetry(now float64) {
 	if s.retryScheduled || len(s.queue) == 0 {
 		return
@@ -96,8 +97,8 @@
 	})
 }
 
-// DecideWaiting decides on the waiting calls now, for the last time: it is called before a tree comes that they did not
-// begin under.
+// DecideWaiting makes a final decision on the waiting calls. It is called before another policy comes into
+// force, so that each call is decided under the policy that was in force when it arrived.
 func (s *Middleware) DecideWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
