--- a/internal/node/dispatch/warmstart.go
+++ b/internal/node/dispatch/warmstart.go
@@ -10,29 +10,32 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// This file lets a new node start warm, with what another node of the fleet has learned: what hosts and classes cost, which
-// hosts fail, how the load is spread. It takes no commitments over: the endpoint list, the subset, quotas, the retry budget,
-// rates and slow-start limits stay the node's own.
+// A warm start lets a new node begin with what another node of the fleet has learned: the cost of hosts and
+// classes, which hosts fail, and how the load is distributed. Commitments are not adopted: the endpoint list, the
+// subset, quotas, the retry budget, rates and slow-start limits remain the node's own.
 
-// maxAhead is how far a time may lie ahead of a snapshot; the module rejects a snapshot with a later one.
+// maxAhead is how far a timestamp may lie ahead of its snapshot; the decision module rejects a snapshot with a
+// later one.
 const maxAhead = 30 * time.Second
 
-// ErrNoWarmStart is what Learn returns where the other node knows nothing of use here.
-var ErrNoWarmStart = errors.New("it knows none of the hosts of the list, or has heard nothing")
+// ErrNoWarmStart is returned by ApplyWarmStart if the other node's snapshot has no data of use here.
+var ErrNoWarmStart = errors.New("the snapshot knows none of the listed hosts, or its node has received no response")
 
-// WarmStart is the part of a snapshot that another node may have: what it can use, and nothing of tenants.
-func (m Memory) WarmStart() Memory {
+// WarmStart returns the part of a snapshot that is meant for another node: what that node can use, without the
+// data of tenants.
+func (m Snapshot) WarmStart() Snapshot {
 	m.Module.TenantTokens, m.Module.Tenants, m.Module.TrialQueue = nil, nil, nil
-	hosts := make([]HostMemory, 0, len(m.Hosts))
+	hosts := make([]HostSnapshot, 0, len(m.Hosts))
 	for _, h := range m.Hosts {
-		h.Left = 0
+		h.DrainingSince = 0
 		hosts = append(hosts, h)
 	}
 	m.Hosts = hosts
 	return m
 }
 
-// LastObserved is when a host last responded according to a snapshot, in the module's time; 0 = never.
+// LastObserved returns the time of the last response of any host that a snapshot records, in the decision module's
+// time; 0 = never.
 func LastObserved(m *decide.Snapshot) (at time.Duration) {
 	for i := range m.Zones {
 		at = max(at, m.Zones[i].LastResponse)
@@ -40,10 +43,11 @@
 	return min(at, m.TakenAt)
 }
 
-// ApplyWarmStart takes over what another node knows of the hosts that are listed here, at the same address and as the same process. It
-// may be repeated until the first request. The evidence weighs by its age as in Recall, counted from the last response that
-// the other node received. A snapshot that cannot be right, or is of no use (ErrNoWarmStart), changes nothing.
-func (d *Dispatcher) ApplyWarmStart(m Memory) (err error) {
+// ApplyWarmStart adopts what another node knows about the hosts that are listed here with the same address and the
+// same process. It may be repeated until the first request. Evidence is weighted by its age as in Restore, counted
+// from the last response that the other node received. A snapshot that is invalid, or of no use (ErrNoWarmStart),
+// changes nothing.
+func (d *Dispatcher) ApplyWarmStart(m Snapshot) (err error) {
 	d.update(func(now float64) {
 		localIDs := map[decide.BackendID]decide.BackendID{}
 		for i := range m.Hosts {
@@ -58,16 +62,16 @@
 			return
 		}
 		if err = d.balancer.Restore(toDuration(now), Blend(d.balancer.Snapshot(toDuration(now)), m.Module, d.coldTime, d.random)); err != nil {
-			err = fmt.Errorf("learning from another node: %w", err)
+			err = fmt.Errorf("applying a warm start: %w", err)
 		}
 	})
 	return err
 }
 
-// Blend returns own, the snapshot of a node that has just started, with what another node knows merged in. It may be restored
-// where own was taken. Slow-start limits are kept by all nodes together, so nothing is taken over of a host in slow start;
-// coldTime is that of the rules. random draws when ejected hosts are tried, so that nodes which learn from one node do not
-// try them together.
+// Blend merges what another node knows into own, the snapshot of a node that has just started, and returns the
+// result, which may be restored where own was taken. Slow-start limits hold for all nodes together, so nothing is
+// adopted about a host in slow start; coldTime is the slow-start time of the rules. random chooses when ejected
+// hosts are tried again, so that nodes that adopt the same snapshot do not try them at the same time.
 func Blend(own, other decide.Snapshot, coldTime time.Duration, random *rand.Rand) decide.Snapshot {
 	m := own
 	m.Version, m.Zone, m.TakenAt = other.Version, other.Zone, LastObserved(&other)
@@ -77,7 +81,7 @@
 	m.Kinds = preferHeavier(own.Kinds, other.Kinds, func(kind *decide.KindSnapshot) (string, float64) {
 		weight := kind.Sums.SampleCount + kind.RecentSums.SampleCount
 		if kind.Measured {
-			weight += 1e-9 // its idle latency outlives the evidence
+			weight += 1e-9 // the idle latency remains known when the evidence has decayed
 		}
 		return fmt.Sprint(kind.Kind, kind.OtherZones), weight
 	})
@@ -94,7 +98,7 @@
 	for i := range other.Backends {
 		known[other.Backends[i].ID] = &other.Backends[i]
 	}
-	wholeFleet := own.SubsetFraction >= 1 && other.SubsetFraction >= 1 // else the two use different hosts
+	wholeFleet := own.SubsetFraction >= 1 && other.SubsetFraction >= 1 // otherwise the two nodes use different hosts
 	m.Backends = nil
 	sum, newSum := 0.0, 0.0
 	for _, b := range own.Backends {
@@ -108,7 +112,7 @@
 		m.Backends = append(m.Backends, clampTimes(b, m.TakenAt, random))
 		newSum += b.Share
 	}
-	for i := range m.Backends { // keep the sum of the shares, or there would seem to be less capacity
+	for i := range m.Backends { // keep the sum of the shares, or the capacity would appear smaller
 		if b := &m.Backends[i]; b.Share > 0 {
 			setShare(b, b.Share*sum/newSum, m.VirtualTime)
 		}
@@ -116,7 +120,8 @@
 	return m
 }
 
-// preferHeavier returns own with each entry replaced by that of other with the same name, where that has the greater weight.
+// preferHeavier returns own with each entry replaced by the entry of other with the same name if that has a greater
+// weight.
 func preferHeavier[T any](own, other []T, weigh func(*T) (name string, weight float64)) []T {
 	merged := slices.Clone(own)
 	for i := range merged {
@@ -130,19 +135,19 @@
 	return merged
 }
 
-// evidence is the number of attempts that the state of a host rests on, each weighed by its age.
+// evidence returns the number of attempts that the state of a host is based on, weighted by their age.
 func evidence(b *decide.BackendSnapshot) float64 {
 	return b.SampleCount + b.Responses + b.Failures + b.Timeouts
 }
 
-// mergeBackend returns the state of one host as another node knows it, with what is the node's own kept.
+// mergeBackend returns the state of a host as another node knows it, except for the parts that are this node's own.
 func mergeBackend(own, other decide.BackendSnapshot, clock float64, wholeFleet bool) decide.BackendSnapshot {
 	b := other
 	b.ReportedLatency, b.ReportedAt = own.ReportedLatency, own.ReportedAt // from this node's list
 	b.AttemptScale, b.OthersInFlight = 0, 0
 	b.NextPick, b.QueueIndex, b.Share = own.NextPick, own.QueueIndex, own.Share
 	switch {
-	case own.Share <= 0: // it is not used here: its faults would only cost this node trials
+	case own.Share <= 0: // the host is not used here: its failures would only cost this node trial requests
 		b.Ejected, b.EjectedUntil, b.ConsecutiveEjections, b.ConsecutiveTimeouts, b.ConsecutiveFailures = own.Ejected, own.EjectedUntil, own.ConsecutiveEjections, own.ConsecutiveTimeouts, own.ConsecutiveFailures
 	case other.Ejected || wholeFleet && other.Share <= 0:
 		b.Share, b.QueueIndex = 0, -1
@@ -152,14 +157,14 @@
 	return b
 }
 
-// setShare sets a host's share of the load; it keeps its place in the round.
+// setShare sets a host's share of the load and preserves its place in the schedule.
 func setShare(b *decide.BackendSnapshot, share, clock float64) {
 	b.NextPick = clock + max(0, b.NextPick-clock)*b.Share/share
 	b.Share = share
 }
 
-// clampTimes limits the times of a warm host to what a snapshot taken at a time may contain. The end of an ejection is drawn
-// from the second half of what is left of it.
+// clampTimes limits the timestamps of a warm host to what a snapshot taken at the given time may contain. The end
+// of an ejection is drawn at random from the second half of its remaining time.
 func clampTimes(b decide.BackendSnapshot, at time.Duration, random *rand.Rand) decide.BackendSnapshot {
 	clamp := func(until time.Duration) time.Duration {
 		if wait := until - at; wait > 0 {
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -30,7 +30,7 @@
 		c.upload = bodypipe.New(c.server.set.Bodies.Budget, c.hold, c.net.Resume)
 		m.Rest = c.upload
 	}
-	if a, ok := c.server.core.Take(call); !ok {
+	if a, ok := c.server.core.Admit(call); !ok {
 		c.final(m, a)
 		return
 	}
@@ -81,14 +81,14 @@
 	if n != 1 || err != nil || wait == 0 {
 		return nil, text(400, "", http1.DeadlineField+" is missing or bad")
 	}
-	call = &core.Call{ID: string(id), Alone: true, Class: class, Tenant: -1, Key: key, Deadline: came + float64(wait) + s.extra(m), Payload: m, Client: client}
+	call = &core.Call{ID: string(id), SoleOnConnection: true, Class: class, Tenant: -1, Key: key, Deadline: came + float64(wait) + s.extra(m), Payload: m, Client: client}
 	if owner, n := m.Get("Req-Owner"); n > 0 {
 		if i, ok := s.set.Tenants[string(owner)]; ok {
 			call.Tenant = i
 		}
 	}
 	if retry, _ := m.Get("Req-Retry"); string(retry) == "1" {
-		call.Repeat = true
+		call.ClientRetry = true
 	}
 	return call, refusal
 }
--- a/internal/node/endpoints/files_test.go
+++ b/internal/node/endpoints/files_test.go
@@ -55,7 +55,7 @@
 	last, taken := -1, 0
 	k, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", Keep: 1e6, Expect: path}},
 		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
-		Give: func(kind dispatch.Source, list []dispatch.Host) { p.SetHosts(kind, list) }}, c, discard)
+		Give: func(kind dispatch.ListKind, list []dispatch.Host) { p.SetHosts(kind, list) }}, c, discard)
 	require.NoError(t, err)
 	w := &files.Watcher{Path: path, Single: true, Known: files.Known{Zones: []string{"z"}, Kinds: []string{"k"}, Most: 9}, Most: 1 << 20,
 		Settle: 5, Limits: files.Limits{Poll: 1000}, Clock: c, Log: discard, Sink: k.Feed(0)}
@@ -89,11 +89,11 @@
 			for ctx.Err() == nil {
 				q := p.Open(dispatch.Request{Tenant: -1, Deadline: c.Now() + 900})
 				asked.Add(1)
-				v := q.Pick()
+				v := q.Next()
 				look()
 				switch v.Kind {
 				case dispatch.Send:
-					q.Report(v.Relay, dispatch.Served, nil)
+					q.Report(v.AttemptIndex, dispatch.Served, nil)
 					if !known[v.Address] {
 						mu.Lock()
 						faults = append(faults, "a relay to "+v.Address)
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -86,10 +86,10 @@
 }
 
 // give is between the keeper and the pilot.
-func (f *fleet) give(kind dispatch.Source, list []dispatch.Host) {
+func (f *fleet) give(kind dispatch.ListKind, list []dispatch.Host) {
 	f.mu.Lock()
 	now, before, truth := f.clock.Now(), maps.Clone(f.hosts), f.truth()
-	if kind != dispatch.Changes {
+	if kind != dispatch.Delta {
 		clear(f.hosts)
 	}
 	for _, h := range list {
@@ -127,14 +127,14 @@
 	for ctx.Err() == nil {
 		now := f.clock.Now()
 		q := f.pilot.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
-		if v := q.Pick(); v.Kind == dispatch.Send {
+		if v := q.Next(); v.Kind == dispatch.Send {
 			f.mu.Lock()
 			f.relays++
 			if at, told := f.left[v.Host]; told && now > at+grace+1 {
 				f.fault("a relay to %s, %.0f ms after it was told to depart", v.Host, now-at)
 			}
 			f.mu.Unlock()
-			q.Report(v.Relay, dispatch.Served, nil)
+			q.Report(v.AttemptIndex, dispatch.Served, nil)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -154,7 +154,7 @@
 		s.mu.Lock()
 		if !class.Enabled && s.successor == nil && !s.holds(c.Key) { // its keys are known until they expire, and no more are claimed
 			s.mu.Unlock()
-			if t := s.lookup(class, c, call.Deadline, call.Left()); t.Verdict != idempotency.Run {
+			if t := s.lookup(class, c, call.Deadline, call.Done()); t.Verdict != idempotency.Run {
 				_, _, a := s.remoteAnswer(t)
 				return a
 			}
@@ -164,10 +164,10 @@
 		s.mu.Unlock()
 		switch d.Verdict {
 		case idempotency.Run:
-			call.OnLeave(func() { s.removeWaiter(r) })
+			call.OnCancel(func() { s.removeWaiter(r) })
 			s.execute(r, d.Ref, next, class, c)
-			if call.HasLeft() {
-				return core.Answer{Kind: core.Left}
+			if call.Cancelled() {
+				return core.Answer{Kind: core.ClientLeft}
 			}
 			return r.answer
 		case idempotency.Join:
@@ -210,11 +210,11 @@
 func rejection(v idempotency.Verdict, wait float64) core.Answer {
 	switch v {
 	case idempotency.Executed:
-		return core.Fail(core.Known, ReasonExecuted)
+		return core.Fail(core.Duplicate, ReasonExecuted)
 	case idempotency.InDoubt:
-		return core.Fail(core.Known, ReasonInDoubt)
+		return core.Fail(core.Duplicate, ReasonInDoubt)
 	case idempotency.Mismatch:
-		return core.Fail(core.Mismatch, ReasonMismatch)
+		return core.Fail(core.KeyMismatch, ReasonMismatch)
 	}
 	return core.Refuse(core.Busy, ReasonNoCapacity, wait)
 }
--- a/internal/node/idempotency/middleware/middleware_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -67,8 +67,8 @@
 	select {
 	case a := <-r.end:
 		return a
-	case <-call.Left():
-		return core.Answer{Kind: core.Left, Ran: true}
+	case <-call.Done():
+		return core.Answer{Kind: core.ClientLeft, Ran: true}
 	}
 }
 
@@ -98,7 +98,7 @@
 		assert.Equal(t, served, <-answers)
 	}
 	assert.Equal(t, served, serve(newCall(0, "k", "body")))
-	assert.Equal(t, core.Fail(core.Mismatch, ReasonMismatch), serve(newCall(0, "k", "other")))
+	assert.Equal(t, core.Fail(core.KeyMismatch, ReasonMismatch), serve(newCall(0, "k", "other")))
 	assert.Len(t, r.begun, 1)
 	assert.Empty(t, s.runs)
 }
@@ -120,20 +120,20 @@
 		}
 	}
 	s.awaitWaiters(3)
-	first.Leave()
-	second.Leave()
-	assert.Equal(t, core.Left, (<-answers[second]).Kind)
+	first.Cancel()
+	second.Cancel()
+	assert.Equal(t, core.ClientLeft, (<-answers[second]).Kind)
 	r.end <- served
 	assert.Equal(t, served, <-answers[third])
-	assert.Equal(t, core.Left, (<-answers[first]).Kind)
+	assert.Equal(t, core.ClientLeft, (<-answers[first]).Kind)
 
 	last := newCall(0, "k2", "b")
 	go func() { answers[first] <- serve(last) }()
 	run := <-r.begun
-	last.Leave()
-	<-run.Left()
+	last.Cancel()
+	<-run.Done()
 	<-answers[first]
-	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), serve(newCall(0, "k2", "b")), "it may have run")
+	assert.Equal(t, core.Fail(core.Duplicate, ReasonInDoubt), serve(newCall(0, "k2", "b")), "it may have run")
 
 	// The run is cancelled and has not executed: the call that joined at that moment runs next.
 	go func() { answers[first] <- serve(newCall(0, "k3", "b")) }()
@@ -141,7 +141,7 @@
 	joined := newCall(0, "k3", "b")
 	go func() { answers[second] <- serve(joined) }()
 	s.awaitWaiters(2)
-	r.end <- core.Answer{Kind: core.Left}
+	r.end <- core.Answer{Kind: core.ClientLeft}
 	<-r.begun
 	r.end <- served
 	assert.Equal(t, served, <-answers[second])
@@ -173,7 +173,7 @@
 	})
 	refused := core.Refuse(core.Busy, "full", 0)
 	doubtful := core.Answer{Kind: core.Failed, Fault: core.Unavailable, Ran: true}
-	doubt := core.Fail(core.Known, ReasonInDoubt)
+	doubt := core.Fail(core.Duplicate, ReasonInDoubt)
 	for i, c := range []struct {
 		class       int
 		first, then core.Answer
@@ -223,7 +223,7 @@
 	over = open()
 	s, _ = newStage(t, set)
 	assert.Equal(t, served, s.Wrap(handle)(newCall(4, "k", "b")))
-	assert.Equal(t, core.Fail(core.Known, ReasonInDoubt), s.Wrap(handle)(newCall(4, "k2", "b")))
+	assert.Equal(t, core.Fail(core.Duplicate, ReasonInDoubt), s.Wrap(handle)(newCall(4, "k2", "b")))
 	assert.Equal(t, 2, count)
 	set.Journal.Close()
 	<-over
--- a/lab/quotas/fleet.go
+++ b/lab/quotas/fleet.go
@@ -85,11 +85,11 @@
 	set := Settings(slices.Clone(Tree), Rate)
 	for i := range set.Nodes {
 		if limit := c.Limits[set.Nodes[i].Name]; limit > 0 {
-			set.Nodes[i].Ceiling = quota.Amount{limit}
+			set.Nodes[i].RateLimit = quota.Amount{limit}
 		}
 	}
 	p := &fleetPlay{c: c, set: set, times: t, rand: rand.New(rand.NewPCG(seed, 5)), machine: lease.New(), leases: leases,
-		tree: lease.Tree{Leased: leasedPart, Set: set}, over: map[string]*meter{"": {Rate, Rate * burstOf(set), 0, 0}},
+		tree: lease.Tree{Leased: leasedPart, Settings: set}, over: map[string]*meter{"": {Rate, Rate * burstOf(set), 0, 0}},
 		out: FleetOutcome{Way: "each node its part", Got: map[string]float64{}, Due: map[string]float64{}}}
 	for leaf, limit := range c.Limits {
 		p.over[leaf] = &meter{limit, limit * set.Burst, 0, 0}
@@ -114,7 +114,7 @@
 }
 
 // burstOf is what the root may save up, in seconds of its rate.
-func burstOf(s quota.Settings) float64 { return s.Burst / (1 - s.Kept*float64(s.Priorities-1)) }
+func burstOf(s quota.Settings) float64 { return s.Burst / (1 - s.Reserved*float64(s.Priorities-1)) }
 
 // meter is a bucket that counts how far it was overdrawn.
 type meter struct{ rate, cap, level, at float64 }
@@ -179,7 +179,7 @@
 		at, _ := b.Find(leaf)
 		want[at] = rate
 	}
-	for at, rate := range b.Due(Rate, want) {
+	for at, rate := range b.FairRates(Rate, want) {
 		leaf := b.Name(at)
 		p.out.Due[leaf] = rate
 		p.out.Worst = max(p.out.Worst, math.Abs(p.out.Got[leaf]-rate)/rate)
@@ -212,7 +212,7 @@
 		panic(fmt.Sprint("no leaf ", f.Leaf))
 	}
 	s.demand.Request(leaf, 1/Rate)
-	if d := s.book.Ask(at, quota.Call{Leaf: leaf, Priority: f.Priority}); d.Verdict == quota.Rejected {
+	if d := s.book.Admit(at, quota.Call{Leaf: leaf, Priority: f.Priority}); d.Verdict == quota.Rejected {
 		return
 	}
 	s.demand.Admit(leaf, 1/Rate)
@@ -241,7 +241,7 @@
 	p.expire(at, s)
 	p.out.Reports++
 	g, err := p.machine.Report(at+p.times.Way, lease.Report{Node: fmt.Sprint("n", i), Life: 1, Tree: p.tree.Hash(),
-		Length: p.times.Length, Held: s.holds, Demand: s.demand.Report(at)})
+		Length: p.times.Length, HeldLease: s.holds, Demand: s.demand.Report(at)})
 	if err != nil {
 		panic(err)
 	}
@@ -250,7 +250,7 @@
 	}
 	parts := make([]quota.NodeLease, 0, len(g.Parts))
 	for _, part := range g.Parts {
-		parts = append(parts, quota.NodeLease{At: part.Node, Load: part.Load.Fraction()})
+		parts = append(parts, quota.NodeLease{NodeIndex: part.Node, Load: part.Load.Fraction()})
 	}
 	s.book.Lease(at+2*p.times.Way, p.set.Root, oneCall, parts)
 	s.holds, s.until = g.Number, at+g.Length
