--- a/internal/fleet/controlplane/api.go
+++ b/internal/fleet/controlplane/api.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
-// router returns the handler of the control address: the API of the operator and of the backends.
+// router returns the HTTP handler of the control address, which serves the API for the operator and the backends.
 func (n *Node) router() http.Handler {
 	r := chi.NewRouter()
 	r.Put("/-/config", n.handleOrder)
@@ -21,7 +21,7 @@
 	return r
 }
 
-// errorBody is the body of an answer that reports an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error string
 }
@@ -29,10 +29,10 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the status is sent: a lost connection can be reported to nobody
+	_ = json.NewEncoder(w).Encode(body) // the status has been sent, so an error can no longer be reported to the client
 }
 
-// writeError writes the status that belongs to the kind of an error, with the error's text.
+// writeError writes a response with the status for the error's kind and with the error's text.
 func writeError(w http.ResponseWriter, err error) {
 	writeJSON(w, errkind.KindOf(err).Response().Status, errorBody{Error: err.Error()})
 }
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	snapshotLinkShare = 0.3     // of the machine's link, that a snapshot transfer may use
-	bytesPerMegabit   = 1e6 / 8 // for LinkMbps
+	snapshotLinkShare = 0.3     // fraction of the machine's link that a snapshot transfer may use
+	bytesPerMegabit   = 1e6 / 8 // converts LinkMbps
 )
 
-// newMachine returns the replica's state machine, restored from what was stored. Without stored state, or where that belongs
-// to another address, this process is a new member and stores its identity before it takes part: it would otherwise come back
-// under another incarnation after having voted. Only a founder may propose the first view, and only where the platform says
-// that the whole system starts for the first time: two founding views would be two control planes.
+// newMachine returns the replica's state machine, restored from the stored state. Without stored state, or if the
+// stored state belongs to another address, this process is a new member and stores its identity before it
+// participates: otherwise it could restart under another incarnation after having voted. Only a founder may
+// propose the first view, and only if the platform declares (Bootstrap) that the whole system starts for the first
+// time: two founding views would create two control planes.
 func (n *Node) newMachine(stored replica.Stored) (*replica.Machine, error) {
 	set := n.settings
 	seeds := seedAddresses(set)
@@ -44,7 +45,7 @@
 	return replica.New(config, stored, n.now())
 }
 
-// seedAddresses returns the internal addresses of the seeds, sorted and without doubles.
+// seedAddresses returns the internal addresses of the seeds, sorted and without duplicates.
 func seedAddresses(set *settings.Settings) []string {
 	var addresses []string
 	for _, seed := range set.Seeds {
@@ -56,19 +57,19 @@
 	return addresses
 }
 
-// ApplySettings applies a settings file that was changed while the process runs: the seeds may have changed.
+// ApplySettings applies a settings file that changed while the process runs. Only the seeds are updated.
 func (n *Node) ApplySettings(set *settings.Settings) {
 	n.setSeeds(set)
 	n.replicator.SetSeeds(*n.seeds.Load())
 }
 
-// setSeeds replaces the seeds that this process gossips with.
+// setSeeds replaces the seeds with which this process gossips.
 func (n *Node) setSeeds(set *settings.Settings) {
 	seeds := seedAddresses(set)
 	n.seeds.Store(&seeds)
 }
 
-// randomID returns a random number of 63 bits that is not 0.
+// randomID returns a random non-zero ID, drawn from 63 random bits.
 func randomID() uint64 {
 	var bytes [8]byte
 	if _, err := rand.Read(bytes[:]); err != nil {
--- a/internal/fleet/controlplane/deregistration.go
+++ b/internal/fleet/controlplane/deregistration.go
@@ -9,18 +9,20 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// Parameters of the acknowledgement of a deregistration. At its next answer to a poll, a node of the data plane turns away from
-// a control process whose registry was confirmed longer ago than distribution.MaxRegistryConfirmationAge. So no node follows a process any
-// more that has been unresponsive for unresponsiveAfter, unless that has the deregistration from others.
+// Parameters of the acknowledgement of a deregistration. When a data plane node receives a poll reply from a
+// control process whose registry was confirmed longer ago than distribution.MaxRegistryConfirmationAge, the node
+// switches to another control process. So no node still follows a process that has been unresponsive for
+// unresponsiveAfter, unless that process has received the deregistration from others.
 const (
-	replicateTimeout       = 850 * time.Millisecond // with all attempts; a backend waits for a second
+	replicateTimeout       = 850 * time.Millisecond // for all attempts; a backend waits for one second
 	exchangeTimeout        = 250 * time.Millisecond // of one exchange
 	replicateRetryInterval = 20 * time.Millisecond
 	unresponsiveAfter      = 2 * time.Second
 )
 
-// replicateDeregistration returns nil when the record of a backend that drains or has ended is known to a majority of the
-// voters and to every control process that a node of the data plane may follow. The kind of its error is OutcomeUnknown.
+// replicateDeregistration replicates the record of a draining or removed backend. It returns nil once the record
+// is known to a majority of the voters and to every control process that a data plane node may follow, and
+// otherwise an error of kind OutcomeUnknown.
 func (g *gossiper) replicateDeregistration(record registry.Record) error {
 	if g.isAcknowledged(record.ID) {
 		return nil
@@ -44,7 +46,8 @@
 	}
 }
 
-// exchangeAll exchanges with several processes at once and returns the addresses of those that answered.
+// exchangeAll exchanges records with several processes concurrently and returns the addresses of those that
+// replied.
 func (g *gossiper) exchangeAll(addresses []string, records []registry.Record) []string {
 	results := make(chan string, len(addresses))
 	for _, address := range addresses {
@@ -64,8 +67,8 @@
 	return answered
 }
 
-// replicatedWidely reports whether a majority of the voters has a record, and all other processes that do not have it have
-// been unresponsive for so long that no node of the data plane follows them.
+// replicatedWidely reports whether a majority of the voters has a record and every pending process, which has not
+// confirmed it, has been unresponsive for so long that no data plane node follows it.
 func (g *gossiper) replicatedWidely(replicated map[string]bool, pending []string) bool {
 	published, _ := g.node.replicator.Published()
 	voters := 0
@@ -81,7 +84,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, address := range pending {
-		// A process that has just started does not know yet when the others were last responsive.
+		// A recently started process does not know when the others last responded.
 		if now-max(g.lastExchanges[address], g.started) < unresponsiveAfter {
 			return false
 		}
@@ -101,7 +104,7 @@
 	g.acknowledged[id] = true
 }
 
-// pruneAcknowledged removes the backends that the registry no longer has.
+// pruneAcknowledged removes the backends that are no longer in the registry.
 func (g *gossiper) pruneAcknowledged() {
 	g.node.mu.Lock()
 	defer g.node.mu.Unlock()
@@ -114,9 +117,10 @@
 	}
 }
 
-// registryConfirmedAt returns the newest time at which this process's registry certainly had every acknowledged
-// deregistration, 0 for never. Each of those is known to a majority of the voters, and so to one at least of any majority that
-// this process has exchanged with since: the median of the voters' exchanges is that time.
+// registryConfirmedAt returns the latest time at which this process's registry is known to have contained every
+// acknowledged deregistration, or 0 for never. Each acknowledged deregistration is known to a majority of the
+// voters, and therefore to at least one member of any majority with which this process has exchanged records
+// since. The result is thus the median of the voters' last exchange times.
 func (g *gossiper) registryConfirmedAt(view *replica.View, self replica.Member) time.Duration {
 	if len(view.Voters) == 0 {
 		return 0
--- a/internal/fleet/controlplane/deregistration_test.go
+++ b/internal/fleet/controlplane/deregistration_test.go
@@ -30,19 +30,19 @@
 	g := n.gossip
 	g.started = now - time.Minute
 	g.lastExchanges = map[string]time.Duration{"b": now, "c": now, "d": now - unresponsiveAfter, "e": now - unresponsiveAfter}
-	knows := func(addresses ...string) map[string]bool {
+	addressSet := func(addresses ...string) map[string]bool {
 		set := map[string]bool{}
 		for _, address := range addresses {
 			set[address] = true
 		}
 		return set
 	}
-	require.False(t, g.replicatedWidely(knows(), []string{"b", "c", "d", "e"}), "alone")
-	require.False(t, g.replicatedWidely(knows("b"), []string{"c", "d", "e"}), "no majority")
-	require.True(t, g.replicatedWidely(knows("b", "c"), []string{"d", "e"}), "the others are unresponsive")
-	require.False(t, g.replicatedWidely(knows("b", "d"), []string{"c", "e"}), "c answered just now: nodes may follow it")
+	require.False(t, g.replicatedWidely(addressSet(), []string{"b", "c", "d", "e"}), "alone")
+	require.False(t, g.replicatedWidely(addressSet("b"), []string{"c", "d", "e"}), "no majority")
+	require.True(t, g.replicatedWidely(addressSet("b", "c"), []string{"d", "e"}), "the others are unresponsive")
+	require.False(t, g.replicatedWidely(addressSet("b", "d"), []string{"c", "e"}), "c answered just now: nodes may follow it")
 	g.started = now
-	require.False(t, g.replicatedWidely(knows("b", "c"), []string{"x"}), "this process started too recently to know which are unresponsive")
+	require.False(t, g.replicatedWidely(addressSet("b", "c"), []string{"x"}), "this process started too recently to know which are unresponsive")
 }
 
 func TestRegistryIsConfirmedByMajorityOfExchanges(t *testing.T) {
@@ -58,7 +58,7 @@
 	require.Zero(t, n.gossip.registryConfirmedAt(&replica.View{}, self), "no view")
 }
 
-// partitionedConn loses what is written and read while the partition lasts.
+// partitionedConn drops all data written and read while the partition lasts.
 type partitionedConn struct {
 	net.Conn
 	partitioned *atomic.Bool
@@ -66,7 +66,7 @@
 
 func (c partitionedConn) Write(bytes []byte) (int, error) {
 	if c.partitioned.Load() {
-		return len(bytes), nil // lost on the way
+		return len(bytes), nil // dropped
 	}
 	return c.Conn.Write(bytes)
 }
@@ -89,7 +89,7 @@
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	replica.RegisterMessages()
-	fleet := &cluster{partitioned: &atomic.Bool{}}
+	c := &cluster{partitioned: &atomic.Bool{}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 3)
 	for i := range 3 {
@@ -101,52 +101,53 @@
 		require.NoError(t, err)
 		n.pool.Wrap = func(conn net.Conn) net.Conn {
 			if i == 2 || strings.HasPrefix(conn.RemoteAddr().String(), "127.7.1.3:") {
-				return partitionedConn{conn, fleet.partitioned}
+				return partitionedConn{conn, c.partitioned}
 			}
 			return conn
 		}
-		fleet.nodes = append(fleet.nodes, n)
+		c.nodes = append(c.nodes, n)
 		go func() { ended <- n.Run(ctx) }()
 	}
 	t.Cleanup(func() {
 		stop()
-		for range fleet.nodes {
+		for range c.nodes {
 			require.NoError(t, <-ended)
 		}
 	})
-	for _, n := range fleet.nodes {
+	for _, n := range c.nodes {
 		require.Eventually(t, func() bool {
 			published, _ := n.replicator.Published()
 			at := n.gossip.registryConfirmedAt(&published.View, published.Self)
 			return len(published.View.Chain) == 3 && at > 0
 		}, 10*time.Second, 10*time.Millisecond)
 	}
-	return fleet
+	return c
 }
 
 const drainingHeartbeat = `{"Backend":"llm","Address":"10.0.0.1:1","State":"draining","Sequence":7}`
 
-// TestPartitionedProcessAcknowledgesNoDeregistration shows also that the others acknowledge one as soon as no node of the data
-// plane can follow the partitioned process any more.
+// A partitioned process must not acknowledge a deregistration: data plane nodes that poll the other processes
+// would keep using the backend. The others acknowledge it once no data plane node can still follow the partitioned
+// process.
 func TestPartitionedProcessAcknowledgesNoDeregistration(t *testing.T) {
-	fleet := newCluster(t)
-	require.Equal(t, http.StatusOK, do(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code)
-	for _, n := range fleet.nodes {
+	c := newCluster(t)
+	require.Equal(t, http.StatusOK, do(c.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code)
+	for _, n := range c.nodes {
 		reply, _ := poll(t, n, nil)
-		require.Len(t, reply.Records, 1, "every process had the record before it was acknowledged")
+		require.Len(t, reply.Records, 1, "every process must have the record when it is acknowledged")
 		require.True(t, reply.ListConfirmed)
 		require.Less(t, reply.ListConfirmedAgo, distribution.MaxRegistryConfirmationAge)
 	}
-	fleet.partitioned.Store(true)
+	c.partitioned.Store(true)
 	partitionedAt := time.Now()
-	require.Equal(t, http.StatusServiceUnavailable, do(fleet.nodes[2], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code)
-	require.Equal(t, http.StatusServiceUnavailable, do(fleet.nodes[2], http.MethodDelete, "/-/instances/i2", "").Code)
-	require.Equal(t, http.StatusOK, do(fleet.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code, "acknowledged before the partition")
-	for do(fleet.nodes[0], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code != http.StatusOK {
+	require.Equal(t, http.StatusServiceUnavailable, do(c.nodes[2], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code)
+	require.Equal(t, http.StatusServiceUnavailable, do(c.nodes[2], http.MethodDelete, "/-/instances/i2", "").Code)
+	require.Equal(t, http.StatusOK, do(c.nodes[2], http.MethodPut, "/-/instances/i0", drainingHeartbeat).Code, "acknowledged before the partition")
+	for do(c.nodes[0], http.MethodPut, "/-/instances/i1", drainingHeartbeat).Code != http.StatusOK {
 		require.Less(t, time.Since(partitionedAt), 6*time.Second)
 	}
-	stale, _ := poll(t, fleet.nodes[2], nil)
-	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryConfirmationAge, "nodes have turned to other processes by now")
-	known, _ := poll(t, fleet.nodes[1], nil)
+	stale, _ := poll(t, c.nodes[2], nil)
+	require.Greater(t, stale.ListConfirmedAgo, distribution.MaxRegistryConfirmationAge, "nodes have switched to other processes by now")
+	known, _ := poll(t, c.nodes[1], nil)
 	require.Len(t, known.Records, 2)
 }
--- a/internal/fleet/controlplane/events.go
+++ b/internal/fleet/controlplane/events.go
@@ -7,24 +7,25 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// eventTTL is how long an event of an attempt is of use to the nodes of the data plane.
+// eventTTL is how long an attempt event is useful to the data plane nodes.
 const eventTTL = 2 * time.Second
 
-// loggedEvent is an event with the node that reported it and the time at which it happened.
+// loggedEvent is an attempt event with the session of the node that reported it and the time at which it happened.
 type loggedEvent struct {
 	session uint64        // of the node that made the attempt
 	at      time.Duration // when it happened, by this process's clock
 	event   routing.Event
 }
 
-// eventLog keeps the newest events of attempts for the nodes of the data plane that poll here. It is guarded by Node.mu.
+// eventLog keeps the most recent attempt events for the data plane nodes that poll this process. It is guarded by
+// Node.mu.
 type eventLog struct {
 	lastSeq uint64        // the sequence number of the newest event
 	events  []loggedEvent // with consecutive sequence numbers up to lastSeq
 }
 
-// append adds the events of an announcement and drops those that have expired. It returns an error where the announcement
-// cannot be decoded.
+// append adds the events of an announcement and drops expired ones. It returns an error if the announcement cannot
+// be decoded.
 func (l *eventLog) append(now time.Duration, announcement *distribution.Announcement) error {
 	expired := 0
 	for expired < len(l.events) && now-l.events[expired].at >= eventTTL {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// after returns the kept events with higher sequence numbers.
+// after returns the retained events with sequence numbers greater than seq.
 func (l *eventLog) after(seq uint64) []loggedEvent {
 	if seq >= l.lastSeq {
 		return nil
@@ -50,7 +51,8 @@
 	return l.events[len(l.events)-int(min(l.lastSeq-seq, uint64(len(l.events)))):]
 }
 
-// hasNewFor reports whether another node than the one with this session made an event after a sequence number.
+// hasNewFor reports whether the log contains events after a sequence number from nodes other than the one with this
+// session.
 func (l *eventLog) hasNewFor(seq, session uint64) bool {
 	for _, logged := range l.after(seq) {
 		if logged.session != session {
@@ -60,8 +62,8 @@
 	return false
 }
 
-// packNewFor returns the events after a sequence number that other nodes than the one with this session made, encoded with
-// their ages.
+// packNewFor returns the events after a sequence number from nodes other than the one with this session, encoded
+// with their ages.
 func (l *eventLog) packNewFor(now time.Duration, seq, session uint64) []byte {
 	var packed []byte
 	for _, logged := range l.after(seq) {
@@ -74,7 +76,7 @@
 	return packed
 }
 
-// applyEvents logs an announcement's events and wakes the polls.
+// applyEvents adds an announcement's events to the event log and wakes the waiting polls.
 func (n *Node) applyEvents(announcement *distribution.Announcement) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/controlplane/events_test.go
+++ b/internal/fleet/controlplane/events_test.go
@@ -12,10 +12,10 @@
 
 func TestEventsReachAllNodesButTheirSender(t *testing.T) {
 	var l eventLog
-	one := routing.AppendEvent(nil, routing.Event{Kind: routing.EventEnded, Backend: 1})
-	two := routing.AppendEvent(one, routing.Event{Kind: routing.EventFailed, Backend: 2})
-	require.NoError(t, l.append(time.Second, &distribution.Announcement{Session: 1, Events: two}))
-	require.NoError(t, l.append(2*time.Second, &distribution.Announcement{Session: 2, Events: one}))
+	oneEvent := routing.AppendEvent(nil, routing.Event{Kind: routing.EventEnded, Backend: 1})
+	twoEvents := routing.AppendEvent(oneEvent, routing.Event{Kind: routing.EventFailed, Backend: 2})
+	require.NoError(t, l.append(time.Second, &distribution.Announcement{Session: 1, Events: twoEvents}))
+	require.NoError(t, l.append(2*time.Second, &distribution.Announcement{Session: 2, Events: oneEvent}))
 	require.True(t, l.hasNewFor(0, 1))
 	require.Len(t, unpackEvents(t, l.packNewFor(2*time.Second, 0, 1)), 1)
 	require.Len(t, unpackEvents(t, l.packNewFor(2*time.Second, 0, 2)), 2)
@@ -24,7 +24,7 @@
 	require.False(t, l.hasNewFor(3, 1))
 	require.NoError(t, l.append(time.Minute, &distribution.Announcement{Session: 1}))
 	require.Empty(t, l.events, "expired events are dropped")
-	require.False(t, l.hasNewFor(0, 9), "a node that polls after events expired gets those that are left")
+	require.False(t, l.hasNewFor(0, 9), "a node that polls after events expired receives only the remaining ones")
 	require.Error(t, l.append(time.Minute, &distribution.Announcement{Session: 1, Events: []byte{99}}))
 }
 
--- a/internal/fleet/controlplane/export.go
+++ b/internal/fleet/controlplane/export.go
@@ -9,17 +9,18 @@
 	"linenwheel.dev/linenwheel/internal/fleet/storage"
 )
 
-// errNoDataDir says that the settings name no directory.
-var errNoDataDir = errors.New("settings: DataDir is empty: this process stores nothing")
+// errNoDataDir means that the settings name no data directory.
+var errNoDataDir = errors.New("settings: DataDir is empty, so this process stores no configuration")
 
-// exported is the form in which a configuration is printed.
+// exported is the JSON form of an exported configuration.
 type exported struct {
 	Epoch    uint64
-	Seq      uint64          // the one with the highest of a majority of the machines has every acknowledged order
-	Document json.RawMessage // to be sent with PUT and If-Match: 0 to a fleet on empty disks
+	Seq      uint64          // the export with the highest Seq from a majority of the machines has every acknowledged order
+	Document json.RawMessage // can be sent to a fleet with empty disks, with PUT and If-Match: 0
 }
 
-// Export writes the newest configuration on this machine's disk as JSON, also from a disk of the format before. No process may use it.
+// Export writes the newest configuration on this machine's disk as JSON. It also reads disks in the previous
+// format. No process may be using the disk.
 func Export(set *settings.Settings, stdout io.Writer) error {
 	if set.DataDir == "" {
 		return errNoDataDir
--- a/internal/fleet/controlplane/export_test.go
+++ b/internal/fleet/controlplane/export_test.go
@@ -14,9 +14,9 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// The operator's way from a fleet whose disks have the obsolete format to one of this version: export from each machine, take the
-// configuration with the highest Seq, and send it to a fleet on empty disks.
-func TestConfigurationOfObsoleteDisksIsTakenOver(t *testing.T) {
+// The operator migrates a fleet whose disks have the obsolete format in three steps: export the configuration from
+// each machine, choose the parsed with the highest Seq, and send it to a fleet of this version with empty disks.
+func TestConfigurationOfObsoleteDisksCanBeMigrated(t *testing.T) {
 	var newest exported
 	for machine := range 3 {
 		dir := filepath.Join(t.TempDir(), "disk")
@@ -24,10 +24,10 @@
 		require.NoError(t, os.CopyFS(dir, os.DirFS(golden)))
 		var printed bytes.Buffer
 		require.NoError(t, Export(&settings.Settings{DataDir: dir}, &printed))
-		var one exported
-		require.NoError(t, json.Unmarshal(printed.Bytes(), &one))
-		if one.Seq > newest.Seq {
-			newest = one
+		var parsed exported
+		require.NoError(t, json.Unmarshal(printed.Bytes(), &parsed))
+		if parsed.Seq > newest.Seq {
+			newest = parsed
 		}
 	}
 	n := newUnconfiguredNode(t)
@@ -35,12 +35,12 @@
 	read := do(n, http.MethodGet, "/-/config", "")
 	require.Equal(t, http.StatusOK, read.Code)
 	require.JSONEq(t, `{"Revision":40,"Backends":[{"Name":"llm"},{"Name":"report"}]}`, read.Body.String())
-	require.Equal(t, http.StatusPreconditionFailed, submitOrder(n, 39, `{"Revision":40}`), "which orders were accepted before is not taken over")
-	require.Equal(t, http.StatusOK, submitOrder(n, 40, `{"Revision":41}`), "the operator goes on from what was exported")
+	require.Equal(t, http.StatusPreconditionFailed, submitOrder(n, 39, `{"Revision":40}`), "the set of accepted orders is not migrated")
+	require.Equal(t, http.StatusOK, submitOrder(n, 40, `{"Revision":41}`), "the operator continues from the exported revision")
 	require.Equal(t, http.StatusOK, submitOrder(n, 40, `{"Revision":41}`), "repeated")
 }
 
-func TestExportNeedsADirectory(t *testing.T) {
+func TestExportRequiresDataDirWithConfiguration(t *testing.T) {
 	require.ErrorIs(t, Export(&settings.Settings{}, &bytes.Buffer{}), errNoDataDir)
 	require.ErrorContains(t, Export(&settings.Settings{DataDir: t.TempDir()}, &bytes.Buffer{}), "no configuration")
 }
--- a/internal/fleet/controlplane/forwarder.go
+++ b/internal/fleet/controlplane/forwarder.go
@@ -10,25 +10,27 @@
 // Parameters of the forwarding of announcements between control processes.
 const (
 	forwardTimeout  = 200 * time.Millisecond
-	forwardDelay    = 8 * time.Millisecond // before a request is sent, so that it takes several announcements
+	forwardDelay    = 8 * time.Millisecond // before a request is sent, so that it batches several announcements
 	maxForwardQueue = 512                  // announcements for one process
 )
 
-// forwarder queues announcements for the other control processes, for each in order. At most one goroutine, Node.forwardTo,
-// sends to a process at a time, since two could overtake each other. It ends when the queue is empty.
+// forwarder queues announcements for each of the other control processes, in order. At most one goroutine (running
+// Node.forwardTo) sends to a process at a time, because two could reorder the announcements. The goroutine ends
+// when the queue is empty.
 type forwarder struct {
 	mu     sync.Mutex
-	queues map[string]*forwardQueue // by address, while a goroutine sends
+	queues map[string]*forwardQueue // by address, while a sending goroutine runs
 }
 
 // forwardQueue is the queue for one process.
 type forwardQueue struct {
 	pending []distribution.Announcement
-	running bool // a goroutine sends
+	running bool // a sending goroutine runs
 }
 
-// enqueue adds an announcement for a process. Where it returns true, the caller starts the goroutine that sends. What exceeds
-// the queue is dropped: an event that is lost makes the picks of a node a little worse for a moment, no more.
+// enqueue queues an announcement for a process. If it returns true, the caller must start the sending goroutine.
+// If the queue is full, the announcement is dropped: a lost event only makes a node's choice of backends slightly
+// worse for a moment.
 func (f *forwarder) enqueue(address string, announcement *distribution.Announcement) (start bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,8 +47,8 @@
 	return start
 }
 
-// drain removes and returns the announcements for a process. Where there are none, it removes the queue, and the goroutine
-// that sends has to end.
+// drain removes and returns the announcements for a process. If there are none, it removes the queue, and the
+// sending goroutine must end.
 func (f *forwarder) drain(address string) []distribution.Announcement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,7 +61,7 @@
 	return pending
 }
 
-// Announce applies the events of a node of the data plane and forwards them to the other control processes.
+// Announce applies the events of a data plane node and forwards them to the other control processes.
 func (s *distributionService) Announce(announcement *distribution.Announcement, _ *struct{}) error {
 	n := s.node
 	if err := n.applyEvents(announcement); err != nil {
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// Relay applies events that another control process forwards.
+// Relay applies events that another control process forwarded.
 func (s *distributionService) Relay(request *distribution.ForwardRequest, _ *struct{}) error {
 	for i := range request.Announcements {
 		if err := s.node.applyEvents(&request.Announcements[i]); err != nil {
@@ -92,6 +94,6 @@
 			return
 		}
 		var none struct{}
-		_ = n.pool.Call(address, distribution.MethodForward, &request, &none, forwardTimeout) // not repeated: see enqueue
+		_ = n.pool.Call(address, distribution.MethodForward, &request, &none, forwardTimeout) // not retried: see enqueue
 	}
 }
--- a/internal/fleet/controlplane/forwarder_test.go
+++ b/internal/fleet/controlplane/forwarder_test.go
@@ -10,9 +10,9 @@
 
 func TestAnnouncementsAreForwardedInOrder(t *testing.T) {
 	f := forwarder{queues: map[string]*forwardQueue{}}
-	require.True(t, f.enqueue("a", &distribution.Announcement{Session: 1}), "no goroutine sends yet")
-	require.False(t, f.enqueue("a", &distribution.Announcement{Session: 2}), "a goroutine sends: two could overtake each other")
-	require.True(t, f.enqueue("b", &distribution.Announcement{Session: 1}), "an unresponsive process does not delay the others")
+	require.True(t, f.enqueue("a", &distribution.Announcement{Session: 1}), "no sending goroutine runs yet")
+	require.False(t, f.enqueue("a", &distribution.Announcement{Session: 2}), "a sending goroutine runs, and a second one could reorder announcements")
+	require.True(t, f.enqueue("b", &distribution.Announcement{Session: 1}), "each process has its own queue, so an unresponsive one does not delay the others")
 	drained := f.drain("a")
 	require.Equal(t, []uint64{1, 2}, []uint64{drained[0].Session, drained[1].Session})
 	require.False(t, f.enqueue("a", &distribution.Announcement{Session: 3}))
--- a/internal/fleet/controlplane/golden_test.go
+++ b/internal/fleet/controlplane/golden_test.go
@@ -13,23 +13,23 @@
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
 
-// methodNames are the internal calls under the names by which other processes call them.
+// methodNames are the wire names of the internal calls.
 var methodNames = []string{"Allowance.HandOver", "Allowance.Reflect", "Allowance.Take", "Distribution.Announce",
 	"Distribution.Poll", "Distribution.Relay", "Operator.Read", "Operator.Submit", "Peer.Deliver", "Registry.Exchange"}
 
-// servedMethods are the methods of the services, by their names.
+// servedMethods returns the types of the services' methods, by wire name.
 func servedMethods() map[string]reflect.Type {
 	served := map[string]reflect.Type{}
 	for name, service := range (*Node)(nil).services() {
-		kind := reflect.TypeOf(service)
-		for i := range kind.NumMethod() {
-			served[name+"."+kind.Method(i).Name] = kind.Method(i).Type
+		serviceType := reflect.TypeOf(service)
+		for i := range serviceType.NumMethod() {
+			served[name+"."+serviceType.Method(i).Name] = serviceType.Method(i).Type
 		}
 	}
 	return served
 }
 
-func TestTheInternalCallsKeepTheirNames(t *testing.T) {
+func TestInternalCallNamesAreStable(t *testing.T) {
 	var served []string
 	for name := range servedMethods() {
 		served = append(served, name)
@@ -41,9 +41,9 @@
 	require.Equal(t, methodNames, called)
 }
 
-// TestInternalCallsOfAnEarlierVersionAreUnderstood holds what each internal call takes and answers. The messages in a
-// replica.Envelope are held in the package replica.
-func TestInternalCallsOfAnEarlierVersionAreUnderstood(t *testing.T) {
+// TestInternalCallsDecodeEarlierVersion checks the encoding of the request and reply of each internal call.
+// Package replica checks the messages within a replica.Envelope.
+func TestInternalCallsDecodeEarlierVersion(t *testing.T) {
 	replica.RegisterMessages()
 	for name, method := range servedMethods() {
 		const request, reply, parameters = 1, 2, 3 // after the receiver
@@ -53,7 +53,7 @@
 			if _, empty := value.(*struct{}); empty {
 				continue
 			}
-			if envelope, is := value.(*replica.Envelope); is {
+			if envelope, ok := value.(*replica.Envelope); ok {
 				envelope.Body = replica.Committed{Epoch: 1, Seq: 2}
 			}
 			wiretest.Fill(value)
@@ -62,12 +62,12 @@
 	}
 }
 
-func TestTheStatusKeepsItsKeys(t *testing.T) {
+func TestStatusKeysAreStable(t *testing.T) {
 	var body statusBody
 	wiretest.Fill(&body)
 	wiretest.JSON(t, "status.json", body)
 }
 
-func TestTheErrorBodyKeepsItsKey(t *testing.T) {
+func TestErrorBodyKeyIsStable(t *testing.T) {
 	wiretest.JSON(t, "error.json", errorBody{Error: "text"})
 }
--- a/internal/fleet/controlplane/gossip.go
+++ b/internal/fleet/controlplane/gossip.go
@@ -10,23 +10,23 @@
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 )
 
-// Parameters of the exchange of registries.
+// Parameters of the exchange of registry records.
 const (
 	gossipInterval = 400 * time.Millisecond
 	gossipTimeout  = 350 * time.Millisecond // of one exchange of the periodic round
-	callerTTL      = 3 * time.Second        // how long a process that is neither voter nor seed counts as a peer after its last call
+	callerTTL      = 3 * time.Second        // for which a caller that is neither voter nor seed stays a peer
 )
 
-// ExchangeRequest sends records and requests those that changed at the receiver.
+// ExchangeRequest sends records and requests those that have changed at the receiver.
 type ExchangeRequest struct {
 	Address string // internal address of the sender
 	Zone    string // of the sender
 	Records []registry.Record
-	Owner   uint64 // the registry whose versions Since counts; 0 or another than the receiver's: all records are requested
+	Owner   uint64 // the registry to which Since belongs; 0 or not the receiver's: all records are requested
 	Since   uint64 // the version that the sender has
 }
 
-// ExchangeReply returns the changed records and the version that they lead to.
+// ExchangeReply returns the changed records and the version that they bring the requester to.
 type ExchangeReply struct {
 	Zone    string
 	Owner   uint64
@@ -34,23 +34,23 @@
 	Records []registry.Record
 }
 
-// gossiper keeps the control processes' replicas of the registry alike: each process pushes what it received from backends to
-// all others in rounds, and pulls what changed there.
+// gossiper keeps the control processes' replicas of the registry in sync: in periodic rounds, each process pushes
+// the records that it received from backends to all others and pulls the records that have changed there.
 type gossiper struct {
 	node    *Node
 	started time.Duration // when this process began to gossip
 
-	loggedUnresponsive string // the backends that were last logged as unresponsive; guarded by Node.mu
+	loggedUnresponsive string // the lost backends as last logged; guarded by Node.mu
 
 	mu               sync.Mutex
-	zones            map[string]string        // by address, as the maps up to inFlight
-	registryOwners   map[string]uint64        // the registry whose versions registryVersions counts
-	registryVersions map[string]uint64        // the version that was received last
+	zones            map[string]string        // by address, like the other maps up to inFlight
+	registryOwners   map[string]uint64        // the registry to which the version in registryVersions belongs
+	registryVersions map[string]uint64        // the version received last
 	lastCalls        map[string]time.Duration // when another process last called this one
-	// lastExchanges is when the newest exchange began that another process answered. This replica has all that the other had
-	// then, which is why the begin counts and not the end.
+	// lastExchanges holds the start times of the most recent successful exchanges. This replica has all records
+	// that the other process had when the exchange started, so the start counts and not the end.
 	lastExchanges map[string]time.Duration
-	inFlight      map[string]bool // addresses with an exchange of the periodic round under way
+	inFlight      map[string]bool // an exchange of the periodic round is in flight
 	acknowledged  map[string]bool // backends whose deregistration was acknowledged, by ID
 }
 
@@ -68,14 +68,15 @@
 	}
 }
 
-// zoneOf returns a control process's zone, empty where it is not known.
+// zoneOf returns a control process's zone, or "" if it is not known.
 func (g *gossiper) zoneOf(address string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.zones[address]
 }
 
-// peers returns the internal addresses of the other control processes: voters, seeds, and those that called recently.
+// peers returns the internal addresses of the other control processes: voters, seeds, and those that called
+// recently.
 func (g *gossiper) peers() []string {
 	published, _ := g.node.replicator.Published()
 	var peers []string
@@ -92,7 +93,7 @@
 	return g.withRecentCallers(peers)
 }
 
-// withRecentCallers appends the processes that called within callerTTL, and forgets those that did not.
+// withRecentCallers appends the processes that called within callerTTL and removes expired callers.
 func (g *gossiper) withRecentCallers(peers []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,7 +108,7 @@
 	return peers
 }
 
-// run gossips until the context ends. It does not wait for exchanges under way: they end within gossipTimeout.
+// run gossips until the context is done. It does not wait for exchanges in flight, which end within gossipTimeout.
 func (g *gossiper) run(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
@@ -121,7 +122,8 @@
 	}
 }
 
-// round expires what is too old and exchanges the records that backends have updated here since the last round.
+// round expires old records and sessions, and sends the records that backends have updated here since the last
+// round.
 func (g *gossiper) round() {
 	n := g.node
 	n.mu.Lock()
@@ -143,7 +145,8 @@
 	g.pruneAcknowledged()
 }
 
-// beginExchange reports whether an exchange of the periodic round may begin: the one before has ended.
+// beginExchange reports whether a new exchange of the periodic round may start, and if so marks it as in flight.
+// It may not start while the previous one is still in flight.
 func (g *gossiper) beginExchange(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,17 +163,18 @@
 	delete(g.inFlight, address)
 }
 
-// logUnresponsive logs the lost backends when they are not the same as before. Node.mu is held.
+// logUnresponsive logs the unresponsive backends if the set of lost ones has changed. Node.mu must be held.
 func (g *gossiper) logUnresponsive() {
 	overdue, lost := g.node.registry.Unresponsive()
 	if names := strings.Join(lost, " "); names != g.loggedUnresponsive {
 		g.loggedUnresponsive = names
-		g.node.log.Info("unresponsive raters changed", "lost", lost, "overdue", overdue)
+		g.node.log.Info("unresponsive backends changed", "lost", lost, "overdue", overdue)
 	}
 }
 
-// exchangeRecords sends records to another process and merges what changed there. It reports whether the other answered in time: it
-// then has the records, and this process has all that the other had when the exchange began.
+// exchangeRecords sends records to another process and merges those that have changed there. It reports whether
+// the other process replied in time: if so, it has the records, and this process has all records that the other
+// process had when the exchange began.
 func (g *gossiper) exchangeRecords(address string, records []registry.Record, timeout time.Duration) bool {
 	n := g.node
 	began := n.now()
@@ -190,7 +194,7 @@
 	return true
 }
 
-// handleExchange answers another process's exchange.
+// handleExchange serves an exchange that another process started.
 func (g *gossiper) handleExchange(request *ExchangeRequest, reply *ExchangeReply) {
 	n := g.node
 	g.mu.Lock()
@@ -208,7 +212,7 @@
 	reply.Records = n.registry.ChangedSince(n.now(), since)
 }
 
-// mergeRecords merges records of another process's registry and wakes the polls where that changed anything.
+// mergeRecords merges records of another process's registry and wakes the waiting polls if that changed anything.
 func (n *Node) mergeRecords(records []registry.Record) {
 	if len(records) == 0 {
 		return
--- a/internal/fleet/controlplane/gossip_test.go
+++ b/internal/fleet/controlplane/gossip_test.go
@@ -8,8 +8,9 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// The seeds may be exchanged while an exchange with one of the old ones is under way: the next round goes to the new ones.
-func TestGossipUsesTheSeedsOfTheLastReload(t *testing.T) {
+// A settings reload may replace the seeds while an exchange with an old seed is in flight. The next round must use
+// the new seeds.
+func TestGossipUsesSeedsOfLastReload(t *testing.T) {
 	n := newSingleNode(t, 0, 0)
 	reload := func(seeds string) {
 		set, err := settings.Parse("boot.conf", "Ip=127.0.0.1\nListen.Control=127.0.0.1:1\nInternalPorts=2,3\nSeeds="+seeds+"\nCountsForQuorum=true\n")
--- a/internal/fleet/controlplane/helpers_test.go
+++ b/internal/fleet/controlplane/helpers_test.go
@@ -19,8 +19,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/settings"
 )
 
-// newSingleNode returns a control process that is the only member, with a configuration and these numbers of polling nodes
-// and of registered backends.
+// newSingleNode returns a control process that is the only member, with a configuration and the given numbers of
+// polling nodes and registered backends.
 func newSingleNode(t *testing.T, nodes, backends int) *Node {
 	t.Helper()
 	n := newUnconfiguredNode(t)
@@ -42,7 +42,8 @@
 	require.NoError(t, err)
 	n, err := New(set, log.New(io.Discard))
 	require.NoError(t, err)
-	// The replicator does not run yet: the machine is given virtual time until it has founded the first view.
+	// The replicator does not run yet, so the machine is stepped with virtual time until it has founded the first
+	// view.
 	for now := time.Duration(0); now < 5*time.Second; now += tickInterval {
 		n.replicator.step(func(time.Duration) replica.Ready { return n.replicator.machine.Tick(now) })
 	}
@@ -68,7 +69,8 @@
 	return recorder
 }
 
-// poll returns the reply to a poll of a node that has applied the last reply, nil for none, and its encoded size in bytes.
+// poll returns the reply to a poll by a node that has applied the last reply (nil for none), and the reply's
+// encoded size in bytes.
 func poll(t *testing.T, n *Node, last *distribution.PollReply) (*distribution.PollReply, int) {
 	t.Helper()
 	request := &distribution.PollRequest{Session: 10}
--- a/internal/fleet/controlplane/instanceapi.go
+++ b/internal/fleet/controlplane/instanceapi.go
@@ -16,12 +16,13 @@
 
 const maxHeartbeatBytes = 64 << 10
 
-// errIncompleteHeartbeat says that a heartbeat lacks what a backend cannot be registered without.
+// errIncompleteHeartbeat means that a heartbeat lacks fields that are required to register a backend.
 var errIncompleteHeartbeat = errors.New("heartbeat without Backend or Address")
 
 var heartbeatOptions = protojson.UnmarshalOptions{DiscardUnknown: true}
 
-// handleHeartbeat serves a backend's heartbeat. One that says that the backend drains is acknowledged like a deregistration.
+// handleHeartbeat serves a backend's heartbeat. A heartbeat with the state "draining" is acknowledged like a
+// deregistration.
 func (n *Node) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	record, err := parseHeartbeat(chi.URLParam(r, "id"), io.LimitReader(r.Body, maxHeartbeatBytes))
 	if err != nil {
@@ -34,7 +35,7 @@
 	n.acknowledge(w, changed, record.ID)
 }
 
-// handleDeregister serves a backend's call that it has ended.
+// handleDeregister serves the call by which a backend deregisters.
 func (n *Node) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	n.mu.Lock()
@@ -43,8 +44,9 @@
 	n.acknowledge(w, changed, id)
 }
 
-// acknowledge answers a backend's call once the other control processes have what they need. That a backend drains or has
-// ended is acknowledged only when no node of the data plane can go on without learning of it, since the backend may exit then.
+// acknowledge replies to a backend's call after replicating its record. A draining or removed backend may exit as
+// soon as it is acknowledged, so that is done only when no data plane node can keep using a registry without the
+// change.
 func (n *Node) acknowledge(w http.ResponseWriter, changed bool, id string) {
 	n.mu.Lock()
 	if changed {
@@ -68,7 +70,7 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// parseHeartbeat returns the record that a heartbeat's body describes. Its errors have the kind BadRequest.
+// parseHeartbeat returns the record that a heartbeat's body describes. Errors are of kind BadRequest.
 func parseHeartbeat(id string, body io.Reader) (registry.Record, error) {
 	content, err := io.ReadAll(body)
 	if err != nil {
--- a/internal/fleet/controlplane/instanceapi_test.go
+++ b/internal/fleet/controlplane/instanceapi_test.go
@@ -13,22 +13,22 @@
 	n := newSingleNode(t, 0, 1)
 	version := n.registry.Version()
 	for name, body := range map[string]string{
-		"no JSON":    `{"Backend":`,
+		"not JSON":   `{"Backend":`,
 		"no backend": `{"Address":"10.0.0.1:1"}`,
 		"no address": `{"Backend":"llm"}`,
 		"wrong type": `{"Backend":"llm","Address":"10.0.0.1:1","Slots":"many"}`,
 	} {
-		answer := do(n, http.MethodPut, "/-/instances/x", body)
-		require.Equal(t, http.StatusBadRequest, answer.Code, name)
-		require.Contains(t, answer.Body.String(), "Error", name)
+		response := do(n, http.MethodPut, "/-/instances/x", body)
+		require.Equal(t, http.StatusBadRequest, response.Code, name)
+		require.Contains(t, response.Body.String(), "Error", name)
 	}
 	require.Equal(t, version, n.registry.Version())
 }
 
 func TestPollReturnsDrainingAndDeregisteredBackends(t *testing.T) {
 	n := newSingleNode(t, 0, 2)
-	drains := `{"Backend":"llm","Address":"10.0.0.1:1","State":"draining","Sequence":7}`
-	require.Equal(t, http.StatusOK, do(n, http.MethodPut, "/-/instances/i1", drains).Code)
+	draining := `{"Backend":"llm","Address":"10.0.0.1:1","State":"draining","Sequence":7}`
+	require.Equal(t, http.StatusOK, do(n, http.MethodPut, "/-/instances/i1", draining).Code)
 	require.Equal(t, http.StatusOK, do(n, http.MethodDelete, "/-/instances/i0", "").Code)
 	require.Equal(t, http.StatusOK, do(n, http.MethodDelete, "/-/instances/i0", "").Code, "repeated")
 	reply, _ := poll(t, n, nil)
--- a/internal/fleet/controlplane/node.go
+++ b/internal/fleet/controlplane/node.go
@@ -1,13 +1,13 @@
-// Package controlplane is the control plane's process. It drives the pure state machine of package replica (disk, messages
-// and time), keeps a copy of the backend registry, serves the operator's and the backends' HTTP API, and distributes
-// configuration, registry and quota to the nodes of the data plane.
+// Package controlplane implements the control plane process. It drives the pure state machine of package replica
+// (it provides disk, messages and time), keeps a replica of the backend registry, serves the HTTP API for the
+// operator and the backends, and distributes configuration, registry and quota to the data plane nodes.
 //
-// State and its owners:
-//   - the replica belongs to the Replicator's goroutine; everything else reads the Published copy of it
-//   - registry, sessions, quota buckets and attempt events belong to Node and are guarded by Node.mu
-//   - what is known of the other control processes belongs to the gossiper and is guarded by gossiper.mu
+// State ownership:
+//   - the replica is owned by the Replicator's goroutine; all other code reads the Published copy
+//   - registry, sessions, quota buckets and attempt events are owned by Node and guarded by Node.mu
+//   - the state of the other control processes is owned by the gossiper and guarded by gossiper.mu
 //
-// Node.mu is taken before gossiper.mu where both are needed.
+// Lock order: Node.mu before gossiper.mu.
 package controlplane
 
 import (
@@ -36,7 +36,7 @@
 	idleTimeout       = 30 * time.Second
 )
 
-// Node is one control process. Elsewhere "node" means a process of the data plane.
+// Node is one control process. Everywhere else in this package, "node" means a data plane process.
 type Node struct {
 	settings      *settings.Settings
 	log           *log.Logger
@@ -48,20 +48,20 @@
 	forwarder     forwarder
 	updates       updateCache
 	registryOwner uint64                   // random, identifies this process's replica of the registry
-	seeds         atomic.Pointer[[]string] // internal addresses of the seeds that the settings name now
+	seeds         atomic.Pointer[[]string] // internal addresses of the seeds in the current settings
 
 	mu         sync.Mutex
 	registry   *registry.Registry
 	changed    chan struct{}            // closed and replaced by notifyChanged
-	sessions   map[uint64]time.Duration // when each node of the data plane last polled
+	sessions   map[uint64]time.Duration // time of each data plane node's last poll, by session
 	buckets    *quota.Owner
 	ownerships map[string]ownership // by tenant
 	events     eventLog
 	leaving    bool
 }
 
-// New returns a control process that serves once Run is called. It opens the data directory and reads the stored replica,
-// and returns an error where that fails.
+// New returns a control process, which serves once Run is called. It opens the data directory and restores the
+// stored replica, and returns an error if that fails.
 func New(set *settings.Settings, logger *log.Logger) (*Node, error) {
 	n := &Node{
 		settings:      set,
@@ -94,32 +94,33 @@
 	return n, nil
 }
 
-// quotaTolerance returns by how much the sum of all nodes may exceed a tenant's limit.
+// quotaTolerance returns how far the combined consumption of all nodes may exceed a tenant's limit.
 func quotaTolerance(set *settings.Settings) quota.Tolerance {
 	return quota.Tolerance{Window: set.Bounds.QuotaWindow, Over: set.Bounds.QuotaOver, Slack: set.Bounds.QuotaSlack}
 }
 
-// now returns the monotonic time since the start of the process. It is always above 0, which means "never" in the state of
-// the replica and the registry.
+// now returns the monotonic time since the start of the process. It is always greater than 0, because 0 means
+// "never" in the state of the replica and the registry.
 func (n *Node) now() time.Duration { return time.Since(n.started) + time.Millisecond }
 
-// Run serves until the context ends, then leaves the control plane in order. It returns an error where an address cannot be
-// listened at, or where a listener fails while the process serves.
+// Run serves until the context is done, then shuts down gracefully. It returns an error if it cannot listen on an
+// address, or if a listener fails while the process serves.
 func (n *Node) Run(ctx context.Context) error {
 	internal, err := transport.Listen(ctx, n.settings.OwnInternalAddress())
 	if err != nil {
-		return fmt.Errorf("internal port: %w", err)
+		return fmt.Errorf("listen on internal port: %w", err)
 	}
 	external, err := net.Listen("tcp4", n.settings.Control)
 	if err != nil {
-		return errors.Join(fmt.Errorf("control address: %w", err), internal.Close())
+		return errors.Join(fmt.Errorf("listen on control address: %w", err), internal.Close())
 	}
 	failed := make(chan error, 2)
 	go func() { failed <- transport.Serve(internal, n.services()) }()
 	server := &http.Server{Handler: n.router(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: n.log.StandardLog()}
 	go func() { failed <- server.Serve(external) }()
-	// The replicator ends by Stop and is not waited for: a write to a disk that hangs must not keep the process from ending.
+	// Stop ends the replicator, but nothing waits for it to end: a hung disk write must not keep the process from
+	// exiting.
 	go n.replicator.Run()
 	stopLoops := n.startLoops(context.WithoutCancel(ctx))
 	defer stopLoops()
@@ -132,8 +133,8 @@
 	}
 }
 
-// startLoops starts the periodic work. The returned function ends it and waits for it. The loops go on while the process
-// leaves, since its quota buckets have to reach their new owners.
+// startLoops starts the periodic work. The returned function stops it and waits for it to end. The loops keep
+// running during the graceful shutdown, because the quota buckets must be transferred to their new owners.
 func (n *Node) startLoops(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var loops sync.WaitGroup
@@ -145,7 +146,8 @@
 	}
 }
 
-// notifyChanged wakes the polls that wait for a change of what this process distributes. Node.mu is held.
+// notifyChanged wakes the polls that wait for a change of the data that this process distributes. Node.mu must be
+// held.
 func (n *Node) notifyChanged() {
 	close(n.changed)
 	n.changed = make(chan struct{})
--- a/internal/fleet/controlplane/operatorapi.go
+++ b/internal/fleet/controlplane/operatorapi.go
@@ -12,15 +12,15 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// Parameters of the operator's calls. The operator turns to another process after a second without an answer.
+// Parameters of the operator's calls. The operator switches to another process after one second without a response.
 const (
 	submitTimeout         = 750 * time.Millisecond // of one attempt at the head or the tail
-	operatorTimeout       = 900 * time.Millisecond // of a call with all its attempts
+	operatorTimeout       = 900 * time.Millisecond // of a call including all attempts
 	operatorRetryInterval = 60 * time.Millisecond
 	maxBodyBytes          = 64 << 20
 )
 
-// handleOrder serves a call that changes the configuration.
+// handleOrder serves an order: a call that changes the configuration.
 func (n *Node) handleOrder(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || len(body) > maxBodyBytes {
@@ -42,7 +42,7 @@
 	writeJSON(w, http.StatusOK, struct{ Revision int64 }{revision})
 }
 
-// handleReadConfig serves the newest configuration.
+// handleReadConfig serves the newest committed configuration.
 func (n *Node) handleReadConfig(w http.ResponseWriter, _ *http.Request) {
 	document, err := retryUnknown(func(time.Duration) ([]byte, error) { return n.readFromTail() })
 	if err != nil {
@@ -53,8 +53,9 @@
 	_, _ = w.Write(document)
 }
 
-// retryUnknown repeats an attempt while its outcome is unknown and the call's time lasts: the view may change meanwhile, and
-// another member be the head or the tail. An order that is submitted twice is committed once.
+// retryUnknown retries while the outcome is unknown and operatorTimeout has not elapsed: the view may change in
+// the meantime, so that another member becomes the head or the tail. Retries are safe, because an order that is
+// submitted twice is committed once.
 func retryUnknown[T any](attempt func(remaining time.Duration) (T, error)) (T, error) {
 	deadline := time.Now().Add(operatorTimeout)
 	for {
@@ -86,7 +87,8 @@
 	return reply.Revision, nil
 }
 
-// readFromTail returns the newest committed configuration as JSON. Its errors all have the kind OutcomeUnknown.
+// readFromTail returns the newest committed configuration as JSON, read from the tail of the chain. All errors are
+// of kind OutcomeUnknown.
 func (n *Node) readFromTail() ([]byte, error) {
 	published, _ := n.replicator.Published()
 	tail := published.View.Tail()
--- a/internal/fleet/controlplane/operatorapi_test.go
+++ b/internal/fleet/controlplane/operatorapi_test.go
@@ -9,8 +9,8 @@
 )
 
 func submitOrder(n *Node, base int, body string) int {
-	request := fmt.Sprint(base)
-	recorder := doIfMatch(n, http.MethodPatch, "/-/config", body, request)
+	match := fmt.Sprint(base)
+	recorder := doIfMatch(n, http.MethodPatch, "/-/config", body, match)
 	return recorder.Code
 }
 
--- a/internal/fleet/controlplane/outbox.go
+++ b/internal/fleet/controlplane/outbox.go
@@ -14,23 +14,23 @@
 const (
 	queueSize        = 64              // messages
 	controlTimeout   = time.Second     // of a heartbeat, a vote or another small message
-	bulkTimeout      = 2 * time.Second // of a message with orders or a chunk of a snapshot, over a small and busy link
+	bulkTimeout      = 2 * time.Second // of a message with orders or a snapshot chunk; allows for a slow, busy link
 	queueIdleTimeout = 10 * time.Second
 )
 
-// queueKey identifies a queue. A peer has two, so that messages with orders do not delay heartbeats and votes: late ones would
-// look like a failed member.
+// queueKey identifies a queue. Each peer has two, so that bulk messages do not delay heartbeats and votes: delayed
+// ones would make this member appear to have failed.
 type queueKey struct {
 	address string
 	bulk    bool
 }
 
-// outbox sends the replica's messages. Each queue is bounded and has one goroutine, which sends in order and ends when the
-// queue has been empty for queueIdleTimeout. What exceeds a queue is dropped, and lost messages are not repeated here: the
-// replica sends again what matters.
+// outbox sends the replica's messages. Each queue is bounded and has one goroutine, which sends in order and ends
+// when the queue has been empty for queueIdleTimeout. Messages beyond the bound are dropped, and failed sends are
+// not retried here: the replica protocol resends messages that matter.
 type outbox struct {
 	pool    *transport.Pool
-	refused func(address string) // is told of a peer that refuses connections
+	refused func(address string) // called when a peer refuses connections
 
 	mu     sync.Mutex
 	closed bool
@@ -70,7 +70,7 @@
 	}
 }
 
-// run sends the messages of a queue, one after the other.
+// run sends the messages of a queue one at a time.
 func (o *outbox) run(key queueKey, queue chan replica.Envelope) {
 	timeout := controlTimeout
 	if key.bulk {
@@ -99,7 +99,7 @@
 	}
 }
 
-// removeIfEmpty removes a queue without messages. It reports whether it did, and its goroutine then has to end.
+// removeIfEmpty removes a queue if it is empty, and reports whether it did. If so, the queue's goroutine must end.
 func (o *outbox) removeIfEmpty(key queueKey, queue chan replica.Envelope) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -110,7 +110,7 @@
 	return true
 }
 
-// close lets the goroutines send what is queued and then end. It does not wait for them.
+// close makes the goroutines end after sending the queued messages. It does not wait for them.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fleet/controlplane/outbox_test.go
+++ b/internal/fleet/controlplane/outbox_test.go
@@ -10,8 +10,9 @@
 	"linenwheel.dev/linenwheel/internal/loopback"
 )
 
-// A peer that refuses connections has no process: the replica must learn that at once, and not by the peer's silence.
-func TestOutboxReportsAPeerThatRefusesConnections(t *testing.T) {
+// No process runs at a peer that refuses connections. The replica must be notified at once instead of waiting for
+// the peer's heartbeats to time out.
+func TestOutboxReportsPeerThatRefusesConnections(t *testing.T) {
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
 	refused := make(chan string, 1)
--- a/internal/fleet/controlplane/ownership.go
+++ b/internal/fleet/controlplane/ownership.go
@@ -10,31 +10,32 @@
 	"linenwheel.dev/linenwheel/internal/fleet/routing"
 )
 
-// Parameters of the ownership of quota buckets. At most one process may grant from a tenant's bucket at a time: an owner stops
-// when its view has not been confirmed for maxViewAge, and the owner of a later view begins only when that has passed, with a
-// fifth more for the clocks.
+// Parameters of the ownership of quota buckets. At most one process may grant from a tenant's bucket at a time: an
+// owner stops granting when its view has not been confirmed for maxViewAge, and the owner in a later view starts
+// only after that time plus a fifth, which allows for differences between the clocks.
 const (
 	maxViewAge            = 600 * time.Millisecond
 	takeoverDelay         = maxViewAge * 12 / 10
-	bucketTransferTimeout = 150 * time.Millisecond // in which a bucket comes from an owner that is there
-	ownershipInterval     = 100 * time.Millisecond // between mirrored copies of the buckets
+	bucketTransferTimeout = 150 * time.Millisecond // within which a live previous owner transfers a bucket
+	ownershipInterval     = 100 * time.Millisecond // between updates of the bucket mirrors
 )
 
-// ownership is how long this process has been the owner of a tenant's bucket.
+// ownership records since when this process has been the owner of a tenant's bucket.
 type ownership struct {
-	epoch          uint64 // of the view that made it the owner
+	epoch          uint64 // of the view that made this process the owner
 	since          time.Duration
-	allInViewSince time.Duration // since when all other voters are known to be in this view; 0 = not yet
+	allInViewSince time.Duration // since when all other voters have been known to be in this view; 0 = not yet
 }
 
-// QuotaOwner returns the address of the member that owns a tenant's bucket. The next in the order of the rendezvous hash is
-// the deputy, and becomes the owner when the chain loses the first.
+// QuotaOwner returns the address of the member that owns a tenant's bucket: the first by rendezvous hash. The next
+// one is the deputy, which becomes the owner when the first leaves the chain.
 func QuotaOwner(chain []replica.Member, tenant string) string {
 	return routing.Rendezvous(tenant, addresses(chain))
 }
 
-// mayGrant reports whether this process is the owner of a tenant's bucket, and certainly the only one. It also records in
-// n.ownerships since when the view has named this process, so reconcileBuckets calls it at each interval. Node.mu is held.
+// mayGrant reports whether this process owns a tenant's bucket and no other process can believe that it does. It
+// also records in n.ownerships since when this process has been the owner in the view, which is why
+// reconcileBuckets calls it at each interval. Node.mu must be held.
 func (n *Node) mayGrant(published Published, tenant string, now time.Duration) bool {
 	if QuotaOwner(published.View.Chain, tenant) != published.Self.Address {
 		delete(n.ownerships, tenant)
@@ -46,8 +47,9 @@
 	return n.buckets.Owns(tenant) || n.mayAssumeOwnership(published, tenant, now)
 }
 
-// mayAssumeOwnership reports whether no other process can still grant from a tenant's bucket: all are in this view and have had time
-// to transfer the bucket, or so much time has passed that none of them can be confirmed in an earlier view. Node.mu is held.
+// mayAssumeOwnership reports whether no other process can still grant from a tenant's bucket: either all voters
+// have been in this view long enough to transfer the bucket, or takeoverDelay has passed, after which none of them
+// can still have a confirmed earlier view. Node.mu must be held.
 func (n *Node) mayAssumeOwnership(published Published, tenant string, now time.Duration) bool {
 	owned, known := n.ownerships[tenant]
 	if !known || owned.epoch != published.View.Epoch {
@@ -62,8 +64,9 @@
 	return owned.allInViewSince > 0 && now-owned.allInViewSince >= bucketTransferTimeout || now-owned.since >= takeoverDelay
 }
 
-// runOwnership keeps the buckets in accordance with the view until the context ends: it makes those of the tenants that this
-// process owns, transfers those that it no longer does, and mirrors them to the members that may own them next.
+// runOwnership keeps the buckets consistent with the view until the context is done: it creates the buckets that
+// this process owns, transfers those that it no longer owns, and mirrors its buckets to the members that may own
+// them next.
 func (n *Node) runOwnership(ctx context.Context) {
 	for ctx.Err() == nil {
 		published, changed := n.replicator.Published()
@@ -81,8 +84,8 @@
 	}
 }
 
-// reconcileBuckets makes the missing buckets of the tenants that this process owns, and removes and returns those that have
-// another owner.
+// reconcileBuckets creates the missing buckets of the tenants that this process owns. It removes and returns the
+// buckets that now have another owner.
 func (n *Node) reconcileBuckets(published Published) []quota.BucketState {
 	now := n.now()
 	document := published.State.Document
@@ -106,26 +109,27 @@
 	return transfers
 }
 
-// mirrorBuckets sends copies of this process's buckets to the other members of the chain. What is lost is not sent again, since
-// the next copies follow after ownershipInterval.
+// mirrorBuckets sends copies of this process's buckets to the other members of the chain. A failed call is not
+// retried, because the next copies follow after ownershipInterval.
 func (n *Node) mirrorBuckets(published Published) {
 	n.mu.Lock()
-	reflection := quota.Mirrors{Epoch: published.View.Epoch, Buckets: n.buckets.Buckets(n.now())}
+	mirrors := quota.Mirrors{Epoch: published.View.Epoch, Buckets: n.buckets.Buckets(n.now())}
 	n.mu.Unlock()
-	if len(reflection.Buckets) == 0 || n.now()-published.ViewConfirmed > maxViewAge {
+	if len(mirrors.Buckets) == 0 || n.now()-published.ViewConfirmed > maxViewAge {
 		return
 	}
 	for _, member := range published.View.Chain {
 		if member != published.Self {
 			go func() {
 				var none struct{}
-				_ = n.pool.Call(member.Address, quota.MethodMirror, &reflection, &none, ownershipInterval)
+				_ = n.pool.Call(member.Address, quota.MethodMirror, &mirrors, &none, ownershipInterval)
 			}()
 		}
 	}
 }
 
-// transferBucket sends a bucket to its new owner. Where it is lost, the new owner begins from its mirror.
+// transferBucket sends a bucket to its new owner. If the call fails, the new owner starts from its mirror of the
+// bucket.
 func (n *Node) transferBucket(owner string, transfer quota.BucketState) {
 	var none struct{}
 	if err := n.pool.Call(owner, quota.MethodTransfer, &transfer, &none, bucketTransferTimeout); err != nil {
--- a/internal/fleet/controlplane/ownership_test.go
+++ b/internal/fleet/controlplane/ownership_test.go
@@ -18,7 +18,7 @@
 	published.AllVotersInView = true
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	require.False(t, n.mayGrant(published, "t", now), "the owner before may still transfer its bucket")
+	require.False(t, n.mayGrant(published, "t", now), "the previous owner may still transfer its bucket")
 	require.True(t, n.mayGrant(published, "t", now+bucketTransferTimeout))
 	require.False(t, n.mayGrant(published, "t", now+maxViewAge+time.Millisecond))
 	published.ViewConfirmed = now + time.Second
@@ -34,10 +34,10 @@
 	n := newSingleNode(t, 0, 0)
 	service := &quotaService{n}
 	published, _ := n.replicator.Published()
-	handed := quota.BucketState{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
-	require.NoError(t, service.HandOver(&handed, &struct{}{}))
+	transfer := quota.BucketState{Epoch: published.View.Epoch - 1, Tenant: "t", Level: 5, Rate: 1, Burst: 10}
+	require.NoError(t, service.HandOver(&transfer, &struct{}{}))
 	require.False(t, n.buckets.Owns("t"))
-	handed.Epoch++
-	require.NoError(t, service.HandOver(&handed, &struct{}{}))
+	transfer.Epoch++
+	require.NoError(t, service.HandOver(&transfer, &struct{}{}))
 	require.True(t, n.buckets.Owns("t"))
 }
--- a/internal/fleet/controlplane/poll.go
+++ b/internal/fleet/controlplane/poll.go
@@ -10,15 +10,15 @@
 
 // Parameters of the long poll.
 const (
-	maxPollWait = 2 * time.Second       // for something new
-	eventDelay  = 30 * time.Millisecond // before an answer with events only, so that it takes several
-	sessionTTL  = 3 * time.Second       // how long a node of the data plane counts as live after its last poll
+	maxPollWait = 2 * time.Second       // for a change
+	eventDelay  = 30 * time.Millisecond // before a reply that holds only events, so that it batches several
+	sessionTTL  = 3 * time.Second       // how long a data plane node counts as live after its last poll
 )
 
-// distributionService serves the nodes of the data plane: Poll here, Announce and Relay in forwarder.go.
+// distributionService serves the data plane nodes: Poll here, Announce and Relay in forwarder.go.
 type distributionService struct{ node *Node }
 
-// Poll answers a node of the data plane as soon as there is something new for it, or after the time that the request allows.
+// Poll replies to a data plane node as soon as there is a change for it, or after the wait that the request allows.
 func (s *distributionService) Poll(request *distribution.PollRequest, reply *distribution.PollReply) error {
 	n := s.node
 	n.awaitChange(request)
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// awaitChange returns when there is something new for a node, or when its poll has waited for long enough.
+// awaitChange returns when there is a change for the polling node or when the poll's wait has elapsed.
 func (n *Node) awaitChange(request *distribution.PollRequest) {
 	deadline := time.NewTimer(min(request.Hold, maxPollWait))
 	defer deadline.Stop()
@@ -53,7 +53,7 @@
 	}
 }
 
-// fillReply writes what the polling node does not have yet.
+// fillReply writes the changes that the polling node does not have yet.
 func (n *Node) fillReply(request *distribution.PollRequest, reply *distribution.PollReply) {
 	published, _ := n.replicator.Published()
 	now := n.now()
@@ -66,12 +66,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sessions[request.Session] = now
-	// An estimate: every member of the chain is taken to have as many sessions as this process.
+	// An estimate: every member of the chain is assumed to have as many sessions as this process.
 	reply.Sessions, reply.Leaving = len(n.sessions)*max(1, len(published.View.Chain)), n.leaving
 	reply.RegistryOwner, reply.RegistryVersion = n.registryOwner, n.registry.Version()
-	reply.RegistryAge = now // the registry is as old as the process, and so is its clock
+	reply.RegistryAge = now // the registry and the clock both start with the process
 	since := request.RegistryVersion
-	if request.RegistryOwner != n.registryOwner { // the node's version counts another replica's changes
+	if request.RegistryOwner != n.registryOwner { // the node's version counts the changes of another replica
 		since, reply.Whole = 0, true
 	} else {
 		reply.Events = n.events.packNewFor(now, request.EventSeq, request.Session)
@@ -80,14 +80,14 @@
 	reply.Records = n.registry.ChangedSince(now, since)
 }
 
-// registryConfirmation returns how long ago this process's registry certainly had every acknowledged change, and false where it never
-// had.
+// registryConfirmation returns how long ago this process's registry was last known to contain every acknowledged
+// change, and false if it never was.
 func (n *Node) registryConfirmation(published *Published, now time.Duration) (confirmed bool, age time.Duration) {
 	at := n.gossip.registryConfirmedAt(&published.View, published.Self)
 	return at > 0, max(0, now-at)
 }
 
-// controlMembers returns the processes of the control plane: the chain, head first, then the other voters.
+// controlMembers returns the control plane's processes: the chain, head first, then the other voters.
 func (n *Node) controlMembers(view replica.View) []distribution.ControlMember {
 	var members []distribution.ControlMember
 	for _, member := range view.Chain {
@@ -101,7 +101,7 @@
 	return members
 }
 
-// expireSessions removes the nodes of the data plane that have not polled for sessionTTL. Node.mu is held.
+// expireSessions removes the data plane nodes that have not polled for sessionTTL. Node.mu must be held.
 func (n *Node) expireSessions() {
 	for session, polled := range n.sessions {
 		if n.now()-polled > sessionTTL {
--- a/internal/fleet/controlplane/poll_test.go
+++ b/internal/fleet/controlplane/poll_test.go
@@ -30,7 +30,7 @@
 	far, _ := poll(t, n, first)
 	document, patches = readUpdate(t, far)
 	require.Empty(t, patches)
-	require.NotEmpty(t, document, "a node that is far behind gets the whole document")
+	require.NotEmpty(t, document, "a node that is far behind receives the full document")
 	again, _ := poll(t, n, first)
 	require.Same(t, &far.Update[0], &again.Update[0], "the update is encoded once for all nodes")
 }
@@ -42,8 +42,9 @@
 	return document, patches
 }
 
-// TestPollReplySizeDoesNotGrowWithFleet holds the slopes of docs/CAPACITY.md: the reply to a node that has everything, and the
-// reply with one change, do not grow with the fleet. Only the first reply does, by its records.
+// TestPollReplySizeDoesNotGrowWithFleet checks the growth rates in docs/CAPACITY.md: neither the reply to an
+// up-to-date node nor the reply with a single change grows with the fleet. Only the first reply does, by its
+// records.
 func TestPollReplySizeDoesNotGrowWithFleet(t *testing.T) {
 	type sizes struct{ full, idle, change int }
 	measure := func(nodes, backends int) sizes {
@@ -60,7 +61,7 @@
 	small, large := measure(5, 10), measure(500, 1000)
 	require.InDelta(t, small.idle, large.idle, 16)
 	require.InDelta(t, small.change, large.change, 16)
-	require.Less(t, large.full-small.full, 990*100, "bytes by record of the first reply")
+	require.Less(t, large.full-small.full, 990*100, "the first reply must grow by less than 100 bytes per record")
 }
 
 func TestPollReplyAllocationsDoNotGrowWithFleet(t *testing.T) {
--- a/internal/fleet/controlplane/published.go
+++ b/internal/fleet/controlplane/published.go
@@ -8,7 +8,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// Published is a copy of the replica's state for the rest of the process. It is read only. Its times are those of the
+// Published is a read-only copy of the replica's state for the rest of the process. Times are those of the
 // replicator's clock, 0 for never.
 type Published struct {
 	Self            replica.Member
@@ -16,21 +16,22 @@
 	Healthy         bool   // the disk can be written to
 	Seq             uint64 // of State
 	State           *operator.State
-	ViewConfirmed   time.Duration // when the view was certainly the newest one
-	StateConfirmed  time.Duration // when State was certainly the newest committed one
+	ViewConfirmed   time.Duration // latest time at which the view is known to have been the newest one
+	StateConfirmed  time.Duration // latest time at which State is known to have been the newest committed one
 	AllVotersInView bool          // every other voter is known to be in this view
-	Released        bool          // this member has been replaced and may end
+	Released        bool          // this member has been replaced and may exit
 	Standby         []replica.Member
-	CaughtUp        bool // this member has the state with which the view began, and what followed as far as it knows
+	CaughtUp        bool // this member has the view's initial state and all later orders that it knows of
 	log             replica.Log
 }
 
-// source returns the configuration as polls are answered from it.
+// source returns the configuration in the form from which polls are answered.
 func (p *Published) source() *distribution.Source {
 	return &distribution.Source{Seq: p.Seq, State: p.State, ConfirmedAt: p.StateConfirmed, Orders: p.OrdersSince}
 }
 
-// OrdersSince returns the committed orders after one sequence number up to another, nil where the log no longer has them all.
+// OrdersSince returns the committed orders with sequence numbers greater than from, up to and including to, or nil
+// if the log no longer contains them all.
 func (p *Published) OrdersSince(from, to uint64) []operator.Order {
 	entries := p.log.Entries(from, to)
 	if entries == nil {
@@ -43,15 +44,16 @@
 	return orders
 }
 
-// Published returns the newest published state, and a channel that is closed when another configuration or view is published,
-// or when the state is confirmed for the first time.
+// Published returns the latest published state, and a channel that is closed when another configuration or view is
+// published or when the state is confirmed for the first time.
 func (r *Replicator) Published() (Published, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.published, r.changed
 }
 
-// publish publishes the machine's state. It is called by the goroutine of Run, and before that starts.
+// publish publishes the machine's state. It is called only by the goroutine of Run and before that goroutine
+// starts.
 func (r *Replicator) publish() {
 	seq, state := r.machine.Committed()
 	next := Published{
--- a/internal/fleet/controlplane/quotaservice.go
+++ b/internal/fleet/controlplane/quotaservice.go
@@ -6,8 +6,8 @@
 
 type quotaService struct{ node *Node }
 
-// Take answers a node's request for quota. Where this process neither owns the tenant's bucket nor may act as its deputy, the
-// reply stays empty, and the node turns to another process.
+// Take serves a node's request for quota. If this process neither owns the tenant's bucket nor may act as its
+// deputy, the reply stays empty and the node tries another process.
 func (s *quotaService) Take(request *quota.AcquireRequest, reply *quota.AcquireReply) error {
 	n := s.node
 	published, _ := n.replicator.Published()
@@ -18,24 +18,25 @@
 	case n.mayGrant(published, request.Tenant, now):
 		*reply = n.buckets.Acquire(now, request)
 	case request.Deputy || QuotaOwner(published.View.Chain, request.Tenant) == published.Self.Address:
-		*reply = n.buckets.AcquireAsDeputy(now, request) // also while the owner before may not have stopped yet
+		*reply = n.buckets.AcquireAsDeputy(now, request) // also while the previous owner may still grant
 	}
 	return nil
 }
 
-// Reflect updates the mirrors of another owner's buckets. Those of an earlier view are ignored.
-func (s *quotaService) Reflect(reflection *quota.Mirrors, _ *struct{}) error {
+// Reflect updates the mirrors of another owner's buckets. Mirrors from an earlier view are ignored.
+func (s *quotaService) Reflect(mirrors *quota.Mirrors, _ *struct{}) error {
 	n := s.node
 	published, _ := n.replicator.Published()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if reflection.Epoch >= published.View.Epoch {
-		n.buckets.UpdateMirrors(n.now(), reflection.Buckets)
+	if mirrors.Epoch >= published.View.Epoch {
+		n.buckets.UpdateMirrors(n.now(), mirrors.Buckets)
 	}
 	return nil
 }
 
-// HandOver accepts a bucket from its owner before. One of a later view is accepted too: this process will learn of that view.
+// HandOver accepts a bucket from its previous owner. A bucket from a later view is accepted too, because this
+// process will learn of that view.
 func (s *quotaService) HandOver(transfer *quota.BucketState, _ *struct{}) error {
 	n := s.node
 	published, _ := n.replicator.Published()
--- a/internal/fleet/controlplane/replicator.go
+++ b/internal/fleet/controlplane/replicator.go
@@ -15,40 +15,40 @@
 // Parameters of the replicator.
 const (
 	tickInterval        = 50 * time.Millisecond
-	startupTickInterval = 15 * time.Millisecond // until the state is confirmed for the first time,
-	maxStartup          = 2 * time.Second       // but no longer than this
+	startupTickInterval = 15 * time.Millisecond // until the state is confirmed for the first time
+	maxStartup          = 2 * time.Second       // after which tickInterval applies even without that confirmation
 	inboxSize           = 512
-	diskRetryInterval   = 500 * time.Millisecond // between attempts to write to a disk that failed
+	diskRetryInterval   = 500 * time.Millisecond // between attempts to recover a failed disk
 )
 
-// errDiskFailed says that an earlier write to the disk failed and that the disk has not recovered yet.
-var errDiskFailed = errors.New("the disk refuses writes")
+// errDiskFailed means that an earlier write to the disk failed and that the disk has not recovered yet.
+var errDiskFailed = errors.New("disk has not recovered from a failed write")
 
-// Replicator drives one replica.Machine: it gives it ticks, messages and orders, stores its records, and then sends its
-// messages. All calls of the machine are made by the goroutine of Run; the methods below pass their work to it, or read the
-// published copy of its state.
+// Replicator drives one replica.Machine: it feeds it ticks, messages and orders, stores the records that it
+// returns, and then sends its messages. Only the goroutine of Run calls the machine; the methods below queue their
+// work for that goroutine or read the published copy of the state.
 type Replicator struct {
 	clock   func() time.Duration
 	log     *log.Logger
 	outbox  *outbox
-	store   *storage.Store // nil: the state does not outlive the process
+	store   *storage.Store // nil: the state is lost when the process ends
 	machine *replica.Machine
 	inbox   chan func()
 	stopped chan struct{}
 
 	// Owned by the goroutine of Run.
-	submissions   map[uint64]chan<- submitResult // orders without a result, by their IDs
+	submissions   map[uint64]chan<- submitResult // orders that await their result, by ID
 	confirmations confirmations
 	lastID        uint64
-	diskFailedAt  time.Duration // the last failure or attempt to recover
+	diskFailedAt  time.Duration // time of the last failure or attempt to recover
 
 	mu        sync.Mutex
 	published Published
 	changed   chan struct{} // closed and replaced by publish
 }
 
-// NewReplicator returns a replicator that Run drives. The clock is monotonic and always above 0. A nil store stands for a
-// member without a disk.
+// NewReplicator returns a replicator, which works once Run is called. The clock must be monotonic and always
+// greater than 0. A nil store means a member without a disk.
 func NewReplicator(clock func() time.Duration, logger *log.Logger, pool *transport.Pool, store *storage.Store,
 	machine *replica.Machine) *Replicator {
 	r := &Replicator{
@@ -66,14 +66,14 @@
 	return r
 }
 
-// connectionRefused tells the replica of a peer that refuses connections.
+// connectionRefused notifies the replica that a peer refuses connections.
 func (r *Replicator) connectionRefused(address string) {
 	r.enqueue(func() {
 		r.step(func(now time.Duration) replica.Ready { return r.machine.ConnectionRefused(now, address) })
 	})
 }
 
-// Run drives the replica until Stop.
+// Run drives the replica until Stop is called.
 func (r *Replicator) Run() {
 	ticker := time.NewTicker(startupTickInterval)
 	defer ticker.Stop()
@@ -99,13 +99,13 @@
 	}
 }
 
-// Stop ends Run. It may be called once.
+// Stop ends Run. It must be called at most once.
 func (r *Replicator) Stop() {
 	close(r.stopped)
 	r.outbox.close()
 }
 
-// enqueue passes work to the goroutine of Run. It returns false, and drops the work, where too much is queued already.
+// enqueue queues work for the goroutine of Run. If the inbox is full, it drops the work and returns false.
 func (r *Replicator) enqueue(work func()) bool {
 	select {
 	case r.inbox <- work:
@@ -115,26 +115,27 @@
 	}
 }
 
-// Deliver passes another member's message to the replica. It may be dropped: the replicas send again what matters.
+// Deliver passes another member's message to the replica. The message may be dropped: the replica protocol resends
+// messages that matter.
 func (r *Replicator) Deliver(envelope replica.Envelope) {
 	r.enqueue(func() {
 		r.step(func(now time.Duration) replica.Ready { return r.machine.Step(now, envelope) })
 	})
 }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the seed addresses.
 func (r *Replicator) SetSeeds(addresses []string) {
 	r.enqueue(func() { r.machine.SetSeeds(addresses) })
 }
 
-// Leave makes the other members replace this one. Published.Released reports when they have.
+// Leave asks the other members to replace this one. Published.Released reports when they have done so.
 func (r *Replicator) Leave() {
 	r.enqueue(func() { r.step(r.machine.Leave) })
 }
 
-// step runs the machine, stores the records that it returns, and only then sends its messages and replies: a message may
-// promise what must survive a crash. Where the write fails, the step is rolled back and nothing is sent, as if it had not
-// been made. Messages to this member itself are further steps.
+// step runs the machine, stores the records that it returns, and only then sends its messages and replies, because
+// a message may rely on state that must survive a crash. If the write fails, the step is rolled back and nothing
+// is sent, as if the step had not taken place. Messages from this member to itself are processed as further steps.
 func (r *Replicator) step(run func(now time.Duration) replica.Ready) {
 	pending := []func(time.Duration) replica.Ready{run}
 	for len(pending) > 0 {
@@ -158,7 +159,7 @@
 			r.outbox.send(envelope)
 		}
 		if len(ready.Replies) > 0 {
-			r.publish() // before the replies: whoever learns that an order was committed must find it in Published
+			r.publish() // before the replies: a caller that receives one must find the committed order in Published
 		}
 		for _, reply := range ready.Replies {
 			r.resolve(reply)
@@ -166,7 +167,8 @@
 	}
 }
 
-// write stores records. It returns errDiskFailed without an attempt while the disk has not recovered from a failure.
+// write stores records. While the disk has not recovered from a failure, it returns errDiskFailed without
+// attempting a write.
 func (r *Replicator) write(records []replica.Record) error {
 	switch {
 	case r.store == nil || len(records) == 0:
@@ -177,7 +179,8 @@
 	return r.store.Write(records)
 }
 
-// recoverDisk checks every diskRetryInterval whether a disk that failed can be written to, and then lets the machine go on.
+// recoverDisk checks every diskRetryInterval whether a failed disk is writable again, and if so marks the machine
+// healthy.
 func (r *Replicator) recoverDisk() {
 	if r.machine.Healthy() || r.clock()-r.diskFailedAt < diskRetryInterval {
 		return
@@ -192,7 +195,7 @@
 	r.machine.SetHealthy()
 }
 
-// logRecords logs the views and snapshots that were stored.
+// logRecords logs the stored views and snapshots.
 func (r *Replicator) logRecords(records []replica.Record) {
 	for _, record := range records {
 		switch record := record.(type) {
@@ -205,7 +208,6 @@
 	}
 }
 
-// addresses returns the members' addresses.
 func addresses(members []replica.Member) []string {
 	result := make([]string, len(members))
 	for i, member := range members {
--- a/internal/fleet/controlplane/services.go
+++ b/internal/fleet/controlplane/services.go
@@ -6,10 +6,10 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// The methods of the internal calls between control processes. These names, those of the services and those of the fields
-// below are on the wire: another version of this program uses them too.
+// Methods of the internal calls between control processes. The names of methods, services and the fields below are
+// part of the wire format, which processes of other versions use too.
 const (
-	// MethodDeliver is the method by which members send each other the replica's messages.
+	// MethodDeliver is the method by which members send the replica's messages to each other.
 	MethodDeliver = "Peer.Deliver"
 
 	methodSubmit = "Operator.Submit"
@@ -17,7 +17,7 @@
 	methodGossip = "Registry.Exchange"
 )
 
-// services returns the services that this process serves on its internal port, by name.
+// services returns the RPC services of the internal port, by name.
 func (n *Node) services() map[string]any {
 	return map[string]any{
 		"Peer":         &peerService{n},
@@ -38,7 +38,7 @@
 
 type registryService struct{ node *Node }
 
-// Exchange merges another control process's records and returns those that changed here.
+// Exchange merges another control process's records and returns those that have changed here.
 func (s *registryService) Exchange(request *ExchangeRequest, reply *ExchangeReply) error {
 	s.node.gossip.handleExchange(request, reply)
 	return nil
@@ -46,7 +46,8 @@
 
 type operatorService struct{ node *Node }
 
-// SubmitReply is the outcome of an order. An error is sent as its kind and text, since net/rpc would keep the text only.
+// SubmitReply is the outcome of an order. An error is sent as kind and text, because net/rpc would transmit only
+// the text.
 type SubmitReply struct {
 	Revision int64
 	Failed   bool
@@ -54,7 +55,7 @@
 	Detail   string
 }
 
-// Submit submits an order to this process as the head of the chain.
+// Submit submits an order to this process, which must be the head of the chain.
 func (s *operatorService) Submit(order *operator.Order, reply *SubmitReply) error {
 	revision, err := s.node.replicator.Submit(*order, submitTimeout)
 	reply.Revision = revision
@@ -64,10 +65,10 @@
 	return nil
 }
 
-// ReadReply is the newest configuration, as JSON.
+// ReadReply is the newest committed configuration as JSON.
 type ReadReply struct{ Document []byte }
 
-// Read returns the newest configuration, read from this process as the tail of the chain.
+// Read returns the newest committed configuration from this process, which must be the tail of the chain.
 func (s *operatorService) Read(_ *struct{}, reply *ReadReply) error {
 	state, err := s.node.replicator.Read()
 	if err != nil {
--- a/internal/fleet/controlplane/shutdown.go
+++ b/internal/fleet/controlplane/shutdown.go
@@ -10,14 +10,15 @@
 
 // Parameters of the graceful shutdown.
 const (
-	drainDelay              = 300 * time.Millisecond // in which nodes of the data plane turn to other control processes
+	drainDelay              = 300 * time.Millisecond // in which data plane nodes switch to other control processes
 	replacementPollInterval = 25 * time.Millisecond
-	graceReserve            = 2 * time.Second // of the grace until the process is killed, kept for what follows the replacement
+	graceReserve            = 2 * time.Second // of the grace period, reserved for the shutdown after the replacement
 	shutdownTimeout         = 500 * time.Millisecond
 )
 
-// leave shuts down in order: the nodes of the data plane turn to other control processes, the other members replace this one,
-// and only then does it end its calls. The context is Run's, which has ended: only its values are used.
+// leave shuts down gracefully: the data plane nodes switch to other control processes, the other members replace
+// this one, and only then are the servers closed. The context is that of Run, which is already done: only its
+// values are used.
 func (n *Node) leave(ctx context.Context, server *http.Server, internal net.Listener) error {
 	n.log.Info("shutdown started")
 	n.mu.Lock()
@@ -30,14 +31,14 @@
 	defer cancel()
 	err := server.Shutdown(ctx)
 	n.replicator.Stop()
-	if errors.Is(err, context.DeadlineExceeded) { // long polls that are still open end with the process
+	if errors.Is(err, context.DeadlineExceeded) { // requests that are still open end with the process
 		err = nil
 	}
 	return errors.Join(err, internal.Close())
 }
 
-// awaitReplacement waits until the other members go on without this one. A member that is one of the last replicas, or whose
-// vote no other process can take, stays for as long as the platform's grace allows.
+// awaitReplacement waits until the other members have replaced this one. A member that is one of the last
+// replicas, or whose vote no other process can take over, stays for as long as the platform's grace period allows.
 func (n *Node) awaitReplacement() {
 	time.Sleep(drainDelay)
 	deadline := time.Now().Add(n.settings.Bounds.Grace - graceReserve - drainDelay)
@@ -48,5 +49,5 @@
 		}
 		time.Sleep(replacementPollInterval)
 	}
-	n.log.Warn("failed to be replaced before the end of the grace")
+	n.log.Warn("failed to be replaced before the end of the grace period")
 }
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// statusBody is the process's status for people and scripts. The keys are public: operators' scripts read them.
+// statusBody is the body of the status response. The keys are public: operators' scripts read them.
 type statusBody struct {
-	Member        string   // the internal address
+	Member        string   // internal address
 	Epoch         uint64   // of the view
-	Chain         []string // the head first
+	Chain         []string // head first
 	Voters        []string
-	Standby       []string // caught up, and ready to replace a voter
+	Standby       []string // caught up and ready to replace a voter
 	InChain       bool
-	CaughtUp      bool  // this process has the state with which the view began
+	CaughtUp      bool  // this process has the view's initial state and all later orders that it knows of
 	Healthy       bool  // its disk can be written to
 	Revision      int64 // of the committed configuration
 	Seq           uint64
 	ViewConfirmed string // age of the last confirmation that the view is the newest one, or "never"
 	Backends      int    `json:"Raters"`
-	Sessions      int    // nodes of the data plane that poll here
+	Sessions      int    // data plane nodes that poll this process
 }
 
 func (n *Node) handleStatus(w http.ResponseWriter, _ *http.Request) {
--- a/internal/fleet/controlplane/submit.go
+++ b/internal/fleet/controlplane/submit.go
@@ -8,7 +8,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/replica"
 )
 
-// confirmTimeout is how long a rejection or a read waits for its confirmation.
+// confirmTimeout bounds the time for which a rejection or a read waits for its confirmation.
 const confirmTimeout = 700 * time.Millisecond
 
 // submitResult is the outcome of an order.
@@ -17,11 +17,12 @@
 	err      error
 }
 
-// Submit submits an order to this member as the head of the chain, and returns the revision when it is committed. An error of
-// the kind OutcomeUnknown says that the order may have been committed or may still be.
+// Submit submits an order to this member, which must be the head of the chain, and returns the revision once the
+// order is committed. An error of kind OutcomeUnknown means that the order may have been committed or may still
+// be.
 func (r *Replicator) Submit(order operator.Order, timeout time.Duration) (int64, error) {
 	result := make(chan submitResult, 1)
-	var id uint64 // read and written by the goroutine of Run only
+	var id uint64 // accessed only by the goroutine of Run
 	queued := r.enqueue(func() {
 		r.lastID++
 		id = r.lastID
@@ -45,8 +46,8 @@
 	}
 }
 
-// Read returns the newest committed state, confirmed after this call began, from this member as the tail of the chain. Its
-// errors have the kind OutcomeUnknown.
+// Read returns the newest committed state from this member, which must be the tail of the chain. The state is
+// confirmed after the call began. Errors are of kind OutcomeUnknown.
 func (r *Replicator) Read() (*operator.State, error) {
 	result := make(chan *operator.State, 1)
 	queued := r.enqueue(func() {
@@ -69,9 +70,9 @@
 	}
 }
 
-// confirmations are the answers that wait until a majority of the voters has confirmed that this member's view is the newest
-// one, at a time after the call came. A member that has been replaced without knowing it must neither reject an order nor
-// answer a read from its old state. They are owned by the goroutine of Run.
+// confirmations holds the rejections and reads that wait until a majority of the voters has confirmed, after the
+// call arrived, that this member's view is the newest one. A member that has been replaced without knowing it must
+// neither reject an order nor answer a read from its stale state. It is owned by the goroutine of Run.
 type confirmations struct {
 	rejections []pendingRejection
 	reads      []pendingRead
@@ -84,11 +85,11 @@
 
 type pendingRead struct {
 	since  time.Duration
-	result chan<- *operator.State // receives nil where the state could not be confirmed in time
+	result chan<- *operator.State // receives nil if the state could not be confirmed in time
 }
 
-// resolve sends an order's result to Submit. A rejection that is not confirmed yet is kept until it is, and a heartbeat is
-// sent so that this comes soon.
+// resolve sends an order's result to Submit. A rejection that is not confirmed yet is kept until it is, and a
+// heartbeat is sent to obtain the confirmation soon.
 func (r *Replicator) resolve(reply replica.Reply) {
 	if reply.Unconfirmed {
 		r.confirmations.rejections = append(r.confirmations.rejections, pendingRejection{reply, r.clock()})
@@ -101,7 +102,7 @@
 	}
 }
 
-// resolveConfirmed resolves the rejections and reads that have been confirmed or whose time is over.
+// resolveConfirmed resolves the rejections and reads that have been confirmed or have timed out.
 func (r *Replicator) resolveConfirmed() {
 	r.resolveRejections()
 	r.resolveReads()
@@ -114,7 +115,7 @@
 	for _, rejection := range rejections {
 		reply := rejection.reply
 		switch {
-		case r.machine.View().Epoch != reply.Epoch: // the state that it was decided on may not have been the newest one
+		case r.machine.View().Epoch != reply.Epoch: // the order may have been rejected on the basis of a stale state
 			r.resolve(replica.Reply{ID: reply.ID, Err: errkind.New(errkind.OutcomeUnknown, "the view changed meanwhile")})
 		case confirmed > rejection.since:
 			reply.Unconfirmed = false
