--- a/internal/fleet/distribution/clientstate.go
+++ b/internal/fleet/distribution/clientstate.go
@@ -13,15 +13,15 @@
 
 const (
 	leaseFraction = 0.9              // of the revocation time, for which a confirmed configuration may be used
-	unlistedTTL   = 15 * time.Second // the age of a registry from which on a backend that it does not list has ended
+	unlistedTTL   = 15 * time.Second // age of a registry at which a backend that it does not list is taken to be gone
 )
 
-// errMissingBase says that patches came for a configuration that the node does not have.
-var errMissingBase = errors.New("patches without the configuration that they build on")
+// errMissingBase means that patches were received for a configuration that the node does not have.
+var errMissingBase = errors.New("received patches without their base configuration")
 
-// ClientState is a node's copy of what the control plane distributes, built from the replies to its polls. It is pure, and
-// not safe for concurrent use. The configuration never goes backward in it, and neither does the lifecycle of a backend that
-// it has, whichever control processes the node polls.
+// ClientState is a node's copy of the state that the control plane distributes, built from the replies to the
+// node's polls. It is pure and not safe for concurrent use. Whichever control processes the node polls, neither
+// the configuration nor the lifecycle of a known backend ever moves backward.
 type ClientState struct {
 	failClosed    bool
 	leaseDuration time.Duration
@@ -29,11 +29,11 @@
 	seq              uint64 // of the configuration
 	state            *operator.State
 	table            *operator.Table // state, compiled
-	needFullDocument bool            // an update could not be applied: the next poll requests the whole document
+	needFullDocument bool            // an update could not be applied: the next poll requests the full document
 	confirmed        bool            // by the last reply
 	leaseEnd         time.Duration
 
-	registryOwner   uint64 // the replica of the registry whose changes registryVersion and eventSeq count
+	registryOwner   uint64 // the registry replica to which registryVersion and eventSeq belong
 	registryVersion uint64
 	eventSeq        uint64
 	backends        map[string]registry.Record // by ID
@@ -43,14 +43,14 @@
 	sessions int
 }
 
-// NewClientState returns an empty state. With failClosed, a configuration may be used only while it is known that no newer one
-// was acknowledged longer than revokeAfter ago.
+// NewClientState returns an empty state. With failClosed, a configuration may be used only as long as it is
+// certain that no newer one was acknowledged more than revokeAfter ago.
 func NewClientState(failClosed bool, revokeAfter time.Duration) *ClientState {
 	return &ClientState{failClosed: failClosed, leaseDuration: time.Duration(leaseFraction * float64(revokeAfter)),
 		backends: map[string]registry.Record{}}
 }
 
-// Request returns the next poll, whose answer may wait for so long.
+// Request returns the next poll. The control process may delay its reply for up to maxWait.
 func (c *ClientState) Request(node string, session uint64, maxWait time.Duration) PollRequest {
 	request := PollRequest{Node: node, Session: session, ConfigSeq: c.seq, RegistryOwner: c.registryOwner,
 		RegistryVersion: c.registryVersion, EventSeq: c.eventSeq, Hold: maxWait}
@@ -60,14 +60,15 @@
 	return request
 }
 
-// Change says what a reply changed.
+// Change reports which parts of the state a reply changed.
 type Change struct {
 	Config   bool
 	Backends bool
 }
 
-// Apply applies the reply to a poll that was sent at a time. Where the configuration cannot be applied, it returns the error,
-// keeps the rest as it is, and the next poll requests the whole document where a patch or the encoding was at fault.
+// Apply applies the reply to a poll that was sent at the given time. If the configuration cannot be applied, Apply
+// returns the error and leaves the rest of the state unchanged; if a patch or the encoding was invalid, the next
+// poll requests the full document.
 func (c *ClientState) Apply(sent time.Duration, reply *PollReply) (Change, error) {
 	var change Change
 	if err := c.applyConfig(reply, &change); err != nil {
@@ -75,7 +76,8 @@
 	}
 	c.confirmed = reply.Confirmed && reply.ConfigSeq == c.seq
 	if c.confirmed {
-		// The reply was written after the poll was sent: the configuration was the newest one at this time or later.
+		// The reply was written after the poll was sent, so the configuration was the newest one at this time or
+		// later.
 		newestAt := sent - reply.ConfirmedAgo
 		c.leaseEnd = max(c.leaseEnd, newestAt+c.leaseDuration)
 	}
@@ -87,7 +89,7 @@
 	return change, nil
 }
 
-// applyConfig applies the reply's update, unless the configuration is as new already.
+// applyConfig applies the reply's update, unless the current configuration is at least as new.
 func (c *ClientState) applyConfig(reply *PollReply, change *Change) error {
 	if reply.ConfigSeq < c.seq || reply.ConfigSeq == c.seq && !c.needFullDocument {
 		return nil
@@ -107,7 +109,8 @@
 	return nil
 }
 
-// updatedState returns the state of a whole document, or else the present state with patches.
+// updatedState returns the state of a full document, or, if document is nil, the current state with patches
+// applied.
 func (c *ClientState) updatedState(document []byte, patches []operator.Order) (*operator.State, error) {
 	if document != nil {
 		parsed, err := operator.ParseDocument(document)
@@ -134,7 +137,7 @@
 	return state, nil
 }
 
-// applyBackends applies the reply's records, and reports whether that changes what Backends returns.
+// applyBackends applies the reply's records and reports whether that changes the result of Backends.
 func (c *ClientState) applyBackends(reply *PollReply) bool {
 	changed := false
 	for _, record := range reply.Records {
@@ -153,10 +156,10 @@
 		c.backends[record.ID] = record
 		return record.State != registry.Removed
 	}
-	if record.Sequence < known.Sequence || record.State < known.State { // from a registry that is behind
+	if record.Sequence < known.Sequence || record.State < known.State { // from a stale registry replica
 		return false
 	}
-	if record.Address == "" { // it has ended, and the registry knows only its ID
+	if record.Address == "" { // the backend has deregistered, and the registry knows only its ID
 		record = known
 		record.State = registry.Removed
 	}
@@ -164,8 +167,9 @@
 	return known.State != record.State || known.Late != record.Late || known.Silent != record.Silent || known.Address != record.Address
 }
 
-// dropUnlisted removes the backends that the registry does not list, once that has been there for unlistedTTL: a younger one,
-// of a process that has just started, has not received all heartbeats yet. It reports whether there were any.
+// dropUnlisted removes the backends that the registry does not list, if the registry is at least unlistedTTL old:
+// a younger one, of a recently started process, may not have received all heartbeats yet. It reports whether any
+// backend was removed.
 func (c *ClientState) dropUnlisted(reply *PollReply) bool {
 	if reply.RegistryAge < unlistedTTL {
 		return false
@@ -180,10 +184,11 @@
 	return dropped
 }
 
-// Table returns the compiled configuration, nil before the first.
+// Table returns the compiled configuration, or nil if none has been received.
 func (c *ClientState) Table() *operator.Table { return c.table }
 
-// LeaseEnd returns the time until which the configuration may be used. It is beyond all times unless the state fails closed.
+// LeaseEnd returns the time until which the configuration may be used. Unless the state fails closed, the lease
+// never ends.
 func (c *ClientState) LeaseEnd() time.Duration {
 	if !c.failClosed {
 		return math.MaxInt64
@@ -194,8 +199,8 @@
 // Confirmed reports whether the last reply confirmed the configuration.
 func (c *ClientState) Confirmed() bool { return c.confirmed }
 
-// Backends returns the backends that have not ended and are not lost, sorted by ID. Where more than half count as lost, the
-// fault is taken to be the control plane's, and they are returned too.
+// Backends returns the backends that are neither removed nor lost, sorted by ID. If more than half count as lost,
+// a fault of the control plane is assumed, and the lost ones are returned too.
 func (c *ClientState) Backends() []registry.Record {
 	backends := make([]registry.Record, 0, len(c.backends))
 	lost := 0
@@ -215,8 +220,9 @@
 	return backends
 }
 
-// Members returns the epoch of the newest known view and its control processes: the chain, head first, then the other voters.
+// Members returns the epoch of the newest known view and its control processes: the chain, head first, then the
+// other voters.
 func (c *ClientState) Members() (epoch uint64, members []ControlMember) { return c.epoch, c.members }
 
-// Nodes returns about how many nodes of the data plane are live, 1 at least.
+// Nodes returns the approximate number of live data plane nodes, at least 1.
 func (c *ClientState) Nodes() int { return max(1, c.sessions) }
--- a/internal/fleet/distribution/clientstate_test.go
+++ b/internal/fleet/distribution/clientstate_test.go
@@ -75,11 +75,11 @@
 	broken.Update = mustEncode(nil, operator.Order{Method: http.MethodPatch, Base: 3, Body: []byte(`{`)})
 	_, err := c.Apply(time.Second, broken)
 	require.Error(t, err)
-	require.EqualValues(t, 3, c.Table().Revision, "the configuration stays")
+	require.EqualValues(t, 3, c.Table().Revision, "the configuration is kept")
 	require.Zero(t, c.Request("n", 1, 0).ConfigSeq, "the full document is requested")
 	stale := reply(1, `{"Revision":1}`, 0)
 	mustApply(t, c, time.Second, stale)
-	require.EqualValues(t, 3, c.Table().Revision, "an older configuration is ignored then too")
+	require.EqualValues(t, 3, c.Table().Revision, "an older configuration is ignored even when the full document is requested")
 	mustApply(t, c, time.Second, reply(3, `{"Revision":4}`, 0))
 	require.EqualValues(t, 4, c.Table().Revision)
 	require.EqualValues(t, 3, c.Request("n", 1, 0).ConfigSeq)
@@ -94,9 +94,9 @@
 	first := reply(1, `{"Revision":1}`, 0)
 	first.Records, first.Whole, first.RegistryOwner = []registry.Record{backendRecord("a", 4, registry.Draining)}, true, 1
 	mustApply(t, c, time.Second, first)
-	behind := reply(1, "", 0)
-	behind.Records, behind.Whole, behind.RegistryOwner = []registry.Record{backendRecord("a", 3, registry.Ready)}, true, 2
-	require.False(t, mustApply(t, c, time.Second, behind).Backends)
+	stale := reply(1, "", 0)
+	stale.Records, stale.Whole, stale.RegistryOwner = []registry.Record{backendRecord("a", 3, registry.Ready)}, true, 2
+	require.False(t, mustApply(t, c, time.Second, stale).Backends)
 	require.Equal(t, registry.Draining, c.Backends()[0].State)
 }
 
@@ -113,7 +113,7 @@
 	old.Whole, old.RegistryOwner, old.RegistryAge = true, 3, unlistedTTL
 	old.Records = []registry.Record{backendRecord("a", 5, registry.Ready)}
 	require.True(t, mustApply(t, c, 3*time.Second, old).Backends)
-	require.Len(t, c.Backends(), 1, "a registry of that age lists every live backend")
+	require.Len(t, c.Backends(), 1, "a registry that is unlistedTTL old lists every live backend")
 }
 
 func TestLostBackendsAreExcludedUnlessMajorityIsLost(t *testing.T) {
@@ -128,20 +128,20 @@
 		r := reply(1, "", 0)
 		r.RegistryOwner = 1
 		for _, id := range ids {
-			one := backendRecord(id, 1, registry.Ready)
-			one.Silent = true
-			r.Records = append(r.Records, one)
+			lost := backendRecord(id, 1, registry.Ready)
+			lost.Silent = true
+			r.Records = append(r.Records, lost)
 		}
 		return r
 	}
 	require.True(t, mustApply(t, c, time.Second, lostReply("a", "b")).Backends)
 	require.Len(t, c.Backends(), 2)
 	mustApply(t, c, time.Second, lostReply("c"))
-	require.Len(t, c.Backends(), 4, "the fault is the control plane's")
+	require.Len(t, c.Backends(), 4, "with a majority lost, a fault of the control plane is assumed")
 	back := reply(1, "", 0)
 	back.Records = []registry.Record{backendRecord("a", 2, registry.Ready)}
 	back.RegistryOwner = 1
-	require.True(t, mustApply(t, c, time.Second, back).Backends, "a heartbeat brings it back")
+	require.True(t, mustApply(t, c, time.Second, back).Backends, "a heartbeat restores a lost backend")
 }
 
 func TestPatchesWithoutBaseRequestFullDocument(t *testing.T) {
@@ -158,9 +158,9 @@
 func TestUndecodableUpdateRequestsFullDocument(t *testing.T) {
 	c := NewClientState(true, revokeAfter)
 	mustApply(t, c, time.Second, reply(1, `{"Revision":1}`, 0))
-	spoiled := reply(2, `{"Revision":2}`, 0)
-	spoiled.Update = spoiled.Update[:len(spoiled.Update)/2]
-	_, err := c.Apply(time.Second, spoiled)
+	truncated := reply(2, `{"Revision":2}`, 0)
+	truncated.Update = truncated.Update[:len(truncated.Update)/2]
+	_, err := c.Apply(time.Second, truncated)
 	require.Error(t, err)
 	require.EqualValues(t, 1, c.Table().Revision)
 	require.Zero(t, c.Request("n", 1, 0).ConfigSeq)
--- a/internal/fleet/distribution/golden_test.go
+++ b/internal/fleet/distribution/golden_test.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/wiretest"
 )
 
-func TestMessagesOfAnEarlierVersionAreUnderstood(t *testing.T) {
+func TestMessagesOfEarlierVersionAreDecoded(t *testing.T) {
 	for name, message := range map[string]any{"poll-request": &PollRequest{}, "poll-reply": &PollReply{},
 		"announcement": &Announcement{}, "relay-request": &ForwardRequest{}, "update-content": &updateContent{}} {
 		wiretest.Fill(message)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestAnUpdateOfAnEarlierVersionIsRead(t *testing.T) {
+func TestUpdateOfEarlierVersionIsDecoded(t *testing.T) {
 	orders := []operator.Order{{Method: "PATCH", Base: 7, Body: []byte(`{"Revision":8}`)}}
 	for name, content := range map[string]updateContent{
 		"update-document": {Document: []byte(`{"Revision":7}`)},
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestTheMethodsKeepTheirNames(t *testing.T) {
+func TestMethodNamesAreStable(t *testing.T) {
 	require.Equal(t, "Distribution.Poll", MethodPoll)
 	require.Equal(t, "Distribution.Announce", MethodAnnounce)
 	require.Equal(t, "Distribution.Relay", MethodForward)
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -1,6 +1,6 @@
-// Package distribution carries the configuration, the registry and the membership of the control plane to the nodes of the
-// data plane: the messages of the long poll, and the node's side of it (ClientState) with the lease on the configuration. It
-// is pure.
+// Package distribution implements the distribution of the control plane's configuration, registry and membership
+// to the data plane nodes: the messages of the long poll, and the node's side of it (ClientState) with the lease
+// on the configuration. It is pure.
 package distribution
 
 import (
@@ -9,8 +9,8 @@
 	"linenwheel.dev/linenwheel/internal/fleet/registry"
 )
 
-// The methods of the internal calls. These names and those of the fields below are on the wire: another version of this
-// program uses them too.
+// Methods of the internal calls. These names and the field names below are part of the wire format, which
+// processes of other versions use too.
 const (
 	// MethodPoll is the method of the long poll.
 	MethodPoll = "Distribution.Poll"
@@ -20,38 +20,40 @@
 	MethodForward = "Distribution.Relay"
 )
 
-// MaxRegistryConfirmationAge is the age of the registry's confirmation (PollReply.ListConfirmedAgo) from which on a node turns to another
-// control process. The control plane relies on it when it acknowledges a deregistration.
+// MaxRegistryConfirmationAge is the age of the registry's confirmation (PollReply.ListConfirmedAgo) beyond which a
+// node switches to another control process. The control plane relies on it when it acknowledges a deregistration.
 const MaxRegistryConfirmationAge = 1200 * time.Millisecond
 
-// PollRequest requests what is newer than what a node of the data plane has.
+// PollRequest requests the changes since the state that a data plane node has.
 type PollRequest struct {
 	Node            string
-	Session         uint64 // drawn at the node's start
-	ConfigSeq       uint64 // 0: the whole document is requested
-	RegistryOwner   uint64 // the replica of the registry whose changes RegistryVersion counts
+	Session         uint64 // random, chosen when the node starts
+	ConfigSeq       uint64 // 0: the full document is requested
+	RegistryOwner   uint64 // the registry replica to which RegistryVersion belongs
 	RegistryVersion uint64
-	EventSeq        uint64        // the newest of RegistryOwner's events of attempts that the node has
-	Hold            time.Duration // how long the answer may wait for something new
+	EventSeq        uint64        // sequence number of the newest attempt event of RegistryOwner that the node has
+	Hold            time.Duration // maximum time for which the reply may wait for a change
 }
 
-// PollReply returns what is newer.
+// PollReply returns the requested changes.
 type PollReply struct {
-	// Confirmed says that the configuration was certainly the newest one ConfirmedAgo before this reply was written.
+	// Confirmed means that the configuration is known to have been the newest one ConfirmedAgo before this reply
+	// was written.
 	Confirmed    bool
 	ConfirmedAgo time.Duration
 
 	ConfigSeq uint64 // of the configuration after Update
 	Update    Update // from the requested configuration
 
-	// ListConfirmed says that the registry had every acknowledged change ListConfirmedAgo before this reply was written.
+	// ListConfirmed means that the registry had every acknowledged change ListConfirmedAgo before this reply was
+	// written.
 	ListConfirmed    bool
 	ListConfirmedAgo time.Duration
 
 	RegistryOwner   uint64
 	RegistryVersion uint64
-	RegistryAge     time.Duration // since that copy of the registry was empty; not what MaxRegistryConfirmationAge bounds
-	Whole           bool          // Records are all records, not only those that changed
+	RegistryAge     time.Duration // since this replica was created empty; MaxRegistryConfirmationAge does not bound it
+	Whole           bool          // Records holds all records, not only changed ones
 	Records         []registry.Record
 
 	EventSeq uint64 // of the newest of Events
@@ -59,18 +61,18 @@
 
 	Epoch    uint64          // of the control plane's view
 	Members  []ControlMember // the chain, head first, then the other voters
-	Sessions int             // about how many nodes of the data plane are live
-	Leaving  bool            // this control process is about to end
+	Sessions int             // approximate number of live data plane nodes
+	Leaving  bool            // this control process is shutting down
 }
 
 // ControlMember is one process of the control plane.
 type ControlMember struct {
 	Address string // internal address
-	Zone    string // empty = not known
+	Zone    string // empty = unknown
 	InChain bool
 }
 
-// Announcement holds the events of one node's attempts.
+// Announcement holds the attempt events of one node.
 type Announcement struct {
 	Session uint64 // of the node that made the attempts
 	Events  []byte // in the encoding of routing.AppendEvent
--- a/internal/fleet/distribution/source.go
+++ b/internal/fleet/distribution/source.go
@@ -6,20 +6,23 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// MaxPatches is the number of orders in one update. A node that is further behind gets the whole document.
+// MaxPatches is the maximum number of orders in one update. A node that is further behind receives the full
+// document.
 const MaxPatches = 64
 
 // Source is a control process's copy of the configuration, from which it answers polls.
 type Source struct {
-	Seq         uint64 // of State, whose orders are committed
+	Seq         uint64 // of State, which contains only committed orders
 	State       *operator.State
-	ConfirmedAt time.Duration // when State was certainly the newest committed one, on the process's clock; 0 = never
-	// Orders returns the committed orders after one sequence number up to another, nil where they are not all known any more.
+	ConfirmedAt time.Duration // latest time at which State is known to have been the newest committed one; 0 = never
+	// Orders returns the committed orders with sequence numbers greater than from, up to and including to, or nil
+	// if they are no longer all available.
 	Orders func(from, to uint64) []operator.Order
 }
 
-// Answer writes into the reply what the configuration was last confirmed at and, where it is confirmed and newer than the node's,
-// the update to it as encode returns it. Where encode fails, the node keeps the configuration it has.
+// Answer writes to the reply when the configuration was last confirmed. If the configuration is confirmed and
+// newer than the node's, it also writes the update that encode returns. If encode fails, Answer returns the error,
+// and the node keeps its configuration.
 func (s *Source) Answer(now time.Duration, request *PollRequest, reply *PollReply, encode func(from uint64) (Update, error)) error {
 	reply.Confirmed = s.ConfirmedAt > 0
 	reply.ConfirmedAgo = now - s.ConfirmedAt
@@ -35,8 +38,9 @@
 	return nil
 }
 
-// Encode returns the update to the configuration from the one with a sequence number, 0 for none: the orders that lead there, or the
-// whole document where they are too many or not known any more.
+// Encode returns the update from the configuration with a sequence number, 0 for none, to the source's
+// configuration: the orders in between, or the full document if there are more than MaxPatches or they are no
+// longer all available.
 func (s *Source) Encode(from uint64) (Update, error) {
 	var patches []operator.Order
 	if from > 0 && s.Seq-from <= MaxPatches {
--- a/internal/fleet/distribution/update.go
+++ b/internal/fleet/distribution/update.go
@@ -8,17 +8,18 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator"
 )
 
-// Update leads from one configuration to a newer one. It is encoded once for all nodes that need the same update; an empty one
-// says that there is nothing new.
+// Update is the encoded difference from one configuration to a newer one. It is encoded once for all nodes that
+// need it. An empty update means that the configuration is unchanged.
 type Update []byte
 
-// updateContent is the content of an Update. The names of the fields are on the wire.
+// updateContent is the content of an Update. The field names are part of the wire format.
 type updateContent struct {
-	Document []byte           // the whole configuration, compressed; nil where Patches are sent
-	Patches  []operator.Order // the orders that lead from the requested configuration to the newer one
+	Document []byte           // the full configuration, compressed; nil if Patches are sent
+	Patches  []operator.Order // the orders between the requested configuration and the newer one
 }
 
-// NewUpdate encodes a whole configuration as JSON, or else the orders that lead to it.
+// NewUpdate encodes a full configuration document, given as JSON, or, if document is nil, the orders that lead to
+// it.
 func NewUpdate(document []byte, patches []operator.Order) (Update, error) {
 	content := updateContent{Patches: patches}
 	if document != nil {
@@ -31,7 +32,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Read decodes the whole configuration as JSON, or else the orders that lead to it. Both are nil where the update is empty.
+// Read returns the full configuration document as JSON or the orders that lead to it. Both are nil if the update
+// is empty.
 func (u Update) Read() (document []byte, patches []operator.Order, err error) {
 	if len(u) == 0 {
 		return nil, nil, nil
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,9 +1,9 @@
-// Package registry keeps the backends that registered themselves with the control plane. It is pure: time is an
-// argument, and nothing is stored or sent. Its state is soft: it is rebuilt from heartbeats.
+// Package registry keeps the backends that have registered with the control plane. It is pure: time is an
+// argument, and nothing is stored or sent. Its state is soft state, rebuilt from heartbeats.
 //
-// Each control process has a replica. Records of other replicas are merged one by one, the higher sequence number wins, and
-// the lifecycle only goes forward: a backend that drains or has ended never comes back under the same ID. That is what makes
-// the order of the merges irrelevant.
+// Each control process has a replica. Records of other replicas are merged one by one: the higher sequence number
+// wins, and the lifecycle only moves forward, so that a draining or removed backend never becomes ready again
+// under the same ID. Therefore the result does not depend on the order of the merges.
 package registry
 
 import (
@@ -12,49 +12,50 @@
 	"time"
 )
 
-// Parameters of the expiry of records, in heartbeat intervals without a heartbeat where not said otherwise.
+// Parameters of the expiry of records, in heartbeat intervals without a heartbeat unless noted otherwise.
 const (
 	overdueIntervals = 1.8 // after which a backend is overdue
 	lostIntervals    = 12  // after which it counts as lost
 	forgetIntervals  = 100 // after which its record is dropped
 	removedTTL       = 30 * time.Second
-	minChanges       = 64 // changes that are kept before the outdated ones are dropped
+	minChanges       = 64 // changes that are always retained before superseded ones are dropped
 )
 
-// Registry is one replica. It is not safe for concurrent use.
+// Registry is one replica of the registry. It is not safe for concurrent use.
 type Registry struct {
 	interval time.Duration // between a backend's heartbeats
 	version  uint64
 	entries  map[string]*entry // by ID
-	changes  []change          // in the order of their versions; of an entry's changes only the newest counts
+	changes  []change          // ordered by version; only the newest change of each entry is relevant
 	updated  map[string]bool   // IDs with a heartbeat or deregistration since the last DrainUpdates
 }
 
-// entry is a record with what this replica knows about it.
+// entry is a record with this replica's metadata about it.
 type entry struct {
 	record        Record
 	lastHeartbeat time.Duration // by this replica's clock
 	version       uint64        // of the entry's newest change
 }
 
-// change says that an entry changed.
+// change records that an entry changed.
 type change struct {
 	version uint64
 	id      string
 }
 
-// New returns an empty registry for backends that send heartbeats at an interval.
+// New returns an empty registry for backends that send heartbeats at the given interval.
 func New(interval time.Duration) *Registry {
 	return &Registry{interval: interval, entries: map[string]*entry{}, updated: map[string]bool{}}
 }
 
-// Version returns the number of changes so far. A heartbeat that changes nothing but its age and sequence is not one.
+// Version returns the number of changes so far. A heartbeat that changes only its age and sequence number does not
+// count as a change.
 func (r *Registry) Version() uint64 { return r.version }
 
-// Size returns the number of records, those of backends that have ended included.
+// Size returns the number of records, including those of removed backends.
 func (r *Registry) Size() int { return len(r.entries) }
 
-// Get returns the record with an ID.
+// Get returns the record with an ID, and whether there is one.
 func (r *Registry) Get(now time.Duration, id string) (Record, bool) {
 	e := r.entries[id]
 	if e == nil {
@@ -63,15 +64,16 @@
 	return e.snapshot(now), true
 }
 
-// Heartbeat applies a heartbeat that a backend sent to this replica. It reports whether that is a change.
+// Heartbeat applies a heartbeat that a backend sent to this replica. It reports whether that counts as a change (see
+// Version).
 func (r *Registry) Heartbeat(now time.Duration, record Record) bool {
 	record.HeardAgo, record.Late, record.Silent = 0, false, false
 	r.updated[record.ID] = true
 	return r.upsert(now, record)
 }
 
-// Deregister applies a backend's call that it has ended, also where no heartbeat of it was received. It reports whether that
-// is a change.
+// Deregister marks a backend as removed, even if no heartbeat from it was ever received. It reports whether that
+// changed the registry.
 func (r *Registry) Deregister(now time.Duration, id string) bool {
 	r.updated[id] = true
 	e := r.entries[id]
@@ -86,7 +88,7 @@
 	return true
 }
 
-// Merge applies records of another replica. It reports whether any of them is a change.
+// Merge applies records of another replica. It reports whether any of them counts as a change.
 func (r *Registry) Merge(now time.Duration, records []Record) bool {
 	changed := false
 	for _, record := range records {
@@ -97,7 +99,8 @@
 	return changed
 }
 
-// nextVersion logs a change of an entry, and returns its version. Outdated changes are dropped when they are the majority.
+// nextVersion appends a change of an entry and returns its version. Superseded changes are dropped once they are
+// the majority.
 func (r *Registry) nextVersion(id string) uint64 {
 	r.version++
 	r.changes = append(r.changes, change{r.version, id})
@@ -110,7 +113,8 @@
 	return r.version
 }
 
-// upsert applies a record, unless it is older than the one that is known. It reports whether that is a change.
+// upsert applies a record unless it is older than the known one. It reports whether that counts as a change (see
+// Version).
 func (r *Registry) upsert(lastHeartbeat time.Duration, record Record) bool {
 	e := r.entries[record.ID]
 	if e == nil {
@@ -124,12 +128,12 @@
 	}
 	e.lastHeartbeat = max(e.lastHeartbeat, lastHeartbeat)
 	previous := e.record
-	state := max(record.State, previous.State) // a backend that drains does not come back under the same ID
+	state := max(record.State, previous.State) // a draining backend does not become ready again under the same ID
 	if record.State == Removed && record.Backend == "" {
 		record = previous // the other replica knows only the ID
 	}
-	// Whether a backend is overdue is each replica's own conclusion: only a newer heartbeat ends it, another's opinion does not
-	// count.
+	// Each replica decides for itself whether a backend is overdue. Only a newer heartbeat clears that state; the
+	// state in another replica's record is ignored.
 	stale := lastHeartbeat < e.lastHeartbeat
 	record.State, record.Late, record.Silent = state, previous.Late && stale, previous.Silent && stale
 	record.Sequence = max(record.Sequence, previous.Sequence)
@@ -144,7 +148,8 @@
 	return true
 }
 
-// removePredecessors marks the backends that had a new one's address before as removed: an address belongs to one process.
+// removePredecessors marks as removed the other backends with a new backend's address, because an address belongs
+// to only one process at a time.
 func (r *Registry) removePredecessors(successor *Record) {
 	if successor.State != Ready {
 		return
@@ -156,20 +161,21 @@
 	}
 }
 
-// Expire marks the backends that are overdue or lost, and drops the records that have expired. It reports whether that changed
-// anything.
+// Expire marks backends as overdue or lost and drops expired records. It reports whether the registry's version
+// changed.
 func (r *Registry) Expire(now time.Duration) bool {
 	before := r.version
 	for id, e := range r.entries {
 		age := now - e.lastHeartbeat
 		switch {
 		case e.record.State == Removed:
-			// The record is kept for removedTTL more, so that a delayed heartbeat does not bring the backend back.
+			// The record is kept for a further removedTTL, so that a delayed heartbeat does not revive the backend.
 			if age > removedTTL+lostIntervals*r.interval {
 				delete(r.entries, id)
 			}
 		case age > forgetIntervals*r.interval:
-			// Without a change: another replica may receive its heartbeats, and must not learn of a removal from here.
+			// This is not counted as a change: another replica may still receive the backend's heartbeats and must
+			// not see a removal from this one.
 			delete(r.entries, id)
 		case age > lostIntervals*r.interval:
 			r.setOverdue(e, true, true)
@@ -220,8 +226,8 @@
 	return records
 }
 
-// DrainUpdates returns the records whose backends have called this replica since the last DrainUpdates, sorted by ID. They
-// include heartbeats that are no change: the other replicas need their age.
+// DrainUpdates returns the records whose backends have called this replica since the last DrainUpdates, sorted by
+// ID. It includes heartbeats that changed nothing, because the other replicas need their age.
 func (r *Registry) DrainUpdates(now time.Duration) []Record {
 	records := make([]Record, 0, len(r.updated))
 	for id := range r.updated {
@@ -234,7 +240,7 @@
 	return records
 }
 
-// snapshot returns a copy of the record with its age.
+// snapshot returns a copy of the record with the age of its last heartbeat.
 func (e *entry) snapshot(now time.Duration) Record {
 	record := e.record
 	record.HeardAgo = max(0, now-e.lastHeartbeat)
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -15,9 +15,9 @@
 
 func getRecord(t *testing.T, r *Registry, id string) Record {
 	t.Helper()
-	one, known := r.Get(0, id)
+	found, known := r.Get(0, id)
 	require.True(t, known)
-	return one
+	return found
 }
 
 func TestStaleHeartbeatDoesNotRevertDraining(t *testing.T) {
@@ -26,7 +26,7 @@
 	require.True(t, r.Heartbeat(0, record("a", 3, Draining)))
 	require.False(t, r.Heartbeat(0, record("a", 2, Ready)), "delayed")
 	require.False(t, r.Heartbeat(0, record("a", 3, Draining)), "duplicated")
-	require.False(t, r.Heartbeat(0, record("a", 4, Ready)), "a backend that drains does not come back under its ID")
+	require.False(t, r.Heartbeat(0, record("a", 4, Ready)), "a draining backend does not become ready again under the same ID")
 	require.Equal(t, Draining, getRecord(t, r, "a").State)
 }
 
@@ -60,7 +60,7 @@
 	require.False(t, r.Expire(heartbeatInterval*3/2))
 	require.True(t, r.Expire(3*heartbeatInterval))
 	require.True(t, getRecord(t, r, "a").Late)
-	require.True(t, r.Heartbeat(3*heartbeatInterval, record("a", 2, Ready)), "the heartbeat ends it")
+	require.True(t, r.Heartbeat(3*heartbeatInterval, record("a", 2, Ready)), "a heartbeat clears the overdue state")
 	require.False(t, getRecord(t, r, "a").Late)
 	require.True(t, r.Expire(20*heartbeatInterval))
 	require.True(t, getRecord(t, r, "a").Silent)
@@ -72,7 +72,7 @@
 	require.False(t, getRecord(t, r, "a").Silent)
 	r.Expire(200 * heartbeatInterval)
 	_, known := r.Get(0, "a")
-	require.False(t, known, "its record is dropped in the end")
+	require.False(t, known, "its record is dropped after forgetIntervals")
 }
 
 func TestMergeOrderDoesNotMatter(t *testing.T) {
@@ -106,12 +106,12 @@
 func TestChangedSinceReturnsEachRecordOnce(t *testing.T) {
 	r := New(heartbeatInterval)
 	for sequence := range int64(500) {
-		one := record("a", sequence, Ready)
-		one.Slots = int(sequence)
-		r.Heartbeat(0, one)
-		other := record("b", sequence, Ready)
-		other.Address = "10.0.0.2:1"
-		r.Heartbeat(0, other)
+		changing := record("a", sequence, Ready)
+		changing.Slots = int(sequence)
+		r.Heartbeat(0, changing)
+		unchanged := record("b", sequence, Ready)
+		unchanged.Address = "10.0.0.2:1"
+		r.Heartbeat(0, unchanged)
 	}
 	require.Len(t, r.ChangedSince(0, 0), 2)
 	require.Len(t, r.ChangedSince(0, r.Version()-1), 1)
@@ -135,8 +135,9 @@
 	}
 }
 
-// The numbers of the states are on the wire, and their order decides between two records with one sequence number.
-func TestStatesKeepTheirNumbers(t *testing.T) {
+// The states' values are part of the wire format, and their order decides between two records with the same
+// sequence number.
+func TestStateValuesAreStable(t *testing.T) {
 	for state, number := range map[State]uint8{Ready: 0, Draining: 1, Removed: 2} {
 		require.EqualValues(t, number, state)
 	}
