--- a/cmd/linenwheel-control/main.go
+++ b/cmd/linenwheel-control/main.go
@@ -1,5 +1,5 @@
-// Command linenwheel-control is one process of a router fleet's control plane: it replicates the configuration, keeps the
-// registry of backends and the tenants' quotas, and distributes them to the data plane.
+// Command linenwheel-control is one process of a router fleet's control plane: it replicates the configuration,
+// maintains the registry of backends and the tenants' quotas, and distributes them to the data plane.
 package main
 
 import (
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	binary := process.Program{
+	program := process.Program{
 		Name: "linenwheel-control",
 		Start: func(set *settings.Settings, logger *log.Logger) (process.Process, error) {
 			return controlplane.New(set, logger)
@@ -21,5 +21,5 @@
 		StatusAddress: func(set *settings.Settings) string { return set.Control },
 		Export:        controlplane.Export,
 	}
-	os.Exit(binary.Main(os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(program.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/linenwheel-data/main.go
+++ b/cmd/linenwheel-data/main.go
@@ -1,5 +1,5 @@
-// Command linenwheel-data is the data plane of a router fleet: it takes clients' requests, chooses a backend for each, and
-// passes the answers on.
+// Command linenwheel-data is a data plane node of a router fleet: it accepts clients' requests, chooses a backend
+// for each, and forwards the responses.
 package main
 
 import (
@@ -13,12 +13,12 @@
 )
 
 func main() {
-	binary := process.Program{
+	program := process.Program{
 		Name: "linenwheel-data",
 		Start: func(set *settings.Settings, logger *log.Logger) (process.Process, error) {
 			return dataplane.New(set, logger), nil
 		},
 		StatusAddress: func(set *settings.Settings) string { return set.Readiness },
 	}
-	os.Exit(binary.Main(os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(program.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/internal/fleet/process/process.go
+++ b/internal/fleet/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what both programs of the fleet share: the command line, the settings file and its reloads, the log,
-// signals and exit codes.
+// Package process implements what the two programs of the fleet have in common: the command line, the settings
+// file and its reloads, logging, signals and exit codes.
 package process
 
 import (
@@ -23,38 +23,40 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1 // the process could not go on
-	exitSettings = 2 // the command line or the settings file is at fault
+	exitFailed   = 1 // the process or the command failed
+	exitSettings = 2 // the command line or the settings file is invalid
 )
 
 // Parameters of a process.
 const (
-	settingsPollInterval = 2 * time.Second // between looks at the settings file: it may change without a signal
-	heapFraction         = 0.7             // of the memory limit that the heap may fill before it is collected harder
-	gcPercent            = 60              // percent that the heap may grow between collections
+	settingsPollInterval = 2 * time.Second // between checks of the settings file, which may change without a signal
+	heapFraction         = 0.7             // of MemoryMB; the heap size from which the garbage collector works harder
+	gcPercent            = 60              // percentage by which the heap may grow between collections
 	statusTimeout        = 2 * time.Second
 )
 
-// Process is the work of one program.
+// Process is a running program's service.
 type Process interface {
-	// Run serves until the context ends and then shuts down gracefully. An error means that the process could not go on.
+	// Run serves until the context is done and then shuts down gracefully. It returns an error if the process
+	// failed.
 	Run(ctx context.Context) error
-	// ApplySettings applies a settings file that has changed. It is called beside Run, from another goroutine.
+	// ApplySettings applies a changed settings file. It is called concurrently with Run, from another goroutine.
 	ApplySettings(set *settings.Settings)
 }
 
 // Program describes a program.
 type Program struct {
 	Name string
-	// Start assembles the process; it does not serve yet.
+	// Start creates the process, which does not serve until Run is called.
 	Start func(set *settings.Settings, logger *log.Logger) (Process, error)
-	// StatusAddress is the address at which a running process answers GET /-/status.
+	// StatusAddress returns the address at which a running process serves GET /-/status.
 	StatusAddress func(set *settings.Settings) string
-	// Export writes what is stored on this machine's disk, while no process serves. Nil: the program stores nothing.
+	// Export writes the data stored on this machine's disk, which no process may be using. Nil: the program stores
+	// nothing.
 	Export func(set *settings.Settings, stdout io.Writer) error
 }
 
-// commandLine is the command line of both programs.
+// commandLine holds the flags and arguments of both programs.
 type commandLine struct {
 	Settings string `long:"settings" description:"path of the settings file; before the environment variable LINENWHEEL_SETTINGS"`
 	Check    bool   `long:"check" description:"read and check the settings file, and end"`
@@ -65,17 +67,17 @@
 }
 
 // Main runs a program and returns its exit code.
-func (b *Program) Main(args []string, stdout, stderr io.Writer) int {
+func (p *Program) Main(args []string, stdout, stderr io.Writer) int {
 	var line commandLine
 	parser := flags.NewParser(&line, flags.HelpFlag|flags.PassDoubleDash)
-	parser.Name = b.Name
+	parser.Name = p.Name
 	if _, err := parser.ParseArgs(args); err != nil {
-		var fault *flags.Error
-		if errors.As(err, &fault) && fault.Type == flags.ErrHelp {
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
 			_, _ = fmt.Fprintln(stdout, err)
 			return 0
 		}
-		_, _ = fmt.Fprintf(stderr, "%s: %v\n", b.Name, err)
+		_, _ = fmt.Fprintf(stderr, "%s: %v\n", p.Name, err)
 		return exitSettings
 	}
 	path := line.Settings
@@ -84,65 +86,65 @@
 	}
 	set, err := settings.Read(path)
 	if err != nil {
-		_, _ = fmt.Fprintf(stderr, "%s: %v\n", b.Name, err)
+		_, _ = fmt.Fprintf(stderr, "%s: %v\n", p.Name, err)
 		return exitSettings
 	}
 	switch {
 	case line.Check:
-		_, _ = fmt.Fprintf(stdout, "%s: settings %s are in order\n", b.Name, path)
+		_, _ = fmt.Fprintf(stdout, "%s: settings file %s is valid\n", p.Name, path)
 		return 0
 	case line.Args.Command == "status":
-		return b.status(set, stdout, stderr)
-	case line.Args.Command == "export" && b.Export != nil:
-		return b.export(set, stdout, stderr)
+		return p.status(set, stdout, stderr)
+	case line.Args.Command == "export" && p.Export != nil:
+		return p.export(set, stdout, stderr)
 	case line.Args.Command == "" || line.Args.Command == "serve":
-		return b.serve(set, line.Log, stderr)
+		return p.serve(set, line.Log, stderr)
 	}
-	_, _ = fmt.Fprintf(stderr, "%s: unknown command %q: %s\n", b.Name, line.Args.Command, b.commands())
+	_, _ = fmt.Fprintf(stderr, "%s: unknown command %q: %s\n", p.Name, line.Args.Command, p.commands())
 	return exitSettings
 }
 
-// commands names the commands of the program.
-func (b *Program) commands() string {
-	if b.Export == nil {
+// commands lists the program's commands.
+func (p *Program) commands() string {
+	if p.Export == nil {
 		return "serve or status"
 	}
 	return "serve, status or export"
 }
 
-// export prints what is stored on this machine's disk.
-func (b *Program) export(set *settings.Settings, stdout, stderr io.Writer) int {
-	if err := b.Export(set, stdout); err != nil {
-		_, _ = fmt.Fprintf(stderr, "%s: export: %v\n", b.Name, err)
+// export prints the data stored on this machine's disk.
+func (p *Program) export(set *settings.Settings, stdout, stderr io.Writer) int {
+	if err := p.Export(set, stdout); err != nil {
+		_, _ = fmt.Fprintf(stderr, "%s: export: %v\n", p.Name, err)
 		return exitFailed
 	}
 	return 0
 }
 
 // status prints the status of a running process.
-func (b *Program) status(set *settings.Settings, stdout, stderr io.Writer) int {
+func (p *Program) status(set *settings.Settings, stdout, stderr io.Writer) int {
 	client := http.Client{Timeout: statusTimeout}
-	response, err := client.Get("http://" + b.StatusAddress(set) + "/-/status")
+	response, err := client.Get("http://" + p.StatusAddress(set) + "/-/status")
 	if err != nil {
-		_, _ = fmt.Fprintf(stderr, "%s: no answer: %v\n", b.Name, err)
+		_, _ = fmt.Fprintf(stderr, "%s: no answer: %v\n", p.Name, err)
 		return exitFailed
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(stdout, response.Body); err != nil || response.StatusCode != http.StatusOK {
-		_, _ = fmt.Fprintf(stderr, "%s: status %d, %v\n", b.Name, response.StatusCode, err)
+		_, _ = fmt.Fprintf(stderr, "%s: status %d, %v\n", p.Name, response.StatusCode, err)
 		return exitFailed
 	}
 	return 0
 }
 
-func (b *Program) serve(set *settings.Settings, level string, stderr io.Writer) int {
+func (p *Program) serve(set *settings.Settings, level string, stderr io.Writer) int {
 	logger := newLogger(level, stderr)
 	if set.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapFraction * float64(set.MemoryMB) * (1 << 20)))
 	}
 	debug.SetGCPercent(gcPercent)
 	replica.RegisterMessages()
-	process, err := b.Start(set, logger)
+	process, err := p.Start(set, logger)
 	if err != nil {
 		logger.Error("failed to start", "err", err)
 		return exitFailed
@@ -165,8 +167,8 @@
 	return logger
 }
 
-// watchSettings reloads the settings file at SIGHUP and when it has changed, until the context ends. A file with an error changes
-// nothing.
+// watchSettings reloads the settings file on SIGHUP and when it has changed, until the context is done. An invalid
+// file is logged and otherwise ignored.
 func watchSettings(ctx context.Context, path string, process Process, logger *log.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/fleet/transport/pool.go
+++ b/internal/fleet/transport/pool.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Pool keeps a connection to each peer. It is safe for concurrent use.
+// Pool keeps one connection to each peer. It is safe for concurrent use.
 type Pool struct {
-	// Wrap, if set, wraps each new connection, to count its bytes or to inject faults. It must be set before the first call.
+	// Wrap, if set, wraps each new connection, for example to count bytes or inject faults. It must be set before
+	// the first call.
 	Wrap func(net.Conn) net.Conn
 
 	eager atomic.Bool
@@ -22,18 +23,19 @@
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{peers: map[string]*peerConn{}} }
 
-// SetEager makes the pool give up dialling after eagerDialTimeout. Packets to a machine that is not up yet are lost, and TCP
-// sends them again only after a second: a new attempt is sooner.
+// SetEager sets whether dials time out after eagerDialTimeout instead of dialTimeout. Packets to a machine that is
+// not up yet are lost, and TCP retransmits them only after one second: a new dial connects sooner.
 func (p *Pool) SetEager(eager bool) { p.eager.Store(eager) }
 
-// Call calls a method of a peer. It returns ErrTimeout where the answer does not come in time, ErrBusy, an error of dialling,
-// or the error that the method returned, as an rpc.ServerError.
+// Call calls a method of a peer. It returns ErrTimeout if the reply does not arrive in time, ErrBusy if another
+// call is dialling the peer, a connection error, or the error that the method returned, as an rpc.ServerError.
 func (p *Pool) Call(address, method string, args, reply any, timeout time.Duration) error {
 	return p.call(address, method, args, reply, timeout, 0)
 }
 
-// CallLarge is Call for answers that may be large: after the timeout it goes on waiting while bytes arrive, up to maxTimeout
-// in all. A small link takes seconds for an answer that was ready at once, and a repeated call would begin anew.
+// CallLarge is like Call, for replies that may be large: after the timeout it keeps waiting while bytes arrive, up
+// to maxTimeout in total. Over a slow link, even a reply that was ready at once can take seconds to arrive, and a
+// retry would start over.
 func (p *Pool) CallLarge(address, method string, args, reply any, timeout, maxTimeout time.Duration) error {
 	return p.call(address, method, args, reply, timeout, maxTimeout-timeout)
 }
@@ -51,7 +53,7 @@
 		select {
 		case <-call.Done:
 			var methodErr rpc.ServerError
-			if call.Error != nil && !errors.As(call.Error, &methodErr) { // the connection's error, not the method's
+			if call.Error != nil && !errors.As(call.Error, &methodErr) { // the connection failed, not the method
 				peer.drop(client)
 			}
 			return call.Error
@@ -86,14 +88,14 @@
 
 // peerConn is the connection to one peer, dialled on demand.
 type peerConn struct {
-	mu         sync.Mutex // guards client and dialling, and is held for moments only
+	mu         sync.Mutex // guards client and dialling; never held while blocking
 	client     *rpc.Client
 	dialling   bool         // a call is dialling the peer
-	receivedAt atomic.Int64 // when bytes last arrived, in Unix nanoseconds
+	receivedAt atomic.Int64 // time at which bytes last arrived, in Unix nanoseconds
 }
 
-// connect returns the connection, and dials where there is none. It does not wait for another call that dials: that one may
-// take long, and the caller's timeout has begun.
+// connect returns the connection, and dials if there is none. If another call is dialling, it returns ErrBusy
+// without waiting: that dial may take long, and the caller's timeout is already running.
 func (c *peerConn) connect(address string, timeout time.Duration, wrap func(net.Conn) net.Conn) (*rpc.Client, error) {
 	client, err := c.current()
 	if client != nil || err != nil {
@@ -112,7 +114,8 @@
 	return client, err
 }
 
-// current returns the connection. Where there is none, the caller must dial it, unless another call does: that is ErrBusy.
+// current returns the connection, or ErrBusy if another call is dialling. If it returns neither, the caller must
+// dial.
 func (c *peerConn) current() (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +129,7 @@
 	return nil, nil
 }
 
-// drop closes a connection, so that the next call dials, unless another has done so.
+// drop closes a connection. If it is still the current one, the next call dials a new one.
 func (c *peerConn) drop(client *rpc.Client) {
 	c.mu.Lock()
 	if c.client == client {
@@ -141,7 +144,7 @@
 	return time.Since(time.Unix(0, c.receivedAt.Load())) < stallTimeout
 }
 
-// timedConn records when bytes arrive.
+// timedConn records when bytes last arrived.
 type timedConn struct {
 	net.Conn
 	receivedAt *atomic.Int64
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,5 +1,6 @@
-// Package transport carries the internal calls of the fleet: net/rpc with gob over TCP, one connection to each peer, with
-// timeouts. A call that times out closes its connection, so that the next one does not wait behind it.
+// Package transport implements the internal calls of the fleet: net/rpc with gob over TCP, with timeouts and one
+// connection to each peer. A call that times out closes its connection, so that the next call does not queue
+// behind it.
 package transport
 
 import (
@@ -16,32 +17,33 @@
 // Parameters of connections.
 const (
 	dialTimeout      = 400 * time.Millisecond
-	eagerDialTimeout = 100 * time.Millisecond // of a process that has just started: its peers may be starting too
+	eagerDialTimeout = 100 * time.Millisecond // for a process that has just started, whose peers may be starting too
 	userTimeout      = time.Second            // after which unacknowledged bytes end a connection
-	stallTimeout     = 250 * time.Millisecond // without a byte, after which a large answer counts as stalled
-	acceptRetryDelay = dialTimeout / 4        // after a failure to accept, as where file descriptors are used up
+	stallTimeout     = 250 * time.Millisecond // without a received byte, after which a large reply counts as stalled
+	acceptRetryDelay = dialTimeout / 4        // after a failed accept, for example when file descriptors are exhausted
 )
 
-// ErrTimeout says that a call was not answered in time. Whether it was carried out is not known.
+// ErrTimeout means that the reply to a call did not arrive in time. The peer may or may not have executed the call.
 var ErrTimeout = errors.New("transport: no answer in time")
 
-// ErrBusy says that another call is dialling the peer. The call was not sent.
+// ErrBusy means that another call is dialling the peer. The call was not sent.
 var ErrBusy = errors.New("transport: the peer is being dialled")
 
-// Dial opens a TCP connection that ends when its bytes have not been acknowledged for a time.
+// Dial opens a TCP connection that is closed when sent bytes stay unacknowledged for the given time
+// (TCP_USER_TIMEOUT).
 func Dial(address string, timeout, unacknowledged time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout(unacknowledged)}
 	return dialer.Dial("tcp4", address)
 }
 
-// Listen opens a listener whose connections end when their bytes have not been acknowledged for userTimeout. The context is
-// for the opening only.
+// Listen opens a listener whose connections are closed when sent bytes stay unacknowledged for userTimeout. The
+// context applies only to opening the listener.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout(userTimeout)}
 	return config.Listen(ctx, "tcp4", address)
 }
 
-// setUserTimeout returns a function that sets TCP_USER_TIMEOUT of a socket.
+// setUserTimeout returns a control function that sets TCP_USER_TIMEOUT on a socket.
 func setUserTimeout(unacknowledged time.Duration) func(_, _ string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
@@ -52,8 +54,8 @@
 	}
 }
 
-// Serve answers the calls of every connection that the listener accepts, and returns nil when the listener is closed. It does
-// not close connections. An error says that a service cannot be registered.
+// Serve serves calls on every connection that the listener accepts, and returns nil when the listener is closed.
+// It does not close connections. It returns an error if a service cannot be registered.
 func Serve(listener net.Listener, services map[string]any) error {
 	server := rpc.NewServer()
 	for name, service := range services {
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -13,10 +13,10 @@
 	"linenwheel.dev/linenwheel/internal/loopback"
 )
 
-// Service answers with as many bytes as requested, or not before the end of the test.
+// Service is a test service that returns the requested number of bytes or hangs until the end of the test.
 type Service struct{ hang chan struct{} }
 
-// Bytes returns count bytes, or hangs where that is negative.
+// Bytes returns count bytes, or hangs if count is negative.
 func (s *Service) Bytes(count int, reply *[]byte) error {
 	if count < 0 {
 		<-s.hang
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// slowConn reads small chunks with pauses, as over a small link.
+// slowConn reads small chunks with pauses, to simulate a slow link.
 type slowConn struct{ net.Conn }
 
 func (c slowConn) Read(into []byte) (int, error) {
@@ -64,7 +64,7 @@
 	begin := time.Now()
 	require.ErrorIs(t, pool.CallLarge(address, "Test.Bytes", -1, &reply, 50*time.Millisecond, time.Minute), ErrTimeout)
 	require.Less(t, time.Since(begin), 10*time.Second)
-	require.NoError(t, pool.Call(address, "Test.Bytes", 3, &reply, time.Minute), "the next call has a connection of its own")
+	require.NoError(t, pool.Call(address, "Test.Bytes", 3, &reply, time.Minute), "the next call uses a new connection")
 }
 
 func TestCallToClosedPortFails(t *testing.T) {
@@ -83,8 +83,9 @@
 	require.Equal(t, dialTimeout, pool.dialTimeout())
 }
 
-// Calls that meet on a connected peer must not fail: the connection is there, and none of them dials.
-func TestCallsThatMeetOnAConnectedPeerShareItsConnection(t *testing.T) {
+// Concurrent calls to a connected peer must not fail with ErrBusy: the connection exists, so none of them has to
+// dial.
+func TestConcurrentCallsShareConnection(t *testing.T) {
 	const callers, callsEach = 8, 20_000
 	address, pool := serve(t)
 	var reply []byte
@@ -108,8 +109,9 @@
 	require.Equal(t, make([]error, callers), errs)
 }
 
-// A call does not wait for another one that dials, and one after it uses what that one has dialled.
-func TestCallBesideADialFailsAtOnce(t *testing.T) {
+// A call fails with ErrBusy while another call dials the same peer. A later call uses the connection that was
+// dialled.
+func TestCallDuringDialFailsWithBusy(t *testing.T) {
 	address, pool := serve(t)
 	dialling, proceed := make(chan struct{}), make(chan struct{})
 	pool.Wrap = func(conn net.Conn) net.Conn {
@@ -130,7 +132,8 @@
 	require.NoError(t, pool.Call(address, "Test.Bytes", 3, &reply, time.Minute))
 }
 
-func TestFailedDialIsTriedAgain(t *testing.T) {
+// A failed dial must not leave the peer marked as being dialled: the next call dials again.
+func TestNextCallDialsAgainAfterFailedDial(t *testing.T) {
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
 	pool := NewPool()
