--- a/internal/fleet/operator/document.go
+++ b/internal/fleet/operator/document.go
@@ -1,8 +1,8 @@
-// Package operator holds the operator's configuration: documents, orders that change them, validation, and the compiled
-// table that requests are routed by. It is pure: the same orders give the same documents.
+// Package operator implements the operator's configuration: documents, the orders that change them, validation,
+// and the compiled table by which requests are routed. It is pure: the same orders produce the same documents.
 //
-// A document keeps each item as it was sent, unknown fields included, next to its checked form. Items that an order
-// does not touch are shared between versions.
+// A document keeps each item as it was sent, including unknown fields, along with its parsed message. Items that
+// an order does not change are shared between versions.
 package operator
 
 import (
@@ -19,7 +19,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 )
 
-// The names of the document's fields that this package reads.
+// Names of the document's fields that this package reads.
 const (
 	fieldRevision = "Revision"
 	fieldRoutes   = "Routes"
@@ -34,10 +34,10 @@
 type item struct {
 	name    string
 	raw     json.RawMessage
-	message proto.Message // the checked form; nil in lists that this project has no use for
+	message proto.Message // the parsed item; nil in lists that this project does not use
 }
 
-// Document is one version of the configuration. It is never changed once made.
+// Document is one version of the configuration. It is immutable.
 type Document struct {
 	Revision int64
 	lists    map[string][]item
@@ -52,7 +52,7 @@
 
 var unmarshalOptions = protojson.UnmarshalOptions{DiscardUnknown: true}
 
-// newMessage makes the checked form of an item of a list, nil for lists that are only kept.
+// newMessage returns an empty message for an item of a list, or nil for lists that are stored unparsed.
 func newMessage(list string) proto.Message {
 	switch list {
 	case fieldRoutes:
@@ -69,7 +69,7 @@
 	return errkind.New(errkind.InvalidConfig, format, args...)
 }
 
-// readObject reads one whole JSON object and nothing after it.
+// readObject parses a body that must contain exactly one JSON object.
 func readObject(body []byte) (map[string]json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	var fields map[string]json.RawMessage
@@ -97,7 +97,7 @@
 	return revision, nil
 }
 
-// readItems reads a list of named items.
+// readItems parses a list of named items.
 func readItems(list string, raw json.RawMessage) ([]item, error) {
 	var entries []json.RawMessage
 	if err := json.Unmarshal(raw, &entries); err != nil {
@@ -105,11 +105,11 @@
 	}
 	items := make([]item, 0, len(entries))
 	for i, entry := range entries {
-		one, err := readItem(list, entry)
+		parsed, err := readItem(list, entry)
 		if err != nil {
 			return nil, invalid("field %s[%d]: %v", list, i, err)
 		}
-		items = append(items, one)
+		items = append(items, parsed)
 	}
 	return items, nil
 }
@@ -119,16 +119,16 @@
 	if err := json.Unmarshal(raw, &named); err != nil {
 		return item{}, err
 	}
-	one := item{name: named.Name, raw: raw, message: newMessage(list)}
-	if one.message != nil {
-		if err := unmarshalOptions.Unmarshal(raw, one.message); err != nil {
+	parsed := item{name: named.Name, raw: raw, message: newMessage(list)}
+	if parsed.message != nil {
+		if err := unmarshalOptions.Unmarshal(raw, parsed.message); err != nil {
 			return item{}, err
 		}
 	}
-	return one, nil
+	return parsed, nil
 }
 
-// ParseDocument reads a whole document. It does not validate it.
+// ParseDocument parses a full document. It does not validate it.
 func ParseDocument(body []byte) (*Document, error) {
 	fields, err := readObject(body)
 	if err != nil {
@@ -194,7 +194,8 @@
 	return next, next.readLimits()
 }
 
-// list returns the list with a name, also one that is kept without a checked form.
+// list returns the list with a name. If that list has been kept unparsed until now, list parses it and removes it
+// from d.other.
 func (d *Document) list(name string) ([]item, error) {
 	if items, present := d.lists[name]; present {
 		return items, nil
@@ -215,12 +216,12 @@
 	if err := json.Unmarshal(raw, &lists); err != nil {
 		return invalid("field %s: %v", fieldRemove, err)
 	}
-	for name, gone := range lists {
+	for name, removed := range lists {
 		items, err := d.list(name)
 		if err != nil {
 			return err
 		}
-		d.lists[name] = slices.DeleteFunc(slices.Clone(items), func(i item) bool { return slices.Contains(gone, i.name) })
+		d.lists[name] = slices.DeleteFunc(slices.Clone(items), func(i item) bool { return slices.Contains(removed, i.name) })
 	}
 	return nil
 }
@@ -247,25 +248,26 @@
 	return nil
 }
 
-// replaceOrAdd returns the items with the changed ones in place of those of the same name, or at the end.
+// replaceOrAdd returns the items with each changed item replacing the one of the same name, or appended if there
+// is none.
 func replaceOrAdd(items, changed []item) []item {
 	merged := slices.Clone(items)
-	place := make(map[string]int, len(merged))
-	for i, one := range merged {
-		place[one.name] = i
+	index := make(map[string]int, len(merged))
+	for i, entry := range merged {
+		index[entry.name] = i
 	}
-	for _, one := range changed {
-		if i, present := place[one.name]; present {
-			merged[i] = one
+	for _, entry := range changed {
+		if i, present := index[entry.name]; present {
+			merged[i] = entry
 			continue
 		}
-		place[one.name] = len(merged)
-		merged = append(merged, one)
+		index[entry.name] = len(merged)
+		merged = append(merged, entry)
 	}
 	return merged
 }
 
-// JSON returns the document as the operator reads it.
+// JSON returns the document in the operator's JSON format.
 func (d *Document) JSON() []byte {
 	fields := make(map[string]any, len(d.lists)+len(d.other)+1)
 	fields[fieldRevision] = d.Revision
@@ -274,24 +276,24 @@
 	}
 	for name, items := range d.lists {
 		entries := make([]json.RawMessage, len(items))
-		for i, one := range items {
-			entries[i] = one.raw
+		for i, listed := range items {
+			entries[i] = listed.raw
 		}
 		fields[name] = entries
 	}
 	body, err := json.Marshal(fields)
-	if err != nil { // every raw part has been read as JSON before
+	if err != nil { // cannot happen: every raw part has already been parsed as JSON
 		panic(err)
 	}
 	return body
 }
 
-// messages returns the checked forms of a list.
+// messages returns the parsed messages of a list.
 func messages[M proto.Message](d *Document, list string) []M {
 	items := d.lists[list]
-	checked := make([]M, 0, len(items))
-	for _, one := range items {
-		checked = append(checked, one.message.(M))
+	parsed := make([]M, 0, len(items))
+	for _, listed := range items {
+		parsed = append(parsed, listed.message.(M))
 	}
-	return checked
+	return parsed
 }
--- a/internal/fleet/operator/state.go
+++ b/internal/fleet/operator/state.go
@@ -10,21 +10,22 @@
 	"linenwheel.dev/linenwheel/internal/fleet/errkind"
 )
 
-// maxAccepted bounds the accepted orders that are remembered: an order is retried within seconds, and at 41,000 changes a day so
-// many are 2.4 hours. One that is retried later is not rejected either: see State.horizon.
+// maxAccepted bounds the number of accepted orders that are remembered. Orders are retried within seconds, and at
+// 41,000 changes a day this number covers 2.4 hours. An order that is retried later is not falsely rejected: see
+// State.horizon.
 const maxAccepted = 4096
 
 // digestSize is the length of the digests of orders and histories, in bytes.
 const digestSize = 16
 
-// Order is one call of the operator that changes the configuration.
+// Order is one operator request that changes the configuration.
 type Order struct {
-	Method string // PUT for a whole document, PATCH for named items
-	Base   int64  // the version on which it builds
+	Method string // PUT for a full document, PATCH for named items
+	Base   int64  // the revision to which the order applies
 	Body   []byte
 }
 
-// Digest names an order by its content: the same order sent again has the same digest.
+// Digest identifies an order by its content: a retry of an order has the same digest.
 type Digest string
 
 // Digest returns the order's digest.
@@ -41,10 +42,11 @@
 // State is the replicated state: the current document and the orders that were accepted. It is immutable.
 type State struct {
 	Document      *Document
-	accepted      *immutable.Map[string, int64] // digest to the revision that it made
+	accepted      *immutable.Map[string, int64] // from an order's digest to the revision that it created
 	acceptedOrder *immutable.List[string]       // digests, oldest first
-	// horizon is the revision that the newest forgotten order made, 0 where none was forgotten. Whether an order that builds
-	// on an earlier revision was accepted is not known any more, so it is neither acknowledged nor rejected.
+	// horizon is the revision that the most recently forgotten order created, 0 if none was forgotten. It is
+	// unknown whether an order whose base is an earlier revision was accepted, so such an order is neither
+	// acknowledged nor rejected.
 	horizon int64
 	history Digest
 }
@@ -57,19 +59,20 @@
 // History identifies the sequence of all orders that led to this state: two states with the same history are equal.
 func (s *State) History() Digest { return s.history }
 
-// follow returns the history after one more order.
-func (d Digest) follow(order Digest) Digest {
+// extend returns the history extended by one order.
+func (d Digest) extend(order Digest) Digest {
 	hash := sha256.New()
 	hash.Write([]byte(d))
 	hash.Write([]byte(order))
 	return Digest(hash.Sum(nil)[:digestSize])
 }
 
-// Accepted reports whether the same order was accepted before, and which revision it made.
+// Accepted returns the revision that an order with this digest created, and whether such an order is known to have
+// been accepted.
 func (s *State) Accepted(digest Digest) (int64, bool) { return s.accepted.Get(string(digest)) }
 
-// Apply returns the state after an order, or an error of kind InvalidConfig, VersionConflict or OutcomeUnknown that leaves this state
-// as it is.
+// Apply returns the state after an order, or an error of kind InvalidConfig, VersionConflict or OutcomeUnknown.
+// This state stays unchanged.
 func (s *State) Apply(order Order) (*State, error) {
 	next, err := s.applyTo(order)
 	if err != nil {
@@ -109,31 +112,31 @@
 		accepted = accepted.Delete(digests.Get(0))
 		digests = digests.Slice(1, digests.Len())
 	}
-	return &State{Document: document, accepted: accepted, acceptedOrder: digests, horizon: horizon, history: s.history.follow(digest)}
+	return &State{Document: document, accepted: accepted, acceptedOrder: digests, horizon: horizon, history: s.history.extend(digest)}
 }
 
-// Snapshot is a state in plain form. It is stored and sent with gob: its fields keep their names.
+// Snapshot is the serializable form of a state. It is stored and sent with gob, so its field names must not change.
 type Snapshot struct {
 	Document []byte
 	Digests  []string
-	Made     []int64 // the revision that the order of the same index made
+	Made     []int64 // the revision that the order with the same index created
 	Horizon  int64
 	History  Digest
 }
 
-// Snapshot returns the state in plain form, to be stored or sent.
+// Snapshot returns the serializable form of the state.
 func (s *State) Snapshot() Snapshot {
 	snapshot := Snapshot{Document: s.Document.JSON(), Horizon: s.horizon, History: s.history}
 	for iterator := s.acceptedOrder.Iterator(); !iterator.Done(); {
 		_, digest := iterator.Next()
-		made, _ := s.accepted.Get(digest)
+		revision, _ := s.accepted.Get(digest)
 		snapshot.Digests = append(snapshot.Digests, digest)
-		snapshot.Made = append(snapshot.Made, made)
+		snapshot.Made = append(snapshot.Made, revision)
 	}
 	return snapshot
 }
 
-// FromSnapshot returns the state of a snapshot.
+// FromSnapshot restores a state from a snapshot. It returns an error if the snapshot's document cannot be parsed.
 func FromSnapshot(snapshot Snapshot) (*State, error) {
 	s := NewState()
 	if len(snapshot.Document) > 0 {
@@ -154,7 +157,9 @@
 	return s, nil
 }
 
-// ApplyCommitted returns the state after an order that the control plane has committed on this one. It does not validate again.
+// ApplyCommitted returns the state after an order that the control plane has already validated and committed on
+// top of this state. It does not validate the order again, and does not add it to the accepted orders or the
+// history.
 func (s *State) ApplyCommitted(order Order) (*State, error) {
 	next, err := s.applyTo(order)
 	if err != nil {
--- a/internal/fleet/operator/table.go
+++ b/internal/fleet/operator/table.go
@@ -10,7 +10,7 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 )
 
-// RouteType says whether a request may be retried and how it is answered.
+// RouteType determines whether a request may be retried and whether its response is streamed.
 type RouteType uint8
 
 // Route types.
@@ -36,10 +36,11 @@
 	Splits      []Split
 }
 
-// Idempotent reports whether a request of the route may run more than once.
+// Idempotent reports whether a request on the route may be executed more than once.
 func (r *Route) Idempotent() bool { return r.Type == Safe || r.Type == Streaming && r.Resume }
 
-// Split is one service of a route. UpTo is the cumulative fraction of the traffic, up to 1, that goes to it and those before it.
+// Split is one service of a route. UpTo is the cumulative fraction of the traffic, up to 1, that is sent to this
+// service and the ones before it.
 type Split struct {
 	Service string
 	UpTo    float64
@@ -60,7 +61,8 @@
 	return slices.ContainsFunc(r.Splits, func(s Split) bool { return s.Service == service })
 }
 
-// Service is a compiled service: the backends that answer the requests of some routes. The configuration calls it a backend.
+// Service is a compiled service: a group of backend instances that serve the requests of routes. The configuration
+// calls it a backend.
 type Service struct {
 	Name           string
 	MaxConnections int
@@ -88,7 +90,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Limits where the configuration names none.
+// Limits that apply if the configuration sets none.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 4 << 20
@@ -97,7 +99,7 @@
 	unitTokens           = "token_count"
 )
 
-// Table is a compiled document, in which requests are looked up. It is immutable.
+// Table is a compiled document, used to look up the route and tenant of a request. It is immutable.
 type Table struct {
 	Revision  int64
 	hosts     map[string][]*Route // longest prefix first
@@ -202,7 +204,8 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Route returns the route for a host, as in a Host header, and a path: the one with the longest prefix, nil where none fits.
+// Route returns the route for a host, as in a Host header, and a path: the matching one with the longest prefix,
+// or nil if none matches.
 func (t *Table) Route(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -215,10 +218,10 @@
 	return nil
 }
 
-// Tenant returns the tenant with an API key, nil where there is none.
+// Tenant returns the tenant with an API key, or nil if there is none.
 func (t *Table) Tenant(key string) *Tenant { return t.keys[key] }
 
-// Routes returns all routes, in no order.
+// Routes returns all routes, in no particular order.
 func (t *Table) Routes() []*Route {
 	var all []*Route
 	for _, routes := range t.hosts {
--- a/internal/fleet/operator/validate.go
+++ b/internal/fleet/operator/validate.go
@@ -4,43 +4,44 @@
 	"linenwheel.dev/linenwheel/internal/fleet/operator/operatorpb"
 )
 
-// validate returns an error that says what makes the document invalid, nil where it is valid.
+// validate returns nil if the document is valid, and otherwise an error of kind InvalidConfig that describes the
+// first violation found.
 func (d *Document) validate() error {
 	backends, err := d.validateNames()
 	if err != nil {
 		return err
 	}
-	places := make(map[string]string)
+	routeNames := make(map[string]string) // by host and prefix
 	for _, route := range messages[*operatorpb.Route](d, fieldRoutes) {
 		if err := validateRoute(route, backends); err != nil {
 			return err
 		}
-		place := route.Hostname + "\x00" + route.PathPrefix
-		if other, taken := places[place]; taken {
+		match := route.Hostname + "\x00" + route.PathPrefix
+		if other, duplicate := routeNames[match]; duplicate {
 			return invalid("routes %s and %s share host %s and prefix %s", other, route.Name, route.Hostname, route.PathPrefix)
 		}
-		places[place] = route.Name
+		routeNames[match] = route.Name
 	}
 	return d.validateTenants()
 }
 
-// validateNames returns an error where a name is empty or duplicate in its list, else the names of the services.
+// validateNames returns the names of the services, or an error if a name is empty or occurs twice in its list.
 func (d *Document) validateNames() (map[string]bool, error) {
 	for list, items := range d.lists {
 		names := make(map[string]bool, len(items))
-		for i, one := range items {
-			if one.name == "" {
+		for i, listed := range items {
+			if listed.name == "" {
 				return nil, invalid("field %s[%d].Name is empty", list, i)
 			}
-			if names[one.name] {
-				return nil, invalid("field %s: name %s stands twice", list, one.name)
+			if names[listed.name] {
+				return nil, invalid("field %s: name %s stands twice", list, listed.name)
 			}
-			names[one.name] = true
+			names[listed.name] = true
 		}
 	}
 	backends := make(map[string]bool)
-	for _, one := range d.lists[fieldBackends] {
-		backends[one.name] = true
+	for _, listed := range d.lists[fieldBackends] {
+		backends[listed.name] = true
 	}
 	return backends, nil
 }
@@ -72,13 +73,13 @@
 }
 
 func (d *Document) validateTenants() error {
-	holders := make(map[string]string)
+	tenantNames := make(map[string]string) // by API key
 	for _, tenant := range messages[*operatorpb.Tenant](d, fieldTenants) {
 		for _, key := range tenant.ApiKeys {
-			if other, held := holders[key]; held && other != tenant.Name {
+			if other, used := tenantNames[key]; used && other != tenant.Name {
 				return invalid("tenants %s and %s share a key", other, tenant.Name)
 			}
-			holders[key] = tenant.Name
+			tenantNames[key] = tenant.Name
 		}
 	}
 	return nil
--- a/internal/fleet/operator/wire.go
+++ b/internal/fleet/operator/wire.go
@@ -9,34 +9,36 @@
 	"io"
 )
 
-// compressFrom is the size of a body from which on it is compressed: a list of routes shrinks to a tenth or less.
-const compressFrom = 2 << 10
+// minCompressedSize is the size in bytes from which a body is compressed. A list of routes compresses to a tenth
+// or less.
+const minCompressedSize = 2 << 10
 
-// maxDecompressed bounds what a compressed body may grow to.
+// maxDecompressed bounds the size of a decompressed body, in bytes.
 const maxDecompressed = 128 << 20
 
-// errBadEncoding says that bytes are not an encoded order.
+// errBadEncoding means that the input is not an encoded order.
 var errBadEncoding = errors.New("operator: bytes that are no encoded order")
 
-// Compress returns bytes in a form that Decompress reads, smaller where that is worth it.
+// Compress encodes bytes for Decompress. It compresses them if there are at least minCompressedSize.
 func Compress(plain []byte) []byte {
-	if len(plain) < compressFrom {
+	if len(plain) < minCompressedSize {
 		return append([]byte{0}, plain...)
 	}
 	var buffer bytes.Buffer
 	buffer.WriteByte(1)
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
-	if err != nil { // the level is a constant
+	if err != nil { // cannot happen: the compression level is a valid constant
 		panic(err)
 	}
 	_, err = writer.Write(plain)
-	if err = errors.Join(err, writer.Close()); err != nil { // the buffer takes everything
+	if err = errors.Join(err, writer.Close()); err != nil { // cannot happen: writes to a bytes.Buffer do not fail
 		panic(err)
 	}
 	return buffer.Bytes()
 }
 
-// Decompress returns what Compress was given.
+// Decompress returns the original bytes from the output of Compress. It returns an error if the input is empty or
+// its compressed data is corrupt.
 func Decompress(packed []byte) ([]byte, error) {
 	if len(packed) == 0 {
 		return nil, errBadEncoding
@@ -51,7 +53,7 @@
 	return plain, nil
 }
 
-// GobEncode writes the order with its body compressed.
+// GobEncode encodes the order, with its body as Compress returns it.
 func (o Order) GobEncode() ([]byte, error) {
 	encoded := binary.AppendVarint(nil, o.Base)
 	encoded = binary.AppendUvarint(encoded, uint64(len(o.Method)))
@@ -59,7 +61,7 @@
 	return append(encoded, Compress(o.Body)...), nil
 }
 
-// GobDecode reads what GobEncode wrote.
+// GobDecode decodes the output of GobEncode.
 func (o *Order) GobDecode(encoded []byte) error {
 	base, used := binary.Varint(encoded)
 	if used <= 0 {
--- a/internal/fleet/operator/wire_test.go
+++ b/internal/fleet/operator/wire_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAnOrderIsTheSameAfterItsWay(t *testing.T) {
+func TestOrderGobRoundTrip(t *testing.T) {
 	routes := make([]string, 1600)
 	for i := range routes {
 		routes[i] = fmt.Sprintf(`{"Name":"r-%d","Hostname":"h.example","PathPrefix":"/p%d/","TimeoutMs":3000,"Backend":"llm"}`, i, i)
@@ -21,23 +21,23 @@
 		order := patch(-5, body)
 		var buffer bytes.Buffer
 		require.NoError(t, gob.NewEncoder(&buffer).Encode(&order))
-		require.LessOrEqual(t, buffer.Len(), len(body)/5+200, "a long list is small on its way")
-		var read Order
-		require.NoError(t, gob.NewDecoder(&buffer).Decode(&read))
-		require.Equal(t, order.Digest(), read.Digest())
+		require.LessOrEqual(t, buffer.Len(), len(body)/5+200, "a long list is compressed to a fifth or less")
+		var decoded Order
+		require.NoError(t, gob.NewDecoder(&buffer).Decode(&decoded))
+		require.Equal(t, order.Digest(), decoded.Digest())
 	}
 }
 
-func TestSpoiledOrdersAreRefused(t *testing.T) {
+func TestDecodingCorruptOrderDoesNotPanic(t *testing.T) {
 	encoded, err := patch(7, strings.Repeat(`{"Revision":9}`, 1000)).GobEncode()
 	require.NoError(t, err)
 	for size := range 12 {
 		require.Error(t, new(Order).GobDecode(encoded[:size]), "%d bytes", size)
 	}
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
-		spoiled := bytes.Clone(encoded)
-		spoiled[chance.IntN(len(spoiled))] ^= byte(1 + chance.IntN(255))
-		_ = new(Order).GobDecode(spoiled) // an error or another order, never a panic
+		corrupt := bytes.Clone(encoded)
+		corrupt[random.IntN(len(corrupt))] ^= byte(1 + random.IntN(255))
+		_ = new(Order).GobDecode(corrupt) // an error or another order, never a panic
 	}
 }
--- a/internal/fleet/wiretest/describe.go
+++ b/internal/fleet/wiretest/describe.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A gob stream is a sequence of messages, each with its length before it. A message begins with the number of a type: that
-// of the value which follows, or, negated, that of a type which a description defines. A description is itself a value of
-// a type that every process knows by a fixed number.
+// A gob stream is a sequence of messages, each preceded by its length. A message begins with a type ID: either
+// that of the value that follows, or, negated, that of a type whose definition follows. A type definition is
+// itself a value of a type with the fixed ID descriptionType.
 const descriptionType = 16
 
-// description has all fields of gob's own description of a type. Of the alternatives one is set.
+// description mirrors gob's own type definition (wireType). Exactly one of its fields is set.
 type (
 	description struct {
 		ArrayT           *arrayType
@@ -50,11 +50,11 @@
 	encoderType struct{ CommonType commonType }
 )
 
-// basic are the types that every process knows by a fixed number.
-var basic = map[int]string{1: "bool", 2: "int", 3: "uint", 4: "float", 5: "bytes", 6: "string", 7: "complex", 8: "any"}
+// builtinTypes are the names of gob's predefined types, by their fixed IDs.
+var builtinTypes = map[int]string{1: "bool", 2: "int", 3: "uint", 4: "float", 5: "bytes", 6: "string", 7: "complex", 8: "any"}
 
-// Describe lists the types that a gob stream defines: the names and types of their fields. The names of types are left
-// out, as gob doesn't compare them, and so are their numbers.
+// Describe lists the types that a gob stream defines, each as the names and types of its fields. It omits type
+// names, which gob does not compare, and type IDs.
 func Describe(t *testing.T, stream []byte) []string {
 	t.Helper()
 	defined := map[int]description{}
@@ -69,38 +69,38 @@
 	}
 	var all []string
 	for id := range defined {
-		all = append(all, typeText(id, defined))
+		all = append(all, typeString(id, defined))
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// readDescription has gob read a description, as the value of a stream of its own.
+// readDescription decodes a type definition with gob, as the only value of a separate stream.
 func readDescription(t *testing.T, encoded []byte) description {
 	t.Helper()
 	message := append([]byte{descriptionType << 1}, encoded...)
 	require.Less(t, len(message), 1<<16)
-	stream := append([]byte{0xfe, byte(len(message) >> 8), byte(len(message))}, message...) // a length of two bytes
-	var read description
-	require.NoError(t, gob.NewDecoder(bytes.NewReader(stream)).Decode(&read))
-	return read
+	stream := append([]byte{0xfe, byte(len(message) >> 8), byte(len(message))}, message...) // a length encoded in two bytes
+	var decoded description
+	require.NoError(t, gob.NewDecoder(bytes.NewReader(stream)).Decode(&decoded))
+	return decoded
 }
 
-func typeText(id int, defined map[int]description) string {
-	if name, known := basic[id]; known {
+func typeString(id int, defined map[int]description) string {
+	if name, known := builtinTypes[id]; known {
 		return name
 	}
 	switch d := defined[id]; {
 	case d.ArrayT != nil:
-		return fmt.Sprintf("[%d]%s", d.ArrayT.Len, typeText(d.ArrayT.Elem, defined))
+		return fmt.Sprintf("[%d]%s", d.ArrayT.Len, typeString(d.ArrayT.Elem, defined))
 	case d.SliceT != nil:
-		return "[]" + typeText(d.SliceT.Elem, defined)
+		return "[]" + typeString(d.SliceT.Elem, defined)
 	case d.MapT != nil:
-		return fmt.Sprintf("map[%s]%s", typeText(d.MapT.Key, defined), typeText(d.MapT.Elem, defined))
+		return fmt.Sprintf("map[%s]%s", typeString(d.MapT.Key, defined), typeString(d.MapT.Elem, defined))
 	case d.StructT != nil:
 		var fields []string
 		for _, f := range d.StructT.Field {
-			fields = append(fields, f.Name+" "+typeText(f.Id, defined))
+			fields = append(fields, f.Name+" "+typeString(f.Id, defined))
 		}
 		return "struct{" + strings.Join(fields, "; ") + "}"
 	case d.GobEncoderT != nil, d.BinaryMarshalerT != nil, d.TextMarshalerT != nil:
@@ -109,7 +109,8 @@
 	return fmt.Sprintf("type %d", id)
 }
 
-// readUint reads gob's form of an unsigned number: a byte below 128, or the negated count of the bytes that follow.
+// readUint decodes gob's encoding of an unsigned integer: one byte below 128, or the negated number of bytes that
+// follow. It also returns the number of bytes read.
 func readUint(t *testing.T, from []byte) (value uint64, used int) {
 	t.Helper()
 	require.NotEmpty(t, from)
@@ -124,7 +125,7 @@
 	return value, 1 + count
 }
 
-// readInt reads gob's form of a signed number: the lowest bit tells whether the others are inverted.
+// readInt decodes gob's encoding of a signed integer: the lowest bit indicates whether the other bits are inverted.
 func readInt(t *testing.T, from []byte) (value, used int) {
 	t.Helper()
 	encoded, used := readUint(t, from)
--- a/internal/fleet/wiretest/wiretest.go
+++ b/internal/fleet/wiretest/wiretest.go
@@ -1,7 +1,8 @@
-// Package wiretest helps tests that hold the encoded form of the fleet's data against golden files: bytes that an earlier
-// version wrote. gob names fields and registered types; a field that was renamed is read as zero, without an error.
+// Package wiretest helps tests that compare the encoded form of the fleet's data with golden files, which hold
+// bytes that an earlier version wrote. gob encodes the names of fields and registered types: a renamed field is
+// decoded as zero, without an error.
 //
-// The flag -update writes the golden files anew. That is right only for a change that is meant to break with the bytes of
+// The flag -update rewrites the golden files. Use it only for a change that is intended to be incompatible with
 // earlier versions.
 package wiretest
 
@@ -19,12 +20,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Update tells whether the golden files are to be written anew.
+// Update reports whether the golden files should be rewritten.
 func Update() bool { return *update }
 
-// Golden gives the content of testdata/name, after writing it if the files are to be written anew.
+// Golden returns the content of testdata/name. With the flag -update, it first writes fresh to that file.
 func Golden(t *testing.T, name string, fresh []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -37,8 +38,9 @@
 	return golden
 }
 
-// Gob checks that testdata/name decodes to the value to which a pointer leads, and that the value is still encoded with the
-// same fields. The numbers that gob gives to types depend on what the process encoded before, so the bytes are not compared.
+// Gob checks that testdata/name decodes to the value that a pointer points to, and that the value is still encoded
+// with the same fields. It does not compare bytes, because gob's type IDs depend on what the process has encoded
+// before.
 func Gob(t *testing.T, name string, value any) {
 	t.Helper()
 	var fresh bytes.Buffer
@@ -50,9 +52,9 @@
 	require.Equal(t, Describe(t, golden), Describe(t, fresh.Bytes()), "the types in %s", name)
 }
 
-// Types checks that a value is encoded with the types whose fields testdata/name lists. Gob does not see a field that was removed from a
-// value within an interface: gob describes the type of such a value within the value, and a decoder passes over a field that is not
-// there any more.
+// Types checks that a value is encoded with the types whose fields testdata/name lists. The function Gob does not
+// detect that a field was removed from a value in an interface, because gob embeds the type definition of such a
+// value in the value, and the decoder skips fields that no longer exist.
 func Types(t *testing.T, name string, value any) {
 	t.Helper()
 	var encoded bytes.Buffer
@@ -60,7 +62,7 @@
 	JSON(t, name, Describe(t, encoded.Bytes()))
 }
 
-// JSON checks that a value is encoded as testdata/name.
+// JSON checks that a value's JSON encoding is equivalent to testdata/name.
 func JSON(t *testing.T, name string, value any) {
 	t.Helper()
 	fresh, err := json.MarshalIndent(value, "", "\t")
@@ -68,8 +70,9 @@
 	require.JSONEq(t, string(Golden(t, name, append(fresh, '\n'))), string(fresh), name)
 }
 
-// Fill gives every field of the value to which a pointer leads a value that is not zero, and each another one. Interfaces
-// must have been set before. It panics at what it cannot fill.
+// Fill sets every field of the value that a pointer points to, recursively, to a non-zero value, normally a
+// different one for each field. Interfaces must already be set. Fill panics if it finds a nil interface or a kind
+// that it does not support.
 func Fill(pointer any) {
 	count := 0
 	fill(reflect.ValueOf(pointer).Elem(), &count)
@@ -106,10 +109,10 @@
 		}
 	case reflect.Interface:
 		if value.IsNil() {
-			panic(fmt.Sprintf("wiretest: an interface %s is nil", value.Type()))
+			panic(fmt.Sprintf("wiretest: cannot fill nil interface of type %s", value.Type()))
 		}
 	default:
-		panic(fmt.Sprintf("wiretest: a value of kind %s", value.Kind()))
+		panic(fmt.Sprintf("wiretest: cannot fill a value of kind %s", value.Kind()))
 	}
 }
 
--- a/internal/fleet/wiretest/wiretest_test.go
+++ b/internal/fleet/wiretest/wiretest_test.go
@@ -34,17 +34,17 @@
 	return buffer.Bytes()
 }
 
-func TestFillLeavesNothingZero(t *testing.T) {
+func TestFillSetsEveryField(t *testing.T) {
 	value := outer{Held: true}
 	Fill(&value)
 	require.Equal(t, outer{Count: 2, Took: 3, Inner: &inner{Name: "text 6", Sizes: [2]uint32{8, 9}}, Bytes: []byte{12, 13},
 		Table: map[string]float64{"text 14": 15.5}, Inners: []inner{{Name: "text 18", Sizes: [2]uint32{20, 21}},
 			{Name: "text 23", Sizes: [2]uint32{25, 26}}}, Held: true}, value)
-	require.Panics(t, func() { Fill(&outer{}) }, "an interface that is nil")
+	require.Panics(t, func() { Fill(&outer{}) }, "nil interface")
 	require.Panics(t, func() { Fill(&struct{ F func() }{}) })
 }
 
-func TestDescribeNamesEveryFieldThatIsEncoded(t *testing.T) {
+func TestDescribeListsEveryEncodedField(t *testing.T) {
 	gob.Register(inner{})
 	value := outer{Held: inner{Name: "held"}}
 	const innerText = "struct{Name string; Sizes [2]uint}"
@@ -53,11 +53,12 @@
 		Describe(t, encoded(t, value)))
 }
 
-func TestDescribeTellsARenamedFieldButNotTheNumbersOfTypes(t *testing.T) {
-	type before struct{ Name string }
+// A renamed field changes the description; another type ID does not.
+func TestDescribeDetectsRenamedFieldAndIgnoresTypeIDs(t *testing.T) {
+	type original struct{ Name string }
 	type sameFields struct{ Name string }
 	type renamed struct{ Title string }
-	golden := Describe(t, encoded(t, before{}))
+	golden := Describe(t, encoded(t, original{}))
 	require.Equal(t, golden, Describe(t, encoded(t, sameFields{})))
 	require.NotEqual(t, golden, Describe(t, encoded(t, renamed{})))
 }
