--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -173,17 +173,17 @@
 	t.first()
 }
 
-// Alive takes that nothing has.
-func (t told) Alive() { t.book.Alive(t.clock.Now()) }
+// UpToDate takes that nothing has.
+func (t told) UpToDate() { t.book.Alive(t.clock.Now()) }
 
-// Gone takes that the cluster cannot be asked.
-func (t told) Gone(err error) {
+// Unavailable takes that the cluster cannot be asked.
+func (t told) Unavailable(err error) {
 	t.book.Gone(err.Error())
 	t.first()
 }
 
-// Looked takes a list that was read anew.
-func (t told) Looked(epoch string, u etcd.Update) {
+// Reread takes a list that was read anew.
+func (t told) Reread(epoch string, u etcd.Update) {
 	t.book.Take(t.change(epoch, u))
 	t.book.Looked()
 }
--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -55,12 +55,12 @@
 
 // Sink is who is told.
 type Sink interface {
-	// Take gets each list that came, before the next call is made. One that it refuses is asked for anew, as a whole.
-	Take(List) error
-	// Same gets an answer that has nothing new.
-	Same(List)
-	// Away is told that a call has failed. The last that went well was answered at a time, 0 = none was.
-	Away(since float64)
+	// Apply gets each list that came, before the next call is made. One that it refuses is asked for anew, as a whole.
+	Apply(List) error
+	// Unchanged gets an answer that has nothing new.
+	Unchanged(List)
+	// CallFailed is told that a call has failed. The last that went well was answered at a time, 0 = none was.
+	CallFailed(since float64)
 }
 
 // Decode reads an answer. An entry that cannot be used is left out and described in odd.
@@ -123,7 +123,7 @@
 }
 
 // Move has the watch go on at another address, from the whole list there.
-func (w *Watcher) Move(address string) {
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.Address == address {
@@ -136,7 +136,7 @@
 }
 
 // Look asks for the whole list, now, as a second look.
-func (w *Watcher) Look() {
+func (w *Watcher) RequestReread() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.look = true
@@ -146,14 +146,14 @@
 }
 
 // Limit changes the limits from the next call on.
-func (w *Watcher) Limit(l Limits) {
+func (w *Watcher) SetLimits(l Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Limits = l
 }
 
 // Seen gives the version that discovery told last, and when it did; 0 = never.
-func (w *Watcher) Seen() (index int64, at float64) {
+func (w *Watcher) LastAnswer() (index int64, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.index, w.at
@@ -302,16 +302,16 @@
 	if look {
 		w.again()
 	}
-	_, at := w.Seen()
-	w.Sink.Away(at)
+	_, at := w.LastAnswer()
+	w.Sink.CallFailed(at)
 }
 
 // give hands on what a call said.
 func (w *Watcher) give(l List) error {
 	if l.Whole || len(l.Hosts) > 0 {
-		return w.Sink.Take(l)
+		return w.Sink.Apply(l)
 	}
-	w.Sink.Same(l)
+	w.Sink.Unchanged(l)
 	return nil
 }
 
--- a/internal/node/endpoints/discovery/discovery_test.go
+++ b/internal/node/endpoints/discovery/discovery_test.go
@@ -35,9 +35,9 @@
 // nowhere takes the news of a watch.
 type nowhere struct{}
 
-func (nowhere) Take(List) error { return nil }
-func (nowhere) Same(List)       {}
-func (nowhere) Away(float64)    {}
+func (nowhere) Apply(List) error   { return nil }
+func (nowhere) Unchanged(List)     {}
+func (nowhere) CallFailed(float64) {}
 
 // Guards against nodes that bury the service that has the list for all of them: by asking in step when they start, for the
 // whole list that they have already, sooner and sooner after failures, or by leaving a call that waits there in turn.
@@ -127,8 +127,8 @@
 	lists []List
 }
 
-// Take takes one, before the next call is made.
-func (s *taken) Take(l List) error {
+// Apply takes one, before the next call is made.
+func (s *taken) Apply(l List) error {
 	s.lists = append(s.lists, l)
 	return nil
 }
--- a/internal/node/endpoints/etcd/source.go
+++ b/internal/node/endpoints/etcd/source.go
@@ -47,9 +47,9 @@
 // Sink is who is told. Calls come one after the other.
 type Sink interface {
 	Update(epoch string, u Update) // the list, or what has changed in it; there may be more to come
-	Alive()                        // what was told is all there is
-	Gone(err error)                // the cluster cannot be asked
-	Looked(epoch string, u Update) // the list, read anew because Look was called
+	UpToDate()                     // what was told is all there is
+	Unavailable(err error)         // the cluster cannot be asked
+	Reread(epoch string, u Update) // the list, read anew because Look was called
 }
 
 // Source reads and watches.
@@ -150,7 +150,7 @@
 			}
 		}
 		s.turn++
-		s.Sink.Gone(err)
+		s.Sink.Unavailable(err)
 		if failed++; failed >= len(set.Endpoints) { // none of them is left to try at once
 			failed = 0
 			pause = min(max(2*pause, set.FirstPause), set.LastPause)
@@ -415,7 +415,7 @@
 // current tells, if it is so, that what was told is all there is.
 func (s *Source) current() {
 	if s.tracker.Revision() >= s.want {
-		s.Sink.Alive()
+		s.Sink.UpToDate()
 	}
 }
 
@@ -427,7 +427,7 @@
 	}
 	if err == nil && p.look {
 		s.looking = false
-		s.Sink.Looked(s.epoch(), Update{Whole: true, Revision: s.tracker.Revision(), Hosts: s.tracker.Hosts()})
+		s.Sink.Reread(s.epoch(), Update{Whole: true, Revision: s.tracker.Revision(), Hosts: s.tracker.Hosts()})
 	}
 	return err
 }
--- a/internal/node/endpoints/etcd/source_test.go
+++ b/internal/node/endpoints/etcd/source_test.go
@@ -76,19 +76,19 @@
 		s.after()
 	}
 }
-func (s *heardSink) Alive() {
+func (s *heardSink) UpToDate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.here = true
 	s.alive++
 }
-func (s *heardSink) Gone(err error) {
+func (s *heardSink) Unavailable(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.here = false
 	s.words = append(s.words, err.Error())
 }
-func (s *heardSink) Looked(epoch string, u Update) {
+func (s *heardSink) Reread(epoch string, u Update) {
 	s.Update(epoch, u)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/endpoints/keeper.go
+++ b/internal/node/endpoints/keeper.go
@@ -220,8 +220,8 @@
 	Start float64 // since when it is away until it has answered
 }
 
-// Take takes an answer.
-func (a Asked) Take(l discovery.List) error {
+// Apply takes an answer.
+func (a Asked) Apply(l discovery.List) error {
 	err := a.Feed.Take(a.versions(l)...)
 	if err == nil && l.Origin != nil && l.Origin.Confirm > 0 {
 		a.Confirm(l.Origin.Confirm)
@@ -260,16 +260,16 @@
 	return a.k.clock.Now() - l.Origin.Away
 }
 
-// Same takes an answer that has nothing new.
-func (a Asked) Same(l discovery.List) {
+// Unchanged takes an answer that has nothing new.
+func (a Asked) Unchanged(l discovery.List) {
 	a.Present(a.away(l))
 	if l.Origin != nil && l.Origin.Confirm > 0 {
 		a.Confirm(l.Origin.Confirm)
 	}
 }
 
-// Away takes the end of a call that failed.
-func (a Asked) Away(since float64) { a.Feed.Away(cmp.Or(since, a.Start)) }
+// CallFailed takes the end of a call that failed.
+func (a Asked) CallFailed(since float64) { a.Feed.Away(cmp.Or(since, a.Start)) }
 
 // tell logs a note.
 func (k *Keeper) tell(n *merge.Note) {
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -159,13 +159,13 @@
 		if err == nil && got.Code == 200 && !away.Load() {
 			l.Look, l.Whole = looking, l.Whole || !known
 			if l.Whole || len(l.Hosts) > 0 {
-				err = to.Take(l)
+				err = to.Apply(l)
 			} else {
-				to.Same(l)
+				to.Unchanged(l)
 			}
 		}
 		if known = err == nil && got.Code == 200 && !away.Load(); !known {
-			to.Away(f.clock.Now())
+			to.CallFailed(f.clock.Now())
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
@@ -394,9 +394,9 @@
 func (s sink) Update(epoch string, u etcd.Update) {
 	s.book.Take(agent.Change{Whole: u.Whole, Epoch: epoch, Revision: uint64(u.Revision), Hosts: u.Hosts, Confirm: u.Confirm})
 }
-func (s sink) Alive()         { s.book.Alive(s.clock.Now()) }
-func (s sink) Gone(err error) { s.book.Gone(err.Error()) }
-func (s sink) Looked(epoch string, u etcd.Update) {
+func (s sink) UpToDate()             { s.book.Alive(s.clock.Now()) }
+func (s sink) Unavailable(err error) { s.book.Gone(err.Error()) }
+func (s sink) Reread(epoch string, u etcd.Update) {
 	s.Update(epoch, u)
 	s.book.Looked()
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -36,7 +36,7 @@
 
 // Knowledge gives what the node knows now.
 func (n *Node) Knowledge() Knowledge {
-	index, _ := n.watch.Seen()
+	index, _ := n.watch.LastAnswer()
 	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Pilot: n.pilot.Remember()}
 	n.orders.mu.Lock()
 	k.Bans = n.orders.book.Remember()
@@ -78,7 +78,7 @@
 	}
 	if n.lists != nil {
 		n.lists.offer(k.Pilot.KnownHosts(), k.At)
-	} else if _, at := n.watch.Seen(); at == 0 && len(k.Pilot.Hosts) > 0 {
+	} else if _, at := n.watch.LastAnswer(); at == 0 && len(k.Pilot.Hosts) > 0 {
 		n.inventory(dispatch.Stored, k.Pilot.KnownHosts())
 	}
 	return n.pilot.Recall(k.Pilot)
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -27,8 +27,8 @@
 	give func(dispatch.Source, []dispatch.Host)
 }
 
-// Take passes a list on.
-func (p plain) Take(l discovery.List) error {
+// Apply passes a list on.
+func (p plain) Apply(l discovery.List) error {
 	kind := dispatch.Changes
 	if l.Whole {
 		kind = dispatch.Full
@@ -37,11 +37,11 @@
 	return nil
 }
 
-// Same has nothing to do.
-func (p plain) Same(discovery.List) {}
+// Unchanged has nothing to do.
+func (p plain) Unchanged(discovery.List) {}
 
-// Away has nothing to do: the last list stays.
-func (p plain) Away(float64) {}
+// CallFailed has nothing to do: the last list stays.
+func (p plain) CallFailed(float64) {}
 
 // firstAsked makes what each of so many sources calls when it was asked first. With the last the node is ready.
 func (n *Node) firstAsked(sources int) func() {
@@ -118,13 +118,13 @@
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
-			l.keeper.Asks(i, watch.Look)
+			l.keeper.Asks(i, watch.RequestReread)
 			l.sources = append(l.sources, source{watch.Run, func(*Options) {}}) // the node limits it anyway
 		case options.SourceEtcd:
 			w := &discovery.Watcher{Address: o.Etcd.Agent, Limits: watch.Limits, Loop: watch.Loop, Clock: l.clock,
 				Log: l.log.With("source", src.Name), Sink: asked, Most: mostAnswer, Known: -1, Chance: watch.Chance, First: first}
-			l.keeper.Asks(i, w.Look)
-			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(watchLimits(o)) }})
+			l.keeper.Asks(i, w.RequestReread)
+			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.SetLimits(watchLimits(o)) }})
 		case options.SourceFiles:
 			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Known: known(conf, o), Most: o.Files.Most.Bytes,
 				Settle: o.Files.Settle.Ms, Limits: files.Limits{Poll: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, First: first}
--- a/node/node.go
+++ b/node/node.go
@@ -342,7 +342,7 @@
 	n.flood.Set(o.Log.FloodInterval.Ms)
 	n.pool.Limit(southLimits(n.conf, &o))
 	n.north.Limit(northLimits(&o))
-	n.watch.Limit(listLimits(n.conf, &o))
+	n.watch.SetLimits(listLimits(n.conf, &o))
 	if n.lists != nil {
 		n.lists.tune(&o)
 	}
@@ -373,7 +373,7 @@
 	SetLimits(conf, &next)
 	n.own = own
 	n.apply(next)
-	n.watch.Move(conf.Discovery)
+	n.watch.SetAddress(conf.Discovery)
 	n.log.Info("the configuration was read again", "discovery", conf.Discovery, "taken", taken, "waiting", waiting)
 	if n.doc.Number > 0 {
 		n.log.Info("the fleet's policy goes before the file, which says what is the machine's own", "number", n.doc.Number)
--- a/node/status.go
+++ b/node/status.go
@@ -106,7 +106,7 @@
 // Status gives how the node does now. Release, PID, From, Last and Stuck are for whoever runs the process to set.
 func (n *Node) Status() Status {
 	v := n.pilot.View()
-	index, at := n.watch.Seen()
+	index, at := n.watch.LastAnswer()
 	s := Status{Name: n.conf.Name, Address: n.loop.Addr(), Since: n.since, Now: v.Now, Phase: n.phaseNow(),
 		Instances: n.fleet, Open: n.core.Unanswered(), Clients: n.north.Connections(), AskRate: v.DemandRate, Rate: v.Rate,
 		Part: v.Part, Shedding: v.Shedding, List: ListStatus{Index: index, Age: -1, Hosts: len(v.Hosts)}, Hosts: []HostStatus{}}
