--- a/internal/node/endpoints/files/files_test.go
+++ b/internal/node/endpoints/files/files_test.go
@@ -125,12 +125,12 @@
 			}
 		}
 		first := s.Read(now, parts, nil, look)
-		assert.True(t, first.Version == nil || first.Version.Look, "a file is gone, or proves nothing")
+		assert.True(t, first.Version == nil || first.Version.Reread, "a file is gone, or proves nothing")
 		now += 50
 		switch r := s.Read(now, parts, nil, look); {
 		case r.Version != nil:
 			s.Taken()
-			return fmt.Sprint(len(r.Version.Hosts), r.Version.Meant, r.Version.Look)
+			return fmt.Sprint(len(r.Version.Hosts), r.Version.Confirmed, r.Version.Reread)
 		case r.Err != nil:
 			return r.Err.Error()
 		case r.Since > 0:
@@ -162,7 +162,7 @@
 	assert.Equal(t, now+50, r.Again, "it may be back in a moment")
 	assert.Error(t, s.Read(now+50, nil, os.ErrNotExist, false).Err)
 	assert.Equal(t, now, s.Read(now+60, nil, os.ErrNotExist, false).Since)
-	assert.True(t, s.Read(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Look, "not forgotten")
+	assert.True(t, s.Read(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Reread, "not forgotten")
 }
 
 // Guards against a list of two versions: a folder whose files change hands at once, by a link, while it is read.
@@ -212,7 +212,7 @@
 	for _, h := range v.Hosts {
 		names += h.Name
 	}
-	if v.Look {
+	if v.Reread {
 		names += "?"
 	}
 	c <- names
--- a/internal/node/endpoints/files/shelf.go
+++ b/internal/node/endpoints/files/shelf.go
@@ -109,7 +109,7 @@
 		return r
 	}
 	v := c.v
-	v.Look, s.look = s.look, false
+	v.Reread, s.look = s.look, false
 	return Reading{Version: &v, Again: math.Inf(1)}
 }
 
@@ -180,7 +180,7 @@
 			meant, changed, c.sealed = false, true, false
 		}
 	}
-	c.v.Meant = meant && changed
+	c.v.Confirmed = meant && changed
 	if len(c.v.Hosts) > s.known.Most {
 		return fmt.Errorf("%d endpoints in all, at most %d can be taken", len(c.v.Hosts), s.known.Most)
 	}
--- a/internal/node/endpoints/files_test.go
+++ b/internal/node/endpoints/files_test.go
@@ -53,8 +53,8 @@
 	var mu sync.Mutex
 	var faults []string
 	last, taken := -1, 0
-	k, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", Keep: 1e6, Expect: path}},
-		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
+	k, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", StaleAfter: 1e6, ExpectedEpoch: path}},
+		Guard: removalguard.Settings{Share: 1}, RereadDelay: 1000, MaxHosts: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
 		Give: func(kind dispatch.Source, list []dispatch.Host) { p.SetHosts(kind, list) }}, c, discard)
 	require.NoError(t, err)
 	w := &files.Watcher{Path: path, Single: true, Known: files.Known{Zones: []string{"z"}, Kinds: []string{"k"}, Most: 9}, Most: 1 << 20,
--- a/internal/node/endpoints/keeper.go
+++ b/internal/node/endpoints/keeper.go
@@ -60,7 +60,7 @@
 
 // Tune changes the guard, the wait and the sources' own settings from now on.
 func (k *Keeper) Tune(g removalguard.Settings, wait float64, sources []merge.Source) {
-	k.do(func(float64) { k.set.Tune(g, wait, sources) })
+	k.do(func(float64) { k.set.Reconfigure(g, wait, sources) })
 }
 
 // Offer gives the keeper a list from before, of a time, that stands until a source says something. The newest counts.
@@ -79,7 +79,7 @@
 				}
 			}
 		}
-		k.set.Start(hosts, at+judge, k.reached)
+		k.set.Restore(hosts, at+judge, k.reached)
 	})
 }
 
@@ -87,7 +87,7 @@
 func (k *Keeper) do(f func(now float64)) {
 	k.mu.Lock()
 	f(k.clock.Now())
-	notes := k.set.Notes()
+	notes := k.set.TakeNotes()
 	k.mu.Unlock()
 	for i := range notes {
 		k.tell(&notes[i])
@@ -101,7 +101,7 @@
 	k.giving.Lock()
 	defer k.giving.Unlock()
 	k.mu.Lock()
-	kind, list, ok := k.set.Step()
+	kind, list, ok := k.set.Flush()
 	if ok && kind != dispatch.Stored {
 		k.changed = k.clock.Now()
 	}
@@ -120,7 +120,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.alarm()
-	if next := k.set.Next(); !math.IsInf(next, 1) {
+	if next := k.set.NextTick(); !math.IsInf(next, 1) {
 		k.alarm = k.clock.At(next, k.due)
 	} else {
 		k.alarm = func() {}
@@ -129,7 +129,7 @@
 
 func (k *Keeper) due() {
 	var look []int
-	k.do(func(now float64) { look = k.set.Due(now) })
+	k.do(func(now float64) { look = k.set.Tick(now) })
 	for _, source := range look {
 		k.looks[source]()
 	}
@@ -187,7 +187,7 @@
 	k := f.k
 	k.do(func(now float64) {
 		for _, v := range versions {
-			if err = k.set.Take(now, f.of, v); err != nil {
+			if err = k.set.Apply(now, f.of, v); err != nil {
 				return
 			}
 			k.begun = true
@@ -201,12 +201,12 @@
 
 // Present tells that there is nothing new.
 func (f Feed) Present(away float64) {
-	f.k.do(func(now float64) { f.k.set.Present(now, f.of, away) })
+	f.k.do(func(now float64) { f.k.set.Unchanged(now, f.of, away) })
 }
 
 // Away tells that the source cannot be asked since a time.
 func (f Feed) Away(since float64) {
-	f.k.do(func(now float64) { f.k.set.Away(now, f.of, since) })
+	f.k.do(func(now float64) { f.k.set.Unreachable(now, f.of, since) })
 }
 
 // Confirm tells that who writes to the source means what was held up to a number.
@@ -242,14 +242,14 @@
 			to++
 		}
 		list = append(list, merge.Version{Revision: merge.Revision{Epoch: at.Epoch, Number: l.Revisions[from]}, Hosts: l.Hosts[from:to],
-			Away: -1})
+			UnreachableSince: -1})
 		from = to
 	}
 	if list != nil {
-		return append(list, merge.Version{Revision: at, Away: away}) // what is not listed changed up to there
+		return append(list, merge.Version{Revision: at, UnreachableSince: away}) // what is not listed changed up to there
 	}
 	look := l.Look && (l.Origin == nil || l.Origin.Looked)
-	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Look: look, Away: away}}
+	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Reread: look, UnreachableSince: away}}
 }
 
 // away is since when the source behind an answer has not been heard, 0 = it has.
@@ -276,7 +276,7 @@
 	revision := n.Revision.String()
 	switch n.Kind {
 	case merge.Held:
-		if n.Floor {
+		if n.BelowFloor {
 			k.log.Error("departures leave too few hosts: they count once they are confirmed", "source", n.Source, "revision", revision,
 				"count", n.Count, "serving", n.Serving, "first", n.Names)
 			return
@@ -285,20 +285,20 @@
 			"count", n.Count, "serving", n.Serving, "first", n.Names)
 	case merge.Admitted:
 		by := "confirmation"
-		if n.Looked {
+		if n.Reread {
 			by = "second look"
 		}
 		k.log.Warn("departures that were held count now", "source", n.Source, "revision", revision, "count", n.Count,
 			"serving", n.Serving, "first", n.Names, "by", by)
 	case merge.Resolved:
 		k.log.Info("no departure is held any more", "source", n.Source, "revision", revision)
-	case merge.Lead:
+	case merge.SourceChanged:
 		k.log.Info("the list follows another source", "source", n.Source, "before", n.Other, "revision", revision)
-	case merge.Aged:
+	case merge.AllStale:
 		k.log.Error("every source of the list is away: the last list stays", "source", n.Source, "age_ms", n.Age)
-	case merge.Fresh:
+	case merge.Recovered:
 		k.log.Info("a source of the list is there again", "source", n.Source)
-	case merge.Differ:
+	case merge.Disagree:
 		k.log.Warn("two sources of the list disagree", "source", n.Source, "followed", n.Other, "count", n.Count, "first", n.Names)
 	case merge.Agree:
 		k.log.Info("two sources of the list agree again", "source", n.Source, "followed", n.Other)
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -237,8 +237,8 @@
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
-	f.keeper, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
-		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, Wait: 2000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
+	f.keeper, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", StaleAfter: 5000, MayCorrect: true}, {Name: "files", StaleAfter: 60e3}},
+		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, RereadDelay: 2000, MaxHosts: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
 		Give: f.give}, f.clock, discard)
 	require.NoError(t, err)
 	c, err := etcdtest.New(etcdtest.Settings{Members: 2, Clock: f.clock, Memory: true})
--- a/internal/node/endpoints/merge/set.go
+++ b/internal/node/endpoints/merge/set.go
@@ -39,19 +39,19 @@
 type Settings struct {
 	Sources      []Source // in the order of trust
 	Guard        removalguard.Settings
-	Wait         float64  // before a second look, milliseconds
-	Most         int      // hosts in a list
+	RereadDelay  float64  // before a second look, milliseconds
+	MaxHosts     int      // hosts in a list
 	Zones, Kinds []string // that there are
 }
 
 // Source is how one source is taken.
 type Source struct {
-	Name   string
-	Keep   float64 // milliseconds for which its last word counts while it is away
-	Free   bool    // the guard does not hold what it says: by the platform's rules that has been told already
-	Anew   bool    // its numbers may begin anew with a whole list
-	Mends  bool    // a whole list at the same number may differ: something had been missed
-	Expect string  // the only epoch that is taken; empty = that of the first version
+	Name          string
+	StaleAfter    float64 // milliseconds for which its last word counts while it is away
+	Unguarded     bool    // the guard does not hold what it says: by the platform's rules that has been told already
+	MayRenumber   bool    // its numbers may begin anew with a whole list
+	MayCorrect    bool    // a whole list at the same number may differ: something had been missed
+	ExpectedEpoch string  // the only epoch that is taken; empty = that of the first version
 }
 
 // Revision is a place in a source's history.
@@ -73,21 +73,21 @@
 
 // Version is what a source says.
 type Version struct {
-	Revision Revision
-	Whole    bool            // Hosts is every host; else those that changed
-	Hosts    []dispatch.Host // one that is pilot.Gone has left; of two with one name the last counts
-	Look     bool            // it was read anew because a second look was asked for
-	Meant    bool            // who writes it confirms what the guard would hold
-	Away     float64         // since when the source has had no word itself; 0 = it has; below 0 = there is more to come
+	Revision         Revision
+	Whole            bool            // Hosts is every host; else those that changed
+	Hosts            []dispatch.Host // one that is pilot.Gone has left; of two with one name the last counts
+	Reread           bool            // it was read anew because a second look was asked for
+	Confirmed        bool            // who writes it confirms what the guard would hold
+	UnreachableSince float64         // since when the source has had no word itself; 0 = it has; below 0 = there is more to come
 }
 
 // What Take refuses for good, wrapped.
 var (
-	ErrHistory = errors.New("another history")
-	ErrBack    = errors.New("the revision went back")
-	ErrSame    = errors.New("other hosts at the same revision")
-	ErrMany    = errors.New("too many hosts")
-	ErrChanges = errors.New("changes of a list that never came")
+	ErrForeignHistory    = errors.New("another history")
+	ErrRevisionRegressed = errors.New("the revision went back")
+	ErrRevisionReused    = errors.New("other hosts at the same revision")
+	ErrTooManyHosts      = errors.New("too many hosts")
+	ErrNoBaseList        = errors.New("changes of a list that never came")
 )
 
 // source is what one source has said.
@@ -174,7 +174,7 @@
 // New makes a set that has no list yet.
 func New(set Settings) (*Set, error) {
 	s := &Set{set: set, zones: names(set.Zones), kinds: names(set.Kinds), lead: -1, hosts: map[string]dispatch.Host{},
-		held: map[string]dispute{}, look: math.Inf(1), pause: set.Wait, kind: dispatch.Full,
+		held: map[string]dispute{}, look: math.Inf(1), pause: set.RereadDelay, kind: dispatch.Full,
 		dirty: map[string]had{}}
 	var err error
 	if s.guard, err = removalguard.New(set.Guard); err != nil {
@@ -183,14 +183,14 @@
 	switch {
 	case len(set.Sources) == 0:
 		return nil, errors.New("set: no source")
-	case !(set.Wait > 0):
-		return nil, fmt.Errorf("set: wait %v is not above 0", set.Wait)
-	case set.Most < 1:
-		return nil, fmt.Errorf("set: most %d is below 1", set.Most)
+	case !(set.RereadDelay > 0):
+		return nil, fmt.Errorf("set: wait %v is not above 0", set.RereadDelay)
+	case set.MaxHosts < 1:
+		return nil, fmt.Errorf("set: most %d is below 1", set.MaxHosts)
 	}
 	for _, one := range set.Sources {
-		if !(one.Keep >= 0) {
-			return nil, fmt.Errorf("set: keep %v of %s is below 0", one.Keep, one.Name)
+		if !(one.StaleAfter >= 0) {
+			return nil, fmt.Errorf("set: keep %v of %s is below 0", one.StaleAfter, one.Name)
 		}
 		s.sources = append(s.sources, &source{Source: one, list: map[string]dispatch.Host{}, away: math.Inf(1),
 			departed: map[string]departure{}})
@@ -208,19 +208,19 @@
 
 // Tune changes what may change while a node runs: the guard, the wait, and of each source Keep, Free and Expect. An
 // epoch that is expected is a way from one history to another: the first whole list of it is taken as a new beginning.
-func (s *Set) Tune(g removalguard.Settings, wait float64, sources []Source) {
+func (s *Set) Reconfigure(g removalguard.Settings, wait float64, sources []Source) {
 	s.guard.Set(g)
-	s.set.Wait = wait
+	s.set.RereadDelay = wait
 	for i, to := range sources {
 		of := s.sources[i]
-		of.Keep, of.Free, of.Expect = to.Keep, to.Free, to.Expect
+		of.StaleAfter, of.Unguarded, of.ExpectedEpoch = to.StaleAfter, to.Unguarded, to.ExpectedEpoch
 	}
 }
 
 // Start gives the set a list from before, in place of another such, while no source has given one. Departures are judged
 // by it until a time; a first version after that counts whatever it does. Revisions, in the order of the sources, are what
 // these had come to: nothing older is taken.
-func (s *Set) Start(hosts []dispatch.Host, fresh float64, revisions []Revision) {
+func (s *Set) Restore(hosts []dispatch.Host, fresh float64, revisions []Revision) {
 	clear(s.hosts)
 	s.serving = 0
 	for _, h := range hosts {
@@ -239,7 +239,7 @@
 }
 
 // Take takes a version. One that is refused for good has changed nothing.
-func (s *Set) Take(now float64, of int, v Version) error {
+func (s *Set) Apply(now float64, of int, v Version) error {
 	s.now = now
 	src := s.sources[of]
 	hosts, odd := s.usables(src, v)
@@ -252,19 +252,19 @@
 	matters := s.matters(of, v.Whole, hosts)
 	touched := matters(s.heed(now, src, v.Whole, hosts))
 	src.revision, src.known = v.Revision, true
-	s.stay(now, src, v.Away)
+	s.stay(now, src, v.UnreachableSince)
 	s.follow(now, of, touched)
-	if v.Look {
+	if v.Reread {
 		s.looked(now, of)
 	}
-	if v.Meant {
+	if v.Confirmed {
 		s.Confirm(now, of, math.MaxUint64)
 	}
 	return nil
 }
 
 // Present tells that a source has nothing new to say. It may have had no word itself since a time; 0 = it has.
-func (s *Set) Present(now float64, of int, away float64) {
+func (s *Set) Unchanged(now float64, of int, away float64) {
 	s.now = now
 	s.stay(now, s.sources[of], away)
 	s.follow(now, of, nil)
@@ -280,7 +280,7 @@
 }
 
 // Away tells that a source cannot be asked since a time.
-func (s *Set) Away(now float64, of int, since float64) {
+func (s *Set) Unreachable(now float64, of int, since float64) {
 	s.now = now
 	s.sources[of].away = min(s.sources[of].away, since)
 	s.follow(now, of, nil)
@@ -303,24 +303,24 @@
 			}
 		}
 	}
-	expected := src.Expect == "" || src.Expect == next.Epoch
+	expected := src.ExpectedEpoch == "" || src.ExpectedEpoch == next.Epoch
 	switch {
-	case count > s.set.Most:
-		return fmt.Errorf("%w: %d, at most %d can be taken", ErrMany, count, s.set.Most)
+	case count > s.set.MaxHosts:
+		return fmt.Errorf("%w: %d, at most %d can be taken", ErrTooManyHosts, count, s.set.MaxHosts)
 	case !v.Whole && !src.known:
-		return ErrChanges
+		return ErrNoBaseList
 	case !expected:
-		return fmt.Errorf("%w: revision %v, only %s is expected", ErrHistory, next, src.Expect)
+		return fmt.Errorf("%w: revision %v, only %s is expected", ErrForeignHistory, next, src.ExpectedEpoch)
 	case next.Epoch != have.Epoch && have != (Revision{}):
-		if !v.Whole || src.Expect == "" && !src.Anew {
-			return fmt.Errorf("%w: revision %v after %v", ErrHistory, next, have)
+		if !v.Whole || src.ExpectedEpoch == "" && !src.MayRenumber {
+			return fmt.Errorf("%w: revision %v after %v", ErrForeignHistory, next, have)
 		}
-	case v.Whole && src.Anew:
+	case v.Whole && src.MayRenumber:
 	case next.Number < have.Number:
-		return fmt.Errorf("%w: %v after %v", ErrBack, next, have)
-	case v.Whole && src.Mends:
+		return fmt.Errorf("%w: %v after %v", ErrRevisionRegressed, next, have)
+	case v.Whole && src.MayCorrect:
 	case next.Number > 0 && next.Number == have.Number && src.known && differs(src.list, v.Whole, hosts):
-		return fmt.Errorf("%w, %v", ErrSame, next)
+		return fmt.Errorf("%w, %v", ErrRevisionReused, next)
 	}
 	return nil
 }
@@ -443,7 +443,7 @@
 	d.at = now
 	src.departed[name] = d
 	delete(src.list, name)
-	if len(src.departed) > 2*s.set.Most {
+	if len(src.departed) > 2*s.set.MaxHosts {
 		s.forget(src, now)
 	}
 }
@@ -490,7 +490,7 @@
 }
 
 // counts tells whether a source's list may be followed.
-func (src *source) counts(now float64) bool { return src.known && now-src.away <= src.Keep }
+func (src *source) counts(now float64) bool { return src.known && now-src.away <= src.StaleAfter }
 
 // choose finds the source to follow and tells whether that is another one.
 func (s *Set) choose(now float64) bool {
@@ -499,21 +499,21 @@
 		lead = slices.IndexFunc(s.sources, func(src *source) bool { return src.known })
 	}
 	if lead < 0 { // who was followed last is followed on
-		silent := func(src *source) bool { return now-src.away > src.Keep }
+		silent := func(src *source) bool { return now-src.away > src.StaleAfter }
 		if !s.aged && !slices.ContainsFunc(s.sources, func(src *source) bool { return !silent(src) }) {
 			s.aged = true
-			s.note(Note{Kind: Aged, Source: s.name(s.lead), Age: s.age(now)})
+			s.note(Note{Kind: AllStale, Source: s.name(s.lead), Age: s.age(now)})
 		}
 		return false
 	}
 	if s.aged {
 		s.aged = false
-		s.note(Note{Kind: Fresh, Source: s.name(lead)})
+		s.note(Note{Kind: Recovered, Source: s.name(lead)})
 	}
 	if lead == s.lead {
 		return false
 	}
-	s.note(Note{Kind: Lead, Source: s.name(lead), Other: s.name(s.lead), Revision: s.sources[lead].revision})
+	s.note(Note{Kind: SourceChanged, Source: s.name(lead), Other: s.name(s.lead), Revision: s.sources[lead].revision})
 	s.lead = lead
 	return true
 }
@@ -536,7 +536,7 @@
 // follow brings the set to what its sources say, as far as the guard lets it. of is who spoke, touched what it changed.
 func (s *Set) follow(now float64, of int, touched []string) {
 	defer s.reconsider(now)
-	free := s.sources[of].Free
+	free := s.sources[of].Unguarded
 	if first := s.lead < 0; s.choose(now) {
 		all := make([]string, 0, len(s.hosts))
 		for name := range s.hosts {
@@ -681,7 +681,7 @@
 			s.open = false
 			s.note(Note{Kind: Resolved, Source: s.name(s.lead), Revision: s.sources[max(s.lead, 0)].revision})
 		}
-		s.look, s.pause = math.Inf(1), s.set.Wait
+		s.look, s.pause = math.Inf(1), s.set.RereadDelay
 	}
 }
 
@@ -708,9 +708,9 @@
 			departs = append(departs, name)
 		}
 	}
-	s.look, s.open = min(s.look, now+s.set.Wait), true
+	s.look, s.open = min(s.look, now+s.set.RereadDelay), true
 	s.note(Note{Kind: Held, Source: src.Name, Revision: src.revision, Count: len(departs), Serving: s.serving,
-		Names: some(departs), Floor: floor})
+		Names: some(departs), BelowFloor: floor})
 }
 
 // since is when the wait of hosts that are held together has begun: now, unless all of them were held before. So what is
@@ -781,7 +781,7 @@
 
 // looked admits what has been held for the wait and stands in a list that was read anew.
 func (s *Set) looked(now float64, of int) {
-	s.admit(now, of, true, func(d dispute) bool { return d.since <= now-s.set.Wait+rounding })
+	s.admit(now, of, true, func(d dispute) bool { return d.since <= now-s.set.RereadDelay+rounding })
 }
 
 // admit takes what is held of a source. After a second look some must still serve.
@@ -809,11 +809,11 @@
 	s.settled()
 	slices.Sort(departs)
 	s.note(Note{Kind: Admitted, Source: src.Name, Revision: src.revision, Count: len(departs), Serving: serving,
-		Names: some(departs), Looked: looked})
+		Names: some(departs), Reread: looked})
 }
 
 // Due does what is due by now and names the sources that are to be read anew for a second look.
-func (s *Set) Due(now float64) (look []int) {
+func (s *Set) Tick(now float64) (look []int) {
 	s.now = now
 	if of := max(s.lead, 0); !s.sources[of].counts(now) {
 		s.follow(now, of, nil)
@@ -822,7 +822,7 @@
 		s.look = now + s.pause
 		s.pause = min(2*s.pause, longestLook)
 		for _, d := range s.held {
-			if d.since <= now-s.set.Wait+rounding && !slices.Contains(look, d.source) {
+			if d.since <= now-s.set.RereadDelay+rounding && !slices.Contains(look, d.source) {
 				look = append(look, d.source)
 			}
 		}
@@ -839,14 +839,14 @@
 }
 
 // Next is when Due has something to do; +Inf = never.
-func (s *Set) Next() float64 {
+func (s *Set) NextTick() float64 {
 	next := s.look
 	if len(s.sources) > 1 {
 		next = min(next, s.sweep)
 	}
 	for _, src := range s.sources {
 		// The last moment at which its word counts is followed by the one at which it does not.
-		if end := math.Nextafter(src.away+src.Keep, math.Inf(1)); end > s.now {
+		if end := math.Nextafter(src.away+src.StaleAfter, math.Inf(1)); end > s.now {
 			next = min(next, end)
 		}
 	}
@@ -855,7 +855,7 @@
 
 // Step gives what has changed since the last one, as the pilot takes it; false if nothing has. A step is the set as it
 // is now: what came and went in between does not show.
-func (s *Set) Step() (kind dispatch.Source, list []dispatch.Host, ok bool) {
+func (s *Set) Flush() (kind dispatch.Source, list []dispatch.Host, ok bool) {
 	kind = s.kind
 	if kind == dispatch.Changes && len(s.order) == 0 || kind == dispatch.Full && !s.based {
 		return kind, nil, false
--- a/internal/node/endpoints/merge/set_test.go
+++ b/internal/node/endpoints/merge/set_test.go
@@ -32,7 +32,7 @@
 }
 
 func newSet(t require.TestingT, g removalguard.Settings, sources ...Source) *Set {
-	s, err := New(Settings{Sources: sources, Guard: g, Wait: 1000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}})
+	s, err := New(Settings{Sources: sources, Guard: g, RereadDelay: 1000, MaxHosts: 100, Zones: []string{"z"}, Kinds: []string{"k"}})
 	require.NoError(t, err)
 	return s
 }
@@ -50,7 +50,7 @@
 type pilotLike map[string]dispatch.Host
 
 func (p pilotLike) step(s *Set) {
-	kind, list, ok := s.Step()
+	kind, list, ok := s.Flush()
 	if ok && kind != dispatch.Changes {
 		clear(p)
 	}
@@ -97,7 +97,7 @@
 // though it stands, or is taken though it would leave nobody; a refused version that changes something.
 func TestHistoriesOfOneSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSet(t, half, Source{Name: "a", Keep: 1e6})
+		s := newSet(t, half, Source{Name: "a", StaleAfter: 1e6})
 		now, number, pilots := epoch, uint64(1), pilotLike{}
 		said := map[string]dispatch.Host{}
 		// The pair is always told together: who serves changes hands in one version.
@@ -117,7 +117,7 @@
 					delete(said, h.Name)
 				}
 			}
-			require.NoError(t, s.Take(now, 0, v))
+			require.NoError(t, s.Apply(now, 0, v))
 		}
 		tell(Version{Revision: at(number), Whole: true, Hosts: append(letters(6), pair(true)...)})
 		pilots.step(s)
@@ -139,7 +139,7 @@
 				v.Hosts = slices.DeleteFunc(v.Hosts, func(h dispatch.Host) bool { return h.Status == dispatch.Removed })
 			}
 			bad := Version{Revision: at(number - 2), Hosts: list}
-			require.ErrorIs(t, s.Take(now, 0, bad), ErrBack)
+			require.ErrorIs(t, s.Apply(now, 0, bad), ErrRevisionRegressed)
 			before := maps.Clone(s.hosts)
 			tell(v)
 			c, _ := shiftOf(before, s.hosts)
@@ -163,17 +163,17 @@
 			require.Equal(t, s.hosts, map[string]dispatch.Host(pilots))
 		}
 		now += 1001
-		if look := s.Due(now); len(s.held) > 0 {
+		if look := s.Tick(now); len(s.held) > 0 {
 			require.Equal(t, []int{0}, look)
-			tell(Version{Revision: at(number), Whole: true, Hosts: slices.Collect(maps.Values(said)), Look: true})
+			tell(Version{Revision: at(number), Whole: true, Hosts: slices.Collect(maps.Values(said)), Reread: true})
 			if ready(said) > 0 {
 				require.Equal(t, said, s.hosts, "what stood for the wait and when read anew")
 			}
-			tell(Version{Revision: at(number), Meant: true})
+			tell(Version{Revision: at(number), Confirmed: true})
 		}
 		require.Equal(t, said, s.hosts)
 		require.Zero(t, s.shift, "nothing is held")
-		require.True(t, math.IsInf(s.Next(), 1))
+		require.True(t, math.IsInf(s.NextTick(), 1))
 	})
 }
 
@@ -183,7 +183,7 @@
 func TestHistoriesOfSeveralSources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := []float64{3000, 1000, 2000}
-		s := newSet(t, removalguard.Settings{Share: 1}, Source{Name: "a", Keep: keep[0]}, Source{Name: "b", Keep: keep[1]}, Source{Name: "c", Keep: keep[2]})
+		s := newSet(t, removalguard.Settings{Share: 1}, Source{Name: "a", StaleAfter: keep[0]}, Source{Name: "b", StaleAfter: keep[1]}, Source{Name: "c", StaleAfter: keep[2]})
 		now, lead := epoch, -1
 		var lists [3]map[string]dispatch.Host
 		var left [3]map[string]float64
@@ -196,18 +196,18 @@
 			of := rapid.IntRange(0, 2).Draw(t, "source")
 			switch what := rapid.SampledFrom([]string{"whole", "change", "away", "present", "time"}).Draw(t, "what"); {
 			case what == "away":
-				s.Away(now, of, now)
+				s.Unreachable(now, of, now)
 				away[of] = min(away[of], now)
 			case what == "present":
 				if since := rapid.SampledFrom([]float64{0, now - 250}).Draw(t, "since"); since > 0 {
-					s.Present(now, of, since)
+					s.Unchanged(now, of, since)
 					away[of] = min(away[of], since)
 				} else {
-					s.Present(now, of, 0)
+					s.Unchanged(now, of, 0)
 					away[of] = math.Inf(1)
 				}
 			case what == "time":
-				s.Due(now)
+				s.Tick(now)
 			case what == "whole" || lists[of] != nil:
 				list := map[string]dispatch.Host{}
 				if what == "change" {
@@ -224,7 +224,7 @@
 						}
 					}
 				}
-				require.NoError(t, s.Take(now, of, Version{Revision: at(uint64(n + 1)), Whole: what == "whole", Hosts: told}))
+				require.NoError(t, s.Apply(now, of, Version{Revision: at(uint64(n + 1)), Whole: what == "whole", Hosts: told}))
 				for _, h := range letters(4) {
 					_, was := lists[of][h.Name]
 					next, is := list[h.Name]
@@ -244,7 +244,7 @@
 					break
 				}
 			}
-			s.Due(now)
+			s.Tick(now)
 			want := map[string]dispatch.Host{}
 			if lead >= 0 {
 				for name, h := range lists[lead] {
@@ -257,7 +257,7 @@
 				}
 			}
 			require.Equal(t, want, s.hosts)
-			require.Greater(t, s.Next(), now)
+			require.Greater(t, s.NextTick(), now)
 		}
 	})
 }
@@ -266,11 +266,11 @@
 // changes of nothing, too long. None of them may change anything, whatever the source; the platform's numbers may begin
 // anew, and an epoch that the operator names may follow.
 func TestRefusedForGood(t *testing.T) {
-	s := newSet(t, half, Source{Name: "a"}, Source{Name: "free", Free: true, Anew: true})
+	s := newSet(t, half, Source{Name: "a"}, Source{Name: "free", Unguarded: true, MayRenumber: true})
 	take := func(of int, r Revision, whole bool, hosts ...dispatch.Host) error {
-		return s.Take(epoch, of, Version{Revision: r, Whole: whole, Hosts: hosts})
+		return s.Apply(epoch, of, Version{Revision: r, Whole: whole, Hosts: hosts})
 	}
-	assert.ErrorIs(t, take(0, at(1), false), ErrChanges)
+	assert.ErrorIs(t, take(0, at(1), false), ErrNoBaseList)
 	require.NoError(t, take(0, Revision{"x", 5}, true, letters(4)...))
 	before := maps.Clone(s.hosts)
 	for _, c := range []struct {
@@ -279,24 +279,24 @@
 		hosts []dispatch.Host
 		want  error
 	}{
-		{Revision{"y", 9}, true, letters(4), ErrHistory}, {Revision{"x", 4}, true, letters(4), ErrBack},
-		{Revision{"x", 5}, true, letters(3), ErrSame}, {Revision{"x", 5}, false, letters(5), ErrSame},
-		{Revision{"x", 4}, false, nil, ErrBack}, {Revision{"x", 5}, true, letters(4), nil},
-		{Revision{}, true, letters(4), ErrHistory}, {Revision{"x", 6}, false, func() (many []dispatch.Host) {
+		{Revision{"y", 9}, true, letters(4), ErrForeignHistory}, {Revision{"x", 4}, true, letters(4), ErrRevisionRegressed},
+		{Revision{"x", 5}, true, letters(3), ErrRevisionReused}, {Revision{"x", 5}, false, letters(5), ErrRevisionReused},
+		{Revision{"x", 4}, false, nil, ErrRevisionRegressed}, {Revision{"x", 5}, true, letters(4), nil},
+		{Revision{}, true, letters(4), ErrForeignHistory}, {Revision{"x", 6}, false, func() (many []dispatch.Host) {
 			for i := range 98 {
 				many = append(many, host(fmt.Sprint(i), dispatch.Ready))
 			}
 			return many
-		}(), ErrMany},
+		}(), ErrTooManyHosts},
 	} {
 		err := take(0, c.r, c.whole, c.hosts...)
 		assert.ErrorIs(t, err, c.want)
 		assert.Equal(t, c.want == nil, err == nil)
 		assert.Equal(t, before, s.hosts)
 	}
-	s.Tune(half, 1000, []Source{{Name: "a", Expect: "y"}, {Name: "free", Free: true}})
-	assert.ErrorIs(t, take(0, Revision{"x", 9}, true, letters(4)...), ErrHistory, "the old cluster is not expected any more")
-	assert.ErrorIs(t, take(0, Revision{"y", 9}, false, letters(5)...), ErrHistory, "not from the middle of it")
+	s.Reconfigure(half, 1000, []Source{{Name: "a", ExpectedEpoch: "y"}, {Name: "free", Unguarded: true}})
+	assert.ErrorIs(t, take(0, Revision{"x", 9}, true, letters(4)...), ErrForeignHistory, "the old cluster is not expected any more")
+	assert.ErrorIs(t, take(0, Revision{"y", 9}, false, letters(5)...), ErrForeignHistory, "not from the middle of it")
 	require.NoError(t, take(0, Revision{"y", 2}, true, letters(5)...))
 	assert.Len(t, s.hosts, 5)
 	require.NoError(t, take(1, at(9), true, letters(5)...))
@@ -312,15 +312,15 @@
 		serves int
 	}{{epoch, letters(1), 4}, {epoch - 1, letters(1), 1}, {epoch - 1, nil, 4}, {epoch, letters(2), 2}} {
 		s := newSet(t, half, Source{Name: "a"})
-		s.Start(letters(4), c.fresh, []Revision{at(7)})
-		kind, list, ok := s.Step()
+		s.Restore(letters(4), c.fresh, []Revision{at(7)})
+		kind, list, ok := s.Flush()
 		assert.Equal(t, dispatch.Stored, kind)
 		assert.True(t, ok)
 		assert.Len(t, list, 4)
-		assert.ErrorIs(t, s.Take(epoch, 0, Version{Revision: at(6), Whole: true, Hosts: letters(4)}), ErrBack)
-		require.NoError(t, s.Take(epoch, 0, Version{Revision: at(7), Whole: true, Hosts: c.first}))
+		assert.ErrorIs(t, s.Apply(epoch, 0, Version{Revision: at(6), Whole: true, Hosts: letters(4)}), ErrRevisionRegressed)
+		require.NoError(t, s.Apply(epoch, 0, Version{Revision: at(7), Whole: true, Hosts: c.first}))
 		assert.Equal(t, c.serves, s.serving)
-		if kind, list, _ = s.Step(); c.serves != 4 {
+		if kind, list, _ = s.Flush(); c.serves != 4 {
 			assert.Equal(t, dispatch.Full, kind)
 			assert.Len(t, list, c.serves)
 		}
@@ -328,10 +328,10 @@
 	s := newSet(t, half, Source{Name: "a"})
 	odd := host("b", dispatch.Ready)
 	odd.Zone = "elsewhere"
-	require.NoError(t, s.Take(epoch, 0, Version{Revision: at(1), Whole: true, Hosts: letters(2)}))
-	require.NoError(t, s.Take(epoch, 0, Version{Revision: at(2), Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Ready), odd, {Name: "c"}}}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Revision: at(1), Whole: true, Hosts: letters(2)}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Revision: at(2), Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Ready), odd, {Name: "c"}}}))
 	assert.Equal(t, letters(2), s.Hosts())
-	assert.Equal(t, Note{Kind: Unusable, Source: "a", Revision: at(2), Count: 2, Names: []string{"b", "c"}}, s.Notes()[1])
+	assert.Equal(t, Note{Kind: Unusable, Source: "a", Revision: at(2), Count: 2, Names: []string{"b", "c"}}, s.TakeNotes()[1])
 }
 
 // Guards against a second look that admits what has not been held for the wait, that comes unasked, that comes again and
@@ -342,26 +342,26 @@
 	all := letters(12)
 	tell := func(ms float64, v Version) {
 		v.Whole = true
-		require.NoError(t, s.Take(epoch+ms, 0, v))
+		require.NoError(t, s.Apply(epoch+ms, 0, v))
 	}
 	tell(0, Version{Revision: at(1), Hosts: all})
 	tell(0, Version{Revision: at(2), Hosts: all[4:]})
-	require.NoError(t, s.Take(epoch+300, 0, Version{Revision: at(2), Hosts: []dispatch.Host{host("a", dispatch.Removed), host("b", dispatch.Removed),
+	require.NoError(t, s.Apply(epoch+300, 0, Version{Revision: at(2), Hosts: []dispatch.Host{host("a", dispatch.Removed), host("b", dispatch.Removed),
 		host("c", dispatch.Removed), host("d", dispatch.Removed)}})) // once more: the wait goes on
 	tell(600, Version{Revision: at(3), Hosts: all[8:]})
-	tell(900, Version{Revision: at(3), Hosts: all[8:], Look: true})
+	tell(900, Version{Revision: at(3), Hosts: all[8:], Reread: true})
 	assert.Equal(t, 12, s.serving)
-	assert.Equal(t, epoch+1000, s.Next())
-	assert.Equal(t, []int{0}, s.Due(epoch+1000))
-	tell(1000, Version{Revision: at(3), Hosts: all[8:], Look: true})
+	assert.Equal(t, epoch+1000, s.NextTick())
+	assert.Equal(t, []int{0}, s.Tick(epoch+1000))
+	tell(1000, Version{Revision: at(3), Hosts: all[8:], Reread: true})
 	assert.Equal(t, 8, s.serving)
 	tell(1000, Version{Revision: at(4), Hosts: all[:2]})
 	assert.Equal(t, 8, s.serving, "2 would be left of those that serve: it takes more than a second look")
 	var looks []float64
-	for now := s.Next(); now < epoch+20e3; now = s.Next() {
+	for now := s.NextTick(); now < epoch+20e3; now = s.NextTick() {
 		looks = append(looks, now-epoch)
-		s.Due(now)
-		tell(now-epoch, Version{Revision: at(4), Hosts: all[:2], Look: true})
+		s.Tick(now)
+		tell(now-epoch, Version{Revision: at(4), Hosts: all[:2], Reread: true})
 	}
 	assert.Equal(t, []float64{2000, 4000, 8000, 16000}, looks)
 	assert.Equal(t, 8, s.serving)
@@ -369,13 +369,13 @@
 	assert.Equal(t, 8, s.serving)
 	s.Confirm(epoch, 0, 3)
 	assert.Equal(t, 4, s.serving)
-	tell(0, Version{Revision: at(5), Hosts: all[:2], Meant: true})
+	tell(0, Version{Revision: at(5), Hosts: all[:2], Confirmed: true})
 	assert.Equal(t, 2, s.serving)
 	assert.Zero(t, s.View(epoch).Held)
-	assert.True(t, math.IsInf(s.Next(), 1))
+	assert.True(t, math.IsInf(s.NextTick(), 1))
 	var told []string
-	for _, n := range s.Notes() {
-		told = append(told, fmt.Sprint(n.Kind, n.Count, n.Floor, n.Looked))
+	for _, n := range s.TakeNotes() {
+		told = append(told, fmt.Sprint(n.Kind, n.Count, n.BelowFloor, n.Reread))
 	}
 	assert.Equal(t, []string{"3 0 false false", "0 4 false false", "0 4 false false", "0 4 false false", "1 4 false true",
 		"0 4 false false", "1 4 false false", "1 4 false false"}, told)
@@ -385,60 +385,60 @@
 // what the platform has told already, and against a drain lost because it was told in a version that was held.
 func TestChangeOfSourceIsJudged(t *testing.T) {
 	few := removalguard.Settings{Share: 0.1, Floor: 1}
-	s := newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b", Keep: 1000, Free: true})
+	s := newSet(t, few, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b", StaleAfter: 1000, Unguarded: true})
 	all := letters(8)
 	take := func(ms float64, of int, whole bool, hosts ...dispatch.Host) {
-		require.NoError(t, s.Take(epoch+ms, of, Version{Whole: whole, Hosts: hosts}))
+		require.NoError(t, s.Apply(epoch+ms, of, Version{Whole: whole, Hosts: hosts}))
 	}
 	take(0, 0, true, all...)
 	take(0, 1, true, all[:5]...)
-	s.Away(epoch, 0, epoch)
-	s.Due(epoch + 1001)
+	s.Unreachable(epoch, 0, epoch)
+	s.Tick(epoch + 1001)
 	assert.True(t, s.View(epoch).Sources[1].Followed)
 	assert.Equal(t, 8, s.serving, "five of eight would serve")
 	take(1001, 1, true, all[2:5]...)
 	assert.Equal(t, 6, s.serving, "what the platform tells is told")
-	assert.Equal(t, []int{1}, s.Due(epoch+2001))
-	require.NoError(t, s.Take(epoch+2001, 1, Version{Whole: true, Hosts: all[2:5], Look: true}))
+	assert.Equal(t, []int{1}, s.Tick(epoch+2001))
+	require.NoError(t, s.Apply(epoch+2001, 1, Version{Whole: true, Hosts: all[2:5], Reread: true}))
 	assert.Equal(t, 3, s.serving)
 	take(2001, 0, true, all...)
 	assert.Equal(t, 6, s.serving, "two were told to leave, by whomever")
-	s.Due(epoch + rememberFor)
+	s.Tick(epoch + rememberFor)
 	take(rememberFor, 1, true, all[:5]...)
 	assert.Equal(t, 8, s.serving)
 
-	s = newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b", Free: true})
+	s = newSet(t, few, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b", Unguarded: true})
 	take(0, 0, true, all...)
-	s.Away(epoch, 0, epoch)
+	s.Unreachable(epoch, 0, epoch)
 	take(1001, 1, true, host("a", dispatch.Draining), host("b", dispatch.Draining))
 	assert.Equal(t, 6, s.serving, "those in the first word of the platform, though it would leave none")
 
-	s = newSet(t, few, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
+	s = newSet(t, few, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b"})
 	take(0, 0, true, all...)
-	s.Away(epoch, 0, epoch)
+	s.Unreachable(epoch, 0, epoch)
 	other := host("a", dispatch.Ready)
 	other.Weight = 2
 	take(1001, 1, true, other)
 	assert.Equal(t, all, s.Hosts(), "a list of two sources")
 
-	s = newSet(t, half, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
+	s = newSet(t, half, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b"})
 	moved, again := host("a", dispatch.Ready), host("a", dispatch.Ready)
 	moved.Address, again.Since = "elsewhere:1", epoch+2
 	take(0, 0, true, all...)
 	take(0, 1, true, all...)
 	take(1, 0, false, moved)
-	s.Away(epoch, 0, epoch)
-	s.Due(epoch + 1001)
+	s.Unreachable(epoch, 0, epoch)
+	s.Tick(epoch + 1001)
 	assert.Equal(t, dispatch.Draining, s.hosts["a"].Status, "it has left the address that the other still has")
 	take(1001, 1, false, again)
 	assert.Equal(t, dispatch.Ready, s.hosts["a"].Status, "but may have come back there")
-	require.NoError(t, s.Take(epoch+1002, 0, Version{Hosts: []dispatch.Host{host("b", dispatch.Removed)}, Away: -1}))
+	require.NoError(t, s.Apply(epoch+1002, 0, Version{Hosts: []dispatch.Host{host("b", dispatch.Removed)}, UnreachableSince: -1}))
 	assert.False(t, s.View(epoch).Sources[0].Followed, "there is more to come")
 	back := host("b", dispatch.Ready)
 	back.Address = "elsewhere:2"
 	take(1003, 0, false, back)
-	s.Away(epoch+1003, 0, epoch)
-	s.Due(epoch + 1003)
+	s.Unreachable(epoch+1003, 0, epoch)
+	s.Tick(epoch + 1003)
 	assert.Equal(t, dispatch.Draining, s.hosts["b"].Status, "it has left, and is back elsewhere")
 
 	s = newSet(t, half, Source{Name: "a"})
@@ -456,10 +456,10 @@
 	all := append(letters(2), one)
 	next := append(letters(1), two) // one leaves and two comes, at once; b leaves, too
 	begin := func() (*Set, func(ms float64, of int, v Version)) {
-		s := newSet(t, removalguard.Settings{Share: 0.4, Floor: 1}, Source{Name: "a", Keep: 1000}, Source{Name: "b"})
+		s := newSet(t, removalguard.Settings{Share: 0.4, Floor: 1}, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b"})
 		take := func(ms float64, of int, v Version) {
 			v.Whole = v.Whole || len(v.Hosts) != 1
-			require.NoError(t, s.Take(epoch+ms, of, v))
+			require.NoError(t, s.Apply(epoch+ms, of, v))
 		}
 		take(0, 0, Version{Hosts: all})
 		return s, take
@@ -476,8 +476,8 @@
 	take(100, 1, Version{Hosts: next})
 	assert.Equal(t, "a b one ", names(s), "the other source says again what is held")
 	take(200, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}}})
-	s.Due(epoch + 1000)
-	take(1000, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, two}, Look: true})
+	s.Tick(epoch + 1000)
+	take(1000, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, two}, Reread: true})
 	assert.Equal(t, "a two ", names(s), "what is held together is taken together")
 
 	s, take = begin()
@@ -485,8 +485,8 @@
 	take(0, 0, Version{Hosts: next})
 	take(100, 1, Version{Hosts: append(letters(1), two)})
 	assert.Equal(t, "a b one ", names(s))
-	s.Due(epoch + 1000)
-	take(1000, 0, Version{Hosts: next, Look: true})
+	s.Tick(epoch + 1000)
+	take(1000, 0, Version{Hosts: next, Reread: true})
 	assert.Equal(t, "a two ", names(s), "though the other source has told of it, too")
 
 	s, take = begin()
@@ -500,8 +500,8 @@
 	take(100, 0, Version{Hosts: []dispatch.Host{two}})
 	take(200, 0, Version{Hosts: append(letters(1), two)})
 	take(300, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}})
-	s.Due(epoch + 1250)
-	take(1250, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Look: true})
+	s.Tick(epoch + 1250)
+	take(1250, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Reread: true})
 	assert.NotContains(t, names(s), "one two")
 
 	s = newSet(t, removalguard.Settings{Share: 0.1, Floor: 1}, Source{Name: "a"})
@@ -510,19 +510,19 @@
 		for _, name := range names {
 			list = append(list, host(name, dispatch.Removed))
 		}
-		require.NoError(t, s.Take(epoch+ms, 0, Version{Hosts: list}))
+		require.NoError(t, s.Apply(epoch+ms, 0, Version{Hosts: list}))
 	}
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: letters(6)}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: letters(6)}))
 	gone(0, "a", "b")
 	gone(600, "c", "d")
 	gone(700, "c", "a")
-	s.Due(epoch + 1000)
-	require.NoError(t, s.Take(epoch+1000, 0, Version{Whole: true, Hosts: letters(6)[4:], Look: true}))
+	s.Tick(epoch + 1000)
+	require.NoError(t, s.Apply(epoch+1000, 0, Version{Whole: true, Hosts: letters(6)[4:], Reread: true}))
 	assert.Equal(t, "a c d e f ", names(s), "what has been held together since a later time")
 
-	s = newSet(t, half, Source{Name: "a", Keep: 1000})
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: all, Away: epoch - 2000}))
-	kind, list, ok := s.Step()
+	s = newSet(t, half, Source{Name: "a", StaleAfter: 1000})
+	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: all, UnreachableSince: epoch - 2000}))
+	kind, list, ok := s.Flush()
 	assert.True(t, ok && kind == dispatch.Full && len(list) == 3, "an old list is better than none")
 }
 
@@ -530,59 +530,59 @@
 func TestEndedHostsAreForgotten(t *testing.T) {
 	s := newSet(t, removalguard.Settings{Share: 1}, Source{Name: "a"}, Source{Name: "b"})
 	stays := host("stays", dispatch.Ready)
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
-	require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
-	require.NoError(t, s.Take(epoch, 1, Version{Whole: true}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
+	require.NoError(t, s.Apply(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
+	require.NoError(t, s.Apply(epoch, 1, Version{Whole: true}))
 	for i := range 1000 {
-		require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{host(fmt.Sprint(i), dispatch.Ready)}}))
+		require.NoError(t, s.Apply(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{host(fmt.Sprint(i), dispatch.Ready)}}))
 		require.LessOrEqual(t, len(s.sources[1].departed), 201)
 	}
-	s.Due(epoch + rememberFor - 1)
+	s.Tick(epoch + rememberFor - 1)
 	assert.Greater(t, len(s.sources[1].departed), 1)
-	s.Due(epoch + 2*rememberFor)
+	s.Tick(epoch + 2*rememberFor)
 	assert.Len(t, s.sources[1].departed, 1)
 	assert.Zero(t, s.serving)
 	for i := range 100 {
 		stays.Address = fmt.Sprint(i % 50)
-		require.NoError(t, s.Take(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
+		require.NoError(t, s.Apply(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
 	}
 	assert.Len(t, s.sources[1].departed["stays"].left, mostPlaces)
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Draining)}}))
-	require.NoError(t, s.Take(epoch, 0, Version{Whole: true, Hosts: letters(1)}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Draining)}}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: letters(1)}))
 	assert.NotContains(t, s.sources[0].departed, "a", "it is where it was")
 }
 
 // Guards against sources that disagree without a word, against one that is told for news on its way, and against a stale
 // list that is not told.
 func TestDisagreementAndAge(t *testing.T) {
-	s := newSet(t, half, Source{Name: "a", Keep: 5e3}, Source{Name: "b", Keep: 50e3})
+	s := newSet(t, half, Source{Name: "a", StaleAfter: 5e3}, Source{Name: "b", StaleAfter: 50e3})
 	take := func(of int, hosts []dispatch.Host) {
-		require.NoError(t, s.Take(epoch, of, Version{Whole: true, Hosts: hosts}))
+		require.NoError(t, s.Apply(epoch, of, Version{Whole: true, Hosts: hosts}))
 	}
 	take(0, letters(4))
 	take(1, letters(3))
 	for i := range 2 {
-		s.Due(epoch + float64(i)*sweepEvery)
+		s.Tick(epoch + float64(i)*sweepEvery)
 		kinds := []NoteKind{}
-		for _, n := range s.Notes() {
+		for _, n := range s.TakeNotes() {
 			kinds = append(kinds, n.Kind)
 		}
-		assert.Equal(t, [][]NoteKind{{Lead}, {Differ}}[i], kinds)
+		assert.Equal(t, [][]NoteKind{{SourceChanged}, {Disagree}}[i], kinds)
 	}
 	take(1, letters(4))
-	s.Due(epoch + 2*sweepEvery)
-	s.Away(epoch, 0, epoch)
-	s.Away(epoch, 1, epoch)
-	for now := s.Next(); now < epoch+60e3; now = s.Next() {
-		s.Due(now)
+	s.Tick(epoch + 2*sweepEvery)
+	s.Unreachable(epoch, 0, epoch)
+	s.Unreachable(epoch, 1, epoch)
+	for now := s.NextTick(); now < epoch+60e3; now = s.NextTick() {
+		s.Tick(now)
 	}
-	assert.True(t, s.View(epoch).Aged)
+	assert.True(t, s.View(epoch).Stale)
 	assert.Len(t, s.hosts, 4, "it serves on")
 	take(0, letters(4))
 	var got []Note
-	for _, n := range s.Notes() {
+	for _, n := range s.TakeNotes() {
 		got = append(got, Note{Kind: n.Kind, Source: n.Source, Other: n.Other, Age: math.Floor(n.Age)})
 	}
-	assert.Equal(t, []Note{{Kind: Agree, Source: "b", Other: "a"}, {Kind: Lead, Source: "b", Other: "a"},
-		{Kind: Aged, Source: "b", Age: 50000}, {Kind: Fresh, Source: "a"}, {Kind: Lead, Source: "a", Other: "b"}}, got)
+	assert.Equal(t, []Note{{Kind: Agree, Source: "b", Other: "a"}, {Kind: SourceChanged, Source: "b", Other: "a"},
+		{Kind: AllStale, Source: "b", Age: 50000}, {Kind: Recovered, Source: "a"}, {Kind: SourceChanged, Source: "a", Other: "b"}}, got)
 }
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -81,11 +81,11 @@
 		one := merge.Source{Name: name}
 		switch name {
 		case options.SourceDiscovery:
-			one.Keep, one.Free, one.Anew = o.Discovery.Keep.Ms, !o.Guard.Discovery, true
+			one.StaleAfter, one.Unguarded, one.MayRenumber = o.Discovery.Keep.Ms, !o.Guard.Discovery, true
 		case options.SourceEtcd:
-			one.Keep, one.Expect, one.Mends = o.Etcd.Keep.Ms, o.Etcd.History, true
+			one.StaleAfter, one.ExpectedEpoch, one.MayCorrect = o.Etcd.Keep.Ms, o.Etcd.History, true
 		case options.SourceFiles:
-			one.Keep, one.Expect = o.Files.Keep.Ms, o.Files.Path
+			one.StaleAfter, one.ExpectedEpoch = o.Files.Keep.Ms, o.Files.Path
 		}
 		list = append(list, one)
 	}
@@ -100,7 +100,7 @@
 func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
-	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
+	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), RereadDelay: o.Guard.Wait.Ms, MaxHosts: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
 		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.keeper.Record() },
@@ -206,7 +206,7 @@
 			one.Away = now - src.Away
 		}
 		if src.Followed {
-			s.Index, s.Age = int64(src.Revision.Number), now-src.Heard
+			s.Index, s.Age = int64(src.Revision.Number), now-src.LastContact
 		}
 		s.Sources = append(s.Sources, one)
 	}
