--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -91,8 +91,8 @@
 	}
 	e := &o.Inventory.Etcd
 	set := &etcd.Settings{Endpoints: e.Endpoints, Prefix: e.Prefix, User: e.User, Password: e.Password, History: e.History,
-		Most: o.Inventory.MostHosts, CallLimit: e.CallLimit.Ms, Ask: e.AskEvery.Ms, Silence: e.Silence.Ms, CheckEvery: e.CheckEvery.Ms,
-		FirstPause: e.FirstPause.Ms, LastPause: e.LastPause.Ms}
+		MaxHosts: o.Inventory.MostHosts, CallTimeout: e.CallLimit.Ms, ProgressInterval: e.AskEvery.Ms,
+		SilenceTimeout: e.Silence.Ms, CheckInterval: e.CheckEvery.Ms, FirstPause: e.FirstPause.Ms, LastPause: e.LastPause.Ms}
 	if len(e.Endpoints) == 0 {
 		fault("endpoints", errors.New("there is none"))
 	}
@@ -202,7 +202,7 @@
 	book := agent.NewBook(options.SourceEtcd)
 	ready := sync.OnceFunc(func() { manager.Ready(systemd.Serving) })
 	source := etcd.New(*set, a.clock, a.log, told{book, a.clock, ready})
-	server := &http.Server{Handler: (&agent.Server{Book: book, Clock: a.clock, Look: source.Look}).Handler(),
+	server := &http.Server{Handler: (&agent.Server{Book: book, Clock: a.clock, Look: source.RequestReread}).Handler(),
 		ReadHeaderTimeout: headLimit, ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
 	back, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
@@ -241,6 +241,6 @@
 		return
 	}
 	a.apply(o)
-	source.Set(*set)
+	source.SetSettings(*set)
 	a.log.Info("the options were read again", "endpoints", set.Endpoints, "prefix", set.Prefix)
 }
--- a/internal/node/endpoints/etcd/conn.go
+++ b/internal/node/endpoints/etcd/conn.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{clock: s.Clock, limit: set.CallLimit, grpc: raw, kv: etcdserverpb.NewKVClient(raw), prefix: set.Prefix}
+	c := &conn{clock: s.Clock, limit: set.CallTimeout, grpc: raw, kv: etcdserverpb.NewKVClient(raw), prefix: set.Prefix}
 	if set.User != "" {
 		err = c.call(ctx, func(ctx context.Context) error {
 			got, err := etcdserverpb.NewAuthClient(raw).Authenticate(ctx, &etcdserverpb.AuthenticateRequest{Name: set.User,
--- a/internal/node/endpoints/etcd/source.go
+++ b/internal/node/endpoints/etcd/source.go
@@ -33,15 +33,15 @@
 	User, Password string                                          // empty = none
 	TLS            *tls.Config                                     // nil = none
 	History        string                                          // the only one that is taken, see Cluster; empty = that of the first cluster that is seen
-	Most           int                                             // hosts
+	MaxHosts       int                                             // hosts
 	Dial           func(context.Context, string) (net.Conn, error) // nil = TCP
 
-	CallLimit  float64 // for one call
-	Ask        float64 // between two questions of how far a watch has come
-	Silence    float64 // without a word the watch is dead
-	CheckEvery float64 // between two checks that nothing was missed
-	FirstPause float64 // after all endpoints have failed, doubled each time
-	LastPause  float64
+	CallTimeout      float64 // for one call
+	ProgressInterval float64 // between two questions of how far a watch has come
+	SilenceTimeout   float64 // without a word the watch is dead
+	CheckInterval    float64 // between two checks that nothing was missed
+	FirstPause       float64 // after all endpoints have failed, doubled each time
+	LastPause        float64
 }
 
 // Sink is who is told. Calls come one after the other.
@@ -79,8 +79,8 @@
 }
 
 func tracker(set *Settings) *Tracker {
-	cluster, _ := Cluster(set.History) // 0 without one: who reads the options checks them
-	return NewTracker(set.Prefix, set.Most, cluster)
+	cluster, _ := ClusterID(set.History) // 0 without one: who reads the options checks them
+	return NewTracker(set.Prefix, set.MaxHosts, cluster)
 }
 
 // epoch names the history that the tracker follows.
@@ -89,7 +89,7 @@
 }
 
 // Set has the source go on with other settings. Another prefix or cluster begins with a new list.
-func (s *Source) Set(set Settings) {
+func (s *Source) SetSettings(set Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.set = &set
@@ -98,7 +98,7 @@
 }
 
 // Look has the sink told the list once it was read anew.
-func (s *Source) Look() {
+func (s *Source) RequestReread() {
 	select {
 	case s.look <- struct{}{}:
 	default:
@@ -125,7 +125,7 @@
 		select {
 		case <-changed:
 			old := set
-			if set, changed = s.settings(); set.Prefix != old.Prefix || set.History != old.History || set.Most != old.Most {
+			if set, changed = s.settings(); set.Prefix != old.Prefix || set.History != old.History || set.MaxHosts != old.MaxHosts {
 				s.tracker, s.history, s.dirty = tracker(set), set.History, false
 			}
 			s.turn, pause, failed = 0, 0, 0
@@ -143,7 +143,7 @@
 		if s.Clock.Now()-began >= set.LastPause { // else it may be that each try ends like this
 			pause, failed = 0, 0
 		}
-		s.dirty = s.dirty || errors.Is(err, errCompacted) || errors.Is(err, ErrLost) || errors.Is(err, ErrMany)
+		s.dirty = s.dirty || errors.Is(err, errCompacted) || errors.Is(err, ErrMissedChange) || errors.Is(err, ErrTooManyKeys)
 		if denied(err) {
 			if s.denied++; s.denied == 1 {
 				continue // with a new token
@@ -164,10 +164,10 @@
 
 func (s *Source) warn(addr string, err error, pause float64) {
 	switch {
-	case errors.Is(err, errCompacted) || errors.Is(err, ErrLost):
+	case errors.Is(err, errCompacted) || errors.Is(err, ErrMissedChange):
 		s.Log.Warn("changes in etcd were missed: the list is read anew", "endpoint", addr, "error", err)
 		return
-	case errors.Is(err, ErrHistory) || errors.Is(err, ErrBehind):
+	case errors.Is(err, ErrForeignHistory) || errors.Is(err, ErrBehind):
 		s.Log.Error("etcd shows what cannot follow from what was seen: nothing of it is taken", "endpoint", addr, "error", err,
 			"again_ms", pause)
 		return
@@ -210,10 +210,10 @@
 // begin sees to it that the tracker has all up to a revision that the member knows.
 func (s *Source) begin(ctx context.Context, c *conn) error {
 	if s.tracker.Revision() > 0 && !s.dirty {
-		check := s.tracker.Check()
+		check := s.tracker.BeginCheck()
 		header, kvs, err := c.all(ctx, check.Revision, true)
 		if err == nil {
-			err = s.tracker.Checked(check, header, kvs)
+			err = s.tracker.FinishCheck(check, header, kvs)
 		}
 		if err == nil {
 			s.want = header.Revision // what has changed since then comes first
@@ -222,7 +222,7 @@
 		if is(err, rpctypes.ErrGRPCFutureRev) {
 			err = fmt.Errorf("%w: revision %d is yet to come there", ErrBehind, check.Revision)
 		}
-		if !errors.Is(err, ErrLost) && !is(err, rpctypes.ErrGRPCCompacted) {
+		if !errors.Is(err, ErrMissedChange) && !is(err, rpctypes.ErrGRPCCompacted) {
 			return err
 		}
 	}
@@ -230,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	u, err := s.tracker.List(header, header.GetRevision(), kvs)
+	u, err := s.tracker.ApplyList(header, header.GetRevision(), kvs)
 	if err != nil {
 		return err
 	}
@@ -240,9 +240,9 @@
 }
 
 func (s *Source) update(u Update) {
-	if len(u.Odd) > 0 {
-		s.Log.Warn("values in etcd cannot be used: these hosts stay as they were", "count", len(u.Odd),
-			"first", u.Odd[:min(len(u.Odd), mostTold)])
+	if len(u.Unusable) > 0 {
+		s.Log.Warn("values in etcd cannot be used: these hosts stay as they were", "count", len(u.Unusable),
+			"first", u.Unusable[:min(len(u.Unusable), mostTold)])
 	}
 	s.Sink.Update(s.epoch(), u)
 }
@@ -293,9 +293,9 @@
 	defer cancel()
 	words, proofs := make(chan heard), make(chan proof)
 	go receive(ctx, w, words)
-	ask, stopAsk := s.tick(set.Ask)
+	ask, stopAsk := s.tick(set.ProgressInterval)
 	defer func() { stopAsk() }()
-	check, stopCheck := s.tick(set.CheckEvery)
+	check, stopCheck := s.tick(set.CheckInterval)
 	defer func() { stopCheck() }()
 	var parts []*mvccpb.Event
 	last, checking := s.Clock.Now(), false
@@ -304,7 +304,7 @@
 			return
 		}
 		checking = true
-		p := proof{check: s.tracker.Check(), look: s.looking}
+		p := proof{check: s.tracker.BeginCheck(), look: s.looking}
 		go func() {
 			p.header, p.kvs, p.err = c.all(ctx, p.check.Revision, true)
 			select {
@@ -332,15 +332,15 @@
 				prove()
 			}
 		case <-ask:
-			if s.Clock.Now()-last >= set.Silence {
+			if s.Clock.Now()-last >= set.SilenceTimeout {
 				return errSilent
 			}
-			ask, stopAsk = s.tick(set.Ask)
+			ask, stopAsk = s.tick(set.ProgressInterval)
 			if err := w.Send(howFar); err != nil {
 				return fmt.Errorf("asking how far the watch is: %w", err)
 			}
 		case <-check:
-			check, stopCheck = s.tick(set.CheckEvery)
+			check, stopCheck = s.tick(set.CheckInterval)
 			prove()
 		case <-s.look:
 			s.looking = true
@@ -396,13 +396,13 @@
 		return nil
 	}
 	if len(events) == 0 {
-		if err := s.tracker.Progress(r.Header); err != nil {
+		if err := s.tracker.ApplyProgress(r.Header); err != nil {
 			return err
 		}
 		s.current()
 		return nil
 	}
-	list, err := s.tracker.Events(r.Header, events)
+	list, err := s.tracker.ApplyEvents(r.Header, events)
 	for _, u := range list {
 		s.update(u)
 	}
@@ -423,7 +423,7 @@
 func (s *Source) proved(p proof) error {
 	err := p.err
 	if err == nil {
-		err = s.tracker.Checked(p.check, p.header, p.kvs)
+		err = s.tracker.FinishCheck(p.check, p.header, p.kvs)
 	}
 	if err == nil && p.look {
 		s.looking = false
--- a/internal/node/endpoints/etcd/source_test.go
+++ b/internal/node/endpoints/etcd/source_test.go
@@ -68,7 +68,7 @@
 			delete(s.hosts, h.Name)
 		}
 	}
-	s.odd += len(u.Odd)
+	s.odd += len(u.Unusable)
 	if u.Confirm > 0 {
 		s.words = append(s.words, fmt.Sprint("confirmed ", u.Confirm))
 	}
@@ -118,7 +118,7 @@
 		require.NoError(t, err)
 		defer c.Close()
 		prepare(c)
-		set := Settings{Endpoints: c.Endpoints(), Prefix: "r/", Most: 100, CallLimit: 1000, Ask: 1000, Silence: 3000, CheckEvery: 10e3,
+		set := Settings{Endpoints: c.Endpoints(), Prefix: "r/", MaxHosts: 100, CallTimeout: 1000, ProgressInterval: 1000, SilenceTimeout: 3000, CheckInterval: 10e3,
 			FirstPause: 25, LastPause: 1000, Dial: c.Dial}
 		sink.hosts = map[string]string{}
 		src := New(set, clk, slog.New(slog.DiscardHandler), sink)
@@ -297,7 +297,7 @@
 		sink.settle(settleTime)
 		assert.Equal(t, truth(c), sink.hosts)
 		assert.Equal(t, 2, sink.wholes, "listed again")
-		assert.Contains(t, fmt.Sprint(sink.words), ErrLost.Error())
+		assert.Contains(t, fmt.Sprint(sink.words), ErrMissedChange.Error())
 		assert.True(t, sink.here)
 	})
 }
@@ -379,7 +379,7 @@
 		c.Put("q/1", "elsewhere")
 		settle(0)
 		c.Compact()
-		src.Look()
+		src.RequestReread()
 		settle(time.Millisecond)
 		assert.Zero(t, sink.looks, "the revision seen was compacted")
 		assert.LessOrEqual(t, c.Members[0].Ranges()+c.Members[1].Ranges(), ranges+2, "not again and again")
@@ -389,7 +389,7 @@
 		assert.Equal(t, ranges+1, c.Members[0].Ranges()+c.Members[1].Ranges(), "it was read")
 		c.Members[0].DropStreams()
 		c.Members[1].DropStreams()
-		src.Look()
+		src.RequestReread()
 		settle(2 * time.Second)
 		assert.Equal(t, 2, sink.looks, "though the stream had broken")
 		ranges = c.Members[0].Ranges() + c.Members[1].Ranges() - 1
@@ -426,7 +426,7 @@
 				if renamed {
 					set.History = "c2"
 				}
-				src.Set(set)
+				src.SetSettings(set)
 				settle()
 				assert.Equal(t, truth(c), sink.hosts)
 				assert.Equal(t, set.History, sink.epoch)
@@ -455,28 +455,31 @@
 	kv := func(name string, mod int64) *mvccpb.KeyValue {
 		return &mvccpb.KeyValue{Key: []byte("r/" + name), Value: []byte(entry(name, "10.0.0.1:80")), ModRevision: mod}
 	}
-	_, err := tr.List(head(9), 9, []*mvccpb.KeyValue{kv("a", 8)})
+	_, err := tr.ApplyList(head(9), 9, []*mvccpb.KeyValue{kv("a", 8)})
 	require.NoError(t, err)
-	_, err = tr.List(head(20), 20, []*mvccpb.KeyValue{kv("a", 7)})
-	assert.ErrorIs(t, err, ErrHistory)
-	_, err = tr.List(&etcdserverpb.ResponseHeader{ClusterId: 2, Revision: 20, RaftTerm: 9}, 20, nil)
-	assert.ErrorIs(t, err, ErrHistory)
-	_, err = tr.List(&etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 20, RaftTerm: 1}, 20, nil)
+	_, err = tr.ApplyList(head(20), 20, []*mvccpb.KeyValue{kv("a", 7)})
+	assert.ErrorIs(t, err, ErrForeignHistory)
+	_, err = tr.ApplyList(&etcdserverpb.ResponseHeader{ClusterId: 2, Revision: 20, RaftTerm: 9}, 20, nil)
+	assert.ErrorIs(t, err, ErrForeignHistory)
+	_, err = tr.ApplyList(&etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 20, RaftTerm: 1}, 20, nil)
 	assert.ErrorIs(t, err, ErrBehind)
-	check := tr.Check()
-	assert.ErrorIs(t, tr.Checked(check, head(20), []*mvccpb.KeyValue{kv("a", 8), kv("b", 3)}), ErrHistory)
-	assert.ErrorIs(t, tr.Checked(check, head(20), nil), ErrLost)
-	assert.ErrorIs(t, tr.Checked(check, head(8), []*mvccpb.KeyValue{kv("a", 8)}), ErrBehind)
-	assert.NoError(t, tr.Checked(check, head(20), []*mvccpb.KeyValue{kv("a", 8)}))
+	check := tr.BeginCheck()
+	assert.ErrorIs(t, tr.FinishCheck(check, head(20), []*mvccpb.KeyValue{kv("a", 8), kv("b", 3)}), ErrForeignHistory)
+	assert.ErrorIs(t, tr.FinishCheck(check, head(20), nil), ErrMissedChange)
+	assert.ErrorIs(t, tr.FinishCheck(check, head(8), []*mvccpb.KeyValue{kv("a", 8)}), ErrBehind)
+	assert.NoError(t, tr.FinishCheck(check, head(20), []*mvccpb.KeyValue{kv("a", 8)}))
 	for _, bad := range []*mvccpb.Event{{Kv: kv("b", 21)}, {Kv: &mvccpb.KeyValue{Key: []byte("q"), ModRevision: 10}}, {}} {
-		_, err = tr.Events(head(20), []*mvccpb.Event{bad})
-		assert.ErrorIs(t, err, ErrOdd)
+		_, err = tr.ApplyEvents(head(20), []*mvccpb.Event{bad})
+		assert.ErrorIs(t, err, ErrProtocol)
 	}
-	_, err = tr.Events(head(20), []*mvccpb.Event{{Kv: kv("b", 11)}, {Kv: kv("c", 10)}})
-	assert.ErrorIs(t, err, ErrOdd)
+	_, err = tr.ApplyEvents(head(20), []*mvccpb.Event{{Kv: kv("b", 11)}, {Kv: kv("c", 10)}})
+	assert.ErrorIs(t, err, ErrProtocol)
 	assert.Equal(t, int64(9), tr.Revision())
 	// What comes twice is no change, what comes late was missed.
-	tell := func(rev int64, events ...*mvccpb.Event) error { _, err := tr.Events(head(rev), events); return err }
+	tell := func(rev int64, events ...*mvccpb.Event) error {
+		_, err := tr.ApplyEvents(head(rev), events)
+		return err
+	}
 	gone := func(name string, mod int64) *mvccpb.Event {
 		return &mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte("r/" + name), ModRevision: mod}}
 	}
@@ -485,16 +488,16 @@
 	require.NoError(t, tell(11, &mvccpb.Event{Kv: kv("b", 11)}))
 	assert.Equal(t, int64(13), tr.Revision())
 	require.NoError(t, tell(13, gone("a", 12), gone("c", 12), &mvccpb.Event{Kv: kv("c", 13)}))
-	assert.ErrorIs(t, tell(13, &mvccpb.Event{Kv: kv("b", 12)}), ErrLost)
-	assert.ErrorIs(t, tell(13, &mvccpb.Event{Kv: kv("d", 12)}), ErrLost)
-	assert.ErrorIs(t, tell(13, gone("b", 12)), ErrLost)
+	assert.ErrorIs(t, tell(13, &mvccpb.Event{Kv: kv("b", 12)}), ErrMissedChange)
+	assert.ErrorIs(t, tell(13, &mvccpb.Event{Kv: kv("d", 12)}), ErrMissedChange)
+	assert.ErrorIs(t, tell(13, gone("b", 12)), ErrMissedChange)
 	require.NoError(t, tell(13, &mvccpb.Event{Kv: kv("a", 8)}), "what was before the list")
-	_, err = tr.List(head(20), 20, []*mvccpb.KeyValue{kv("b", 11), kv("d", 10)})
+	_, err = tr.ApplyList(head(20), 20, []*mvccpb.KeyValue{kv("b", 11), kv("d", 10)})
 	require.NoError(t, err, "a change between the list and now may have been missed")
 	require.NoError(t, tell(21, &mvccpb.Event{Kv: kv("e", 21)}))
-	assert.NoError(t, tr.Checked(tr.Check(), head(21), []*mvccpb.KeyValue{kv("b", 11), kv("d", 10), kv("e", 21)}))
-	_, err = tr.List(head(22), 22, []*mvccpb.KeyValue{kv("b", 11), kv("f", 21)})
-	assert.ErrorIs(t, err, ErrHistory, "the check has proved it")
+	assert.NoError(t, tr.FinishCheck(tr.BeginCheck(), head(21), []*mvccpb.KeyValue{kv("b", 11), kv("d", 10), kv("e", 21)}))
+	_, err = tr.ApplyList(head(22), 22, []*mvccpb.KeyValue{kv("b", 11), kv("f", 21)})
+	assert.ErrorIs(t, err, ErrForeignHistory, "the check has proved it")
 }
 
 // Guards against a list that ends with the first answer, or that is of several revisions.
@@ -515,8 +518,8 @@
 				}
 			}
 		})
-		set.Most = 5000
-		src.Set(set)
+		set.MaxHosts = 5000
+		src.SetSettings(set)
 		sink.settle(3 * time.Second)
 		assert.Len(t, sink.hosts, 2*pageSize+1)
 		assert.True(t, sink.here)
@@ -548,8 +551,8 @@
 		settle()
 		assert.False(t, sink.here)
 		assert.Contains(t, sink.words[len(sink.words)-1], "user name is empty")
-		set.User, set.Password, set.Most = "node", "secret", 3
-		src.Set(set)
+		set.User, set.Password, set.MaxHosts = "node", "secret", 3
+		src.SetSettings(set)
 		settle()
 		assert.True(t, sink.here)
 		words := len(sink.words)
--- a/internal/node/endpoints/etcd/track.go
+++ b/internal/node/endpoints/etcd/track.go
@@ -24,13 +24,13 @@
 	// ErrBehind means that a member shows less than was seen. It lags, or it was restored from a backup.
 	ErrBehind = errors.New("the member is behind what was seen")
 	// ErrHistory means that what a member shows cannot have come of what was seen: another cluster, or a backup.
-	ErrHistory = errors.New("the history is another one")
+	ErrForeignHistory = errors.New("the history is another one")
 	// ErrLost means that something was missed: the list is to be read anew.
-	ErrLost = errors.New("a change was missed")
+	ErrMissedChange = errors.New("a change was missed")
 	// ErrOdd means that a member said what etcd never says.
-	ErrOdd = errors.New("the member contradicts itself")
+	ErrProtocol = errors.New("the member contradicts itself")
 	// ErrMany means that there are more keys than can be taken.
-	ErrMany = errors.New("too many keys")
+	ErrTooManyKeys = errors.New("too many keys")
 )
 
 // Update is what has changed, all at one revision.
@@ -38,7 +38,7 @@
 	Whole    bool            // Hosts are all; else those that changed, one that is pilot.Gone has left
 	Revision int64           // up to which this is all there is
 	Hosts    []dispatch.Host // by name
-	Odd      []string        // what is wrong with values that cannot be used
+	Unusable []string        // what is wrong with values that cannot be used
 	Confirm  uint64          // the revision up to which what was held is meant; 0 = nothing is said of that
 }
 
@@ -76,7 +76,7 @@
 
 // Cluster reads the name of a history: a cluster's as etcd's own tools have it, and behind a slash, where the operators
 // have taken a backup for the cluster that it was made of, whatever tells that history from the one before.
-func Cluster(history string) (uint64, error) {
+func ClusterID(history string) (uint64, error) {
 	id, _, _ := strings.Cut(history, "/")
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil || n == 0 {
@@ -89,9 +89,9 @@
 func (t *Tracker) follows(h *etcdserverpb.ResponseHeader) error {
 	switch {
 	case h == nil:
-		return fmt.Errorf("%w: no header", ErrOdd)
+		return fmt.Errorf("%w: no header", ErrProtocol)
 	case t.cluster != 0 && h.ClusterId != t.cluster:
-		return fmt.Errorf("%w: cluster %x, want %x", ErrHistory, h.ClusterId, t.cluster)
+		return fmt.Errorf("%w: cluster %x, want %x", ErrForeignHistory, h.ClusterId, t.cluster)
 	case h.Revision < t.rev && h.RaftTerm < t.term:
 		return fmt.Errorf("%w: revision %d of term %d after %d of term %d, as a backup would have", ErrBehind, h.Revision, h.RaftTerm,
 			t.rev, t.term)
@@ -108,20 +108,20 @@
 }
 
 // List takes all keys as they were at a revision.
-func (t *Tracker) List(h *etcdserverpb.ResponseHeader, rev int64, kvs []*mvccpb.KeyValue) (u Update, err error) {
+func (t *Tracker) ApplyList(h *etcdserverpb.ResponseHeader, rev int64, kvs []*mvccpb.KeyValue) (u Update, err error) {
 	if err := t.follows(h); err != nil {
 		return u, err
 	}
 	if rev < t.rev || rev > h.Revision {
-		return u, fmt.Errorf("%w: a list at %d, from a member at %d, after %d", ErrOdd, rev, h.Revision, t.rev)
+		return u, fmt.Errorf("%w: a list at %d, from a member at %d, after %d", ErrProtocol, rev, h.Revision, t.rev)
 	}
 	if len(kvs) > t.most+1 { // and the one that confirms
-		return u, fmt.Errorf("%w: %d, at most %d can be taken", ErrMany, len(kvs), t.most)
+		return u, fmt.Errorf("%w: %d, at most %d can be taken", ErrTooManyKeys, len(kvs), t.most)
 	}
 	for _, kv := range kvs {
 		// What stands since before the last revision that is sure must have been there then.
 		if kv.ModRevision <= t.sure && t.keys[string(kv.Key)].mod != kv.ModRevision {
-			return u, fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrHistory, kv.Key, kv.ModRevision,
+			return u, fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrForeignHistory, kv.Key, kv.ModRevision,
 				t.keys[string(kv.Key)].mod, t.sure)
 		}
 	}
@@ -130,7 +130,7 @@
 	for _, kv := range kvs {
 		k, odd := t.read(kv)
 		if odd != "" {
-			u.Odd = append(u.Odd, odd)
+			u.Unusable = append(u.Unusable, odd)
 		}
 		next[string(kv.Key)] = k
 		t.confirmed(kv, &u)
@@ -185,7 +185,7 @@
 	}
 	n, err := strconv.ParseUint(strings.TrimSpace(string(kv.Value)), 10, 63)
 	if err != nil {
-		u.Odd = append(u.Odd, fmt.Sprintf("%s: not a revision", kv.Key))
+		u.Unusable = append(u.Unusable, fmt.Sprintf("%s: not a revision", kv.Key))
 	} else {
 		u.Confirm = n
 	}
@@ -193,7 +193,7 @@
 
 // Events takes changes as a watch tells them: all of the revisions that they are of. Those that were seen before are
 // passed over.
-func (t *Tracker) Events(h *etcdserverpb.ResponseHeader, events []*mvccpb.Event) (list []Update, err error) {
+func (t *Tracker) ApplyEvents(h *etcdserverpb.ResponseHeader, events []*mvccpb.Event) (list []Update, err error) {
 	if h == nil || t.cluster != h.ClusterId {
 		return nil, t.follows(h)
 	}
@@ -201,15 +201,15 @@
 	for _, e := range events {
 		switch {
 		case e.Kv == nil || !strings.HasPrefix(string(e.Kv.Key), t.prefix):
-			return nil, fmt.Errorf("%w: a change of a key outside of %q", ErrOdd, t.prefix)
+			return nil, fmt.Errorf("%w: a change of a key outside of %q", ErrProtocol, t.prefix)
 		case e.Kv.ModRevision > h.Revision:
-			return nil, fmt.Errorf("%w: a change at %d, told at %d", ErrOdd, e.Kv.ModRevision, h.Revision)
+			return nil, fmt.Errorf("%w: a change at %d, told at %d", ErrProtocol, e.Kv.ModRevision, h.Revision)
 		case e.Kv.ModRevision < last:
-			return nil, fmt.Errorf("%w: a change at %d told after one at %d", ErrOdd, e.Kv.ModRevision, last)
+			return nil, fmt.Errorf("%w: a change at %d told after one at %d", ErrProtocol, e.Kv.ModRevision, last)
 		}
 		last = e.Kv.ModRevision
 		if last > t.sure && last <= t.rev && !t.seen(e) {
-			return nil, fmt.Errorf("%w: %q at %d, told after %d", ErrLost, e.Kv.Key, last, t.rev)
+			return nil, fmt.Errorf("%w: %q at %d, told after %d", ErrMissedChange, e.Kv.Key, last, t.rev)
 		}
 	}
 	if err := t.follows(h); err != nil && !errors.Is(err, ErrBehind) { // what comes twice is told by an older header
@@ -257,11 +257,11 @@
 			continue
 		}
 		if !there && len(t.keys) > t.most {
-			return u, fmt.Errorf("%w: over %d", ErrMany, t.most)
+			return u, fmt.Errorf("%w: over %d", ErrTooManyKeys, t.most)
 		}
 		k, odd := t.read(e.Kv)
 		if odd != "" {
-			u.Odd = append(u.Odd, odd)
+			u.Unusable = append(u.Unusable, odd)
 		}
 		t.keys[name] = k
 		t.confirmed(e.Kv, &u)
@@ -275,7 +275,7 @@
 }
 
 // Progress takes a word that all changes up to the header's revision were told.
-func (t *Tracker) Progress(h *etcdserverpb.ResponseHeader) error {
+func (t *Tracker) ApplyProgress(h *etcdserverpb.ResponseHeader) error {
 	if err := t.follows(h); err != nil {
 		return err
 	}
@@ -292,7 +292,7 @@
 }
 
 // Check gives what a list of the keys at Revision must show, for as long as it takes to get one.
-func (t *Tracker) Check() *Check {
+func (t *Tracker) BeginCheck() *Check {
 	c := &Check{t.rev, make(map[string]int64, len(t.keys)), t.sure}
 	for name, k := range t.keys {
 		c.mods[name] = k.mod
@@ -301,7 +301,7 @@
 }
 
 // Checked takes the keys as they were at the check's revision; values are not looked at.
-func (t *Tracker) Checked(c *Check, h *etcdserverpb.ResponseHeader, kvs []*mvccpb.KeyValue) error {
+func (t *Tracker) FinishCheck(c *Check, h *etcdserverpb.ResponseHeader, kvs []*mvccpb.KeyValue) error {
 	if h == nil || t.cluster != h.ClusterId || h.Revision < c.Revision || h.RaftTerm < t.term {
 		if err := t.follows(h); err != nil {
 			return err
@@ -315,12 +315,12 @@
 			continue
 		}
 		if kv.ModRevision <= c.sure {
-			return fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrHistory, kv.Key, kv.ModRevision, mod, c.sure)
+			return fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrForeignHistory, kv.Key, kv.ModRevision, mod, c.sure)
 		}
-		return fmt.Errorf("%w: %q at %d", ErrLost, kv.Key, kv.ModRevision)
+		return fmt.Errorf("%w: %q at %d", ErrMissedChange, kv.Key, kv.ModRevision)
 	}
 	for name := range left {
-		return fmt.Errorf("%w: the end of %q, up to %d", ErrLost, name, c.Revision)
+		return fmt.Errorf("%w: the end of %q, up to %d", ErrMissedChange, name, c.Revision)
 	}
 	t.sure = max(t.sure, c.Revision)
 	t.note(h)
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -246,9 +246,9 @@
 	defer c.Close()
 	f.truth = func() map[string]string { return c.Values("r/") }
 	book := agent.NewBook("etcd")
-	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", Most: 100, CallLimit: 1000, Ask: 1000, Silence: 3000,
-		CheckEvery: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{book, f.clock})
-	server := &agent.Server{Book: book, Clock: f.clock, Look: source.Look}
+	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", MaxHosts: 100, CallTimeout: 1000,
+		ProgressInterval: 1000, SilenceTimeout: 3000, CheckInterval: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{book, f.clock})
+	server := &agent.Server{Book: book, Clock: f.clock, Look: source.RequestReread}
 	look := make(chan struct{}, 1)
 	f.keeper.Asks(0, func() {
 		select {
