--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery reads the list of south side hosts from the platform's discovery and watches it for changes. It also
-// reads that of an agent on the machine, which speaks the same form and says more (see package agent).
+// Package discovery reads the list of backend hosts from the platform's discovery service and watches it for
+// changes. It also reads the list from an agent on the same machine, which speaks the same format and reports more
+// (see package agent).
 package discovery
 
 import (
@@ -20,51 +21,51 @@
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
-// Limits are the times of the calls, in milliseconds.
+// Limits are the timeouts and pauses of the calls, in milliseconds.
 type Limits struct {
-	Fetch      float64 // for the whole list
-	Wait       float64 // how long discovery may hold a watch: silence is noticed soon
-	Slack      float64 // and how long after that its answer may come
-	FirstPause float64 // after a failed call, doubled each time
-	LastPause  float64
-	Told       float64 // after which a change counts as told, once discovery could be reached; 0 = never,
-	ToldMoved  float64 // and from a new address, once the node was told of that
+	Fetch      float64 // timeout for fetching the whole list
+	Wait       float64 // how long discovery may hold a watch request; short enough to notice soon that it does not answer
+	Slack      float64 // extra time for the response after Wait has passed
+	FirstPause float64 // after a failed call; doubled after each further failure
+	LastPause  float64 // upper bound of the doubling
+	Told       float64 // a change counts as delivered this long after discovery had it and was reachable; 0 = never
+	ToldMoved  float64 // the same at a new address, counted from when the node learned of the address
 }
 
-// mostTold is how many of a list's bad entries the log has a reason for.
-const mostTold = 8
+// maxLoggedEntries is how many of a list's unusable entries are logged with their reason.
+const maxLoggedEntries = 8
 
-// List is an answer of discovery.
+// List is a response of discovery.
 type List struct {
 	Index int64
 	Whole bool
 	Hosts []dispatch.Host
 
-	Look      bool     // it was asked for as a second look
-	Revisions []uint64 // at which each of the hosts changed; nil where that is not said
-	Origin    *Origin  // nil where nothing is said of it
+	Look      bool     // the response to a re-read, see RequestReread
+	Revisions []uint64 // revision at which each of the hosts changed; nil if not reported
+	Origin    *Origin  // nil if not reported
 }
 
-// Origin is what an agent says of the source behind it.
+// Origin is what an agent reports about the source behind it.
 type Origin struct {
-	Epoch   string  `json:"epoch"`   // whose numbering the index is of
-	Away    float64 `json:"away_ms"` // for how long the source has not been heard; 0 = it is there
-	Confirm uint64  `json:"confirm"` // the index up to which what was held is meant
-	Looked  bool    `json:"looked"`  // the list was read anew for this answer
+	Epoch   string  `json:"epoch"`   // names the history that numbers the index
+	Away    float64 `json:"away_ms"` // for how long the agent has had no contact with the source; 0 = it is connected
+	Confirm uint64  `json:"confirm"` // held changes up to this index are confirmed
+	Looked  bool    `json:"looked"`  // the list was read again from the source for this response
 }
 
-// Sink is who is told.
+// Sink receives the results of the calls.
 type Sink interface {
-	// Apply gets each list that came, before the next call is made. One that it refuses is asked for anew, as a whole.
+	// Apply receives each list, before the next call is made. After an error, the whole list is requested again.
 	Apply(List) error
-	// Unchanged gets an answer that has nothing new.
+	// Unchanged receives a response without changes.
 	Unchanged(List)
-	// CallFailed is told that a call has failed. The last that went well was answered at a time, 0 = none was.
+	// CallFailed reports a failed call. since is the time of the last successful response, 0 = there was none.
 	CallFailed(since float64)
 }
 
-// Decode reads an answer. An entry that cannot be used is left out and described in odd.
-func Decode(text []byte) (l List, odd []string, err error) {
+// Decode decodes a response. Entries that cannot be used are left out and described in unusable.
+func Decode(text []byte) (l List, unusable []string, err error) {
 	var raw struct {
 		Index     *int64 `json:"index"`
 		Snapshot  bool   `json:"snapshot"`
@@ -81,7 +82,7 @@
 	for i, text := range raw.Endpoints {
 		h, revision, err := entryformat.JSON(text)
 		if err != nil {
-			odd = append(odd, fmt.Sprintf("entry %d: %v", i, err))
+			unusable = append(unusable, fmt.Sprintf("entry %d: %v", i, err))
 			continue
 		}
 		l.Hosts = append(l.Hosts, h)
@@ -89,40 +90,41 @@
 			l.Revisions = append(l.Revisions, revision)
 		}
 	}
-	return l, odd, nil
+	return l, unusable, nil
 }
 
-// Watcher keeps a node's inventory up to date.
+// Watcher keeps a node's list of hosts up to date.
 type Watcher struct {
-	Address string // of discovery at the start; Move changes it
-	Limits  Limits // at the start; Limit changes them
+	Address string // of discovery at the start; SetAddress changes it
+	Limits  Limits // at the start; SetLimits changes them
 	Loop    *netpoll.Loop
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Sink    Sink
-	Most    int    // bytes in an answer
-	First   func() // called once, when the first call has ended either way
-	// Spread is the time over which the first calls of all nodes and those that follow a failure are spread, where each
-	// one loads a service that all nodes have together: calls in step would bury it. 0 = a call costs nothing.
+	Most    int    // bytes in a response
+	First   func() // called once, when the first call has succeeded or failed
+	// Spread is the time over which all nodes spread their first calls and their calls after a failure. It is set
+	// where each call loads a service that all nodes share, which calls in step would overload. 0 = calls cost
+	// nothing.
 	Spread float64
-	// Known is the version that the node has from its configuration, -1 = none. With Spread the watch begins there
-	// instead of from the whole list.
+	// Known is the version of the list that the node has from its configuration, -1 = none. With Spread, the watch
+	// begins at this version instead of with the whole list.
 	Known int64
-	// Chance gives numbers from 0 to 1, by which the calls of many nodes are kept from falling together; nil = there is
-	// only this one.
+	// Chance returns random numbers from 0 to 1, which keep the calls of many nodes from coinciding; nil = this is
+	// the only node.
 	Chance func() float64
 
 	conn *conn
 
-	mu    sync.Mutex
-	index int64              // of the newest answer
-	at    float64            // and when it came, 0 = none has
-	moved context.CancelFunc // ends the call that is on, nil before Run
-	look  bool               // a second look was asked for
-	early context.CancelFunc // ends a call that waits for changes, nil while there is none
+	mu              sync.Mutex
+	index           int64              // of the newest response
+	answeredAt      float64            // when it came, 0 = there was none
+	cancelWatch     context.CancelFunc // cancels the watch at the current address; nil before Run
+	rereadRequested bool               // by RequestReread
+	cancelWait      context.CancelFunc // cancels a call that waits for changes; nil while there is none
 }
 
-// Move has the watch go on at another address, from the whole list there.
+// SetAddress makes the watch continue at another address, beginning with the whole list there.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,164 +132,167 @@
 		return
 	}
 	w.Address = address
-	if w.moved != nil {
-		w.moved()
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
 }
 
-// Look asks for the whole list, now, as a second look.
+// RequestReread requests the whole list at once, to check it against changes that are held back.
 func (w *Watcher) RequestReread() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.look = true
-	if w.early != nil {
-		w.early()
+	w.rereadRequested = true
+	if w.cancelWait != nil {
+		w.cancelWait()
 	}
 }
 
-// Limit changes the limits from the next call on.
+// SetLimits changes the limits. They apply from the next call.
 func (w *Watcher) SetLimits(l Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Limits = l
 }
 
-// Seen gives the version that discovery told last, and when it did; 0 = never.
+// LastAnswer returns the version in the last successful response and the time at which that came; 0 = there was
+// none.
 func (w *Watcher) LastAnswer() (index int64, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.index, w.at
+	return w.index, w.answeredAt
 }
 
-// limits gives the present limits.
 func (w *Watcher) limits() Limits {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.Limits
 }
 
-// Parts by which times differ from node to node.
+// How requests that wait for changes differ from node to node.
 const (
-	waitSpread = 0.1 // a watch is held so much shorter at the most: silence is noticed no later
-	openWait   = 1.0 // milliseconds that a call is held which opens a watch that costs: it has waited in turn before
+	waitJitter = 0.1 // a watch is held for up to this part less than Wait, never longer, so that silence is noticed no later
+	openWait   = 1.0 // milliseconds for which a call that opens a costly watch is held: it has waited for its turn already
 )
 
-// paced is when calls are made: moved tells that none has been answered since the watch moved.
-func (w *Watcher) paced(moved bool) backoff.Settings {
-	set := w.limits()
-	told := set.Told
-	if moved && set.ToldMoved > 0 {
-		told = min(told, set.ToldMoved)
+// backoffSettings returns the settings of the pauses. moved means that no call was answered since the address
+// changed.
+func (w *Watcher) backoffSettings(moved bool) backoff.Settings {
+	limits := w.limits()
+	told := limits.Told
+	if moved && limits.ToldMoved > 0 {
+		told = min(told, limits.ToldMoved)
 	}
-	return backoff.Settings{Spread: w.Spread, First: set.FirstPause, Last: set.LastPause, Told: told}
+	return backoff.Settings{Spread: w.Spread, First: limits.FirstPause, Last: limits.LastPause, Told: told}
 }
 
-// spread varies a time.
-func (w *Watcher) spread(ms, least, part float64) float64 {
+// jitter scales a time by a random factor from least to least+part.
+func (w *Watcher) jitter(ms, least, part float64) float64 {
 	if w.Chance == nil {
 		return ms
 	}
 	return ms * (least + part*w.Chance())
 }
 
-// stay gives the present address, and a context that ends when the watch moves from it.
-func (w *Watcher) stay(ctx context.Context) (string, context.Context) {
+// watchContext returns the current address and a context that is cancelled when the address changes.
+func (w *Watcher) watchContext(ctx context.Context) (string, context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	here, moved := context.WithCancel(ctx)
-	w.moved = moved
-	return w.Address, here
+	watchCtx, cancel := context.WithCancel(ctx)
+	w.cancelWatch = cancel
+	return w.Address, watchCtx
 }
 
-// Run watches until ctx ends, wherever Move sends it.
+// Run watches until ctx ends, at the address that was set last.
 func (w *Watcher) Run(ctx context.Context) {
 	for moved := false; ctx.Err() == nil; moved = true {
-		address, here := w.stay(ctx)
-		w.watch(here, address, moved)
-		w.moved()
-		w.drop()
+		address, watchCtx := w.watchContext(ctx)
+		w.watch(watchCtx, address, moved)
+		w.cancelWatch()
+		w.closeConn()
 	}
 }
 
-// watch fetches the whole list from an address, to which it may have moved, then watches until ctx ends.
+// watch fetches the whole list from an address, then watches it until ctx ends. moved means that Run had another
+// address before.
 func (w *Watcher) watch(ctx context.Context, address string, moved bool) {
-	index, known, epoch, open := int64(0), false, "", false
-	calls := backoff.Pace{Chance: w.Chance}
-	hosts, doubted := w.Known >= 0, false // whether the last list named some, and an empty one is asked for again
+	index, hasList, epoch, opened := int64(0), false, "", false
+	pace := backoff.Pace{Chance: w.Chance}
+	hadHosts, recheckingEmpty := w.Known >= 0, false // the last list had hosts; an empty one is being requested again
 	if w.Spread > 0 && w.Known >= 0 && w.First != nil {
-		index, known = w.Known, true
-		w.asked()
-		w.wait(ctx, calls.Begin(w.paced(moved)))
+		index, hasList = w.Known, true
+		w.firstCallDone()
+		w.wait(ctx, pace.Begin(w.backoffSettings(moved)))
 		if ctx.Err() != nil {
 			return
 		}
 	}
 	for {
-		set, paced := w.limits(), w.paced(moved)
-		path, limit := "/discovery/hosts", paced.Limit(set.Fetch)
-		call, look, done := w.calls(ctx)
+		limits, settings := w.limits(), w.backoffSettings(moved)
+		path, timeout := "/discovery/hosts", settings.Limit(limits.Fetch)
+		callCtx, reread, interrupted := w.beginCall(ctx)
 		switch {
-		case look && epoch != "":
+		case reread && epoch != "":
 			path = "/discovery/hosts?look=1"
-		case known && !look:
+		case hasList && !reread:
 			var wait float64
-			path, wait = w.change(set.Wait, index, epoch, open)
-			limit = wait + paced.Limit(set.Slack)
+			path, wait = w.changeRequest(limits.Wait, index, epoch, opened)
+			timeout = wait + settings.Limit(limits.Slack)
 		}
 		began := w.Clock.Now()
-		l, err := w.ask(call, address, path, limit)
-		if done() {
-			w.drop() // a second look goes before what it would have said
+		l, err := w.fetch(callCtx, address, path, timeout)
+		if interrupted() {
+			w.closeConn() // the re-read takes precedence over the response that was interrupted
 			continue
 		}
-		if err == nil && known && !look && !l.Whole && l.Index < index {
-			err = fmt.Errorf("the list went back from %d to %d", index, l.Index)
-			known = false // start again from the whole list
+		if err == nil && hasList && !reread && !l.Whole && l.Index < index {
+			err = fmt.Errorf("list index went back from %d to %d", index, l.Index)
+			hasList = false // start again with the whole list
 		}
 		if err == nil {
-			l.Whole, l.Look = l.Whole || !known || look, look
-			if doubted = l.Whole && len(l.Hosts) == 0 && hosts && !doubted; doubted {
-				w.Log.Warn("a whole list without a host is asked for again before it is believed", "address", address)
-				known = false
+			l.Whole, l.Look = l.Whole || !hasList || reread, reread
+			if recheckingEmpty = l.Whole && len(l.Hosts) == 0 && hadHosts && !recheckingEmpty; recheckingEmpty {
+				w.Log.Warn("discovery returned an empty list: fetching it again before accepting it", "address", address)
+				hasList = false
 				continue
 			}
 		}
 		if err == nil {
-			hosts = len(l.Hosts) > 0 || hosts && !l.Whole
-			if err = w.give(l); err != nil {
-				known = false
+			hadHosts = len(l.Hosts) > 0 || hadHosts && !l.Whole
+			if err = w.deliver(l); err != nil {
+				hasList = false
 			}
 		}
 		if err == nil {
-			calls.Answered()
+			pace.Answered()
 			moved = false
-			index, known, epoch = l.Index, true, ""
+			index, hasList, epoch = l.Index, true, ""
 			if l.Origin != nil {
 				epoch = url.QueryEscape(l.Origin.Epoch)
 			}
-			w.saw(index)
+			w.recordAnswer(index)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		open = err == nil
+		opened = err == nil
 		if err != nil {
-			w.away(look)
+			w.reportFailure(reread)
 		}
-		w.asked()
+		w.firstCallDone()
 		if err != nil {
-			pause := calls.Failed(paced, w.Clock.Now()-began, set.Fetch)
-			w.Log.Warn("discovery gave no list that can be used: the last one stays", "address", address, "error", err,
+			pause := pace.Failed(settings, w.Clock.Now()-began, limits.Fetch)
+			w.Log.Warn("no usable list from discovery: keeping the last one", "address", address, "error", err,
 				"again_ms", pause)
 			w.wait(ctx, pause)
 		}
 	}
 }
 
-// change is the path that asks for what follows an index, and how long, ms, the service may take over it.
-func (w *Watcher) change(longest float64, index int64, epoch string, open bool) (path string, wait float64) {
-	wait = w.spread(longest, 1-waitSpread, waitSpread)
-	if w.Spread > 0 && !open {
+// changeRequest returns the path that requests the changes after an index, and how long, in ms, the service may
+// hold it.
+func (w *Watcher) changeRequest(maxWait float64, index int64, epoch string, opened bool) (path string, wait float64) {
+	wait = w.jitter(maxWait, 1-waitJitter, waitJitter)
+	if w.Spread > 0 && !opened {
 		wait = openWait
 	}
 	path = fmt.Sprintf("/discovery/hosts?index=%d&wait=%.0f", index, wait)
@@ -297,17 +302,17 @@
 	return path, wait
 }
 
-// away tells that a call, or a look, had no list.
-func (w *Watcher) away(look bool) {
-	if look {
-		w.again()
+// reportFailure tells the sink that a call failed. A failed re-read is requested again.
+func (w *Watcher) reportFailure(reread bool) {
+	if reread {
+		w.retryReread()
 	}
 	_, at := w.LastAnswer()
 	w.Sink.CallFailed(at)
 }
 
-// give hands on what a call said.
-func (w *Watcher) give(l List) error {
+// deliver passes a response on to the sink.
+func (w *Watcher) deliver(l List) error {
 	if l.Whole || len(l.Hosts) > 0 {
 		return w.Sink.Apply(l)
 	}
@@ -315,64 +320,65 @@
 	return nil
 }
 
-// asked tells that the first call has ended, or that the node begins with what it knows.
-func (w *Watcher) asked() {
+// firstCallDone calls First once: after the first call, or when the node starts with the list that it has.
+func (w *Watcher) firstCallDone() {
 	if w.First != nil {
 		w.First()
 		w.First = nil
 	}
 }
 
-// calls begins a call: a second look, if one was asked for; else one that ends early when that happens, which done tells.
-func (w *Watcher) calls(ctx context.Context) (call context.Context, look bool, done func() bool) {
+// beginCall prepares a call: a re-read, if one was requested; otherwise one that a request for a re-read cancels.
+// interrupted ends the call and reports whether that happened.
+func (w *Watcher) beginCall(ctx context.Context) (callCtx context.Context, reread bool, interrupted func() bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.look {
-		w.look = false
+	if w.rereadRequested {
+		w.rereadRequested = false
 		return ctx, true, func() bool { return false }
 	}
-	call, w.early = context.WithCancel(ctx)
-	return call, false, func() bool {
+	callCtx, w.cancelWait = context.WithCancel(ctx)
+	return callCtx, false, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		ended := call.Err() != nil && ctx.Err() == nil
-		w.early()
-		w.early = nil
+		ended := callCtx.Err() != nil && ctx.Err() == nil
+		w.cancelWait()
+		w.cancelWait = nil
 		return ended
 	}
 }
 
-// again asks for the second look that failed.
-func (w *Watcher) again() {
+// retryReread requests a failed re-read again.
+func (w *Watcher) retryReread() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.look = true
+	w.rereadRequested = true
 }
 
-// saw notes an answer.
-func (w *Watcher) saw(index int64) {
+func (w *Watcher) recordAnswer(index int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.index, w.at = index, w.Clock.Now()
+	w.index, w.answeredAt = index, w.Clock.Now()
 }
 
 func (w *Watcher) wait(ctx context.Context, ms float64) {
-	over := make(chan struct{})
-	defer w.Clock.At(w.Clock.Now()+ms, func() { close(over) })()
+	elapsed := make(chan struct{})
+	defer w.Clock.At(w.Clock.Now()+ms, func() { close(elapsed) })()
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-ctx.Done():
 	}
 }
 
-// ask makes one call within a time.
-func (w *Watcher) ask(ctx context.Context, address, path string, limit float64) (l List, err error) {
-	until := w.Clock.Now() + limit
+// fetch makes one call within the timeout, in ms.
+func (w *Watcher) fetch(ctx context.Context, address, path string, timeout float64) (l List, err error) {
+	deadline := w.Clock.Now() + timeout
 	if w.conn == nil || !w.conn.usable() {
-		w.drop()
-		// It holds what ends with its connection, too, and gives nothing before it is whole.
-		c := &conn{parser: http1.NewFlowing(true, w.Most, http1.Flow{Whole: w.Most + 1}), came: make(chan struct{}, 1)}
-		_, err := w.Loop.Dial(ctx, address, limit, func(n *netpoll.Conn) netpoll.Handler {
+		w.closeConn()
+		// The parser also accepts a body that ends with its connection, and returns a response only once it is
+		// complete.
+		c := &conn{parser: http1.NewFlowing(true, w.Most, http1.Flow{Whole: w.Most + 1}), activity: make(chan struct{}, 1)}
+		_, err := w.Loop.Dial(ctx, address, timeout, func(n *netpoll.Conn) netpoll.Handler {
 			c.net = n
 			n.ReadToEnd()
 			return c
@@ -384,45 +390,44 @@
 	}
 	get := &http1.Message{Method: []byte("GET"), Target: []byte(path)}
 	if err := w.conn.net.Write(http1.AppendRequest(nil, get, address, "", 0)); err != nil {
-		w.drop()
+		w.closeConn()
 		return l, err
 	}
-	over := make(chan struct{})
-	defer w.Clock.At(until, func() { close(over) })()
-	m, err := w.conn.answer(ctx, over)
+	expired := make(chan struct{})
+	defer w.Clock.At(deadline, func() { close(expired) })()
+	m, err := w.conn.nextResponse(ctx, expired)
 	if err != nil {
-		w.drop()
+		w.closeConn()
 		return l, fmt.Errorf("%s: %w", path, err)
 	}
 	if m.Status != 200 {
 		return l, fmt.Errorf("%s: status %d", path, m.Status)
 	}
-	l, odd, err := Decode(m.Body)
-	if len(odd) > 0 {
-		w.Log.Warn("entries of the list cannot be used and are left out", "count", len(odd),
-			"first", odd[:min(len(odd), mostTold)])
+	l, unusable, err := Decode(m.Body)
+	if len(unusable) > 0 {
+		w.Log.Warn("skipping unusable entries in the host list", "count", len(unusable),
+			"first", unusable[:min(len(unusable), maxLoggedEntries)])
 	}
 	return l, err
 }
 
-func (w *Watcher) drop() {
+func (w *Watcher) closeConn() {
 	if w.conn != nil {
 		w.conn.net.Close()
 		w.conn = nil
 	}
 }
 
-// conn is the connection to discovery.
 type conn struct {
-	net    *netpoll.Conn
-	came   chan struct{} // something has changed
-	mu     sync.Mutex
-	parser *http1.Parser
-	ended  bool
-	clean  bool // by an end of stream: a reset is no end of an answer
+	net      *netpoll.Conn
+	activity chan struct{} // signalled after data and after the end of the connection
+	mu       sync.Mutex
+	parser   *http1.Parser
+	closed   bool
+	cleanEOF bool // ended by EOF: a reset does not complete a response
 }
 
-// Data takes bytes from discovery.
+// Data feeds received bytes to the parser.
 func (c *conn) Data(data []byte) {
 	c.mu.Lock()
 	c.parser.Feed(data)
@@ -430,17 +435,17 @@
 	c.signal()
 }
 
-// Closed takes the end of the connection.
+// Closed records the end of the connection.
 func (c *conn) Closed(err error) {
 	c.mu.Lock()
-	c.ended, c.clean = true, errors.Is(err, io.EOF)
+	c.closed, c.cleanEOF = true, errors.Is(err, io.EOF)
 	c.mu.Unlock()
 	c.signal()
 }
 
 func (c *conn) signal() {
 	select {
-	case c.came <- struct{}{}:
+	case c.activity <- struct{}{}:
 	default:
 	}
 }
@@ -448,36 +453,36 @@
 func (c *conn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.ended && c.parser.Idle()
+	return !c.closed && c.parser.Idle()
 }
 
 var (
-	errSilent = errors.New("no answer in time")
-	errEnded  = errors.New("the connection ended before the answer")
+	errTimeout    = errors.New("no answer in time")
+	errConnClosed = errors.New("connection closed before the response was complete")
 )
 
-func (c *conn) answer(ctx context.Context, over <-chan struct{}) (*http1.Message, error) {
+func (c *conn) nextResponse(ctx context.Context, expired <-chan struct{}) (*http1.Message, error) {
 	for {
 		c.mu.Lock()
 		m, err := c.parser.Next()
-		ended := c.ended
-		if m == nil && err == nil && c.clean {
+		closed := c.closed
+		if m == nil && err == nil && c.cleanEOF {
 			m, _ = c.parser.End()
 		}
 		if m != nil && m.Close {
-			c.ended = true
+			c.closed = true
 		}
 		c.mu.Unlock()
 		switch {
 		case m != nil || err != nil:
 			return m, err
-		case ended:
-			return nil, errEnded
+		case closed:
+			return nil, errConnClosed
 		}
 		select {
-		case <-c.came:
-		case <-over:
-			return nil, errSilent
+		case <-c.activity:
+		case <-expired:
+			return nil, errTimeout
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/node/endpoints/discovery/discovery_test.go
+++ b/internal/node/endpoints/discovery/discovery_test.go
@@ -14,7 +14,7 @@
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
-// Guards against one bad entry costing the others, and against half-read lists.
+// Guards against one unusable entry costing the others, and against lists that are read in part.
 func TestDecode(t *testing.T) {
 	l, odd, err := Decode([]byte(`{"index":4,"snapshot":true,"endpoints":[
 		{"name":"a","address":"127.0.0.1:80","zone":"z","type":"k","group":3,"status":"Ready","weight":1.5,"since_ms":7},
@@ -32,35 +32,36 @@
 	}
 }
 
-// nowhere takes the news of a watch.
-type nowhere struct{}
+// discardSink ignores all results.
+type discardSink struct{}
 
-func (nowhere) Apply(List) error   { return nil }
-func (nowhere) Unchanged(List)     {}
-func (nowhere) CallFailed(float64) {}
+func (discardSink) Apply(List) error   { return nil }
+func (discardSink) Unchanged(List)     {}
+func (discardSink) CallFailed(float64) {}
 
-// Guards against nodes that bury the service that has the list for all of them: by asking in step when they start, for the
-// whole list that they have already, sooner and sooner after failures, or by leaving a call that waits there in turn.
-func TestCallsThatCostAreSpread(t *testing.T) {
+// Guards against nodes that overload the service that holds the list for all of them: by calling in step when they
+// start, by requesting the whole list that they have already, by retrying too soon after failures, or by giving up
+// a call that waits for its turn there.
+func TestCostlyCallsAreSpread(t *testing.T) {
 	s := scenario.New(t, "h1")
 	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	asked := make(chan struct{})
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 1000, Told: 6000},
-		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: nowhere{}, Most: 1 << 20, Spread: 5000, Known: 41,
+		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: discardSink{}, Most: 1 << 20, Spread: 5000, Known: 41,
 		Chance: func() float64 { return 0.5 }, First: func() { close(asked) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended; l.Stop() })
-	<-asked                     // it can serve with what it knows
-	until := func(at float64) { // its timer stands, and nothing is due before
+	<-asked                     // the node can serve with the list that it has
+	until := func(at float64) { // waits until the watcher's timer is set and is the next one due
 		require.Eventually(t, func() bool { return s.Clock.Next()-s.Clock.Now() == at }, time.Minute, time.Millisecond)
 		s.Clock.Advance(at)
 	}
 	until(2250)
 	const refused = `d send raw "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"`
-	for _, pause := range []float64{2500, 3600, 3600, 3600} { // the last of them, with chance against it, and a call take 6 s
+	for _, pause := range []float64{2500, 3600, 3600, 3600} { // the last pause, with the worst random factor, and a call take 6 s
 		s.Run("d expect /discovery/hosts?index=41&wait=1\n" + refused)
 		until(pause)
 	}
@@ -71,14 +72,15 @@
 		d expect /discovery/hosts?index=42&wait=1900`)
 }
 
-// Guards against pauses that go on after the agent of the machine is back, where what it has counts as told at once and a call costs
-// nothing: however often it has failed, the next call comes within the last pause, whatever chance says.
-func TestAnAgentThatIsBackIsAskedWithinThePause(t *testing.T) {
+// Guards against pauses that go on after the agent on the same machine is back. Its changes count as delivered at
+// once and a call costs nothing, so the next call comes within LastPause, however often calls have failed and
+// whatever the random factor is.
+func TestRecoveredAgentIsCalledWithinLastPause(t *testing.T) {
 	s := scenario.New(t, "h1")
 	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 150, Told: 6000},
-		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: nowhere{}, Most: 1 << 20, Known: -1,
+		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: discardSink{}, Most: 1 << 20, Known: -1,
 		Chance: func() float64 { return 1 }}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -92,15 +94,15 @@
 	s.Run("d expect /discovery/hosts\n d send 1 whole h1:Terminating\n d expect /discovery/hosts?index=1&wait=2000")
 }
 
-// Guards against a list that is never had because the answer tells no length and ends with its connection, which HTTP/1.1 allows, and
-// against one that a reset has cut short being taken for whole.
-func TestAListThatEndsWithItsConnection(t *testing.T) {
+// Guards against a list that is never accepted because its response has no length and ends with its connection, which
+// HTTP/1.1 allows, and against one that was cut short by a reset being taken for complete.
+func TestListThatEndsWithItsConnection(t *testing.T) {
 	s := scenario.New(t, "h1")
 	l, err := netpoll.Listen("127.0.0.1:0", 1, func(*netpoll.Conn) netpoll.Handler { return nil })
 	require.NoError(t, err)
-	took := &taken{}
+	recorded := &recordingSink{}
 	w := &Watcher{Address: s.Discovery, Limits: Limits{Fetch: 1000, Wait: 2000, Slack: 1000, FirstPause: 25, LastPause: 25, Told: 6000},
-		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: took, Most: 1 << 20, Known: -1}
+		Loop: l, Clock: s.Clock, Log: slog.New(slog.DiscardHandler), Sink: recorded, Most: 1 << 20, Known: -1}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx); close(ended) }()
@@ -111,24 +113,23 @@
 		d send raw "` + whole + `"
 		d close`) // a reset
 	require.Eventually(t, func() bool { return s.Clock.Next()-s.Clock.Now() == 25 }, time.Minute, time.Millisecond)
-	assert.Empty(t, took.lists)
+	assert.Empty(t, recorded.lists)
 	s.Clock.Advance(25)
 	s.Run(`d expect /discovery/hosts
 		d send raw "` + whole + `"
 		d end
 		d expect /discovery/hosts?index=5&wait=2000`)
-	require.Len(t, took.lists, 1)
-	assert.Equal(t, "h1", took.lists[0].Hosts[0].Name)
+	require.Len(t, recorded.lists, 1)
+	assert.Equal(t, "h1", recorded.lists[0].Hosts[0].Name)
 }
 
-// taken keeps the lists that came.
-type taken struct {
-	nowhere
+// recordingSink keeps the lists that it receives.
+type recordingSink struct {
+	discardSink
 	lists []List
 }
 
-// Apply takes one, before the next call is made.
-func (s *taken) Apply(l List) error {
+func (s *recordingSink) Apply(l List) error {
 	s.lists = append(s.lists, l)
 	return nil
 }
