--- a/internal/node/endpoints/merge/notes.go
+++ b/internal/node/endpoints/merge/notes.go
@@ -7,81 +7,82 @@
 )
 
 const (
-	mostNamed = 8    // hosts that a note names
-	mostNotes = 1024 // notes that are kept until they are asked for
+	maxNames = 8    // hosts that a note names
+	maxNotes = 1024 // notes that are kept until TakeNotes
 )
 
-// NoteKind is what a note is about.
+// NoteKind is the subject of a note.
 type NoteKind uint8
 
 // The kinds of note.
 const (
-	Held          NoteKind = iota // Count hosts do not depart before a second look or, with Floor, until that is confirmed
-	Admitted                      // they do now
-	Resolved                      // nothing is held any more, because of what came after it
+	Held          NoteKind = iota // Count departures are held until a re-read or, with BelowFloor, until they are confirmed
+	Admitted                      // held departures have been applied
+	Resolved                      // nothing is held any more, because of later versions
 	SourceChanged                 // the list follows another source
-	AllStale                      // every source has been away for longer than its word counts
-	Recovered                     // and one is there again
-	Disagree                      // a source lists other hosts than the one that is followed
-	Agree                         // and does so no more
-	Unusable                      // entries cannot be used
+	AllStale                      // every source has been unreachable for longer than its StaleAfter
+	Recovered                     // a source is reachable again after AllStale
+	Disagree                      // a source lists other serving hosts than the followed one
+	Agree                         // it no longer does
+	Unusable                      // entries of a version cannot be used
 )
 
-// Note is something to be told.
+// Note reports an event for the log.
 type Note struct {
 	Kind       NoteKind
 	Source     string
-	Other      string // Lead: who was followed; Differ, Agree: who is
+	Other      string // SourceChanged: the previous source; Disagree, Agree: the followed one
 	Revision   Revision
 	Count      int      // of hosts
-	Serving    int      // hosts before
+	Serving    int      // serving hosts before
 	Names      []string // of some of them
-	BelowFloor bool     // Held: too few would serve
-	Reread     bool     // Admitted: by a second look; else who writes the list has confirmed it
-	Age        float64  // of the last word, milliseconds
+	BelowFloor bool     // Held: too few hosts would serve
+	Reread     bool     // Admitted: after a re-read; else because the writer of the list has confirmed it
+	Age        float64  // of the last list, milliseconds
 }
 
 func (s *Set) note(n Note) {
-	if len(s.notes) < mostNotes {
+	if len(s.notes) < maxNotes {
 		s.notes = append(s.notes, n)
 	}
 }
 
-// Notes gives what is to be told since the last call.
+// TakeNotes returns the notes since the last call.
 func (s *Set) TakeNotes() []Note {
 	notes := s.notes
 	s.notes = nil
 	return notes
 }
 
-func some(names []string) []string { return slices.Clone(names[:min(len(names), mostNamed)]) }
+func firstNames(names []string) []string { return slices.Clone(names[:min(len(names), maxNames)]) }
 
-// compare holds the sources against the one that is followed. One that differs twice in a row is told: at one look, news
-// may have come to one and not yet to the other. Only who serves is compared, for addresses may be a node's own.
-func (s *Set) compare(now float64) {
+// compareSources compares the sources with the followed one. A difference is reported when it is found twice in a
+// row: a single one may be a change that has reached only one of them. Only the set of serving hosts is compared,
+// because addresses may be specific to a node.
+func (s *Set) compareSources(now float64) {
 	for i, src := range s.sources {
-		if i == s.lead || s.lead < 0 || !src.counts(now) {
-			src.differed, src.differs = 0, false
+		if i == s.lead || s.lead < 0 || !src.fresh(now) {
+			src.differing, src.disagreementReported = 0, false
 			continue
 		}
 		lead := s.sources[s.lead]
-		odd := append(onlyIn(src.list, lead.list), onlyIn(lead.list, src.list)...)
-		slices.Sort(odd)
-		n := Note{Source: src.Name, Other: lead.Name, Count: len(odd), Names: some(odd)}
+		differing := append(servingOnlyIn(src.list, lead.list), servingOnlyIn(lead.list, src.list)...)
+		slices.Sort(differing)
+		n := Note{Source: src.Name, Other: lead.Name, Count: len(differing), Names: firstNames(differing)}
 		switch {
-		case len(odd) > 0 && src.differed > 0 && !src.differs:
-			n.Kind, src.differs = Disagree, true
+		case len(differing) > 0 && src.differing > 0 && !src.disagreementReported:
+			n.Kind, src.disagreementReported = Disagree, true
 			s.note(n)
-		case len(odd) == 0 && src.differs:
-			n.Kind, src.differs = Agree, false
+		case len(differing) == 0 && src.disagreementReported:
+			n.Kind, src.disagreementReported = Agree, false
 			s.note(n)
 		}
-		src.differed = len(odd)
+		src.differing = len(differing)
 	}
 }
 
-// onlyIn names the hosts that serve by one list and not by another.
-func onlyIn(a, b map[string]dispatch.Host) (names []string) {
+// servingOnlyIn names the hosts that serve in list a and not in list b.
+func servingOnlyIn(a, b map[string]dispatch.Host) (names []string) {
 	for name, h := range a {
 		if other, ok := b[name]; h.Status == dispatch.Ready && (!ok || other.Status != dispatch.Ready) {
 			names = append(names, name)
@@ -90,40 +91,40 @@
 	return names
 }
 
-// SourceView is how a source does.
+// SourceView is the state of a source.
 type SourceView struct {
 	Name        string
-	Known       bool // it has given a list
+	Known       bool // it has delivered a list
 	Followed    bool
 	Revision    Revision
 	Hosts       int
-	LastContact float64 // when it spoke last
-	Away        float64 // since when it is away; +Inf = it is there
-	Differs     int     // hosts that serve by it or by the one followed, and not by both, when last compared
+	LastContact float64 // time of its last message
+	Away        float64 // since when it is unreachable; +Inf = it is reachable
+	Differs     int     // hosts that serve either by it or by the followed source, but not by both, when last compared
 }
 
-// View is how the set does.
+// View is the state of a Set.
 type View struct {
 	Sources   []SourceView
 	Hosts     int
 	Serving   int
-	Held      int     // hosts that are not as the sources say
-	HeldSince float64 // since when the first of them is, 0 = nothing is held
+	Held      int     // hosts that differ from what the sources say
+	HeldSince float64 // since when the first of them has been held; 0 = nothing is held
 	Departed  int     // hosts that have departed within the guard's window
-	Stale     bool    // no source's word counts any more
+	Stale     bool    // no source's list counts any more
 }
 
-// View gives the present view.
+// View returns the current state.
 func (s *Set) View(now float64) View {
-	v := View{Hosts: len(s.hosts), Serving: s.serving, Held: len(s.held), Departed: s.guard.Departed(now), Stale: s.aged}
+	v := View{Hosts: len(s.hosts), Serving: s.serving, Held: len(s.held), Departed: s.guard.Departed(now), Stale: s.stale}
 	for _, d := range s.held {
 		if v.HeldSince == 0 || d.since < v.HeldSince {
 			v.HeldSince = d.since
 		}
 	}
 	for i, src := range s.sources {
-		v.Sources = append(v.Sources, SourceView{src.Name, src.known, i == s.lead, src.revision, len(src.list), src.heard,
-			src.away, src.differed})
+		v.Sources = append(v.Sources, SourceView{src.Name, src.hasList, i == s.lead, src.revision, len(src.list), src.lastContact,
+			src.unreachableSince, src.differing})
 	}
 	return v
 }
--- a/internal/node/endpoints/merge/set.go
+++ b/internal/node/endpoints/merge/set.go
@@ -1,17 +1,19 @@
-// Package merge holds the one list of hosts that a node works with, made of what several sources say.
+// Package merge maintains the one list of hosts that a node works with, merged from several sources.
 //
-// Each source gives versions: its whole list, or what changed, with a revision. The list follows the source that stands
-// first in the order of trust among those that have given one and are not away for too long. From the others comes one
-// thing: a host that any source has told to drain, to leave, or to leave an address, does not serve there until that source
-// takes it back or the host has started anew, for what was told cannot be untold by silence, nor by somebody else.
+// Each source delivers versions: its whole list, or the hosts that changed, with a revision. The merged list
+// follows the first source in the order of trust that has delivered a list and has not been unreachable for too
+// long. The other sources contribute one thing: a host that any source reports as draining, removed or moved away
+// from an address does not serve there until that source reports otherwise or the host has restarted. A report of
+// a departure is not revoked by silence, nor by another source.
 //
-// What would have too many hosts depart is held by the guard and has not been told. What comes after it is judged by
-// itself, so that a held version does not hold up those that follow, and what is held is judged anew each time.
+// A version that would make too many hosts depart is held by the guard: it does not take effect and does not count
+// as delivered. Later versions are judged on their own, so that a held version does not delay those that follow
+// it, and what is held is judged again on each call.
 //
-// The package is pure: no I/O, no goroutine, no lock, no clock. Time is in milliseconds; the same calls give the same
-// results. State: each source's list and the hosts that it has ended in the last ten minutes; the set's list, what of it
-// is held and what was not handed on yet. A list of more than Settings.Most hosts is refused, and twice as many hosts are
-// remembered as ended.
+// The package is pure: no I/O, no goroutine, no lock, no clock. Times are in milliseconds; the same calls give the
+// same results. State: each source's list and the hosts that it has ended in the last ten minutes; the merged
+// list, the changes that are held and those that were not flushed yet. A list of more than Settings.MaxHosts hosts
+// is rejected, and at most twice as many ended hosts are remembered.
 package merge
 
 import (
@@ -26,38 +28,38 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
-// Times that nobody sets, in milliseconds.
+// Fixed limits; times are in milliseconds.
 const (
-	rememberFor = 600e3 // hosts that a source has ended, though no other lists them
-	sweepEvery  = 10e3  // between two looks for those, and two comparisons of the sources
-	longestLook = 600e3 // between two looks at what is held
-	mostPlaces  = 8     // addresses of one host that a source has ended
-	rounding    = 0.01  // of a time since 1970
+	endedRetention   = 600e3 // how long a host that a source has ended is remembered although no source lists it
+	sweepInterval    = 10e3  // between two sweeps, which forget ended hosts and compare the sources
+	maxRereadPause   = 600e3 // longest pause between two re-reads for held changes
+	maxLeftAddresses = 8     // addresses remembered per host as left, for each source
+	timeTolerance    = 0.01  // tolerance for the rounding of times since 1970
 )
 
-// Settings say what a set is made of.
+// Settings are the settings of a Set.
 type Settings struct {
 	Sources      []Source // in the order of trust
 	Guard        removalguard.Settings
-	RereadDelay  float64  // before a second look, milliseconds
+	RereadDelay  float64  // before the list is read again to confirm held changes, milliseconds
 	MaxHosts     int      // hosts in a list
-	Zones, Kinds []string // that there are
+	Zones, Kinds []string // the known ones
 }
 
-// Source is how one source is taken.
+// Source is the configuration of one source.
 type Source struct {
 	Name          string
-	StaleAfter    float64 // milliseconds for which its last word counts while it is away
-	Unguarded     bool    // the guard does not hold what it says: by the platform's rules that has been told already
-	MayRenumber   bool    // its numbers may begin anew with a whole list
-	MayCorrect    bool    // a whole list at the same number may differ: something had been missed
-	ExpectedEpoch string  // the only epoch that is taken; empty = that of the first version
+	StaleAfter    float64 // milliseconds for which its last list counts while it is unreachable
+	Unguarded     bool    // the guard does not hold its versions: by the platform's rules they count as delivered already
+	MayRenumber   bool    // a whole list may begin a new numbering
+	MayCorrect    bool    // a whole list at the same revision may differ: it corrects missed changes
+	ExpectedEpoch string  // the only epoch that is accepted; empty = that of the first version
 }
 
-// Revision is a place in a source's history.
+// Revision is a position in a source's history.
 type Revision struct {
-	Epoch  string // whose numbering it is: numbers of two epochs tell nothing of each other
-	Number uint64 // 0 = none was given
+	Epoch  string // names the numbering: numbers of different epochs cannot be compared
+	Number uint64 // 0 = none
 }
 
 func (r Revision) String() string {
@@ -71,134 +73,134 @@
 	return number + " of " + r.Epoch
 }
 
-// Version is what a source says.
+// Version is one update of a source.
 type Version struct {
 	Revision         Revision
 	Whole            bool            // Hosts is every host; else those that changed
-	Hosts            []dispatch.Host // one that is pilot.Gone has left; of two with one name the last counts
-	Reread           bool            // it was read anew because a second look was asked for
-	Confirmed        bool            // who writes it confirms what the guard would hold
-	UnreachableSince float64         // since when the source has had no word itself; 0 = it has; below 0 = there is more to come
+	Hosts            []dispatch.Host // a host with status dispatch.Removed has left; of two with one name the last counts
+	Reread           bool            // the list was read again because Tick had asked for it
+	Confirmed        bool            // the writer of the list confirms what the guard would hold
+	UnreachableSince float64         // since when the source has lost its origin; 0 = it has not; below 0 = more versions follow
 }
 
-// What Take refuses for good, wrapped.
+// Reasons for which Apply rejects a version for good; they come wrapped.
 var (
 	ErrForeignHistory    = errors.New("another history")
 	ErrRevisionRegressed = errors.New("the revision went back")
-	ErrRevisionReused    = errors.New("other hosts at the same revision")
+	ErrRevisionReused    = errors.New("different hosts at the same revision")
 	ErrTooManyHosts      = errors.New("too many hosts")
-	ErrNoBaseList        = errors.New("changes of a list that never came")
+	ErrNoBaseList        = errors.New("changes without a whole list before them")
 )
 
-// source is what one source has said.
+// source is the state of one source.
 type source struct {
 	Source
-	list     map[string]dispatch.Host
-	departed map[string]departure // of hosts that it has told to drain or to leave, or from an address
-	revision Revision
-	known    bool    // it has given a whole list
-	heard    float64 // when it spoke last
-	away     float64 // since when it is; +Inf = it is there
-	differed int     // hosts at the last comparison with the lead
-	differs  bool    // that was told
+	list                 map[string]dispatch.Host
+	departures           map[string]departure // of hosts that it has reported as draining, removed or moved away from an address
+	revision             Revision
+	hasList              bool    // it has delivered a whole list
+	lastContact          float64 // time of its last message
+	unreachableSince     float64 // +Inf = it is reachable
+	differing            int     // hosts that differed from the followed source when last compared
+	disagreementReported bool    // Disagree was reported, and Agree not yet
 }
 
-// departure is a host's, as a source has told it.
+// departure is what a source has reported about the departure of a host.
 type departure struct {
-	at   float64 // when it drained or left; 0 = it is there
-	left []place // addresses that it is not at any more, the last mostPlaces of them
+	endedAt       float64       // when it began to drain or was removed; 0 = it serves
+	leftAddresses []leftAddress // addresses that the host has left, the last maxLeftAddresses of them
 }
 
-type place struct {
+type leftAddress struct {
 	address string
-	at      float64 // when it was told to have left
+	leftAt  float64 // when the source reported that the host had left
 }
 
-// counts tells whether a host that somebody else lists has departed.
-func (d departure) counts(h dispatch.Host) bool {
-	return d.at > 0 && h.Since <= d.at ||
-		slices.ContainsFunc(d.left, func(p place) bool { return p.address == h.Address && h.Since <= p.at })
+// covers reports whether a host that another source lists has departed.
+func (d departure) covers(h dispatch.Host) bool {
+	return d.endedAt > 0 && h.Since <= d.endedAt ||
+		slices.ContainsFunc(d.leftAddresses, func(p leftAddress) bool { return p.address == h.Address && h.Since <= p.leftAt })
 }
 
-// last is when something of it was told last.
-func (d departure) last() float64 {
-	at := d.at
-	for _, p := range d.left {
-		at = max(at, p.at)
+// latest returns the time of the latest report.
+func (d departure) latest() float64 {
+	at := d.endedAt
+	for _, p := range d.leftAddresses {
+		at = max(at, p.leftAt)
 	}
 	return at
 }
 
-// dispute is a host that the set does not have as it should.
-type dispute struct {
+// heldChange is a change of a host that the guard holds.
+type heldChange struct {
 	since  float64
 	source int
-	number uint64 // of the version that was held
-	shift
+	number uint64 // revision of the version that was held
+	delta
 }
 
-// Set is the list.
+// Set is the merged list.
 type Set struct {
-	set     Settings
-	zones   map[string]bool
-	kinds   map[string]bool
-	sources []*source
-	lead    int // the source that the list follows; -1 = none yet
-	aged    bool
-
-	hosts    map[string]dispatch.Host
-	serving  int
-	guard    *removalguard.Guard
-	baseTill float64 // until when the list from before is one to judge by
-	based    bool    // there is a later one
-
-	held  map[string]dispute
-	shift shift           // of all that is held
-	look  float64         // when the next second look is due; +Inf = never
-	pause float64         // from there to the one after it
-	open  bool            // it was told that something is held, and not yet that nothing is
-	now   float64         // when something was told last
-	sweep float64         // when the next sweep is due
-	kind  dispatch.Source // of the next step
-	dirty map[string]had  // what changed since the last one,
-	order []string        // in this order
-	notes []Note
-}
-
-// had is what the last step said of a host.
-type had struct {
+	settings Settings
+	zones    map[string]bool
+	kinds    map[string]bool
+	sources  []*source
+	lead     int // the source that the list follows; -1 = none yet
+	stale    bool
+
+	hosts         map[string]dispatch.Host
+	serving       int
+	guard         *removalguard.Guard
+	baselineUntil float64 // until then, versions are judged by the restored list
+	hasSourceList bool    // a version of a source has been applied
+
+	held         map[string]heldChange
+	delta        delta                  // sum over all held changes
+	nextReread   float64                // when the next re-read for held changes is due; +Inf = never
+	rereadPause  float64                // between that re-read and the one after it
+	heldReported bool                   // Held was reported, and neither Resolved nor the admission of all that is held
+	lastCall     float64                // time of the last call
+	nextSweep    float64                // when the next sweep is due
+	nextKind     dispatch.Source        // kind of the next Flush
+	changed      map[string]flushedHost // hosts that changed since the last Flush, as they were then,
+	changedOrder []string               // in this order
+	notes        []Note
+}
+
+// flushedHost is the state of a host at the last Flush.
+type flushedHost struct {
 	dispatch.Host
 	listed bool
 }
 
-// New makes a set that has no list yet.
-func New(set Settings) (*Set, error) {
-	s := &Set{set: set, zones: names(set.Zones), kinds: names(set.Kinds), lead: -1, hosts: map[string]dispatch.Host{},
-		held: map[string]dispute{}, look: math.Inf(1), pause: set.RereadDelay, kind: dispatch.Full,
-		dirty: map[string]had{}}
+// New returns a set that has no list yet.
+func New(settings Settings) (*Set, error) {
+	s := &Set{settings: settings, zones: stringSet(settings.Zones), kinds: stringSet(settings.Kinds), lead: -1, hosts: map[string]dispatch.Host{},
+		held: map[string]heldChange{}, nextReread: math.Inf(1), rereadPause: settings.RereadDelay, nextKind: dispatch.Full,
+		changed: map[string]flushedHost{}}
 	var err error
-	if s.guard, err = removalguard.New(set.Guard); err != nil {
+	if s.guard, err = removalguard.New(settings.Guard); err != nil {
 		return nil, err
 	}
 	switch {
-	case len(set.Sources) == 0:
+	case len(settings.Sources) == 0:
 		return nil, errors.New("set: no source")
-	case !(set.RereadDelay > 0):
-		return nil, fmt.Errorf("set: wait %v is not above 0", set.RereadDelay)
-	case set.MaxHosts < 1:
-		return nil, fmt.Errorf("set: most %d is below 1", set.MaxHosts)
+	case !(settings.RereadDelay > 0):
+		return nil, fmt.Errorf("set: wait %v is not above 0", settings.RereadDelay)
+	case settings.MaxHosts < 1:
+		return nil, fmt.Errorf("set: most %d is below 1", settings.MaxHosts)
 	}
-	for _, one := range set.Sources {
-		if !(one.StaleAfter >= 0) {
-			return nil, fmt.Errorf("set: keep %v of %s is below 0", one.StaleAfter, one.Name)
+	for _, src := range settings.Sources {
+		if !(src.StaleAfter >= 0) {
+			return nil, fmt.Errorf("set: keep %v of %s is below 0", src.StaleAfter, src.Name)
 		}
-		s.sources = append(s.sources, &source{Source: one, list: map[string]dispatch.Host{}, away: math.Inf(1),
-			departed: map[string]departure{}})
+		s.sources = append(s.sources, &source{Source: src, list: map[string]dispatch.Host{}, unreachableSince: math.Inf(1),
+			departures: map[string]departure{}})
 	}
 	return s, nil
 }
 
-func names(list []string) map[string]bool {
+func stringSet(list []string) map[string]bool {
 	m := map[string]bool{}
 	for _, name := range list {
 		m[name] = true
@@ -206,21 +208,23 @@
 	return m
 }
 
-// Tune changes what may change while a node runs: the guard, the wait, and of each source Keep, Free and Expect. An
-// epoch that is expected is a way from one history to another: the first whole list of it is taken as a new beginning.
+// Reconfigure changes what may change while a node runs: the guard, the delay before a re-read, and for each
+// source StaleAfter, Unguarded and ExpectedEpoch. A new expected epoch allows the change from one history to
+// another: its first whole list is accepted as a new beginning.
 func (s *Set) Reconfigure(g removalguard.Settings, wait float64, sources []Source) {
 	s.guard.Set(g)
-	s.set.RereadDelay = wait
-	for i, to := range sources {
-		of := s.sources[i]
-		of.StaleAfter, of.Unguarded, of.ExpectedEpoch = to.StaleAfter, to.Unguarded, to.ExpectedEpoch
+	s.settings.RereadDelay = wait
+	for i, updated := range sources {
+		src := s.sources[i]
+		src.StaleAfter, src.Unguarded, src.ExpectedEpoch = updated.StaleAfter, updated.Unguarded, updated.ExpectedEpoch
 	}
 }
 
-// Start gives the set a list from before, in place of another such, while no source has given one. Departures are judged
-// by it until a time; a first version after that counts whatever it does. Revisions, in the order of the sources, are what
-// these had come to: nothing older is taken.
-func (s *Set) Restore(hosts []dispatch.Host, fresh float64, revisions []Revision) {
+// Restore sets a list from an earlier time, possibly in place of another such list. It may be called only before
+// the first version of a source. Versions are judged by the list until baselineUntil; after that, the first
+// version may remove any number of hosts as long as enough serve. revisions are the last ones known of the
+// sources, in their order; older versions are rejected.
+func (s *Set) Restore(hosts []dispatch.Host, baselineUntil float64, revisions []Revision) {
 	clear(s.hosts)
 	s.serving = 0
 	for _, h := range hosts {
@@ -231,68 +235,69 @@
 	for i, r := range revisions {
 		s.sources[i].revision = r
 	}
-	s.kind, s.baseTill = dispatch.Stored, fresh
+	s.nextKind, s.baselineUntil = dispatch.Stored, baselineUntil
 }
 
 func (s *Set) usable(h *dispatch.Host) bool {
 	return h.Name != "" && (h.Status == dispatch.Removed || h.Status < dispatch.Removed && s.zones[h.Zone] && s.kinds[h.Kind])
 }
 
-// Take takes a version. One that is refused for good has changed nothing.
-func (s *Set) Apply(now float64, of int, v Version) error {
-	s.now = now
-	src := s.sources[of]
-	hosts, odd := s.usables(src, v)
-	if err := s.check(src, v, hosts); err != nil {
+// Apply applies a version. One that is rejected for good changes nothing.
+func (s *Set) Apply(now float64, source int, v Version) error {
+	s.lastCall = now
+	src := s.sources[source]
+	hosts, unusable := s.usableHosts(src, v)
+	if err := s.validate(src, v, hosts); err != nil {
 		return err
 	}
-	if len(odd) > 0 {
-		s.note(Note{Kind: Unusable, Source: src.Name, Revision: v.Revision, Count: len(odd), Names: some(odd)})
+	if len(unusable) > 0 {
+		s.note(Note{Kind: Unusable, Source: src.Name, Revision: v.Revision, Count: len(unusable), Names: firstNames(unusable)})
 	}
-	matters := s.matters(of, v.Whole, hosts)
-	touched := matters(s.heed(now, src, v.Whole, hosts))
-	src.revision, src.known = v.Revision, true
-	s.stay(now, src, v.UnreachableSince)
-	s.follow(now, of, touched)
+	effective := s.effectiveChanges(source, v.Whole, hosts)
+	touched := effective(s.updateSource(now, src, v.Whole, hosts))
+	src.revision, src.hasList = v.Revision, true
+	s.recordContact(now, src, v.UnreachableSince)
+	s.reconcile(now, source, touched)
 	if v.Reread {
-		s.looked(now, of)
+		s.admitReread(now, source)
 	}
 	if v.Confirmed {
-		s.Confirm(now, of, math.MaxUint64)
+		s.Confirm(now, source, math.MaxUint64)
 	}
 	return nil
 }
 
-// Present tells that a source has nothing new to say. It may have had no word itself since a time; 0 = it has.
-func (s *Set) Unchanged(now float64, of int, away float64) {
-	s.now = now
-	s.stay(now, s.sources[of], away)
-	s.follow(now, of, nil)
+// Unchanged records that a source has nothing new. away is the time since which the source itself has had no
+// contact with its origin; 0 = it has contact.
+func (s *Set) Unchanged(now float64, source int, away float64) {
+	s.lastCall = now
+	s.recordContact(now, s.sources[source], away)
+	s.reconcile(now, source, nil)
 }
 
-func (s *Set) stay(now float64, src *source, away float64) {
-	src.heard = now
+func (s *Set) recordContact(now float64, src *source, away float64) {
+	src.lastContact = now
 	if away > 0 {
-		src.away = min(src.away, away)
+		src.unreachableSince = min(src.unreachableSince, away)
 	} else if away == 0 {
-		src.away = math.Inf(1)
+		src.unreachableSince = math.Inf(1)
 	}
 }
 
-// Away tells that a source cannot be asked since a time.
-func (s *Set) Unreachable(now float64, of int, since float64) {
-	s.now = now
-	s.sources[of].away = min(s.sources[of].away, since)
-	s.follow(now, of, nil)
+// Unreachable records that a source has not been reachable since a time.
+func (s *Set) Unreachable(now float64, source int, since float64) {
+	s.lastCall = now
+	s.sources[source].unreachableSince = min(s.sources[source].unreachableSince, since)
+	s.reconcile(now, source, nil)
 }
 
-// Confirm tells that who writes to a source means what was held up to a number.
-func (s *Set) Confirm(now float64, of int, number uint64) {
-	s.admit(now, of, false, func(d dispute) bool { return d.number <= number })
+// Confirm records that the writer of a source's list confirms the changes that were held up to a revision number.
+func (s *Set) Confirm(now float64, source int, number uint64) {
+	s.admitHeld(now, source, false, func(d heldChange) bool { return d.number <= number })
 }
 
-// check tells whether a version may follow what its source has said.
-func (s *Set) check(src *source, v Version, hosts []dispatch.Host) error {
+// validate reports why a version may not follow what its source has delivered.
+func (s *Set) validate(src *source, v Version, hosts []dispatch.Host) error {
 	have, next := src.revision, v.Revision
 	count := len(hosts)
 	if !v.Whole {
@@ -305,9 +310,9 @@
 	}
 	expected := src.ExpectedEpoch == "" || src.ExpectedEpoch == next.Epoch
 	switch {
-	case count > s.set.MaxHosts:
-		return fmt.Errorf("%w: %d, at most %d can be taken", ErrTooManyHosts, count, s.set.MaxHosts)
-	case !v.Whole && !src.known:
+	case count > s.settings.MaxHosts:
+		return fmt.Errorf("%w: %d, at most %d can be taken", ErrTooManyHosts, count, s.settings.MaxHosts)
+	case !v.Whole && !src.hasList:
 		return ErrNoBaseList
 	case !expected:
 		return fmt.Errorf("%w: revision %v, only %s is expected", ErrForeignHistory, next, src.ExpectedEpoch)
@@ -319,14 +324,14 @@
 	case next.Number < have.Number:
 		return fmt.Errorf("%w: %v after %v", ErrRevisionRegressed, next, have)
 	case v.Whole && src.MayCorrect:
-	case next.Number > 0 && next.Number == have.Number && src.known && differs(src.list, v.Whole, hosts):
+	case next.Number > 0 && next.Number == have.Number && src.hasList && differsFrom(src.list, v.Whole, hosts):
 		return fmt.Errorf("%w, %v", ErrRevisionReused, next)
 	}
 	return nil
 }
 
-// differs tells whether hosts say anything else than a list.
-func differs(list map[string]dispatch.Host, whole bool, hosts []dispatch.Host) bool {
+// differsFrom reports whether hosts differ from a list.
+func differsFrom(list map[string]dispatch.Host, whole bool, hosts []dispatch.Host) bool {
 	if whole && len(hosts) != len(list) {
 		return true
 	}
@@ -338,67 +343,68 @@
 	return false
 }
 
-// usables gives a version's hosts. An entry that cannot be used stands for what the source said of the host before; if
-// that is nothing it is left out. odd names both.
-func (s *Set) usables(src *source, v Version) (hosts []dispatch.Host, odd []string) {
+// usableHosts returns the hosts of a version. An entry that cannot be used is replaced by the source's previous
+// entry for the host; if there is none, it is left out. unusable names both.
+func (s *Set) usableHosts(src *source, v Version) (hosts []dispatch.Host, unusable []string) {
 	hosts = make([]dispatch.Host, 0, len(v.Hosts))
-	place := make(map[string]int, len(v.Hosts))
+	index := make(map[string]int, len(v.Hosts))
 	for _, h := range v.Hosts {
 		if !s.usable(&h) {
-			odd = append(odd, h.Name)
+			unusable = append(unusable, h.Name)
 			old, ok := src.list[h.Name]
 			if !ok {
 				continue
 			}
 			h = old
 		}
-		if at, ok := place[h.Name]; ok {
+		if at, ok := index[h.Name]; ok {
 			hosts[at] = h
 			continue
 		}
-		place[h.Name] = len(hosts)
+		index[h.Name] = len(hosts)
 		hosts = append(hosts, h)
 	}
 	if v.Whole {
 		hosts = slices.DeleteFunc(hosts, func(h dispatch.Host) bool { return h.Status == dispatch.Removed })
 	}
-	return hosts, odd
+	return hosts, unusable
 }
 
-// matters gives what picks, once a version was heeded, the hosts for which it changes anything in the set. What is held is
-// not let go because another source than the one that is followed says again what is known.
-func (s *Set) matters(of int, whole bool, hosts []dispatch.Host) func(touched []string) []string {
-	if s.lead < 0 || of == s.lead {
+// effectiveChanges is called before a version is stored. It returns a function that is called afterwards and keeps
+// only those touched hosts for which the version changes anything in the set. So held changes are not applied
+// because a source other than the followed one repeats what is known.
+func (s *Set) effectiveChanges(source int, whole bool, hosts []dispatch.Host) func(touched []string) []string {
+	if s.lead < 0 || source == s.lead {
 		return func(touched []string) []string { return touched }
 	}
-	type want struct {
+	type state struct {
 		dispatch.Host
 		listed bool
 	}
-	src, before := s.sources[of], map[string]want{}
-	note := func(name string) {
+	src, before := s.sources[source], map[string]state{}
+	record := func(name string) {
 		h, listed := s.target(name)
-		before[name] = want{h, listed}
+		before[name] = state{h, listed}
 	}
 	for i := range hosts {
-		note(hosts[i].Name)
+		record(hosts[i].Name)
 	}
 	if whole {
 		for name := range src.list {
-			note(name)
+			record(name)
 		}
 	}
 	return func(touched []string) []string {
 		return slices.DeleteFunc(touched, func(name string) bool {
 			h, listed := s.target(name)
 			now := s.hosts[name]
-			return before[name] == want{h, listed} && !(now.Status == dispatch.Ready && src.departed[name].counts(now))
+			return before[name] == state{h, listed} && !(now.Status == dispatch.Ready && src.departures[name].covers(now))
 		})
 	}
 }
 
-// heed takes hosts into a source's list and names those that are new or changed.
-func (s *Set) heed(now float64, src *source, whole bool, hosts []dispatch.Host) (touched []string) {
+// updateSource stores hosts in a source's list and names those that are new or changed.
+func (s *Set) updateSource(now float64, src *source, whole bool, hosts []dispatch.Host) (touched []string) {
 	if whole {
 		named := make(map[string]bool, len(hosts))
 		for i := range hosts {
@@ -411,103 +417,105 @@
 		}
 		slices.Sort(touched)
 		for _, name := range touched {
-			s.end(now, src, name)
+			s.removeHost(now, src, name)
 		}
 	}
 	for _, h := range hosts {
 		old, listed := src.list[h.Name]
 		if listed && old == h || !listed && h.Status == dispatch.Removed {
 			if _, held := s.held[h.Name]; held && !whole {
-				touched = append(touched, h.Name) // said again, and by itself
+				touched = append(touched, h.Name) // a held change that is repeated in a version of its own
 			}
 			continue
 		}
 		touched = append(touched, h.Name)
 		switch h.Status {
 		case dispatch.Removed:
-			s.end(now, src, h.Name)
+			s.removeHost(now, src, h.Name)
 			continue
 		case dispatch.Ready:
-			src.arrive(now, old, h)
+			src.recordServing(now, old, h)
 		case dispatch.Draining:
-			src.depart(now, h.Name)
+			src.recordDrain(now, h.Name)
 		}
 		src.list[h.Name] = h
 	}
 	return touched
 }
 
-func (s *Set) end(now float64, src *source, name string) {
-	src.leave(now, name, src.list[name].Address)
-	d := src.departed[name]
-	d.at = now
-	src.departed[name] = d
+func (s *Set) removeHost(now float64, src *source, name string) {
+	src.recordLeft(now, name, src.list[name].Address)
+	d := src.departures[name]
+	d.endedAt = now
+	src.departures[name] = d
 	delete(src.list, name)
-	if len(src.departed) > 2*s.set.MaxHosts {
-		s.forget(src, now)
+	if len(src.departures) > 2*s.settings.MaxHosts {
+		s.forgetEnded(src, now)
 	}
 }
 
-func (src *source) depart(now float64, name string) {
-	if d := src.departed[name]; d.at == 0 {
-		d.at = now
-		src.departed[name] = d
+func (src *source) recordDrain(now float64, name string) {
+	if d := src.departures[name]; d.endedAt == 0 {
+		d.endedAt = now
+		src.departures[name] = d
 	}
 }
 
-// leave notes that a host is not at an address any more.
-func (src *source) leave(now float64, name, address string) {
-	d := src.departed[name]
-	d.left = append(d.left[max(0, len(d.left)+1-mostPlaces):len(d.left):len(d.left)], place{address, now})
-	src.departed[name] = d
+// recordLeft records that a host has left an address.
+func (src *source) recordLeft(now float64, name, address string) {
+	d := src.departures[name]
+	d.leftAddresses = append(d.leftAddresses[max(0, len(d.leftAddresses)+1-maxLeftAddresses):len(d.leftAddresses):len(d.leftAddresses)], leftAddress{address, now})
+	src.departures[name] = d
 }
 
-// arrive notes that a host serves, and that it is not where it was.
-func (src *source) arrive(now float64, old, h dispatch.Host) {
+// recordServing records that a host serves, and that it has left its previous address.
+func (src *source) recordServing(now float64, old, h dispatch.Host) {
 	if old.Address != "" && old.Address != h.Address {
-		src.leave(now, h.Name, old.Address)
+		src.recordLeft(now, h.Name, old.Address)
 	}
-	d, known := src.departed[h.Name]
+	d, known := src.departures[h.Name]
 	if !known {
 		return
 	}
-	d.at = 0
-	d.left = slices.DeleteFunc(slices.Clone(d.left), func(p place) bool { return p.address == h.Address })
-	src.departed[h.Name] = d
-	if len(d.left) == 0 {
-		delete(src.departed, h.Name)
+	d.endedAt = 0
+	d.leftAddresses = slices.DeleteFunc(slices.Clone(d.leftAddresses), func(p leftAddress) bool { return p.address == h.Address })
+	src.departures[h.Name] = d
+	if len(d.leftAddresses) == 0 {
+		delete(src.departures, h.Name)
 	}
 }
 
-// forget drops what a source said of hosts that nobody lists, as of a time.
-func (s *Set) forget(src *source, before float64) {
-	for name, d := range src.departed {
+// forgetEnded drops the departures of hosts that no source lists, up to a time.
+func (s *Set) forgetEnded(src *source, before float64) {
+	for name, d := range src.departures {
 		listed := slices.ContainsFunc(s.sources, func(o *source) bool { _, ok := o.list[name]; return ok })
-		if !listed && d.last() <= before {
-			delete(src.departed, name)
+		if !listed && d.latest() <= before {
+			delete(src.departures, name)
 		}
 	}
 }
 
-// counts tells whether a source's list may be followed.
-func (src *source) counts(now float64) bool { return src.known && now-src.away <= src.StaleAfter }
+// fresh reports whether a source's list may be followed.
+func (src *source) fresh(now float64) bool {
+	return src.hasList && now-src.unreachableSince <= src.StaleAfter
+}
 
-// choose finds the source to follow and tells whether that is another one.
-func (s *Set) choose(now float64) bool {
-	lead := slices.IndexFunc(s.sources, func(src *source) bool { return src.counts(now) })
-	if lead < 0 && s.lead < 0 { // an old list is better than none
-		lead = slices.IndexFunc(s.sources, func(src *source) bool { return src.known })
+// selectLead selects the source to follow and reports whether that has changed.
+func (s *Set) selectLead(now float64) bool {
+	lead := slices.IndexFunc(s.sources, func(src *source) bool { return src.fresh(now) })
+	if lead < 0 && s.lead < 0 { // a stale list is better than none
+		lead = slices.IndexFunc(s.sources, func(src *source) bool { return src.hasList })
 	}
-	if lead < 0 { // who was followed last is followed on
-		silent := func(src *source) bool { return now-src.away > src.StaleAfter }
-		if !s.aged && !slices.ContainsFunc(s.sources, func(src *source) bool { return !silent(src) }) {
-			s.aged = true
+	if lead < 0 { // keep following the same source
+		silent := func(src *source) bool { return now-src.unreachableSince > src.StaleAfter }
+		if !s.stale && !slices.ContainsFunc(s.sources, func(src *source) bool { return !silent(src) }) {
+			s.stale = true
 			s.note(Note{Kind: AllStale, Source: s.name(s.lead), Age: s.age(now)})
 		}
 		return false
 	}
-	if s.aged {
-		s.aged = false
+	if s.stale {
+		s.stale = false
 		s.note(Note{Kind: Recovered, Source: s.name(lead)})
 	}
 	if lead == s.lead {
@@ -525,19 +533,20 @@
 	return s.sources[source].Name
 }
 
-// age is for how long there has been no word of the source that is followed.
+// age returns for how long the followed source has been unreachable.
 func (s *Set) age(now float64) float64 {
-	if s.lead < 0 || math.IsInf(s.sources[s.lead].away, 1) {
+	if s.lead < 0 || math.IsInf(s.sources[s.lead].unreachableSince, 1) {
 		return 0
 	}
-	return now - s.sources[s.lead].away
+	return now - s.sources[s.lead].unreachableSince
 }
 
-// follow brings the set to what its sources say, as far as the guard lets it. of is who spoke, touched what it changed.
-func (s *Set) follow(now float64, of int, touched []string) {
-	defer s.reconsider(now)
-	free := s.sources[of].Unguarded
-	if first := s.lead < 0; s.choose(now) {
+// reconcile updates the set to what its sources say, as far as the guard allows. source is the one that reported,
+// touched are the hosts that it changed.
+func (s *Set) reconcile(now float64, source int, touched []string) {
+	defer s.releaseHeld(now)
+	free := s.sources[source].Unguarded
+	if first := s.lead < 0; s.selectLead(now) {
 		all := make([]string, 0, len(s.hosts))
 		for name := range s.hosts {
 			all = append(all, name)
@@ -548,17 +557,17 @@
 			}
 		}
 		slices.Sort(all)
-		s.judge(now, s.lead, all, first && free)
+		s.applyOrHold(now, s.lead, all, first && free)
 		if !free {
 			return
 		}
 	}
 	if len(touched) > 0 {
-		s.judge(now, of, touched, free)
+		s.applyOrHold(now, source, touched, free)
 	}
 }
 
-// target is what the set should have of a host, and whether it should have it at all.
+// target returns the state that the set should have for a host, and whether the host should be listed.
 func (s *Set) target(name string) (dispatch.Host, bool) {
 	if s.lead < 0 {
 		h, ok := s.hosts[name]
@@ -566,8 +575,8 @@
 	}
 	h, ok := s.sources[s.lead].list[name]
 	if ok && h.Status == dispatch.Ready {
-		for _, src := range s.sources { // of what the lead has told itself, the list is the newer word
-			if src.departed[name].counts(h) {
+		for _, src := range s.sources { // the followed source's own list is newer than the departures that it reported
+			if src.departures[name].covers(h) {
 				h.Status = dispatch.Draining
 			}
 		}
@@ -575,18 +584,18 @@
 	return h, ok
 }
 
-// shift is what hosts that change do to those that serve.
-type shift struct{ drains, leaves, arrives int }
+// delta counts how changes affect the serving hosts.
+type delta struct{ drains, leaves, arrives int }
 
-func (a *shift) add(b shift, times int) {
+func (a *delta) add(b delta, times int) {
 	a.drains += times * b.drains
 	a.leaves += times * b.leaves
 	a.arrives += times * b.arrives
 }
 
-// Compare counts what it would do to the hosts that serve if one list were followed by another.
+// Compare returns how replacing one list by another affects the serving hosts.
 func Compare(from, to []dispatch.Host) (c removalguard.Change) {
-	var sum shift
+	var sum delta
 	next := map[string]dispatch.Host{}
 	for _, h := range to {
 		next[h.Name] = h
@@ -596,28 +605,28 @@
 			c.Serving++
 		}
 		want, ok := next[h.Name]
-		sum.add(step(h, true, want, ok), 1)
+		sum.add(deltaOf(h, true, want, ok), 1)
 		delete(next, h.Name)
 	}
 	for _, h := range next {
-		sum.add(step(dispatch.Host{}, false, h, true), 1)
+		sum.add(deltaOf(dispatch.Host{}, false, h, true), 1)
 	}
 	c.Drains, c.Leaves, c.Arrives = sum.drains, sum.leaves, sum.arrives
 	return c
 }
 
-// change tells whether a host is not as it should be, and what it would do.
-func (s *Set) change(name string) (sh shift, differs bool) {
+// pendingChange returns the effect of bringing a host to its target, and whether it differs from that.
+func (s *Set) pendingChange(name string) (sh delta, differs bool) {
 	have, listed := s.hosts[name]
 	want, ok := s.target(name)
 	if listed == ok && have == want {
 		return sh, false
 	}
-	return step(have, listed, want, ok), true
+	return deltaOf(have, listed, want, ok), true
 }
 
-// step is what it does if a host, where it is listed, is as it should be, where it should be listed.
-func step(have dispatch.Host, listed bool, want dispatch.Host, ok bool) (sh shift) {
+// deltaOf returns the effect of changing a host from have, if listed, to want, if ok.
+func deltaOf(have dispatch.Host, listed bool, want dispatch.Host, ok bool) (sh delta) {
 	serves, will := listed && have.Status == dispatch.Ready, ok && want.Status == dispatch.Ready
 	moves := listed && ok && have.Address != want.Address
 	switch {
@@ -632,93 +641,94 @@
 	return sh
 }
 
-// judge takes what touched hosts should be, or holds it.
-func (s *Set) judge(now float64, of int, touched []string, free bool) {
-	var sum shift
+// applyOrHold applies the targets of the touched hosts, or holds them if the guard says so.
+func (s *Set) applyOrHold(now float64, source int, touched []string, free bool) {
+	var sum delta
 	for _, name := range touched {
-		one, _ := s.change(name)
+		one, _ := s.pendingChange(name)
 		sum.add(one, 1)
 	}
 	if v := s.verdict(now, sum); !free && v != removalguard.Take {
-		s.hold(now, of, touched, v == removalguard.Floor)
+		s.hold(now, source, touched, v == removalguard.Floor)
 		return
 	}
 	for _, name := range touched {
-		s.apply(now, name)
+		s.applyTarget(now, name)
 	}
-	s.settled()
+	s.afterApply()
 }
 
-// reconsider takes what is held once the guard would take it: what came since may make up for it, and departures leave
-// the window.
-func (s *Set) reconsider(now float64) {
-	if len(s.held) == 0 || s.verdict(now, s.shift) != removalguard.Take {
+// releaseHeld applies all held changes once the guard accepts them: later versions may compensate for them, and
+// earlier departures leave the guard's window.
+func (s *Set) releaseHeld(now float64) {
+	if len(s.held) == 0 || s.verdict(now, s.delta) != removalguard.Take {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.held)) {
-		s.apply(now, name)
+		s.applyTarget(now, name)
 	}
-	s.settled()
+	s.afterApply()
 }
 
-// verdict asks the guard. Without a list to judge by, all may depart, but some must serve.
-func (s *Set) verdict(now float64, sh shift) removalguard.Verdict {
+// verdict asks the guard. Without a list to judge by, any number of hosts may depart as long as enough serve.
+func (s *Set) verdict(now float64, sh delta) removalguard.Verdict {
 	v := s.guard.Judge(now, removalguard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
-	if v == removalguard.Look && !s.based && now > s.baseTill {
+	if v == removalguard.Look && !s.hasSourceList && now > s.baselineUntil {
 		return removalguard.Take
 	}
 	return v
 }
 
-// settled notes that there is a list of a source, and ends the wait for a second look where nothing is held any more.
-func (s *Set) settled() {
-	if !s.based {
-		s.based = true
-		s.kind = dispatch.Full
+// afterApply records that the list of a source has been applied, and cancels the re-read if nothing is held any
+// more.
+func (s *Set) afterApply() {
+	if !s.hasSourceList {
+		s.hasSourceList = true
+		s.nextKind = dispatch.Full
 	}
 	if len(s.held) == 0 {
-		if s.open {
-			s.open = false
+		if s.heldReported {
+			s.heldReported = false
 			s.note(Note{Kind: Resolved, Source: s.name(s.lead), Revision: s.sources[max(s.lead, 0)].revision})
 		}
-		s.look, s.pause = math.Inf(1), s.set.RereadDelay
+		s.nextReread, s.rereadPause = math.Inf(1), s.settings.RereadDelay
 	}
 }
 
-// hold notes what is not taken.
-func (s *Set) hold(now float64, of int, touched []string, floor bool) {
-	src := s.sources[of]
-	var departs []string
-	since := s.since(now, touched)
+// hold records the changes that are not applied.
+func (s *Set) hold(now float64, source int, touched []string, floor bool) {
+	src := s.sources[source]
+	var departing []string
+	since := s.holdStart(now, touched)
 	for _, name := range touched {
-		one, differs := s.change(name)
+		one, differs := s.pendingChange(name)
 		old, before := s.held[name]
-		s.shift.add(old.shift, -1)
+		s.delta.add(old.delta, -1)
 		delete(s.held, name)
 		if !differs {
 			continue
 		}
-		d := dispute{since: since, source: of, number: src.revision.Number, shift: one}
-		if before && of != s.lead { // it goes on belonging to the version that it was held with
-			d = dispute{old.since, old.source, old.number, one}
+		d := heldChange{since: since, source: source, number: src.revision.Number, delta: one}
+		if before && source != s.lead { // it stays part of the version that it was first held with
+			d = heldChange{old.since, old.source, old.number, one}
 		}
 		s.held[name] = d
-		s.shift.add(one, 1)
+		s.delta.add(one, 1)
 		if one.drains+one.leaves > 0 {
-			departs = append(departs, name)
+			departing = append(departing, name)
 		}
 	}
-	s.look, s.open = min(s.look, now+s.set.RereadDelay), true
-	s.note(Note{Kind: Held, Source: src.Name, Revision: src.revision, Count: len(departs), Serving: s.serving,
-		Names: some(departs), BelowFloor: floor})
+	s.nextReread, s.heldReported = min(s.nextReread, now+s.settings.RereadDelay), true
+	s.note(Note{Kind: Held, Source: src.Name, Revision: src.revision, Count: len(departing), Serving: s.serving,
+		Names: firstNames(departing), BelowFloor: floor})
 }
 
-// since is when the wait of hosts that are held together has begun: now, unless all of them were held before. So what is
-// of one version is admitted together.
-func (s *Set) since(now float64, touched []string) float64 {
+// holdStart returns the time from which changes that are held together wait: now, unless all of them were held
+// before. This way the changes of one version are admitted together.
+func (s *Set) holdStart(now float64, touched []string) float64 {
 	since := math.Inf(-1)
 	for _, name := range touched {
-		if _, differs := s.change(name); !differs {
+		if _, differs := s.pendingChange(name); !differs {
 			continue
 		}
 		d, held := s.held[name]
@@ -730,13 +740,13 @@
 	return since
 }
 
-// apply makes a host what it should be.
-func (s *Set) apply(now float64, name string) {
+// applyTarget brings a host to its target.
+func (s *Set) applyTarget(now float64, name string) {
 	if d, ok := s.held[name]; ok {
-		s.shift.add(d.shift, -1)
+		s.delta.add(d.delta, -1)
 		delete(s.held, name)
 	}
-	sh, differs := s.change(name)
+	sh, differs := s.pendingChange(name)
 	if !differs {
 		return
 	}
@@ -744,7 +754,7 @@
 	if ok {
 		s.put(want)
 	} else {
-		s.mark(name)
+		s.markChanged(name)
 		if s.hosts[name].Status == dispatch.Ready {
 			s.serving--
 		}
@@ -759,7 +769,7 @@
 }
 
 func (s *Set) put(h dispatch.Host) {
-	s.mark(h.Name)
+	s.markChanged(h.Name)
 	old, listed := s.hosts[h.Name]
 	if listed && old.Status == dispatch.Ready {
 		s.serving--
@@ -770,99 +780,99 @@
 	s.hosts[h.Name] = h
 }
 
-// mark notes that the next step has to tell of a host.
-func (s *Set) mark(name string) {
-	if _, ok := s.dirty[name]; !ok {
+// markChanged records that the next Flush has to report a host.
+func (s *Set) markChanged(name string) {
+	if _, ok := s.changed[name]; !ok {
 		h, listed := s.hosts[name]
-		s.dirty[name] = had{h, listed}
-		s.order = append(s.order, name)
+		s.changed[name] = flushedHost{h, listed}
+		s.changedOrder = append(s.changedOrder, name)
 	}
 }
 
-// looked admits what has been held for the wait and stands in a list that was read anew.
-func (s *Set) looked(now float64, of int) {
-	s.admit(now, of, true, func(d dispute) bool { return d.since <= now-s.set.RereadDelay+rounding })
+// admitReread applies what has been held for the delay and is still listed after a re-read.
+func (s *Set) admitReread(now float64, source int) {
+	s.admitHeld(now, source, true, func(d heldChange) bool { return d.since <= now-s.settings.RereadDelay+timeTolerance })
 }
 
-// admit takes what is held of a source. After a second look some must still serve.
-func (s *Set) admit(now float64, of int, looked bool, which func(dispute) bool) {
-	var sum shift
-	var list, departs []string
+// admitHeld applies held changes of a source. After a re-read, enough hosts must still serve.
+func (s *Set) admitHeld(now float64, source int, byReread bool, which func(heldChange) bool) {
+	var sum delta
+	var list, departing []string
 	for name, d := range s.held {
-		if d.source == of && which(d) {
+		if d.source == source && which(d) {
 			list = append(list, name)
-			sum.add(d.shift, 1)
+			sum.add(d.delta, 1)
 			if d.drains+d.leaves > 0 {
-				departs = append(departs, name)
+				departing = append(departing, name)
 			}
 		}
 	}
-	if len(list) == 0 || looked && s.verdict(now, sum) == removalguard.Floor {
+	if len(list) == 0 || byReread && s.verdict(now, sum) == removalguard.Floor {
 		return
 	}
 	slices.Sort(list)
-	src, serving := s.sources[of], s.serving
+	src, serving := s.sources[source], s.serving
 	for _, name := range list {
-		s.apply(now, name)
+		s.applyTarget(now, name)
 	}
-	s.open = s.open && len(s.held) > 0
-	s.settled()
-	slices.Sort(departs)
-	s.note(Note{Kind: Admitted, Source: src.Name, Revision: src.revision, Count: len(departs), Serving: serving,
-		Names: some(departs), Reread: looked})
+	s.heldReported = s.heldReported && len(s.held) > 0
+	s.afterApply()
+	slices.Sort(departing)
+	s.note(Note{Kind: Admitted, Source: src.Name, Revision: src.revision, Count: len(departing), Serving: serving,
+		Names: firstNames(departing), Reread: byReread})
 }
 
-// Due does what is due by now and names the sources that are to be read anew for a second look.
-func (s *Set) Tick(now float64) (look []int) {
-	s.now = now
-	if of := max(s.lead, 0); !s.sources[of].counts(now) {
-		s.follow(now, of, nil)
+// Tick does what is due by now and returns the sources that have to be read again to confirm held changes.
+func (s *Set) Tick(now float64) (reread []int) {
+	s.lastCall = now
+	if source := max(s.lead, 0); !s.sources[source].fresh(now) {
+		s.reconcile(now, source, nil)
 	}
-	if now >= s.look && len(s.held) > 0 {
-		s.look = now + s.pause
-		s.pause = min(2*s.pause, longestLook)
+	if now >= s.nextReread && len(s.held) > 0 {
+		s.nextReread = now + s.rereadPause
+		s.rereadPause = min(2*s.rereadPause, maxRereadPause)
 		for _, d := range s.held {
-			if d.since <= now-s.set.RereadDelay+rounding && !slices.Contains(look, d.source) {
-				look = append(look, d.source)
+			if d.since <= now-s.settings.RereadDelay+timeTolerance && !slices.Contains(reread, d.source) {
+				reread = append(reread, d.source)
 			}
 		}
-		slices.Sort(look)
+		slices.Sort(reread)
 	}
-	if now >= s.sweep && len(s.sources) > 1 {
-		s.sweep = now + sweepEvery
+	if now >= s.nextSweep && len(s.sources) > 1 {
+		s.nextSweep = now + sweepInterval
 		for _, src := range s.sources {
-			s.forget(src, now-rememberFor)
+			s.forgetEnded(src, now-endedRetention)
 		}
-		s.compare(now)
+		s.compareSources(now)
 	}
-	return look
+	return reread
 }
 
-// Next is when Due has something to do; +Inf = never.
+// NextTick returns when Tick has something to do; +Inf = never.
 func (s *Set) NextTick() float64 {
-	next := s.look
+	next := s.nextReread
 	if len(s.sources) > 1 {
-		next = min(next, s.sweep)
+		next = min(next, s.nextSweep)
 	}
 	for _, src := range s.sources {
-		// The last moment at which its word counts is followed by the one at which it does not.
-		if end := math.Nextafter(src.away+src.StaleAfter, math.Inf(1)); end > s.now {
+		// One step after the last time at which the source's list still counts.
+		if end := math.Nextafter(src.unreachableSince+src.StaleAfter, math.Inf(1)); end > s.lastCall {
 			next = min(next, end)
 		}
 	}
 	return next
 }
 
-// Step gives what has changed since the last one, as the pilot takes it; false if nothing has. A step is the set as it
-// is now: what came and went in between does not show.
+// Flush returns what has changed since the last call, in the form that the dispatcher takes; false if nothing has.
+// It reports the current state: a host that came and left in between does not appear.
 func (s *Set) Flush() (kind dispatch.Source, list []dispatch.Host, ok bool) {
-	kind = s.kind
-	if kind == dispatch.Changes && len(s.order) == 0 || kind == dispatch.Full && !s.based {
+	kind = s.nextKind
+	if kind == dispatch.Changes && len(s.changedOrder) == 0 || kind == dispatch.Full && !s.hasSourceList {
 		return kind, nil, false
 	}
 	if kind == dispatch.Changes {
-		for _, name := range s.order {
-			old := s.dirty[name]
+		for _, name := range s.changedOrder {
+			old := s.changed[name]
 			if h, now := s.hosts[name]; now {
 				list = append(list, h)
 			} else if old.listed {
@@ -873,12 +883,12 @@
 	} else {
 		list = s.Hosts()
 	}
-	s.kind, s.order = dispatch.Changes, s.order[:0]
-	clear(s.dirty)
+	s.nextKind, s.changedOrder = dispatch.Changes, s.changedOrder[:0]
+	clear(s.changed)
 	return kind, list, len(list) > 0 || kind != dispatch.Changes
 }
 
-// Hosts is the whole list, by name.
+// Hosts returns the whole list, sorted by name.
 func (s *Set) Hosts() []dispatch.Host {
 	list := make([]dispatch.Host, 0, len(s.hosts))
 	for _, h := range s.hosts {
--- a/internal/node/endpoints/merge/set_test.go
+++ b/internal/node/endpoints/merge/set_test.go
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
-// The histories are the same ones each time, unless -rapid.seed asks for others.
+// The random histories are the same in each run, unless -rapid.seed asks for others.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
@@ -44,12 +44,12 @@
 	return list
 }
 
-func at(n uint64) Revision { return Revision{Number: n} }
+func rev(n uint64) Revision { return Revision{Number: n} }
 
-// pilotLike takes steps as the pilot does.
-type pilotLike map[string]dispatch.Host
+// dispatcherModel applies the results of Flush in the same way as the dispatcher.
+type dispatcherModel map[string]dispatch.Host
 
-func (p pilotLike) step(s *Set) {
+func (p dispatcherModel) step(s *Set) {
 	kind, list, ok := s.Flush()
 	if ok && kind != dispatch.Changes {
 		clear(p)
@@ -61,8 +61,8 @@
 	}
 }
 
-// shiftOf works out anew what the guard is asked.
-func shiftOf(have, want map[string]dispatch.Host) (c removalguard.Change, same bool) {
+// expectedChange computes the question to the guard independently of the set.
+func expectedChange(have, want map[string]dispatch.Host) (c removalguard.Change, same bool) {
 	c.Serving = ready(have)
 	for name, h := range have {
 		next, ok := want[name]
@@ -92,15 +92,16 @@
 	return n
 }
 
-// Guards, over random histories of one source, against: a step that leaves something out; a version taken in part; more
-// departures at once than the guard allows; a drain of one host that is held back; a held version that is never taken
-// though it stands, or is taken though it would leave nobody; a refused version that changes something.
+// Guards, over random histories of one source, against: a Flush that leaves something out; a version that is
+// applied in part; more departures at once than the guard allows; a drain of a single host that is held; a held
+// version that is never applied although the source keeps it, or that is applied although it would leave no host;
+// a rejected version that changes something.
 func TestHistoriesOfOneSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSet(t, half, Source{Name: "a", StaleAfter: 1e6})
-		now, number, pilots := epoch, uint64(1), pilotLike{}
-		said := map[string]dispatch.Host{}
-		// The pair is always told together: who serves changes hands in one version.
+		now, number, model := epoch, uint64(1), dispatcherModel{}
+		reported := map[string]dispatch.Host{}
+		// Both hosts of the pair are always reported together: in one version, the other one starts to serve.
 		pair := func(first bool) []dispatch.Host {
 			status := [2]dispatch.Status{dispatch.Ready, dispatch.Draining}
 			if !first {
@@ -108,19 +109,19 @@
 			}
 			return []dispatch.Host{host("one", status[0]), host("two", status[1])}
 		}
-		tell := func(v Version) {
+		apply := func(v Version) {
 			if v.Whole {
-				clear(said)
+				clear(reported)
 			}
 			for _, h := range v.Hosts {
-				if said[h.Name] = h; h.Status == dispatch.Removed {
-					delete(said, h.Name)
+				if reported[h.Name] = h; h.Status == dispatch.Removed {
+					delete(reported, h.Name)
 				}
 			}
 			require.NoError(t, s.Apply(now, 0, v))
 		}
-		tell(Version{Revision: at(number), Whole: true, Hosts: append(letters(6), pair(true)...)})
-		pilots.step(s)
+		apply(Version{Revision: rev(number), Whole: true, Hosts: append(letters(6), pair(true)...)})
+		model.step(s)
 		for range rapid.IntRange(1, 40).Draw(t, "versions") {
 			now += rapid.Float64Range(0, 20e3).Draw(t, "ms")
 			var list []dispatch.Host
@@ -133,53 +134,53 @@
 				list = append(list, pair(rapid.Bool().Draw(t, "first"))...)
 			}
 			number++
-			v := Version{Revision: at(number), Whole: rapid.IntRange(0, 3).Draw(t, "whole") == 0, Hosts: list}
+			v := Version{Revision: rev(number), Whole: rapid.IntRange(0, 3).Draw(t, "whole") == 0, Hosts: list}
 			if v.Whole {
 				v.Hosts = append(v.Hosts, pair(rapid.Bool().Draw(t, "first"))...)
 				v.Hosts = slices.DeleteFunc(v.Hosts, func(h dispatch.Host) bool { return h.Status == dispatch.Removed })
 			}
-			bad := Version{Revision: at(number - 2), Hosts: list}
+			bad := Version{Revision: rev(number - 2), Hosts: list}
 			require.ErrorIs(t, s.Apply(now, 0, bad), ErrRevisionRegressed)
 			before := maps.Clone(s.hosts)
-			tell(v)
-			c, _ := shiftOf(before, s.hosts)
+			apply(v)
+			c, _ := expectedChange(before, s.hosts)
 			if c.Leaves > 0 || c.Drains > 2 {
-				// One of the version and one that was held may drain, as the only one that does.
+				// One host of the version and one that was held may drain, each as the only one that does.
 				most := max(1, float64(s.guard.Base(now, s.serving))/2) + float64(min(c.Drains, 2))
 				require.LessOrEqual(t, float64(s.guard.Departed(now)), most, "too many departed at once")
 				require.NotZero(t, ready(s.hosts))
 			}
 			if len(v.Hosts) == 1 && !v.Whole && v.Hosts[0].Status == dispatch.Draining && before[v.Hosts[0].Name].Address == v.Hosts[0].Address {
-				require.Equal(t, dispatch.Draining, s.hosts[v.Hosts[0].Name].Status, "a single drain was held back")
+				require.Equal(t, dispatch.Draining, s.hosts[v.Hosts[0].Name].Status, "a single drain was held")
 			}
-			if c, same := shiftOf(s.hosts, said); len(s.held) == 0 {
+			if c, same := expectedChange(s.hosts, reported); len(s.held) == 0 {
 				require.True(t, same)
 			} else {
-				require.NotEqual(t, removalguard.Take, s.guard.Judge(now, c), "held for nothing")
+				require.NotEqual(t, removalguard.Take, s.guard.Judge(now, c), "held although the guard would accept it")
 			}
-			require.Equal(t, dispatch.Ready+dispatch.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "half a version")
+			require.Equal(t, dispatch.Ready+dispatch.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "a version was applied in part")
 			require.Equal(t, ready(s.hosts), s.serving)
-			pilots.step(s)
-			require.Equal(t, s.hosts, map[string]dispatch.Host(pilots))
+			model.step(s)
+			require.Equal(t, s.hosts, map[string]dispatch.Host(model))
 		}
 		now += 1001
 		if look := s.Tick(now); len(s.held) > 0 {
 			require.Equal(t, []int{0}, look)
-			tell(Version{Revision: at(number), Whole: true, Hosts: slices.Collect(maps.Values(said)), Reread: true})
-			if ready(said) > 0 {
-				require.Equal(t, said, s.hosts, "what stood for the wait and when read anew")
+			apply(Version{Revision: rev(number), Whole: true, Hosts: slices.Collect(maps.Values(reported)), Reread: true})
+			if ready(reported) > 0 {
+				require.Equal(t, reported, s.hosts, "kept for the delay and confirmed by the re-read")
 			}
-			tell(Version{Revision: at(number), Confirmed: true})
+			apply(Version{Revision: rev(number), Confirmed: true})
 		}
-		require.Equal(t, said, s.hosts)
-		require.Zero(t, s.shift, "nothing is held")
+		require.Equal(t, reported, s.hosts)
+		require.Zero(t, s.delta, "nothing is held")
 		require.True(t, math.IsInf(s.NextTick(), 1))
 	})
 }
 
-// Guards, over random words of three sources, against a list that does not follow the first whose word counts, against
-// entries of another, and against a host that serves though a source has told that it departs. The model keeps all that
-// was said and works the list out anew each time.
+// Guards, over random calls for three sources, against a list that does not follow the first source that counts,
+// against entries of another source, and against a host that serves although a source has reported its departure.
+// The model keeps everything that was reported and computes the list from scratch each time.
 func TestHistoriesOfSeveralSources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := []float64{3000, 1000, 2000}
@@ -213,18 +214,18 @@
 				if what == "change" {
 					list = maps.Clone(lists[of])
 				}
-				var told []dispatch.Host
+				var reported []dispatch.Host
 				for _, h := range letters(4) {
 					if rapid.Bool().Draw(t, "listed") {
 						h.Status = rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Draining, dispatch.Removed}).Draw(t, "status")
 						h.Since = rapid.SampledFrom([]float64{0, now}).Draw(t, "since")
-						told = append(told, h)
+						reported = append(reported, h)
 						if list[h.Name] = h; h.Status == dispatch.Removed {
 							delete(list, h.Name)
 						}
 					}
 				}
-				require.NoError(t, s.Apply(now, of, Version{Revision: at(uint64(n + 1)), Whole: what == "whole", Hosts: told}))
+				require.NoError(t, s.Apply(now, of, Version{Revision: rev(uint64(n + 1)), Whole: what == "whole", Hosts: reported}))
 				for _, h := range letters(4) {
 					_, was := lists[of][h.Name]
 					next, is := list[h.Name]
@@ -249,7 +250,7 @@
 			if lead >= 0 {
 				for name, h := range lists[lead] {
 					for i := range left {
-						if told, ok := left[i][name]; ok && i != lead && h.Status == dispatch.Ready && h.Since <= told {
+						if reported, ok := left[i][name]; ok && i != lead && h.Status == dispatch.Ready && h.Since <= reported {
 							h.Status = dispatch.Draining
 						}
 					}
@@ -262,16 +263,16 @@
 	})
 }
 
-// Guards against versions that may not follow what was said: of another history, older, with other hosts at a number, as
-// changes of nothing, too long. None of them may change anything, whatever the source; the platform's numbers may begin
-// anew, and an epoch that the operator names may follow.
-func TestRefusedForGood(t *testing.T) {
+// Guards against versions that may not follow the previous ones: of another history, older, with other hosts at
+// the same number, changes without a list, too long. None of them may change anything, whatever the source is.
+// Discovery's numbers may begin again, and an epoch that the operator names may follow another.
+func TestRejectedVersions(t *testing.T) {
 	s := newSet(t, half, Source{Name: "a"}, Source{Name: "free", Unguarded: true, MayRenumber: true})
-	take := func(of int, r Revision, whole bool, hosts ...dispatch.Host) error {
+	apply := func(of int, r Revision, whole bool, hosts ...dispatch.Host) error {
 		return s.Apply(epoch, of, Version{Revision: r, Whole: whole, Hosts: hosts})
 	}
-	assert.ErrorIs(t, take(0, at(1), false), ErrNoBaseList)
-	require.NoError(t, take(0, Revision{"x", 5}, true, letters(4)...))
+	assert.ErrorIs(t, apply(0, rev(1), false), ErrNoBaseList)
+	require.NoError(t, apply(0, Revision{"x", 5}, true, letters(4)...))
 	before := maps.Clone(s.hosts)
 	for _, c := range []struct {
 		r     Revision
@@ -289,36 +290,36 @@
 			return many
 		}(), ErrTooManyHosts},
 	} {
-		err := take(0, c.r, c.whole, c.hosts...)
+		err := apply(0, c.r, c.whole, c.hosts...)
 		assert.ErrorIs(t, err, c.want)
 		assert.Equal(t, c.want == nil, err == nil)
 		assert.Equal(t, before, s.hosts)
 	}
 	s.Reconfigure(half, 1000, []Source{{Name: "a", ExpectedEpoch: "y"}, {Name: "free", Unguarded: true}})
-	assert.ErrorIs(t, take(0, Revision{"x", 9}, true, letters(4)...), ErrForeignHistory, "the old cluster is not expected any more")
-	assert.ErrorIs(t, take(0, Revision{"y", 9}, false, letters(5)...), ErrForeignHistory, "not from the middle of it")
-	require.NoError(t, take(0, Revision{"y", 2}, true, letters(5)...))
+	assert.ErrorIs(t, apply(0, Revision{"x", 9}, true, letters(4)...), ErrForeignHistory, "the old cluster is no longer expected")
+	assert.ErrorIs(t, apply(0, Revision{"y", 9}, false, letters(5)...), ErrForeignHistory, "a new history cannot begin with changes")
+	require.NoError(t, apply(0, Revision{"y", 2}, true, letters(5)...))
 	assert.Len(t, s.hosts, 5)
-	require.NoError(t, take(1, at(9), true, letters(5)...))
-	require.NoError(t, take(1, at(3), true, letters(5)...), "discovery has started anew")
+	require.NoError(t, apply(1, rev(9), true, letters(5)...))
+	require.NoError(t, apply(1, rev(3), true, letters(5)...), "discovery has restarted")
 }
 
-// Guards against a list from before that hides a first one that is right, that lets a first one empty the fleet, or that
-// lets something older than itself be taken; and against an entry that cannot be used costing its host.
-func TestStart(t *testing.T) {
+// Guards against a restored list that hides a correct first version, that lets a first version empty the fleet, or
+// that lets a version older than itself be applied; and against an unusable entry that removes its host.
+func TestRestore(t *testing.T) {
 	for _, c := range []struct {
 		fresh  float64
 		first  []dispatch.Host
 		serves int
 	}{{epoch, letters(1), 4}, {epoch - 1, letters(1), 1}, {epoch - 1, nil, 4}, {epoch, letters(2), 2}} {
 		s := newSet(t, half, Source{Name: "a"})
-		s.Restore(letters(4), c.fresh, []Revision{at(7)})
+		s.Restore(letters(4), c.fresh, []Revision{rev(7)})
 		kind, list, ok := s.Flush()
 		assert.Equal(t, dispatch.Stored, kind)
 		assert.True(t, ok)
 		assert.Len(t, list, 4)
-		assert.ErrorIs(t, s.Apply(epoch, 0, Version{Revision: at(6), Whole: true, Hosts: letters(4)}), ErrRevisionRegressed)
-		require.NoError(t, s.Apply(epoch, 0, Version{Revision: at(7), Whole: true, Hosts: c.first}))
+		assert.ErrorIs(t, s.Apply(epoch, 0, Version{Revision: rev(6), Whole: true, Hosts: letters(4)}), ErrRevisionRegressed)
+		require.NoError(t, s.Apply(epoch, 0, Version{Revision: rev(7), Whole: true, Hosts: c.first}))
 		assert.Equal(t, c.serves, s.serving)
 		if kind, list, _ = s.Flush(); c.serves != 4 {
 			assert.Equal(t, dispatch.Full, kind)
@@ -326,143 +327,144 @@
 		}
 	}
 	s := newSet(t, half, Source{Name: "a"})
-	odd := host("b", dispatch.Ready)
-	odd.Zone = "elsewhere"
-	require.NoError(t, s.Apply(epoch, 0, Version{Revision: at(1), Whole: true, Hosts: letters(2)}))
-	require.NoError(t, s.Apply(epoch, 0, Version{Revision: at(2), Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Ready), odd, {Name: "c"}}}))
+	unusable := host("b", dispatch.Ready)
+	unusable.Zone = "elsewhere"
+	require.NoError(t, s.Apply(epoch, 0, Version{Revision: rev(1), Whole: true, Hosts: letters(2)}))
+	require.NoError(t, s.Apply(epoch, 0, Version{Revision: rev(2), Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Ready), unusable, {Name: "c"}}}))
 	assert.Equal(t, letters(2), s.Hosts())
-	assert.Equal(t, Note{Kind: Unusable, Source: "a", Revision: at(2), Count: 2, Names: []string{"b", "c"}}, s.TakeNotes()[1])
+	assert.Equal(t, Note{Kind: Unusable, Source: "a", Revision: rev(2), Count: 2, Names: []string{"b", "c"}}, s.TakeNotes()[1])
 }
 
-// Guards against a second look that admits what has not been held for the wait, that comes unasked, that comes again and
-// again for what cannot be admitted, or that empties the fleet; and against a confirmation of something else.
-func TestSecondLook(t *testing.T) {
+// Guards against a re-read that admits changes that were not held for the delay, that comes without a request,
+// that is repeated too often for changes that cannot be admitted, or that empties the fleet; and against a
+// confirmation of other changes.
+func TestReread(t *testing.T) {
 	quarter := removalguard.Settings{Share: 0.25, Floor: 3}
 	s := newSet(t, quarter, Source{Name: "a"})
 	all := letters(12)
-	tell := func(ms float64, v Version) {
+	apply := func(ms float64, v Version) {
 		v.Whole = true
 		require.NoError(t, s.Apply(epoch+ms, 0, v))
 	}
-	tell(0, Version{Revision: at(1), Hosts: all})
-	tell(0, Version{Revision: at(2), Hosts: all[4:]})
-	require.NoError(t, s.Apply(epoch+300, 0, Version{Revision: at(2), Hosts: []dispatch.Host{host("a", dispatch.Removed), host("b", dispatch.Removed),
-		host("c", dispatch.Removed), host("d", dispatch.Removed)}})) // once more: the wait goes on
-	tell(600, Version{Revision: at(3), Hosts: all[8:]})
-	tell(900, Version{Revision: at(3), Hosts: all[8:], Reread: true})
+	apply(0, Version{Revision: rev(1), Hosts: all})
+	apply(0, Version{Revision: rev(2), Hosts: all[4:]})
+	require.NoError(t, s.Apply(epoch+300, 0, Version{Revision: rev(2), Hosts: []dispatch.Host{host("a", dispatch.Removed), host("b", dispatch.Removed),
+		host("c", dispatch.Removed), host("d", dispatch.Removed)}})) // repeated: the delay goes on
+	apply(600, Version{Revision: rev(3), Hosts: all[8:]})
+	apply(900, Version{Revision: rev(3), Hosts: all[8:], Reread: true})
 	assert.Equal(t, 12, s.serving)
 	assert.Equal(t, epoch+1000, s.NextTick())
 	assert.Equal(t, []int{0}, s.Tick(epoch+1000))
-	tell(1000, Version{Revision: at(3), Hosts: all[8:], Reread: true})
+	apply(1000, Version{Revision: rev(3), Hosts: all[8:], Reread: true})
 	assert.Equal(t, 8, s.serving)
-	tell(1000, Version{Revision: at(4), Hosts: all[:2]})
-	assert.Equal(t, 8, s.serving, "2 would be left of those that serve: it takes more than a second look")
-	var looks []float64
+	apply(1000, Version{Revision: rev(4), Hosts: all[:2]})
+	assert.Equal(t, 8, s.serving, "2 serving hosts would be left: a re-read is not enough")
+	var rereads []float64
 	for now := s.NextTick(); now < epoch+20e3; now = s.NextTick() {
-		looks = append(looks, now-epoch)
+		rereads = append(rereads, now-epoch)
 		s.Tick(now)
-		tell(now-epoch, Version{Revision: at(4), Hosts: all[:2], Reread: true})
+		apply(now-epoch, Version{Revision: rev(4), Hosts: all[:2], Reread: true})
 	}
-	assert.Equal(t, []float64{2000, 4000, 8000, 16000}, looks)
+	assert.Equal(t, []float64{2000, 4000, 8000, 16000}, rereads)
 	assert.Equal(t, 8, s.serving)
 	s.Confirm(epoch, 0, 2)
 	assert.Equal(t, 8, s.serving)
 	s.Confirm(epoch, 0, 3)
 	assert.Equal(t, 4, s.serving)
-	tell(0, Version{Revision: at(5), Hosts: all[:2], Confirmed: true})
+	apply(0, Version{Revision: rev(5), Hosts: all[:2], Confirmed: true})
 	assert.Equal(t, 2, s.serving)
 	assert.Zero(t, s.View(epoch).Held)
 	assert.True(t, math.IsInf(s.NextTick(), 1))
-	var told []string
+	var got []string
 	for _, n := range s.TakeNotes() {
-		told = append(told, fmt.Sprint(n.Kind, n.Count, n.BelowFloor, n.Reread))
+		got = append(got, fmt.Sprint(n.Kind, n.Count, n.BelowFloor, n.Reread))
 	}
 	assert.Equal(t, []string{"3 0 false false", "0 4 false false", "0 4 false false", "0 4 false false", "1 4 false true",
-		"0 4 false false", "1 4 false false", "1 4 false false"}, told)
+		"0 4 false false", "1 4 false false", "1 4 false false"}, got)
 }
 
-// Guards against a change of the source that is followed by which the fleet shrinks unseen, against the guard holding
-// what the platform has told already, and against a drain lost because it was told in a version that was held.
-func TestChangeOfSourceIsJudged(t *testing.T) {
+// Guards against a change of the followed source that shrinks the fleet unnoticed, against the guard holding what
+// discovery has delivered already, and against the loss of a drain that was part of a held version.
+func TestSourceChangeIsGuarded(t *testing.T) {
 	few := removalguard.Settings{Share: 0.1, Floor: 1}
 	s := newSet(t, few, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b", StaleAfter: 1000, Unguarded: true})
 	all := letters(8)
-	take := func(ms float64, of int, whole bool, hosts ...dispatch.Host) {
+	apply := func(ms float64, of int, whole bool, hosts ...dispatch.Host) {
 		require.NoError(t, s.Apply(epoch+ms, of, Version{Whole: whole, Hosts: hosts}))
 	}
-	take(0, 0, true, all...)
-	take(0, 1, true, all[:5]...)
+	apply(0, 0, true, all...)
+	apply(0, 1, true, all[:5]...)
 	s.Unreachable(epoch, 0, epoch)
 	s.Tick(epoch + 1001)
 	assert.True(t, s.View(epoch).Sources[1].Followed)
-	assert.Equal(t, 8, s.serving, "five of eight would serve")
-	take(1001, 1, true, all[2:5]...)
-	assert.Equal(t, 6, s.serving, "what the platform tells is told")
+	assert.Equal(t, 8, s.serving, "only five of eight would serve")
+	apply(1001, 1, true, all[2:5]...)
+	assert.Equal(t, 6, s.serving, "an unguarded source is not held")
 	assert.Equal(t, []int{1}, s.Tick(epoch+2001))
 	require.NoError(t, s.Apply(epoch+2001, 1, Version{Whole: true, Hosts: all[2:5], Reread: true}))
 	assert.Equal(t, 3, s.serving)
-	take(2001, 0, true, all...)
-	assert.Equal(t, 6, s.serving, "two were told to leave, by whomever")
-	s.Tick(epoch + rememberFor)
-	take(rememberFor, 1, true, all[:5]...)
+	apply(2001, 0, true, all...)
+	assert.Equal(t, 6, s.serving, "two hosts were reported as gone by one of the sources")
+	s.Tick(epoch + endedRetention)
+	apply(endedRetention, 1, true, all[:5]...)
 	assert.Equal(t, 8, s.serving)
 
 	s = newSet(t, few, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b", Unguarded: true})
-	take(0, 0, true, all...)
+	apply(0, 0, true, all...)
 	s.Unreachable(epoch, 0, epoch)
-	take(1001, 1, true, host("a", dispatch.Draining), host("b", dispatch.Draining))
-	assert.Equal(t, 6, s.serving, "those in the first word of the platform, though it would leave none")
+	apply(1001, 1, true, host("a", dispatch.Draining), host("b", dispatch.Draining))
+	assert.Equal(t, 6, s.serving, "drains in the first version of an unguarded source, although it would leave no host")
 
 	s = newSet(t, few, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b"})
-	take(0, 0, true, all...)
+	apply(0, 0, true, all...)
 	s.Unreachable(epoch, 0, epoch)
 	other := host("a", dispatch.Ready)
 	other.Weight = 2
-	take(1001, 1, true, other)
-	assert.Equal(t, all, s.Hosts(), "a list of two sources")
+	apply(1001, 1, true, other)
+	assert.Equal(t, all, s.Hosts(), "the list mixes two sources")
 
 	s = newSet(t, half, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b"})
 	moved, again := host("a", dispatch.Ready), host("a", dispatch.Ready)
 	moved.Address, again.Since = "elsewhere:1", epoch+2
-	take(0, 0, true, all...)
-	take(0, 1, true, all...)
-	take(1, 0, false, moved)
+	apply(0, 0, true, all...)
+	apply(0, 1, true, all...)
+	apply(1, 0, false, moved)
 	s.Unreachable(epoch, 0, epoch)
 	s.Tick(epoch + 1001)
-	assert.Equal(t, dispatch.Draining, s.hosts["a"].Status, "it has left the address that the other still has")
-	take(1001, 1, false, again)
-	assert.Equal(t, dispatch.Ready, s.hosts["a"].Status, "but may have come back there")
+	assert.Equal(t, dispatch.Draining, s.hosts["a"].Status, "the host has left the address that the other source still lists")
+	apply(1001, 1, false, again)
+	assert.Equal(t, dispatch.Ready, s.hosts["a"].Status, "but it may return there")
 	require.NoError(t, s.Apply(epoch+1002, 0, Version{Hosts: []dispatch.Host{host("b", dispatch.Removed)}, UnreachableSince: -1}))
-	assert.False(t, s.View(epoch).Sources[0].Followed, "there is more to come")
+	assert.False(t, s.View(epoch).Sources[0].Followed, "more versions follow")
 	back := host("b", dispatch.Ready)
 	back.Address = "elsewhere:2"
-	take(1003, 0, false, back)
+	apply(1003, 0, false, back)
 	s.Unreachable(epoch+1003, 0, epoch)
 	s.Tick(epoch + 1003)
-	assert.Equal(t, dispatch.Draining, s.hosts["b"].Status, "it has left, and is back elsewhere")
+	assert.Equal(t, dispatch.Draining, s.hosts["b"].Status, "the host has left and is back at another address")
 
 	s = newSet(t, half, Source{Name: "a"})
-	take(0, 0, true, all...)
-	take(0, 0, true, host("a", dispatch.Draining))
+	apply(0, 0, true, all...)
+	apply(0, 0, true, host("a", dispatch.Draining))
 	assert.Equal(t, 8, s.serving)
-	take(0, 0, false, host("a", dispatch.Draining))
-	assert.Equal(t, 7, s.serving, "said again, and by itself")
+	apply(0, 0, false, host("a", dispatch.Draining))
+	assert.Equal(t, 7, s.serving, "repeated in a version of its own")
 }
 
-// Guards against half of a version where two sources have to do with it. Each history was found by the test of the whole way
-// from etcd and files to the pilot.
-func TestWholeVersionsOfTwoSources(t *testing.T) {
+// Guards against versions that are applied in part when two sources report the same hosts. Each history was found
+// by the end-to-end test from etcd and files to the dispatcher.
+func TestVersionsOfTwoSourcesAreAppliedWhole(t *testing.T) {
 	one, two := host("one", dispatch.Ready), host("two", dispatch.Ready)
 	all := append(letters(2), one)
-	next := append(letters(1), two) // one leaves and two comes, at once; b leaves, too
+	next := append(letters(1), two) // one leaves and two comes, in the same version; b leaves, too
 	begin := func() (*Set, func(ms float64, of int, v Version)) {
 		s := newSet(t, removalguard.Settings{Share: 0.4, Floor: 1}, Source{Name: "a", StaleAfter: 1000}, Source{Name: "b"})
-		take := func(ms float64, of int, v Version) {
+		apply := func(ms float64, of int, v Version) {
 			v.Whole = v.Whole || len(v.Hosts) != 1
 			require.NoError(t, s.Apply(epoch+ms, of, v))
 		}
-		take(0, 0, Version{Hosts: all})
-		return s, take
+		apply(0, 0, Version{Hosts: all})
+		return s, apply
 	}
 	names := func(s *Set) (text string) {
 		for _, h := range s.Hosts() {
@@ -470,42 +472,42 @@
 		}
 		return text
 	}
-	s, take := begin()
-	take(0, 0, Version{Hosts: next})
+	s, apply := begin()
+	apply(0, 0, Version{Hosts: next})
 	assert.Equal(t, "a b one ", names(s))
-	take(100, 1, Version{Hosts: next})
-	assert.Equal(t, "a b one ", names(s), "the other source says again what is held")
-	take(200, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}}})
+	apply(100, 1, Version{Hosts: next})
+	assert.Equal(t, "a b one ", names(s), "the other source repeats what is held")
+	apply(200, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}}})
 	s.Tick(epoch + 1000)
-	take(1000, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, two}, Reread: true})
-	assert.Equal(t, "a two ", names(s), "what is held together is taken together")
+	apply(1000, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, two}, Reread: true})
+	assert.Equal(t, "a two ", names(s), "changes that are held together are applied together")
 
-	s, take = begin()
-	take(0, 1, Version{Hosts: all})
-	take(0, 0, Version{Hosts: next})
-	take(100, 1, Version{Hosts: append(letters(1), two)})
+	s, apply = begin()
+	apply(0, 1, Version{Hosts: all})
+	apply(0, 0, Version{Hosts: next})
+	apply(100, 1, Version{Hosts: append(letters(1), two)})
 	assert.Equal(t, "a b one ", names(s))
 	s.Tick(epoch + 1000)
-	take(1000, 0, Version{Hosts: next, Reread: true})
-	assert.Equal(t, "a two ", names(s), "though the other source has told of it, too")
-
-	s, take = begin()
-	take(0, 1, Version{Hosts: all})
-	take(0, 0, Version{Hosts: next})
-	take(100, 1, Version{Hosts: []dispatch.Host{host("b", dispatch.Draining)}})
-	assert.Equal(t, "a one ", names(s), "what drains by the word of the other need not wait")
-
-	s, take = begin()
-	take(0, 0, Version{Hosts: append(letters(1), one)})
-	take(100, 0, Version{Hosts: []dispatch.Host{two}})
-	take(200, 0, Version{Hosts: append(letters(1), two)})
-	take(300, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}})
+	apply(1000, 0, Version{Hosts: next, Reread: true})
+	assert.Equal(t, "a two ", names(s), "although the other source has reported it, too")
+
+	s, apply = begin()
+	apply(0, 1, Version{Hosts: all})
+	apply(0, 0, Version{Hosts: next})
+	apply(100, 1, Version{Hosts: []dispatch.Host{host("b", dispatch.Draining)}})
+	assert.Equal(t, "a one ", names(s), "a drain that the other source reports does not wait")
+
+	s, apply = begin()
+	apply(0, 0, Version{Hosts: append(letters(1), one)})
+	apply(100, 0, Version{Hosts: []dispatch.Host{two}})
+	apply(200, 0, Version{Hosts: append(letters(1), two)})
+	apply(300, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}})
 	s.Tick(epoch + 1250)
-	take(1250, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Reread: true})
+	apply(1250, 0, Version{Hosts: []dispatch.Host{{Name: "a", Address: "x:1", Zone: "z", Kind: "k"}, one}, Reread: true})
 	assert.NotContains(t, names(s), "one two")
 
 	s = newSet(t, removalguard.Settings{Share: 0.1, Floor: 1}, Source{Name: "a"})
-	gone := func(ms float64, names ...string) {
+	remove := func(ms float64, names ...string) {
 		var list []dispatch.Host
 		for _, name := range names {
 			list = append(list, host(name, dispatch.Removed))
@@ -513,20 +515,21 @@
 		require.NoError(t, s.Apply(epoch+ms, 0, Version{Hosts: list}))
 	}
 	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: letters(6)}))
-	gone(0, "a", "b")
-	gone(600, "c", "d")
-	gone(700, "c", "a")
+	remove(0, "a", "b")
+	remove(600, "c", "d")
+	remove(700, "c", "a")
 	s.Tick(epoch + 1000)
 	require.NoError(t, s.Apply(epoch+1000, 0, Version{Whole: true, Hosts: letters(6)[4:], Reread: true}))
-	assert.Equal(t, "a c d e f ", names(s), "what has been held together since a later time")
+	assert.Equal(t, "a c d e f ", names(s), "changes that were held together since a later time stay held")
 
 	s = newSet(t, half, Source{Name: "a", StaleAfter: 1000})
 	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: all, UnreachableSince: epoch - 2000}))
 	kind, list, ok := s.Flush()
-	assert.True(t, ok && kind == dispatch.Full && len(list) == 3, "an old list is better than none")
+	assert.True(t, ok && kind == dispatch.Full && len(list) == 3, "a stale list is better than none")
 }
 
-// Guards against memory that grows with every host that a source ends, and against one forgotten that another still lists.
+// Guards against memory that grows with every host that a source ends, and against forgetting one that another
+// source still lists.
 func TestEndedHostsAreForgotten(t *testing.T) {
 	s := newSet(t, removalguard.Settings{Share: 1}, Source{Name: "a"}, Source{Name: "b"})
 	stays := host("stays", dispatch.Ready)
@@ -535,50 +538,50 @@
 	require.NoError(t, s.Apply(epoch, 1, Version{Whole: true}))
 	for i := range 1000 {
 		require.NoError(t, s.Apply(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{host(fmt.Sprint(i), dispatch.Ready)}}))
-		require.LessOrEqual(t, len(s.sources[1].departed), 201)
+		require.LessOrEqual(t, len(s.sources[1].departures), 201)
 	}
-	s.Tick(epoch + rememberFor - 1)
-	assert.Greater(t, len(s.sources[1].departed), 1)
-	s.Tick(epoch + 2*rememberFor)
-	assert.Len(t, s.sources[1].departed, 1)
+	s.Tick(epoch + endedRetention - 1)
+	assert.Greater(t, len(s.sources[1].departures), 1)
+	s.Tick(epoch + 2*endedRetention)
+	assert.Len(t, s.sources[1].departures, 1)
 	assert.Zero(t, s.serving)
 	for i := range 100 {
 		stays.Address = fmt.Sprint(i % 50)
 		require.NoError(t, s.Apply(epoch, 1, Version{Whole: true, Hosts: []dispatch.Host{stays}}))
 	}
-	assert.Len(t, s.sources[1].departed["stays"].left, mostPlaces)
+	assert.Len(t, s.sources[1].departures["stays"].leftAddresses, maxLeftAddresses)
 	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: []dispatch.Host{host("a", dispatch.Draining)}}))
 	require.NoError(t, s.Apply(epoch, 0, Version{Whole: true, Hosts: letters(1)}))
-	assert.NotContains(t, s.sources[0].departed, "a", "it is where it was")
+	assert.NotContains(t, s.sources[0].departures, "a", "the host is back at the same address")
 }
 
-// Guards against sources that disagree without a word, against one that is told for news on its way, and against a stale
-// list that is not told.
-func TestDisagreementAndAge(t *testing.T) {
+// Guards against sources that disagree without a report, against a report for a change that has reached only one
+// of them yet, and against a stale list without a report.
+func TestDisagreementAndStaleness(t *testing.T) {
 	s := newSet(t, half, Source{Name: "a", StaleAfter: 5e3}, Source{Name: "b", StaleAfter: 50e3})
-	take := func(of int, hosts []dispatch.Host) {
+	apply := func(of int, hosts []dispatch.Host) {
 		require.NoError(t, s.Apply(epoch, of, Version{Whole: true, Hosts: hosts}))
 	}
-	take(0, letters(4))
-	take(1, letters(3))
+	apply(0, letters(4))
+	apply(1, letters(3))
 	for i := range 2 {
-		s.Tick(epoch + float64(i)*sweepEvery)
+		s.Tick(epoch + float64(i)*sweepInterval)
 		kinds := []NoteKind{}
 		for _, n := range s.TakeNotes() {
 			kinds = append(kinds, n.Kind)
 		}
 		assert.Equal(t, [][]NoteKind{{SourceChanged}, {Disagree}}[i], kinds)
 	}
-	take(1, letters(4))
-	s.Tick(epoch + 2*sweepEvery)
+	apply(1, letters(4))
+	s.Tick(epoch + 2*sweepInterval)
 	s.Unreachable(epoch, 0, epoch)
 	s.Unreachable(epoch, 1, epoch)
 	for now := s.NextTick(); now < epoch+60e3; now = s.NextTick() {
 		s.Tick(now)
 	}
 	assert.True(t, s.View(epoch).Stale)
-	assert.Len(t, s.hosts, 4, "it serves on")
-	take(0, letters(4))
+	assert.Len(t, s.hosts, 4, "the hosts go on serving")
+	apply(0, letters(4))
 	var got []Note
 	for _, n := range s.TakeNotes() {
 		got = append(got, Note{Kind: n.Kind, Source: n.Source, Other: n.Other, Age: math.Floor(n.Age)})
