--- a/cmd/linenwheel-etcd/run_test.go
+++ b/cmd/linenwheel-etcd/run_test.go
@@ -112,7 +112,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(options), 0o600))
 	require.NoError(t, os.WriteFile(secret, []byte("secret\n"), 0o600))
 	again <- os.Interrupt
-	await("etcd is watched")
+	await("watching etcd")
 	a := call("")
 	assert.Equal(t, []any{true, "a", "c1"}, []any{a.Snapshot, a.Endpoints[0].Name, a.Origin.Epoch})
 	go c.Write(map[string]string{"r/a": "", "r/@confirm": "4"})
--- a/internal/node/endpoints/etcd/conn.go
+++ b/internal/node/endpoints/etcd/conn.go
@@ -18,52 +18,52 @@
 )
 
 const (
-	pageSize   = 2000     // keys in an answer
-	mostAnswer = 64 << 20 // bytes: values may be 1.5 MiB each
+	pageSize         = 2000     // keys in a response
+	maxResponseBytes = 64 << 20 // bytes: values may be up to 1.5 MiB each
 )
 
 // conn is a connection to one member.
 type conn struct {
-	clock  clock.Clock
-	limit  float64 // milliseconds for a call
-	grpc   *grpc.ClientConn
-	kv     etcdserverpb.KVClient
-	token  string
-	prefix string
+	clock   clock.Clock
+	timeout float64 // milliseconds for a call
+	grpc    *grpc.ClientConn
+	kv      etcdserverpb.KVClient
+	token   string
+	prefix  string
 }
 
-// dial prepares a connection; it is made with the first call.
+// dial prepares a connection, which is established by the first call.
 func dial(addr string, set *Settings) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if set.TLS != nil {
 		creds = credentials.NewTLS(set.TLS)
 	}
 	options := []grpc.DialOption{grpc.WithTransportCredentials(creds), grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostAnswer))}
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes))}
 	if set.Dial != nil {
 		options = append(options, grpc.WithContextDialer(set.Dial))
 	}
 	return grpc.NewClient("passthrough:///"+addr, options...)
 }
 
-// connect asks for a token where there is a user.
+// connect returns a connection to a member. It gets a token first if there is a user.
 func (s *Source) connect(ctx context.Context, set *Settings, addr string) (*conn, error) {
 	raw, err := dial(addr, set)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{clock: s.Clock, limit: set.CallTimeout, grpc: raw, kv: etcdserverpb.NewKVClient(raw), prefix: set.Prefix}
+	c := &conn{clock: s.Clock, timeout: set.CallTimeout, grpc: raw, kv: etcdserverpb.NewKVClient(raw), prefix: set.Prefix}
 	if set.User != "" {
 		err = c.call(ctx, func(ctx context.Context) error {
-			got, err := etcdserverpb.NewAuthClient(raw).Authenticate(ctx, &etcdserverpb.AuthenticateRequest{Name: set.User,
+			response, err := etcdserverpb.NewAuthClient(raw).Authenticate(ctx, &etcdserverpb.AuthenticateRequest{Name: set.User,
 				Password: set.Password})
 			if err == nil {
-				c.token = got.Token
+				c.token = response.Token
 			}
 			return err
 		})
-		if is(err, rpctypes.ErrGRPCAuthNotEnabled) {
-			err = nil // whoever may read with a password may read without
+		if isEtcdError(err, rpctypes.ErrGRPCAuthNotEnabled) {
+			err = nil // without authentication in the cluster, everybody may read
 		}
 	}
 	if err != nil {
@@ -73,9 +73,9 @@
 	return c, nil
 }
 
-func (c *conn) close() { _ = c.grpc.Close() } // it says that it was closed before
+func (c *conn) close() { _ = c.grpc.Close() } // the only error is that it was closed before
 
-// context adds what each call carries: who calls, and that a member without a leader is of no use.
+// context adds the metadata of each call: the token, and that a member without a leader must reject the call.
 func (c *conn) context(ctx context.Context) context.Context {
 	fields := []string{rpctypes.MetadataRequireLeaderKey, rpctypes.MetadataHasLeader}
 	if c.token != "" {
@@ -84,55 +84,55 @@
 	return metadata.AppendToOutgoingContext(ctx, fields...)
 }
 
-// call makes a call within the limit.
+// call makes a call within the timeout.
 func (c *conn) call(ctx context.Context, f func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(c.context(ctx))
 	defer cancel()
-	late := make(chan struct{})
-	defer c.clock.At(c.clock.Now()+c.limit, func() { close(late); cancel() })()
+	expired := make(chan struct{})
+	defer c.clock.At(c.clock.Now()+c.timeout, func() { close(expired); cancel() })()
 	err := f(ctx)
 	select {
-	case <-late:
+	case <-expired:
 		if err != nil {
-			err = errLate
+			err = errTimeout
 		}
 	default:
 	}
 	return err
 }
 
-var errLate = errors.New("no answer in time")
+var errTimeout = errors.New("no answer in time")
 
-// all reads the keys under the prefix as they are at one revision: a given one, or the one that the first answer tells.
-// Header is that of the first answer.
-func (c *conn) all(ctx context.Context, rev int64, keysOnly bool) (header *etcdserverpb.ResponseHeader, kvs []*mvccpb.KeyValue, err error) {
-	r := &etcdserverpb.RangeRequest{Key: []byte(c.prefix), RangeEnd: prefixEnd(c.prefix), Limit: pageSize, Revision: rev, KeysOnly: keysOnly}
+// readAll reads the keys under the prefix as they were at one revision: rev, or that of the first response if rev
+// is 0. header is that of the first response.
+func (c *conn) readAll(ctx context.Context, rev int64, keysOnly bool) (header *etcdserverpb.ResponseHeader, kvs []*mvccpb.KeyValue, err error) {
+	request := &etcdserverpb.RangeRequest{Key: []byte(c.prefix), RangeEnd: prefixEnd(c.prefix), Limit: pageSize, Revision: rev, KeysOnly: keysOnly}
 	for more := true; more; {
 		err := c.call(ctx, func(ctx context.Context) error {
-			got, err := c.kv.Range(ctx, r)
+			response, err := c.kv.Range(ctx, request)
 			if err != nil {
 				return err
 			}
 			if header == nil {
-				header = got.Header
+				header = response.Header
 			}
-			if r.Revision == 0 && got.Header != nil {
-				r.Revision = got.Header.Revision
+			if request.Revision == 0 && response.Header != nil {
+				request.Revision = response.Header.Revision
 			}
-			kvs, more = append(kvs, got.Kvs...), got.More && len(got.Kvs) > 0
+			kvs, more = append(kvs, response.Kvs...), response.More && len(response.Kvs) > 0
 			return nil
 		})
 		if err != nil {
 			return nil, nil, fmt.Errorf("reading the keys: %w", err)
 		}
 		if more {
-			r.Key = append([]byte(string(kvs[len(kvs)-1].Key)), 0)
+			request.Key = append([]byte(string(kvs[len(kvs)-1].Key)), 0)
 		}
 	}
 	return header, kvs, nil
 }
 
-// prefixEnd is the end of the range of keys with a prefix.
+// prefixEnd returns the end of the range of keys with a prefix.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -144,12 +144,12 @@
 	return []byte{0}
 }
 
-// is tells whether an error is one that etcd gives, as a call's or as a word on a watch.
-func is(err, etcds error) bool {
-	return err != nil && rpctypes.ErrorDesc(cause(err)) == rpctypes.ErrorDesc(etcds)
+// isEtcdError reports whether an error is a given one of etcd, from a call or from a watch.
+func isEtcdError(err, want error) bool {
+	return err != nil && rpctypes.ErrorDesc(cause(err)) == rpctypes.ErrorDesc(want)
 }
 
-// cause finds the error that the others were put round.
+// cause returns the first error in a chain that has a gRPC status, or the innermost one.
 func cause(err error) error {
 	for {
 		if _, ok := err.(interface{ GRPCStatus() *status.Status }); ok {
@@ -163,7 +163,7 @@
 	}
 }
 
-// denied tells whether an error is about who calls: with a new token it may go well.
-func denied(err error) bool {
-	return is(err, rpctypes.ErrGRPCInvalidAuthToken) || is(err, rpctypes.ErrGRPCAuthOldRevision) || is(err, rpctypes.ErrGRPCUserEmpty)
+// isAuthError reports whether an error is about the caller's token: a new token may help.
+func isAuthError(err error) bool {
+	return isEtcdError(err, rpctypes.ErrGRPCInvalidAuthToken) || isEtcdError(err, rpctypes.ErrGRPCAuthOldRevision) || isEtcdError(err, rpctypes.ErrGRPCUserEmpty)
 }
--- a/internal/node/endpoints/etcd/source.go
+++ b/internal/node/endpoints/etcd/source.go
@@ -1,12 +1,12 @@
 // Package etcd reads the list of hosts from the keys under a prefix of an etcd cluster, and watches them.
 //
-// It lists at a revision and watches from the next one. After a broken stream it checks at the revision seen that it has
-// what the cluster had there, and resumes; after a compaction it lists again. A revision never goes back, and what another
-// history shows, that of another cluster or of a backup, is not taken.
+// It lists at a revision and watches from the next one. After a broken stream it compares its keys with those of
+// the cluster at the last revision seen, and resumes the watch; after a compaction it lists again. A revision
+// never goes back, and data from another history, which is that of another cluster or of a backup, is rejected.
 //
-// Tracker, which decides what can follow from what, is pure. Source, beside it, has connections, clock and log. It uses the
-// gRPC service of etcd's own definitions: docs/design/inventory.md says why not the client. This package and what it
-// needs are kept out of the node.
+// Tracker, which decides what may follow from what was seen, is pure. Source, which uses it, has the connections,
+// the clock and the log. It uses the gRPC service from etcd's own definitions; docs/design/inventory.md says why
+// it does not use etcd's client. This package and its dependencies are kept out of the node.
 package etcd
 
 import (
@@ -26,81 +26,81 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// Settings say what is read and how. Times are in milliseconds.
+// Settings are the settings of a Source. Times are in milliseconds.
 type Settings struct {
 	Endpoints      []string // host:port, tried in turn
 	Prefix         string
-	User, Password string                                          // empty = none
-	TLS            *tls.Config                                     // nil = none
-	History        string                                          // the only one that is taken, see Cluster; empty = that of the first cluster that is seen
-	MaxHosts       int                                             // hosts
+	User, Password string      // empty = none
+	TLS            *tls.Config // nil = none
+	History        string      // the only one accepted, see ClusterID; empty = that of the first cluster seen
+	MaxHosts       int
 	Dial           func(context.Context, string) (net.Conn, error) // nil = TCP
 
 	CallTimeout      float64 // for one call
-	ProgressInterval float64 // between two questions of how far a watch has come
-	SilenceTimeout   float64 // without a word the watch is dead
-	CheckInterval    float64 // between two checks that nothing was missed
-	FirstPause       float64 // after all endpoints have failed, doubled each time
-	LastPause        float64
+	ProgressInterval float64 // between two progress requests on a watch
+	SilenceTimeout   float64 // a watch without a message for this long is broken
+	CheckInterval    float64 // between two checks that no change was missed
+	FirstPause       float64 // after all endpoints have failed; doubled after each further round
+	LastPause        float64 // upper bound of the doubling
 }
 
-// Sink is who is told. Calls come one after the other.
+// Sink receives what a Source reads. Calls come one after the other.
 type Sink interface {
-	Update(epoch string, u Update) // the list, or what has changed in it; there may be more to come
-	UpToDate()                     // what was told is all there is
-	Unavailable(err error)         // the cluster cannot be asked
-	Reread(epoch string, u Update) // the list, read anew because Look was called
+	Update(epoch string, u Update) // the list, or the changes in it; more may follow at once
+	UpToDate()                     // everything up to the cluster's present revision was delivered
+	Unavailable(err error)         // the cluster cannot be read
+	Reread(epoch string, u Update) // the list, read again because RequestReread was called
 }
 
-// Source reads and watches.
+// Source reads and watches a list.
 type Source struct {
 	Clock clock.Clock
 	Log   *slog.Logger
 	Sink  Sink
 
-	mu   sync.Mutex
-	set  *Settings
-	next chan struct{} // closed when there are other settings
-	look chan struct{}
-
-	tracker *Tracker
-	history string // that the settings name, with this tracker
-	dirty   bool   // the tracker has missed something: a list is needed
-	turn    int    // of the endpoints
-	denied  int    // tokens that were refused in a row
-	looking bool   // a second look was asked for and not given
-	want    int64  // the revision that the member has come to, as far as that was told
+	mu              sync.Mutex
+	current         *Settings
+	settingsChanged chan struct{} // closed when there are new settings
+	rereadRequests  chan struct{}
+
+	tracker        *Tracker
+	history        string // the one that the settings name for this tracker
+	needsList      bool   // the tracker has missed a change and needs the whole list
+	endpointIndex  int    // index of the current endpoint, modulo their number
+	authFailures   int    // rejected tokens in a row
+	rereadPending  bool   // a re-read was requested and not delivered yet
+	targetRevision int64  // the latest revision of the member, as far as known
 }
 
-// New makes a source.
+// New returns a source. Run starts it.
 func New(set Settings, c clock.Clock, log *slog.Logger, sink Sink) *Source {
-	return &Source{Clock: c, Log: log, Sink: sink, set: &set, next: make(chan struct{}), look: make(chan struct{}, 1),
-		tracker: tracker(&set), history: set.History}
+	return &Source{Clock: c, Log: log, Sink: sink, current: &set, settingsChanged: make(chan struct{}), rereadRequests: make(chan struct{}, 1),
+		tracker: newTracker(&set), history: set.History}
 }
 
-func tracker(set *Settings) *Tracker {
-	cluster, _ := ClusterID(set.History) // 0 without one: who reads the options checks them
+func newTracker(set *Settings) *Tracker {
+	cluster, _ := ClusterID(set.History) // 0 if there is none: reading the options has checked it
 	return NewTracker(set.Prefix, set.MaxHosts, cluster)
 }
 
-// epoch names the history that the tracker follows.
+// epoch returns the name of the history that the tracker follows.
 func (s *Source) epoch() string {
 	return cmp.Or(s.history, s.tracker.Epoch())
 }
 
-// Set has the source go on with other settings. Another prefix or cluster begins with a new list.
+// SetSettings changes the settings. Another prefix, history or maximum of hosts begins with a new list.
 func (s *Source) SetSettings(set Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set = &set
-	close(s.next)
-	s.next = make(chan struct{})
+	s.current = &set
+	close(s.settingsChanged)
+	s.settingsChanged = make(chan struct{})
 }
 
-// Look has the sink told the list once it was read anew.
+// RequestReread asks for the list to be read again and delivered to Sink.Reread.
 func (s *Source) RequestReread() {
 	select {
-	case s.look <- struct{}{}:
+	case s.rereadRequests <- struct{}{}:
 	default:
 	}
 }
@@ -108,85 +108,85 @@
 func (s *Source) settings() (*Settings, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.set, s.next
+	return s.current, s.settingsChanged
 }
 
 var (
-	errSettings  = errors.New("there are other settings")
-	errSilent    = errors.New("the watch says nothing")
-	errCompacted = errors.New("the history since then was compacted")
+	errSettingsChanged = errors.New("there are other settings")
+	errSilentWatch     = errors.New("the watch says nothing")
+	errCompacted       = errors.New("the history since then was compacted")
 )
 
 // Run reads and watches until ctx ends.
 func (s *Source) Run(ctx context.Context) {
 	set, changed := s.settings()
-	pause, failed := 0.0, 0
+	pause, failures := 0.0, 0
 	for ctx.Err() == nil {
 		select {
 		case <-changed:
 			old := set
 			if set, changed = s.settings(); set.Prefix != old.Prefix || set.History != old.History || set.MaxHosts != old.MaxHosts {
-				s.tracker, s.history, s.dirty = tracker(set), set.History, false
+				s.tracker, s.history, s.needsList = newTracker(set), set.History, false
 			}
-			s.turn, pause, failed = 0, 0, 0
+			s.endpointIndex, pause, failures = 0, 0, 0
 		default:
 		}
-		addr := set.Endpoints[s.turn%len(set.Endpoints)]
+		addr := set.Endpoints[s.endpointIndex%len(set.Endpoints)]
 		began := s.Clock.Now()
-		err := s.serve(ctx, set, changed, addr)
+		err := s.watchMember(ctx, set, changed, addr)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errSettings) {
+		if errors.Is(err, errSettingsChanged) {
 			continue
 		}
-		if s.Clock.Now()-began >= set.LastPause { // else it may be that each try ends like this
-			pause, failed = 0, 0
+		if s.Clock.Now()-began >= set.LastPause { // otherwise each attempt may fail like this
+			pause, failures = 0, 0
 		}
-		s.dirty = s.dirty || errors.Is(err, errCompacted) || errors.Is(err, ErrMissedChange) || errors.Is(err, ErrTooManyKeys)
-		if denied(err) {
-			if s.denied++; s.denied == 1 {
+		s.needsList = s.needsList || errors.Is(err, errCompacted) || errors.Is(err, ErrMissedChange) || errors.Is(err, ErrTooManyKeys)
+		if isAuthError(err) {
+			if s.authFailures++; s.authFailures == 1 {
 				continue // with a new token
 			}
 		}
-		s.turn++
+		s.endpointIndex++
 		s.Sink.Unavailable(err)
-		if failed++; failed >= len(set.Endpoints) { // none of them is left to try at once
-			failed = 0
+		if failures++; failures >= len(set.Endpoints) { // every endpoint has failed in this round
+			failures = 0
 			pause = min(max(2*pause, set.FirstPause), set.LastPause)
-			s.warn(addr, err, pause)
+			s.logFailure(addr, err, pause)
 			s.wait(ctx, pause, changed)
 			continue
 		}
-		s.warn(addr, err, 0)
+		s.logFailure(addr, err, 0)
 	}
 }
 
-func (s *Source) warn(addr string, err error, pause float64) {
+func (s *Source) logFailure(addr string, err error, pause float64) {
 	switch {
 	case errors.Is(err, errCompacted) || errors.Is(err, ErrMissedChange):
-		s.Log.Warn("changes in etcd were missed: the list is read anew", "endpoint", addr, "error", err)
+		s.Log.Warn("changes in etcd were missed: reading the full list again", "endpoint", addr, "error", err)
 		return
 	case errors.Is(err, ErrForeignHistory) || errors.Is(err, ErrBehind):
-		s.Log.Error("etcd shows what cannot follow from what was seen: nothing of it is taken", "endpoint", addr, "error", err,
+		s.Log.Error("etcd returned state that contradicts what was seen before: ignoring it", "endpoint", addr, "error", err,
 			"again_ms", pause)
 		return
 	}
-	s.Log.Warn("etcd cannot be asked: the last list stays", "endpoint", addr, "error", err, "again_ms", pause)
+	s.Log.Warn("etcd is unavailable: keeping the last list", "endpoint", addr, "error", err, "again_ms", pause)
 }
 
 func (s *Source) wait(ctx context.Context, ms float64, changed <-chan struct{}) {
-	over := make(chan struct{})
-	defer s.Clock.At(s.Clock.Now()+ms, func() { close(over) })()
+	elapsed := make(chan struct{})
+	defer s.Clock.At(s.Clock.Now()+ms, func() { close(elapsed) })()
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-changed:
 	case <-ctx.Done():
 	}
 }
 
-// serve works with one member until that ends.
-func (s *Source) serve(ctx context.Context, set *Settings, changed <-chan struct{}, addr string) error {
+// watchMember reads from one member until that fails or the settings change.
+func (s *Source) watchMember(ctx context.Context, set *Settings, changed <-chan struct{}, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c, err := s.connect(ctx, set, addr)
@@ -194,39 +194,39 @@
 		return err
 	}
 	defer c.close()
-	if err := s.begin(ctx, c); err != nil {
+	if err := s.catchUp(ctx, c); err != nil {
 		return err
 	}
-	s.denied = 0
-	s.current()
-	w, err := s.open(ctx, c)
+	s.authFailures = 0
+	s.reportUpToDate()
+	w, err := s.openWatch(ctx, c)
 	if err != nil {
 		return err
 	}
-	s.Log.Info("etcd is watched", "endpoint", addr, "revision", s.tracker.Revision(), "hosts", len(s.tracker.Hosts()))
-	return s.follow(ctx, set, changed, c, w)
+	s.Log.Info("watching etcd", "endpoint", addr, "revision", s.tracker.Revision(), "hosts", len(s.tracker.Hosts()))
+	return s.followWatch(ctx, set, changed, c, w)
 }
 
-// begin sees to it that the tracker has all up to a revision that the member knows.
-func (s *Source) begin(ctx context.Context, c *conn) error {
-	if s.tracker.Revision() > 0 && !s.dirty {
+// catchUp makes sure that the tracker has all changes up to a revision that the member knows.
+func (s *Source) catchUp(ctx context.Context, c *conn) error {
+	if s.tracker.Revision() > 0 && !s.needsList {
 		check := s.tracker.BeginCheck()
-		header, kvs, err := c.all(ctx, check.Revision, true)
+		header, kvs, err := c.readAll(ctx, check.Revision, true)
 		if err == nil {
 			err = s.tracker.FinishCheck(check, header, kvs)
 		}
 		if err == nil {
-			s.want = header.Revision // what has changed since then comes first
+			s.targetRevision = header.Revision // the changes since the check come first
 			return nil
 		}
-		if is(err, rpctypes.ErrGRPCFutureRev) {
+		if isEtcdError(err, rpctypes.ErrGRPCFutureRev) {
 			err = fmt.Errorf("%w: revision %d is yet to come there", ErrBehind, check.Revision)
 		}
-		if !errors.Is(err, ErrMissedChange) && !is(err, rpctypes.ErrGRPCCompacted) {
+		if !errors.Is(err, ErrMissedChange) && !isEtcdError(err, rpctypes.ErrGRPCCompacted) {
 			return err
 		}
 	}
-	header, kvs, err := c.all(ctx, 0, false)
+	header, kvs, err := c.readAll(ctx, 0, false)
 	if err != nil {
 		return err
 	}
@@ -234,24 +234,24 @@
 	if err != nil {
 		return err
 	}
-	s.dirty, s.want = false, u.Revision
-	s.update(u)
+	s.needsList, s.targetRevision = false, u.Revision
+	s.deliver(u)
 	return nil
 }
 
-func (s *Source) update(u Update) {
+func (s *Source) deliver(u Update) {
 	if len(u.Unusable) > 0 {
-		s.Log.Warn("values in etcd cannot be used: these hosts stay as they were", "count", len(u.Unusable),
-			"first", u.Unusable[:min(len(u.Unusable), mostTold)])
+		s.Log.Warn("unusable values in etcd: the affected hosts keep their previous state", "count", len(u.Unusable),
+			"first", u.Unusable[:min(len(u.Unusable), maxLoggedValues)])
 	}
 	s.Sink.Update(s.epoch(), u)
 }
 
-// mostTold is how many of an update's bad values the log has a reason for.
-const mostTold = 8
+// maxLoggedValues is how many of an update's unusable values are logged with their reason.
+const maxLoggedValues = 8
 
-// open begins the watch at the revision after the last that was seen.
-func (s *Source) open(ctx context.Context, c *conn) (etcdserverpb.Watch_WatchClient, error) {
+// openWatch starts the watch at the revision after the last one seen.
+func (s *Source) openWatch(ctx context.Context, c *conn) (etcdserverpb.Watch_WatchClient, error) {
 	w, err := etcdserverpb.NewWatchClient(c.grpc).Watch(c.context(ctx))
 	if err == nil {
 		err = w.Send(&etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_CreateRequest{
@@ -259,7 +259,7 @@
 				StartRevision: s.tracker.Revision() + 1, ProgressNotify: true, Fragment: true}}})
 	}
 	if err == nil {
-		err = w.Send(howFar)
+		err = w.Send(progressRequest)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("watching: %w", err)
@@ -267,109 +267,109 @@
 	return w, nil
 }
 
-// howFar asks how far a watch has come.
-var howFar = &etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_ProgressRequest{
+// progressRequest asks up to which revision a watch has delivered all changes.
+var progressRequest = &etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_ProgressRequest{
 	ProgressRequest: &etcdserverpb.WatchProgressRequest{}}}
 
-// heard is what comes of a watch.
-type heard struct {
-	r   *etcdserverpb.WatchResponse
-	err error
+// watchMessage is a message of a watch, or the error that ended it.
+type watchMessage struct {
+	response *etcdserverpb.WatchResponse
+	err      error
 }
 
-// proof is what came of a check.
-type proof struct {
+// checkResult holds the keys that were read for a check.
+type checkResult struct {
 	check  *Check
 	header *etcdserverpb.ResponseHeader
 	kvs    []*mvccpb.KeyValue
 	err    error
-	look   bool
+	reread bool
 }
 
-// follow takes what a watch tells until it breaks.
-func (s *Source) follow(ctx context.Context, set *Settings, changed <-chan struct{}, c *conn, w etcdserverpb.Watch_WatchClient) error {
-	// Not to wait for a word that nobody takes any more, each goroutine ends with the connection.
+// followWatch handles the messages of a watch until it fails.
+func (s *Source) followWatch(ctx context.Context, set *Settings, changed <-chan struct{}, c *conn, w etcdserverpb.Watch_WatchClient) error {
+	// The goroutines end with ctx, so that none waits to send a message that nobody receives.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	words, proofs := make(chan heard), make(chan proof)
-	go receive(ctx, w, words)
-	ask, stopAsk := s.tick(set.ProgressInterval)
-	defer func() { stopAsk() }()
-	check, stopCheck := s.tick(set.CheckInterval)
+	messages, results := make(chan watchMessage), make(chan checkResult)
+	go receive(ctx, w, messages)
+	progressDue, stopProgress := s.after(set.ProgressInterval)
+	defer func() { stopProgress() }()
+	checkDue, stopCheck := s.after(set.CheckInterval)
 	defer func() { stopCheck() }()
-	var parts []*mvccpb.Event
+	var fragments []*mvccpb.Event
 	last, checking := s.Clock.Now(), false
-	prove := func() {
+	startCheck := func() {
 		if checking {
 			return
 		}
 		checking = true
-		p := proof{check: s.tracker.BeginCheck(), look: s.looking}
+		result := checkResult{check: s.tracker.BeginCheck(), reread: s.rereadPending}
 		go func() {
-			p.header, p.kvs, p.err = c.all(ctx, p.check.Revision, true)
+			result.header, result.kvs, result.err = c.readAll(ctx, result.check.Revision, true)
 			select {
-			case proofs <- p:
+			case results <- result:
 			case <-ctx.Done():
 			}
 		}()
 	}
 	for {
 		select {
-		case h := <-words:
-			if h.err != nil {
-				return fmt.Errorf("the watch ended: %w", h.err)
+		case message := <-messages:
+			if message.err != nil {
+				return fmt.Errorf("the watch ended: %w", message.err)
 			}
 			last = s.Clock.Now()
-			parts = append(parts, h.r.Events...)
-			if h.r.Fragment {
+			fragments = append(fragments, message.response.Events...)
+			if message.response.Fragment {
 				continue
 			}
-			if err := s.word(h.r, parts); err != nil {
+			if err := s.handleResponse(message.response, fragments); err != nil {
 				return err
 			}
-			parts = nil
-			if s.looking { // it may be far enough now
-				prove()
+			fragments = nil
+			if s.rereadPending { // the tracker may have reached the revision for it by now
+				startCheck()
 			}
-		case <-ask:
+		case <-progressDue:
 			if s.Clock.Now()-last >= set.SilenceTimeout {
-				return errSilent
+				return errSilentWatch
 			}
-			ask, stopAsk = s.tick(set.ProgressInterval)
-			if err := w.Send(howFar); err != nil {
+			progressDue, stopProgress = s.after(set.ProgressInterval)
+			if err := w.Send(progressRequest); err != nil {
 				return fmt.Errorf("asking how far the watch is: %w", err)
 			}
-		case <-check:
-			check, stopCheck = s.tick(set.CheckInterval)
-			prove()
-		case <-s.look:
-			s.looking = true
-			prove()
-		case p := <-proofs:
+		case <-checkDue:
+			checkDue, stopCheck = s.after(set.CheckInterval)
+			startCheck()
+		case <-s.rereadRequests:
+			s.rereadPending = true
+			startCheck()
+		case result := <-results:
 			checking = false
-			if is(p.err, rpctypes.ErrGRPCCompacted) { // meanwhile; the watch will soon be further
+			if isEtcdError(result.err, rpctypes.ErrGRPCCompacted) { // compacted in the meantime; the watch will soon be further
 				continue
 			}
-			if err := s.proved(p); err != nil {
+			if err := s.finishCheck(result); err != nil {
 				return err
 			}
-			if s.looking { // asked for while the check was on
-				prove()
+			if s.rereadPending { // requested during the check
+				startCheck()
 			}
 		case <-changed:
-			return errSettings
+			return errSettingsChanged
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// receive hands on what a watch says until it breaks or ctx ends.
-func receive(ctx context.Context, w etcdserverpb.Watch_WatchClient, words chan<- heard) {
+// receive sends the messages of a watch to a channel until the watch fails or ctx ends.
+func receive(ctx context.Context, w etcdserverpb.Watch_WatchClient, messages chan<- watchMessage) {
 	for {
-		r, err := w.Recv()
+		response, err := w.Recv()
 		select {
-		case words <- heard{r, err}:
+		case messages <- watchMessage{response, err}:
 		case <-ctx.Done():
 			return
 		}
@@ -379,14 +379,14 @@
 	}
 }
 
-// tick gives a channel that is closed after so many milliseconds.
-func (s *Source) tick(ms float64) (<-chan struct{}, func()) {
+// after returns a channel that is closed after a number of milliseconds, and a function that stops the timer.
+func (s *Source) after(ms float64) (<-chan struct{}, func()) {
 	c := make(chan struct{})
 	return c, s.Clock.At(s.Clock.Now()+ms, func() { close(c) })
 }
 
-// word takes one response of a watch with all of its events.
-func (s *Source) word(r *etcdserverpb.WatchResponse, events []*mvccpb.Event) error {
+// handleResponse applies one response of a watch with all of its events.
+func (s *Source) handleResponse(r *etcdserverpb.WatchResponse, events []*mvccpb.Event) error {
 	switch {
 	case r.CompactRevision > 0:
 		return fmt.Errorf("%w: up to %d", errCompacted, r.CompactRevision-1)
@@ -399,34 +399,34 @@
 		if err := s.tracker.ApplyProgress(r.Header); err != nil {
 			return err
 		}
-		s.current()
+		s.reportUpToDate()
 		return nil
 	}
 	list, err := s.tracker.ApplyEvents(r.Header, events)
 	for _, u := range list {
-		s.update(u)
+		s.deliver(u)
 	}
 	if err == nil {
-		s.current()
+		s.reportUpToDate()
 	}
 	return err
 }
 
-// current tells, if it is so, that what was told is all there is.
-func (s *Source) current() {
-	if s.tracker.Revision() >= s.want {
+// reportUpToDate tells the sink that it has everything, if the tracker has reached the target revision.
+func (s *Source) reportUpToDate() {
+	if s.tracker.Revision() >= s.targetRevision {
 		s.Sink.UpToDate()
 	}
 }
 
-// proved takes what came of a check.
-func (s *Source) proved(p proof) error {
-	err := p.err
+// finishCheck handles the result of a check.
+func (s *Source) finishCheck(result checkResult) error {
+	err := result.err
 	if err == nil {
-		err = s.tracker.FinishCheck(p.check, p.header, p.kvs)
+		err = s.tracker.FinishCheck(result.check, result.header, result.kvs)
 	}
-	if err == nil && p.look {
-		s.looking = false
+	if err == nil && result.reread {
+		s.rereadPending = false
 		s.Sink.Reread(s.epoch(), Update{Whole: true, Revision: s.tracker.Revision(), Hosts: s.tracker.Hosts()})
 	}
 	return err
--- a/internal/node/endpoints/etcd/source_test.go
+++ b/internal/node/endpoints/etcd/source_test.go
@@ -24,7 +24,7 @@
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
 
-// The histories are the same ones each time, unless -rapid.seed asks for others.
+// The random histories are the same in each run, unless -rapid.seed asks for others.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "40")
@@ -35,24 +35,24 @@
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":"Ready","weight":1}`, name, address)
 }
 
-// heardSink keeps what a sink hears.
-type heardSink struct {
-	mu      sync.Mutex
-	faults  []string
-	hosts   map[string]string // addresses
-	epoch   string
-	rev     int64
-	here    bool
-	looks   int
-	alive   int
-	settled int
-	wholes  int
-	odd     int
-	words   []string
-	after   func()
+// recordingSink records what a sink receives.
+type recordingSink struct {
+	mu          sync.Mutex
+	faults      []string
+	hosts       map[string]string // addresses by name
+	epoch       string
+	rev         int64
+	available   bool
+	rereads     int
+	upToDate    int
+	settled     int
+	fullLists   int
+	unusable    int
+	messages    []string
+	afterUpdate func()
 }
 
-func (s *heardSink) Update(epoch string, u Update) {
+func (s *recordingSink) Update(epoch string, u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if epoch == s.epoch && u.Revision < s.rev {
@@ -61,57 +61,59 @@
 	s.epoch, s.rev = epoch, u.Revision
 	if u.Whole {
 		clear(s.hosts)
-		s.wholes++
+		s.fullLists++
 	}
 	for _, h := range u.Hosts {
 		if s.hosts[h.Name] = h.Address; h.Status == dispatch.Removed {
 			delete(s.hosts, h.Name)
 		}
 	}
-	s.odd += len(u.Unusable)
+	s.unusable += len(u.Unusable)
 	if u.Confirm > 0 {
-		s.words = append(s.words, fmt.Sprint("confirmed ", u.Confirm))
+		s.messages = append(s.messages, fmt.Sprint("confirmed ", u.Confirm))
 	}
-	if s.after != nil {
-		s.after()
+	if s.afterUpdate != nil {
+		s.afterUpdate()
 	}
 }
-func (s *heardSink) UpToDate() {
+func (s *recordingSink) UpToDate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.here = true
-	s.alive++
+	s.available = true
+	s.upToDate++
 }
-func (s *heardSink) Unavailable(err error) {
+func (s *recordingSink) Unavailable(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.here = false
-	s.words = append(s.words, err.Error())
+	s.available = false
+	s.messages = append(s.messages, err.Error())
 }
-func (s *heardSink) Reread(epoch string, u Update) {
+func (s *recordingSink) Reread(epoch string, u Update) {
 	s.Update(epoch, u)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.looks++
+	s.rereads++
 }
 
-// settle lets time go by, and all that it brings.
-func (s *heardSink) settle(d time.Duration) {
+// settle lets time pass, and everything that happens in it.
+func (s *recordingSink) settle(d time.Duration) {
 	s.mu.Lock()
-	s.settled++ // after what was looked at before
+	s.settled++ // orders the sink's writes after the reads of the test
 	s.mu.Unlock()
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// play runs a source against a cluster in memory, in a bubble whose time stands while anything goes on.
-func play(t *testing.T, members int, sink *heardSink, f func(c *etcdtest.Cluster, src *Source, sink *heardSink, set Settings)) {
-	playFrom(t, members, sink, func(*etcdtest.Cluster) {}, f)
+// runSource runs a source with a cluster in memory, in a synctest bubble whose time stands still while anything is
+// running.
+func runSource(t *testing.T, members int, sink *recordingSink, f func(c *etcdtest.Cluster, src *Source, sink *recordingSink, set Settings)) {
+	runSourceFrom(t, members, sink, func(*etcdtest.Cluster) {}, f)
 }
 
-// playFrom is play with a cluster that is prepared before the source starts: what is written later meets the source's first list.
-func playFrom(t *testing.T, members int, sink *heardSink, prepare func(*etcdtest.Cluster),
-	f func(c *etcdtest.Cluster, src *Source, sink *heardSink, set Settings)) {
+// runSourceFrom is runSource with a cluster that is prepared before the source starts, so that its first list has
+// the keys.
+func runSourceFrom(t *testing.T, members int, sink *recordingSink, prepare func(*etcdtest.Cluster),
+	f func(c *etcdtest.Cluster, src *Source, sink *recordingSink, set Settings)) {
 	synctest.Test(t, func(t *testing.T) {
 		clk := clock.NewSystem()
 		c, err := etcdtest.New(etcdtest.Settings{Members: members, Clock: clk, Memory: true})
@@ -130,7 +132,7 @@
 	})
 }
 
-func truth(c *etcdtest.Cluster) map[string]string {
+func clusterHosts(c *etcdtest.Cluster) map[string]string {
 	all := map[string]string{}
 	for key, value := range c.Values("r/") {
 		var name, address string
@@ -142,11 +144,11 @@
 	return all
 }
 
-// settleTime is how long after the last fault the list is that of the cluster, whatever went before: silence is noticed, each
-// endpoint is tried once, and the longest pause goes by.
+// settleTime is how long after the last fault the list must equal the cluster's, whatever happened before: the
+// silence of a watch is noticed, each endpoint is tried once, and the longest pause passes.
 const settleTime = 3*time.Second + 2*2*time.Second + time.Second
 
-// step is one of a history.
+// step is one step of a history.
 type step struct {
 	what, name string
 	member, ms int
@@ -159,31 +161,32 @@
 		rapid.SampledFrom([]int{0, 1, 40, 700, 4000}).Draw(t, "ms")}
 }
 
-// Guards, over random histories of changes and faults, against a list that is not the cluster's soon after the faults end, a
-// revision that goes back, a change that is seen in part, and a host that comes back though it was deleted. Each history is played
-// twice: with a source that finds the first host in its first list, and with one that lists nothing and is told of it by its watch.
+// Guards, over random histories of changes and faults, against a list that does not equal the cluster's soon after
+// the faults end, a revision that goes back, a change that is seen in part, and a host that comes back although it
+// was deleted. Each history runs twice: with a source that finds the first host in its first list, and with one
+// whose first list is empty and that gets the host from its watch.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(draw), 1, 30).Draw(r, "steps")
 		for _, listsNothing := range []bool{false, true} {
-			sink := &heardSink{}
-			playHistory(t, sink, steps, listsNothing)
+			sink := &recordingSink{}
+			runHistory(t, sink, steps, listsNothing)
 			require.Empty(r, sink.faults, "the first list is empty: %v", listsNothing)
 		}
 	})
 }
 
-// playHistory plays the steps of a history. What the sink hears that must not be is in its faults.
-func playHistory(t *testing.T, sink *heardSink, steps []step, listsNothing bool) {
-	// A watch that tells the changes in another order tells of later hosts before the first one, where that was not listed.
+// runHistory runs the steps of a history. Violations are recorded in the sink's faults.
+func runHistory(t *testing.T, sink *recordingSink, steps []step, listsNothing bool) {
+	// A watch that reorders changes may report later hosts before the first one, if that was not in the list.
 	mayMissFirst := listsNothing && slices.ContainsFunc(steps, func(s step) bool { return s.what == "reorder" })
 	var have []string
 	left := map[string]bool{}
-	sink.after = func() {
+	sink.afterUpdate = func() {
 		one, two := sink.hosts["one"] != "", sink.hosts["two"] != ""
 		mayMissFirst = mayMissFirst && !one && !two
 		if len(sink.hosts) > 0 && one == two && !mayMissFirst {
-			sink.faults = append(sink.faults, fmt.Sprint("half of a change: ", sink.hosts))
+			sink.faults = append(sink.faults, fmt.Sprint("change seen in part: ", sink.hosts))
 		}
 		now := slices.Collect(maps.Values(sink.hosts))
 		for _, address := range have {
@@ -191,13 +194,13 @@
 		}
 		for _, address := range now {
 			if left[address] {
-				sink.faults = append(sink.faults, "revived: "+address)
+				sink.faults = append(sink.faults, "removed host came back: "+address)
 			}
 		}
 		have = now
 	}
 	turn := 0
-	put := func(name string) string { // each time at another address
+	put := func(name string) string { // at another address each time
 		turn++
 		return entry(name, fmt.Sprintf("10.0.%d.%d:80", turn/250, turn%250))
 	}
@@ -209,7 +212,7 @@
 	if listsNothing {
 		prepare = func(*etcdtest.Cluster) {}
 	}
-	playFrom(t, 2, sink, prepare, func(c *etcdtest.Cluster, _ *Source, sink *heardSink, _ Settings) {
+	runSourceFrom(t, 2, sink, prepare, func(c *etcdtest.Cluster, _ *Source, sink *recordingSink, _ Settings) {
 		if listsNothing {
 			sink.settle(0)
 			begin(c)
@@ -223,7 +226,7 @@
 				c.Put("r/"+name, "")
 			case "swap":
 				from, to := "one", "two"
-				if truth(c)["two"] != "" {
+				if clusterHosts(c)["two"] != "" {
 					from, to = to, from
 				}
 				c.Write(map[string]string{"r/" + from: "", "r/" + to: put(to)})
@@ -241,7 +244,7 @@
 				m.Down()
 			case "up":
 				m.Down()
-				_ = m.Up() // in memory
+				_ = m.Up() // it cannot fail in memory
 			case "lag", "stale":
 				m.Lag(what == "stale")
 			case "catch up":
@@ -267,7 +270,7 @@
 		}
 		for _, m := range c.Members {
 			if m.IsDown() {
-				_ = m.Up() // in memory
+				_ = m.Up() // it cannot fail in memory
 			}
 			m.CatchUp()
 			m.Hold(false)
@@ -275,60 +278,61 @@
 			m.Ahead(0)
 		}
 		c.Leader(true)
-		sink.settle(2 * time.Second) // leases end
+		sink.settle(2 * time.Second) // leases expire
 		c.Put("r/last", entry("last", "10.9.9.9:80"))
 		sink.settle(settleTime)
-		if want := truth(c); !sink.here || !maps.Equal(want, sink.hosts) {
-			sink.faults = append(sink.faults, fmt.Sprint("at the end: ", sink.hosts, " for ", want, sink.here, sink.words))
+		if want := clusterHosts(c); !sink.available || !maps.Equal(want, sink.hosts) {
+			sink.faults = append(sink.faults, fmt.Sprint("at the end: ", sink.hosts, " for ", want, sink.available, sink.messages))
 		}
 	})
 }
 
-// Guards against a source that stays without the first host where its watch tells of a later change first, and that host was not in
-// its list: the change that is told late shows that something was missed, and the list is read anew.
-func TestFirstChangeToldLateIsListed(t *testing.T) {
-	play(t, 1, &heardSink{}, func(c *etcdtest.Cluster, _ *Source, sink *heardSink, _ Settings) {
+// Guards against a source that stays without the first host when its watch reports a later change first and the
+// host was not in the list: the late change shows that one was missed, and the list is read again.
+func TestLateFirstChangeTriggersList(t *testing.T) {
+	runSource(t, 1, &recordingSink{}, func(c *etcdtest.Cluster, _ *Source, sink *recordingSink, _ Settings) {
 		sink.settle(0)
 		c.Members[0].Swap(1)
 		c.Put("r/one", entry("one", "10.0.0.1:80"))
 		sink.settle(0)
-		assert.Empty(t, sink.hosts, "it is held back until there is another one")
+		assert.Empty(t, sink.hosts, "the change is held back until the next one")
 		c.Put("r/last", entry("last", "10.0.0.2:80"))
 		sink.settle(settleTime)
-		assert.Equal(t, truth(c), sink.hosts)
-		assert.Equal(t, 2, sink.wholes, "listed again")
-		assert.Contains(t, fmt.Sprint(sink.words), ErrMissedChange.Error())
-		assert.True(t, sink.here)
+		assert.Equal(t, clusterHosts(c), sink.hosts)
+		assert.Equal(t, 2, sink.fullLists, "listed again")
+		assert.Contains(t, fmt.Sprint(sink.messages), ErrMissedChange.Error())
+		assert.True(t, sink.available)
 	})
 }
 
-// Guards against a list that is read anew where it need not be, a compaction, a removal in the gap, a quiet watch or a dead
-// one that goes unnoticed, a call that waits for ever, and a second look that is not one.
-func TestResumes(t *testing.T) {
-	play(t, 2, &heardSink{}, func(c *etcdtest.Cluster, src *Source, sink *heardSink, _ Settings) {
+// Guards against a list that is read again without need, a compaction, a removal during an interruption, a quiet
+// watch that is taken for broken or a broken one that goes unnoticed, a call without a timeout, and a re-read
+// that does not read.
+func TestResume(t *testing.T) {
+	runSource(t, 2, &recordingSink{}, func(c *etcdtest.Cluster, src *Source, sink *recordingSink, _ Settings) {
 		settle := sink.settle
 		for i := range 5000 {
-			c.Put(fmt.Sprintf("q/%d", i), "of no use")
+			c.Put(fmt.Sprintf("q/%d", i), "unrelated")
 		}
 		for _, name := range []string{"a", "b"} {
 			c.Put("r/"+name, entry(name, "10.0.0.1:80"))
 		}
 		settle(time.Second)
-		assert.Equal(t, 1, sink.wholes)
+		assert.Equal(t, 1, sink.fullLists)
 		c.Members[0].Down()
 		c.Put("r/a", "")
 		settle(0)
 		require.NoError(t, c.Members[0].Up())
-		assert.Equal(t, truth(c), sink.hosts)
-		assert.Equal(t, 1, sink.wholes, "resumed")
-		c.Members[1].Hold(true) // the endpoint of the second turn
+		assert.Equal(t, clusterHosts(c), sink.hosts)
+		assert.Equal(t, 1, sink.fullLists, "resumed")
+		c.Members[1].Hold(true) // the endpoint that is tried next
 		c.Put("r/b", "")
 		c.Compact()
 		c.Members[1].DropStreams()
 		c.Members[1].Hold(false)
 		settle(time.Second)
-		assert.Equal(t, map[string]string{}, sink.hosts, "removed in the gap")
-		assert.Equal(t, 2, sink.wholes, "listed again")
+		assert.Equal(t, map[string]string{}, sink.hosts, "removed during the interruption")
+		assert.Equal(t, 2, sink.fullLists, "listed again")
 		c.Members[0].Hold(true)
 		c.Members[1].Hold(true)
 		c.Put("r/b", entry("b", "10.0.0.1:80"))
@@ -337,73 +341,74 @@
 		c.Members[0].Hold(false)
 		c.Members[1].Hold(false)
 		settle(time.Second)
-		assert.Equal(t, truth(c), sink.hosts)
-		assert.Equal(t, []string{"the history since then was compacted: up to 5006"}, sink.words[len(sink.words)-1:])
+		assert.Equal(t, clusterHosts(c), sink.hosts)
+		assert.Equal(t, []string{"the history since then was compacted: up to 5006"}, sink.messages[len(sink.messages)-1:])
 		for _, m := range c.Members {
 			m.Cancel("no more")
 		}
 		c.Put("r/b", "")
 		settle(time.Second)
-		assert.Equal(t, truth(c), sink.hosts)
-		before := sink.alive
+		assert.Equal(t, clusterHosts(c), sink.hosts)
+		before := sink.upToDate
 		settle(time.Minute)
-		assert.True(t, sink.here, "quiet")
-		assert.Greater(t, sink.alive, before+58)
+		assert.True(t, sink.available, "quiet")
+		assert.Greater(t, sink.upToDate, before+58)
 		rev := src.tracker.Revision()
-		c.Put("q/0", "still of no use")
+		c.Put("q/0", "still unrelated")
 		settle(2 * time.Second)
-		assert.Equal(t, rev+1, src.tracker.Revision(), "the resume point follows, or the next compaction would cost a list")
+		assert.Equal(t, rev+1, src.tracker.Revision(), "the resume point follows; otherwise the next compaction would require a list")
 		for _, m := range c.Members {
 			m.Hold(true)
 		}
 		c.Leader(false)
 		settle(5 * time.Second)
-		assert.False(t, sink.here)
-		assert.Contains(t, fmt.Sprint(sink.words), "no leader")
+		assert.False(t, sink.available)
+		assert.Contains(t, fmt.Sprint(sink.messages), "no leader")
 		c.Leader(true)
 		settle(5 * time.Second)
-		assert.Contains(t, fmt.Sprint(sink.words), errSilent.Error(), "held back by both")
+		assert.Contains(t, fmt.Sprint(sink.messages), errSilentWatch.Error(), "held back by both")
 		for _, m := range c.Members {
 			m.Hold(false)
 			m.Lag(false)
 		}
 		c.Put("r/c", entry("c", "10.0.0.1:80"))
 		settle(15 * time.Second)
-		assert.Contains(t, fmt.Sprint(sink.words), errLate.Error(), "waiting for what is agreed")
+		assert.Contains(t, fmt.Sprint(sink.messages), errTimeout.Error(), "waiting for a quorum read")
 		for _, m := range c.Members {
 			m.CatchUp()
 		}
 		settle(5 * time.Second)
-		assert.Equal(t, truth(c), sink.hosts)
+		assert.Equal(t, clusterHosts(c), sink.hosts)
 		ranges := c.Members[0].Ranges() + c.Members[1].Ranges()
 		c.Put("q/1", "elsewhere")
 		settle(0)
 		c.Compact()
 		src.RequestReread()
 		settle(time.Millisecond)
-		assert.Zero(t, sink.looks, "the revision seen was compacted")
-		assert.LessOrEqual(t, c.Members[0].Ranges()+c.Members[1].Ranges(), ranges+2, "not again and again")
+		assert.Zero(t, sink.rereads, "the last revision seen was compacted")
+		assert.LessOrEqual(t, c.Members[0].Ranges()+c.Members[1].Ranges(), ranges+2, "no busy loop")
 		settle(2 * time.Second)
-		assert.Equal(t, 1, sink.looks, sink.words[len(sink.words)-3:])
+		assert.Equal(t, 1, sink.rereads, sink.messages[len(sink.messages)-3:])
 		ranges = c.Members[0].Ranges() + c.Members[1].Ranges() - 1
 		assert.Equal(t, ranges+1, c.Members[0].Ranges()+c.Members[1].Ranges(), "it was read")
 		c.Members[0].DropStreams()
 		c.Members[1].DropStreams()
 		src.RequestReread()
 		settle(2 * time.Second)
-		assert.Equal(t, 2, sink.looks, "though the stream had broken")
+		assert.Equal(t, 2, sink.rereads, "although the stream had broken")
 		ranges = c.Members[0].Ranges() + c.Members[1].Ranges() - 1
 		settle(25 * time.Second)
 		assert.InDelta(t, ranges+3, c.Members[0].Ranges()+c.Members[1].Ranges(), 1, "checked every ten seconds")
 	})
 }
 
-// Guards against what another history shows: a backup with fewer revisions, one that has grown beyond what was seen, one with
-// a name of its own, one member that was restored by itself. None of it is taken until the operator says so.
-func TestOtherHistories(t *testing.T) {
+// Guards against accepting another history: a backup with fewer revisions, one that has grown beyond what was
+// seen, one with an id of its own, one member that was restored alone. None of it is accepted until the operator
+// names it.
+func TestForeignHistories(t *testing.T) {
 	for _, grown := range []int{0, 1, 9} {
 		for _, renamed := range []bool{false, true} {
-			play(t, 1, &heardSink{}, func(c *etcdtest.Cluster, src *Source, sink *heardSink, set Settings) {
+			runSource(t, 1, &recordingSink{}, func(c *etcdtest.Cluster, src *Source, sink *recordingSink, set Settings) {
 				settle := func() { sink.settle(5 * time.Second) }
 				c.Put("r/a", entry("a", "10.0.0.1:80"))
 				backup := c.Snapshot()
@@ -412,7 +417,7 @@
 				}
 				settle()
 				c.Leader(false)
-				c.Leader(true) // a term more than the backup's cluster will have
+				c.Leader(true) // one term more than the restored cluster will have
 				settle()
 				want := maps.Clone(sink.hosts)
 				c.Restore(backup, renamed)
@@ -421,19 +426,19 @@
 				}
 				settle()
 				assert.Equal(t, want, sink.hosts)
-				assert.False(t, sink.here)
+				assert.False(t, sink.available)
 				set.History = "c1/2"
 				if renamed {
 					set.History = "c2"
 				}
 				src.SetSettings(set)
 				settle()
-				assert.Equal(t, truth(c), sink.hosts)
+				assert.Equal(t, clusterHosts(c), sink.hosts)
 				assert.Equal(t, set.History, sink.epoch)
 			})
 		}
 	}
-	play(t, 2, &heardSink{}, func(c *etcdtest.Cluster, _ *Source, sink *heardSink, _ Settings) {
+	runSource(t, 2, &recordingSink{}, func(c *etcdtest.Cluster, _ *Source, sink *recordingSink, _ Settings) {
 		c.Put("r/a", entry("a", "10.0.0.1:80"))
 		sink.settle(time.Second)
 		c.Members[1].Lag(true)
@@ -441,13 +446,13 @@
 		sink.settle(time.Second)
 		c.Members[0].Down()
 		sink.settle(10 * time.Second)
-		assert.Empty(t, sink.hosts, "only the member that is behind is left")
-		assert.False(t, sink.here)
+		assert.Empty(t, sink.hosts, "only the lagging member is left")
+		assert.False(t, sink.available)
 		require.NoError(t, c.Members[0].Up())
 		sink.settle(5 * time.Second)
-		assert.True(t, sink.here)
+		assert.True(t, sink.available)
 	})
-	// A term that stays the same hides nothing either: what stood before the last check cannot have changed.
+	// An unchanged term hides nothing either: keys from before the last check cannot have changed.
 	tr := NewTracker("r/", 9, 0)
 	head := func(rev int64) *etcdserverpb.ResponseHeader {
 		return &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: rev, RaftTerm: 2}
@@ -475,7 +480,7 @@
 	_, err = tr.ApplyEvents(head(20), []*mvccpb.Event{{Kv: kv("b", 11)}, {Kv: kv("c", 10)}})
 	assert.ErrorIs(t, err, ErrProtocol)
 	assert.Equal(t, int64(9), tr.Revision())
-	// What comes twice is no change, what comes late was missed.
+	// An event that comes twice is no change, one that comes late was missed.
 	tell := func(rev int64, events ...*mvccpb.Event) error {
 		_, err := tr.ApplyEvents(head(rev), events)
 		return err
@@ -491,7 +496,7 @@
 	assert.ErrorIs(t, tell(13, &mvccpb.Event{Kv: kv("b", 12)}), ErrMissedChange)
 	assert.ErrorIs(t, tell(13, &mvccpb.Event{Kv: kv("d", 12)}), ErrMissedChange)
 	assert.ErrorIs(t, tell(13, gone("b", 12)), ErrMissedChange)
-	require.NoError(t, tell(13, &mvccpb.Event{Kv: kv("a", 8)}), "what was before the list")
+	require.NoError(t, tell(13, &mvccpb.Event{Kv: kv("a", 8)}), "a change from before the list")
 	_, err = tr.ApplyList(head(20), 20, []*mvccpb.KeyValue{kv("b", 11), kv("d", 10)})
 	require.NoError(t, err, "a change between the list and now may have been missed")
 	require.NoError(t, tell(21, &mvccpb.Event{Kv: kv("e", 21)}))
@@ -500,21 +505,21 @@
 	assert.ErrorIs(t, err, ErrForeignHistory, "the check has proved it")
 }
 
-// Guards against a list that ends with the first answer, or that is of several revisions.
+// Guards against a list that ends with the first page, or that mixes several revisions.
 func TestManyKeys(t *testing.T) {
-	play(t, 1, &heardSink{}, func(c *etcdtest.Cluster, src *Source, sink *heardSink, set Settings) {
+	runSource(t, 1, &recordingSink{}, func(c *etcdtest.Cluster, src *Source, sink *recordingSink, set Settings) {
 		all := map[string]string{}
 		for i := range 2 * pageSize {
 			all[fmt.Sprintf("r/%04d", i)] = entry(fmt.Sprintf("%04d", i), "10.0.0.1:80")
 		}
-		between := fmt.Sprintf("%04d!", pageSize-1) // the next behind the first page
+		between := fmt.Sprintf("%04d!", pageSize-1) // sorts right after the first page
 		all["r/"+between] = entry(between, "10.0.0.1:80")
 		c.Write(all)
 		c.Members[0].Between(func() {
 			c.Write(map[string]string{"r/0000": "", "r/9999": entry("9999", "10.0.0.1:80")})
-			sink.after = func() {
+			sink.afterUpdate = func() {
 				if sink.hosts["9999"] != "" && sink.hosts["0000"] != "" {
-					sink.faults = append(sink.faults, "of several revisions")
+					sink.faults = append(sink.faults, "mixes several revisions")
 				}
 			}
 		})
@@ -522,25 +527,26 @@
 		src.SetSettings(set)
 		sink.settle(3 * time.Second)
 		assert.Len(t, sink.hosts, 2*pageSize+1)
-		assert.True(t, sink.here)
+		assert.True(t, sink.available)
 		assert.Empty(t, sink.faults)
 	})
 }
 
-// Guards against a value that costs its host or others, a key that is taken for another host, a confirmation that is lost or
-// told twice, a fleet over the limit, and a token that holds for ever or is asked for without end.
+// Guards against an unusable value that removes its host or others, a key that is taken for another host, a
+// confirmation that is lost or delivered twice, a fleet over the limit, and a token that is kept after it has
+// expired or requested without end.
 func TestValuesAndUsers(t *testing.T) {
-	play(t, 1, &heardSink{}, func(c *etcdtest.Cluster, src *Source, sink *heardSink, set Settings) {
+	runSource(t, 1, &recordingSink{}, func(c *etcdtest.Cluster, src *Source, sink *recordingSink, set Settings) {
 		settle := func() { sink.settle(3 * time.Second) }
 		c.Write(map[string]string{"r/a": entry("a", "10.0.0.1:80"), "r/b": entry("b", "10.0.0.2:80"), "r/c": "{", "r/d": entry("x", "10.0.0.4:80")})
 		settle()
 		want := map[string]string{"a": "10.0.0.1:80", "b": "10.0.0.2:80"}
 		assert.Equal(t, want, sink.hosts)
-		assert.Equal(t, 2, sink.odd)
+		assert.Equal(t, 2, sink.unusable)
 		c.Write(map[string]string{"r/a": "{", "r/b": entry("b", "here"), "r/@confirm": "12"})
 		settle()
 		assert.Equal(t, want, sink.hosts)
-		assert.Equal(t, 4, sink.odd)
+		assert.Equal(t, 4, sink.unusable)
 		c.Compact()
 		c.Members[0].DropStreams()
 		c.Put("r/a", "")
@@ -549,27 +555,27 @@
 		c.Protect("node", "secret")
 		c.Members[0].DropStreams()
 		settle()
-		assert.False(t, sink.here)
-		assert.Contains(t, sink.words[len(sink.words)-1], "user name is empty")
+		assert.False(t, sink.available)
+		assert.Contains(t, sink.messages[len(sink.messages)-1], "user name is empty")
 		set.User, set.Password, set.MaxHosts = "node", "secret", 3
 		src.SetSettings(set)
 		settle()
-		assert.True(t, sink.here)
-		words := len(sink.words)
+		assert.True(t, sink.available)
+		words := len(sink.messages)
 		for range 2 {
 			c.ForgetTokens()
 			sink.settle(12 * time.Second) // until the next check
 		}
-		assert.True(t, sink.here)
-		assert.Equal(t, words, len(sink.words), "a token that has run out costs nothing")
+		assert.True(t, sink.available)
+		assert.Equal(t, words, len(sink.messages), "a token that has run out costs nothing")
 		c.Write(map[string]string{"r/e": entry("e", "10.0.0.5:80"), "r/f": entry("f", "10.0.0.6:80")})
 		settle()
-		assert.False(t, sink.here)
-		assert.Contains(t, sink.words[len(sink.words)-1], "too many keys")
-		assert.Equal(t, "confirmed 12", sink.words[0])
+		assert.False(t, sink.available)
+		assert.Contains(t, sink.messages[len(sink.messages)-1], "too many keys")
+		assert.Equal(t, "confirmed 12", sink.messages[0])
 		c.Write(map[string]string{"r/e": "", "r/c": ""})
 		settle()
-		assert.True(t, sink.here)
-		assert.Equal(t, map[string]string{"f": "10.0.0.6:80"}, sink.hosts, "what b was is forgotten with the settings")
+		assert.True(t, sink.available)
+		assert.Equal(t, map[string]string{"f": "10.0.0.6:80"}, sink.hosts, "the earlier state of b is forgotten with the old settings")
 	})
 }
--- a/internal/node/endpoints/etcd/track.go
+++ b/internal/node/endpoints/etcd/track.go
@@ -16,66 +16,69 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
-// ConfirmKey is the name under the prefix whose value, a revision in decimal digits, confirms what was held up to it.
+// ConfirmKey is the name under the prefix whose value, a revision in decimal digits, confirms what was held up to
+// that revision.
 const ConfirmKey = "@confirm"
 
-// What a Tracker finds wrong, wrapped.
+// Errors of a Tracker; they come wrapped.
 var (
-	// ErrBehind means that a member shows less than was seen. It lags, or it was restored from a backup.
+	// ErrBehind means that a member is behind what was seen: it lags, or it was restored from a backup.
 	ErrBehind = errors.New("the member is behind what was seen")
-	// ErrHistory means that what a member shows cannot have come of what was seen: another cluster, or a backup.
+	// ErrForeignHistory means that a member's state cannot follow from what was seen: it is another cluster, or a
+	// backup.
 	ErrForeignHistory = errors.New("the history is another one")
-	// ErrLost means that something was missed: the list is to be read anew.
+	// ErrMissedChange means that a change was missed and the list has to be read again.
 	ErrMissedChange = errors.New("a change was missed")
-	// ErrOdd means that a member said what etcd never says.
+	// ErrProtocol means that a member sent what etcd never sends.
 	ErrProtocol = errors.New("the member contradicts itself")
-	// ErrMany means that there are more keys than can be taken.
+	// ErrTooManyKeys means that there are more keys than the maximum of hosts allows.
 	ErrTooManyKeys = errors.New("too many keys")
 )
 
-// Update is what has changed, all at one revision.
+// Update is a set of changes, all at one revision.
 type Update struct {
-	Whole    bool            // Hosts are all; else those that changed, one that is pilot.Gone has left
-	Revision int64           // up to which this is all there is
-	Hosts    []dispatch.Host // by name
-	Unusable []string        // what is wrong with values that cannot be used
-	Confirm  uint64          // the revision up to which what was held is meant; 0 = nothing is said of that
+	Whole    bool            // Hosts is every host; else those that changed, where a host with status dispatch.Removed has left
+	Revision int64           // up to which the list is complete
+	Hosts    []dispatch.Host // sorted by name
+	Unusable []string        // what is wrong with the values that cannot be used
+	Confirm  uint64          // changes that were held up to this revision are confirmed; 0 = no statement
 }
 
-// Tracker keeps what the keys under a prefix say, and finds out whether what it is shown can follow from that. It is
-// pure: no I/O, no lock, no clock. It holds one entry for each key, most of them at the most.
+// Tracker keeps the state of the keys under a prefix, and checks whether new data can follow from it. It is pure:
+// no I/O, no lock, no clock. It holds one entry for each key, at most maxHosts of them and the one for ConfirmKey.
 type Tracker struct {
-	prefix  string
-	most    int
-	cluster uint64 // 0 = none was seen
-	term    uint64 // the highest
-	rev     int64  // up to which all changes were seen; 0 = there is no list
-	sure    int64  // up to which a list or a check has proved it
-	keys    map[string]key
+	prefix      string
+	maxHosts    int
+	cluster     uint64 // 0 = none was seen yet
+	term        uint64 // the highest seen
+	rev         int64  // up to which all changes were seen; 0 = no list yet
+	verifiedRev int64  // up to which a list or a check has verified the keys
+	keys        map[string]key
 }
 
-// key is one key.
+// key is the state of one key.
 type key struct {
-	mod   int64
-	sum   uint64 // of its value
-	good  bool   // host is what a value said,
-	host  dispatch.Host
-	stale bool // but not the last one, which cannot be used
+	modRevision int64
+	sum         uint64 // hash of its value
+	hasHost     bool   // a value has described a host
+	host        dispatch.Host
+	stale       bool // the latest value cannot be used, host is from an earlier one
 }
 
-// NewTracker makes a tracker that has seen nothing. It takes the first cluster for the right one, unless one is named.
+// NewTracker returns a tracker without data. It accepts the first cluster that it sees, unless one is named.
 func NewTracker(prefix string, most int, cluster uint64) *Tracker {
-	return &Tracker{prefix: prefix, most: most, cluster: cluster, keys: map[string]key{}}
+	return &Tracker{prefix: prefix, maxHosts: most, cluster: cluster, keys: map[string]key{}}
 }
 
-// Revision is the one up to which all changes were seen; 0 = a list is needed first.
+// Revision returns the revision up to which all changes were seen; 0 = a list is needed first.
 func (t *Tracker) Revision() int64 { return t.rev }
 
-// Epoch names the cluster whose revisions these are, as etcd's own tools do it.
+// Epoch returns the id of the cluster in the form of etcd's own tools: hexadecimal digits.
 func (t *Tracker) Epoch() string { return strconv.FormatUint(t.cluster, 16) }
 
-// Cluster reads the name of a history: a cluster's as etcd's own tools have it, and behind a slash, where the operators
-// have taken a backup for the cluster that it was made of, whatever tells that history from the one before.
+// ClusterID returns the cluster id that a history begins with. A history is an id in the form of etcd's own tools.
+// If the operators have accepted a backup in place of the cluster that it was made of, a slash and any text
+// follow, which tell that history from the one before.
 func ClusterID(history string) (uint64, error) {
 	id, _, _ := strings.Cut(history, "/")
 	n, err := strconv.ParseUint(id, 16, 64)
@@ -85,8 +88,8 @@
 	return n, nil
 }
 
-// follows tells whether who gives a header may be behind what was seen.
-func (t *Tracker) follows(h *etcdserverpb.ResponseHeader) error {
+// validateHeader checks that the sender of a header belongs to the cluster and is not behind what was seen.
+func (t *Tracker) validateHeader(h *etcdserverpb.ResponseHeader) error {
 	switch {
 	case h == nil:
 		return fmt.Errorf("%w: no header", ErrProtocol)
@@ -103,49 +106,49 @@
 	return nil
 }
 
-func (t *Tracker) note(h *etcdserverpb.ResponseHeader) {
+func (t *Tracker) recordHeader(h *etcdserverpb.ResponseHeader) {
 	t.cluster, t.term = h.ClusterId, max(t.term, h.RaftTerm)
 }
 
-// List takes all keys as they were at a revision.
+// ApplyList replaces the keys by all keys as they were at a revision.
 func (t *Tracker) ApplyList(h *etcdserverpb.ResponseHeader, rev int64, kvs []*mvccpb.KeyValue) (u Update, err error) {
-	if err := t.follows(h); err != nil {
+	if err := t.validateHeader(h); err != nil {
 		return u, err
 	}
 	if rev < t.rev || rev > h.Revision {
 		return u, fmt.Errorf("%w: a list at %d, from a member at %d, after %d", ErrProtocol, rev, h.Revision, t.rev)
 	}
-	if len(kvs) > t.most+1 { // and the one that confirms
-		return u, fmt.Errorf("%w: %d, at most %d can be taken", ErrTooManyKeys, len(kvs), t.most)
+	if len(kvs) > t.maxHosts+1 { // one more for ConfirmKey
+		return u, fmt.Errorf("%w: %d, at most %d can be taken", ErrTooManyKeys, len(kvs), t.maxHosts)
 	}
 	for _, kv := range kvs {
-		// What stands since before the last revision that is sure must have been there then.
-		if kv.ModRevision <= t.sure && t.keys[string(kv.Key)].mod != kv.ModRevision {
+		// A key that was last changed up to the verified revision must have been known then.
+		if kv.ModRevision <= t.verifiedRev && t.keys[string(kv.Key)].modRevision != kv.ModRevision {
 			return u, fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrForeignHistory, kv.Key, kv.ModRevision,
-				t.keys[string(kv.Key)].mod, t.sure)
+				t.keys[string(kv.Key)].modRevision, t.verifiedRev)
 		}
 	}
 	next := make(map[string]key, len(kvs))
 	u = Update{Whole: true, Revision: rev}
 	for _, kv := range kvs {
-		k, odd := t.read(kv)
-		if odd != "" {
-			u.Unusable = append(u.Unusable, odd)
+		k, problem := t.parse(kv)
+		if problem != "" {
+			u.Unusable = append(u.Unusable, problem)
 		}
 		next[string(kv.Key)] = k
-		t.confirmed(kv, &u)
+		t.parseConfirm(kv, &u)
 	}
-	t.keys, t.rev, t.sure = next, rev, rev
-	t.note(h)
+	t.keys, t.rev, t.verifiedRev = next, rev, rev
+	t.recordHeader(h)
 	u.Hosts = t.Hosts()
 	return u, nil
 }
 
-// Hosts are all that the keys list, by name.
+// Hosts returns all hosts that the keys describe, sorted by name.
 func (t *Tracker) Hosts() []dispatch.Host {
 	hosts := make([]dispatch.Host, 0, len(t.keys))
 	for _, k := range t.keys {
-		if k.good {
+		if k.hasHost {
 			hosts = append(hosts, k.host)
 		}
 	}
@@ -153,10 +156,10 @@
 	return hosts
 }
 
-// read reads one key's value. One that cannot be used leaves the host as it was.
-func (t *Tracker) read(kv *mvccpb.KeyValue) (k key, odd string) {
+// parse parses the value of a key. One that cannot be used leaves the host as it was.
+func (t *Tracker) parse(kv *mvccpb.KeyValue) (k key, problem string) {
 	name := strings.TrimPrefix(string(kv.Key), t.prefix)
-	k = key{mod: kv.ModRevision, sum: xxhash.Sum64(kv.Value)}
+	k = key{modRevision: kv.ModRevision, sum: xxhash.Sum64(kv.Value)}
 	if name == ConfirmKey {
 		return k, ""
 	}
@@ -169,17 +172,17 @@
 		err = errors.New("status Gone: delete the key")
 	}
 	if err == nil {
-		k.host, k.good = h, true
+		k.host, k.hasHost = h, true
 		return k, ""
 	}
-	if old := t.keys[string(kv.Key)]; old.good {
-		k.host, k.good, k.stale = old.host, true, true
+	if old := t.keys[string(kv.Key)]; old.hasHost {
+		k.host, k.hasHost, k.stale = old.host, true, true
 	}
 	return k, fmt.Sprintf("%s: %v", kv.Key, err)
 }
 
-// confirmed notes what is confirmed.
-func (t *Tracker) confirmed(kv *mvccpb.KeyValue, u *Update) {
+// parseConfirm stores the value of ConfirmKey in an update.
+func (t *Tracker) parseConfirm(kv *mvccpb.KeyValue, u *Update) {
 	if string(kv.Key) != t.prefix+ConfirmKey {
 		return
 	}
@@ -191,11 +194,11 @@
 	}
 }
 
-// Events takes changes as a watch tells them: all of the revisions that they are of. Those that were seen before are
-// passed over.
+// ApplyEvents applies the events of a watch, which must include all of each revision. Events that were seen before
+// are skipped.
 func (t *Tracker) ApplyEvents(h *etcdserverpb.ResponseHeader, events []*mvccpb.Event) (list []Update, err error) {
 	if h == nil || t.cluster != h.ClusterId {
-		return nil, t.follows(h)
+		return nil, t.validateHeader(h)
 	}
 	last := int64(0)
 	for _, e := range events {
@@ -208,11 +211,11 @@
 			return nil, fmt.Errorf("%w: a change at %d told after one at %d", ErrProtocol, e.Kv.ModRevision, last)
 		}
 		last = e.Kv.ModRevision
-		if last > t.sure && last <= t.rev && !t.seen(e) {
+		if last > t.verifiedRev && last <= t.rev && !t.alreadySeen(e) {
 			return nil, fmt.Errorf("%w: %q at %d, told after %d", ErrMissedChange, e.Kv.Key, last, t.rev)
 		}
 	}
-	if err := t.follows(h); err != nil && !errors.Is(err, ErrBehind) { // what comes twice is told by an older header
+	if err := t.validateHeader(h); err != nil && !errors.Is(err, ErrBehind) { // repeated events may come with an older header
 		return nil, err
 	}
 	for len(events) > 0 {
@@ -221,7 +224,7 @@
 			n++
 		}
 		if rev > t.rev {
-			u, err := t.change(rev, events[:n])
+			u, err := t.applyRevision(rev, events[:n])
 			if err != nil {
 				return list, err
 			}
@@ -229,43 +232,43 @@
 		}
 		events = events[n:]
 	}
-	t.note(h)
+	t.recordHeader(h)
 	return list, nil
 }
 
-// seen tells whether a change of a revision that is past is known, or what came after it.
-func (t *Tracker) seen(e *mvccpb.Event) bool {
-	k, there := t.keys[string(e.Kv.Key)]
+// alreadySeen reports whether an event at a past revision, or a later one for the same key, is known.
+func (t *Tracker) alreadySeen(e *mvccpb.Event) bool {
+	k, exists := t.keys[string(e.Kv.Key)]
 	if e.Type == mvccpb.Event_DELETE {
-		return !there || k.mod > e.Kv.ModRevision
+		return !exists || k.modRevision > e.Kv.ModRevision
 	}
-	return there && k.mod >= e.Kv.ModRevision
+	return exists && k.modRevision >= e.Kv.ModRevision
 }
 
-// change takes the changes of one revision.
-func (t *Tracker) change(rev int64, events []*mvccpb.Event) (u Update, err error) {
+// applyRevision applies the events of one revision.
+func (t *Tracker) applyRevision(rev int64, events []*mvccpb.Event) (u Update, err error) {
 	u.Revision = rev
 	for _, e := range events {
 		name := string(e.Kv.Key)
-		old, there := t.keys[name]
+		old, exists := t.keys[name]
 		if e.Type == mvccpb.Event_DELETE {
 			delete(t.keys, name)
-			if old.good {
+			if old.hasHost {
 				old.host.Status = dispatch.Removed
 				u.Hosts = append(u.Hosts, old.host)
 			}
 			continue
 		}
-		if !there && len(t.keys) > t.most {
-			return u, fmt.Errorf("%w: over %d", ErrTooManyKeys, t.most)
+		if !exists && len(t.keys) > t.maxHosts {
+			return u, fmt.Errorf("%w: over %d", ErrTooManyKeys, t.maxHosts)
 		}
-		k, odd := t.read(e.Kv)
-		if odd != "" {
-			u.Unusable = append(u.Unusable, odd)
+		k, problem := t.parse(e.Kv)
+		if problem != "" {
+			u.Unusable = append(u.Unusable, problem)
 		}
 		t.keys[name] = k
-		t.confirmed(e.Kv, &u)
-		if k.good && !k.stale {
+		t.parseConfirm(e.Kv, &u)
+		if k.hasHost && !k.stale {
 			u.Hosts = append(u.Hosts, k.host)
 		}
 	}
@@ -274,55 +277,56 @@
 	return u, nil
 }
 
-// Progress takes a word that all changes up to the header's revision were told.
+// ApplyProgress records that all changes up to the header's revision were received.
 func (t *Tracker) ApplyProgress(h *etcdserverpb.ResponseHeader) error {
-	if err := t.follows(h); err != nil {
+	if err := t.validateHeader(h); err != nil {
 		return err
 	}
 	t.rev = h.Revision
-	t.note(h)
+	t.recordHeader(h)
 	return nil
 }
 
-// Check is what the keys must be at a revision.
+// Check holds the expected keys at a revision.
 type Check struct {
-	Revision int64
-	mods     map[string]int64
-	sure     int64
+	Revision     int64
+	modRevisions map[string]int64
+	verifiedRev  int64
 }
 
-// Check gives what a list of the keys at Revision must show, for as long as it takes to get one.
+// BeginCheck returns what a list of the keys at the present revision must contain. It stays valid while such a
+// list is being read.
 func (t *Tracker) BeginCheck() *Check {
-	c := &Check{t.rev, make(map[string]int64, len(t.keys)), t.sure}
+	c := &Check{t.rev, make(map[string]int64, len(t.keys)), t.verifiedRev}
 	for name, k := range t.keys {
-		c.mods[name] = k.mod
+		c.modRevisions[name] = k.modRevision
 	}
 	return c
 }
 
-// Checked takes the keys as they were at the check's revision; values are not looked at.
+// FinishCheck compares the keys as they were at the check's revision with the expected ones, but not their values.
 func (t *Tracker) FinishCheck(c *Check, h *etcdserverpb.ResponseHeader, kvs []*mvccpb.KeyValue) error {
 	if h == nil || t.cluster != h.ClusterId || h.Revision < c.Revision || h.RaftTerm < t.term {
-		if err := t.follows(h); err != nil {
+		if err := t.validateHeader(h); err != nil {
 			return err
 		}
 	}
-	left := maps.Clone(c.mods)
+	missing := maps.Clone(c.modRevisions)
 	for _, kv := range kvs {
-		mod, there := left[string(kv.Key)]
-		if there && mod == kv.ModRevision {
-			delete(left, string(kv.Key))
+		mod, exists := missing[string(kv.Key)]
+		if exists && mod == kv.ModRevision {
+			delete(missing, string(kv.Key))
 			continue
 		}
-		if kv.ModRevision <= c.sure {
-			return fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrForeignHistory, kv.Key, kv.ModRevision, mod, c.sure)
+		if kv.ModRevision <= c.verifiedRev {
+			return fmt.Errorf("%w: %q is of revision %d, was of %d at %d", ErrForeignHistory, kv.Key, kv.ModRevision, mod, c.verifiedRev)
 		}
 		return fmt.Errorf("%w: %q at %d", ErrMissedChange, kv.Key, kv.ModRevision)
 	}
-	for name := range left {
+	for name := range missing {
 		return fmt.Errorf("%w: the end of %q, up to %d", ErrMissedChange, name, c.Revision)
 	}
-	t.sure = max(t.sure, c.Revision)
-	t.note(h)
+	t.verifiedRev = max(t.verifiedRev, c.Revision)
+	t.recordHeader(h)
 	return nil
 }
