--- a/internal/node/downstream/httpserver/crossing_test.go
+++ b/internal/node/downstream/httpserver/crossing_test.go
@@ -284,8 +284,8 @@
 // beginLastCalls has the gate begin the last calls and waits until the connections that are idle have been ended.
 func (b *bench) beginLastCalls() {
 	swept := make(chan struct{})
-	b.gate.Hook(driver.Hooks{Announce: func() {}, Refuse: func() {}, Finish: func() {}, CloseIdle: func() { b.Sweep(); close(swept) }})
-	b.gate.Stop(shutdown.Times{Accept: 10, Kill: 1000, Answers: 500, End: 100})
+	b.gate.SetHooks(driver.Hooks{Announce: func() {}, StopAccepting: func() {}, Finish: func() {}, CloseIdle: func() { b.Sweep(); close(swept) }})
+	b.gate.Stop(shutdown.Times{AcceptFor: 10, KillAfter: 1000, FinishBeforeKill: 500, End: 100})
 	b.clock.Advance(10)
 	<-swept
 }
--- a/internal/node/downstream/httpserver/eviction.go
+++ b/internal/node/downstream/httpserver/eviction.go
@@ -86,9 +86,9 @@
 	now, limits := s.clock.Now(), s.limits.Load()
 	limit := limits.Idle
 	switch policy := s.gate.Policy(); {
-	case policy.EndIdle:
+	case policy.CloseIdle:
 		limit = 0
-	case !policy.Replaceable:
+	case !policy.CanReconnect:
 		limit = math.Inf(1)
 	}
 	var free, slow []*conn
@@ -117,7 +117,7 @@
 // retireAfterLastCalls ends a connection that has just become idle if the node already ends those: the sweep that did so may have
 // found this one busy, and no later one may come before the node ends.
 func (c *conn) retireAfterLastCalls() {
-	if c.server.gate.Policy().EndIdle {
+	if c.server.gate.Policy().CloseIdle {
 		go c.retire(false, 0)
 	}
 }
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -45,7 +45,7 @@
 	c.server.mu.Lock()
 	ready := c.server.ready
 	c.server.mu.Unlock()
-	ready = ready && c.server.gate.Policy().Up
+	ready = ready && c.server.gate.Policy().Ready
 	switch {
 	case string(m.Method) != "GET" && string(m.Method) != "HEAD":
 		c.write(m, text(405, "Allow: GET, HEAD\r\n", "this wants GET"))
--- a/internal/node/downstream/httpserver/response.go
+++ b/internal/node/downstream/httpserver/response.go
@@ -97,13 +97,13 @@
 	policy := c.server.gate.Policy()
 	c.server.mu.Lock()
 	// Clients may hold only so many, and some hold on to what they do not use again.
-	crowded := c.server.askers >= c.server.set.Crowded && policy.Replaceable
+	crowded := c.server.askers >= c.server.set.Crowded && policy.CanReconnect
 	c.server.mu.Unlock()
 	if c.upload != nil { // the rest of the request is not wanted any more
 		c.upload.Drop()
 		c.upload, c.overflowed = nil, true
 	}
-	c.closes = m.Close || c.once || c.overflowed || crowded || policy.EndAnswered
+	c.closes = m.Close || c.once || c.overflowed || crowded || policy.CloseAfterResponse
 }
 
 // answered does, under the lock, what follows when all of an answer was written.
--- a/internal/node/downstream/thriftserver/crossing_test.go
+++ b/internal/node/downstream/thriftserver/crossing_test.go
@@ -118,7 +118,7 @@
 	t.Cleanup(func() { _ = raw.Close() })
 	end := <-accepted
 	swept := make(chan struct{})
-	gate.Hook(driver.Hooks{Announce: func() {}, Refuse: func() {}, Finish: func() {}, CloseIdle: func() { server.Sweep(); close(swept) }})
+	gate.SetHooks(driver.Hooks{Announce: func() {}, StopAccepting: func() {}, Finish: func() {}, CloseIdle: func() { server.Sweep(); close(swept) }})
 	// Nobody knows the method, so that it is answered at once.
 	_, err = raw.Write(thrift.Append(nil, thrift.Outgoing{Message: mapping.Compose("nothing", mapping.Info{ID: []byte("q"), Deadline: 900}, nil), Seq: 1}))
 	require.NoError(t, err)
@@ -127,7 +127,7 @@
 	require.NoError(t, err)
 	end.mu.Lock() // as when a further call has been answered, to which the policy of before the last calls was applied
 	end.slot.Enter(connlimit.StateBusy, manual.Now())
-	gate.Stop(shutdown.Times{Accept: 10, Kill: 1000, Answers: 500, End: 100})
+	gate.Stop(shutdown.Times{AcceptFor: 10, KillAfter: 1000, FinishBeforeKill: 500, End: 100})
 	manual.Advance(10)
 	<-swept
 	end.settle()
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -72,9 +72,9 @@
 func (s *Server) Sweep() {
 	limit := s.limiter.IdleLimit()
 	switch policy := s.gate.Policy(); {
-	case policy.EndIdle:
+	case policy.CloseIdle:
 		limit = 0
-	case !policy.Replaceable:
+	case !policy.CanReconnect:
 		limit = math.Inf(1)
 	}
 	s.limiter.Sweep(limit)
@@ -170,7 +170,7 @@
 // retireAfterLastCalls ends a connection that has just become idle if the node already ends those: the sweep that did so may have
 // found this one busy, and no later one may come before the node ends.
 func (c *conn) retireAfterLastCalls() {
-	if c.server.gate.Policy().EndIdle {
+	if c.server.gate.Policy().CloseIdle {
 		go c.CloseIfIdle()
 	}
 }
@@ -286,7 +286,7 @@
 		return
 	}
 	policy := c.server.gate.Policy()
-	if last := c.once || policy.EndAnswered || policy.Replaceable && c.server.limiter.Crowded(); last && len(c.open) == 0 && c.next == nil && c.reader.Idle() {
+	if last := c.once || policy.CloseAfterResponse || policy.CanReconnect && c.server.limiter.Crowded(); last && len(c.open) == 0 && c.next == nil && c.reader.Idle() {
 		c.end()
 	}
 }
--- a/internal/node/drain/duty.go
+++ b/internal/node/drain/drain.go
@@ -8,38 +8,38 @@
 
 // Times are milliseconds after the drain.
 type Times struct {
-	EndAnswered float64 // from then on an answer ends its connection,
-	EndIdle     float64 // one that carries no call ends,
-	Refuse      float64 // and a call that comes is refused
+	CloseAfterResponse float64 // from then on an answer ends its connection,
+	CloseIdle          float64 // one that carries no call ends,
+	RefuseCalls        float64 // and a call that comes is refused
 }
 
 // Policy is how clients are to be treated now.
-type Policy struct{ Up, EndAnswered, EndIdle, Refuse bool }
+type Policy struct{ Ready, CloseAfterResponse, CloseIdle, RefuseCalls bool }
 
-// Duty is whether a node is drained. The zero value serves.
-type Duty struct {
+// State is whether a node is drained. The zero value serves.
+type State struct {
 	drained bool
 	since   float64
 }
 
 // Drain begins a drain; one that is on goes on as it began.
-func (d *Duty) Drain(now float64) {
+func (d *State) Drain(now float64) {
 	if !d.drained {
-		*d = Duty{true, now}
+		*d = State{true, now}
 	}
 }
 
 // Activate ends it.
-func (d *Duty) Activate() { *d = Duty{} }
+func (d *State) Activate() { *d = State{} }
 
 // Since tells when the drain began that is on.
-func (d *Duty) Since() (at float64, drained bool) { return d.since, d.drained }
+func (d *State) Since() (at float64, drained bool) { return d.since, d.drained }
 
 // Policy is how clients are to be treated at a time.
-func (d *Duty) Policy(now float64, t Times) Policy {
+func (d *State) Policy(now float64, t Times) Policy {
 	if !d.drained {
-		return Policy{Up: true}
+		return Policy{Ready: true}
 	}
 	age := now - d.since
-	return Policy{EndAnswered: age >= t.EndAnswered, EndIdle: age >= t.EndIdle, Refuse: age >= t.Refuse}
+	return Policy{CloseAfterResponse: age >= t.CloseAfterResponse, CloseIdle: age >= t.CloseIdle, RefuseCalls: age >= t.RefuseCalls}
 }
--- /dev/null
+++ b/internal/node/drain/drain_test.go
@@ -0,0 +1,26 @@
+package drain
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Guards against a drain that ends connections before the front has noticed, one that goes on for ever when it is undone, and a
+// second call that begins it anew.
+func TestDrain(t *testing.T) {
+	var d State
+	times := Times{CloseAfterResponse: 900, CloseIdle: 1400, RefuseCalls: 1900}
+	assert.Equal(t, Policy{Ready: true}, d.Policy(5000, times))
+	d.Drain(5000)
+	assert.Equal(t, Policy{}, d.Policy(5000, times))
+	d.Drain(5800)
+	assert.Equal(t, Policy{CloseAfterResponse: true}, d.Policy(5900, times))
+	assert.Equal(t, Policy{CloseAfterResponse: true, CloseIdle: true}, d.Policy(6400, times))
+	assert.Equal(t, Policy{CloseAfterResponse: true, CloseIdle: true, RefuseCalls: true}, d.Policy(6900, times))
+	d.Activate()
+	d.Activate()
+	assert.Equal(t, Policy{Ready: true}, d.Policy(7000, times))
+	d.Drain(8000)
+	assert.Equal(t, Policy{}, d.Policy(8100, times))
+}
--- a/internal/node/shutdown/driver/gate.go
+++ b/internal/node/shutdown/driver/gate.go
@@ -15,10 +15,10 @@
 // Hooks carry out orders. They are called one after the other, from a goroutine of their own: what they do may well
 // end connections and calls, which tell the gate in turn. Refuse has another one.
 type Hooks struct {
-	Announce  func() // the node is not to be given clients any more
-	Refuse    func() // take no new connections; it returns when those that have come are in
-	CloseIdle func() // end connections that carry no call
-	Finish    func() // give every open call its final answer
+	Announce      func() // the node is not to be given clients any more
+	StopAccepting func() // take no new connections; it returns when those that have come are in
+	CloseIdle     func() // end connections that carry no call
+	Finish        func() // give every open call its final answer
 }
 
 // Gate lets connections and calls in for as long as they can be served. All of its methods may be called from any
@@ -28,14 +28,14 @@
 	hooks Hooks
 	ended chan struct{} // closed when the node is to end
 
-	mu      sync.Mutex
-	machine *shutdown.Machine
-	duty    drain.Duty
-	drain   drain.Times
-	timer   func() // stops the timer
-	due     float64
-	orders  []shutdown.Orders // not carried out yet,
-	working bool              // but somebody is at it
+	mu         sync.Mutex
+	machine    *shutdown.Machine
+	drainState drain.State
+	drain      drain.Times
+	timer      func() // stops the timer
+	due        float64
+	actions    []shutdown.Actions // not carried out yet,
+	working    bool               // but somebody is at it
 }
 
 // New makes the gate of a node that serves; see stop.New for usual.
@@ -44,13 +44,13 @@
 }
 
 // Hook sets who carries out orders, before the first signal.
-func (g *Gate) Hook(h Hooks) { g.hooks = h }
+func (g *Gate) SetHooks(h Hooks) { g.hooks = h }
 
 // Stop takes the signal to stop. A further one changes nothing.
 func (g *Gate) Stop(t shutdown.Times) { g.event(func(now float64) { g.machine.Stop(now, t) }) }
 
 // Yield takes the news that another process accepts.
-func (g *Gate) Yield(t shutdown.Times) { g.event(func(now float64) { g.machine.Yield(now, t) }) }
+func (g *Gate) HandOver(t shutdown.Times) { g.event(func(now float64) { g.machine.HandOver(now, t) }) }
 
 // Ended is closed when the node is to end.
 func (g *Gate) Ended() <-chan struct{} { return g.ended }
@@ -64,7 +64,7 @@
 // Take tells whether a call is taken, and when that was, and counts it in.
 func (g *Gate) Take(class int, deadline float64, alone bool) (now float64, ok bool) {
 	g.event(func(at float64) {
-		now, ok = at, !g.duty.Policy(at, g.drain).Refuse && g.machine.Take(at, class, deadline, alone)
+		now, ok = at, !g.drainState.Policy(at, g.drain).RefuseCalls && g.machine.Admit(at, class, deadline, alone)
 	})
 	return now, ok
 }
@@ -77,16 +77,16 @@
 // Policy is how the connections of clients are to be treated now, for the stop and for the node's duty.
 type Policy struct {
 	shutdown.Policy
-	Up bool // the front may be told to send clients
+	Ready bool // the front may be told to send clients
 }
 
 // Policy is the present one.
 func (g *Gate) Policy() Policy {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p, d := Policy{Policy: g.machine.Policy()}, g.duty.Policy(g.clock.Now(), g.drain)
-	p.Up = p.Replaceable && d.Up
-	p.EndAnswered, p.EndIdle = p.EndAnswered || d.EndAnswered, p.EndIdle || d.EndIdle
+	p, d := Policy{Policy: g.machine.Policy()}, g.drainState.Policy(g.clock.Now(), g.drain)
+	p.Ready = p.CanReconnect && d.Ready
+	p.CloseAfterResponse, p.CloseIdle = p.CloseAfterResponse || d.CloseAfterResponse, p.CloseIdle || d.CloseIdle
 	return p
 }
 
@@ -94,28 +94,28 @@
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.duty.Drain(g.clock.Now())
+	g.drainState.Drain(g.clock.Now())
 }
 
 // Activate takes clients again.
 func (g *Gate) Activate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.duty.Activate()
+	g.drainState.Activate()
 }
 
 // Drained tells since when clients are sent away.
 func (g *Gate) Drained() (since float64, drained bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.duty.Since()
+	return g.drainState.Since()
 }
 
 // DrainedSince takes over a drain that began at a time at another process of the node.
-func (g *Gate) DrainedSince(at float64) {
+func (g *Gate) RestoreDrain(at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.duty.Drain(at)
+	g.drainState.Drain(at)
 }
 
 // event tells the machine what has happened and carries out what follows from it.
@@ -127,8 +127,8 @@
 		g.mu.Unlock()
 		return
 	}
-	if orders := g.machine.Step(now); orders != (shutdown.Orders{}) {
-		g.orders = append(g.orders, orders)
+	if orders := g.machine.Step(now); orders != (shutdown.Actions{}) {
+		g.actions = append(g.actions, orders)
 		if !g.working {
 			g.working = true
 			go g.work()
@@ -148,29 +148,29 @@
 func (g *Gate) work() {
 	for {
 		g.mu.Lock()
-		if g.working = len(g.orders) > 0; !g.working {
+		if g.working = len(g.actions) > 0; !g.working {
 			g.mu.Unlock()
 			return
 		}
-		o := g.orders[0]
-		g.orders = g.orders[1:]
+		o := g.actions[0]
+		g.actions = g.actions[1:]
 		g.mu.Unlock()
-		g.carryOut(o)
+		g.execute(o)
 	}
 }
 
 // refuse has new connections refused and tells the machine when none comes any more.
-func (g *Gate) refuse() {
-	g.hooks.Refuse()
-	g.event(func(float64) { g.machine.Refused() })
+func (g *Gate) stopAccepting() {
+	g.hooks.StopAccepting()
+	g.event(func(float64) { g.machine.AcceptingStopped() })
 }
 
 // carryOut does what the machine orders.
-func (g *Gate) carryOut(o shutdown.Orders) {
+func (g *Gate) execute(o shutdown.Actions) {
 	for _, order := range []struct {
 		given bool
 		hook  func()
-	}{{o.Announce, g.hooks.Announce}, {o.Refuse, func() { go g.refuse() }}, {o.CloseIdle, g.hooks.CloseIdle},
+	}{{o.Announce, g.hooks.Announce}, {o.StopAccepting, func() { go g.stopAccepting() }}, {o.CloseIdle, g.hooks.CloseIdle},
 		{o.Finish, g.hooks.Finish}, {o.End, func() { close(g.ended) }}} {
 		if order.given {
 			order.hook()
--- a/internal/node/shutdown/driver/gate_test.go
+++ b/internal/node/shutdown/driver/gate_test.go
@@ -13,14 +13,14 @@
 	"linenwheel.dev/linenwheel/internal/node/shutdown"
 )
 
-var times = shutdown.Times{Accept: 500, Kill: 2700, Answers: 150, End: 50}
+var times = shutdown.Times{AcceptFor: 500, KillAfter: 2700, FinishBeforeKill: 150, End: 50}
 
 // hooked gives a gate whose orders are told on a channel, and the clock it goes by.
 func hooked(c clock.Clock) (*Gate, chan string) {
 	did := make(chan string, 8)
 	g := New([]float64{600}, drain.Times{}, c)
 	tell := func(what string) func() { return func() { did <- what } }
-	g.Hook(Hooks{Announce: tell("announce"), Refuse: tell("refuse"), CloseIdle: tell("idle"), Finish: tell("finish")})
+	g.SetHooks(Hooks{Announce: tell("announce"), StopAccepting: tell("refuse"), CloseIdle: tell("idle"), Finish: tell("finish")})
 	return g, did
 }
 
--- a/internal/node/shutdown/stop_test.go
+++ b/internal/node/shutdown/shutdown_test.go
@@ -27,23 +27,23 @@
 		ms := func(lo, hi float64) func(string) float64 {
 			return func(name string) float64 { return rapid.Float64Range(lo, hi).Draw(t, name) }
 		}
-		set := Times{Accept: ms(0, 1000)("accept"), Kill: ms(100, 4000)("kill"), Answers: ms(0, 300)("answers"),
+		set := Times{AcceptFor: ms(0, 1000)("accept"), KillAfter: ms(100, 4000)("kill"), FinishBeforeKill: ms(0, 300)("answers"),
 			End: ms(1, 60)("end")}
 		m := New([]float64{ms(1, 2000)("usual"), ms(1, 2000)("usual")})
 		now, kill := 1000.0, math.Inf(1)
 		refused := false
 		conns, open, last := 0, map[int]int{}, 0 // open calls by number, with their class
-		var did Orders
+		var did Actions
 		var step func()
 		step = func() {
 			was := m.Phase()
 			o := m.Step(now)
 			require.GreaterOrEqual(t, m.Phase(), was)
-			for _, twice := range []bool{o.Announce && did.Announce, o.Refuse && did.Refuse, o.Finish && did.Finish,
+			for _, twice := range []bool{o.Announce && did.Announce, o.StopAccepting && did.StopAccepting, o.Finish && did.Finish,
 				o.CloseIdle && did.CloseIdle, o.End && did.End} {
 				require.False(t, twice, "ordered twice")
 			}
-			did = Orders{did.Announce || o.Announce, did.Refuse || o.Refuse, did.CloseIdle || o.CloseIdle,
+			did = Actions{did.Announce || o.Announce, did.StopAccepting || o.StopAccepting, did.CloseIdle || o.CloseIdle,
 				did.Finish || o.Finish, did.End || o.End}
 			if o.Finish {
 				require.Less(t, now, kill)
@@ -74,7 +74,7 @@
 			},
 			"signal": func(*rapid.T) {
 				m.Stop(now, set)
-				kill = min(kill, now+set.Kill)
+				kill = min(kill, now+set.KillAfter)
 				step()
 			},
 			"yield": func(t *rapid.T) {
@@ -82,18 +82,18 @@
 					t.Skip()
 				}
 				long := set
-				long.Kill, long.Accept = ms(3000, 9000)("long"), 0
-				m.Yield(now, long)
-				kill = now + long.Kill
-				require.Equal(t, Policy{EndAnswered: true, Replaceable: true}, m.Policy())
+				long.KillAfter, long.AcceptFor = ms(3000, 9000)("long"), 0
+				m.HandOver(now, long)
+				kill = now + long.KillAfter
+				require.Equal(t, Policy{CloseAfterResponse: true, CanReconnect: true}, m.Policy())
 				step()
 			},
 			"refused": func(t *rapid.T) {
-				if !did.Refuse || refused {
+				if !did.StopAccepting || refused {
 					t.Skip()
 				}
 				refused = true
-				m.Refused()
+				m.AcceptingStopped()
 				step()
 			},
 			"connect": func(t *rapid.T) { // while those that wait are taken too
@@ -117,8 +117,8 @@
 				if m.Phase() == Ended || conns <= len(open) {
 					t.Skip()
 				}
-				if m.Take(now, class, now+ms(1, 6000)("deadline"), true) {
-					require.Less(t, m.Phase(), LastCalls)
+				if m.Admit(now, class, now+ms(1, 6000)("deadline"), true) {
+					require.Less(t, m.Phase(), RefusingCalls)
 					last++
 					open[last] = class
 				}
@@ -139,18 +139,18 @@
 		}
 		t.Repeat(act)
 		m.Stop(now, set)
-		kill = min(kill, now+set.Kill)
+		kill = min(kill, now+set.KillAfter)
 		for step(); m.Phase() != Ended; step() {
 			require.False(t, math.IsInf(m.Next(), 1), "it waits for ever")
 			now = max(now, m.Next())
 		}
-		assert.False(t, m.Take(now, 0, now+100, true))
+		assert.False(t, m.Admit(now, 0, now+100, true))
 	})
 }
 
 func served(m *Machine, class int, took ...float64) {
 	for _, ms := range took {
-		m.Take(0, class, 1e9, true)
+		m.Admit(0, class, 1e9, true)
 		m.Answered(class, ms, true, true)
 	}
 }
@@ -159,35 +159,35 @@
 // before the final answers, and a slow class ends sooner than a quick one.
 func TestServesForAsLongAsAnswersCome(t *testing.T) {
 	m := New([]float64{1500, 600})
-	set := Times{Accept: 500, Kill: 2700, Answers: 150, End: 50}
+	set := Times{AcceptFor: 500, KillAfter: 2700, FinishBeforeKill: 150, End: 50}
 	for range 300 {
 		served(m, 0, 300, 500)
 		served(m, 1, 80, 120)
 	}
 	m.Connected(true)
 	m.Stop(1000, set)
-	assert.Equal(t, Orders{Announce: true}, m.Step(1000))
+	assert.Equal(t, Actions{Announce: true}, m.Step(1000))
 	m.Stop(1600, set) // the second signal is no news
 	assert.Equal(t, 1500.0, m.Next())
-	assert.Equal(t, Orders{Refuse: true}, m.Step(1500))
-	m.Refused()
-	assert.True(t, m.Take(3000, 0, 5000, true), "550 ms before the final answers")
-	assert.False(t, m.Take(3200, 0, 5000, true), "350 ms before")
-	assert.True(t, m.Take(3200, 0, 3300, true), "it ends sooner by itself")
-	assert.True(t, m.Take(3400, 1, 5000, true))
+	assert.Equal(t, Actions{StopAccepting: true}, m.Step(1500))
+	m.AcceptingStopped()
+	assert.True(t, m.Admit(3000, 0, 5000, true), "550 ms before the final answers")
+	assert.False(t, m.Admit(3200, 0, 5000, true), "350 ms before")
+	assert.True(t, m.Admit(3200, 0, 3300, true), "it ends sooner by itself")
+	assert.True(t, m.Admit(3400, 1, 5000, true))
 	assert.InDelta(t, 3550-120, m.Next(), 3)
-	assert.Equal(t, Holding, m.Phase())
-	assert.Equal(t, Orders{CloseIdle: true}, m.Step(3435))
-	assert.Equal(t, LastCalls, m.Phase())
-	assert.False(t, m.Take(3435, 1, 3436, true))
-	assert.Equal(t, Orders{Finish: true}, m.Step(3550))
+	assert.Equal(t, AcceptClosed, m.Phase())
+	assert.Equal(t, Actions{CloseIdle: true}, m.Step(3435))
+	assert.Equal(t, RefusingCalls, m.Phase())
+	assert.False(t, m.Admit(3435, 1, 3436, true))
+	assert.Equal(t, Actions{Finish: true}, m.Step(3550))
 	for range 3 {
 		m.Answered(0, 100, false, true)
 	}
-	assert.Equal(t, Orders{}, m.Step(3560), "an answer may be on its way")
+	assert.Equal(t, Actions{}, m.Step(3560), "an answer may be on its way")
 	assert.Equal(t, 3650.0, m.Next())
 	m.Disconnected(true)
-	assert.Equal(t, Orders{End: true}, m.Step(3570))
+	assert.Equal(t, Actions{End: true}, m.Step(3570))
 }
 
 // Guards against a client that finds no free connection while it cannot connect: fronts take the node for dead then.
@@ -196,15 +196,15 @@
 	for range 64 {
 		m.Connected(true)
 	}
-	m.Stop(1000, Times{Sure: 200, Accept: 500, Kill: 3000})
+	m.Stop(1000, Times{ConnectableFor: 200, AcceptFor: 500, KillAfter: 3000})
 	taken := 0
-	for m.Take(1200, 0, 2200, true) {
+	for m.Admit(1200, 0, 2200, true) {
 		taken++
 	}
 	assert.Equal(t, 50, taken, "of 64")
-	assert.True(t, m.Take(1199, 0, 2000, true), "more can connect")
+	assert.True(t, m.Admit(1199, 0, 2000, true), "more can connect")
 	m = New([]float64{1500})
 	m.Connected(true)
-	m.Stop(1000, Times{Kill: 3000})
-	assert.True(t, m.Take(1300, 0, 2300, true), "of a few all are used")
+	m.Stop(1000, Times{KillAfter: 3000})
+	assert.True(t, m.Admit(1300, 0, 2300, true), "of a few all are used")
 }
--- a/node/door.go
+++ b/node/door.go
@@ -44,7 +44,7 @@
 func drainTimes(o *Options) drain.Times {
 	p := &o.Platform
 	refuse := max(0, p.DrainOver.Ms-p.DrainQuiet.Ms-o.North.HTTP.SweepEvery.Ms)
-	return drain.Times{EndAnswered: refuse / 2, EndIdle: refuse * 3 / 4, Refuse: refuse}
+	return drain.Times{CloseAfterResponse: refuse / 2, CloseIdle: refuse * 3 / 4, RefuseCalls: refuse}
 }
 
 // open opens the operators' door, where the platform names one.
@@ -237,7 +237,7 @@
 	if k.Drained == nil {
 		n.gate.Activate()
 	} else {
-		n.gate.DrainedSince(*k.Drained)
+		n.gate.RestoreDrain(*k.Drained)
 	}
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
--- a/node/node.go
+++ b/node/node.go
@@ -233,7 +233,7 @@
 	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
 	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
 	side = n.north
-	n.gate.Hook(driver.Hooks{Announce: n.announce, Refuse: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
+	n.gate.SetHooks(driver.Hooks{Announce: n.announce, StopAccepting: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
 	close(ready)
 	if err := n.secondSide(set, seed, &o, room, calls, sparse); err != nil {
 		return nil, err
@@ -569,7 +569,7 @@
 			n.log.Info("the node answers what it owes and ends: another process accepts")
 			n.loop.StopAccepting() // at once: what waits there is the other one's
 			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.Open()+yieldSpare))
-			n.gate.Yield(n.yieldTimes())
+			n.gate.HandOver(n.yieldTimes())
 		case <-n.gate.Ended():
 			if left := n.unanswered(); left > 0 {
 				return &UnansweredError{left}
@@ -602,22 +602,22 @@
 // times are those of a stop that begins now.
 func (n *Node) times() shutdown.Times {
 	o := n.opts.Load()
-	return shutdown.Times{Sure: o.Platform.ConnectSure.Ms, Accept: o.Service.AcceptFor.Ms,
-		Answers: o.Service.AnswersAhead.Ms, End: o.Service.EndAhead.Ms,
-		Kill: min(n.conf.MaxDeadline, o.Platform.LongestCounted.Ms) + o.Platform.KillAfter.Ms}
+	return shutdown.Times{ConnectableFor: o.Platform.ConnectSure.Ms, AcceptFor: o.Service.AcceptFor.Ms,
+		FinishBeforeKill: o.Service.AnswersAhead.Ms, End: o.Service.EndAhead.Ms,
+		KillAfter: min(n.conf.MaxDeadline, o.Platform.LongestCounted.Ms) + o.Platform.KillAfter.Ms}
 }
 
 // yieldTimes are those of a handover that begins now: nobody kills the node, and clients leave as they find that their
 // connections end.
 func (n *Node) yieldTimes() shutdown.Times {
 	t, o := n.times(), n.opts.Load()
-	t.Accept, t.Kill = 0, o.North.HTTP.IdleAfter.Ms+n.conf.MaxDeadline+o.Service.YieldRest.Ms+t.Answers
+	t.AcceptFor, t.KillAfter = 0, o.North.HTTP.IdleAfter.Ms+n.conf.MaxDeadline+o.Service.YieldRest.Ms+t.FinishBeforeKill
 	return t
 }
 
 func (n *Node) announce() {
 	t := n.times()
-	n.log.Info("the node is stopping", "connections_ms", t.Accept, "most_ms", t.Kill-t.End)
+	n.log.Info("the node is stopping", "connections_ms", t.AcceptFor, "most_ms", t.KillAfter-t.End)
 }
 
 // refuse takes no new clients, on either side: one may have to wait for places.
