--- a/internal/node/drain/drain.go
+++ b/internal/node/drain/drain.go
@@ -1,41 +1,44 @@
-// Package drain decides what the clients of a drained node get: one that its operators have taken out of the front's hands, and
-// that goes on running. It is pure: no clock, no lock, no I/O; its state is one time. The end of the process is package stop's.
+// Package drain decides how a drained node treats its clients: a node that its operators have taken out of the
+// load balancer's rotation and that keeps running. The package is pure: no clock, no lock, no I/O; its state is
+// one point in time. Package shutdown decides how the process ends.
 //
-// From the drain on the front is told no. For a while all else stays, for the front goes on sending until it has noticed; then
-// each answer ends its connection, then idle connections end, and at last a call that still comes is refused. So, at the time
-// by which a drain has to be over, no connection is idle or carries a call of the time before.
+// From the start of the drain the node reports to the front, the platform's load balancer, that it is not ready.
+// At first nothing else changes, because the front keeps sending requests until it has noticed. Then each response
+// closes its connection, then idle connections are closed, and finally calls that still arrive are refused. So by
+// the time at which a drain has to be complete, no connection is idle, and none carries a call from before the
+// drain.
 package drain
 
-// Times are milliseconds after the drain.
+// Times are the steps of a drain, in milliseconds after its start.
 type Times struct {
-	CloseAfterResponse float64 // from then on an answer ends its connection,
-	CloseIdle          float64 // one that carries no call ends,
-	RefuseCalls        float64 // and a call that comes is refused
+	CloseAfterResponse float64 // from here on each response closes its connection
+	CloseIdle          float64 // from here on connections without an open call are closed
+	RefuseCalls        float64 // from here on new calls are refused
 }
 
-// Policy is how clients are to be treated now.
+// Policy tells how to treat clients at one point in time.
 type Policy struct{ Ready, CloseAfterResponse, CloseIdle, RefuseCalls bool }
 
-// State is whether a node is drained. The zero value serves.
+// State records whether a node is drained. The zero value is a node in service.
 type State struct {
 	drained bool
 	since   float64
 }
 
-// Drain begins a drain; one that is on goes on as it began.
+// Drain starts a drain. It does not restart one that is in progress.
 func (d *State) Drain(now float64) {
 	if !d.drained {
 		*d = State{true, now}
 	}
 }
 
-// Activate ends it.
+// Activate ends the drain.
 func (d *State) Activate() { *d = State{} }
 
-// Since tells when the drain began that is on.
+// Since returns when the drain in progress started, and whether there is one.
 func (d *State) Since() (at float64, drained bool) { return d.since, d.drained }
 
-// Policy is how clients are to be treated at a time.
+// Policy returns how to treat clients at the time now.
 func (d *State) Policy(now float64, t Times) Policy {
 	if !d.drained {
 		return Policy{Ready: true}
--- a/internal/node/drain/drain_test.go
+++ b/internal/node/drain/drain_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a drain that ends connections before the front has noticed, one that goes on for ever when it is undone, and a
-// second call that begins it anew.
+// Guards against a drain that closes connections before the front has noticed it, one that continues after
+// Activate, and a second Drain call that restarts the drain.
 func TestDrain(t *testing.T) {
 	var d State
 	times := Times{CloseAfterResponse: 900, CloseIdle: 1400, RefuseCalls: 1900}
--- a/internal/node/shutdown/driver/gate.go
+++ b/internal/node/shutdown/driver/gate.go
@@ -1,6 +1,6 @@
-// Package driver is the node's side of package stop: it owns the machine's lock, its clock and its timers, and has its
-// orders carried out. Fronts tell it of connections, the core asks it about calls. It holds one timer and, while a stop
-// is on, two goroutines at the most.
+// Package driver runs the state machine of package shutdown in a node: it owns the machine's lock, clock and
+// timers, and carries out its actions. The fronts report connections to it, and the core asks it to admit calls.
+// It holds one timer and, during a stop, at most two goroutines.
 package driver
 
 import (
@@ -12,21 +12,21 @@
 	"linenwheel.dev/linenwheel/internal/node/shutdown"
 )
 
-// Hooks carry out orders. They are called one after the other, from a goroutine of their own: what they do may well
-// end connections and calls, which tell the gate in turn. Refuse has another one.
+// Hooks carry out actions. They are called one after the other from a goroutine of their own, because they may
+// close connections and end calls, which calls back into the gate. StopAccepting has a goroutine to itself.
 type Hooks struct {
-	Announce      func() // the node is not to be given clients any more
-	StopAccepting func() // take no new connections; it returns when those that have come are in
-	CloseIdle     func() // end connections that carry no call
-	Finish        func() // give every open call its final answer
+	Announce      func() // report that the node should get no new clients
+	StopAccepting func() // stop accepting; it returns once all pending connections have been accepted
+	CloseIdle     func() // close the connections without an open call
+	Finish        func() // give every open call its final response
 }
 
-// Gate lets connections and calls in for as long as they can be served. All of its methods may be called from any
+// Gate admits connections and calls for as long as they can be served. All of its methods may be called from any
 // goroutine.
 type Gate struct {
 	clock clock.Clock
 	hooks Hooks
-	ended chan struct{} // closed when the node is to end
+	ended chan struct{} // closed when the node has to end
 
 	mu         sync.Mutex
 	machine    *shutdown.Machine
@@ -34,53 +34,54 @@
 	drain      drain.Times
 	timer      func() // stops the timer
 	due        float64
-	actions    []shutdown.Actions // not carried out yet,
-	working    bool               // but somebody is at it
+	actions    []shutdown.Actions // not carried out yet
+	working    bool               // a goroutine is carrying them out
 }
 
-// New makes the gate of a node that serves; see stop.New for usual.
+// New returns the gate of a node in service; see shutdown.New for usual.
 func New(usual []float64, drainTimes drain.Times, c clock.Clock) *Gate {
 	return &Gate{clock: c, drain: drainTimes, machine: shutdown.New(usual), ended: make(chan struct{}), timer: func() {}}
 }
 
-// Hook sets who carries out orders, before the first signal.
+// SetHooks sets the functions that carry out actions. It is called before the first signal.
 func (g *Gate) SetHooks(h Hooks) { g.hooks = h }
 
-// Stop takes the signal to stop. A further one changes nothing.
+// Stop starts the stop. Further calls change nothing.
 func (g *Gate) Stop(t shutdown.Times) { g.event(func(now float64) { g.machine.Stop(now, t) }) }
 
-// Yield takes the news that another process accepts.
+// HandOver records that another process accepts in place of this one.
 func (g *Gate) HandOver(t shutdown.Times) { g.event(func(now float64) { g.machine.HandOver(now, t) }) }
 
-// Ended is closed when the node is to end.
+// Ended returns a channel that is closed when the node has to end.
 func (g *Gate) Ended() <-chan struct{} { return g.ended }
 
-// Connected counts a client's connection in; alone is one that carries no more than a call at a time.
-func (g *Gate) Connected(alone bool) { g.event(func(float64) { g.machine.Connected(alone) }) }
+// Connected records a new client connection; serial means that it carries at most one call at a time.
+func (g *Gate) Connected(serial bool) { g.event(func(float64) { g.machine.Connected(serial) }) }
 
-// Disconnected counts one out.
-func (g *Gate) Disconnected(alone bool) { g.event(func(float64) { g.machine.Disconnected(alone) }) }
+// Disconnected records the end of a connection.
+func (g *Gate) Disconnected(serial bool) { g.event(func(float64) { g.machine.Disconnected(serial) }) }
 
-// Take tells whether a call is taken, and when that was, and counts it in.
-func (g *Gate) Take(class int, deadline float64, alone bool) (now float64, ok bool) {
+// Take reports whether a call is admitted, and returns the time of the decision. It counts the call if it is
+// admitted.
+func (g *Gate) Take(class int, deadline float64, serial bool) (now float64, ok bool) {
 	g.event(func(at float64) {
-		now, ok = at, !g.drainState.Policy(at, g.drain).RefuseCalls && g.machine.Admit(at, class, deadline, alone)
+		now, ok = at, !g.drainState.Policy(at, g.drain).RefuseCalls && g.machine.Admit(at, class, deadline, serial)
 	})
 	return now, ok
 }
 
-// Answered counts out a call that was taken at a time.
-func (g *Gate) Answered(class int, since float64, served, alone bool) {
-	g.event(func(now float64) { g.machine.Answered(class, now-since, served, alone) })
+// Answered records the end of a call that was admitted at the time since.
+func (g *Gate) Answered(class int, since float64, served, serial bool) {
+	g.event(func(now float64) { g.machine.Answered(class, now-since, served, serial) })
 }
 
-// Policy is how the connections of clients are to be treated now, for the stop and for the node's duty.
+// Policy tells how to treat the connections of clients, considering both the stop and a drain.
 type Policy struct {
 	shutdown.Policy
-	Ready bool // the front may be told to send clients
+	Ready bool // the readiness endpoint may tell the front to send clients
 }
 
-// Policy is the present one.
+// Policy returns the current policy.
 func (g *Gate) Policy() Policy {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -90,35 +91,35 @@
 	return p
 }
 
-// Drain sends clients away until Activate; the stop goes its own way.
+// Drain drains clients until Activate is called. It does not affect a stop.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.drainState.Drain(g.clock.Now())
 }
 
-// Activate takes clients again.
+// Activate ends the drain.
 func (g *Gate) Activate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.drainState.Activate()
 }
 
-// Drained tells since when clients are sent away.
+// Drained returns whether the node is drained, and since when.
 func (g *Gate) Drained() (since float64, drained bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.drainState.Since()
 }
 
-// DrainedSince takes over a drain that began at a time at another process of the node.
+// RestoreDrain continues a drain that another process of the node began at a given time.
 func (g *Gate) RestoreDrain(at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.drainState.Drain(at)
 }
 
-// event tells the machine what has happened and carries out what follows from it.
+// event reports an event to the machine and carries out the actions that follow from it.
 func (g *Gate) event(what func(now float64)) {
 	g.mu.Lock()
 	now := g.clock.Now()
@@ -127,8 +128,8 @@
 		g.mu.Unlock()
 		return
 	}
-	if orders := g.machine.Step(now); orders != (shutdown.Actions{}) {
-		g.actions = append(g.actions, orders)
+	if actions := g.machine.Step(now); actions != (shutdown.Actions{}) {
+		g.actions = append(g.actions, actions)
 		if !g.working {
 			g.working = true
 			go g.work()
@@ -137,14 +138,14 @@
 	if next := g.machine.Next(); next != g.due {
 		g.timer()
 		if g.due = next; !math.IsInf(next, 1) {
-			// Times are rounded, so one may ring a little early: it is set again then.
+			// Times are rounded, so a timer may fire slightly early; it is then set again.
 			g.timer = g.clock.At(next, func() { g.event(func(float64) { g.due = 0 }) })
 		}
 	}
 	g.mu.Unlock()
 }
 
-// work carries out orders until there are none.
+// work carries out actions until none are left.
 func (g *Gate) work() {
 	for {
 		g.mu.Lock()
@@ -159,21 +160,21 @@
 	}
 }
 
-// refuse has new connections refused and tells the machine when none comes any more.
+// stopAccepting stops accepting and reports to the machine when no further connection can arrive.
 func (g *Gate) stopAccepting() {
 	g.hooks.StopAccepting()
 	g.event(func(float64) { g.machine.AcceptingStopped() })
 }
 
-// carryOut does what the machine orders.
+// execute carries out the machine's actions in order.
 func (g *Gate) execute(o shutdown.Actions) {
-	for _, order := range []struct {
-		given bool
-		hook  func()
+	for _, action := range []struct {
+		requested bool
+		hook      func()
 	}{{o.Announce, g.hooks.Announce}, {o.StopAccepting, func() { go g.stopAccepting() }}, {o.CloseIdle, g.hooks.CloseIdle},
 		{o.Finish, g.hooks.Finish}, {o.End, func() { close(g.ended) }}} {
-		if order.given {
-			order.hook()
+		if action.requested {
+			action.hook()
 		}
 	}
 }
--- a/internal/node/shutdown/driver/gate_test.go
+++ b/internal/node/shutdown/driver/gate_test.go
@@ -15,31 +15,31 @@
 
 var times = shutdown.Times{AcceptFor: 500, KillAfter: 2700, FinishBeforeKill: 150, End: 50}
 
-// hooked gives a gate whose orders are told on a channel, and the clock it goes by.
+// hooked returns a gate whose actions are sent on a channel.
 func hooked(c clock.Clock) (*Gate, chan string) {
 	did := make(chan string, 8)
 	g := New([]float64{600}, drain.Times{}, c)
-	tell := func(what string) func() { return func() { did <- what } }
-	g.SetHooks(Hooks{Announce: tell("announce"), StopAccepting: tell("refuse"), CloseIdle: tell("idle"), Finish: tell("finish")})
+	action := func(name string) func() { return func() { did <- name } }
+	g.SetHooks(Hooks{Announce: action("announce"), StopAccepting: action("refuse"), CloseIdle: action("idle"), Finish: action("finish")})
 	return g, did
 }
 
-// early is a clock whose alarms ring a rounding error before their time, once for each time.
+// early is a clock whose timers fire a rounding error before their time, once for each time.
 type early struct {
 	*clock.Manual
-	rang map[float64]bool
+	fired map[float64]bool
 }
 
 func (e early) At(when float64, f func()) func() {
-	if !e.rang[when] {
-		e.rang[when] = true
+	if !e.fired[when] {
+		e.fired[when] = true
 		when -= 0.001
 	}
 	return e.Manual.At(when, f)
 }
 
-// Guards against a stop that stands still because a timer rang a little early and was not set again.
-func TestTimerThatRingsEarly(t *testing.T) {
+// Guards against a stop that hangs because a timer fired slightly early and was not set again.
+func TestTimerThatFiresEarly(t *testing.T) {
 	c := clock.NewManual(1e12)
 	g, did := hooked(early{c, map[float64]bool{}})
 	g.Connected(true)
@@ -47,7 +47,7 @@
 	require.Equal(t, "announce", <-did)
 	for _, want := range []string{"refuse", "idle", "finish"} {
 		c.Advance(c.Next() - c.Now())
-		require.False(t, math.IsInf(c.Next(), 1), "it is not set again for "+want)
+		require.False(t, math.IsInf(c.Next(), 1), "the timer was not set again for "+want)
 		c.Advance(c.Next() - c.Now())
 		require.Equal(t, want, <-did)
 	}
@@ -55,9 +55,10 @@
 	<-g.Ended()
 }
 
-// Guards against a call that is taken while the stop begins, or while its final answers are given, and is not counted; and
-// against one that is taken after that. Whatever comes first, the other knows of it: all go through one lock.
-func TestTakeAgainstStop(t *testing.T) {
+// Guards against a call that is admitted while the stop begins, or while the final responses are given, and is not
+// counted; and against one that is admitted after that. All events go through one lock, so whichever comes second
+// sees the effect of the first.
+func TestTakeConcurrentWithStop(t *testing.T) {
 	for range 200 {
 		c := clock.NewManual(1e12)
 		g, did := hooked(c)
@@ -68,12 +69,12 @@
 		both.Go(func() { g.Stop(times) })
 		both.Wait()
 		require.Equal(t, "announce", <-did)
-		require.True(t, taken, "answers still come in time")
+		require.True(t, taken, "a response can still arrive in time")
 		c.Advance(500)
 		require.Equal(t, "refuse", <-did)
 		both.Go(func() { c.Advance(2050) })
 		both.Go(func() {
-			if _, ok := g.Take(0, 1e12+501, true); ok { // while it can be answered
+			if _, ok := g.Take(0, 1e12+501, true); ok { // it can still be answered in time
 				g.Answered(0, c.Now(), true, true)
 			}
 		})
@@ -85,7 +86,7 @@
 		g.Answered(0, 1e12, false, true)
 		select {
 		case <-g.Ended():
-			require.Fail(t, "somebody may still wait for an answer on its way")
+			require.Fail(t, "ended while a response may not be delivered yet")
 		case <-time.After(0):
 		}
 		g.Disconnected(true)
--- a/internal/node/shutdown/shutdown_test.go
+++ b/internal/node/shutdown/shutdown_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the histories that are tried.
+// TestMain fixes the seed, so that each run tries the same histories.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "8"); err != nil {
@@ -20,9 +20,10 @@
 	os.Exit(m.Run())
 }
 
-// Guards, whatever comes in which order, against a call taken that is still open when the kill may come, an answer owed to
-// nobody or given twice, a node that ends late, early or while somebody could still ask, and a phase that goes back.
-func TestWhateverTheOrder(t *testing.T) {
+// Guards, for every order of events, against an admitted call that is still open when the kill may come, a
+// response that no call waits for or that is given twice, a node that ends late, early or while a client could still
+// send a call, and a phase that goes back.
+func TestInvariantsInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(lo, hi float64) func(string) float64 {
 			return func(name string) float64 { return rapid.Float64Range(lo, hi).Draw(t, name) }
@@ -41,7 +42,7 @@
 			require.GreaterOrEqual(t, m.Phase(), was)
 			for _, twice := range []bool{o.Announce && did.Announce, o.StopAccepting && did.StopAccepting, o.Finish && did.Finish,
 				o.CloseIdle && did.CloseIdle, o.End && did.End} {
-				require.False(t, twice, "ordered twice")
+				require.False(t, twice, "action requested twice")
 			}
 			did = Actions{did.Announce || o.Announce, did.StopAccepting || o.StopAccepting, did.CloseIdle || o.CloseIdle,
 				did.Finish || o.Finish, did.End || o.End}
@@ -55,15 +56,15 @@
 				return
 			}
 			if o.End {
-				require.Less(t, now, kill, "killed")
+				require.Less(t, now, kill, "the node was killed before it ended")
 				require.Empty(t, open)
-				require.True(t, refused || now >= kill-set.End, "it still took connections")
+				require.True(t, refused || now >= kill-set.End, "the node ended while it still accepted connections")
 			}
 			require.Equal(t, len(open), m.Calls())
-			require.False(t, refused && m.Phase() < Ended && conns == 0 && len(open) == 0, "left running")
+			require.False(t, refused && m.Phase() < Ended && conns == 0 && len(open) == 0, "the node still runs with nothing left to do")
 		}
 		act := map[string]func(*rapid.T){
-			"time": func(t *rapid.T) { // passes, and Step comes late by no more than the slack each time
+			"time": func(t *rapid.T) { // time passes, and each Step is late by less than the margin before the kill
 				for to := now + ms(0, 400)("ms"); ; step() {
 					if m.Next() > to {
 						now = to
@@ -96,7 +97,7 @@
 				m.AcceptingStopped()
 				step()
 			},
-			"connect": func(t *rapid.T) { // while those that wait are taken too
+			"connect": func(t *rapid.T) { // pending connections are still accepted
 				if refused || m.Phase() == Ended {
 					t.Skip()
 				}
@@ -141,7 +142,7 @@
 		m.Stop(now, set)
 		kill = min(kill, now+set.KillAfter)
 		for step(); m.Phase() != Ended; step() {
-			require.False(t, math.IsInf(m.Next(), 1), "it waits for ever")
+			require.False(t, math.IsInf(m.Next(), 1), "Step is never due, although the node has not ended")
 			now = max(now, m.Next())
 		}
 		assert.False(t, m.Admit(now, 0, now+100, true))
@@ -155,9 +156,9 @@
 	}
 }
 
-// Guards against time given away between the signal and the kill: a class is taken for as long as its answers still come
-// before the final answers, and a slow class ends sooner than a quick one.
-func TestServesForAsLongAsAnswersCome(t *testing.T) {
+// Guards against serving time lost between the signal and the kill: a class is admitted for as long as its
+// responses still arrive before the final ones, so a slow class is refused earlier than a fast one.
+func TestAdmitsWhileResponsesArriveInTime(t *testing.T) {
 	m := New([]float64{1500, 600})
 	set := Times{AcceptFor: 500, KillAfter: 2700, FinishBeforeKill: 150, End: 50}
 	for range 300 {
@@ -167,13 +168,13 @@
 	m.Connected(true)
 	m.Stop(1000, set)
 	assert.Equal(t, Actions{Announce: true}, m.Step(1000))
-	m.Stop(1600, set) // the second signal is no news
+	m.Stop(1600, set) // a second signal changes nothing
 	assert.Equal(t, 1500.0, m.Next())
 	assert.Equal(t, Actions{StopAccepting: true}, m.Step(1500))
 	m.AcceptingStopped()
-	assert.True(t, m.Admit(3000, 0, 5000, true), "550 ms before the final answers")
-	assert.False(t, m.Admit(3200, 0, 5000, true), "350 ms before")
-	assert.True(t, m.Admit(3200, 0, 3300, true), "it ends sooner by itself")
+	assert.True(t, m.Admit(3000, 0, 5000, true), "550 ms before the final responses")
+	assert.False(t, m.Admit(3200, 0, 5000, true), "350 ms before the final responses")
+	assert.True(t, m.Admit(3200, 0, 3300, true), "the call's own deadline is earlier")
 	assert.True(t, m.Admit(3400, 1, 5000, true))
 	assert.InDelta(t, 3550-120, m.Next(), 3)
 	assert.Equal(t, AcceptClosed, m.Phase())
@@ -184,14 +185,15 @@
 	for range 3 {
 		m.Answered(0, 100, false, true)
 	}
-	assert.Equal(t, Actions{}, m.Step(3560), "an answer may be on its way")
+	assert.Equal(t, Actions{}, m.Step(3560), "a response may not be delivered yet")
 	assert.Equal(t, 3650.0, m.Next())
 	m.Disconnected(true)
 	assert.Equal(t, Actions{End: true}, m.Step(3570))
 }
 
-// Guards against a client that finds no free connection while it cannot connect: fronts take the node for dead then.
-func TestLastFreeConnectionsAreLeft(t *testing.T) {
+// Guards against a client that has no free connection while it cannot open one: fronts then consider the node
+// dead.
+func TestReserveOfFreeConnections(t *testing.T) {
 	m := New([]float64{1500})
 	for range 64 {
 		m.Connected(true)
@@ -202,9 +204,9 @@
 		taken++
 	}
 	assert.Equal(t, 50, taken, "of 64")
-	assert.True(t, m.Admit(1199, 0, 2000, true), "more can connect")
+	assert.True(t, m.Admit(1199, 0, 2000, true), "clients can still connect")
 	m = New([]float64{1500})
 	m.Connected(true)
 	m.Stop(1000, Times{KillAfter: 3000})
-	assert.True(t, m.Admit(1300, 0, 2300, true), "of a few all are used")
+	assert.True(t, m.Admit(1300, 0, 2300, true), "with few connections there is no reserve")
 }
