--- a/cmd/linenwheel/newcomer_test.go
+++ b/cmd/linenwheel/newcomer_test.go
@@ -99,11 +99,11 @@
 
 	var k node.Knowledge // a state of its own, of a time when all was well
 	require.NoError(t, json.Unmarshal(known.Knowledge, &k))
-	known.Node, k.Node, known.Saved, k.At, k.Pilot.Module.At = "n4", "n4", known.Saved-60e3, k.At-60e3, k.Pilot.Module.At-60e9
-	for i := range k.Pilot.Module.Backends {
-		k.Pilot.Module.Backends[i].Away, k.Pilot.Module.Backends[i].Until = false, 0
+	known.Node, k.Node, known.Saved, k.At, k.Dispatcher.Module.At = "n4", "n4", known.Saved-60e3, k.At-60e3, k.Dispatcher.Module.At-60e9
+	for i := range k.Dispatcher.Module.Backends {
+		k.Dispatcher.Module.Backends[i].Away, k.Dispatcher.Module.Backends[i].Until = false, 0
 	}
-	k.Pilot.Module.Zones = nil
+	k.Dispatcher.Module.Zones = nil
 	known.Knowledge = must(json.Marshal(k))
 	dir := t.TempDir()
 	require.NoError(t, statedir.Replace(filepath.Join(dir, "state"), must(statedir.Encode(known))))
--- a/internal/node/daemon/beside.go
+++ b/internal/node/daemon/beside.go
@@ -71,13 +71,13 @@
 // holds takes how many descriptors the process before keeps to: the rest is this one's.
 func (d *daemon) holds(descriptors int) {
 	<-d.made
-	d.node.Confine(d.set.Config.Sockets-descriptors, beside)
+	d.node.LimitResources(d.set.Config.Sockets-descriptors, beside)
 }
 
 // whole has the node use all that the platform gives it: no other process is there.
 func (d *daemon) whole() {
 	<-d.made
-	d.node.Confine(d.set.Config.Sockets, 1)
+	d.node.LimitResources(d.set.Config.Sockets, 1)
 }
 
 var errEarly = errors.New("it is not up yet")
@@ -93,7 +93,7 @@
 	case <-time.After(time.Second):
 		return errEarly
 	}
-	return d.node.Obey(o)
+	return d.node.ApplyOrder(o)
 }
 
 // pass has the node's other processes obey an order.
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -112,7 +112,7 @@
 		}
 		listener = own
 	}
-	if d.mark, err = node.NamesMark(set.Config, set.Options); err != nil {
+	if d.mark, err = node.KeyFingerprint(set.Config, set.Options); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -148,21 +148,21 @@
 		}
 	}
 	if heritage == nil && d.asks(extra.Known) {
-		if extra.Lessons, err = d.learn(signals.End); err != nil {
+		if extra.FromPeers, err = d.learn(signals.End); err != nil {
 			return err
 		}
-		extra.Hold = extra.Hold || len(extra.Lessons) > 0 // what is learned is taken before the first client
+		extra.Hold = extra.Hold || len(extra.FromPeers) > 0 // what is learned is taken before the first client
 	}
 	if d.node, err = node.New(set.Config, extra); err != nil {
 		return err
 	}
 	if heritage != nil {
-		d.node.Confine(set.Config.Sockets-heritage.Held, beside)
+		d.node.LimitResources(set.Config.Sockets-heritage.Held, beside)
 		if heritage.Names {
-			d.node.AwaitNames(d.take.Names)
+			d.node.AwaitKeys(d.take.Names)
 		}
 	}
-	d.node.PassOrders(d.pass)
+	d.node.ForwardOrders(d.pass)
 	close(d.made)
 	return d.run(ctx, stop, signals)
 }
@@ -208,12 +208,12 @@
 		Mark:  d.mark,
 		Names: func(names json.RawMessage) {
 			<-d.made // only a process that has accepted is told of names
-			d.node.BeforeSays(names)
+			d.node.ReceiveFromPredecessor(names)
 		},
 		Cut: func(alive bool) {
 			go func() {
 				<-d.made
-				d.node.BeforeGone(alive)
+				d.node.PredecessorGone(alive)
 			}()
 		},
 	})
@@ -238,7 +238,7 @@
 func (d *daemon) alone() {
 	go func() {
 		<-d.made
-		d.node.Alone()
+		d.node.PredecessorExited()
 	}()
 }
 
@@ -308,7 +308,7 @@
 		d.orders = nil
 		d.mu.Unlock()
 		for _, o := range orders { // which its last word may not hold yet
-			_ = d.node.Obey(o)
+			_ = d.node.ApplyOrder(o)
 		}
 	}
 	d.node.StartAccepting()
@@ -348,7 +348,7 @@
 		case why = <-failed:
 			failed = nil
 			d.keeper.release()
-			d.node.Yield() // at once, where nothing was accepted
+			d.node.HandOver() // at once, where nothing was accepted
 		case s := <-signals.End:
 			select {
 			case <-owner: // it came at the same time
@@ -440,7 +440,7 @@
 	if d.manager.Watchdog() <= 0 {
 		return
 	}
-	stations, err := d.node.Stations()
+	stations, err := d.node.WatchdogChecks()
 	if err != nil {
 		d.log.Error("the watchdog cannot be fed", "error", err)
 		return
--- a/internal/node/daemon/host.go
+++ b/internal/node/daemon/host.go
@@ -54,12 +54,12 @@
 	} else {
 		h.d.manager.Stopping("another process has taken over")
 	}
-	h.d.node.Yield()
+	h.d.node.HandOver()
 }
 
 // Lend leaves its part to another process of the node that is coming up.
 func (h host) Lend() {
-	h.d.node.Confine(h.d.set.Config.Sockets, beside) // it says how many descriptors it holds; the other one takes the rest
+	h.d.node.LimitResources(h.d.set.Config.Sockets, beside) // it says how many descriptors it holds; the other one takes the rest
 }
 
 // Retake is its end.
@@ -79,7 +79,7 @@
 	if r := &h.d.set.Options.Repeats; r.On && r.Journal != "" {
 		return "it recognises repeats with a journal, which only one process may have open"
 	}
-	if h.d.node.Heir() {
+	if h.d.node.AwaitsKeys() {
 		return "the process before it still answers what it owes, and asks here for names of calls"
 	}
 	return ""
@@ -88,7 +88,7 @@
 // Mark is how the node makes the names that it hands over, by the options that hold now. While the secret cannot be read, it is the
 // one of the start.
 func (h host) Mark() string {
-	if mark, err := h.d.node.NamesMark(); err == nil {
+	if mark, err := h.d.node.KeyFingerprint(); err == nil {
 		return mark
 	}
 	return h.d.mark
@@ -98,7 +98,7 @@
 func (h host) GiveNames(send func(json.RawMessage) error) { h.d.node.GiveNames(send) }
 
 // Names takes what the heir says of them.
-func (h host) Names(names json.RawMessage) { h.d.node.HeirSays(names) }
+func (h host) Names(names json.RawMessage) { h.d.node.ReceiveFromSuccessor(names) }
 
 // NamesCut tells that it says no more.
-func (h host) NamesCut() { h.d.node.HeirGone() }
+func (h host) NamesCut() { h.d.node.SuccessorGone() }
--- a/internal/node/daemon/learn.go
+++ b/internal/node/daemon/learn.go
@@ -26,7 +26,7 @@
 // learn asks a few other nodes, one after the other, for what they know, each for its part of state.from_wait. It gives what is
 // of use, and leaves nothing open behind it. A signal to end that comes meanwhile
 // ends this process.
-func (d *daemon) learn(end <-chan os.Signal) (lessons []node.Lesson, err error) {
+func (d *daemon) learn(end <-chan os.Signal) (lessons []node.PeerKnowledge, err error) {
 	o := &d.set.Options.State
 	ctx, stop := context.WithTimeout(context.Background(), time.Duration(o.FromWait.Ms*float64(time.Millisecond)))
 	defer stop()
@@ -70,7 +70,7 @@
 }
 
 // askOne asks one node, of so many that are still to be asked.
-func (d *daemon) askOne(ctx context.Context, door string, left int) (l node.Lesson, err error) {
+func (d *daemon) askOne(ctx context.Context, door string, left int) (l node.PeerKnowledge, err error) {
 	until, _ := ctx.Deadline()
 	ctx, stop := context.WithTimeout(ctx, time.Until(until)/time.Duration(left))
 	defer stop()
@@ -78,5 +78,5 @@
 	if err != nil {
 		return l, err
 	}
-	return node.ReadLesson(text, door, d.set.Config, d.clock.Now(), d.set.Options.State.UseFor.Ms)
+	return node.DecodePeerKnowledge(text, door, d.set.Config, d.clock.Now(), d.set.Options.State.UseFor.Ms)
 }
--- a/node/door.go
+++ b/node/door.go
@@ -67,7 +67,7 @@
 }
 
 // Door is where operators call, empty if nowhere.
-func (n *Node) Door() string {
+func (n *Node) AdminAddress() string {
 	if n.door == nil {
 		return ""
 	}
@@ -75,7 +75,7 @@
 }
 
 // PassOrders has another process of the node obey what operators tell this one, before they get their yes; nil = there is none.
-func (n *Node) PassOrders(f func(Order) error) {
+func (n *Node) ForwardOrders(f func(Order) error) {
 	n.orders.mu.Lock()
 	n.orders.pass = f
 	n.orders.mu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // Obey carries an order out here, whoever gave it. When it returns the order is in force.
-func (n *Node) Obey(o Order) error {
+func (n *Node) ApplyOrder(o Order) error {
 	switch o.Do {
 	case Drain:
 		n.gate.Drain()
@@ -149,7 +149,7 @@
 		n.peers.mu.Lock()
 		defer n.peers.mu.Unlock()
 	}
-	if err := n.Obey(o); err != nil {
+	if err := n.ApplyOrder(o); err != nil {
 		return err
 	}
 	n.countRaters()
@@ -248,7 +248,7 @@
 
 // Confine has the node keep to a part of its configuration's limits: so many descriptors, and a part of the memory. It may be
 // told at any time; what is above goes as it ends.
-func (n *Node) Confine(sockets int, memory float64) {
+func (n *Node) LimitResources(sockets int, memory float64) {
 	o, conf := n.opts.Load(), *n.conf
 	conf.Sockets = min(max(sockets, leastSockets), n.conf.Sockets)
 	room := o.Room(&conf)
--- a/node/handover.go
+++ b/node/handover.go
@@ -18,10 +18,10 @@
 
 // Knowledge is what a node knows of its hosts, as plain data for the process that comes after it.
 type Knowledge struct {
-	Node  string          `json:"node"`
-	Index int64           `json:"index"` // that discovery told last, 0 = none
-	At    float64         `json:"at"`    // when this was so
-	Pilot dispatch.Memory `json:"pilot"`
+	Node       string          `json:"node"`
+	Index      int64           `json:"index"` // that discovery told last, 0 = none
+	At         float64         `json:"at"`    // when this was so
+	Dispatcher dispatch.Memory `json:"pilot"`
 
 	// What operators have ordered.
 	Bans    cordon.Memory `json:"bans"`
@@ -37,7 +37,7 @@
 // Knowledge gives what the node knows now.
 func (n *Node) Knowledge() Knowledge {
 	index, _ := n.watch.Seen()
-	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Pilot: n.pilot.Remember()}
+	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Dispatcher: n.pilot.Remember()}
 	n.orders.mu.Lock()
 	k.Bans = n.orders.book.Remember()
 	n.orders.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // Alone tells that the process has ended whose place this one took.
-func (n *Node) Alone() {
+func (n *Node) PredecessorExited() {
 	if n.names != nil {
 		n.names.PredecessorEnded()
 	}
@@ -67,8 +67,8 @@
 	if k.Node != n.conf.Name {
 		return fmt.Errorf("recalling what was known: it is node %q's", k.Node)
 	}
-	for i := range k.Pilot.Hosts { // as the list has them
-		if h := &k.Pilot.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
+	for i := range k.Dispatcher.Hosts { // as the list has them
+		if h := &k.Dispatcher.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
 			h.Status = dispatch.Ready
 		}
 	}
@@ -77,11 +77,11 @@
 		n.quota.RestoreBalances(n.clock.Now()-k.At, k.Quota)
 	}
 	if n.lists != nil {
-		n.lists.offer(k.Pilot.KnownHosts(), k.At)
-	} else if _, at := n.watch.Seen(); at == 0 && len(k.Pilot.Hosts) > 0 {
-		n.inventory(dispatch.Stored, k.Pilot.KnownHosts())
+		n.lists.offer(k.Dispatcher.KnownHosts(), k.At)
+	} else if _, at := n.watch.Seen(); at == 0 && len(k.Dispatcher.Hosts) > 0 {
+		n.inventory(dispatch.Stored, k.Dispatcher.KnownHosts())
 	}
-	return n.pilot.Recall(k.Pilot)
+	return n.pilot.Recall(k.Dispatcher)
 }
 
 // Ready is closed once each source of the list was asked first, well or not: the node can serve.
@@ -98,7 +98,7 @@
 
 // Yield has the node end because another process accepts in its place: it stops accepting at once, answers all that
 // comes on the connections that there are, and ends them with their answers. Run returns then.
-func (n *Node) Yield() { n.yieldOnce.Do(func() { close(n.yielded) }) }
+func (n *Node) HandOver() { n.yieldOnce.Do(func() { close(n.yielded) }) }
 
 // UnansweredError tells how many calls a node left unanswered at its end.
 type UnansweredError struct{ Calls int }
@@ -109,7 +109,7 @@
 
 // Stations are the loops that have to work for a request to be served, for a watchdog: the poller that reads all
 // sockets, the timers and the module behind the pilot's lock, and the locks of the front and the core.
-func (n *Node) Stations() ([]systemd.Station, error) {
+func (n *Node) WatchdogChecks() ([]systemd.Station, error) {
 	pulse, err := n.loop.Pulse()
 	if err != nil {
 		return nil, err
--- a/node/lesson.go
+++ b/node/lesson.go
@@ -15,14 +15,14 @@
 
 // Lesson is what another node of the fleet knows of the raters: knowledge, and no promise. It holds no order of operators, no
 // quota and no name of a call.
-type Lesson struct {
+type PeerKnowledge struct {
 	From string // the door that gave it
 	Knowledge
 }
 
 // lesson gives what this node knows to one that starts anew, in the form of a state on a disk.
 func (n *Node) lesson() ([]byte, error) {
-	k := Knowledge{Node: n.conf.Name, At: n.clock.Now(), Pilot: n.pilot.Remember().WarmStart()}
+	k := Knowledge{Node: n.conf.Name, At: n.clock.Now(), Dispatcher: n.pilot.Remember().WarmStart()}
 	text, err := json.Marshal(k)
 	if err != nil {
 		return nil, err
@@ -32,7 +32,7 @@
 
 // ReadLesson reads what another node's door gave at a time, and says why it is of no use to a node with this configuration:
 // it is of another form, of another zone, of a clock that differs, or rests on no answer in the last useFor milliseconds.
-func ReadLesson(text []byte, from string, conf *Config, now, useFor float64) (l Lesson, err error) {
+func DecodePeerKnowledge(text []byte, from string, conf *Config, now, useFor float64) (l PeerKnowledge, err error) {
 	s, err := statedir.Decode(text)
 	if err != nil {
 		return l, err
@@ -41,7 +41,7 @@
 	if err := json.Unmarshal(s.Knowledge, &l.Knowledge); err != nil {
 		return l, fmt.Errorf("reading it: %w", err)
 	}
-	m := &l.Pilot.Module
+	m := &l.Dispatcher.Module
 	switch zone := conf.Settings.Zones[conf.Settings.Zone]; {
 	case s.Saved > now+clocksApart || s.Saved < now-clocksApart:
 		return l, fmt.Errorf("its clock is %.0f ms ahead of this node's", s.Saved-now)
@@ -56,8 +56,8 @@
 }
 
 // age is how many milliseconds ago a rater answered last.
-func (l *Lesson) age(now float64) float64 {
-	return now - dispatch.LastObserved(&l.Pilot.Module).Seconds()*1000
+func (l *PeerKnowledge) age(now float64) float64 {
+	return now - dispatch.LastObserved(&l.Dispatcher.Module).Seconds()*1000
 }
 
 // learn takes the lessons, of each host and kind what rests on most. It is called once, when the list is there and before the
@@ -67,7 +67,7 @@
 	n.lessons = nil // they are not small
 	for i := range lessons {
 		l := &lessons[i]
-		if err := n.pilot.ApplyWarmStart(l.Pilot); err != nil {
+		if err := n.pilot.ApplyWarmStart(l.Dispatcher); err != nil {
 			n.log.Warn("what another node knows is not used", "from", l.From, "error", err)
 			continue
 		}
--- a/node/lesson_test.go
+++ b/node/lesson_test.go
@@ -18,7 +18,7 @@
 	o := operators{n}
 	first, err := o.Knowledge()
 	require.NoError(t, err)
-	_, err = ReadLesson(first, "x:1", n.conf, n.clock.Now(), 1e4)
+	_, err = DecodePeerKnowledge(first, "x:1", n.conf, n.clock.Now(), 1e4)
 	require.ErrorContains(t, err, "it has heard no answer")
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
@@ -30,13 +30,13 @@
 	text, err := o.Knowledge()
 	require.NoError(t, err)
 	at := n.clock.Now()
-	l, err := ReadLesson(text, "x:1", n.conf, at, 1e4)
+	l, err := DecodePeerKnowledge(text, "x:1", n.conf, at, 1e4)
 	require.NoError(t, err)
-	assert.Positive(t, l.Pilot.Module.Answers)
+	assert.Positive(t, l.Dispatcher.Module.Answers)
 	assert.Nil(t, l.Drained)
 	assert.Empty(t, l.Bans.Out)
 	assert.Zero(t, l.Life)
-	assert.Empty(t, l.Pilot.Module.Quota)
+	assert.Empty(t, l.Dispatcher.Module.Quota)
 
 	state, err := statedir.Decode(text)
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 		{text, at + 5001, 1e4, n.conf, "its clock is -5001 ms ahead"},
 		{text, at + 4000, 3000, n.conf, "it has heard nothing for"},
 	} {
-		_, err := ReadLesson(bad.text, "x:1", bad.conf, bad.now, bad.useFor)
+		_, err := DecodePeerKnowledge(bad.text, "x:1", bad.conf, bad.now, bad.useFor)
 		assert.ErrorContains(t, err, bad.want)
 	}
 }
--- a/node/names.go
+++ b/node/names.go
@@ -22,7 +22,7 @@
 // NamesMark says how a node makes the names of calls that it hands over to a process which takes its place: two processes of one
 // mark make the same names, with the same room and windows for them. It is empty for a node that hands none over. The error is that
 // of a secret that cannot be read.
-func NamesMark(conf *Config, o *Options) (string, error) {
+func KeyFingerprint(conf *Config, o *Options) (string, error) {
 	if !o.Repeats.On || o.Repeats.Journal != "" || o.Peers.Fleet != "" {
 		return "", nil
 	}
@@ -59,11 +59,11 @@
 }
 
 // NamesMark is the mark of the options that hold now.
-func (n *Node) NamesMark() (string, error) { return NamesMark(n.conf, n.opts.Load()) }
+func (n *Node) KeyFingerprint() (string, error) { return KeyFingerprint(n.conf, n.opts.Load()) }
 
 // AwaitNames has calls that are recognised wait for the names of the process before, which is told things by send. It is for a node
 // that does not accept yet.
-func (n *Node) AwaitNames(send func(json.RawMessage) error) {
+func (n *Node) AwaitKeys(send func(json.RawMessage) error) {
 	if n.repeats == nil {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // Heir tells whether a process before this one can still ask it for names.
-func (n *Node) Heir() bool {
+func (n *Node) AwaitsKeys() bool {
 	n.pass.mu.Lock()
 	defer n.pass.mu.Unlock()
 	return n.pass.heir != nil
@@ -91,7 +91,7 @@
 }
 
 // HeirSays takes what the process that took over says of names, in order.
-func (n *Node) HeirSays(names json.RawMessage) {
+func (n *Node) ReceiveFromSuccessor(names json.RawMessage) {
 	n.pass.mu.Lock()
 	giver := n.pass.giver
 	n.pass.mu.Unlock()
@@ -101,7 +101,7 @@
 }
 
 // HeirGone tells that the process that took over says no more: what must not run twice is refused from here on.
-func (n *Node) HeirGone() {
+func (n *Node) SuccessorGone() {
 	n.pass.mu.Lock()
 	giver := n.pass.giver
 	n.pass.mu.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // BeforeSays takes what the process before says of names, in order.
-func (n *Node) BeforeSays(names json.RawMessage) {
+func (n *Node) ReceiveFromPredecessor(names json.RawMessage) {
 	n.pass.mu.Lock()
 	heir := n.pass.heir
 	n.pass.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // BeforeGone tells that the process before says no more, and whether it goes on.
-func (n *Node) BeforeGone(alive bool) {
+func (n *Node) PredecessorGone(alive bool) {
 	n.pass.mu.Lock()
 	heir := n.pass.heir
 	n.pass.heir = nil
--- a/node/node.go
+++ b/node/node.go
@@ -113,10 +113,10 @@
 	First   []Stage        // before all stages of the node's own
 	Last    []Stage        // after them, directly before the decisions
 
-	Listener net.Listener // where clients connect, the node's own from here on; nil = the node listens itself
-	Hold     bool         // clients wait there until StartAccepting
-	Known    *Knowledge   // what another process of this node knew, nil = nothing
-	Lessons  []Lesson     // what other nodes know, taken when the node is ready, before its first client if Hold is set
+	Listener  net.Listener    // where clients connect, the node's own from here on; nil = the node listens itself
+	Hold      bool            // clients wait there until StartAccepting
+	Known     *Knowledge      // what another process of this node knew, nil = nothing
+	FromPeers []PeerKnowledge // what other nodes know, taken when the node is ready, before its first client if Hold is set
 }
 
 // yieldSpare is how many more connections to hosts than clients' connections a node may hold that another took over from.
@@ -162,7 +162,7 @@
 
 	since     float64            // when it was made
 	known     *Knowledge         // at the start
-	lessons   []Lesson           // until the node is ready
+	lessons   []PeerKnowledge    // until the node is ready
 	fleet     int                // how many instances there are
 	phase     func() float64     // of this node's timers, nil where there are no other nodes
 	beats     chan chan struct{} // each is closed by the timers' goroutine when it has been through the pilot
@@ -185,7 +185,7 @@
 	if faults := options.Check(o, conf); len(faults) > 0 {
 		return nil, faults[0]
 	}
-	n := &Node{conf: conf, clock: c, level: extra.Level, known: extra.Known, lessons: extra.Lessons, poke: make(chan struct{}, 1),
+	n := &Node{conf: conf, clock: c, level: extra.Level, known: extra.Known, lessons: extra.FromPeers, poke: make(chan struct{}, 1),
 		beats: make(chan chan struct{}), ready: make(chan struct{}), since: c.Now(),
 		stopping: make(chan struct{}), yielded: make(chan struct{})}
 	logger := extra.Log
