--- a/cmd/linenwheel/command_test.go
+++ b/cmd/linenwheel/command_test.go
@@ -116,12 +116,12 @@
 	await("the node is ready")
 	write(strings.Replace(good, "127.0.0.1:2", "127.0.0.1:3", 1))
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	await(`the configuration was read again" node="" part=node discovery=127.0.0.1:3 taken=[] waiting=[listen]`)
+	await(`configuration reloaded" node="" part=node discovery=127.0.0.1:3 taken=[] waiting=[listen]`)
 	write("{")
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	await(`the new configuration is bad and the old one stays" node="" part=node error="` + path)
+	await(`configuration reload failed; keeping the previous configuration" node="" part=node error="` + path)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	await("the node has stopped and all is answered")
+	await("node stopped; all requests were answered")
 	assert.Equal(t, 0, <-status)
 }
 
--- a/cmd/linenwheel/newcomer_test.go
+++ b/cmd/linenwheel/newcomer_test.go
@@ -87,7 +87,7 @@
 	require.InDelta(t, 0.5, empty["dead"].Share, 0.01)
 	require.Greater(t, empty["r"].Idle, guess)
 
-	const begins = `msg="the node begins with what another node knows"`
+	const begins = `msg="warm start with state from another node"`
 	from := fmt.Sprintf("from = [%q]\nfrom_wait = \"30s\"\n", door) // however slow the machine is
 	learned, third := s.another("n3", from, begins)
 	require.NotEqual(t, "well", learned["dead"].Health)
--- a/cmd/linenwheel/process_test.go
+++ b/cmd/linenwheel/process_test.go
@@ -621,7 +621,7 @@
 	finish()
 	p.await("the node is ready")
 	feed(path, text)() // what the signal had asked for
-	p.await("the configuration was read again")
+	p.await("configuration reloaded")
 
 	p.signal(syscall.SIGHUP)
 	finish = feed(path, strings.Replace(text, `"listen"`, `"listem"`, 1))
@@ -629,7 +629,7 @@
 	p.signal(syscall.SIGTERM)
 	p.await("the node is stopping")
 	finish() // a bad one, while the node stops
-	p.await("the new configuration is bad and the old one stays")
+	p.await("configuration reload failed; keeping the previous configuration")
 	s.answer <- struct{}{}
 	require.Equal(t, "200 served "+id+"<nil>", <-owed)
 	require.Zero(t, p.end())
--- a/internal/node/daemon/signal_test.go
+++ b/internal/node/daemon/signal_test.go
@@ -41,6 +41,6 @@
 		err := Run(Settings{Config: conf, Options: &o, Log: slog.New(slog.NewTextHandler(&log, nil)), Env: env},
 			Signals{End: end})
 		require.NoError(t, err)
-		require.Contains(t, log.String(), "the node has stopped and all is answered")
+		require.Contains(t, log.String(), "node stopped; all requests were answered")
 	}
 }
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -16,17 +16,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkCall is one call after the other through a whole node on loopback: client, node and rater share the process,
-// so that the allocations are those of all three; the client's and the rater's are none.
+// BenchmarkCall sends one call after the other through a whole node on loopback. Client, node and backend share
+// the process, so the allocations are those of all three; the client and the backend allocate nothing.
 func BenchmarkCall(b *testing.B) { benchmarkCalls(b, nil, 0) }
 
-// BenchmarkRepeats is the same through a node that recognises repeats, with each way to keep them and part of the calls
-// being repeats. Every new call has a name of its own.
+// BenchmarkRepeats is the same through a node that detects repeated requests, for each way to store them and two
+// fractions of repeats among the calls. Every new call has a key of its own.
 func BenchmarkRepeats(b *testing.B) {
 	for _, keep := range []string{"off", "memory", "journal", "recorded"} {
 		for _, part := range []float64{0.001, 0.3} {
 			b.Run(fmt.Sprintf("%s, %g%% repeats", keep, 100*part), func(b *testing.B) {
-				o := knowing()
+				o := idempotentOptions()
 				o.Repeats.On = keep != "off"
 				o.Repeats.Entries, o.Repeats.Bytes.Bytes = 200_000, 16<<20
 				if keep == "journal" || keep == "recorded" {
@@ -42,7 +42,7 @@
 	}
 }
 
-// benchmarkCalls makes calls of which a part repeats the one before, by a header that names them.
+// benchmarkCalls sends calls, a fraction of which repeat the one before; a header carries their key.
 func benchmarkCalls(b *testing.B, o *Options, repeats float64) {
 	rater := answering(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	agent := answering(b, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
@@ -98,7 +98,7 @@
 	<-ended
 }
 
-// answering listens and gives each request with a body of 5 bytes, or none, the same answer.
+// answering listens and sends the same response to each request, which has a body of 5 bytes or none.
 func answering(b *testing.B, answer string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/node/crossing_test.go
+++ b/node/earlyclose_test.go
@@ -9,9 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a request that begins after its client has closed: hundreds have asked and gone before the node accepts any of them,
-// so that it reads each request and the end behind it in one go.
-func TestNothingBeginsForThoseWhoLeftBeforeTheyWereAccepted(t *testing.T) {
+// Guards against a request being started after its client has closed: hundreds of clients have sent a request and
+// closed before the node accepts any of them, so that it reads each request and the end of its connection
+// together.
+func TestClientsThatCloseBeforeAcceptStartNoRequest(t *testing.T) {
 	s, n := startNode(t, Extras{Hold: true}, 1024, []string{"h1"}, "h1")
 	s.Run("d expect /discovery/hosts\n d send 1 whole h1:Ready\n d expect /discovery/hosts?index=1&wait=2000")
 	for i := range 200 {
@@ -29,7 +30,7 @@
 		}
 		return ended == 200 && n.unanswered() == 0
 	}, time.Minute, time.Millisecond)
-	// Whoever asks then is the first that the host hears of.
+	// A later request must be the first that the host receives.
 	s.Run(`
 		a send GET /look/stays id=q deadline=900
 		r expect GET /look/stays id=q
--- a/node/inventory.go
+++ b/node/endpoints.go
@@ -21,61 +21,63 @@
 	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
-// plain hands discovery's list to the pilot as it is. The guard is not asked: by the platform's rules a drain has been
-// told once discovery has written it, so one that is held would only be a rule broken later.
-type plain struct {
-	give func(dispatch.Source, []dispatch.Host)
+// directSink passes discovery's list to the dispatcher unchanged. The removal guard is not consulted: by the
+// platform's rules a drain counts as announced once discovery has written it, so holding one back would only break
+// the rule later.
+type directSink struct {
+	deliver func(dispatch.Source, []dispatch.Host)
 }
 
 // Take passes a list on.
-func (p plain) Take(l discovery.List) error {
+func (p directSink) Take(l discovery.List) error {
 	kind := dispatch.Changes
 	if l.Whole {
 		kind = dispatch.Full
 	}
-	p.give(kind, l.Hosts)
+	p.deliver(kind, l.Hosts)
 	return nil
 }
 
 // Same has nothing to do.
-func (p plain) Same(discovery.List) {}
+func (p directSink) Same(discovery.List) {}
 
-// Away has nothing to do: the last list stays.
-func (p plain) Away(float64) {}
+// Away has nothing to do: the last list stays in use.
+func (p directSink) Away(float64) {}
 
-// firstAsked makes what each of so many sources calls when it was asked first. With the last the node is ready.
-func (n *Node) firstAsked(sources int) func() {
-	left := new(atomic.Int32)
-	left.Store(int32(sources))
+// readyAfter returns the function that each of the given number of sources calls when it has been queried for the
+// first time. The last call makes the node ready.
+func (n *Node) readyAfter(sources int) func() {
+	remaining := new(atomic.Int32)
+	remaining.Store(int32(sources))
 	return func() {
-		if left.Add(-1) == 0 {
-			n.learn()
-			n.north.Ready()
+		if remaining.Add(-1) == 0 {
+			n.applyPeerKnowledge()
+			n.httpServer.Ready()
 			close(n.ready)
 			n.log.Info("the node is ready", "address", n.loop.Addr())
 		}
 	}
 }
 
-// lists is a list of several sources, or one that is guarded or kept.
-type lists struct {
-	keeper  *endpoints.Keeper
-	clock   clock.Clock
-	log     *slog.Logger
-	judge   float64
-	path    string // of the last good list, empty = none
-	every   atomic.Pointer[options.Duration]
-	writer  *lastgood.Writer
-	sources []source // in the order of trust
+// endpointList is the list of endpoints built from several sources, or one that is guarded or saved to a file.
+type endpointList struct {
+	merger        *endpoints.Keeper
+	clock         clock.Clock
+	log           *slog.Logger
+	judgeFor      float64
+	path          string // path of the last good list, empty = not saved
+	writeInterval atomic.Pointer[options.Duration]
+	writer        *lastgood.Writer
+	sources       []source // in the order of trust
 }
 
-// source is one that is asked.
+// source is one source of the list.
 type source struct {
 	run   func(context.Context)
 	limit func(*Options)
 }
 
-// sourcesOf is how the options have each source taken, in the order of trust.
+// sourcesOf returns the configuration of each source that the options name, most trusted first.
 func sourcesOf(o *options.Inventory) (list []merge.Source) {
 	for _, name := range o.Sources() {
 		one := merge.Source{Name: name}
@@ -96,55 +98,57 @@
 	return removalguard.Settings{Share: o.Guard.Share, Window: o.Guard.Window.Ms, Floor: o.Guard.Floor}
 }
 
-// gather makes the list of the sources that the options name. Discovery is asked by watch, which has what all watches need.
-func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*lists, error) {
-	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
-	l.every.Store(&o.Last.Every)
+// newEndpointList creates the list of the sources that the options name. watch becomes the watcher of discovery;
+// its limits, loop and chance are also used for the other sources.
+func newEndpointList(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.Source, []dispatch.Host)) (*endpointList, error) {
+	l := &endpointList{clock: watch.Clock, log: watch.Log, judgeFor: o.Last.JudgeFor.Ms, path: o.Last.Path}
+	l.writeInterval.Store(&o.Last.Every)
 	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
 	if l.path != "" {
-		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.keeper.Record() },
-			Every: func() float64 { return l.every.Load().Ms }}
+		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.merger.Record() },
+			Every: func() float64 { return l.writeInterval.Load().Ms }}
 		settings.Last = l.writer.Changed
 	}
 	var err error
-	if l.keeper, err = endpoints.New(settings, l.clock, l.log); err != nil {
+	if l.merger, err = endpoints.New(settings, l.clock, l.log); err != nil {
 		return nil, err
 	}
 	first := watch.First
 	for i, src := range settings.Sources {
-		feed := l.keeper.Feed(i)
+		feed := l.merger.Feed(i)
 		asked := endpoints.Asked{Feed: feed, Start: l.clock.Now()}
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
-			l.keeper.Asks(i, watch.Look)
-			l.sources = append(l.sources, source{watch.Run, func(*Options) {}}) // the node limits it anyway
+			l.merger.Asks(i, watch.Look)
+			l.sources = append(l.sources, source{watch.Run, func(*Options) {}}) // the node sets its limits itself
 		case options.SourceEtcd:
 			w := &discovery.Watcher{Address: o.Etcd.Agent, Limits: watch.Limits, Loop: watch.Loop, Clock: l.clock,
-				Log: l.log.With("source", src.Name), Sink: asked, Most: mostAnswer, Known: -1, Chance: watch.Chance, First: first}
-			l.keeper.Asks(i, w.Look)
+				Log: l.log.With("source", src.Name), Sink: asked, Most: maxAgentAnswer, Known: -1, Chance: watch.Chance, First: first}
+			l.merger.Asks(i, w.Look)
 			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(watchLimits(o)) }})
 		case options.SourceFiles:
 			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Known: known(conf, o), Most: o.Files.Most.Bytes,
 				Settle: o.Files.Settle.Ms, Limits: files.Limits{Poll: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, First: first}
-			l.keeper.Asks(i, w.Look)
+			l.merger.Asks(i, w.Look)
 			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(files.Limits{Poll: o.Inventory.Files.Poll.Ms}) }})
 		}
 	}
 	return l, nil
 }
 
-// known is what files are held against.
+// known returns the values that entries of a file are checked against.
 func known(conf *Config, o *options.Inventory) files.Known {
 	return files.Known{Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds, Most: o.MostHosts}
 }
 
-// mostAnswer is how many bytes an agent's answer may have: its list is bounded by most_hosts.
-const mostAnswer = 256 << 20
+// maxAgentAnswer is the maximum size of an agent's response in bytes: the number of its entries is bounded by
+// most_hosts.
+const maxAgentAnswer = 256 << 20
 
-// callSpread is the time in milliseconds over which the calls for the list of all nodes are spread, where it comes only
-// when asked for and one service has it for all of them.
+// callSpread returns the time in milliseconds over which the nodes spread their queries for the list. It applies
+// where the list is only sent on request, and one service answers the requests of all nodes.
 func callSpread(s *decide.Settings) float64 {
 	if !s.Ask || s.Nodes < 2 {
 		return 0
@@ -152,36 +156,36 @@
 	return s.FetchSpread().Seconds() * 1000
 }
 
-// tune lets options hold from now on.
-func (l *lists) tune(o *Options) {
+// applyOptions puts options into force.
+func (l *endpointList) applyOptions(o *Options) {
 	for _, src := range l.sources {
 		src.limit(o)
 	}
-	l.every.Store(&o.Inventory.Last.Every)
-	l.keeper.Tune(guardOf(&o.Inventory), o.Inventory.Guard.Wait.Ms, sourcesOf(&o.Inventory))
+	l.writeInterval.Store(&o.Inventory.Last.Every)
+	l.merger.Tune(guardOf(&o.Inventory), o.Inventory.Guard.Wait.Ms, sourcesOf(&o.Inventory))
 }
 
-// start begins with the newest list there is: that of the configuration, or the last good one.
-func (l *lists) start(conf *Config) {
-	l.keeper.Offer(conf.Known.Hosts, 0, 0, nil)
+// start begins with the newest list available: that of the configuration, or the last good one.
+func (l *endpointList) start(conf *Config) {
+	l.merger.Offer(conf.Known.Hosts, 0, 0, nil)
 	if l.path == "" {
 		return
 	}
 	r, err := lastgood.Load(l.path, conf.Name)
 	if err != nil {
-		l.log.Warn("the list that was kept is not used", "path", l.path, "error", err)
+		l.log.Warn("saved endpoint list not used", "path", l.path, "error", err)
 	}
-	if r == nil || err != nil || older(r, conf) {
+	if r == nil || err != nil || isOlder(r, conf) {
 		return
 	}
-	hosts, _ := r.Hosts() // Load has looked
-	l.log.Info("the node begins with the last good list", "path", l.path, "hosts", len(hosts), "age_ms", l.clock.Now()-r.Changed,
+	hosts, _ := r.Hosts() // Load has checked them
+	l.log.Info("starting with the saved endpoint list", "path", l.path, "hosts", len(hosts), "age_ms", l.clock.Now()-r.Changed,
 		"source", r.Followed)
-	l.keeper.Offer(hosts, r.Changed, l.judge, r.Sources)
+	l.merger.Offer(hosts, r.Changed, l.judgeFor, r.Sources)
 }
 
-// older tells whether the list of the configuration, which is discovery's, is newer than one that was kept.
-func older(r *lastgood.Record, conf *Config) bool {
+// isOlder reports whether the saved list is older than that of the configuration, which comes from discovery.
+func isOlder(r *lastgood.Record, conf *Config) bool {
 	for _, p := range r.Sources {
 		if p.Source == options.SourceDiscovery && r.Followed == p.Source {
 			return uint64(max(conf.Known.Index, 0)) > p.Number
@@ -190,12 +194,14 @@
 	return false
 }
 
-// offer begins with a list that another process had at a time, if none is newer.
-func (l *lists) offer(hosts []dispatch.Host, at float64) { l.keeper.Offer(hosts, at, l.judge, nil) }
+// offer begins with a list that another process had at the time at, if none is newer.
+func (l *endpointList) offer(hosts []dispatch.Host, at float64) {
+	l.merger.Offer(hosts, at, l.judgeFor, nil)
+}
 
-// status tells how the list is made up.
-func (l *lists) status(s *ListStatus, now float64) {
-	v := l.keeper.View()
+// status reports how the list is composed.
+func (l *endpointList) status(s *ListStatus, now float64) {
+	v := l.merger.View()
 	s.Serving, s.Held = v.Serving, v.Held
 	for _, src := range v.Sources {
 		one := SourceStatus{Name: src.Name, Followed: src.Followed, Hosts: src.Hosts, Differs: src.Differs}
@@ -212,31 +218,31 @@
 	}
 }
 
-// run asks the sources until ctx ends.
-func (l *lists) run(ctx context.Context, work *sync.WaitGroup) {
+// run queries the sources until ctx ends.
+func (l *endpointList) run(ctx context.Context, work *sync.WaitGroup) {
 	for _, src := range l.sources {
 		work.Go(func() { src.run(ctx) })
 	}
 	work.Go(func() {
 		<-ctx.Done()
-		l.keeper.Stop()
+		l.merger.Stop()
 	})
 	if l.writer != nil {
 		work.Go(func() { l.writer.Run(ctx) })
 	}
 }
 
-// Sources is the list that options make of the sources that they name, without a node: for those who want to look.
+// Sources is the list that the options build from their sources, without a node, for inspection.
 type Sources struct {
-	loop  *netpoll.Loop
-	lists *lists
-	conf  *Config
-	asked chan struct{}
+	loop         *netpoll.Loop
+	endpointList *endpointList
+	conf         *Config
+	asked        chan struct{}
 }
 
-// NewSources makes the list, which give is handed in steps, one after the other, once Run is called.
+// NewSources creates the list. Once Run is called, give receives the list in increments, one call at a time.
 func NewSources(conf *Config, o *Options, log *slog.Logger, give func(dispatch.Source, []dispatch.Host)) (*Sources, error) {
-	socket, err := net.Listen("tcp", "127.0.0.1:0") // the loop wants one; nobody is let in
+	socket, err := net.Listen("tcp", "127.0.0.1:0") // the loop needs a listener; no connection is accepted
 	if err != nil {
 		return nil, err
 	}
@@ -252,36 +258,38 @@
 				close(s.asked)
 			}
 		}}
-	if s.lists, err = gather(conf, &o.Inventory, watch, give); err != nil {
+	if s.endpointList, err = newEndpointList(conf, &o.Inventory, watch, give); err != nil {
 		s.loop.Stop()
 		return nil, err
 	}
 	return s, nil
 }
 
-// Run asks the sources until ctx ends. Nothing is written.
+// Run queries the sources until ctx ends. Nothing is written.
 func (s *Sources) Run(ctx context.Context) {
-	s.lists.start(s.conf)
+	s.endpointList.start(s.conf)
 	var work sync.WaitGroup
-	s.lists.writer = nil // the file of the last good list is the node's
-	s.lists.run(ctx, &work)
+	s.endpointList.writer = nil // the file of the last good list belongs to the node
+	s.endpointList.run(ctx, &work)
 	work.Wait()
 	s.loop.Stop() //nolint:contextcheck // it waits for its goroutines, whatever ended ctx
 }
 
-// Asked is closed once each source was asked first, well or not.
+// Asked returns a channel that is closed once each source has been queried for the first time, whether it
+// succeeded or not.
 func (s *Sources) Asked() <-chan struct{} { return s.asked }
 
-// View tells how the list is made up.
-func (s *Sources) View() merge.View { return s.lists.keeper.View() }
+// View returns how the list is composed.
+func (s *Sources) View() merge.View { return s.endpointList.merger.View() }
 
-// Hosts is the list.
-func (s *Sources) Hosts() []dispatch.Host { return s.lists.keeper.Hosts() }
+// Hosts returns the list.
+func (s *Sources) Hosts() []dispatch.Host { return s.endpointList.merger.Hosts() }
 
-// Known is what a file of a list is held against by a node of this configuration.
+// Known returns the values that a node of this configuration checks the entries of a list file against.
 func Known(conf *Config, o *Options) files.Known { return known(conf, &o.Inventory) }
 
-// Judge tells what the guard would say, by these options, of a step from one list to another, and counts what it does.
+// Judge returns the verdict of the removal guard, under these options, on a change from one list to another, and
+// the size of that change.
 func Judge(o *Options, from, to []dispatch.Host) (removalguard.Verdict, removalguard.Change, error) {
 	g, err := removalguard.New(guardOf(&o.Inventory))
 	if err != nil {
--- a/node/inventory_test.go
+++ b/node/endpoints_test.go
@@ -20,16 +20,16 @@
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
-// soon lets the node's clock go on until something holds.
-func soon(t *testing.T, s *scenario.Stage, holds func() bool) {
+// advanceUntil advances the node's clock until a condition holds.
+func advanceUntil(t *testing.T, s *scenario.Stage, holds func() bool) {
 	for end := time.Now().Add(time.Minute); !holds(); s.Clock.Advance(5) {
-		require.True(t, time.Now().Before(end), "it never holds")
+		require.True(t, time.Now().Before(end), "the condition never holds")
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Guards against a guard that does not stand before discovery where it should, and against a second look that never comes,
-// that is not at the whole list, or that is taken for an ordinary word.
+// Guards against a removal guard that is not applied to discovery where it should be, and against a second query
+// that never comes, does not ask for the whole list, or is treated as an ordinary change.
 func TestGuardBeforeDiscovery(t *testing.T) {
 	o := DefaultOptions()
 	o.Inventory.Guard.Discovery, o.Inventory.Guard.Wait.Ms = true, 1000
@@ -51,8 +51,8 @@
 		Sources: []SourceStatus{{Name: "discovery", Followed: true, Revision: "3", Hosts: 2}}}, n.Status().List)
 }
 
-// Guards against a list of etcd's agent or of files that does not reach the hosts, against a drain that waits, and against
-// a start without any source that forgets the last good list.
+// Guards against a list of etcd's agent or of files that does not reach the dispatcher, a drain that is delayed,
+// and a start without any source that ignores the last good list.
 func TestListOfSeveralSources(t *testing.T) {
 	book, dir := agent.NewBook("etcd"), t.TempDir()
 	server := httptest.NewServer((&agent.Server{Book: book, Clock: clock.NewSystem(), Look: func() {}}).Handler())
@@ -67,9 +67,9 @@
 	}
 	book.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
 	book.Alive(1)
-	soon(t, s, func() bool { return n.Status().List.Serving == 2 })
+	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 2 })
 	book.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
-	soon(t, s, func() bool { return n.Status().List.Serving == 1 })
+	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 1 })
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
 		r expect POST /pay/1 host=h2
@@ -78,29 +78,30 @@
 	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []entryformat.Entry{entryformat.Of(host("h1", dispatch.Ready)), entryformat.Of(host("h2", dispatch.Draining))}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.Inventory.Files.Path, text, 0o600))
-	soon(t, s, func() bool { return n.Status().List.Serving == 0 })
+	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 0 })
 	s.Run(`
 		wait 5
 		a send POST /pay/1 id=q2 deadline=900
 		a expect 503`)
 	book.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
-	soon(t, s, func() bool { return n.Status().List.Serving == 1 })
-	soon(t, s, func() bool {
+	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 1 })
+	advanceUntil(t, s, func() bool {
 		kept, err := os.ReadFile(o.Inventory.Last.Path)
 		return err == nil && strings.Contains(string(kept), `"number":9`)
 	})
 	server.Close()
 	require.NoError(t, os.Remove(o.Inventory.Files.Path))
 	second, m := startNode(t, Extras{Options: &o}, 1024, nil)
-	soon(t, second, func() bool { return m.Status().List.Serving == 1 })
-	soon(t, second, func() bool { return m.Status().Phase == "serving" })
+	advanceUntil(t, second, func() bool { return m.Status().List.Serving == 1 })
+	advanceUntil(t, second, func() bool { return m.Status().Phase == "serving" })
 	second.Run(`
 		a send POST /pay/1 id=q3 deadline=900`)
 	s.Run(`r expect POST /pay/1 host=h1`)
 }
 
-// Guards against a node that carries what only the agent of etcd needs: it would more than double when idle.
-func TestNodeIsFreeOfGRPC(t *testing.T) {
+// Guards against a node that links libraries which only the etcd agent needs: they would more than double its
+// memory when idle.
+func TestNodeDoesNotLinkGRPC(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "linenwheel.dev/linenwheel/cmd/linenwheel").Output()
 	require.NoError(t, err)
 	assert.Contains(t, string(out), "\nlinenwheel.dev/linenwheel/internal/node/endpoints/discovery\n")
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -17,21 +17,22 @@
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
-// stuck holds the node's poller until it is freed.
-type stuck struct {
+// blockingHandler blocks the node's poller until free is closed.
+type blockingHandler struct {
 	held chan struct{}
 	free chan struct{}
 }
 
-func (h stuck) Data([]byte)  { close(h.held); <-h.free }
-func (h stuck) Closed(error) {}
+func (h blockingHandler) Data([]byte)  { close(h.held); <-h.free }
+func (h blockingHandler) Closed(error) {}
 
-// holdPoller has the poller stand still until what it gives is called: what comes meanwhile is all there when it looks.
+// holdPoller blocks the poller until the returned function is called, so that everything that arrives meanwhile is
+// there when the poller reads next.
 func holdPoller(t *testing.T, n *Node) (free func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	h := stuck{make(chan struct{}), make(chan struct{})}
+	h := blockingHandler{make(chan struct{}), make(chan struct{})}
 	_, err = n.loop.Dial(t.Context(), l.Addr().String(), 60000, func(*netpoll.Conn) netpoll.Handler { return h })
 	require.NoError(t, err)
 	c, err := l.Accept()
@@ -42,8 +43,8 @@
 	return func() { close(h.free); _ = c.Close() }
 }
 
-// took waits until the other side's machine has all that was sent, the end included.
-func took(t *testing.T, c *net.TCPConn) {
+// awaitFin waits until the peer's kernel has received all that was sent, including the FIN.
+func awaitFin(t *testing.T, c *net.TCPConn) {
 	raw, err := c.SyscallConn()
 	require.NoError(t, err)
 	for has := false; !has; runtime.Gosched() {
@@ -54,7 +55,7 @@
 	}
 }
 
-// payments are whole requests, one after the other.
+// payments returns n complete requests, one after the other.
 func payments(name string, n int) (text string) {
 	for i := range n {
 		text += fmt.Sprintf("POST /pay/%s%d HTTP/1.1\r\nHost: x\r\nReq-Id: %s%d\r\nReq-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n", name, i, name, i)
@@ -62,13 +63,14 @@
 	return text
 }
 
-// Guards against work for a client that has sent much at once and gone: of what comes together with its end only the first request
-// can have been read before it, and no other one may be begun. The poller finds the requests and the end at once, each time.
-func TestFloodAndGone(t *testing.T) {
+// Guards against work for a client that has sent many requests at once and closed: of the requests that arrive
+// together with its end, only the first can have been read before the end, and no other one may be started. Each
+// time, the poller finds the requests and the end at once.
+func TestFloodOfAClientThatCloses(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *net.TCPConn){
 		"end": func(t *testing.T, c *net.TCPConn) {
 			require.NoError(t, c.CloseWrite())
-			took(t, c)
+			awaitFin(t, c)
 		},
 		"reset": func(t *testing.T, c *net.TCPConn) {
 			require.NoError(t, c.SetLinger(0))
@@ -76,7 +78,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			const floods = 4 // as many calls may be open
+			const floods = 4 // the limit of open calls
 			var begun [floods]atomic.Int64
 			gone := make(chan int, floods)
 			look := func(next Handler) Handler {
@@ -87,7 +89,7 @@
 					}
 					begun[flood].Add(1)
 					<-call.Left()
-					a := next(call) // the client has gone: nothing may go out
+					a := next(call) // the client has gone: nothing may be sent
 					gone <- at
 					return a
 				}
@@ -99,7 +101,7 @@
 				c, err := net.Dial("tcp", s.Address())
 				require.NoError(t, err)
 				defer c.Close()
-				_, err = c.Write([]byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) // it is accepted
+				_, err = c.Write([]byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) // shows that it is accepted
 				require.NoError(t, err)
 				_, err = c.Read(make([]byte, 1))
 				require.NoError(t, err)
@@ -112,29 +114,31 @@
 				end(t, c)
 			}
 			free()
-			require.Eventually(t, func() bool { return n.north.Connections() == 1 && n.core.Unanswered() == 0 },
-				time.Minute, time.Millisecond, "the floods are over")
+			require.Eventually(t, func() bool { return n.httpServer.Connections() == 1 && n.core.Unanswered() == 0 },
+				time.Minute, time.Millisecond, "the floods have ended")
 			for i := range floods {
 				assert.LessOrEqual(t, begun[i].Load(), int64(1), "flood %d", i)
 			}
 			for len(gone) > 0 {
-				assert.Zero(t, <-gone, "the first one alone")
+				assert.Zero(t, <-gone, "only the first request")
 			}
 			s.Run("a send POST /pay/1 id=mine deadline=900\n r expect POST /pay/1 id=mine\n r send 200 body=ok\n a expect 200 body=ok")
 		})
 	}
 }
 
-// Guards against a client's further requests being begun after it has gone, where the first is out at a host already.
-func TestGoneBehindARelay(t *testing.T) {
+// Guards against further requests of a client being started after it has closed, while its first one is already in
+// progress at a host.
+func TestCloseBehindAnOpenRequest(t *testing.T) {
 	s, n := startNode(t, Extras{}, 1024, []string{"h1"})
 	s.Run(begin("h1") + "a send raw " + fmt.Sprintf("%q", payments("f", 20)) + "\n r expect POST /pay/f0")
 	s.Run("a close\n r expect close")
-	require.Eventually(t, func() bool { return n.core.Unanswered() == 0 && n.north.Connections() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.core.Unanswered() == 0 && n.httpServer.Connections() == 0 }, time.Minute, time.Millisecond)
 	s.Run("b send POST /pay/1 id=mine deadline=900\n s expect POST /pay/1 id=mine\n s send 200 body=ok\n b expect 200 body=ok")
 }
 
-// Guards against memory that grows with what clients send behind an open request, and against others waiting for them.
+// Guards against memory that grows with the data that clients send behind an open request, and against other
+// clients having to wait for them.
 func TestFloodsBehindRequestsAreBounded(t *testing.T) {
 	const floods, each = 3, 24 << 20
 	s := start(t, 1024, []string{"h1"})
@@ -172,11 +176,12 @@
 		have := make([]byte, 15)
 		_, err := c.Read(have)
 		require.NoError(t, err)
-		assert.Equal(t, "HTTP/1.1 200 OK", string(have), "what came first is answered")
+		assert.Equal(t, "HTTP/1.1 200 OK", string(have), "the first request is answered")
 	}
 }
 
-// Guards against memory that grows with answers that a client never reads, and against others waiting for it.
+// Guards against memory that grows with responses that a client never reads, and against other clients having to
+// wait for it.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	s, n := startNode(t, Extras{}, 1024, []string{"h1"})
 	s.Run(begin("h1") + "a send GET /up\n a expect 200")
@@ -184,17 +189,17 @@
 	require.NoError(t, err)
 	defer c.Close()
 	chunk := []byte(strings.Repeat("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", 4000))
-	for err == nil { // until the node ends it
+	for err == nil { // until the node closes the connection
 		_, err = c.Write(chunk)
 	}
-	require.Eventually(t, func() bool { return n.north.Connections() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.httpServer.Connections() == 1 }, time.Minute, time.Millisecond)
 	s.Run("a send GET /up\n a expect 200")
 }
 
-// Guards against clients that write a byte at a time and hold all the connections there are: one whose request is open does
-// not wait for them, and a new one waits for the next look, not until those are overdue. With 64 descriptors there is room for 18
-// clients, and 4 more.
-func TestSlowWritersEverywhere(t *testing.T) {
+// Guards against clients that write one byte at a time and occupy all connections: a client whose request is open
+// does not wait for them, and a new one waits until the next sweep, not until they exceed their time limit. With
+// 64 descriptors there is room for 18 clients, and 4 more.
+func TestSlowWritersOnAllConnections(t *testing.T) {
 	s, n := startNode(t, Extras{}, 64, []string{"h1"})
 	s.Run(begin("h1") + "a send " + pay + "\n r expect POST /pay/1")
 	conns := []net.Conn{}
@@ -214,7 +219,7 @@
 	for range 21 {
 		slow()
 	}
-	require.Equal(t, 22, n.north.Connections())
+	require.Equal(t, 22, n.httpServer.Connections())
 	s.Run("r send 200 body=ok\n a expect 200 body=ok\n a close")
 	slow()
 	late, err := net.Dial("tcp", s.Address()) // it waits to be accepted
@@ -225,8 +230,8 @@
 	require.Eventually(t, n.loop.Full, time.Minute, time.Millisecond)
 	pulse, err := n.loop.Pulse()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller has left the last of them
-	s.Clock.Advance(100)    // the next look
+	pulse.Beat(t.Context()) // the poller is done with the last of them
+	s.Clock.Advance(100)    // the next sweep
 	require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Minute)))
 	line := make([]byte, 15)
 	_, err = io.ReadFull(late, line)
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -6,7 +6,7 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against what a node's processes tell each other, and keep, having changed in any of its fields.
+// Guards against a change in any field of the types that a node's processes exchange and store.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[Knowledge](t, "knowledge")
 	golden.JSON[Order](t, "order")
--- a/node/handover.go
+++ b/node/handover.go
@@ -16,30 +16,31 @@
 	"linenwheel.dev/linenwheel/internal/node/systemd"
 )
 
-// Knowledge is what a node knows of its hosts, as plain data for the process that comes after it.
+// Knowledge is a node's state that the next process takes over, as plain data.
 type Knowledge struct {
 	Node       string          `json:"node"`
-	Index      int64           `json:"index"` // that discovery told last, 0 = none
-	At         float64         `json:"at"`    // when this was so
+	Index      int64           `json:"index"` // index of discovery's last list, 0 = none
+	At         float64         `json:"at"`    // when the state was read
 	Dispatcher dispatch.Memory `json:"pilot"`
 
-	// What operators have ordered.
+	// The operators' orders.
 	Bans    cordon.Memory `json:"bans"`
-	Drained *float64      `json:"drained,omitempty"` // since when; nil = it is not
+	Drained *float64      `json:"drained,omitempty"` // when the drain began; nil = not drained
 
-	// Quota is what tenants have saved up.
+	// Quota is the unused quota that tenants have accumulated.
 	Quota []quota.Balance `json:"quota,omitempty"`
 
-	// Life is the process's, where the fleet agrees on names of calls: it still answers what it has taken.
+	// Life identifies the process, where the fleet replicates idempotency keys: the process still answers the
+	// calls that it has admitted.
 	Life uint64 `json:"life,omitempty"`
 }
 
-// Knowledge gives what the node knows now.
+// Knowledge returns the node's current state.
 func (n *Node) Knowledge() Knowledge {
-	index, _ := n.watch.Seen()
-	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Dispatcher: n.pilot.Remember()}
+	index, _ := n.watcher.Seen()
+	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Dispatcher: n.dispatcher.Remember()}
 	n.orders.mu.Lock()
-	k.Bans = n.orders.book.Remember()
+	k.Bans = n.orders.cordons.Remember()
 	n.orders.mu.Unlock()
 	if since, drained := n.gate.Drained(); drained {
 		k.Drained = &since
@@ -47,83 +48,84 @@
 	if n.quota != nil {
 		k.Quota = n.quota.Balances()
 	}
-	if n.names != nil {
-		k.Life = n.names.Incarnation()
+	if n.replicatedKeys != nil {
+		k.Life = n.replicatedKeys.Incarnation()
 	}
 	return k
 }
 
-// Alone tells that the process has ended whose place this one took.
+// PredecessorExited records that the process that this one replaced has ended.
 func (n *Node) PredecessorExited() {
-	if n.names != nil {
-		n.names.PredecessorEnded()
+	if n.replicatedKeys != nil {
+		n.replicatedKeys.PredecessorEnded()
 	}
 }
 
-// Recall takes what another process of the node knew, before the first request: its list where discovery has told none
-// here yet, and of the hosts that are listed here what had been learned. What cannot be right changes nothing but,
-// perhaps, that list.
+// Recall applies the state of another process of the node before the first request: its list, unless discovery has
+// already answered here, and what it had learned about the hosts that are listed here. State that cannot be right
+// is rejected with an error; by then its list may already be in use.
 func (n *Node) Recall(k Knowledge) error {
 	if k.Node != n.conf.Name {
-		return fmt.Errorf("recalling what was known: it is node %q's", k.Node)
+		return fmt.Errorf("cannot apply the previous process's state: it belongs to node %q", k.Node)
 	}
-	for i := range k.Dispatcher.Hosts { // as the list has them
+	for i := range k.Dispatcher.Hosts { // restore the status from the list: suspended hosts were stored as draining
 		if h := &k.Dispatcher.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
 			h.Status = dispatch.Ready
 		}
 	}
-	n.recallOrders(k)
+	n.restoreOrders(k)
 	if n.quota != nil {
 		n.quota.RestoreBalances(n.clock.Now()-k.At, k.Quota)
 	}
-	if n.lists != nil {
-		n.lists.offer(k.Dispatcher.KnownHosts(), k.At)
-	} else if _, at := n.watch.Seen(); at == 0 && len(k.Dispatcher.Hosts) > 0 {
-		n.inventory(dispatch.Stored, k.Dispatcher.KnownHosts())
+	if n.endpointList != nil {
+		n.endpointList.offer(k.Dispatcher.KnownHosts(), k.At)
+	} else if _, at := n.watcher.Seen(); at == 0 && len(k.Dispatcher.Hosts) > 0 {
+		n.updateEndpoints(dispatch.Stored, k.Dispatcher.KnownHosts())
 	}
-	return n.pilot.Recall(k.Dispatcher)
+	return n.dispatcher.Recall(k.Dispatcher)
 }
 
-// Ready is closed once each source of the list was asked first, well or not: the node can serve.
+// Ready returns a channel that is closed once each source of the list has been queried, whether it succeeded or
+// not: the node can serve.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
-// Address is where the node listens.
+// Address returns the address that the node listens on.
 func (n *Node) Address() string { return n.loop.Addr() }
 
-// StartAccepting lets clients in, for a node that was made to hold.
+// StartAccepting begins to accept clients in a node created with Extras.Hold.
 func (n *Node) StartAccepting() { n.loop.StartAccepting() }
 
-// Descriptor lets f see the listening socket's descriptor; it fails once the node accepts no more.
+// Descriptor calls f with the listening socket's descriptor; it fails once the node no longer accepts.
 func (n *Node) Descriptor(f func(fd uintptr)) error { return n.loop.Descriptor(f) }
 
-// Yield has the node end because another process accepts in its place: it stops accepting at once, answers all that
-// comes on the connections that there are, and ends them with their answers. Run returns then.
-func (n *Node) HandOver() { n.yieldOnce.Do(func() { close(n.yielded) }) }
+// HandOver makes the node end because another process accepts in its place: it stops accepting at once, answers
+// the calls that arrive on the existing connections, and closes those with their responses. Run then returns.
+func (n *Node) HandOver() { n.handOverOnce.Do(func() { close(n.handedOver) }) }
 
-// UnansweredError tells how many calls a node left unanswered at its end.
+// UnansweredError reports how many calls a node left unanswered at its end.
 type UnansweredError struct{ Calls int }
 
 func (e *UnansweredError) Error() string {
 	return fmt.Sprintf("node: stopped with %d requests unanswered", e.Calls)
 }
 
-// Stations are the loops that have to work for a request to be served, for a watchdog: the poller that reads all
-// sockets, the timers and the module behind the pilot's lock, and the locks of the front and the core.
+// WatchdogChecks returns a check for each part that has to work for a request to be served: the poller that reads
+// all sockets, the timers and the dispatcher's lock, and the locks of the HTTP server and the core.
 func (n *Node) WatchdogChecks() ([]systemd.Station, error) {
 	pulse, err := n.loop.Pulse()
 	if err != nil {
 		return nil, err
 	}
 	return []systemd.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
-		{Name: "the front", Pass: func(context.Context) { n.north.Connections() }},
+		{Name: "the front", Pass: func(context.Context) { n.httpServer.Connections() }},
 		{Name: "the core", Pass: func(context.Context) { n.unanswered() }}}, nil
 }
 
-// beat returns once the timers' goroutine has been through the pilot.
+// beat returns once the timers' goroutine has run the dispatcher's timers, or ctx has ended.
 func (n *Node) beat(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case n.beats <- done:
+	case n.heartbeats <- done:
 	case <-ctx.Done():
 		return
 	}
@@ -133,7 +135,7 @@
 	}
 }
 
-// listen makes the node's loop: on the socket that it was given, or on one of its own.
+// listen creates the node's event loop, on the given socket or on one of its own.
 func listen(extra *Extras, address string, most int, c clock.Clock, accept func(*netpoll.Conn) netpoll.Handler) (*netpoll.Loop, error) {
 	var l *netpoll.Loop
 	var err error
@@ -152,9 +154,9 @@
 	return l, nil
 }
 
-// chances gives the numbers by which this node's times differ from those of others, nil where there are none. Copies of
-// one configuration, seed included, differ by their names.
-func chances(conf *Config, instances int) func() float64 {
+// jitterSource returns the random source that makes this node's timing differ from that of others, nil where there
+// are no others. Nodes that share one configuration, seed included, differ by their names.
+func jitterSource(conf *Config, instances int) func() float64 {
 	if instances < 2 {
 		return nil
 	}
@@ -167,14 +169,15 @@
 	return h.Sum64()
 }
 
-// toOne gives this instance's part of the connections that one host holds, 0 where that is not known. As many instances
-// use a host as the module's part of the fleet has it.
-func (n *Node) toOne(most, instances int) func() int {
+// connectionsPerHost returns a function for this instance's share of the connections that one host accepts, nil
+// where that number is not known. The number of instances that use a host follows from the fraction of the fleet's
+// hosts that each instance uses.
+func (n *Node) connectionsPerHost(most, instances int) func() int {
 	if most == 0 {
 		return nil
 	}
 	return func() int {
-		users := math.Ceil(float64(instances) * n.pilot.SubsetFraction())
+		users := math.Ceil(float64(instances) * n.dispatcher.SubsetFraction())
 		return max(1, int(float64(most)/max(users, 1)))
 	}
 }
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -8,12 +8,12 @@
 	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
-// Guards against copies of one configuration that move in step, or all keep to one part of a large fleet, and against a
-// node that is alone and waits without need.
-func TestCopiesDiffer(t *testing.T) {
+// Guards against copies of one configuration that run in step or all use the same part of a large fleet, and
+// against a single node that waits without need.
+func TestInstancesOfOneConfigurationDiffer(t *testing.T) {
 	a, b := &Config{Name: "n1", Seed: 7}, &Config{Name: "n2", Seed: 7}
-	assert.Nil(t, chances(a, 1))
-	assert.NotEqual(t, chances(a, 2)(), chances(b, 2)())
+	assert.Nil(t, jitterSource(a, 1))
+	assert.NotEqual(t, jitterSource(a, 2)(), jitterSource(b, 2)())
 	for _, c := range []struct {
 		fleet        options.Fleet
 		size, number int
--- a/node/http_test.go
+++ b/node/http_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// spelt are what the steps below abbreviate: the fields that a request must have, and a host's answer.
-var spelt = strings.NewReplacer("$F", `Host: x\r\nReq-Id: q\r\nReq-Deadline-Ms: 900\r\n`,
+// abbreviations expands the abbreviations in the steps below: the header fields that a request must have, and those of a
+// response.
+var abbreviations = strings.NewReplacer("$F", `Host: x\r\nReq-Id: q\r\nReq-Deadline-Ms: 900\r\n`,
 	"$DATE", "Date: Tue, 14 Nov 2023 22:13:20 GMT", "$TEXT", `Content-Type: text/plain; charset=utf-8\r\n`)
 
-// Each scenario is one that a client, or a host, can cause; docs/design/http1.md names them by their guards.
+// Each scenario can be caused by a client or a host; docs/design/http1.md names them by their guards.
 var httpScenarios = []struct{ guards, steps string }{
 	{"a client left waiting for leave to send its body", `
 		a send raw "POST /pay/1 HTTP/1.1\r\n$FExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n"
@@ -217,12 +218,12 @@
 func TestHTTP(t *testing.T) {
 	for _, c := range httpScenarios {
 		t.Run(c.guards, func(t *testing.T) {
-			start(t, 1024, []string{"h1", "h2", "h3"}).Run(begin("h1", "h2", "h3") + spelt.Replace(c.steps))
+			start(t, 1024, []string{"h1", "h2", "h3"}).Run(begin("h1", "h2", "h3") + abbreviations.Replace(c.steps))
 		})
 	}
 }
 
-// Guards against a wait that libraries which read whole seconds take for an error, or for none.
+// Guards against a Retry-After that client libraries which parse whole seconds reject or read as none.
 func TestWholeSeconds(t *testing.T) {
 	o := DefaultOptions()
 	o.North.HTTP.RetryAfter = "whole"
--- a/node/repeats.go
+++ b/node/idempotency.go
@@ -18,11 +18,11 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// leastSecret is how many bytes a secret must have: fewer could be guessed.
-const leastSecret = 16
+// minSecretBytes is the minimum length of a secret in bytes: shorter ones could be guessed.
+const minSecretBytes = 16
 
-// recognise makes the stage that recognises repeats, with its journal if there is one.
-func (n *Node) recognise(o *options.Repeats, log *slog.Logger) (*middleware.Middleware, error) {
+// newIdempotency creates the stage that detects repeated requests, with its journal if there is one.
+func (n *Node) newIdempotency(o *options.Repeats, log *slog.Logger) (*middleware.Middleware, error) {
 	set := middleware.Settings{Classes: n.classes(o), Content: content, Encode: encodeAnswer, Decode: decodeAnswer, WallClock: n.clock.Now,
 		MaxRun: n.conf.MaxDeadline,
 		Table: idempotency.Settings{Classes: make([]idempotency.Class, len(n.conf.Settings.Classes)),
@@ -43,7 +43,7 @@
 		if err = disk.Make(); err != nil {
 			return nil, fmt.Errorf("repeats.journal: %w", err)
 		}
-		if n.locked, err = disk.Lock(); err != nil {
+		if n.journalLock, err = disk.Lock(); err != nil {
 			return nil, err
 		}
 		tenants := []string{}
@@ -59,17 +59,17 @@
 		}
 		set.Journal = n.journal
 		for _, f := range found {
-			log.Warn("a file of the journal is damaged", "file", f.File, "byte", f.Offset, "error", f.Err)
+			log.Warn("journal file is damaged", "file", f.File, "byte", f.Offset, "error", f.Err)
 		}
 	}
 	if n.peers != nil {
-		n.names = n.peers.names(n, &set, log)
-		set.Claimer, set.MaxRun = n.names, n.conf.MaxDeadline+n.peers.set.Claim.Ms
+		n.replicatedKeys = n.peers.newReplicatedKeys(n, &set, log)
+		set.Claimer, set.MaxRun = n.replicatedKeys, n.conf.MaxDeadline+n.peers.set.Claim.Ms
 	}
 	return middleware.New(set, n.clock, log)
 }
 
-// classes puts the classes' options into the stage's terms; those that are not listed are off.
+// classes converts the options of the classes to the stage's settings; those that are not listed are off.
 func (n *Node) classes(o *options.Repeats) []middleware.Class {
 	list := make([]middleware.Class, len(n.conf.Settings.Classes))
 	for i, class := range n.conf.Settings.Classes {
@@ -85,13 +85,13 @@
 	return list
 }
 
-// fits reports classes that a process which runs cannot take.
-func (n *Node) fits(o *Options, report options.Report) {
-	if n.repeats == nil {
+// checkClasses reports classes whose options a running process cannot apply.
+func (n *Node) checkClasses(o *Options, report options.Report) {
+	if n.idempotency == nil {
 		return
 	}
 	var wrong *middleware.NamingError
-	if errors.As(n.repeats.CheckClasses(n.classes(&o.Repeats)), &wrong) {
+	if errors.As(n.idempotency.CheckClasses(n.classes(&o.Repeats)), &wrong) {
 		name := n.conf.Settings.Classes[wrong.Class].Name
 		at := slices.IndexFunc(o.Repeats.Classes, func(c options.RepeatsClass) bool { return c.Name == name })
 		field := func(f string) string { return fmt.Sprintf("repeats.class.%d.%s", at, f) }
@@ -100,14 +100,15 @@
 	}
 }
 
-// reclass has other classes in force.
-func (n *Node) reclass(o *options.Repeats) {
-	if err := n.repeats.SetClasses(n.classes(o)); err != nil { // it was looked at before
-		n.log.Error("the classes of repeats are as they were", "error", err)
+// updateClasses puts the changed options of the classes into force.
+func (n *Node) updateClasses(o *options.Repeats) {
+	if err := n.idempotency.SetClasses(n.classes(o)); err != nil { // they were validated before
+		n.log.Error("idempotency classes not updated; keeping the previous ones", "error", err)
 	}
 }
 
-// naming puts a class's options into the stage's terms. A class of the platform that carries a key has it with the call.
+// naming converts a class's options to the stage's settings. A class of the platform that carries a key passes it
+// with the call.
 func naming(c *options.RepeatsClass, effect decide.Effect) middleware.Naming {
 	switch {
 	case c.By == "header":
@@ -127,7 +128,7 @@
 	return by
 }
 
-// secret reads a secret from a file, or draws one.
+// secret reads a secret from a file, or generates a random one.
 func secret(file string) ([]byte, error) {
 	if file == "" {
 		b := make([]byte, 32)
@@ -139,22 +140,22 @@
 		return nil, fmt.Errorf("repeats.secret_file: %w", err)
 	}
 	b := []byte(strings.TrimSpace(string(text)))
-	if len(b) < leastSecret {
-		return nil, fmt.Errorf("repeats.secret_file: %s holds %d bytes, want %d or more", file, len(b), leastSecret)
+	if len(b) < minSecretBytes {
+		return nil, fmt.Errorf("repeats.secret_file: %s holds %d bytes, want %d or more", file, len(b), minSecretBytes)
 	}
 	return b, nil
 }
 
-// encodeAnswer writes a served answer for the journal.
+// encodeAnswer encodes a served answer for the journal.
 func encodeAnswer(payload any) []byte {
 	m, ok := payload.(*http1.Message)
 	if !ok {
-		return nil // a result in Thrift is known until the process ends
+		return nil // a Thrift result is only kept until the process ends
 	}
 	return http1.AppendResponse(nil, http1.Reply{Status: 200, Of: m, Body: m.Body})
 }
 
-// decodeAnswer reads what encodeAnswer wrote, nil if it cannot.
+// decodeAnswer decodes the output of encodeAnswer, and returns nil if it cannot.
 func decodeAnswer(text []byte) any {
 	p := http1.NewResponses()
 	p.Feed(text)
--- a/node/repeats_test.go
+++ b/node/idempotency_test.go
@@ -13,8 +13,8 @@
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
-// knowing are options that recognise repeats of charges by a header and of alerts by their key.
-func knowing() Options {
+// idempotentOptions returns options that detect repeats of payments by a header and of alerts by their key.
+func idempotentOptions() Options {
 	o := DefaultOptions()
 	o.Repeats.On = true
 	window := options.Duration{Ms: 30000}
@@ -23,10 +23,10 @@
 	return o
 }
 
-// Guards against a repeat that runs a second time, gets another answer or is told that trying again is harmless when it is
-// not, whether it comes during the run, after its answer, after a time-out, or with another content.
+// Guards against a repeat that runs a second time, gets another response, or is reported as safe to retry when it
+// is not, whether it arrives during the run, after the response, after a timeout, or with other content.
 func TestRepeats(t *testing.T) {
-	o := knowing()
+	o := idempotentOptions()
 	s, _ := startNode(t, Extras{Options: &o}, 1024, []string{"h1", "h2"})
 	s.Run(begin("h1", "h2") + `
 		a send POST /pay/1 id=q1 deadline=900 Charge=c1 body=x
@@ -59,10 +59,11 @@
 		c expect 200 body=late`)
 }
 
-// Guards against a node that forgets at a restart what may have run, and against two that write to one journal.
+// Guards against a node that forgets at a restart which requests may have run, and against two nodes that write to
+// one journal.
 func TestRepeatsOverARestart(t *testing.T) {
 	dir := t.TempDir()
-	o := knowing()
+	o := idempotentOptions()
 	o.Repeats.Journal, o.Repeats.SecretFile = filepath.Join(dir, "journal"), filepath.Join(dir, "secret")
 	o.Repeats.Classes[0].Recorded = true
 	require.NoError(t, os.Mkdir(o.Repeats.Journal, 0o700))
@@ -94,12 +95,12 @@
 	})
 }
 
-// Guards against a charge that runs twice because SIGHUP made its class's windows shorter, took the class away and brought it back, or
-// because a restart came between; against windows that do not change for names taken from then on; and against a file that is taken
-// though it names calls in another way.
+// Guards against a payment that runs twice because SIGHUP made its class's windows shorter, or removed the class
+// and restored it, or because of a restart in between; against windows that do not change for keys recorded from
+// then on; and against a file that is applied though it derives the keys of calls in another way.
 func TestClassesChange(t *testing.T) {
 	dir := t.TempDir()
-	o := knowing()
+	o := idempotentOptions()
 	o.Repeats.Classes = o.Repeats.Classes[:1]
 	o.Repeats.Journal, o.Repeats.SecretFile = filepath.Join(dir, "journal"), filepath.Join(dir, "secret")
 	require.NoError(t, os.Mkdir(o.Repeats.Journal, 0o700))
@@ -141,13 +142,14 @@
 			wait 5`)
 		short.Repeats.Classes = n.opts.Load().Repeats.Classes
 		require.Equal(t, 20000.0, short.Repeats.Classes[0].Answered.Ms)
-		_, err := n.under(&n.own, rollout.Document{Number: 1, Hash: "h", Text: classFile("pay", "Other", 30)})
+		_, err := n.optionsUnder(&n.localOptions, rollout.Document{Number: 1, Hash: "h", Text: classFile("pay", "Other", 30)})
 		require.ErrorContains(t, err, "policy h:4:1: repeats.class.0.header: calls of class \"pay\" would be named in another way")
 	})
 	require.Contains(t, log.text.String(), "renamed.toml:6:1: repeats.class.0.header: calls of class \\\"pay\\\" would be named in another way")
 	t.Run("after", func(t *testing.T) {
-		// Before the node starts, so that no call for the list is under way, the clock moves on from 20 ms of the time before: it
-		// stood at the same hour.
+		// The clock is advanced before the node starts, so that no query for the list is under way. Each run's
+		// clock starts at the same time, and the first run took 20 ms, so the second one starts after the shorter
+		// window of 20 s and before the longer one of 30 s.
 		s, n := startTuned(t, Extras{Options: &short}, 1024, func(s *scenario.Stage, _ map[string]any) { s.Clock.Advance(22000) }, []string{"h1"})
 		s.Run(begin("h1") + `
 			a send POST /pay/1 id=q8 deadline=900 Charge=c1 body=x
@@ -158,6 +160,6 @@
 			r expect POST /pay/1 id=q10
 			r send 200 body=five
 			a expect 200 body=five`)
-		require.Equal(t, 3, n.repeats.Counts().Entries)
+		require.Equal(t, 3, n.idempotency.Counts().Entries)
 	})
 }
--- a/node/refused_test.go
+++ b/node/newfailure_test.go
@@ -14,15 +14,15 @@
 	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
-// Guards against a node that could not be made, whose operators' door is taken, and that keeps its sockets and the lock of its
-// journal all the same: its embedder could not try again.
-func TestNodeThatIsNotMadeHoldsNothing(t *testing.T) {
+// Guards against a node whose creation fails because its admin address is in use, and that keeps its sockets and
+// the lock of its journal: its embedder could not try again.
+func TestFailedNewReleasesResources(t *testing.T) {
 	free := func() string {
 		address, err := loopback.FreeAddress()
 		require.NoError(t, err)
 		return address
 	}
-	taken, err := net.Listen("tcp", free()) // which the node made below gets
+	taken, err := net.Listen("tcp", free()) // released again for the node created below
 	require.NoError(t, err)
 	defer func() { _ = taken.Close() }()
 	dir := t.TempDir()
@@ -42,6 +42,6 @@
 	require.NoError(t, taken.Close())
 	n, err := New(conf, extra)
 	require.NoError(t, err)
-	n.shut()
-	n.abandon()
+	n.closeAdmin()
+	n.closeUnstarted()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -39,19 +39,20 @@
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 )
 
-// Config is all that a node is told.
+// Config is a node's configuration.
 type Config = config.Config
 
 // Load reads the environment and the file that ROUTER_CONFIG names.
 func Load(getenv func(string) string) (*Config, error) { return config.Load(getenv) }
 
-// Options are what the platform does not say.
+// Options are the settings that the platform's configuration does not contain.
 type Options = options.Options
 
-// DefaultOptions are those of a node without an options file.
+// DefaultOptions returns the options of a node without an options file.
 func DefaultOptions() Options { return options.Default() }
 
-// LoadOptions reads an options file and holds it against what the platform says. Without a path, it gives the defaults.
+// LoadOptions reads an options file and checks it against the platform's configuration. Without a path, it returns
+// the defaults.
 func LoadOptions(path string, conf *Config) (Options, error) {
 	file, err := loadOptions(path, conf)
 	if err != nil {
@@ -71,18 +72,18 @@
 	return file, nil
 }
 
-// Call and the types beside it are the life of a call, for an embedder that adds stages of its own.
+// Call and the types beside it describe the processing of a call, for an embedder that adds stages of its own.
 type (
 	Call = core.Call
-	// Answer is what a call ends with.
+	// Answer is the outcome of a call.
 	Answer = core.Answer
-	// Handler takes a call and gives its answer.
+	// Handler processes a call and returns its answer.
 	Handler = core.Handler
 	// Stage wraps a handler.
 	Stage = core.Stage
 )
 
-// The kinds of answer, and whose fault one is that was not served; see core.
+// The kinds of answer, and the causes of those that were not served; see core.
 const (
 	Served  = core.Served
 	Refused = core.Refused
@@ -99,82 +100,84 @@
 	Looping     = core.Looping
 )
 
-// Refuse makes a back-off answer: trying again is harmless, after so many milliseconds if above 0.
+// Refuse returns a refusal, after which a retry is harmless. wait is the time in milliseconds to wait before it,
+// if above 0.
 func Refuse(f core.Fault, reason string, wait float64) Answer { return core.Refuse(f, reason, wait) }
 
-// Fail makes a failure.
+// Fail returns a failure.
 func Fail(f core.Fault, reason string) Answer { return core.Fail(f, reason) }
 
 // Extras are what an embedder adds to a node; the zero value adds nothing.
 type Extras struct {
 	Options *Options       // nil = the defaults
-	Log     *slog.Logger   // nil = as the options have it, to standard error; records get the time of the node's clock
-	Level   *slog.LevelVar // that of Log, if the option log.level is to set it; nil = Log's level is not the node's
-	First   []Stage        // before all stages of the node's own
-	Last    []Stage        // after them, directly before the decisions
+	Log     *slog.Logger   // nil = a logger as configured by the options, to standard error; records get the time of the node's clock
+	Level   *slog.LevelVar // the level of Log, if the option log.level should set it; nil = the node does not control Log's level
+	First   []Stage        // stages before all of the node's own
+	Last    []Stage        // stages after the node's own, directly before the dispatch decision
 
-	Listener  net.Listener    // where clients connect, the node's own from here on; nil = the node listens itself
-	Hold      bool            // clients wait there until StartAccepting
-	Known     *Knowledge      // what another process of this node knew, nil = nothing
-	FromPeers []PeerKnowledge // what other nodes know, taken when the node is ready, before its first client if Hold is set
+	Listener  net.Listener    // the socket on which clients connect, owned by the node from here on; nil = the node listens itself
+	Hold      bool            // clients wait in its backlog until StartAccepting is called
+	Known     *Knowledge      // state from another process of this node, nil = none
+	FromPeers []PeerKnowledge // state from other nodes, applied when the node is ready, before its first client if Hold is set
 }
 
-// yieldSpare is how many more connections to hosts than clients' connections a node may hold that another took over from.
-const yieldSpare = 4
+// handoverSpare is by how many the connections to backends may exceed the clients' connections in a node that
+// another process has taken over from.
+const handoverSpare = 4
 
-const longestNap = 60000 // of the timers' goroutine, milliseconds
+const maxTimerWait = 60000 // the longest that the timers' goroutine waits, in milliseconds
 
 // Node is one proxy node.
 type Node struct {
-	conf   *Config
-	opts   atomic.Pointer[Options] // those that hold now
-	clock  clock.Clock
-	log    *slog.Logger
-	level  *slog.LevelVar // of what the node logs, nil where that is not its own
-	flood  log.Interval   // of what clients, hosts and discovery can make many of
-	pilot  *dispatch.Dispatcher
-	gate   *driver.Gate
-	core   *core.Core
-	loop   *netpoll.Loop
-	north  *httpserver.Server
-	pool   *connpool.Pool
-	watch  *discovery.Watcher
-	lists  *lists      // of several sources; nil = the list is discovery's, as it is
-	thrift *thriftSide // nil = Thrift is not spoken
-	poke   chan struct{}
-
-	quota   *quotaedge.Middleware  // nil = calls are not held to quotas
-	repeats *middleware.Middleware // nil = repeats are not recognised
-	pass    passing                // of its names to another process, or from one
-	journal *journal.Journal       // of them, nil = none
-	locked  *os.File               // keeps other processes from the journal
-
-	peers *peers           // what the fleet holds for this node and its clients; nil = the node shares nothing
-	names *replicated.Keys // of calls, held by the fleet; nil = by this node alone
-	guide *policygate.Gate // of calls, by the fleet's policy; nil = by this node's file alone
-	own   Options          // of this machine, without the fleet's policy; under reload
-	doc   rollout.Document // the fleet's policy, Number 0 = none; under reload
-
-	figures *metrics.Set
-	budget  *bodypipe.Budget // of bodies
-	door    *admin.Door      // nil = operators have none
-	orders  orders
-
-	since     float64            // when it was made
-	known     *Knowledge         // at the start
-	lessons   []PeerKnowledge    // until the node is ready
-	fleet     int                // how many instances there are
-	phase     func() float64     // of this node's timers, nil where there are no other nodes
-	beats     chan chan struct{} // each is closed by the timers' goroutine when it has been through the pilot
-	ready     chan struct{}      // closed when the node can serve
-	stopping  chan struct{}      // closed when the node was told to stop
-	yielded   chan struct{}      // closed when another process accepts
-	yieldOnce sync.Once
+	conf         *Config
+	opts         atomic.Pointer[Options] // the options in force
+	clock        clock.Clock
+	log          *slog.Logger
+	level        *slog.LevelVar // log level; nil if the node does not control it
+	logInterval  log.Interval   // minimum interval between repeated messages that clients, backends or discovery can cause in large numbers
+	dispatcher   *dispatch.Dispatcher
+	gate         *driver.Gate
+	core         *core.Core
+	loop         *netpoll.Loop
+	httpServer   *httpserver.Server
+	pool         *connpool.Pool
+	watcher      *discovery.Watcher
+	endpointList *endpointList // the endpoint list built from several sources; nil = discovery's list is used as it is
+	thrift       *thriftParts  // nil = Thrift is not enabled
+	wakeup       chan struct{}
+
+	quota       *quotaedge.Middleware  // nil = no quotas are enforced
+	idempotency *middleware.Middleware // nil = repeated requests are not detected
+	keyTransfer keyTransferState       // transfer of idempotency keys to or from another process
+	journal     *journal.Journal       // journal of idempotency keys, nil = none
+	journalLock *os.File               // lock that keeps other processes from the journal
+
+	peers          *peers           // access to the fleet's replicated log; nil = the node shares nothing with the fleet
+	replicatedKeys *replicated.Keys // idempotency keys replicated by the fleet; nil = they are kept by this node alone
+	policyGate     *policygate.Gate // admits calls under the fleet's policy; nil = only this node's own file applies
+	localOptions   Options          // options of this machine, without the fleet's policy; guarded by reload
+	policyDoc      rollout.Document // the fleet's policy, Number 0 = none; guarded by reload
+
+	nodeMetrics *metrics.Set
+	bodyBudget  *bodypipe.Budget // memory for request and response bodies
+	adminServer *admin.Door      // nil = there is no admin endpoint
+	orders      orders
+
+	startedAt    float64            // when the node was created
+	initial      *Knowledge         // state of another process, applied at the start
+	fromPeers    []PeerKnowledge    // state of other nodes, kept until the node is ready
+	fleetSize    int                // number of instances in the fleet
+	jitter       func() float64     // random phase of this node's timers; nil if there are no other nodes
+	heartbeats   chan chan struct{} // each channel is closed by the timers' goroutine when it has run the dispatcher's timers
+	ready        chan struct{}      // closed when the node can serve
+	stopping     chan struct{}      // closed when the node has been asked to stop
+	handedOver   chan struct{}      // closed when another process accepts
+	handOverOnce sync.Once
 
 	reload sync.Mutex // held by Reload
 }
 
-// New makes a node and listens; it serves once Run is called.
+// New creates a node and listens; it serves once Run is called.
 func New(conf *Config, extra Extras) (*Node, error) { return newNode(conf, extra, clock.NewSystem()) }
 
 func newNode(conf *Config, extra Extras, c clock.Clock) (made *Node, err error) {
@@ -185,9 +188,9 @@
 	if faults := options.Check(o, conf); len(faults) > 0 {
 		return nil, faults[0]
 	}
-	n := &Node{conf: conf, clock: c, level: extra.Level, known: extra.Known, lessons: extra.FromPeers, poke: make(chan struct{}, 1),
-		beats: make(chan chan struct{}), ready: make(chan struct{}), since: c.Now(),
-		stopping: make(chan struct{}), yielded: make(chan struct{})}
+	n := &Node{conf: conf, clock: c, level: extra.Level, initial: extra.Known, fromPeers: extra.FromPeers, wakeup: make(chan struct{}, 1),
+		heartbeats: make(chan chan struct{}), ready: make(chan struct{}), startedAt: c.Now(),
+		stopping: make(chan struct{}), handedOver: make(chan struct{})}
 	logger := extra.Log
 	if logger == nil {
 		n.level = new(slog.LevelVar)
@@ -195,20 +198,20 @@
 	}
 	logger = log.On(logger, c).With("node", conf.Name)
 	n.log = logger.With("part", "node")
-	n.figures, n.budget = metrics.New(classNames(conf)), bodypipe.NewBudget(bodiesBudget(conf, &o))
-	sparse := log.Sparse(logger, c, &n.flood)
+	n.nodeMetrics, n.bodyBudget = metrics.New(classNames(conf)), bodypipe.NewBudget(bodyBudgetBytes(conf, &o))
+	sparse := log.Sparse(logger, c, &n.logInterval)
 	set, seed := conf.Settings, conf.Seed
 	set.Nodes, set.Node = o.Fleet.Place(conf.Name, set.Nodes, set.Node)
-	if n.fleet, n.phase = set.Nodes, chances(conf, set.Nodes); n.phase != nil {
+	if n.fleetSize, n.jitter = set.Nodes, jitterSource(conf, set.Nodes); n.jitter != nil {
 		seed ^= nameHash(conf.Name)
 	}
-	n.pilot, err = dispatch.New(set, seed, n.clock, sparse.With("part", "pilot"), n.wake)
+	n.dispatcher, err = dispatch.New(set, seed, n.clock, sparse.With("part", "pilot"), n.wake)
 	if err != nil {
 		return nil, err
 	}
 	room := o.Room(conf)
 	var side *httpserver.Server
-	ready := make(chan struct{}) // a client may connect before the rest stands
+	ready := make(chan struct{}) // a client may connect before the other components are set up
 	n.loop, err = listen(&extra, conf.Listen, room.Clients+room.Spare, c, func(c *netpoll.Conn) netpoll.Handler {
 		<-ready
 		return side.Accept(c)
@@ -218,61 +221,62 @@
 	}
 	defer func() {
 		if err != nil {
-			n.abandon()
+			n.closeUnstarted()
 		}
 	}()
 	n.pool = connpool.New(connpool.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
-		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.Attempt, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
-	n.gate = driver.New(worthFor(conf), drainTimes(&o), c)
+		Settle: o.South.Settle.Ms, ToOne: n.connectionsPerHost(o.Fleet.RaterConnections, n.fleetSize), Limits: poolLimits(conf, &o), Sent: n.nodeMetrics.Attempt, Budget: n.bodyBudget}, n.clock, n.loop, sparse.With("part", "south"))
+	n.gate = driver.New(usefulFor(conf), drainTimes(&o), c)
 	stages, first, err := n.stages(&extra, &o, sparse)
 	if err != nil {
 		return nil, err
 	}
-	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
-	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
-	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
-	side = n.north
-	n.gate.SetHooks(driver.Hooks{Announce: n.announce, StopAccepting: n.refuse, CloseIdle: n.sweep, Finish: n.finish})
+	calls := core.Settings{Calls: n.maxCalls(room), Gate: n.gate, Stages: stages, Figures: n.nodeMetrics}
+	n.core = core.New(calls, n.dispatcher, n.pool, sparse.With("part", "core"))
+	n.httpServer = httpserver.New(serverSettings(conf, &o, room, n.bodyBudget), n.clock, n.core, n.gate, sparse.With("part", "north"))
+	side = n.httpServer
+	n.gate.SetHooks(driver.Hooks{Announce: n.logStop, StopAccepting: n.stopAccepting, CloseIdle: n.sweepConnections, Finish: n.finish})
 	close(ready)
-	if err := n.secondSide(set, seed, &o, room, calls, sparse); err != nil {
+	if err := n.initThrift(set, seed, &o, room, calls, sparse); err != nil {
 		return nil, err
 	}
-	n.watch = &discovery.Watcher{Address: conf.Discovery, Limits: listLimits(conf, &o), Loop: n.loop, Clock: n.clock,
-		Log: sparse.With("part", "inventory"), Sink: plain{n.inventory}, Most: o.Inventory.Discovery.ListMost.Bytes,
-		Chance: chances(conf, n.fleet), Spread: callSpread(&set), Known: -1, First: first}
+	n.watcher = &discovery.Watcher{Address: conf.Discovery, Limits: listLimits(conf, &o), Loop: n.loop, Clock: n.clock,
+		Log: sparse.With("part", "inventory"), Sink: directSink{n.updateEndpoints}, Most: o.Inventory.Discovery.ListMost.Bytes,
+		Chance: jitterSource(conf, n.fleetSize), Spread: callSpread(&set), Known: -1, First: first}
 	if len(conf.Known.Hosts) > 0 {
-		n.watch.Known = conf.Known.Index
+		n.watcher.Known = conf.Known.Index
 	}
 	if !o.Inventory.Plain() {
-		if n.lists, err = gather(conf, &o.Inventory, n.watch, n.inventory); err != nil {
+		if n.endpointList, err = newEndpointList(conf, &o.Inventory, n.watcher, n.updateEndpoints); err != nil {
 			return nil, err
 		}
 	}
 	n.apply(o)
-	if n.repeats != nil && n.guide == nil { // else no call begins before the first policy is known
-		n.repeats.FixNaming()
+	if n.idempotency != nil && n.policyGate == nil { // otherwise no call begins before the first policy is known
+		n.idempotency.FixNaming()
 	}
-	if err := n.open(); err != nil {
+	if err := n.openAdmin(); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// stages makes what calls pass before they are decided, and what is told once each source and part of the fleet was heard.
+// stages creates the stages that calls pass before they are dispatched, and the function to call once for each
+// source and each part of the fleet that has been queried.
 func (n *Node) stages(extra *Extras, o *Options, sparse *slog.Logger) (core.Stages, func(), error) {
 	stages := core.Stages{First: extra.First, Last: extra.Last}
 	var err error
 	if o.Quota.On {
-		if n.quota, err = n.divide(&o.Quota, sparse.With("part", "quota")); err != nil {
+		if n.quota, err = n.newQuota(&o.Quota, sparse.With("part", "quota")); err != nil {
 			return stages, nil, err
 		}
 		stages.Quota = n.quota.Wrap
 	}
 	sources := len(o.Inventory.Sources())
 	if o.Peers.Fleet != "" {
-		n.peers = join(n.conf, &o.Peers)
-		sources++ // of what the node must have heard before it is ready
+		n.peers = newPeers(n.conf, &o.Peers)
+		sources++ // one more source to query before the node is ready
 		if n.quota != nil {
 			n.lease(&o.Quota)
 		}
@@ -280,26 +284,26 @@
 	if o.Policy.On {
 		sources++
 	}
-	first := n.firstAsked(sources)
+	first := n.readyAfter(sources)
 	if n.peers != nil {
-		n.peers.heard = first
+		n.peers.ordersDone = first
 	}
-	n.own = *o
+	n.localOptions = *o
 	if o.Policy.On {
-		n.guide = n.guided(&o.Policy, first, sparse.With("part", "policy"))
-		stages.First = append([]Stage{n.guide.Wrap}, stages.First...)
+		n.policyGate = n.newPolicyGate(&o.Policy, first, sparse.With("part", "policy"))
+		stages.First = append([]Stage{n.policyGate.Wrap}, stages.First...)
 	}
 	if o.Repeats.On {
-		if n.repeats, err = n.recognise(&o.Repeats, sparse.With("part", "repeats")); err != nil {
+		if n.idempotency, err = n.newIdempotency(&o.Repeats, sparse.With("part", "repeats")); err != nil {
 			return stages, nil, err
 		}
-		stages.Repeats = n.repeats.Wrap
+		stages.Repeats = n.idempotency.Wrap
 	}
 	return stages, first, nil
 }
 
-// abandon lets go of what a node that was not made whole holds by now.
-func (n *Node) abandon() {
+// closeUnstarted releases what a node holds whose creation failed.
+func (n *Node) closeUnstarted() {
 	n.loop.Stop()
 	if n.thrift != nil && n.thrift.loop != nil {
 		n.thrift.loop.Stop()
@@ -307,18 +311,18 @@
 	if n.peers != nil {
 		n.peers.log.Close()
 	}
-	if n.locked != nil {
-		_ = n.locked.Close() // it is empty
+	if n.journalLock != nil {
+		_ = n.journalLock.Close() // it is empty
 	}
 }
 
-// Endings counts the final answers given so far, by kind and reason.
+// Endings returns how many final answers have been given, by kind and reason.
 func (n *Node) Endings() []core.Ending { return n.core.Endings() }
 
-// Addr is the address that the node listens on.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.loop.Addr() }
 
-// NewLog makes a logger as options have it; the level holds what the options say, and can be changed.
+// NewLog returns a logger as configured by o, and sets level, which can be changed later, to the level of o.
 func NewLog(w io.Writer, o *Options, level *slog.LevelVar) *slog.Logger {
 	level.Set(logLevel(o))
 	format := log.Text
@@ -330,65 +334,66 @@
 
 func logLevel(o *Options) slog.Level {
 	level := slog.LevelInfo
-	_ = level.UnmarshalText([]byte(o.Log.Level)) // one of those that slog knows, or the options would be faulty
+	_ = level.UnmarshalText([]byte(o.Log.Level)) // options.Check admits only levels that slog knows
 	return level
 }
 
-// apply lets options hold from now on.
+// apply puts options into force.
 func (n *Node) apply(o Options) {
 	if n.level != nil {
 		n.level.Set(logLevel(&o))
 	}
-	n.flood.Set(o.Log.FloodInterval.Ms)
-	n.pool.Limit(southLimits(n.conf, &o))
-	n.north.Limit(northLimits(&o))
-	n.watch.Limit(listLimits(n.conf, &o))
-	if n.lists != nil {
-		n.lists.tune(&o)
+	n.logInterval.Set(o.Log.FloodInterval.Ms)
+	n.pool.Limit(poolLimits(n.conf, &o))
+	n.httpServer.Limit(serverLimits(&o))
+	n.watcher.Limit(listLimits(n.conf, &o))
+	if n.endpointList != nil {
+		n.endpointList.applyOptions(&o)
 	}
 	if was := n.opts.Load(); len(o.Inventory.Out) > 0 || was != nil && len(was.Inventory.Out) > 0 {
-		n.leaveOut(o.Inventory.Out)
+		n.excludeBackends(o.Inventory.Out)
 	}
 	if was := n.opts.Load(); was != nil && !reflect.DeepEqual(was.Quota, o.Quota) {
-		n.redivide(&o.Quota)
+		n.updateQuota(&o.Quota)
 	}
-	if was := n.opts.Load(); was != nil && n.repeats != nil && !reflect.DeepEqual(was.Repeats.Classes, o.Repeats.Classes) {
-		n.reclass(&o.Repeats)
+	if was := n.opts.Load(); was != nil && n.idempotency != nil && !reflect.DeepEqual(was.Repeats.Classes, o.Repeats.Classes) {
+		n.updateClasses(&o.Repeats)
 	}
 	n.opts.Store(&o)
 }
 
-// Reload reads the configuration again, at any time while the node runs: what ROUTER_CONFIG names, and what
-// LINENWHEEL_OPTIONS names, if it names a file. The watch goes on where discovery now is and the process's limits
-// follow, as do the options that can change meanwhile; what else is new waits for the next start and is named in the
-// log. A bad file changes nothing.
+// Reload reads the configuration again, at any time while the node runs: the file that ROUTER_CONFIG names, and
+// the one that LINENWHEEL_OPTIONS names, if set. The watch moves to the new address of discovery, the process's
+// limits are updated, and so are the options that can change at run time. All other changes wait for the next
+// start and are named in the log. An invalid file changes nothing.
 func (n *Node) Reload(getenv func(string) string) {
 	n.reload.Lock()
 	defer n.reload.Unlock()
-	conf, next, own, taken, waiting, err := n.read(getenv)
+	conf, next, local, taken, waiting, err := n.read(getenv)
 	if err != nil {
-		n.log.Error("the new configuration is bad and the old one stays", "error", err)
+		n.log.Error("configuration reload failed; keeping the previous configuration", "error", err)
 		return
 	}
 	SetLimits(conf, &next)
-	n.own = own
+	n.localOptions = local
 	n.apply(next)
-	n.watch.Move(conf.Discovery)
-	n.log.Info("the configuration was read again", "discovery", conf.Discovery, "taken", taken, "waiting", waiting)
-	if n.doc.Number > 0 {
-		n.log.Info("the fleet's policy goes before the file, which says what is the machine's own", "number", n.doc.Number)
+	n.watcher.Move(conf.Discovery)
+	n.log.Info("configuration reloaded", "discovery", conf.Discovery, "taken", taken, "waiting", waiting)
+	if n.policyDoc.Number > 0 {
+		n.log.Info("the fleet's policy overrides the options file; the file sets only options of this machine", "number", n.policyDoc.Number)
 	}
 }
 
-// read reads what Reload takes, and names what of it is taken and what waits.
-func (n *Node) read(getenv func(string) string) (conf *Config, next, own Options, taken, waiting []string, err error) {
+// read reads the new configuration for Reload, and names the options that take effect now and those that wait for
+// the next start.
+func (n *Node) read(getenv func(string) string) (conf *Config, next, local Options, taken, waiting []string, err error) {
 	if conf, err = config.Reload(getenv); err != nil {
-		return conf, next, own, nil, nil, err
+		return conf, next, local, nil, nil, err
 	}
-	file := &options.File{Options: n.own}
+	file := &options.File{Options: n.localOptions}
 	if path := getenv("LINENWHEEL_OPTIONS"); path != "" {
 		if file, err = loadOptions(path, conf); err != nil {
-			return conf, next, own, nil, nil, err
+			return conf, next, local, nil, nil, err
 		}
 	}
 	for _, field := range []struct {
@@ -402,28 +407,28 @@
 			waiting = append(waiting, field.name)
 		}
 	}
-	own, taken, later := options.Take(&n.own, &file.Options)
+	local, taken, later := options.Take(&n.localOptions, &file.Options)
 	now := *n.conf
 	now.MemoryMB = conf.MemoryMB
-	if next, err = n.under(&own, n.doc); err != nil {
-		return conf, next, own, nil, nil, err
+	if next, err = n.optionsUnder(&local, n.policyDoc); err != nil {
+		return conf, next, local, nil, nil, err
 	}
-	n.fits(&next, func(reason string, fields ...string) {
+	n.checkClasses(&next, func(reason string, fields ...string) {
 		if err == nil {
 			err = file.Blame(reason, fields...)
 		}
 	})
 	if err != nil {
-		return conf, next, own, nil, nil, err
+		return conf, next, local, nil, nil, err
 	}
 	if faults := options.Check(next, &now); len(faults) > 0 {
-		return conf, next, own, nil, nil, fmt.Errorf("until the next start, which takes %v: %w", later, faults[0])
+		return conf, next, local, nil, nil, fmt.Errorf("invalid before the next start, which applies %v: %w", later, faults[0])
 	}
-	return conf, next, own, taken, append(waiting, later...), nil
+	return conf, next, local, taken, append(waiting, later...), nil
 }
 
-// worthFor is, by class, how long an answer may take and still be worth something, milliseconds.
-func worthFor(conf *Config) (list []float64) {
+// usefulFor returns, by class, for how many milliseconds a response remains useful.
+func usefulFor(conf *Config) (list []float64) {
 	for _, c := range conf.Settings.Classes {
 		worth := c.Deadline
 		if c.LateValue == 0 && !c.Streaming {
@@ -434,13 +439,13 @@
 	return list
 }
 
-func northLimits(o *Options) httpserver.Limits {
+func serverLimits(o *Options) httpserver.Limits {
 	h := &o.North.HTTP
 	return httpserver.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
 		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, Whole: h.RetryAfter == "whole"}
 }
 
-func southLimits(conf *Config, o *Options) connpool.Limits {
+func poolLimits(conf *Config, o *Options) connpool.Limits {
 	w := &o.South.Wear
 	return connpool.Limits{Idle: o.South.IdlePart * conf.ConnIdle, Wear: connpool.Wear{Memory: w.Memory.Ms,
 		Quick: w.Quick.Ms, Least: w.Least, Deviations: w.Deviations, Hold: w.Hold.Ms, Usual: w.Usual}}
@@ -452,8 +457,9 @@
 		FirstPause: d.FirstPause.Ms, LastPause: d.LastPause.Ms, Told: o.Platform.ListTold.Ms, ToldMoved: o.Platform.ReloadTold.Ms}
 }
 
-// listLimits are those of the platform's list. Where it is pushed, what the agent gets when discovery returns counts as told at once:
-// no pause lasts for more than half of the time in which sends to a rater that departs must stop, and calls there cost nothing.
+// listLimits returns the limits for watching the platform's list. Where the list is pushed, changes that the agent
+// receives once discovery is reachable again count as announced immediately: so no pause lasts longer than half of
+// the time within which requests to a draining backend must stop, since queries cost nothing there.
 func listLimits(conf *Config, o *Options) discovery.Limits {
 	l := watchLimits(o)
 	if grace := conf.Settings.Rules.DrainGrace.Seconds() * 1000; !conf.Settings.Ask {
@@ -462,9 +468,9 @@
 	return l
 }
 
-func frontSettings(conf *Config, o *Options, room options.Room, budget *bodypipe.Budget) httpserver.Settings {
+func serverSettings(conf *Config, o *Options, room options.Room, budget *bodypipe.Budget) httpserver.Settings {
 	set := httpserver.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
-		Crowded: room.Crowded, Limits: northLimits(o)}
+		Crowded: room.Crowded, Limits: serverLimits(o)}
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
 		if c.Effect == decide.Safe {
@@ -477,24 +483,25 @@
 		set.Tenants[t.Name] = i
 	}
 	set.Bodies.Budget = budget
-	if flows(o) {
+	if streamsBodies(o) {
 		set.Bodies.Most, set.Bodies.Whole = o.North.HTTP.BodyMost.Bytes, o.North.HTTP.BodyWhole.Bytes
 	}
 	return set
 }
 
-// flows tells whether bodies may flow: nothing wants them whole, as repeats and Thrift on either side do.
-func flows(o *Options) bool {
+// streamsBodies reports whether bodies may be streamed: nothing needs them whole, as idempotency and Thrift on
+// either side do.
+func streamsBodies(o *Options) bool {
 	return !o.Repeats.On && len(o.South.Thrift.Kinds) == 0 && o.North.Thrift.Listen == ""
 }
 
-// bodiesBudget is the memory for bodies, of a part of what the platform gives.
-func bodiesBudget(conf *Config, o *Options) int {
+// bodyBudgetBytes returns the memory for bodies, a part of what the platform provides.
+func bodyBudgetBytes(conf *Config, o *Options) int {
 	return int(conf.MemoryMB * o.Service.BodiesPart * (1 << 20))
 }
 
-// SetLimits makes the process keep to its limits. The poller waits within a system call and holds one of the
-// runtime's processors meanwhile, so there is one more than there are cores.
+// SetLimits applies the configured limits to the process. The poller waits within a system call and occupies one
+// of the runtime's processors meanwhile, so there is one more than there are cores.
 func SetLimits(conf *Config, o *Options) {
 	runtime.GOMAXPROCS(int(math.Ceil(conf.Cores)) + 1)
 	debug.SetMemoryLimit(int64(conf.MemoryMB * o.Service.MemoryPart * (1 << 20)))
@@ -503,14 +510,14 @@
 
 // Run serves until ctx ends, then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	if n.lists != nil {
-		n.lists.start(n.conf)
+	if n.endpointList != nil {
+		n.endpointList.start(n.conf)
 	} else if len(n.conf.Known.Hosts) > 0 {
-		n.inventory(dispatch.Stored, n.conf.Known.Hosts)
+		n.updateEndpoints(dispatch.Stored, n.conf.Known.Hosts)
 	}
-	if n.known != nil {
-		if err := n.Recall(*n.known); err != nil {
-			n.log.Warn("what was known before is not used", "error", err)
+	if n.initial != nil {
+		if err := n.Recall(*n.initial); err != nil {
+			n.log.Warn("state of the previous process not used", "error", err)
 		}
 	}
 	back, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -522,31 +529,31 @@
 	if n.journal != nil {
 		writing.Go(n.journal.Run)
 	}
-	if n.names != nil {
-		work.Go(func() { n.names.Run(back) })
+	if n.replicatedKeys != nil {
+		work.Go(func() { n.replicatedKeys.Run(back) })
 	}
 	if n.peers != nil {
-		work.Go(func() { n.hearOrders(back) })
+		work.Go(func() { n.restoreFleetOrders(back) })
 	}
-	if n.guide != nil {
-		work.Go(func() { n.guide.Run(back) })
+	if n.policyGate != nil {
+		work.Go(func() { n.policyGate.Run(back) })
 	}
-	work.Go(func() { n.tick(back) })
-	n.every(back, func(o *Options) float64 { return o.South.RetireEvery.Ms }, n.pool.Retire)
-	n.every(back, func(o *Options) float64 { return o.North.HTTP.SweepEvery.Ms }, n.sweep)
-	if n.door != nil {
-		n.every(back, func(*Options) float64 { return ratersEvery }, n.countRaters)
+	work.Go(func() { n.timerLoop(back) })
+	n.runEvery(back, func(o *Options) float64 { return o.South.RetireEvery.Ms }, n.pool.Retire)
+	n.runEvery(back, func(o *Options) float64 { return o.North.HTTP.SweepEvery.Ms }, n.sweepConnections)
+	if n.adminServer != nil {
+		n.runEvery(back, func(*Options) float64 { return backendCountInterval }, n.countBackends)
 	}
-	if n.lists != nil {
-		n.lists.run(back, &work)
+	if n.endpointList != nil {
+		n.endpointList.run(back, &work)
 	} else {
-		work.Go(func() { n.watch.Run(back) })
+		work.Go(func() { n.watcher.Run(back) })
 	}
 	if n.quota != nil {
 		n.quota.WatchCapacity(back.Done())
 		if o := n.opts.Load(); o.Quota.Leased > 0 && n.peers != nil {
 			work.Go(func() {
-				select { // before, its tree is its own file's, which the fleet's policy may go before
+				select { // until the node is ready, its tree comes from its own file, which the fleet's policy may override
 				case <-n.ready:
 				case <-back.Done():
 				}
@@ -554,36 +561,37 @@
 			})
 		}
 	}
-	told, yielded := ctx.Done(), n.yielded
+	stopRequested, handedOver := ctx.Done(), n.handedOver
 	for {
 		select {
-		case <-told:
-			told = nil
+		case <-stopRequested:
+			stopRequested = nil
 			close(n.stopping)
-			n.gate.Stop(n.times())
-		case <-yielded:
-			yielded = nil
-			if n.names != nil {
-				n.names.StopAnnouncing()
+			n.gate.Stop(n.stopTimes())
+		case <-handedOver:
+			handedOver = nil
+			if n.replicatedKeys != nil {
+				n.replicatedKeys.StopAnnouncing()
 			}
-			n.log.Info("the node answers what it owes and ends: another process accepts")
-			n.loop.StopAccepting() // at once: what waits there is the other one's
-			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.Open()+yieldSpare))
-			n.gate.HandOver(n.yieldTimes())
+			n.log.Info("another process accepts connections; finishing open requests before exit")
+			n.loop.StopAccepting() // at once: pending connections belong to the other process
+			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.Open()+handoverSpare))
+			n.gate.HandOver(n.handoverTimes())
 		case <-n.gate.Ended():
 			if left := n.unanswered(); left > 0 {
 				return &UnansweredError{left}
 			}
-			n.log.Info("the node has stopped and all is answered")
+			n.log.Info("node stopped; all requests were answered")
 			return nil
 		}
 	}
 }
 
-// close ends what Run has begun, of which work is told to end, and writing is the journal's.
+// close ends the goroutines that Run has started: those in work have been told to end, and writing is the
+// journal's.
 func (n *Node) close(work, writing *sync.WaitGroup) {
-	n.shut()
-	n.pass.work.Wait()
+	n.closeAdmin()
+	n.keyTransfer.work.Wait()
 	work.Wait()
 	if n.peers != nil {
 		n.peers.log.Close()
@@ -592,36 +600,37 @@
 	if n.thrift != nil && n.thrift.loop != nil {
 		n.thrift.loop.Stop()
 	}
-	if n.journal != nil { // what is recorded last is the end of the last call
+	if n.journal != nil { // the last record is the end of the last call
 		n.journal.Close()
 		writing.Wait()
-		_ = n.locked.Close() // it is empty
+		_ = n.journalLock.Close() // it is empty
 	}
 }
 
-// times are those of a stop that begins now.
-func (n *Node) times() shutdown.Times {
+// stopTimes returns the times of a stop that begins now.
+func (n *Node) stopTimes() shutdown.Times {
 	o := n.opts.Load()
 	return shutdown.Times{ConnectableFor: o.Platform.ConnectSure.Ms, AcceptFor: o.Service.AcceptFor.Ms,
 		FinishBeforeKill: o.Service.AnswersAhead.Ms, End: o.Service.EndAhead.Ms,
 		KillAfter: min(n.conf.MaxDeadline, o.Platform.LongestCounted.Ms) + o.Platform.KillAfter.Ms}
 }
 
-// yieldTimes are those of a handover that begins now: nobody kills the node, and clients leave as they find that their
-// connections end.
-func (n *Node) yieldTimes() shutdown.Times {
-	t, o := n.times(), n.opts.Load()
+// handoverTimes returns the times of a handover that begins now: nobody kills the node, and clients leave as their
+// connections are closed.
+func (n *Node) handoverTimes() shutdown.Times {
+	t, o := n.stopTimes(), n.opts.Load()
 	t.AcceptFor, t.KillAfter = 0, o.North.HTTP.IdleAfter.Ms+n.conf.MaxDeadline+o.Service.YieldRest.Ms+t.FinishBeforeKill
 	return t
 }
 
-func (n *Node) announce() {
-	t := n.times()
+func (n *Node) logStop() {
+	t := n.stopTimes()
 	n.log.Info("the node is stopping", "connections_ms", t.AcceptFor, "most_ms", t.KillAfter-t.End)
 }
 
-// refuse takes no new clients, on either side: one may have to wait for places.
-func (n *Node) refuse() {
+// stopAccepting stops accepting clients on both listeners; either may first have to wait for room in its
+// connection table.
+func (n *Node) stopAccepting() {
 	var drained sync.WaitGroup
 	drained.Go(n.loop.DrainAccepting)
 	if n.thrift != nil && n.thrift.loop != nil {
@@ -630,11 +639,12 @@
 	drained.Wait()
 }
 
-// sweep ends the clients' connections that are to end, and has one make room where a client waits for a place.
-func (n *Node) sweep() {
-	n.north.Sweep()
+// sweepConnections closes the client connections that are due, and evicts one where a new client waits for room in
+// the connection table.
+func (n *Node) sweepConnections() {
+	n.httpServer.Sweep()
 	if n.loop.Full() {
-		n.north.MakeRoom()
+		n.httpServer.MakeRoom()
 	}
 	if n.thrift != nil && n.thrift.front != nil {
 		n.thrift.front.Sweep()
@@ -644,10 +654,10 @@
 	}
 }
 
-// finish gives all that is open its final answer.
+// finishCalls gives each open call its final response.
 func (n *Node) finish() {
 	if left := n.unanswered(); left > 0 {
-		n.log.Warn("the node ends soon: all that is open gets its final answer now", "open", left)
+		n.log.Warn("stop deadline is near; sending final responses to all open requests", "open", left)
 	}
 	n.core.Finish()
 	if n.thrift != nil && n.thrift.core != n.core {
@@ -655,20 +665,20 @@
 	}
 }
 
-// tick runs the pilot's timers when they are due.
-func (n *Node) tick(ctx context.Context) {
-	var beat chan struct{} // of a heart, to be closed after the next look
+// timerLoop runs the dispatchers' timers when they are due.
+func (n *Node) timerLoop(ctx context.Context) {
+	var beat chan struct{} // heartbeat to acknowledge after the next pass
 	for {
-		next := n.ticks()
+		next := n.runTimers()
 		if beat != nil {
 			close(beat)
 			beat = nil
 		}
-		quiet := n.clock.At(min(next, n.clock.Now()+longestNap), n.wake)
+		quiet := n.clock.At(min(next, n.clock.Now()+maxTimerWait), n.wake)
 		select {
-		case <-n.poke:
+		case <-n.wakeup:
 			quiet()
-		case beat = <-n.beats:
+		case beat = <-n.heartbeats:
 			quiet()
 		case <-ctx.Done():
 			quiet()
@@ -677,29 +687,29 @@
 	}
 }
 
-// wake has tick look at the timers again.
+// wake makes timerLoop check the timers again.
 func (n *Node) wake() {
 	select {
-	case n.poke <- struct{}{}:
+	case n.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// every has the clock call f again and again until ctx ends, in the milliseconds that the options then name. Where there
-// are other nodes, the first time comes sooner, at a phase of this node's own.
-func (n *Node) every(ctx context.Context, ms func(*Options) float64, f func()) {
+// runEvery calls f periodically until ctx ends, at the interval in milliseconds that the current options give. If
+// there are other nodes, the first interval is shortened to a random fraction, so that nodes do not run in step.
+func (n *Node) runEvery(ctx context.Context, ms func(*Options) float64, f func()) {
 	first := 1.0
-	if n.phase != nil {
-		first = n.phase()
+	if n.jitter != nil {
+		first = n.jitter()
 	}
-	n.again(ctx, first, ms, f)
+	n.runAfter(ctx, first, ms, f)
 }
 
-func (n *Node) again(ctx context.Context, part float64, ms func(*Options) float64, f func()) {
+func (n *Node) runAfter(ctx context.Context, part float64, ms func(*Options) float64, f func()) {
 	n.clock.At(n.clock.Now()+part*ms(n.opts.Load()), func() {
 		if ctx.Err() == nil {
 			f()
-			n.again(ctx, 1, ms, f)
+			n.runAfter(ctx, 1, ms, f)
 		}
 	})
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -27,7 +27,7 @@
  "limits":{"max_attempts":3,"cancel":true,"second_copies":false,"connect_timeout_s":0.25,"conn_idle_s":30,"max_open":4},
  "safety":{"drain_grace_s":0.5}}`
 
-// logged is a log that tells when a line has come.
+// logged is a log that signals the line that announces the stop.
 type logged struct {
 	mu       sync.Mutex
 	text     bytes.Buffer
@@ -43,18 +43,18 @@
 	return l.text.Write(b)
 }
 
-// start brings up a node on a stage with hosts; known are those that its configuration lists.
+// start starts a node in a scenario with hosts; known are those that its configuration lists.
 func start(t *testing.T, sockets int, hosts []string, known ...string) *scenario.Stage {
 	s, _ := startNode(t, Extras{}, sockets, hosts, known...)
 	return s
 }
 
-// startNode is start for a node with what an embedder adds; without a log it is the test's own.
+// startNode is start for a node with an embedder's extras; without a logger in them, the test's own is used.
 func startNode(t *testing.T, extra Extras, sockets int, hosts []string, known ...string) (*scenario.Stage, *Node) {
 	return startTuned(t, extra, sockets, func(*scenario.Stage, map[string]any) {}, hosts, known...)
 }
 
-// startTuned is startNode for a node whose configuration is changed first.
+// startTuned is startNode for a node whose configuration is changed first by tune.
 func startTuned(t *testing.T, extra Extras, sockets int, tune func(*scenario.Stage, map[string]any), hosts []string,
 	known ...string) (*scenario.Stage, *Node) {
 	s := scenario.New(t, hosts...)
@@ -118,7 +118,7 @@
 	return s, n
 }
 
-// optionsFiles are those that come with a reload.
+// optionsFiles are the options files that a reload can install.
 var optionsFiles = map[string]string{
 	"half":          "[north.http]\nidle_after = \"5s\"\n[inventory.disc",
 	"contradicting": "[north.http]\nidle_after = \"5s\"\n[service]\nreserve = 1020\n",
@@ -136,7 +136,7 @@
 	return fmt.Sprintf("[[repeats.class]]\nname = %q\nby = \"header\"\nheader = %q\nanswered = \"%ds\"\ndoubt = \"%ds\"\n", name, header, seconds, seconds)
 }
 
-// begin lets the node have a list of the hosts.
+// begin gives the node a list of the hosts.
 func begin(hosts ...string) string {
 	list := ""
 	for _, h := range hosts {
@@ -147,13 +147,13 @@
 
 const pay = "POST /pay/1 id=q deadline=900 "
 
-// Each scenario names what the code guards against.
+// Each scenario names the fault that it guards against.
 var scenarios = []struct {
 	guards string
 	hosts  []string
 	steps  string
 }{
-	{"a request or an answer that is changed on its way, and a connection that is not used again", []string{"h1"}, `
+	{"a request or a response that is changed on its way, and a connection that is not reused", []string{"h1"}, `
 		a send POST /alert/1?x=2 id=q1 deadline=500 key=k owner=t X-More=m Connection=Req-Id body=hello
 		r expect POST /alert/1?x=2 id=q1 deadline=500 key=k owner=t X-More=m Connection= body=hello
 		r send 200 Content-Type=text/x body=ok
@@ -163,68 +163,68 @@
 		s expect GET /look/2 id=q2 conn=r
 		s send 200 body=two
 		a expect 200 body=two`},
-	{"a host that is told the client's deadline where the node stops waiting sooner", []string{"h1"}, `
+	{"a host that gets the client's deadline although the node stops waiting earlier", []string{"h1"}, `
 		a send POST /pay/1 id=q deadline=900
 		r expect POST /pay/1 deadline=600`},
-	{"a late relay that goes on, is answered late, or is sent again though it may have run", []string{"h1", "h2"}, `
+	{"a timed-out attempt that continues, is answered late, or is retried though it may have run", []string{"h1", "h2"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		wait 600
 		r expect close
 		a expect 502`},
-	{"a relay turned away unseen that is not tried elsewhere", []string{"h1", "h2"}, `
+	{"an attempt that a host declined without running it not being retried elsewhere", []string{"h1", "h2"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 503 declined=1
 		s expect POST /pay/1 id=q newconn=r
 		s send 200 body=ok
 		a expect 200 body=ok`},
-	{"a 503 without the mark taken for one that never ran", []string{"h1", "h2"}, `
+	{"a 503 without the mark being treated as a request that never ran", []string{"h1", "h2"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 503
 		a expect 502`},
-	{"an error answer of a request that must not run twice being tried again", []string{"h1", "h2"}, `
+	{"a request that must not run twice being retried after an error response", []string{"h1", "h2"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 500
 		a expect 502`},
-	{"a reset taken for a connection that never was", []string{"h1", "h2"}, `
+	{"a connection reset being treated as a failed connect", []string{"h1", "h2"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r close
 		a expect 502`},
-	{"a key lost when a keyed request goes out again", []string{"h1", "h2"}, `
+	{"a key lost when a keyed request is retried", []string{"h1", "h2"}, `
 		a send POST /alert/1 id=q deadline=900 key=k7
 		r expect POST /alert/1 key=k7
 		r close
 		s expect POST /alert/1 key=k7 newconn=r
 		s send 200 body=ok
 		a expect 200`},
-	{"half an answer passed off as a whole one", []string{"h1"}, `
+	{"a truncated response passed on as a complete one", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send raw "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"
 		r close
 		a expect 502`},
-	{"an answer without a length, which cannot be told whole", []string{"h1"}, `
+	{"a response without a length, which cannot be known to be complete", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send raw "HTTP/1.1 200 OK\r\n\r\nab"
 		a expect 502
 		r expect close`},
-	{"a panic or a lost request on an unreadable answer", []string{"h1"}, `
+	{"a panic or a lost request on a malformed response", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send raw "SIP/2.0 200 OK\r\n\r\n"
 		a expect 502
 		r expect close`},
-	{"a chunked answer passed on unread", []string{"h1"}, `
+	{"a chunked response passed on without being decoded", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send raw "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
 		a expect 200 body=abc Content-Length=3`},
-	{"a host left working on a connection whose client has gone", []string{"h1"}, `
+	{"a host still working for a client that has closed its connection", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		a close
@@ -237,19 +237,19 @@
 		wait 16000
 		wait 1000
 		r expect close`},
-	{"a relay sent to a host that drains", []string{"h1", "h2"}, `
+	{"a request sent to a draining host", []string{"h1", "h2"}, `
 		d send 2 changes h1:Terminating
 		d expect /discovery/hosts?index=2&wait=2000
 		a send ` + pay + `
 		r expect POST /pay/1 host=h2`},
-	{"a host that is missing from a whole list being kept, and a final answer that is held back", []string{"h1"}, `
+	{"a host that is missing from a full list being kept, and a final response that is delayed", []string{"h1"}, `
 		d send 2 whole
 		d expect /discovery/hosts
 		d send 2 whole
 		d expect /discovery/hosts?index=2&wait=2000
 		a send ` + pay + `
 		a expect 503`},
-	{"a fleet emptied by one empty list", []string{"h1"}, `
+	{"all hosts being removed by one empty list", []string{"h1"}, `
 		d send 2 whole
 		d expect /discovery/hosts
 		a send ` + pay + `
@@ -258,18 +258,18 @@
 		a expect 200
 		d send 3 whole h1:Ready
 		d expect /discovery/hosts?index=3&wait=2000`},
-	{"a refused connection taken for work that may have run", []string{"h1"}, `
+	{"a refused connection being treated as a request that may have run", []string{"h1"}, `
 		d send 2 whole dead:Ready
 		d expect /discovery/hosts?index=2&wait=2000
 		a send ` + pay + `
 		a expect 503`},
-	{"a panic, or a list lost, on a malformed answer of discovery", []string{"h1"}, `
+	{"a panic, or the loss of the list, on a malformed response from discovery", []string{"h1"}, `
 		d send raw "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}"
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 200 body=ok
 		a expect 200`},
-	{"more requests than there is room for being dropped rather than refused", []string{"h1"}, `
+	{"requests above the limit being dropped rather than refused", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		b send POST /pay/2 id=q2 deadline=900
@@ -282,13 +282,13 @@
 		f expect 503
 		r send 200 body=ok
 		a expect 200`},
-	{"a request that follows before the answer being lost", []string{"h1"}, `
+	{"a pipelined request being lost", []string{"h1"}, `
 		a send raw "POST /pay/1 HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\nGET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 		r expect POST /pay/1
 		r send 200 body=ok
 		a expect 200 body=ok
 		a expect 200`},
-	{"bad requests reaching a host", []string{"h1"}, `
+	{"invalid requests reaching a host", []string{"h1"}, `
 		a send POST /nothing/1 id=q deadline=900
 		a expect 404
 		a send GET /pay/1 id=q deadline=900
@@ -307,7 +307,7 @@
 		a expect 400
 		a send POST /pay/good id=q deadline=900
 		r expect POST /pay/good`},
-	{"a bad request that goes on from host to host, or that puts a host away", []string{"h1", "h2"}, `
+	{"a request that a host rejects as invalid being retried at other hosts, or causing a host's ejection", []string{"h1", "h2"}, `
 		a send POST /alert/1 id=q deadline=900 key=k
 		r expect POST /alert/1
 		r send 400
@@ -316,7 +316,7 @@
 		s expect POST /alert/2
 		s send 200
 		a expect 200`},
-	{"the id of an open request being used again, which hosts would mix up", []string{"h1"}, `
+	{"the id of an open request being used again, so that hosts would confuse the two", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		b send ` + pay + `
@@ -325,7 +325,7 @@
 		a expect 200
 		b send ` + pay + `
 		s expect POST /pay/1`},
-	{"malformed HTTP going unanswered or keeping its connection", []string{"h1"}, `
+	{"malformed HTTP staying unanswered or keeping its connection open", []string{"h1"}, `
 		a send raw "POST /pay/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"
 		a expect 400 Connection=close
 		wait 500
@@ -334,14 +334,14 @@
 		b expect 413 Connection=close
 		wait 500
 		b expect close`},
-	{"a client that sends half a request holding its connection for ever", []string{"h1"}, `
+	{"a client that sends half a request keeping its connection for ever", []string{"h1"}, `
 		a send raw "GET /up HTTP/1.1\r\nHost: x\r\n\r\nPOST /pay/1 HT"
 		a expect 200
 		wait 2500
 		wait 100
 		wait 100
 		a eventually 400 Connection=close`},
-	{"a connection that says nothing, or asks once, being held for ever, or not for two seconds", []string{"h1"}, `
+	{"a connection without a request, or with one, being kept for ever, or for less than two seconds", []string{"h1"}, `
 		a send raw ""
 		b send GET /up
 		b expect 200
@@ -356,7 +356,7 @@
 		wait 200
 		wait 100
 		b expect close`},
-	{"more than an answer being taken for the answer of the next relay", []string{"h1"}, `
+	{"data after a response being read as the response to the next request", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 200 body=one
@@ -367,7 +367,7 @@
 		r expect close
 		s send 200 body=two
 		a expect 200 body=two`},
-	{"a connection of a host that has gone being used for another at its address", []string{"h1"}, `
+	{"a connection of a removed host being used for another host at its address", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 200 body=ok
@@ -377,7 +377,7 @@
 		wait 5
 		a send POST /pay/2 id=q2 deadline=900
 		s expect POST /pay/2 newconn=r`},
-	{"a flood behind a request being kept, or costing that request its answer", []string{"h1"}, `
+	{"a flood of requests behind an open one being buffered, or costing the open one its response", []string{"h1"}, `
 		a send raw "POST /pay/1 HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 		r expect POST /pay/1
 		a send raw "` + strings.Repeat(`GET /up HTTP/1.1\r\nHost: x\r\n\r\n`, 2000) + `"
@@ -385,7 +385,7 @@
 		a expect 200 body=ok Connection=close
 		wait 500
 		a expect close`},
-	{"a new configuration that is not followed, that ends what is going on, or a bad one that is taken", []string{"h1"}, `
+	{"a new configuration that is not applied or interrupts open requests, or an invalid one that is applied", []string{"h1"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		node send bad
@@ -397,7 +397,7 @@
 		d expect /discovery/hosts?index=7&wait=2000 host=other
 		r send 200 body=ok
 		a expect 200 body=ok`},
-	{"a planned restart that gives time away, or loses what still comes, or never ends", []string{"h1"}, `
+	{"a planned restart that stops serving too early, loses requests that still arrive, or never ends", []string{"h1"}, `
 		a send GET /up
 		a expect 200
 		node close
@@ -418,7 +418,7 @@
 		b expect 200 body=late Connection=close
 		b expect close
 		node expect end`},
-	{"a request that is open when the node is killed, or is said to be harmless to repeat when it may have run", []string{"h1", "h2"}, `
+	{"a request that is open when the node is killed, or is reported as safe to retry although it may have run", []string{"h1", "h2"}, `
 		a send ` + pay + `
 		r expect POST /pay/1
 		r send 200 body=ok
@@ -434,7 +434,7 @@
 		a expect 502 Connection=close
 		r expect close
 		node expect end`},
-	{"a keyed request left open for the kill", []string{"h1"}, `
+	{"a keyed request that is open when the node is killed", []string{"h1"}, `
 		a send POST /alert/1 id=q deadline=900 key=k
 		r expect POST /alert/1
 		r send 200 body=ok
@@ -447,7 +447,7 @@
 		wait 50
 		a expect 503 Connection=close
 		node expect end`},
-	{"a client that finds no free connection and takes the node for dead", []string{"h1"}, `
+	{"a client that finds no free connection and considers the node dead", []string{"h1"}, `
 		a send GET /up
 		a expect 200
 		b send GET /up
@@ -468,7 +468,7 @@
 		e expect 503 Connection=
 		r send 200
 		a expect 200`},
-	{"a node that waits for nobody", []string{"h1"}, `
+	{"a node that keeps running after its last client has left", []string{"h1"}, `
 		a send GET /up
 		a expect 200
 		node close
@@ -485,9 +485,10 @@
 	}
 }
 
-// Guards against a half-written options file, or one that contradicts the platform's, that is taken in part, together
-// with what the platform's file says by then; and against a good one whose limits are not followed, or that does not say
-// what waits for the next start; and against one that is good by itself but not with what has to wait.
+// Guards against an options file that is half written, or contradicts the platform's configuration, being applied
+// in part, together with the platform's configuration of that time; against a valid one whose limits are not
+// applied, or for which the log does not say what waits for the next start; and against one that is valid by
+// itself but not together with the current values of options that wait.
 func TestReloadOfOptions(t *testing.T) {
 	log := &logged{stopping: make(chan struct{})}
 	o := DefaultOptions()
@@ -518,13 +519,13 @@
 	defer log.mu.Unlock()
 	for _, part := range []string{"half.toml:3:15: expected ']' to close table name",
 		"contradicting.toml:4:1: service.reserve: no connection",
-		"until the next start, which takes [south.settle]: south.idle_part: idle_part of",
+		"invalid before the next start, which applies [south.settle]: south.idle_part: idle_part of",
 		"taken=[north.http.idle_after] waiting=\"[south.connections_part south.settle]\""} {
 		require.Contains(t, log.text.String(), part)
 	}
 }
 
-// Guards against options of an embedder that are not held against the platform's configuration.
+// Guards against options of an embedder that are not checked against the platform's configuration.
 func TestOptionsOfAnEmbedder(t *testing.T) {
 	o := DefaultOptions()
 	o.Service.Reserve = 1020
@@ -532,7 +533,8 @@
 	require.ErrorContains(t, err, "service.reserve: no connection of clients is left of limits.sockets, 1024")
 }
 
-// Guards against a node that says it is ready before it has asked discovery, and one that waits for it for ever.
+// Guards against a node that reports ready before it has queried discovery, and one that waits for discovery for
+// ever.
 func TestReadyOnceDiscoveryHasBeenAsked(t *testing.T) {
 	start(t, 1024, []string{"h1"}, "h1").Run(`
 		d expect /discovery/hosts
@@ -547,9 +549,9 @@
 		a expect 405`)
 }
 
-// Guards against a log that grows with what goes well, against records of another time than the node's clock, also on an
-// embedder's logger, and against a level that is not the embedder's.
-func TestNothingIsLoggedOfWhatGoesWell(t *testing.T) {
+// Guards against log messages about normal operation, against records whose time is not that of the node's clock,
+// also in an embedder's logger, and against a log level that is not the embedder's.
+func TestNormalOperationIsNotLogged(t *testing.T) {
 	mine := &logged{stopping: make(chan struct{})}
 	s, _ := startNode(t, Extras{Log: slog.New(slog.NewTextHandler(mine, &slog.HandlerOptions{Level: slog.LevelDebug}))},
 		1024, []string{"h1"})
@@ -560,15 +562,15 @@
 		s.Address()+"\n", mine.text.String())
 }
 
-// Guards against a new client left waiting, and against another one closed than the one that needs its connection
-// least. With 64 descriptors there is room for 18 clients.
-func TestClientsMakeRoom(t *testing.T) {
+// Guards against a new client being left waiting, and against closing another connection than the one that needs
+// it least. With 64 descriptors there is room for 18 clients.
+func TestEvictionMakesRoomForNewClients(t *testing.T) {
 	s, n := startNode(t, Extras{}, 64, []string{"h1"})
 	pulse, err := n.loop.Pulse()
 	require.NoError(t, err)
 	up := func(who string) {
 		s.Run(who + " send GET /up\n" + who + " expect 200")
-		pulse.Beat(t.Context()) // the client has its answer before the node notes since when it rests, which decides who goes
+		pulse.Beat(t.Context()) // the client has its response before the node records the start of the idle time, which decides whose connection is closed
 	}
 	s.Run(begin("h1") + "c send raw \"\"")
 	for i := range 10 {
@@ -588,9 +590,9 @@
 	s.Run("r send 200 body=ok\n a expect 200 body=ok")
 }
 
-// Guards against clients left without a connection to ask on because others hold theirs and do not ask again: with 64
-// descriptors they may hold 21, and from 16 on an answer ends its connection.
-func TestAnswersEndConnectionsInACrowd(t *testing.T) {
+// Guards against clients that cannot get a connection because others keep theirs without using them: with 64
+// descriptors they may hold 21, and from 16 on each response closes its connection.
+func TestResponsesCloseConnectionsAboveTheThreshold(t *testing.T) {
 	steps := begin("h1")
 	for i := range 15 {
 		steps += fmt.Sprintf("a%d send GET /up\n a%d expect 200 Connection=\n", i, i)
--- a/node/lesson_test.go
+++ b/node/peerknowledge_test.go
@@ -10,16 +10,17 @@
 	"linenwheel.dev/linenwheel/internal/node/statedir"
 )
 
-// Guards against bad news of another node that is taken: of another form, zone or clock, too old, or of a node that knows nothing;
-// and against orders, quotas and names of calls that go along with what is known.
-func TestReadLesson(t *testing.T) {
+// Guards against unusable state of another node being accepted: of another form, zone or clock, too old, or of a
+// node that has learned nothing; and against operators' orders, quotas and idempotency keys being passed on with
+// the learned state.
+func TestDecodePeerKnowledge(t *testing.T) {
 	s, n := startNode(t, Extras{}, 1024, []string{"h1"})
 	s.Run(begin("h1"))
 	o := operators{n}
 	first, err := o.Knowledge()
 	require.NoError(t, err)
 	_, err = DecodePeerKnowledge(first, "x:1", n.conf, n.clock.Now(), 1e4)
-	require.ErrorContains(t, err, "it has heard no answer")
+	require.ErrorContains(t, err, "it has observed no answers")
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
 		r expect POST /pay/1 id=q
@@ -57,12 +58,12 @@
 	}{
 		{text[:len(text)-1], at, 1e4, n.conf, "it is torn"},
 		{[]byte("<html>"), at, 1e4, n.conf, "it is not a state of a node"},
-		{with(`[]`), at, 1e4, n.conf, "reading it"},
-		{with(`{}`), at, 1e4, n.conf, `it is of zone ""`},
-		{text, at, 1e4, &conf, `it is of zone "z"`},
+		{with(`[]`), at, 1e4, n.conf, "decoding knowledge"},
+		{with(`{}`), at, 1e4, n.conf, `it comes from zone ""`},
+		{text, at, 1e4, &conf, `it comes from zone "z"`},
 		{text, at - 5001, 1e4, n.conf, "its clock is 5001 ms ahead"},
 		{text, at + 5001, 1e4, n.conf, "its clock is -5001 ms ahead"},
-		{text, at + 4000, 3000, n.conf, "it has heard nothing for"},
+		{text, at + 4000, 3000, n.conf, "its last observed answer is "},
 	} {
 		_, err := DecodePeerKnowledge(bad.text, "x:1", bad.conf, bad.now, bad.useFor)
 		assert.ErrorContains(t, err, bad.want)
--- a/node/peers.go
+++ b/node/peers.go
@@ -16,20 +16,20 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// orderLimit is how long operators wait for an order to be agreed.
-const orderLimit = 2 * time.Second
+// orderTimeout is how long operators wait for an order to be committed.
+const orderTimeout = 2 * time.Second
 
-// peers is the node's way to the agreed log.
+// peers is the node's access to the replicated log.
 type peers struct {
-	set   *options.Peers
-	log   *client.Client
-	heard func() // tells that the node has heard what operators had ordered it, or waits no longer
+	set        *options.Peers
+	log        *client.Client
+	ordersDone func() // called when the operators' orders for this node are known, or the node no longer waits for them
 
-	mu sync.Mutex // held while an order is carried out and agreed, or what was agreed is asked for and obeyed
+	mu sync.Mutex // held while an order is applied and committed, or committed orders are read and applied
 }
 
-// join makes the way to the agreed log; it connects when something is asked.
-func join(conf *Config, p *options.Peers) *peers {
+// newPeers creates the client of the replicated log; it connects on the first request.
+func newPeers(conf *Config, p *options.Peers) *peers {
 	ask := client.Config{Fleet: p.Fleet, Name: conf.Name, AttemptTimeout: time.Duration(p.Try.Ms * 1e6), Spread: client.Spread(conf.Settings.Nodes)}
 	for _, m := range p.Members {
 		ask.Replicas = append(ask.Replicas, client.Replica{Name: m.Name, Address: m.Address})
@@ -37,22 +37,22 @@
 	return &peers{set: p, log: client.New(ask)}
 }
 
-// names has names of calls agreed with the fleet.
-func (p *peers) names(n *Node, set *middleware.Settings, log *slog.Logger) *replicated.Keys {
-	names := replicated.Settings{Node: n.conf.Name, Secret: set.Secret, ClaimValidity: p.set.Claim.Ms,
+// newReplicatedKeys creates the idempotency keys that are replicated by the fleet.
+func (p *peers) newReplicatedKeys(n *Node, set *middleware.Settings, log *slog.Logger) *replicated.Keys {
+	keys := replicated.Settings{Node: n.conf.Name, Secret: set.Secret, ClaimValidity: p.set.Claim.Ms,
 		MaxRun: n.conf.MaxDeadline, RequestTimeout: 2 * p.set.Try.Ms, CompletionTimeout: p.set.EndWait.Ms}
-	if n.known != nil {
-		names.Predecessor = n.known.Life
+	if n.initial != nil {
+		keys.Predecessor = n.initial.Life
 	}
 	for _, t := range n.conf.Settings.Tenants {
-		names.Tenants = append(names.Tenants, t.Name)
+		keys.Tenants = append(keys.Tenants, t.Name)
 	}
-	return replicated.New(names, p.log, n.clock, log)
+	return replicated.New(keys, p.log, n.clock, log)
 }
 
-// hold has an order agreed under the node's name.
-func (p *peers) hold(node string, o Order) error {
-	ctx, stop := context.WithTimeout(context.Background(), orderLimit)
+// recordOrder commits an order under the node's name.
+func (p *peers) recordOrder(node string, o Order) error {
+	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
 	r, err := p.log.Do(ctx, statemachine.ComponentOrders, statemachine.Order{Node: node, Do: o.Do, Rater: o.Rater})
 	if err == nil && r.Code != statemachine.OK {
@@ -61,21 +61,22 @@
 	return err
 }
 
-// hearOrders asks what operators had ordered this node, wherever it ran, and obeys; and waits until names can be agreed, where they
-// are. The node is not ready before, for a while.
-func (n *Node) hearOrders(ctx context.Context) {
+// restoreFleetOrders reads the operators' orders for this node, which may have run on another machine, and applies
+// them. It then waits until keys can be replicated, if they are. Until then the node is not ready, up to a time
+// limit.
+func (n *Node) restoreFleetOrders(ctx context.Context) {
 	late := make(chan struct{})
 	stop := n.clock.At(n.clock.Now()+n.peers.set.OrdersWait.Ms, func() { close(late) })
 	defer stop()
 	heard, obeyed := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(heard)
-		for ctx.Err() == nil && !n.askOrders(ctx) {
+		for ctx.Err() == nil && !n.readOrders(ctx) {
 		}
 		close(obeyed)
-		if n.names != nil { // a node that turned charges away for a moment would be ready too early
+		if n.replicatedKeys != nil { // a node that briefly refused charges would otherwise be ready too early
 			select {
-			case <-n.names.Ready():
+			case <-n.replicatedKeys.Ready():
 			case <-ctx.Done():
 			}
 		}
@@ -85,38 +86,38 @@
 	case <-late:
 		select {
 		case <-obeyed:
-			n.log.Warn("names of calls cannot be agreed yet: this node is ready and refuses what must not run twice")
-			n.peers.heard()
+			n.log.Warn("idempotency keys cannot be replicated yet; node is ready but refuses requests that must not run twice")
+			n.peers.ordersDone()
 			return
 		default:
 		}
-		n.log.Warn("the fleet was not heard in time: what operators had ordered this node is not in force yet")
-		n.peers.heard()
+		n.log.Warn("fleet did not answer in time; operator orders for this node are not restored yet")
+		n.peers.ordersDone()
 		<-heard
 		return
 	case <-ctx.Done():
 		<-heard
 	}
-	n.peers.heard()
+	n.peers.ordersDone()
 }
 
-// askOrders asks once, and tells whether it was told.
-func (n *Node) askOrders(ctx context.Context) bool {
+// readOrders reads and applies the orders once, and reports whether it got an answer.
+func (n *Node) readOrders(ctx context.Context) bool {
 	n.peers.mu.Lock()
 	defer n.peers.mu.Unlock()
-	ctx, stop := context.WithTimeout(ctx, orderLimit)
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
 	r, err := n.peers.log.Read(ctx, statemachine.ComponentOrders, statemachine.OrdersOf{Node: n.conf.Name})
 	var held statemachine.Ordered
 	if err != nil || json.Unmarshal(r.Body, &held) != nil {
 		return false
 	}
-	n.obeyHeld(held)
+	n.applyFleetOrders(held)
 	return true
 }
 
-// obeyHeld lets what is held for this node be in force.
-func (n *Node) obeyHeld(held statemachine.Ordered) {
+// applyFleetOrders puts the orders recorded for this node into force.
+func (n *Node) applyFleetOrders(held statemachine.Ordered) {
 	k := Knowledge{Bans: cordon.Memory{Out: held.Out}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
@@ -125,8 +126,8 @@
 		}
 		k.Drained = &since
 	}
-	n.recallOrders(k)
+	n.restoreOrders(k)
 	if held.Drained || len(held.Out) > 0 {
-		n.log.Info("what operators had ordered this node is in force", "drained", held.Drained, "raters_out", len(held.Out))
+		n.log.Info("operator orders for this node restored from the fleet", "drained", held.Drained, "raters_out", len(held.Out))
 	}
 }
--- a/node/policy.go
+++ b/node/policy.go
@@ -13,14 +13,14 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// policyName stands for the file in faults of a policy's text.
+// policyName takes the place of the file name in errors about a policy's text.
 const policyName = "policy"
 
-// guided makes the gate of a node that judges by the fleet's policy.
-func (n *Node) guided(o *options.Policy, first func(), log *slog.Logger) *gate.Gate {
+// newPolicyGate creates the gate of a node that admits calls under the fleet's policy.
+func (n *Node) newPolicyGate(o *options.Policy, first func(), log *slog.Logger) *gate.Gate {
 	heard := func() {
-		if n.repeats != nil {
-			n.repeats.FixNaming() // by the first policy, which may be none: calls begin
+		if n.idempotency != nil {
+			n.idempotency.FixNaming() // under the first policy, which may be none: calls begin now
 		}
 		first()
 	}
@@ -28,7 +28,7 @@
 		policyLog{n.peers}, policyNode{n}, n.clock, log)
 }
 
-// policyLog asks the agreed log.
+// policyLog accesses the policy in the replicated log.
 type policyLog struct{ *peers }
 
 func (p policyLog) Report(ctx context.Context, r rollout.Report) (o rollout.Order, err error) {
@@ -60,40 +60,40 @@
 	return json.Unmarshal(r.Body, v)
 }
 
-// policyNode is the node as the gate sees it.
+// policyNode is the node as the policy gate sees it.
 type policyNode struct{ n *Node }
 
-// Check lays a document over the machine's own options, as SIGHUP lays a file.
+// Check validates a document as an overlay of the machine's own options, as SIGHUP does with a file.
 func (p policyNode) Check(d rollout.Document) error {
 	p.n.reload.Lock()
 	defer p.n.reload.Unlock()
-	_, err := p.n.under(&p.n.own, d)
+	_, err := p.n.optionsUnder(&p.n.localOptions, d)
 	return err
 }
 
-// Take has it in force.
+// Activate puts a document into force.
 func (p policyNode) Activate(d rollout.Document) error {
 	n := p.n
 	n.reload.Lock()
 	defer n.reload.Unlock()
-	next, err := n.under(&n.own, d)
+	next, err := n.optionsUnder(&n.localOptions, d)
 	if err != nil {
 		return err
 	}
-	n.doc = d
-	if n.quota != nil { // a call is judged whole by the number that it began under, those that wait for room too
+	n.policyDoc = d
+	if n.quota != nil { // each call is decided under the number that it began under, including those that wait for quota
 		n.quota.DecideWaiting()
 	}
 	n.apply(next)
 	return nil
 }
 
-// under gives what options come to under a policy; number 0 is none.
-func (n *Node) under(own *Options, d rollout.Document) (Options, error) {
+// optionsUnder returns the options that result from a policy; number 0 is no policy.
+func (n *Node) optionsUnder(local *Options, d rollout.Document) (Options, error) {
 	if d.Text == "" {
-		return *own, nil
+		return *local, nil
 	}
-	next, faults := options.Overlay(*own, fmt.Sprintf("%s %s", policyName, d.Hash), []byte(d.Text), n.conf, n.fits)
+	next, faults := options.Overlay(*local, fmt.Sprintf("%s %s", policyName, d.Hash), []byte(d.Text), n.conf, n.checkClasses)
 	if len(faults) > 0 {
 		return next, faults[0]
 	}
--- a/node/policy_test.go
+++ b/node/policy_test.go
@@ -10,9 +10,9 @@
 	"linenwheel.dev/linenwheel/internal/node/rollout"
 )
 
-// Guards against a call that waits for room under one number of the policy and gets it under the next, where another call of its
-// tenant that began at the same moment was judged by the first.
-func TestPolicyJudgesWhole(t *testing.T) {
+// Guards against a call that waits for quota under one number of the policy and gets it under the next, where
+// another call of its tenant that began at the same moment was decided under the first.
+func TestCallIsDecidedUnderOnePolicy(t *testing.T) {
 	o := DefaultOptions()
 	o.Quota.On, o.Quota.Learn, o.Quota.Requests, o.Quota.Kept, o.Quota.Wait.Ms = true, false, 1, 0, 700
 	o.Quota.Nodes = []options.QuotaNode{{Name: "t", Share: 1}}
@@ -25,7 +25,7 @@
 		a send POST /pay/1 id=q2 deadline=900 owner=t`)
 	require.Eventually(t, func() bool {
 		for _, q := range n.Quotas() {
-			if q.Name == "t" && q.Refused > 0 { // it waits
+			if q.Name == "t" && q.Refused > 0 { // the call waits
 				return true
 			}
 		}
--- a/node/quota.go
+++ b/node/quota.go
@@ -14,9 +14,9 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// divide makes the stage that holds calls to their tenants' quotas.
-func (n *Node) divide(o *options.Quota, log *slog.Logger) (*middleware.Middleware, error) {
-	book, err := quota.New(o.Own(n.fleet), n.conf.Seed)
+// newQuota creates the stage that enforces the tenants' quotas.
+func (n *Node) newQuota(o *options.Quota, log *slog.Logger) (*middleware.Middleware, error) {
+	book, err := quota.New(o.Own(n.fleetSize), n.conf.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -31,48 +31,49 @@
 	for _, t := range n.conf.Settings.Tenants {
 		set.Tenants = append(set.Tenants, t.Name)
 	}
-	if root := o.Requests / float64(n.fleet); o.Learn {
+	if root := o.Requests / float64(n.fleetSize); o.Learn {
 		set.Capacity = func() (float64, bool) {
-			room, learned := n.pilot.Capacity()
+			room, learned := n.dispatcher.Capacity()
 			return room / root, learned
 		}
 	}
 	return middleware.New(set, book, n.clock, log), nil
 }
 
-// redivide takes changed options into the running tree. They were checked, so it is one that can work.
-func (n *Node) redivide(o *options.Quota) {
+// updateQuota applies changed options to the running quota tree. The options were validated before, so the tree is
+// valid.
+func (n *Node) updateQuota(o *options.Quota) {
 	if n.quota == nil || !o.On {
 		return
 	}
-	if book, err := quota.New(o.Own(n.fleet), n.conf.Seed); err == nil {
+	if book, err := quota.New(o.Own(n.fleetSize), n.conf.Seed); err == nil {
 		n.quota.Replace(book)
 		n.lease(o)
 	}
 }
 
-// lease has quotas go by leases of the fleet's room, where they do.
+// lease makes quotas use leases of the fleet's capacity, where that is configured.
 func (n *Node) lease(o *options.Quota) {
 	if o.Leased <= 0 || n.peers == nil {
 		return
 	}
-	set := middleware.LeaseConfig{Service: roomLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, MaxCost: quota.Amount{quota.Requests: 1},
-		Tree: lease.Tree{Number: n.doc.Number, Leased: o.Leased, Set: o.Tree()}}
+	set := middleware.LeaseConfig{Service: quotaLog{n.peers}, Node: n.conf.Name, Length: o.Lease.Ms, MaxCost: quota.Amount{quota.Requests: 1},
+		Tree: lease.Tree{Number: n.policyDoc.Number, Leased: o.Leased, Set: o.Tree()}}
 	for _, c := range n.conf.Settings.Classes {
 		set.MaxCost[quota.Value] = max(set.MaxCost[quota.Value], c.Value)
 	}
 	n.quota.UseLeases(set)
 }
 
-// roomLog asks the agreed log.
-type roomLog struct{ *peers }
+// quotaLog accesses the quota leases in the replicated log.
+type quotaLog struct{ *peers }
 
-func (p roomLog) Report(ctx context.Context, r lease.Report) (g lease.Grant, err error) {
+func (p quotaLog) Report(ctx context.Context, r lease.Report) (g lease.Grant, err error) {
 	reply, err := p.log.Do(ctx, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &r})
 	return g, decoded(reply, err, &g)
 }
 
-func (p roomLog) OfferTree(ctx context.Context, t lease.Tree) error {
+func (p quotaLog) OfferTree(ctx context.Context, t lease.Tree) error {
 	reply, err := p.log.Do(ctx, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Tree: &t})
 	switch {
 	case err != nil:
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// Quotas describes the tree of quotas; nil where there is none.
+// Quotas returns the status of the quota tree, nil if there is none.
 func (n *Node) Quotas() []quota.Status {
 	if n.quota == nil {
 		return nil
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -8,8 +8,8 @@
 	"linenwheel.dev/linenwheel/internal/node/options"
 )
 
-// Guards against a tenant beyond its quota that reaches a host or is told the wrong thing, against quotas that hold others
-// up, and against a reload that is not followed.
+// Guards against a tenant above its quota that reaches a host or gets the wrong response, quotas that delay other
+// tenants, and a reload that has no effect.
 func TestQuota(t *testing.T) {
 	o := DefaultOptions()
 	o.Quota.On, o.Quota.Learn, o.Quota.Requests = true, false, 2
--- a/node/settings_test.go
+++ b/node/settings_test.go
@@ -17,7 +17,7 @@
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
-// classesOf are n classes of every effect and group in turn.
+// classesOf returns n classes that cycle through all effects and groups.
 func classesOf(n int) (list []map[string]any) {
 	effects := []string{"read_like", "idempotency_key", "non_idempotent"}
 	groups := []string{"all", "zone", "cell", ""}
@@ -28,7 +28,7 @@
 	return list
 }
 
-// configOf writes a configuration whose settings are the test's own but for those that are given, and loads it.
+// configOf writes a configuration with the test's own settings, except for the given ones, and loads it.
 func configOf(t *testing.T, discovery string, other map[string]any) (*Config, error) {
 	var set map[string]any
 	require.NoError(t, json.Unmarshal([]byte(settings), &set))
@@ -53,9 +53,9 @@
 	return Load(func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] })
 }
 
-// Guards against a node that is fitted to one deployment: to its number of classes, their effects and groups, tenants, zones, or to
-// limits above one.
-func TestOtherSettings(t *testing.T) {
+// Guards against a node that works only for one deployment: for its number of classes, their effects and groups,
+// tenants, zones, or for limits above one.
+func TestSettingsOfOtherDeployments(t *testing.T) {
 	for name, c := range map[string]struct {
 		other   map[string]any
 		classes int
@@ -86,7 +86,7 @@
 	}
 }
 
-// runNode has a node of its own configuration serve on a stage until the test ends.
+// runNode runs a node with the given configuration in a scenario until the test ends.
 func runNode(t *testing.T, s *scenario.Stage, conf *Config) {
 	n, err := newNode(conf, Extras{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, s.Clock)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	})
 }
 
-// serves are the steps of one request of a class, and its answer.
+// serves returns the steps of one request of a class, and its response.
 func serves(class map[string]any, i int) string {
 	method, key := "POST", ""
 	switch class["effect"] {
@@ -119,8 +119,9 @@
 	return "a send " + line + " owner=t deadline=900\n r expect " + line + "\n r send 200 body=ok\n a expect 200 body=ok"
 }
 
-// Guards against a node that starts on settings which cannot work, and against a refusal that does not say in one line where.
-func TestSettingsThatCannotWork(t *testing.T) {
+// Guards against a node that starts with invalid settings, and against an error that does not name their position
+// in one line.
+func TestInvalidSettings(t *testing.T) {
 	with := func(name string, value any) map[string]any {
 		list := classesOf(2)
 		list[1][name] = value
@@ -158,9 +159,11 @@
 	}
 }
 
-// Guards against a node that sleeps over a drain: where the list is pushed, what the agent gets when it is back counts as told at once,
-// so that the pauses after failed calls go by the grace of the settings; where a call costs, and with a shorter pause, they stay.
-func TestPausesOfAPushedListGoByTheGrace(t *testing.T) {
+// Guards against a node that notices a drain too late: where the list is pushed, changes that the agent receives
+// once discovery is reachable again count as announced immediately, so the pauses after failed queries are bounded
+// by the drain grace of the settings. Where a query has a cost, and where the configured pause is shorter, they
+// stay as configured.
+func TestPausesOfAPushedListAreBoundedByTheDrainGrace(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings map[string]any
 		option   float64
--- a/node/stage_test.go
+++ b/node/stage_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stages are what an embedder may put in front of the decisions; entered and left tell the scenario where a call is.
+// stages returns stages that an embedder may put before the dispatch decision; entered and left report to the
+// scenario where a call is.
 func stages(entered, left chan string) []Stage {
 	answers := func(next Handler) Handler {
 		return func(call *Call) Answer {
@@ -18,7 +19,7 @@
 			case "forbidden":
 				return Fail(Forbidden, "not yours")
 			case "lost":
-				return Answer{Kind: Left} // though its client is there
+				return Answer{Kind: Left} // though its client is still connected
 			}
 			return next(call)
 		}
@@ -46,8 +47,8 @@
 	return []Stage{answers, waits, panics}
 }
 
-// Guards against a stage whose answer is worded as another one or that sends something on, a client that leaves while a
-// stage waits and is waited for all the same, and a panic that ends more than its own call.
+// Guards against a stage's answer being sent as another one, a request being sent on despite it, a client that
+// leaves while a stage waits and is still waited for, and a panic that ends more than its own call.
 func TestStages(t *testing.T) {
 	entered, left := make(chan string, 1), make(chan string, 1)
 	s, n := startNode(t, Extras{First: stages(entered, left)}, 1024, []string{"h1"})
@@ -76,10 +77,10 @@
 		r send 200 body=ok
 		a expect 200 body=ok`)
 	require.Eventually(t, func() bool { return n.core.Unanswered() == 0 }, time.Minute, time.Millisecond)
-	told := map[string]uint64{}
+	calls := map[string]uint64{}
 	for _, e := range n.Endings() {
-		told[e.Kind.String()+": "+e.Reason] = e.Calls
+		calls[e.Kind.String()+": "+e.Reason] = e.Calls
 	}
 	assert.Equal(t, map[string]uint64{"refused: no room": 1, "failed: not yours": 1, "failed: a stage lost the call": 1,
-		"failed: a stage panicked": 1, "failed: a request with this Req-Id is open": 1, "left: ": 1, "served: ": 1}, told)
+		"failed: a stage panicked": 1, "failed: a request with this Req-Id is open": 1, "left: ": 1, "served: ": 1}, calls)
 }
--- a/node/status.go
+++ b/node/status.go
@@ -9,7 +9,8 @@
 	"linenwheel.dev/linenwheel/internal/node/quota"
 )
 
-// Status is how a node does, for people and programs. Times are milliseconds, points in time since the Unix epoch.
+// Status is the state of a node, for people and programs. Times are milliseconds, points in time since the Unix
+// epoch.
 type Status struct {
 	Name      string         `json:"name"`
 	Address   string         `json:"address"`
@@ -19,102 +20,103 @@
 	Now       float64        `json:"now"`
 	Phase     string         `json:"phase"`           // starting, waiting, serving, stopping, handing over
 	From      string         `json:"from,omitempty"`  // the process that this one took over from
-	Last      string         `json:"last,omitempty"`  // how the process before ended, where that is kept
-	Stuck     string         `json:"stuck,omitempty"` // the loop that does not answer its watchdog
+	Last      string         `json:"last,omitempty"`  // how the previous process ended, where that is recorded
+	Stuck     string         `json:"stuck,omitempty"` // the loop that does not respond to its watchdog
 	Instances int            `json:"instances"`
-	Open      int            `json:"open"`    // calls
-	Clients   int            `json:"clients"` // connections
+	Open      int            `json:"open"`    // open calls
+	Clients   int            `json:"clients"` // client connections
 	AskRate   float64        `json:"ask_rate"`
-	Rate      float64        `json:"rate"` // units a second
-	Part      float64        `json:"part"` // of the fleet that this node keeps to
+	Rate      float64        `json:"rate"` // units per second
+	Part      float64        `json:"part"` // fraction of the fleet's hosts that this node uses
 	Shedding  bool           `json:"shedding"`
 	List      ListStatus     `json:"list"`
 	Hosts     []HostStatus   `json:"hosts"`
-	Endings   []EndingStatus `json:"endings"` // the last of them first
+	Endings   []EndingStatus `json:"endings"` // most recent first
 	Quotas    []quota.Status `json:"quotas,omitempty"`
-	Policy    *PolicyStatus  `json:"policy,omitempty"` // nil = the node goes by its own file
-	Room      *RoomStatus    `json:"room,omitempty"`   // nil = it holds no leases of the fleet's room
+	Policy    *PolicyStatus  `json:"policy,omitempty"` // nil = the node uses only its own options file
+	Room      *RoomStatus    `json:"room,omitempty"`   // nil = the node holds no leases of the fleet's capacity
 }
 
-// PolicyStatus tells which policy of the fleet's the node goes by.
+// PolicyStatus describes the fleet's policy that the node applies.
 type PolicyStatus struct {
-	Number uint64  `json:"number"` // 0 = the fleet has none, the node's own file holds
+	Number uint64  `json:"number"` // 0 = the fleet has none and the node's own options file applies
 	Hash   string  `json:"hash,omitempty"`
-	Lease  float64 `json:"lease"` // ms for which calls may begin by it without word from the fleet, -1 = whatever comes
+	Lease  float64 `json:"lease"` // milliseconds for which calls may begin under it without contact to the fleet, -1 = without limit
 }
 
-// RoomStatus tells of the node's lease of the fleet's room.
+// RoomStatus describes the node's lease of the fleet's capacity.
 type RoomStatus struct {
-	Tree  string  `json:"tree"`  // hash of the tree of quotas
-	Lease float64 `json:"lease"` // ms that it lasts, 0 = there is none
-	Load  float64 `json:"load"`  // part of all that the fleet's root can do
+	Tree  string  `json:"tree"`  // hash of the quota tree
+	Lease float64 `json:"lease"` // milliseconds until it expires, 0 = there is none
+	Load  float64 `json:"load"`  // fraction of the capacity of the fleet's root quota
 }
 
-// ListStatus tells of the list of hosts.
+// ListStatus describes the list of hosts.
 type ListStatus struct {
 	Index int64   `json:"index"`
-	Age   float64 `json:"age"` // since discovery answered, -1 = it has not
+	Age   float64 `json:"age"` // time since discovery last answered, -1 = it has not
 	Hosts int     `json:"hosts"`
 
-	// Of a list of several sources, or one that is guarded or kept.
+	// Set only for a list of several sources, or one that is guarded or saved.
 	Serving int            `json:"serving,omitempty"`
-	Held    int            `json:"held,omitempty"` // hosts that the guard leaves as they were
+	Held    int            `json:"held,omitempty"` // hosts whose change the guard holds back
 	Sources []SourceStatus `json:"sources,omitempty"`
 }
 
-// SourceStatus tells of one source of the list.
+// SourceStatus describes one source of the list.
 type SourceStatus struct {
 	Name     string  `json:"name"`
 	Followed bool    `json:"followed,omitempty"`
-	Revision string  `json:"revision"` // empty = it has given no list
+	Revision string  `json:"revision"` // empty = it has supplied no list
 	Hosts    int     `json:"hosts"`
-	Away     float64 `json:"away,omitempty"`    // for how long it has not been heard
-	Differs  int     `json:"differs,omitempty"` // hosts that it has otherwise than the one followed
+	Away     float64 `json:"away,omitempty"`    // time for which it has not responded
+	Differs  int     `json:"differs,omitempty"` // hosts that differ from the followed source
 }
 
-// HostStatus tells of one host.
+// HostStatus describes one host.
 type HostStatus struct {
 	Name    string   `json:"name"`
 	Address string   `json:"address"`
 	Status  string   `json:"status"`           // ready, draining, gone
 	Health  string   `json:"health"`           // well, cold, away, trial due, spared
-	Until   float64  `json:"until,omitempty"`  // how much longer it is away
-	Warm    float64  `json:"warm"`             // part of its capacity that a cold one is sure to have, 1 = warm
-	Most    float64  `json:"most,omitempty"`   // that a cold one gets, units a second
-	Share   float64  `json:"share"`            // of this node's load
-	Rate    float64  `json:"rate"`             // units a second
-	Idle    float64  `json:"idle"`             // learned latency without load,
-	Latency float64  `json:"latency"`          // and at its present load
-	Slow    float64  `json:"slow"`             // how many times slower than its kind
-	Open    int      `json:"open"`             // relays,
-	Overdue int      `json:"overdue"`          // and those that should have been answered by now
-	Conns   int      `json:"conns"`            // connections,
-	Unused  int      `json:"unused"`           // and those that carry nothing
-	Silent  []string `json:"silent,omitempty"` // classes that it leaves unanswered
+	Until   float64  `json:"until,omitempty"`  // remaining time for which it is ejected
+	Warm    float64  `json:"warm"`             // fraction of its capacity that a cold host is certain to have, 1 = warm
+	Most    float64  `json:"most,omitempty"`   // maximum rate for a cold host, units per second
+	Share   float64  `json:"share"`            // fraction of this node's load
+	Rate    float64  `json:"rate"`             // units per second
+	Idle    float64  `json:"idle"`             // learned latency without load
+	Latency float64  `json:"latency"`          // learned latency at its present load
+	Slow    float64  `json:"slow"`             // factor by which it is slower than others of its type
+	Open    int      `json:"open"`             // open attempts
+	Overdue int      `json:"overdue"`          // open attempts that should have been answered by now
+	Conns   int      `json:"conns"`            // open connections
+	Unused  int      `json:"unused"`           // idle connections
+	Silent  []string `json:"silent,omitempty"` // classes that it does not answer
 }
 
-// EndingStatus counts final answers of one kind and reason.
+// EndingStatus counts the final answers of one kind and reason.
 type EndingStatus struct {
 	Kind   string `json:"kind"`
 	Reason string `json:"reason,omitempty"`
 	Calls  uint64 `json:"calls"`
-	Last   uint64 `json:"last"` // the number of the last of them among all answers
+	Last   uint64 `json:"last"` // the sequence number, among all answers, of the most recent one
 }
 
 var statusWords = map[dispatch.Status]string{dispatch.Ready: "ready", dispatch.Draining: "draining", dispatch.Removed: "gone"}
 
-// Status gives how the node does now. Release, PID, From, Last and Stuck are for whoever runs the process to set.
+// Status returns the current state of the node. Release, PID, From, Last and Stuck are left for the caller that
+// runs the process to set.
 func (n *Node) Status() Status {
-	v := n.pilot.View()
-	index, at := n.watch.Seen()
-	s := Status{Name: n.conf.Name, Address: n.loop.Addr(), Since: n.since, Now: v.Now, Phase: n.phaseNow(),
-		Instances: n.fleet, Open: n.core.Unanswered(), Clients: n.north.Connections(), AskRate: v.DemandRate, Rate: v.Rate,
+	v := n.dispatcher.View()
+	index, at := n.watcher.Seen()
+	s := Status{Name: n.conf.Name, Address: n.loop.Addr(), Since: n.startedAt, Now: v.Now, Phase: n.phaseNow(),
+		Instances: n.fleetSize, Open: n.core.Unanswered(), Clients: n.httpServer.Connections(), AskRate: v.DemandRate, Rate: v.Rate,
 		Part: v.Part, Shedding: v.Shedding, List: ListStatus{Index: index, Age: -1, Hosts: len(v.Hosts)}, Hosts: []HostStatus{}}
 	if at > 0 {
 		s.List.Age = v.Now - at
 	}
-	if n.lists != nil {
-		n.lists.status(&s.List, v.Now)
+	if n.endpointList != nil {
+		n.endpointList.status(&s.List, v.Now)
 	}
 	uses := n.pool.Uses()
 	for _, h := range v.Hosts {
@@ -127,8 +129,8 @@
 	}
 	slices.SortFunc(s.Endings, func(a, b EndingStatus) int { return cmp.Compare(b.Last, a.Last) })
 	s.Quotas = n.Quotas()
-	if n.guide != nil {
-		number, hash, until := n.guide.InForce()
+	if n.policyGate != nil {
+		number, hash, until := n.policyGate.InForce()
 		if s.Policy = (&PolicyStatus{number, hash, max(0, until-n.clock.Now())}); math.IsInf(until, 1) {
 			s.Policy.Lease = -1
 		}
@@ -168,7 +170,7 @@
 
 const phaseServing = "serving"
 
-// phaseNow tells how far the node's life has come.
+// phaseNow returns the phase of the node's life.
 func (n *Node) phaseNow() string {
 	closed := func(c <-chan struct{}) bool {
 		select {
@@ -179,7 +181,7 @@
 		}
 	}
 	switch {
-	case closed(n.yielded):
+	case closed(n.handedOver):
 		return "handing over"
 	case closed(n.stopping):
 		return "stopping"
--- a/node/moments_test.go
+++ b/node/stop_test.go
@@ -15,14 +15,15 @@
 	"linenwheel.dev/linenwheel/internal/node/scenario"
 )
 
-// Each of these crosses a signal to end with what a client does just then. By the platform's times the node stops as follows:
-// new connections end at 500 ms, last calls come at 1950 ms, the final answers at 2550 ms.
-var stopMoments = []struct {
+// Each of these combines a stop signal with something that a client does at that moment. By the platform's times
+// the node stops as follows: it stops accepting at 500 ms, admits the last calls at 1950 ms, and sends the final
+// responses at 2550 ms.
+var stopScenarios = []struct {
 	guards string
 	hosts  []string
 	steps  string
 }{
-	{"a connection that was accepted, and has not asked yet, ended by the signal", []string{"h1"}, `
+	{"an accepted connection without a request yet being closed by the signal", []string{"h1"}, `
 		a send raw ""
 		b send GET /up
 		b expect 200
@@ -32,7 +33,7 @@
 		r expect POST /pay/1
 		r send 200 body=ok
 		a expect 200 body=ok Connection=`},
-	{"a request whose body comes after the signal being lost", []string{"h1"}, `
+	{"a request whose body arrives after the signal being lost", []string{"h1"}, `
 		a send raw "POST /pay/1 HTTP/1.1\r\nHost: x\r\nReq-Id: q\r\nReq-Deadline-Ms: 900\r\nContent-Length: 2\r\n\r\nh"
 		b send GET /up
 		b expect 200
@@ -42,7 +43,7 @@
 		r expect POST /pay/1 body=hi
 		r send 200 body=ok
 		a expect 200 body=ok Connection=`},
-	{"a request whose body comes after the last calls being lost or sent on", []string{"h1"}, `
+	{"a request whose body arrives after the last admission being lost or sent on", []string{"h1"}, `
 		b send GET /up
 		b expect 200
 		node close
@@ -54,7 +55,7 @@
 		b expect 503 Connection=close
 		b expect close
 		node expect end`},
-	{"a request that is written to a resting connection when it has been shut being sent on", []string{"h1"}, `
+	{"a request on an idle connection that has been closed already being sent on", []string{"h1"}, `
 		a send GET /up
 		a expect 200
 		node close
@@ -63,7 +64,7 @@
 		a expect close
 		a send POST /pay/1 id=q deadline=900
 		node expect end`},
-	{"a node that does not end, or is up, because discovery is silent from its start on", nil, `
+	{"a node that does not end, or reports ready, because discovery has not answered since its start", nil, `
 		a send GET /up
 		a expect 503
 		node close
@@ -79,8 +80,8 @@
 		node expect end`},
 }
 
-func TestStopMoments(t *testing.T) {
-	for _, c := range stopMoments {
+func TestStopAtSensitiveMoments(t *testing.T) {
+	for _, c := range stopScenarios {
 		t.Run(c.guards, func(t *testing.T) {
 			s, n := startNode(t, Extras{}, 1024, c.hosts)
 			if len(c.hosts) > 0 {
@@ -90,15 +91,15 @@
 			}
 			s.Run(c.steps)
 			for _, e := range n.Endings() {
-				require.LessOrEqual(t, e.Calls, uint64(1), "no more than the one request is taken")
+				require.LessOrEqual(t, e.Calls, uint64(1), "only the one request is admitted")
 			}
 		})
 	}
 }
 
-// Guards against two final answers, or none, for a call whose host answers in the moment in which the node gives all that is
-// open its final answer.
-func TestAnswerInTheMomentOfTheFinalAnswers(t *testing.T) {
+// Guards against two final responses, or none, for a call whose host answers at the moment when the node gives all
+// open calls their final response.
+func TestAnswerConcurrentWithFinalResponses(t *testing.T) {
 	for range 20 {
 		s, _ := startNode(t, Extras{}, 1024, []string{"h1"})
 		s.Run(begin("h1") + `
@@ -128,20 +129,21 @@
 	}
 }
 
-// asking is a fleet of 300 whose list comes only when asked for.
+// asking turns the settings into those of a fleet of 300 whose list is sent only on request.
 func asking(s string) string {
 	return strings.NewReplacer(`"group_size":1`, `"group_size":300,"discovery":"ask"`,
 		`"drain_grace_s":0.5`, `"drain_grace_s":0.5,"ask_within_s":30`).Replace(s)
 }
 
-// Guards against a node that is not ready within 10 s because of what discovery or the hosts do: /up answers 503 until the
-// first call for the list has ended, well or not, and 200 from then on, and a call is served from the list that there is.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+// Guards against a node that is not ready within 10 s because of discovery or the hosts: /up returns 503 until the
+// first query for the list has ended, successfully or not, and 200 from then on, and calls are served from the
+// list that is known.
+func TestReadyWithFailingDiscovery(t *testing.T) {
 	const called = "d expect /discovery/hosts\n a send GET /up\n a expect 503\n"
 	for _, c := range []struct {
 		discovery, steps string
 		ask              bool
-		wait             float64 // until it is ready
+		wait             float64 // until the node is ready
 	}{
 		{discovery: "down"},
 		{discovery: "down", ask: true},
@@ -164,7 +166,7 @@
 						conf["settings"] = json.RawMessage(asking(settings))
 					}
 				}, []string{"h1"}, known...)
-				if !c.ask || known == nil { // else it begins with what it has
+				if !c.ask || known == nil { // otherwise it starts with the known list
 					s.Run(c.steps)
 					if c.wait > 0 {
 						s.Clock.Advance(c.wait - 1)
@@ -174,7 +176,7 @@
 				}
 				isReady(t, n)
 				s.Run("b send GET /up\n b expect 200")
-				if known != nil { // and the host hangs
+				if known != nil { // while the host does not answer
 					s.Run("c send " + pay + "\n r expect POST /pay/1\n b send GET /up\n b expect 200")
 				}
 			})
@@ -186,12 +188,13 @@
 	select {
 	case <-n.Ready():
 	case <-time.After(time.Minute):
-		require.Fail(t, "it is not ready")
+		require.Fail(t, "the node does not become ready")
 	}
 }
 
-// Guards against nodes that wait for each other's calls when many are started at once while discovery is silent.
-func TestManyNodesAreReadyWhileDiscoveryIsSilent(t *testing.T) {
+// Guards against nodes that wait for each other's queries when many are started at once while discovery does not
+// answer.
+func TestManyNodesAreReadyWhileDiscoveryDoesNotAnswer(t *testing.T) {
 	for i := range 20 {
 		s, n := startTuned(t, Extras{}, 256, func(_ *scenario.Stage, conf map[string]any) {
 			conf["name"] = fmt.Sprint("n", i)
@@ -204,8 +207,8 @@
 	}
 }
 
-// Guards against a client that waits for a place, while the node stops, until those who hold all of them and ask nothing are ended: it
-// would be refused then.
+// Guards against a client that, while the node stops, waits for room in the connection table until idle clients
+// that occupy all of it reach their time limit: it would be refused by then.
 func TestFullTableMakesRoomWhileTheNodeStops(t *testing.T) {
 	s, n := startNode(t, Extras{}, 1024, []string{"h1"})
 	n.loop.Resize(3)
@@ -221,7 +224,7 @@
 	require.Eventually(t, n.loop.Full, time.Minute, time.Millisecond)
 	pulse, err := n.loop.Pulse()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller has left the others
+	pulse.Beat(t.Context()) // the poller is done with the others
 	s.Run(`
 		wait 100
 		r expect POST /pay/1
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -18,23 +18,24 @@
 	"linenwheel.dev/linenwheel/internal/node/upstream/thriftbackend"
 )
 
-// speaksThrift is what a host's protocol is called in the list.
-const speaksThrift = "thrift"
+// protocolThrift is the value of a host's protocol in the endpoint list.
+const protocolThrift = "thrift"
 
-// thriftSide is what a node has besides when Thrift is spoken. Where calls do not cross, the hosts that speak it are a fleet
-// of their own, with a pilot and a core of its own, so that the module never weighs a host that a call does not fit.
-type thriftSide struct {
-	kinds []string // types of machines that speak it
-	pilot *dispatch.Dispatcher
-	core  *core.Core
-	front *thriftserver.Server // nil = no listener
-	loop  *netpoll.Loop
+// thriftParts are the additional components of a node that speaks Thrift. Where calls do not cross protocols, the
+// backends that speak it are a fleet of their own, with a dispatcher and a core of its own, so that the balancer
+// never considers a backend that cannot serve the call.
+type thriftParts struct {
+	kinds      []string // types of machines that speak Thrift
+	dispatcher *dispatch.Dispatcher
+	core       *core.Core
+	front      *thriftserver.Server // nil = there is no Thrift listener
+	loop       *netpoll.Loop
 }
 
-// protocols says what is spoken with a host.
+// protocols returns the function that selects the protocol for a host.
 func protocols(conf *Config, o *Options) func(core.Host) connpool.Protocol {
 	s := &o.South.Thrift
-	plain := httpbackend.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: flows(o)}
+	plain := httpbackend.Protocol{Cross: s.Cross, Most: o.North.HTTP.BodyMost.Bytes, Flows: streamsBodies(o)}
 	methods := make([]string, len(conf.Settings.Classes))
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
@@ -55,7 +56,7 @@
 	second := thriftbackend.New(thriftbackend.Settings{Form: thrift.Form{Protocol: forms[s.Protocol], Transport: transports[s.Transport]},
 		Limits: messageLimits(o), Methods: methods, Tenants: plain.Tenants})
 	return func(h core.Host) connpool.Protocol {
-		if h.Protocol == speaksThrift {
+		if h.Protocol == protocolThrift {
 			return second
 		}
 		return plain
@@ -68,19 +69,19 @@
 	return l
 }
 
-// secondSide makes what the node has besides for Thrift, if anything speaks it.
-func (n *Node) secondSide(set decide.Settings, seed uint64, o *Options, room options.Room, calls core.Settings, log *slog.Logger) error {
-	t := &thriftSide{kinds: o.South.Thrift.Kinds, pilot: n.pilot, core: n.core}
+// initThrift creates the components for Thrift, if the node or a backend speaks it.
+func (n *Node) initThrift(set decide.Settings, seed uint64, o *Options, room options.Room, calls core.Settings, log *slog.Logger) error {
+	t := &thriftParts{kinds: o.South.Thrift.Kinds, dispatcher: n.dispatcher, core: n.core}
 	front := &o.North.Thrift
 	if front.Listen == "" && len(t.kinds) == 0 {
 		return nil
 	}
 	var err error
 	if !o.South.Thrift.Cross {
-		if t.pilot, err = dispatch.New(set, seed+1, n.clock, log.With("part", "pilot"), n.wake); err != nil {
+		if t.dispatcher, err = dispatch.New(set, seed+1, n.clock, log.With("part", "pilot"), n.wake); err != nil {
 			return err
 		}
-		t.core = core.New(calls, t.pilot, n.pool, log.With("part", "core"))
+		t.core = core.New(calls, t.dispatcher, n.pool, log.With("part", "core"))
 	}
 	n.thrift = t
 	if front.Listen == "" {
@@ -108,7 +109,7 @@
 	return err
 }
 
-// ThriftAddress is where clients that speak Thrift connect, empty if nowhere.
+// ThriftAddress returns the address on which clients that speak Thrift connect, empty if there is none.
 func (n *Node) ThriftAddress() string {
 	if n.thrift == nil || n.thrift.loop == nil {
 		return ""
@@ -116,51 +117,51 @@
 	return n.thrift.loop.Addr()
 }
 
-// tell gives a list to the pilots, each the hosts of its own fleet.
-func (n *Node) tell(from dispatch.Source, list []dispatch.Host) {
+// setHosts passes a list to the dispatchers, each the hosts of its own fleet.
+func (n *Node) setHosts(from dispatch.Source, list []dispatch.Host) {
 	t := n.thrift
 	if t == nil {
 		if !n.opts.Load().South.Thrift.Cross && slices.ContainsFunc(list, needsThrift) {
-			n.log.Warn("hosts that speak Thrift are left out: no client of this node's can be served there")
+			n.log.Warn("Thrift backends ignored: this node has no listener for Thrift and calls do not cross protocols")
 			list = slices.DeleteFunc(slices.Clone(list), needsThrift)
 		}
-		n.pilot.SetHosts(from, list)
+		n.dispatcher.SetHosts(from, list)
 		return
 	}
 	var first, second []dispatch.Host
 	for _, h := range list {
 		if slices.Contains(t.kinds, h.Kind) {
-			h.Protocol = speaksThrift
+			h.Protocol = protocolThrift
 		}
-		if t.pilot != n.pilot && h.Protocol == speaksThrift {
+		if t.dispatcher != n.dispatcher && h.Protocol == protocolThrift {
 			second = append(second, h)
 		} else {
 			first = append(first, h)
 		}
-		if h.Status == dispatch.Removed && t.pilot != n.pilot { // an entry that says no more than the name
+		if h.Status == dispatch.Removed && t.dispatcher != n.dispatcher { // a removal contains only the name
 			second = append(second, h)
 		}
 	}
-	n.pilot.SetHosts(from, first)
-	if t.pilot != n.pilot {
-		t.pilot.SetHosts(from, second)
+	n.dispatcher.SetHosts(from, first)
+	if t.dispatcher != n.dispatcher {
+		t.dispatcher.SetHosts(from, second)
 	}
 }
 
 func needsThrift(h dispatch.Host) bool {
-	return h.Protocol == speaksThrift && h.Status != dispatch.Removed
+	return h.Protocol == protocolThrift && h.Status != dispatch.Removed
 }
 
-// ticks runs the timers of all pilots and gives when the next is due.
-func (n *Node) ticks() float64 {
-	next := n.pilot.Tick()
-	if n.thrift != nil && n.thrift.pilot != n.pilot {
-		next = min(next, n.thrift.pilot.Tick())
+// runTimers runs the timers that are due in all dispatchers and returns when the next one is due.
+func (n *Node) runTimers() float64 {
+	next := n.dispatcher.Tick()
+	if n.thrift != nil && n.thrift.dispatcher != n.dispatcher {
+		next = min(next, n.thrift.dispatcher.Tick())
 	}
 	return next
 }
 
-// unanswered is the number of calls that are owed an answer on any front.
+// unanswered returns the number of calls that are not answered yet, over all protocols.
 func (n *Node) unanswered() int {
 	open := n.core.Unanswered()
 	if n.thrift != nil && n.thrift.core != n.core {
@@ -169,7 +170,7 @@
 	return open
 }
 
-// content shows a payload to stages, whatever front or carrier it is from.
+// content returns a payload as the content that stages see, whatever protocol it came in.
 func content(payload any) core.Content {
 	if m, ok := payload.(*thrift.Message); ok {
 		return thriftserver.Content{Message: m}
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -19,7 +19,7 @@
 	"linenwheel.dev/linenwheel/lab/thriftpeers"
 )
 
-// startThrift brings up a node that speaks Thrift on both sides, with hosts by their addresses and protocols.
+// startThrift starts a node that speaks Thrift on both sides, with hosts given by their addresses and protocols.
 func startThrift(t *testing.T, south thriftpeers.Form, cross bool, hosts map[string]string) (*scenario.Stage, *Node) {
 	o := DefaultOptions()
 	o.North.Thrift.Listen, o.North.Thrift.Service = scenario.Loopback(t)+":0", "Rating"
@@ -34,12 +34,13 @@
 		}
 		list = append(list, dispatch.Host{Name: "host " + address, Address: address, Zone: "z", Kind: "k", Protocol: protocol, Weight: 1})
 	}
-	n.inventory(dispatch.Stored, list)
+	n.updateEndpoints(dispatch.Stored, list)
 	return s, n
 }
 
-// rater answers by what the body asks for, and tells what it heard.
-func rater(t *testing.T, f thriftpeers.Form) (*thriftpeers.Rater, chan thriftpeers.Heard) {
+// startBackend starts a backend that answers as the body asks for, and sends the requests that it received on the
+// channel.
+func startBackend(t *testing.T, f thriftpeers.Form) (*thriftpeers.Rater, chan thriftpeers.Heard) {
 	heard := make(chan thriftpeers.Heard, 16)
 	r, err := thriftpeers.Listen(f, func(h thriftpeers.Heard) (thriftpeers.Result, error) {
 		heard <- h
@@ -58,13 +59,13 @@
 	return r, heard
 }
 
-// Guards, against the official library, for every form towards clients and towards raters: a call that is changed on its way,
-// a result that is not the call's own, and an outcome told as another.
+// Guards, with the official library, for every form towards clients and towards backends, against a call that is
+// changed on its way, a result that belongs to another call, and an outcome reported as another.
 func TestThriftInEveryForm(t *testing.T) {
 	for i, south := range thriftpeers.Forms {
 		for j, north := range thriftpeers.Forms {
 			t.Run(fmt.Sprint(north, " to ", south), func(t *testing.T) {
-				r, heard := rater(t, south)
+				r, heard := startBackend(t, south)
 				_, n := startThrift(t, south, false, map[string]string{r.Address(): "thrift", "h1": ""})
 				c, err := thriftpeers.Dial(n.ThriftAddress(), north)
 				require.NoError(t, err)
@@ -101,7 +102,7 @@
 				require.NoError(t, err)
 				require.Equal(t, "did-after a one-way call", got.Value)
 				<-heard
-				// A host that fails is avoided for a while: one way to fail in each pair.
+				// A host that fails is avoided for a while, so each pair tests one way to fail.
 				body := []string{"fail", "break", "hang up"}[(i+j)%3]
 				got, err = c.Call("postCharge", &thriftpeers.Args{ID: "q4", Deadline: 900, Body: body})
 				require.NoError(t, err)
@@ -112,9 +113,10 @@
 	}
 }
 
-// Guards against calls that cross protocols as something else than they were, and refusals and failures that change meaning.
+// Guards against calls that are changed when they cross protocols, and refusals and failures that change their
+// meaning.
 func TestCallsCross(t *testing.T) {
-	r, heard := rater(t, thriftpeers.Forms[1])
+	r, heard := startBackend(t, thriftpeers.Forms[1])
 	s, _ := startThrift(t, thriftpeers.Forms[1], true, map[string]string{r.Address(): "thrift"})
 	s.Run(`a send POST /pay/1 id=q1 deadline=900 owner=t body=hello`)
 	h := <-heard
@@ -151,7 +153,7 @@
 	}
 }
 
-// wire is a connection that writes calls by hand.
+// wire is a connection on which the test writes calls byte by byte.
 type wire struct {
 	t    *testing.T
 	conn net.Conn
@@ -178,7 +180,7 @@
 	}
 }
 
-// result is the next one that comes.
+// result returns the next result that arrives.
 func (w *wire) result() *thrift.Message {
 	buf := make([]byte, 4096)
 	for {
@@ -193,15 +195,15 @@
 	}
 }
 
-// rest is what comes until the connection ends.
+// rest returns what arrives until the connection ends.
 func (w *wire) rest() string {
 	text, err := io.ReadAll(w.conn)
 	require.NoError(w.t, err)
 	return string(text)
 }
 
-// Guards against results that wait for other calls' or get another call's sequence id, two calls of one id that are open at
-// once, and a call in pieces that is taken for several.
+// Guards against results that wait for other calls or get another call's sequence id, two calls with one id that
+// are open at once, and a call in pieces that is read as several.
 func TestThriftCallsOnOneConnection(t *testing.T) {
 	release := map[string]chan struct{}{"slow": make(chan struct{}), "same": make(chan struct{})}
 	begun := make(chan string, 8)
@@ -237,7 +239,7 @@
 	assert.Equal(t, "9 pieces", fmt.Sprint(m.Seq, " ", string(mapping.Body(m))))
 	assert.Equal(t, "pieces", <-begun)
 
-	// A client that leaves has its call counted as Gone.
+	// A call whose client leaves is counted as Left.
 	w.send(frame(10, "leaves", "same"))
 	assert.Equal(t, "leaves", <-begun)
 	require.NoError(t, w.conn.Close())
@@ -250,9 +252,10 @@
 	}
 }
 
-// Guards against bytes that are no Thrift reaching a rater or hanging, a call that never becomes whole, and one over the limit.
-func TestThriftThatCannotBeRead(t *testing.T) {
-	r, heard := rater(t, thriftpeers.Forms[0])
+// Guards against bytes that are not Thrift reaching a backend or blocking the connection, a call that never
+// becomes complete, and one above the size limit.
+func TestMalformedThrift(t *testing.T) {
+	r, heard := startBackend(t, thriftpeers.Forms[0])
 	s, n := startThrift(t, thriftpeers.Forms[0], false, map[string]string{r.Address(): "thrift"})
 	w := dialWire(t, n)
 	w.send([]byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
@@ -264,7 +267,7 @@
 	assert.Contains(t, w.rest(), "Thrift is spoken here")
 
 	w = dialWire(t, n)
-	w.send(frame(1, "good", "x"), []byte{0, 0x7f, 0xff, 0xff, 0x80, 1, 0, 1}) // a frame of 8 MB
+	w.send(frame(1, "good", "x"), []byte{0, 0x7f, 0xff, 0xff, 0x80, 1, 0, 1}) // the head of a frame of 8 MB
 	m := w.result()
 	assert.Equal(t, "did-x", string(mapping.Body(m)))
 	m = w.result()
@@ -277,7 +280,7 @@
 	w.send(frame(1, "before", "x"), whole[:len(whole)-3])
 	assert.Equal(t, "did-x", string(mapping.Body(w.result())))
 	over, ended := make(chan struct{}), make(chan struct{})
-	go func() { // the limit begins when the node sees the half, which may be after this
+	go func() { // the time limit starts when the node sees the half call, which may be after this
 		defer close(ended)
 		for {
 			s.Clock.Advance(500)
@@ -293,10 +296,10 @@
 	assert.Empty(t, w.rest())
 	close(over)
 	<-ended
-	assert.Len(t, heard, 2, "nothing of what could not be read reached a rater")
+	assert.Len(t, heard, 2, "nothing that could not be read reached a backend")
 }
 
-// Guards against a stop that cuts calls off or waits for connections that carry none.
+// Guards against a stop that interrupts calls or waits for connections without any.
 func TestThriftStops(t *testing.T) {
 	release := make(chan struct{})
 	begun := make(chan struct{}, 1)
@@ -313,7 +316,7 @@
 	s.Stop()
 	s.Clock.Advance(500)
 	s.Clock.Advance(1400)
-	busy.send(frame(1, "open", "")) // on an open connection it is still taken
+	busy.send(frame(1, "open", "")) // on an open connection it is still admitted
 	<-begun
 	s.Clock.Advance(50)
 	assert.Empty(t, idle.rest())
@@ -333,11 +336,12 @@
 	require.NoError(t, ended)
 }
 
-// Guards against a client that waits for a place until those who hold all of them, and ask nothing, are past their time.
-func TestThriftClientsMakeRoom(t *testing.T) {
-	r, _ := rater(t, thriftpeers.Forms[0])
+// Guards against a client that waits for room in the connection table until idle clients that occupy all of it
+// reach their time limit.
+func TestEvictionMakesRoomForThriftClients(t *testing.T) {
+	r, _ := startBackend(t, thriftpeers.Forms[0])
 	s, n := startThrift(t, thriftpeers.Forms[0], false, map[string]string{r.Address(): "thrift"})
-	s.Run("d expect /discovery/hosts") // it runs, and its looks are due
+	s.Run("d expect /discovery/hosts") // the node runs, and its sweeps are scheduled
 	n.thrift.loop.Resize(2)
 	first, second := dialWire(t, n), dialWire(t, n)
 	first.send(frame(1, "asked", "x"))
@@ -348,16 +352,17 @@
 	require.Eventually(t, n.thrift.loop.Full, time.Minute, time.Millisecond)
 	pulse, err := n.thrift.loop.Pulse()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller has left the others
-	s.Clock.Advance(100)    // the next look
+	pulse.Beat(t.Context()) // the poller is done with the others
+	s.Clock.Advance(100)    // the next sweep
 	assert.Equal(t, "did-y", string(mapping.Body(late.result())))
-	assert.Empty(t, second.rest(), "it has never asked")
+	assert.Empty(t, second.rest(), "it never sent a request")
 	first.send(frame(2, "again", "z"))
 	assert.Equal(t, "did-z", string(mapping.Body(first.result())))
 }
 
-// Guards against a node that stops and goes on taking Thrift's clients because one of the others' waits for a place.
-func TestThriftStopsAcceptingByItself(t *testing.T) {
+// Guards against a stopping node that still accepts Thrift clients because an HTTP client waits for room in the
+// connection table.
+func TestThriftStopsAcceptingIndependently(t *testing.T) {
 	s, n := startThrift(t, thriftpeers.Forms[0], true, map[string]string{"h1": ""})
 	n.loop.Resize(1)
 	s.Run("a send " + pay + "\n r expect POST /pay/1")
