--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -44,11 +44,11 @@
 
 // benchmarkCalls sends calls, a fraction of which repeat the one before; a header carries their key.
 func benchmarkCalls(b *testing.B, o *Options, repeats float64) {
-	rater := answering(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	backend := answering(b, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	agent := answering(b, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": agent, "seed": "1",
 		"limits": map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024}, "settings": json.RawMessage(settings),
-		"known": map[string]any{"index": 0, "endpoints": []any{map[string]any{"name": "h1", "address": rater, "zone": "z",
+		"known": map[string]any{"index": 0, "endpoints": []any{map[string]any{"name": "h1", "address": backend, "zone": "z",
 			"type": "k", "status": "Ready", "weight": 1}}}})
 	require.NoError(b, err)
 	path := filepath.Join(b.TempDir(), "config.json")
--- a/node/endpoints_test.go
+++ b/node/endpoints_test.go
@@ -54,8 +54,8 @@
 // Guards against a list of etcd's agent or of files that does not reach the dispatcher, a drain that is delayed,
 // and a start without any source that ignores the last good list.
 func TestListOfSeveralSources(t *testing.T) {
-	book, dir := agent.NewBook("etcd"), t.TempDir()
-	server := httptest.NewServer((&agent.Server{Book: book, Clock: clock.NewSystem(), Look: func() {}}).Handler())
+	entries, dir := agent.NewBook("etcd"), t.TempDir()
+	server := httptest.NewServer((&agent.Server{Book: entries, Clock: clock.NewSystem(), Look: func() {}}).Handler())
 	defer server.Close()
 	o := DefaultOptions()
 	o.Inventory.Trust = []string{"etcd", "files"}
@@ -65,10 +65,10 @@
 	host := func(name string, status dispatch.Status) dispatch.Host {
 		return dispatch.Host{Name: name, Address: s.Hosts[name], Zone: "z", Kind: "k", Status: status, Weight: 1}
 	}
-	book.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
-	book.Alive(1)
+	entries.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
+	entries.Alive(1)
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 2 })
-	book.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
+	entries.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 1 })
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
@@ -83,7 +83,7 @@
 		wait 5
 		a send POST /pay/1 id=q2 deadline=900
 		a expect 503`)
-	book.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
+	entries.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 1 })
 	advanceUntil(t, s, func() bool {
 		kept, err := os.ReadFile(o.Inventory.Last.Path)
--- a/node/node.go
+++ b/node/node.go
@@ -110,15 +110,15 @@
 // Extras are what an embedder adds to a node; the zero value adds nothing.
 type Extras struct {
 	Options *Options       // nil = the defaults
-	Log     *slog.Logger   // nil = a logger as configured by the options, to standard error; records get the time of the node's clock
-	Level   *slog.LevelVar // the level of Log, if the option log.level should set it; nil = the node does not control Log's level
+	Log     *slog.Logger   // nil = a logger to standard error as the options say; records have the node's time
+	Level   *slog.LevelVar // Log's level, which the option log.level then sets; nil = the node leaves it alone
 	First   []Stage        // stages before all of the node's own
 	Last    []Stage        // stages after the node's own, directly before the dispatch decision
 
-	Listener  net.Listener    // the socket on which clients connect, owned by the node from here on; nil = the node listens itself
-	Hold      bool            // clients wait in its backlog until StartAccepting is called
+	Listener  net.Listener    // where clients connect, owned by the node from here on; nil = the node listens itself
+	Hold      bool            // clients wait in its backlog until StartAccepting; FromPeers is then applied before the first
 	Known     *Knowledge      // state from another process of this node, nil = none
-	FromPeers []PeerKnowledge // state from other nodes, applied when the node is ready, before its first client if Hold is set
+	FromPeers []PeerKnowledge // state from other nodes, applied once the node is ready; see Hold
 }
 
 // handoverSpare is by how many the connections to backends may exceed the clients' connections in a node that
@@ -134,7 +134,7 @@
 	clock        clock.Clock
 	log          *slog.Logger
 	level        *slog.LevelVar // log level; nil if the node does not control it
-	logInterval  log.Interval   // minimum interval between repeated messages that clients, backends or discovery can cause in large numbers
+	logInterval  log.Interval   // limits messages that clients, backends or discovery can cause in large numbers
 	dispatcher   *dispatch.Dispatcher
 	gate         *driver.Gate
 	core         *core.Core
@@ -168,7 +168,7 @@
 	fromPeers    []PeerKnowledge    // state of other nodes, kept until the node is ready
 	fleetSize    int                // number of instances in the fleet
 	jitter       func() float64     // random phase of this node's timers; nil if there are no other nodes
-	heartbeats   chan chan struct{} // each channel is closed by the timers' goroutine when it has run the dispatcher's timers
+	heartbeats   chan chan struct{} // each channel is closed once the dispatchers' timers have been run
 	ready        chan struct{}      // closed when the node can serve
 	stopping     chan struct{}      // closed when the node has been asked to stop
 	handedOver   chan struct{}      // closed when another process accepts
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -570,7 +570,9 @@
 	require.NoError(t, err)
 	up := func(who string) {
 		s.Run(who + " send GET /up\n" + who + " expect 200")
-		pulse.Beat(t.Context()) // the client has its response before the node records the start of the idle time, which decides whose connection is closed
+		// Wait until the node has recorded the start of the idle time, which decides whose connection is closed:
+		// the client may have its response before.
+		pulse.Beat(t.Context())
 	}
 	s.Run(begin("h1") + "c send raw \"\"")
 	for i := range 10 {
--- a/node/operators.go
+++ b/node/operators.go
@@ -113,7 +113,7 @@
 	wasOut := n.orders.cordons.Out(o.Rater)
 	change, err := n.orders.cordons.Resume, error(nil)
 	if o.Do == Suspend {
-		change = func(_ float64, rater string) ([]dispatch.Host, error) { return n.orders.cordons.Suspend(rater) }
+		change = func(_ float64, backend string) ([]dispatch.Host, error) { return n.orders.cordons.Suspend(backend) }
 	}
 	changed, err := change(n.clock.Now(), o.Rater)
 	if errors.Is(err, cordon.ErrUnknown) {
@@ -219,10 +219,12 @@
 func (o operators) Knowledge() ([]byte, error) { return o.n.encodeKnowledge() }
 
 // Suspend takes a backend out of rotation.
-func (o operators) Suspend(rater string) error { return o.n.order(Order{Do: Suspend, Rater: rater}) }
+func (o operators) Suspend(backend string) error {
+	return o.n.order(Order{Do: Suspend, Rater: backend})
+}
 
 // Resume puts a backend back into rotation.
-func (o operators) Resume(rater string) error { return o.n.order(Order{Do: Resume, Rater: rater}) }
+func (o operators) Resume(backend string) error { return o.n.order(Order{Do: Resume, Rater: backend}) }
 
 // Drain starts a drain of the node.
 func (o operators) Drain() error { return o.n.order(Order{Do: Drain}) }
--- a/node/quota.go
+++ b/node/quota.go
@@ -16,7 +16,7 @@
 
 // newQuota creates the stage that enforces the tenants' quotas.
 func (n *Node) newQuota(o *options.Quota, log *slog.Logger) (*middleware.Middleware, error) {
-	book, err := quota.New(o.Own(n.fleetSize), n.conf.Seed)
+	tree, err := quota.New(o.Own(n.fleetSize), n.conf.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 			return room / root, learned
 		}
 	}
-	return middleware.New(set, book, n.clock, log), nil
+	return middleware.New(set, tree, n.clock, log), nil
 }
 
 // updateQuota applies changed options to the running quota tree. The options were validated before, so the tree is
@@ -46,8 +46,8 @@
 	if n.quota == nil || !o.On {
 		return
 	}
-	if book, err := quota.New(o.Own(n.fleetSize), n.conf.Seed); err == nil {
-		n.quota.Replace(book)
+	if tree, err := quota.New(o.Own(n.fleetSize), n.conf.Seed); err == nil {
+		n.quota.Replace(tree)
 		n.lease(o)
 	}
 }
--- a/node/status.go
+++ b/node/status.go
@@ -41,7 +41,7 @@
 type PolicyStatus struct {
 	Number uint64  `json:"number"` // 0 = the fleet has none and the node's own options file applies
 	Hash   string  `json:"hash,omitempty"`
-	Lease  float64 `json:"lease"` // milliseconds for which calls may begin under it without contact to the fleet, -1 = without limit
+	Lease  float64 `json:"lease"` // ms for which calls may begin under it without contact to the fleet, -1 = no limit
 }
 
 // RoomStatus describes the node's lease of the fleet's capacity.
