--- a/cmd/linenwheel/process_test.go
+++ b/cmd/linenwheel/process_test.go
@@ -244,7 +244,7 @@
 		require.Fail(t, "it ended while it owed an answer")
 	}
 	heir.await("the node is ready")
-	first.await("the node answers what it owes and ends")
+	first.await("another process accepts connections; finishing open requests before exit")
 	for range 20 {
 		s.served()
 	}
@@ -475,7 +475,7 @@
 	require.Equal(t, 200, code, said)
 
 	second, door2 := start()
-	first.await("the node answers what it owes and ends")
+	first.await("another process accepts connections; finishing open requests before exit")
 	code, _ = s.call(door, "GET", "/v1/readyz")
 	require.Equal(t, 503, code)
 	_, said = s.call(door2, "GET", "/v1/metrics")
--- a/lab/policies/documents_test.go
+++ b/lab/policies/documents_test.go
@@ -92,7 +92,9 @@
 	all("after refusals", oneOf(1))
 
 	hup := func(level string, requests int) { // and waits until it has said that the policy goes before its file
-		said := func() int { return bytes.Count(nodes[0].Log(), []byte("the fleet's policy goes before the file")) }
+		said := func() int {
+			return bytes.Count(nodes[0].Log(), []byte("the fleet's policy overrides the options file"))
+		}
 		before := said()
 		require.NoError(t, nodes[0].SetText(fmt.Sprintf(own, requests, level)))
 		require.NoError(t, nodes[0].Hup())
