--- a/cmd/linenwheel/process_test.go
+++ b/cmd/linenwheel/process_test.go
@@ -244,7 +244,7 @@
 		require.Fail(t, "it ended while it owed an answer")
 	}
 	heir.await("the node is ready")
-	first.await("the node answers what it owes and ends")
+	first.await("another process accepts connections; finishing open requests before exit")
 	for range 20 {
 		s.served()
 	}
@@ -475,7 +475,7 @@
 	require.Equal(t, 200, code, said)
 
 	second, door2 := start()
-	first.await("the node answers what it owes and ends")
+	first.await("another process accepts connections; finishing open requests before exit")
 	code, _ = s.call(door, "GET", "/v1/readyz")
 	require.Equal(t, 503, code)
 	_, said = s.call(door2, "GET", "/v1/metrics")
@@ -621,7 +621,7 @@
 	finish()
 	p.await("the node is ready")
 	feed(path, text)() // what the signal had asked for
-	p.await("the configuration was read again")
+	p.await("configuration reloaded")
 
 	p.signal(syscall.SIGHUP)
 	finish = feed(path, strings.Replace(text, `"listen"`, `"listem"`, 1))
@@ -629,7 +629,7 @@
 	p.signal(syscall.SIGTERM)
 	p.await("the node is stopping")
 	finish() // a bad one, while the node stops
-	p.await("the new configuration is bad and the old one stays")
+	p.await("configuration reload failed; keeping the previous configuration")
 	s.answer <- struct{}{}
 	require.Equal(t, "200 served "+id+"<nil>", <-owed)
 	require.Zero(t, p.end())
