--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -179,7 +179,7 @@
 	if moved && set.ToldMoved > 0 {
 		told = min(told, set.ToldMoved)
 	}
-	return backoff.Settings{Spread: w.Spread, First: set.FirstPause, Last: set.LastPause, Told: told}
+	return backoff.Settings{Spread: w.Spread, MinPause: set.FirstPause, MaxPause: set.LastPause, DeliveryLimit: told}
 }
 
 // spread varies a time.
@@ -212,19 +212,19 @@
 // watch fetches the whole list from an address, to which it may have moved, then watches until ctx ends.
 func (w *Watcher) watch(ctx context.Context, address string, moved bool) {
 	index, known, epoch, open := int64(0), false, "", false
-	calls := backoff.Pace{Chance: w.Chance}
+	calls := backoff.Backoff{Random: w.Chance}
 	hosts, doubted := w.Known >= 0, false // whether the last list named some, and an empty one is asked for again
 	if w.Spread > 0 && w.Known >= 0 && w.First != nil {
 		index, known = w.Known, true
 		w.asked()
-		w.wait(ctx, calls.Begin(w.paced(moved)))
+		w.wait(ctx, calls.InitialDelay(w.paced(moved)))
 		if ctx.Err() != nil {
 			return
 		}
 	}
 	for {
 		set, paced := w.limits(), w.paced(moved)
-		path, limit := "/discovery/hosts", paced.Limit(set.Fetch)
+		path, limit := "/discovery/hosts", paced.CallTimeout(set.Fetch)
 		call, look, done := w.calls(ctx)
 		switch {
 		case look && epoch != "":
@@ -232,7 +232,7 @@
 		case known && !look:
 			var wait float64
 			path, wait = w.change(set.Wait, index, epoch, open)
-			limit = wait + paced.Limit(set.Slack)
+			limit = wait + paced.CallTimeout(set.Slack)
 		}
 		began := w.Clock.Now()
 		l, err := w.ask(call, address, path, limit)
@@ -259,7 +259,7 @@
 			}
 		}
 		if err == nil {
-			calls.Answered()
+			calls.Reset()
 			moved = false
 			index, known, epoch = l.Index, true, ""
 			if l.Origin != nil {
@@ -276,7 +276,7 @@
 		}
 		w.asked()
 		if err != nil {
-			pause := calls.Failed(paced, w.Clock.Now()-began, set.Fetch)
+			pause := calls.AfterFailure(paced, w.Clock.Now()-began, set.Fetch)
 			w.Log.Warn("discovery gave no list that can be used: the last one stays", "address", address, "error", err,
 				"again_ms", pause)
 			w.wait(ctx, pause)
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -30,7 +30,7 @@
 	held     int               // and that it knows
 	unsent   []decide.Outcome
 	watching bool // where the list must be asked for: the watch is open
-	pace     backoff.Pace
+	pace     backoff.Backoff
 	called   float64 // when it called for the list last
 	asking   bool    // a call to discovery that broke off is to be repeated
 	spent    time.Duration
@@ -67,8 +67,8 @@
 	}
 	if g.service != nil {
 		n.watching = false
-		n.pace = backoff.Pace{Chance: rand.New(rand.NewPCG(g.day.Seed, uint64(n.number)<<16|uint64(n.life))).Float64}
-		n.later(n.pace.Begin(n.calls()), askList)
+		n.pace = backoff.Backoff{Random: rand.New(rand.NewPCG(g.day.Seed, uint64(n.number)<<16|uint64(n.life))).Float64}
+		n.later(n.pace.InitialDelay(n.calls()), askList)
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 // calls is when a node calls for the list, with the pauses that it has without options of its own.
 func (n *node) calls() backoff.Settings {
 	set := Settings(n.engine.day, n.number)
-	return backoff.Settings{Spread: set.FetchSpread().Seconds() * 1000, First: 25, Last: 1000, Told: 6000}
+	return backoff.Settings{Spread: set.FetchSpread().Seconds() * 1000, MinPause: 25, MaxPause: 1000, DeliveryLimit: 6000}
 }
 
 func (n *node) later(ms float64, k kind) {
@@ -99,11 +99,11 @@
 			n.later(at-g.now, listed)
 		}
 	case listed:
-		n.pace.Answered()
+		n.pace.Reset()
 		n.watching = true
 		n.told()
 	case notListed:
-		n.later(n.pace.Failed(n.calls(), g.now-n.called, callUsual), askList)
+		n.later(n.pace.AfterFailure(n.calls(), g.now-n.called, callUsual), askList)
 	}
 }
 
