--- a/internal/node/endpoints/cordon/ban_test.go
+++ b/internal/node/endpoints/cordon/cordon_test.go
@@ -16,7 +16,7 @@
 func TestBookHolds(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", "5"))
 	rapid.Check(t, func(t *rapid.T) {
-		var b Book
+		var b Tracker
 		shown, out, back, listed := map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}, map[string]bool{}
 		name := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "rater")) })
 		see := func(list []dispatch.Host) {
@@ -41,13 +41,13 @@
 				for _, h := range list {
 					listed[h.Name] = true
 				}
-				see(b.Take(dispatch.Full, list))
+				see(b.Apply(dispatch.Full, list))
 			case 1:
 				h := dispatch.Host{Name: who, Status: dispatch.Status(rapid.IntRange(0, 2).Draw(t, "status"))}
 				if listed[who] = h.Status != dispatch.Removed; !listed[who] {
 					delete(listed, who)
 				}
-				see(b.Take(dispatch.Changes, []dispatch.Host{h}))
+				see(b.Apply(dispatch.Changes, []dispatch.Host{h}))
 			case 2, 3:
 				list, err := b.Suspend(who)
 				require.Equal(t, !listed[who] && !out[who], err != nil)
@@ -65,9 +65,9 @@
 				delete(out, who)
 				see(list)
 			case 5:
-				var next Book
-				next.Take(dispatch.Full, b.all())
-				see(next.Recall(b.Remember()))
+				var next Tracker
+				next.Apply(dispatch.Full, b.all())
+				see(next.Restore(b.Snapshot()))
 				b = next
 			}
 			require.Equal(t, len(listed), b.Listed())
@@ -86,7 +86,7 @@
 }
 
 // all is what the sources list.
-func (b *Book) all() (list []dispatch.Host) {
+func (b *Tracker) all() (list []dispatch.Host) {
 	for _, h := range b.listed {
 		list = append(list, h)
 	}
@@ -96,18 +96,18 @@
 // Guards against a rater that the fleet's policy leaves out and that is shown ready, one that a single node's operator calls back
 // against it, one that comes back warm, and one out by hand that the policy brings back.
 func TestFleet(t *testing.T) {
-	var b Book
-	b.Take(dispatch.Full, []dispatch.Host{{Name: "a", Status: dispatch.Ready}, {Name: "b", Status: dispatch.Ready}})
-	changed := b.Fleet(5, []string{"a", "later"})
+	var b Tracker
+	b.Apply(dispatch.Full, []dispatch.Host{{Name: "a", Status: dispatch.Ready}, {Name: "b", Status: dispatch.Ready}})
+	changed := b.SetFleetCordons(5, []string{"a", "later"})
 	require.Equal(t, []dispatch.Host{{Name: "a", Status: dispatch.Draining}}, changed)
-	require.Empty(t, b.Fleet(6, []string{"a", "later"}))
+	require.Empty(t, b.SetFleetCordons(6, []string{"a", "later"}))
 	_, err := b.Resume(7, "a")
 	require.ErrorIs(t, err, ErrFleet)
-	shown := b.Take(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
+	shown := b.Apply(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
 	require.Equal(t, dispatch.Draining, shown[0].Status)
 	_, err = b.Suspend("a")
 	require.NoError(t, err)
-	changed = b.Fleet(9, nil)
+	changed = b.SetFleetCordons(9, nil)
 	require.Equal(t, []dispatch.Host{{Name: "later", Status: dispatch.Ready, Since: 9}}, changed)
-	require.True(t, b.Out("a"), "by hand")
+	require.True(t, b.IsCordoned("a"), "by hand")
 }
--- a/node/door.go
+++ b/node/door.go
@@ -34,7 +34,7 @@
 // orders is what operators have told the node.
 type orders struct {
 	mu   sync.Mutex // of the book, and orders what the module is told of the list
-	book cordon.Book
+	book cordon.Tracker
 	// pass has the node's other process obey too, while there is one; nil = there is none.
 	pass func(Order) error
 }
@@ -84,7 +84,7 @@
 // inventory takes news of the list: the module sees it without the raters that are out by hand.
 func (n *Node) inventory(from dispatch.Source, list []dispatch.Host) {
 	n.orders.mu.Lock()
-	n.tell(from, n.orders.book.Take(from, list))
+	n.tell(from, n.orders.book.Apply(from, list))
 	n.orders.mu.Unlock()
 	n.countRaters()
 }
@@ -106,7 +106,7 @@
 	}
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
-	was := n.orders.book.Out(o.Rater)
+	was := n.orders.book.IsCordoned(o.Rater)
 	change, err := n.orders.book.Resume, error(nil)
 	if o.Do == Suspend {
 		change = func(_ float64, rater string) ([]dispatch.Host, error) { return n.orders.book.Suspend(rater) }
@@ -121,7 +121,7 @@
 	if len(changed) > 0 {
 		n.tell(dispatch.Changes, changed)
 	}
-	if was == n.orders.book.Out(o.Rater) {
+	if was == n.orders.book.IsCordoned(o.Rater) {
 		return nil // it was told before
 	}
 	if o.Do == Suspend {
@@ -136,7 +136,7 @@
 func (n *Node) leaveOut(names []string) {
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
-	if changed := n.orders.book.Fleet(n.clock.Now(), names); len(changed) > 0 {
+	if changed := n.orders.book.SetFleetCordons(n.clock.Now(), names); len(changed) > 0 {
 		n.tell(dispatch.Changes, changed)
 		n.log.Info("raters are out or back by the options", "out", len(names))
 	}
@@ -180,7 +180,7 @@
 	excluded := 0
 	count := func(p *dispatch.Dispatcher) {
 		for _, h := range p.View().Hosts {
-			if n.orders.book.Out(h.Name) || h.Status == dispatch.Ready && h.Module.Ejected {
+			if n.orders.book.IsCordoned(h.Name) || h.Status == dispatch.Ready && h.Module.Ejected {
 				excluded++
 			}
 		}
@@ -241,7 +241,7 @@
 	}
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
-	if changed := n.orders.book.Recall(k.Bans); len(changed) > 0 {
+	if changed := n.orders.book.Restore(k.Bans); len(changed) > 0 {
 		n.tell(dispatch.Changes, changed)
 	}
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -24,8 +24,8 @@
 	Pilot dispatch.Memory `json:"pilot"`
 
 	// What operators have ordered.
-	Bans    cordon.Memory `json:"bans"`
-	Drained *float64      `json:"drained,omitempty"` // since when; nil = it is not
+	Bans    cordon.Snapshot `json:"bans"`
+	Drained *float64        `json:"drained,omitempty"` // since when; nil = it is not
 
 	// Quota is what tenants have saved up.
 	Quota []quota.Balance `json:"quota,omitempty"`
@@ -39,7 +39,7 @@
 	index, _ := n.watch.Seen()
 	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Pilot: n.pilot.Remember()}
 	n.orders.mu.Lock()
-	k.Bans = n.orders.book.Remember()
+	k.Bans = n.orders.book.Snapshot()
 	n.orders.mu.Unlock()
 	if since, drained := n.gate.Drained(); drained {
 		k.Drained = &since
@@ -68,7 +68,7 @@
 		return fmt.Errorf("recalling what was known: it is node %q's", k.Node)
 	}
 	for i := range k.Pilot.Hosts { // as the list has them
-		if h := &k.Pilot.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
+		if h := &k.Pilot.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Cordoned, h.Name) {
 			h.Status = dispatch.Ready
 		}
 	}
--- a/node/lesson_test.go
+++ b/node/lesson_test.go
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	assert.Positive(t, l.Pilot.Module.Responses)
 	assert.Nil(t, l.Drained)
-	assert.Empty(t, l.Bans.Out)
+	assert.Empty(t, l.Bans.Cordoned)
 	assert.Zero(t, l.Life)
 	assert.Empty(t, l.Pilot.Module.TenantTokens)
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -117,7 +117,7 @@
 
 // obeyHeld lets what is held for this node be in force.
 func (n *Node) obeyHeld(held statemachine.Ordered) {
-	k := Knowledge{Bans: cordon.Memory{Out: held.Cordoned}}
+	k := Knowledge{Bans: cordon.Snapshot{Cordoned: held.Cordoned}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
 		if !drained {
