--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -158,7 +158,7 @@
 
 // told passes what the source says on to the book.
 type told struct {
-	book  *agent.Book
+	book  *agent.Store
 	clock clock.Clock
 	first func() // when there is a list, or no endpoint gives one
 }
@@ -169,23 +169,23 @@
 
 // Update takes what has changed.
 func (t told) Update(epoch string, u etcd.Update) {
-	t.book.Take(t.change(epoch, u))
+	t.book.Apply(t.change(epoch, u))
 	t.first()
 }
 
 // Alive takes that nothing has.
-func (t told) Alive() { t.book.Alive(t.clock.Now()) }
+func (t told) Alive() { t.book.MarkAvailable(t.clock.Now()) }
 
 // Gone takes that the cluster cannot be asked.
 func (t told) Gone(err error) {
-	t.book.Gone(err.Error())
+	t.book.MarkUnavailable(err.Error())
 	t.first()
 }
 
 // Looked takes a list that was read anew.
 func (t told) Looked(epoch string, u etcd.Update) {
-	t.book.Take(t.change(epoch, u))
-	t.book.Looked()
+	t.book.Apply(t.change(epoch, u))
+	t.book.MarkReread()
 }
 
 // serve works until ctx ends. A signal has it read the options again.
@@ -199,10 +199,10 @@
 	if err != nil {
 		return fmt.Errorf("listening on %s: %w", o.Inventory.Etcd.Agent, err)
 	}
-	book := agent.NewBook(options.SourceEtcd)
+	book := agent.NewStore(options.SourceEtcd)
 	ready := sync.OnceFunc(func() { manager.Ready(systemd.Serving) })
 	source := etcd.New(*set, a.clock, a.log, told{book, a.clock, ready})
-	server := &http.Server{Handler: (&agent.Server{Book: book, Clock: a.clock, Look: source.Look}).Handler(),
+	server := &http.Server{Handler: (&agent.Server{Store: book, Clock: a.clock, RequestReread: source.Look}).Handler(),
 		ReadHeaderTimeout: headLimit, ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
 	back, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
--- a/cmd/linenwheel-etcd/run_test.go
+++ b/cmd/linenwheel-etcd/run_test.go
@@ -96,7 +96,7 @@
 			require.True(t, time.Now().Before(end), "not logged: %s", part)
 		}
 	}
-	call := func(query string) (a agent.Answer) {
+	call := func(query string) (a agent.Response) {
 		got, err := http.Get("http://" + addr + "/discovery/hosts" + query)
 		require.NoError(t, err)
 		defer func() { _ = got.Body.Close() }()
@@ -118,7 +118,7 @@
 	go c.Write(map[string]string{"r/a": "", "r/@confirm": "4"})
 	a = call(fmt.Sprintf("?index=%d&epoch=c1&wait=30000", a.Index))
 	assert.Equal(t, []any{false, "Gone", uint64(4)}, []any{a.Snapshot, a.Endpoints[0].Status, a.Origin.Confirm})
-	assert.True(t, call("?look=1").Origin.Looked)
+	assert.True(t, call("?look=1").Origin.Reread)
 	cancel()
 	assert.Zero(t, <-status)
 	assert.False(t, errs.has("secret\"") || errs.has("=secret"))
--- a/cmd/linenwheel/inventory.go
+++ b/cmd/linenwheel/inventory.go
@@ -119,7 +119,7 @@
 		out.Sources = append(out.Sources, row)
 	}
 	for _, h := range src.Hosts() {
-		out.Hosts = append(out.Hosts, entryformat.Of(h))
+		out.Hosts = append(out.Hosts, entryformat.FromHost(h))
 	}
 	if asJSON {
 		enc := json.NewEncoder(s.out)
@@ -151,7 +151,7 @@
 
 // list reads a file or folder. With a configuration it is held against its zones and kinds.
 func (s *shell) list(path string) (hosts []dispatch.Host, all []*files.List, o *options.Options, err error) {
-	known := files.Known{}
+	known := files.Constraints{}
 	var file *options.File
 	if s.env(configVariable) != "" {
 		conf, f, faults := s.load()
@@ -167,13 +167,13 @@
 		file = f
 	}
 	o = &file.Options
-	known.Most = o.Inventory.MostHosts
+	known.MaxHosts = o.Inventory.MostHosts
 	parts, err := files.Read(path, o.Inventory.Files.Most.Bytes)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	shelf := files.NewShelf(known, 0, len(parts) == 1)
-	r := shelf.Read(1, parts, nil, false)
+	shelf := files.NewValidator(known, 0, len(parts) == 1)
+	r := shelf.Check(1, parts, nil, false)
 	if r.Err != nil {
 		return nil, nil, nil, r.Err
 	}
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, l := range all {
-		sealed, meant = sealed && l.Sealed, meant && l.Meant
+		sealed, meant = sealed && l.Verified, meant && l.Confirmed
 	}
 	word := "it proves itself whole and is taken at once"
 	if !sealed {
@@ -227,7 +227,7 @@
 	}
 	meant := true
 	for _, l := range all {
-		meant = meant && l.Meant
+		meant = meant && l.Confirmed
 	}
 	s.steps(from, to)
 	return s.judge(o, from, to, meant)
@@ -259,7 +259,7 @@
 }
 
 func describe(h dispatch.Host) string {
-	e := entryformat.Of(h)
+	e := entryformat.FromHost(h)
 	return fmt.Sprintf("%s at %s, zone %s, type %s, group %d, weight %g, since %.0f", e.Status, e.Address, e.Zone, e.Type, e.Group,
 		e.Weight, e.Since)
 }
@@ -272,11 +272,11 @@
 	}
 	fmt.Fprintf(s.out, "of %d that serve %d would drain and %d leave or move, %d come or are back\n", c.Serving, c.Drains, c.Leaves, c.Arrives)
 	switch {
-	case verdict == removalguard.Take:
+	case verdict == removalguard.Accept:
 		fmt.Fprintln(s.out, "the guard would take it at once")
 	case meant:
 		fmt.Fprintln(s.out, "the guard would take it at once, because it is confirmed")
-	case verdict == removalguard.Look:
+	case verdict == removalguard.Reread:
 		fmt.Fprintf(s.out, "the guard would hold the departures for a second look after %s: more than %g of the hosts depart\n",
 			o.Inventory.Guard.Wait, o.Inventory.Guard.Share)
 	default:
--- a/internal/node/endpoints/agent/agent_test.go
+++ b/internal/node/endpoints/agent/agent_test.go
@@ -34,11 +34,11 @@
 	index uint64
 	epoch string
 	hosts map[string]float64 // weights
-	last  Answer
+	last  Response
 }
 
 func (c *caller) take(t require.TestingT, text []byte) {
-	c.last = Answer{}
+	c.last = Response{}
 	require.NoError(t, json.Unmarshal(text, &c.last))
 	if c.last.Snapshot {
 		c.hosts = map[string]float64{}
@@ -55,8 +55,8 @@
 // corrections at the same revision, another history, and more changes than are kept.
 func TestCallersFollow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, revision, epoch := NewBook("etcd"), uint64(1), 1
-		_, ok := b.Answer(0, "", 0, false)
+		b, revision, epoch := NewStore("etcd"), uint64(1), 1
+		_, ok := b.Response(0, "", 0, false)
 		require.False(t, ok)
 		callers, want := make([]caller, 3), map[string]float64{}
 		for n := range rapid.IntRange(1, 40).Draw(t, "changes") {
@@ -74,7 +74,7 @@
 					c.Hosts = append(c.Hosts, host(string(rune('a'+i)), status, rand.Float64()))
 				}
 			}
-			b.Take(c)
+			b.Apply(c)
 			if c.Whole {
 				clear(want)
 			}
@@ -85,7 +85,7 @@
 			}
 			for i := range callers {
 				if rapid.Bool().Draw(t, "asks") || i == 0 {
-					text, ok := b.Answer(0, callers[i].epoch, callers[i].index, false)
+					text, ok := b.Response(0, callers[i].epoch, callers[i].index, false)
 					require.True(t, ok)
 					callers[i].take(t, text)
 					require.Equal(t, want, callers[i].hosts)
@@ -93,25 +93,25 @@
 			}
 		}
 	})
-	b, late := NewBook("etcd"), caller{}
-	b.Take(Change{Whole: true, Epoch: "e", Revision: 1})
-	text, _ := b.Answer(0, "", 0, false)
+	b, late := NewStore("etcd"), caller{}
+	b.Apply(Change{Whole: true, Epoch: "e", Revision: 1})
+	text, _ := b.Response(0, "", 0, false)
 	late.take(t, text)
-	for i := range mostChanges {
-		b.Take(Change{Epoch: "e", Revision: uint64(i + 2), Hosts: []dispatch.Host{host(fmt.Sprint(i%50), dispatch.Ready, float64(i)),
+	for i := range maxChanges {
+		b.Apply(Change{Epoch: "e", Revision: uint64(i + 2), Hosts: []dispatch.Host{host(fmt.Sprint(i%50), dispatch.Ready, float64(i)),
 			host(fmt.Sprint(i%50+50), dispatch.Ready, float64(i)), host("one", dispatch.Ready, float64(i))}})
-		require.LessOrEqual(t, len(b.changes), 2*mostChanges)
+		require.LessOrEqual(t, len(b.changes), 2*maxChanges)
 	}
-	text, _ = b.Answer(0, late.epoch, late.index, false)
+	text, _ = b.Response(0, late.epoch, late.index, false)
 	late.take(t, text)
 	assert.True(t, late.last.Snapshot, "too far behind")
 	assert.Len(t, late.hosts, 101)
-	assert.NotEqual(t, b.from, b.changes[0].Revision, "half of a revision")
-	text, _ = b.Answer(0, late.epoch, late.index-1, false)
+	assert.NotEqual(t, b.changesSince, b.changes[0].Revision, "half of a revision")
+	text, _ = b.Response(0, late.epoch, late.index-1, false)
 	late.take(t, text)
 	assert.Len(t, late.last.Endpoints, 3, "all changes of the last revision")
 	for _, odd := range []caller{{epoch: "e", index: late.index + 1}, {epoch: "f", index: late.index}} {
-		text, _ = b.Answer(0, odd.epoch, odd.index, false)
+		text, _ = b.Response(0, odd.epoch, odd.index, false)
 		late.take(t, text)
 		assert.True(t, late.last.Snapshot, "told by somebody else")
 	}
@@ -121,9 +121,9 @@
 // against a second look that is answered before the list was read.
 func TestCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, looked := NewBook("etcd"), 0
-		s := &Server{Book: b, Clock: clock.NewSystem(), Look: func() { looked++ }}
-		call := func(query string) (code int, a Answer, took time.Duration) {
+		b, looked := NewStore("etcd"), 0
+		s := &Server{Store: b, Clock: clock.NewSystem(), RequestReread: func() { looked++ }}
+		call := func(query string) (code int, a Response, took time.Duration) {
 			got, began := httptest.NewRecorder(), time.Now()
 			s.Handler().ServeHTTP(got, httptest.NewRequestWithContext(t.Context(), "GET", "/discovery/hosts"+query, nil))
 			_ = json.Unmarshal(got.Body.Bytes(), &a) // what is no list stays empty
@@ -137,10 +137,10 @@
 			code, _, _ = call(bad)
 			assert.Equal(t, 400, code, bad)
 		}
-		b.Take(Change{Whole: true, Epoch: "e", Revision: 5, Hosts: []dispatch.Host{host("a", dispatch.Ready, 1)}})
+		b.Apply(Change{Whole: true, Epoch: "e", Revision: 5, Hosts: []dispatch.Host{host("a", dispatch.Ready, 1)}})
 		_, a, _ := call("")
-		assert.True(t, a.Snapshot && a.Origin.Away > 0, "more is to come")
-		b.Alive(now())
+		assert.True(t, a.Snapshot && a.Origin.UnreachableFor > 0, "more is to come")
+		b.MarkAvailable(now())
 		_, a, took := call("?index=4&epoch=e&wait=1000")
 		assert.Zero(t, took)
 		assert.Len(t, a.Endpoints, 1)
@@ -152,28 +152,28 @@
 		_, _, took = call("?index=5&epoch=e&wait=999999")
 		assert.Equal(t, time.Minute, took)
 		later(300*time.Millisecond, func() {
-			b.Take(Change{Epoch: "e", Revision: 6, Hosts: []dispatch.Host{host("b", dispatch.Ready, 1)}, Confirm: 3})
+			b.Apply(Change{Epoch: "e", Revision: 6, Hosts: []dispatch.Host{host("b", dispatch.Ready, 1)}, Confirm: 3})
 		})
 		_, a, took = call("?index=5&epoch=e&wait=1000")
 		assert.Equal(t, 300*time.Millisecond, took)
 		assert.Equal(t, []any{"b", uint64(6), uint64(3)}, []any{a.Endpoints[0].Name, a.Endpoints[0].Revision, a.Origin.Confirm})
-		later(300*time.Millisecond, func() { b.Gone("nobody is there") })
+		later(300*time.Millisecond, func() { b.MarkUnavailable("nobody is there") })
 		_, a, took = call("?index=6&epoch=e&wait=1000")
 		assert.Equal(t, 300*time.Millisecond, took)
 		assert.Equal(t, "nobody is there", a.Origin.Reason)
-		assert.Greater(t, a.Origin.Away, 60e3)
-		later(300*time.Millisecond, func() { b.Gone("still"); b.Alive(now()) })
+		assert.Greater(t, a.Origin.UnreachableFor, 60e3)
+		later(300*time.Millisecond, func() { b.MarkUnavailable("still"); b.MarkAvailable(now()) })
 		_, a, took = call("?index=6&epoch=e&wait=1000")
 		assert.Equal(t, 300*time.Millisecond, took, "and is back")
-		assert.Zero(t, a.Origin.Away)
+		assert.Zero(t, a.Origin.UnreachableFor)
 		code, _, took = call("?look=1")
 		assert.Equal(t, []any{503, 5 * time.Second, 1}, []any{code, took, looked})
-		later(100*time.Millisecond, func() { b.Take(Change{Epoch: "e", Revision: 7}) })
-		later(300*time.Millisecond, b.Looked)
+		later(100*time.Millisecond, func() { b.Apply(Change{Epoch: "e", Revision: 7}) })
+		later(300*time.Millisecond, b.MarkReread)
 		code, a, took = call("?look=1&index=7&epoch=e")
-		assert.Equal(t, []any{200, 300 * time.Millisecond, 2, true, true}, []any{code, took, looked, a.Snapshot, a.Origin.Looked})
+		assert.Equal(t, []any{200, 300 * time.Millisecond, 2, true, true}, []any{code, took, looked, a.Snapshot, a.Origin.Reread})
 		defer func() {
-			b.Take(Change{Whole: true, Epoch: "f", Revision: 1})
+			b.Apply(Change{Whole: true, Epoch: "f", Revision: 1})
 			_, a, _ = call("")
 			assert.Zero(t, a.Origin.Confirm, "of another history")
 		}()
--- a/internal/node/endpoints/agent/serve.go
+++ b/internal/node/endpoints/agent/serve.go
@@ -11,15 +11,15 @@
 
 // Times of the calls, in milliseconds.
 const (
-	mostWait  = 60e3 // that a call may ask for
-	lookLimit = 5e3  // for the list to be read anew
+	maxWait       = 60e3 // that a call may ask for
+	rereadTimeout = 5e3  // for the list to be read anew
 )
 
 // Server answers nodes.
 type Server struct {
-	Book  *Book
-	Clock clock.Clock
-	Look  func() // has the source read its list anew; Book.Looked is to follow
+	Store         *Store
+	Clock         clock.Clock
+	RequestReread func() // has the source read its list anew; Store.MarkReread is to follow
 }
 
 // Handler answers `/discovery/hosts` in the form of discovery, and `/status`. Beyond that form, the query may have `epoch`,
@@ -29,7 +29,7 @@
 	mux.HandleFunc("GET /discovery/hosts", s.hosts)
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.Book.State(s.Clock.Now())) // the caller has gone
+		_ = json.NewEncoder(w).Encode(s.Store.State(s.Clock.Now())) // the caller has gone
 	})
 	return mux
 }
@@ -51,16 +51,16 @@
 	whole := !query.Has("index") || look
 	switch {
 	case look:
-		if !s.looked(r) {
+		if !s.reread(r) {
 			http.Error(w, "the list could not be read anew in time", http.StatusServiceUnavailable)
 			return
 		}
 	case !whole:
-		s.wait(r, epoch, index, min(wait, mostWait))
+		s.wait(r, epoch, index, min(wait, maxWait))
 	}
-	text, ok := s.Book.Answer(s.Clock.Now(), epoch, index, whole)
+	text, ok := s.Store.Response(s.Clock.Now(), epoch, index, whole)
 	if !ok {
-		http.Error(w, "there is no list yet: "+s.Book.State(s.Clock.Now()).Reason, http.StatusServiceUnavailable)
+		http.Error(w, "there is no list yet: "+s.Store.State(s.Clock.Now()).Reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -70,7 +70,7 @@
 
 // wait returns when there is something to tell, or after so many milliseconds.
 func (s *Server) wait(r *http.Request, epoch string, index uint64, ms float64) {
-	news, ready := s.Book.News(epoch, index)
+	news, ready := s.Store.Updated(epoch, index)
 	if ready || ms <= 0 {
 		return
 	}
@@ -83,14 +83,14 @@
 	}
 }
 
-// looked has the list read anew.
-func (s *Server) looked(r *http.Request) bool {
-	before, _ := s.Book.Looks()
-	s.Look()
+// reread has the list read anew.
+func (s *Server) reread(r *http.Request) bool {
+	before, _ := s.Store.Rereads()
+	s.RequestReread()
 	over := make(chan struct{})
-	defer s.Clock.At(s.Clock.Now()+lookLimit, func() { close(over) })()
+	defer s.Clock.At(s.Clock.Now()+rereadTimeout, func() { close(over) })()
 	for {
-		looks, news := s.Book.Looks()
+		looks, news := s.Store.Rereads()
 		if looks > before {
 			return true
 		}
--- a/internal/node/endpoints/agent/book.go
+++ b/internal/node/endpoints/agent/store.go
@@ -4,7 +4,7 @@
 // Beyond that form, each entry names the revision at which it changed, so that a node sees which belong together, and the
 // answer says where the list comes from, since when nothing has been heard there, and what was confirmed.
 //
-// A Book holds the list and the last mostChanges changes, half as many more at times; who is further behind gets the whole list. It is safe for use by
+// A Store holds the list and the last maxChanges changes, half as many more at times; who is further behind gets the whole list. It is safe for use by
 // several goroutines and does no I/O.
 package agent
 
@@ -19,8 +19,8 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
-// mostChanges bounds what is kept of the past.
-const mostChanges = 1 << 14
+// maxChanges bounds what is kept of the past.
+const maxChanges = 1 << 14
 
 // Entry is a host with the revision at which it changed.
 type Entry struct {
@@ -30,16 +30,16 @@
 
 // Origin tells of the source behind an answer.
 type Origin struct {
-	Source  string  `json:"source"`
-	Epoch   string  `json:"epoch"`             // whose numbering the index is of
-	Away    float64 `json:"away_ms,omitempty"` // for how long the source has not been heard; 0 = it is there
-	Reason  string  `json:"reason,omitempty"`  // why
-	Confirm uint64  `json:"confirm,omitempty"` // the index up to which what was held is meant
-	Looked  bool    `json:"looked,omitempty"`  // the list was read anew for this answer
+	Source         string  `json:"source"`
+	Epoch          string  `json:"epoch"`             // whose numbering the index is of
+	UnreachableFor float64 `json:"away_ms,omitempty"` // for how long the source has not been heard; 0 = it is there
+	Reason         string  `json:"reason,omitempty"`  // why
+	Confirm        uint64  `json:"confirm,omitempty"` // the index up to which what was held is meant
+	Reread         bool    `json:"looked,omitempty"`  // the list was read anew for this answer
 }
 
-// Answer is what a call gets.
-type Answer struct {
+// Response is what a call gets.
+type Response struct {
 	Index     uint64  `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
 	Endpoints []Entry `json:"endpoints"`
@@ -55,23 +55,23 @@
 	Confirm  uint64 // 0 = nothing new was confirmed
 }
 
-// Book is the list.
-type Book struct {
+// Store is the list.
+type Store struct {
 	source string
 
-	mu      sync.Mutex
-	news    chan struct{} // closed when there is something to tell
-	known   bool
-	epoch   string
-	index   uint64
-	hosts   map[string]entry
-	changes []Entry // in order of revision
-	from    uint64  // the revision that the first of them follows
-	heard   float64
-	away    bool
-	reason  string
-	confirm uint64
-	looks   uint64 // how often the list was read anew because that was asked for
+	mu           sync.Mutex
+	updated      chan struct{} // closed when there is something to tell
+	known        bool
+	epoch        string
+	index        uint64
+	hosts        map[string]entry
+	changes      []Entry // in order of revision
+	changesSince uint64  // the revision that the first of them follows
+	lastContact  float64
+	unavailable  bool
+	reason       string
+	confirm      uint64
+	rereads      uint64 // how often the list was read anew because that was asked for
 }
 
 type entry struct {
@@ -79,35 +79,35 @@
 	revision uint64
 }
 
-// NewBook makes a book that has no list yet.
-func NewBook(source string) *Book {
-	return &Book{source: source, news: make(chan struct{}), hosts: map[string]entry{}, away: true, reason: "it was not heard yet"}
+// NewStore makes a book that has no list yet.
+func NewStore(source string) *Store {
+	return &Store{source: source, updated: make(chan struct{}), hosts: map[string]entry{}, unavailable: true, reason: "it was not heard yet"}
 }
 
-// Take takes a change. There may be more to come: Alive tells when that is all.
-func (b *Book) Take(c Change) {
+// Apply takes a change. There may be more to come: MarkAvailable tells when that is all.
+func (b *Store) Apply(c Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.known || c.Epoch != b.epoch {
 		b.known, b.epoch, b.confirm = true, c.Epoch, 0
-		b.changes, b.from = nil, c.Revision
+		b.changes, b.changesSince = nil, c.Revision
 		clear(b.hosts)
 		for _, h := range c.Hosts {
 			b.hosts[h.Name] = entry{h, c.Revision}
 		}
-	} else if b.log(c) && c.Revision == b.index {
+	} else if b.record(c) && c.Revision == b.index {
 		// Something had been missed at a revision that callers have come to: they get the whole list until the next one.
-		b.changes, b.from = nil, b.index+1
+		b.changes, b.changesSince = nil, b.index+1
 	}
 	b.index = c.Revision
 	if c.Confirm > 0 {
 		b.confirm = c.Confirm
 	}
-	b.tell()
+	b.notify()
 }
 
-// log takes a change into the list and keeps what it changes. It tells whether that is anything.
-func (b *Book) log(c Change) (changed bool) {
+// record takes a change into the list and keeps what it changes. It tells whether that is anything.
+func (b *Store) record(c Change) (changed bool) {
 	hosts := c.Hosts
 	if c.Whole {
 		left := maps.Clone(b.hosts)
@@ -130,58 +130,58 @@
 		default:
 			b.hosts[h.Name] = entry{h, c.Revision}
 		}
-		b.changes = append(b.changes, Entry{entryformat.Of(h), c.Revision})
+		b.changes = append(b.changes, Entry{entryformat.FromHost(h), c.Revision})
 		changed = true
 	}
-	if over := len(b.changes) - mostChanges; over > mostChanges/2 { // not for each one
+	if over := len(b.changes) - maxChanges; over > maxChanges/2 { // not for each one
 		// Whole revisions go: what is left follows the last of them.
 		for over < len(b.changes) && b.changes[over].Revision == b.changes[over-1].Revision {
 			over++
 		}
-		b.from = b.changes[over-1].Revision
+		b.changesSince = b.changes[over-1].Revision
 		b.changes = slices.Clone(b.changes[over:])
 	}
 	return changed
 }
 
-// Alive tells that the source was heard at a time.
-func (b *Book) Alive(now float64) {
+// MarkAvailable tells that the source was heard at a time.
+func (b *Store) MarkAvailable(now float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.away
-	if b.heard, b.away, b.reason = now, false, ""; was {
-		b.tell()
+	was := b.unavailable
+	if b.lastContact, b.unavailable, b.reason = now, false, ""; was {
+		b.notify()
 	}
 }
 
-// Gone tells that the source cannot be asked.
-func (b *Book) Gone(reason string) {
+// MarkUnavailable tells that the source cannot be asked.
+func (b *Store) MarkUnavailable(reason string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.away
-	if b.away, b.reason = true, reason; !was {
-		b.tell()
+	was := b.unavailable
+	if b.unavailable, b.reason = true, reason; !was {
+		b.notify()
 	}
 }
 
-// Looked tells that the source has read its list anew and that it is as the book has it.
-func (b *Book) Looked() {
+// MarkReread tells that the source has read its list anew and that it is as the book has it.
+func (b *Store) MarkReread() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.looks++
-	b.tell()
+	b.rereads++
+	b.notify()
 }
 
-// Looks is how often that was, and what is closed when something comes next.
-func (b *Book) Looks() (uint64, <-chan struct{}) {
+// Rereads is how often that was, and what is closed when something comes next.
+func (b *Store) Rereads() (uint64, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.looks, b.news
+	return b.rereads, b.updated
 }
 
-func (b *Book) tell() {
-	close(b.news)
-	b.news = make(chan struct{})
+func (b *Store) notify() {
+	close(b.updated)
+	b.updated = make(chan struct{})
 }
 
 // State is what a book has come to.
@@ -194,40 +194,40 @@
 }
 
 // State tells what the book has come to.
-func (b *Book) State(now float64) State {
+func (b *Store) State(now float64) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return State{b.known, b.index, b.origin(now), len(b.hosts), b.reason}
 }
 
-func (b *Book) origin(now float64) Origin {
+func (b *Store) origin(now float64) Origin {
 	o := Origin{Source: b.source, Epoch: b.epoch, Reason: b.reason, Confirm: b.confirm}
-	if b.away {
-		o.Away = max(now-b.heard, 1)
+	if b.unavailable {
+		o.UnreachableFor = max(now-b.lastContact, 1)
 	}
 	return o
 }
 
-// News is closed when there is something to tell that a caller who was told of an index has not heard: ready tells that
+// Updated is closed when there is something to tell that a caller who was told of an index has not heard: ready tells that
 // there is already.
-func (b *Book) News(epoch string, index uint64) (news <-chan struct{}, ready bool) {
+func (b *Store) Updated(epoch string, index uint64) (news <-chan struct{}, ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.news, b.known && (epoch != b.epoch || index != b.index)
+	return b.updated, b.known && (epoch != b.epoch || index != b.index)
 }
 
-// Answer gives what is newer than an index, or the whole list; false if there is none.
-func (b *Book) Answer(now float64, epoch string, index uint64, whole bool) (text []byte, ok bool) {
+// Response gives what is newer than an index, or the whole list; false if there is none.
+func (b *Store) Response(now float64, epoch string, index uint64, whole bool) (text []byte, ok bool) {
 	b.mu.Lock()
 	if !b.known {
 		b.mu.Unlock()
 		return nil, false
 	}
 	o := b.origin(now)
-	a := Answer{Index: b.index, Endpoints: []Entry{}, Origin: &o}
-	if a.Snapshot = whole || epoch != b.epoch || index < b.from || index > b.index; a.Snapshot {
+	a := Response{Index: b.index, Endpoints: []Entry{}, Origin: &o}
+	if a.Snapshot = whole || epoch != b.epoch || index < b.changesSince || index > b.index; a.Snapshot {
 		for _, e := range b.hosts {
-			a.Endpoints = append(a.Endpoints, Entry{entryformat.Of(e.Host), e.revision})
+			a.Endpoints = append(a.Endpoints, Entry{entryformat.FromHost(e.Host), e.revision})
 		}
 	} else {
 		first, _ := slices.BinarySearchFunc(b.changes, index+1, func(e Entry, rev uint64) int { return cmp.Compare(e.Revision, rev) })
@@ -237,7 +237,7 @@
 	if a.Snapshot {
 		slices.SortFunc(a.Endpoints, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
 	}
-	a.Origin.Looked = whole
+	a.Origin.Reread = whole
 	text, err := json.Marshal(a)
 	if err != nil {
 		panic(err) // plain structs, and numbers that came from JSON: it cannot fail
--- a/internal/node/endpoints/files_test.go
+++ b/internal/node/endpoints/concurrent_update_test.go
@@ -55,10 +55,10 @@
 	last, taken := -1, 0
 	k, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", Keep: 1e6, Expect: path}},
 		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
-		Give: func(kind dispatch.Source, list []dispatch.Host) { p.SetHosts(kind, list) }}, c, discard)
+		OnUpdate: func(kind dispatch.Source, list []dispatch.Host) { p.SetHosts(kind, list) }}, c, discard)
 	require.NoError(t, err)
-	w := &files.Watcher{Path: path, Single: true, Known: files.Known{Zones: []string{"z"}, Kinds: []string{"k"}, Most: 9}, Most: 1 << 20,
-		Settle: 5, Limits: files.Limits{Poll: 1000}, Clock: c, Log: discard, Sink: k.Feed(0)}
+	w := &files.Watcher{Path: path, Single: true, Constraints: files.Constraints{Zones: []string{"z"}, Kinds: []string{"k"}, MaxHosts: 9}, MaxBytes: 1 << 20,
+		Settle: 5, Limits: files.Limits{PollInterval: 1000}, Clock: c, Log: discard, Sink: k.Feed(0)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var work, asking sync.WaitGroup
 	var asked, refused atomic.Int64
--- a/internal/node/endpoints/entryformat/form.go
+++ b/internal/node/endpoints/entryformat/entry.go
@@ -13,34 +13,34 @@
 
 // Entry is how a host is written.
 type Entry struct {
-	Name    string  `json:"name" toml:"name"`
-	Address string  `json:"address" toml:"address"` // ip:port
-	Zone    string  `json:"zone" toml:"zone"`
-	Type    string  `json:"type" toml:"type"`                   // of machine
-	Speaks  string  `json:"protocol,omitempty" toml:"protocol"` // empty = HTTP/1.1
-	Group   int     `json:"group" toml:"group"`
-	Status  string  `json:"status" toml:"status"`
-	Weight  float64 `json:"weight" toml:"weight"`
-	Since   float64 `json:"since_ms" toml:"since_ms"` // Unix time of its last start, 0 = long ago
+	Name     string  `json:"name" toml:"name"`
+	Address  string  `json:"address" toml:"address"` // ip:port
+	Zone     string  `json:"zone" toml:"zone"`
+	Type     string  `json:"type" toml:"type"`                   // of machine
+	Protocol string  `json:"protocol,omitempty" toml:"protocol"` // empty = HTTP/1.1
+	Group    int     `json:"group" toml:"group"`
+	Status   string  `json:"status" toml:"status"`
+	Weight   float64 `json:"weight" toml:"weight"`
+	Since    float64 `json:"since_ms" toml:"since_ms"` // Unix time of its last start, 0 = long ago
 }
 
-var statuses = map[string]dispatch.Status{"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
+var statusByName = map[string]dispatch.Status{"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
-var words = [...]string{dispatch.Ready: "Ready", dispatch.Draining: "Terminating", dispatch.Removed: "Gone"}
+var statusNames = [...]string{dispatch.Ready: "Ready", dispatch.Draining: "Terminating", dispatch.Removed: "Gone"}
 
-// Of is the entry of a host.
-func Of(h dispatch.Host) Entry {
-	return Entry{h.Name, h.Address, h.Zone, h.Kind, h.Protocol, h.Cell, words[h.Status], h.Weight, h.Since}
+// FromHost is the entry of a host.
+func FromHost(h dispatch.Host) Entry {
+	return Entry{h.Name, h.Address, h.Zone, h.Kind, h.Protocol, h.Cell, statusNames[h.Status], h.Weight, h.Since}
 }
 
 // Host gives the host, or says what is wrong with the entry.
 func (e *Entry) Host() (dispatch.Host, error) {
-	status, ok := statuses[e.Status]
+	status, ok := statusByName[e.Status]
 	switch _, err := netip.ParseAddrPort(e.Address); {
 	case e.Name == "":
 		return dispatch.Host{}, errors.New("name is missing")
-	case e.Speaks != "" && e.Speaks != "http" && e.Speaks != "thrift":
-		return dispatch.Host{}, fmt.Errorf("unknown protocol %q: want http or thrift", e.Speaks)
+	case e.Protocol != "" && e.Protocol != "http" && e.Protocol != "thrift":
+		return dispatch.Host{}, fmt.Errorf("unknown protocol %q: want http or thrift", e.Protocol)
 	case !ok:
 		return dispatch.Host{}, fmt.Errorf("unknown status %q", e.Status)
 	case err != nil && status != dispatch.Removed:
@@ -48,7 +48,7 @@
 	case !(e.Weight >= 0 && e.Weight <= math.MaxFloat64 && e.Since >= 0 && e.Since <= math.MaxInt64/1e6):
 		return dispatch.Host{}, errors.New("weight or since_ms out of range")
 	}
-	protocol := e.Speaks
+	protocol := e.Protocol
 	if protocol == "http" {
 		protocol = ""
 	}
--- a/internal/node/endpoints/files/disk.go
+++ b/internal/node/endpoints/files/disk.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// mostLinks is how many links there may be on the way to a file.
-const mostLinks = 40
+// maxLinks is how many links there may be on the way to a file.
+const maxLinks = 40
 
-// mostTries is how often a folder that changes while it is read is read again at once.
-const mostTries = 5
+// maxTries is how often a folder that changes while it is read is read again at once.
+const maxTries = 5
 
 var errChanged = errors.New("it changed while it was read, again and again")
 
 // Read reads a file or all list files of a folder, most bytes at the most. It gives what was there at one moment, as far as
 // that can be seen from outside: names, places behind links, sizes and times are the same before and after.
 func Read(path string, most int) (parts []Part, err error) {
-	for range mostTries {
+	for range maxTries {
 		var before, after []identity
 		if before, err = look(path); err != nil {
 			return nil, err
@@ -69,8 +69,8 @@
 		if len(paths) == 0 {
 			return nil, fmt.Errorf("%s: %w", path, errNoFile)
 		}
-		if len(paths) > MostFiles {
-			return nil, fmt.Errorf("%s: %d files, at most %d can be taken", path, len(paths), MostFiles)
+		if len(paths) > MaxFiles {
+			return nil, fmt.Errorf("%s: %d files, at most %d can be taken", path, len(paths), MaxFiles)
 		}
 	}
 	for _, p := range paths {
@@ -120,9 +120,9 @@
 	return io.ReadAll(io.LimitReader(in, int64(most)+1))
 }
 
-// Folders gives those in which a change can make a path another file: the one that it is or stands in, and those of the
+// WatchDirs gives those in which a change can make a path another file: the one that it is or stands in, and those of the
 // links on the way.
-func Folders(path string) (list []string) {
+func WatchDirs(path string) (list []string) {
 	add := func(dir string) {
 		if !slices.Contains(list, dir) {
 			list = append(list, dir)
@@ -134,7 +134,7 @@
 	}
 	left := strings.Split(strings.Trim(path, "/"), "/")
 	at := "/"
-	for links := 0; len(left) > 0 && links <= mostLinks; {
+	for links := 0; len(left) > 0 && links <= maxLinks; {
 		name := left[0]
 		left = left[1:]
 		switch name {
--- a/internal/node/endpoints/files/files_test.go
+++ b/internal/node/endpoints/files/files_test.go
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-var known = Known{Zones: []string{"z"}, Kinds: []string{"k"}, Most: 4}
+var known = Constraints{Zones: []string{"z"}, Kinds: []string{"k"}, MaxHosts: 4}
 
 func text(head string, names ...string) string {
 	for _, name := range names {
@@ -45,7 +45,7 @@
 
 // Guards against a file that is taken although anything is wrong with it, and against a refusal that does not say what.
 func TestParse(t *testing.T) {
-	want := &List{Index: 7, Meant: true, Sealed: true, Hosts: []dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z",
+	want := &List{Index: 7, Confirmed: true, Verified: true, Hosts: []dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z",
 		Kind: "k", Cell: 3, Status: dispatch.Draining, Weight: 1, Since: 5}}}
 	l, err := Parse("l.json", []byte(`{"index":7,"confirm":7,"count":1,"snapshot":true,"endpoints":[{"name":"a","address":"10.0.0.1:80",
 		"zone":"z","type":"k","group":3,"status":"Terminating","since_ms":5}]}`), known)
@@ -81,32 +81,32 @@
 // at; against one that is not taken once it is whole; and, with a checksum, against a wait.
 func TestHalfWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewShelf(known, 50, true)
+		s := NewValidator(known, 50, true)
 		now, whole, index := 1e12, map[string]bool{}, 0
 		for range rapid.IntRange(1, 6).Draw(t, "versions") {
 			index++
 			names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4, rapid.ID[string]).Draw(t, "names")
-			version, sealed := text(fmt.Sprintf("index = %d\n", index), names...), rapid.Bool().Draw(t, "sealed")
-			if sealed {
+			version, verified := text(fmt.Sprintf("index = %d\n", index), names...), rapid.Bool().Draw(t, "sealed")
+			if verified {
 				version = seal(version)
 			}
 			whole[version] = true
 			for at := 0; at < len(version); {
 				at = min(len(version), at+rapid.IntRange(1, 300).Draw(t, "bytes"))
 				now += float64(rapid.IntRange(1, 49).Draw(t, "ms"))
-				r := s.Read(now, []Part{{"l.toml", []byte(version[:at])}}, nil, false)
+				r := s.Check(now, []Part{{"l.toml", []byte(version[:at])}}, nil, false)
 				require.NoError(t, r.Err)
 				if r.Version != nil {
 					require.True(t, whole[version[:at]])
 					require.Len(t, r.Version.Hosts, len(names))
-					s.Taken()
+					s.Accepted()
 				}
-				require.Equal(t, sealed && at == len(version), r.Version != nil)
+				require.Equal(t, verified && at == len(version), r.Version != nil)
 			}
-			if !sealed {
+			if !verified {
 				now += 50
-				require.NotNil(t, s.Read(now, []Part{{"l.toml", []byte(version)}}, nil, false).Version)
-				s.Taken()
+				require.NotNil(t, s.Check(now, []Part{{"l.toml", []byte(version)}}, nil, false).Version)
+				s.Accepted()
 			}
 		}
 	})
@@ -115,7 +115,7 @@
 // Guards against an older file that is taken again, against a confirmation that goes on counting, against a file that goes
 // unnoticed, and against faults that are told again and again.
 func TestShelf(t *testing.T) {
-	s := NewShelf(known, 50, false)
+	s := NewValidator(known, 50, false)
 	now := 1e12
 	read := func(look bool, texts ...string) string {
 		var parts []Part
@@ -124,16 +124,16 @@
 				parts = append(parts, Part{fmt.Sprintf("%d.toml", i), []byte(text)})
 			}
 		}
-		first := s.Read(now, parts, nil, look)
+		first := s.Check(now, parts, nil, look)
 		assert.True(t, first.Version == nil || first.Version.Look, "a file is gone, or proves nothing")
 		now += 50
-		switch r := s.Read(now, parts, nil, look); {
+		switch r := s.Check(now, parts, nil, look); {
 		case r.Version != nil:
-			s.Taken()
+			s.Accepted()
 			return fmt.Sprint(len(r.Version.Hosts), r.Version.Meant, r.Version.Look)
 		case r.Err != nil:
 			return r.Err.Error()
-		case r.Since > 0:
+		case r.FailingSince > 0:
 			return "bad"
 		}
 		return "same"
@@ -156,13 +156,13 @@
 		assert.Equal(t, step.want, read(step.look, step.one, step.two), step.one+step.two)
 	}
 	assert.Equal(t, "1 false false", read(false, "", text("index = 2\n", "b")))
-	assert.NotNil(t, s.Read(now, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version, "0.toml was gone before")
-	s.Taken()
-	r := s.Read(now, nil, os.ErrNotExist, true)
-	assert.Equal(t, now+50, r.Again, "it may be back in a moment")
-	assert.Error(t, s.Read(now+50, nil, os.ErrNotExist, false).Err)
-	assert.Equal(t, now, s.Read(now+60, nil, os.ErrNotExist, false).Since)
-	assert.True(t, s.Read(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Look, "not forgotten")
+	assert.NotNil(t, s.Check(now, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version, "0.toml was gone before")
+	s.Accepted()
+	r := s.Check(now, nil, os.ErrNotExist, true)
+	assert.Equal(t, now+50, r.ReadAgainAt, "it may be back in a moment")
+	assert.Error(t, s.Check(now+50, nil, os.ErrNotExist, false).Err)
+	assert.Equal(t, now, s.Check(now+60, nil, os.ErrNotExist, false).FailingSince)
+	assert.True(t, s.Check(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Look, "not forgotten")
 }
 
 // Guards against a list of two versions: a folder whose files change hands at once, by a link, while it is read.
@@ -197,16 +197,16 @@
 		}
 	}
 	swaps.Wait()
-	assert.Equal(t, []string{dir, filepath.Join(dir, "v200")}, Folders(filepath.Join(dir, "a.toml")))
+	assert.Equal(t, []string{dir, filepath.Join(dir, "v200")}, WatchDirs(filepath.Join(dir, "a.toml")))
 	_, err := Read(dir, 3)
 	assert.ErrorContains(t, err, "over 3 bytes")
-	assert.Equal(t, []string{dir}, Folders(filepath.Join(dir, "none", "x.toml")))
+	assert.Equal(t, []string{dir}, WatchDirs(filepath.Join(dir, "none", "x.toml")))
 }
 
 // told passes on what a sink is told.
 type told chan string
 
-func (c told) Take(versions ...merge.Version) error {
+func (c told) Apply(versions ...merge.Version) error {
 	v := versions[0]
 	names := ""
 	for _, h := range v.Hosts {
@@ -221,8 +221,8 @@
 	}
 	return nil
 }
-func (c told) Present(float64) { c <- "same" }
-func (c told) Away(float64)    { c <- "away" }
+func (c told) NoChange(float64)    { c <- "same" }
+func (c told) Unreachable(float64) { c <- "away" }
 
 // Guards against a way of writing a list that goes unnoticed: a rename, a link that is swapped, a folder that is made
 // later, a file that goes and comes, one that is written in place; and against a second look that is never told.
@@ -230,7 +230,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "conf", "list.toml")
 	c, sink := clock.NewManual(1e12), make(told, 100)
-	w := &Watcher{Path: path, Single: true, Known: Known{Most: 4}, Most: 1 << 20, Settle: 50, Limits: Limits{Poll: 1e11}, Clock: c,
+	w := &Watcher{Path: path, Single: true, Constraints: Constraints{MaxHosts: 4}, MaxBytes: 1 << 20, Settle: 50, Limits: Limits{PollInterval: 1e11}, Clock: c,
 		Log: slog.New(slog.DiscardHandler), Sink: sink}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -260,7 +260,7 @@
 	await("a")
 	write(path, text("", "a", "b"))
 	await("ab")
-	w.Look()
+	w.RequestReread()
 	await("ab?")
 	require.NoError(t, os.Remove(path))
 	await("away")
@@ -278,13 +278,13 @@
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "conf")))
 	await("away")
 	require.NoError(t, os.Mkdir(filepath.Dir(path), 0o700))
-	w.Limit(Limits{Poll: 5000})
+	w.SetLimits(Limits{PollInterval: 5000})
 	write(path, seal(text("", "x")))
 	await("x")
 	for range 4 { // what was refused is not told again with each look
 		await("away")
 	}
-	w.Look()
+	w.RequestReread()
 	write(path, text("", "a"))
 	require.NoError(t, os.Link(path, filepath.Join(dir, "behind")))
 	await("a?")
--- a/internal/node/endpoints/files/list.go
+++ b/internal/node/endpoints/files/list.go
@@ -16,18 +16,18 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
-// Known is what a list is held against.
-type Known struct {
+// Constraints is what a list is held against.
+type Constraints struct {
 	Zones, Kinds []string // nil = any
-	Most         int      // hosts
+	MaxHosts     int      // hosts
 }
 
 // List is what one file holds.
 type List struct {
-	Index  uint64 // of this version of the file, 0 = it has none
-	Meant  bool   // whoever wrote it confirms what the guard would hold
-	Sealed bool   // its count or checksum proves that it is whole
-	Hosts  []dispatch.Host
+	Index     uint64 // of this version of the file, 0 = it has none
+	Confirmed bool   // whoever wrote it confirms what the guard would hold
+	Verified  bool   // its count or checksum proves that it is whole
+	Hosts     []dispatch.Host
 }
 
 // file is the form of a file, in TOML and in JSON.
@@ -41,20 +41,20 @@
 }
 
 type entry struct {
-	Name    string   `json:"name" toml:"name"`
-	Address string   `json:"address" toml:"address"`
-	Zone    string   `json:"zone" toml:"zone"`
-	Type    string   `json:"type" toml:"type"`
-	Speaks  string   `json:"protocol" toml:"protocol"`
-	Group   int      `json:"group" toml:"group"`
-	Status  string   `json:"status" toml:"status"`
-	Weight  *float64 `json:"weight" toml:"weight"`
-	Since   float64  `json:"since_ms" toml:"since_ms"`
+	Name     string   `json:"name" toml:"name"`
+	Address  string   `json:"address" toml:"address"`
+	Zone     string   `json:"zone" toml:"zone"`
+	Type     string   `json:"type" toml:"type"`
+	Protocol string   `json:"protocol" toml:"protocol"`
+	Group    int      `json:"group" toml:"group"`
+	Status   string   `json:"status" toml:"status"`
+	Weight   *float64 `json:"weight" toml:"weight"`
+	Since    float64  `json:"since_ms" toml:"since_ms"`
 }
 
 // Parse reads a file, as TOML or JSON by its name. With anything wrong, nothing of it is to be used. The error names the
 // file.
-func Parse(path string, text []byte, known Known) (*List, error) {
+func Parse(path string, text []byte, known Constraints) (*List, error) {
 	l, err := parse(path, text, known)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -62,23 +62,23 @@
 	return l, nil
 }
 
-func parse(path string, text []byte, known Known) (*List, error) {
+func parse(path string, text []byte, known Constraints) (*List, error) {
 	var f file
 	if err := decode(path, text, &f); err != nil {
 		return nil, err
 	}
-	l := &List{Index: f.Index, Meant: f.Index > 0 && f.Confirm == f.Index, Sealed: f.Count != nil || f.Checksum != ""}
+	l := &List{Index: f.Index, Confirmed: f.Index > 0 && f.Confirm == f.Index, Verified: f.Count != nil || f.Checksum != ""}
 	switch {
 	case f.Endpoints == nil:
 		return nil, errors.New("endpoints is missing")
 	case f.Snapshot != nil && !*f.Snapshot:
 		return nil, errors.New("snapshot is false: it has changes only")
-	case f.Confirm > 0 && !l.Meant:
+	case f.Confirm > 0 && !l.Confirmed:
 		return nil, fmt.Errorf("confirm is %d, but index is %d", f.Confirm, f.Index)
 	case f.Count != nil && *f.Count != len(f.Endpoints):
 		return nil, fmt.Errorf("count is %d, but there are %d endpoints", *f.Count, len(f.Endpoints))
-	case len(f.Endpoints) > known.Most:
-		return nil, fmt.Errorf("has %d endpoints, at most %d can be taken", len(f.Endpoints), known.Most)
+	case len(f.Endpoints) > known.MaxHosts:
+		return nil, fmt.Errorf("has %d endpoints, at most %d can be taken", len(f.Endpoints), known.MaxHosts)
 	}
 	if f.Checksum != "" {
 		if err := checkSum(text, f.Checksum); err != nil {
@@ -148,7 +148,7 @@
 }
 
 func (e *entry) host() (dispatch.Host, error) {
-	full := entryformat.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Speaks: e.Speaks, Group: e.Group, Status: e.Status,
+	full := entryformat.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Protocol: e.Protocol, Group: e.Group, Status: e.Status,
 		Weight: 1, Since: e.Since}
 	if e.Status == "" {
 		full.Status = "Ready"
--- a/internal/node/endpoints/files/shelf.go
+++ b/internal/node/endpoints/files/validator.go
@@ -4,9 +4,9 @@
 // taken at once, another once it has not changed for a moment: a file that is cut off at the end of a line looks like a
 // shorter one. A file with an index is never followed by an older one, nor by another with that index.
 //
-// Parse and Shelf are pure; Watcher, beside them, has the folder's notifications, the slow poll and the reading. Bounds:
-// MostFiles files, and so many bytes in all as the watcher is told, of which one version is kept in memory while it is
-// read; of each file that was ever there the index, up to MostFiles of them.
+// Parse and Validator are pure; Watcher, beside them, has the folder's notifications, the slow poll and the reading. Bounds:
+// MaxFiles files, and so many bytes in all as the watcher is told, of which one version is kept in memory while it is
+// read; of each file that was ever there the index, up to MaxFiles of them.
 package files
 
 import (
@@ -24,8 +24,8 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
-// MostFiles is how many files a folder may hold.
-const MostFiles = 1024
+// MaxFiles is how many files a folder may hold.
+const MaxFiles = 1024
 
 // Part is a file as it was read.
 type Part struct {
@@ -33,17 +33,17 @@
 	Text []byte
 }
 
-// Reading is what becomes of what was read.
-type Reading struct {
-	Version *merge.Version // to be taken; Taken or Refused is to be told then
-	Err     error          // it cannot be used, told once
-	Since   float64        // with Err, or while that lasts: when it was first so; else 0
-	Again   float64        // when it is to be read again, whatever is heard of it; +Inf = not for this
+// Result is what becomes of what was read.
+type Result struct {
+	Version      *merge.Version // to be taken; Accepted or Rejected is to be told then
+	Err          error          // it cannot be used, told once
+	FailingSince float64        // with Err, or while that lasts: when it was first so; else 0
+	ReadAgainAt  float64        // when it is to be read again, whatever is heard of it; +Inf = not for this
 }
 
-// Shelf remembers what was read.
-type Shelf struct {
-	known  Known
+// Validator remembers what was read.
+type Validator struct {
+	known  Constraints
 	settle float64
 	single bool // one file rather than a folder: its index is the list's revision
 	seen   map[string]mark
@@ -61,24 +61,24 @@
 
 // candidate is what was read last.
 type candidate struct {
-	sum    uint64
-	since  float64
-	good   bool // it was put together
-	next   map[string]mark
-	v      merge.Version
-	sealed bool
-	err    error
-	told   bool // its fault was
+	sum      uint64
+	since    float64
+	good     bool // it was put together
+	next     map[string]mark
+	v        merge.Version
+	verified bool
+	err      error
+	told     bool // its fault was
 }
 
-// NewShelf makes an empty shelf. Settle is for how long, in milliseconds, what proves nothing must be the same.
-func NewShelf(known Known, settle float64, single bool) *Shelf {
-	return &Shelf{known: known, settle: settle, single: single, seen: map[string]mark{}}
+// NewValidator makes an empty validator. Settle is for how long, in milliseconds, what proves nothing must be the same.
+func NewValidator(known Constraints, settle float64, single bool) *Validator {
+	return &Validator{known: known, settle: settle, single: single, seen: map[string]mark{}}
 }
 
-// Read takes what was read, in the order of the paths, or why it could not be. With look a second look is asked for: the
+// Check takes what was read, in the order of the paths, or why it could not be. With look a second look is asked for: the
 // next version is one, even if it is known.
-func (s *Shelf) Read(now float64, parts []Part, err error, look bool) Reading {
+func (s *Validator) Check(now float64, parts []Part, err error, look bool) Result {
 	s.look = s.look || look
 	sum := digest(parts, err)
 	if s.last.sum != sum || s.last.since == 0 {
@@ -88,7 +88,7 @@
 	if s.any && sum == s.taken && err == nil {
 		c.good, c.err = true, nil
 		if !s.look {
-			return Reading{Again: math.Inf(1)}
+			return Result{ReadAgainAt: math.Inf(1)}
 		}
 	}
 	if c.err == nil && (!c.good || s.look) {
@@ -99,10 +99,10 @@
 	}
 	quiet := now >= c.since+s.settle
 	switch {
-	case !quiet && (c.err != nil || !c.sealed) && !(s.any && sum == s.taken):
-		return Reading{Again: c.since + s.settle}
+	case !quiet && (c.err != nil || !c.verified) && !(s.any && sum == s.taken):
+		return Result{ReadAgainAt: c.since + s.settle}
 	case c.err != nil:
-		r := Reading{Since: c.since, Again: math.Inf(1)}
+		r := Result{FailingSince: c.since, ReadAgainAt: math.Inf(1)}
 		if !c.told {
 			c.told, r.Err = true, c.err
 		}
@@ -110,14 +110,14 @@
 	}
 	v := c.v
 	v.Look, s.look = s.look, false
-	return Reading{Version: &v, Again: math.Inf(1)}
+	return Result{Version: &v, ReadAgainAt: math.Inf(1)}
 }
 
-// Taken tells that the version that Read gave holds.
-func (s *Shelf) Taken() {
+// Accepted tells that the version that Read gave holds.
+func (s *Validator) Accepted() {
 	s.taken, s.any = s.last.sum, true
 	for path, m := range s.seen {
-		if _, ok := s.last.next[path]; !ok && len(s.last.next) < MostFiles {
+		if _, ok := s.last.next[path]; !ok && len(s.last.next) < MaxFiles {
 			m.absent = true
 			s.last.next[path] = m
 		}
@@ -125,8 +125,8 @@
 	s.seen = s.last.next
 }
 
-// Refused tells that it was refused for good.
-func (s *Shelf) Refused(err error) { s.last.err, s.last.told = err, true }
+// Rejected tells that it was refused for good.
+func (s *Validator) Rejected(err error) { s.last.err, s.last.told = err, true }
 
 func digest(parts []Part, err error) uint64 {
 	d := xxhash.New()
@@ -141,9 +141,9 @@
 }
 
 // gather puts one version together.
-func (s *Shelf) gather(c *candidate, parts []Part) error {
+func (s *Validator) gather(c *candidate, parts []Part) error {
 	c.next = map[string]mark{}
-	c.sealed = true
+	c.verified = true
 	c.v = merge.Version{Whole: true}
 	meant, changed := true, false
 	from := map[string]string{}
@@ -158,8 +158,8 @@
 		} else if err := old.before(m, known); err != nil {
 			return fmt.Errorf("%s: %w", p.Path, err)
 		} else {
-			c.sealed = c.sealed && l.Sealed
-			meant, changed = meant && l.Meant, true
+			c.verified = c.verified && l.Verified
+			meant, changed = meant && l.Confirmed, true
 		}
 		c.next[p.Path] = m
 		for _, h := range l.Hosts {
@@ -177,12 +177,12 @@
 	}
 	for path, m := range s.seen {
 		if _, ok := c.next[path]; !ok && !m.absent { // a file that is gone confirms nothing, nor is it whole for sure
-			meant, changed, c.sealed = false, true, false
+			meant, changed, c.verified = false, true, false
 		}
 	}
 	c.v.Meant = meant && changed
-	if len(c.v.Hosts) > s.known.Most {
-		return fmt.Errorf("%d endpoints in all, at most %d can be taken", len(c.v.Hosts), s.known.Most)
+	if len(c.v.Hosts) > s.known.MaxHosts {
+		return fmt.Errorf("%d endpoints in all, at most %d can be taken", len(c.v.Hosts), s.known.MaxHosts)
 	}
 	slices.SortFunc(c.v.Hosts, func(a, b dispatch.Host) int { return cmp.Compare(a.Name, b.Name) })
 	return nil
--- a/internal/node/endpoints/files/watch.go
+++ b/internal/node/endpoints/files/watch.go
@@ -15,9 +15,9 @@
 
 // Sink is who takes what a source says.
 type Sink interface {
-	Take(...merge.Version) error // an error = refused for good
-	Present(away float64)        // nothing new; since a time there was no word, 0 = there is
-	Away(since float64)
+	Apply(...merge.Version) error // an error = refused for good
+	NoChange(away float64)        // nothing new; since a time there was no word, 0 = there is
+	Unreachable(since float64)
 }
 
 // firstLimit is how long, in milliseconds, the first list may be waited for.
@@ -25,21 +25,21 @@
 
 // Limits are what may change while the watch goes on, in milliseconds.
 type Limits struct {
-	Poll float64 // between two looks of its own, should notifications be lost
+	PollInterval float64 // between two looks of its own, should notifications be lost
 }
 
 // Watcher keeps a sink told of a file or folder.
 type Watcher struct {
-	Path   string
-	Single bool // it is one file
-	Known  Known
-	Most   int // bytes
-	Settle float64
-	Limits Limits // at the start; Limit changes them
-	Clock  clock.Clock
-	Log    *slog.Logger
-	Sink   Sink
-	First  func() // called once, when it is known what the files hold first, or that they are of no use; may be nil
+	Path        string
+	Single      bool // it is one file
+	Constraints Constraints
+	MaxBytes    int // bytes
+	Settle      float64
+	Limits      Limits // at the start; SetLimits changes them
+	Clock       clock.Clock
+	Log         *slog.Logger
+	Sink        Sink
+	OnFirstRead func() // called once, when it is known what the files hold first, or that they are of no use; may be nil
 
 	mu    sync.Mutex
 	wake  chan struct{}
@@ -47,15 +47,15 @@
 	watch *fsnotify.Watcher
 }
 
-// Limit changes the limits from the next look on.
-func (w *Watcher) Limit(l Limits) {
+// SetLimits changes the limits from the next look on.
+func (w *Watcher) SetLimits(l Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Limits = l
 }
 
-// Look asks for the list to be read anew and told as a second look.
-func (w *Watcher) Look() {
+// RequestReread asks for the list to be read anew and told as a second look.
+func (w *Watcher) RequestReread() {
 	w.mu.Lock()
 	w.look = true
 	w.mu.Unlock()
@@ -91,17 +91,17 @@
 		defer done.Wait()
 		defer func() { _ = w.watch.Close() }() // nothing of it is needed any more
 	}
-	shelf, start := NewShelf(w.Known, w.Settle, w.Single), w.Clock.Now()
+	validator, start := NewValidator(w.Constraints, w.Settle, w.Single), w.Clock.Now()
 	for {
 		w.follow()
-		again := w.read(shelf)
+		again := w.read(validator)
 		// A file that may still be written to is waited for, but not for ever.
-		if w.First != nil && (math.IsInf(again, 1) || w.Clock.Now() >= start+firstLimit) {
-			w.First()
-			w.First = nil
+		if w.OnFirstRead != nil && (math.IsInf(again, 1) || w.Clock.Now() >= start+firstLimit) {
+			w.OnFirstRead()
+			w.OnFirstRead = nil
 		}
 		w.mu.Lock()
-		next := min(again, w.Clock.Now()+w.Limits.Poll)
+		next := min(again, w.Clock.Now()+w.Limits.PollInterval)
 		w.mu.Unlock()
 		stop := w.Clock.At(next, w.poke)
 		select {
@@ -139,7 +139,7 @@
 	if w.watch == nil {
 		return
 	}
-	want, have := Folders(w.Path), w.watch.WatchList()
+	want, have := WatchDirs(w.Path), w.watch.WatchList()
 	for _, dir := range have {
 		if !slices.Contains(want, dir) {
 			_ = w.watch.Remove(dir) // it may have gone with its folder
@@ -154,31 +154,31 @@
 }
 
 // read looks once, and gives when to look again whatever is heard.
-func (w *Watcher) read(shelf *Shelf) (again float64) {
+func (w *Watcher) read(validator *Validator) (again float64) {
 	w.mu.Lock()
 	look := w.look
 	w.look = false
 	w.mu.Unlock()
-	parts, err := Read(w.Path, w.Most)
+	parts, err := Read(w.Path, w.MaxBytes)
 	now := w.Clock.Now()
-	r := shelf.Read(now, parts, err, look)
+	r := validator.Check(now, parts, err, look)
 	switch {
 	case r.Version != nil:
 		r.Version.Revision.Epoch = w.Path
-		if err := w.Sink.Take(*r.Version); err != nil {
-			shelf.Refused(err)
+		if err := w.Sink.Apply(*r.Version); err != nil {
+			validator.Rejected(err)
 			r.Err = err
-			w.Sink.Away(now)
+			w.Sink.Unreachable(now)
 		} else {
-			shelf.Taken()
+			validator.Accepted()
 		}
-	case r.Since > 0:
-		w.Sink.Away(r.Since)
-	case math.IsInf(r.Again, 1):
-		w.Sink.Present(0)
+	case r.FailingSince > 0:
+		w.Sink.Unreachable(r.FailingSince)
+	case math.IsInf(r.ReadAgainAt, 1):
+		w.Sink.NoChange(0)
 	}
 	if r.Err != nil {
 		w.Log.Warn("the list in files cannot be used: the last one stays", "path", w.Path, "error", r.Err)
 	}
-	return r.Again
+	return r.ReadAgainAt
 }
--- a/internal/node/endpoints/lastgood/golden_test.go
+++ b/internal/node/endpoints/lastgood/golden_test.go
@@ -21,7 +21,7 @@
 		{Name: "b", Address: "10.0.0.2:80", Zone: "z2", Kind: "small", Protocol: "thrift", Cell: 4, Status: dispatch.Draining, Weight: 2},
 		{Name: "c", Address: "10.0.0.3:80", Zone: "z3", Kind: "small", Status: dispatch.Removed, Weight: 1},
 	}
-	want.Set(hosts)
+	want.SetHosts(hosts)
 	path := filepath.Join(t.TempDir(), "list")
 	require.NoError(t, Save(path, want))
 	text, err := os.ReadFile(path)
--- a/internal/node/endpoints/lastgood/last.go
+++ b/internal/node/endpoints/lastgood/lastgood.go
@@ -41,11 +41,11 @@
 	Number uint64 `json:"number"`
 }
 
-// Set gives the record a list of hosts.
-func (r *Record) Set(hosts []dispatch.Host) {
+// SetHosts gives the record a list of hosts.
+func (r *Record) SetHosts(hosts []dispatch.Host) {
 	r.Entries = make([]entryformat.Entry, len(hosts))
 	for i, h := range hosts {
-		r.Entries[i] = entryformat.Of(h)
+		r.Entries[i] = entryformat.FromHost(h)
 	}
 }
 
@@ -113,11 +113,11 @@
 
 // Writer keeps what changes.
 type Writer struct {
-	Path  string
-	Every func() float64 // the least time between two writes, milliseconds
-	Clock clock.Clock
-	Log   *slog.Logger
-	Take  func() Record
+	Path        string
+	MinInterval func() float64 // the least time between two writes, milliseconds
+	Clock       clock.Clock
+	Log         *slog.Logger
+	Current     func() Record
 
 	once    sync.Once
 	changed chan struct{}
@@ -126,12 +126,12 @@
 // Changed tells that there is something new.
 func (w *Writer) Changed() {
 	select {
-	case w.news() <- struct{}{}:
+	case w.notifications() <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Writer) news() chan struct{} {
+func (w *Writer) notifications() chan struct{} {
 	w.once.Do(func() { w.changed = make(chan struct{}, 1) })
 	return w.changed
 }
@@ -140,18 +140,18 @@
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
-		case <-w.news():
+		case <-w.notifications():
 			w.write()
 		case <-ctx.Done():
 			select {
-			case <-w.news():
+			case <-w.notifications():
 				w.write()
 			default:
 			}
 			return
 		}
 		over := make(chan struct{})
-		stop := w.Clock.At(w.Clock.Now()+w.Every(), func() { close(over) })
+		stop := w.Clock.At(w.Clock.Now()+w.MinInterval(), func() { close(over) })
 		select {
 		case <-over:
 		case <-ctx.Done():
@@ -161,7 +161,7 @@
 }
 
 func (w *Writer) write() {
-	if err := Save(w.Path, w.Take()); err != nil {
+	if err := Save(w.Path, w.Current()); err != nil {
 		w.Log.Warn("the last good list is not kept", "path", w.Path, "error", err)
 	}
 }
--- a/internal/node/endpoints/lastgood/last_test.go
+++ b/internal/node/endpoints/lastgood/lastgood_test.go
@@ -16,7 +16,7 @@
 
 func record(changed float64) Record {
 	r := Record{Node: "n", Changed: changed, Followed: "etcd", Sources: []Position{{"etcd", "c1", 7}}}
-	r.Set([]dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: dispatch.Draining, Weight: 1.5, Since: 3}})
+	r.SetHosts([]dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: dispatch.Draining, Weight: 1.5, Since: 3}})
 	return r
 }
 
@@ -76,8 +76,8 @@
 func TestWriter(t *testing.T) {
 	c, path := clock.NewManual(1e12), filepath.Join(t.TempDir(), "list")
 	taken := make(chan float64)
-	w := &Writer{Path: path, Every: func() float64 { return 1000 }, Clock: c, Log: slog.New(slog.DiscardHandler),
-		Take: func() Record { taken <- c.Now(); return record(c.Now()) }}
+	w := &Writer{Path: path, MinInterval: func() float64 { return 1000 }, Clock: c, Log: slog.New(slog.DiscardHandler),
+		Current: func() Record { taken <- c.Now(); return record(c.Now()) }}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx); close(ended) }()
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/manager_test.go
@@ -65,11 +65,11 @@
 
 // fleet is a node's list and its pilot, and what is wrong with what they do.
 type fleet struct {
-	t      *testing.T
-	clock  clock.Clock
-	pilot  *dispatch.Dispatcher
-	keeper *Keeper
-	truth  func() map[string]string // what the cluster has
+	t       *testing.T
+	clock   clock.Clock
+	pilot   *dispatch.Dispatcher
+	manager *Manager
+	truth   func() map[string]string // what the cluster has
 
 	mu      sync.Mutex
 	hosts   map[string]dispatch.Host
@@ -141,7 +141,7 @@
 }
 
 // watch asks the agent as a node's watch does, but for the sockets.
-func (f *fleet) watch(ctx context.Context, server *agent.Server, to Asked, look <-chan struct{}, away *atomic.Bool) {
+func (f *fleet) watch(ctx context.Context, server *agent.Server, to DiscoveryFeed, look <-chan struct{}, away *atomic.Bool) {
 	index, epoch, known := int64(0), "", false
 	for ctx.Err() == nil {
 		path, looking := "/discovery/hosts", false
@@ -175,11 +175,11 @@
 
 // folder is a file of a list, without a disk.
 type folder struct {
-	lock  chan struct{} // of one place: who waits for it lets time go by
-	shelf *files.Shelf
-	feed  Feed
-	clock clock.Clock
-	text  string // empty = there is none
+	lock      chan struct{} // of one place: who waits for it lets time go by
+	validator *files.Validator
+	feed      Feed
+	clock     clock.Clock
+	text      string // empty = there is none
 }
 
 // write replaces the text; the watch then looks at once, and once more when that is wanted.
@@ -198,18 +198,18 @@
 		if d.text == "" {
 			parts, err = nil, os.ErrNotExist
 		}
-		r := d.shelf.Read(d.clock.Now(), parts, err, look)
+		r := d.validator.Check(d.clock.Now(), parts, err, look)
 		look = false
 		switch {
 		case r.Version != nil:
-			if err := d.feed.Take(*r.Version); err != nil {
-				d.shelf.Refused(err)
-				d.feed.Away(d.clock.Now())
+			if err := d.feed.Apply(*r.Version); err != nil {
+				d.validator.Rejected(err)
+				d.feed.Unreachable(d.clock.Now())
 			} else {
-				d.shelf.Taken()
+				d.validator.Accepted()
 			}
-		case r.Since > 0:
-			d.feed.Away(r.Since)
+		case r.FailingSince > 0:
+			d.feed.Unreachable(r.FailingSince)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -237,28 +237,28 @@
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
-	f.keeper, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
+	f.manager, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
 		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, Wait: 2000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
-		Give: f.give}, f.clock, discard)
+		OnUpdate: f.give}, f.clock, discard)
 	require.NoError(t, err)
 	c, err := etcdtest.New(etcdtest.Settings{Members: 2, Clock: f.clock, Memory: true})
 	require.NoError(t, err)
 	defer c.Close()
 	f.truth = func() map[string]string { return c.Values("r/") }
-	book := agent.NewBook("etcd")
+	store := agent.NewStore("etcd")
 	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", Most: 100, CallLimit: 1000, Ask: 1000, Silence: 3000,
-		CheckEvery: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{book, f.clock})
-	server := &agent.Server{Book: book, Clock: f.clock, Look: source.Look}
+		CheckEvery: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{store, f.clock})
+	server := &agent.Server{Store: store, Clock: f.clock, RequestReread: source.Look}
 	look := make(chan struct{}, 1)
-	f.keeper.Asks(0, func() {
+	f.manager.SetReread(0, func() {
 		select {
 		case look <- struct{}{}:
 		default:
 		}
 	})
 	var work sync.WaitGroup
-	list := &folder{lock: make(chan struct{}, 1), shelf: files.NewShelf(files.Known{Most: 100}, 50, true), feed: f.keeper.Feed(1), clock: f.clock}
-	f.keeper.Asks(1, func() { work.Go(func() { list.read(true) }) })
+	list := &folder{lock: make(chan struct{}, 1), validator: files.NewValidator(files.Constraints{MaxHosts: 100}, 50, true), feed: f.manager.Feed(1), clock: f.clock}
+	f.manager.SetReread(1, func() { work.Go(func() { list.read(true) }) })
 
 	turn, away := 0, new(atomic.Bool)
 	put := func(name string) string { // each time at another address
@@ -268,9 +268,9 @@
 	c.Write(map[string]string{"r/one": put("one"), "r/a": put("a"), "r/b": put("b"), "r/c": put("c")})
 	ctx, cancel := context.WithCancel(t.Context())
 	work.Go(func() { source.Run(ctx) })
-	work.Go(func() { f.watch(ctx, server, Asked{f.keeper.Feed(0), f.clock.Now()}, look, away) })
+	work.Go(func() { f.watch(ctx, server, DiscoveryFeed{f.manager.Feed(0), f.clock.Now()}, look, away) })
 	work.Go(func() { f.ask(ctx) })
-	defer func() { cancel(); f.keeper.Stop(); work.Wait() }()
+	defer func() { cancel(); f.manager.Stop(); work.Wait() }()
 
 	index, old, last := 0, "", ""
 	written := func() string { // what the cluster has, as a file
@@ -368,11 +368,11 @@
 	}
 	have := map[string]string{}
 	for name, h := range f.hosts {
-		e := entryformat.Of(h)
+		e := entryformat.FromHost(h)
 		have[name] = entry(name, e.Address, e.Status)
 	}
 	if !maps.Equal(want, have) {
-		f.fault("at the end %v for %v: %+v", have, want, f.keeper.View())
+		f.fault("at the end %v for %v: %+v", have, want, f.manager.View())
 	}
 }
 
@@ -385,18 +385,18 @@
 	synctest.Wait()
 }
 
-// sink is what stands between source and book in the agent's program.
+// sink is what stands between source and store in the agent's program.
 type sink struct {
-	book  *agent.Book
+	store *agent.Store
 	clock clock.Clock
 }
 
 func (s sink) Update(epoch string, u etcd.Update) {
-	s.book.Take(agent.Change{Whole: u.Whole, Epoch: epoch, Revision: uint64(u.Revision), Hosts: u.Hosts, Confirm: u.Confirm})
+	s.store.Apply(agent.Change{Whole: u.Whole, Epoch: epoch, Revision: uint64(u.Revision), Hosts: u.Hosts, Confirm: u.Confirm})
 }
-func (s sink) Alive()         { s.book.Alive(s.clock.Now()) }
-func (s sink) Gone(err error) { s.book.Gone(err.Error()) }
+func (s sink) Alive()         { s.store.MarkAvailable(s.clock.Now()) }
+func (s sink) Gone(err error) { s.store.MarkUnavailable(err.Error()) }
 func (s sink) Looked(epoch string, u etcd.Update) {
 	s.Update(epoch, u)
-	s.book.Looked()
+	s.store.MarkReread()
 }
--- a/internal/node/endpoints/merge/set.go
+++ b/internal/node/endpoints/merge/set.go
@@ -639,8 +639,8 @@
 		one, _ := s.change(name)
 		sum.add(one, 1)
 	}
-	if v := s.verdict(now, sum); !free && v != removalguard.Take {
-		s.hold(now, of, touched, v == removalguard.Floor)
+	if v := s.verdict(now, sum); !free && v != removalguard.Accept {
+		s.hold(now, of, touched, v == removalguard.BelowFloor)
 		return
 	}
 	for _, name := range touched {
@@ -652,7 +652,7 @@
 // reconsider takes what is held once the guard would take it: what came since may make up for it, and departures leave
 // the window.
 func (s *Set) reconsider(now float64) {
-	if len(s.held) == 0 || s.verdict(now, s.shift) != removalguard.Take {
+	if len(s.held) == 0 || s.verdict(now, s.shift) != removalguard.Accept {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.held)) {
@@ -663,9 +663,9 @@
 
 // verdict asks the guard. Without a list to judge by, all may depart, but some must serve.
 func (s *Set) verdict(now float64, sh shift) removalguard.Verdict {
-	v := s.guard.Judge(now, removalguard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
-	if v == removalguard.Look && !s.based && now > s.baseTill {
-		return removalguard.Take
+	v := s.guard.Evaluate(now, removalguard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
+	if v == removalguard.Reread && !s.based && now > s.baseTill {
+		return removalguard.Accept
 	}
 	return v
 }
@@ -752,9 +752,9 @@
 	}
 	switch {
 	case sh.drains+sh.leaves > 0:
-		s.guard.Depart(now, name, sh.arrives > 0)
+		s.guard.RecordDeparture(now, name, sh.arrives > 0)
 	case sh.arrives > 0:
-		s.guard.Return(name)
+		s.guard.RecordReturn(name)
 	}
 }
 
@@ -797,7 +797,7 @@
 			}
 		}
 	}
-	if len(list) == 0 || looked && s.verdict(now, sum) == removalguard.Floor {
+	if len(list) == 0 || looked && s.verdict(now, sum) == removalguard.BelowFloor {
 		return
 	}
 	slices.Sort(list)
--- a/internal/node/endpoints/merge/set_test.go
+++ b/internal/node/endpoints/merge/set_test.go
@@ -155,7 +155,7 @@
 			if c, same := shiftOf(s.hosts, said); len(s.held) == 0 {
 				require.True(t, same)
 			} else {
-				require.NotEqual(t, removalguard.Take, s.guard.Judge(now, c), "held for nothing")
+				require.NotEqual(t, removalguard.Accept, s.guard.Evaluate(now, c), "held for nothing")
 			}
 			require.Equal(t, dispatch.Ready+dispatch.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "half a version")
 			require.Equal(t, ready(s.hosts), s.serving)
--- a/internal/node/endpoints/removalguard/guard.go
+++ b/internal/node/endpoints/removalguard/guard.go
@@ -2,7 +2,7 @@
 // or to move to another address. Whoever keeps the list asks before it takes a version and tells what it took.
 //
 // The package is pure: no I/O, no goroutine, no lock, no clock. Time is in milliseconds. State: the names of the hosts
-// that have departed within the window and are not back, mostNames at the most; beyond that the oldest are forgotten.
+// that have departed within the window and are not back, maxNames at the most; beyond that the oldest are forgotten.
 package removalguard
 
 import (
@@ -10,8 +10,8 @@
 	"math"
 )
 
-// mostNames bounds what is remembered of a window.
-const mostNames = 1 << 16
+// maxNames bounds what is remembered of a window.
+const maxNames = 1 << 16
 
 // Settings say what may depart.
 type Settings struct {
@@ -38,9 +38,9 @@
 
 // The verdicts.
 const (
-	Take  Verdict = iota // it holds at once
-	Look                 // it asks for a second look
-	Floor                // too few would serve: only who wrote it can confirm it
+	Accept     Verdict = iota // it holds at once
+	Reread                    // it asks for a second look
+	BelowFloor                // too few would serve: only who wrote it can confirm it
 )
 
 // String names a verdict.
@@ -80,24 +80,24 @@
 // Set changes the settings from now on; they must pass Check.
 func (g *Guard) Set(set Settings) { g.set = set }
 
-// Judge tells what becomes of a version. One that drains a single host, and does no more, is taken whatever was before:
+// Evaluate tells what becomes of a version. One that drains a single host, and does no more, is taken whatever was before:
 // somebody wrote that down for this host, and a host that drains turns work away. It needs no room in the window, but
 // takes some.
-func (g *Guard) Judge(now float64, c Change) Verdict {
+func (g *Guard) Evaluate(now float64, c Change) Verdict {
 	departs := c.Drains + c.Leaves
 	if departs == 0 || departs == 1 && c.Drains == 1 {
-		return Take
+		return Accept
 	}
 	if c.Serving-departs+c.Arrives < g.set.Floor {
-		return Floor
+		return BelowFloor
 	}
 	used := g.Departed(now)
 	// A tiny part is allowed for, so that half of eight is four whatever the arithmetic; and one may always leave.
 	allowed := max(1, math.Floor(g.set.Share*float64(g.Base(now, c.Serving))+1e-9))
 	if float64(used+departs) <= allowed {
-		return Take
+		return Accept
 	}
-	return Look
+	return Reread
 }
 
 // Base is how many hosts serve or have within the window, of which Share may depart.
@@ -105,7 +105,7 @@
 
 // Departed is how many have departed within the window and are not back.
 func (g *Guard) Departed(now float64) int {
-	for g.oldest < len(g.order) && (g.order[g.oldest].at < now-g.set.Window || len(g.gone) > mostNames) {
+	for g.oldest < len(g.order) && (g.order[g.oldest].at < now-g.set.Window || len(g.gone) > maxNames) {
 		g.forget()
 	}
 	return len(g.gone)
@@ -116,7 +116,7 @@
 	d := g.order[g.oldest]
 	g.oldest++
 	if g.gone[d.name] == d {
-		g.Return(d.name)
+		g.RecordReturn(d.name)
 	}
 	if g.oldest > 64 && g.oldest > len(g.order)/2 {
 		g.order = append([]departure(nil), g.order[g.oldest:]...)
@@ -124,22 +124,22 @@
 	}
 }
 
-// Depart notes a host whose departure was taken. One that has moved serves all the same.
-func (g *Guard) Depart(now float64, name string, moved bool) {
-	g.Return(name)
+// RecordDeparture notes a host whose departure was taken. One that has moved serves all the same.
+func (g *Guard) RecordDeparture(now float64, name string, moved bool) {
+	g.RecordReturn(name)
 	d := departure{name, now, moved}
 	g.gone[name] = d
 	if moved {
 		g.moved++
 	}
 	g.order = append(g.order, d)
-	for len(g.order)-g.oldest > 2*mostNames {
+	for len(g.order)-g.oldest > 2*maxNames {
 		g.forget()
 	}
 }
 
-// Return notes a host that serves again.
-func (g *Guard) Return(name string) {
+// RecordReturn notes a host that serves again.
+func (g *Guard) RecordReturn(name string) {
 	if g.gone[name].moved {
 		g.moved--
 	}
--- a/internal/node/endpoints/removalguard/guard_test.go
+++ b/internal/node/endpoints/removalguard/guard_test.go
@@ -24,10 +24,10 @@
 			name := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "host"))
 			if rapid.Bool().Draw(t, "departs") {
 				moved := rapid.Bool().Draw(t, "moved")
-				g.Depart(now, name, moved)
+				g.RecordDeparture(now, name, moved)
 				gone[name] = departure{name, now, moved}
 			} else {
-				g.Return(name)
+				g.RecordReturn(name)
 				delete(gone, name)
 			}
 			used, moved := 0, 0
@@ -42,15 +42,15 @@
 			c := Change{Serving: moved + rapid.IntRange(0, 20).Draw(t, "serving"), Arrives: rapid.IntRange(0, 2).Draw(t, "arrives")}
 			c.Drains = rapid.IntRange(0, c.Serving).Draw(t, "drains")
 			c.Leaves = rapid.IntRange(0, c.Serving-c.Drains).Draw(t, "leaves")
-			n, want := c.Drains+c.Leaves, Take
+			n, want := c.Drains+c.Leaves, Accept
 			switch allowed := int(set.Share * float64(c.Serving+used-moved)); {
 			case n == 0, n == 1 && c.Drains == 1:
 			case c.Serving-n+c.Arrives < set.Floor:
-				want = Floor
+				want = BelowFloor
 			case used+n > allowed && used+n > 1:
-				want = Look
+				want = Reread
 			}
-			require.Equal(t, want, g.Judge(now, c), "%+v after %d", c, used)
+			require.Equal(t, want, g.Evaluate(now, c), "%+v after %d", c, used)
 		}
 	})
 }
@@ -63,13 +63,13 @@
 	}
 	g, err := New(Settings{Share: 1, Window: 1e9})
 	require.NoError(t, err)
-	for i := range 3 * mostNames {
-		g.Depart(float64(i), fmt.Sprint(i), i%5 == 0)
+	for i := range 3 * maxNames {
+		g.RecordDeparture(float64(i), fmt.Sprint(i), i%5 == 0)
 		if i%3 == 0 {
-			g.Return(fmt.Sprint(i))
+			g.RecordReturn(fmt.Sprint(i))
 		}
 	}
-	assert.LessOrEqual(t, g.Departed(1e6), mostNames)
-	assert.LessOrEqual(t, len(g.order), 5*mostNames)
+	assert.LessOrEqual(t, g.Departed(1e6), maxNames)
+	assert.LessOrEqual(t, len(g.order), 5*maxNames)
 	assert.Zero(t, g.Departed(2e9))
 }
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -59,7 +59,7 @@
 
 // lists is a list of several sources, or one that is guarded or kept.
 type lists struct {
-	keeper  *endpoints.Keeper
+	keeper  *endpoints.Manager
 	clock   clock.Clock
 	log     *slog.Logger
 	judge   float64
@@ -101,11 +101,11 @@
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
 	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
-		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
+		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, OnUpdate: give}
 	if l.path != "" {
-		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.keeper.Record() },
-			Every: func() float64 { return l.every.Load().Ms }}
-		settings.Last = l.writer.Changed
+		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Current: func() lastgood.Record { return l.keeper.Record() },
+			MinInterval: func() float64 { return l.every.Load().Ms }}
+		settings.OnChange = l.writer.Changed
 	}
 	var err error
 	if l.keeper, err = endpoints.New(settings, l.clock, l.log); err != nil {
@@ -114,30 +114,30 @@
 	first := watch.First
 	for i, src := range settings.Sources {
 		feed := l.keeper.Feed(i)
-		asked := endpoints.Asked{Feed: feed, Start: l.clock.Now()}
+		asked := endpoints.DiscoveryFeed{Feed: feed, StartedAt: l.clock.Now()}
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
-			l.keeper.Asks(i, watch.Look)
+			l.keeper.SetReread(i, watch.Look)
 			l.sources = append(l.sources, source{watch.Run, func(*Options) {}}) // the node limits it anyway
 		case options.SourceEtcd:
 			w := &discovery.Watcher{Address: o.Etcd.Agent, Limits: watch.Limits, Loop: watch.Loop, Clock: l.clock,
 				Log: l.log.With("source", src.Name), Sink: asked, Most: mostAnswer, Known: -1, Chance: watch.Chance, First: first}
-			l.keeper.Asks(i, w.Look)
+			l.keeper.SetReread(i, w.Look)
 			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(watchLimits(o)) }})
 		case options.SourceFiles:
-			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Known: known(conf, o), Most: o.Files.Most.Bytes,
-				Settle: o.Files.Settle.Ms, Limits: files.Limits{Poll: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, First: first}
-			l.keeper.Asks(i, w.Look)
-			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(files.Limits{Poll: o.Inventory.Files.Poll.Ms}) }})
+			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Constraints: known(conf, o), MaxBytes: o.Files.Most.Bytes,
+				Settle: o.Files.Settle.Ms, Limits: files.Limits{PollInterval: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, OnFirstRead: first}
+			l.keeper.SetReread(i, w.RequestReread)
+			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.SetLimits(files.Limits{PollInterval: o.Inventory.Files.Poll.Ms}) }})
 		}
 	}
 	return l, nil
 }
 
 // known is what files are held against.
-func known(conf *Config, o *options.Inventory) files.Known {
-	return files.Known{Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds, Most: o.MostHosts}
+func known(conf *Config, o *options.Inventory) files.Constraints {
+	return files.Constraints{Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds, MaxHosts: o.MostHosts}
 }
 
 // mostAnswer is how many bytes an agent's answer may have: its list is bounded by most_hosts.
@@ -158,12 +158,12 @@
 		src.limit(o)
 	}
 	l.every.Store(&o.Inventory.Last.Every)
-	l.keeper.Tune(guardOf(&o.Inventory), o.Inventory.Guard.Wait.Ms, sourcesOf(&o.Inventory))
+	l.keeper.Reconfigure(guardOf(&o.Inventory), o.Inventory.Guard.Wait.Ms, sourcesOf(&o.Inventory))
 }
 
 // start begins with the newest list there is: that of the configuration, or the last good one.
 func (l *lists) start(conf *Config) {
-	l.keeper.Offer(conf.Known.Hosts, 0, 0, nil)
+	l.keeper.Restore(conf.Known.Hosts, 0, 0, nil)
 	if l.path == "" {
 		return
 	}
@@ -177,7 +177,7 @@
 	hosts, _ := r.Hosts() // Load has looked
 	l.log.Info("the node begins with the last good list", "path", l.path, "hosts", len(hosts), "age_ms", l.clock.Now()-r.Changed,
 		"source", r.Followed)
-	l.keeper.Offer(hosts, r.Changed, l.judge, r.Sources)
+	l.keeper.Restore(hosts, r.Changed, l.judge, r.Sources)
 }
 
 // older tells whether the list of the configuration, which is discovery's, is newer than one that was kept.
@@ -191,7 +191,7 @@
 }
 
 // offer begins with a list that another process had at a time, if none is newer.
-func (l *lists) offer(hosts []dispatch.Host, at float64) { l.keeper.Offer(hosts, at, l.judge, nil) }
+func (l *lists) offer(hosts []dispatch.Host, at float64) { l.keeper.Restore(hosts, at, l.judge, nil) }
 
 // status tells how the list is made up.
 func (l *lists) status(s *ListStatus, now float64) {
@@ -279,14 +279,14 @@
 func (s *Sources) Hosts() []dispatch.Host { return s.lists.keeper.Hosts() }
 
 // Known is what a file of a list is held against by a node of this configuration.
-func Known(conf *Config, o *Options) files.Known { return known(conf, &o.Inventory) }
+func Known(conf *Config, o *Options) files.Constraints { return known(conf, &o.Inventory) }
 
 // Judge tells what the guard would say, by these options, of a step from one list to another, and counts what it does.
 func Judge(o *Options, from, to []dispatch.Host) (removalguard.Verdict, removalguard.Change, error) {
 	g, err := removalguard.New(guardOf(&o.Inventory))
 	if err != nil {
-		return removalguard.Take, removalguard.Change{}, err
+		return removalguard.Accept, removalguard.Change{}, err
 	}
 	c := merge.Compare(from, to)
-	return g.Judge(0, c), c, nil
+	return g.Evaluate(0, c), c, nil
 }
--- a/node/inventory_test.go
+++ b/node/inventory_test.go
@@ -54,8 +54,8 @@
 // Guards against a list of etcd's agent or of files that does not reach the hosts, against a drain that waits, and against
 // a start without any source that forgets the last good list.
 func TestListOfSeveralSources(t *testing.T) {
-	book, dir := agent.NewBook("etcd"), t.TempDir()
-	server := httptest.NewServer((&agent.Server{Book: book, Clock: clock.NewSystem(), Look: func() {}}).Handler())
+	book, dir := agent.NewStore("etcd"), t.TempDir()
+	server := httptest.NewServer((&agent.Server{Store: book, Clock: clock.NewSystem(), RequestReread: func() {}}).Handler())
 	defer server.Close()
 	o := DefaultOptions()
 	o.Inventory.Trust = []string{"etcd", "files"}
@@ -65,17 +65,17 @@
 	host := func(name string, status dispatch.Status) dispatch.Host {
 		return dispatch.Host{Name: name, Address: s.Hosts[name], Zone: "z", Kind: "k", Status: status, Weight: 1}
 	}
-	book.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
-	book.Alive(1)
+	book.Apply(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
+	book.MarkAvailable(1)
 	soon(t, s, func() bool { return n.Status().List.Serving == 2 })
-	book.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
+	book.Apply(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
 	soon(t, s, func() bool { return n.Status().List.Serving == 1 })
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
 		r expect POST /pay/1 host=h2
 		r send 200
 		a expect 200`)
-	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []entryformat.Entry{entryformat.Of(host("h1", dispatch.Ready)), entryformat.Of(host("h2", dispatch.Draining))}})
+	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []entryformat.Entry{entryformat.FromHost(host("h1", dispatch.Ready)), entryformat.FromHost(host("h2", dispatch.Draining))}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.Inventory.Files.Path, text, 0o600))
 	soon(t, s, func() bool { return n.Status().List.Serving == 0 })
@@ -83,7 +83,7 @@
 		wait 5
 		a send POST /pay/1 id=q2 deadline=900
 		a expect 503`)
-	book.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
+	book.Apply(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
 	soon(t, s, func() bool { return n.Status().List.Serving == 1 })
 	soon(t, s, func() bool {
 		kept, err := os.ReadFile(o.Inventory.Last.Path)
