--- a/internal/node/endpoints/cordon/cordon.go
+++ b/internal/node/endpoints/cordon/cordon.go
@@ -1,9 +1,10 @@
-// Package cordon decides what of the list the module is shown while raters are out by hand. It stands after every source and the
-// guard: whatever they list, a rater that is out is shown draining, and one that was called back as started in that moment, for
-// it was restarted meanwhile and is cold.
+// Package cordon adjusts the host list for the dispatcher while hosts are cordoned by an operator or by the fleet's policy.
+// It is applied after every source and after the removal guard: whatever the sources list, a cordoned host is result as
+// draining. A host that was resumed is result as started at that moment, because it has been restarted meanwhile and is
+// cold.
 //
-// It is pure: no clock, no lock, no I/O. Bounds: one entry for each rater that is listed, and maxCordoned that are out, which may
-// have left the list.
+// The package is pure: no clock, no lock, no I/O. Bounds: one entry for each listed host, and maxCordoned cordoned hosts,
+// which may have left the list.
 package cordon
 
 import (
@@ -15,161 +16,166 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// maxCordoned is how many raters can be out at once.
+// maxCordoned is the maximum number of hosts cordoned at the same time, by operators and by the policy each.
 const maxCordoned = 4096
 
-// What an order can be refused for.
+// Reasons for which Suspend or Resume fails.
 var (
 	ErrUnknown = errors.New("no such rater is listed")
 	ErrFleet   = errors.New("the rater is out by the fleet's policy")
 	ErrFull    = fmt.Errorf("%d raters are out by hand, which is all that can be", maxCordoned)
 )
 
-// Tracker is what the sources list and who is out. The zero value is an empty one.
+// Tracker keeps what the sources list and which hosts are cordoned. The zero value is empty and ready for use.
 type Tracker struct {
 	listed        map[string]dispatch.Host
-	cordoned      map[string]bool
-	fleetCordoned map[string]bool    // out by the fleet's policy, beside those by hand
-	resumedAt     map[string]float64 // when a listed one was called back
+	cordoned      map[string]bool    // cordoned by an operator
+	fleetCordoned map[string]bool    // cordoned by the fleet's policy, independent of operators
+	resumedAt     map[string]float64 // when a listed host was resumed
 }
 
-// Apply notes what the sources give, the whole list or what has changed, and returns it as the module is to see it.
-func (b *Tracker) Apply(from dispatch.Source, list []dispatch.Host) []dispatch.Host {
-	b.make()
+// Apply records an update of the sources, the whole list or what has changed, and returns it as the dispatcher must see
+// it.
+func (t *Tracker) Apply(from dispatch.Source, list []dispatch.Host) []dispatch.Host {
+	t.make()
 	if from != dispatch.Changes {
-		clear(b.listed)
+		clear(t.listed)
 	}
-	shown := list
+	result := list
 	for i, h := range list {
 		if h.Status == dispatch.Removed {
-			delete(b.listed, h.Name)
+			delete(t.listed, h.Name)
 			continue
 		}
-		b.listed[h.Name] = h
-		if seen := b.show(h); seen != h {
-			if &shown[0] == &list[0] {
-				shown = slices.Clone(list) // the source keeps its own
+		t.listed[h.Name] = h
+		if adjusted := t.adjusted(h); adjusted != h {
+			if &result[0] == &list[0] {
+				result = slices.Clone(list) // the slice belongs to the source
 			}
-			shown[i] = seen
+			result[i] = adjusted
 		}
 	}
-	maps.DeleteFunc(b.resumedAt, func(name string, _ float64) bool { _, there := b.listed[name]; return !there })
-	return shown
+	maps.DeleteFunc(t.resumedAt, func(name string, _ float64) bool { _, there := t.listed[name]; return !there })
+	return result
 }
 
-func (b *Tracker) make() {
-	if b.listed == nil {
-		b.listed, b.cordoned, b.resumedAt = map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}
+// make allocates the maps of a zero value.
+func (t *Tracker) make() {
+	if t.listed == nil {
+		t.listed, t.cordoned, t.resumedAt = map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}
 	}
 }
 
-// show is one rater as the module is to see it.
-func (b *Tracker) show(h dispatch.Host) dispatch.Host {
-	if b.IsCordoned(h.Name) && h.Status == dispatch.Ready {
+// adjusted returns a host as the dispatcher must see it.
+func (t *Tracker) adjusted(h dispatch.Host) dispatch.Host {
+	if t.IsCordoned(h.Name) && h.Status == dispatch.Ready {
 		h.Status = dispatch.Draining
 	}
-	h.Since = max(h.Since, b.resumedAt[h.Name])
+	h.Since = max(h.Since, t.resumedAt[h.Name])
 	return h
 }
 
-// Suspend leaves a rater out until Resume, and returns what has changed for the module. Twice is as good as once.
-func (b *Tracker) Suspend(name string) ([]dispatch.Host, error) {
-	b.make()
-	h, listed := b.listed[name]
+// Suspend cordons a host until Resume, and returns what has changed for the dispatcher. It is idempotent. The error is
+// ErrUnknown or ErrFull.
+func (t *Tracker) Suspend(name string) ([]dispatch.Host, error) {
+	t.make()
+	h, listed := t.listed[name]
 	switch {
-	case b.cordoned[name]:
+	case t.cordoned[name]:
 		return nil, nil
 	case !listed:
 		return nil, ErrUnknown
-	case len(b.cordoned) >= maxCordoned:
+	case len(t.cordoned) >= maxCordoned:
 		return nil, ErrFull
 	}
-	b.cordoned[name] = true
-	delete(b.resumedAt, name)
-	return []dispatch.Host{b.show(h)}, nil
+	t.cordoned[name] = true
+	delete(t.resumedAt, name)
+	return []dispatch.Host{t.adjusted(h)}, nil
 }
 
-// Resume lets a rater serve again, cold, and returns what has changed for the module.
-func (b *Tracker) Resume(now float64, name string) ([]dispatch.Host, error) {
-	b.make()
-	h, listed := b.listed[name]
-	if !listed && !b.cordoned[name] {
+// Resume ends a host's cordon by an operator, and returns what has changed for the dispatcher. The host is cold. The error
+// is ErrUnknown, or ErrFleet for a host that is cordoned by the fleet's policy.
+func (t *Tracker) Resume(now float64, name string) ([]dispatch.Host, error) {
+	t.make()
+	h, listed := t.listed[name]
+	if !listed && !t.cordoned[name] {
 		return nil, ErrUnknown
 	}
-	if b.fleetCordoned[name] {
+	if t.fleetCordoned[name] {
 		return nil, ErrFleet
 	}
-	if !b.cordoned[name] {
+	if !t.cordoned[name] {
 		return nil, nil
 	}
-	delete(b.cordoned, name)
+	delete(t.cordoned, name)
 	if !listed {
 		return nil, nil
 	}
-	b.resumedAt[name] = now
-	return []dispatch.Host{b.show(h)}, nil
+	t.resumedAt[name] = now
+	return []dispatch.Host{t.adjusted(h)}, nil
 }
 
-// SetFleetCordons has just these raters out by the fleet's policy, listed or not, and returns what has changed for the module. One that comes
-// back is cold.
-func (b *Tracker) SetFleetCordons(now float64, names []string) (changed []dispatch.Host) {
-	b.make()
-	was := b.fleetCordoned
-	b.fleetCordoned = map[string]bool{}
+// SetFleetCordons replaces the set of hosts that the fleet's policy cordons, listed or not, and returns what has changed
+// for the dispatcher. A host that is no longer cordoned is cold. Names beyond maxCordoned are ignored.
+func (t *Tracker) SetFleetCordons(now float64, names []string) (changed []dispatch.Host) {
+	t.make()
+	previous := t.fleetCordoned
+	t.fleetCordoned = map[string]bool{}
 	for _, name := range names[:min(len(names), maxCordoned)] {
-		b.fleetCordoned[name] = true
+		t.fleetCordoned[name] = true
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.listed)) {
+	for _, name := range slices.Sorted(maps.Keys(t.listed)) {
 		switch {
-		case was[name] == b.fleetCordoned[name] || b.cordoned[name]:
+		case previous[name] == t.fleetCordoned[name] || t.cordoned[name]:
 			continue
-		case was[name]:
-			b.resumedAt[name] = now
+		case previous[name]:
+			t.resumedAt[name] = now
 		default:
-			delete(b.resumedAt, name)
+			delete(t.resumedAt, name)
 		}
-		changed = append(changed, b.show(b.listed[name]))
+		changed = append(changed, t.adjusted(t.listed[name]))
 	}
 	return changed
 }
 
-// Listed is how many raters the sources list.
-func (b *Tracker) Listed() int { return len(b.listed) }
+// Listed returns the number of hosts that the sources list.
+func (t *Tracker) Listed() int { return len(t.listed) }
 
-// IsCordoned tells whether a rater is out, by hand or by the fleet's policy.
-func (b *Tracker) IsCordoned(name string) bool { return b.cordoned[name] || b.fleetCordoned[name] }
+// IsCordoned reports whether a host is cordoned, by an operator or by the fleet's policy.
+func (t *Tracker) IsCordoned(name string) bool { return t.cordoned[name] || t.fleetCordoned[name] }
 
-// Snapshot is who is out, and who was called back when, for the process that comes after this one.
+// Snapshot holds which hosts operators have cordoned and when hosts were resumed, for the next process of the node.
 type Snapshot struct {
 	Cordoned  []string           `json:"out,omitempty"`
 	ResumedAt map[string]float64 `json:"back,omitempty"`
 }
 
-// Snapshot gives what another process of the node has to know.
-func (b *Tracker) Snapshot() Snapshot {
-	return Snapshot{Cordoned: slices.Sorted(maps.Keys(b.cordoned)), ResumedAt: maps.Clone(b.resumedAt)}
+// Snapshot returns the state that another process of the node needs.
+func (t *Tracker) Snapshot() Snapshot {
+	return Snapshot{Cordoned: slices.Sorted(maps.Keys(t.cordoned)), ResumedAt: maps.Clone(t.resumedAt)}
 }
 
-// Restore takes what another process of the node knew, in place of what is known here, and returns what changes for the module.
-func (b *Tracker) Restore(m Snapshot) []dispatch.Host {
-	b.make()
-	was := map[string]dispatch.Host{}
-	for name, h := range b.listed {
-		was[name] = b.show(h)
+// Restore replaces the operators' cordons and the resume times by those of another process of the node, and returns what
+// has changed for the dispatcher.
+func (t *Tracker) Restore(m Snapshot) []dispatch.Host {
+	t.make()
+	previous := map[string]dispatch.Host{}
+	for name, h := range t.listed {
+		previous[name] = t.adjusted(h)
 	}
-	clear(b.cordoned)
-	clear(b.resumedAt)
+	clear(t.cordoned)
+	clear(t.resumedAt)
 	for _, name := range m.Cordoned[:min(len(m.Cordoned), maxCordoned)] {
-		b.cordoned[name] = true
+		t.cordoned[name] = true
 	}
 	for name, at := range m.ResumedAt {
-		if _, listed := b.listed[name]; listed || len(b.listed) == 0 {
-			b.resumedAt[name] = at
+		if _, listed := t.listed[name]; listed || len(t.listed) == 0 {
+			t.resumedAt[name] = at
 		}
 	}
 	var changed []dispatch.Host
-	for _, name := range slices.Sorted(maps.Keys(b.listed)) {
-		if h := b.show(b.listed[name]); h != was[name] {
+	for _, name := range slices.Sorted(maps.Keys(t.listed)) {
+		if h := t.adjusted(t.listed[name]); h != previous[name] {
 			changed = append(changed, h)
 		}
 	}
--- a/internal/node/endpoints/cordon/cordon_test.go
+++ b/internal/node/endpoints/cordon/cordon_test.go
@@ -11,15 +11,16 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// TestBookHolds guards, over any history of lists and orders, against a rater that is out by hand and shown ready, one that is
-// back and shown warm, an order that a list undoes, and a book that the next process reads otherwise.
-func TestBookHolds(t *testing.T) {
+// TestTracker guards, over random sequences of lists and calls, against a cordoned host that is shown as ready, a resumed
+// host that is shown as warm, a cordon that an update of the list undoes, and a snapshot that the next process restores
+// differently.
+func TestTracker(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", "5"))
 	rapid.Check(t, func(t *rapid.T) {
-		var b Tracker
-		shown, out, back, listed := map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}, map[string]bool{}
+		var tracker Tracker
+		shown, cordoned, resumedAt, listed := map[string]dispatch.Host{}, map[string]bool{}, map[string]float64{}, map[string]bool{}
 		name := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "rater")) })
-		see := func(list []dispatch.Host) {
+		applyUpdate := func(list []dispatch.Host) {
 			for _, h := range list {
 				if shown[h.Name] = h; h.Status == dispatch.Removed {
 					delete(shown, h.Name)
@@ -27,7 +28,7 @@
 			}
 		}
 		for now := 1.0; now < 40; now++ {
-			who := name.Draw(t, "who")
+			target := name.Draw(t, "who")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				list := []dispatch.Host{}
@@ -41,73 +42,73 @@
 				for _, h := range list {
 					listed[h.Name] = true
 				}
-				see(b.Apply(dispatch.Full, list))
+				applyUpdate(tracker.Apply(dispatch.Full, list))
 			case 1:
-				h := dispatch.Host{Name: who, Status: dispatch.Status(rapid.IntRange(0, 2).Draw(t, "status"))}
-				if listed[who] = h.Status != dispatch.Removed; !listed[who] {
-					delete(listed, who)
+				h := dispatch.Host{Name: target, Status: dispatch.Status(rapid.IntRange(0, 2).Draw(t, "status"))}
+				if listed[target] = h.Status != dispatch.Removed; !listed[target] {
+					delete(listed, target)
 				}
-				see(b.Apply(dispatch.Changes, []dispatch.Host{h}))
+				applyUpdate(tracker.Apply(dispatch.Changes, []dispatch.Host{h}))
 			case 2, 3:
-				list, err := b.Suspend(who)
-				require.Equal(t, !listed[who] && !out[who], err != nil)
-				if err == nil && !out[who] {
-					out[who] = true
-					delete(back, who)
+				list, err := tracker.Suspend(target)
+				require.Equal(t, !listed[target] && !cordoned[target], err != nil)
+				if err == nil && !cordoned[target] {
+					cordoned[target] = true
+					delete(resumedAt, target)
 				}
-				see(list)
+				applyUpdate(list)
 			case 4:
-				list, err := b.Resume(now, who)
-				require.Equal(t, !listed[who] && !out[who], err != nil)
-				if out[who] && listed[who] {
-					back[who] = now
+				list, err := tracker.Resume(now, target)
+				require.Equal(t, !listed[target] && !cordoned[target], err != nil)
+				if cordoned[target] && listed[target] {
+					resumedAt[target] = now
 				}
-				delete(out, who)
-				see(list)
+				delete(cordoned, target)
+				applyUpdate(list)
 			case 5:
 				var next Tracker
-				next.Apply(dispatch.Full, b.all())
-				see(next.Restore(b.Snapshot()))
-				b = next
+				next.Apply(dispatch.Full, tracker.listedHosts())
+				applyUpdate(next.Restore(tracker.Snapshot()))
+				tracker = next
 			}
-			require.Equal(t, len(listed), b.Listed())
-			for name := range back {
+			require.Equal(t, len(listed), tracker.Listed())
+			for name := range resumedAt {
 				if !listed[name] {
-					delete(back, name)
+					delete(resumedAt, name)
 				}
 			}
 			for name, h := range shown {
 				require.True(t, listed[name])
-				require.False(t, out[name] && h.Status == dispatch.Ready, "%s is out and shown ready", name)
-				require.GreaterOrEqual(t, h.Since, back[name], "%s is back and shown warm", name)
+				require.False(t, cordoned[name] && h.Status == dispatch.Ready, "%s is cordoned and shown as ready", name)
+				require.GreaterOrEqual(t, h.Since, resumedAt[name], "%s was resumed and is shown as warm", name)
 			}
 		}
 	})
 }
 
-// all is what the sources list.
-func (b *Tracker) all() (list []dispatch.Host) {
-	for _, h := range b.listed {
+// listedHosts returns what the sources list.
+func (t *Tracker) listedHosts() (list []dispatch.Host) {
+	for _, h := range t.listed {
 		list = append(list, h)
 	}
 	return list
 }
 
-// Guards against a rater that the fleet's policy leaves out and that is shown ready, one that a single node's operator calls back
-// against it, one that comes back warm, and one out by hand that the policy brings back.
-func TestFleet(t *testing.T) {
-	var b Tracker
-	b.Apply(dispatch.Full, []dispatch.Host{{Name: "a", Status: dispatch.Ready}, {Name: "b", Status: dispatch.Ready}})
-	changed := b.SetFleetCordons(5, []string{"a", "later"})
+// Guards against a host that is cordoned by the fleet's policy and shown as ready, that the operator of a single node
+// resumes against the policy, that returns warm, and against a host cordoned by an operator that the policy resumes.
+func TestFleetCordons(t *testing.T) {
+	var tracker Tracker
+	tracker.Apply(dispatch.Full, []dispatch.Host{{Name: "a", Status: dispatch.Ready}, {Name: "b", Status: dispatch.Ready}})
+	changed := tracker.SetFleetCordons(5, []string{"a", "later"})
 	require.Equal(t, []dispatch.Host{{Name: "a", Status: dispatch.Draining}}, changed)
-	require.Empty(t, b.SetFleetCordons(6, []string{"a", "later"}))
-	_, err := b.Resume(7, "a")
+	require.Empty(t, tracker.SetFleetCordons(6, []string{"a", "later"}))
+	_, err := tracker.Resume(7, "a")
 	require.ErrorIs(t, err, ErrFleet)
-	shown := b.Apply(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
+	shown := tracker.Apply(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
 	require.Equal(t, dispatch.Draining, shown[0].Status)
-	_, err = b.Suspend("a")
+	_, err = tracker.Suspend("a")
 	require.NoError(t, err)
-	changed = b.SetFleetCordons(9, nil)
+	changed = tracker.SetFleetCordons(9, nil)
 	require.Equal(t, []dispatch.Host{{Name: "later", Status: dispatch.Ready, Since: 9}}, changed)
-	require.True(t, b.IsCordoned("a"), "by hand")
+	require.True(t, tracker.IsCordoned("a"), "cordoned by an operator")
 }
--- a/internal/node/endpoints/entryformat/entry.go
+++ b/internal/node/endpoints/entryformat/entry.go
@@ -1,4 +1,4 @@
-// Package entryformat reads one entry of a list of hosts, as discovery, files and etcd write it.
+// Package entryformat defines the format of one entry of a host list in discovery, files and etcd.
 package entryformat
 
 import (
@@ -11,29 +11,29 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// Entry is how a host is written.
+// Entry is the encoded form of a host.
 type Entry struct {
 	Name     string  `json:"name" toml:"name"`
 	Address  string  `json:"address" toml:"address"` // ip:port
 	Zone     string  `json:"zone" toml:"zone"`
-	Type     string  `json:"type" toml:"type"`                   // of machine
+	Type     string  `json:"type" toml:"type"`                   // of the machine
 	Protocol string  `json:"protocol,omitempty" toml:"protocol"` // empty = HTTP/1.1
 	Group    int     `json:"group" toml:"group"`
 	Status   string  `json:"status" toml:"status"`
 	Weight   float64 `json:"weight" toml:"weight"`
-	Since    float64 `json:"since_ms" toml:"since_ms"` // Unix time of its last start, 0 = long ago
+	Since    float64 `json:"since_ms" toml:"since_ms"` // Unix time of its last start in milliseconds, 0 = long ago
 }
 
 var statusByName = map[string]dispatch.Status{"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
 var statusNames = [...]string{dispatch.Ready: "Ready", dispatch.Draining: "Terminating", dispatch.Removed: "Gone"}
 
-// FromHost is the entry of a host.
+// FromHost returns the entry for a host.
 func FromHost(h dispatch.Host) Entry {
 	return Entry{h.Name, h.Address, h.Zone, h.Kind, h.Protocol, h.Cell, statusNames[h.Status], h.Weight, h.Since}
 }
 
-// Host gives the host, or says what is wrong with the entry.
+// Host returns the host, or an error that names the invalid field.
 func (e *Entry) Host() (dispatch.Host, error) {
 	status, ok := statusByName[e.Status]
 	switch _, err := netip.ParseAddrPort(e.Address); {
@@ -56,7 +56,7 @@
 		Weight: e.Weight, Since: e.Since}, nil
 }
 
-// JSON reads an entry from JSON, with the revision that it may name; fields that are not known are passed over.
+// JSON decodes an entry and its optional revision from JSON. Unknown fields are ignored.
 func JSON(text []byte) (h dispatch.Host, revision uint64, err error) {
 	var e struct {
 		Entry
--- a/internal/node/endpoints/lastgood/lastgood.go
+++ b/internal/node/endpoints/lastgood/lastgood.go
@@ -1,7 +1,8 @@
-// Package lastgood keeps the last good list of hosts in a file, for a start at which no source of the list can be asked.
+// Package lastgood keeps the last good host list in a file, for a start at which no source of the list is reachable.
 //
-// The file is one line that names the form, its version, the length and the checksum (see store.Form), and one JSON object. It
-// is replaced as a whole. A list is at most maxBytes long; that of a fleet of ten thousand takes 1.5 MB.
+// The file consists of one line with the format, its version, the length and the checksum (see statedir.Form), and one JSON
+// object. It is always replaced as a whole. A list is at most maxBytes long; that of a fleet of ten thousand hosts takes
+// 1.5 MB.
 package lastgood
 
 import (
@@ -25,23 +26,23 @@
 
 var fileForm = statedir.Form{Magic: "linenwheel inventory", What: "list of a node", Version: 1}
 
-// Record is what is kept.
+// Record is the content of the file.
 type Record struct {
 	Node     string              `json:"node"`
-	Changed  float64             `json:"changed"`  // when the list was changed last, milliseconds since the Unix epoch
-	Followed string              `json:"followed"` // the source that it came from
-	Sources  []Position          `json:"sources"`  // what each had come to
+	Changed  float64             `json:"changed"`  // time of the last change of the list, milliseconds since the Unix epoch
+	Followed string              `json:"followed"` // the source that the list came from
+	Sources  []Position          `json:"sources"`  // last known position of each source
 	Entries  []entryformat.Entry `json:"endpoints"`
 }
 
-// Position is a source's place in its history.
+// Position is a position in a source's history.
 type Position struct {
 	Source string `json:"source"`
 	Epoch  string `json:"epoch,omitempty"`
 	Number uint64 `json:"number"`
 }
 
-// SetHosts gives the record a list of hosts.
+// SetHosts sets the list of hosts.
 func (r *Record) SetHosts(hosts []dispatch.Host) {
 	r.Entries = make([]entryformat.Entry, len(hosts))
 	for i, h := range hosts {
@@ -49,7 +50,7 @@
 	}
 }
 
-// Hosts gives the list.
+// Hosts returns the list, or an error for the first invalid entry.
 func (r *Record) Hosts() (hosts []dispatch.Host, err error) {
 	for i := range r.Entries {
 		h, err := r.Entries[i].Host()
@@ -61,7 +62,8 @@
 	return hosts, nil
 }
 
-// Load reads a node's record; nil if there is none.
+// Load reads a node's record. It returns nil without an error if the file does not exist, and an error if the file is
+// damaged or belongs to another node.
 func Load(path, node string) (*Record, error) {
 	text, err := statedir.ReadFile(path, maxBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -79,20 +81,20 @@
 		_, err = r.Hosts()
 	}
 	if err == nil && r.Node != node {
-		err = fmt.Errorf("it is of node %q", r.Node)
+		err = fmt.Errorf("it belongs to node %q", r.Node)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("the list kept at %s: %w", path, err)
+		return nil, fmt.Errorf("last good list %s: %w", path, err)
 	}
 	return &r, nil
 }
 
-// Save keeps a record unless one that is newer, or as new, is there: of two processes that serve one after the other
-// the earlier may be the last to write.
+// Save writes a record unless the file holds one that is as new or newer: of two processes that serve one after the other,
+// the earlier one may be the last to write.
 func Save(path string, r Record) error {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err == nil {
-		defer func() { _ = lock.Close() }() // it is empty
+		defer func() { _ = lock.Close() }() // the lock file is empty, so there is nothing to lose
 		err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX)
 	}
 	if err != nil {
@@ -103,7 +105,7 @@
 	}
 	body, err := json.Marshal(r)
 	if err == nil && len(body) > maxBytes-1<<10 {
-		err = fmt.Errorf("%d bytes are more than a list may have", len(body))
+		err = fmt.Errorf("encoded list of %d bytes is too long", len(body))
 	}
 	if err != nil {
 		return err
@@ -111,49 +113,49 @@
 	return statedir.Replace(path, fileForm.Seal(body))
 }
 
-// Writer keeps what changes.
+// Writer saves the current record after changes.
 type Writer struct {
 	Path        string
-	MinInterval func() float64 // the least time between two writes, milliseconds
+	MinInterval func() float64 // minimum time between two writes, milliseconds
 	Clock       clock.Clock
 	Log         *slog.Logger
-	Current     func() Record
+	Current     func() Record // returns the record to save
 
 	once    sync.Once
 	changed chan struct{}
 }
 
-// Changed tells that there is something new.
+// Changed schedules a write.
 func (w *Writer) Changed() {
 	select {
-	case w.notifications() <- struct{}{}:
+	case w.pending() <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Writer) notifications() chan struct{} {
+func (w *Writer) pending() chan struct{} {
 	w.once.Do(func() { w.changed = make(chan struct{}, 1) })
 	return w.changed
 }
 
-// Run writes until ctx ends, and what is new then.
+// Run writes until ctx ends, and then once more if a write is pending.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
-		case <-w.notifications():
+		case <-w.pending():
 			w.write()
 		case <-ctx.Done():
 			select {
-			case <-w.notifications():
+			case <-w.pending():
 				w.write()
 			default:
 			}
 			return
 		}
-		over := make(chan struct{})
-		stop := w.Clock.At(w.Clock.Now()+w.MinInterval(), func() { close(over) })
+		elapsed := make(chan struct{})
+		stop := w.Clock.At(w.Clock.Now()+w.MinInterval(), func() { close(elapsed) })
 		select {
-		case <-over:
+		case <-elapsed:
 		case <-ctx.Done():
 		}
 		stop()
@@ -162,6 +164,6 @@
 
 func (w *Writer) write() {
 	if err := Save(w.Path, w.Current()); err != nil {
-		w.Log.Warn("the last good list is not kept", "path", w.Path, "error", err)
+		w.Log.Warn("cannot save the last good list", "path", w.Path, "error", err)
 	}
 }
--- a/internal/node/endpoints/lastgood/lastgood_test.go
+++ b/internal/node/endpoints/lastgood/lastgood_test.go
@@ -20,13 +20,13 @@
 	return r
 }
 
-// Guards against a list that is not what was kept, an older one that takes the place of a newer, one that is lost when a
-// write fails at any point, and a damaged or foreign one that is used.
-func TestKeepsTheNewest(t *testing.T) {
+// Guards against a loaded list that differs from the saved one, an older list that replaces a newer one, a list that is lost
+// when a write fails at any point, and a damaged list or one of another node that is used.
+func TestSaveKeepsNewest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	none, err := Load(path, "n")
+	missing, err := Load(path, "n")
 	assert.NoError(t, err)
-	assert.Nil(t, none)
+	assert.Nil(t, missing)
 	for _, changed := range []float64{5, 4, 5, 6, 2} {
 		require.NoError(t, Save(path, record(changed)))
 	}
@@ -37,7 +37,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, dispatch.Host{Name: "a", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Cell: 2, Status: dispatch.Draining, Weight: 1.5, Since: 3}, hosts[0])
 	_, err = Load(path, "m")
-	assert.ErrorContains(t, err, `it is of node "n"`)
+	assert.ErrorContains(t, err, `it belongs to node "n"`)
 
 	require.NoError(t, os.Symlink("/dev/full", path+".new"))
 	assert.ErrorContains(t, Save(path, record(7)), "no space left")
@@ -56,12 +56,12 @@
 		bad[i] ^= 1
 		require.NoError(t, os.WriteFile(path, bad, 0o600))
 		_, err = Load(path, "n")
-		require.Error(t, err, "at byte %d", i)
+		require.Error(t, err, "bit flipped in byte %d", i)
 		require.NoError(t, os.WriteFile(path, text[:i], 0o600))
 		_, err = Load(path, "n")
-		require.Error(t, err, "cut at byte %d", i)
+		require.Error(t, err, "truncated at byte %d", i)
 	}
-	require.NoError(t, Save(path, record(1)), "what cannot be read is newer than nothing")
+	require.NoError(t, Save(path, record(1)), "an unreadable file must not prevent a write")
 	got, err = Load(path, "n")
 	require.NoError(t, err)
 	assert.Equal(t, 1.0, got.Changed)
@@ -72,35 +72,35 @@
 	assert.ErrorContains(t, err, "unknown status")
 }
 
-// Guards against a write for each of many changes, and against the last change that is lost at the end.
+// Guards against one write for each of many changes, and against the loss of the last change at shutdown.
 func TestWriter(t *testing.T) {
 	c, path := clock.NewManual(1e12), filepath.Join(t.TempDir(), "list")
-	taken := make(chan float64)
+	writes := make(chan float64)
 	w := &Writer{Path: path, MinInterval: func() float64 { return 1000 }, Clock: c, Log: slog.New(slog.DiscardHandler),
-		Current: func() Record { taken <- c.Now(); return record(c.Now()) }}
+		Current: func() Record { writes <- c.Now(); return record(c.Now()) }}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { w.Run(ctx); close(ended) }()
 	w.Changed()
-	<-taken
+	<-writes
 	for range 5 {
 		w.Changed()
 		select {
-		case <-taken:
-			require.Fail(t, "written again at once")
+		case <-writes:
+			require.Fail(t, "written again before MinInterval has passed")
 		default:
 		}
 	}
-	for got := 1e12; got == 1e12; { // its wait may begin a moment later
+	for got := 1e12; got == 1e12; { // Run may set its timer a moment later
 		select {
-		case got = <-taken:
+		case got = <-writes:
 		default:
 			c.Advance(100)
 		}
 	}
 	w.Changed()
 	cancel()
-	last := <-taken
+	last := <-writes
 	<-ended
 	got, err := Load(path, "n")
 	require.NoError(t, err)
--- a/internal/node/endpoints/removalguard/guard.go
+++ b/internal/node/endpoints/removalguard/guard.go
@@ -1,8 +1,9 @@
-// Package removalguard decides how much of a fleet may depart at once. A host departs when it served and is to drain, to leave
-// or to move to another address. Whoever keeps the list asks before it takes a version and tells what it took.
+// Package removalguard limits how many hosts of a fleet may depart at once. A host departs when it was serving and a new
+// version of the list makes it drain, removes it or moves it to another address. The owner of the list calls Evaluate
+// before it applies a version, and afterwards records the departures and returns that it has applied.
 //
-// The package is pure: no I/O, no goroutine, no lock, no clock. Time is in milliseconds. State: the names of the hosts
-// that have departed within the window and are not back, maxNames at the most; beyond that the oldest are forgotten.
+// The package is pure: no I/O, no goroutine, no lock, no clock. Times are in milliseconds. State: the names of the hosts
+// that have departed within the window and have not returned, at most maxNames; beyond that the oldest are forgotten.
 package removalguard
 
 import (
@@ -10,17 +11,17 @@
 	"math"
 )
 
-// maxNames bounds what is remembered of a window.
+// maxNames bounds the number of departed hosts that are remembered.
 const maxNames = 1 << 16
 
-// Settings say what may depart.
+// Settings limit departures.
 type Settings struct {
-	Share  float64 // of the serving hosts that may depart in one version, or within Window; above 0, 1 = all
+	Share  float64 // part of the serving hosts that may depart in one version, or within Window; above 0, 1 = all
 	Window float64 // milliseconds
-	Floor  int     // serving hosts that a version must leave, unless it is confirmed
+	Floor  int     // number of serving hosts that a version must leave, unless it is confirmed
 }
 
-// Check names the setting that cannot work.
+// Check returns an error that names the first invalid setting.
 func (s Settings) Check() error {
 	switch {
 	case !(s.Share > 0 && s.Share <= 1):
@@ -33,34 +34,34 @@
 	return nil
 }
 
-// Verdict is what becomes of a version.
+// Verdict is the decision on a version.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accept     Verdict = iota // it holds at once
-	Reread                    // it asks for a second look
-	BelowFloor                // too few would serve: only who wrote it can confirm it
+	Accept     Verdict = iota // apply the version now
+	Reread                    // hold the departures until the list has been read again
+	BelowFloor                // too few hosts would serve: hold the departures until the writer of the list confirms them
 )
 
-// String names a verdict.
+// String returns the name of a verdict.
 func (v Verdict) String() string { return [...]string{"take", "look", "floor"}[v] }
 
-// Change is what a version would do to the hosts that serve.
+// Change counts what a version would do to the serving hosts.
 type Change struct {
-	Serving int // that serve before it
-	Drains  int // that are told to drain where they are
-	Leaves  int // that leave or move
-	Arrives int // that did not serve and will, moved ones among them
+	Serving int // serving hosts before the version
+	Drains  int // hosts that drain at their present address
+	Leaves  int // hosts that leave the list or move
+	Arrives int // hosts that start to serve, including moved ones
 }
 
-// Guard remembers who departed.
+// Guard remembers recent departures.
 type Guard struct {
-	set    Settings
-	gone   map[string]departure // the last one of each host that is not back
-	moved  int                  // of them, those that serve, elsewhere
-	order  []departure          // all, in order of time
-	oldest int                  // the place in order from which on it counts
+	set      Settings
+	departed map[string]departure // the last departure of each host that has not returned
+	moved    int                  // how many of these serve at another address
+	log      []departure          // all departures in order of time
+	oldest   int                  // index in log of the oldest departure that still counts
 }
 
 type departure struct {
@@ -69,79 +70,79 @@
 	moved bool
 }
 
-// New makes a guard that remembers nobody.
+// New returns a guard without departures.
 func New(set Settings) (*Guard, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Guard{set: set, gone: map[string]departure{}}, nil
+	return &Guard{set: set, departed: map[string]departure{}}, nil
 }
 
-// Set changes the settings from now on; they must pass Check.
+// Set replaces the settings; they must pass Check.
 func (g *Guard) Set(set Settings) { g.set = set }
 
-// Evaluate tells what becomes of a version. One that drains a single host, and does no more, is taken whatever was before:
-// somebody wrote that down for this host, and a host that drains turns work away. It needs no room in the window, but
-// takes some.
+// Evaluate decides on a version. A version that only drains a single host is always accepted, whatever departed before:
+// such a drain was requested for this one host, and a draining host rejects new requests. It needs no free share of the
+// window but does use it up.
 func (g *Guard) Evaluate(now float64, c Change) Verdict {
-	departs := c.Drains + c.Leaves
-	if departs == 0 || departs == 1 && c.Drains == 1 {
+	departing := c.Drains + c.Leaves
+	if departing == 0 || departing == 1 && c.Drains == 1 {
 		return Accept
 	}
-	if c.Serving-departs+c.Arrives < g.set.Floor {
+	if c.Serving-departing+c.Arrives < g.set.Floor {
 		return BelowFloor
 	}
 	used := g.Departed(now)
-	// A tiny part is allowed for, so that half of eight is four whatever the arithmetic; and one may always leave.
+	// The small term compensates for rounding, so that half of eight is four; and one host may always leave.
 	allowed := max(1, math.Floor(g.set.Share*float64(g.Base(now, c.Serving))+1e-9))
-	if float64(used+departs) <= allowed {
+	if float64(used+departing) <= allowed {
 		return Accept
 	}
 	return Reread
 }
 
-// Base is how many hosts serve or have within the window, of which Share may depart.
+// Base returns the number of hosts that serve or have served within the window; Share applies to it.
 func (g *Guard) Base(now float64, serving int) int { return serving + g.Departed(now) - g.moved }
 
-// Departed is how many have departed within the window and are not back.
+// Departed returns how many hosts have departed within the window and have not returned.
 func (g *Guard) Departed(now float64) int {
-	for g.oldest < len(g.order) && (g.order[g.oldest].at < now-g.set.Window || len(g.gone) > maxNames) {
-		g.forget()
+	for g.oldest < len(g.log) && (g.log[g.oldest].at < now-g.set.Window || len(g.departed) > maxNames) {
+		g.forgetOldest()
 	}
-	return len(g.gone)
+	return len(g.departed)
 }
 
-// forget drops the oldest departure, if the host has not departed again since.
-func (g *Guard) forget() {
-	d := g.order[g.oldest]
+// forgetOldest drops the oldest departure from the log, and the host with it unless it has departed again since.
+func (g *Guard) forgetOldest() {
+	d := g.log[g.oldest]
 	g.oldest++
-	if g.gone[d.name] == d {
+	if g.departed[d.name] == d {
 		g.RecordReturn(d.name)
 	}
-	if g.oldest > 64 && g.oldest > len(g.order)/2 {
-		g.order = append([]departure(nil), g.order[g.oldest:]...)
+	if g.oldest > 64 && g.oldest > len(g.log)/2 {
+		g.log = append([]departure(nil), g.log[g.oldest:]...)
 		g.oldest = 0
 	}
 }
 
-// RecordDeparture notes a host whose departure was taken. One that has moved serves all the same.
+// RecordDeparture records a host whose departure was applied. A host that has moved still serves.
 func (g *Guard) RecordDeparture(now float64, name string, moved bool) {
 	g.RecordReturn(name)
 	d := departure{name, now, moved}
-	g.gone[name] = d
+	g.departed[name] = d
 	if moved {
 		g.moved++
 	}
-	g.order = append(g.order, d)
-	for len(g.order)-g.oldest > 2*maxNames {
-		g.forget()
+	g.log = append(g.log, d)
+	for len(g.log)-g.oldest > 2*maxNames {
+		g.forgetOldest()
 	}
 }
 
-// RecordReturn notes a host that serves again.
+// RecordReturn records that a host serves again.
 func (g *Guard) RecordReturn(name string) {
-	if g.gone[name].moved {
+	if g.departed[name].moved {
 		g.moved--
 	}
-	delete(g.gone, name)
+	delete(g.departed, name)
 }
--- a/internal/node/endpoints/removalguard/guard_test.go
+++ b/internal/node/endpoints/removalguard/guard_test.go
@@ -8,30 +8,30 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed: the same sequences in every run
 )
 
-// Guards against a guard that allows more or less than its settings say, that counts a host twice or after it is back,
-// that counts one beyond the window, or that holds a single drain. The model keeps every departure.
-func TestJudge(t *testing.T) {
+// Guards against a guard that allows more or fewer departures than its settings say, that counts a host twice, after it
+// has returned or beyond the window, or that holds a single drain. The model keeps every departure.
+func TestEvaluate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{Share: float64(rapid.IntRange(1, 4).Draw(t, "quarters")) / 4, Window: 1000, Floor: rapid.IntRange(0, 3).Draw(t, "floor")}
 		g, err := New(set)
 		require.NoError(t, err)
-		now, gone := 0.0, map[string]departure{}
+		now, departed := 0.0, map[string]departure{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += 250 * float64(rapid.IntRange(0, 2).Draw(t, "quarter seconds"))
 			name := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "host"))
 			if rapid.Bool().Draw(t, "departs") {
 				moved := rapid.Bool().Draw(t, "moved")
 				g.RecordDeparture(now, name, moved)
-				gone[name] = departure{name, now, moved}
+				departed[name] = departure{name, now, moved}
 			} else {
 				g.RecordReturn(name)
-				delete(gone, name)
+				delete(departed, name)
 			}
 			used, moved := 0, 0
-			for _, d := range gone {
+			for _, d := range departed {
 				if d.at >= now-set.Window {
 					used++
 					if d.moved {
@@ -55,7 +55,8 @@
 	})
 }
 
-// Guards against settings that cannot work, and against memory that grows with hosts that come and go under new names.
+// Guards against invalid settings that are accepted, and against unbounded memory use when hosts come and go under new
+// names.
 func TestBounds(t *testing.T) {
 	for _, bad := range []Settings{{}, {Share: 1.1}, {Share: 1, Window: -1}, {Share: 1, Floor: -1}} {
 		_, err := New(bad)
@@ -70,6 +71,6 @@
 		}
 	}
 	assert.LessOrEqual(t, g.Departed(1e6), maxNames)
-	assert.LessOrEqual(t, len(g.order), 5*maxNames)
+	assert.LessOrEqual(t, len(g.log), 5*maxNames)
 	assert.Zero(t, g.Departed(2e9))
 }
