--- a/internal/node/endpoints/agent/agent_test.go
+++ b/internal/node/endpoints/agent/agent_test.go
@@ -19,7 +19,7 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// The histories are the same ones each time, unless -rapid.seed asks for others.
+// TestMain fixes the seed, so that every run draws the same sequences unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
@@ -29,7 +29,7 @@
 	return dispatch.Host{Name: name, Address: "10.0.0.1:80", Zone: "z", Kind: "k", Status: status, Weight: weight}
 }
 
-// caller keeps what it was told.
+// caller is a node that maintains a list from the responses it receives.
 type caller struct {
 	index uint64
 	epoch string
@@ -37,7 +37,7 @@
 	last  Response
 }
 
-func (c *caller) take(t require.TestingT, text []byte) {
+func (c *caller) apply(t require.TestingT, text []byte) {
 	c.last = Response{}
 	require.NoError(t, json.Unmarshal(text, &c.last))
 	if c.last.Snapshot {
@@ -51,12 +51,12 @@
 	c.index, c.epoch = c.last.Index, c.last.Origin.Epoch
 }
 
-// Guards against a caller that is left with another list than the book's, however far behind it was: after whole lists,
-// corrections at the same revision, another history, and more changes than are kept.
-func TestCallersFollow(t *testing.T) {
+// Guards against a caller whose list differs from the store's, however far behind the caller was: after whole
+// lists, corrections at the same revision, a new epoch, and more changes than the store keeps.
+func TestCallersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, revision, epoch := NewStore("etcd"), uint64(1), 1
-		_, ok := b.Response(0, "", 0, false)
+		store, revision, epoch := NewStore("etcd"), uint64(1), 1
+		_, ok := store.Response(0, "", 0, false)
 		require.False(t, ok)
 		callers, want := make([]caller, 3), map[string]float64{}
 		for n := range rapid.IntRange(1, 40).Draw(t, "changes") {
@@ -74,7 +74,7 @@
 					c.Hosts = append(c.Hosts, host(string(rune('a'+i)), status, rand.Float64()))
 				}
 			}
-			b.Apply(c)
+			store.Apply(c)
 			if c.Whole {
 				clear(want)
 			}
@@ -85,62 +85,62 @@
 			}
 			for i := range callers {
 				if rapid.Bool().Draw(t, "asks") || i == 0 {
-					text, ok := b.Response(0, callers[i].epoch, callers[i].index, false)
+					text, ok := store.Response(0, callers[i].epoch, callers[i].index, false)
 					require.True(t, ok)
-					callers[i].take(t, text)
+					callers[i].apply(t, text)
 					require.Equal(t, want, callers[i].hosts)
 				}
 			}
 		}
 	})
-	b, late := NewStore("etcd"), caller{}
-	b.Apply(Change{Whole: true, Epoch: "e", Revision: 1})
-	text, _ := b.Response(0, "", 0, false)
-	late.take(t, text)
+	store, slow := NewStore("etcd"), caller{}
+	store.Apply(Change{Whole: true, Epoch: "e", Revision: 1})
+	text, _ := store.Response(0, "", 0, false)
+	slow.apply(t, text)
 	for i := range maxChanges {
-		b.Apply(Change{Epoch: "e", Revision: uint64(i + 2), Hosts: []dispatch.Host{host(fmt.Sprint(i%50), dispatch.Ready, float64(i)),
+		store.Apply(Change{Epoch: "e", Revision: uint64(i + 2), Hosts: []dispatch.Host{host(fmt.Sprint(i%50), dispatch.Ready, float64(i)),
 			host(fmt.Sprint(i%50+50), dispatch.Ready, float64(i)), host("one", dispatch.Ready, float64(i))}})
-		require.LessOrEqual(t, len(b.changes), 2*maxChanges)
+		require.LessOrEqual(t, len(store.changes), 2*maxChanges)
 	}
-	text, _ = b.Response(0, late.epoch, late.index, false)
-	late.take(t, text)
-	assert.True(t, late.last.Snapshot, "too far behind")
-	assert.Len(t, late.hosts, 101)
-	assert.NotEqual(t, b.changesSince, b.changes[0].Revision, "half of a revision")
-	text, _ = b.Response(0, late.epoch, late.index-1, false)
-	late.take(t, text)
-	assert.Len(t, late.last.Endpoints, 3, "all changes of the last revision")
-	for _, odd := range []caller{{epoch: "e", index: late.index + 1}, {epoch: "f", index: late.index}} {
-		text, _ = b.Response(0, odd.epoch, odd.index, false)
-		late.take(t, text)
-		assert.True(t, late.last.Snapshot, "told by somebody else")
+	text, _ = store.Response(0, slow.epoch, slow.index, false)
+	slow.apply(t, text)
+	assert.True(t, slow.last.Snapshot, "a caller too far behind must receive a snapshot")
+	assert.Len(t, slow.hosts, 101)
+	assert.NotEqual(t, store.changesSince, store.changes[0].Revision, "the history must begin at a revision boundary")
+	text, _ = store.Response(0, slow.epoch, slow.index-1, false)
+	slow.apply(t, text)
+	assert.Len(t, slow.last.Endpoints, 3, "all changes of the last revision")
+	for _, other := range []caller{{epoch: "e", index: slow.index + 1}, {epoch: "f", index: slow.index}} {
+		text, _ = store.Response(0, other.epoch, other.index, false)
+		slow.apply(t, text)
+		assert.True(t, slow.last.Snapshot, "a caller with an unknown position must receive a snapshot")
 	}
 }
 
-// Guards against a call that does not end with the news or with its time, against a source that is away without a word, and
-// against a second look that is answered before the list was read.
+// Guards against a call that does not end on an update or at its timeout, against an unavailable source that is not
+// reported, and against a re-read that is answered before the list was read.
 func TestCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, looked := NewStore("etcd"), 0
-		s := &Server{Store: b, Clock: clock.NewSystem(), RequestReread: func() { looked++ }}
+		store, rereads := NewStore("etcd"), 0
+		s := &Server{Store: store, Clock: clock.NewSystem(), RequestReread: func() { rereads++ }}
 		call := func(query string) (code int, a Response, took time.Duration) {
 			got, began := httptest.NewRecorder(), time.Now()
 			s.Handler().ServeHTTP(got, httptest.NewRequestWithContext(t.Context(), "GET", "/discovery/hosts"+query, nil))
-			_ = json.Unmarshal(got.Body.Bytes(), &a) // what is no list stays empty
+			_ = json.Unmarshal(got.Body.Bytes(), &a) // an error response leaves it empty
 			return got.Code, a, time.Since(began)
 		}
-		later := func(d time.Duration, f func()) { time.AfterFunc(d, f) }
+		after := func(d time.Duration, f func()) { time.AfterFunc(d, f) }
 		now := func() float64 { return s.Clock.Now() }
 		code, _, _ := call("")
 		assert.Equal(t, 503, code)
-		for _, bad := range []string{"?index=x", "?index=1&wait=-1", "?index=1&wait=nan", "?index=1&wait=x"} {
-			code, _, _ = call(bad)
-			assert.Equal(t, 400, code, bad)
+		for _, invalid := range []string{"?index=x", "?index=1&wait=-1", "?index=1&wait=nan", "?index=1&wait=x"} {
+			code, _, _ = call(invalid)
+			assert.Equal(t, 400, code, invalid)
 		}
-		b.Apply(Change{Whole: true, Epoch: "e", Revision: 5, Hosts: []dispatch.Host{host("a", dispatch.Ready, 1)}})
+		store.Apply(Change{Whole: true, Epoch: "e", Revision: 5, Hosts: []dispatch.Host{host("a", dispatch.Ready, 1)}})
 		_, a, _ := call("")
-		assert.True(t, a.Snapshot && a.Origin.UnreachableFor > 0, "more is to come")
-		b.MarkAvailable(now())
+		assert.True(t, a.Snapshot && a.Origin.UnreachableFor > 0, "not up to date before MarkAvailable")
+		store.MarkAvailable(now())
 		_, a, took := call("?index=4&epoch=e&wait=1000")
 		assert.Zero(t, took)
 		assert.Len(t, a.Endpoints, 1)
@@ -148,34 +148,34 @@
 		assert.Equal(t, time.Second, took)
 		assert.Empty(t, a.Endpoints)
 		_, a, took = call("?index=5&epoch=f&wait=1000")
-		assert.True(t, took == 0 && a.Snapshot, "of another history")
+		assert.True(t, took == 0 && a.Snapshot, "another epoch")
 		_, _, took = call("?index=5&epoch=e&wait=999999")
 		assert.Equal(t, time.Minute, took)
-		later(300*time.Millisecond, func() {
-			b.Apply(Change{Epoch: "e", Revision: 6, Hosts: []dispatch.Host{host("b", dispatch.Ready, 1)}, Confirm: 3})
+		after(300*time.Millisecond, func() {
+			store.Apply(Change{Epoch: "e", Revision: 6, Hosts: []dispatch.Host{host("b", dispatch.Ready, 1)}, Confirm: 3})
 		})
 		_, a, took = call("?index=5&epoch=e&wait=1000")
 		assert.Equal(t, 300*time.Millisecond, took)
 		assert.Equal(t, []any{"b", uint64(6), uint64(3)}, []any{a.Endpoints[0].Name, a.Endpoints[0].Revision, a.Origin.Confirm})
-		later(300*time.Millisecond, func() { b.MarkUnavailable("nobody is there") })
+		after(300*time.Millisecond, func() { store.MarkUnavailable("connection refused") })
 		_, a, took = call("?index=6&epoch=e&wait=1000")
 		assert.Equal(t, 300*time.Millisecond, took)
-		assert.Equal(t, "nobody is there", a.Origin.Reason)
+		assert.Equal(t, "connection refused", a.Origin.Reason)
 		assert.Greater(t, a.Origin.UnreachableFor, 60e3)
-		later(300*time.Millisecond, func() { b.MarkUnavailable("still"); b.MarkAvailable(now()) })
+		after(300*time.Millisecond, func() { store.MarkUnavailable("connection still refused"); store.MarkAvailable(now()) })
 		_, a, took = call("?index=6&epoch=e&wait=1000")
-		assert.Equal(t, 300*time.Millisecond, took, "and is back")
+		assert.Equal(t, 300*time.Millisecond, took, "available again")
 		assert.Zero(t, a.Origin.UnreachableFor)
 		code, _, took = call("?look=1")
-		assert.Equal(t, []any{503, 5 * time.Second, 1}, []any{code, took, looked})
-		later(100*time.Millisecond, func() { b.Apply(Change{Epoch: "e", Revision: 7}) })
-		later(300*time.Millisecond, b.MarkReread)
+		assert.Equal(t, []any{503, 5 * time.Second, 1}, []any{code, took, rereads})
+		after(100*time.Millisecond, func() { store.Apply(Change{Epoch: "e", Revision: 7}) })
+		after(300*time.Millisecond, store.MarkReread)
 		code, a, took = call("?look=1&index=7&epoch=e")
-		assert.Equal(t, []any{200, 300 * time.Millisecond, 2, true, true}, []any{code, took, looked, a.Snapshot, a.Origin.Reread})
+		assert.Equal(t, []any{200, 300 * time.Millisecond, 2, true, true}, []any{code, took, rereads, a.Snapshot, a.Origin.Reread})
 		defer func() {
-			b.Apply(Change{Whole: true, Epoch: "f", Revision: 1})
+			store.Apply(Change{Whole: true, Epoch: "f", Revision: 1})
 			_, a, _ = call("")
-			assert.Zero(t, a.Origin.Confirm, "of another history")
+			assert.Zero(t, a.Origin.Confirm, "another epoch")
 		}()
 		got := httptest.NewRecorder()
 		s.Handler().ServeHTTP(got, httptest.NewRequest("GET", "/status", nil))
--- a/internal/node/endpoints/agent/store.go
+++ b/internal/node/endpoints/agent/store.go
@@ -1,11 +1,12 @@
-// Package agent hands the list that a source keeps on to the nodes of its machine, in the form of the platform's
-// discovery: a list at an index, and a call that waits for what is newer.
+// Package agent serves a host list to the nodes on its machine, in the format of the platform's discovery service:
+// a list at an index, and a call that waits for a newer one (a long poll).
 //
-// Beyond that form, each entry names the revision at which it changed, so that a node sees which belong together, and the
-// answer says where the list comes from, since when nothing has been heard there, and what was confirmed.
+// The format has two extensions. Each entry names the revision at which it changed, so that a node sees which
+// changes belong together. And the response names the origin of the list: its source, since when that has been
+// unreachable, and what was confirmed.
 //
-// A Store holds the list and the last maxChanges changes, half as many more at times; who is further behind gets the whole list. It is safe for use by
-// several goroutines and does no I/O.
+// A Store holds the list and the last maxChanges changes, at times up to half as many more. A caller that is
+// further behind receives the whole list. A Store is safe for use by several goroutines and does no I/O.
 package agent
 
 import (
@@ -19,26 +20,26 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
-// maxChanges bounds what is kept of the past.
+// maxChanges bounds the history of changes.
 const maxChanges = 1 << 14
 
-// Entry is a host with the revision at which it changed.
+// Entry is a host and the revision at which it last changed.
 type Entry struct {
 	entryformat.Entry
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Origin tells of the source behind an answer.
+// Origin describes the source behind a response.
 type Origin struct {
 	Source         string  `json:"source"`
-	Epoch          string  `json:"epoch"`             // whose numbering the index is of
-	UnreachableFor float64 `json:"away_ms,omitempty"` // for how long the source has not been heard; 0 = it is there
-	Reason         string  `json:"reason,omitempty"`  // why
-	Confirm        uint64  `json:"confirm,omitempty"` // the index up to which what was held is meant
-	Reread         bool    `json:"looked,omitempty"`  // the list was read anew for this answer
+	Epoch          string  `json:"epoch"`             // names the numbering that the index belongs to
+	UnreachableFor float64 `json:"away_ms,omitempty"` // milliseconds since the last contact; 0 = reachable
+	Reason         string  `json:"reason,omitempty"`  // why the source is unreachable
+	Confirm        uint64  `json:"confirm,omitempty"` // index up to which held changes are confirmed
+	Reread         bool    `json:"looked,omitempty"`  // the list was read again for this response
 }
 
-// Response is what a call gets.
+// Response is the body of a response: a snapshot of the list, or the changes since an index.
 type Response struct {
 	Index     uint64  `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
@@ -46,32 +47,32 @@
 	Origin    *Origin `json:"origin,omitempty"`
 }
 
-// Change is what has changed at one revision, or the whole list at it.
+// Change holds the hosts that changed at one revision, or the whole list at that revision.
 type Change struct {
 	Whole    bool
 	Epoch    string
 	Revision uint64
 	Hosts    []dispatch.Host
-	Confirm  uint64 // 0 = nothing new was confirmed
+	Confirm  uint64 // as in Origin; 0 = nothing new was confirmed
 }
 
-// Store is the list.
+// Store holds the list.
 type Store struct {
 	source string
 
 	mu           sync.Mutex
-	updated      chan struct{} // closed when there is something to tell
+	updated      chan struct{} // closed and replaced on each update
 	known        bool
 	epoch        string
 	index        uint64
 	hosts        map[string]entry
-	changes      []Entry // in order of revision
-	changesSince uint64  // the revision that the first of them follows
+	changes      []Entry // sorted by revision
+	changesSince uint64  // revision before the first of these changes
 	lastContact  float64
 	unavailable  bool
 	reason       string
 	confirm      uint64
-	rereads      uint64 // how often the list was read anew because that was asked for
+	rereads      uint64 // number of requested re-reads that are complete
 }
 
 type entry struct {
@@ -79,112 +80,115 @@
 	revision uint64
 }
 
-// NewStore makes a book that has no list yet.
+// NewStore returns a store that has no list yet.
 func NewStore(source string) *Store {
 	return &Store{source: source, updated: make(chan struct{}), hosts: map[string]entry{}, unavailable: true, reason: "it was not heard yet"}
 }
 
-// Apply takes a change. There may be more to come: MarkAvailable tells when that is all.
-func (b *Store) Apply(c Change) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.known || c.Epoch != b.epoch {
-		b.known, b.epoch, b.confirm = true, c.Epoch, 0
-		b.changes, b.changesSince = nil, c.Revision
-		clear(b.hosts)
+// Apply applies a change. More changes may follow: MarkAvailable reports that the list is up to date.
+func (s *Store) Apply(c Change) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.known || c.Epoch != s.epoch {
+		s.known, s.epoch, s.confirm = true, c.Epoch, 0
+		s.changes, s.changesSince = nil, c.Revision
+		clear(s.hosts)
 		for _, h := range c.Hosts {
-			b.hosts[h.Name] = entry{h, c.Revision}
+			s.hosts[h.Name] = entry{h, c.Revision}
 		}
-	} else if b.record(c) && c.Revision == b.index {
-		// Something had been missed at a revision that callers have come to: they get the whole list until the next one.
-		b.changes, b.changesSince = nil, b.index+1
+	} else if s.record(c) && c.Revision == s.index {
+		// Changes had been missed at a revision that callers already have: they receive the whole list until the
+		// next revision.
+		s.changes, s.changesSince = nil, s.index+1
 	}
-	b.index = c.Revision
+	s.index = c.Revision
 	if c.Confirm > 0 {
-		b.confirm = c.Confirm
+		s.confirm = c.Confirm
 	}
-	b.notify()
+	s.notify()
 }
 
-// record takes a change into the list and keeps what it changes. It tells whether that is anything.
-func (b *Store) record(c Change) (changed bool) {
+// record applies a change to the list and adds the hosts that differ to the history. It reports whether there are
+// any.
+func (s *Store) record(c Change) (changed bool) {
 	hosts := c.Hosts
 	if c.Whole {
-		left := maps.Clone(b.hosts)
+		removed := maps.Clone(s.hosts)
 		for _, h := range hosts {
-			delete(left, h.Name)
+			delete(removed, h.Name)
 		}
-		for _, name := range slices.Sorted(maps.Keys(left)) {
-			gone := left[name].Host
+		for _, name := range slices.Sorted(maps.Keys(removed)) {
+			gone := removed[name].Host
 			gone.Status = dispatch.Removed
 			hosts = append(hosts[:len(hosts):len(hosts)], gone)
 		}
 	}
 	for _, h := range hosts {
-		old, there := b.hosts[h.Name]
+		old, exists := s.hosts[h.Name]
 		switch {
 		case h.Status == dispatch.Removed:
-			delete(b.hosts, h.Name)
-		case there && old.Host == h:
+			delete(s.hosts, h.Name)
+		case exists && old.Host == h:
 			continue
 		default:
-			b.hosts[h.Name] = entry{h, c.Revision}
+			s.hosts[h.Name] = entry{h, c.Revision}
 		}
-		b.changes = append(b.changes, Entry{entryformat.FromHost(h), c.Revision})
+		s.changes = append(s.changes, Entry{entryformat.FromHost(h), c.Revision})
 		changed = true
 	}
-	if over := len(b.changes) - maxChanges; over > maxChanges/2 { // not for each one
-		// Whole revisions go: what is left follows the last of them.
-		for over < len(b.changes) && b.changes[over].Revision == b.changes[over-1].Revision {
-			over++
+	if excess := len(s.changes) - maxChanges; excess > maxChanges/2 { // trimmed in batches, not for each change
+		// Only whole revisions are dropped, so that changesSince is the last one dropped.
+		for excess < len(s.changes) && s.changes[excess].Revision == s.changes[excess-1].Revision {
+			excess++
 		}
-		b.changesSince = b.changes[over-1].Revision
-		b.changes = slices.Clone(b.changes[over:])
+		s.changesSince = s.changes[excess-1].Revision
+		s.changes = slices.Clone(s.changes[excess:])
 	}
 	return changed
 }
 
-// MarkAvailable tells that the source was heard at a time.
-func (b *Store) MarkAvailable(now float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	was := b.unavailable
-	if b.lastContact, b.unavailable, b.reason = now, false, ""; was {
-		b.notify()
+// MarkAvailable records a contact with the source and that the list is up to date.
+func (s *Store) MarkAvailable(now float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	wasUnavailable := s.unavailable
+	if s.lastContact, s.unavailable, s.reason = now, false, ""; wasUnavailable {
+		s.notify()
 	}
 }
 
-// MarkUnavailable tells that the source cannot be asked.
-func (b *Store) MarkUnavailable(reason string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	was := b.unavailable
-	if b.unavailable, b.reason = true, reason; !was {
-		b.notify()
+// MarkUnavailable records that the source is unreachable, and why.
+func (s *Store) MarkUnavailable(reason string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	wasUnavailable := s.unavailable
+	if s.unavailable, s.reason = true, reason; !wasUnavailable {
+		s.notify()
 	}
 }
 
-// MarkReread tells that the source has read its list anew and that it is as the book has it.
-func (b *Store) MarkReread() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.rereads++
-	b.notify()
+// MarkReread records that the source has read its list again and that the store holds the result.
+func (s *Store) MarkReread() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rereads++
+	s.notify()
 }
 
-// Rereads is how often that was, and what is closed when something comes next.
-func (b *Store) Rereads() (uint64, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.rereads, b.updated
+// Rereads returns the number of MarkReread calls, and a channel that is closed on the next update.
+func (s *Store) Rereads() (uint64, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rereads, s.updated
 }
 
-func (b *Store) notify() {
-	close(b.updated)
-	b.updated = make(chan struct{})
+// notify wakes all waiting callers. The lock must be held.
+func (s *Store) notify() {
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-// State is what a book has come to.
+// State is the state of a Store.
 type State struct {
 	Known  bool
 	Index  uint64
@@ -193,54 +197,54 @@
 	Reason string
 }
 
-// State tells what the book has come to.
-func (b *Store) State(now float64) State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return State{b.known, b.index, b.origin(now), len(b.hosts), b.reason}
+// State returns the current state.
+func (s *Store) State(now float64) State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return State{s.known, s.index, s.origin(now), len(s.hosts), s.reason}
 }
 
-func (b *Store) origin(now float64) Origin {
-	o := Origin{Source: b.source, Epoch: b.epoch, Reason: b.reason, Confirm: b.confirm}
-	if b.unavailable {
-		o.UnreachableFor = max(now-b.lastContact, 1)
+func (s *Store) origin(now float64) Origin {
+	o := Origin{Source: s.source, Epoch: s.epoch, Reason: s.reason, Confirm: s.confirm}
+	if s.unavailable {
+		o.UnreachableFor = max(now-s.lastContact, 1)
 	}
 	return o
 }
 
-// Updated is closed when there is something to tell that a caller who was told of an index has not heard: ready tells that
-// there is already.
-func (b *Store) Updated(epoch string, index uint64) (news <-chan struct{}, ready bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.updated, b.known && (epoch != b.epoch || index != b.index)
+// Updated returns a channel that is closed on the next update, for a caller that has the list at an index. ready
+// reports that the store already holds something that the caller does not have.
+func (s *Store) Updated(epoch string, index uint64) (updated <-chan struct{}, ready bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.updated, s.known && (epoch != s.epoch || index != s.index)
 }
 
-// Response gives what is newer than an index, or the whole list; false if there is none.
-func (b *Store) Response(now float64, epoch string, index uint64, whole bool) (text []byte, ok bool) {
-	b.mu.Lock()
-	if !b.known {
-		b.mu.Unlock()
+// Response returns the encoded changes since an index, or the whole list. ok is false if there is no list yet.
+func (s *Store) Response(now float64, epoch string, index uint64, whole bool) (text []byte, ok bool) {
+	s.mu.Lock()
+	if !s.known {
+		s.mu.Unlock()
 		return nil, false
 	}
-	o := b.origin(now)
-	a := Response{Index: b.index, Endpoints: []Entry{}, Origin: &o}
-	if a.Snapshot = whole || epoch != b.epoch || index < b.changesSince || index > b.index; a.Snapshot {
-		for _, e := range b.hosts {
+	o := s.origin(now)
+	a := Response{Index: s.index, Endpoints: []Entry{}, Origin: &o}
+	if a.Snapshot = whole || epoch != s.epoch || index < s.changesSince || index > s.index; a.Snapshot {
+		for _, e := range s.hosts {
 			a.Endpoints = append(a.Endpoints, Entry{entryformat.FromHost(e.Host), e.revision})
 		}
 	} else {
-		first, _ := slices.BinarySearchFunc(b.changes, index+1, func(e Entry, rev uint64) int { return cmp.Compare(e.Revision, rev) })
-		a.Endpoints = append(a.Endpoints, b.changes[first:]...)
+		first, _ := slices.BinarySearchFunc(s.changes, index+1, func(e Entry, rev uint64) int { return cmp.Compare(e.Revision, rev) })
+		a.Endpoints = append(a.Endpoints, s.changes[first:]...)
 	}
-	b.mu.Unlock()
+	s.mu.Unlock()
 	if a.Snapshot {
 		slices.SortFunc(a.Endpoints, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
 	}
 	a.Origin.Reread = whole
 	text, err := json.Marshal(a)
 	if err != nil {
-		panic(err) // plain structs, and numbers that came from JSON: it cannot fail
+		panic(err) // cannot happen: plain structs, and numbers that were decoded from JSON
 	}
 	return text, true
 }
--- a/internal/node/endpoints/backoff/backoff_test.go
+++ b/internal/node/endpoints/backoff/backoff_test.go
@@ -17,8 +17,8 @@
 	os.Exit(m.Run())
 }
 
-// service models the service that has the list for all nodes: calls queue, and a call that would wait too long fails
-// but costs the same.
+// service models the service that has the list for all nodes: calls queue, and a call that would wait too long
+// fails but costs the same.
 type service struct{ callTime, queueTimeout, freeAt float64 }
 
 func (s *service) call(now float64) (answered bool, at float64) {
@@ -30,8 +30,8 @@
 	return true, now + wait + s.callTime
 }
 
-// openAll simulates nodes that all start, or all lose their watches, at the same moment, until every node has its watch.
-// It returns when the last one has it and how many calls were made.
+// openAll simulates nodes that all start, or all lose their watches, at the same moment, until every node has its
+// watch. It returns when the last one has it and how many calls were made.
 func openAll(nodes int, set Settings, s *service, firstDelay func(*Backoff) float64, seed uint64) (last float64, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	backoffs, next := make([]Backoff, nodes), make([]float64, nodes)
@@ -52,9 +52,9 @@
 	return last, calls
 }
 
-// Guards against nodes that overload the service that has the list: whatever their number, if all start at once, or all
-// lose their watch at once and notice by a failed call, each has its watch again soon, although the service has little
-// spare capacity.
+// Guards against nodes that overload the service that has the list: whatever their number, if all start at once,
+// or all lose their watch at once and notice by a failed call, each has its watch again soon, although the service
+// has little spare capacity.
 func TestAllNodesOpenTheirWatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 200).Draw(t, "nodes")
@@ -99,8 +99,8 @@
 	})
 }
 
-// Guards against an initial delay, a held call or a pause that exceeds DeliveryLimit: whatever failed before, and however
-// long that took, the next call still has its full timeout within the limit.
+// Guards against an initial delay, a held call or a pause that exceeds DeliveryLimit: whatever failed before, and
+// however long that took, the next call still has its full timeout within the limit.
 func TestNextCallFitsDeliveryLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{Spread: rapid.Float64Range(0, 2e4).Draw(t, "spread"), MinPause: rapid.Float64Range(1, 100).Draw(t, "first"),
@@ -127,9 +127,9 @@
 	})
 }
 
-// Guards against a bound on pauses that lets a large fleet overload the service that has the list. It simulates 300 nodes
-// and checks that each has its list within the limit after an outage, and how many calls all of them make in any second
-// during the outage and while half of the calls are rejected.
+// Guards against a bound on pauses that lets a large fleet overload the service that has the list. It simulates
+// 300 nodes and checks that each has its list within the limit after an outage, and how many calls all of them
+// make in any second during the outage and while half of the calls are rejected.
 func TestCallRateOfLargeFleet(t *testing.T) {
 	const nodes, outage, limit = 300, 8000.0, 6000.0
 	set := Settings{Spread: 5000, MinPause: 25, MaxPause: 1000, DeliveryLimit: limit}
--- a/internal/node/endpoints/cordon/cordon.go
+++ b/internal/node/endpoints/cordon/cordon.go
@@ -1,10 +1,10 @@
-// Package cordon adjusts the host list for the dispatcher while hosts are cordoned by an operator or by the fleet's policy.
-// It is applied after every source and after the removal guard: whatever the sources list, a cordoned host is result as
-// draining. A host that was resumed is result as started at that moment, because it has been restarted meanwhile and is
-// cold.
+// Package cordon adjusts the host list for the dispatcher while hosts are cordoned by an operator or by the
+// fleet's policy. It is applied after every source and after the removal guard: whatever the sources list, a
+// cordoned host is result as draining. A host that was resumed is result as started at that moment, because it has
+// been restarted meanwhile and is cold.
 //
-// The package is pure: no clock, no lock, no I/O. Bounds: one entry for each listed host, and maxCordoned cordoned hosts,
-// which may have left the list.
+// The package is pure: no clock, no lock, no I/O. Bounds: one entry for each listed host, and maxCordoned cordoned
+// hosts, which may have left the list.
 package cordon
 
 import (
@@ -34,8 +34,8 @@
 	resumedAt     map[string]float64 // when a listed host was resumed
 }
 
-// Apply records an update of the sources, the whole list or what has changed, and returns it as the dispatcher must see
-// it.
+// Apply records an update of the sources, the whole list or what has changed, and returns it as the dispatcher
+// must see it.
 func (t *Tracker) Apply(from dispatch.Source, list []dispatch.Host) []dispatch.Host {
 	t.make()
 	if from != dispatch.Changes {
@@ -75,8 +75,8 @@
 	return h
 }
 
-// Suspend cordons a host until Resume, and returns what has changed for the dispatcher. It is idempotent. The error is
-// ErrUnknown or ErrFull.
+// Suspend cordons a host until Resume, and returns what has changed for the dispatcher. It is idempotent. The
+// error is ErrUnknown or ErrFull.
 func (t *Tracker) Suspend(name string) ([]dispatch.Host, error) {
 	t.make()
 	h, listed := t.listed[name]
@@ -93,8 +93,8 @@
 	return []dispatch.Host{t.adjusted(h)}, nil
 }
 
-// Resume ends a host's cordon by an operator, and returns what has changed for the dispatcher. The host is cold. The error
-// is ErrUnknown, or ErrFleet for a host that is cordoned by the fleet's policy.
+// Resume ends a host's cordon by an operator, and returns what has changed for the dispatcher. The host is cold.
+// The error is ErrUnknown, or ErrFleet for a host that is cordoned by the fleet's policy.
 func (t *Tracker) Resume(now float64, name string) ([]dispatch.Host, error) {
 	t.make()
 	h, listed := t.listed[name]
@@ -115,8 +115,8 @@
 	return []dispatch.Host{t.adjusted(h)}, nil
 }
 
-// SetFleetCordons replaces the set of hosts that the fleet's policy cordons, listed or not, and returns what has changed
-// for the dispatcher. A host that is no longer cordoned is cold. Names beyond maxCordoned are ignored.
+// SetFleetCordons replaces the set of hosts that the fleet's policy cordons, listed or not, and returns what has
+// changed for the dispatcher. A host that is no longer cordoned is cold. Names beyond maxCordoned are ignored.
 func (t *Tracker) SetFleetCordons(now float64, names []string) (changed []dispatch.Host) {
 	t.make()
 	previous := t.fleetCordoned
@@ -155,8 +155,8 @@
 	return Snapshot{Cordoned: slices.Sorted(maps.Keys(t.cordoned)), ResumedAt: maps.Clone(t.resumedAt)}
 }
 
-// Restore replaces the operators' cordons and the resume times by those of another process of the node, and returns what
-// has changed for the dispatcher.
+// Restore replaces the operators' cordons and the resume times by those of another process of the node, and
+// returns what has changed for the dispatcher.
 func (t *Tracker) Restore(m Snapshot) []dispatch.Host {
 	t.make()
 	previous := map[string]dispatch.Host{}
--- a/internal/node/endpoints/cordon/cordon_test.go
+++ b/internal/node/endpoints/cordon/cordon_test.go
@@ -11,9 +11,9 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// TestTracker guards, over random sequences of lists and calls, against a cordoned host that is shown as ready, a resumed
-// host that is shown as warm, a cordon that an update of the list undoes, and a snapshot that the next process restores
-// differently.
+// TestTracker guards, over random sequences of lists and calls, against a cordoned host that is shown as ready, a
+// resumed host that is shown as warm, a cordon that an update of the list undoes, and a snapshot that the next
+// process restores differently.
 func TestTracker(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", "5"))
 	rapid.Check(t, func(t *rapid.T) {
@@ -94,8 +94,9 @@
 	return list
 }
 
-// Guards against a host that is cordoned by the fleet's policy and shown as ready, that the operator of a single node
-// resumes against the policy, that returns warm, and against a host cordoned by an operator that the policy resumes.
+// Guards against a host that is cordoned by the fleet's policy and shown as ready, that the operator of a single
+// node resumes against the policy, that returns warm, and against a host cordoned by an operator that the policy
+// resumes.
 func TestFleetCordons(t *testing.T) {
 	var tracker Tracker
 	tracker.Apply(dispatch.Full, []dispatch.Host{{Name: "a", Status: dispatch.Ready}, {Name: "b", Status: dispatch.Ready}})
--- a/internal/node/endpoints/files/disk.go
+++ b/internal/node/endpoints/files/disk.go
@@ -13,26 +13,27 @@
 	"time"
 )
 
-// maxLinks is how many links there may be on the way to a file.
+// maxLinks is the maximum number of symbolic links that are followed to a file.
 const maxLinks = 40
 
-// maxTries is how often a folder that changes while it is read is read again at once.
+// maxTries is how many times files that change while they are read are read, without a pause.
 const maxTries = 5
 
-var errChanged = errors.New("it changed while it was read, again and again")
+var errChanged = errors.New("files kept changing while they were read")
 
-// Read reads a file or all list files of a folder, most bytes at the most. It gives what was there at one moment, as far as
-// that can be seen from outside: names, places behind links, sizes and times are the same before and after.
-func Read(path string, most int) (parts []Part, err error) {
+// Read reads a file or all list files of a folder, at most maxBytes bytes. The result is a consistent snapshot as
+// far as the metadata show it: names, link targets, inodes, sizes and modification times are the same before and
+// after the read.
+func Read(path string, maxBytes int) (parts []Part, err error) {
 	for range maxTries {
 		var before, after []identity
-		if before, err = look(path); err != nil {
+		if before, err = stat(path); err != nil {
 			return nil, err
 		}
-		if parts, err = readAll(before, most); err != nil {
-			continue // a file that was there a moment ago
+		if parts, err = readAll(before, maxBytes); err != nil {
+			continue // for example a file that has just disappeared
 		}
-		if after, err = look(path); err != nil || slices.Equal(before, after) {
+		if after, err = stat(path); err != nil || slices.Equal(before, after) {
 			return parts, err
 		}
 		err = fmt.Errorf("%s: %w", path, errChanged)
@@ -40,7 +41,7 @@
 	return nil, err
 }
 
-// identity is what is seen of a file from outside.
+// identity holds the metadata by which a change of a file is detected.
 type identity struct {
 	path, real string
 	inode      uint64
@@ -48,8 +49,8 @@
 	changed    time.Time
 }
 
-// look finds the files of a list, sorted by name.
-func look(path string) (list []identity, err error) {
+// stat returns the identities of the list files, sorted by name.
+func stat(path string) (list []identity, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -70,7 +71,7 @@
 			return nil, fmt.Errorf("%s: %w", path, errNoFile)
 		}
 		if len(paths) > MaxFiles {
-			return nil, fmt.Errorf("%s: %d files, at most %d can be taken", path, len(paths), MaxFiles)
+			return nil, fmt.Errorf("%s: %d files, at most %d are allowed", path, len(paths), MaxFiles)
 		}
 	}
 	for _, p := range paths {
@@ -94,34 +95,34 @@
 	return list, nil
 }
 
-func readAll(list []identity, most int) (parts []Part, err error) {
-	left := most
+func readAll(list []identity, maxBytes int) (parts []Part, err error) {
+	left := maxBytes
 	for _, one := range list {
 		text, err := readFile(one.real, left)
 		if err != nil {
 			return nil, err
 		}
 		if left -= len(text); left < 0 {
-			return nil, fmt.Errorf("%s: the list is over %d bytes", one.path, most)
+			return nil, fmt.Errorf("%s: the list is over %d bytes", one.path, maxBytes)
 		}
 		parts = append(parts, Part{one.path, text})
 	}
 	return parts, nil
 }
 
-// readFile reads a file, and one byte more than it may have if it has them.
-func readFile(path string, most int) ([]byte, error) {
-	// Should a pipe have come to stand there since, the node does not wait for who writes to it.
+// readFile reads a file, but at most one byte more than maxBytes, which shows that the file is too long.
+func readFile(path string, maxBytes int) ([]byte, error) {
+	// O_NONBLOCK: if the file has been replaced by a pipe meanwhile, the node must not wait for a writer.
 	in, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = in.Close() }() // it is only read
-	return io.ReadAll(io.LimitReader(in, int64(most)+1))
+	defer func() { _ = in.Close() }() // opened for reading only, so that Close loses nothing
+	return io.ReadAll(io.LimitReader(in, int64(maxBytes)+1))
 }
 
-// WatchDirs gives those in which a change can make a path another file: the one that it is or stands in, and those of the
-// links on the way.
+// WatchDirs returns the folders in which a change can make path refer to different content: the folder that it is
+// or is in, and the folders of the symbolic links on the way.
 func WatchDirs(path string) (list []string) {
 	add := func(dir string) {
 		if !slices.Contains(list, dir) {
@@ -157,7 +158,7 @@
 		}
 		info, err := os.Lstat(next)
 		if errors.Is(err, fs.ErrNotExist) {
-			add(at) // it may come to be there
+			add(at) // notifies when it is created
 			return list
 		}
 		if err == nil && info.IsDir() {
--- a/internal/node/endpoints/files/files_test.go
+++ b/internal/node/endpoints/files/files_test.go
@@ -22,13 +22,13 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
-// The histories are the same ones each time, unless -rapid.seed asks for others.
+// TestMain fixes the seed, so that every run draws the same sequences unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-var known = Constraints{Zones: []string{"z"}, Kinds: []string{"k"}, MaxHosts: 4}
+var constraints = Constraints{Zones: []string{"z"}, Kinds: []string{"k"}, MaxHosts: 4}
 
 func text(head string, names ...string) string {
 	for _, name := range names {
@@ -43,46 +43,46 @@
 	return strings.Replace(text, zeros, Checksum([]byte(text), zeros), 1)
 }
 
-// Guards against a file that is taken although anything is wrong with it, and against a refusal that does not say what.
+// Guards against an invalid file that is accepted, and against an error that does not name the problem.
 func TestParse(t *testing.T) {
 	want := &List{Index: 7, Confirmed: true, Verified: true, Hosts: []dispatch.Host{{Name: "a", Address: "10.0.0.1:80", Zone: "z",
 		Kind: "k", Cell: 3, Status: dispatch.Draining, Weight: 1, Since: 5}}}
 	l, err := Parse("l.json", []byte(`{"index":7,"confirm":7,"count":1,"snapshot":true,"endpoints":[{"name":"a","address":"10.0.0.1:80",
-		"zone":"z","type":"k","group":3,"status":"Terminating","since_ms":5}]}`), known)
+		"zone":"z","type":"k","group":3,"status":"Terminating","since_ms":5}]}`), constraints)
 	require.NoError(t, err)
 	assert.Equal(t, want, l)
 	l, err = Parse("l.toml", []byte(seal("index = 7\nconfirm = 7\n[[endpoints]]\nname = \"a\"\naddress = \"10.0.0.1:80\"\nzone = \"z\"\n"+
-		"type = \"k\"\ngroup = 3\nstatus = \"Terminating\"\nsince_ms = 5\nweight = 1.0\n")), known)
+		"type = \"k\"\ngroup = 3\nstatus = \"Terminating\"\nsince_ms = 5\nweight = 1.0\n")), constraints)
 	require.NoError(t, err)
 	assert.Equal(t, want, l)
-	good := text("", "a", "b")
-	for bad, reason := range map[string]string{
+	valid := text("", "a", "b")
+	for invalid, reason := range map[string]string{
 		"": "endpoints is missing", "endpoints = 1": "line 1, column 13", "indx = 1\nendpoints = []": "line 1, column 1",
-		good + "name = \"c": "line 11, column 9", "count = 3\n" + good: "count is 3, but there are 2",
-		"index = 4\nconfirm = 3\n" + good: "confirm is 3, but index is 4", "snapshot = false\n" + good: "changes only",
+		valid + "name = \"c": "line 11, column 9", "count = 3\n" + valid: "count is 3, but there are 2",
+		"index = 4\nconfirm = 3\n" + valid: "confirm is 3, but index is 4", "snapshot = false\n" + valid: "changes only",
 		text("", "a", "b", "a"): `endpoint 3, "a": endpoint 1 has the same name`, text("", "ax", "ay"): "same address",
-		text("", "a", "b", "c", "d", "e"): "at most 4", strings.Replace(good, `"z"`, `"y"`, 1): `zone "y" is not known`,
-		strings.Replace(good, `"k"`, `"j"`, 1): `type "j" is not known`, strings.Replace(good, ":80", "", 1): "address",
-		good + "status = \"Gone\"": "leave the entry out", good + "status = \"up\"": `unknown status "up"`,
-		good + "weight = nan": "out of range", good + "since_ms = -1": "out of range",
-		strings.Replace(seal(good), "10.0.0", "10.0.1", 1): "but the file has", "checksum = \"12\"\n" + good: "sixteen",
-		"checksum = \"0000000000000000\" # 0000000000000000\n" + good: "twice",
+		text("", "a", "b", "c", "d", "e"): "at most 4", strings.Replace(valid, `"z"`, `"y"`, 1): `zone "y" is not known`,
+		strings.Replace(valid, `"k"`, `"j"`, 1): `type "j" is not known`, strings.Replace(valid, ":80", "", 1): "address",
+		valid + "status = \"Gone\"": "leave the entry out", valid + "status = \"up\"": `unknown status "up"`,
+		valid + "weight = nan": "out of range", valid + "since_ms = -1": "out of range",
+		strings.Replace(seal(valid), "10.0.0", "10.0.1", 1): "but the file has", "checksum = \"12\"\n" + valid: "sixteen",
+		"checksum = \"0000000000000000\" # 0000000000000000\n" + valid: "twice",
 	} {
-		_, err := Parse("l.toml", []byte(bad), known)
-		assert.ErrorContains(t, err, reason, bad)
+		_, err := Parse("l.toml", []byte(invalid), constraints)
+		assert.ErrorContains(t, err, reason, invalid)
 	}
-	for _, bad := range []string{`{"endpoints":[]} {}`, `{"endpoints":[],"x":1}`, `{"endpoints":null}`, `{"endpoints":[{"name":"a"`} {
-		_, err := Parse("l.json", []byte(bad), known)
-		assert.Error(t, err, bad)
+	for _, invalid := range []string{`{"endpoints":[]} {}`, `{"endpoints":[],"x":1}`, `{"endpoints":null}`, `{"endpoints":[{"name":"a"`} {
+		_, err := Parse("l.json", []byte(invalid), constraints)
+		assert.Error(t, err, invalid)
 	}
 }
 
-// Guards against a version that was never whole being taken while it is written piece by piece, whatever moment it is read
-// at; against one that is not taken once it is whole; and, with a checksum, against a wait.
-func TestHalfWritten(t *testing.T) {
+// Guards against an incomplete version that is accepted while a file is written piece by piece, whenever it is
+// read; against a complete version that is not accepted; and against a delay for a file with a checksum.
+func TestPartialWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewValidator(known, 50, true)
-		now, whole, index := 1e12, map[string]bool{}, 0
+		s := NewValidator(constraints, 50, true)
+		now, complete, index := 1e12, map[string]bool{}, 0
 		for range rapid.IntRange(1, 6).Draw(t, "versions") {
 			index++
 			names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4, rapid.ID[string]).Draw(t, "names")
@@ -90,14 +90,14 @@
 			if verified {
 				version = seal(version)
 			}
-			whole[version] = true
+			complete[version] = true
 			for at := 0; at < len(version); {
 				at = min(len(version), at+rapid.IntRange(1, 300).Draw(t, "bytes"))
 				now += float64(rapid.IntRange(1, 49).Draw(t, "ms"))
 				r := s.Check(now, []Part{{"l.toml", []byte(version[:at])}}, nil, false)
 				require.NoError(t, r.Err)
 				if r.Version != nil {
-					require.True(t, whole[version[:at]])
+					require.True(t, complete[version[:at]])
 					require.Len(t, r.Version.Hosts, len(names))
 					s.Accepted()
 				}
@@ -112,22 +112,22 @@
 	})
 }
 
-// Guards against an older file that is taken again, against a confirmation that goes on counting, against a file that goes
-// unnoticed, and against faults that are told again and again.
-func TestShelf(t *testing.T) {
-	s := NewValidator(known, 50, false)
+// Guards against an older file that is accepted again, against a confirmation that stays in effect, against a
+// deleted file that goes unnoticed, and against an error that is reported more than once.
+func TestValidator(t *testing.T) {
+	s := NewValidator(constraints, 50, false)
 	now := 1e12
-	read := func(look bool, texts ...string) string {
+	check := func(reread bool, texts ...string) string {
 		var parts []Part
 		for i, text := range texts {
 			if text != "" {
 				parts = append(parts, Part{fmt.Sprintf("%d.toml", i), []byte(text)})
 			}
 		}
-		first := s.Check(now, parts, nil, look)
-		assert.True(t, first.Version == nil || first.Version.Look, "a file is gone, or proves nothing")
+		first := s.Check(now, parts, nil, reread)
+		assert.True(t, first.Version == nil || first.Version.Look, "only a re-read may be returned before the settle time: a file is missing or unverified")
 		now += 50
-		switch r := s.Check(now, parts, nil, look); {
+		switch r := s.Check(now, parts, nil, reread); {
 		case r.Version != nil:
 			s.Accepted()
 			return fmt.Sprint(len(r.Version.Hosts), r.Version.Meant, r.Version.Look)
@@ -141,34 +141,35 @@
 	one, two := text("index = 5\n", "a"), text("", "b")
 	for _, step := range []struct {
 		one, two string
-		look     bool
+		reread   bool
 		want     string
 	}{
 		{one, two, false, "2 false false"}, {one, two, false, "same"}, {one, two, true, "2 false true"},
 		{text("index = 4\n"), two, false, "0.toml: endpoints is missing"}, {text("index = 4\n", "a"), two, false, "0.toml: index went back from 5 to 4"},
-		{text("index = 4\n", "a"), two, false, "bad"}, {text("index = 5\n", "c"), two, false, "0.toml: other content at index 5"},
-		{text("", "a"), two, false, "0.toml: has no index, after 5"}, {one, text("", "a"), false, "1.toml: the name a stands in 0.toml too"},
+		{text("index = 4\n", "a"), two, false, "bad"}, {text("index = 5\n", "c"), two, false, "0.toml: different content at the same index 5"},
+		{text("", "a"), two, false, "0.toml: has no index, but the accepted version had index 5"}, {one, text("", "a"), false, "1.toml: the name a is also in 0.toml"},
 		{one, two, false, "same"}, {text("index = 6\nconfirm = 6\n", "a", "c"), two, false, "3 true false"},
 		{text("index = 6\nconfirm = 6\n", "a", "c"), text("", "d"), false, "3 false false"}, {"", text("", "d"), false, "1 false false"},
 		{text("index = 7\n", "a"), text("index = 1\nconfirm = 1\n", "c"), false, "2 false false"}, {"", text("index = 1\nconfirm = 1\n", "c"), false, "1 false false"},
-		{one, text("index = 1\nconfirm = 1\n", "c"), false, "0.toml: index went back from 7 to 5"}, {text("index = 8\n", "a", "b", "c"), text("index = 2\n", "d", "e"), false, "5 endpoints in all, at most 4 can be taken"},
+		{one, text("index = 1\nconfirm = 1\n", "c"), false, "0.toml: index went back from 7 to 5"}, {text("index = 8\n", "a", "b", "c"), text("index = 2\n", "d", "e"), false, "5 endpoints in all, at most 4 are allowed"},
 	} {
-		assert.Equal(t, step.want, read(step.look, step.one, step.two), step.one+step.two)
+		assert.Equal(t, step.want, check(step.reread, step.one, step.two), step.one+step.two)
 	}
-	assert.Equal(t, "1 false false", read(false, "", text("index = 2\n", "b")))
-	assert.NotNil(t, s.Check(now, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version, "0.toml was gone before")
+	assert.Equal(t, "1 false false", check(false, "", text("index = 2\n", "b")))
+	assert.NotNil(t, s.Check(now, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version, "0.toml was missing before")
 	s.Accepted()
 	r := s.Check(now, nil, os.ErrNotExist, true)
-	assert.Equal(t, now+50, r.ReadAgainAt, "it may be back in a moment")
+	assert.Equal(t, now+50, r.ReadAgainAt, "the file may reappear within the settle time")
 	assert.Error(t, s.Check(now+50, nil, os.ErrNotExist, false).Err)
 	assert.Equal(t, now, s.Check(now+60, nil, os.ErrNotExist, false).FailingSince)
-	assert.True(t, s.Check(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Look, "not forgotten")
+	assert.True(t, s.Check(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Look, "the re-read is still due")
 }
 
-// Guards against a list of two versions: a folder whose files change hands at once, by a link, while it is read.
-func TestLinkSwappedWhileRead(t *testing.T) {
+// Guards against a list that mixes two versions: all files of a folder are replaced at once, by a symbolic link,
+// while they are read.
+func TestSymlinkSwapDuringRead(t *testing.T) {
 	dir := t.TempDir()
-	swap := func(i int) { // to a version's own folder, as service managers do
+	swap := func(i int) { // points the link to the version's own folder, as service managers do
 		v := fmt.Sprint("v", i)
 		_ = os.Mkdir(filepath.Join(dir, v), 0o700)
 		for _, f := range []string{"a.toml", "b.toml"} {
@@ -203,10 +204,10 @@
 	assert.Equal(t, []string{dir}, WatchDirs(filepath.Join(dir, "none", "x.toml")))
 }
 
-// told passes on what a sink is told.
-type told chan string
+// recordingSink sends a description of each call on a channel.
+type recordingSink chan string
 
-func (c told) Apply(versions ...merge.Version) error {
+func (s recordingSink) Apply(versions ...merge.Version) error {
 	v := versions[0]
 	names := ""
 	for _, h := range v.Hosts {
@@ -215,21 +216,22 @@
 	if v.Look {
 		names += "?"
 	}
-	c <- names
+	s <- names
 	if names == "x" {
 		return errors.New("no")
 	}
 	return nil
 }
-func (c told) NoChange(float64)    { c <- "same" }
-func (c told) Unreachable(float64) { c <- "away" }
+func (s recordingSink) NoChange(float64)    { s <- "same" }
+func (s recordingSink) Unreachable(float64) { s <- "away" }
 
-// Guards against a way of writing a list that goes unnoticed: a rename, a link that is swapped, a folder that is made
-// later, a file that goes and comes, one that is written in place; and against a second look that is never told.
-func TestEveryWayOfWriting(t *testing.T) {
+// Guards against a change of the list that goes unnoticed: a rename, a swapped symbolic link, a folder that is
+// created later, a file that is deleted and created again, one that is written in place; and against a re-read
+// that is not reported.
+func TestWatcherNoticesEveryChange(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "conf", "list.toml")
-	c, sink := clock.NewManual(1e12), make(told, 100)
+	c, sink := clock.NewManual(1e12), make(recordingSink, 100)
 	w := &Watcher{Path: path, Single: true, Constraints: Constraints{MaxHosts: 4}, MaxBytes: 1 << 20, Settle: 50, Limits: Limits{PollInterval: 1e11}, Clock: c,
 		Log: slog.New(slog.DiscardHandler), Sink: sink}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -243,10 +245,10 @@
 					return
 				}
 				require.Contains(t, []string{"same", "away"}, got)
-			case <-time.After(time.Millisecond): // the wait for a file that may still be written to
+			case <-time.After(time.Millisecond): // lets the settle time pass
 				c.Advance(50)
 			case <-end:
-				require.Fail(t, "not told", want)
+				require.Fail(t, "not reported", want)
 			}
 		}
 	}
@@ -281,14 +283,14 @@
 	w.SetLimits(Limits{PollInterval: 5000})
 	write(path, seal(text("", "x")))
 	await("x")
-	for range 4 { // what was refused is not told again with each look
+	for range 4 { // a rejected version is not reported again at each read
 		await("away")
 	}
 	w.RequestReread()
 	write(path, text("", "a"))
 	require.NoError(t, os.Link(path, filepath.Join(dir, "behind")))
 	await("a?")
-	write(filepath.Join(dir, "behind"), text("", "b")) // of which the folder has no notice
+	write(filepath.Join(dir, "behind"), text("", "b")) // causes no notification in the folder
 	await("b")
 	cancel()
 	<-ended
--- a/internal/node/endpoints/files/list.go
+++ b/internal/node/endpoints/files/list.go
@@ -16,27 +16,27 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/entryformat"
 )
 
-// Constraints is what a list is held against.
+// Constraints limit the content of a list.
 type Constraints struct {
-	Zones, Kinds []string // nil = any
-	MaxHosts     int      // hosts
+	Zones, Kinds []string // known names; nil = any
+	MaxHosts     int
 }
 
-// List is what one file holds.
+// List is the content of one file.
 type List struct {
-	Index     uint64 // of this version of the file, 0 = it has none
-	Confirmed bool   // whoever wrote it confirms what the guard would hold
-	Verified  bool   // its count or checksum proves that it is whole
+	Index     uint64 // version number of the file, 0 = none
+	Confirmed bool   // the writer confirms departures that the guard would hold
+	Verified  bool   // a count or checksum proves that the file is complete
 	Hosts     []dispatch.Host
 }
 
-// file is the form of a file, in TOML and in JSON.
+// file is the format of a file, in TOML and in JSON.
 type file struct {
 	Index     uint64  `json:"index" toml:"index"`
 	Confirm   uint64  `json:"confirm" toml:"confirm"`
 	Count     *int    `json:"count" toml:"count"`
 	Checksum  string  `json:"checksum" toml:"checksum"`
-	Snapshot  *bool   `json:"snapshot" toml:"snapshot"` // as discovery says it of a whole list
+	Snapshot  *bool   `json:"snapshot" toml:"snapshot"` // as in a response of discovery; must not be false
 	Endpoints []entry `json:"endpoints" toml:"endpoints"`
 }
 
@@ -52,17 +52,17 @@
 	Since    float64  `json:"since_ms" toml:"since_ms"`
 }
 
-// Parse reads a file, as TOML or JSON by its name. With anything wrong, nothing of it is to be used. The error names the
-// file.
-func Parse(path string, text []byte, known Constraints) (*List, error) {
-	l, err := parse(path, text, known)
+// Parse decodes a file as TOML or JSON, depending on its name. A file with any error is rejected as a whole. The
+// error names the file.
+func Parse(path string, text []byte, constraints Constraints) (*List, error) {
+	l, err := parse(path, text, constraints)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return l, nil
 }
 
-func parse(path string, text []byte, known Constraints) (*List, error) {
+func parse(path string, text []byte, constraints Constraints) (*List, error) {
 	var f file
 	if err := decode(path, text, &f); err != nil {
 		return nil, err
@@ -72,30 +72,30 @@
 	case f.Endpoints == nil:
 		return nil, errors.New("endpoints is missing")
 	case f.Snapshot != nil && !*f.Snapshot:
-		return nil, errors.New("snapshot is false: it has changes only")
+		return nil, errors.New("snapshot is false: the file has changes only")
 	case f.Confirm > 0 && !l.Confirmed:
 		return nil, fmt.Errorf("confirm is %d, but index is %d", f.Confirm, f.Index)
 	case f.Count != nil && *f.Count != len(f.Endpoints):
 		return nil, fmt.Errorf("count is %d, but there are %d endpoints", *f.Count, len(f.Endpoints))
-	case len(f.Endpoints) > known.MaxHosts:
-		return nil, fmt.Errorf("has %d endpoints, at most %d can be taken", len(f.Endpoints), known.MaxHosts)
+	case len(f.Endpoints) > constraints.MaxHosts:
+		return nil, fmt.Errorf("has %d endpoints, at most %d are allowed", len(f.Endpoints), constraints.MaxHosts)
 	}
 	if f.Checksum != "" {
-		if err := checkSum(text, f.Checksum); err != nil {
+		if err := verifyChecksum(text, f.Checksum); err != nil {
 			return nil, err
 		}
 	}
-	zones, kinds := places(known.Zones), places(known.Kinds)
+	zones, kinds := stringSet(constraints.Zones), stringSet(constraints.Kinds)
 	names, addresses := map[string]int{}, map[string]int{}
 	for i, e := range f.Endpoints {
 		h, err := e.host()
 		if err != nil {
 			return nil, fmt.Errorf("endpoint %d, %q: %w", i+1, e.Name, err)
 		}
-		if j, twice := names[h.Name]; twice {
+		if j, duplicate := names[h.Name]; duplicate {
 			return nil, fmt.Errorf("endpoint %d, %q: endpoint %d has the same name", i+1, e.Name, j)
 		}
-		if j, twice := addresses[h.Address]; twice {
+		if j, duplicate := addresses[h.Address]; duplicate {
 			return nil, fmt.Errorf("endpoint %d, %q: endpoint %d has the same address", i+1, e.Name, j)
 		}
 		if zones != nil && !zones[h.Zone] {
@@ -110,7 +110,7 @@
 	return l, nil
 }
 
-func places(names []string) map[string]bool {
+func stringSet(names []string) map[string]bool {
 	if names == nil {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	return m
 }
 
-// decode reads the form, strictly.
+// decode decodes a file and rejects unknown fields.
 func decode(path string, text []byte, f *file) error {
 	if filepath.Ext(path) == ".json" {
 		in := json.NewDecoder(bytes.NewReader(text))
@@ -130,7 +130,7 @@
 			return err
 		}
 		if _, err := in.Token(); err != io.EOF {
-			return errors.New("goes on after the list")
+			return errors.New("trailing data after the list")
 		}
 		return nil
 	}
@@ -163,19 +163,19 @@
 	return h, err
 }
 
-// Checksum is the xxHash64 of a text in which the sixteen digits of its own checksum are zeros.
+// Checksum returns the xxHash64 of a text in which the sixteen digits of its own checksum are replaced by zeros.
 func Checksum(text []byte, digits string) string {
 	zeros := bytes.Repeat([]byte("0"), len(digits))
 	sum := xxhash.Sum64(bytes.Replace(text, []byte(digits), zeros, 1))
 	return fmt.Sprintf("%016x", sum)
 }
 
-func checkSum(text []byte, digits string) error {
+func verifyChecksum(text []byte, digits string) error {
 	if _, err := strconv.ParseUint(digits, 16, 64); err != nil || len(digits) != 16 {
 		return errors.New("checksum is not sixteen hexadecimal digits")
 	}
 	if bytes.Count(text, []byte(digits)) != 1 {
-		return errors.New("the checksum's digits stand there twice")
+		return errors.New("the checksum's digits occur twice")
 	}
 	if sum := Checksum(text, digits); sum != digits {
 		return fmt.Errorf("checksum is %s, but the file has %s", digits, sum)
--- a/internal/node/endpoints/files/validator.go
+++ b/internal/node/endpoints/files/validator.go
@@ -1,12 +1,13 @@
-// Package files keeps a list of hosts that others write into a file or a folder of files.
+// Package files reads a host list that other programs write into a file or into a folder of files.
 //
-// A version is read whole, checked, and taken whole or refused whole. A file whose count or checksum proves it whole is
-// taken at once, another once it has not changed for a moment: a file that is cut off at the end of a line looks like a
-// shorter one. A file with an index is never followed by an older one, nor by another with that index.
+// A version is read completely, validated, and accepted or rejected as a whole. A file that proves by a count or a
+// checksum that it is complete is accepted at once. Any other file is accepted once it has not changed for the
+// settle time, because a file that is cut off at the end of a line looks like a shorter list. A file with an index
+// is never followed by one with a lower index, nor by different content with the same index.
 //
-// Parse and Validator are pure; Watcher, beside them, has the folder's notifications, the slow poll and the reading. Bounds:
-// MaxFiles files, and so many bytes in all as the watcher is told, of which one version is kept in memory while it is
-// read; of each file that was ever there the index, up to MaxFiles of them.
+// Parse and Validator are pure. Watcher does the I/O: it subscribes to notifications of the file system, polls at
+// a low rate and reads the files. Bounds: MaxFiles files and Watcher.MaxBytes bytes in all, of which one version
+// is kept in memory while it is read; and the index of each file that ever existed, for up to MaxFiles files.
 package files
 
 import (
@@ -24,109 +25,110 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
-// MaxFiles is how many files a folder may hold.
+// MaxFiles is the maximum number of list files in a folder.
 const MaxFiles = 1024
 
-// Part is a file as it was read.
+// Part is the content of one file.
 type Part struct {
 	Path string
 	Text []byte
 }
 
-// Result is what becomes of what was read.
+// Result is the outcome of a check.
 type Result struct {
-	Version      *merge.Version // to be taken; Accepted or Rejected is to be told then
-	Err          error          // it cannot be used, told once
-	FailingSince float64        // with Err, or while that lasts: when it was first so; else 0
-	ReadAgainAt  float64        // when it is to be read again, whatever is heard of it; +Inf = not for this
+	Version      *merge.Version // version to apply; the caller must then call Accepted or Rejected
+	Err          error          // why the content is invalid; reported once
+	FailingSince float64        // since when the content has been invalid; 0 = it is valid
+	ReadAgainAt  float64        // when to read again, even without a notification; +Inf = not needed
 }
 
-// Validator remembers what was read.
+// Validator decides which content of the files is accepted as a version of the list.
 type Validator struct {
-	known  Constraints
-	settle float64
-	single bool // one file rather than a folder: its index is the list's revision
-	seen   map[string]mark
-	taken  uint64 // the sum of the version that was
-	any    bool   // there is one
-	last   candidate
-	look   bool // a second look was asked for and not given
+	constraints Constraints
+	settle      float64
+	single      bool                 // a single file, not a folder: its index is the list's revision
+	accepted    map[string]fileState // by path, of the accepted version
+	acceptedSum uint64               // digest of the accepted version
+	any         bool                 // whether any version has been accepted
+	last        candidate
+	reread      bool // a re-read was requested and its result not returned yet
 }
 
-// mark is what the version that was taken had of a file.
-type mark struct {
+// fileState is the state of one file in the accepted version.
+type fileState struct {
 	sum, index uint64
-	absent     bool
+	absent     bool // the file did not exist; its last index still counts
 }
 
-// candidate is what was read last.
+// candidate is the content that was read last.
 type candidate struct {
 	sum      uint64
-	since    float64
-	good     bool // it was put together
-	next     map[string]mark
-	v        merge.Version
+	since    float64 // when this content was first read
+	built    bool    // version or err is set
+	files    map[string]fileState
+	version  merge.Version
 	verified bool
 	err      error
-	told     bool // its fault was
+	reported bool // err was returned
 }
 
-// NewValidator makes an empty validator. Settle is for how long, in milliseconds, what proves nothing must be the same.
-func NewValidator(known Constraints, settle float64, single bool) *Validator {
-	return &Validator{known: known, settle: settle, single: single, seen: map[string]mark{}}
+// NewValidator returns a validator that has accepted nothing yet. settle is for how many milliseconds content
+// without a count or checksum must stay the same.
+func NewValidator(constraints Constraints, settle float64, single bool) *Validator {
+	return &Validator{constraints: constraints, settle: settle, single: single, accepted: map[string]fileState{}}
 }
 
-// Check takes what was read, in the order of the paths, or why it could not be. With look a second look is asked for: the
-// next version is one, even if it is known.
-func (s *Validator) Check(now float64, parts []Part, err error, look bool) Result {
-	s.look = s.look || look
+// Check validates the content that was read, the parts sorted by path, or records the error of the read. With
+// reread the next version is returned as the result of a re-read, even if it has not changed.
+func (s *Validator) Check(now float64, parts []Part, err error, reread bool) Result {
+	s.reread = s.reread || reread
 	sum := digest(parts, err)
 	if s.last.sum != sum || s.last.since == 0 {
 		s.last = candidate{sum: sum, since: now}
 	}
 	c := &s.last
-	if s.any && sum == s.taken && err == nil {
-		c.good, c.err = true, nil
-		if !s.look {
+	if s.any && sum == s.acceptedSum && err == nil {
+		c.built, c.err = true, nil
+		if !s.reread {
 			return Result{ReadAgainAt: math.Inf(1)}
 		}
 	}
-	if c.err == nil && (!c.good || s.look) {
+	if c.err == nil && (!c.built || s.reread) {
 		if c.err = err; err == nil {
-			c.err = s.gather(c, parts)
+			c.err = s.build(c, parts)
 		}
-		c.good = true
+		c.built = true
 	}
-	quiet := now >= c.since+s.settle
+	settled := now >= c.since+s.settle
 	switch {
-	case !quiet && (c.err != nil || !c.verified) && !(s.any && sum == s.taken):
+	case !settled && (c.err != nil || !c.verified) && !(s.any && sum == s.acceptedSum):
 		return Result{ReadAgainAt: c.since + s.settle}
 	case c.err != nil:
 		r := Result{FailingSince: c.since, ReadAgainAt: math.Inf(1)}
-		if !c.told {
-			c.told, r.Err = true, c.err
+		if !c.reported {
+			c.reported, r.Err = true, c.err
 		}
 		return r
 	}
-	v := c.v
-	v.Look, s.look = s.look, false
+	v := c.version
+	v.Look, s.reread = s.reread, false
 	return Result{Version: &v, ReadAgainAt: math.Inf(1)}
 }
 
-// Accepted tells that the version that Read gave holds.
+// Accepted records that the version that Check returned was applied.
 func (s *Validator) Accepted() {
-	s.taken, s.any = s.last.sum, true
-	for path, m := range s.seen {
-		if _, ok := s.last.next[path]; !ok && len(s.last.next) < MaxFiles {
+	s.acceptedSum, s.any = s.last.sum, true
+	for path, m := range s.accepted {
+		if _, ok := s.last.files[path]; !ok && len(s.last.files) < MaxFiles {
 			m.absent = true
-			s.last.next[path] = m
+			s.last.files[path] = m
 		}
 	}
-	s.seen = s.last.next
+	s.accepted = s.last.files
 }
 
-// Rejected tells that it was refused for good.
-func (s *Validator) Rejected(err error) { s.last.err, s.last.told = err, true }
+// Rejected records that the version that Check returned was rejected for good.
+func (s *Validator) Rejected(err error) { s.last.err, s.last.reported = err, true }
 
 func digest(parts []Part, err error) uint64 {
 	d := xxhash.New()
@@ -140,73 +142,74 @@
 	return d.Sum64()
 }
 
-// gather puts one version together.
-func (s *Validator) gather(c *candidate, parts []Part) error {
-	c.next = map[string]mark{}
+// build parses the parts and combines them into one version.
+func (s *Validator) build(c *candidate, parts []Part) error {
+	c.files = map[string]fileState{}
 	c.verified = true
-	c.v = merge.Version{Whole: true}
-	meant, changed := true, false
-	from := map[string]string{}
+	c.version = merge.Version{Whole: true}
+	confirmed, changed := true, false
+	definedIn := map[string]string{}
 	for _, p := range parts {
-		l, err := Parse(p.Path, p.Text, s.known)
+		l, err := Parse(p.Path, p.Text, s.constraints)
 		if err != nil {
 			return err
 		}
-		m := mark{sum: xxhash.Sum64(p.Text), index: l.Index}
-		if old, known := s.seen[p.Path]; known && old.sum == m.sum && !old.absent {
-			// Not a word about what others have changed.
-		} else if err := old.before(m, known); err != nil {
+		m := fileState{sum: xxhash.Sum64(p.Text), index: l.Index}
+		if old, known := s.accepted[p.Path]; known && old.sum == m.sum && !old.absent {
+			// An unchanged file neither confirms nor verifies what changed in the others.
+		} else if err := old.checkSuccessor(m, known); err != nil {
 			return fmt.Errorf("%s: %w", p.Path, err)
 		} else {
 			c.verified = c.verified && l.Verified
-			meant, changed = meant && l.Confirmed, true
+			confirmed, changed = confirmed && l.Confirmed, true
 		}
-		c.next[p.Path] = m
+		c.files[p.Path] = m
 		for _, h := range l.Hosts {
-			for _, what := range []string{"name " + h.Name, "address " + h.Address} {
-				if other, twice := from[what]; twice {
-					return fmt.Errorf("%s: the %s stands in %s too", p.Path, what, other)
+			for _, key := range []string{"name " + h.Name, "address " + h.Address} {
+				if other, duplicate := definedIn[key]; duplicate {
+					return fmt.Errorf("%s: the %s is also in %s", p.Path, key, other)
 				}
-				from[what] = p.Path
+				definedIn[key] = p.Path
 			}
 		}
-		c.v.Hosts = append(c.v.Hosts, l.Hosts...)
+		c.version.Hosts = append(c.version.Hosts, l.Hosts...)
 		if s.single {
-			c.v.Revision.Number = l.Index
+			c.version.Revision.Number = l.Index
 		}
 	}
-	for path, m := range s.seen {
-		if _, ok := c.next[path]; !ok && !m.absent { // a file that is gone confirms nothing, nor is it whole for sure
-			meant, changed, c.verified = false, true, false
+	for path, m := range s.accepted {
+		if _, ok := c.files[path]; !ok && !m.absent { // a missing file neither confirms nor verifies the list
+			confirmed, changed, c.verified = false, true, false
 		}
 	}
-	c.v.Meant = meant && changed
-	if len(c.v.Hosts) > s.known.MaxHosts {
-		return fmt.Errorf("%d endpoints in all, at most %d can be taken", len(c.v.Hosts), s.known.MaxHosts)
+	c.version.Meant = confirmed && changed
+	if len(c.version.Hosts) > s.constraints.MaxHosts {
+		return fmt.Errorf("%d endpoints in all, at most %d are allowed", len(c.version.Hosts), s.constraints.MaxHosts)
 	}
-	slices.SortFunc(c.v.Hosts, func(a, b dispatch.Host) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(c.version.Hosts, func(a, b dispatch.Host) int { return cmp.Compare(a.Name, b.Name) })
 	return nil
 }
 
-// before tells whether a file may be followed by another version of it.
-func (m mark) before(next mark, known bool) error {
+// checkSuccessor returns an error if next may not follow the accepted version of a file. known is false for a new
+// file.
+func (m fileState) checkSuccessor(next fileState, known bool) error {
 	switch {
 	case !known || next.index > m.index || next.index == 0 && m.index == 0:
 		return nil
 	case next.index == 0:
-		return fmt.Errorf("has no index, after %d", m.index)
+		return fmt.Errorf("has no index, but the accepted version had index %d", m.index)
 	case next.index < m.index:
 		return fmt.Errorf("index went back from %d to %d", m.index, next.index)
 	case next.sum != m.sum:
-		return fmt.Errorf("other content at index %d", m.index)
+		return fmt.Errorf("different content at the same index %d", m.index)
 	}
 	return nil
 }
 
-// isList tells whether a file of a folder is one of a list, by its name.
+// isList reports by its name whether a file in a folder is part of the list.
 func isList(name string) bool {
 	ext := filepath.Ext(name)
 	return !strings.HasPrefix(name, ".") && (ext == ".toml" || ext == ".json")
 }
 
-var errNoFile = errors.New("the folder holds no list: no .toml, no .json")
+var errNoFile = errors.New("no .toml or .json file in the folder")
--- a/internal/node/endpoints/files/watch.go
+++ b/internal/node/endpoints/files/watch.go
@@ -13,63 +13,63 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/merge"
 )
 
-// Sink is who takes what a source says.
+// Sink receives the versions and the state of a source.
 type Sink interface {
-	Apply(...merge.Version) error // an error = refused for good
-	NoChange(away float64)        // nothing new; since a time there was no word, 0 = there is
-	Unreachable(since float64)
+	Apply(...merge.Version) error // an error = rejected for good
+	NoChange(away float64)        // nothing new; away is since when the origin has been unreachable, 0 = reachable
+	Unreachable(since float64)    // the list cannot be read or is invalid since a time
 }
 
-// firstLimit is how long, in milliseconds, the first list may be waited for.
-const firstLimit = 1000
+// firstReadTimeout is how long OnFirstRead may be delayed, in milliseconds.
+const firstReadTimeout = 1000
 
-// Limits are what may change while the watch goes on, in milliseconds.
+// Limits can be changed while a watcher runs. Times are in milliseconds.
 type Limits struct {
-	PollInterval float64 // between two looks of its own, should notifications be lost
+	PollInterval float64 // between two reads without a notification, in case notifications are lost
 }
 
-// Watcher keeps a sink told of a file or folder.
+// Watcher reads a file or folder whenever it changes and reports to a Sink.
 type Watcher struct {
 	Path        string
-	Single      bool // it is one file
+	Single      bool // Path is one file, not a folder
 	Constraints Constraints
-	MaxBytes    int // bytes
-	Settle      float64
-	Limits      Limits // at the start; SetLimits changes them
+	MaxBytes    int     // of all files together
+	Settle      float64 // milliseconds for which a file without a count or checksum must not have changed
+	Limits      Limits  // initial values; changed by SetLimits
 	Clock       clock.Clock
 	Log         *slog.Logger
 	Sink        Sink
-	OnFirstRead func() // called once, when it is known what the files hold first, or that they are of no use; may be nil
+	OnFirstRead func() // called once, when the first content was accepted or found invalid; may be nil
 
-	mu    sync.Mutex
-	wake  chan struct{}
-	look  bool // a second look was asked for
-	watch *fsnotify.Watcher
+	mu     sync.Mutex
+	wake   chan struct{}
+	reread bool // a re-read was requested
+	watch  *fsnotify.Watcher
 }
 
-// SetLimits changes the limits from the next look on.
+// SetLimits replaces the limits; they apply from the next read.
 func (w *Watcher) SetLimits(l Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Limits = l
 }
 
-// RequestReread asks for the list to be read anew and told as a second look.
+// RequestReread requests that the list is read again and reported as a re-read.
 func (w *Watcher) RequestReread() {
 	w.mu.Lock()
-	w.look = true
+	w.reread = true
 	w.mu.Unlock()
-	w.poke()
+	w.wakeUp()
 }
 
-func (w *Watcher) poke() {
+func (w *Watcher) wakeUp() {
 	select {
 	case w.signal() <- struct{}{}:
 	default:
 	}
 }
 
-// signal is where the watch is woken.
+// signal returns the channel that wakes the watcher.
 func (w *Watcher) signal() chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,27 +83,27 @@
 func (w *Watcher) Run(ctx context.Context) {
 	var err error
 	if w.watch, err = fsnotify.NewWatcher(); err != nil {
-		w.Log.Warn("changes of the list's files are not notified: they are looked at from time to time", "path", w.Path,
+		w.Log.Warn("no notifications for changes of the list files: polling only", "path", w.Path,
 			"error", err)
 	} else {
 		var done sync.WaitGroup
-		done.Go(w.notified)
+		done.Go(w.forwardEvents)
 		defer done.Wait()
-		defer func() { _ = w.watch.Close() }() // nothing of it is needed any more
+		defer func() { _ = w.watch.Close() }() // the watch ends here
 	}
 	validator, start := NewValidator(w.Constraints, w.Settle, w.Single), w.Clock.Now()
 	for {
-		w.follow()
-		again := w.read(validator)
-		// A file that may still be written to is waited for, but not for ever.
-		if w.OnFirstRead != nil && (math.IsInf(again, 1) || w.Clock.Now() >= start+firstLimit) {
+		w.updateWatches()
+		readAgainAt := w.read(validator)
+		// Waits for a file that may still be written to, but only for a limited time.
+		if w.OnFirstRead != nil && (math.IsInf(readAgainAt, 1) || w.Clock.Now() >= start+firstReadTimeout) {
 			w.OnFirstRead()
 			w.OnFirstRead = nil
 		}
 		w.mu.Lock()
-		next := min(again, w.Clock.Now()+w.Limits.PollInterval)
+		next := min(readAgainAt, w.Clock.Now()+w.Limits.PollInterval)
 		w.mu.Unlock()
-		stop := w.Clock.At(next, w.poke)
+		stop := w.Clock.At(next, w.wakeUp)
 		select {
 		case <-w.signal():
 			stop()
@@ -114,54 +114,54 @@
 	}
 }
 
-// notified passes on that something has changed, whatever it is: what counts is what is read then.
-func (w *Watcher) notified() {
+// forwardEvents wakes the watcher on any event: only the content that is read then matters.
+func (w *Watcher) forwardEvents() {
 	for {
 		select {
 		case e, ok := <-w.watch.Events:
 			if !ok {
 				return
 			}
-			if e.Op != fsnotify.Chmod { // neither a name nor a content
-				w.poke()
+			if e.Op != fsnotify.Chmod { // affects neither names nor content
+				w.wakeUp()
 			}
-		case _, ok := <-w.watch.Errors: // such as too many events at once
+		case _, ok := <-w.watch.Errors: // for example an overflow of the event queue
 			if !ok {
 				return
 			}
-			w.poke()
+			w.wakeUp()
 		}
 	}
 }
 
-// follow has the folders watched in which something can change what the path is.
-func (w *Watcher) follow() {
+// updateWatches watches the folders in which a change can make the path refer to different content.
+func (w *Watcher) updateWatches() {
 	if w.watch == nil {
 		return
 	}
 	want, have := WatchDirs(w.Path), w.watch.WatchList()
 	for _, dir := range have {
 		if !slices.Contains(want, dir) {
-			_ = w.watch.Remove(dir) // it may have gone with its folder
+			_ = w.watch.Remove(dir) // fails if the folder was deleted
 		}
 	}
 	for _, dir := range want {
 		if err := w.watch.Add(dir); err != nil {
-			w.Log.Warn("changes of the list's files are not notified: they are looked at from time to time", "path", dir,
+			w.Log.Warn("no notifications for changes of the list files: polling only", "path", dir,
 				"error", err)
 		}
 	}
 }
 
-// read looks once, and gives when to look again whatever is heard.
-func (w *Watcher) read(validator *Validator) (again float64) {
+// read reads the files once and returns when to read them again even without a notification.
+func (w *Watcher) read(validator *Validator) (readAgainAt float64) {
 	w.mu.Lock()
-	look := w.look
-	w.look = false
+	reread := w.reread
+	w.reread = false
 	w.mu.Unlock()
 	parts, err := Read(w.Path, w.MaxBytes)
 	now := w.Clock.Now()
-	r := validator.Check(now, parts, err, look)
+	r := validator.Check(now, parts, err, reread)
 	switch {
 	case r.Version != nil:
 		r.Version.Revision.Epoch = w.Path
@@ -178,7 +178,7 @@
 		w.Sink.NoChange(0)
 	}
 	if r.Err != nil {
-		w.Log.Warn("the list in files cannot be used: the last one stays", "path", w.Path, "error", r.Err)
+		w.Log.Warn("the list in files is unusable: keeping the last one", "path", w.Path, "error", r.Err)
 	}
 	return r.ReadAgainAt
 }
--- a/internal/node/endpoints/lastgood/golden_test.go
+++ b/internal/node/endpoints/lastgood/golden_test.go
@@ -11,8 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// Guards against a build that reads or writes the list differently from an earlier build of the release, with hosts of each
-// status and with every field set.
+// Guards against a build that reads or writes the list differently from an earlier build of the release, with
+// hosts of each status and with every field set.
 func TestFileFormatMatchesEarlierBuild(t *testing.T) {
 	golden.JSON[Record](t, "record")
 	want := Record{Node: "node-1", Changed: 1e12, Followed: "etcd", Sources: []Position{{Source: "etcd", Epoch: "e7", Number: 41}, {Source: "files", Number: 2}}}
--- a/internal/node/endpoints/lastgood/lastgood.go
+++ b/internal/node/endpoints/lastgood/lastgood.go
@@ -1,8 +1,9 @@
-// Package lastgood keeps the last good host list in a file, for a start at which no source of the list is reachable.
+// Package lastgood keeps the last good host list in a file, for a start at which no source of the list is
+// reachable.
 //
-// The file consists of one line with the format, its version, the length and the checksum (see statedir.Form), and one JSON
-// object. It is always replaced as a whole. A list is at most maxBytes long; that of a fleet of ten thousand hosts takes
-// 1.5 MB.
+// The file consists of one line with the format, its version, the length and the checksum (see statedir.Form), and
+// one JSON object. It is always replaced as a whole. A list is at most maxBytes long; that of a fleet of ten
+// thousand hosts takes 1.5 MB.
 package lastgood
 
 import (
@@ -62,8 +63,8 @@
 	return hosts, nil
 }
 
-// Load reads a node's record. It returns nil without an error if the file does not exist, and an error if the file is
-// damaged or belongs to another node.
+// Load reads a node's record. It returns nil without an error if the file does not exist, and an error if the file
+// is damaged or belongs to another node.
 func Load(path, node string) (*Record, error) {
 	text, err := statedir.ReadFile(path, maxBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -89,8 +90,8 @@
 	return &r, nil
 }
 
-// Save writes a record unless the file holds one that is as new or newer: of two processes that serve one after the other,
-// the earlier one may be the last to write.
+// Save writes a record unless the file holds one that is as new or newer: of two processes that serve one after
+// the other, the earlier one may be the last to write.
 func Save(path string, r Record) error {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err == nil {
--- a/internal/node/endpoints/lastgood/lastgood_test.go
+++ b/internal/node/endpoints/lastgood/lastgood_test.go
@@ -20,8 +20,8 @@
 	return r
 }
 
-// Guards against a loaded list that differs from the saved one, an older list that replaces a newer one, a list that is lost
-// when a write fails at any point, and a damaged list or one of another node that is used.
+// Guards against a loaded list that differs from the saved one, an older list that replaces a newer one, a list
+// that is lost when a write fails at any point, and a damaged list or one of another node that is used.
 func TestSaveKeepsNewest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	missing, err := Load(path, "n")
--- a/internal/node/endpoints/manager.go
+++ b/internal/node/endpoints/manager.go
@@ -1,6 +1,7 @@
-// Package endpoints feeds the pilot one list of hosts from several sources: package set decides what is in it, a Manager
-// has the lock, the clock, the log and the file of the last good list. A node whose list comes from discovery alone, without
-// a guard and a file, does without it.
+// Package endpoints supplies the dispatcher with one host list that is merged from several sources. Package merge
+// decides what is in the list; a Manager adds the lock, the clock, the log and the record for the file of the last
+// good list. A node whose list comes from discovery alone, without a guard and without that file, does not use
+// this package.
 package endpoints
 
 import (
@@ -18,15 +19,15 @@
 	"linenwheel.dev/linenwheel/internal/node/endpoints/removalguard"
 )
 
-// Settings say what a keeper is made of.
+// Settings are the settings of a Manager.
 type Settings struct {
 	merge.Settings
 	Node     string
-	OnUpdate func(dispatch.Source, []dispatch.Host) // gets each step, one after the other
-	OnChange func()                                 // called when the list has changed; may be nil
+	OnUpdate func(dispatch.Source, []dispatch.Host) // receives each update of the list, one after the other
+	OnChange func()                                 // called after the list has changed; may be nil
 }
 
-// Manager keeps the list. All of its methods may be called from any goroutine.
+// Manager maintains the merged list. All of its methods may be called from any goroutine.
 type Manager struct {
 	settings Settings
 	clock    clock.Clock
@@ -34,17 +35,17 @@
 
 	mu                sync.Mutex
 	set               *merge.Set
-	rereads           []func()         // by source: asks for a second look
-	hasSourceList     bool             // a source has given a list
-	restoredAt        float64          // when the list was made that stands until then
-	restoredRevisions []merge.Revision // what the sources had come to, as far as that was told
-	changed           float64          // when the list changed last
-	stopTimer         func()           // stops the one that is set
+	rereads           []func()         // by source: requests a re-read of its list
+	hasSourceList     bool             // a source has delivered a list
+	restoredAt        float64          // time of the restored list, which is used until then
+	restoredRevisions []merge.Revision // last known revisions of the sources at that time
+	changed           float64          // time of the last change of the list
+	stopTimer         func()           // stops the timer that is set
 
-	delivering sync.Mutex // held while a step is handed on, so that they come in order
+	delivering sync.Mutex // held while an update is delivered, so that updates arrive in order
 }
 
-// New makes a keeper without a list.
+// New returns a manager without a list, or an error if the settings are invalid.
 func New(settings Settings, c clock.Clock, log *slog.Logger) (*Manager, error) {
 	s, err := merge.New(settings.Settings)
 	if err != nil {
@@ -55,18 +56,19 @@
 		restoredAt:        math.Inf(-1), stopTimer: func() {}}, nil
 }
 
-// SetReread sets who is asked for a second look at a source. It must be set before the source says anything.
-func (m *Manager) SetReread(source int, look func()) { m.rereads[source] = look }
+// SetReread sets the function that requests a re-read of a source's list. It must be called before the source
+// delivers anything.
+func (m *Manager) SetReread(source int, reread func()) { m.rereads[source] = reread }
 
-// Reconfigure changes the guard, the wait and the sources' own settings from now on.
-func (m *Manager) Reconfigure(g removalguard.Settings, wait float64, sources []merge.Source) {
-	m.do(func(float64) { m.set.Tune(g, wait, sources) })
+// Reconfigure changes the settings of the guard, the delay before a re-read and the settings of the sources.
+func (m *Manager) Reconfigure(g removalguard.Settings, rereadDelay float64, sources []merge.Source) {
+	m.do(func(float64) { m.set.Tune(g, rereadDelay, sources) })
 }
 
-// Restore gives the keeper a list from before, of a time, that stands until a source says something. The newest counts.
-// Departures are judged by it if that is no longer than judge milliseconds ago. Positions are what the sources had come to,
-// nil = nothing is known of that.
-func (m *Manager) Restore(hosts []dispatch.Host, at, judge float64, positions []lastgood.Position) {
+// Restore sets a list from an earlier time, which is used until a source delivers one. Of several such lists the
+// newest counts. Departures are judged by the list for baselineFor milliseconds from its time. positions are the
+// positions of the sources at that time; nil = unknown.
+func (m *Manager) Restore(hosts []dispatch.Host, at, baselineFor float64, positions []lastgood.Position) {
 	m.do(func(float64) {
 		if m.hasSourceList || at < m.restoredAt || len(hosts) == 0 {
 			return
@@ -79,11 +81,11 @@
 				}
 			}
 		}
-		m.set.Start(hosts, at+judge, m.restoredRevisions)
+		m.set.Start(hosts, at+baselineFor, m.restoredRevisions)
 	})
 }
 
-// do changes the set, then hands on and tells what has come of it.
+// do calls f, which changes the set, then logs its notes, delivers the update and sets the timer.
 func (m *Manager) do(f func(now float64)) {
 	m.mu.Lock()
 	f(m.clock.Now())
@@ -96,7 +98,7 @@
 	m.schedule()
 }
 
-// deliver hands on what has changed. Who comes while another does that waits, and finds that it was done or does the rest.
+// deliver passes on what has changed. A concurrent caller waits and then delivers what is left, if anything.
 func (m *Manager) deliver() {
 	m.delivering.Lock()
 	defer m.delivering.Unlock()
@@ -115,7 +117,7 @@
 	}
 }
 
-// schedule has tick called when the set wants it.
+// schedule sets the timer to the time at which the set needs the next tick.
 func (m *Manager) schedule() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,36 +129,37 @@
 	}
 }
 
+// tick runs what is due in the set and requests the re-reads that it asks for.
 func (m *Manager) tick() {
-	var look []int
-	m.do(func(now float64) { look = m.set.Due(now) })
-	for _, source := range look {
+	var due []int
+	m.do(func(now float64) { due = m.set.Due(now) })
+	for _, source := range due {
 		m.rereads[source]()
 	}
 }
 
-// Stop ends the keeper's own clock.
+// Stop stops the timer.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopTimer()
 }
 
-// View gives how the list is made up.
+// View returns the state of the list and its sources.
 func (m *Manager) View() merge.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.set.View(m.clock.Now())
 }
 
-// Hosts is the list, by name.
+// Hosts returns the list, sorted by name.
 func (m *Manager) Hosts() []dispatch.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.set.Hosts()
 }
 
-// Record is what is kept of the list for a start without a source.
+// Record returns what is saved of the list for a start without a reachable source.
 func (m *Manager) Record() lastgood.Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,16 +176,17 @@
 	return r
 }
 
-// Feed is where one source says what it has.
+// Feed accepts the updates of one source.
 type Feed struct {
 	m      *Manager
 	source int
 }
 
-// Feed gives the place of a source, by its number in the order of trust.
+// Feed returns the feed of a source, given by its index in the order of trust.
 func (m *Manager) Feed(source int) Feed { return Feed{m, source} }
 
-// Take takes versions, one after the other. It stops at the first that is refused for good.
+// Apply applies versions, one after the other. It stops at the first one that is rejected for good and returns the
+// reason.
 func (f Feed) Apply(versions ...merge.Version) (err error) {
 	m := f.m
 	m.do(func(now float64) {
@@ -194,44 +198,45 @@
 		}
 	})
 	if err != nil {
-		err = fmt.Errorf("refused: %w", err)
+		err = fmt.Errorf("rejected: %w", err)
 	}
 	return err
 }
 
-// Present tells that there is nothing new.
+// NoChange records that there is nothing new. away is the time since which the origin of the source's list has been
+// unreachable; 0 = it is reachable.
 func (f Feed) NoChange(away float64) {
 	f.m.do(func(now float64) { f.m.set.Present(now, f.source, away) })
 }
 
-// Away tells that the source cannot be asked since a time.
+// Unreachable records that the source has been unreachable since a time.
 func (f Feed) Unreachable(since float64) {
 	f.m.do(func(now float64) { f.m.set.Away(now, f.source, since) })
 }
 
-// Confirm tells that who writes to the source means what was held up to a number.
+// Confirm records that the writer of the source's list confirms what was held up to a revision number.
 func (f Feed) Confirm(number uint64) {
 	f.m.do(func(now float64) { f.m.set.Confirm(now, f.source, number) })
 }
 
-// DiscoveryFeed is a feed for what is asked by calls: discovery, or an agent that speaks its form.
+// DiscoveryFeed is a feed for a source that is polled by calls: discovery, or an agent that uses its format.
 type DiscoveryFeed struct {
 	Feed
-	StartedAt float64 // since when it is away until it has answered
+	StartedAt float64 // since when the source counts as unreachable until it has answered
 }
 
-// Take takes an answer.
-func (a DiscoveryFeed) Take(l discovery.List) error {
-	err := a.Feed.Apply(a.versions(l)...)
+// Take applies a response.
+func (d DiscoveryFeed) Take(l discovery.List) error {
+	err := d.Feed.Apply(d.versions(l)...)
 	if err == nil && l.Origin != nil && l.Origin.Confirm > 0 {
-		a.Confirm(l.Origin.Confirm)
+		d.Confirm(l.Origin.Confirm)
 	}
 	return err
 }
 
-// versions takes an answer apart: what changed at one revision is one version.
-func (a DiscoveryFeed) versions(l discovery.List) (list []merge.Version) {
-	away := a.away(l)
+// versions splits a response into versions: the hosts that changed at one revision are one version.
+func (d DiscoveryFeed) versions(l discovery.List) (list []merge.Version) {
+	since := d.unreachableSince(l)
 	at := merge.Revision{Number: uint64(max(l.Index, 0))}
 	if l.Origin != nil {
 		at.Epoch = l.Origin.Epoch
@@ -246,30 +251,30 @@
 		from = to
 	}
 	if list != nil {
-		return append(list, merge.Version{Revision: at, Away: away}) // what is not listed changed up to there
+		return append(list, merge.Version{Revision: at, Away: since}) // no other host has changed up to this one
 	}
-	look := l.Look && (l.Origin == nil || l.Origin.Looked)
-	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Look: look, Away: away}}
+	reread := l.Look && (l.Origin == nil || l.Origin.Looked)
+	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Look: reread, Away: since}}
 }
 
-// away is since when the source behind an answer has not been heard, 0 = it has.
-func (a DiscoveryFeed) away(l discovery.List) float64 {
+// unreachableSince returns since when the origin behind a response has been unreachable; 0 = it is reachable.
+func (d DiscoveryFeed) unreachableSince(l discovery.List) float64 {
 	if l.Origin == nil || l.Origin.Away == 0 {
 		return 0
 	}
-	return a.m.clock.Now() - l.Origin.Away
+	return d.m.clock.Now() - l.Origin.Away
 }
 
-// Same takes an answer that has nothing new.
-func (a DiscoveryFeed) Same(l discovery.List) {
-	a.NoChange(a.away(l))
+// Same processes a response without changes.
+func (d DiscoveryFeed) Same(l discovery.List) {
+	d.NoChange(d.unreachableSince(l))
 	if l.Origin != nil && l.Origin.Confirm > 0 {
-		a.Confirm(l.Origin.Confirm)
+		d.Confirm(l.Origin.Confirm)
 	}
 }
 
-// Away takes the end of a call that failed.
-func (a DiscoveryFeed) Away(since float64) { a.Feed.Unreachable(cmp.Or(since, a.StartedAt)) }
+// Away records the end of a failed call.
+func (d DiscoveryFeed) Away(since float64) { d.Feed.Unreachable(cmp.Or(since, d.StartedAt)) }
 
 // logNote logs a note.
 func (m *Manager) logNote(n *merge.Note) {
@@ -277,33 +282,33 @@
 	switch n.Kind {
 	case merge.Held:
 		if n.Floor {
-			m.log.Error("departures leave too few hosts: they count once they are confirmed", "source", n.Source, "revision", revision,
+			m.log.Error("departures would leave too few hosts: holding them until they are confirmed", "source", n.Source, "revision", revision,
 				"count", n.Count, "serving", n.Serving, "first", n.Names)
 			return
 		}
-		m.log.Warn("many hosts depart at once: they count after a second look", "source", n.Source, "revision", revision,
+		m.log.Warn("many hosts depart at once: holding the departures until the list is read again", "source", n.Source, "revision", revision,
 			"count", n.Count, "serving", n.Serving, "first", n.Names)
 	case merge.Admitted:
 		by := "confirmation"
 		if n.Looked {
 			by = "second look"
 		}
-		m.log.Warn("departures that were held count now", "source", n.Source, "revision", revision, "count", n.Count,
+		m.log.Warn("applying held departures", "source", n.Source, "revision", revision, "count", n.Count,
 			"serving", n.Serving, "first", n.Names, "by", by)
 	case merge.Resolved:
-		m.log.Info("no departure is held any more", "source", n.Source, "revision", revision)
+		m.log.Info("no departures are held any more", "source", n.Source, "revision", revision)
 	case merge.Lead:
-		m.log.Info("the list follows another source", "source", n.Source, "before", n.Other, "revision", revision)
+		m.log.Info("the host list follows another source", "source", n.Source, "before", n.Other, "revision", revision)
 	case merge.Aged:
-		m.log.Error("every source of the list is away: the last list stays", "source", n.Source, "age_ms", n.Age)
+		m.log.Error("all sources of the host list are unreachable: keeping the last list", "source", n.Source, "age_ms", n.Age)
 	case merge.Fresh:
-		m.log.Info("a source of the list is there again", "source", n.Source)
+		m.log.Info("a source of the host list is reachable again", "source", n.Source)
 	case merge.Differ:
-		m.log.Warn("two sources of the list disagree", "source", n.Source, "followed", n.Other, "count", n.Count, "first", n.Names)
+		m.log.Warn("two sources of the host list disagree", "source", n.Source, "followed", n.Other, "count", n.Count, "first", n.Names)
 	case merge.Agree:
-		m.log.Info("two sources of the list agree again", "source", n.Source, "followed", n.Other)
+		m.log.Info("two sources of the host list agree again", "source", n.Source, "followed", n.Other)
 	case merge.Unusable:
-		m.log.Warn("hosts without a name, or of a zone or kind that the settings do not name: they stay as they were", "source", n.Source,
+		m.log.Warn("hosts without a name, or with an unknown zone or kind: keeping their previous state", "source", n.Source,
 			"count", n.Count, "first", n.Names)
 	}
 }
--- a/internal/node/endpoints/manager_test.go
+++ b/internal/node/endpoints/manager_test.go
@@ -31,7 +31,7 @@
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
 
-// The histories are the same ones each time, unless -rapid.seed asks for others.
+// TestMain fixes the seed, so that every run draws the same sequences unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "30")
@@ -39,19 +39,20 @@
 }
 
 const (
-	grace = 500.0
-	// settleTime is how long after the last fault the list is that of the cluster: a watch falls silent (3 s), both endpoints
-	// are tried (2 s a call, two calls), the longest pause (1 s), and what the guard holds waits (2 s) and is read anew.
+	drainGrace = 500.0 // milliseconds
+	// settleTime is how long after the last fault the list equals that of the cluster: a watch is found silent (3
+	// s), both endpoints are tried (2 s a call, two calls), the longest pause passes (1 s), and what the guard
+	// holds waits (2 s) and is read again.
 	settleTime = 3*time.Second + 8*time.Second + time.Second + 5*time.Second
 )
 
-// step is one of a history.
+// step is one step of a random sequence.
 type step struct {
 	what, name string
 	member, ms int
 }
 
-func draw(t *rapid.T) step {
+func drawStep(t *rapid.T) step {
 	return step{rapid.SampledFrom([]string{"put", "put", "drain", "delete", "swap", "wipe", "lease", "compact", "drop", "cut", "down", "up", "lag",
 		"catch up", "hold", "go on", "repeat", "reorder", "leader", "no leader", "cancel", "file", "file", "half a file", "old file", "no file",
 		"agent away"}).Draw(t, "what"),
@@ -63,30 +64,30 @@
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":%q,"weight":1}`, name, address, status)
 }
 
-// fleet is a node's list and its pilot, and what is wrong with what they do.
-type fleet struct {
-	t       *testing.T
-	clock   clock.Clock
-	pilot   *dispatch.Dispatcher
-	manager *Manager
-	truth   func() map[string]string // what the cluster has
+// testNode is a node's list and dispatcher, and the violations that were found.
+type testNode struct {
+	t          *testing.T
+	clock      clock.Clock
+	dispatcher *dispatch.Dispatcher
+	manager    *Manager
+	truth      func() map[string]string // values that the cluster has
 
-	mu      sync.Mutex
-	hosts   map[string]dispatch.Host
-	left    map[string]float64 // when a host was told to depart
-	gone    map[string]bool    // addresses that were replaced or left
-	faults  []string
-	relays  int
-	settled int
+	mu            sync.Mutex
+	hosts         map[string]dispatch.Host
+	departedAt    map[string]float64 // when a host began to depart
+	leftAddresses map[string]bool    // addresses that hosts have left
+	violations    []string
+	requests      int
+	settleCalls   int
 }
 
-// fault must be called with the lock held.
-func (f *fleet) fault(format string, args ...any) {
-	f.faults = append(f.faults, fmt.Sprintf(format, args...))
+// violation records a violation. The lock must be held.
+func (f *testNode) violation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// give is between the keeper and the pilot.
-func (f *fleet) give(kind dispatch.Source, list []dispatch.Host) {
+// onUpdate receives the updates of the manager, checks them and passes them to the dispatcher.
+func (f *testNode) onUpdate(kind dispatch.Source, list []dispatch.Host) {
 	f.mu.Lock()
 	now, before, truth := f.clock.Now(), maps.Clone(f.hosts), f.truth()
 	if kind != dispatch.Changes {
@@ -98,40 +99,40 @@
 		}
 	}
 	for name, old := range before {
-		h, there := f.hosts[name]
-		if _, told := f.left[name]; !told && (!there || h.Status != dispatch.Ready) {
-			f.left[name] = now
+		h, listed := f.hosts[name]
+		if _, departed := f.departedAt[name]; !departed && (!listed || h.Status != dispatch.Ready) {
+			f.departedAt[name] = now
 		}
-		if (!there || h.Address != old.Address) && !strings.Contains(truth["r/"+name], old.Address) {
-			f.gone[old.Address] = true
+		if (!listed || h.Address != old.Address) && !strings.Contains(truth["r/"+name], old.Address) {
+			f.leftAddresses[old.Address] = true
 		}
 	}
 	for name, h := range f.hosts {
 		if h.Status == dispatch.Ready {
-			delete(f.left, name)
+			delete(f.departedAt, name)
 		}
-		if f.gone[h.Address] && h.Status == dispatch.Ready && !strings.Contains(truth["r/"+name], h.Address) {
-			f.fault("%s is back at %s", name, h.Address)
+		if f.leftAddresses[h.Address] && h.Status == dispatch.Ready && !strings.Contains(truth["r/"+name], h.Address) {
+			f.violation("%s is ready again at %s, which it had left", name, h.Address)
 		}
 	}
 	one, two := f.hosts["one"], f.hosts["two"]
 	if len(f.hosts) == 0 || one.Name != "" && two.Name != "" && one.Status == two.Status {
-		f.fault("empty or mixed: %v", f.hosts)
+		f.violation("empty or mixed list: %v", f.hosts)
 	}
 	f.mu.Unlock()
-	f.pilot.SetHosts(kind, list)
+	f.dispatcher.SetHosts(kind, list)
 }
 
-// ask has a request served every few milliseconds, until ctx ends, and looks whom it goes to.
-func (f *fleet) ask(ctx context.Context) {
+// sendRequests sends a request every 20 ms until ctx ends, and checks which host it goes to.
+func (f *testNode) sendRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := f.clock.Now()
-		q := f.pilot.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
+		q := f.dispatcher.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
 		if v := q.Pick(); v.Kind == dispatch.Send {
 			f.mu.Lock()
-			f.relays++
-			if at, told := f.left[v.Host]; told && now > at+grace+1 {
-				f.fault("a relay to %s, %.0f ms after it was told to depart", v.Host, now-at)
+			f.requests++
+			if at, departed := f.departedAt[v.Host]; departed && now > at+drainGrace+1 {
+				f.violation("request to %s, %.0f ms after it began to depart", v.Host, now-at)
 			}
 			f.mu.Unlock()
 			q.Report(v.Relay, dispatch.Served, nil)
@@ -140,14 +141,14 @@
 	}
 }
 
-// watch asks the agent as a node's watch does, but for the sockets.
-func (f *fleet) watch(ctx context.Context, server *agent.Server, to DiscoveryFeed, look <-chan struct{}, away *atomic.Bool) {
+// watch calls the agent like a node's watcher does, but without sockets.
+func (f *testNode) watch(ctx context.Context, server *agent.Server, to DiscoveryFeed, reread <-chan struct{}, unavailable *atomic.Bool) {
 	index, epoch, known := int64(0), "", false
 	for ctx.Err() == nil {
-		path, looking := "/discovery/hosts", false
+		path, rereading := "/discovery/hosts", false
 		select {
-		case <-look:
-			path, looking = path+"?look=1", true
+		case <-reread:
+			path, rereading = path+"?look=1", true
 		default:
 			if known {
 				path += fmt.Sprintf("?index=%d&epoch=%s&wait=1000", index, epoch)
@@ -156,15 +157,15 @@
 		got := httptest.NewRecorder()
 		server.Handler().ServeHTTP(got, httptest.NewRequestWithContext(ctx, "GET", path, nil))
 		l, _, err := discovery.Decode(got.Body.Bytes())
-		if err == nil && got.Code == 200 && !away.Load() {
-			l.Look, l.Whole = looking, l.Whole || !known
+		if err == nil && got.Code == 200 && !unavailable.Load() {
+			l.Look, l.Whole = rereading, l.Whole || !known
 			if l.Whole || len(l.Hosts) > 0 {
 				err = to.Take(l)
 			} else {
 				to.Same(l)
 			}
 		}
-		if known = err == nil && got.Code == 200 && !away.Load(); !known {
+		if known = err == nil && got.Code == 200 && !unavailable.Load(); !known {
 			to.Away(f.clock.Now())
 			time.Sleep(100 * time.Millisecond)
 			continue
@@ -173,24 +174,24 @@
 	}
 }
 
-// folder is a file of a list, without a disk.
-type folder struct {
-	lock      chan struct{} // of one place: who waits for it lets time go by
+// memoryFile is the file of a list, in memory.
+type memoryFile struct {
+	lock      chan struct{} // capacity 1; unlike with a mutex, the fake clock advances while a goroutine waits for it
 	validator *files.Validator
 	feed      Feed
 	clock     clock.Clock
-	text      string // empty = there is none
+	text      string // empty = the file does not exist
 }
 
-// write replaces the text; the watch then looks at once, and once more when that is wanted.
-func (d *folder) write(text string) {
+// write replaces the text, which is then read at once, and once more after the settle time.
+func (d *memoryFile) write(text string) {
 	d.lock <- struct{}{}
 	d.text = text
 	<-d.lock
 	d.read(false)
 }
 
-func (d *folder) read(look bool) {
+func (d *memoryFile) read(reread bool) {
 	d.lock <- struct{}{}
 	defer func() { <-d.lock }()
 	for range 2 {
@@ -198,8 +199,8 @@
 		if d.text == "" {
 			parts, err = nil, os.ErrNotExist
 		}
-		r := d.validator.Check(d.clock.Now(), parts, err, look)
-		look = false
+		r := d.validator.Check(d.clock.Now(), parts, err, reread)
+		reread = false
 		switch {
 		case r.Version != nil:
 			if err := d.feed.Apply(*r.Version); err != nil {
@@ -215,31 +216,31 @@
 	}
 }
 
-// Guards, over random histories of keys, files and faults, from etcd to the pilot, against a list that is not the cluster's a
-// stated time after the faults end, one that is mixed or empty, a host that comes back at an address that it has left, and a
-// relay to one that was told to depart more than 500 ms before.
-func TestFromEtcdAndFilesToThePilot(t *testing.T) {
+// Guards, over random sequences of keys, files and faults, from etcd to the dispatcher, against a list that
+// differs from the cluster's a stated time after the faults end, a mixed or empty list, a host that becomes ready
+// at an address that it has left, and a request to a host that began to depart more than 500 ms before.
+func TestEtcdAndFilesToDispatcher(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		steps := rapid.SliceOfN(rapid.Custom(draw), 1, 40).Draw(r, "steps")
-		f := &fleet{t: t, hosts: map[string]dispatch.Host{}, left: map[string]float64{}, gone: map[string]bool{}}
-		synctest.Test(t, func(t *testing.T) { f.play(t, steps) })
-		require.Empty(r, f.faults)
-		require.NotZero(r, f.relays)
+		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(r, "steps")
+		f := &testNode{t: t, hosts: map[string]dispatch.Host{}, departedAt: map[string]float64{}, leftAddresses: map[string]bool{}}
+		synctest.Test(t, func(t *testing.T) { f.run(t, steps) })
+		require.Empty(r, f.violations)
+		require.NotZero(r, f.requests)
 	})
 }
 
-// play is one history.
-func (f *fleet) play(t *testing.T, steps []step) {
+// run executes one sequence of steps.
+func (f *testNode) run(t *testing.T, steps []step) {
 	f.clock = clock.NewSystem()
 	discard := slog.New(slog.DiscardHandler)
 	var err error
-	f.pilot, err = dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
+	f.dispatcher, err = dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"},
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
 	f.manager, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
 		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, Wait: 2000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
-		OnUpdate: f.give}, f.clock, discard)
+		OnUpdate: f.onUpdate}, f.clock, discard)
 	require.NoError(t, err)
 	c, err := etcdtest.New(etcdtest.Settings{Members: 2, Clock: f.clock, Memory: true})
 	require.NoError(t, err)
@@ -249,31 +250,31 @@
 	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", Most: 100, CallLimit: 1000, Ask: 1000, Silence: 3000,
 		CheckEvery: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{store, f.clock})
 	server := &agent.Server{Store: store, Clock: f.clock, RequestReread: source.Look}
-	look := make(chan struct{}, 1)
+	reread := make(chan struct{}, 1)
 	f.manager.SetReread(0, func() {
 		select {
-		case look <- struct{}{}:
+		case reread <- struct{}{}:
 		default:
 		}
 	})
 	var work sync.WaitGroup
-	list := &folder{lock: make(chan struct{}, 1), validator: files.NewValidator(files.Constraints{MaxHosts: 100}, 50, true), feed: f.manager.Feed(1), clock: f.clock}
+	list := &memoryFile{lock: make(chan struct{}, 1), validator: files.NewValidator(files.Constraints{MaxHosts: 100}, 50, true), feed: f.manager.Feed(1), clock: f.clock}
 	f.manager.SetReread(1, func() { work.Go(func() { list.read(true) }) })
 
-	turn, away := 0, new(atomic.Bool)
-	put := func(name string) string { // each time at another address
+	turn, unavailable := 0, new(atomic.Bool)
+	put := func(name string) string { // uses a new address each time
 		turn++
 		return entry(name, fmt.Sprintf("10.0.%d.%d:80", turn/250, turn%250), "Ready")
 	}
 	c.Write(map[string]string{"r/one": put("one"), "r/a": put("a"), "r/b": put("b"), "r/c": put("c")})
 	ctx, cancel := context.WithCancel(t.Context())
 	work.Go(func() { source.Run(ctx) })
-	work.Go(func() { f.watch(ctx, server, DiscoveryFeed{f.manager.Feed(0), f.clock.Now()}, look, away) })
-	work.Go(func() { f.ask(ctx) })
+	work.Go(func() { f.watch(ctx, server, DiscoveryFeed{f.manager.Feed(0), f.clock.Now()}, reread, unavailable) })
+	work.Go(func() { f.sendRequests(ctx) })
 	defer func() { cancel(); f.manager.Stop(); work.Wait() }()
 
 	index, old, last := 0, "", ""
-	written := func() string { // what the cluster has, as a file
+	clusterAsFile := func() string { // returns the values of the cluster in the format of a file
 		index++
 		text := ""
 		for key, value := range c.Values("r/") {
@@ -283,11 +284,11 @@
 		}
 		return fmt.Sprintf(`{"index":%d,"endpoints":[%s]}`, index, strings.TrimPrefix(text, ","))
 	}
-	for _, one := range steps {
-		m, key := c.Members[one.member], "r/"+one.name
-		switch one.what {
+	for _, step := range steps {
+		m, key := c.Members[step.member], "r/"+step.name
+		switch step.what {
 		case "put":
-			c.Put(key, put(one.name))
+			c.Put(key, put(step.name))
 		case "drain":
 			if value := c.Values("r/")[key]; value != "" {
 				c.Put(key, strings.Replace(value, "Ready", "Terminating", 1))
@@ -307,7 +308,7 @@
 			}
 			c.Write(gone)
 		case "lease":
-			c.PutFor(1500, key, put(one.name))
+			c.PutFor(1500, key, put(step.name))
 		case "compact":
 			c.Compact()
 		case "drop":
@@ -318,49 +319,49 @@
 			m.Down()
 		case "up":
 			m.Down()
-			_ = m.Up() // in memory
+			_ = m.Up() // cannot fail: the member is in memory
 		case "lag":
 			m.Lag(false)
 		case "catch up":
 			m.CatchUp()
 		case "hold", "go on":
-			m.Hold(one.what == "hold")
+			m.Hold(step.what == "hold")
 		case "repeat":
 			m.Repeat(2)
 		case "reorder":
 			m.Swap(1)
 		case "leader", "no leader":
-			c.Leader(one.what == "leader")
+			c.Leader(step.what == "leader")
 		case "cancel":
 			m.Cancel("no more")
 		case "file":
 			old = last
-			last = written()
+			last = clusterAsFile()
 			list.write(last)
 		case "half a file":
-			text := written()
+			text := clusterAsFile()
 			list.write(text[:len(text)/2])
 		case "old file":
 			list.write(old)
 		case "no file":
 			list.write("")
 		case "agent away":
-			away.Store(!away.Load())
+			unavailable.Store(!unavailable.Load())
 		}
-		f.settle(time.Duration(one.ms) * time.Millisecond)
+		f.settle(time.Duration(step.ms) * time.Millisecond)
 	}
 	for _, m := range c.Members {
 		if m.IsDown() {
-			_ = m.Up() // in memory
+			_ = m.Up() // cannot fail: the member is in memory
 		}
 		m.CatchUp()
 		m.Hold(false)
 		m.Swap(0)
 	}
 	c.Leader(true)
-	away.Store(false)
-	f.settle(2 * time.Second) // leases end
-	list.write(written())
+	unavailable.Store(false)
+	f.settle(2 * time.Second) // leases expire
+	list.write(clusterAsFile())
 	f.settle(settleTime)
 	want := map[string]string{}
 	for key, value := range c.Values("r/") {
@@ -372,20 +373,20 @@
 		have[name] = entry(name, e.Address, e.Status)
 	}
 	if !maps.Equal(want, have) {
-		f.fault("at the end %v for %v: %+v", have, want, f.manager.View())
+		f.violation("at the end: have %v, want %v: %+v", have, want, f.manager.View())
 	}
 }
 
-// settle lets time go by, and all that it brings.
-func (f *fleet) settle(d time.Duration) {
+// settle lets time pass and waits until all goroutines are idle.
+func (f *testNode) settle(d time.Duration) {
 	f.mu.Lock()
-	f.settled++ // after what was looked at before
+	f.settleCalls++ // under the lock: orders this call after earlier accesses
 	f.mu.Unlock()
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// sink is what stands between source and store in the agent's program.
+// sink connects the etcd source and the store, as in the agent's program.
 type sink struct {
 	store *agent.Store
 	clock clock.Clock
--- a/internal/node/endpoints/removalguard/guard.go
+++ b/internal/node/endpoints/removalguard/guard.go
@@ -1,9 +1,10 @@
-// Package removalguard limits how many hosts of a fleet may depart at once. A host departs when it was serving and a new
-// version of the list makes it drain, removes it or moves it to another address. The owner of the list calls Evaluate
-// before it applies a version, and afterwards records the departures and returns that it has applied.
+// Package removalguard limits how many hosts of a fleet may depart at once. A host departs when it was serving and
+// a new version of the list makes it drain, removes it or moves it to another address. The owner of the list calls
+// Evaluate before it applies a version, and afterwards records the departures and returns that it has applied.
 //
-// The package is pure: no I/O, no goroutine, no lock, no clock. Times are in milliseconds. State: the names of the hosts
-// that have departed within the window and have not returned, at most maxNames; beyond that the oldest are forgotten.
+// The package is pure: no I/O, no goroutine, no lock, no clock. Times are in milliseconds. State: the names of the
+// hosts that have departed within the window and have not returned, at most maxNames; beyond that the oldest are
+// forgotten.
 package removalguard
 
 import (
@@ -81,9 +82,9 @@
 // Set replaces the settings; they must pass Check.
 func (g *Guard) Set(set Settings) { g.set = set }
 
-// Evaluate decides on a version. A version that only drains a single host is always accepted, whatever departed before:
-// such a drain was requested for this one host, and a draining host rejects new requests. It needs no free share of the
-// window but does use it up.
+// Evaluate decides on a version. A version that only drains a single host is always accepted, whatever departed
+// before: such a drain was requested for this one host, and a draining host rejects new requests. It needs no free
+// share of the window but does use it up.
 func (g *Guard) Evaluate(now float64, c Change) Verdict {
 	departing := c.Drains + c.Leaves
 	if departing == 0 || departing == 1 && c.Drains == 1 {
--- a/internal/node/endpoints/removalguard/guard_test.go
+++ b/internal/node/endpoints/removalguard/guard_test.go
@@ -11,8 +11,8 @@
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed: the same sequences in every run
 )
 
-// Guards against a guard that allows more or fewer departures than its settings say, that counts a host twice, after it
-// has returned or beyond the window, or that holds a single drain. The model keeps every departure.
+// Guards against a guard that allows more or fewer departures than its settings say, that counts a host twice,
+// after it has returned or beyond the window, or that holds a single drain. The model keeps every departure.
 func TestEvaluate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{Share: float64(rapid.IntRange(1, 4).Draw(t, "quarters")) / 4, Window: 1000, Floor: rapid.IntRange(0, 3).Draw(t, "floor")}
@@ -55,8 +55,8 @@
 	})
 }
 
-// Guards against invalid settings that are accepted, and against unbounded memory use when hosts come and go under new
-// names.
+// Guards against invalid settings that are accepted, and against unbounded memory use when hosts come and go under
+// new names.
 func TestBounds(t *testing.T) {
 	for _, bad := range []Settings{{}, {Share: 1.1}, {Share: 1, Window: -1}, {Share: 1, Floor: -1}} {
 		_, err := New(bad)
