--- a/internal/node/endpoints/concurrent_update_test.go
+++ b/internal/node/endpoints/concurrent_update_test.go
@@ -57,7 +57,7 @@
 	last, applied := -1, 0
 	m, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", Keep: 1e6, Expect: path}},
 		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
-		OnUpdate: func(kind dispatch.Source, list []dispatch.Host) { d.SetHosts(kind, list) }}, c, discard)
+		OnUpdate: func(kind dispatch.ListKind, list []dispatch.Host) { d.SetHosts(kind, list) }}, c, discard)
 	require.NoError(t, err)
 	w := &files.Watcher{Path: path, Single: true, Constraints: files.Constraints{Zones: []string{"z"}, Kinds: []string{"k"}, MaxHosts: 9}, MaxBytes: 1 << 20,
 		Settle: 5, Limits: files.Limits{PollInterval: 1000}, Clock: c, Log: discard, Sink: m.Feed(0)}
@@ -91,11 +91,11 @@
 			for ctx.Err() == nil {
 				q := d.Open(dispatch.Request{Tenant: -1, Deadline: c.Now() + 900})
 				requestCount.Add(1)
-				v := q.Pick()
+				v := q.Next()
 				checkList()
 				switch v.Kind {
 				case dispatch.Send:
-					q.Report(v.Relay, dispatch.Served, nil)
+					q.Report(v.AttemptIndex, dispatch.Served, nil)
 					if !addresses[v.Address] {
 						mu.Lock()
 						failures = append(failures, "a request to "+v.Address)
--- a/internal/node/endpoints/cordon/cordon.go
+++ b/internal/node/endpoints/cordon/cordon.go
@@ -36,9 +36,9 @@
 
 // Apply records an update of the sources, the whole list or what has changed, and returns it as the dispatcher
 // must see it.
-func (t *Tracker) Apply(from dispatch.Source, list []dispatch.Host) []dispatch.Host {
+func (t *Tracker) Apply(from dispatch.ListKind, list []dispatch.Host) []dispatch.Host {
 	t.make()
-	if from != dispatch.Changes {
+	if from != dispatch.Delta {
 		clear(t.listed)
 	}
 	result := list
--- a/internal/node/endpoints/cordon/cordon_test.go
+++ b/internal/node/endpoints/cordon/cordon_test.go
@@ -48,7 +48,7 @@
 				if listed[target] = h.Status != dispatch.Removed; !listed[target] {
 					delete(listed, target)
 				}
-				applyUpdate(tracker.Apply(dispatch.Changes, []dispatch.Host{h}))
+				applyUpdate(tracker.Apply(dispatch.Delta, []dispatch.Host{h}))
 			case 2, 3:
 				list, err := tracker.Suspend(target)
 				require.Equal(t, !listed[target] && !cordoned[target], err != nil)
@@ -105,7 +105,7 @@
 	require.Empty(t, tracker.SetFleetCordons(6, []string{"a", "later"}))
 	_, err := tracker.Resume(7, "a")
 	require.ErrorIs(t, err, ErrFleet)
-	shown := tracker.Apply(dispatch.Changes, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
+	shown := tracker.Apply(dispatch.Delta, []dispatch.Host{{Name: "later", Status: dispatch.Ready}})
 	require.Equal(t, dispatch.Draining, shown[0].Status)
 	_, err = tracker.Suspend("a")
 	require.NoError(t, err)
--- a/internal/node/endpoints/manager.go
+++ b/internal/node/endpoints/manager.go
@@ -23,8 +23,8 @@
 type Settings struct {
 	merge.Settings
 	Node     string
-	OnUpdate func(dispatch.Source, []dispatch.Host) // receives each update of the list, one after the other
-	OnChange func()                                 // called after the list has changed; may be nil
+	OnUpdate func(dispatch.ListKind, []dispatch.Host) // receives each update of the list, one after the other
+	OnChange func()                                   // called after the list has changed; may be nil
 }
 
 // Manager maintains the merged list. All of its methods may be called from any goroutine.
--- a/internal/node/endpoints/manager_test.go
+++ b/internal/node/endpoints/manager_test.go
@@ -87,10 +87,10 @@
 }
 
 // onUpdate receives the updates of the manager, checks them and passes them to the dispatcher.
-func (f *testNode) onUpdate(kind dispatch.Source, list []dispatch.Host) {
+func (f *testNode) onUpdate(kind dispatch.ListKind, list []dispatch.Host) {
 	f.mu.Lock()
 	now, before, truth := f.clock.Now(), maps.Clone(f.hosts), f.truth()
-	if kind != dispatch.Changes {
+	if kind != dispatch.Delta {
 		clear(f.hosts)
 	}
 	for _, h := range list {
@@ -128,14 +128,14 @@
 	for ctx.Err() == nil {
 		now := f.clock.Now()
 		q := f.dispatcher.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
-		if v := q.Pick(); v.Kind == dispatch.Send {
+		if v := q.Next(); v.Kind == dispatch.Send {
 			f.mu.Lock()
 			f.requests++
 			if at, departed := f.departedAt[v.Host]; departed && now > at+drainGrace+1 {
 				f.violation("request to %s, %.0f ms after it began to depart", v.Host, now-at)
 			}
 			f.mu.Unlock()
-			q.Report(v.Relay, dispatch.Served, nil)
+			q.Report(v.AttemptIndex, dispatch.Served, nil)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/node/quota/status.go
+++ b/internal/node/quota/status.go
@@ -4,20 +4,20 @@
 
 // Status is the state of a node, for operators.
 type Status struct {
-	Name     string  `json:"name"`
-	Parent   string  `json:"parent"`
-	Leaf     bool    `json:"leaf"`
-	Rate     Amount  `json:"rate"`              // guaranteed now, per second: requests, value
-	Tokens   Amount  `json:"tokens"`            // in its bucket; negative where it is overdrawn
-	Cap      Amount  `json:"cap"`               // of its bucket
-	Credit   float64 `json:"credit"`            // requests that its siblings owe it
-	Debt     float64 `json:"debt"`              // requests that it owes them
-	LentTo   string  `json:"lent_to,omitempty"` // the last sibling that borrowed from it
-	Going    uint64  `json:"going"`             // calls so far: within its guarantee
-	Borrowed uint64  `json:"borrowed"`          // with borrowed capacity
-	Paid     uint64  `json:"paid"`              // with capacity that was repaid to it
-	Refused  uint64  `json:"refused"`
-	Reason   string  `json:"reason,omitempty"` // of the last rejection
+	Name       string  `json:"name"`
+	Parent     string  `json:"parent"`
+	Leaf       bool    `json:"leaf"`
+	Rate       Amount  `json:"rate"`              // current guarantee per second: requests, value
+	Tokens     Amount  `json:"tokens"`            // in its bucket; negative if the bucket is overdrawn
+	Cap        Amount  `json:"cap"`               // of its bucket
+	Credit     float64 `json:"credit"`            // requests that its siblings owe it
+	Debt       float64 `json:"debt"`              // requests that it owes them
+	LentTo     string  `json:"lent_to,omitempty"` // the last sibling that borrowed from it
+	Guaranteed uint64  `json:"going"`             // number of calls admitted within its guarantee
+	Borrowed   uint64  `json:"borrowed"`          // admitted with borrowed capacity
+	Repaid     uint64  `json:"paid"`              // admitted with capacity that was repaid to it
+	Rejected   uint64  `json:"refused"`           // rejected
+	Reason     string  `json:"reason,omitempty"`  // of the last rejection
 }
 
 // Status returns the state of one node.
@@ -26,8 +26,8 @@
 	t.refresh(int32(i))
 	n := &t.nodes[i]
 	s := Status{Name: t.names[i], Leaf: n.firstChild < 0, Credit: n.credit * t.nodes[Root].own[Requests].rate,
-		Debt: n.debt * t.nodes[Root].own[Requests].rate, Going: n.counts[Go], Borrowed: n.counts[Borrowed], Paid: n.counts[Repaid],
-		Refused: n.counts[Rejected], Reason: n.reason.String()}
+		Debt: n.debt * t.nodes[Root].own[Requests].rate, Guaranteed: n.counts[WithinGuarantee], Borrowed: n.counts[Borrowed], Repaid: n.counts[Repaid],
+		Rejected: n.counts[Rejected], Reason: n.reason.String()}
 	if n.parent >= 0 {
 		s.Parent = t.names[n.parent]
 	}
@@ -46,8 +46,8 @@
 // Parent returns the index of the parent of a node, -1 for the root.
 func (t *Tree) Parent(node int) int { return int(t.nodes[node].parent) }
 
-// Loads are the rates of a node as fractions of those of the root, each the least of all measures: all that the root
-// can do in a second is a load of 1. +Inf = no such limit.
+// Loads are the rates of a node as fractions of the root's rates, each the minimum over the measures: what the
+// root can do in a second is a load of 1. +Inf = no such limit.
 type Loads struct{ Guarantee, RateLimit, LongLimit float64 }
 
 // Loads returns the loads of a node at full capacity.
@@ -69,14 +69,14 @@
 	return l
 }
 
-// Ways reports whether a node lends, and whether it borrows.
-func (t *Tree) Ways(i int) (lends, borrows bool) {
+// Sharing reports whether a node lends, and whether it borrows.
+func (t *Tree) Sharing(i int) (lends, borrows bool) {
 	return !t.nodes[i].noLending, !t.nodes[i].noBorrowing
 }
 
-// Due divides a capacity, in requests per second, among leaves that request so much, see Fluid.Due. The decisions of
-// a tree are measured against it.
-func (t *Tree) Due(capacity float64, requested map[int]float64) map[int]float64 {
+// FairRates divides a capacity, in requests per second, among leaves with the given requested rates, see
+// Fluid.Allocate. The decisions of a tree are compared with it.
+func (t *Tree) FairRates(capacity float64, requested map[int]float64) map[int]float64 {
 	f, want := Fluid{}, make([]float64, len(t.nodes))
 	for i := range t.nodes {
 		f.Add(int(t.nodes[i].parent), t.nodes[i].weight, t.rateLimit(i))
@@ -84,7 +84,7 @@
 	for i, rate := range requested {
 		want[i] += rate
 	}
-	due, out := f.Due(capacity, want), map[int]float64{}
+	due, out := f.Allocate(capacity, want), map[int]float64{}
 	for i := range requested {
 		out[i] = due[i]
 	}
--- a/lab/circle/virtual/rooms.go
+++ b/lab/circle/virtual/rooms.go
@@ -41,7 +41,7 @@
 	"met: a debt that outlives its node's lease",
 }
 
-var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, Ceiling: quota.Amount{quota.Requests: 0.4 * rootRate}},
+var partners = []quota.Node{{Name: "a", Share: .5}, {Name: "b", Share: .3, RateLimit: quota.Amount{quota.Requests: 0.4 * rootRate}},
 	{Name: "c", Share: .2}, {Name: "a1", Parent: "a", Share: .6}, {Name: "a2", Parent: "a", Share: .4}}
 
 // rooms is what nodes let through, and what is owed.
@@ -77,8 +77,8 @@
 
 // openRooms has nodes begin, and calls come.
 func (w *world) openRooms() {
-	r := &rooms{tree: lease.Tree{Leased: leased, Set: quota.Settings{Root: quota.Amount{quota.Requests: rootRate}, Floor: 0.05, Nodes: partners,
-		Priorities: 2, Burst: burst, LongWindow: 60, Memory: 30, PayBack: 10, PayPart: 0.25, MostWait: 2}}, owed: map[string]float64{}, seen: 1e6}
+	r := &rooms{tree: lease.Tree{Leased: leased, Settings: quota.Settings{Root: quota.Amount{quota.Requests: rootRate}, Floor: 0.05, Nodes: partners,
+		Priorities: 2, Burst: burst, LongWindow: 60, DebtDecay: 30, RepayTime: 10, RepayFraction: 0.25, MaxRetryAfter: 2}}, owed: map[string]float64{}, seen: 1e6}
 	w.rooms, r.hash = r, r.tree.Hash()
 	for i := range w.set.Nodes {
 		n := &node{w: w, number: i, name: string(rune('a' + i))}
@@ -89,7 +89,7 @@
 }
 
 func (w *world) openRoom(n *node, life int) {
-	book, err := quota.New(w.rooms.tree.Set.Fraction((1-leased)/float64(w.set.Nodes), true), 0)
+	book, err := quota.New(w.rooms.tree.Settings.Fraction((1-leased)/float64(w.set.Nodes), true), 0)
 	if err != nil {
 		panic(err) // the tree is sound
 	}
@@ -145,7 +145,7 @@
 	w, now := r.n.w, r.clock()
 	r.demand.Request(at, 1/rootRate)
 	r.lapse(now)
-	d := r.book.Ask(now, quota.Call{Leaf: at})
+	d := r.book.Admit(now, quota.Call{Leaf: at})
 	if d.Verdict == quota.Rejected {
 		w.counts["met: a call refused"]++
 		return
@@ -173,7 +173,7 @@
 
 func (r *room) drop(at float64) {
 	r.until, r.parts = 0, nil
-	r.book.Lease(at, r.n.w.rooms.tree.Set.Root, quota.Amount{quota.Requests: 1}, nil)
+	r.book.Lease(at, r.n.w.rooms.tree.Settings.Root, quota.Amount{quota.Requests: 1}, nil)
 }
 
 // renew reports, goes by what it is given, and comes again.
@@ -183,7 +183,7 @@
 		return
 	}
 	r.lapse(asked)
-	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, Held: r.holds, Demand: r.demand.Report(asked)}
+	report := lease.Report{Node: n.name, Life: uint64(r.life), Tree: w.rooms.hash, Length: leaseFor, HeldLease: r.holds, Demand: r.demand.Report(asked)}
 	n.do(w.now+leaseFor, statemachine.ComponentQuotaLeases, statemachine.QuotaLeaseCommand{Report: &report}, asking{}, func(reply statemachine.Reply, how outcome) {
 		var g lease.Grant
 		switch {
@@ -215,7 +215,7 @@
 	w.counts["met: a lease"]++
 	var parts []quota.NodeLease
 	for _, p := range g.Parts {
-		parts = append(parts, quota.NodeLease{At: p.Node, Load: p.Load.Fraction()})
+		parts = append(parts, quota.NodeLease{NodeIndex: p.Node, Load: p.Load.Fraction()})
 	}
 	if w.set.Wrong == SavedRoom {
 		parts = append(parts, r.parts...)
@@ -225,7 +225,7 @@
 	}
 	r.lapse(now)
 	r.holds, r.until, r.parts = g.Number, until, parts
-	r.book.Lease(now, w.rooms.tree.Set.Root, quota.Amount{quota.Requests: 1}, parts)
+	r.book.Lease(now, w.rooms.tree.Settings.Root, quota.Amount{quota.Requests: 1}, parts)
 }
 
 // owe holds debts against those before: they fade over the memory and are paid at a rate, and go no other way.
@@ -249,7 +249,7 @@
 	for name, was := range r.owed {
 		weight := map[string]float64{"a": .5, "b": .3, "c": .2, "a1": .3, "a2": .2}[name]
 		since := (now - r.then) / 1000
-		if least := was*math.Exp(-since/r.tree.Set.Memory) - r.tree.Set.PayPart*weight*since; owed[name] < least-1e-9 {
+		if least := was*math.Exp(-since/r.tree.Settings.DebtDecay) - r.tree.Settings.RepayFraction*weight*since; owed[name] < least-1e-9 {
 			m.w.fault("%s owed %g, and %g s later %g", name, was, since, owed[name])
 		}
 	}
@@ -289,7 +289,7 @@
 		rate, most := rootRate, rootRate*burst+float64(book.Nodes()*r.starts) // a bucket of each life and place holds a call at the least
 		switch {
 		case book.Name(i) == "b": // what is saved of its guarantee, and of its ceiling
-			rate, most = partners[1].Ceiling[quota.Requests], 2*partners[1].Ceiling[quota.Requests]*burst+2*float64(r.starts)
+			rate, most = partners[1].RateLimit[quota.Requests], 2*partners[1].RateLimit[quota.Requests]*burst+2*float64(r.starts)
 		case i != quota.Root:
 			continue
 		}
