--- a/internal/node/endpoints/files/validator.go
+++ b/internal/node/endpoints/files/validator.go
@@ -63,11 +63,11 @@
 // candidate is the content that was read last.
 type candidate struct {
 	sum      uint64
-	since    float64 // when this content was first read
-	built    bool    // version or err is set
-	files    map[string]fileState
+	since    float64              // when this content was first read
+	built    bool                 // version or err is set
+	files    map[string]fileState // by path
 	version  merge.Version
-	verified bool
+	verified bool // every changed file is verified, and none is missing
 	err      error
 	reported bool // err was returned
 }
