--- a/internal/node/endpoints/concurrent_update_test.go
+++ b/internal/node/endpoints/concurrent_update_test.go
@@ -55,8 +55,8 @@
 	var mu sync.Mutex
 	var failures []string
 	last, applied := -1, 0
-	m, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", Keep: 1e6, Expect: path}},
-		Guard: removalguard.Settings{Share: 1}, Wait: 1000, Most: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
+	m, err := New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "files", StaleAfter: 1e6, ExpectedEpoch: path}},
+		Guard: removalguard.Settings{Share: 1}, RereadDelay: 1000, MaxHosts: 9, Zones: []string{"z"}, Kinds: []string{"k"}},
 		OnUpdate: func(kind dispatch.ListKind, list []dispatch.Host) { d.SetHosts(kind, list) }}, c, discard)
 	require.NoError(t, err)
 	w := &files.Watcher{Path: path, Single: true, Constraints: files.Constraints{Zones: []string{"z"}, Kinds: []string{"k"}, MaxHosts: 9}, MaxBytes: 1 << 20,
--- a/internal/node/endpoints/files/files_test.go
+++ b/internal/node/endpoints/files/files_test.go
@@ -125,12 +125,12 @@
 			}
 		}
 		first := s.Check(now, parts, nil, reread)
-		assert.True(t, first.Version == nil || first.Version.Look, "only a re-read may be returned before the settle time: a file is missing or unverified")
+		assert.True(t, first.Version == nil || first.Version.Reread, "only a re-read may be returned before the settle time: a file is missing or unverified")
 		now += 50
 		switch r := s.Check(now, parts, nil, reread); {
 		case r.Version != nil:
 			s.Accepted()
-			return fmt.Sprint(len(r.Version.Hosts), r.Version.Meant, r.Version.Look)
+			return fmt.Sprint(len(r.Version.Hosts), r.Version.Confirmed, r.Version.Reread)
 		case r.Err != nil:
 			return r.Err.Error()
 		case r.FailingSince > 0:
@@ -162,7 +162,7 @@
 	assert.Equal(t, now+50, r.ReadAgainAt, "the file may reappear within the settle time")
 	assert.Error(t, s.Check(now+50, nil, os.ErrNotExist, false).Err)
 	assert.Equal(t, now, s.Check(now+60, nil, os.ErrNotExist, false).FailingSince)
-	assert.True(t, s.Check(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Look, "the re-read is still due")
+	assert.True(t, s.Check(now+60, []Part{{"1.toml", []byte(seal(text("index = 3\n", "b")))}}, nil, false).Version.Reread, "the re-read is still due")
 }
 
 // Guards against a list that mixes two versions: all files of a folder are replaced at once, by a symbolic link,
@@ -213,7 +213,7 @@
 	for _, h := range v.Hosts {
 		names += h.Name
 	}
-	if v.Look {
+	if v.Reread {
 		names += "?"
 	}
 	s <- names
--- a/internal/node/endpoints/files/validator.go
+++ b/internal/node/endpoints/files/validator.go
@@ -111,7 +111,7 @@
 		return r
 	}
 	v := c.version
-	v.Look, s.reread = s.reread, false
+	v.Reread, s.reread = s.reread, false
 	return Result{Version: &v, ReadAgainAt: math.Inf(1)}
 }
 
@@ -182,7 +182,7 @@
 			confirmed, changed, c.verified = false, true, false
 		}
 	}
-	c.version.Meant = confirmed && changed
+	c.version.Confirmed = confirmed && changed
 	if len(c.version.Hosts) > s.constraints.MaxHosts {
 		return fmt.Errorf("%d endpoints in all, at most %d are allowed", len(c.version.Hosts), s.constraints.MaxHosts)
 	}
--- a/internal/node/endpoints/manager.go
+++ b/internal/node/endpoints/manager.go
@@ -62,7 +62,7 @@
 
 // Reconfigure changes the settings of the guard, the delay before a re-read and the settings of the sources.
 func (m *Manager) Reconfigure(g removalguard.Settings, rereadDelay float64, sources []merge.Source) {
-	m.do(func(float64) { m.set.Tune(g, rereadDelay, sources) })
+	m.do(func(float64) { m.set.Reconfigure(g, rereadDelay, sources) })
 }
 
 // Restore sets a list from an earlier time, which is used until a source delivers one. Of several such lists the
@@ -81,7 +81,7 @@
 				}
 			}
 		}
-		m.set.Start(hosts, at+baselineFor, m.restoredRevisions)
+		m.set.Restore(hosts, at+baselineFor, m.restoredRevisions)
 	})
 }
 
@@ -89,7 +89,7 @@
 func (m *Manager) do(f func(now float64)) {
 	m.mu.Lock()
 	f(m.clock.Now())
-	notes := m.set.Notes()
+	notes := m.set.TakeNotes()
 	m.mu.Unlock()
 	for i := range notes {
 		m.logNote(&notes[i])
@@ -103,7 +103,7 @@
 	m.delivering.Lock()
 	defer m.delivering.Unlock()
 	m.mu.Lock()
-	kind, list, ok := m.set.Step()
+	kind, list, ok := m.set.Flush()
 	if ok && kind != dispatch.Stored {
 		m.changed = m.clock.Now()
 	}
@@ -122,7 +122,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopTimer()
-	if next := m.set.Next(); !math.IsInf(next, 1) {
+	if next := m.set.NextTick(); !math.IsInf(next, 1) {
 		m.stopTimer = m.clock.At(next, m.tick)
 	} else {
 		m.stopTimer = func() {}
@@ -132,7 +132,7 @@
 // tick runs what is due in the set and requests the re-reads that it asks for.
 func (m *Manager) tick() {
 	var due []int
-	m.do(func(now float64) { due = m.set.Due(now) })
+	m.do(func(now float64) { due = m.set.Tick(now) })
 	for _, source := range due {
 		m.rereads[source]()
 	}
@@ -191,7 +191,7 @@
 	m := f.m
 	m.do(func(now float64) {
 		for _, v := range versions {
-			if err = m.set.Take(now, f.source, v); err != nil {
+			if err = m.set.Apply(now, f.source, v); err != nil {
 				return
 			}
 			m.hasSourceList = true
@@ -206,12 +206,12 @@
 // NoChange records that there is nothing new. away is the time since which the origin of the source's list has been
 // unreachable; 0 = it is reachable.
 func (f Feed) NoChange(away float64) {
-	f.m.do(func(now float64) { f.m.set.Present(now, f.source, away) })
+	f.m.do(func(now float64) { f.m.set.Unchanged(now, f.source, away) })
 }
 
 // Unreachable records that the source has been unreachable since a time.
 func (f Feed) Unreachable(since float64) {
-	f.m.do(func(now float64) { f.m.set.Away(now, f.source, since) })
+	f.m.do(func(now float64) { f.m.set.Unreachable(now, f.source, since) })
 }
 
 // Confirm records that the writer of the source's list confirms what was held up to a revision number.
@@ -225,8 +225,8 @@
 	StartedAt float64 // since when the source counts as unreachable until it has answered
 }
 
-// Take applies a response.
-func (d DiscoveryFeed) Take(l discovery.List) error {
+// Apply applies a response.
+func (d DiscoveryFeed) Apply(l discovery.List) error {
 	err := d.Feed.Apply(d.versions(l)...)
 	if err == nil && l.Origin != nil && l.Origin.Confirm > 0 {
 		d.Confirm(l.Origin.Confirm)
@@ -247,14 +247,14 @@
 			to++
 		}
 		list = append(list, merge.Version{Revision: merge.Revision{Epoch: at.Epoch, Number: l.Revisions[from]}, Hosts: l.Hosts[from:to],
-			Away: -1})
+			UnreachableSince: -1})
 		from = to
 	}
 	if list != nil {
-		return append(list, merge.Version{Revision: at, Away: since}) // no other host has changed up to this one
+		return append(list, merge.Version{Revision: at, UnreachableSince: since}) // no other host has changed up to this one
 	}
 	reread := l.Look && (l.Origin == nil || l.Origin.Looked)
-	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Look: reread, Away: since}}
+	return []merge.Version{{Revision: at, Whole: l.Whole, Hosts: l.Hosts, Reread: reread, UnreachableSince: since}}
 }
 
 // unreachableSince returns since when the origin behind a response has been unreachable; 0 = it is reachable.
@@ -265,23 +265,23 @@
 	return d.m.clock.Now() - l.Origin.Away
 }
 
-// Same processes a response without changes.
-func (d DiscoveryFeed) Same(l discovery.List) {
+// Unchanged processes a response without changes.
+func (d DiscoveryFeed) Unchanged(l discovery.List) {
 	d.NoChange(d.unreachableSince(l))
 	if l.Origin != nil && l.Origin.Confirm > 0 {
 		d.Confirm(l.Origin.Confirm)
 	}
 }
 
-// Away records the end of a failed call.
-func (d DiscoveryFeed) Away(since float64) { d.Feed.Unreachable(cmp.Or(since, d.StartedAt)) }
+// CallFailed records the end of a failed call.
+func (d DiscoveryFeed) CallFailed(since float64) { d.Feed.Unreachable(cmp.Or(since, d.StartedAt)) }
 
 // logNote logs a note.
 func (m *Manager) logNote(n *merge.Note) {
 	revision := n.Revision.String()
 	switch n.Kind {
 	case merge.Held:
-		if n.Floor {
+		if n.BelowFloor {
 			m.log.Error("departures would leave too few hosts: holding them until they are confirmed", "source", n.Source, "revision", revision,
 				"count", n.Count, "serving", n.Serving, "first", n.Names)
 			return
@@ -290,20 +290,20 @@
 			"count", n.Count, "serving", n.Serving, "first", n.Names)
 	case merge.Admitted:
 		by := "confirmation"
-		if n.Looked {
+		if n.Reread {
 			by = "second look"
 		}
 		m.log.Warn("applying held departures", "source", n.Source, "revision", revision, "count", n.Count,
 			"serving", n.Serving, "first", n.Names, "by", by)
 	case merge.Resolved:
 		m.log.Info("no departures are held any more", "source", n.Source, "revision", revision)
-	case merge.Lead:
+	case merge.SourceChanged:
 		m.log.Info("the host list follows another source", "source", n.Source, "before", n.Other, "revision", revision)
-	case merge.Aged:
+	case merge.AllStale:
 		m.log.Error("all sources of the host list are unreachable: keeping the last list", "source", n.Source, "age_ms", n.Age)
-	case merge.Fresh:
+	case merge.Recovered:
 		m.log.Info("a source of the host list is reachable again", "source", n.Source)
-	case merge.Differ:
+	case merge.Disagree:
 		m.log.Warn("two sources of the host list disagree", "source", n.Source, "followed", n.Other, "count", n.Count, "first", n.Names)
 	case merge.Agree:
 		m.log.Info("two sources of the host list agree again", "source", n.Source, "followed", n.Other)
--- a/internal/node/endpoints/manager_test.go
+++ b/internal/node/endpoints/manager_test.go
@@ -160,13 +160,13 @@
 		if err == nil && got.Code == 200 && !unavailable.Load() {
 			l.Look, l.Whole = rereading, l.Whole || !known
 			if l.Whole || len(l.Hosts) > 0 {
-				err = to.Take(l)
+				err = to.Apply(l)
 			} else {
-				to.Same(l)
+				to.Unchanged(l)
 			}
 		}
 		if known = err == nil && got.Code == 200 && !unavailable.Load(); !known {
-			to.Away(f.clock.Now())
+			to.CallFailed(f.clock.Now())
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
@@ -238,8 +238,8 @@
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
-	f.manager, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
-		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, Wait: 2000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
+	f.manager, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", StaleAfter: 5000, MayCorrect: true}, {Name: "files", StaleAfter: 60e3}},
+		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, RereadDelay: 2000, MaxHosts: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
 		OnUpdate: f.onUpdate}, f.clock, discard)
 	require.NoError(t, err)
 	c, err := etcdtest.New(etcdtest.Settings{Members: 2, Clock: f.clock, Memory: true})
@@ -247,9 +247,9 @@
 	defer c.Close()
 	f.truth = func() map[string]string { return c.Values("r/") }
 	store := agent.NewStore("etcd")
-	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", Most: 100, CallLimit: 1000, Ask: 1000, Silence: 3000,
-		CheckEvery: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{store, f.clock})
-	server := &agent.Server{Store: store, Clock: f.clock, RequestReread: source.Look}
+	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", MaxHosts: 100, CallTimeout: 1000, ProgressInterval: 1000,
+		SilenceTimeout: 3000, CheckInterval: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{store, f.clock})
+	server := &agent.Server{Store: store, Clock: f.clock, RequestReread: source.RequestReread}
 	reread := make(chan struct{}, 1)
 	f.manager.SetReread(0, func() {
 		select {
@@ -284,11 +284,11 @@
 		}
 		return fmt.Sprintf(`{"index":%d,"endpoints":[%s]}`, index, strings.TrimPrefix(text, ","))
 	}
-	for _, step := range steps {
-		m, key := c.Members[step.member], "r/"+step.name
-		switch step.what {
+	for _, current := range steps {
+		m, key := c.Members[current.member], "r/"+current.name
+		switch current.what {
 		case "put":
-			c.Put(key, put(step.name))
+			c.Put(key, put(current.name))
 		case "drain":
 			if value := c.Values("r/")[key]; value != "" {
 				c.Put(key, strings.Replace(value, "Ready", "Terminating", 1))
@@ -308,7 +308,7 @@
 			}
 			c.Write(gone)
 		case "lease":
-			c.PutFor(1500, key, put(step.name))
+			c.PutFor(1500, key, put(current.name))
 		case "compact":
 			c.Compact()
 		case "drop":
@@ -325,13 +325,13 @@
 		case "catch up":
 			m.CatchUp()
 		case "hold", "go on":
-			m.Hold(step.what == "hold")
+			m.Hold(current.what == "hold")
 		case "repeat":
 			m.Repeat(2)
 		case "reorder":
 			m.Swap(1)
 		case "leader", "no leader":
-			c.Leader(step.what == "leader")
+			c.Leader(current.what == "leader")
 		case "cancel":
 			m.Cancel("no more")
 		case "file":
@@ -348,7 +348,7 @@
 		case "agent away":
 			unavailable.Store(!unavailable.Load())
 		}
-		f.settle(time.Duration(step.ms) * time.Millisecond)
+		f.settle(time.Duration(current.ms) * time.Millisecond)
 	}
 	for _, m := range c.Members {
 		if m.IsDown() {
@@ -395,9 +395,9 @@
 func (s sink) Update(epoch string, u etcd.Update) {
 	s.store.Apply(agent.Change{Whole: u.Whole, Epoch: epoch, Revision: uint64(u.Revision), Hosts: u.Hosts, Confirm: u.Confirm})
 }
-func (s sink) Alive()         { s.store.MarkAvailable(s.clock.Now()) }
-func (s sink) Gone(err error) { s.store.MarkUnavailable(err.Error()) }
-func (s sink) Looked(epoch string, u etcd.Update) {
+func (s sink) UpToDate()             { s.store.MarkAvailable(s.clock.Now()) }
+func (s sink) Unavailable(err error) { s.store.MarkUnavailable(err.Error()) }
+func (s sink) Reread(epoch string, u etcd.Update) {
 	s.Update(epoch, u)
 	s.store.MarkReread()
 }
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -27,8 +27,8 @@
 	give func(dispatch.ListKind, []dispatch.Host)
 }
 
-// Take passes a list on.
-func (p plain) Take(l discovery.List) error {
+// Apply passes a list on.
+func (p plain) Apply(l discovery.List) error {
 	kind := dispatch.Delta
 	if l.Whole {
 		kind = dispatch.Full
@@ -37,11 +37,11 @@
 	return nil
 }
 
-// Same has nothing to do.
-func (p plain) Same(discovery.List) {}
+// Unchanged has nothing to do.
+func (p plain) Unchanged(discovery.List) {}
 
-// Away has nothing to do: the last list stays.
-func (p plain) Away(float64) {}
+// CallFailed has nothing to do: the last list stays.
+func (p plain) CallFailed(float64) {}
 
 // firstAsked makes what each of so many sources calls when it was asked first. With the last the node is ready.
 func (n *Node) firstAsked(sources int) func() {
@@ -81,11 +81,11 @@
 		one := merge.Source{Name: name}
 		switch name {
 		case options.SourceDiscovery:
-			one.Keep, one.Free, one.Anew = o.Discovery.Keep.Ms, !o.Guard.Discovery, true
+			one.StaleAfter, one.Unguarded, one.MayRenumber = o.Discovery.Keep.Ms, !o.Guard.Discovery, true
 		case options.SourceEtcd:
-			one.Keep, one.Expect, one.Mends = o.Etcd.Keep.Ms, o.Etcd.History, true
+			one.StaleAfter, one.ExpectedEpoch, one.MayCorrect = o.Etcd.Keep.Ms, o.Etcd.History, true
 		case options.SourceFiles:
-			one.Keep, one.Expect = o.Files.Keep.Ms, o.Files.Path
+			one.StaleAfter, one.ExpectedEpoch = o.Files.Keep.Ms, o.Files.Path
 		}
 		list = append(list, one)
 	}
@@ -100,7 +100,7 @@
 func gather(conf *Config, o *options.Inventory, watch *discovery.Watcher, give func(dispatch.ListKind, []dispatch.Host)) (*lists, error) {
 	l := &lists{clock: watch.Clock, log: watch.Log, judge: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.every.Store(&o.Last.Every)
-	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), Wait: o.Guard.Wait.Ms, Most: o.MostHosts,
+	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), RereadDelay: o.Guard.Wait.Ms, MaxHosts: o.MostHosts,
 		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, OnUpdate: give}
 	if l.path != "" {
 		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Current: func() lastgood.Record { return l.keeper.Record() },
@@ -118,13 +118,13 @@
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
-			l.keeper.SetReread(i, watch.Look)
+			l.keeper.SetReread(i, watch.RequestReread)
 			l.sources = append(l.sources, source{watch.Run, func(*Options) {}}) // the node limits it anyway
 		case options.SourceEtcd:
 			w := &discovery.Watcher{Address: o.Etcd.Agent, Limits: watch.Limits, Loop: watch.Loop, Clock: l.clock,
 				Log: l.log.With("source", src.Name), Sink: asked, Most: mostAnswer, Known: -1, Chance: watch.Chance, First: first}
-			l.keeper.SetReread(i, w.Look)
-			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(watchLimits(o)) }})
+			l.keeper.SetReread(i, w.RequestReread)
+			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.SetLimits(watchLimits(o)) }})
 		case options.SourceFiles:
 			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Constraints: known(conf, o), MaxBytes: o.Files.Most.Bytes,
 				Settle: o.Files.Settle.Ms, Limits: files.Limits{PollInterval: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, OnFirstRead: first}
@@ -206,7 +206,7 @@
 			one.Away = now - src.Away
 		}
 		if src.Followed {
-			s.Index, s.Age = int64(src.Revision.Number), now-src.Heard
+			s.Index, s.Age = int64(src.Revision.Number), now-src.LastContact
 		}
 		s.Sources = append(s.Sources, one)
 	}
