--- a/internal/node/endpoints/discovery/discovery.go
+++ b/internal/node/endpoints/discovery/discovery.go
@@ -182,7 +182,7 @@
 	if moved && limits.ToldMoved > 0 {
 		told = min(told, limits.ToldMoved)
 	}
-	return backoff.Settings{Spread: w.Spread, First: limits.FirstPause, Last: limits.LastPause, Told: told}
+	return backoff.Settings{Spread: w.Spread, MinPause: limits.FirstPause, MaxPause: limits.LastPause, DeliveryLimit: told}
 }
 
 // jitter scales a time by a random factor from least to least+part.
@@ -216,19 +216,19 @@
 // address before.
 func (w *Watcher) watch(ctx context.Context, address string, moved bool) {
 	index, hasList, epoch, opened := int64(0), false, "", false
-	pace := backoff.Pace{Chance: w.Chance}
+	pace := backoff.Backoff{Random: w.Chance}
 	hadHosts, recheckingEmpty := w.Known >= 0, false // the last list had hosts; an empty one is being requested again
 	if w.Spread > 0 && w.Known >= 0 && w.First != nil {
 		index, hasList = w.Known, true
 		w.firstCallDone()
-		w.wait(ctx, pace.Begin(w.backoffSettings(moved)))
+		w.wait(ctx, pace.InitialDelay(w.backoffSettings(moved)))
 		if ctx.Err() != nil {
 			return
 		}
 	}
 	for {
 		limits, settings := w.limits(), w.backoffSettings(moved)
-		path, timeout := "/discovery/hosts", settings.Limit(limits.Fetch)
+		path, timeout := "/discovery/hosts", settings.CallTimeout(limits.Fetch)
 		callCtx, reread, interrupted := w.beginCall(ctx)
 		switch {
 		case reread && epoch != "":
@@ -236,7 +236,7 @@
 		case hasList && !reread:
 			var wait float64
 			path, wait = w.changeRequest(limits.Wait, index, epoch, opened)
-			timeout = wait + settings.Limit(limits.Slack)
+			timeout = wait + settings.CallTimeout(limits.Slack)
 		}
 		began := w.Clock.Now()
 		l, err := w.fetch(callCtx, address, path, timeout)
@@ -263,7 +263,7 @@
 			}
 		}
 		if err == nil {
-			pace.Answered()
+			pace.Reset()
 			moved = false
 			index, hasList, epoch = l.Index, true, ""
 			if l.Origin != nil {
@@ -280,7 +280,7 @@
 		}
 		w.firstCallDone()
 		if err != nil {
-			pause := pace.Failed(settings, w.Clock.Now()-began, limits.Fetch)
+			pause := pace.AfterFailure(settings, w.Clock.Now()-began, limits.Fetch)
 			w.Log.Warn("no usable list from discovery: keeping the last one", "address", address, "error", err,
 				"again_ms", pause)
 			w.wait(ctx, pause)
--- a/internal/node/endpoints/merge/set.go
+++ b/internal/node/endpoints/merge/set.go
@@ -648,8 +648,8 @@
 		one, _ := s.pendingChange(name)
 		sum.add(one, 1)
 	}
-	if v := s.verdict(now, sum); !free && v != removalguard.Take {
-		s.hold(now, source, touched, v == removalguard.Floor)
+	if v := s.verdict(now, sum); !free && v != removalguard.Accept {
+		s.hold(now, source, touched, v == removalguard.BelowFloor)
 		return
 	}
 	for _, name := range touched {
@@ -661,7 +661,7 @@
 // releaseHeld applies all held changes once the guard accepts them: later versions may compensate for them, and
 // earlier departures leave the guard's window.
 func (s *Set) releaseHeld(now float64) {
-	if len(s.held) == 0 || s.verdict(now, s.delta) != removalguard.Take {
+	if len(s.held) == 0 || s.verdict(now, s.delta) != removalguard.Accept {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.held)) {
@@ -672,9 +672,9 @@
 
 // verdict asks the guard. Without a list to judge by, any number of hosts may depart as long as enough serve.
 func (s *Set) verdict(now float64, sh delta) removalguard.Verdict {
-	v := s.guard.Judge(now, removalguard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
-	if v == removalguard.Look && !s.hasSourceList && now > s.baselineUntil {
-		return removalguard.Take
+	v := s.guard.Evaluate(now, removalguard.Change{Serving: s.serving, Drains: sh.drains, Leaves: sh.leaves, Arrives: sh.arrives})
+	if v == removalguard.Reread && !s.hasSourceList && now > s.baselineUntil {
+		return removalguard.Accept
 	}
 	return v
 }
@@ -762,9 +762,9 @@
 	}
 	switch {
 	case sh.drains+sh.leaves > 0:
-		s.guard.Depart(now, name, sh.arrives > 0)
+		s.guard.RecordDeparture(now, name, sh.arrives > 0)
 	case sh.arrives > 0:
-		s.guard.Return(name)
+		s.guard.RecordReturn(name)
 	}
 }
 
@@ -807,7 +807,7 @@
 			}
 		}
 	}
-	if len(list) == 0 || byReread && s.verdict(now, sum) == removalguard.Floor {
+	if len(list) == 0 || byReread && s.verdict(now, sum) == removalguard.BelowFloor {
 		return
 	}
 	slices.Sort(list)
--- a/internal/node/endpoints/merge/set_test.go
+++ b/internal/node/endpoints/merge/set_test.go
@@ -156,7 +156,7 @@
 			if c, same := expectedChange(s.hosts, reported); len(s.held) == 0 {
 				require.True(t, same)
 			} else {
-				require.NotEqual(t, removalguard.Take, s.guard.Judge(now, c), "held although the guard would accept it")
+				require.NotEqual(t, removalguard.Accept, s.guard.Evaluate(now, c), "held although the guard would accept it")
 			}
 			require.Equal(t, dispatch.Ready+dispatch.Draining, s.hosts["one"].Status+s.hosts["two"].Status, "a version was applied in part")
 			require.Equal(t, ready(s.hosts), s.serving)
--- a/node/handover.go
+++ b/node/handover.go
@@ -24,8 +24,8 @@
 	Dispatcher dispatch.Snapshot `json:"pilot"`
 
 	// The operators' orders.
-	Bans    cordon.Memory `json:"bans"`
-	Drained *float64      `json:"drained,omitempty"` // when the drain began; nil = not drained
+	Bans    cordon.Snapshot `json:"bans"`
+	Drained *float64        `json:"drained,omitempty"` // when the drain began; nil = not drained
 
 	// Quota is the unused quota that tenants have accumulated.
 	Quota []quota.Balance `json:"quota,omitempty"`
@@ -40,7 +40,7 @@
 	index, _ := n.watcher.LastAnswer()
 	k := Knowledge{Node: n.conf.Name, Index: index, At: n.clock.Now(), Dispatcher: n.dispatcher.Snapshot()}
 	n.orders.mu.Lock()
-	k.Bans = n.orders.cordons.Remember()
+	k.Bans = n.orders.cordons.Snapshot()
 	n.orders.mu.Unlock()
 	if since, drained := n.gate.Drained(); drained {
 		k.Drained = &since
@@ -69,7 +69,7 @@
 		return fmt.Errorf("cannot apply the previous process's state: it belongs to node %q", k.Node)
 	}
 	for i := range k.Dispatcher.Hosts { // restore the status from the list: suspended hosts were stored as draining
-		if h := &k.Dispatcher.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Out, h.Name) {
+		if h := &k.Dispatcher.Hosts[i]; h.Status == dispatch.Draining && slices.Contains(k.Bans.Cordoned, h.Name) {
 			h.Status = dispatch.Ready
 		}
 	}
--- a/node/operators.go
+++ b/node/operators.go
@@ -34,7 +34,7 @@
 // orders is the state of the operators' commands.
 type orders struct {
 	mu      sync.Mutex // guards cordons, and keeps the updates of the dispatchers' host lists in order
-	cordons cordon.Book
+	cordons cordon.Tracker
 	// forward applies an order in the node's other process too; nil = there is no other process.
 	forward func(Order) error
 }
@@ -87,7 +87,7 @@
 // have suspended.
 func (n *Node) updateEndpoints(from dispatch.ListKind, list []dispatch.Host) {
 	n.orders.mu.Lock()
-	n.setHosts(from, n.orders.cordons.Take(from, list))
+	n.setHosts(from, n.orders.cordons.Apply(from, list))
 	n.orders.mu.Unlock()
 	n.countBackends()
 }
@@ -110,7 +110,7 @@
 	}
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
-	wasOut := n.orders.cordons.Out(o.Rater)
+	wasOut := n.orders.cordons.IsCordoned(o.Rater)
 	change, err := n.orders.cordons.Resume, error(nil)
 	if o.Do == Suspend {
 		change = func(_ float64, backend string) ([]dispatch.Host, error) { return n.orders.cordons.Suspend(backend) }
@@ -125,7 +125,7 @@
 	if len(changed) > 0 {
 		n.setHosts(dispatch.Delta, changed)
 	}
-	if wasOut == n.orders.cordons.Out(o.Rater) {
+	if wasOut == n.orders.cordons.IsCordoned(o.Rater) {
 		return nil // the order was in force already
 	}
 	if o.Do == Suspend {
@@ -140,7 +140,7 @@
 func (n *Node) excludeBackends(names []string) {
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
-	if changed := n.orders.cordons.Fleet(n.clock.Now(), names); len(changed) > 0 {
+	if changed := n.orders.cordons.SetFleetCordons(n.clock.Now(), names); len(changed) > 0 {
 		n.setHosts(dispatch.Delta, changed)
 		n.log.Info("backends excluded by the options changed", "out", len(names))
 	}
@@ -184,7 +184,7 @@
 	excluded := 0
 	count := func(p *dispatch.Dispatcher) {
 		for _, h := range p.View().Hosts {
-			if n.orders.cordons.Out(h.Name) || h.Status == dispatch.Ready && h.Module.Ejected {
+			if n.orders.cordons.IsCordoned(h.Name) || h.Status == dispatch.Ready && h.Module.Ejected {
 				excluded++
 			}
 		}
@@ -248,7 +248,7 @@
 	}
 	n.orders.mu.Lock()
 	defer n.orders.mu.Unlock()
-	if changed := n.orders.cordons.Recall(k.Bans); len(changed) > 0 {
+	if changed := n.orders.cordons.Restore(k.Bans); len(changed) > 0 {
 		n.setHosts(dispatch.Delta, changed)
 	}
 }
