--- a/internal/node/bodypipe/flow.go
+++ b/internal/node/bodypipe/pipe.go
@@ -16,10 +16,10 @@
 	"sync/atomic"
 )
 
-// Piece is how many bytes one piece holds at most.
-const Piece = 32 << 10
+// ChunkSize is how many bytes one piece holds at most.
+const ChunkSize = 32 << 10
 
-const mostWindow = 4 * Piece
+const mostWindow = 4 * ChunkSize
 
 // ErrDropped is the end of a pipe whose consumer has gone.
 var ErrDropped = errors.New("nobody wants the rest of the body")
@@ -56,15 +56,15 @@
 
 // Window is how much a pipe may hold now; the other half of what is for pipes is on its way out.
 func (b *Budget) Window() int {
-	return int(min(max(b.most.Load()/4/max(b.pipes.Load(), 1), Piece/2), mostWindow))
+	return int(min(max(b.most.Load()/4/max(b.pipes.Load(), 1), ChunkSize/2), mostWindow))
 }
 
-var buffers = sync.Pool{New: func() any { return new([Piece]byte) }}
+var buffers = sync.Pool{New: func() any { return new([ChunkSize]byte) }}
 
 // Chunk is a piece of a body; Free gives its memory back.
 type Chunk struct {
 	Bytes  []byte
-	buffer *[Piece]byte
+	buffer *[ChunkSize]byte
 }
 
 // Free ends the use of the bytes.
@@ -106,13 +106,13 @@
 	p.held += len(data)
 	for len(data) > 0 {
 		last := len(p.queue) - 1
-		if last < 0 || len(p.queue[last].Bytes) == Piece {
-			buffer := buffers.Get().(*[Piece]byte)
+		if last < 0 || len(p.queue[last].Bytes) == ChunkSize {
+			buffer := buffers.Get().(*[ChunkSize]byte)
 			p.queue = append(p.queue, Chunk{buffer[:0], buffer})
 			last++
 		}
 		c := &p.queue[last]
-		n := min(Piece-len(c.Bytes), len(data))
+		n := min(ChunkSize-len(c.Bytes), len(data))
 		c.Bytes = append(c.Bytes, data[:n]...)
 		data = data[n:]
 	}
--- a/internal/node/bodypipe/flow_test.go
+++ b/internal/node/bodypipe/pipe_test.go
@@ -37,7 +37,7 @@
 				if slow || over {
 					break
 				}
-				data := make([]byte, rapid.IntRange(0, 2*Piece).Draw(t, "bytes"))
+				data := make([]byte, rapid.IntRange(0, 2*ChunkSize).Draw(t, "bytes"))
 				for i := range data {
 					data[i] = sent
 					sent++
@@ -113,7 +113,7 @@
 			}
 		}, func() {})
 		go func() {
-			data := make([]byte, Piece)
+			data := make([]byte, ChunkSize)
 			for range 50 {
 				for slow.Load() {
 					<-goes
@@ -125,7 +125,7 @@
 		for got := 0; ; {
 			c, err := p.Next()
 			if got += len(c.Bytes); err == io.EOF { //nolint:errorlint // this very value
-				require.Equal(t, 50*Piece, got)
+				require.Equal(t, 50*ChunkSize, got)
 				break
 			}
 			if len(c.Bytes) == 0 {
--- a/internal/node/downstream/connlimit/limiter.go
+++ b/internal/node/downstream/connlimit/limiter.go
@@ -63,12 +63,12 @@
 // New makes an empty limiter.
 func New(set Settings, c clock.Clock) *Limiter {
 	l := &Limiter{set: set, clock: c, slots: map[*Slot]struct{}{}}
-	l.Limit(set.Limits)
+	l.SetLimits(set.Limits)
 	return l
 }
 
-// Limit changes the limits. It may be called at any time.
-func (l *Limiter) Limit(limits Limits) { l.limits.Store(&limits) }
+// SetLimits changes the limits. It may be called at any time.
+func (l *Limiter) SetLimits(limits Limits) { l.limits.Store(&limits) }
 
 // Slot is the account of one connection.
 type Slot struct {
@@ -101,8 +101,8 @@
 	return s, once
 }
 
-// MakeRoom closes one connection for clients who wait to be accepted.
-func (l *Limiter) MakeRoom() {
+// EvictOne closes one connection for clients who wait to be accepted.
+func (l *Limiter) EvictOne() {
 	l.mu.Lock()
 	evicted := l.evict(l.clock.Now())
 	l.mu.Unlock()
@@ -168,8 +168,8 @@
 	l.mu.Unlock()
 }
 
-// Enter records the connection's state from now on; came is when its last bytes were read, in milliseconds.
-func (s *Slot) Enter(state State, came float64) {
+// SetState records the connection's state from now on; came is when its last bytes were read, in milliseconds.
+func (s *Slot) SetState(state State, came float64) {
 	l := s.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/downstream/httpserver/conn.go
+++ b/internal/node/downstream/httpserver/conn.go
@@ -180,7 +180,7 @@
 	if held <= http1.MaxBody || c.held > 0 {
 		return true
 	}
-	held = c.server.set.Bodies.Whole // it may still grow
+	held = c.server.set.Bodies.MaxBuffered // it may still grow
 	if !c.server.set.Bodies.Budget.Reserve(held) {
 		c.server.log.Warn("there is no memory for a long body: its request gets a back-off answer", "bytes", held)
 		c.last(c.parser.Head(), text(503, "", core.ReasonBusy))
--- a/internal/node/downstream/httpserver/eviction.go
+++ b/internal/node/downstream/httpserver/eviction.go
@@ -6,8 +6,8 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 )
 
-// MakeRoom has a connection make room for clients who wait because all places are taken.
-func (s *Server) MakeRoom() {
+// EvictOne has a connection make room for clients who wait because all places are taken.
+func (s *Server) EvictOne() {
 	s.mu.Lock()
 	victim := s.victim(s.clock.Now())
 	if victim != nil {
--- a/internal/node/downstream/httpserver/crossing_test.go
+++ b/internal/node/downstream/httpserver/interleaving_test.go
@@ -57,9 +57,9 @@
 func newBench(t *testing.T, connections int, log slog.Handler) *bench {
 	b := &bench{t: t, clock: clock.NewManual(1e6), came: make(chan *conn, 64)}
 	to := core.New(core.Settings{}, nil, nil, slog.New(log)) // which nothing is given to serve
-	b.Server = New(Settings{Connections: connections, Crowded: 1000, Limits: limits, ByName: map[string]int{"pay": 0},
+	b.Server = New(Settings{Connections: connections, Crowded: 1000, Limits: limits, ClassIndex: map[string]int{"pay": 0},
 		Classes: []Class{{Method: "POST"}}}, b.clock, to, driver.New(nil, drain.Times{}, b.clock), slog.New(log))
-	b.Ready()
+	b.SetReady()
 	var err error
 	b.loop, err = netpoll.Listen("127.0.0.1:0", 64, func(n *netpoll.Conn) netpoll.Handler {
 		h := b.Accept(n)
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -59,7 +59,7 @@
 // read finds what the core has to know, or the answer where the request cannot be served.
 func (s *Server) read(m *http1.Message, path []byte, came float64, client *netpoll.Conn) (call *core.Call, refusal http1.Reply) {
 	name, _, _ := bytes.Cut(path[1:], []byte("/"))
-	class, ok := s.set.ByName[string(name)]
+	class, ok := s.set.ClassIndex[string(name)]
 	if !ok {
 		return nil, text(404, "", "unknown class")
 	}
@@ -99,7 +99,7 @@
 	if m.Length == 0 {
 		return 0
 	}
-	left := s.set.Bodies.Most
+	left := s.set.Bodies.MaxSize
 	if m.Length > 0 {
 		left = m.Length - len(m.Body)
 	}
--- a/internal/node/downstream/httpserver/response.go
+++ b/internal/node/downstream/httpserver/response.go
@@ -42,7 +42,7 @@
 	fields := ""
 	if a.Kind == core.Refused && a.Wait > 0 {
 		fields = fmt.Sprintf("Retry-After: %.3f\r\n", a.Wait/1000)
-		if c.server.limits.Load().Whole {
+		if c.server.limits.Load().WholeSeconds {
 			fields = fmt.Sprintf("Retry-After: %.0f\r\n", math.Ceil(a.Wait/1000))
 		}
 	}
--- a/internal/node/downstream/httpserver/server.go
+++ b/internal/node/downstream/httpserver/server.go
@@ -25,7 +25,7 @@
 // Settings describe a Server.
 type Settings struct {
 	Classes     []Class
-	ByName      map[string]int // the place of each class
+	ClassIndex  map[string]int // the place of each class
 	Tenants     map[string]int // and of each tenant
 	Connections int            // the most open at once
 	Crowded     int            // from so many on that have asked, an answer ends its connection
@@ -35,23 +35,23 @@
 
 // Bodies says what bodies a request may have.
 type Bodies struct {
-	Most   int              // bytes, 0 = that of internal/http1, held whole
-	Whole  int              // up to so many bytes one is held until it is whole; a longer one flows
-	Budget *bodypipe.Budget // of what is held, and of what flows
+	MaxSize     int              // bytes, 0 = that of internal/http1, held whole
+	MaxBuffered int              // up to so many bytes one is held until it is whole; a longer one flows
+	Budget      *bodypipe.Budget // of what is held, and of what flows
 }
 
 // Limits are what can change while the server runs, times in milliseconds, sizes in bytes.
 type Limits struct {
-	Idle     float64 // after which a connection without a request is closed
-	Read     float64 // in which a request that has begun must be whole,
-	First    float64 // the first one counted from when the client connected
-	Rate     float64 // bytes a millisecond by which a body may take longer than Read,
-	Stall    float64 // and how long an answer may stand still on its way
-	Linger   float64 // that a client which may go on sending has to read its last answer
-	Settle   float64 // that a client which has connected has before it may have to make room
-	Pipeline int     // kept of what comes behind a request that is being handled
-	Backlog  int     // of answers kept for a client that does not read them
-	Whole    bool    // Retry-After has whole seconds only
+	Idle         float64 // after which a connection without a request is closed
+	Read         float64 // in which a request that has begun must be whole,
+	First        float64 // the first one counted from when the client connected
+	Rate         float64 // bytes a millisecond by which a body may take longer than Read,
+	Stall        float64 // and how long an answer may stand still on its way
+	Linger       float64 // that a client which may go on sending has to read its last answer
+	Settle       float64 // that a client which has connected has before it may have to make room
+	Pipeline     int     // kept of what comes behind a request that is being handled
+	Backlog      int     // of answers kept for a client that does not read them
+	WholeSeconds bool    // Retry-After has whole seconds only
 }
 
 const (
@@ -92,12 +92,12 @@
 // New returns a server that is not ready yet.
 func New(set Settings, c clock.Clock, to *core.Core, g *driver.Gate, log *slog.Logger) *Server {
 	s := &Server{set: set, clock: c, core: to, gate: g, log: log, conns: map[*conn]struct{}{}}
-	s.Limit(set.Limits)
+	s.SetLimits(set.Limits)
 	return s
 }
 
-// Limit changes the limits, at any time.
-func (s *Server) Limit(l Limits) { s.limits.Store(&l) }
+// SetLimits changes the limits, at any time.
+func (s *Server) SetLimits(l Limits) { s.limits.Store(&l) }
 
 // Resize changes how many connections may be open at once, and from how many on that have asked an answer ends its
 // connection. Those above stay.
@@ -107,8 +107,8 @@
 	s.set.Connections, s.set.Crowded = connections, crowded
 }
 
-// Ready lets /up answer 200.
-func (s *Server) Ready() {
+// SetReady lets /up answer 200.
+func (s *Server) SetReady() {
 	s.mu.Lock()
 	s.ready = true
 	s.mu.Unlock()
@@ -139,10 +139,10 @@
 
 // parser makes a reader of a connection's requests.
 func (s *Server) parser() *http1.Parser {
-	if s.set.Bodies.Most == 0 {
+	if s.set.Bodies.MaxSize == 0 {
 		return http1.NewRequests()
 	}
-	return http1.NewFlowing(false, s.set.Bodies.Most, http1.Flow{Whole: s.set.Bodies.Whole})
+	return http1.NewFlowing(false, s.set.Bodies.MaxSize, http1.Flow{Whole: s.set.Bodies.MaxBuffered})
 }
 
 // Connections is how many connections of clients are open.
--- a/internal/node/downstream/thriftserver/crossing_test.go
+++ b/internal/node/downstream/thriftserver/interleaving_test.go
@@ -43,7 +43,7 @@
 func listen(t *testing.T, c clock.Clock, gate *driver.Gate, log *slog.Logger, accepted chan *conn) (*Server, *netpoll.Loop) {
 	t.Helper()
 	server := New(Settings{Limiter: connlimit.Settings{Connections: 9, Crowded: 9, Limits: connlimit.Limits{Idle: 60_000, Read: 2500, First: 2800}},
-		Messages: thrift.DefaultLimits, Open: 9, Pipeline: 9999, Backlog: 9999, Linger: 600_000, Stall: 600_000}, c, nil, gate, log)
+		Messages: thrift.DefaultLimits, MaxOpenCalls: 9, Pipeline: 9999, Backlog: 9999, Linger: 600_000, Stall: 600_000}, c, nil, gate, log)
 	l, err := netpoll.Listen("127.0.0.1:0", 9, func(n *netpoll.Conn) netpoll.Handler {
 		h := server.Accept(n)
 		accepted <- h.(*conn)
@@ -126,7 +126,7 @@
 	_, err = io.ReadFull(raw, make([]byte, 8))
 	require.NoError(t, err)
 	end.mu.Lock() // as when a further call has been answered, to which the policy of before the last calls was applied
-	end.slot.Enter(connlimit.StateBusy, manual.Now())
+	end.slot.SetState(connlimit.StateBusy, manual.Now())
 	gate.Stop(shutdown.Times{Accept: 10, Kill: 1000, Answers: 500, End: 100})
 	manual.Advance(10)
 	<-swept
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -34,16 +34,16 @@
 
 // Settings describe the front.
 type Settings struct {
-	Classes  []Class
-	Methods  map[string]Method // by their names as they are on the wire
-	Tenants  map[string]int
-	Limiter  connlimit.Settings
-	Messages thrift.Limits
-	Open     int     // calls open on one connection
-	Pipeline int     // bytes kept of what comes behind
-	Backlog  int     // bytes of results kept for a client that does not read them
-	Linger   float64 // ms that a client which sent what cannot be read has to read why
-	Stall    float64 // ms that results may stand still on their way to a client whose connection ends
+	Classes      []Class
+	Methods      map[string]Method // by their names as they are on the wire
+	Tenants      map[string]int
+	Limiter      connlimit.Settings
+	Messages     thrift.Limits
+	MaxOpenCalls int     // calls open on one connection
+	Pipeline     int     // bytes kept of what comes behind
+	Backlog      int     // bytes of results kept for a client that does not read them
+	Linger       float64 // ms that a client which sent what cannot be read has to read why
+	Stall        float64 // ms that results may stand still on their way to a client whose connection ends
 }
 
 // Server serves clients.
@@ -64,8 +64,8 @@
 // Connections is how many connections of clients are open.
 func (s *Server) Connections() int { return s.limiter.Connections() }
 
-// MakeRoom has a connection make room for clients who wait because all places are taken.
-func (s *Server) MakeRoom() { s.limiter.MakeRoom() }
+// EvictOne has a connection make room for clients who wait because all places are taken.
+func (s *Server) EvictOne() { s.limiter.EvictOne() }
 
 // Sweep ends the connections that carry no call for long, and those whose call is not whole in time; it is to be called often.
 // While the node stops, they stay, since none can be replaced, until no call can be answered on them any more.
@@ -150,7 +150,7 @@
 // waits tells whether a call is to be served only after another one.
 func (c *conn) waits(m *thrift.Message) bool {
 	same := c.open[m.Seq] != nil
-	return same || len(c.open) >= c.server.set.Open || len(c.open) > 0 && m.Form.Transport == thrift.Unframed
+	return same || len(c.open) >= c.server.set.MaxOpenCalls || len(c.open) > 0 && m.Form.Transport == thrift.Unframed
 }
 
 // settle notes what the connection is about now.
@@ -158,11 +158,11 @@
 	switch {
 	case c.ended:
 	case len(c.open) > 0:
-		c.slot.Enter(connlimit.StateBusy, c.came)
+		c.slot.SetState(connlimit.StateBusy, c.came)
 	case !c.reader.Idle():
-		c.slot.Enter(connlimit.StateReading, c.came)
+		c.slot.SetState(connlimit.StateReading, c.came)
 	default:
-		c.slot.Enter(connlimit.StateIdle, c.came)
+		c.slot.SetState(connlimit.StateIdle, c.came)
 		c.retireAfterLastCalls()
 	}
 }
@@ -177,7 +177,7 @@
 
 // call handles one call under the lock.
 func (c *conn) call(m *thrift.Message) {
-	c.slot.Enter(connlimit.StateBusy, c.came)
+	c.slot.SetState(connlimit.StateBusy, c.came)
 	if m.Type != thrift.Call && m.Type != thrift.OneWay {
 		c.write(m, mapping.Fault(m.Name, mapping.InvalidMessageType, "a client sends calls"))
 		return
@@ -294,7 +294,7 @@
 // end closes the connection when all is written.
 func (c *conn) end() {
 	c.ended = true
-	c.slot.Enter(connlimit.StateClosing, c.came)
+	c.slot.SetState(connlimit.StateClosing, c.came)
 	c.net.End(c.server.set.Linger, c.server.set.Stall)
 }
 
@@ -309,7 +309,7 @@
 func (c *conn) unreadable(err error) {
 	c.ended = true
 	c.server.log.Warn("a client sent what cannot be read", "client", c.net.Peer(), "status", "thrift", "error", err)
-	c.slot.Enter(connlimit.StateClosing, c.came)
+	c.slot.SetState(connlimit.StateClosing, c.came)
 	defer c.net.End(c.server.set.Linger, c.server.set.Stall)
 	if errors.Is(err, thrift.ErrNotThrift) {
 		_ = c.net.Write(http1.AppendResponse(nil, http1.Reply{Status: 400, Body: []byte("Thrift is spoken here\n"), Close: true}))
--- a/internal/node/netpoll/descriptors_test.go
+++ b/internal/node/netpoll/descriptors_test.go
@@ -39,7 +39,7 @@
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	inner := &poorListener{Listener: tcp, asked: make(chan struct{})}
-	l, err := On(inner, 9, func(c *Conn) Handler { return echo{c} })
+	l, err := NewFromListener(inner, 9, func(c *Conn) Handler { return echo{c} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	l.StartAccepting()
@@ -67,7 +67,7 @@
 	say(t, waits, "end")
 	<-inner.asked
 	hear(old, "still")
-	require.LessOrEqual(t, l.Open(), 3, "two are open at most, and one waits for a descriptor")
+	require.LessOrEqual(t, l.OpenConnections(), 3, "two are open at most, and one waits for a descriptor")
 	inner.hard.Store(false)
 	have, err := io.ReadAll(waits)
 	require.NoError(t, err)
--- a/internal/node/netpoll/listener_test.go
+++ b/internal/node/netpoll/listener_test.go
@@ -43,7 +43,7 @@
 // Guards against a connection that the machine takes between the last look for what waits and the closing of the socket,
 // which the closing would reset, and against one that is still let in when nobody is to accept it.
 func TestDrainTakesWhatComesAfterTheLastLook(t *testing.T) {
-	l, err := Hold("127.0.0.1:0", 2, func(c *Conn) Handler { return echo{c} })
+	l, err := ListenPaused("127.0.0.1:0", 2, func(c *Conn) Handler { return echo{c} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	l.listener.most = 0
@@ -130,7 +130,7 @@
 	require.NoError(t, err)
 	poor := &starved{TCPListener: inner.(*net.TCPListener)}
 	poor.on.Store(true)
-	l, err := On(poor, 2, func(c *Conn) Handler { return echo{c} })
+	l, err := NewFromListener(poor, 2, func(c *Conn) Handler { return echo{c} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	l.listener.sole, l.listener.most = true, 0
@@ -168,7 +168,7 @@
 	require.NoError(t, file.Close())
 	assert.False(t, old.listener.bar(), "the other one needs it")
 	old.DrainAccepting()
-	young, err := On(inner, 9, func(c *Conn) Handler { return youth{echo{c}} })
+	young, err := NewFromListener(inner, 9, func(c *Conn) Handler { return youth{echo{c}} })
 	require.NoError(t, err)
 	t.Cleanup(young.Stop)
 	young.StartAccepting()
--- a/internal/node/netpoll/loop.go
+++ b/internal/node/netpoll/loop.go
@@ -52,7 +52,7 @@
 // Listen starts an engine that listens on an address and accepts. accept gives each connection that comes in its
 // Handler. At most `most` of them are open at once; further ones wait to be accepted.
 func Listen(addr string, most int, accept func(*Conn) Handler) (*Loop, error) {
-	l, err := Hold(addr, most, accept)
+	l, err := ListenPaused(addr, most, accept)
 	if err != nil {
 		return nil, err
 	}
@@ -60,24 +60,24 @@
 	return l, nil
 }
 
-// Hold is Listen for an engine whose connections wait until StartAccepting.
-func Hold(addr string, most int, accept func(*Conn) Handler) (*Loop, error) {
+// ListenPaused is Listen for an engine whose connections wait until StartAccepting.
+func ListenPaused(addr string, most int, accept func(*Conn) Handler) (*Loop, error) {
 	var plain net.ListenConfig
 	plain.SetMultipathTCP(false) // its listening sockets cannot be barred
 	inner, err := plain.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
 	}
-	l, err := On(inner, most, accept)
+	l, err := NewFromListener(inner, most, accept)
 	if err == nil {
 		l.listener.sole = true
 	}
 	return l, err
 }
 
-// On starts an engine on a listener, which is its own from here on, even if it fails. Connections wait there until
+// NewFromListener starts an engine on a listener, which is its own from here on, even if it fails. Connections wait there until
 // StartAccepting.
-func On(inner net.Listener, most int, accept func(*Conn) Handler) (*Loop, error) {
+func NewFromListener(inner net.Listener, most int, accept func(*Conn) Handler) (*Loop, error) {
 	l := &Loop{accept: accept, slots: newSlots(most), clock: clock.NewSystem()}
 	l.listener = &listener{Listener: inner, slots: l.slots, open: make(chan struct{}), most: drainMost, own: own, looked: func() {},
 		begun: make(chan struct{}), closed: make(chan struct{}), quiet: make(chan struct{}), stopped: make(chan struct{})}
@@ -122,8 +122,8 @@
 	}
 }
 
-// Open is how many connections that came in are open.
-func (l *Loop) Open() int { return l.slots.inUse() }
+// OpenConnections is how many connections that came in are open.
+func (l *Loop) OpenConnections() int { return l.slots.inUse() }
 
 // Resize changes how many connections that came in may be open at once. Those above stay.
 func (l *Loop) Resize(most int) { l.slots.resize(most) }
@@ -251,11 +251,11 @@
 // awake waits until the engine's goroutines run. Each of them clears the mark to stop when it begins: one that is told
 // before goes round and round for ever.
 func (l *Loop) awake(ctx context.Context) {
-	pulse, err := l.Pulse()
+	pulse, err := l.NewProbe()
 	if err != nil {
 		return
 	}
-	pulse.Beat(ctx)
+	pulse.RoundTrip(ctx)
 	select {
 	case <-l.listener.begun:
 	case <-ctx.Done():
--- a/internal/node/netpoll/loop_test.go
+++ b/internal/node/netpoll/loop_test.go
@@ -207,7 +207,7 @@
 	inner, err := net.FileListener(file)
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
-	young, err := On(inner, 9, func(c *Conn) Handler { return youth{echo{c}} })
+	young, err := NewFromListener(inner, 9, func(c *Conn) Handler { return youth{echo{c}} })
 	require.NoError(t, err)
 	t.Cleanup(young.Stop)
 	ask := func(want string) {
@@ -241,16 +241,16 @@
 	l, err := Listen("127.0.0.1:0", 1, func(*Conn) Handler { return holder{stuck, free} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
-	p, err := l.Pulse()
+	p, err := l.NewProbe()
 	require.NoError(t, err)
-	p.Beat(context.Background())
-	p.Beat(context.Background())
+	p.RoundTrip(context.Background())
+	p.RoundTrip(context.Background())
 	c, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
 	say(t, c, "x")
 	<-stuck
 	beaten := make(chan struct{})
-	go func() { p.Beat(context.Background()); close(beaten) }()
+	go func() { p.RoundTrip(context.Background()); close(beaten) }()
 	select {
 	case <-beaten:
 		require.Fail(t, "a beat came through")
--- a/internal/node/netpoll/pulse.go
+++ b/internal/node/netpoll/probe.go
@@ -10,14 +10,14 @@
 	"github.com/lesismal/nbio"
 )
 
-// Pulse is a connection of the engine with itself, to see whether its poller still reads.
-type Pulse struct {
+// Probe is a connection of the engine with itself, to see whether its poller still reads.
+type Probe struct {
 	near net.Conn
 	came chan struct{}
 }
 
-// Pulse makes one; it lives as long as the engine.
-func (l *Loop) Pulse() (*Pulse, error) {
+// NewProbe makes one; it lives as long as the engine.
+func (l *Loop) NewProbe() (*Probe, error) {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, fmt.Errorf("making a pulse: %w", err)
@@ -31,7 +31,7 @@
 			return nil, fmt.Errorf("making a pulse: %w", err)
 		}
 	}
-	p := &Pulse{near: ends[0], came: make(chan struct{}, 1)}
+	p := &Probe{near: ends[0], came: make(chan struct{}, 1)}
 	nb, err := nbio.NBConn(ends[1])
 	if err != nil {
 		return nil, fmt.Errorf("making a pulse: %w", err)
@@ -46,7 +46,7 @@
 }
 
 // Data takes the byte of a beat from the poller.
-func (p *Pulse) Data([]byte) {
+func (p *Probe) Data([]byte) {
 	select {
 	case p.came <- struct{}{}:
 	default:
@@ -54,10 +54,10 @@
 }
 
 // Closed takes the engine's end.
-func (p *Pulse) Closed(error) { _ = p.near.Close() }
+func (p *Probe) Closed(error) { _ = p.near.Close() }
 
-// Beat returns once the poller has read a byte that is written now, or when ctx ends. One beat at a time.
-func (p *Pulse) Beat(ctx context.Context) {
+// RoundTrip returns once the poller has read a byte that is written now, or when ctx ends. One beat at a time.
+func (p *Probe) RoundTrip(ctx context.Context) {
 	if _, err := p.near.Write([]byte{0}); err != nil {
 		<-ctx.Done() // the engine has ended
 		return
--- a/internal/node/upstream/connpool/body_test.go
+++ b/internal/node/upstream/connpool/body_test.go
@@ -90,7 +90,7 @@
 					taken <- struct{}{}
 				}
 			}, func() {})
-			rest.Put(make([]byte, bodypipe.Piece))
+			rest.Put(make([]byte, bodypipe.ChunkSize))
 			ended := b.relay(post(strings.Repeat("x", 6<<20), rest, c.length), make(chan struct{}))
 			host := b.accept()
 			_, err := http.ReadRequest(bufio.NewReader(host)) // and no more
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -209,9 +209,9 @@
 		host := b.accept()
 		b.serve(host)
 		require.Equal(t, result{dispatch.Served, "/look/1"}, <-ended)
-		pulse, err := b.loop.Pulse()
+		pulse, err := b.loop.NewProbe()
 		require.NoError(t, err)
-		pulse.Beat(t.Context()) // the poller has done with the answer
+		pulse.RoundTrip(t.Context()) // the poller has done with the answer
 		b.clock.Advance(10)
 		again := func() {
 			_, err := host.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother"))
--- a/node/door.go
+++ b/node/door.go
@@ -270,7 +270,7 @@
 
 // Held is how many descriptors the node holds, with those that it keeps back.
 func (n *Node) Held() int {
-	held := n.opts.Load().Service.Reserve + n.loop.Open() + n.pool.Open()
+	held := n.opts.Load().Service.Reserve + n.loop.OpenConnections() + n.pool.Open()
 	if n.door != nil {
 		held += admin.Descriptors
 	}
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -223,10 +223,10 @@
 	_, err = late.Write([]byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
 	require.NoError(t, err)
 	require.Eventually(t, n.loop.Full, time.Minute, time.Millisecond)
-	pulse, err := n.loop.Pulse()
+	pulse, err := n.loop.NewProbe()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller has left the last of them
-	s.Clock.Advance(100)    // the next look
+	pulse.RoundTrip(t.Context()) // the poller has left the last of them
+	s.Clock.Advance(100)         // the next look
 	require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Minute)))
 	line := make([]byte, 15)
 	_, err = io.ReadFull(late, line)
--- a/node/handover.go
+++ b/node/handover.go
@@ -110,11 +110,11 @@
 // Stations are the loops that have to work for a request to be served, for a watchdog: the poller that reads all
 // sockets, the timers and the module behind the pilot's lock, and the locks of the front and the core.
 func (n *Node) Stations() ([]systemd.Station, error) {
-	pulse, err := n.loop.Pulse()
+	pulse, err := n.loop.NewProbe()
 	if err != nil {
 		return nil, err
 	}
-	return []systemd.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
+	return []systemd.Station{{Name: "the poller", Pass: pulse.RoundTrip}, {Name: "the timers", Pass: n.beat},
 		{Name: "the front", Pass: func(context.Context) { n.north.Connections() }},
 		{Name: "the core", Pass: func(context.Context) { n.unanswered() }}}, nil
 }
@@ -138,9 +138,9 @@
 	var l *netpoll.Loop
 	var err error
 	if extra.Listener != nil {
-		l, err = netpoll.On(extra.Listener, most, accept)
+		l, err = netpoll.NewFromListener(extra.Listener, most, accept)
 	} else {
-		l, err = netpoll.Hold(address, most, accept)
+		l, err = netpoll.ListenPaused(address, most, accept)
 	}
 	if err != nil {
 		return nil, err
--- a/node/inventory.go
+++ b/node/inventory.go
@@ -50,7 +50,7 @@
 	return func() {
 		if left.Add(-1) == 0 {
 			n.learn()
-			n.north.Ready()
+			n.north.SetReady()
 			close(n.ready)
 			n.log.Info("the node is ready", "address", n.loop.Addr())
 		}
@@ -241,7 +241,7 @@
 		return nil, err
 	}
 	s := &Sources{conf: conf, asked: make(chan struct{})}
-	if s.loop, err = netpoll.On(socket, 1, func(*netpoll.Conn) netpoll.Handler { return nil }); err != nil {
+	if s.loop, err = netpoll.NewFromListener(socket, 1, func(*netpoll.Conn) netpoll.Handler { return nil }); err != nil {
 		return nil, err
 	}
 	left := new(atomic.Int32)
--- a/node/moments_test.go
+++ b/node/moments_test.go
@@ -219,9 +219,9 @@
 		node close
 		e send POST /pay/1 id=q deadline=900`)
 	require.Eventually(t, n.loop.Full, time.Minute, time.Millisecond)
-	pulse, err := n.loop.Pulse()
+	pulse, err := n.loop.NewProbe()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller has left the others
+	pulse.RoundTrip(t.Context()) // the poller has left the others
 	s.Run(`
 		wait 100
 		r expect POST /pay/1
--- a/node/node.go
+++ b/node/node.go
@@ -341,7 +341,7 @@
 	}
 	n.flood.Set(o.Log.FloodInterval.Ms)
 	n.pool.Limit(southLimits(n.conf, &o))
-	n.north.Limit(northLimits(&o))
+	n.north.SetLimits(northLimits(&o))
 	n.watch.Limit(listLimits(n.conf, &o))
 	if n.lists != nil {
 		n.lists.tune(&o)
@@ -437,7 +437,7 @@
 func northLimits(o *Options) httpserver.Limits {
 	h := &o.North.HTTP
 	return httpserver.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
-		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, Whole: h.RetryAfter == "whole"}
+		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, WholeSeconds: h.RetryAfter == "whole"}
 }
 
 func southLimits(conf *Config, o *Options) connpool.Limits {
@@ -463,7 +463,7 @@
 }
 
 func frontSettings(conf *Config, o *Options, room options.Room, budget *bodypipe.Budget) httpserver.Settings {
-	set := httpserver.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
+	set := httpserver.Settings{ClassIndex: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
 		Crowded: room.Crowded, Limits: northLimits(o)}
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
@@ -471,14 +471,14 @@
 			method = "GET"
 		}
 		set.Classes = append(set.Classes, httpserver.Class{Method: method, Keyed: c.Effect == decide.Keyed})
-		set.ByName[c.Name] = i
+		set.ClassIndex[c.Name] = i
 	}
 	for i, t := range conf.Settings.Tenants {
 		set.Tenants[t.Name] = i
 	}
 	set.Bodies.Budget = budget
 	if flows(o) {
-		set.Bodies.Most, set.Bodies.Whole = o.North.HTTP.BodyMost.Bytes, o.North.HTTP.BodyWhole.Bytes
+		set.Bodies.MaxSize, set.Bodies.MaxBuffered = o.North.HTTP.BodyMost.Bytes, o.North.HTTP.BodyWhole.Bytes
 	}
 	return set
 }
@@ -568,7 +568,7 @@
 			}
 			n.log.Info("the node answers what it owes and ends: another process accepts")
 			n.loop.StopAccepting() // at once: what waits there is the other one's
-			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.Open()+yieldSpare))
+			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.OpenConnections()+yieldSpare))
 			n.gate.Yield(n.yieldTimes())
 		case <-n.gate.Ended():
 			if left := n.unanswered(); left > 0 {
@@ -634,12 +634,12 @@
 func (n *Node) sweep() {
 	n.north.Sweep()
 	if n.loop.Full() {
-		n.north.MakeRoom()
+		n.north.EvictOne()
 	}
 	if n.thrift != nil && n.thrift.front != nil {
 		n.thrift.front.Sweep()
 		if n.thrift.loop.Full() {
-			n.thrift.front.MakeRoom()
+			n.thrift.front.EvictOne()
 		}
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -564,11 +564,11 @@
 // least. With 64 descriptors there is room for 18 clients.
 func TestClientsMakeRoom(t *testing.T) {
 	s, n := startNode(t, Extras{}, 64, []string{"h1"})
-	pulse, err := n.loop.Pulse()
+	pulse, err := n.loop.NewProbe()
 	require.NoError(t, err)
 	up := func(who string) {
 		s.Run(who + " send GET /up\n" + who + " expect 200")
-		pulse.Beat(t.Context()) // the client has its answer before the node notes since when it rests, which decides who goes
+		pulse.RoundTrip(t.Context()) // the client has its answer before the node notes since when it rests, which decides who goes
 	}
 	s.Run(begin("h1") + "c send raw \"\"")
 	for i := range 10 {
--- a/node/thrift.go
+++ b/node/thrift.go
@@ -86,7 +86,7 @@
 	if front.Listen == "" {
 		return nil
 	}
-	fs := thriftserver.Settings{Methods: map[string]thriftserver.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), Open: front.Open,
+	fs := thriftserver.Settings{Methods: map[string]thriftserver.Method{}, Tenants: map[string]int{}, Messages: messageLimits(o), MaxOpenCalls: front.Open,
 		Pipeline: front.PipelineMost.Bytes, Backlog: front.BacklogMost.Bytes, Linger: front.Linger.Ms, Stall: o.North.HTTP.Stall.Ms,
 		Limiter: connlimit.Settings{Connections: room.Thrift, Crowded: room.Thrift, Limits: connlimit.Limits{Idle: front.IdleAfter.Ms,
 			Read: front.ReadLimit.Ms, First: front.FirstLimit.Ms, Settle: front.Settle.Ms}}}
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -346,10 +346,10 @@
 	late := dialWire(t, n)
 	late.send(frame(1, "waits", "y"))
 	require.Eventually(t, n.thrift.loop.Full, time.Minute, time.Millisecond)
-	pulse, err := n.thrift.loop.Pulse()
+	pulse, err := n.thrift.loop.NewProbe()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller has left the others
-	s.Clock.Advance(100)    // the next look
+	pulse.RoundTrip(t.Context()) // the poller has left the others
+	s.Clock.Advance(100)         // the next look
 	assert.Equal(t, "did-y", string(mapping.Body(late.result())))
 	assert.Empty(t, second.rest(), "it has never asked")
 	first.send(frame(2, "again", "z"))
