--- a/internal/node/netpoll/conn.go
+++ b/internal/node/netpoll/conn.go
@@ -8,8 +8,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// Handler receives the events of a connection. Data is called by the poller, in order, and must not block; the bytes are valid until it
-// returns. Closed is called once, by the poller, after the last Data.
+// Handler receives the events of a connection. Data is called by the poller, in order, and must not block; the
+// bytes are valid until it returns. Closed is called once, by the poller, after the last Data.
 type Handler interface {
 	Data(data []byte)
 	Closed(err error)
@@ -19,22 +19,22 @@
 type Conn struct {
 	nb         *nbio.Conn
 	handler    Handler
-	written    atomic.Int64 // bytes that the socket has taken
+	written    atomic.Int64 // bytes that the socket has accepted
 	ending     atomic.Int64 // the value of written at which End shuts the connection down for writing, 0 = none
 	discarding atomic.Bool  // received bytes are no longer passed to the handler
 	accepted   bool         // by the listener, rather than dialled
 
 	mu     sync.Mutex // orders writes with asked
 	asked  int64      // bytes passed to Write
-	linger float64    // milliseconds that End gives the other side
+	linger float64    // milliseconds that End waits for the other side to end the connection
 
-	reading   sync.Mutex    // held by the reader: the poller, or the goroutine of catchUp
+	reading   sync.Mutex    // held by the reader: the poller, or the goroutine of readPending
 	dropped   int           // bytes discarded; guarded by reading
 	readEnded bool          // a read has returned the end or an error; guarded by reading
 	paused    atomic.Bool   // reading waits for Resume
-	toEnd     atomic.Bool   // ReadToEnd was called
+	readToEnd atomic.Bool   // ReadToEnd was called
 	cleanEnd  atomic.Bool   // the other side ended the connection without a reset
-	progress  chan struct{} // has a value once the socket has taken bytes or the connection has ended
+	progress  chan struct{} // has a value once the socket has accepted bytes or the connection has ended
 
 	descriptorMu  sync.Mutex  // held while the descriptor is used; guards what follows
 	closed        bool        // the engine closes the descriptor, whose number may become another connection's
@@ -58,13 +58,14 @@
 	if c.closed {
 		return
 	}
-	// The engine tells of an end some time after it has closed the descriptor, which may be another connection's by then.
+	// The engine reports the end of a connection some time after it has closed the descriptor, whose number may be
+	// another connection's by then.
 	if closed, _ := c.nb.IsClosed(); !closed {
-		f(c.nb.Hash()) // which is the descriptor
+		f(c.nb.Hash()) // Hash returns the descriptor
 	}
 }
 
-// markClosed records that the engine is about to close the descriptor: it must not be used any more.
+// markClosed records that the engine is about to close the descriptor, which must not be used any more.
 func (c *Conn) markClosed() {
 	c.descriptorMu.Lock()
 	defer c.descriptorMu.Unlock()
--- a/internal/node/netpoll/descriptors_test.go
+++ b/internal/node/netpoll/descriptors_test.go
@@ -16,17 +16,17 @@
 
 var errNoDescriptor = &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 
-// poorListener is a listener that has no descriptor for a connection as long as times are hard.
-type poorListener struct {
+// failingListener is a listener whose Accept fails for lack of descriptors while failing is set.
+type failingListener struct {
 	net.Listener
-	hard  atomic.Bool
-	asked chan struct{} // told each time
+	failing atomic.Bool
+	called  chan struct{} // receives a value for each call that fails
 }
 
-func (s *poorListener) Accept() (net.Conn, error) {
-	if s.hard.Load() {
+func (s *failingListener) Accept() (net.Conn, error) {
+	if s.failing.Load() {
 		select {
-		case s.asked <- struct{}{}:
+		case s.called <- struct{}{}:
 		default:
 		}
 		return nil, errNoDescriptor
@@ -34,17 +34,18 @@
 	return s.Listener.Accept()
 }
 
-// Guards against connections that are never taken, or open ones that end, once the process was out of descriptors.
+// Guards against connections that are never accepted, or open ones that end, after the process has run out of
+// descriptors.
 func TestOutOfDescriptors(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	inner := &poorListener{Listener: tcp, asked: make(chan struct{})}
+	inner := &failingListener{Listener: tcp, called: make(chan struct{})}
 	l, err := NewFromListener(inner, 9, func(c *Conn) Handler { return echo{c} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	l.StartAccepting()
-	hear := func(c net.Conn, text string) {
-		say(t, c, text)
+	expectEcho := func(c net.Conn, text string) {
+		send(t, c, text)
 		have := make([]byte, len(text))
 		_, err := io.ReadFull(c, have)
 		require.NoError(t, err)
@@ -57,56 +58,57 @@
 		return c
 	}
 	old := connect()
-	hear(old, "old")
-	inner.hard.Store(true)
-	last := connect() // for a call of Accept that waits in the system already
+	expectEcho(old, "old")
+	inner.failing.Store(true)
+	last := connect() // for a call of Accept that already waits in the kernel
 	for range 3 {
-		<-inner.asked
+		<-inner.called
 	}
-	waits := connect()
-	say(t, waits, "end")
-	<-inner.asked
-	hear(old, "still")
-	require.LessOrEqual(t, l.OpenConnections(), 3, "two are open at most, and one waits for a descriptor")
-	inner.hard.Store(false)
-	have, err := io.ReadAll(waits)
+	waiting := connect()
+	send(t, waiting, "end")
+	<-inner.called
+	expectEcho(old, "still")
+	require.LessOrEqual(t, l.OpenConnections(), 3, "at most two are open, and one waits for a descriptor")
+	inner.failing.Store(false)
+	have, err := io.ReadAll(waiting)
 	require.NoError(t, err)
-	require.Equal(t, "end", string(have), "taken once there are descriptors again")
-	hear(last, "last")
-	hear(old, "on")
+	require.Equal(t, "end", string(have), "accepted once there are descriptors again")
+	expectEcho(last, "last")
+	expectEcho(old, "on")
 }
 
-// barren is a listener without descriptors that counts how often it is asked, until its socket is closed.
-type barren struct {
+// countingListener is a listener without descriptors that counts calls of Accept until it is closed.
+type countingListener struct {
 	net.Listener
-	asked  atomic.Int64
+	calls  atomic.Int64
 	closed atomic.Bool
 }
 
-func (b *barren) Accept() (net.Conn, error) {
-	if b.closed.Load() || b.asked.Add(1) > 500 { // which ends one that spins, as time would stand still
+func (b *countingListener) Accept() (net.Conn, error) {
+	if b.closed.Load() || b.calls.Add(1) > 500 { // ends a caller that spins, since fake time would not advance
 		return nil, net.ErrClosed
 	}
 	return nil, errNoDescriptor
 }
-func (b *barren) Close() error { b.closed.Store(true); return nil }
+func (b *countingListener) Close() error { b.closed.Store(true); return nil }
 
-// Guards against a node that spins while it is out of descriptors, and one that cannot be stopped meanwhile. Time is the bubble's.
+// Guards against a node that spins while it has no free descriptor, and against one that cannot be stopped
+// meanwhile. Uses fake time.
 func TestOutOfDescriptorsDoesNotSpin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inner := &barren{}
-		open := make(chan struct{})
-		close(open)
-		l := &listener{Listener: inner, slots: newSlots(9), open: open, most: drainMost, begun: make(chan struct{}),
-			closed: make(chan struct{}), quiet: make(chan struct{}), stopped: make(chan struct{})}
+		inner := &countingListener{}
+		opened := make(chan struct{})
+		close(opened)
+		l := &listener{Listener: inner, slots: newSlots(9), opened: opened, maxDrain: maxDrainTime, acceptStarted: make(chan struct{}),
+			closed: make(chan struct{}), acceptDone: make(chan struct{}), stopped: make(chan struct{})}
 		ended := make(chan error)
 		go func() { _, err := l.Accept(); ended <- err }()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		assert.LessOrEqual(t, inner.asked.Load(), int64(201))
-		assert.Greater(t, inner.asked.Load(), int64(9), "it goes on trying")
+		assert.LessOrEqual(t, inner.calls.Load(), int64(201))
+		assert.Greater(t, inner.calls.Load(), int64(9), "it retries")
 		l.stop()
-		<-l.quiet
+		<-l.acceptDone
 		require.NoError(t, l.Close())
 		require.ErrorIs(t, <-ended, net.ErrClosed)
 	})
--- a/internal/node/netpoll/interleaving_test.go
+++ b/internal/node/netpoll/interleaving_test.go
@@ -17,15 +17,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// held is a loop whose poller can be held in Data, and the connections that came in, in order.
-type held struct {
+// blockedLoop is a loop whose poller can be blocked in Data, and the accepted connections, in order.
+type blockedLoop struct {
 	slow
 	*Loop
 	conns chan *Conn
 }
 
-func holding(t *testing.T, most int) held {
-	h := held{slow: slow{make(chan struct{}, 1), make(chan struct{})}, conns: make(chan *Conn, most)}
+func newBlockedLoop(t *testing.T, most int) blockedLoop {
+	h := blockedLoop{slow: slow{make(chan struct{}, 1), make(chan struct{})}, conns: make(chan *Conn, most)}
 	var err error
 	h.Loop, err = Listen("127.0.0.1:0", most, func(c *Conn) Handler { h.conns <- c; return h.slow })
 	require.NoError(t, err)
@@ -33,45 +33,46 @@
 	return h
 }
 
-// connect gives both ends of a new connection.
-func (h held) connect(t *testing.T) (client *net.TCPConn, c *Conn) {
+// connect returns both ends of a new connection.
+func (h blockedLoop) connect(t *testing.T) (client *net.TCPConn, c *Conn) {
 	raw, err := net.Dial("tcp", h.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = raw.Close() })
 	return raw.(*net.TCPConn), <-h.conns
 }
 
-// hold keeps the poller in Data of a connection of its own until the test ends or free is closed.
-func (h held) hold(t *testing.T) {
+// blockPoller keeps the poller in Data of a further connection until free is closed.
+func (h blockedLoop) blockPoller(t *testing.T) {
 	client, _ := h.connect(t)
-	say(t, client, "x")
-	<-h.came
+	send(t, client, "x")
+	<-h.entered
 }
 
-// polled waits until the machine tells some of these of a connection; the poller may not know.
-func polled(t *testing.T, c *Conn, events int16) {
-	require.Eventually(t, func() (told bool) {
+// awaitPoll waits until the kernel reports one of the events for a connection; the poller may not have noticed it.
+func awaitPoll(t *testing.T, c *Conn, events int16) {
+	require.Eventually(t, func() (reported bool) {
 		c.withDescriptor(func(fd int) {
-			look := []unix.PollFd{{Fd: int32(fd), Events: events}}
-			n, err := unix.Poll(look, 0)
-			told = err == nil && n > 0 && look[0].Revents&events != 0
+			fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+			n, err := unix.Poll(fds, 0)
+			reported = err == nil && n > 0 && fds[0].Revents&events != 0
 		})
-		return told
+		return reported
 	}, time.Minute, time.Millisecond)
 }
 
-// Guards against a request that the poller has read and not yet handed on being lost with a connection that looks idle.
-func TestShutdownIfIdleSeesWhatIsOnItsWay(t *testing.T) {
-	h := holding(t, 1)
+// Guards against losing a request that the poller has read but not yet passed to the handler, with a connection
+// that looks idle.
+func TestShutdownIfIdleCountsBytesBeingRead(t *testing.T) {
+	h := newBlockedLoop(t, 1)
 	client, c := h.connect(t)
-	say(t, client, "one")
-	<-h.came // read, and on its way: nothing stands in the socket
+	send(t, client, "one")
+	<-h.entered // read, but not processed by the handler: the socket is empty
 	assert.False(t, c.ShutdownIfIdle())
 	close(h.free)
-	require.Eventually(t, c.ShutdownIfIdle, time.Minute, time.Millisecond, "the handler has it")
+	require.Eventually(t, c.ShutdownIfIdle, time.Minute, time.Millisecond, "the handler has the request")
 }
 
-// counting tells how many bytes it was handed, at the end.
+// counting is a handler that sends the number of bytes it received when the connection has ended.
 type counting struct {
 	n   int
 	end chan int
@@ -80,7 +81,7 @@
 func (c *counting) Data(b []byte) { c.n += len(b) }
 func (c *counting) Closed(error)  { c.end <- c.n }
 
-// Guards against a request that is read after the shutdown of its connection and handed on all the same.
+// Guards against a request that is read after ShutdownIfIdle and still passed to the handler.
 func TestNothingReachesTheHandlerAfterShutdownIfIdle(t *testing.T) {
 	handler, conns := &counting{end: make(chan int, 1)}, make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler { conns <- c; return handler })
@@ -90,13 +91,14 @@
 	require.NoError(t, err)
 	c := <-conns
 	require.Eventually(t, c.ShutdownIfIdle, time.Minute, time.Millisecond)
-	say(t, client, "late") // the client has not read the end yet
+	send(t, client, "late") // the client has not read the end of stream yet
 	require.NoError(t, client.Close())
 	assert.Zero(t, <-handler.end)
 }
 
-// Guards against a close over bytes that nobody has read, which resets the connection and may take the last answer with it.
-func TestEndReadsOn(t *testing.T) {
+// Guards against closing a socket with unread bytes, which resets the connection, so that the last response may be
+// lost.
+func TestEndDiscardsReceivedBytes(t *testing.T) {
 	conns := make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler { conns <- c; return silent{} })
 	require.NoError(t, err)
@@ -110,23 +112,23 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() (ended bool) {
 		require.NoError(t, raw.Control(func(fd uintptr) {
-			look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-			n, err := unix.Poll(look, 0)
+			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+			n, err := unix.Poll(fds, 0)
 			ended = err == nil && n > 0
 		}))
 		return ended
 	}, time.Minute, time.Millisecond)
-	say(t, client, "one more") // over the end, before the answer is read
-	say(t, client, "and one")
+	send(t, client, "one more") // after the end of stream, before the response is read
+	send(t, client, "and one")
 	have, err := io.ReadAll(client)
 	require.NoError(t, err)
 	assert.Equal(t, "answer", string(have))
 	require.NoError(t, client.Close())
-	require.Eventually(t, c.isClosed, time.Minute, time.Millisecond, "it goes as soon as the client has")
+	require.Eventually(t, c.isClosed, time.Minute, time.Millisecond, "it closes as soon as the client has closed its end")
 }
 
-// Guards against a client that holds a connection which was ended: by never ending it, by sending without end, or by not reading
-// what is still to be written.
+// Guards against a client that keeps a connection open after End: by never closing its side, by sending without
+// end, or by not reading what is still to be written.
 func TestEndIsBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		linger, stall float64
@@ -145,8 +147,9 @@
 			conn := <-conns
 			require.NoError(t, conn.Write(make([]byte, c.unread)))
 			conn.End(c.linger, c.stall)
-			// The client need not hear of the end: where its last bytes filled the window, its kernel asks for room until the other one has
-			// forgotten the connection, a minute later (tcp(7), tcp_fin_timeout).
+			// The client may not notice the end: if its last bytes filled the receive window, its kernel sends
+			// window probes until the other kernel has dropped the connection, a minute later (tcp(7),
+			// tcp_fin_timeout).
 			for n, piece := 0, make([]byte, 64<<10); c.sends && !conn.isClosed(); {
 				require.NoError(t, client.SetWriteDeadline(time.Now().Add(100*time.Millisecond)))
 				taken, err := client.Write(piece)
@@ -154,19 +157,19 @@
 					break
 				}
 				n += taken
-				require.Less(t, n, 8*dropMost, "it takes all that is sent")
+				require.Less(t, n, 8*maxDiscarded, "it accepts everything that is sent")
 			}
 			require.Eventually(t, conn.isClosed, time.Minute, time.Millisecond)
 		})
 	}
 }
 
-// Guards against an answer that breaks off and looks whole: to a client that was told no length the end of the connection is that of
-// the answer. The poller, which closes the descriptor, stands still meanwhile.
-func TestAbortIsNoEnd(t *testing.T) {
-	h := holding(t, 2)
+// Guards against a truncated response that looks complete: for a client that got no length, the end of the
+// connection is the end of the response. The poller, which closes the descriptor, is blocked meanwhile.
+func TestAbortResetsTheConnection(t *testing.T) {
+	h := newBlockedLoop(t, 2)
 	client, c := h.connect(t)
-	h.hold(t)
+	h.blockPoller(t)
 	require.NoError(t, c.Write([]byte("half")))
 	_, err := io.ReadFull(client, make([]byte, 4))
 	require.NoError(t, err)
@@ -174,19 +177,20 @@
 	_, err = client.Read(make([]byte, 1))
 	require.ErrorIs(t, err, unix.ECONNRESET)
 	close(h.free)
-	require.Eventually(t, c.isClosed, time.Minute, time.Millisecond, "its place is free")
+	require.Eventually(t, c.isClosed, time.Minute, time.Millisecond, "its slot is free")
 }
 
-// begin asks whether a request could go out.
-func begin(c, client *Conn) (fit, gone bool) {
+// canWrite returns whether a request can be written to c (fit) and whether the client has ended its connection
+// (gone).
+func canWrite(c, client *Conn) (fit, gone bool) {
 	fit, gone, _ = c.WriteRequest(nil, client, func() {})
 	return fit, gone
 }
 
-// Guards against a request written to a connection on which something came, or which the other side has ended, and against one for a
-// client that has gone, while the poller has not heard of it.
-func TestBeginIsAheadOfThePoller(t *testing.T) {
-	h := holding(t, 4)
+// Guards against writing a request to a connection on which bytes were received or which the other side has ended,
+// and against a request for a client that has closed its connection, before the poller has noticed.
+func TestWriteRequestChecksAheadOfThePoller(t *testing.T) {
+	h := newBlockedLoop(t, 4)
 	up, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = up.Close() })
@@ -202,36 +206,37 @@
 	spoilt, peer := dial()
 	ended, peer2 := dial()
 	good, _ := dial()
-	h.hold(t)
-	fit, gone := begin(good, down)
+	h.blockPoller(t)
+	fit, gone := canWrite(good, down)
 	assert.True(t, fit)
 	assert.False(t, gone)
-	say(t, peer, "half a li")
-	polled(t, spoilt, unix.POLLIN)
-	fit, gone = begin(spoilt, down)
-	assert.False(t, fit, "bytes stand in the socket")
+	send(t, peer, "half a li")
+	awaitPoll(t, spoilt, unix.POLLIN)
+	fit, gone = canWrite(spoilt, down)
+	assert.False(t, fit, "the socket has unread bytes")
 	assert.False(t, gone)
 	require.NoError(t, peer2.(*net.TCPConn).CloseWrite())
-	polled(t, ended, unix.POLLRDHUP)
-	fit, _ = begin(ended, nil)
+	awaitPoll(t, ended, unix.POLLRDHUP)
+	fit, _ = canWrite(ended, nil)
 	assert.False(t, fit, "the other side has ended it")
-	say(t, client, "a further request") // which nobody reads
+	send(t, client, "a further request") // stays unread
 	require.NoError(t, client.CloseWrite())
-	polled(t, down, unix.POLLRDHUP)
-	fit, gone = begin(good, down)
+	awaitPoll(t, down, unix.POLLRDHUP)
+	fit, gone = canWrite(good, down)
 	assert.True(t, fit)
-	assert.True(t, gone, "behind bytes that nobody has read")
+	assert.True(t, gone, "the end of stream is behind unread bytes")
 	close(h.free)
 }
 
-// Guards against bytes that came between the last look and the write being taken for the answer to what was written.
-func TestBeginTellsWhatCameBeforeTheWrite(t *testing.T) {
-	h := holding(t, 2)
-	h.hold(t)
+// Guards against bytes that arrive between the last poll and the write being taken for the response to the
+// request.
+func TestWriteRequestReportsBytesReceivedBeforeTheWrite(t *testing.T) {
+	h := newBlockedLoop(t, 2)
+	h.blockPoller(t)
 	client, c := h.connect(t)
 	fit, _, err := c.WriteRequest([]byte("request"), nil, func() {
-		say(t, client, "stray")
-		polled(t, c, unix.POLLIN)
+		send(t, client, "stray")
+		awaitPoll(t, c, unix.POLLIN)
 		raw, err := client.SyscallConn()
 		require.NoError(t, err)
 		drop := unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET}} // nothing more is acknowledged
@@ -239,34 +244,36 @@
 			assert.NoError(t, unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &drop))
 		}))
 	})
-	assert.True(t, fit, "it has gone out")
+	assert.True(t, fit, "the request was written")
 	assert.ErrorIs(t, err, errEarly)
 	close(h.free)
 }
 
-// Guards against bytes that the poller has read and not yet handed on being taken for the next answer.
-func TestBeginSeesWhatIsOnItsWay(t *testing.T) {
-	h := holding(t, 1)
+// Guards against bytes that the poller has read but not yet passed to the handler being taken for the next
+// response.
+func TestWriteRequestNoticesBytesBeingRead(t *testing.T) {
+	h := newBlockedLoop(t, 1)
 	client, c := h.connect(t)
-	say(t, client, "stray")
-	<-h.came
-	fit, _ := begin(c, nil)
+	send(t, client, "stray")
+	<-h.entered
+	fit, _ := canWrite(c, nil)
 	assert.False(t, fit)
 	close(h.free)
 }
 
-// toItsEnd holds the poller in Data and tells how the connection ended.
-type toItsEnd struct {
+// slowReporting blocks the poller in Data and reports how the connection ended.
+type slowReporting struct {
 	slow
 	ended chan error
 }
 
-func (h toItsEnd) Closed(err error) { h.ended <- err }
+func (h slowReporting) Closed(err error) { h.ended <- err }
 
-// Guards against a reset that comes while bytes are handed on being taken for an end, and what came before it for all: the system tells
-// of a reset once, so that a further read finds an end.
-func TestResetBehindBytesIsNoEnd(t *testing.T) {
-	h := toItsEnd{slow{make(chan struct{}, 1), make(chan struct{})}, make(chan error, 1)}
+// Guards against a reset that arrives while bytes are passed to the handler being taken for a clean end, and the
+// bytes before it for the whole message: the kernel reports a reset only once, so that a further read returns an
+// end of stream.
+func TestResetBehindBytesIsNotACleanEnd(t *testing.T) {
+	h := slowReporting{slow{make(chan struct{}, 1), make(chan struct{})}, make(chan error, 1)}
 	conns := make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler {
 		c.ReadToEnd()
@@ -277,21 +284,22 @@
 	t.Cleanup(l.Stop)
 	raw, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	say(t, raw, "half of it")
-	<-h.came
+	send(t, raw, "half of it")
+	<-h.entered
 	require.NoError(t, raw.(*net.TCPConn).SetLinger(0))
 	require.NoError(t, raw.Close())
-	polled(t, <-conns, unix.POLLERR)
+	awaitPoll(t, <-conns, unix.POLLERR)
 	close(h.free)
 	err = <-h.ended
 	require.Error(t, err)
 	assert.NotErrorIs(t, err, io.EOF)
 }
 
-// Guards against a last byte that the socket has taken, but that is not counted yet when its connection is given up: what may have run
-// would be told not to have. Bytes that waited are written by the engine, which counts them under its lock.
+// Guards against a last byte that the socket has accepted but that is not counted yet when the connection is
+// closed: a request that may have run would be reported as not run. Queued bytes are written by the engine, which
+// counts them under its lock.
 func TestFinalWrittenWaitsForTheEnginesWrite(t *testing.T) {
-	const size = 16 << 20 // more than the socket takes at once
+	const size = 16 << 20 // more than the socket accepts at once
 	conns := make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler { conns <- c; return silent{} })
 	require.NoError(t, err)
@@ -300,29 +308,29 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = client.Close() })
 	c := <-conns
-	taken, free := make(chan int, 1), make(chan struct{})
+	accepted, free := make(chan int, 1), make(chan struct{})
 	var hook sync.Once
 	l.engine.OnWrittenSize(func(nb *nbio.Conn, b []byte, n int) {
 		hook.Do(func() {
-			taken <- n
+			accepted <- n
 			<-free
 		})
-		l.wrote(nb, b, n)
+		l.onWritten(nb, b, n)
 	})
 	wrote := make(chan error, 1)
 	go func() { wrote <- c.Write(make([]byte, size)) }()
 	go func() { _, _ = io.Copy(io.Discard, client) }()
-	under := <-taken
+	uncounted := <-accepted
 	before := c.Written()
 	c.Close()
-	told := awaitFinalWritten(t, c)
+	final := startFinalWritten(t, c)
 	close(free)
-	assert.GreaterOrEqual(t, <-told, before+int64(under))
+	assert.GreaterOrEqual(t, <-final, before+int64(uncounted))
 	require.NoError(t, <-wrote)
 }
 
-// Guards against the same where the socket takes at once what is written.
-func TestFinalWrittenWaitsForTheWriteUnderWay(t *testing.T) {
+// Guards against the same fault for a write that the socket accepts at once.
+func TestFinalWrittenWaitsForTheWriteInProgress(t *testing.T) {
 	conns := make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler { conns <- c; return silent{} })
 	require.NoError(t, err)
@@ -331,38 +339,40 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = client.Close() })
 	c := <-conns
-	taken, free := make(chan struct{}), make(chan struct{})
+	accepted, free := make(chan struct{}), make(chan struct{})
 	c.count = func(n int) {
-		close(taken)
+		close(accepted)
 		<-free
 		c.took(n)
 	}
 	wrote := make(chan error, 1)
 	go func() { wrote <- c.Write([]byte("last")) }()
-	<-taken
+	<-accepted
 	closed := make(chan struct{})
 	go func() { c.Close(); close(closed) }()
-	told := awaitFinalWritten(t, c)
+	final := startFinalWritten(t, c)
 	close(free)
-	assert.EqualValues(t, 4, <-told)
+	assert.EqualValues(t, 4, <-final)
 	require.NoError(t, <-wrote)
 	<-closed
 }
 
-// awaitFinalWritten calls FinalWritten, which must not return yet, and returns where its result comes.
-func awaitFinalWritten(t *testing.T, c *Conn) <-chan int64 {
+// startFinalWritten calls FinalWritten, which must not return yet, and returns the channel that its result is sent
+// to.
+func startFinalWritten(t *testing.T, c *Conn) <-chan int64 {
 	t.Helper()
-	told := make(chan int64, 1)
-	go func() { told <- c.FinalWritten() }()
+	final := make(chan int64, 1)
+	go func() { final <- c.FinalWritten() }()
 	for range 1000 {
 		runtime.Gosched()
-		require.Empty(t, told, "the socket has them")
+		require.Empty(t, final, "the bytes that the socket has accepted are not counted yet")
 	}
-	return told
+	return final
 }
 
-// Guards against a write that fails closing the descriptor while the poller still has an event of that connection to see to: the next
-// connection under its number would be ended by it. And against a reset that a write was told of being taken for a clean end.
+// Guards against a failed write that closes the descriptor while the poller still has an event of that connection
+// to handle, which would end the next connection with its number. Also guards against a reset that was reported to
+// a write being taken for a clean end.
 func TestFailedWriteLeavesTheDescriptorToThePoller(t *testing.T) {
 	ends := make(chan error, 1)
 	block, free, inData := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -382,27 +392,28 @@
 	}
 	first, holding := connect()
 	second, breaking := connect()
-	// The poller is held in the first connection's bytes, in a batch of events that has the second one's end.
-	say(t, first, "x")
+	// The poller is blocked in Data of the first connection, in a batch of events that includes the second one's
+	// end.
+	send(t, first, "x")
 	<-inData
-	say(t, first, "y")
-	polled(t, holding, unix.POLLIN)
+	send(t, first, "y")
+	awaitPoll(t, holding, unix.POLLIN)
 	require.NoError(t, second.SetLinger(0))
 	require.NoError(t, second.Close())
-	polled(t, breaking, unix.POLLHUP)
+	awaitPoll(t, breaking, unix.POLLHUP)
 	close(block)
 	<-inData
-	require.Error(t, breaking.send([]byte("z")), "the look before it came too early")
+	require.Error(t, breaking.send([]byte("z")), "the poll before the write was too early to see the reset")
 	third, next := connect()
 	close(free)
 	assert.Equal(t, errEnded, <-ends)
 	require.NoError(t, next.Write([]byte("served")))
-	answer := make([]byte, len("served"))
-	_, err = io.ReadFull(third, answer)
+	response := make([]byte, len("served"))
+	_, err = io.ReadFull(third, response)
 	require.NoError(t, err)
 }
 
-// blocking holds the poller in its first Data until block is closed, and in the second until free is.
+// blocking blocks the poller in its first Data until block is closed, and in the second until free is closed.
 type blocking struct {
 	inData      chan struct{}
 	block, free chan struct{}
@@ -421,7 +432,7 @@
 
 func (b *blocking) Closed(error) {}
 
-// reporting tells how its connection ended.
+// reporting is a handler that reports how its connection ended.
 type reporting struct{ ends chan error }
 
 func (r *reporting) Data([]byte)      {}
--- a/internal/node/netpoll/loop.go
+++ b/internal/node/netpoll/loop.go
@@ -1,4 +1,5 @@
-// Package netpoll is the node's socket layer: one nbio engine whose connections are handed to a Handler each.
+// Package netpoll is the node's socket layer: an nbio engine that passes the events of each connection to a
+// Handler.
 package netpoll
 
 import (
@@ -17,21 +18,21 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// The engine keeps a table of as many places as there may be descriptors: the machine's own limit is far beyond
-// what a node may hold.
+// The engine allocates a table with an entry for each possible descriptor. The machine's limit is far beyond what
+// a node may hold, so the table is capped at 65536 entries.
 func init() {
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, 1<<16)
 	logging.SetLevel(logging.LevelNone)
 }
 
-// A listening socket that is to be closed has to be without a new connection for so long, but for no more than so long
-// are new ones taken.
+// Times for DrainAccepting: the socket is closed once no connection has arrived for settleTime; new connections
+// are accepted for at most maxDrainTime.
 const (
-	drained   = 5 * time.Millisecond
-	drainMost = 200 * time.Millisecond
+	settleTime   = 5 * time.Millisecond
+	maxDrainTime = 200 * time.Millisecond
 )
 
-const shortPause = 5 * time.Millisecond // where descriptors have run out for a moment
+const descriptorRetryDelay = 5 * time.Millisecond // while the process has no free descriptor
 
 // Loop is a running engine.
 type Loop struct {
@@ -49,8 +50,8 @@
 	return conn
 }
 
-// Listen starts an engine that listens on an address and accepts. accept gives each connection that comes in its
-// Handler. At most `most` of them are open at once; further ones wait to be accepted.
+// Listen starts an engine that listens on an address and accepts connections. accept returns the Handler of each
+// accepted connection. At most `most` of them are open at once; further ones wait to be accepted.
 func Listen(addr string, most int, accept func(*Conn) Handler) (*Loop, error) {
 	l, err := ListenPaused(addr, most, accept)
 	if err != nil {
@@ -60,34 +61,34 @@
 	return l, nil
 }
 
-// ListenPaused is Listen for an engine whose connections wait until StartAccepting.
+// ListenPaused is Listen for an engine that accepts connections only after StartAccepting.
 func ListenPaused(addr string, most int, accept func(*Conn) Handler) (*Loop, error) {
 	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // its listening sockets cannot be barred
+	plain.SetMultipathTCP(false) // a filter on the listening socket has no effect with it
 	inner, err := plain.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
 	}
 	l, err := NewFromListener(inner, most, accept)
 	if err == nil {
-		l.listener.sole = true
+		l.listener.exclusive = true
 	}
 	return l, err
 }
 
-// NewFromListener starts an engine on a listener, which is its own from here on, even if it fails. Connections wait there until
-// StartAccepting.
+// NewFromListener starts an engine on a listener and takes ownership of it, even if it returns an error.
+// Connections wait there until StartAccepting.
 func NewFromListener(inner net.Listener, most int, accept func(*Conn) Handler) (*Loop, error) {
 	l := &Loop{accept: accept, slots: newSlots(most), clock: clock.NewSystem()}
-	l.listener = &listener{Listener: inner, slots: l.slots, open: make(chan struct{}), most: drainMost, own: own, looked: func() {},
-		begun: make(chan struct{}), closed: make(chan struct{}), quiet: make(chan struct{}), stopped: make(chan struct{})}
+	l.listener = &listener{Listener: inner, slots: l.slots, opened: make(chan struct{}), maxDrain: maxDrainTime, newEngineConn: newEngineConn,
+		afterLastPoll: func() {}, acceptStarted: make(chan struct{}), closed: make(chan struct{}), acceptDone: make(chan struct{}), stopped: make(chan struct{})}
 	addr := inner.Addr().String()
 	conf := nbio.Config{Name: "linenwheel", Network: nbio.NETWORK_TCP, NPoller: 1, EpollMod: nbio.EPOLLET, Addrs: []string{addr},
 		Listen: func(string, string) (net.Listener, error) { return l.listener, nil }}
 	l.engine = nbio.NewEngine(conf)
-	l.engine.OnOpen(l.opened)
-	// The engine tells of news on a socket once, and reading is this package's, so that it can be put off.
-	buffer := make([]byte, readMost)
+	l.engine.OnOpen(l.onOpen)
+	// The engine is edge-triggered, and this package reads the sockets itself, so that reading can be postponed.
+	buffer := make([]byte, maxRead)
 	l.engine.OnRead(func(nb *nbio.Conn) {
 		if c := l.conn(nb); c != nil {
 			c.read(buffer)
@@ -101,10 +102,10 @@
 			}
 			c.markClosed()
 			c.signalProgress()
-			c.handler.Closed(c.endedBy(err))
+			c.handler.Closed(c.closeError(err))
 		}
 	})
-	l.engine.OnWrittenSize(l.wrote)
+	l.engine.OnWrittenSize(l.onWritten)
 	if err := l.engine.Start(); err != nil {
 		_ = inner.Close()
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
@@ -112,78 +113,79 @@
 	return l, nil
 }
 
-// Full tells whether a connection waits to be accepted because as many as may be are open.
-func (l *Loop) Full() bool { return l.slots.short() && l.listener.waits() }
+// Full reports whether a connection waits to be accepted because the limit of open connections is reached.
+func (l *Loop) Full() bool { return l.slots.hasWaiters() && l.listener.hasPending() }
 
-// wrote counts what a socket has taken. The engine holds its lock here.
-func (l *Loop) wrote(nb *nbio.Conn, _ []byte, n int) {
+// onWritten counts the bytes that a socket has accepted. The engine holds its lock here.
+func (l *Loop) onWritten(nb *nbio.Conn, _ []byte, n int) {
 	if c := l.conn(nb); c != nil {
 		c.took(n)
 	}
 }
 
-// OpenConnections is how many connections that came in are open.
+// OpenConnections returns how many accepted connections are open.
 func (l *Loop) OpenConnections() int { return l.slots.inUse() }
 
-// Resize changes how many connections that came in may be open at once. Those above stay.
+// Resize changes how many accepted connections may be open at once. Those above the limit stay open.
 func (l *Loop) Resize(most int) { l.slots.resize(most) }
 
-// Addr is the address listened on.
+// Addr returns the address that the engine listens on.
 func (l *Loop) Addr() string { return l.listener.Addr().String() }
 
-// Descriptor lets f see the listening socket's descriptor, to pass it on: another process that has it accepts from the
-// same queue. It fails once accepting has been stopped. f must not change the descriptor.
+// Descriptor calls f with the listening socket's descriptor, so that f can pass it to another process, which then
+// accepts from the same queue. It fails once accepting has been stopped. f must not change the descriptor.
 func (l *Loop) Descriptor(f func(fd uintptr)) error {
 	if _, ok := l.listener.Listener.(syscall.Conn); !ok {
-		return fmt.Errorf("the listener on %s has no descriptor", l.Addr())
+		return fmt.Errorf("listener on %s has no descriptor", l.Addr())
 	}
 	if err := l.listener.share(f); err != nil {
-		return fmt.Errorf("the descriptor of the listener on %s: %w", l.Addr(), err)
+		return fmt.Errorf("getting the descriptor of the listener on %s: %w", l.Addr(), err)
 	}
 	return nil
 }
 
-func (l *Loop) opened(nb *nbio.Conn) {
+func (l *Loop) onOpen(nb *nbio.Conn) {
 	if l.conn(nb) != nil { // dialled
 		return
 	}
 	c := newConn(nb)
 	c.accepted = true
-	l.conns.Store(nb, c) // what the handler writes at once is counted
+	l.conns.Store(nb, c) // so that what the handler writes during accept is counted
 	c.handler = l.accept(c)
-	l.conns.Store(nb, c) // and the poller sees the handler
+	l.conns.Store(nb, c) // so that the poller sees the handler
 }
 
-// own makes a connection the engine's; on an error it is still the caller's. The engine duplicates the descriptor, and the duplicate
-// would go on to every program that the process starts: a connection that was closed here stayed open there, and its last
-// events came for the next connection under its number, which was ended by them.
-func own(c net.Conn) (*nbio.Conn, error) {
+// newEngineConn converts a connection for the engine; on an error the caller still owns it. The engine duplicates
+// the descriptor, and without close-on-exec every program that the process starts would inherit the duplicate: a
+// connection that was closed here stayed open there, and its last events were delivered for the next connection
+// with its number and ended that one.
+func newEngineConn(c net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	nb, err := nbio.NBConn(c)
 	if err != nil {
 		return nil, err
 	}
-	syscall.CloseOnExec(nb.Hash()) // which is the descriptor
+	syscall.CloseOnExec(nb.Hash()) // Hash returns the descriptor
 	return nb, nil
 }
 
-// Dial connects within a time in milliseconds or until ctx ends; it blocks. handle gives the connection its
-// Handler. The engine's own DialAsync is of no use: with this Go release it takes the first four of sixteen bytes
-// for an IPv4 address, so that every call goes to 0.0.0.0. So the standard dialer connects and the engine takes
-// over from there.
+// Dial connects to an address. It blocks until the connection is established, `within` milliseconds have passed or
+// ctx has ended. handle returns the connection's Handler. The engine's own DialAsync cannot be used: with this Go
+// release it uses the first four of sixteen bytes as the IPv4 address, so that every call goes to 0.0.0.0. So the
+// standard dialer connects, and the engine takes over from there.
 func (l *Loop) Dial(ctx context.Context, addr string, within float64, handle func(*Conn) Handler) (*Conn, error) {
 	raw, err := l.connect(ctx, addr, within)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	nb, err := own(raw)
+	nb, err := newEngineConn(raw)
 	if err != nil {
 		_ = raw.Close()
 		return nil, fmt.Errorf("connecting to %s: %w", addr, err)
 	}
 	c := newConn(nb)
-	_ = nb.SetReadBuffer(receiveMost)
+	_ = nb.SetReadBuffer(receiveBufferSize)
 	c.handler = handle(c)
 	l.conns.Store(nb, c)
 	if _, err := l.engine.AddConn(nb); err != nil {
@@ -205,59 +207,62 @@
 	return raw, err
 }
 
-// SetClock has the time to connect pass on a clock, before the first Dial. Without it the machine's clock counts.
+// SetClock sets the clock that times connection attempts. It must be called before the first Dial; the default is
+// the system clock.
 func (l *Loop) SetClock(c clock.Clock) { l.clock = c }
 
-// StartAccepting lets connections in; it may be called again.
-func (l *Loop) StartAccepting() { l.listener.first.Do(func() { close(l.listener.open) }) }
+// StartAccepting begins to accept connections. Further calls have no effect.
+func (l *Loop) StartAccepting() { l.listener.openOnce.Do(func() { close(l.listener.opened) }) }
 
-// Accepting tells whether connections were ever let in.
+// Accepting reports whether StartAccepting was called.
 func (l *Loop) Accepting() bool {
 	select {
-	case <-l.listener.open:
+	case <-l.listener.opened:
 		return true
 	default:
 		return false
 	}
 }
 
-// StopAccepting closes the listening socket; connections stay. What waits there is lost, unless another process has the
-// socket too. When it returns, each connection that was accepted has its Handler, and no further one comes.
+// StopAccepting closes the listening socket; open connections stay. Connections that wait there are lost, unless
+// another process has the socket too. When it returns, each accepted connection has its Handler, and no further
+// one is accepted.
 func (l *Loop) StopAccepting() {
 	l.listener.stop()
-	<-l.listener.quiet
+	<-l.listener.acceptDone
 }
 
-// DrainAccepting closes the listening socket as soon as no connection waits there, for the machine has taken those
-// already, and blocks until then. It has the machine take no more soon in any case. Connections stay.
+// DrainAccepting closes the listening socket as soon as no connection waits there, since the kernel has already
+// established those that wait, and blocks until then. If new connections keep arriving, the kernel drops them
+// after maxDrainTime. Open connections stay.
 func (l *Loop) DrainAccepting() {
 	l.listener.drain()
-	<-l.listener.quiet
+	<-l.listener.acceptDone
 }
 
 // Stop ends the engine and all of its connections, within a second.
 func (l *Loop) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	l.awake(ctx)
+	l.waitUntilRunning(ctx)
 	l.listener.stop()
-	select { // the engine must not be adding a connection while it ends
-	case <-l.listener.quiet:
+	select { // the engine must not add a connection while it ends
+	case <-l.listener.acceptDone:
 	case <-ctx.Done():
 	}
 	_ = l.engine.Shutdown(ctx)
 }
 
-// awake waits until the engine's goroutines run. Each of them clears the mark to stop when it begins: one that is told
-// before goes round and round for ever.
-func (l *Loop) awake(ctx context.Context) {
-	pulse, err := l.NewProbe()
+// waitUntilRunning waits until the engine's goroutines run. Each of them clears the stop flag when it starts: one
+// that is stopped before that would loop for ever.
+func (l *Loop) waitUntilRunning(ctx context.Context) {
+	probe, err := l.NewProbe()
 	if err != nil {
 		return
 	}
-	pulse.RoundTrip(ctx)
+	probe.RoundTrip(ctx)
 	select {
-	case <-l.listener.begun:
+	case <-l.listener.acceptStarted:
 	case <-ctx.Done():
 	}
 }
--- a/internal/node/netpoll/loop_test.go
+++ b/internal/node/netpoll/loop_test.go
@@ -20,7 +20,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// echo answers with what came, and ends the connection on "end".
+// echo writes back what it receives, and ends the connection after "end".
 type echo struct{ c *Conn }
 
 func (e echo) Data(b []byte) {
@@ -31,54 +31,55 @@
 }
 func (e echo) Closed(error) {}
 
-// listening starts a loop that echoes on at most `most` connections.
-func listening(t *testing.T, most int) *Loop {
+// startEcho starts a loop that echoes on at most `most` connections.
+func startEcho(t *testing.T, most int) *Loop {
 	l, err := Listen("127.0.0.1:0", most, func(c *Conn) Handler { return echo{c} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	return l
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	_, err := c.Write([]byte(text))
 	require.NoError(t, err)
 }
 
-// Guards against a node that holds more descriptors than it may, and against one that drops a connection then.
+// Guards against a node that exceeds the limit of open connections, and against one that drops a connection at the
+// limit.
 func TestFurtherConnectionsWait(t *testing.T) {
-	l := listening(t, 1)
+	l := startEcho(t, 1)
 	first, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
 	second, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	say(t, second, "two")
-	say(t, first, "end")
+	send(t, second, "two")
+	send(t, first, "end")
 	have, err := io.ReadAll(first)
 	require.NoError(t, err)
-	assert.Equal(t, "end", string(have), "answered while the other waits")
-	say(t, second, "end")
+	assert.Equal(t, "end", string(have), "echoed while the other connection waits")
+	send(t, second, "end")
 	have, err = io.ReadAll(second)
 	require.NoError(t, err)
 	assert.Equal(t, "twoend", string(have))
 }
 
-// Guards against a stop that drops a connection which the machine has taken but the node has not seen, and against one
-// that goes on taking connections.
-func TestDrainTakesWhatWaits(t *testing.T) {
-	l := listening(t, 1)
-	l.listener.most = time.Hour
+// Guards against a drain that drops a connection which the kernel has established but the node has not accepted,
+// and against one that keeps accepting connections.
+func TestDrainAcceptsPendingConnections(t *testing.T) {
+	l := startEcho(t, 1)
+	l.listener.maxDrain = time.Hour
 	first, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	say(t, first, "one")
+	send(t, first, "one")
 	_, err = io.ReadFull(first, make([]byte, 3))
 	require.NoError(t, err)
 	second, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	say(t, second, "two")
+	send(t, second, "two")
 	go l.DrainAccepting()
 	require.Eventually(t, l.listener.draining.Load, time.Minute, time.Millisecond)
-	say(t, first, "end")
-	say(t, second, "end")
+	send(t, first, "end")
+	send(t, second, "end")
 	have, err := io.ReadAll(second)
 	require.NoError(t, err)
 	assert.Equal(t, "twoend", string(have))
@@ -91,14 +92,14 @@
 	}, time.Minute, 20*time.Millisecond)
 }
 
-// slow is a handler that holds the engine in Data and in Closed.
-type slow struct{ came, free chan struct{} }
+// slow is a handler that blocks the poller in Data and in Closed.
+type slow struct{ entered, free chan struct{} }
 
-func (s slow) Data([]byte)  { s.came <- struct{}{}; <-s.free }
+func (s slow) Data([]byte)  { s.entered <- struct{}{}; <-s.free }
 func (s slow) Closed(error) { <-s.free }
 
-// Guards against a connection that is taken for idle while a request stands in its socket, and against a client that goes
-// on asking because it learns of the end only when the handler has taken care of it.
+// Guards against a connection that is taken for idle while its socket has an unread request, and against a client
+// that keeps sending requests because it is notified of the end only after the handler has processed it.
 func TestShutdownIfIdle(t *testing.T) {
 	s, conns := slow{make(chan struct{}), make(chan struct{})}, make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler { conns <- c; return s })
@@ -107,18 +108,18 @@
 	client, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
 	c := <-conns
-	say(t, client, "one")
-	<-s.came
-	say(t, client, "two")
+	send(t, client, "one")
+	<-s.entered
+	send(t, client, "two")
 	require.Eventually(t, func() bool {
 		n, err := unix.IoctlGetInt(c.nb.Hash(), unix.TIOCINQ)
 		return err == nil && n == 3
 	}, time.Minute, time.Millisecond)
-	assert.False(t, c.ShutdownIfIdle(), "a request stands in the socket")
+	assert.False(t, c.ShutdownIfIdle(), "the socket has an unread request")
 	s.free <- struct{}{}
-	<-s.came
+	<-s.entered
 	s.free <- struct{}{}
-	require.Eventually(t, c.ShutdownIfIdle, time.Minute, time.Millisecond, "the poller has handed it all on")
+	require.Eventually(t, c.ShutdownIfIdle, time.Minute, time.Millisecond, "the poller has passed everything to the handler")
 	go c.End(0, 600_000)
 	have, err := io.ReadAll(client)
 	require.NoError(t, err)
@@ -126,7 +127,7 @@
 	s.free <- struct{}{}
 }
 
-// Guards against a descriptor that is closed outside the poller because the other side has reset the connection.
+// Guards against closing a descriptor outside the poller because the other side has reset the connection.
 func TestWriteLeavesABrokenConnectionToThePoller(t *testing.T) {
 	s, conns := slow{make(chan struct{}), make(chan struct{})}, make(chan *Conn, 2)
 	l, err := Listen("127.0.0.1:0", 2, func(c *Conn) Handler { conns <- c; return s })
@@ -135,8 +136,8 @@
 	holds, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
 	<-conns
-	say(t, holds, "one")
-	<-s.came // the poller is held
+	send(t, holds, "one")
+	<-s.entered // the poller is blocked
 	client, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
 	c := <-conns
@@ -145,13 +146,13 @@
 	require.Eventually(t, c.hasPollError, time.Minute, time.Millisecond)
 	require.ErrorIs(t, c.Write([]byte("x")), errEnded)
 	c.descriptorMu.Lock()
-	assert.False(t, c.closed, "its number is not free before the poller has seen to its end")
+	assert.False(t, c.closed, "its number must stay in use until the poller has handled the end")
 	c.descriptorMu.Unlock()
 	close(s.free)
 	_ = holds.Close()
 }
 
-// Guards against answers cut short where the socket does not take them at once.
+// Guards against responses that are truncated because the socket does not accept them at once.
 func TestEndWritesAllFirst(t *testing.T) {
 	big := bytes.Repeat([]byte("x"), 8<<20)
 	l, err := Listen("127.0.0.1:0", 1, func(c *Conn) Handler {
@@ -170,11 +171,11 @@
 	assert.Len(t, have, len(big))
 }
 
-// Guards against a refused connection taken for one that is up, as the engine's own dialer does, and against the
-// wrong address being called.
+// Guards against taking a refused connection for an established one, as the engine's own dialer does, and against
+// connecting to a wrong address.
 func TestDial(t *testing.T) {
-	l := listening(t, 4)
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // has a port and does not listen
+	l := startEcho(t, 4)
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // bound to a port, but not listening
 	require.NoError(t, err)
 	defer func() { _ = unix.Close(fd) }()
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -194,10 +195,11 @@
 func (silent) Data([]byte)  {}
 func (silent) Closed(error) {}
 
-// Guards against a process that accepts before it is to, that gives away a socket which does not work elsewhere, or that
-// closes it for both when it stops, so that a connection is refused while one of the two accepts.
-func TestTwoOnOneSocket(t *testing.T) {
-	old := listening(t, 9)
+// Guards against a process that accepts before StartAccepting, that passes on a socket which does not work in
+// another process, or that closes the socket for both when it stops, so that a connection is refused while one of
+// the two accepts.
+func TestTwoLoopsShareOneSocket(t *testing.T) {
+	old := startEcho(t, 9)
 	var file *os.File
 	require.NoError(t, old.Descriptor(func(fd uintptr) {
 		other, err := syscall.Dup(int(fd))
@@ -207,36 +209,36 @@
 	inner, err := net.FileListener(file)
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
-	young, err := NewFromListener(inner, 9, func(c *Conn) Handler { return youth{echo{c}} })
+	young, err := NewFromListener(inner, 9, func(c *Conn) Handler { return prefixEcho{echo{c}} })
 	require.NoError(t, err)
 	t.Cleanup(young.Stop)
-	ask := func(want string) {
+	expect := func(want string) {
 		c, err := net.Dial("tcp", old.Addr())
 		require.NoError(t, err)
-		say(t, c, "end")
+		send(t, c, "end")
 		have, err := io.ReadAll(c)
 		require.NoError(t, err)
 		require.Equal(t, want, string(have))
 	}
 	for range 20 {
-		ask("end")
+		expect("end")
 	}
 	old.StopAccepting()
 	require.Error(t, old.Descriptor(func(uintptr) {}))
 	young.StartAccepting()
 	young.StartAccepting()
 	for range 20 {
-		ask("youngend")
+		expect("youngend")
 	}
 }
 
-// youth is an echo with a word in front.
-type youth struct{ echo }
+// prefixEcho is an echo that puts "young" before what it writes back.
+type prefixEcho struct{ echo }
 
-func (y youth) Data(b []byte) { y.echo.Data(append([]byte("young"), b...)) }
+func (y prefixEcho) Data(b []byte) { y.echo.Data(append([]byte("young"), b...)) }
 
-// Guards against a pulse that goes on while the poller is stuck in a handler.
-func TestPulseStopsWithThePoller(t *testing.T) {
+// Guards against a probe that succeeds while the poller is blocked in a handler.
+func TestProbeFailsWhileThePollerIsBlocked(t *testing.T) {
 	stuck, free := make(chan struct{}), make(chan struct{})
 	l, err := Listen("127.0.0.1:0", 1, func(*Conn) Handler { return holder{stuck, free} })
 	require.NoError(t, err)
@@ -247,17 +249,17 @@
 	p.RoundTrip(context.Background())
 	c, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	say(t, c, "x")
+	send(t, c, "x")
 	<-stuck
-	beaten := make(chan struct{})
-	go func() { p.RoundTrip(context.Background()); close(beaten) }()
+	returned := make(chan struct{})
+	go func() { p.RoundTrip(context.Background()); close(returned) }()
 	select {
-	case <-beaten:
-		require.Fail(t, "a beat came through")
+	case <-returned:
+		require.Fail(t, "the round trip succeeded while the poller was blocked")
 	default:
 	}
 	close(free)
-	<-beaten
+	<-returned
 }
 
 type holder struct{ stuck, free chan struct{} }
@@ -265,15 +267,15 @@
 func (h holder) Data([]byte)  { close(h.stuck); <-h.free }
 func (h holder) Closed(error) {}
 
-// Guards against connections that a program started by this process keeps open.
-func TestProgramsInheritNoConnection(t *testing.T) {
-	l := listening(t, 1)
+// Guards against a child process that inherits a connection and keeps it open.
+func TestChildProcessInheritsNoConnection(t *testing.T) {
+	l := startEcho(t, 1)
 	c, err := net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	say(t, c, "here")
+	send(t, c, "here")
 	_, err = io.ReadFull(c, make([]byte, 4))
 	require.NoError(t, err)
-	program := exec.Command("cat") // until its input ends
+	program := exec.Command("cat") // runs until its input ends
 	in, err := program.StdinPipe()
 	require.NoError(t, err)
 	require.NoError(t, program.Start())
@@ -281,37 +283,37 @@
 		_ = in.Close()
 		_ = program.Wait()
 	}()
-	say(t, c, "end")
+	send(t, c, "end")
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(time.Minute)))
 	have, err := io.ReadAll(c)
 	require.NoError(t, err, "the end of the connection")
 	assert.Equal(t, "end", string(have))
 }
 
-// Guards against a node that ends, since nothing is open any more, while a connection is on its way from the socket to it.
-func TestStopAcceptingWaitsForTheLast(t *testing.T) {
-	came, free := make(chan struct{}), make(chan struct{})
-	l, err := Listen("127.0.0.1:0", 2, func(c *Conn) Handler { close(came); <-free; return echo{c} })
+// Guards against a node that exits because no connection is open while it is still processing an accepted one.
+func TestStopAcceptingWaitsForTheLastConnection(t *testing.T) {
+	accepted, free := make(chan struct{}), make(chan struct{})
+	l, err := Listen("127.0.0.1:0", 2, func(c *Conn) Handler { close(accepted); <-free; return echo{c} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	_, err = net.Dial("tcp", l.Addr())
 	require.NoError(t, err)
-	<-came
+	<-accepted
 	stopped := make(chan struct{})
 	go func() { l.StopAccepting(); close(stopped) }()
 	<-l.listener.closed
 	select {
 	case <-stopped:
-		require.Fail(t, "a connection is on its way")
+		require.Fail(t, "returned while an accepted connection had no Handler")
 	default:
 	}
 	close(free)
 	<-stopped
 }
 
-// Guards against a connection that ends another one, which has got its descriptor's number: the engine closes a descriptor some
-// time before it says so.
-func TestOldConnectionsLeaveNewOnesAlone(t *testing.T) {
+// Guards against a connection that ends another one which has got its descriptor's number: the engine closes a
+// descriptor some time before it reports the end.
+func TestClosedConnectionDoesNotEndANewOne(t *testing.T) {
 	accepted := make(chan *Conn, 1)
 	l, err := Listen("127.0.0.1:0", 64, func(c *Conn) Handler {
 		accepted <- c
@@ -324,7 +326,7 @@
 		require.NoError(t, err)
 		c := <-accepted
 		stop, stopped := make(chan struct{}), make(chan struct{})
-		go func() { // as a sweep and a timer would, at the worst moment
+		go func() { // calls Close at the worst moment, as a sweep or a timer may
 			defer close(stopped)
 			for {
 				select {
@@ -352,14 +354,15 @@
 	}
 }
 
-// Guards against a time to connect that passes on another clock than the node's: a machine that stands still for a moment would end it.
-func TestTheTimeToConnectPassesOnTheLoopsClock(t *testing.T) {
+// Guards against a connect timeout that does not use the loop's clock: a machine that stalls for a moment would
+// end the attempt.
+func TestConnectTimeoutUsesTheLoopsClock(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 9, func(*Conn) Handler { return silent{} })
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	manual := clock.NewManual(1e6)
 	l.SetClock(manual)
-	// A listener with a backlog of none and a connection that waits there takes no further one.
+	// A listener with a backlog of 0 on which one connection waits accepts no further one.
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	defer func() { _ = unix.Close(fd) }()
@@ -368,9 +371,9 @@
 	at, err := unix.Getsockname(fd)
 	require.NoError(t, err)
 	full := fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
-	waits, err := net.Dial("tcp", full)
+	waiting, err := net.Dial("tcp", full)
 	require.NoError(t, err)
-	defer func() { _ = waits.Close() }()
+	defer func() { _ = waiting.Close() }()
 	ended := make(chan error, 1)
 	go func() {
 		_, err := l.Dial(t.Context(), full, 50, func(*Conn) Handler { return silent{} })
@@ -378,7 +381,7 @@
 	}()
 	select {
 	case err := <-ended:
-		require.Fail(t, "it ended while the clock stood", "%v", err)
+		require.Fail(t, "Dial returned while the clock did not advance", "%v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
 	require.Eventually(t, func() bool {
--- a/internal/node/netpoll/read.go
+++ b/internal/node/netpoll/read.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	readMost    = 32 << 10  // bytes in one read
-	turnMost    = 256 << 10 // bytes that one connection is read before it is others' turn
-	receiveMost = 96 << 10  // of the kernel's memory for what a host has sent and is not read yet
-	dropMost    = 64 << 20  // read and dropped after the end, before the connection is closed: twice the longest body by default
+	maxRead           = 32 << 10  // bytes in one read
+	maxReadPerTurn    = 256 << 10 // bytes read from one connection before others get their turn
+	receiveBufferSize = 96 << 10  // bytes of the kernel's buffer for what a backend has sent and is not read yet
+	maxDiscarded      = 64 << 20  // bytes discarded after End before the connection is closed: twice the default limit of a body
 )
 
-var spare = sync.Pool{New: func() any { return new([readMost]byte) }}
+var readBuffers = sync.Pool{New: func() any { return new([maxRead]byte) }}
 
-// Pause stops reading until Resume: what the other side sends stays in the kernel, and then with the sender. When the other side ends the
-// connection meanwhile, what the kernel holds is read all the same, for the engine closes the socket then.
+// Pause stops reading until Resume: what the other side sends stays in the kernel's buffer and, once that is full,
+// with the sender. If the other side ends the connection meanwhile, what the kernel holds is read all the same,
+// because the engine closes the socket then.
 func (c *Conn) Pause() { c.paused.Store(true) }
 
 // Resume continues reading, in a goroutine of its own.
 func (c *Conn) Resume() {
 	if c.paused.CompareAndSwap(true, false) {
-		go c.catchUp()
+		go c.readPending()
 	}
 }
 
-// catchUp reads what waits.
-func (c *Conn) catchUp() {
-	buffer := spare.Get().(*[readMost]byte)
-	defer spare.Put(buffer)
+// readPending reads what the kernel holds.
+func (c *Conn) readPending() {
+	buffer := readBuffers.Get().(*[maxRead]byte)
+	defer readBuffers.Put(buffer)
 	c.read(buffer[:])
 }
 
-// read hands on what has come, until nothing waits. The engine tells of news once: a read that fills less than the buffer has
-// taken all, and what comes later is news again.
+// read passes received bytes to the handler until the kernel holds none. The poller is edge-triggered: a read that
+// does not fill the buffer has taken everything, and bytes that arrive later cause another event.
 func (c *Conn) read(buffer []byte) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
 	for total := 0; !c.readEnded; {
-		if (c.paused.Load() || total > turnMost) && !c.hungUp() {
+		if (c.paused.Load() || total > maxReadPerTurn) && !c.hungUp() {
 			if !c.paused.Load() {
-				go c.catchUp()
+				go c.readPending()
 			}
 			return
 		}
@@ -53,8 +54,8 @@
 			continue
 		}
 		if n <= 0 || err != nil {
-			if !errors.Is(err, syscall.EAGAIN) { // the engine hears of it, too, and closes the socket next
-				c.readEnded = true // the system tells of a reset once: a further read would find an end in its place
+			if !errors.Is(err, syscall.EAGAIN) { // the engine gets this result too, and closes the socket next
+				c.readEnded = true // the kernel reports a reset only once: a further read would return an end of stream
 				c.cleanEnd.Store(err == nil && !c.isBroken())
 				c.markClosed()
 			}
@@ -63,11 +64,11 @@
 		total += n
 		if !c.discarding.Load() {
 			c.handler.Data(buffer[:n])
-		} else if c.dropped += n; c.dropped > dropMost {
+		} else if c.dropped += n; c.dropped > maxDiscarded {
 			c.Close()
 			return
 		}
-		if n < len(buffer) && !c.toEnd.Load() {
+		if n < len(buffer) && !c.readToEnd.Load() {
 			return
 		}
 	}
@@ -76,29 +77,29 @@
 // hungUp reports whether the kernel knows that the other side has ended the connection.
 func (c *Conn) hungUp() (ended bool) {
 	c.withDescriptor(func(fd int) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(look, 0)
-		ended = err == nil && n > 0 && look[0].Revents != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		ended = err == nil && n > 0 && fds[0].Revents != 0
 	})
 	return ended
 }
 
-// ReadToEnd has the end of the connection noticed as such: Closed is given io.EOF if the other side had sent all it wanted. It costs
-// one read more each time, so it is for those that wait for the end.
-func (c *Conn) ReadToEnd() { c.toEnd.Store(true) }
+// ReadToEnd makes the connection detect its end by reading: Closed receives io.EOF if the other side has ended the
+// connection without a reset. It costs one more read per event, so it is for callers that wait for the end.
+func (c *Conn) ReadToEnd() { c.readToEnd.Store(true) }
 
-// endedBy is how a connection ended that the engine closes.
-func (c *Conn) endedBy(err error) error {
+// closeError returns the error that Closed receives for a connection which the engine has closed with err.
+func (c *Conn) closeError(err error) error {
 	switch {
 	case c.cleanEnd.Load():
 		return io.EOF
-	case err == nil || errors.Is(err, io.EOF): // the engine's word for any end
+	case err == nil || errors.Is(err, io.EOF): // the engine reports these for any end
 		return errEnded
 	}
 	return err
 }
 
-// signalProgress has WaitForBacklog check again.
+// signalProgress makes WaitForBacklog check again.
 func (c *Conn) signalProgress() {
 	select {
 	case c.progress <- struct{}{}:
@@ -106,8 +107,8 @@
 	}
 }
 
-// WaitForBacklog blocks until Backlog is at most `most` bytes and returns true, or false once the connection has ended or stop is closed.
-// One goroutine at a time may call it.
+// WaitForBacklog blocks until Backlog is at most `most` bytes and returns true, or false once the connection has
+// ended or stop is closed. One goroutine at a time may call it.
 func (c *Conn) WaitForBacklog(most int, stop <-chan struct{}) bool {
 	for c.Backlog() > int64(most) {
 		if c.isClosed() {
--- a/internal/node/netpoll/request.go
+++ b/internal/node/netpoll/request.go
@@ -6,13 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// WriteRequest writes the first bytes of a client's request to a connection to a backend, unless the connection cannot be used (fit is
-// false: something was received on it, or the other side has ended it) or the client has ended its own connection (gone). The kernel
-// knows both before the poller does. A nil client is not checked. Nothing that is received reaches the handler before the bytes are
-// written; asked is called right before that. The error is errEarly where something was received that cannot be the response.
+// WriteRequest writes the first bytes of a client's request to a connection to a backend, unless the connection
+// cannot be used (fit is false: something was received on it, or the other side has ended it) or the client has
+// ended its own connection (gone). The kernel knows both before the poller does. A nil client is not checked.
+// Nothing that is received reaches the handler before the bytes are written; asked is called right before that.
+// The error is errEarly if bytes were received that cannot be the response.
 func (c *Conn) WriteRequest(b []byte, client *Conn, asked func()) (fit, gone bool, err error) {
 	if !c.reading.TryLock() { // the poller is reading
-		return false, client.hasLeft(), nil
+		return false, client.hasEnded(), nil
 	}
 	defer c.reading.Unlock()
 	if fit, gone = c.pollBoth(client); !fit || gone {
@@ -25,8 +26,8 @@
 	return fit, gone, err
 }
 
-// errEarly says that bytes were received which the backend sent before it could read the request.
-var errEarly = errors.New("something came before the request could be read")
+// errEarly means that bytes were received which the backend sent before it could read the request.
+var errEarly = errors.New("bytes received before the backend could read the request")
 
 // hasUnread reports whether the kernel holds received bytes.
 func (c *Conn) hasUnread() (unread bool) {
@@ -37,9 +38,9 @@
 	return unread
 }
 
-// HasUnacknowledged reports whether the other machine has yet to acknowledge some of what the socket has taken. Whatever was received until
-// then was sent before the last of it could be read there: later segments carry the acknowledgement, and the kernel processes that before
-// it lets their bytes be read.
+// HasUnacknowledged reports whether the other machine has yet to acknowledge some of the bytes that the socket has
+// accepted. Whatever was received until then was sent before the last of them could be read there: later segments
+// carry the acknowledgement, and the kernel processes that before it lets their bytes be read.
 func (c *Conn) HasUnacknowledged() (unacknowledged bool) {
 	c.withDescriptor(func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCOUTQ)
@@ -48,14 +49,15 @@
 	return unacknowledged
 }
 
-// pollBoth checks with one poll(2) whether c can be used for a request and whether the client has ended its connection.
+// pollBoth checks with one poll(2) whether c can be used for a request and whether the client has ended its
+// connection.
 func (c *Conn) pollBoth(client *Conn) (fit, gone bool) {
 	c.withDescriptor(func(fd int) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}, {Fd: -1}}
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}, {Fd: -1}}
 		poll := func() {
-			n, err := unix.Poll(look, 0)
-			fit = err == nil && (n == 0 || look[0].Revents == 0)
-			gone = gone || err == nil && look[1].Revents != 0
+			n, err := unix.Poll(fds, 0)
+			fit = err == nil && (n == 0 || fds[0].Revents == 0)
+			gone = gone || err == nil && fds[1].Revents != 0
 		}
 		if client == nil {
 			poll()
@@ -63,12 +65,12 @@
 		}
 		gone = true // unless its descriptor is still open
 		client.withDescriptor(func(fd int) {
-			gone, look[1] = false, unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
+			gone, fds[1] = false, unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
 			poll()
 		})
 	})
 	return fit, gone
 }
 
-// hasLeft reports whether the other side has ended the connection; false for nil.
-func (c *Conn) hasLeft() bool { return c != nil && (c.isClosed() || c.hungUp()) }
+// hasEnded reports whether the other side has ended the connection; false for nil.
+func (c *Conn) hasEnded() bool { return c != nil && (c.isClosed() || c.hungUp()) }
--- a/internal/node/netpoll/shutdown.go
+++ b/internal/node/netpoll/shutdown.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// ShutdownIfIdle shuts the connection down for writing if nothing was received that the handler has not had, and reports whether that
-// was so. Bytes that were read but have not reached the handler count as received, as do those that the poller has not read. After true,
-// nothing that is received later reaches the handler, and the caller is to call End or Close. Between the check and the shutdown lies one
-// system call.
+// ShutdownIfIdle shuts the connection down for writing if the handler has had everything that was received, and
+// reports whether it did so. Bytes that were read but have not reached the handler count as received, as do bytes
+// that the poller has not read. After true, nothing that is received later reaches the handler, and the caller
+// must call End or Close. One system call lies between the check and the shutdown.
 func (c *Conn) ShutdownIfIdle() bool {
 	if !c.reading.TryLock() {
 		return false
@@ -28,7 +28,7 @@
 	return free
 }
 
-// IsDrained reports whether nothing was received that the handler has not had.
+// IsDrained reports whether the handler has had everything that was received.
 func (c *Conn) IsDrained() (drained bool) {
 	if !c.reading.TryLock() {
 		return false
@@ -41,18 +41,19 @@
 	return drained
 }
 
-// Close ends the connection at once, in both directions. The poller closes the descriptor when it gets the event of that: were it closed
-// here, the next connection could get its number while the poller still has an event of this one to handle, and be ended by it.
+// Close ends the connection at once, in both directions. The poller closes the descriptor when it receives the
+// event of that. If the descriptor were closed here, the next connection could get its number while the poller
+// still has an event of this connection to handle, which would then end the new one.
 func (c *Conn) Close() {
 	c.withDescriptor(func(fd int) {
 		_ = unix.Shutdown(fd, unix.SHUT_RDWR) // fails where the connection has ended, which the poller sees too
 	})
 }
 
-// End shuts the connection down for writing once everything is written, and closes it when the other side has ended it too, or after
-// linger milliseconds. What is received until then is read and discarded: closing a socket with unread bytes resets the connection, and
-// the last response may be lost with it (RFC 9112, 9.6). Where the other side takes nothing of what is still to be written for stall
-// milliseconds, the connection is closed.
+// End shuts the connection down for writing once everything is written, and closes it when the other side has
+// ended it too, or after linger milliseconds. What is received until then is read and discarded: closing a socket
+// with unread bytes resets the connection, and the last response may be lost with it (RFC 9112, 9.6). If the other
+// side accepts nothing of what is still to be written for stall milliseconds, the connection is closed.
 func (c *Conn) End(linger, stall float64) {
 	c.discarding.Store(true)
 	c.Resume()
@@ -68,7 +69,7 @@
 	}
 }
 
-// shutdownWrite is the part of End that follows when everything is written.
+// shutdownWrite is the part of End that runs once everything is written.
 func (c *Conn) shutdownWrite() {
 	c.mu.Lock()
 	linger := c.linger
@@ -82,7 +83,8 @@
 	})
 }
 
-// limitStall closes the connection if the other side takes nothing for stall milliseconds before everything is written.
+// limitStall closes the connection if the other side accepts nothing for stall milliseconds before everything is
+// written.
 func (c *Conn) limitStall(stall float64) {
 	c.descriptorMu.Lock()
 	defer c.descriptorMu.Unlock()
@@ -106,7 +108,8 @@
 	c.scheduleClose(stall, check)
 }
 
-// scheduleClose has f called after so many milliseconds, in place of an earlier f. The caller holds descriptorMu.
+// scheduleClose calls f after the given number of milliseconds, in place of an f scheduled before. The caller
+// holds descriptorMu.
 func (c *Conn) scheduleClose(after float64, f func()) {
 	if c.closeTimer != nil {
 		c.closeTimer.Stop()
@@ -114,13 +117,14 @@
 	c.closeTimer = time.AfterFunc(time.Duration(after*float64(time.Millisecond)), f)
 }
 
-// Abort resets the connection at once, so that the other side sees that something is missing. An end of stream would not do: where no
-// length was given it means that the message is complete (RFC 9112, 8). The poller closes the descriptor, as after Close.
+// Abort resets the connection at once, so that the other side notices that the message is incomplete. An end of
+// stream would not do: if no length was given, it means that the message is complete (RFC 9112, 8). The poller
+// closes the descriptor, as after Close.
 func (c *Conn) Abort() {
 	c.withDescriptor(func(fd int) {
 		_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
-		nobody := unix.RawSockaddr{Family: unix.AF_UNSPEC} // connecting to AF_UNSPEC dissolves the association (connect(2))
-		_, _, _ = unix.Syscall(unix.SYS_CONNECT, uintptr(fd), uintptr(unsafe.Pointer(&nobody)), unsafe.Sizeof(nobody))
+		none := unix.RawSockaddr{Family: unix.AF_UNSPEC} // connecting to AF_UNSPEC dissolves the association (connect(2))
+		_, _, _ = unix.Syscall(unix.SYS_CONNECT, uintptr(fd), uintptr(unsafe.Pointer(&none)), unsafe.Sizeof(none))
 	})
-	c.Close() // where the system does not do that
+	c.Close() // for systems that do not support this
 }
--- a/internal/node/netpoll/slots.go
+++ b/internal/node/netpoll/slots.go
@@ -2,53 +2,53 @@
 
 import "sync"
 
-// slots bound how many connections that came in are open at once.
+// slots limit how many accepted connections are open at once.
 type slots struct {
-	mu     sync.Mutex
-	free   sync.Cond // signalled when one may be free, or nobody is to wait any more
-	most   int
-	taken  int
-	wanted int // how many wait for one
-	closed bool
+	mu      sync.Mutex
+	free    sync.Cond // signalled when a slot may be free or the slots were closed
+	limit   int
+	used    int
+	waiting int // callers of acquire that wait
+	closed  bool
 }
 
-func newSlots(most int) *slots {
-	s := &slots{most: most}
+func newSlots(limit int) *slots {
+	s := &slots{limit: limit}
 	s.free.L = &s.mu
 	return s
 }
 
-// take waits for a free one; it fails once they are closed.
-func (s *slots) take() bool {
+// acquire waits for a free slot and takes it. It returns false once the slots are closed.
+func (s *slots) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted++
-	for s.taken >= s.most && !s.closed {
+	s.waiting++
+	for s.used >= s.limit && !s.closed {
 		s.free.Wait()
 	}
-	s.wanted--
+	s.waiting--
 	if s.closed {
 		return false
 	}
-	s.taken++
+	s.used++
 	return true
 }
 
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken--
+	s.used--
 	s.free.Signal()
 }
 
-func (s *slots) resize(most int) {
+func (s *slots) resize(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.limit = limit
 	s.free.Broadcast()
 }
 
-// close lets nobody wait any more.
+// close makes acquire return false, also for the callers that wait.
 func (s *slots) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,15 +56,15 @@
 	s.free.Broadcast()
 }
 
-// short tells whether one is waited for, since all are taken.
-func (s *slots) short() bool {
+// hasWaiters reports whether a caller of acquire waits because all slots are in use.
+func (s *slots) hasWaiters() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wanted > 0
+	return s.waiting > 0
 }
 
 func (s *slots) inUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken
+	return s.used
 }
--- a/internal/node/netpoll/write.go
+++ b/internal/node/netpoll/write.go
@@ -14,16 +14,17 @@
 func (c *Conn) hasPollError() bool {
 	ended := true
 	c.withDescriptor(func(fd int) {
-		look := []unix.PollFd{{Fd: int32(fd)}}
-		n, err := unix.Poll(look, 0)
-		ended = err == nil && n > 0 && look[0].Revents&(unix.POLLERR|unix.POLLHUP) != 0
+		fds := []unix.PollFd{{Fd: int32(fd)}}
+		n, err := unix.Poll(fds, 0)
+		ended = err == nil && n > 0 && fds[0].Revents&(unix.POLLERR|unix.POLLHUP) != 0
 	})
 	return ended
 }
 
-// Write writes b, or queues what the socket does not take yet. After an error nothing more can be written, and the poller closes the
-// connection. A connection that is known to be broken is left to the poller without a write: the kernel reports a reset once, and the
-// poller's read must be what gets it (tcp(7), "Error handling").
+// Write writes b, or queues what the socket does not accept yet. After an error nothing more can be written, and
+// the poller closes the connection. A connection that is known to be broken is left to the poller without a write:
+// the kernel reports a reset only once, and the poller's read must be the call that gets it (tcp(7), "Error
+// handling").
 func (c *Conn) Write(b []byte) error {
 	if c.hasPollError() {
 		return fmt.Errorf("writing: %w", errEnded)
@@ -31,8 +32,9 @@
 	return c.send(b)
 }
 
-// send is Write for a connection that pollBoth has just found usable. The engine closes the descriptor of a connection whose write fails
-// in the goroutine that writes, which Close explains the danger of, so the engine is given only what the socket did not take.
+// send is Write for a connection that pollBoth has just found usable. If a write of the engine fails, the engine
+// closes the descriptor in the goroutine that writes, which is dangerous for the reason given at Close. So the
+// engine writes only what the socket did not accept at once.
 func (c *Conn) send(b []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,17 +49,17 @@
 			return nil
 		}
 	}
-	if _, err := c.nb.Write(b); err != nil { // only where it breaks between the two writes to a full socket
+	if _, err := c.nb.Write(b); err != nil { // only if the connection breaks between the two writes to a full socket
 		return fmt.Errorf("writing: %w", err)
 	}
 	return nil
 }
 
-// writeNow writes to the socket and returns how many bytes it took. Nothing may be queued.
+// writeNow writes to the socket and returns how many bytes it accepted. Nothing may be queued.
 func (c *Conn) writeNow(b []byte) (taken int, err error) {
 	err = errEnded
 	c.withDescriptor(func(fd int) {
-		taken, err = syscall.Write(fd, b) // the race detector takes it for synchronized with the read, unlike unix.Write
+		taken, err = syscall.Write(fd, b) // the race detector treats it as synchronized with the read, unlike unix.Write
 		switch {
 		case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 			taken, err = 0, nil
@@ -71,7 +73,7 @@
 	return taken, err
 }
 
-// took counts n bytes that the socket has taken. The caller may hold the engine's lock or descriptorMu.
+// took counts n bytes that the socket has accepted. The caller may hold the engine's lock or descriptorMu.
 func (c *Conn) took(n int) {
 	done := c.written.Add(int64(n))
 	if end := c.ending.Load(); end > 0 && done >= end {
@@ -80,18 +82,18 @@
 	c.signalProgress()
 }
 
-// Written returns how many bytes the socket has taken.
+// Written returns how many bytes the socket has accepted.
 func (c *Conn) Written() int64 { return c.written.Load() }
 
-// FinalWritten returns Written once a write that is under way has been counted; after Close it does not change. It waits for the engine's
-// use of the connection, so the caller must hold no lock that a Handler takes.
+// FinalWritten returns Written once a write in progress has been counted; after Close the value does not change.
+// It waits for the engine's use of the connection, so the caller must hold no lock that a Handler acquires.
 func (c *Conn) FinalWritten() int64 {
 	c.withDescriptor(func(int) {}) // waits for writeNow
 	_, _ = c.nb.Write(nil)         // and for the engine's write
 	return c.written.Load()
 }
 
-// Backlog returns how many bytes were passed to Write that the socket has not taken yet.
+// Backlog returns how many of the bytes passed to Write the socket has not accepted yet.
 func (c *Conn) Backlog() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
