--- a/internal/node/bodypipe/pipe_test.go
+++ b/internal/node/bodypipe/pipe_test.go
@@ -11,15 +11,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestPipeHolds guards, over any order of pieces, takes and ends, against bytes that are lost, doubled or out of order, a source
-// that is never let go on or never slowed, an end that comes before the last byte, and a budget that is not given back.
-func TestPipeHolds(t *testing.T) {
+// Guards, for any order of Put, Next and End, against bytes that are lost, duplicated or out of order, a source
+// that is never resumed or never throttled, an end that is reported before the last byte, and a pipe that stays
+// counted in the budget.
+func TestPipeInvariants(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", "3"))
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(rapid.IntRange(1, 1<<20).Draw(t, "budget"))
-		slow, dropped := false, false
-		p := New(b, func(on bool) { require.NotEqual(t, on, slow); slow = on }, func() { dropped = true })
-		sent, got, over := byte(0), byte(0), false
+		throttled, dropped := false, false
+		p := New(b, func(on bool) { require.NotEqual(t, on, throttled); throttled = on }, func() { dropped = true })
+		sent, got, ended := byte(0), byte(0), false
 		take := func() (n int, err error) {
 			c, err := p.Next()
 			for _, x := range c.Bytes {
@@ -34,7 +35,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				if slow || over {
+				if throttled || ended {
 					break
 				}
 				data := make([]byte, rapid.IntRange(0, 2*ChunkSize).Draw(t, "bytes"))
@@ -44,22 +45,22 @@
 				}
 				p.Put(data)
 				held += len(data)
-				require.Equal(t, held >= b.Window(), slow)
+				require.Equal(t, held >= b.Window(), throttled)
 			case 2:
 				n, err := take()
 				held -= n
-				require.Equal(t, over && n == 0, err == io.EOF) //nolint:errorlint // this very value
+				require.Equal(t, ended && n == 0, err == io.EOF) //nolint:errorlint // only io.EOF itself
 			case 3:
 				if rapid.IntRange(0, 9).Draw(t, "end") == 0 {
 					p.End(io.EOF)
-					over = true
+					ended = true
 				}
 			}
 		}
 		p.End(io.EOF)
 		if rapid.Bool().Draw(t, "drop") {
 			p.Drop()
-			require.False(t, dropped && over, "its source is done")
+			require.False(t, dropped && ended, "drop was called although the source has ended")
 			held, got = 0, sent
 		}
 		for held > 0 {
@@ -69,23 +70,24 @@
 		}
 		_, err := take()
 		require.Error(t, err)
-		require.False(t, slow && !dropped && held > 0)
+		require.False(t, throttled && !dropped && held > 0)
 		require.Zero(t, b.pipes.Load())
 		require.Equal(t, sent, got)
 	})
 }
 
-// Guards against bytes given as whole of a body that broke off, a second taker of one body, and memory promised twice.
-func TestEndsAndClaims(t *testing.T) {
+// Guards against a body that was cut off and is reported as complete, a second consumer of one body, and memory
+// that is reserved twice.
+func TestEndClaimAndReserve(t *testing.T) {
 	b := NewBudget(1000)
 	dropped := 0
 	p := New(b, func(bool) {}, func() { dropped++ })
 	require.True(t, p.Claim())
 	require.False(t, p.Claim())
 	p.Put([]byte("abc"))
-	p.End(errors.New("broke"))
+	p.End(errors.New("reset"))
 	_, err := p.Next()
-	require.EqualError(t, err, "broke")
+	require.EqualError(t, err, "reset")
 	p = New(b, func(bool) {}, func() { dropped++ })
 	p.Drop()
 	p.Drop()
@@ -93,21 +95,22 @@
 	_, err = p.Next()
 	require.ErrorIs(t, err, ErrDropped)
 	require.True(t, b.Reserve(400))
-	require.False(t, b.Reserve(400), "the other half is for what flows")
+	require.False(t, b.Reserve(400), "the other half is for streamed bodies")
 	b.Release(400)
 	require.True(t, b.Reserve(500))
 }
 
-// Guards against a source that is held back for good because its two sides speak at the same time.
-func TestBothSidesAtOnce(t *testing.T) {
+// Guards against a source that is never resumed because the producer and the consumer call throttle at the same
+// time.
+func TestConcurrentPutAndNext(t *testing.T) {
 	for range 200 {
-		var slow atomic.Bool
-		b, goes := NewBudget(1), make(chan struct{}, 1)
+		var throttled atomic.Bool
+		b, resumed := NewBudget(1), make(chan struct{}, 1)
 		p := New(b, func(on bool) {
-			slow.Store(on)
+			throttled.Store(on)
 			if !on {
 				select {
-				case goes <- struct{}{}:
+				case resumed <- struct{}{}:
 				default:
 				}
 			}
@@ -115,8 +118,8 @@
 		go func() {
 			data := make([]byte, ChunkSize)
 			for range 50 {
-				for slow.Load() {
-					<-goes
+				for throttled.Load() {
+					<-resumed
 				}
 				p.Put(data)
 			}
@@ -124,7 +127,7 @@
 		}()
 		for got := 0; ; {
 			c, err := p.Next()
-			if got += len(c.Bytes); err == io.EOF { //nolint:errorlint // this very value
+			if got += len(c.Bytes); err == io.EOF { //nolint:errorlint // only io.EOF itself
 				require.Equal(t, 50*ChunkSize, got)
 				break
 			}
