--- a/internal/node/downstream/connlimit/limiter.go
+++ b/internal/node/downstream/connlimit/limiter.go
@@ -1,8 +1,9 @@
-// Package connlimit keeps account of the connections that one server has accepted, whatever protocol they speak: how many are open,
-// which one is closed for a new one at the limit, which have been idle for too long, and whether there are so many that a
-// response is to end its connection. It reads no bytes.
+// Package connlimit tracks the connections that one server has accepted, whatever protocol they use: how many are
+// open, which one is closed for a new one at the limit, which have been idle for too long, and whether there are
+// so many that a response should close its connection. It reads no bytes.
 //
-// Bounds: one Slot a connection; at most Settings.Connections of them but for those that end with their first answer.
+// Bounds: one Slot per connection, and at most Settings.Connections of them, not counting those that are being
+// evicted or that are closed after their first response.
 package connlimit
 
 import (
@@ -12,12 +13,12 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// State is what a connection is doing; those that are closed first for another one come first.
+// State is what a connection is doing. Connections in the first states are evicted first.
 type State uint8
 
 // The states.
 const (
-	StateClosing State = iota // it has its last answer
+	StateClosing State = iota // it has its last response
 	StateNew                  // it has sent nothing yet
 	StateIdle                 // it has sent a request before and may send another one
 	StateReading              // part of a request has been read
@@ -26,29 +27,30 @@
 
 // Settings describe a Limiter.
 type Settings struct {
-	Connections int // the most open at once
-	Crowded     int // from so many on that have sent a request, a response is to end its connection
+	Connections int // limit of open connections
+	Crowded     int // if at least this many connections have sent a request, a response closes its connection
 	Limits      Limits
 }
 
-// Limits are what can change meanwhile, in milliseconds.
+// Limits are times in milliseconds. They can change while the server runs.
 type Limits struct {
 	Idle   float64 // after which a connection without a request is closed
-	Read   float64 // in which a request that has begun must be whole,
-	First  float64 // the first one counted from when the client connected
-	Settle float64 // that a client which has connected has before it may have to make room
+	Read   float64 // in which a request that has begun must be complete
+	First  float64 // the same for the first request, counted from when the client connected
+	Settle float64 // after it has connected, in which a client is not evicted if there are others
 }
 
 // Conn is an accepted connection of a server.
 type Conn interface {
-	// CloseIfIdle closes the connection if it carries no request or has its last response, and reports whether it did.
+	// CloseIfIdle closes the connection if it carries no request or has its last response, and reports whether it
+	// did.
 	CloseIfIdle() bool
 	// CloseSlowRead ends the connection if a request that has begun is still not complete.
 	CloseSlowRead()
 }
 
-// Limiter holds the slots of the open connections. Its methods may be called from any goroutine, but not with a lock held that the
-// connections' CloseIfIdle or CloseSlowRead take; those of Slot may.
+// Limiter holds the slots of the open connections. Its methods may be called from any goroutine, but not with a
+// lock held that the connections' CloseIfIdle or CloseSlowRead take; those of Slot may.
 type Limiter struct {
 	set    Settings
 	clock  clock.Clock
@@ -56,11 +58,11 @@
 
 	mu         sync.Mutex
 	slots      map[*Slot]struct{}
-	retired    int // of them, those that are being closed for others
-	requesting int // of them, those that have sent a request and do not have their last response
+	retired    int // number of slots whose connection is being evicted
+	requesting int // number of slots whose connection has sent a request and does not have its last response
 }
 
-// New makes an empty limiter.
+// New returns an empty limiter.
 func New(set Settings, c clock.Clock) *Limiter {
 	l := &Limiter{set: set, clock: c, slots: map[*Slot]struct{}{}}
 	l.SetLimits(set.Limits)
@@ -70,20 +72,20 @@
 // SetLimits changes the limits. It may be called at any time.
 func (l *Limiter) SetLimits(limits Limits) { l.limits.Store(&limits) }
 
-// Slot is the account of one connection.
+// Slot is the limiter's record of one connection.
 type Slot struct {
 	limiter    *Limiter
 	conn       Conn
 	accepted   float64
 	state      State
-	since      float64 // it is in its state since then
+	since      float64 // when it entered its state
 	requested  bool    // it has sent a complete request
 	countedOut bool    // it is not counted as requesting any more
 	retired    bool    // it is being closed for another connection
 }
 
-// Admit takes a new connection. At the limit another one is closed for it; where none can be, the new one is to end with its first
-// response (once).
+// Admit adds a new connection. At the limit another one is closed for it; if none can be, once is true and the new
+// connection must be closed after its first response.
 func (l *Limiter) Admit(conn Conn) (s *Slot, once bool) {
 	now := l.clock.Now()
 	s = &Slot{limiter: l, conn: conn, state: StateNew, since: now, accepted: now}
@@ -101,7 +103,7 @@
 	return s, once
 }
 
-// EvictOne closes one connection for clients who wait to be accepted.
+// EvictOne closes one connection for clients that wait to be accepted.
 func (l *Limiter) EvictOne() {
 	l.mu.Lock()
 	evicted := l.evict(l.clock.Now())
@@ -111,8 +113,8 @@
 	}
 }
 
-// evict marks the slot that is best closed for another connection and returns it, nil if there is none. The caller holds the lock and
-// calls retire without it.
+// evict marks the slot whose connection is best closed for another one and returns it, nil if there is none. The
+// caller holds the lock, and calls retire after it has released it.
 func (l *Limiter) evict(now float64) *Slot {
 	var evicted *Slot
 	best := 0.0
@@ -129,10 +131,10 @@
 	return evicted
 }
 
-// The ranks by which connections are closed for others: those of the highest first, and of one rank the one that has been so for longest.
-// They are further apart than any age in milliseconds.
+// The ranks by which connections are evicted: those of the highest rank first, and within a rank the one that has
+// been in its state for longest. The differences are greater than any age in milliseconds.
 const (
-	rankSpared   = 1e12 // accepted just now, or idle for so short a time that it may be about to send a request
+	rankSpared   = 1e12 // accepted just now, or idle for such a short time that it may be about to send a request
 	rankIdle     = 2e12
 	rankNew      = 3e12
 	rankFinished = 4e12 // it has its last response
@@ -155,7 +157,8 @@
 	return 0
 }
 
-// retire closes an evicted connection if it is still idle; otherwise it stays.
+// retire closes a connection if it is still idle. Otherwise the connection stays, and its slot is not counted as
+// retired any more.
 func (l *Limiter) retire(s *Slot) {
 	if s.conn.CloseIfIdle() {
 		return
@@ -168,15 +171,15 @@
 	l.mu.Unlock()
 }
 
-// SetState records the connection's state from now on; came is when its last bytes were read, in milliseconds.
-func (s *Slot) SetState(state State, came float64) {
+// SetState records the connection's state from now on; lastRead is when its last bytes were read, in milliseconds.
+func (s *Slot) SetState(state State, lastRead float64) {
 	l := s.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.state != state {
 		s.state, s.since = state, l.clock.Now()
 		if state == StateReading {
-			s.since = came
+			s.since = lastRead
 		}
 	}
 	if state == StateBusy && !s.requested {
@@ -188,8 +191,8 @@
 	}
 }
 
-// Overdue reports whether a request that has begun should be complete by now. A connection checks it again before it ends a slow request:
-// since the limiter looked, that one may have been completed and another one begun.
+// Overdue reports whether a request that has begun should be complete by now. A connection checks it again before
+// it ends a slow request: since the limiter looked, that one may have been completed and another one begun.
 func (s *Slot) Overdue() bool {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
@@ -201,7 +204,8 @@
 	return s.state == StateReading && (now-s.since >= limits.Read || !s.requested && now-s.accepted >= limits.First)
 }
 
-// countOut stops counting a connection as requesting: it has its last response or has ended. The caller holds the lock.
+// countOut stops counting a connection as requesting: it has its last response or has ended. The caller holds the
+// lock.
 func (s *Slot) countOut() {
 	if s.requested && !s.countedOut {
 		s.countedOut = true
@@ -222,7 +226,8 @@
 	}
 }
 
-// Crowded reports whether so many clients hold a connection that a response is to end its connection: some never use theirs again.
+// Crowded reports whether so many clients hold a connection that a response should close its connection: some
+// clients never use theirs again.
 func (l *Limiter) Crowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,8 +241,8 @@
 	return len(l.slots)
 }
 
-// Sweep closes the connections that have carried no request for an idle time in milliseconds, and ends those whose request is not
-// complete in time. It is to be called often.
+// Sweep closes the connections that have carried no request for idle milliseconds, and ends those whose request is
+// not complete in time. It must be called often.
 func (l *Limiter) Sweep(idle float64) {
 	now, limits := l.clock.Now(), l.limits.Load()
 	var free, slow []*Slot
@@ -259,5 +264,5 @@
 	}
 }
 
-// IdleLimit returns the present Limits.Idle.
+// IdleLimit returns the current Limits.Idle.
 func (l *Limiter) IdleLimit() float64 { return l.limits.Load().Idle }
--- a/internal/node/downstream/httpserver/conn.go
+++ b/internal/node/downstream/httpserver/conn.go
@@ -13,95 +13,97 @@
 )
 
 var (
-	errSlow = errors.New("the request was not whole in time")
-	errLeft = errors.New("the client has gone")
+	errRequestTimeout = errors.New("the request was not whole in time")
+	errClientClosed   = errors.New("the client has gone")
 )
 
 // conn is a client's connection.
 type conn struct {
 	server   *Server
 	net      *netpoll.Conn
-	once     bool    // it ends with its first answer
-	accepted float64 // when it came
+	once     bool    // the first response closes it
+	accepted float64 // when it was accepted, in milliseconds
 
-	// Under the server's lock.
-	state   state
-	since   float64 // it is in its state since then,
-	rested  float64 // and was in the one before since then
-	asked   bool    // a whole request has come,
-	left    bool    // and it has had its last answer
-	allowed float64 // milliseconds that the body which is coming may take beyond the limits
+	// Guarded by the server's lock.
+	state      state
+	since      float64 // when it entered its state
+	prevSince  float64 // when it entered the state before
+	requested  bool    // it has sent a complete request
+	countedOut bool    // it is not counted as requesting any more
+	allowance  float64 // milliseconds that the body being received may take beyond the limits
 
-	retired bool // it was told to make room
+	retired bool // it is being evicted
 
 	mu         sync.Mutex
 	parser     *http1.Parser
-	came       float64        // when bytes came last
+	lastRead   float64        // when bytes were received last
 	busy       bool           // a request is being handled
-	overflowed bool           // more was received behind that request than is kept: its response is the last
+	overflowed bool           // more was received behind that request than is buffered: its response is the last
 	ended      bool           // nothing more is read
-	call       *core.Call     // that request
-	upload     *bodypipe.Pipe // the rest of its body, which is still coming
-	held       int            // bytes of the budget reserved for its body
-	closes     bool           // the answer that was begun last ends the connection
-	keepAlive  bool           // the head of the streamed response under way left the connection open
+	call       *core.Call     // the request that is being handled
+	upload     *bodypipe.Pipe // the rest of its body, which is still being received
+	reserved   int            // bytes of the budget reserved for its body
+	closeAfter bool           // the response begun last closes the connection
+	keepAlive  bool           // the head of the response being streamed left the connection open
 	readPaused bool           // reading waits until that response is written
-	gone       chan struct{}  // closed when the connection has ended; made when an answer flows
+	done       chan struct{}  // closed when the connection has ended; set while a response is streamed
 }
 
-// enter notes what the connection is about from now on, or that it still is.
-func (c *conn) enter(state state) {
+// setState records the connection's state from now on.
+func (c *conn) setState(state state) {
 	c.server.mu.Lock()
 	if c.state != state {
-		c.rested = c.since
+		c.prevSince = c.since
 		c.state, c.since = state, c.server.clock.Now()
-		if state == reading {
-			c.since = c.came
+		if state == stateReading {
+			c.since = c.lastRead
 		}
 	}
-	if state == busy {
-		c.allowed = 0
-		if !c.asked {
-			c.asked = true
-			c.server.askers++
+	if state == stateBusy {
+		c.allowance = 0
+		if !c.requested {
+			c.requested = true
+			c.server.requesting++
 		}
 	}
-	if state == leaving {
-		c.leave()
+	if state == stateClosing {
+		c.countOut()
 	}
 	c.server.mu.Unlock()
 }
 
-// unread takes back that a request has begun: empty lines are none (RFC 9112, 2.2), and the connection rests for as long as it did.
-func (c *conn) unread() {
+// restoreIdle undoes stateReading after empty lines, which begin no request (RFC 9112, 2.2): the connection counts
+// as idle since it last became so.
+func (c *conn) restoreIdle() {
 	c.server.mu.Lock()
-	had := c.state == reading
-	if had {
-		if c.state, c.since = silent, c.rested; c.asked {
-			c.state = idle
+	wasReading := c.state == stateReading
+	if wasReading {
+		if c.state, c.since = stateNew, c.prevSince; c.requested {
+			c.state = stateIdle
 		}
 	}
 	c.server.mu.Unlock()
-	if had {
-		c.retireAfterLastCalls()
+	if wasReading {
+		c.closeIfStopping()
 	}
 }
 
-// leave counts a connection out, under the server's lock, that has had its last answer or has ended.
-func (c *conn) leave() {
-	if c.asked && !c.left {
-		c.left = true
-		c.server.askers--
+// countOut stops counting a connection as requesting: it has its last response or has ended. The caller holds the
+// server's lock.
+func (c *conn) countOut() {
+	if c.requested && !c.countedOut {
+		c.countedOut = true
+		c.server.requesting--
 	}
 }
 
-// end ends the connection behind its last answer.
+// end closes the connection after its last response.
 func (c *conn) end() {
 	limits := c.server.limits.Load()
 	c.net.End(limits.Linger, limits.Stall)
 }
 
-// Data takes bytes from the client.
+// Data implements netpoll.Handler.
 func (c *conn) Data(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,22 +113,22 @@
 	if c.overflowed {
 		return
 	}
-	c.came = c.server.clock.Now()
+	c.lastRead = c.server.clock.Now()
 	c.parser.Feed(data)
-	if c.upload != nil && !c.rest() {
+	if c.upload != nil && !c.forwardUpload() {
 		return
 	}
 	if c.busy && c.parser.Buffered() > c.server.limits.Load().Pipeline {
 		c.overflow()
 		return
 	}
-	c.next()
+	c.processRequests()
 }
 
-// overflow bounds what is kept behind the request that is being handled: its response becomes the last one. Where the head of a streamed
-// response has left the connection open, reading is paused instead: the client may have read that response to its end, and sent its next
-// request, before flow has returned. A client that has ended its side is read all the same (netpoll.Conn.Pause). The caller holds the
-// lock.
+// overflow bounds what is buffered behind the request that is being handled: its response becomes the last one. If
+// the head of a streamed response has left the connection open, reading is paused instead: the client may have
+// read that response to its end, and sent its next request, before stream has returned. Bytes of a client that has
+// ended its side are read all the same (netpoll.Conn.Pause). The caller holds the lock.
 func (c *conn) overflow() {
 	if c.keepAlive && !c.readPaused {
 		c.readPaused = true
@@ -137,8 +139,8 @@
 	c.parser = c.server.parser()
 }
 
-// readOn resumes reading after a streamed response. The caller holds the lock.
-func (c *conn) readOn() {
+// resumeReading resumes reading after a streamed response. The caller holds the lock.
+func (c *conn) resumeReading() {
 	c.keepAlive = false
 	if c.readPaused {
 		c.readPaused = false
@@ -146,60 +148,63 @@
 	}
 }
 
-// next reads on, under the lock, until a request is taken or bytes are missing.
-func (c *conn) next() {
+// processRequests parses received bytes until a request is being handled or bytes are missing. The caller holds
+// the lock.
+func (c *conn) processRequests() {
 	for !c.busy && !c.ended {
 		m, err := c.parser.Next()
 		if err != nil {
-			c.unreadable(err)
+			c.rejectUnreadable(err)
 			return
 		}
 		if m == nil {
-			if !c.parser.Idle() && c.reserve() {
-				c.enter(reading)
-				c.expected()
+			if !c.parser.Idle() && c.reserveBody() {
+				c.setState(stateReading)
+				c.handleExpect()
 			} else if !c.ended && c.parser.Idle() {
-				c.unread()
+				c.restoreIdle()
 			}
 			return
 		}
-		c.enter(busy)
+		c.setState(stateBusy)
 		c.request(m)
 	}
 }
 
-// reserve has, under the lock, a body that is held accounted for, and refuses its request where there is no room.
-func (c *conn) reserve() bool {
+// reserveBody reserves memory for a body that is being buffered. If there is none, it refuses the request and
+// returns false. The caller holds the lock.
+func (c *conn) reserveBody() bool {
 	held := c.parser.Held()
 	if held > 0 {
-		allowed := float64(c.parser.Came()) / c.server.limits.Load().Rate
+		allowance := float64(c.parser.Came()) / c.server.limits.Load().Rate
 		c.server.mu.Lock()
-		c.allowed = allowed
+		c.allowance = allowance
 		c.server.mu.Unlock()
 	}
-	if held <= http1.MaxBody || c.held > 0 {
+	if held <= http1.MaxBody || c.reserved > 0 {
 		return true
 	}
 	held = c.server.set.Bodies.MaxBuffered // it may still grow
 	if !c.server.set.Bodies.Budget.Reserve(held) {
-		c.server.log.Warn("there is no memory for a long body: its request gets a back-off answer", "bytes", held)
-		c.last(c.parser.Head(), text(503, "", core.ReasonBusy))
+		c.server.log.Warn("body memory budget exhausted; rejecting request with 503", "bytes", held)
+		c.writeLast(c.parser.Head(), textReply(503, "", core.ReasonBusy))
 		return false
 	}
-	c.held = held
+	c.reserved = held
 	return true
 }
 
-// free gives back, under the lock, what was reserved for a body.
-func (c *conn) free() {
-	if c.held > 0 {
-		c.server.set.Bodies.Budget.Release(c.held)
-		c.held = 0
+// releaseBody releases the memory reserved for a body. The caller holds the lock.
+func (c *conn) releaseBody() {
+	if c.reserved > 0 {
+		c.server.set.Bodies.Budget.Release(c.reserved)
+		c.reserved = 0
 	}
 }
 
-// rest moves what has come of a body that flows, under the lock, and tells whether reading goes on behind it.
-func (c *conn) rest() bool {
+// forwardUpload moves received bytes of a streamed body to its pipe and reports whether the body is complete, so
+// that parsing can continue behind it. The caller holds the lock.
+func (c *conn) forwardUpload() bool {
 	piece, done, err := c.parser.Piece()
 	if len(piece) > 0 {
 		c.upload.Put(piece)
@@ -209,9 +214,9 @@
 		c.upload.End(err)
 		c.upload = nil
 		if call := c.call; call != nil {
-			go call.Leave() // nobody can serve it
+			go call.Leave() // without its body the request cannot be served
 		}
-		c.unreadable(err)
+		c.rejectUnreadable(err)
 		return false
 	case done:
 		c.upload.End(io.EOF)
@@ -221,8 +226,8 @@
 	return false
 }
 
-// hold slows the client, or lets it go on.
-func (c *conn) hold(on bool) {
+// throttle pauses or resumes reading from the client.
+func (c *conn) throttle(on bool) {
 	if on {
 		c.net.Pause()
 	} else {
@@ -230,59 +235,61 @@
 	}
 }
 
-// expected answers at once, under the lock, a client that waits for leave to send its body: with that, or with what its
-// request gets for its head.
-func (c *conn) expected() {
+// handleExpect answers a client that waits for "100 Continue" before it sends its body: with that, or with the
+// final response if the request must be rejected because of its head. The caller holds the lock.
+func (c *conn) handleExpect() {
 	m := c.parser.Awaits()
 	if m == nil {
 		return
 	}
 	if path, _, _ := bytes.Cut(m.Target, []byte("?")); string(path) != "/up" {
-		if _, r := c.server.read(m, path, c.came, c.net); r.Status != 0 {
-			c.last(m, r)
+		if _, r := c.server.read(m, path, c.lastRead, c.net); r.Status != 0 {
+			c.writeLast(m, r)
 			return
 		}
 	}
 	_ = c.net.Write([]byte(http1.Continue))
 }
 
-// unreadable answers what cannot be read.
-func (c *conn) unreadable(err error) {
+// rejectUnreadable responds to input that cannot be parsed, or that was not complete in time, and ends the
+// connection. The caller holds the lock.
+func (c *conn) rejectUnreadable(err error) {
 	status := http1.Status(err)
-	c.server.log.Warn("a client sent what cannot be read", "client", c.net.Peer(), "status", status, "error", err)
-	c.last(c.parser.Head(), text(status, "", err.Error()))
+	c.server.log.Warn("client sent an invalid or incomplete request", "client", c.net.Peer(), "status", status, "error", err)
+	c.writeLast(c.parser.Head(), textReply(status, "", err.Error()))
 }
 
-// last answers a client that may go on sending, under the lock, and ends the connection.
-func (c *conn) last(m *http1.Message, r http1.Reply) {
+// writeLast writes the last response to a client that may still be sending, and ends the connection. The caller
+// holds the lock.
+func (c *conn) writeLast(m *http1.Message, r http1.Reply) {
 	c.ended = true
-	c.enter(leaving)
+	c.setState(stateClosing)
 	now := c.server.clock.Now()
 	r.Date, r.Close, r.Head = c.server.dates.at(now), true, m != nil && string(m.Method) == "HEAD"
 	_ = c.net.Write(http1.AppendResponse(nil, r))
 	c.end()
 }
 
-// Closed takes the end of the connection: the client has gone.
+// Closed implements netpoll.Handler: the connection has ended.
 func (c *conn) Closed(error) {
 	c.mu.Lock()
 	c.ended = true
 	call := c.call
-	if c.gone != nil {
-		close(c.gone)
-		c.gone = nil
+	if c.done != nil {
+		close(c.done)
+		c.done = nil
 	}
 	if c.upload != nil {
-		c.upload.End(errLeft)
+		c.upload.End(errClientClosed)
 		c.upload = nil
 	}
 	if !c.busy {
-		c.free()
+		c.releaseBody()
 	}
 	c.mu.Unlock()
 	c.server.mu.Lock()
 	delete(c.server.conns, c)
-	c.leave()
+	c.countOut()
 	if c.retired {
 		c.server.retired--
 	}
--- a/internal/node/downstream/httpserver/date.go
+++ b/internal/node/downstream/httpserver/date.go
@@ -7,7 +7,7 @@
 	"linenwheel.dev/linenwheel/internal/codec/http1"
 )
 
-// dates makes the text of the Date field, once a second.
+// dates formats the value of the Date header field once a second.
 type dates struct{ last atomic.Pointer[date] }
 
 type date struct {
@@ -15,7 +15,7 @@
 	text   []byte
 }
 
-// at is the text for a time in milliseconds since the Unix epoch.
+// at returns the value for a time in milliseconds since the Unix epoch.
 func (d *dates) at(now float64) []byte {
 	second := int64(now / 1000)
 	last := d.last.Load()
--- a/internal/node/downstream/httpserver/eviction.go
+++ b/internal/node/downstream/httpserver/eviction.go
@@ -6,82 +6,87 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 )
 
-// EvictOne has a connection make room for clients who wait because all places are taken.
+// EvictOne closes one connection for clients that wait to be accepted because the limit is reached.
 func (s *Server) EvictOne() {
 	s.mu.Lock()
-	victim := s.victim(s.clock.Now())
-	if victim != nil {
-		victim.retired = true
+	evicted := s.evictionCandidate(s.clock.Now())
+	if evicted != nil {
+		evicted.retired = true
 		s.retired++
 	}
 	s.mu.Unlock()
-	if victim != nil {
-		victim.retire(true, 0)
+	if evicted != nil {
+		evicted.retire(true, 0)
 	}
 }
 
-// victim finds, under the lock, the connection that makes room: one that has its last answer, else one that has sent
-// nothing, else one that asked before, each time the one that is so for longest. Those that came just now, and those
-// that may be about to ask again, are spared as long as there are others. Last comes the request that is furthest behind.
-func (s *Server) victim(now float64) *conn {
+// evictionCandidate returns the connection that is best closed for another one, nil if there is none: one that has
+// its last response, otherwise one that has sent nothing, otherwise an idle one, and of these the one that has
+// been so for longest. Those that were accepted just now, and those that may be about to send another request, are
+// spared as long as there are others. The last choice is the connection whose request is furthest behind the
+// accepted rate. The caller holds the server's lock.
+func (s *Server) evictionCandidate(now float64) *conn {
 	limits := s.limits.Load()
 	rank := func(c *conn) float64 {
 		switch age := now - c.since; {
 		case c.retired:
 			return 0
-		case c.state == leaving && c.net.Backlog() > 0: // to close it would cut its answer off
+		case c.state == stateClosing && c.net.Backlog() > 0: // closing it would truncate its response
 			return 0
-		case c.state == leaving:
+		case c.state == stateClosing:
 			return 4e12 + age
-		case c.state == silent && age >= limits.Settle:
+		case c.state == stateNew && age >= limits.Settle:
 			return 3e12 + age
-		case c.state == idle && age >= limits.Idle:
+		case c.state == stateIdle && age >= limits.Idle:
 			return 2e12 + age
-		case c.state == silent || c.state == idle:
+		case c.state == stateNew || c.state == stateIdle:
 			return 1e12 + age
 		}
-		return max(0, c.behind(now, limits))
+		return max(0, c.lateBy(now, limits))
 	}
-	var victim *conn
+	var evicted *conn
 	best := 0.0
 	for c := range s.conns {
 		if r := rank(c); r > best {
-			victim, best = c, r
+			evicted, best = c, r
 		}
 	}
-	return victim
+	return evicted
 }
 
-// behind is, under the server's lock, by how many milliseconds a request that has begun is later than one whose client sends at once, or
-// its body at the rate that is waited for: below 0 if it is not, or has come just now.
-func (c *conn) behind(now float64, limits *Limits) float64 {
-	late := now - c.since - c.allowed
-	if c.state != reading || late < limits.Settle {
+// lateBy returns by how many milliseconds a request that has begun is later than one whose client sends the head
+// at once and the body at the slowest accepted rate. It returns a negative value if no request is being read or it
+// is late by less than Limits.Settle. The caller holds the server's lock.
+func (c *conn) lateBy(now float64, limits *Limits) float64 {
+	late := now - c.since - c.allowance
+	if c.state != stateReading || late < limits.Settle {
 		return -1
 	}
 	return late
 }
 
-// overdue tells, under the server's lock, whether a request that has begun should be whole by now.
+// overdue reports whether a request that has begun should be complete by now. The caller holds the server's lock.
 func (c *conn) overdue(now float64, limits *Limits) bool {
-	return c.state == reading && (now-c.since >= limits.Read+c.allowed || !c.asked && now-c.accepted >= limits.First+c.allowed)
+	return c.state == stateReading && (now-c.since >= limits.Read+c.allowance || !c.requested && now-c.accepted >= limits.First+c.allowance)
 }
 
-// resting tells, under the server's lock, whether the connection carries no request for so long.
-func (c *conn) resting(now, limit float64) bool {
-	return (c.state == silent || c.state == idle) && now-c.since >= limit
+// idleFor reports whether the connection has carried no request for limit milliseconds. The caller holds the
+// server's lock.
+func (c *conn) idleFor(now, limit float64) bool {
+	return (c.state == stateNew || c.state == stateIdle) && now-c.since >= limit
 }
 
-// still asks one of these once more: between looking at all connections and seeing to one, a request may have come and gone.
-func (c *conn) still(what func() bool) bool {
+// locked evaluates one of these conditions once more under the server's lock: since all connections were checked,
+// a request may have been received and handled on this one.
+func (c *conn) locked(condition func() bool) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return what()
+	return condition()
 }
 
-// Sweep ends the connections that carry no request for long, and those whose request is not whole in time; it is to be
-// called often. While the node stops, connections without a request stay, since none can be replaced, until no request
-// can be answered on them any more.
+// Sweep closes the connections that have carried no request for Limits.Idle, and ends those whose request is not
+// complete in time. It must be called often. While the node stops, idle connections stay open, since their clients
+// could not replace them, until no request can be answered on them any more.
 func (s *Server) Sweep() {
 	now, limits := s.clock.Now(), s.limits.Load()
 	limit := limits.Idle
@@ -95,7 +100,7 @@
 	s.mu.Lock()
 	for c := range s.conns {
 		switch {
-		case c.resting(now, limit):
+		case c.idleFor(now, limit):
 			free = append(free, c)
 		case c.overdue(now, limits):
 			slow = append(slow, c)
@@ -107,36 +112,37 @@
 	}
 	for _, c := range slow {
 		c.mu.Lock()
-		if !c.ended && !c.busy && !c.parser.Idle() && c.still(func() bool { return c.overdue(now, limits) }) {
-			c.unreadable(errSlow)
+		if !c.ended && !c.busy && !c.parser.Idle() && c.locked(func() bool { return c.overdue(now, limits) }) {
+			c.rejectUnreadable(errRequestTimeout)
 		}
 		c.mu.Unlock()
 	}
 }
 
-// retireAfterLastCalls ends a connection that has just become idle if the node already ends those: the sweep that did so may have
-// found this one busy, and no later one may come before the node ends.
-func (c *conn) retireAfterLastCalls() {
+// closeIfStopping closes a connection that has just become idle if the node already closes idle connections: the
+// sweep that did so may have found this one busy, and the node may end before the next sweep.
+func (c *conn) closeIfStopping() {
 	if c.server.gate.Policy().EndIdle {
 		go c.retire(false, 0)
 	}
 }
 
-// retire ends the connection if it still carries nothing, for so many milliseconds, or has its last answer. A request that the machine
-// has taken and the handler not yet seen would be lost with it. Where it makes room for another it is closed at once; there a request
-// that is still behind is refused first: nothing of it has gone on.
-func (c *conn) retire(room bool, rest float64) {
+// retire closes the connection if it has carried no request for minIdle milliseconds or has its last response. It
+// stays open if the kernel has received bytes that the handler has not had, since a request would be lost with it.
+// If it is evicted for another connection, it is closed at once, and a request that is still late is refused
+// first; no part of that request has been forwarded.
+func (c *conn) retire(evict bool, minIdle float64) {
 	now, limits := c.server.clock.Now(), c.server.limits.Load()
 	c.mu.Lock()
-	resting := func() bool { return c.resting(now, rest) }
-	free := c.ended || !c.busy && c.parser.Idle() && c.still(resting) && c.net.ShutdownIfIdle()
-	if room && !free && !c.busy && c.still(func() bool { return c.behind(now, limits) >= 0 }) && c.net.IsDrained() {
-		c.last(c.parser.Head(), text(503, "", core.ReasonBusy)) // which it may go on sending over
+	idle := func() bool { return c.idleFor(now, minIdle) }
+	free := c.ended || !c.busy && c.parser.Idle() && c.locked(idle) && c.net.ShutdownIfIdle()
+	if evict && !free && !c.busy && c.locked(func() bool { return c.lateBy(now, limits) >= 0 }) && c.net.IsDrained() {
+		c.writeLast(c.parser.Head(), textReply(503, "", core.ReasonBusy)) // the client may still be sending
 	}
 	c.ended = c.ended || free
 	c.mu.Unlock()
 	switch {
-	case free && room && c.net.Backlog() == 0:
+	case free && evict && c.net.Backlog() == 0:
 		c.net.Close()
 		return
 	case free:
--- a/internal/node/downstream/httpserver/request.go
+++ b/internal/node/downstream/httpserver/request.go
@@ -10,37 +10,38 @@
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
-// request handles one request under the lock.
+// request handles one request. The caller holds the lock.
 func (c *conn) request(m *http1.Message) {
 	path, _, _ := bytes.Cut(m.Target, []byte("?"))
 	switch {
-	case path[0] != '/': // that is OPTIONS for the whole server, or CONNECT: what follows may be a tunnel's
-		c.last(m, text(405, "Allow: GET, HEAD, POST\r\n", "no path"))
+	case path[0] != '/': // OPTIONS for the whole server, or CONNECT, after which a tunnel's bytes may follow
+		c.writeLast(m, textReply(405, "Allow: GET, HEAD, POST\r\n", "no path"))
 		return
 	case string(path) == "/up":
 		c.up(m)
 		return
 	}
-	call, r := c.server.read(m, path, c.came, c.net)
+	call, r := c.server.read(m, path, c.lastRead, c.net)
 	if r.Status != 0 {
 		c.write(m, r)
 		return
 	}
 	if c.parser.Flowing() {
-		c.upload = bodypipe.New(c.server.set.Bodies.Budget, c.hold, c.net.Resume)
+		c.upload = bodypipe.New(c.server.set.Bodies.Budget, c.throttle, c.net.Resume)
 		m.Rest = c.upload
 	}
 	if a, ok := c.server.core.Take(call); !ok {
-		c.final(m, a)
+		c.writeAnswer(m, a)
 		return
 	}
 	c.busy, c.call = true, call
 	if c.upload != nil {
-		c.rest()
+		c.forwardUpload()
 	}
 	go c.serve(m, call)
 }
 
+// up handles a request for /up, the health check.
 func (c *conn) up(m *http1.Message) {
 	c.server.mu.Lock()
 	ready := c.server.ready
@@ -48,40 +49,40 @@
 	ready = ready && c.server.gate.Policy().Up
 	switch {
 	case string(m.Method) != "GET" && string(m.Method) != "HEAD":
-		c.write(m, text(405, "Allow: GET, HEAD\r\n", "this wants GET"))
+		c.write(m, textReply(405, "Allow: GET, HEAD\r\n", "this wants GET"))
 	case ready:
-		c.write(m, text(200, "", "ready"))
+		c.write(m, textReply(200, "", "ready"))
 	default:
-		c.write(m, text(503, "", "not ready"))
+		c.write(m, textReply(503, "", "not ready"))
 	}
 }
 
-// read finds what the core has to know, or the answer where the request cannot be served.
-func (s *Server) read(m *http1.Message, path []byte, came float64, client *netpoll.Conn) (call *core.Call, refusal http1.Reply) {
+// read returns the call for a request, or the response if the request is invalid.
+func (s *Server) read(m *http1.Message, path []byte, lastRead float64, client *netpoll.Conn) (call *core.Call, refusal http1.Reply) {
 	name, _, _ := bytes.Cut(path[1:], []byte("/"))
 	class, ok := s.set.ClassIndex[string(name)]
 	if !ok {
-		return nil, text(404, "", "unknown class")
+		return nil, textReply(404, "", "unknown class")
 	}
 	if want := s.set.Classes[class].Method; string(m.Method) != want {
-		return nil, text(405, "Allow: "+want+"\r\n", "this class wants "+want)
+		return nil, textReply(405, "Allow: "+want+"\r\n", "this class wants "+want)
 	}
 	id, n := m.Get("Req-Id")
 	if n != 1 || !core.IsID(id) {
-		return nil, text(400, "", "Req-Id is missing or bad")
+		return nil, textReply(400, "", "Req-Id is missing or bad")
 	}
 	var key []byte
 	if s.set.Classes[class].Keyed {
 		if key, n = m.Get("Idempotency-Key"); n != 1 || len(key) == 0 {
-			return nil, text(400, "", "Idempotency-Key is missing or bad")
+			return nil, textReply(400, "", "Idempotency-Key is missing or bad")
 		}
 	}
 	left, n := m.Get(http1.DeadlineField)
 	wait, err := strconv.ParseUint(string(left), 10, 31)
 	if n != 1 || err != nil || wait == 0 {
-		return nil, text(400, "", http1.DeadlineField+" is missing or bad")
+		return nil, textReply(400, "", http1.DeadlineField+" is missing or bad")
 	}
-	call = &core.Call{ID: string(id), Alone: true, Class: class, Tenant: -1, Key: key, Deadline: came + float64(wait) + s.extra(m), Payload: m, Client: client}
+	call = &core.Call{ID: string(id), Alone: true, Class: class, Tenant: -1, Key: key, Deadline: lastRead + float64(wait) + s.extraTime(m), Payload: m, Client: client}
 	if owner, n := m.Get("Req-Owner"); n > 0 {
 		if i, ok := s.set.Tenants[string(owner)]; ok {
 			call.Tenant = i
@@ -93,9 +94,10 @@
 	return call, refusal
 }
 
-// extra is how much longer than its client will wait a request may take whose body is still coming: the client's time begins with
-// the last byte, which nobody knows yet. It is what the rest takes at the slowest that is waited for.
-func (s *Server) extra(m *http1.Message) float64 {
+// extraTime returns by how many milliseconds the deadline of a request is extended whose body is still being
+// received: the client's timeout begins with the last byte, the time of which is not known yet. It is the time
+// that the rest of the body takes at the slowest accepted rate, but at most maxExtraTime.
+func (s *Server) extraTime(m *http1.Message) float64 {
 	if m.Length == 0 {
 		return 0
 	}
@@ -103,5 +105,5 @@
 	if m.Length > 0 {
 		left = m.Length - len(m.Body)
 	}
-	return min(float64(left)/s.limits.Load().Rate, mostExtra)
+	return min(float64(left)/s.limits.Load().Rate, maxExtraTime)
 }
--- a/internal/node/downstream/httpserver/response.go
+++ b/internal/node/downstream/httpserver/response.go
@@ -9,31 +9,31 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 )
 
-// headRoom is what the head of most answers takes at most, in bytes.
-const headRoom = 256
+// headCapacity is the buffer size in bytes that is enough for the head of most responses.
+const headCapacity = 256
 
-// serve has a call served and answers it.
+// serve has the core serve a call and writes its response.
 func (c *conn) serve(m *http1.Message, call *core.Call) {
 	a := c.server.core.Serve(call)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.free()
+	c.releaseBody()
 	if a.Kind == core.Left {
 		return
 	}
 	if answer, ok := a.Payload.(*http1.Message); ok && answer.Rest != nil {
-		c.flow(m, call, answer)
+		c.stream(m, call, answer)
 		return
 	}
 	c.call, c.busy = nil, false
 	if !c.ended {
-		c.final(m, a)
-		c.next()
+		c.writeAnswer(m, a)
+		c.processRequests()
 	}
 }
 
-// final writes the final answer under the lock.
-func (c *conn) final(m *http1.Message, a core.Answer) {
+// writeAnswer writes the core's answer as the response to m. The caller holds the lock.
+func (c *conn) writeAnswer(m *http1.Message, a core.Answer) {
 	if a.Kind == core.Served {
 		answer := a.Payload.(*http1.Message)
 		c.write(m, http1.Reply{Status: 200, Of: answer, Body: answer.Body})
@@ -47,74 +47,74 @@
 		}
 	}
 	if a.Reason == core.ReasonModule {
-		c.write(m, http1.Reply{Status: status(a), Fields: fields})
+		c.write(m, http1.Reply{Status: statusCode(a), Fields: fields})
 		return
 	}
-	c.write(m, text(status(a), fields, a.Reason))
+	c.write(m, textReply(statusCode(a), fields, a.Reason))
 }
 
 const textType = "Content-Type: text/plain; charset=utf-8\r\n"
 
-// text is an answer of the node's own that says something.
-func text(status int, fields, reason string) http1.Reply {
+// textReply returns a response of the node itself, with reason as its body.
+func textReply(status int, fields, reason string) http1.Reply {
 	return http1.Reply{Status: status, Fields: fields + textType, Body: []byte(reason + "\n")}
 }
 
-// failures are the statuses of failures by whose fault they are; none of them is one of a refusal.
-var failures = map[core.Fault]int{core.Invalid: 400, core.Unproven: 401, core.Forbidden: 403, core.Mismatch: 422,
+// failureStatus maps the fault of a failed call to a status code. None of them is a status code of a refusal.
+var failureStatus = map[core.Fault]int{core.Invalid: 400, core.Unproven: 401, core.Forbidden: 403, core.Mismatch: 422,
 	core.Looping: 508, core.Known: 409}
 
-// status words an answer that was not served.
-func status(a core.Answer) int {
+// statusCode returns the status code for an answer that is not core.Served.
+func statusCode(a core.Answer) int {
 	switch {
 	case a.Kind == core.Refused && a.Fault == core.OverQuota:
 		return 429
 	case a.Kind == core.Refused:
 		return 503
 	}
-	return cmp.Or(failures[a.Fault], 502)
+	return cmp.Or(failureStatus[a.Fault], 502)
 }
 
-// write answers m, under the lock, and ends the connection where it is to end.
+// write writes the response to m, and ends the connection if the response is its last. The caller holds the lock.
 func (c *conn) write(m *http1.Message, r http1.Reply) {
-	c.decideEnd(m)
-	r.Date, r.Close, r.Keep = c.server.dates.at(c.server.clock.Now()), c.closes, m.Old
+	c.decideClose(m)
+	r.Date, r.Close, r.Keep = c.server.dates.at(c.server.clock.Now()), c.closeAfter, m.Old
 	r.Head = string(m.Method) == "HEAD"
 	body := r.Body
-	big := len(body) >= apart && !r.Head
+	big := len(body) >= separateBodySize && !r.Head
 	if big {
 		r.Body, r.Flows, r.Length = nil, true, len(body)
 	}
-	_ = c.net.Write(http1.AppendResponse(make([]byte, 0, headRoom+len(r.Body)), r))
+	_ = c.net.Write(http1.AppendResponse(make([]byte, 0, headCapacity+len(r.Body)), r))
 	if big {
 		_ = c.net.Write(body)
 	}
-	c.answered()
+	c.afterResponse()
 }
 
-// decideEnd decides, under the lock, whether the answer to m that begins now ends the connection.
-func (c *conn) decideEnd(m *http1.Message) {
+// decideClose decides whether the response to m that begins now closes the connection. The caller holds the lock.
+func (c *conn) decideClose(m *http1.Message) {
 	policy := c.server.gate.Policy()
 	c.server.mu.Lock()
-	// Clients may hold only so many, and some hold on to what they do not use again.
-	crowded := c.server.askers >= c.server.set.Crowded && policy.Replaceable
+	// The number of connections is limited, and some clients keep connections that they do not use again.
+	crowded := c.server.requesting >= c.server.set.Crowded && policy.Replaceable
 	c.server.mu.Unlock()
-	if c.upload != nil { // the rest of the request is not wanted any more
+	if c.upload != nil { // the rest of the request is not needed any more
 		c.upload.Drop()
 		c.upload, c.overflowed = nil, true
 	}
-	c.closes = m.Close || c.once || c.overflowed || crowded || policy.EndAnswered
+	c.closeAfter = m.Close || c.once || c.overflowed || crowded || policy.EndAnswered
 }
 
-// answered does, under the lock, what follows when all of an answer was written.
-func (c *conn) answered() {
-	end := c.closes || c.overflowed
+// afterResponse sets the connection's state after a complete response was written. The caller holds the lock.
+func (c *conn) afterResponse() {
+	end := c.closeAfter || c.overflowed
 	c.ended = end
 	if end {
-		c.enter(leaving)
+		c.setState(stateClosing)
 	} else {
-		c.enter(idle)
-		c.retireAfterLastCalls()
+		c.setState(stateIdle)
+		c.closeIfStopping()
 	}
 	switch {
 	case end:
--- a/internal/node/downstream/httpserver/server.go
+++ b/internal/node/downstream/httpserver/server.go
@@ -1,6 +1,6 @@
 // Package httpserver serves clients that speak HTTP/1.1: it reads requests, has the core serve each and writes its
-// response. It owns the clients' connections: how many are open and which one is closed at the limit (eviction.go),
-// what is read until when (conn.go, request.go), and how they end (response.go, flow.go).
+// response. It owns the clients' connections: how many are open and which one is closed at the limit
+// (eviction.go), how long reading may take (conn.go, request.go), and how they end (response.go, streaming.go).
 package httpserver
 
 import (
@@ -16,7 +16,7 @@
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
-// Class is what the server has to know of a class of requests.
+// Class is the part of a request class's configuration that the server uses.
 type Class struct {
 	Method string
 	Keyed  bool
@@ -25,52 +25,52 @@
 // Settings describe a Server.
 type Settings struct {
 	Classes     []Class
-	ClassIndex  map[string]int // the place of each class
-	Tenants     map[string]int // and of each tenant
-	Connections int            // the most open at once
-	Crowded     int            // from so many on that have asked, an answer ends its connection
+	ClassIndex  map[string]int // the index in Classes by class name
+	Tenants     map[string]int // the index of a tenant by its name
+	Connections int            // limit of open connections
+	Crowded     int            // if at least this many connections have sent a request, a response closes its connection
 	Bodies      Bodies
 	Limits      Limits
 }
 
-// Bodies says what bodies a request may have.
+// Bodies limits the bodies of requests.
 type Bodies struct {
-	MaxSize     int              // bytes, 0 = that of internal/http1, held whole
-	MaxBuffered int              // up to so many bytes one is held until it is whole; a longer one flows
-	Budget      *bodypipe.Budget // of what is held, and of what flows
+	MaxSize     int              // bytes; 0 means the default of package http1, and that bodies are buffered whole
+	MaxBuffered int              // bytes; a longer body is streamed, others are buffered until they are complete
+	Budget      *bodypipe.Budget // for buffered and streamed bodies
 }
 
 // Limits are what can change while the server runs, times in milliseconds, sizes in bytes.
 type Limits struct {
-	Idle         float64 // after which a connection without a request is closed
-	Read         float64 // in which a request that has begun must be whole,
-	First        float64 // the first one counted from when the client connected
-	Rate         float64 // bytes a millisecond by which a body may take longer than Read,
-	Stall        float64 // and how long an answer may stand still on its way
-	Linger       float64 // that a client which may go on sending has to read its last answer
-	Settle       float64 // that a client which has connected has before it may have to make room
-	Pipeline     int     // kept of what comes behind a request that is being handled
-	Backlog      int     // of answers kept for a client that does not read them
-	WholeSeconds bool    // Retry-After has whole seconds only
+	Idle         float64 // time after which a connection without a request is closed
+	Read         float64 // time in which a request that has begun must be complete
+	First        float64 // the same for the first request, counted from when the client connected
+	Rate         float64 // bytes per millisecond: n received bytes of a body extend Read and First by n/Rate
+	Stall        float64 // time for which the sending of a response may make no progress
+	Linger       float64 // time in which a client that may still be sending can read its last response
+	Settle       float64 // time after it has connected in which a client is not evicted if there are others
+	Pipeline     int     // bytes buffered behind a request that is being handled
+	Backlog      int     // bytes of responses queued for a client that does not read them
+	WholeSeconds bool    // Retry-After has whole seconds only, as HTTP specifies
 }
 
 const (
-	apart     = 16 << 10 // from so many bytes on a body is written apart from its head, which saves a copy
-	mostExtra = 8000     // milliseconds that a request may take longer because its body flows
+	separateBodySize = 16 << 10 // bytes; a body of at least this size is written separately from its head, which saves a copy
+	maxExtraTime     = 8000     // milliseconds by which the deadline of a request with a streamed body is extended at most
 )
 
-// state is what a connection is about; those that make room for others come first.
+// state is what a connection is doing. Connections in the first states are evicted first.
 type state uint8
 
 const (
-	leaving state = iota // it has its last answer
-	silent               // it has sent nothing yet
-	idle                 // it has asked and may ask again
-	reading              // part of a request has come
-	busy                 // a request is being handled
+	stateClosing state = iota // the last response was written
+	stateNew                  // nothing was received yet
+	stateIdle                 // it has sent a request before and may send another one
+	stateReading              // part of a request was received
+	stateBusy                 // a request is being handled
 )
 
-// Server serves clients.
+// Server serves HTTP/1.1 clients.
 type Server struct {
 	set   Settings
 	clock clock.Clock
@@ -80,11 +80,11 @@
 
 	limits atomic.Pointer[Limits]
 
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	retired int // of them, those that were told to make room,
-	askers  int // and those that have asked and do not have their last answer
-	ready   bool
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	retired    int // number of conns that are being evicted
+	requesting int // number of conns that have sent a request and do not have their last response
+	ready      bool
 
 	dates dates
 }
@@ -96,48 +96,47 @@
 	return s
 }
 
-// SetLimits changes the limits, at any time.
+// SetLimits changes the limits. It may be called at any time.
 func (s *Server) SetLimits(l Limits) { s.limits.Store(&l) }
 
-// Resize changes how many connections may be open at once, and from how many on that have asked an answer ends its
-// connection. Those above stay.
+// Resize changes Settings.Connections and Settings.Crowded. Connections above the new limit stay open.
 func (s *Server) Resize(connections, crowded int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.set.Connections, s.set.Crowded = connections, crowded
 }
 
-// SetReady lets /up answer 200.
+// SetReady makes /up respond with 200.
 func (s *Server) SetReady() {
 	s.mu.Lock()
 	s.ready = true
 	s.mu.Unlock()
 }
 
-// Accept takes a new connection. Over the cap, another one makes room; where none can, the new one is served once
-// and ends.
+// Accept returns the Handler of a new connection. At the limit of connections another one is evicted; if none can
+// be, the new connection is closed after its first response.
 func (s *Server) Accept(n *netpoll.Conn) netpoll.Handler {
 	s.gate.Connected(true)
 	now := s.clock.Now()
-	c := &conn{server: s, net: n, parser: s.parser(), state: silent, since: now, accepted: now}
+	c := &conn{server: s, net: n, parser: s.parser(), state: stateNew, since: now, accepted: now}
 	s.mu.Lock()
-	var victim *conn
+	var evicted *conn
 	if len(s.conns)-s.retired >= s.set.Connections {
-		if victim = s.victim(now); victim != nil {
-			victim.retired = true
+		if evicted = s.evictionCandidate(now); evicted != nil {
+			evicted.retired = true
 			s.retired++
 		}
-		c.once = victim == nil
+		c.once = evicted == nil
 	}
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
-	if victim != nil {
-		go victim.retire(true, 0)
+	if evicted != nil {
+		go evicted.retire(true, 0)
 	}
 	return c
 }
 
-// parser makes a reader of a connection's requests.
+// parser returns a new parser for the requests of a connection.
 func (s *Server) parser() *http1.Parser {
 	if s.set.Bodies.MaxSize == 0 {
 		return http1.NewRequests()
@@ -145,7 +144,7 @@
 	return http1.NewFlowing(false, s.set.Bodies.MaxSize, http1.Flow{Whole: s.set.Bodies.MaxBuffered})
 }
 
-// Connections is how many connections of clients are open.
+// Connections returns how many connections of clients are open.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/downstream/httpserver/streaming.go
+++ b/internal/node/downstream/httpserver/streaming.go
@@ -8,54 +8,56 @@
 	"linenwheel.dev/linenwheel/internal/node/core"
 )
 
-// flow passes on an answer whose body is still coming, under the lock, which it gives up meanwhile.
-func (c *conn) flow(m *http1.Message, call *core.Call, answer *http1.Message) {
-	if c.ended { // its client has gone, or has its last answer, which is not to be broken off
+// stream writes an answer whose body is still being received. The caller holds the lock, which is released
+// meanwhile.
+func (c *conn) stream(m *http1.Message, call *core.Call, answer *http1.Message) {
+	if c.ended { // the client has gone, or has its last response, which must not be aborted
 		answer.Rest.Drop()
 		c.server.core.Flowed(call, core.Left)
 		c.call, c.busy = nil, false
 		return
 	}
-	kind := c.passOn(m, answer)
+	kind := c.streamBody(m, answer)
 	c.server.core.Flowed(call, kind)
 	c.call, c.busy = nil, false
 	switch {
 	case kind != core.Served:
 		c.ended = true
-		c.enter(leaving)
-		c.net.Abort() // its client sees that something is missing
+		c.setState(stateClosing)
+		c.net.Abort() // so that the client notices that the response is truncated
 	case !c.ended:
-		c.answered()
-		c.readOn()
-		c.next()
+		c.afterResponse()
+		c.resumeReading()
+		c.processRequests()
 	}
 }
 
-// passOn writes an answer as its body comes, no faster than the client takes it. An answer that has begun is never held back or
-// cut off for its client's time: it ends when the host, or the client, does or stands still for too long.
-func (c *conn) passOn(m, answer *http1.Message) core.Kind {
+// streamBody writes an answer while its body is being received, no faster than the client reads it. A response
+// that has begun is not cut off at the client's deadline: it ends when the backend or the client ends it or makes
+// no progress for too long.
+func (c *conn) streamBody(m, answer *http1.Message) core.Kind {
 	r := http1.Reply{Status: answer.Status, Of: answer, Flows: true, Length: answer.Length, Keep: m.Old,
 		Date: c.server.dates.at(c.server.clock.Now())}
-	c.decideEnd(m)
-	if m.Old && r.Length < 0 { // its client knows no chunks
-		r.Length, c.closes = -2, true
+	c.decideClose(m)
+	if m.Old && r.Length < 0 { // an HTTP/1.0 client does not support chunked coding
+		r.Length, c.closeAfter = -2, true
 	}
-	r.Close, c.keepAlive = c.closes, !c.closes
-	gone := make(chan struct{})
-	c.gone, c.call = gone, nil
-	_ = c.net.Write(http1.AppendResponse(make([]byte, 0, headRoom), r))
+	r.Close, c.keepAlive = c.closeAfter, !c.closeAfter
+	done := make(chan struct{})
+	c.done, c.call = done, nil
+	_ = c.net.Write(http1.AppendResponse(make([]byte, 0, headCapacity), r))
 	c.mu.Unlock()
 	defer c.mu.Lock()
-	w := bodyWriter{c: c, chunks: r.Length == -1, gone: gone}
-	good := w.write(answer.Body)
-	for good {
+	w := bodyWriter{c: c, chunks: r.Length == -1, done: done}
+	ok := w.write(answer.Body)
+	for ok {
 		chunk, err := answer.Rest.Next()
 		switch {
 		case len(chunk.Bytes) > 0:
-			good = w.write(chunk.Bytes)
+			ok = w.write(chunk.Bytes)
 			chunk.Free()
-			good = good && w.room()
-		case err == io.EOF: //nolint:errorlint // this very value says whole, a wrapped one would be of a body that broke off
+			ok = ok && w.waitForBacklog()
+		case err == io.EOF: //nolint:errorlint // only io.EOF itself means complete; an error that wraps it means cut off
 			if w.chunks {
 				_ = c.net.Write([]byte(http1.LastChunk))
 			}
@@ -63,18 +65,18 @@
 		case err != nil:
 			return core.Failed
 		default:
-			good = w.await(answer.Rest)
+			ok = w.waitForChunk(answer.Rest)
 		}
 	}
 	answer.Rest.Drop()
 	return core.Left
 }
 
-// bodyWriter writes a body piece by piece.
+// bodyWriter writes a body in parts, with chunked coding if chunks is set.
 type bodyWriter struct {
 	c      *conn
 	chunks bool
-	gone   <-chan struct{} // closed when the client has gone
+	done   <-chan struct{} // closed when the connection has ended
 }
 
 func (w bodyWriter) write(b []byte) bool {
@@ -89,37 +91,39 @@
 	return w.c.net.Write([]byte("\r\n")) == nil
 }
 
-// room waits until the client has taken most of what was written; it fails when it has gone, or takes nothing for too long.
-func (w bodyWriter) room() bool {
+// waitForBacklog waits until at most a window of what was written is queued. It returns false if the connection
+// has ended, or if the client has read nothing for Limits.Stall.
+func (w bodyWriter) waitForBacklog() bool {
 	window := w.c.server.set.Bodies.Budget.Window()
 	for w.c.net.Backlog() > int64(window) {
 		before := w.c.net.Written()
-		late := make(chan struct{})
-		stop := w.c.server.clock.At(w.c.server.clock.Now()+w.c.server.limits.Load().Stall, func() { close(late) })
-		good := w.c.net.WaitForBacklog(window, late)
+		timeout := make(chan struct{})
+		stop := w.c.server.clock.At(w.c.server.clock.Now()+w.c.server.limits.Load().Stall, func() { close(timeout) })
+		ok := w.c.net.WaitForBacklog(window, timeout)
 		stop()
 		select {
-		case <-w.gone:
+		case <-w.done:
 			return false
 		default:
 		}
-		if !good && w.c.net.Written() == before {
+		if !ok && w.c.net.Written() == before {
 			return false
 		}
 	}
 	return true
 }
 
-// await waits for the host; it fails when the client has gone, or nothing comes for too long.
-func (w bodyWriter) await(rest *bodypipe.Pipe) bool {
-	late := make(chan struct{})
-	stop := w.c.server.clock.At(w.c.server.clock.Now()+w.c.server.limits.Load().Stall, func() { close(late) })
+// waitForChunk waits until the pipe may have a chunk. It returns false if the connection has ended, or if nothing
+// is received from the backend for Limits.Stall.
+func (w bodyWriter) waitForChunk(rest *bodypipe.Pipe) bool {
+	timeout := make(chan struct{})
+	stop := w.c.server.clock.At(w.c.server.clock.Now()+w.c.server.limits.Load().Stall, func() { close(timeout) })
 	defer stop()
 	select {
 	case <-rest.Ready():
 		return true
-	case <-late:
-	case <-w.gone:
+	case <-timeout:
+	case <-w.done:
 	}
 	return false
 }
--- a/internal/node/downstream/thriftserver/interleaving_test.go
+++ b/internal/node/downstream/thriftserver/interleaving_test.go
@@ -21,17 +21,17 @@
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
-// warned is a log whose warnings wait.
-type warned struct {
+// blockingLog is a log handler that blocks on each record about a client.
+type blockingLog struct {
 	slog.Handler
-	came chan string // the client that one is about
-	free chan struct{}
+	blocked chan string // receives the client's address
+	free    chan struct{}
 }
 
-func (w warned) Handle(_ context.Context, r slog.Record) error {
+func (w blockingLog) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "client" {
-			w.came <- a.Value.String()
+			w.blocked <- a.Value.String()
 			<-w.free
 		}
 		return true
@@ -54,21 +54,21 @@
 	return server, l
 }
 
-// Guards against a call that is ended as late though it has only just begun: the one that was late came whole between the look at all
-// connections and the end of this one.
-func TestSweepLooksAgain(t *testing.T) {
-	w := warned{slog.NewTextHandler(io.Discard, nil), make(chan string), make(chan struct{})}
+// Guards against rejecting a call as late although it has only just begun: the late call on the same connection
+// was completed between the check of all connections and the end of this one.
+func TestSweepChecksAgainBeforeItEndsACall(t *testing.T) {
+	w := blockingLog{slog.NewTextHandler(io.Discard, nil), make(chan string), make(chan struct{})}
 	c, accepted := clock.NewManual(1e6), make(chan *conn, 1)
 	server, l := listen(t, c, driver.New(nil, drain.Times{}, c), slog.New(w), accepted)
-	// Nobody knows the method, so that it is answered at once.
-	whole := thrift.Append(nil, thrift.Outgoing{Message: mapping.Compose("nothing", mapping.Info{ID: []byte("q"), Deadline: 900}, nil), Seq: 1})
-	half := len(whole) / 2
+	// The method is unknown, so that the call is answered at once.
+	complete := thrift.Append(nil, thrift.Outgoing{Message: mapping.Compose("nothing", mapping.Info{ID: []byte("q"), Deadline: 900}, nil), Seq: 1})
+	half := len(complete) / 2
 	raw, ends := map[string]net.Conn{}, map[string]*conn{}
 	reads := func(end *conn, since float64) {
 		require.Eventually(t, func() bool {
 			end.mu.Lock()
 			defer end.mu.Unlock()
-			return !end.reader.Idle() && end.came == since
+			return !end.reader.Idle() && end.lastRead == since
 		}, time.Minute, time.Millisecond)
 	}
 	for range 2 {
@@ -76,7 +76,7 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = r.Close() })
 		end := <-accepted
-		_, err = r.Write(whole[:half])
+		_, err = r.Write(complete[:half])
 		require.NoError(t, err)
 		reads(end, 1e6)
 		raw[r.LocalAddr().String()], ends[r.LocalAddr().String()] = r, end
@@ -84,10 +84,10 @@
 	c.Advance(2500)
 	swept := make(chan struct{})
 	go func() { server.Sweep(); close(swept) }()
-	first := <-w.came // which of them is the first is chance
+	first := <-w.blocked // either of them
 	for name, r := range raw {
-		if name != first { // the other one's comes whole, and half of the next one behind it
-			_, err := r.Write(append(append([]byte(nil), whole[half:]...), whole[:half]...))
+		if name != first { // the other one's call is completed, and half of the next one follows
+			_, err := r.Write(append(append([]byte(nil), complete[half:]...), complete[:half]...))
 			require.NoError(t, err)
 			_, err = io.ReadFull(r, make([]byte, 8))
 			require.NoError(t, err)
@@ -95,7 +95,7 @@
 		}
 	}
 	go func() {
-		for range w.came { // a second warning is the fault
+		for range w.blocked { // a second warning would be the fault; it must not block the sweep
 		}
 	}()
 	close(w.free)
@@ -107,9 +107,9 @@
 	}
 }
 
-// Guards against a connection that outlives the last calls: they begin, and the idle connections are ended, after it was decided
-// that the result does not end its connection and before the connection is idle.
-func TestResultWhileTheLastCallsBegin(t *testing.T) {
+// Guards against a connection that stays open while the node stops: the idle connections are closed after it was
+// decided that the result does not close its connection, and before the connection is idle.
+func TestResultWhileIdleConnectionsAreClosed(t *testing.T) {
 	manual, accepted := clock.NewManual(1e6), make(chan *conn, 1)
 	gate := driver.New(nil, drain.Times{}, manual)
 	server, l := listen(t, manual, gate, slog.New(slog.DiscardHandler), accepted)
@@ -119,19 +119,19 @@
 	end := <-accepted
 	swept := make(chan struct{})
 	gate.Hook(driver.Hooks{Announce: func() {}, Refuse: func() {}, Finish: func() {}, CloseIdle: func() { server.Sweep(); close(swept) }})
-	// Nobody knows the method, so that it is answered at once.
+	// The method is unknown, so that the call is answered at once.
 	_, err = raw.Write(thrift.Append(nil, thrift.Outgoing{Message: mapping.Compose("nothing", mapping.Info{ID: []byte("q"), Deadline: 900}, nil), Seq: 1}))
 	require.NoError(t, err)
 	require.NoError(t, raw.SetReadDeadline(time.Now().Add(time.Minute)))
 	_, err = io.ReadFull(raw, make([]byte, 8))
 	require.NoError(t, err)
-	end.mu.Lock() // as when a further call has been answered, to which the policy of before the last calls was applied
+	end.mu.Lock() // as if a further call had been answered while the gate's policy still kept connections open
 	end.slot.SetState(connlimit.StateBusy, manual.Now())
 	gate.Stop(shutdown.Times{Accept: 10, Kill: 1000, Answers: 500, End: 100})
 	manual.Advance(10)
 	<-swept
-	end.settle()
+	end.updateState()
 	end.mu.Unlock()
 	_, err = io.ReadAll(raw)
-	require.NoError(t, err, "the connection is ended behind the result")
+	require.NoError(t, err, "the connection is closed after the result")
 }
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -1,7 +1,7 @@
-// Package thriftserver is the front for clients that speak Thrift, in every form: it reads calls, has the core serve each and
-// writes its result. Clients whose messages are framed may have several calls open on a connection and get their results in
-// any order; others get them in the order of their calls. Two calls with one sequence id, which could not be told apart, are
-// served one after the other.
+// Package thriftserver serves clients that use Thrift, with any supported transport and protocol: it reads calls,
+// has the core serve each and writes its result. Clients with framed messages may have several calls open on a
+// connection and get the results in any order; others get them in the order of their calls. Two calls with the
+// same sequence id, whose results could not be distinguished, are served one after the other.
 package thriftserver
 
 import (
@@ -21,32 +21,32 @@
 	"linenwheel.dev/linenwheel/internal/node/shutdown/driver"
 )
 
-// Class is what the front has to know of a class.
+// Class is the part of a request class's configuration that the server uses.
 type Class struct {
 	Keyed bool
 }
 
-// Method is what a client may call.
+// Method is a method that clients may call.
 type Method struct {
 	Class  int
-	OneWay bool // nobody waits for its results, whatever a call says
+	OneWay bool // its calls get no result, whatever their message type is
 }
 
-// Settings describe the front.
+// Settings describe a Server.
 type Settings struct {
 	Classes      []Class
-	Methods      map[string]Method // by their names as they are on the wire
-	Tenants      map[string]int
+	Methods      map[string]Method // by name on the wire
+	Tenants      map[string]int    // the index of a tenant by its name
 	Limiter      connlimit.Settings
 	Messages     thrift.Limits
-	MaxOpenCalls int     // calls open on one connection
-	Pipeline     int     // bytes kept of what comes behind
-	Backlog      int     // bytes of results kept for a client that does not read them
-	Linger       float64 // ms that a client which sent what cannot be read has to read why
-	Stall        float64 // ms that results may stand still on their way to a client whose connection ends
+	MaxOpenCalls int     // limit of open calls on one connection
+	Pipeline     int     // bytes buffered behind the open calls
+	Backlog      int     // bytes of results queued for a client that does not read them
+	Linger       float64 // ms in which a client can read its last result after the server has shut down its side
+	Stall        float64 // ms for which sending to a client whose connection is being ended may make no progress
 }
 
-// Server serves clients.
+// Server serves Thrift clients.
 type Server struct {
 	set     Settings
 	clock   clock.Clock
@@ -56,19 +56,20 @@
 	log     *slog.Logger
 }
 
-// New makes a front.
+// New returns a server.
 func New(set Settings, c clock.Clock, to *core.Core, g *driver.Gate, log *slog.Logger) *Server {
 	return &Server{set: set, clock: c, core: to, gate: g, limiter: connlimit.New(set.Limiter, c), log: log}
 }
 
-// Connections is how many connections of clients are open.
+// Connections returns how many connections of clients are open.
 func (s *Server) Connections() int { return s.limiter.Connections() }
 
-// EvictOne has a connection make room for clients who wait because all places are taken.
+// EvictOne closes one connection for clients that wait to be accepted because the limit is reached.
 func (s *Server) EvictOne() { s.limiter.EvictOne() }
 
-// Sweep ends the connections that carry no call for long, and those whose call is not whole in time; it is to be called often.
-// While the node stops, they stay, since none can be replaced, until no call can be answered on them any more.
+// Sweep closes the connections that have carried no call for the idle limit, and ends those whose call is not
+// complete in time. It must be called often. While the node stops, idle connections stay open, since their clients
+// could not replace them, until no call can be answered on them any more.
 func (s *Server) Sweep() {
 	limit := s.limiter.IdleLimit()
 	switch policy := s.gate.Policy(); {
@@ -80,7 +81,7 @@
 	s.limiter.Sweep(limit)
 }
 
-// Accept takes a new connection.
+// Accept returns the Handler of a new connection.
 func (s *Server) Accept(n *netpoll.Conn) netpoll.Handler {
 	c := &conn{server: s, net: n, reader: thrift.NewReader(s.set.Messages), open: map[int32]*core.Call{}}
 	s.gate.Connected(false)
@@ -93,96 +94,96 @@
 	server *Server
 	net    *netpoll.Conn
 	slot   *connlimit.Slot
-	once   bool // it ends with its first result
-
-	mu     sync.Mutex
-	reader *thrift.Reader
-	came   float64              // when bytes came last
-	open   map[int32]*core.Call // calls that are being served, by sequence id
-	next   *thrift.Message      // read, and waits for one of those
-	deaf   bool                 // what is open is the last: more came behind it than is kept, or what cannot be read,
-	bad    error                // for this reason
-	ended  bool                 // nothing more is read
+	once   bool // the first result closes it
+
+	mu       sync.Mutex
+	reader   *thrift.Reader
+	lastRead float64              // when bytes were received last
+	open     map[int32]*core.Call // calls that are being served, by sequence id
+	pending  *thrift.Message      // parsed call that waits for one of those
+	closing  bool                 // the open calls are the last: more was received than is buffered, or input could not be parsed
+	readErr  error                // why input could not be parsed
+	ended    bool                 // nothing more is read
 }
 
-// Data takes bytes from the client.
+// Data implements netpoll.Handler.
 func (c *conn) Data(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended || c.deaf {
+	if c.ended || c.closing {
 		return
 	}
-	c.came = c.server.clock.Now()
+	c.lastRead = c.server.clock.Now()
 	c.reader.Feed(data)
 	if len(c.open) > 0 && c.reader.Buffered() > c.server.set.Pipeline {
-		c.deaf = true
+		c.closing = true
 		return
 	}
 	c.read()
 }
 
-// read takes calls, under the lock, until bytes are missing or one has to wait.
+// read parses and starts calls until bytes are missing or a call must wait. The caller holds the lock.
 func (c *conn) read() {
-	for !c.ended && !c.deaf {
-		if c.next == nil {
+	for !c.ended && !c.closing {
+		if c.pending == nil {
 			m, err := c.reader.Next()
 			if err != nil {
-				if c.deaf, c.bad = true, err; len(c.open) == 0 {
-					c.unreadable(err)
+				if c.closing, c.readErr = true, err; len(c.open) == 0 {
+					c.rejectUnreadable(err)
 				}
 				return
 			}
 			if m == nil {
 				break
 			}
-			c.next = m
+			c.pending = m
 		}
-		if c.waits(c.next) {
+		if c.mustWait(c.pending) {
 			break
 		}
-		m := c.next
-		c.next = nil
+		m := c.pending
+		c.pending = nil
 		c.call(m)
 	}
-	c.settle()
+	c.updateState()
 }
 
-// waits tells whether a call is to be served only after another one.
-func (c *conn) waits(m *thrift.Message) bool {
+// mustWait reports whether a call can be served only after another one.
+func (c *conn) mustWait(m *thrift.Message) bool {
 	same := c.open[m.Seq] != nil
 	return same || len(c.open) >= c.server.set.MaxOpenCalls || len(c.open) > 0 && m.Form.Transport == thrift.Unframed
 }
 
-// settle notes what the connection is about now.
-func (c *conn) settle() {
+// updateState records the connection's state in its slot. The caller holds the lock.
+func (c *conn) updateState() {
 	switch {
 	case c.ended:
 	case len(c.open) > 0:
-		c.slot.SetState(connlimit.StateBusy, c.came)
+		c.slot.SetState(connlimit.StateBusy, c.lastRead)
 	case !c.reader.Idle():
-		c.slot.SetState(connlimit.StateReading, c.came)
+		c.slot.SetState(connlimit.StateReading, c.lastRead)
 	default:
-		c.slot.SetState(connlimit.StateIdle, c.came)
-		c.retireAfterLastCalls()
+		c.slot.SetState(connlimit.StateIdle, c.lastRead)
+		c.closeIfStopping()
 	}
 }
 
-// retireAfterLastCalls ends a connection that has just become idle if the node already ends those: the sweep that did so may have
-// found this one busy, and no later one may come before the node ends.
-func (c *conn) retireAfterLastCalls() {
+// closeIfStopping closes a connection that has just become idle if the node already closes idle connections: the
+// sweep that did so may have found this one busy, and the node may end before the next sweep.
+func (c *conn) closeIfStopping() {
 	if c.server.gate.Policy().EndIdle {
 		go c.CloseIfIdle()
 	}
 }
 
-// call handles one call under the lock.
+// call handles one call. The caller holds the lock.
 func (c *conn) call(m *thrift.Message) {
-	c.slot.SetState(connlimit.StateBusy, c.came)
+	c.slot.SetState(connlimit.StateBusy, c.lastRead)
 	if m.Type != thrift.Call && m.Type != thrift.OneWay {
 		c.write(m, mapping.Fault(m.Name, mapping.InvalidMessageType, "a client sends calls"))
 		return
 	}
-	call, fault := c.server.read(m, c.came, c.net)
+	call, fault := c.server.read(m, c.lastRead, c.net)
 	if fault != nil {
 		c.write(m, fault)
 		return
@@ -195,8 +196,8 @@
 	go c.serve(m, call)
 }
 
-// read finds what the core has to know, or the application exception where the call cannot be served.
-func (s *Server) read(m *thrift.Message, came float64, client *netpoll.Conn) (call *core.Call, fault *thrift.Message) {
+// read returns the core's call for a message, or an application exception if the call is invalid.
+func (s *Server) read(m *thrift.Message, lastRead float64, client *netpoll.Conn) (call *core.Call, fault *thrift.Message) {
 	method, ok := s.set.Methods[string(m.Name)]
 	if !ok {
 		return nil, mapping.Fault(m.Name, mapping.UnknownMethod, "unknown method")
@@ -205,21 +206,21 @@
 	if method.OneWay {
 		m.Type = thrift.OneWay
 	}
-	wrong := func(text string) (*core.Call, *thrift.Message) {
+	protocolError := func(text string) (*core.Call, *thrift.Message) {
 		return nil, mapping.Fault(m.Name, mapping.ProtocolError, text)
 	}
 	i, err := mapping.Read(m)
 	switch {
 	case err != nil:
-		return wrong(err.Error())
+		return protocolError(err.Error())
 	case !core.IsID(i.ID):
-		return wrong("the id is missing or bad")
+		return protocolError("the id is missing or bad")
 	case i.Deadline <= 0:
-		return wrong("the deadline is missing or bad")
+		return protocolError("the deadline is missing or bad")
 	case s.set.Classes[class].Keyed && len(i.Key) == 0:
-		return wrong("the key is missing")
+		return protocolError("the key is missing")
 	}
-	call = &core.Call{ID: string(i.ID), Class: class, Tenant: -1, Deadline: came + float64(i.Deadline), Repeat: i.Retry, Payload: m,
+	call = &core.Call{ID: string(i.ID), Class: class, Tenant: -1, Deadline: lastRead + float64(i.Deadline), Repeat: i.Retry, Payload: m,
 		Client: client}
 	if s.set.Classes[class].Keyed {
 		call.Key = i.Key
@@ -230,7 +231,7 @@
 	return call, nil
 }
 
-// serve has a call served and writes its result.
+// serve has the core serve a call and writes its result.
 func (c *conn) serve(m *thrift.Message, call *core.Call) {
 	a := c.server.core.Serve(call)
 	c.mu.Lock()
@@ -241,17 +242,17 @@
 	}
 	c.write(m, result(m, a))
 	switch {
-	case c.ended || c.deaf && len(c.open) > 0:
-	case c.bad != nil:
-		c.unreadable(c.bad)
-	case c.deaf:
+	case c.ended || c.closing && len(c.open) > 0:
+	case c.readErr != nil:
+		c.rejectUnreadable(c.readErr)
+	case c.closing:
 		c.end()
 	default:
 		c.read()
 	}
 }
 
-// result puts a final answer into Thrift.
+// result returns the Thrift message for the core's answer.
 func result(m *thrift.Message, a core.Answer) *thrift.Message {
 	reason := a.Reason
 	if reason == core.ReasonModule {
@@ -271,45 +272,47 @@
 	case *http1.Message:
 		return mapping.Result(m.Name, p.Body)
 	}
-	return mapping.Failure(m.Name, "") // a one-way call's, which nobody is told
+	return mapping.Failure(m.Name, "") // for a one-way call, whose result is not written
 }
 
-// write answers a call under the lock, in its own form and with its own sequence id; of a one-way call nobody is told.
+// write writes the result of a call in the call's form and with its sequence id; a one-way call gets none. It
+// closes the connection if the result is its last. The caller holds the lock.
 func (c *conn) write(m *thrift.Message, r *thrift.Message) {
 	if m.Type != thrift.OneWay {
 		_ = c.net.Write(thrift.Append(nil, thrift.Outgoing{Message: r, Form: m.Form, Seq: m.Seq, HeadSeq: m.HeaderSeq}))
 	}
 	if c.net.Backlog() > int64(c.server.set.Backlog) {
 		c.ended = true
-		c.leave()
+		c.abandonCalls()
 		go c.net.Close()
 		return
 	}
 	policy := c.server.gate.Policy()
-	if last := c.once || policy.EndAnswered || policy.Replaceable && c.server.limiter.Crowded(); last && len(c.open) == 0 && c.next == nil && c.reader.Idle() {
+	if last := c.once || policy.EndAnswered || policy.Replaceable && c.server.limiter.Crowded(); last && len(c.open) == 0 && c.pending == nil && c.reader.Idle() {
 		c.end()
 	}
 }
 
-// end closes the connection when all is written.
+// end closes the connection once everything is written.
 func (c *conn) end() {
 	c.ended = true
-	c.slot.SetState(connlimit.StateClosing, c.came)
+	c.slot.SetState(connlimit.StateClosing, c.lastRead)
 	c.net.End(c.server.set.Linger, c.server.set.Stall)
 }
 
-// leave gives up the calls of a client that is not served any more.
-func (c *conn) leave() {
+// abandonCalls cancels the open calls of a client that does not read its results.
+func (c *conn) abandonCalls() {
 	for _, call := range c.open {
-		go call.Leave() // which may take locks that wait for this one
+		go call.Leave() // in a goroutine because it may acquire locks whose holders wait for this one
 	}
 }
 
-// unreadable tells a client why nothing more of it is read, once all that it asked before is answered, and ends the connection.
-func (c *conn) unreadable(err error) {
+// rejectUnreadable sends the client the reason why nothing more is read, after all earlier calls have their
+// results, and ends the connection. The caller holds the lock.
+func (c *conn) rejectUnreadable(err error) {
 	c.ended = true
-	c.server.log.Warn("a client sent what cannot be read", "client", c.net.Peer(), "status", "thrift", "error", err)
-	c.slot.SetState(connlimit.StateClosing, c.came)
+	c.server.log.Warn("client sent an invalid or incomplete request", "client", c.net.Peer(), "status", "thrift", "error", err)
+	c.slot.SetState(connlimit.StateClosing, c.lastRead)
 	defer c.net.End(c.server.set.Linger, c.server.set.Stall)
 	if errors.Is(err, thrift.ErrNotThrift) {
 		_ = c.net.Write(http1.AppendResponse(nil, http1.Reply{Status: 400, Body: []byte("Thrift is spoken here\n"), Close: true}))
@@ -324,7 +327,7 @@
 // CloseIfIdle implements connlimit.Conn.
 func (c *conn) CloseIfIdle() bool {
 	c.mu.Lock()
-	free := c.ended || len(c.open) == 0 && c.next == nil && c.reader.Idle() && c.net.ShutdownIfIdle()
+	free := c.ended || len(c.open) == 0 && c.pending == nil && c.reader.Idle() && c.net.ShutdownIfIdle()
 	c.ended = c.ended || free
 	c.mu.Unlock()
 	switch {
@@ -336,18 +339,18 @@
 	return free
 }
 
-var errSlow = errors.New("the call was not whole in time")
+var errCallTimeout = errors.New("the call was not whole in time")
 
 // CloseSlowRead implements connlimit.Conn.
 func (c *conn) CloseSlowRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.ended && len(c.open) == 0 && !c.reader.Idle() && c.slot.Overdue() {
-		c.unreadable(errSlow)
+		c.rejectUnreadable(errCallTimeout)
 	}
 }
 
-// Closed takes the end of the connection: the client has gone.
+// Closed implements netpoll.Handler: the connection has ended.
 func (c *conn) Closed(error) {
 	c.mu.Lock()
 	c.ended = true
@@ -363,8 +366,8 @@
 	}
 }
 
-// MethodNames gives the names that a method may have on the wire: alone, and behind its service's as multiplexed clients
-// write it.
+// MethodNames returns the names that a method may have on the wire: alone, and with the service's name in front as
+// multiplexed clients send it.
 func MethodNames(service, method string) []string {
 	if service == "" {
 		return []string{method}
@@ -372,10 +375,10 @@
 	return []string{method, service + ":" + method}
 }
 
-// Content is a Thrift message as stages see one.
+// Content presents a Thrift message to the stages.
 type Content struct{ *thrift.Message }
 
-// Path is the method's name without its service's.
+// Path returns the method's name without its service's.
 func (c Content) Path() []byte {
 	if _, method, ok := bytes.Cut(c.Name, []byte(":")); ok {
 		return method
@@ -383,17 +386,17 @@
 	return c.Name
 }
 
-// Query is empty: a Thrift call has none.
+// Query returns nil: a Thrift call has no query.
 func (c Content) Query() []byte { return nil }
 
-// Header is a value of the header transport's header.
+// Header returns a value of the header transport's header.
 func (c Content) Header(name string) []byte {
 	value, _ := c.Message.Header(name)
 	return value
 }
 
-// Body is the content but for the call's info, which differs from try to try.
+// Body returns the arguments without the call's info, which differs between attempts.
 func (c Content) Body() []byte { return c.Rest(mapping.ArgInfo) }
 
-// Size is how much memory the message holds, roughly.
+// Size returns approximately how many bytes of memory the message uses.
 func (c Content) Size() int { return 512 + cap(c.Bytes) }
