--- a/internal/node/downstream/httpserver/conn.go
+++ b/internal/node/downstream/httpserver/conn.go
@@ -214,7 +214,7 @@
 		c.upload.End(err)
 		c.upload = nil
 		if call := c.call; call != nil {
-			go call.Leave() // without its body the request cannot be served
+			go call.Cancel() // without its body the request cannot be served
 		}
 		c.rejectUnreadable(err)
 		return false
@@ -296,6 +296,6 @@
 	c.server.mu.Unlock()
 	c.server.gate.Disconnected(true)
 	if call != nil {
-		call.Leave()
+		call.Cancel()
 	}
 }
--- a/internal/node/downstream/httpserver/response.go
+++ b/internal/node/downstream/httpserver/response.go
@@ -18,7 +18,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.releaseBody()
-	if a.Kind == core.Left {
+	if a.Kind == core.ClientLeft {
 		return
 	}
 	if answer, ok := a.Payload.(*http1.Message); ok && answer.Rest != nil {
@@ -61,8 +61,8 @@
 }
 
 // failureStatus maps the fault of a failed call to a status code. None of them is a status code of a refusal.
-var failureStatus = map[core.Fault]int{core.Invalid: 400, core.Unproven: 401, core.Forbidden: 403, core.Mismatch: 422,
-	core.Looping: 508, core.Known: 409}
+var failureStatus = map[core.Fault]int{core.Invalid: 400, core.Unauthenticated: 401, core.Forbidden: 403, core.KeyMismatch: 422,
+	core.LoopDetected: 508, core.Duplicate: 409}
 
 // statusCode returns the status code for an answer that is not core.Served.
 func statusCode(a core.Answer) int {
--- a/internal/node/downstream/httpserver/streaming.go
+++ b/internal/node/downstream/httpserver/streaming.go
@@ -13,12 +13,12 @@
 func (c *conn) stream(m *http1.Message, call *core.Call, answer *http1.Message) {
 	if c.ended { // the client has gone, or has its last response, which must not be aborted
 		answer.Rest.Drop()
-		c.server.core.Flowed(call, core.Left)
+		c.server.core.StreamEnded(call, core.ClientLeft)
 		c.call, c.busy = nil, false
 		return
 	}
 	kind := c.streamBody(m, answer)
-	c.server.core.Flowed(call, kind)
+	c.server.core.StreamEnded(call, kind)
 	c.call, c.busy = nil, false
 	switch {
 	case kind != core.Served:
@@ -69,7 +69,7 @@
 		}
 	}
 	answer.Rest.Drop()
-	return core.Left
+	return core.ClientLeft
 }
 
 // bodyWriter writes a body in parts, with chunked coding if chunks is set.
--- a/internal/node/downstream/thriftserver/server.go
+++ b/internal/node/downstream/thriftserver/server.go
@@ -188,7 +188,7 @@
 		c.write(m, fault)
 		return
 	}
-	if a, ok := c.server.core.Take(call); !ok {
+	if a, ok := c.server.core.Admit(call); !ok {
 		c.write(m, result(m, a))
 		return
 	}
@@ -220,7 +220,7 @@
 	case s.set.Classes[class].Keyed && len(i.Key) == 0:
 		return protocolError("the key is missing")
 	}
-	call = &core.Call{ID: string(i.ID), Class: class, Tenant: -1, Deadline: lastRead + float64(i.Deadline), Repeat: i.Retry, Payload: m,
+	call = &core.Call{ID: string(i.ID), Class: class, Tenant: -1, Deadline: lastRead + float64(i.Deadline), ClientRetry: i.Retry, Payload: m,
 		Client: client}
 	if s.set.Classes[class].Keyed {
 		call.Key = i.Key
@@ -237,7 +237,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, m.Seq)
-	if a.Kind == core.Left || c.ended {
+	if a.Kind == core.ClientLeft || c.ended {
 		return
 	}
 	c.write(m, result(m, a))
@@ -303,7 +303,7 @@
 // abandonCalls cancels the open calls of a client that does not read its results.
 func (c *conn) abandonCalls() {
 	for _, call := range c.open {
-		go call.Leave() // in a goroutine because it may acquire locks whose holders wait for this one
+		go call.Cancel() // in a goroutine because it may acquire locks whose holders wait for this one
 	}
 }
 
@@ -362,7 +362,7 @@
 	c.slot.Release()
 	c.server.gate.Disconnected(false)
 	for _, call := range calls {
-		call.Leave()
+		call.Cancel()
 	}
 }
 
--- a/internal/node/endpoints/keeper_test.go
+++ b/internal/node/endpoints/keeper_test.go
@@ -86,10 +86,10 @@
 }
 
 // give is between the keeper and the pilot.
-func (f *fleet) give(kind dispatch.Source, list []dispatch.Host) {
+func (f *fleet) give(kind dispatch.ListKind, list []dispatch.Host) {
 	f.mu.Lock()
 	now, before, truth := f.clock.Now(), maps.Clone(f.hosts), f.truth()
-	if kind != dispatch.Changes {
+	if kind != dispatch.Delta {
 		clear(f.hosts)
 	}
 	for _, h := range list {
@@ -127,14 +127,14 @@
 	for ctx.Err() == nil {
 		now := f.clock.Now()
 		q := f.pilot.Open(dispatch.Request{Tenant: -1, Deadline: now + 900})
-		if v := q.Pick(); v.Kind == dispatch.Send {
+		if v := q.Next(); v.Kind == dispatch.Send {
 			f.mu.Lock()
 			f.relays++
 			if at, told := f.left[v.Host]; told && now > at+grace+1 {
 				f.fault("a relay to %s, %.0f ms after it was told to depart", v.Host, now-at)
 			}
 			f.mu.Unlock()
-			q.Report(v.Relay, dispatch.Served, nil)
+			q.Report(v.AttemptIndex, dispatch.Served, nil)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -159,13 +159,13 @@
 		if err == nil && got.Code == 200 && !away.Load() {
 			l.Look, l.Whole = looking, l.Whole || !known
 			if l.Whole || len(l.Hosts) > 0 {
-				err = to.Take(l)
+				err = to.Apply(l)
 			} else {
-				to.Same(l)
+				to.Unchanged(l)
 			}
 		}
 		if known = err == nil && got.Code == 200 && !away.Load(); !known {
-			to.Away(f.clock.Now())
+			to.CallFailed(f.clock.Now())
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
@@ -237,8 +237,8 @@
 		Classes: []decide.Class{{Name: "pay", Effect: decide.Unsafe, Target: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}},
 		Limits:  decide.Limits{MaxAttempts: 3}, Rules: decide.Rules{DrainGrace: 500 * time.Millisecond}}, 1, f.clock, discard, nil)
 	require.NoError(t, err)
-	f.keeper, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", Keep: 5000, Mends: true}, {Name: "files", Keep: 60e3}},
-		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, Wait: 2000, Most: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
+	f.keeper, err = New(Settings{Settings: merge.Settings{Sources: []merge.Source{{Name: "etcd", StaleAfter: 5000, MayCorrect: true}, {Name: "files", StaleAfter: 60e3}},
+		Guard: removalguard.Settings{Share: 0.5, Window: 3000, Floor: 1}, RereadDelay: 2000, MaxHosts: 100, Zones: []string{"z"}, Kinds: []string{"k"}},
 		Give: f.give}, f.clock, discard)
 	require.NoError(t, err)
 	c, err := etcdtest.New(etcdtest.Settings{Members: 2, Clock: f.clock, Memory: true})
@@ -246,9 +246,9 @@
 	defer c.Close()
 	f.truth = func() map[string]string { return c.Values("r/") }
 	book := agent.NewBook("etcd")
-	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", Most: 100, CallLimit: 1000, Ask: 1000, Silence: 3000,
-		CheckEvery: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{book, f.clock})
-	server := &agent.Server{Book: book, Clock: f.clock, Look: source.Look}
+	source := etcd.New(etcd.Settings{Endpoints: c.Endpoints(), Prefix: "r/", MaxHosts: 100, CallTimeout: 1000,
+		ProgressInterval: 1000, SilenceTimeout: 3000, CheckInterval: 10e3, FirstPause: 25, LastPause: 1000, Dial: c.Dial}, f.clock, discard, sink{book, f.clock})
+	server := &agent.Server{Book: book, Clock: f.clock, Look: source.RequestReread}
 	look := make(chan struct{}, 1)
 	f.keeper.Asks(0, func() {
 		select {
@@ -394,9 +394,9 @@
 func (s sink) Update(epoch string, u etcd.Update) {
 	s.book.Take(agent.Change{Whole: u.Whole, Epoch: epoch, Revision: uint64(u.Revision), Hosts: u.Hosts, Confirm: u.Confirm})
 }
-func (s sink) Alive()         { s.book.Alive(s.clock.Now()) }
-func (s sink) Gone(err error) { s.book.Gone(err.Error()) }
-func (s sink) Looked(epoch string, u etcd.Update) {
+func (s sink) UpToDate()             { s.book.Alive(s.clock.Now()) }
+func (s sink) Unavailable(err error) { s.book.Gone(err.Error()) }
+func (s sink) Reread(epoch string, u etcd.Update) {
 	s.Update(epoch, u)
 	s.book.Looked()
 }
--- a/internal/node/options/quota.go
+++ b/internal/node/options/quota.go
@@ -99,12 +99,12 @@
 // Tree puts the options in the terms of package quota, for the whole fleet.
 func (q *Quota) Tree() quota.Settings {
 	set := quota.Settings{Root: quota.Amount{q.Requests, q.Worth}, Floor: q.Floor,
-		Priorities: max(1, len(q.Priorities)), Burst: q.Burst.Ms / 1000, LongWindow: q.LongWindow.Ms / 1000, Kept: q.Kept,
-		Memory: q.Memory.Ms / 1000, PayBack: q.PayBack.Ms / 1000, PayPart: q.PayPart, MostWait: q.MostWait.Ms / 1000}
+		Priorities: max(1, len(q.Priorities)), Burst: q.Burst.Ms / 1000, LongWindow: q.LongWindow.Ms / 1000, Reserved: q.Kept,
+		DebtDecay: q.Memory.Ms / 1000, RepayTime: q.PayBack.Ms / 1000, RepayFraction: q.PayPart, MaxRetryAfter: q.MostWait.Ms / 1000}
 	for _, n := range q.Nodes {
 		set.Nodes = append(set.Nodes, quota.Node{Name: n.Name, Parent: n.Parent, Share: n.Share,
-			Guarantee: quota.Amount{n.Requests, n.Worth}, Ceiling: quota.Amount{n.CeilingRequests, n.CeilingWorth},
-			Long: quota.Amount{n.LongRequests, n.LongWorth}, Burst: n.Burst.Ms / 1000, Keep: !n.Lends, Alone: !n.Borrows})
+			Guarantee: quota.Amount{n.Requests, n.Worth}, RateLimit: quota.Amount{n.CeilingRequests, n.CeilingWorth},
+			LongLimit: quota.Amount{n.LongRequests, n.LongWorth}, Burst: n.Burst.Ms / 1000, NoLending: !n.Lends, NoBorrowing: !n.Borrows})
 	}
 	if q.Unknown == "" {
 		set.Nodes = append(set.Nodes, quota.Node{Name: Others})
@@ -126,8 +126,8 @@
 	if q.Unknown != "" && !slices.ContainsFunc(q.Nodes, func(n QuotaNode) bool { return n.Name == q.Unknown }) {
 		report(fmt.Sprintf("%q is no node", q.Unknown), "unknown")
 	}
-	if t := (lease.Tree{Leased: q.Leased, Set: q.Tree()}); q.On && q.Leased > 0 && len(t.Set.Nodes) > lease.MaxNodes {
-		report(fmt.Sprintf("stands beside %d nodes of the tree: %d at the most can be leased", len(t.Set.Nodes), lease.MaxNodes), "leased", "node")
+	if t := (lease.Tree{Leased: q.Leased, Settings: q.Tree()}); q.On && q.Leased > 0 && len(t.Settings.Nodes) > lease.MaxNodes {
+		report(fmt.Sprintf("stands beside %d nodes of the tree: %d at the most can be leased", len(t.Settings.Nodes), lease.MaxNodes), "leased", "node")
 	}
 	for i, name := range q.Priorities {
 		if slices.Index(q.Priorities, name) != i {
--- a/internal/node/quota/transfer.go
+++ b/internal/node/quota/transfer.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Inherit takes over the state of a tree that this one replaces, for the nodes that stay: the levels of their
-// buckets, their debts and counts, and the capacity. Other nodes begin with full buckets. The old tree must not be
-// used again.
+// Inherit copies the state of the tree that this one replaces, for the nodes that both trees have: the levels of
+// their buckets, their debts and counts, and the capacity. Other nodes start with full buckets. The old tree must
+// not be used again.
 func (t *Tree) Inherit(now float64, old *Tree) {
 	old.advance(now)
 	t.advance(now)
@@ -26,19 +26,19 @@
 	}
 }
 
-// inheritLevel gives a bucket the level of another one, -1 at least.
+// inheritLevel sets a bucket to the level of another bucket, but to at least -1.
 func inheritLevel(to, from *bucket) {
 	if from.cap > 0 {
 		to.tokens = to.cap * math.Max(-1, from.tokens/from.cap)
 	}
 }
 
-// Balance is the levels of a node's buckets, as fractions of their caps; negative where one is overdrawn.
+// Balance holds the levels of a node's buckets, as fractions of their caps; negative where one is overdrawn.
 type Balance struct {
-	Name    string `json:"name"`
-	Own     Amount `json:"own"`
-	Ceiling Amount `json:"ceiling"`
-	Long    Amount `json:"long"`
+	Name      string `json:"name"`
+	Own       Amount `json:"own"`
+	RateLimit Amount `json:"ceiling"`
+	LongLimit Amount `json:"long"`
 }
 
 // Balances returns the balances of the nodes whose buckets are not all full.
@@ -48,8 +48,8 @@
 		t.refresh(int32(i))
 		n, balance, full := &t.nodes[i], Balance{Name: name}, true
 		for m := range measures {
-			balance.Own[m], balance.Ceiling[m], balance.Long[m] = n.own[m].level(), n.limit[m].level(), n.longLimit[m].level()
-			full = full && min(balance.Own[m], balance.Ceiling[m], balance.Long[m]) == 1
+			balance.Own[m], balance.RateLimit[m], balance.LongLimit[m] = n.own[m].level(), n.limit[m].level(), n.longLimit[m].level()
+			full = full && min(balance.Own[m], balance.RateLimit[m], balance.LongLimit[m]) == 1
 		}
 		if !full {
 			balances = append(balances, balance)
@@ -58,8 +58,9 @@
 	return balances
 }
 
-// RestoreBalances takes balances that another tree of these nodes had age milliseconds ago; a negative age counts as 0. No
-// bucket holds more than was left then and has been filled in since. Balances of unknown nodes are ignored.
+// RestoreBalances restores the balances that another tree with these nodes had age milliseconds ago; a negative
+// age counts as 0. No bucket holds more than was left then plus what has been filled in since. Balances of unknown
+// nodes are ignored.
 func (t *Tree) RestoreBalances(now, age float64, balances []Balance) {
 	t.advance(now)
 	seconds := max(0, age) / 1000
@@ -72,8 +73,8 @@
 		n, balance := &t.nodes[index], &balances[i]
 		for m := range measures {
 			n.own[m].restore(balance.Own[m], seconds)
-			n.limit[m].restore(balance.Ceiling[m], seconds)
-			n.longLimit[m].restore(balance.Long[m], seconds)
+			n.limit[m].restore(balance.RateLimit[m], seconds)
+			n.longLimit[m].restore(balance.LongLimit[m], seconds)
 		}
 	}
 }
@@ -86,7 +87,7 @@
 	return b.tokens / b.cap
 }
 
-// restore limits the bucket to a level, and what has been filled in for some seconds since.
+// restore limits the bucket to a level plus what has been filled in during the seconds since.
 func (b *bucket) restore(level, seconds float64) {
 	b.tokens = min(b.tokens, b.cap*max(-1, level)+b.rate*seconds)
 }
--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -27,12 +27,12 @@
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	open, closed := make(chan struct{}), make(chan struct{})
 	close(closed)
-	assert.Equal(t, dispatch.NoConnect, p.unsent(errors.New("refused"), 1000, open))
-	assert.Equal(t, dispatch.NoConnect, p.unsent(slow, 2000, open), "it had its full time")
-	assert.Equal(t, dispatch.Unsent, p.unsent(slow, 1000, open))
-	assert.Equal(t, dispatch.Unsent, p.unsent(context.Canceled, 2000, closed), "it has not run")
-	o, _ := p.Relay(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
-	assert.Equal(t, dispatch.Unsent, o, "no connection is allowed at all")
+	assert.Equal(t, dispatch.ConnectFailed, p.unsent(errors.New("refused"), 1000, open))
+	assert.Equal(t, dispatch.ConnectFailed, p.unsent(slow, 2000, open), "it had its full time")
+	assert.Equal(t, dispatch.NotSent, p.unsent(slow, 1000, open))
+	assert.Equal(t, dispatch.NotSent, p.unsent(context.Canceled, 2000, closed), "it has not run")
+	o, _ := p.RunAttempt(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
+	assert.Equal(t, dispatch.NotSent, o, "no connection is allowed at all")
 }
 
 // Guards against requests given to connections that are dead after a time shorter than the settings name, against
@@ -64,7 +64,7 @@
 // served answers each relay at once.
 type served struct{}
 
-func (served) Relay(core.Host, *core.Call, float64, <-chan struct{}) (dispatch.Outcome, any) {
+func (served) RunAttempt(core.Host, *core.Call, float64, <-chan struct{}) (dispatch.Outcome, any) {
 	return dispatch.Served, nil
 }
 
@@ -87,14 +87,14 @@
 	p, h := silent(t, c)
 	module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: h.Address, Zone: "z", Kind: "k", Weight: 1}})
 	call := &core.Call{ID: "q", Tenant: -1, Deadline: 1900}
-	owed, _ := call.May(h)
+	owed, _ := call.MaySend(h)
 	require.True(t, owed)
-	require.Equal(t, core.Served, core.New(core.Settings{Calls: 1}, module, served{}, quiet).Serve(call).Kind)
-	owed, permitted := call.May(h)
+	require.Equal(t, core.Served, core.New(core.Settings{MaxCalls: 1}, module, served{}, quiet).Serve(call).Kind)
+	owed, permitted := call.MaySend(h)
 	require.False(t, owed)
 	require.True(t, permitted)
-	o, _ := p.Relay(h, call, 2000, make(chan struct{}))
-	assert.Equal(t, dispatch.Unsent, o)
+	o, _ := p.RunAttempt(h, call, 2000, make(chan struct{}))
+	assert.Equal(t, dispatch.NotSent, o)
 	assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 }
 
@@ -116,8 +116,8 @@
 func TestNothingGoesOutOnceTheClaimIsOver(t *testing.T) {
 	p, h := silent(t, clock.NewManual(1000))
 	for range 2 {
-		o, _ := p.Relay(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, Stands: func() bool { return false }}, 2000, make(chan struct{}))
-		assert.Equal(t, dispatch.Unsent, o)
+		o, _ := p.RunAttempt(h, &core.Call{ID: "q", Tenant: -1, Deadline: 1900, MayRun: func() bool { return false }}, 2000, make(chan struct{}))
+		assert.Equal(t, dispatch.NotSent, o)
 		assert.Equal(t, map[string]Use{"h": {1, 1}}, p.Uses())
 	}
 }
@@ -128,8 +128,8 @@
 	p := New(Settings{Connections: 9, ToOne: func() int { return part }}, clock.NewManual(1000), nil, slog.New(slog.DiscardHandler))
 	taken := []*conn{{pool: p, host: h}, {pool: p, host: h}}
 	p.open, p.to[h] = 2, 2
-	o, _ := p.Relay(h, &core.Call{}, 2000, make(chan struct{}))
-	assert.Equal(t, dispatch.Unsent, o)
+	o, _ := p.RunAttempt(h, &core.Call{}, 2000, make(chan struct{}))
+	assert.Equal(t, dispatch.NotSent, o)
 	assert.Equal(t, map[string]Use{"h": {2, 0}}, p.Uses())
 	for _, c := range taken {
 		c.release()
--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -94,7 +94,7 @@
 func (b *bench) relay(call *core.Call, off chan struct{}) chan result {
 	ended := make(chan result, 1)
 	go func() {
-		o, payload := b.pool.Relay(core.Host{Name: "h", Address: b.rater.Addr().String()}, call, 1e9, off)
+		o, payload := b.pool.RunAttempt(core.Host{Name: "h", Address: b.rater.Addr().String()}, call, 1e9, off)
 		r := result{outcome: o}
 		if m, ok := payload.(*http1.Message); ok {
 			r.body = string(m.Body)
@@ -260,8 +260,8 @@
 			require.NoError(t, raw.CloseWrite())
 			b.arrived(raw)
 			call, ended := b.attempt("2", client)
-			assert.Equal(t, result{dispatch.Unsent, ""}, <-ended)
-			assert.True(t, call.HasLeft())
+			assert.Equal(t, result{dispatch.NotSent, ""}, <-ended)
+			assert.True(t, call.Cancelled())
 			assert.Equal(t, map[string]connpool.Use{"h": {Open: 1, Idle: 1}}, b.pool.Uses())
 			close(b.free)
 		}
@@ -288,7 +288,7 @@
 		}
 	}
 	answer := make(chan core.Answer, 1)
-	go func() { answer <- core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call) }()
+	go func() { answer <- core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call) }()
 	first := b.accept()
 	_, err = http.ReadRequest(bufio.NewReader(first))
 	require.NoError(t, err)
@@ -314,8 +314,8 @@
 		require.NoError(t, err)
 		module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
 		call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
-		b.dialling = call.Leave
-		assert.Equal(t, core.Answer{Kind: core.Left}, core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call), cancel)
+		b.dialling = call.Cancel
+		assert.Equal(t, core.Answer{Kind: core.ClientLeft}, core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call), cancel)
 	}
 }
 
@@ -340,12 +340,12 @@
 			b.dialling = func() {
 				is.Status = c.change.Status
 				is.Address = cmp.Or(c.change.Address, is.Address)
-				module.SetHosts(dispatch.Changes, []dispatch.Host{is})
+				module.SetHosts(dispatch.Delta, []dispatch.Host{is})
 				b.clock.Advance(c.after)
 			}
 			call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
 			answer := make(chan core.Answer, 1)
-			go func() { answer <- core.New(core.Settings{Calls: 1}, module, b.pool, quiet).Serve(call) }()
+			go func() { answer <- core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call) }()
 			host := b.accept()
 			if c.goes {
 				b.serve(host)
--- a/node/node.go
+++ b/node/node.go
@@ -87,16 +87,16 @@
 	Served  = core.Served
 	Refused = core.Refused
 	Failed  = core.Failed
-	Left    = core.Left
+	Left    = core.ClientLeft
 
 	Busy        = core.Busy
 	OverQuota   = core.OverQuota
 	Unavailable = core.Unavailable
 	Invalid     = core.Invalid
-	Unproven    = core.Unproven
+	Unproven    = core.Unauthenticated
 	Forbidden   = core.Forbidden
-	Mismatch    = core.Mismatch
-	Looping     = core.Looping
+	Mismatch    = core.KeyMismatch
+	Looping     = core.LoopDetected
 )
 
 // Refuse makes a back-off answer: trying again is harmless, after so many milliseconds if above 0.
@@ -229,7 +229,7 @@
 	if err != nil {
 		return nil, err
 	}
-	calls := core.Settings{Calls: n.mostCalls(room), Gate: n.gate, Stages: stages, Figures: n.figures}
+	calls := core.Settings{MaxCalls: n.mostCalls(room), Gate: n.gate, Stages: stages, Metrics: n.figures}
 	n.core = core.New(calls, n.pilot, n.pool, sparse.With("part", "core"))
 	n.north = httpserver.New(frontSettings(conf, &o, room, n.budget), n.clock, n.core, n.gate, sparse.With("part", "north"))
 	side = n.north
@@ -293,7 +293,7 @@
 		if n.repeats, err = n.recognise(&o.Repeats, sparse.With("part", "repeats")); err != nil {
 			return stages, nil, err
 		}
-		stages.Repeats = n.repeats.Wrap
+		stages.Idempotency = n.repeats.Wrap
 	}
 	return stages, first, nil
 }
@@ -313,7 +313,7 @@
 }
 
 // Endings counts the final answers given so far, by kind and reason.
-func (n *Node) Endings() []core.Ending { return n.core.Endings() }
+func (n *Node) Endings() []core.AnswerCount { return n.core.AnswerCounts() }
 
 // Addr is the address that the node listens on.
 func (n *Node) Addr() string { return n.loop.Addr() }
@@ -342,7 +342,7 @@
 	n.flood.Set(o.Log.FloodInterval.Ms)
 	n.pool.Limit(southLimits(n.conf, &o))
 	n.north.SetLimits(northLimits(&o))
-	n.watch.Limit(listLimits(n.conf, &o))
+	n.watch.SetLimits(listLimits(n.conf, &o))
 	if n.lists != nil {
 		n.lists.tune(&o)
 	}
@@ -373,7 +373,7 @@
 	SetLimits(conf, &next)
 	n.own = own
 	n.apply(next)
-	n.watch.Move(conf.Discovery)
+	n.watch.SetAddress(conf.Discovery)
 	n.log.Info("the configuration was read again", "discovery", conf.Discovery, "taken", taken, "waiting", waiting)
 	if n.doc.Number > 0 {
 		n.log.Info("the fleet's policy goes before the file, which says what is the machine's own", "number", n.doc.Number)
@@ -550,7 +550,7 @@
 				case <-n.ready:
 				case <-back.Done():
 				}
-				n.quota.Run(back)
+				n.quota.RunLeases(back)
 			})
 		}
 	}
