--- a/internal/node/downstream/httpserver/eviction.go
+++ b/internal/node/downstream/httpserver/eviction.go
@@ -76,7 +76,7 @@
 	return (c.state == stateNew || c.state == stateIdle) && now-c.since >= limit
 }
 
-// locked evaluates one of these conditions once more under the server's lock: since all connections were checked,
+// locked evaluates a condition of a connection once more under the server's lock: since all connections were checked,
 // a request may have been received and handled on this one.
 func (c *conn) locked(condition func() bool) bool {
 	c.server.mu.Lock()
--- a/internal/node/netpoll/loop.go
+++ b/internal/node/netpoll/loop.go
@@ -64,7 +64,7 @@
 // ListenPaused is Listen for an engine that accepts connections only after StartAccepting.
 func ListenPaused(addr string, most int, accept func(*Conn) Handler) (*Loop, error) {
 	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // a filter on the listening socket has no effect with it
+	plain.SetMultipathTCP(false) // the listening sockets of multipath TCP cannot be filtered
 	inner, err := plain.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
