--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -52,7 +52,7 @@
 	return func() {
 		if remaining.Add(-1) == 0 {
 			n.applyPeerKnowledge()
-			n.httpServer.Ready()
+			n.httpServer.SetReady()
 			close(n.ready)
 			n.log.Info("the node is ready", "address", n.loop.Addr())
 		}
@@ -247,7 +247,7 @@
 		return nil, err
 	}
 	s := &Sources{conf: conf, asked: make(chan struct{})}
-	if s.loop, err = netpoll.On(socket, 1, func(*netpoll.Conn) netpoll.Handler { return nil }); err != nil {
+	if s.loop, err = netpoll.NewFromListener(socket, 1, func(*netpoll.Conn) netpoll.Handler { return nil }); err != nil {
 		return nil, err
 	}
 	left := new(atomic.Int32)
--- a/node/flood_test.go
+++ b/node/flood_test.go
@@ -228,10 +228,10 @@
 	_, err = late.Write([]byte("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"))
 	require.NoError(t, err)
 	require.Eventually(t, n.loop.Full, time.Minute, time.Millisecond)
-	pulse, err := n.loop.Pulse()
+	pulse, err := n.loop.NewProbe()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller is done with the last of them
-	s.Clock.Advance(100)    // the next sweep
+	pulse.RoundTrip(t.Context()) // the poller is done with the last of them
+	s.Clock.Advance(100)         // the next sweep
 	require.NoError(t, late.SetReadDeadline(time.Now().Add(time.Minute)))
 	line := make([]byte, 15)
 	_, err = io.ReadFull(late, line)
--- a/node/node.go
+++ b/node/node.go
@@ -345,7 +345,7 @@
 	}
 	n.logInterval.Set(o.Log.FloodInterval.Ms)
 	n.pool.Limit(poolLimits(n.conf, &o))
-	n.httpServer.Limit(serverLimits(&o))
+	n.httpServer.SetLimits(serverLimits(&o))
 	n.watcher.SetLimits(listLimits(n.conf, &o))
 	if n.endpointList != nil {
 		n.endpointList.applyOptions(&o)
@@ -442,7 +442,7 @@
 func serverLimits(o *Options) httpserver.Limits {
 	h := &o.North.HTTP
 	return httpserver.Limits{Idle: h.IdleAfter.Ms, Read: h.ReadLimit.Ms, First: h.FirstLimit.Ms, Linger: h.Linger.Ms,
-		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, Whole: h.RetryAfter == "whole"}
+		Rate: float64(h.BodyRate.Bytes) / 1000, Stall: h.Stall.Ms, Settle: h.Settle.Ms, Pipeline: h.PipelineMost.Bytes, Backlog: h.BacklogMost.Bytes, WholeSeconds: h.RetryAfter == "whole"}
 }
 
 func poolLimits(conf *Config, o *Options) connpool.Limits {
@@ -469,7 +469,7 @@
 }
 
 func serverSettings(conf *Config, o *Options, room options.Room, budget *bodypipe.Budget) httpserver.Settings {
-	set := httpserver.Settings{ByName: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
+	set := httpserver.Settings{ClassIndex: map[string]int{}, Tenants: map[string]int{}, Connections: room.Clients,
 		Crowded: room.Crowded, Limits: serverLimits(o)}
 	for i, c := range conf.Settings.Classes {
 		method := "POST"
@@ -477,14 +477,14 @@
 			method = "GET"
 		}
 		set.Classes = append(set.Classes, httpserver.Class{Method: method, Keyed: c.Effect == decide.Keyed})
-		set.ByName[c.Name] = i
+		set.ClassIndex[c.Name] = i
 	}
 	for i, t := range conf.Settings.Tenants {
 		set.Tenants[t.Name] = i
 	}
 	set.Bodies.Budget = budget
 	if streamsBodies(o) {
-		set.Bodies.Most, set.Bodies.Whole = o.North.HTTP.BodyMost.Bytes, o.North.HTTP.BodyWhole.Bytes
+		set.Bodies.MaxSize, set.Bodies.MaxBuffered = o.North.HTTP.BodyMost.Bytes, o.North.HTTP.BodyWhole.Bytes
 	}
 	return set
 }
@@ -575,7 +575,7 @@
 			}
 			n.log.Info("another process accepts connections; finishing open requests before exit")
 			n.loop.StopAccepting() // at once: pending connections belong to the other process
-			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.Open()+handoverSpare))
+			n.pool.Resize(min(n.opts.Load().Room(n.conf).Hosts, n.loop.OpenConnections()+handoverSpare))
 			n.gate.HandOver(n.handoverTimes())
 		case <-n.gate.Ended():
 			if left := n.unanswered(); left > 0 {
@@ -644,12 +644,12 @@
 func (n *Node) sweepConnections() {
 	n.httpServer.Sweep()
 	if n.loop.Full() {
-		n.httpServer.MakeRoom()
+		n.httpServer.EvictOne()
 	}
 	if n.thrift != nil && n.thrift.front != nil {
 		n.thrift.front.Sweep()
 		if n.thrift.loop.Full() {
-			n.thrift.front.MakeRoom()
+			n.thrift.front.EvictOne()
 		}
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -566,13 +566,13 @@
 // it least. With 64 descriptors there is room for 18 clients.
 func TestEvictionMakesRoomForNewClients(t *testing.T) {
 	s, n := startNode(t, Extras{}, 64, []string{"h1"})
-	pulse, err := n.loop.Pulse()
+	pulse, err := n.loop.NewProbe()
 	require.NoError(t, err)
 	up := func(who string) {
 		s.Run(who + " send GET /up\n" + who + " expect 200")
 		// Wait until the node has recorded the start of the idle time, which decides whose connection is closed:
 		// the client may have its response before.
-		pulse.Beat(t.Context())
+		pulse.RoundTrip(t.Context())
 	}
 	s.Run(begin("h1") + "c send raw \"\"")
 	for i := range 10 {
--- a/node/operators.go
+++ b/node/operators.go
@@ -277,7 +277,7 @@
 
 // Held returns how many descriptors the node holds, including its reserve.
 func (n *Node) Held() int {
-	held := n.opts.Load().Service.Reserve + n.loop.Open() + n.pool.Open()
+	held := n.opts.Load().Service.Reserve + n.loop.OpenConnections() + n.pool.Open()
 	if n.adminServer != nil {
 		held += admin.Descriptors
 	}
--- a/node/thrift_test.go
+++ b/node/thrift_test.go
@@ -350,10 +350,10 @@
 	late := dialWire(t, n)
 	late.send(frame(1, "waits", "y"))
 	require.Eventually(t, n.thrift.loop.Full, time.Minute, time.Millisecond)
-	pulse, err := n.thrift.loop.Pulse()
+	pulse, err := n.thrift.loop.NewProbe()
 	require.NoError(t, err)
-	pulse.Beat(t.Context()) // the poller is done with the others
-	s.Clock.Advance(100)    // the next sweep
+	pulse.RoundTrip(t.Context()) // the poller is done with the others
+	s.Clock.Advance(100)         // the next sweep
 	assert.Equal(t, "did-y", string(mapping.Body(late.result())))
 	assert.Empty(t, second.rest(), "it never sent a request")
 	first.send(frame(2, "again", "z"))
