--- a/cmd/linenwheel/newcomer_test.go
+++ b/cmd/linenwheel/newcomer_test.go
@@ -106,7 +106,7 @@
 	k.Pilot.Module.Zones = nil
 	known.Knowledge = must(json.Marshal(k))
 	dir := t.TempDir()
-	require.NoError(t, statedir.Replace(filepath.Join(dir, "state"), must(statedir.Encode(known))))
+	require.NoError(t, statedir.WriteFileAtomic(filepath.Join(dir, "state"), must(statedir.Encode(known))))
 	learned, _ = s.another("n4", fmt.Sprintf("directory = %q\n%s", dir, from), "how the last process ended", begins)
 	require.NotEqual(t, "well", learned["dead"].Health)
 
--- a/internal/node/daemon/keeper.go
+++ b/internal/node/daemon/keeper.go
@@ -40,7 +40,7 @@
 	}
 	age := d.clock.Now() - last.Saved
 	word := fmt.Sprintf("%s, %.0f s after its last word, with %d calls open then", last.End, age/1000, last.Open)
-	if last.End == statedir.Clean || last.End == statedir.Handed {
+	if last.End == statedir.Clean || last.End == statedir.HandedOver {
 		word = string(last.End)
 	}
 	d.mu.Lock()
@@ -51,7 +51,7 @@
 	switch {
 	case age > d.set.Options.State.UseFor.Ms:
 		d.log.Info("what was kept is too old to be used", "age_ms", age)
-	case last.End != statedir.Handed: // else it was handed over by word of mouth
+	case last.End != statedir.HandedOver: // else it was handed over by word of mouth
 		k.known = d.knowledge(last.Knowledge)
 	}
 	return k
@@ -88,7 +88,7 @@
 		return
 	}
 	if !k.store.Held() {
-		if err := k.store.Regain(); err != nil {
+		if err := k.store.Acquire(); err != nil {
 			k.d.log.Warn("the state is not written", "error", err)
 			return
 		}
@@ -134,7 +134,7 @@
 	if k == nil {
 		return
 	}
-	k.letGo(statedir.Handed, k.d.node.Status().Open)
+	k.letGo(statedir.HandedOver, k.d.node.Status().Open)
 }
 
 // regain keeps the state here again.
--- a/internal/node/endpoints/lastgood/last.go
+++ b/internal/node/endpoints/lastgood/last.go
@@ -70,7 +70,7 @@
 	var r Record
 	var body []byte
 	if err == nil {
-		body, _, err = fileForm.Open(text[:min(len(text), maxBytes)])
+		body, _, err = fileForm.Decode(text[:min(len(text), maxBytes)])
 	}
 	if err == nil {
 		err = json.Unmarshal(body, &r)
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return statedir.Replace(path, fileForm.Seal(body))
+	return statedir.WriteFileAtomic(path, fileForm.Encode(body))
 }
 
 // Writer keeps what changes.
--- a/internal/node/statedir/file.go
+++ b/internal/node/statedir/file.go
@@ -20,13 +20,13 @@
 	Version int    // that is written; it and the one before are read
 }
 
-// Seal puts the line before a body.
-func (f Form) Seal(body []byte) []byte {
+// Encode puts the line before a body.
+func (f Form) Encode(body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s %d %d %016x\n", f.Magic, f.Version, len(body), xxhash.Sum64(body)), body...)
 }
 
-// Open gives the body of what Seal wrote and its version, and names what it is where it is not that.
-func (f Form) Open(text []byte) (body []byte, version int, err error) {
+// Decode gives the body of what Encode wrote and its version, and names what it is where it is not that.
+func (f Form) Decode(text []byte) (body []byte, version int, err error) {
 	head, body, _ := bytes.Cut(text, []byte("\n"))
 	rest, ours := strings.CutPrefix(string(head), f.Magic+" ")
 	if !ours {
@@ -51,9 +51,9 @@
 	return body, version, nil
 }
 
-// Replace has a text stand at a path in place of what was there: either is there afterwards, whole, whatever ends the
+// WriteFileAtomic has a text stand at a path in place of what was there: either is there afterwards, whole, whatever ends the
 // machine. On the way the text stands at the path with `.new` behind it.
-func Replace(path string, text []byte) error {
+func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
--- a/internal/node/statedir/golden_test.go
+++ b/internal/node/statedir/golden_test.go
@@ -14,7 +14,7 @@
 // Guards against a state that this build encodes or decodes otherwise than an earlier one of the release.
 func TestReadsAndWritesTheStateOfAnEarlierBuild(t *testing.T) {
 	golden.JSON[State](t, "state")
-	golden.Check(t, "ends", fmt.Appendf(nil, "%q", []End{Unknown, Clean, Unanswered, Handed, Crashed, Killed, MachineWas}))
+	golden.Check(t, "ends", fmt.Appendf(nil, "%q", []End{Unknown, Clean, Unanswered, HandedOver, Crashed, Killed, HostDown}))
 	var want State
 	golden.Fill(t, &want)
 	text, err := Encode(want)
--- a/internal/node/statedir/store.go
+++ b/internal/node/statedir/store.go
@@ -40,10 +40,10 @@
 	Unknown    End = ""           // there was none, or its file cannot be read
 	Clean      End = "clean"      // told to stop, and all was answered
 	Unanswered End = "unanswered" // told to stop, and calls were left unanswered
-	Handed     End = "handed"     // another process took over
+	HandedOver End = "handed"     // another process took over
 	Crashed    End = "crashed"    // died of a fault of its own
 	Killed     End = "killed"     // by whatever cannot be caught: SIGKILL, the memory limit
-	MachineWas End = "machine"    // the machine went down under it
+	HostDown   End = "machine"    // the machine went down under it
 )
 
 // State is what is kept.
@@ -83,7 +83,7 @@
 // without a Store the directory cannot be used at all.
 func Open(dir, node string) (*Store, *Last, error) {
 	s := &Store{dir: dir, boot: boot()}
-	if err := s.Regain(); err != nil {
+	if err := s.Acquire(); err != nil {
 		return nil, nil, err
 	}
 	last, err := s.read(node)
@@ -112,8 +112,8 @@
 	return s.lock != nil
 }
 
-// Regain takes the directory, or takes it back.
-func (s *Store) Regain() error {
+// Acquire takes the directory, or takes it back.
+func (s *Store) Acquire() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, err := os.OpenFile(filepath.Join(s.dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
@@ -152,7 +152,7 @@
 		head, _, _ := strings.Cut(string(text), "\n\n")
 		return Crashed, head
 	case last.Boot != s.boot:
-		return MachineWas, ""
+		return HostDown, ""
 	}
 	return Killed, ""
 }
@@ -167,7 +167,7 @@
 	state.Boot = s.boot
 	text, err := Encode(state)
 	if err == nil {
-		err = Replace(filepath.Join(s.dir, stateName), text)
+		err = WriteFileAtomic(filepath.Join(s.dir, stateName), text)
 	}
 	if err != nil {
 		return fmt.Errorf("writing the state: %w", err)
@@ -204,12 +204,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return stateForm.Seal(body), nil
+	return stateForm.Encode(body), nil
 }
 
 // Decode reads what Encode wrote, and names what it is where it is not that.
 func Decode(text []byte) (s State, err error) {
-	body, _, err := stateForm.Open(text[:min(len(text), maxState)])
+	body, _, err := stateForm.Decode(text[:min(len(text), maxState)])
 	if err != nil {
 		return s, err
 	}
--- a/internal/node/statedir/store_test.go
+++ b/internal/node/statedir/store_test.go
@@ -124,7 +124,7 @@
 	require.NoError(t, err)
 	other, _ := Encode(State{Node: "n1", Boot: "before", Knowledge: some.Knowledge})
 	require.NoError(t, os.WriteFile(path, other, 0o600))
-	is(MachineWas)
+	is(HostDown)
 	for _, bad := range []string{string(text[:len(text)-1]), strings.Replace(string(text), "state", "xtate", 1)} {
 		require.NoError(t, os.WriteFile(path, []byte(bad), 0o600))
 		s, last, err := Open(dir, "n1")
