--- a/internal/node/statedir/file.go
+++ b/internal/node/statedir/file.go
@@ -12,24 +12,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Form is that of a file which is whole or not there: a line of text, which names what it is, its version, the length
-// and the checksum (xxHash64) of what follows, and that.
+// Form describes a file format that detects truncation and damage: a header line with the magic text, the format
+// version, the length of the body and its checksum (xxHash64), followed by the body.
 type Form struct {
-	Magic   string // "linenwheel state"
-	What    string // "state of a node", for errors
-	Version int    // that is written; it and the one before are read
+	Magic   string // begins the header line, for example "linenwheel state"
+	What    string // describes the content in errors, for example "state of a node"
+	Version int    // the version that is written; it and the previous one can be read
 }
 
-// Encode puts the line before a body.
+// Encode returns the body with its header line in front.
 func (f Form) Encode(body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s %d %d %016x\n", f.Magic, f.Version, len(body), xxhash.Sum64(body)), body...)
 }
 
-// Decode gives the body of what Encode wrote and its version, and names what it is where it is not that.
+// Decode checks a text that Encode wrote, and returns its body and its version. The error says whether the text has
+// another format, a version that is not supported, or is truncated or damaged.
 func (f Form) Decode(text []byte) (body []byte, version int, err error) {
 	head, body, _ := bytes.Cut(text, []byte("\n"))
-	rest, ours := strings.CutPrefix(string(head), f.Magic+" ")
-	if !ours {
+	rest, matches := strings.CutPrefix(string(head), f.Magic+" ")
+	if !matches {
 		if strings.HasPrefix(f.Magic, string(head)) {
 			return nil, 0, errors.New("it is torn")
 		}
@@ -51,8 +52,8 @@
 	return body, version, nil
 }
 
-// WriteFileAtomic has a text stand at a path in place of what was there: either is there afterwards, whole, whatever ends the
-// machine. On the way the text stands at the path with `.new` behind it.
+// WriteFileAtomic replaces the content of a file atomically: after a crash of the process or the machine the file holds
+// either the old or the new content in full. The new content is first written to the path with the suffix `.new`.
 func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -75,12 +76,12 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// ReadFile reads a file of at most so many bytes; of a longer one it gives one byte more.
-func ReadFile(path string, most int) ([]byte, error) {
+// ReadFile reads at most maxBytes+1 bytes of a file, so that the caller can tell that a file is longer than maxBytes.
+func ReadFile(path string, maxBytes int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it is only read
-	return io.ReadAll(io.LimitReader(f, int64(most)+1))
+	defer func() { _ = f.Close() }() // the file is open for reading only
+	return io.ReadAll(io.LimitReader(f, int64(maxBytes)+1))
 }
--- a/internal/node/statedir/store.go
+++ b/internal/node/statedir/store.go
@@ -1,9 +1,9 @@
-// Package statedir keeps what a node knows in a directory that outlives its process, and tells after the next start how
-// the last process ended.
+// Package statedir stores the state of a node in a directory that outlives its process, and reports after a restart how
+// the previous process ended.
 //
-// The directory holds three files. `state` is a line of text, which names the form, the length and the checksum, and one
-// JSON object; it is replaced as a whole, by way of `state.new`. `crash` gets what the runtime writes when the process
-// dies of a fault of its own. `lock` is locked by the process that writes. A file is at most maxState bytes.
+// The directory holds three files. `state` is a header line with the format, the length and the checksum, followed by one
+// JSON object; it is replaced atomically by way of `state.new`. `crash` receives the output of the Go runtime when the
+// process crashes. `lock` is locked by the process that may write. The state is at most maxState bytes.
 package statedir
 
 import (
@@ -19,14 +19,14 @@
 	"syscall"
 )
 
-// Version is the form of the file that is written; it and the one before are read.
+// Version is the version of the state file that is written; it and the previous one can be read.
 const Version = 1
 
 var stateForm = Form{Magic: "linenwheel state", What: "state of a node", Version: Version}
 
 const (
 	maxState  = 64 << 20
-	maxCrash  = 1 << 10 // bytes of a crash that are told
+	maxCrash  = 1 << 10 // bytes of the crash output that are reported
 	stateName = "state"
 	crashName = "crash"
 	lockName  = "lock"
@@ -35,39 +35,39 @@
 // End is how a process ended.
 type End string
 
-// The ends. A process that is running, or was killed, has told none.
+// The ways in which a process ends. A process that is running, or was killed, has not recorded one.
 const (
-	Unknown    End = ""           // there was none, or its file cannot be read
-	Clean      End = "clean"      // told to stop, and all was answered
-	Unanswered End = "unanswered" // told to stop, and calls were left unanswered
+	Unknown    End = ""           // no previous process, or its state cannot be read
+	Clean      End = "clean"      // stopped on request, with every call answered
+	Unanswered End = "unanswered" // stopped on request, with calls left unanswered
 	HandedOver End = "handed"     // another process took over
-	Crashed    End = "crashed"    // died of a fault of its own
-	Killed     End = "killed"     // by whatever cannot be caught: SIGKILL, the memory limit
-	HostDown   End = "machine"    // the machine went down under it
+	Crashed    End = "crashed"    // the Go runtime reported a fatal error
+	Killed     End = "killed"     // by a signal that cannot be caught, such as SIGKILL or the memory limit
+	HostDown   End = "machine"    // the machine went down or was rebooted
 )
 
-// State is what is kept.
+// State is the content of the state file.
 type State struct {
 	Node      string          `json:"node"`
-	Boot      string          `json:"boot"` // of the machine, while the process ran
+	Boot      string          `json:"boot"` // boot ID of the machine while the process ran
 	PID       int             `json:"pid"`
 	Release   string          `json:"release"`
-	Started   float64         `json:"started"` // milliseconds since the Unix epoch,
-	Saved     float64         `json:"saved"`   // and when this was written
-	End       End             `json:"end"`     // told by the process itself
-	Open      int             `json:"open"`    // calls open then
+	Started   float64         `json:"started"` // milliseconds since the Unix epoch
+	Saved     float64         `json:"saved"`   // when this state was written, in the same unit
+	End       End             `json:"end"`     // recorded by the process itself
+	Open      int             `json:"open"`    // calls in flight when the state was written
 	Counts    json.RawMessage `json:"counts,omitempty"`
 	Knowledge json.RawMessage `json:"knowledge,omitempty"`
 }
 
-// Last is what the directory tells of the process before.
+// Last describes the previous process as the directory shows it.
 type Last struct {
 	State
-	End   End    // as far as it can be known
-	Crash string // the first lines of what it died of
+	End   End    // as far as it can be determined
+	Crash string // the first lines of its crash output
 }
 
-// Store is a directory that this process may write.
+// Store is a state directory. This process may write to it while it holds the lock.
 type Store struct {
 	dir  string
 	boot string
@@ -76,11 +76,11 @@
 	lock *os.File
 }
 
-// ErrBusy means that another process writes the directory.
+// ErrBusy means that another process holds the lock of the directory.
 var ErrBusy = errors.New("another process has it")
 
-// Open takes a directory for this process and reads what the one before left. The error names a file that is ignored;
-// without a Store the directory cannot be used at all.
+// Open locks a directory for this process and reads the state of the previous one. An error together with a Store names a
+// state file that is ignored; with a nil Store the directory cannot be used at all.
 func Open(dir, node string) (*Store, *Last, error) {
 	s := &Store{dir: dir, boot: boot()}
 	if err := s.Acquire(); err != nil {
@@ -88,13 +88,13 @@
 	}
 	last, err := s.read(node)
 	if err == nil && last != nil {
-		last.End, last.Crash = s.end(last.State)
+		last.End, last.Crash = s.previousEnd(last.State)
 	}
-	s.watchCrashes()
+	s.captureCrashes()
 	return s, last, err
 }
 
-// Release lets another process take the directory: this one writes nothing from here on.
+// Release unlocks the directory for another process: this one writes nothing until it calls Acquire again.
 func (s *Store) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,14 +105,15 @@
 	}
 }
 
-// Held tells whether this process may write.
+// Held reports whether this process holds the lock and may write.
 func (s *Store) Held() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lock != nil
 }
 
-// Acquire takes the directory, or takes it back.
+// Acquire locks the directory for this process, also again after Release. The error wraps ErrBusy if another process
+// holds the lock.
 func (s *Store) Acquire() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,18 +132,18 @@
 	return nil
 }
 
-// watchCrashes has the runtime write there what this process may die of.
-func (s *Store) watchCrashes() {
+// captureCrashes makes the Go runtime write the output of a crash of this process to the crash file.
+func (s *Store) captureCrashes() {
 	f, err := os.OpenFile(filepath.Join(s.dir, crashName), os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
-		return // a crash will be taken for a kill
+		return // a crash will be reported as Killed
 	}
 	_ = debug.SetCrashOutput(f, debug.CrashOptions{})
-	_ = f.Close() // the runtime has a descriptor of its own
+	_ = f.Close() // the runtime has duplicated the descriptor
 }
 
-// end finds how a process ended that left a state.
-func (s *Store) end(last State) (End, string) {
+// previousEnd determines how the process that wrote the state ended, and returns the first lines of its crash output.
+func (s *Store) previousEnd(last State) (End, string) {
 	text, _ := os.ReadFile(filepath.Join(s.dir, crashName))
 	switch {
 	case last.End != Unknown:
@@ -157,12 +158,13 @@
 	return Killed, ""
 }
 
-// Write replaces the state: either the old or the new one is there afterwards, whole, whatever ends the machine.
+// Write replaces the state atomically: after a crash the file holds either the old or the new state in full. It does
+// nothing while this process does not hold the lock.
 func (s *Store) Write(state State) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lock == nil {
-		return nil // another process has it
+		return nil // another process may hold the lock
 	}
 	state.Boot = s.boot
 	text, err := Encode(state)
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// read takes the state of a node's last process, nil if there is none.
+// read returns the state of the node's previous process, nil if there is none.
 func (s *Store) read(node string) (*Last, error) {
 	path := filepath.Join(s.dir, stateName)
 	text, err := ReadFile(path, maxState)
@@ -195,11 +197,11 @@
 	return &Last{State: state}, nil
 }
 
-// Encode writes a state.
+// Encode returns the content of a state file. The error is of a state that exceeds maxState bytes.
 func Encode(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err == nil && len(body) > maxState {
-		err = fmt.Errorf("%d bytes are more than a state holds", len(body))
+		err = fmt.Errorf("a state of %d bytes exceeds the maximum size", len(body))
 	}
 	if err != nil {
 		return nil, err
@@ -207,7 +209,7 @@
 	return stateForm.Encode(body), nil
 }
 
-// Decode reads what Encode wrote, and names what it is where it is not that.
+// Decode parses the content of a state file. The error says what is wrong with it.
 func Decode(text []byte) (s State, err error) {
 	body, _, err := stateForm.Decode(text[:min(len(text), maxState)])
 	if err != nil {
@@ -219,7 +221,7 @@
 	return s, nil
 }
 
-// boot names the time since the machine started.
+// boot returns the boot ID of the machine, which changes with each boot; empty if it cannot be read.
 func boot() string {
 	text, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(text))
--- a/internal/node/statedir/store_test.go
+++ b/internal/node/statedir/store_test.go
@@ -13,18 +13,18 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of rapid
 )
 
-var some = State{Node: "n1", PID: 7, Started: 1, Saved: 2, Open: 3, Knowledge: []byte(`{"a":1}`)}
+var sample = State{Node: "n1", PID: 7, Started: 1, Saved: 2, Open: 3, Knowledge: []byte(`{"a":1}`)}
 
-// Guards against a file that is torn, damaged, of another form or another program's being taken for a state.
+// Guards against a file that is truncated, damaged, of another version or of another program being read as a state.
 func TestDecode(t *testing.T) {
-	text, err := Encode(some)
+	text, err := Encode(sample)
 	require.NoError(t, err)
 	got, err := Decode(text)
 	require.NoError(t, err)
-	require.Equal(t, some, got)
+	require.Equal(t, sample, got)
 	rapid.Check(t, func(r *rapid.T) {
 		bad := append([]byte(nil), text...)
 		if at := rapid.IntRange(0, len(bad)-1).Draw(r, "at"); rapid.Bool().Draw(r, "cut") {
@@ -32,8 +32,8 @@
 		} else {
 			bad[at] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
 		}
-		if got, err := Decode(bad); err == nil { // a digit of the checksum in capitals
-			require.Equal(r, some, got)
+		if got, err := Decode(bad); err == nil { // the flipped bit changed a digit of the checksum to upper case
+			require.Equal(r, sample, got)
 		}
 	})
 	for text, want := range map[string]string{
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestChild is a process that keeps state and dies in the way that it is told.
+// TestChild runs in a process of its own, which writes a state and ends in the way that STORE_TEST names.
 func TestChild(t *testing.T) {
 	dir, how, _ := strings.Cut(os.Getenv("STORE_TEST"), "|")
 	if dir == "" {
@@ -61,7 +61,7 @@
 	s, last, err := Open(dir, "n1")
 	require.NoError(t, err)
 	fmt.Println("last:", last != nil && last.End == End(how), last)
-	state := some
+	state := sample
 	require.NoError(t, s.Write(state))
 	state.End = Clean
 	switch how {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Guards against an end that is told as another one, a directory that two processes write, and a file of another node
-// that is used. The processes are real ones.
+// Guards against an end that is reported as a different one, two processes that write to the same directory, and the
+// use of another node's state. The child processes are real.
 func TestEnds(t *testing.T) {
 	dir := t.TempDir()
 	child := func(how string) *exec.Cmd {
@@ -92,16 +92,16 @@
 		if last == nil {
 			return "none", ""
 		}
-		assert.Equal(t, string(some.Knowledge), string(last.Knowledge))
+		assert.Equal(t, string(sample.Knowledge), string(last.Knowledge))
 		return last.End, last.Crash
 	}
-	is := func(want End) {
+	requireEnd := func(want End) {
 		e, crash := end()
 		assert.Equal(t, [2]string{string(want), ""}, [2]string{string(e), crash})
 	}
-	is("none")
+	requireEnd("none")
 	require.NoError(t, child("clean").Run())
-	is(Clean)
+	requireEnd(Clean)
 	require.Error(t, child("crash").Run())
 	s, last, err := Open(dir, "n1")
 	require.NoError(t, err)
@@ -118,13 +118,13 @@
 	require.ErrorIs(t, err, ErrBusy)
 	require.NoError(t, killed.Process.Kill())
 	_ = killed.Wait()
-	is(Killed)
+	requireEnd(Killed)
 	path := filepath.Join(dir, "state")
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	other, _ := Encode(State{Node: "n1", Boot: "before", Knowledge: some.Knowledge})
+	other, _ := Encode(State{Node: "n1", Boot: "before", Knowledge: sample.Knowledge})
 	require.NoError(t, os.WriteFile(path, other, 0o600))
-	is(HostDown)
+	requireEnd(HostDown)
 	for _, bad := range []string{string(text[:len(text)-1]), strings.Replace(string(text), "state", "xtate", 1)} {
 		require.NoError(t, os.WriteFile(path, []byte(bad), 0o600))
 		s, last, err := Open(dir, "n1")
@@ -136,10 +136,10 @@
 	s, last, err = Open(dir, "n2")
 	require.ErrorContains(t, err, `it is of node "n1"`)
 	assert.Nil(t, last)
-	require.NoError(t, s.Write(some))
+	require.NoError(t, s.Write(sample))
 	s.Release()
-	require.NoError(t, s.Write(State{}), "and nothing is written")
+	require.NoError(t, s.Write(State{}), "without the lock nothing is written")
 	_, last, err = Open(dir, "n1")
 	require.NoError(t, err)
-	assert.Equal(t, some.PID, last.PID)
+	assert.Equal(t, sample.PID, last.PID)
 }
