--- a/internal/node/control/client.go
+++ b/internal/node/control/client.go
@@ -83,7 +83,7 @@
 	pidfd int // -1 = none
 
 	mu      sync.Mutex
-	machine *hotrestart.Taker
+	machine *hotrestart.Successor
 	yours   json.RawMessage
 	alarm   func()
 	ended   bool
@@ -94,7 +94,7 @@
 
 // Begin asks the process at a path to hand over. The hooks are called from here on.
 func Begin(path, release string, limits hotrestart.Limits, c clock.Clock, hooks Hooks) *Take {
-	t := &Take{hooks: hooks, clock: c, pidfd: -1, alarm: func() {}, machine: hotrestart.NewTaker(c.Now(), limits)}
+	t := &Take{hooks: hooks, clock: c, pidfd: -1, alarm: func() {}, machine: hotrestart.NewSuccessor(c.Now(), limits)}
 	go t.run(path, release)
 	return t
 }
@@ -149,13 +149,13 @@
 	}
 	t.orders.end()
 	t.mu.Lock()
-	owner, ended := t.machine.Owner(), t.ended
+	owner, ended := t.machine.IsAccepting(), t.ended
 	t.mu.Unlock()
 	if owner && !ended {
 		t.hooks.Died()
 	}
 	alive := t.alive() && !left(path)
-	t.event(func(float64) []hotrestart.Action { return t.machine.Lost(alive) })
+	t.event(func(float64) []hotrestart.Action { return t.machine.ConnectionLost(alive) })
 	if t.hooks.Cut != nil {
 		t.hooks.Cut(alive)
 	}
@@ -210,7 +210,7 @@
 				return
 			}
 			t.event(func(float64) []hotrestart.Action {
-				list := t.machine.Told(kind, "")
+				list := t.machine.Receive(kind, "")
 				if len(list) == 0 {
 					heritage.close()
 				}
@@ -223,10 +223,10 @@
 			t.hooks.Ended(m.Unanswered)
 		default:
 			t.event(func(float64) []hotrestart.Action {
-				if kind == hotrestart.Yours {
+				if kind == hotrestart.Granted {
 					t.yours = m.Knowledge
 				}
-				return t.machine.Told(kind, m.Reason)
+				return t.machine.Receive(kind, m.Reason)
 			})
 		}
 	}
@@ -234,7 +234,7 @@
 
 // refuse gives up, since what the running process said is of no use.
 func (t *Take) refuse(reason string) {
-	t.event(func(float64) []hotrestart.Action { return t.machine.Told(hotrestart.Refused, reason) })
+	t.event(func(float64) []hotrestart.Action { return t.machine.Receive(hotrestart.Refused, reason) })
 }
 
 // inherit makes listeners of the descriptors that came.
@@ -282,17 +282,17 @@
 		switch a.Do {
 		case hotrestart.Prepare:
 			t.hooks.Prepare(heritage[0])
-		case hotrestart.StartAlone:
+		case hotrestart.StartFresh:
 			t.hooks.Alone()
 		case hotrestart.Accept:
 			t.hooks.Accept(yours)
 		case hotrestart.Send:
 			_ = t.wire.write(message{Type: a.Message.String()}, writeLimit) // an end shows to the reader
-		case hotrestart.GiveUp:
+		case hotrestart.Abort:
 			t.hooks.GiveUp(a.Reason)
 		case hotrestart.Leave:
 			t.hooks.Leave(a.Reason)
-		case hotrestart.HangUp:
+		case hotrestart.CloseConnection:
 			_ = t.wire.conn.Close()
 		}
 	}
--- a/internal/node/control/control_test.go
+++ b/internal/node/control/control_test.go
@@ -196,7 +196,7 @@
 func giverLeaves(take *Take) bool {
 	take.mu.Lock()
 	defer take.mu.Unlock()
-	return take.machine.Leaving()
+	return take.machine.PredecessorStopping()
 }
 
 // Guards against a new process that gives up, and closes the sockets that it holds, while one that was told to stop takes long to let
--- a/internal/node/control/server.go
+++ b/internal/node/control/server.go
@@ -68,7 +68,7 @@
 	log   *slog.Logger
 
 	mu     sync.Mutex // of the machine and of what follows from it
-	giver  *hotrestart.Giver
+	giver  *hotrestart.Predecessor
 	peers  map[int]*peer
 	number int
 	alarm  func()
@@ -107,7 +107,7 @@
 
 // Inherit is Serve for a process that has taken over from the one that listens at the path.
 func Inherit(set Settings, n Node, c clock.Clock, log *slog.Logger) (*Server, error) {
-	s := &Server{set: set, node: n, clock: c, log: log, giver: hotrestart.NewGiver(set.Limits), peers: map[int]*peer{},
+	s := &Server{set: set, node: n, clock: c, log: log, giver: hotrestart.NewPredecessor(set.Limits), peers: map[int]*peer{},
 		alarm: func() {}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,7 @@
 	if s.listen == nil {
 		return
 	}
-	if !s.giver.Given() && s.mine() { // else the path is another process's, or is about to be
+	if !s.giver.HandedOver() && s.mine() { // else the path is another process's, or is about to be
 		_ = os.Remove(s.set.Path)
 	}
 	_ = s.listen.Close()
@@ -185,14 +185,14 @@
 func (s *Server) Given() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.giver.Given()
+	return s.giver.HandedOver()
 }
 
 // Ended tells the process that has taken over that nothing is owed here any more, or how much is given up.
 func (s *Server) Ended(unanswered int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.giver.Given() {
+	if !s.giver.HandedOver() {
 		return
 	}
 	for _, p := range s.peers {
@@ -232,8 +232,8 @@
 	if p.knows {
 		s.orders.end()
 	}
-	s.carryOut(s.giver.Lost(number))
-	heirLost := s.giver.Given() && p == s.to && s.node.Mark() != "" && !s.closed
+	s.carryOut(s.giver.ConnectionLost(number))
+	heirLost := s.giver.HandedOver() && p == s.to && s.node.Mark() != "" && !s.closed
 	s.mu.Unlock()
 	if heirLost {
 		s.node.NamesCut()
@@ -311,7 +311,7 @@
 func (s *Server) told(number int, m hotrestart.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carryOut(s.giver.Told(s.clock.Now(), number, m))
+	s.carryOut(s.giver.Receive(s.clock.Now(), number, m))
 }
 
 // carryOut does what the machine asks for, under the lock, and keeps its alarm.
@@ -327,18 +327,18 @@
 				s.log.Warn("a takeover broke off", "error", err)
 				_ = p.conn.Close() // its end is told by its reader
 			}
-		case hotrestart.HangUp:
+		case hotrestart.CloseConnection:
 			if p != nil {
 				_ = p.conn.CloseWrite() // what was sent still arrives
 				_ = p.conn.CloseRead()
 			}
-		case hotrestart.Lend:
+		case hotrestart.ShareResources:
 			s.node.Lend()
-		case hotrestart.Retake:
+		case hotrestart.ReclaimResources:
 			s.node.Retake()
 		case hotrestart.Release:
 			s.node.Release() // the path is taken by the other one, and answered here until then
-		case hotrestart.Regain:
+		case hotrestart.Reacquire:
 			s.node.Regain()
 			if s.mine() || s.closed {
 				break
@@ -408,14 +408,14 @@
 // send writes what the machine has to say.
 func (s *Server) send(p *peer, a hotrestart.Action) error {
 	m := message{Type: a.Message.String(), Version: p.version, Reason: a.Reason, Release: s.set.Release, PID: os.Getpid()}
-	if a.Message != hotrestart.State && a.Message != hotrestart.Yours {
+	if a.Message != hotrestart.State && a.Message != hotrestart.Granted {
 		return p.write(m, writeLimit)
 	}
 	var err error
 	if m.Knowledge, err = s.node.Knowledge(); err != nil {
 		s.log.Error("what is known cannot be given away", "error", err) // the sockets still can
 	}
-	if a.Message == hotrestart.Yours {
+	if a.Message == hotrestart.Granted {
 		s.heir, s.to = p.pid, p
 		return p.write(m, writeLimit)
 	}
--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -35,8 +35,8 @@
 	Refused                  // giver: no
 	State                    // giver: what I know, and the listening sockets
 	Ready                    // taker: I could serve
-	Yours                    // giver: all is yours, and what I know by now
-	Mine                     // taker: I accept
+	Granted                  // giver: all is yours, and what I know by now
+	Accepting                // taker: I accept
 	Withdrawn                // giver: I go on, leave
 	Ended                    // giver: all that I owed is answered
 	Stopping                 // giver: I was told to stop and do not go on, whatever becomes of the takeover
@@ -60,9 +60,9 @@
 
 // The reasons for a refusal or a withdrawal.
 const (
-	ReasonBusy  = "another process is taking over"
-	ReasonGiven = "another process has taken over"
-	ReasonLate  = "the new process took too long"
+	ReasonBusy       = "another process is taking over"
+	ReasonHandedOver = "another process has taken over"
+	ReasonLate       = "the new process took too long"
 )
 
 // Do is what a side is to do.
@@ -70,20 +70,20 @@
 
 // What a giver is to do.
 const (
-	Send       Do = iota // send Action.Message to Action.Peer, with Action.Reason
-	HangUp               // end the connection to Action.Peer, after what was to be sent
-	Release              // let go of what only one process may hold: the directory of state, the control socket's path
-	Regain               // take that back
-	StopAccept           // stop accepting, answer all that is owed, end
-	Lend                 // leave another process that has come its part of what the platform gives
-	Retake               // it has gone: all is this one's again
+	Send             Do = iota // send Action.Message to Action.Peer, with Action.Reason
+	CloseConnection            // end the connection to Action.Peer, after what was to be sent
+	Release                    // let go of what only one process may hold: the directory of state, the control socket's path
+	Reacquire                  // take that back
+	StopAccept                 // stop accepting, answer all that is owed, end
+	ShareResources             // leave another process that has come its part of what the platform gives
+	ReclaimResources           // it has gone: all is this one's again
 
 	// And a taker.
 
 	Prepare    // become ready with what came in State, without accepting
-	StartAlone // there is nobody to take over from: start as if it had not been asked for
+	StartFresh // there is nobody to take over from: start as if it had not been asked for
 	Accept     // accept connections
-	GiveUp     // end, nothing was accepted: Action.Reason tells why
+	Abort      // end, nothing was accepted: Action.Reason tells why
 	Leave      // stop: the giver goes on; what was accepted is to be answered
 )
 
@@ -112,8 +112,8 @@
 	given                      // it accepts
 )
 
-// Giver is the side of the running process.
-type Giver struct {
+// Predecessor is the side of the running process.
+type Predecessor struct {
 	set      Limits
 	state    giverState
 	peer     int
@@ -121,20 +121,20 @@
 	stopping bool    // this process was told to stop by itself
 }
 
-// NewGiver makes the side of a process that serves.
-func NewGiver(set Limits) *Giver { return &Giver{set: set, until: math.Inf(1)} }
+// NewPredecessor makes the side of a process that serves.
+func NewPredecessor(set Limits) *Predecessor { return &Predecessor{set: set, until: math.Inf(1)} }
 
 // Stopping tells whether the process was told to stop.
-func (g *Giver) Stopping() bool { return g.stopping }
+func (g *Predecessor) Stopping() bool { return g.stopping }
 
-// Given tells whether another process has taken over.
-func (g *Giver) Given() bool { return g.state == given }
+// HandedOver tells whether another process has taken over.
+func (g *Predecessor) HandedOver() bool { return g.state == given }
 
 // Next is when Tick is wanted, +Inf = not.
-func (g *Giver) Next() float64 { return g.until }
+func (g *Predecessor) Next() float64 { return g.until }
 
-// Told takes a message of a peer, each peer with a number of its own.
-func (g *Giver) Told(now float64, peer int, m Message) []Action {
+// Receive takes a message of a peer, each peer with a number of its own.
+func (g *Predecessor) Receive(now float64, peer int, m Message) []Action {
 	if m == Hello {
 		return g.asked(now, peer)
 	}
@@ -144,22 +144,22 @@
 	switch {
 	case m == Ready && g.state == offering:
 		return g.yield(now)
-	case m == Mine && g.state == yielding:
+	case m == Accepting && g.state == yielding:
 		g.state, g.until = given, math.Inf(1)
 		return []Action{{Do: StopAccept}}
 	}
 	return nil
 }
 
-func (g *Giver) asked(now float64, peer int) []Action {
+func (g *Predecessor) asked(now float64, peer int) []Action {
 	switch {
 	case g.state == given:
-		return refuse(peer, ReasonGiven)
+		return refuse(peer, ReasonHandedOver)
 	case g.state != alone:
 		return refuse(peer, ReasonBusy)
 	}
 	g.state, g.peer, g.until = offering, peer, now+g.set.Prepare
-	list := []Action{{Do: Lend}, {Do: Send, Message: State, Peer: peer}}
+	list := []Action{{Do: ShareResources}, {Do: Send, Message: State, Peer: peer}}
 	if g.stopping {
 		list = append(list, g.yield(now)...)
 	}
@@ -167,12 +167,12 @@
 }
 
 func refuse(peer int, reason string) []Action {
-	return []Action{{Do: Send, Message: Refused, Peer: peer, Reason: reason}, {Do: HangUp, Peer: peer}}
+	return []Action{{Do: Send, Message: Refused, Peer: peer, Reason: reason}, {Do: CloseConnection, Peer: peer}}
 }
 
-func (g *Giver) yield(now float64) []Action {
+func (g *Predecessor) yield(now float64) []Action {
 	g.state, g.until = yielding, now+g.set.Answer
-	list := []Action{{Do: Release}, {Do: Send, Message: Yours, Peer: g.peer}}
+	list := []Action{{Do: Release}, {Do: Send, Message: Granted, Peer: g.peer}}
 	if g.stopping { // the taker may still be preparing, and nothing here goes on without it
 		g.until = math.Inf(1)
 		list = append([]Action{{Do: Send, Message: Stopping, Peer: g.peer}}, list...)
@@ -181,7 +181,7 @@
 }
 
 // Stop tells that the process was told to stop. Its own way of stopping goes on whatever happens here.
-func (g *Giver) Stop(now float64) []Action {
+func (g *Predecessor) Stop(now float64) []Action {
 	if g.stopping {
 		return nil
 	}
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// Lost tells that the connection to a peer has ended.
-func (g *Giver) Lost(peer int) []Action {
+// ConnectionLost tells that the connection to a peer has ended.
+func (g *Predecessor) ConnectionLost(peer int) []Action {
 	if peer != g.peer || g.state == alone || g.state == given {
 		return nil
 	}
@@ -205,22 +205,22 @@
 }
 
 // back goes on as before the takeover.
-func (g *Giver) back() []Action {
+func (g *Predecessor) back() []Action {
 	was := g.state
 	g.state, g.until = alone, math.Inf(1)
 	if was == yielding {
-		return []Action{{Do: Regain}, {Do: Retake}}
+		return []Action{{Do: Reacquire}, {Do: ReclaimResources}}
 	}
-	return []Action{{Do: Retake}}
+	return []Action{{Do: ReclaimResources}}
 }
 
 // Tick breaks off with a taker whose time is up.
-func (g *Giver) Tick(now float64) []Action {
+func (g *Predecessor) Tick(now float64) []Action {
 	if now < g.until {
 		return nil
 	}
 	peer := g.peer
-	return append([]Action{{Do: Send, Message: Withdrawn, Peer: peer, Reason: ReasonLate}, {Do: HangUp, Peer: peer}},
+	return append([]Action{{Do: Send, Message: Withdrawn, Peer: peer, Reason: ReasonLate}, {Do: CloseConnection, Peer: peer}},
 		g.back()...)
 }
 
@@ -234,8 +234,8 @@
 	over                        // it will not, or starts alone
 )
 
-// Taker is the side of the new process. Its one peer has the number 0.
-type Taker struct {
+// Successor is the side of the new process. Its one peer has the number 0.
+type Successor struct {
 	set     Limits
 	state   takerState
 	heir    bool // nothing more is to be waited for before it accepts
@@ -243,42 +243,44 @@
 	until   float64
 }
 
-// NewTaker makes the side of a process whose hello goes out now.
-func NewTaker(now float64, set Limits) *Taker { return &Taker{set: set, until: now + set.Answer} }
+// NewSuccessor makes the side of a process whose hello goes out now.
+func NewSuccessor(now float64, set Limits) *Successor {
+	return &Successor{set: set, until: now + set.Answer}
+}
 
 // Next is when Tick is wanted, +Inf = not.
-func (t *Taker) Next() float64 { return t.until }
+func (t *Successor) Next() float64 { return t.until }
 
-// Owner tells whether the process accepts.
-func (t *Taker) Owner() bool { return t.state == owner }
+// IsAccepting tells whether the process accepts.
+func (t *Successor) IsAccepting() bool { return t.state == owner }
 
-// Leaving tells whether the giver has said that it does not go on.
-func (t *Taker) Leaving() bool { return t.leaving }
+// PredecessorStopping tells whether the giver has said that it does not go on.
+func (t *Successor) PredecessorStopping() bool { return t.leaving }
 
-// Told takes a message of the giver.
-func (t *Taker) Told(m Message, reason string) []Action {
+// Receive takes a message of the giver.
+func (t *Successor) Receive(m Message, reason string) []Action {
 	switch {
 	case m == Refused && t.state == asking:
-		return t.end(GiveUp, reason)
+		return t.end(Abort, reason)
 	case m == State && t.state == asking:
 		t.state, t.until = preparing, math.Inf(1)
 		return []Action{{Do: Prepare}}
 	case m == Stopping && (t.state == preparing || t.state == waiting):
 		t.leaving, t.until = true, math.Inf(1)
-	case m == Yours && t.state == preparing:
+	case m == Granted && t.state == preparing:
 		t.heir = true
-	case m == Yours && t.state == waiting:
+	case m == Granted && t.state == waiting:
 		return t.accept(true)
 	case m == Withdrawn && t.state == owner:
 		return t.end(Leave, reason)
 	case m == Withdrawn && t.state != over:
-		return t.end(GiveUp, reason)
+		return t.end(Abort, reason)
 	}
 	return nil
 }
 
 // Prepared tells that the process could serve.
-func (t *Taker) Prepared(now float64) []Action {
+func (t *Successor) Prepared(now float64) []Action {
 	if t.state != preparing {
 		return nil
 	}
@@ -292,24 +294,24 @@
 	return []Action{{Do: Send, Message: Ready}}
 }
 
-func (t *Taker) accept(tell bool) []Action {
+func (t *Successor) accept(tell bool) []Action {
 	t.state, t.until = owner, math.Inf(1)
 	list := []Action{{Do: Accept}}
 	if tell {
-		list = append(list, Action{Do: Send, Message: Mine})
+		list = append(list, Action{Do: Send, Message: Accepting})
 	}
 	return list
 }
 
 // end breaks off. A taker that has the sockets anyway goes on alone from wherever it is.
-func (t *Taker) end(do Do, reason string) []Action {
+func (t *Successor) end(do Do, reason string) []Action {
 	if t.set.Shared {
-		was, hangUp := t.state, Action{Do: HangUp}
+		was, hangUp := t.state, Action{Do: CloseConnection}
 		t.until = math.Inf(1)
 		switch was {
 		case asking:
 			t.state = over
-			return []Action{{Do: StartAlone, Reason: reason}, hangUp}
+			return []Action{{Do: StartFresh, Reason: reason}, hangUp}
 		case preparing:
 			t.heir = true
 			return []Action{hangUp}
@@ -319,21 +321,21 @@
 		return nil
 	}
 	t.state, t.until = over, math.Inf(1)
-	return []Action{{Do: do, Reason: reason}, {Do: HangUp}}
+	return []Action{{Do: do, Reason: reason}, {Do: CloseConnection}}
 }
 
-// Lost tells that the connection has ended, and whether the giver is known to go on without it.
-func (t *Taker) Lost(alive bool) []Action {
+// ConnectionLost tells that the connection has ended, and whether the giver is known to go on without it.
+func (t *Successor) ConnectionLost(alive bool) []Action {
 	const broken = "the connection to the running process broke"
 	switch t.state {
 	case asking:
 		if alive {
-			return t.end(GiveUp, broken)
+			return t.end(Abort, broken)
 		}
-		return t.end(StartAlone, "")
+		return t.end(StartFresh, "")
 	case preparing, waiting:
 		if alive && !t.heir && !t.leaving {
-			return t.end(GiveUp, broken)
+			return t.end(Abort, broken)
 		}
 		if t.heir = true; t.state == waiting {
 			return t.accept(false)
@@ -343,9 +345,9 @@
 }
 
 // Tick gives up a giver that does not answer.
-func (t *Taker) Tick(now float64) []Action {
+func (t *Successor) Tick(now float64) []Action {
 	if now < t.until {
 		return nil
 	}
-	return t.end(GiveUp, "the running process does not answer")
+	return t.end(Abort, "the running process does not answer")
 }
--- a/internal/node/hotrestart/takeover_test.go
+++ b/internal/node/hotrestart/takeover_test.go
@@ -15,7 +15,7 @@
 type play struct {
 	t         *rapid.T
 	now       float64
-	giver     *Giver
+	giver     *Predecessor
 	giverDead bool
 	accepts   bool // the giver
 	holds     bool // the giver holds what only one process may
@@ -27,7 +27,7 @@
 }
 
 type taker struct {
-	machine            *Taker
+	machine            *Successor
 	id                 int
 	dead, out          bool // killed; ended of its own accord
 	sentAway           bool // it has read that the giver goes on
@@ -53,7 +53,7 @@
 					x.fromGiver = append(x.fromGiver, a.Message)
 				}
 			}
-		case HangUp:
+		case CloseConnection:
 			for _, x := range p.takers {
 				if x.id == a.Peer {
 					x.up, x.giverTold = false, true
@@ -63,7 +63,7 @@
 			require.True(p.t, p.holds, "released twice")
 			p.holds = false
 			p.releasing = rapid.IntRange(0, 3).Draw(p.t, "slow release") == 0
-		case Regain:
+		case Reacquire:
 			require.False(p.t, p.holds, "regained twice")
 			p.holds = true
 		case StopAccept:
@@ -79,17 +79,17 @@
 			if x.up {
 				x.toGiver = append(x.toGiver, a.Message)
 			}
-		case HangUp:
+		case CloseConnection:
 			x.up, x.told = false, true
 		case Prepare:
 			x.prepared, x.hasSockets = true, true
-		case StartAlone:
+		case StartFresh:
 			require.True(p.t, p.giverDead || x.machine.state == over, "alone beside a giver")
 			x.alone = true
 		case Accept:
 			require.True(p.t, x.hasSockets)
 			x.accepts, x.accepted = true, true
-		case GiveUp:
+		case Abort:
 			require.False(p.t, x.accepted, "gave up what it owes answers for")
 			leaves := p.giverDead && x.told || !p.giverDead && p.giver.Stopping() && !p.cut
 			require.False(p.t, x.hasSockets && leaves && !x.sentAway, "gave up though the giver does not go on")
@@ -160,10 +160,10 @@
 	case len(x.toGiver) > 0:
 		m := x.toGiver[0]
 		x.toGiver = x.toGiver[1:]
-		p.giverDoes(p.giver.Told(p.now, x.id, m))
+		p.giverDoes(p.giver.Receive(p.now, x.id, m))
 	case !x.up:
 		x.giverTold = true
-		p.giverDoes(p.giver.Lost(x.id))
+		p.giverDoes(p.giver.ConnectionLost(x.id))
 	}
 }
 
@@ -174,10 +174,10 @@
 		m := x.fromGiver[0]
 		x.fromGiver = x.fromGiver[1:]
 		x.sentAway = x.sentAway || m == Withdrawn
-		p.takerDoes(x, x.machine.Told(m, ""))
+		p.takerDoes(x, x.machine.Receive(m, ""))
 	case !x.up:
 		x.told = true
-		p.takerDoes(x, x.machine.Lost(!p.giverDead))
+		p.takerDoes(x, x.machine.ConnectionLost(!p.giverDead))
 	}
 }
 
@@ -251,9 +251,9 @@
 // whatever messages are late or lost and whoever is killed, stopped or slow at whichever point.
 func TestTakeover(t *testing.T) {
 	history := func(t *rapid.T) {
-		p := &play{t: t, giver: NewGiver(Limits{Answer: 1000, Prepare: 60000}), accepts: true, holds: true}
+		p := &play{t: t, giver: NewPredecessor(Limits{Answer: 1000, Prepare: 60000}), accepts: true, holds: true}
 		for i := range rapid.SampledFrom([]int{1, 1, 2, 3}).Draw(t, "takers") {
-			x := &taker{machine: NewTaker(0, Limits{Answer: 1000}), id: i + 1, up: true, toGiver: []Message{Hello}}
+			x := &taker{machine: NewSuccessor(0, Limits{Answer: 1000}), id: i + 1, up: true, toGiver: []Message{Hello}}
 			p.takers = append(p.takers, x)
 		}
 		if rapid.IntRange(0, 3).Draw(t, "stopping from the beginning") == 0 {
@@ -293,30 +293,30 @@
 // process before, however late.
 func TestTakerThatSharesTheSocketsServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, now := NewTaker(0, Limits{Answer: 1000, Shared: true}), 0.0
+		x, now := NewSuccessor(0, Limits{Answer: 1000, Shared: true}), 0.0
 		alone, accepted := false, false
 		does := func(list []Action) {
 			for _, a := range list {
-				require.NotContains(t, []Do{GiveUp, Leave}, a.Do)
-				alone, accepted = alone || a.Do == StartAlone, accepted || a.Do == Accept
+				require.NotContains(t, []Do{Abort, Leave}, a.Do)
+				alone, accepted = alone || a.Do == StartFresh, accepted || a.Do == Accept
 			}
 		}
 		for range rapid.IntRange(0, 12).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				does(x.Told(Message(rapid.IntRange(0, int(messages)-1).Draw(t, "message")), ""))
+				does(x.Receive(Message(rapid.IntRange(0, int(messages)-1).Draw(t, "message")), ""))
 			case 1:
 				now += rapid.SampledFrom([]float64{500, 1500}).Draw(t, "time")
 				does(x.Tick(now))
 			case 2:
 				does(x.Prepared(now))
 			case 3:
-				does(x.Lost(rapid.Bool().Draw(t, "alive")))
+				does(x.ConnectionLost(rapid.Bool().Draw(t, "alive")))
 			}
 		}
 		does(x.Tick(now + 1e6))
 		does(x.Prepared(now + 1e6))
 		does(x.Tick(now + 1e7))
-		require.True(t, alone || accepted && x.Owner())
+		require.True(t, alone || accepted && x.IsAccepting())
 	})
 }
