--- a/internal/node/hotrestart/takeover_test.go
+++ b/internal/node/hotrestart/takeover_test.go
@@ -7,56 +7,56 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of rapid
 )
 
-// A play has one giver and up to three takers, messages between them that arrive late or never, processes that are
-// killed or told to stop, and a clock that goes as it likes. It is the judge of what must hold at every moment.
-type play struct {
-	t         *rapid.T
-	now       float64
-	giver     *Predecessor
-	giverDead bool
-	accepts   bool // the giver
-	holds     bool // the giver holds what only one process may
-	releasing bool // it is letting go of that, which takes its time: what it does next waits in later
-	later     []Action
-	gone      bool // the giver was told to stop and has closed its own sockets
-	takers    []*taker
-	cut       bool // a connection broke though both sides live
+// simulation has one predecessor and up to three successors, messages between them that arrive late or never, processes
+// that are killed or stopped, and a clock that advances by arbitrary steps. It checks the invariants after every step.
+type simulation struct {
+	t               *rapid.T
+	now             float64
+	predecessor     *Predecessor
+	predecessorDead bool
+	accepts         bool // the predecessor accepts
+	holds           bool // the predecessor holds the exclusive resources
+	releasing       bool // a slow Release is in progress: the actions after it wait in later
+	later           []Action
+	gone            bool // the predecessor was stopped and has closed its own sockets
+	successors      []*successor
+	cut             bool // a connection broke while both sides were alive
 }
 
-type taker struct {
-	machine            *Successor
-	id                 int
-	dead, out          bool // killed; ended of its own accord
-	sentAway           bool // it has read that the giver goes on
-	prepared           bool // Prepare was asked for
-	accepts, accepted  bool
-	hasSockets, alone  bool
-	toGiver, fromGiver []Message
-	up                 bool // the connection
-	told               bool // it knows that the connection has ended
-	giverTold          bool // and the giver does
+type successor struct {
+	machine                        *Successor
+	id                             int
+	dead, out                      bool // killed; ended by itself
+	withdrawn                      bool // it has read Withdrawn
+	prepared                       bool // it was asked to prepare
+	accepts, accepted              bool
+	hasSockets, fresh              bool
+	toPredecessor, fromPredecessor []Message
+	up                             bool // the connection
+	notified                       bool // it has been notified that the connection ended
+	predecessorNotified            bool // the predecessor has been notified of it
 }
 
-func (p *play) giverDoes(list []Action) {
+func (p *simulation) predecessorDoes(list []Action) {
 	for i, a := range list {
-		if p.releasing { // one thing after the other
+		if p.releasing { // actions are carried out one after the other
 			p.later = append(p.later, list[i:]...)
 			return
 		}
 		switch a.Do {
 		case Send:
-			for _, x := range p.takers {
+			for _, x := range p.successors {
 				if x.id == a.Peer && x.up {
-					x.fromGiver = append(x.fromGiver, a.Message)
+					x.fromPredecessor = append(x.fromPredecessor, a.Message)
 				}
 			}
 		case CloseConnection:
-			for _, x := range p.takers {
+			for _, x := range p.successors {
 				if x.id == a.Peer {
-					x.up, x.giverTold = false, true
+					x.up, x.predecessorNotified = false, true
 				}
 			}
 		case Release:
@@ -72,27 +72,27 @@
 	}
 }
 
-func (p *play) takerDoes(x *taker, list []Action) {
+func (p *simulation) successorDoes(x *successor, list []Action) {
 	for _, a := range list {
 		switch a.Do {
 		case Send:
 			if x.up {
-				x.toGiver = append(x.toGiver, a.Message)
+				x.toPredecessor = append(x.toPredecessor, a.Message)
 			}
 		case CloseConnection:
-			x.up, x.told = false, true
+			x.up, x.notified = false, true
 		case Prepare:
 			x.prepared, x.hasSockets = true, true
 		case StartFresh:
-			require.True(p.t, p.giverDead || x.machine.state == over, "alone beside a giver")
-			x.alone = true
+			require.True(p.t, p.predecessorDead || x.machine.state == over, "started without a takeover beside a live predecessor")
+			x.fresh = true
 		case Accept:
 			require.True(p.t, x.hasSockets)
 			x.accepts, x.accepted = true, true
 		case Abort:
-			require.False(p.t, x.accepted, "gave up what it owes answers for")
-			leaves := p.giverDead && x.told || !p.giverDead && p.giver.Stopping() && !p.cut
-			require.False(p.t, x.hasSockets && leaves && !x.sentAway, "gave up though the giver does not go on")
+			require.False(p.t, x.accepted, "ended with calls in flight")
+			predecessorLeaves := p.predecessorDead && x.notified || !p.predecessorDead && p.predecessor.Stopping() && !p.cut
+			require.False(p.t, x.hasSockets && predecessorLeaves && !x.withdrawn, "ended although the predecessor will not resume")
 			x.out = true
 		case Leave:
 			x.accepts, x.out = false, true
@@ -100,223 +100,223 @@
 	}
 }
 
-// released has the giver go on with what it does after it let go.
-func (p *play) released() {
+// finishRelease completes a slow Release and carries out the actions that waited for it.
+func (p *simulation) finishRelease() {
 	if !p.releasing {
 		return
 	}
 	p.releasing = false
 	list := p.later
 	p.later = nil
-	if !p.giverDead {
-		p.giverDoes(list)
+	if !p.predecessorDead {
+		p.predecessorDoes(list)
 	}
 }
 
-// step does one thing that may happen, and tells whether the takeover itself goes on by it.
-func (p *play) step() {
-	x := p.takers[min(rapid.IntRange(0, 6).Draw(p.t, "taker"), len(p.takers)-1)]
+// step simulates one random event.
+func (p *simulation) step() {
+	x := p.successors[min(rapid.IntRange(0, 6).Draw(p.t, "successor"), len(p.successors)-1)]
 	switch rapid.IntRange(0, 16).Draw(p.t, "what") {
 	case 0, 1, 2, 3:
-		p.giverReads(x)
+		p.predecessorReads(x)
 	case 4, 5, 6, 7:
-		p.takerReads(x)
+		p.successorReads(x)
 	case 8, 9, 10:
 		p.becomesReady(x)
-	case 11, 12: // time goes by, and not everybody notices
+	case 11, 12: // time passes, and not every process gets to run
 		p.now += rapid.SampledFrom([]float64{900, 1100, 70000}).Draw(p.t, "time")
 		p.ticks(x)
 	case 13:
 		if rapid.IntRange(0, 3).Draw(p.t, "kill") == 0 {
 			x.dead, x.accepts, x.up = true, false, false
-			x.toGiver = x.toGiver[:rapid.IntRange(0, len(x.toGiver)).Draw(p.t, "arrives")]
+			x.toPredecessor = x.toPredecessor[:rapid.IntRange(0, len(x.toPredecessor)).Draw(p.t, "arrives")]
 		}
 	case 14:
 		switch {
-		case rapid.IntRange(0, 3).Draw(p.t, "kill giver") == 0:
-			p.giverDead, p.accepts, p.holds = true, false, false
-			for _, x := range p.takers {
-				x.up, x.toGiver = false, nil
+		case rapid.IntRange(0, 3).Draw(p.t, "kill predecessor") == 0:
+			p.predecessorDead, p.accepts, p.holds = true, false, false
+			for _, x := range p.successors {
+				x.up, x.toPredecessor = false, nil
 			}
-		case rapid.IntRange(0, 3).Draw(p.t, "stop") == 0 && !p.giverDead && !p.releasing:
-			p.giverDoes(p.giver.Stop(p.now))
-		case p.giver.Stopping() && rapid.Bool().Draw(p.t, "close"):
+		case rapid.IntRange(0, 3).Draw(p.t, "stop") == 0 && !p.predecessorDead && !p.releasing:
+			p.predecessorDoes(p.predecessor.Stop(p.now))
+		case p.predecessor.Stopping() && rapid.Bool().Draw(p.t, "close"):
 			p.accepts, p.gone = false, true
 		}
 	case 15:
 		if rapid.IntRange(0, 3).Draw(p.t, "cut") == 0 && x.up {
 			x.up, p.cut = false, true
-			x.toGiver, x.fromGiver = nil, nil
+			x.toPredecessor, x.fromPredecessor = nil, nil
 		}
 	case 16:
-		p.released()
+		p.finishRelease()
 	}
-	p.judge()
+	p.check()
 }
 
-func (p *play) giverReads(x *taker) {
+func (p *simulation) predecessorReads(x *successor) {
 	switch {
-	case p.giverDead || x.giverTold || p.releasing: // it reads nothing meanwhile
-	case len(x.toGiver) > 0:
-		m := x.toGiver[0]
-		x.toGiver = x.toGiver[1:]
-		p.giverDoes(p.giver.Receive(p.now, x.id, m))
+	case p.predecessorDead || x.predecessorNotified || p.releasing: // it reads nothing during a Release
+	case len(x.toPredecessor) > 0:
+		m := x.toPredecessor[0]
+		x.toPredecessor = x.toPredecessor[1:]
+		p.predecessorDoes(p.predecessor.Receive(p.now, x.id, m))
 	case !x.up:
-		x.giverTold = true
-		p.giverDoes(p.giver.ConnectionLost(x.id))
+		x.predecessorNotified = true
+		p.predecessorDoes(p.predecessor.ConnectionLost(x.id))
 	}
 }
 
-func (p *play) takerReads(x *taker) {
+func (p *simulation) successorReads(x *successor) {
 	switch {
-	case x.dead || x.out || x.told:
-	case len(x.fromGiver) > 0:
-		m := x.fromGiver[0]
-		x.fromGiver = x.fromGiver[1:]
-		x.sentAway = x.sentAway || m == Withdrawn
-		p.takerDoes(x, x.machine.Receive(m, ""))
+	case x.dead || x.out || x.notified:
+	case len(x.fromPredecessor) > 0:
+		m := x.fromPredecessor[0]
+		x.fromPredecessor = x.fromPredecessor[1:]
+		x.withdrawn = x.withdrawn || m == Withdrawn
+		p.successorDoes(x, x.machine.Receive(m, ""))
 	case !x.up:
-		x.told = true
-		p.takerDoes(x, x.machine.ConnectionLost(!p.giverDead))
+		x.notified = true
+		p.successorDoes(x, x.machine.ConnectionLost(!p.predecessorDead))
 	}
 }
 
-func (p *play) becomesReady(x *taker) {
+func (p *simulation) becomesReady(x *successor) {
 	if x.prepared && !x.dead && !x.out {
-		p.takerDoes(x, x.machine.Prepared(p.now))
+		p.successorDoes(x, x.machine.Prepared(p.now))
 	}
 }
 
-func (p *play) ticks(x *taker) {
-	if !p.giverDead && !p.releasing {
-		p.giverDoes(p.giver.Tick(p.now))
+func (p *simulation) ticks(x *successor) {
+	if !p.predecessorDead && !p.releasing {
+		p.predecessorDoes(p.predecessor.Tick(p.now))
 	}
-	for len(x.fromGiver) > 0 && !x.dead && !x.out { // what has come goes before what is late
-		p.takerReads(x)
+	for len(x.fromPredecessor) > 0 && !x.dead && !x.out { // messages that have arrived are handled before time-outs
+		p.successorReads(x)
 	}
 	if !x.dead && !x.out {
-		p.takerDoes(x, x.machine.Tick(p.now))
+		p.successorDoes(x, x.machine.Tick(p.now))
 	}
 }
 
-func (p *play) judge() {
+func (p *simulation) check() {
 	others := 0
-	for _, x := range p.takers {
-		if x.accepts && !slices.Contains(x.fromGiver, Withdrawn) { // else it is about to leave
+	for _, x := range p.successors {
+		if x.accepts && !slices.Contains(x.fromPredecessor, Withdrawn) { // otherwise it is about to leave
 			others++
 		}
 		require.False(p.t, x.dead && x.accepts)
 	}
-	if !p.giverDead && !p.giver.Stopping() {
+	if !p.predecessorDead && !p.predecessor.Stopping() {
 		if !p.accepts {
-			heirs := slices.ContainsFunc(p.takers, func(x *taker) bool { return x.accepted })
-			require.True(p.t, heirs, "the giver stopped and nobody has ever accepted in its place")
+			accepted := slices.ContainsFunc(p.successors, func(x *successor) bool { return x.accepted })
+			require.True(p.t, accepted, "the predecessor stopped accepting and no successor has ever accepted")
 		}
-		require.False(p.t, p.accepts && !p.holds && p.giver.state != yielding, "it serves without what it must hold")
+		require.False(p.t, p.accepts && !p.holds && p.predecessor.state != granting, "it serves without its exclusive resources")
 	}
 	if !p.cut {
-		require.LessOrEqual(p.t, others, 1, "two takers accept")
+		require.LessOrEqual(p.t, others, 1, "two successors accept")
 	}
 }
 
-// settle lets all that is on its way arrive, and everybody become ready or run out of time.
-func (p *play) settle() {
-	p.released()
+// settle delivers all messages in flight, and lets every process become ready or exceed its time limit.
+func (p *simulation) settle() {
+	p.finishRelease()
 	for range 40 {
-		p.released()
-		for _, x := range p.takers {
-			p.giverReads(x)
-			p.takerReads(x)
+		p.finishRelease()
+		for _, x := range p.successors {
+			p.predecessorReads(x)
+			p.successorReads(x)
 			p.becomesReady(x)
-			p.judge()
+			p.check()
 		}
 	}
-	for _, x := range p.takers {
-		mine := p.giver.peer == x.id && p.giver.state != given
-		require.False(p.t, mine && !x.up && p.giver.state != alone && !p.giverDead, "a taker that is gone is waited for")
+	for _, x := range p.successors {
+		current := p.predecessor.peer == x.id && p.predecessor.state != handedOver
+		require.False(p.t, current && !x.up && p.predecessor.state != idle && !p.predecessorDead, "the predecessor waits for a successor that is gone")
 	}
 	p.now += 1e6
 	for range 10 {
-		for _, x := range p.takers {
+		for _, x := range p.successors {
 			p.ticks(x)
-			p.giverReads(x)
-			p.takerReads(x)
-			p.judge()
+			p.predecessorReads(x)
+			p.successorReads(x)
+			p.check()
 		}
 	}
 }
 
-// Guards against a moment in which nobody accepts though a process that could is alive, against two takers that both
-// think the place is theirs, against a giver that serves without its directory, and against an end that owes answers,
-// whatever messages are late or lost and whoever is killed, stopped or slow at whichever point.
+// Guards against a moment in which no process accepts although one that could is alive, against two successors that both
+// take over, against a predecessor that serves without its exclusive resources, and against a process that ends with calls
+// in flight, whatever messages are late or lost and whichever process is killed, stopped or slow at any point.
 func TestTakeover(t *testing.T) {
 	history := func(t *rapid.T) {
-		p := &play{t: t, giver: NewPredecessor(Limits{Answer: 1000, Prepare: 60000}), accepts: true, holds: true}
-		for i := range rapid.SampledFrom([]int{1, 1, 2, 3}).Draw(t, "takers") {
-			x := &taker{machine: NewSuccessor(0, Limits{Answer: 1000}), id: i + 1, up: true, toGiver: []Message{Hello}}
-			p.takers = append(p.takers, x)
+		p := &simulation{t: t, predecessor: NewPredecessor(Limits{Answer: 1000, Prepare: 60000}), accepts: true, holds: true}
+		for i := range rapid.SampledFrom([]int{1, 1, 2, 3}).Draw(t, "successors") {
+			x := &successor{machine: NewSuccessor(0, Limits{Answer: 1000}), id: i + 1, up: true, toPredecessor: []Message{Hello}}
+			p.successors = append(p.successors, x)
 		}
 		if rapid.IntRange(0, 3).Draw(t, "stopping from the beginning") == 0 {
-			p.giverDoes(p.giver.Stop(p.now))
+			p.predecessorDoes(p.predecessor.Stop(p.now))
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			p.step()
 		}
 		p.settle()
 		serving, alive := 0, 0
-		for _, x := range p.takers {
-			if x.accepts || x.alone && !x.dead {
+		for _, x := range p.successors {
+			if x.accepts || x.fresh && !x.dead {
 				serving++
 			}
 			if x.hasSockets && !x.dead && !x.out {
 				alive++
 			}
 		}
-		if p.accepts && !p.giver.Stopping() {
+		if p.accepts && !p.predecessor.Stopping() {
 			serving++
 			require.True(t, p.holds || p.cut)
 		}
 		if alive > 0 {
-			require.Positive(t, serving, "a process lives that has the sockets, and nobody accepts")
+			require.Positive(t, serving, "a live process has the listening sockets, and none accepts")
 		}
-		if !p.cut && !p.giver.Stopping() {
-			lone := slices.ContainsFunc(p.takers, func(x *taker) bool { return x.alone })
-			require.True(t, serving <= 1 || lone, "%d processes serve at one address", serving)
+		if !p.cut && !p.predecessor.Stopping() {
+			fresh := slices.ContainsFunc(p.successors, func(x *successor) bool { return x.fresh })
+			require.True(t, serving <= 1 || fresh, "%d processes serve at one address", serving)
 		}
 	}
-	for range 10 { // a thousand histories, half a second
+	for range 10 { // a thousand histories in all, which take half a second
 		rapid.Check(t, history)
 	}
 }
 
-// Guards against a taker that ends, or waits for ever, though it has the listening sockets anyway, whatever it hears from the
-// process before, however late.
-func TestTakerThatSharesTheSocketsServes(t *testing.T) {
+// Guards against a successor that ends or waits for ever although it has the listening sockets in any case, whatever it
+// receives from the predecessor, and however late.
+func TestSuccessorWithSharedSocketsServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, now := NewSuccessor(0, Limits{Answer: 1000, Shared: true}), 0.0
-		alone, accepted := false, false
-		does := func(list []Action) {
+		fresh, accepted := false, false
+		check := func(list []Action) {
 			for _, a := range list {
 				require.NotContains(t, []Do{Abort, Leave}, a.Do)
-				alone, accepted = alone || a.Do == StartFresh, accepted || a.Do == Accept
+				fresh, accepted = fresh || a.Do == StartFresh, accepted || a.Do == Accept
 			}
 		}
 		for range rapid.IntRange(0, 12).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				does(x.Receive(Message(rapid.IntRange(0, int(messages)-1).Draw(t, "message")), ""))
+				check(x.Receive(Message(rapid.IntRange(0, int(messages)-1).Draw(t, "message")), ""))
 			case 1:
 				now += rapid.SampledFrom([]float64{500, 1500}).Draw(t, "time")
-				does(x.Tick(now))
+				check(x.Tick(now))
 			case 2:
-				does(x.Prepared(now))
+				check(x.Prepared(now))
 			case 3:
-				does(x.ConnectionLost(rapid.Bool().Draw(t, "alive")))
+				check(x.ConnectionLost(rapid.Bool().Draw(t, "alive")))
 			}
 		}
-		does(x.Tick(now + 1e6))
-		does(x.Prepared(now + 1e6))
-		does(x.Tick(now + 1e7))
-		require.True(t, alone || accepted && x.IsAccepting())
+		check(x.Tick(now + 1e6))
+		check(x.Prepared(now + 1e6))
+		check(x.Tick(now + 1e7))
+		require.True(t, fresh || accepted && x.IsAccepting())
 	})
 }
