--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -191,7 +191,7 @@
 // serve works until ctx ends. A signal has it read the options again.
 func (a *program) serve(ctx context.Context, o *options.Options, set *etcd.Settings, errs io.Writer, again <-chan os.Signal) error {
 	a.log = a.logger(o, errs)
-	manager, err := systemd.Adopt(func(err error) { a.log.Warn("the service manager cannot be told", "error", err) })
+	manager, err := systemd.FromEnvironment(func(err error) { a.log.Warn("the service manager cannot be told", "error", err) })
 	if err != nil {
 		return err
 	}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -88,7 +88,7 @@
 	d := &daemon{set: set, log: set.Log.With("node", set.Config.Name, "part", "daemon"), clock: clock.NewSystem(), owner: make(chan struct{}), made: make(chan struct{}),
 		fail: make(chan error, 1)}
 	var err error
-	d.manager, err = systemd.Adopt(func(err error) {
+	d.manager, err = systemd.FromEnvironment(func(err error) {
 		d.log.Warn("the service manager cannot be told", "error", err)
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 	if err != nil {
 		d.log.Warn("a socket of the service manager is no use", "error", err)
 	}
-	listener, rest := systemd.Pick(handed, north, set.Config.Listen)
+	listener, rest := systemd.SelectListener(handed, north, set.Config.Listen)
 	for _, l := range rest {
 		d.log.Warn("the service manager handed in a socket that is not in the configuration", "name", l.Name,
 			"address", l.Addr().String())
@@ -401,7 +401,7 @@
 		if d.set.Options.State.Directory != "" {
 			d.keeper = newKeeper(d)
 		}
-		defer d.manager.Tell(fmt.Sprintf("MAINPID=%d", os.Getpid()), "READY=1", "STATUS="+systemd.Serving)
+		defer d.manager.Notify(fmt.Sprintf("MAINPID=%d", os.Getpid()), "READY=1", "STATUS="+systemd.Serving)
 	}
 	if d.keeper != nil {
 		go d.keeper.run(ctx)
@@ -445,10 +445,10 @@
 		d.log.Error("the watchdog cannot be fed", "error", err)
 		return
 	}
-	h := &systemd.Heart{Manager: d.manager, Clock: d.clock, Stations: stations, Late: func(name string, ms float64) {
+	h := &systemd.WatchdogLoop{Manager: d.manager, Clock: d.clock, Checks: stations, OnLate: func(name string, ms float64) {
 		d.stuck.Store(&name)
 		d.log.Error("a part of the node does not answer its watchdog", "station", name, "ms", ms)
-	}, Well: func() { d.stuck.Store(nil) }}
+	}, OnRecovered: func() { d.stuck.Store(nil) }}
 	go h.Run(ctx)
 }
 
--- a/internal/node/systemd/service.go
+++ b/internal/node/systemd/service.go
@@ -1,7 +1,7 @@
 // Package systemd speaks the protocols of the host's service manager: notification, listeners by descriptor, watchdog.
 // Without the manager's variables it does nothing.
 //
-// Adopt reads the variables once and takes them out of the environment, so that a child that the node starts neither
+// FromEnvironment reads the variables once and takes them out of the environment, so that a child that the node starts neither
 // speaks in its name nor takes its listeners.
 package systemd
 
@@ -28,7 +28,7 @@
 )
 
 // Manager is the connection to the service manager. A nil one does nothing. All methods may be called from any
-// goroutine; errors are told once, to the function that Adopt got.
+// goroutine; errors are told once, to the function that FromEnvironment got.
 type Manager struct {
 	address  string
 	watchdog time.Duration
@@ -39,9 +39,9 @@
 	told bool
 }
 
-// Adopt reads the manager's variables and unsets them. bad, which may be nil, is called the first time that the manager
+// FromEnvironment reads the manager's variables and unsets them. bad, which may be nil, is called the first time that the manager
 // cannot be told something.
-func Adopt(bad func(error)) (*Manager, error) {
+func FromEnvironment(bad func(error)) (*Manager, error) {
 	address := os.Getenv(notifyVariable)
 	beat, err := daemon.SdWatchdogEnabled(true)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return &Manager{address: address, watchdog: beat, bad: bad}, err
 }
 
-// Tell sends assignments, such as READY=1, as one datagram.
-func (m *Manager) Tell(assignments ...string) {
+// Notify sends assignments, such as READY=1, as one datagram.
+func (m *Manager) Notify(assignments ...string) {
 	if m == nil {
 		return
 	}
@@ -101,26 +101,26 @@
 }
 
 // Ready tells that the start, or what Reloading began, is over.
-func (m *Manager) Ready(text string) { m.Tell(daemon.SdNotifyReady, status(text)) }
+func (m *Manager) Ready(text string) { m.Notify(daemon.SdNotifyReady, status(text)) }
 
 // Reloading tells that the configuration is read again, or another process is about to take over.
 func (m *Manager) Reloading(text string) {
-	m.Tell(daemon.SdNotifyReloading, strings.TrimSpace(daemon.SdNotifyMonotonicUsec()), status(text))
+	m.Notify(daemon.SdNotifyReloading, strings.TrimSpace(daemon.SdNotifyMonotonicUsec()), status(text))
 }
 
 // Stopping tells that the end has begun.
-func (m *Manager) Stopping(text string) { m.Tell(daemon.SdNotifyStopping, status(text)) }
+func (m *Manager) Stopping(text string) { m.Notify(daemon.SdNotifyStopping, status(text)) }
 
 // Status sets the line for people.
-func (m *Manager) Status(text string) { m.Tell(status(text)) }
+func (m *Manager) Status(text string) { m.Notify(status(text)) }
 
-// Alive feeds the watchdog.
-func (m *Manager) Alive() { m.Tell(daemon.SdNotifyWatchdog) }
+// KeepAlive feeds the watchdog.
+func (m *Manager) KeepAlive() { m.Notify(daemon.SdNotifyWatchdog) }
 
 // MainPID tells which process is the service from now on.
-func (m *Manager) MainPID(pid int) { m.Tell("MAINPID=" + strconv.Itoa(pid)) }
+func (m *Manager) MainPID(pid int) { m.Notify("MAINPID=" + strconv.Itoa(pid)) }
 
-// Watchdog is the time, in milliseconds, in which the manager wants to hear Alive; 0 = it does not.
+// Watchdog is the time, in milliseconds, in which the manager wants to hear KeepAlive; 0 = it does not.
 func (m *Manager) Watchdog() float64 {
 	if m == nil {
 		return 0
@@ -169,9 +169,9 @@
 	return list, errors.Join(errs...)
 }
 
-// Pick takes the listener for an address out of those handed in: the one with that address or, where there is none, the
+// SelectListener takes the listener for an address out of those handed in: the one with that address or, where there is none, the
 // only one of the name. The rest is what nobody asked for.
-func Pick(list []Listener, name, address string) (l net.Listener, rest []Listener) {
+func SelectListener(list []Listener, name, address string) (l net.Listener, rest []Listener) {
 	at, named := -1, 0
 	for i := range list {
 		if list[i].Addr().String() == address {
--- a/internal/node/systemd/service_test.go
+++ b/internal/node/systemd/service_test.go
@@ -30,13 +30,13 @@
 
 // Guards against variables that a child inherits, a message in a form that the manager does not read, and one that ends
 // a line of its own.
-func TestTell(t *testing.T) {
+func TestNotify(t *testing.T) {
 	for _, name := range []string{filepath.Join(t.TempDir(), "n"), fmt.Sprintf("@linenwheel-test-%d", os.Getpid())} {
 		address, next := manager(t, name)
 		t.Setenv("NOTIFY_SOCKET", address)
 		t.Setenv("WATCHDOG_USEC", "3000000")
 		t.Setenv("WATCHDOG_PID", fmt.Sprint(os.Getpid()))
-		m, err := Adopt(func(err error) { t.Error(err) })
+		m, err := FromEnvironment(func(err error) { t.Error(err) })
 		require.NoError(t, err)
 		for _, name := range []string{"NOTIFY_SOCKET", "WATCHDOG_USEC", "WATCHDOG_PID"} {
 			_, set := os.LookupEnv(name)
@@ -50,29 +50,29 @@
 		assert.Equal(t, "MAINPID=7", next())
 		assert.Equal(t, []string{"NOTIFY_SOCKET=" + address, "WATCHDOG_USEC=3000000"}, m.Environ())
 	}
-	none, err := Adopt(nil)
+	none, err := FromEnvironment(nil)
 	assert.NoError(t, err)
 	none.Ready("") // without a manager nothing happens
 	assert.Zero(t, none.Watchdog())
 	t.Setenv("NOTIFY_SOCKET", "vsock:2:1")
 	t.Setenv("WATCHDOG_USEC", "soon")
-	_, err = Adopt(nil)
+	_, err = FromEnvironment(nil)
 	assert.ErrorContains(t, err, "WATCHDOG_USEC")
 	assert.ErrorContains(t, err, "vsock")
 }
 
 // Guards against a node that is reported well while a part of it is stuck, one that is reported stuck without the name
 // of that part, and a stall of the whole machine after which the beats do not go on at once.
-func TestHeart(t *testing.T) {
+func TestWatchdogLoop(t *testing.T) {
 	address, next := manager(t, filepath.Join(t.TempDir(), "n"))
 	t.Setenv("NOTIFY_SOCKET", address)
 	t.Setenv("WATCHDOG_USEC", "4000000")
-	m, err := Adopt(nil)
+	m, err := FromEnvironment(nil)
 	require.NoError(t, err)
 	c := clock.NewManual(1e12)
 	pass, passed := make(chan struct{}), make(chan string, 9)
-	h := Heart{Manager: m, Clock: c, Late: func(name string, ms float64) { passed <- fmt.Sprint(name, ms) },
-		Stations: []Station{
+	h := WatchdogLoop{Manager: m, Clock: c, OnLate: func(name string, ms float64) { passed <- fmt.Sprint(name, ms) },
+		Checks: []Check{
 			{"poller", func(context.Context) { passed <- "poller" }},
 			{"timers", func(ctx context.Context) {
 				select {
@@ -104,7 +104,7 @@
 
 // Guards against a socket of the manager that is taken for another one: the address goes before the name, and a name that
 // two have is none. That sockets arrive at all is tested with a real process, beside the command.
-func TestPick(t *testing.T) {
+func TestSelectListener(t *testing.T) {
 	var list []Listener
 	for _, name := range []string{"north", "other", "north"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,7 +113,7 @@
 		list = append(list, Listener{name, l})
 	}
 	chosen := func(list []Listener, address string) net.Listener {
-		l, rest := Pick(list, "north", address)
+		l, rest := SelectListener(list, "north", address)
 		assert.Equal(t, l == nil, len(rest) == len(list))
 		return l
 	}
--- a/internal/node/systemd/heart.go
+++ b/internal/node/systemd/watchdog.go
@@ -11,29 +11,29 @@
 // Serving is the status line of a node that does what it should.
 const Serving = "serving"
 
-// Station is a part of the node that a beat passes through. Pass returns once that part has handled the beat in its own
+// Check is a part of the node that a beat passes through. Run returns once that part has handled the beat in its own
 // loop, or when ctx ends; one that is stuck does not return.
-type Station struct {
+type Check struct {
 	Name string
-	Pass func(ctx context.Context)
+	Run  func(ctx context.Context)
 }
 
-// Heart sends beats through all that has to work for a request to be served, one after the other, and tells the manager
+// WatchdogLoop sends beats through all that has to work for a request to be served, one after the other, and tells the manager
 // of each that came through. A part that is stuck holds its beat back, so that the manager's time limit ends the node;
 // a machine that stalls and goes on holds it back no longer than the stall.
-type Heart struct {
-	Manager  *Manager
-	Clock    clock.Clock
-	Stations []Station
-	Late     func(station string, ms float64) // called once for a beat that is late, may be nil,
-	Well     func()                           // and when it has come through after all
+type WatchdogLoop struct {
+	Manager     *Manager
+	Clock       clock.Clock
+	Checks      []Check
+	OnLate      func(station string, ms float64) // called once for a beat that is late, may be nil,
+	OnRecovered func()                           // and when it has come through after all
 }
 
 // beatsEach is how many beats there are in the time that the manager gives: three may be late.
 const beatsEach = 4
 
 // Run beats until ctx ends. Without a watchdog it returns at once.
-func (h *Heart) Run(ctx context.Context) {
+func (h *WatchdogLoop) Run(ctx context.Context) {
 	limit := h.Manager.Watchdog()
 	if limit <= 0 {
 		return
@@ -51,7 +51,7 @@
 }
 
 // beat sends one beat round.
-func (h *Heart) beat(ctx context.Context, limit float64) {
+func (h *WatchdogLoop) beat(ctx context.Context, limit float64) {
 	began := h.Clock.Now()
 	var mu sync.Mutex
 	at, late := "", false
@@ -61,26 +61,26 @@
 		late = true
 		mu.Unlock()
 		h.Manager.Status(fmt.Sprintf("stuck: %s has not answered for %.0f ms", name, limit/2))
-		if h.Late != nil {
-			h.Late(name, limit/2)
+		if h.OnLate != nil {
+			h.OnLate(name, limit/2)
 		}
 	})
 	defer stop()
-	for _, s := range h.Stations {
+	for _, s := range h.Checks {
 		mu.Lock()
 		at = s.Name
 		mu.Unlock()
-		if s.Pass(ctx); ctx.Err() != nil {
+		if s.Run(ctx); ctx.Err() != nil {
 			return
 		}
 	}
-	h.Manager.Alive()
+	h.Manager.KeepAlive()
 	mu.Lock()
 	defer mu.Unlock()
 	if late {
 		h.Manager.Status(Serving)
-		if h.Well != nil {
-			h.Well()
+		if h.OnRecovered != nil {
+			h.OnRecovered()
 		}
 	}
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -109,14 +109,14 @@
 
 // Stations are the loops that have to work for a request to be served, for a watchdog: the poller that reads all
 // sockets, the timers and the module behind the pilot's lock, and the locks of the front and the core.
-func (n *Node) Stations() ([]systemd.Station, error) {
+func (n *Node) Stations() ([]systemd.Check, error) {
 	pulse, err := n.loop.Pulse()
 	if err != nil {
 		return nil, err
 	}
-	return []systemd.Station{{Name: "the poller", Pass: pulse.Beat}, {Name: "the timers", Pass: n.beat},
-		{Name: "the front", Pass: func(context.Context) { n.north.Connections() }},
-		{Name: "the core", Pass: func(context.Context) { n.unanswered() }}}, nil
+	return []systemd.Check{{Name: "the poller", Run: pulse.Beat}, {Name: "the timers", Run: n.beat},
+		{Name: "the front", Run: func(context.Context) { n.north.Connections() }},
+		{Name: "the core", Run: func(context.Context) { n.unanswered() }}}, nil
 }
 
 // beat returns once the timers' goroutine has been through the pilot.
