--- a/internal/node/systemd/service.go
+++ b/internal/node/systemd/service.go
@@ -1,8 +1,8 @@
-// Package systemd speaks the protocols of the host's service manager: notification, listeners by descriptor, watchdog.
-// Without the manager's variables it does nothing.
+// Package systemd implements the protocols of the host's service manager: notifications, socket activation and the
+// watchdog. Without the manager's environment variables it does nothing.
 //
-// FromEnvironment reads the variables once and takes them out of the environment, so that a child that the node starts neither
-// speaks in its name nor takes its listeners.
+// FromEnvironment and Listeners read the variables once and remove them from the environment, so that a child process of
+// the node neither sends notifications in its name nor adopts its listeners.
 package systemd
 
 import (
@@ -23,27 +23,27 @@
 const (
 	notifyVariable   = "NOTIFY_SOCKET"
 	watchdogVariable = "WATCHDOG_USEC"
-	sendLimit        = 100 * time.Millisecond // a manager that does not read must not hold the node
-	mostStatus       = 512                    // bytes of a status line
+	sendLimit        = 100 * time.Millisecond // a manager that does not read must not block the node
+	maxStatusBytes   = 512
 )
 
-// Manager is the connection to the service manager. A nil one does nothing. All methods may be called from any
-// goroutine; errors are told once, to the function that FromEnvironment got.
+// Manager is the connection to the service manager. A nil Manager does nothing. All methods may be called from any
+// goroutine. The first error of a sequence of failures is reported to the callback that FromEnvironment received.
 type Manager struct {
 	address  string
 	watchdog time.Duration
-	bad      func(error)
+	onError  func(error)
 
-	mu   sync.Mutex
-	conn *net.UnixConn
-	told bool
+	mu      sync.Mutex
+	conn    *net.UnixConn
+	failing bool // the last notification failed
 }
 
-// FromEnvironment reads the manager's variables and unsets them. bad, which may be nil, is called the first time that the manager
-// cannot be told something.
-func FromEnvironment(bad func(error)) (*Manager, error) {
+// FromEnvironment reads the manager's environment variables, unsets them, and returns the Manager, nil if there is none.
+// onError, which may be nil, is called when a notification fails, but not again until one has succeeded.
+func FromEnvironment(onError func(error)) (*Manager, error) {
 	address := os.Getenv(notifyVariable)
-	beat, err := daemon.SdWatchdogEnabled(true)
+	timeout, err := daemon.SdWatchdogEnabled(true)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", watchdogVariable, err)
 	}
@@ -54,21 +54,21 @@
 	if address[0] != '/' && address[0] != '@' {
 		return nil, errors.Join(err, fmt.Errorf("%s: %q is neither a path nor an abstract name", notifyVariable, address))
 	}
-	return &Manager{address: address, watchdog: beat, bad: bad}, err
+	return &Manager{address: address, watchdog: timeout, onError: onError}, err
 }
 
-// Notify sends assignments, such as READY=1, as one datagram.
+// Notify sends assignments, such as READY=1, in one datagram.
 func (m *Manager) Notify(assignments ...string) {
 	if m == nil {
 		return
 	}
 	m.mu.Lock()
 	err := m.send(strings.Join(assignments, "\n"))
-	first := err != nil && !m.told
-	m.told = err != nil
+	first := err != nil && !m.failing
+	m.failing = err != nil
 	m.mu.Unlock()
-	if first && m.bad != nil {
-		m.bad(err)
+	if first && m.onError != nil {
+		m.onError(err)
 	}
 }
 
@@ -76,20 +76,20 @@
 	if m.conn == nil {
 		conn, err := net.DialUnix("unixgram", nil, &net.UnixAddr{Net: "unixgram", Name: m.address})
 		if err != nil {
-			return fmt.Errorf("telling the service manager: %w", err)
+			return fmt.Errorf("notifying the service manager: %w", err)
 		}
 		m.conn = conn
 	}
 	_ = m.conn.SetWriteDeadline(time.Now().Add(sendLimit))
 	if _, err := m.conn.Write([]byte(text)); err != nil {
 		_ = m.conn.Close()
-		m.conn = nil // it may have been restarted
-		return fmt.Errorf("telling the service manager: %w", err)
+		m.conn = nil // the manager may have been restarted: reconnect next time
+		return fmt.Errorf("notifying the service manager: %w", err)
 	}
 	return nil
 }
 
-// status makes an assignment of a line for people.
+// status returns the assignment of a status line, without control characters and at most maxStatusBytes long.
 func status(text string) string {
 	text = strings.Map(func(r rune) rune {
 		if r < ' ' {
@@ -97,30 +97,31 @@
 		}
 		return r
 	}, text)
-	return "STATUS=" + text[:min(len(text), mostStatus)]
+	return "STATUS=" + text[:min(len(text), maxStatusBytes)]
 }
 
-// Ready tells that the start, or what Reloading began, is over.
+// Ready notifies the manager that the start, or what Reloading announced, is complete.
 func (m *Manager) Ready(text string) { m.Notify(daemon.SdNotifyReady, status(text)) }
 
-// Reloading tells that the configuration is read again, or another process is about to take over.
+// Reloading notifies the manager that the configuration is being reloaded, or another process is about to take over.
 func (m *Manager) Reloading(text string) {
 	m.Notify(daemon.SdNotifyReloading, strings.TrimSpace(daemon.SdNotifyMonotonicUsec()), status(text))
 }
 
-// Stopping tells that the end has begun.
+// Stopping notifies the manager that the shutdown has begun.
 func (m *Manager) Stopping(text string) { m.Notify(daemon.SdNotifyStopping, status(text)) }
 
-// Status sets the line for people.
+// Status sets the status line that the manager shows to operators.
 func (m *Manager) Status(text string) { m.Notify(status(text)) }
 
-// KeepAlive feeds the watchdog.
+// KeepAlive resets the watchdog timeout of the manager.
 func (m *Manager) KeepAlive() { m.Notify(daemon.SdNotifyWatchdog) }
 
-// MainPID tells which process is the service from now on.
+// MainPID notifies the manager which process is the main process of the service from now on.
 func (m *Manager) MainPID(pid int) { m.Notify("MAINPID=" + strconv.Itoa(pid)) }
 
-// Watchdog is the time, in milliseconds, in which the manager wants to hear KeepAlive; 0 = it does not.
+// Watchdog returns the manager's watchdog timeout in milliseconds: the maximum time between two calls of KeepAlive;
+// 0 = no watchdog.
 func (m *Manager) Watchdog() float64 {
 	if m == nil {
 		return 0
@@ -128,7 +129,7 @@
 	return float64(m.watchdog) / 1e6
 }
 
-// Environ are the variables with which a process that is to take over can speak to the same manager.
+// Environ returns the environment variables with which a process that takes over reaches the same manager.
 func (m *Manager) Environ() []string {
 	if m == nil {
 		return nil
@@ -140,14 +141,14 @@
 	return list
 }
 
-// Listener is a socket that was handed in.
+// Listener is a listening socket that the manager passed to this process.
 type Listener struct {
-	Name string // as the manager calls it, empty if it does not say
+	Name string // its name in the manager, empty if the manager sets none
 	net.Listener
 }
 
-// Listeners takes the listening sockets that the manager handed to this process, in its order, and unsets their
-// variables. One that is no listening stream socket is an error that names it.
+// Listeners returns the listening sockets that the manager passed to this process, in its order, and unsets their
+// variables. The error names each descriptor that is not a listening stream socket.
 func Listeners() ([]Listener, error) {
 	files := activation.Files(true)
 	var list []Listener
@@ -169,27 +170,27 @@
 	return list, errors.Join(errs...)
 }
 
-// SelectListener takes the listener for an address out of those handed in: the one with that address or, where there is none, the
-// only one of the name. The rest is what nobody asked for.
+// SelectListener returns the listener for an address: the one that has this address or, if there is none, the only one
+// that has the name; nil if neither exists. rest holds the other listeners.
 func SelectListener(list []Listener, name, address string) (l net.Listener, rest []Listener) {
-	at, named := -1, 0
+	index, named := -1, 0
 	for i := range list {
 		if list[i].Addr().String() == address {
-			at = i
+			index = i
 			break
 		}
 		if list[i].Name == name {
 			named++
-			at = i
+			index = i
 		}
 	}
-	if at < 0 || named > 1 && list[at].Addr().String() != address {
+	if index < 0 || named > 1 && list[index].Addr().String() != address {
 		return nil, list
 	}
 	for i := range list {
-		if i != at {
+		if i != index {
 			rest = append(rest, list[i])
 		}
 	}
-	return list[at].Listener, rest
+	return list[index].Listener, rest
 }
--- a/internal/node/systemd/service_test.go
+++ b/internal/node/systemd/service_test.go
@@ -15,7 +15,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// manager is a stand-in for the service manager; it gives the next datagram that it was sent.
+// manager is a fake service manager. next returns the next datagram that it receives.
 func manager(t *testing.T, name string) (address string, next func() string) {
 	l, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Net: "unixgram", Name: name})
 	require.NoError(t, err)
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against variables that a child inherits, a message in a form that the manager does not read, and one that ends
-// a line of its own.
+// Guards against variables that a child process inherits, a notification in a format that the manager does not parse, and
+// a line break in a status text that injects another assignment.
 func TestNotify(t *testing.T) {
 	for _, name := range []string{filepath.Join(t.TempDir(), "n"), fmt.Sprintf("@linenwheel-test-%d", os.Getpid())} {
 		address, next := manager(t, name)
@@ -61,8 +61,8 @@
 	assert.ErrorContains(t, err, "vsock")
 }
 
-// Guards against a node that is reported well while a part of it is stuck, one that is reported stuck without the name
-// of that part, and a stall of the whole machine after which the beats do not go on at once.
+// Guards against a node that is reported healthy while a part of it is stuck, a report without the name of the stuck
+// part, and notifications that do not resume at once after a stall of the whole machine.
 func TestWatchdogLoop(t *testing.T) {
 	address, next := manager(t, filepath.Join(t.TempDir(), "n"))
 	t.Setenv("NOTIFY_SOCKET", address)
@@ -71,7 +71,7 @@
 	require.NoError(t, err)
 	c := clock.NewManual(1e12)
 	pass, passed := make(chan struct{}), make(chan string, 9)
-	h := WatchdogLoop{Manager: m, Clock: c, OnLate: func(name string, ms float64) { passed <- fmt.Sprint(name, ms) },
+	w := WatchdogLoop{Manager: m, Clock: c, OnLate: func(name string, ms float64) { passed <- fmt.Sprint(name, ms) },
 		Checks: []Check{
 			{"poller", func(context.Context) { passed <- "poller" }},
 			{"timers", func(ctx context.Context) {
@@ -83,16 +83,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := make(chan struct{})
-	go func() { h.Run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	assert.Equal(t, "poller", <-passed)
 	pass <- struct{}{}
 	assert.Equal(t, "WATCHDOG=1", next())
-	for c.Next() != 1e12+1000 { // until the pause has begun
+	for c.Next() != 1e12+1000 { // until the pause between two rounds has begun
 		runtime.Gosched()
 	}
-	c.Advance(1000) // the next beat sticks at the timers
+	c.Advance(1000) // the next round is stuck at the timers
 	assert.Equal(t, "poller", <-passed)
-	c.Advance(60000) // and the machine stalls
+	c.Advance(60000) // the machine stalls
 	assert.Equal(t, "timers2000", <-passed)
 	assert.Equal(t, "STATUS=stuck: timers has not answered for 2000 ms", next())
 	pass <- struct{}{}
@@ -102,8 +102,9 @@
 	<-ended
 }
 
-// Guards against a socket of the manager that is taken for another one: the address goes before the name, and a name that
-// two have is none. That sockets arrive at all is tested with a real process, beside the command.
+// Guards against a socket of the manager that is confused with another one: the address takes precedence over the name,
+// and a name that two sockets have selects neither. A test with a real process, beside the command, covers that sockets
+// arrive at all.
 func TestSelectListener(t *testing.T) {
 	var list []Listener
 	for _, name := range []string{"north", "other", "north"} {
@@ -112,12 +113,12 @@
 		defer l.Close()
 		list = append(list, Listener{name, l})
 	}
-	chosen := func(list []Listener, address string) net.Listener {
+	selected := func(list []Listener, address string) net.Listener {
 		l, rest := SelectListener(list, "north", address)
 		assert.Equal(t, l == nil, len(rest) == len(list))
 		return l
 	}
-	assert.Equal(t, list[1].Listener, chosen(list, list[1].Addr().String()))
-	assert.Nil(t, chosen(list, "127.0.0.1:1"))
-	assert.Equal(t, list[0].Listener, chosen(list[:2], "127.0.0.1:1"))
+	assert.Equal(t, list[1].Listener, selected(list, list[1].Addr().String()))
+	assert.Nil(t, selected(list, "127.0.0.1:1"))
+	assert.Equal(t, list[0].Listener, selected(list[:2], "127.0.0.1:1"))
 }
--- a/internal/node/systemd/watchdog.go
+++ b/internal/node/systemd/watchdog.go
@@ -8,40 +8,40 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// Serving is the status line of a node that does what it should.
+// Serving is the status line of a node that serves normally.
 const Serving = "serving"
 
-// Check is a part of the node that a beat passes through. Run returns once that part has handled the beat in its own
-// loop, or when ctx ends; one that is stuck does not return.
+// Check is a health check of one part of the node. Run returns once that part has processed the check in its own loop, or
+// when ctx ends; it does not return while the part is stuck.
 type Check struct {
 	Name string
 	Run  func(ctx context.Context)
 }
 
-// WatchdogLoop sends beats through all that has to work for a request to be served, one after the other, and tells the manager
-// of each that came through. A part that is stuck holds its beat back, so that the manager's time limit ends the node;
-// a machine that stalls and goes on holds it back no longer than the stall.
+// WatchdogLoop runs the checks of everything that a request needs, one after the other, and sends a watchdog notification
+// to the service manager after each round that succeeds. A part that is stuck blocks its round, so that the manager's
+// timeout ends the node; a machine that stalls and recovers delays a round no longer than the stall.
 type WatchdogLoop struct {
 	Manager     *Manager
 	Clock       clock.Clock
 	Checks      []Check
-	OnLate      func(station string, ms float64) // called once for a beat that is late, may be nil,
-	OnRecovered func()                           // and when it has come through after all
+	OnLate      func(check string, ms float64) // called once for a round that is late; may be nil
+	OnRecovered func()                         // called when that round has succeeded after all; may be nil
 }
 
-// beatsEach is how many beats there are in the time that the manager gives: three may be late.
-const beatsEach = 4
+// roundsPerTimeout is the number of rounds in one watchdog timeout of the manager: three of them may be missed.
+const roundsPerTimeout = 4
 
-// Run beats until ctx ends. Without a watchdog it returns at once.
-func (h *WatchdogLoop) Run(ctx context.Context) {
-	limit := h.Manager.Watchdog()
+// Run runs the rounds until ctx ends. It returns at once if the manager has no watchdog timeout for this process.
+func (w *WatchdogLoop) Run(ctx context.Context) {
+	limit := w.Manager.Watchdog()
 	if limit <= 0 {
 		return
 	}
 	for ctx.Err() == nil {
-		h.beat(ctx, limit)
+		w.round(ctx, limit)
 		over := make(chan struct{})
-		stop := h.Clock.At(h.Clock.Now()+limit/beatsEach, func() { close(over) })
+		stop := w.Clock.At(w.Clock.Now()+limit/roundsPerTimeout, func() { close(over) })
 		select {
 		case <-over:
 		case <-ctx.Done():
@@ -50,37 +50,37 @@
 	}
 }
 
-// beat sends one beat round.
-func (h *WatchdogLoop) beat(ctx context.Context, limit float64) {
-	began := h.Clock.Now()
+// round runs all checks once. Halfway through the timeout it reports the check that has not returned.
+func (w *WatchdogLoop) round(ctx context.Context, limit float64) {
+	began := w.Clock.Now()
 	var mu sync.Mutex
-	at, late := "", false
-	stop := h.Clock.At(began+limit/2, func() {
+	current, late := "", false
+	stop := w.Clock.At(began+limit/2, func() {
 		mu.Lock()
-		name := at
+		name := current
 		late = true
 		mu.Unlock()
-		h.Manager.Status(fmt.Sprintf("stuck: %s has not answered for %.0f ms", name, limit/2))
-		if h.OnLate != nil {
-			h.OnLate(name, limit/2)
+		w.Manager.Status(fmt.Sprintf("stuck: %s has not answered for %.0f ms", name, limit/2))
+		if w.OnLate != nil {
+			w.OnLate(name, limit/2)
 		}
 	})
 	defer stop()
-	for _, s := range h.Checks {
+	for _, s := range w.Checks {
 		mu.Lock()
-		at = s.Name
+		current = s.Name
 		mu.Unlock()
 		if s.Run(ctx); ctx.Err() != nil {
 			return
 		}
 	}
-	h.Manager.KeepAlive()
+	w.Manager.KeepAlive()
 	mu.Lock()
 	defer mu.Unlock()
 	if late {
-		h.Manager.Status(Serving)
-		if h.OnRecovered != nil {
-			h.OnRecovered()
+		w.Manager.Status(Serving)
+		if w.OnRecovered != nil {
+			w.OnRecovered()
 		}
 	}
 }
