--- a/internal/node/core/answer.go
+++ b/internal/node/core/answer.go
@@ -19,7 +19,7 @@
 
 // metricsKind returns the corresponding kind in the metrics.
 func (k Kind) metricsKind() metrics.Kind {
-	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, ClientLeft: metrics.Left}[k]
+	return [...]metrics.Kind{Served: metrics.Served, Refused: metrics.Refused, Failed: metrics.Failed, ClientLeft: metrics.ClientLeft}[k]
 }
 
 // Fault tells a server how to express a rejection or a failure in its protocol.
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -45,7 +45,7 @@
 	Gate     Gate // nil = every call is admitted
 	Stages   Stages
 	// Metrics counts calls by class; nil = no metrics.
-	Metrics *metrics.Set
+	Metrics *metrics.Counters
 }
 
 // The reasons of answers that this package makes itself.
@@ -131,9 +131,9 @@
 		c.count(rejection)
 	}
 	c.mu.Unlock()
-	c.settings.Metrics.Taken()
+	c.settings.Metrics.CallStarted()
 	if !admitted {
-		c.settings.Metrics.Ended(call.Class, rejection.Kind.metricsKind())
+		c.settings.Metrics.CallEnded(call.Class, rejection.Kind.metricsKind())
 	}
 	if limitReached {
 		c.log.Warn("limit on open calls reached; further calls are rejected as busy", "calls", maxCalls)
@@ -175,7 +175,7 @@
 	delete(c.openCalls, call.ID) // before the answer is sent: the client may reuse the id right after it
 	c.count(answer)
 	c.mu.Unlock()
-	c.settings.Metrics.Ended(call.Class, answer.Kind.metricsKind())
+	c.settings.Metrics.CallEnded(call.Class, answer.Kind.metricsKind())
 	if c.settings.Gate != nil {
 		c.settings.Gate.Completed(call.Class, call.admittedAt, timed, call.SoleOnConnection)
 	}
--- a/internal/node/metrics/figures.go
+++ b/internal/node/metrics/metrics.go
@@ -24,12 +24,12 @@
 	Served Kind = iota
 	Refused
 	Failed
-	Left
+	ClientLeft
 	kinds
 )
 
-// Set is a node's counters. All of its methods may be called from any goroutine; a nil one counts nothing.
-type Set struct {
+// Counters is a node's counters. All of its methods may be called from any goroutine; a nil one counts nothing.
+type Counters struct {
 	classes  []string
 	ended    [][kinds]atomic.Uint64 // by class
 	taken    atomic.Uint64
@@ -40,59 +40,59 @@
 }
 
 // New makes the counters of a node with these classes; each of them is told of, also one that had nothing yet.
-func New(classes []string) *Set {
-	return &Set{classes: classes, ended: make([][kinds]atomic.Uint64, len(classes))}
+func New(classes []string) *Counters {
+	return &Counters{classes: classes, ended: make([][kinds]atomic.Uint64, len(classes))}
 }
 
-// Taken counts a call in.
-func (s *Set) Taken() {
+// CallStarted counts a call in.
+func (s *Counters) CallStarted() {
 	if s != nil {
 		s.taken.Add(1)
 		s.inFlight.Add(1)
 	}
 }
 
-// Ended counts a call out that was counted in.
-func (s *Set) Ended(class int, kind Kind) {
+// CallEnded counts a call out that was counted in.
+func (s *Counters) CallEnded(class int, kind Kind) {
 	if s != nil {
 		s.ended[class][kind].Add(1)
 		s.inFlight.Add(-1)
 	}
 }
 
-// Attempt counts a relay whose last byte has gone out.
-func (s *Set) Attempt() {
+// AttemptSent counts a relay whose last byte has gone out.
+func (s *Counters) AttemptSent() {
 	if s != nil {
 		s.attempts.Add(1)
 	}
 }
 
-// Raters sets how many are listed, and how many of them the node avoids.
-func (s *Set) Raters(known, excluded int) {
+// SetBackends sets how many are listed, and how many of them the node avoids.
+func (s *Counters) SetBackends(known, excluded int) {
 	s.known.Store(int64(known))
 	s.excluded.Store(int64(excluded))
 }
 
-// View is the counters at a moment.
-type View struct {
-	Served   map[string]uint64 `json:"served"`
-	Refused  map[string]uint64 `json:"refused"`
-	Failed   map[string]uint64 `json:"failed"`
-	Left     map[string]uint64 `json:"left"`
-	Taken    uint64            `json:"taken"`
-	Attempts uint64            `json:"attempts"`
-	InFlight int64             `json:"in_flight"`
-	Known    int64             `json:"raters_known"`
-	Excluded int64             `json:"raters_excluded"`
+// Snapshot is the counters at a moment.
+type Snapshot struct {
+	Served           map[string]uint64 `json:"served"`
+	Refused          map[string]uint64 `json:"refused"`
+	Failed           map[string]uint64 `json:"failed"`
+	ClientLeft       map[string]uint64 `json:"left"`
+	Taken            uint64            `json:"taken"`
+	Attempts         uint64            `json:"attempts"`
+	InFlight         int64             `json:"in_flight"`
+	BackendsKnown    int64             `json:"raters_known"`
+	BackendsExcluded int64             `json:"raters_excluded"`
 }
 
-// View reads the counters. While calls come and go each of them is true, but they are not of one moment.
-func (s *Set) View() View {
-	v := View{Served: map[string]uint64{}, Refused: map[string]uint64{}, Failed: map[string]uint64{}, Left: map[string]uint64{},
-		Taken: s.taken.Load(), Attempts: s.attempts.Load(), InFlight: s.inFlight.Load(), Known: s.known.Load(),
-		Excluded: s.excluded.Load()}
+// Snapshot reads the counters. While calls come and go each of them is true, but they are not of one moment.
+func (s *Counters) Snapshot() Snapshot {
+	v := Snapshot{Served: map[string]uint64{}, Refused: map[string]uint64{}, Failed: map[string]uint64{}, ClientLeft: map[string]uint64{},
+		Taken: s.taken.Load(), Attempts: s.attempts.Load(), InFlight: s.inFlight.Load(), BackendsKnown: s.known.Load(),
+		BackendsExcluded: s.excluded.Load()}
 	for i, class := range s.classes {
-		for kind, m := range map[Kind]map[string]uint64{Served: v.Served, Refused: v.Refused, Failed: v.Failed, Left: v.Left} {
+		for kind, m := range map[Kind]map[string]uint64{Served: v.Served, Refused: v.Refused, Failed: v.Failed, ClientLeft: v.ClientLeft} {
 			m[class] = s.ended[i][kind].Load()
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 // String is one line for the log.
-func (v View) String() string {
+func (v Snapshot) String() string {
 	sum := func(m map[string]uint64) (n uint64) {
 		for _, one := range m {
 			n += one
@@ -111,7 +111,7 @@
 	for _, f := range []struct {
 		name  string
 		count uint64
-	}{{"taken", v.Taken}, {"served", sum(v.Served)}, {"refused", sum(v.Refused)}, {"failed", sum(v.Failed)}, {"left", sum(v.Left)},
+	}{{"taken", v.Taken}, {"served", sum(v.Served)}, {"refused", sum(v.Refused)}, {"failed", sum(v.Failed)}, {"left", sum(v.ClientLeft)},
 		{"attempts", v.Attempts}} {
 		line += f.name + "=" + strconv.FormatUint(f.count, 10) + " "
 	}
--- a/node/door.go
+++ b/node/door.go
@@ -191,7 +191,7 @@
 	if n.thrift != nil && n.thrift.pilot != n.pilot {
 		count(n.thrift.pilot)
 	}
-	n.figures.Raters(n.orders.book.Listed(), excluded)
+	n.figures.SetBackends(n.orders.book.Listed(), excluded)
 }
 
 // operators is the node as its door sees it.
@@ -208,7 +208,7 @@
 }
 
 // Metrics gives the figures.
-func (o operators) Metrics() ([]byte, error) { return json.Marshal(o.n.figures.View()) }
+func (o operators) Metrics() ([]byte, error) { return json.Marshal(o.n.figures.Snapshot()) }
 
 // Knowledge gives what a node that starts anew may have.
 func (o operators) Knowledge() ([]byte, error) { return o.n.lesson() }
--- a/node/node.go
+++ b/node/node.go
@@ -155,7 +155,7 @@
 	own   Options          // of this machine, without the fleet's policy; under reload
 	doc   rollout.Document // the fleet's policy, Number 0 = none; under reload
 
-	figures *metrics.Set
+	figures *metrics.Counters
 	budget  *bodypipe.Budget // of bodies
 	door    *admin.Door      // nil = operators have none
 	orders  orders
@@ -223,7 +223,7 @@
 	}()
 	n.pool = connpool.New(connpool.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
-		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.Attempt, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
+		Settle: o.South.Settle.Ms, ToOne: n.toOne(o.Fleet.RaterConnections, n.fleet), Limits: southLimits(conf, &o), Sent: n.figures.AttemptSent, Budget: n.budget}, n.clock, n.loop, sparse.With("part", "south"))
 	n.gate = driver.New(worthFor(conf), drainTimes(&o), c)
 	stages, first, err := n.stages(&extra, &o, sparse)
 	if err != nil {
