--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -1,14 +1,16 @@
-// Package metrics counts what a node does, for whoever asks: one set of counters for the door, the status and the log. They
-// are written where the event is, on a call's way, and read without a lock, so that no reader ever holds up a call.
+// Package metrics counts the calls of a node: one set of counters for the metrics endpoint, the status and the log. The
+// counters are updated on the request path and read without a lock, so that no reader ever blocks a call.
 //
-// Where each event is counted:
+// When each event is counted:
 //
-//   - taken: the core lets a call in, or answers at once that it does not;
-//   - served, refused, failed: its one final answer; an answer that flows counts with its last byte, as what it came to;
-//   - left: its client went away first;
-//   - attempts: the last byte of a relay has gone to the socket.
+//   - taken: the core admits a call, or rejects it at once;
+//   - served, refused, failed: the one final answer of a call; a streamed answer counts when its last byte is sent, with its
+//     final outcome;
+//   - left: the client disconnected before it was answered;
+//   - attempts: the last byte of a forwarded request was written to the socket.
 //
-// So at any quiet moment taken = served + refused + failed + left + in flight. Bounds: four counters a class and five more.
+// So at any quiet moment taken = served + refused + failed + left + in flight. Memory is bounded: four counters for each
+// class and five more.
 package metrics
 
 import (
@@ -16,10 +18,10 @@
 	"sync/atomic"
 )
 
-// Kind is what became of a call.
+// Kind is the outcome of a call.
 type Kind uint8
 
-// The kinds.
+// The outcomes.
 const (
 	Served Kind = iota
 	Refused
@@ -28,10 +30,11 @@
 	kinds
 )
 
-// Counters is a node's counters. All of its methods may be called from any goroutine; a nil one counts nothing.
+// Counters are the counters of a node. All methods may be called from any goroutine. CallStarted, CallEnded and
+// AttemptSent do nothing on a nil Counters.
 type Counters struct {
 	classes  []string
-	ended    [][kinds]atomic.Uint64 // by class
+	ended    [][kinds]atomic.Uint64 // by class and outcome
 	taken    atomic.Uint64
 	inFlight atomic.Int64
 	attempts atomic.Uint64
@@ -39,12 +42,12 @@
 	excluded atomic.Int64
 }
 
-// New makes the counters of a node with these classes; each of them is told of, also one that had nothing yet.
+// New returns the counters of a node with these classes. A Snapshot lists every class, also one without calls.
 func New(classes []string) *Counters {
 	return &Counters{classes: classes, ended: make([][kinds]atomic.Uint64, len(classes))}
 }
 
-// CallStarted counts a call in.
+// CallStarted counts a call, which is in flight until CallEnded.
 func (s *Counters) CallStarted() {
 	if s != nil {
 		s.taken.Add(1)
@@ -52,7 +55,7 @@
 	}
 }
 
-// CallEnded counts a call out that was counted in.
+// CallEnded counts the outcome of a call that CallStarted has counted.
 func (s *Counters) CallEnded(class int, kind Kind) {
 	if s != nil {
 		s.ended[class][kind].Add(1)
@@ -60,20 +63,20 @@
 	}
 }
 
-// AttemptSent counts a relay whose last byte has gone out.
+// AttemptSent counts a forwarded request whose last byte has been written.
 func (s *Counters) AttemptSent() {
 	if s != nil {
 		s.attempts.Add(1)
 	}
 }
 
-// SetBackends sets how many are listed, and how many of them the node avoids.
+// SetBackends sets the number of backends that are listed, and how many of them are excluded from load balancing.
 func (s *Counters) SetBackends(known, excluded int) {
 	s.known.Store(int64(known))
 	s.excluded.Store(int64(excluded))
 }
 
-// Snapshot is the counters at a moment.
+// Snapshot holds the values of the counters.
 type Snapshot struct {
 	Served           map[string]uint64 `json:"served"`
 	Refused          map[string]uint64 `json:"refused"`
@@ -86,7 +89,8 @@
 	BackendsExcluded int64             `json:"raters_excluded"`
 }
 
-// Snapshot reads the counters. While calls come and go each of them is true, but they are not of one moment.
+// Snapshot returns the values of the counters. While calls start and end, each value is correct by itself, but the values
+// are not of the same moment.
 func (s *Counters) Snapshot() Snapshot {
 	v := Snapshot{Served: map[string]uint64{}, Refused: map[string]uint64{}, Failed: map[string]uint64{}, ClientLeft: map[string]uint64{},
 		Taken: s.taken.Load(), Attempts: s.attempts.Load(), InFlight: s.inFlight.Load(), BackendsKnown: s.known.Load(),
@@ -99,11 +103,11 @@
 	return v
 }
 
-// String is one line for the log.
+// String returns the counters as one line for the log, summed over the classes.
 func (v Snapshot) String() string {
 	sum := func(m map[string]uint64) (n uint64) {
-		for _, one := range m {
-			n += one
+		for _, count := range m {
+			n += count
 		}
 		return n
 	}
