--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -1,6 +1,6 @@
-// Package hotrestart is the protocol by which a new process takes over from a running one, for both sides. It does no
-// input or output and reads no clock: events are passed in with the time in milliseconds, and actions are returned. The
-// state of a side has a fixed size, whatever its peers send.
+// Package hotrestart is the protocol by which a new process takes over from a running one, for both sides. It does
+// no input or output and reads no clock: events are passed in with the time in milliseconds, and actions are
+// returned. The state of a side has a fixed size, whatever its peers send.
 //
 // The new process, the successor, connects to the running one, the predecessor:
 //
@@ -15,14 +15,14 @@
 //	                               (stops accepting, answers its calls in flight)
 //	                 <-            ended
 //
-// A predecessor that is being stopped sends stopping before it releases its exclusive resources, which may take long: the
-// successor then waits for yours without a time limit, because nobody would accept if it aborted.
+// A predecessor that is being stopped sends stopping before it releases its exclusive resources, which may take
+// long: the successor then waits for yours without a time limit, because nobody would accept if it aborted.
 //
-// The predecessor accepts until it has read mine, and the successor accepts before it sends mine, so that at every moment
-// at least one of them accepts, unless all processes that did were killed. Until mine arrives, the predecessor resumes as
-// if nothing had happened when the successor dies, disconnects or exceeds its time limit; withdrawn notifies a successor
-// that is still connected. When the predecessor dies, the successor serves at once: it already holds the listening
-// sockets. A predecessor that is stopped during a takeover grants it at once.
+// The predecessor accepts until it has read mine, and the successor accepts before it sends mine, so that at every
+// moment at least one of them accepts, unless all processes that did were killed. Until mine arrives, the
+// predecessor resumes as if nothing had happened when the successor dies, disconnects or exceeds its time limit;
+// withdrawn notifies a successor that is still connected. When the predecessor dies, the successor serves at once:
+// it already holds the listening sockets. A predecessor that is stopped during a takeover grants it at once.
 package hotrestart
 
 import "math"
@@ -100,7 +100,8 @@
 type Limits struct {
 	Answer  float64 // for a side to respond where no preparation is needed
 	Prepare float64 // for a successor to become ready
-	// Shared says that the successor has the listening sockets in any case: it serves whatever becomes of the takeover.
+	// Shared says that the successor has the listening sockets in any case: it serves whatever becomes of the
+	// takeover.
 	Shared bool
 }
 
--- a/internal/node/hotrestart/takeover_test.go
+++ b/internal/node/hotrestart/takeover_test.go
@@ -10,8 +10,9 @@
 	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of rapid
 )
 
-// simulation has one predecessor and up to three successors, messages between them that arrive late or never, processes
-// that are killed or stopped, and a clock that advances by arbitrary steps. It checks the invariants after every step.
+// simulation has one predecessor and up to three successors, messages between them that arrive late or never,
+// processes that are killed or stopped, and a clock that advances by arbitrary steps. It checks the invariants
+// after every step.
 type simulation struct {
 	t               *rapid.T
 	now             float64
@@ -246,9 +247,10 @@
 	}
 }
 
-// Guards against a moment in which no process accepts although one that could is alive, against two successors that both
-// take over, against a predecessor that serves without its exclusive resources, and against a process that ends with calls
-// in flight, whatever messages are late or lost and whichever process is killed, stopped or slow at any point.
+// Guards against a moment in which no process accepts although one that could is alive, against two successors
+// that both take over, against a predecessor that serves without its exclusive resources, and against a process
+// that ends with calls in flight, whatever messages are late or lost and whichever process is killed, stopped or
+// slow at any point.
 func TestTakeover(t *testing.T) {
 	history := func(t *rapid.T) {
 		p := &simulation{t: t, predecessor: NewPredecessor(Limits{Answer: 1000, Prepare: 60000}), accepts: true, holds: true}
@@ -289,8 +291,8 @@
 	}
 }
 
-// Guards against a successor that ends or waits for ever although it has the listening sockets in any case, whatever it
-// receives from the predecessor, and however late.
+// Guards against a successor that ends or waits for ever although it has the listening sockets in any case,
+// whatever it receives from the predecessor, and however late.
 func TestSuccessorWithSharedSocketsServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, now := NewSuccessor(0, Limits{Answer: 1000, Shared: true}), 0.0
--- a/internal/node/idempotency/decide.go
+++ b/internal/node/idempotency/decide.go
@@ -8,7 +8,7 @@
 	return d
 }
 
-// decide is Ask without the time and the counts of verdicts.
+// decide is Claim without advancing the time and without counting verdicts.
 func (t *Table) decide(c Call) Decision {
 	slot, known := t.index[c.Key]
 	if !known {
@@ -32,7 +32,7 @@
 	return Decision{Verdict: Run, Ref: Ref{slot, e.generation}}
 }
 
-// Peek returns what Ask would decide and changes nothing. An unknown key may Run: Peek does not tell whether the
+// Peek returns what Claim would decide and changes nothing. For an unknown key it returns Run, whether or not the
 // table has capacity for it.
 func (t *Table) Peek(c Call) Decision {
 	slot, known := t.index[c.Key]
@@ -73,8 +73,8 @@
 	return Decision{Verdict: Run, Ref: Ref{slot, t.entries[slot].generation}}
 }
 
-// Complete records the outcome of a run. Of a served one, body is the response, of size bytes; it is kept if it fits, and
-// the oldest bodies are evicted for it. A Ref whose run has ended already is ignored.
+// Complete records the outcome of a run. Of a served one, body is the response, of size bytes; it is kept if it
+// fits, and the oldest bodies are evicted for it. A Ref whose run has ended already is ignored.
 func (t *Table) Complete(now float64, ref Ref, outcome Outcome, body any, size int) {
 	t.advance(now)
 	e := t.lookup(ref)
--- a/internal/node/idempotency/entry.go
+++ b/internal/node/idempotency/entry.go
@@ -11,7 +11,7 @@
 	stateInDoubt  // may have executed
 )
 
-// entry is what is known of one key. It is in at most two queues: one by expiry, one of bodies.
+// entry holds what is known of one key. It is in at most two queues: one by expiry, one of bodies.
 type entry struct {
 	key         Key
 	fingerprint Fingerprint
@@ -20,7 +20,7 @@
 	size        int32   // bytes of body
 	tenant      int32
 	links       [queues]links
-	generation  uint32 // of the slot: a Ref of another one is of a run that has ended
+	generation  uint32 // of the slot: a Ref of another generation is of a run that has ended
 	lane        uint16
 	class       uint8
 	state       state
@@ -49,7 +49,7 @@
 	return slot
 }
 
-// remove deletes an entry. The caller has taken it out of the counts.
+// remove deletes an entry. The caller has removed it from the counts.
 func (t *Table) remove(slot int32) {
 	t.unlink(slot)
 	e := &t.entries[slot]
@@ -61,7 +61,7 @@
 	t.counts.Entries--
 }
 
-// unlink takes an entry out of its queues and drops its body. The caller has taken it out of the counts.
+// unlink removes an entry from its queues and drops its body. The caller has removed it from the counts.
 func (t *Table) unlink(slot int32) {
 	e := &t.entries[slot]
 	switch e.state {
@@ -81,7 +81,7 @@
 	e.body, e.size = nil, 0
 }
 
-// evictBody evicts the oldest body. Its entry is from then on only known to have executed.
+// evictBody evicts the oldest body. From then on its entry is only known to have executed.
 func (t *Table) evictBody() {
 	slot := t.bodies.head
 	t.addToCounts(slot, -1)
--- a/internal/node/idempotency/expiry.go
+++ b/internal/node/idempotency/expiry.go
@@ -17,7 +17,7 @@
 // maxLanes bounds the lanes of a table.
 const maxLanes = 1024
 
-// findLane finds or makes the lane for a call; false if there is none left.
+// findLane returns the lane for a call, a new one if necessary; false if none is left.
 func (t *Table) findLane(c Call) (index int, ok bool) {
 	w := Windows{t.config.Classes[c.Class].AnsweredWindow, t.config.Classes[c.Class].InDoubtWindow}
 	if c.Windows != nil {
@@ -56,7 +56,7 @@
 	t.expire()
 }
 
-// Tick removes what has expired by now. Ask and End do so too; Tick is for times without calls.
+// Tick removes what has expired by now. Claim and Complete do so too; Tick is for times without calls.
 func (t *Table) Tick(now float64) { t.advance(now) }
 
 // NextExpiry returns when the next entry expires; +Inf if none does.
--- a/internal/node/idempotency/idempotency.go
+++ b/internal/node/idempotency/idempotency.go
@@ -1,5 +1,5 @@
-// Package idempotency decides whether a call is new or a repeat of one that is known: whether the first one still
-// runs, what it was answered, and whether it may run again.
+// Package idempotency decides whether a call is new or a repeat of a known one: whether the first one still runs,
+// which response it got, and whether the call may run again.
 //
 // The package is pure: no input or output, no goroutine, no lock, no clock. Time is passed in, in milliseconds; a
 // time that stands still or goes back counts as standing still.
@@ -8,21 +8,21 @@
 // tenant and what the settings of its class choose), and a fingerprint of all of its content. The table holds one
 // entry per key:
 //
-//	           Ask              End(Served)            body evicted
+//	          Claim          Complete(Served)          body evicted
 //	(unknown) ────▶ Running ────────────────▶ Answered ─────────────▶ Executed
 //	                  │  ▲                        │                       │
-//	  End(NotExecuted)│  │ Ask, where a repeat    └── window expired ─────┤
-//	     or rejected  │  │ does no harm                                   ▼
-//	        └─▶ (unknown)└───────────────────── In doubt ◀─ End(InDoubt) (unknown)
+//	      Complete    │  │ Claim, where a repeat  └── window expired ─────┤
+//	   (NotExecuted)  │  │ does no harm                                   ▼
+//	        └─▶ (unknown)└──────────── In doubt ◀─ Complete(InDoubt)  (unknown)
 //
 // # Bounds
 //
-// A table holds at most Settings.MaxEntries keys and Settings.MaxBodyBytes of response bodies. Its own memory is at most
-// EntryBytes per entry, bodies not counted. Running entries are pinned, and so, within their windows, are the
-// executed and in-doubt entries of a class whose calls must never run twice: a pinned entry is never evicted. When
-// only pinned entries are left, a new call of such a class is rejected before it runs, and one of another class goes
-// on unrecorded. The tenant that fills the table is rejected first: a tenant may pin at most Settings.PinnedRatio times the
-// capacity that is not pinned.
+// A table holds at most Settings.MaxEntries keys and Settings.MaxBodyBytes of response bodies. Its own memory is
+// at most EntryBytes per entry, bodies not counted. Running entries are pinned, and so, within their windows, are
+// the executed and in-doubt entries of a class whose calls must never run twice: a pinned entry is never evicted.
+// When only pinned entries are left, a new call of such a class is rejected before it runs, and one of another
+// class goes on unrecorded. The tenant that fills the table is rejected first: a tenant may pin at most
+// Settings.PinnedRatio times the capacity that is not pinned.
 //
 // # Windows that change
 //
@@ -35,8 +35,8 @@
 // Key is an idempotency key: two calls are the same call if their keys are equal.
 type Key [16]byte
 
-// Fingerprint is the fingerprint of a call: a digest of all of its content. Equal keys with different fingerprints are a
-// client error.
+// Fingerprint is the fingerprint of a call: a digest of all of its content. Equal keys with different fingerprints
+// are a client error.
 type Fingerprint [16]byte
 
 // Class says how the calls of a class are treated.
@@ -55,7 +55,7 @@
 // Longest returns the longer of the two windows, in milliseconds.
 func (w Windows) Longest() float64 { return max(w.Answered, w.Doubt) }
 
-// Call is what the table has to know of a call.
+// Call identifies a call for the table.
 type Call struct {
 	Key         Key
 	Fingerprint Fingerprint
@@ -70,7 +70,7 @@
 
 // The verdicts.
 const (
-	Run           Verdict = iota // it is the first, or may run again: run it, then call End with its Ref
+	Run           Verdict = iota // it is the first, or may run again: run it, then call Complete with its Ref
 	RunUnrecorded                // run it unrecorded: the table has no capacity, and a repeat does no harm
 	Join                         // it is running: wait for that run's outcome
 	Replay                       // answer with Decision.Body
@@ -91,7 +91,7 @@
 	generation uint32
 }
 
-// Decision is the answer of Ask and Peek.
+// Decision is the result of Claim and Peek.
 type Decision struct {
 	Verdict    Verdict
 	Ref        Ref     // with Run and Join
--- a/internal/node/idempotency/journal/golden_test.go
+++ b/internal/node/idempotency/journal/golden_test.go
@@ -12,8 +12,8 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// history writes records of all kinds to a journal: calls that end in each way, with and without an answer, one that still runs, with
-// windows of their own and without.
+// history writes records of all kinds to a journal: calls that end in each way, with and without an answer, one
+// that still runs, with windows of their own and without.
 func history(t *testing.T, j *Journal) {
 	for i := range 8 {
 		c := call(i + 1)
@@ -26,7 +26,7 @@
 		require.NoError(t, ticket.Wait())
 		ends := []idempotency.Outcome{idempotency.OutcomeServed, idempotency.OutcomeServed, idempotency.OutcomeNotExecuted, idempotency.OutcomeInDoubt}
 		if i >= 6 {
-			continue // these run
+			continue // these calls are still running
 		}
 		var body []byte
 		if i == 0 || i == 5 {
@@ -38,7 +38,7 @@
 	}
 }
 
-// known is what the golden directory tells at 800 ms, in the order of the ends.
+// known returns the entries in the golden directory at 800 ms, in the order in which they ended.
 func known() (list []idempotency.Entry) {
 	windows := func(a float64) *idempotency.Windows { return &idempotency.Windows{Answered: a, Doubt: 800} }
 	of := func(i int, w *idempotency.Windows, age float64, running, served bool, body string) {
@@ -60,7 +60,8 @@
 	return list
 }
 
-// Guards against a journal that this build reads otherwise than the earlier one of the release that wrote it, or writes otherwise.
+// Guards against a journal format that this build reads or writes differently from an earlier build of the same
+// release.
 func TestReadsAndWritesTheJournalOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	disk := wal.Disk{Path: dir}
--- a/internal/node/idempotency/journal/inspect.go
+++ b/internal/node/idempotency/journal/inspect.go
@@ -19,7 +19,7 @@
 	Damaged     string  `json:"damaged,omitempty"` // what is wrong and where; empty = nothing
 }
 
-// Report describes a journal as its files do, without the settings that wrote it.
+// Report describes a journal as found in its files, without the settings under which it was written.
 type Report struct {
 	Segments []Segment      `json:"segments"`
 	Classes  []string       `json:"classes"` // of all segments
@@ -27,7 +27,8 @@
 	Names    map[string]int `json:"names"` // number of keys by outcome: "running", "answered", "in doubt", "not run"
 }
 
-// Inspect reads a directory without changing it. Damage is reported in its Segment; the error is of a file that cannot be read.
+// Inspect reads a directory without changing it. Damage is reported in its Segment; the error is of a file that
+// cannot be read.
 func Inspect(f wal.Folder) (r Report, err error) {
 	names, err := segmentNames(f)
 	if err != nil {
@@ -78,7 +79,7 @@
 
 // readHeader returns the header of a segment; false if it cannot be decoded.
 func readHeader(text []byte) (h header, ok bool) {
-	_, _ = segmentForm.Read(text, func(content []byte) error { // readSegment reports what is damaged
+	_, _ = segmentFormat.Read(text, func(content []byte) error { // readSegment reports what is damaged
 		ok = json.Unmarshal(content, &h) == nil
 		return ErrVersion // stops before the records
 	}, nil)
@@ -95,8 +96,9 @@
 	return a
 }
 
-// Compact writes the entries that are of use at a time into one new segment, syncs it, and removes the others; it returns the
-// number of entries. No process may have the directory open. A damaged segment stays for an operator to look at.
+// Compact writes the entries that are still of use at the time now into one new segment, syncs it, and removes the
+// others; it returns the number of entries. No process may have the directory open. A damaged segment stays for an
+// operator to look at.
 func Compact(f wal.Folder, keep, now float64) (kept int, err error) {
 	r, err := Inspect(f)
 	if err != nil {
--- a/internal/node/idempotency/journal/journal.go
+++ b/internal/node/idempotency/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal keeps on a disk which calls have begun to run and how they ended, so that a restart does not forget
-// them.
+// Package journal records on disk which calls have begun to run and how they ended, so that they are still known
+// after a restart.
 //
 // A journal is a directory of segments that are only appended to. A segment begins with a header, which says in JSON
 // what its numbers mean (the names of classes and tenants, the version of the format), and continues with records;
@@ -9,14 +9,15 @@
 // # Faults
 //
 // A write that is cut off leaves a torn tail: the next start reports it, reads the records before it, and never
-// appends behind it. After a failed write or sync no record counts as durable that did not before, and the next
+// appends to that segment. After a failed write or sync no record counts as durable that did not before, and the next
 // record begins a new segment: what a disk has done with the pages of a failed sync is not known.
 //
 // # Bounds
 //
-// A segment ends at Settings.SegmentBytes, or a record beyond; it is removed Settings.Retention after its last record. So
-// a journal holds what is written in Settings.Retention, and one segment. Records that wait for the disk are at most
-// Settings.MaxQueue in the batch that is being collected, and as many in the one that is being written.
+// A segment ends at Settings.SegmentBytes, exceeded by at most one record; it is removed Settings.Retention after
+// its last record. So a journal holds what is written in Settings.Retention, and one segment. Records that wait
+// for the disk are at most Settings.MaxQueue in the batch that is being collected, and as many in the one that is
+// being written.
 package journal
 
 import (
@@ -53,7 +54,7 @@
 var (
 	ErrFull    = errors.New("too many records wait for the disk")
 	ErrClosed  = errors.New("the journal is closed")
-	ErrVersion = errors.New("written in a form that this release does not read")
+	ErrVersion = errors.New("written in a format version that this release does not read")
 )
 
 // Journal is open for writing. All of its methods may be called from any goroutine, Run by one only.
@@ -85,8 +86,8 @@
 	bytes  []byte // encoded records
 	count  int
 	newest float64       // ms; when the last one was made
-	done   chan struct{} // closed when it is on the disk, or when it is not known whether it ever will be
-	err    error         // why it is not known; written before done is closed
+	done   chan struct{} // closed when the batch is on the disk, or when it is unknown whether it ever will be
+	err    error         // why that is unknown; written before done is closed
 }
 
 func newBatch(buffer []byte) *batch { return &batch{bytes: buffer, done: make(chan struct{})} }
@@ -94,8 +95,8 @@
 // Ticket stands for a record that was accepted and is not yet durable. The zero Ticket stands for none.
 type Ticket struct{ b *batch }
 
-// Wait blocks until the record is on the disk, and returns nil, or until it is not known whether it ever will be, and
-// returns why. The Wait of the zero Ticket returns nil.
+// Wait blocks until the record is on the disk, and returns nil, or until it is unknown whether it ever will be, and
+// returns the reason. The Wait of the zero Ticket returns nil.
 func (t Ticket) Wait() error {
 	if t.b == nil {
 		return nil
@@ -121,21 +122,21 @@
 		j.retention = max(j.retention, set.retention(k.Windows))
 	}
 	j.wake = sync.NewCond(&j.mu)
-	j.writer = wal.Writer{Folder: f, Format: segmentForm, Header: head, MaxBytes: set.SegmentBytes, Synced: true, Number: 1, OnBegin: j.removeExpired,
+	j.writer = wal.Writer{Folder: f, Format: segmentFormat, Header: head, MaxBytes: set.SegmentBytes, Synced: true, Number: 1, OnBegin: j.removeExpired,
 		OnEnd: func(_ int, name string) { j.closedSegments = append(j.closedSegments, segment{name, j.lastRecord}) }}
 	names, err := segmentNames(f)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	for _, name := range names {
-		n, _ := segmentForm.Number(name)
+		n, _ := segmentFormat.Number(name)
 		j.writer.Number = max(j.writer.Number, n+1)
 		j.closedSegments = append(j.closedSegments, segment{name, now}) // its last record is not newer
 	}
 	return j, recovered, findings, nil
 }
 
-// Began records that a call is about to run. Where its class asks for it, the caller waits for the Ticket before the
+// Began records that a call is about to run. Where its class requires it, the caller waits for the Ticket before the
 // first byte goes out. The error is ErrFull or ErrClosed.
 func (j *Journal) Began(at float64, c idempotency.Call) (Ticket, error) {
 	return j.enqueue(&record{kind: kindBegan, at: at, class: uint8(c.Class), tenant: encodeTenant(c.Tenant), key: c.Key,
@@ -206,7 +207,7 @@
 // maxKeptBufferBytes bounds the memory that is kept from one batch to the next.
 const maxKeptBufferBytes = 256 << 10
 
-// Close lets Run return once everything that was accepted is written. Records are not accepted any more.
+// Close makes Run return once everything that was accepted is written. No more records are accepted.
 func (j *Journal) Close() {
 	j.mu.Lock()
 	j.closed = true
--- a/internal/node/idempotency/journal/journal_test.go
+++ b/internal/node/idempotency/journal/journal_test.go
@@ -104,8 +104,8 @@
 	return j, list, found, func() { j.Close(); <-over }
 }
 
-// play makes calls that begin and end, and returns those that must be known after a restart.
-func play(j *Journal, calls int) (begun, ended map[idempotency.Key]bool) {
+// makeCalls makes calls that begin and end, and returns those that must be known after a restart.
+func makeCalls(j *Journal, calls int) (begun, ended map[idempotency.Key]bool) {
 	begun, ended = map[idempotency.Key]bool{}, map[idempotency.Key]bool{}
 	for i := range calls {
 		c := call(i)
@@ -124,18 +124,18 @@
 // power failed with any part of what was not synced; and against a start that fails for that.
 func TestEveryTruncationKeepsWhatWasSynced(t *testing.T) {
 	const calls = 12
-	whole := newMemory()
-	j, _, _, stop := begin(t, whole, 0)
-	play(j, calls)
+	complete := newMemory()
+	j, _, _, stop := begin(t, complete, 0)
+	makeCalls(j, calls)
 	stop()
 	size := 0
-	for _, text := range whole.files {
+	for _, text := range complete.files {
 		size += len(text)
 	}
-	require.Greater(t, len(whole.files), 2, "it goes over several segments")
+	require.Greater(t, len(complete.files), 2, "it spans several segments")
 	check := func(m *memory, what string) {
 		j, _, _, stop := begin(t, m, 0)
-		begun, ended := play(j, calls)
+		begun, ended := makeCalls(j, calls)
 		stop()
 		for _, lost := range []int{0, 1, 17, 1 << 20} {
 			list, _, err := Read(m.crash(lost), set, float64(calls))
@@ -146,7 +146,7 @@
 			}
 			for name := range begun {
 				k, ok := known[name]
-				require.True(t, ok, "%s, %d bytes more: %v is forgotten", what, lost, name)
+				require.True(t, ok, "%s, %d bytes more: %v is unknown", what, lost, name)
 				require.Equal(t, call(int(name[0])), k.Call)
 				require.False(t, ended[name] && (k.Running || !k.Served || string(k.Body.([]byte)) != "body"), what)
 			}
@@ -155,7 +155,7 @@
 			require.Equal(t, list, again)
 			ticket, err := j.Began(float64(calls), call(50))
 			require.NoError(t, err)
-			require.NoError(t, ticket.Wait(), "it goes on after %s", what)
+			require.NoError(t, ticket.Wait(), "it continues after %s", what)
 			stop()
 		}
 	}
@@ -171,7 +171,8 @@
 	}
 }
 
-// Guards against a disk that works again and is not used, and against a failed batch that a later one makes durable.
+// Guards against a disk that recovers and is not used again, and against a failed batch that a later one makes
+// durable.
 func TestJournalContinuesAfterDiskFailure(t *testing.T) {
 	m := newMemory()
 	m.syncs = 0
@@ -194,19 +195,19 @@
 	require.Len(t, list, 1)
 }
 
-// Guards against damage that is read as a record, against a file of another release or program that is read or changed,
-// and against classes and tenants that are confused when the settings have changed their order.
+// Guards against damage that is read as a record, against a file of another release or program that is read or
+// changed, and against classes and tenants that are confused when the settings have changed their order.
 func TestForeignAndDamagedFilesAreReported(t *testing.T) {
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
-	play(j, 3)
+	makeCalls(j, 3)
 	stop()
-	good := slices.Clone(m.files[segmentForm.Name(1)])
+	good := slices.Clone(m.files[segmentFormat.Name(1)])
 	for i := range good {
 		bad := slices.Clone(good)
 		bad[i] ^= 0x40
 		f := newMemory()
-		f.files[segmentForm.Name(1)] = bad
+		f.files[segmentFormat.Name(1)] = bad
 		list, found, err := Read(f, set, 3)
 		require.NoError(t, err)
 		require.Len(t, found, 1, "byte %d", i)
@@ -214,7 +215,7 @@
 	}
 	text, err := json.Marshal(header{Version: Version + 1})
 	require.NoError(t, err)
-	m.files[segmentForm.Name(2)] = wal.Append([]byte(segmentForm.Magic), func(b []byte) []byte { return append(b, text...) })
+	m.files[segmentFormat.Name(2)] = wal.Append([]byte(segmentFormat.Magic), func(b []byte) []byte { return append(b, text...) })
 	m.files["notes.txt"], m.files["repeats-1.log"] = []byte("x"), []byte("y")
 	other := set
 	other.Classes, other.Tenants = []string{"cap-alert", "new"}, []string{"vltava"}
@@ -236,7 +237,8 @@
 	assert.Equal(t, "x", string(m.files["notes.txt"]))
 }
 
-// Guards against segments that are kept for ever or removed while they are of use, and against an unreported read-only disk.
+// Guards against segments that are kept for ever or removed while they are of use, and against an unreported
+// read-only disk.
 func TestJournalOnRealDisk(t *testing.T) {
 	dir := wal.Disk{Path: t.TempDir()}
 	j, _, _, stop := begin(t, dir, 0)
@@ -271,7 +273,8 @@
 	require.ErrorIs(t, err, ErrFull)
 }
 
-// BenchmarkBegan is one beginning recorded and synced on the machine's disk, by one caller and by many at once.
+// BenchmarkBegan measures one beginning of a call that is recorded and synced on the machine's disk, for one
+// caller and for many concurrent ones.
 func BenchmarkBegan(b *testing.B) {
 	for _, many := range []int{1, 128} {
 		b.Run(fmt.Sprint(many), func(b *testing.B) {
@@ -304,8 +307,9 @@
 	}
 }
 
-// Guards against windows that a restart shortens, or loses with a class that is not listed any more; against segments that are
-// removed while their records are within their windows; and against records of the previous release, which have no windows.
+// Guards against windows that a restart shortens, or loses with a class that is not listed any more; against
+// segments that are removed while their records are within their windows; and against records of the previous
+// release, which have no windows.
 func TestWindowsSurviveARestart(t *testing.T) {
 	m := newMemory()
 	j, _, _, stop := begin(t, m, 0)
--- a/internal/node/idempotency/journal/read.go
+++ b/internal/node/idempotency/journal/read.go
@@ -10,33 +10,33 @@
 	"linenwheel.dev/linenwheel/internal/node/wal"
 )
 
-// Finding is a damaged place of a file, for an operator.
+// Finding describes damage in a file, for an operator.
 type Finding struct {
 	File   string
-	Offset int // where what is wrong begins
+	Offset int // where the damage begins
 	Err    error
 }
 
 // String returns the finding on one line.
 func (f Finding) String() string { return fmt.Sprintf("%s, byte %d: %v", f.File, f.Offset, f.Err) }
 
-// segmentNames returns the names of a directory's segments, sorted; other files are not the journal's.
+// segmentNames returns the names of a directory's segments, sorted; other files do not belong to the journal.
 func segmentNames(f wal.Folder) ([]string, error) {
 	names, err := f.List()
 	if err != nil {
 		return nil, fmt.Errorf("reading the journal: %w", err)
 	}
 	names = slices.DeleteFunc(names, func(name string) bool {
-		_, ok := segmentForm.Number(name)
+		_, ok := segmentFormat.Number(name)
 		return !ok
 	})
 	slices.Sort(names)
 	return names, nil
 }
 
-// Read reads a directory without changing it: the entries that are of use at a time, in the order in which they
-// ended, and what is damaged. Of a damaged file the records before the damage count. A call that had begun and not
-// ended was running.
+// Read reads a directory without changing it: the entries that are still of use at the time now, in the order in
+// which they ended, and the damage that was found. The records before the damage of a file count. A call that
+// began and did not end was running.
 func Read(f wal.Folder, set Settings, now float64) (recovered []idempotency.Entry, findings []Finding, err error) {
 	names, err := segmentNames(f)
 	if err != nil {
@@ -72,18 +72,19 @@
 	return recovered, findings, nil
 }
 
-// entry is what the records so far say of a key.
+// entry is the state of a key after the records so far.
 type entry struct {
 	idempotency.Entry
 	at      float64
 	outcome idempotency.Outcome
 }
 
-// readSegment adds the records of one segment to entries and calls visit with each; offset is where it went wrong.
+// readSegment adds the records of one segment to entries and calls visit with each; offset is where the damage
+// begins.
 func readSegment(text []byte, set Settings, entries map[idempotency.Key]*entry, visit func(record)) (offset int, err error) {
 	var h header
 	var classes, tenants []int
-	return segmentForm.Read(text, func(content []byte) error {
+	return segmentFormat.Read(text, func(content []byte) error {
 		if json.Unmarshal(content, &h) != nil || h.Version != Version {
 			return ErrVersion
 		}
--- a/internal/node/idempotency/journal/record.go
+++ b/internal/node/idempotency/journal/record.go
@@ -12,8 +12,8 @@
 // Version is the version of the format. A release reads its own and the one before; this is the first.
 const Version = 1
 
-// segmentForm is the files' form: they keep the magic bytes and the prefix of the first release.
-var segmentForm = wal.Format{Magic: "lwrepeat", Prefix: "repeats"}
+// segmentFormat is the format of the files, which keep the magic bytes and the name prefix of the first release.
+var segmentFormat = wal.Format{Magic: "lwrepeat", Prefix: "repeats"}
 
 // header is the first content of a segment.
 type header struct {
@@ -22,7 +22,7 @@
 	Tenants []string `json:"tenants"`
 }
 
-// kind says what a record is about.
+// kind is the kind of a record.
 type kind uint8
 
 const (
@@ -40,8 +40,8 @@
 	key         idempotency.Key
 	fingerprint idempotency.Fingerprint
 	body        []byte // of kindEnded; the response as the caller encoded it, empty = not kept
-	// windows are those under which the call began, of kindBegan; nil = not recorded. A release that does not know of them takes
-	// their bytes for a response that it cannot decode, and applies the windows of its own settings.
+	// windows are those under which the call began, of kindBegan; nil = not recorded. A release that does not know
+	// them takes their bytes for a response that it cannot decode, and applies the windows of its own settings.
 	windows *idempotency.Windows
 }
 
--- a/internal/node/idempotency/middleware/classes.go
+++ b/internal/node/idempotency/middleware/classes.go
@@ -7,19 +7,19 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// classTable holds the classes from one change to the next. It is immutable once it is published.
+// classTable holds the classes between two changes. It is immutable once it is published.
 type classTable struct {
 	classes []classState // by number
 	inUse   bool         // calls may have got keys by it
 }
 
-// classState is a class with what earlier versions of it promised to calls.
+// classState is a class with the guarantees that its earlier versions gave to calls.
 type classState struct {
 	Class
-	// By and Windows of a class that is not listed any more stay as they were. Until knownUntil a key of it may be held
-	// here or by the replicas, until agreedUntil by the replicas. Milliseconds of the clock.
+	// Naming and Windows of a class that is no longer listed stay as they were. Until knownUntil one of its keys
+	// may be held here or by the replicas, until agreedUntil by the replicas. Both are milliseconds of the clock.
 	knownUntil, agreedUntil float64
-	keysIssued              bool // calls may have got keys as By says
+	keysIssued              bool // calls may have got keys as Naming says
 }
 
 func newClassTable(set *Settings) *classTable {
@@ -33,15 +33,15 @@
 	return t
 }
 
-// NamingError says that the calls of a class would get other keys than before.
+// NamingError means that the calls of a class would get other keys than before.
 type NamingError struct{ Class int }
 
 func (e *NamingError) Error() string {
 	return fmt.Sprintf("class %d would be named in another way than before", e.Class)
 }
 
-// FixNaming says that calls may get keys from now on: from then on the naming of a class that is on is fixed for the
-// life of the middleware.
+// FixNaming reports that calls may get keys from now on: from then on the naming of an enabled class is fixed for the
+// lifetime of the middleware.
 func (s *Middleware) FixNaming() { s.markInUse() }
 
 // markInUse publishes a class table whose naming is fixed, and returns it.
@@ -58,7 +58,7 @@
 	return &classTable{append([]classState(nil), t.classes...), t.inUse}
 }
 
-// markInUse fixes the naming of the classes that are on.
+// markInUse fixes the naming of the enabled classes.
 func (t *classTable) markInUse() {
 	t.inUse = true
 	for i := range t.classes {
@@ -66,7 +66,7 @@
 	}
 }
 
-// CheckClasses reports whether Use would accept classes; the error is a *NamingError.
+// CheckClasses reports whether SetClasses would accept classes; the error is a *NamingError.
 func (s *Middleware) CheckClasses(classes []Class) error {
 	for i, was := range s.classes.Load().classes {
 		if c := classes[i]; c.Enabled && was.keysIssued && !reflect.DeepEqual(c.Naming, was.Naming) {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// SetClasses puts classes into force for calls that arrive from now on, all of them or none; the error is a *NamingError.
+// SetClasses applies classes to calls that arrive from now on, all of them or none; the error is a *NamingError.
 // Windows must not be nil. Known keys keep the windows under which they were claimed, and what is running ends as it
 // began.
 func (s *Middleware) SetClasses(classes []Class) error {
--- a/internal/node/idempotency/middleware/classes_test.go
+++ b/internal/node/idempotency/middleware/classes_test.go
@@ -43,8 +43,9 @@
 	return s.table.Counts().Entries
 }
 
-// Guards against a key that a change of its class removes, or keeps for another window than that under which it was claimed: windows
-// that get shorter or longer, a class that is removed, and one that is added again; and against keys of a removed class.
+// Guards against a key that a change of its class removes, or keeps for another window than that under which it
+// was claimed: windows that get shorter or longer, a class that is removed, and one that is added again; and
+// against keys of a removed class.
 func TestKeysKeepTheirWindows(t *testing.T) {
 	set := settings()
 	set.MaxRun = 100
@@ -76,7 +77,7 @@
 	assert.Equal(t, 1, ran["a"])
 	serve("a")
 	assert.Equal(t, 1, ran["a"])
-	c.Advance(1) // 2000: a's window is over, and a longer one is its next run's
+	c.Advance(1) // 2000: a's window is over, and a longer one applies to its next run
 	serve("a")
 	assert.Equal(t, 2, ran["a"])
 	require.NoError(t, s.SetClasses(classesRemoved))
@@ -95,8 +96,8 @@
 	assert.Greater(t, c.Now(), s.classes.Load().classes[0].knownUntil)
 }
 
-// Guards against a repeat that does not wait for a run that is in flight when its class changes, and a run that ends under other
-// windows than it began.
+// Guards against a repeat that does not wait for a run that is in flight when its class changes, and a run that
+// ends under other windows than it began.
 func TestRunOutlivesAClassChange(t *testing.T) {
 	for _, classes := range [][]Class{classesWithWindows(1, 1), classesWithWindows(9000, 9000), classesRemoved} {
 		s, c := newStage(t, settings())
@@ -132,7 +133,7 @@
 	}
 }
 
-// agreed is a Fleet that holds keys for ever and counts lookups.
+// agreed is a KeyLookup that holds keys for ever and counts lookups.
 type agreed struct {
 	names map[idempotency.Key][]byte
 	looks int
@@ -158,8 +159,8 @@
 	a.names[c.Key] = body
 }
 
-// Guards against a charge that another node has run, and that runs here because its class was removed, or is not replicated any more;
-// and against lookups when no key can be held any more.
+// Guards against a charge that another node has run, and that runs here because its class was removed, or is not
+// replicated any more; and against lookups when no key can be held any more.
 func TestReplicatedKeysAreFoundAfterAClassChange(t *testing.T) {
 	recorded := classesWith(func(c *Class) { c.Replicated = true })
 	for _, classes := range [][]Class{classesWith(func(*Class) {}), classesRemoved} {
@@ -176,7 +177,7 @@
 		assert.Equal(t, 2, ran)
 		s.Wrap(handle)(late("nobody's"))
 		assert.Equal(t, 3, ran)
-		assert.Len(t, fleet.names, 2, "it is looked for, not taken")
+		assert.Len(t, fleet.names, 2, "it is looked up, not claimed")
 		require.NoError(t, s.SetClasses(recorded))
 		s.Wrap(handle)(late("again"))
 		assert.Len(t, fleet.names, 3)
@@ -188,12 +189,12 @@
 	}
 }
 
-// Guards against a change of a class's naming, also after the class was removed and added again; and against a first policy that may not
-// choose the naming.
+// Guards against a change of a class's naming, also after the class was removed and added again; and against a
+// first policy that may not choose the naming.
 func TestNamingOfAClassCannotChange(t *testing.T) {
 	other := classesWith(func(c *Class) { c.Naming = Naming{Body: true} })
 	s, _ := newStage(t, settings())
-	require.NoError(t, s.SetClasses(other), "no call was named yet")
+	require.NoError(t, s.SetClasses(other), "no call has a key yet")
 	s.FixNaming()
 	back := classesWith(func(*Class) {})
 	var wrong *NamingError
@@ -204,5 +205,5 @@
 	require.NoError(t, s.SetClasses(other))
 	s, _ = newStage(t, settings())
 	s.Wrap(func(*core.Call) core.Answer { return served })(late("k"))
-	require.ErrorAs(t, s.SetClasses(other), &wrong, "a call was named")
+	require.ErrorAs(t, s.SetClasses(other), &wrong, "a call has a key")
 }
--- a/internal/node/idempotency/middleware/keys.go
+++ b/internal/node/idempotency/middleware/keys.go
@@ -58,7 +58,8 @@
 	return out
 }
 
-// sum returns the key and the fingerprint of a call; false where the call lacks what its class is named by.
+// sum returns the key and the fingerprint of a call; false where the call lacks the key or the header that its class
+// requires.
 func (h *keyHasher) sum(by *Naming, call *core.Call, c core.Content) (key idempotency.Key, fingerprint idempotency.Fingerprint, ok bool) {
 	d := digest{Hash: h.macs.Get().(hash.Hash)}
 	defer h.macs.Put(d.Hash)
--- a/internal/node/idempotency/middleware/middleware.go
+++ b/internal/node/idempotency/middleware/middleware.go
@@ -1,9 +1,9 @@
-// Package middleware recognises repeats of calls: it is the half of package idempotency that has a lock, a clock, a
-// journal and calls that wait.
+// Package middleware recognises repeats of calls. It adds a lock, a clock, a journal and waiting calls to the pure
+// decision logic of package idempotency.
 //
 // The first call of a key runs as a copy of its own, which is cancelled only when no client waits for it any more.
 // Each repeat that arrives meanwhile waits for that run until its own deadline or until its own client leaves. All of
-// them get the one answer.
+// them get the same answer.
 //
 // What must be known before a call runs is on the disk (Class.Recorded), agreed by the replicas (Class.Replicated) or
 // claimed from the successor of a hot restart before the handler is called. The outcome is reported to all of them
@@ -80,11 +80,11 @@
 
 // New returns the middleware. The error is an *idempotency.FieldError.
 func New(set Settings, c clock.Clock, log *slog.Logger) (*Middleware, error) {
-	book, err := idempotency.New(set.Table)
+	table, err := idempotency.New(set.Table)
 	if err != nil {
 		return nil, err
 	}
-	s := &Middleware{config: set, clock: c, log: log, hasher: newKeyHasher(set.Secret), table: book, runs: map[idempotency.Ref]*run{}}
+	s := &Middleware{config: set, clock: c, log: log, hasher: newKeyHasher(set.Secret), table: table, runs: map[idempotency.Ref]*run{}}
 	s.classes.Store(newClassTable(&set))
 	lost := 0
 	for _, k := range set.Entries {
@@ -93,10 +93,10 @@
 		}
 	}
 	if len(set.Entries) > 0 {
-		log.Info("repeats from before the start are known", "names", len(set.Entries)-lost)
+		log.Info("idempotency keys from before the start were restored", "names", len(set.Entries)-lost)
 	}
 	if lost > 0 {
-		log.Error("there is no room for repeats from before the start", "names", lost)
+		log.Error("no capacity for idempotency keys from before the start", "names", lost)
 	}
 	return s, nil
 }
@@ -119,11 +119,11 @@
 	return s.table.Counts()
 }
 
-// Wrap is the core.Stage.
+// Wrap implements core.Stage.
 func (s *Middleware) Wrap(next core.Handler) core.Handler {
 	return func(call *core.Call) core.Answer {
 		t := s.classes.Load()
-		if !t.inUse { // the first call, and Settle has not been called yet
+		if !t.inUse { // the first call, and FixNaming has not been called yet
 			t = s.markInUse()
 		}
 		class := &t.classes[call.Class]
@@ -148,11 +148,11 @@
 	}
 }
 
-// serve does what the table decides on a call.
+// serve carries out the decision of the table on a call.
 func (s *Middleware) serve(call *core.Call, next core.Handler, class *classState, c idempotency.Call) core.Answer {
 	for {
 		s.mu.Lock()
-		if !class.Enabled && s.successor == nil && !s.holds(c.Key) { // its keys are known until they expire, and no more are claimed
+		if !class.Enabled && s.successor == nil && !s.holds(c.Key) { // known keys stay until they expire, and no new ones are claimed
 			s.mu.Unlock()
 			if t := s.lookup(class, c, call.Deadline, call.Done()); t.Verdict != idempotency.Run {
 				_, _, a := s.remoteAnswer(t)
@@ -191,8 +191,8 @@
 	return known
 }
 
-// decide has the table decide on a call, and returns the run that the call begins or joins, nil for none. It is called under the
-// lock.
+// decide returns the table's decision on a call, and the run that the call begins or joins, nil for none. It is
+// called under the lock.
 func (s *Middleware) decide(call *core.Call, c idempotency.Call) (d idempotency.Decision, r *run) {
 	d = s.table.Claim(s.clock.Now(), c)
 	switch d.Verdict {
--- a/internal/node/idempotency/middleware/middleware_test.go
+++ b/internal/node/idempotency/middleware/middleware_test.go
@@ -103,8 +103,8 @@
 	assert.Empty(t, s.runs)
 }
 
-// Guards against a run that ends with its first client while others wait for it, one that goes on for nobody, and a repeat
-// that gets no answer because it joined a run that was being cancelled.
+// Guards against a run that ends with its first client while others wait for it, one that goes on for nobody, and
+// a repeat that gets no answer because it joined a run that was being cancelled.
 func TestRunIsCancelledWhenTheLastClientLeaves(t *testing.T) {
 	s, c := newStage(t, settings())
 	r := newRuns()
@@ -158,8 +158,8 @@
 	assert.Equal(t, served, <-answers[first])
 }
 
-// Guards against a repeat that runs though the first call may have executed, that does not run though it did not, and against
-// a panic after which a run never ends.
+// Guards against a repeat that runs though the first call may have executed, that does not run though it did not,
+// and against a panic after which a run never ends.
 func TestOnlyNotExecutedCallsRunAgain(t *testing.T) {
 	s, _ := newStage(t, settings())
 	next := served
@@ -187,7 +187,7 @@
 		assert.Equal(t, c.runs, count, i)
 	}
 	next, count = served, 0
-	assert.Equal(t, served, serve(newCall(0, "", "b")), "one without a key goes on unrecognised")
+	assert.Equal(t, served, serve(newCall(0, "", "b")), "a call without a key runs unrecognised")
 	panics = true
 	assert.Panics(t, func() { serve(newCall(0, "p", "b")) })
 	panics = false
@@ -195,8 +195,8 @@
 	assert.Empty(t, s.runs)
 }
 
-// Guards against a charge that runs though the disk does not have its beginning, and against a repeat after a restart that runs
-// again or gets another answer.
+// Guards against a charge that runs though the disk does not have its beginning, and against a repeat after a
+// restart that runs again or gets another answer.
 func TestRunIsRecordedBeforeItBegins(t *testing.T) {
 	disk := wal.Disk{Path: t.TempDir()}
 	set := settings()
@@ -255,8 +255,8 @@
 	}
 }
 
-// Guards against a release that computes another key for a call than the previous one: nodes of both run side by side, and a repeat
-// that arrives at the other one would run again.
+// Guards against a release that computes another key for a call than the previous one: nodes of both run side by
+// side, and a repeat that arrives at the other one would run again.
 func TestKeysKeepTheirHash(t *testing.T) {
 	n := newKeyHasher([]byte("a secret of a fleet"))
 	for want, by := range map[string]Naming{
@@ -271,7 +271,8 @@
 	}
 }
 
-// clientRequest is what a client asked for, clientResult what it got: the number of an answer, or one of the constants.
+// clientRequest is the request of a client, clientResult its answer: the number of a response, or one of the
+// constants.
 type (
 	clientRequest struct{ key int }
 	clientResult  int
@@ -309,7 +310,8 @@
 	},
 }
 
-// runHistory has clients ask for few keys concurrently, and returns the history that they saw and how often each key ran.
+// runHistory runs concurrent clients on a few keys, and returns the history that they observed and how often each
+// key ran.
 func runHistory(seed uint64, wrap func(core.Handler) core.Handler) ([]porcupine.Operation, map[int]int) {
 	const clients, asks, names = 8, 40, 12
 	var mu sync.Mutex
@@ -365,7 +367,7 @@
 func checkHistory(history []porcupine.Operation, ran map[int]int) error {
 	for name, n := range ran {
 		if n > 1 {
-			return fmt.Errorf("name %d ran %d times", name, n)
+			return fmt.Errorf("key %d ran %d times", name, n)
 		}
 	}
 	if !porcupine.CheckOperations(oneRunModel, history) {
@@ -374,15 +376,15 @@
 	return nil
 }
 
-// Guards against histories of concurrent clients that no order of "at most one run, one answer for all" explains; and
-// against a checker that finds nothing, with a middleware that some calls bypass, and one that answers clients before it
-// records.
+// Guards against histories of concurrent clients that no order of "at most one run, one answer for all" explains;
+// and against a checker that finds nothing, with a middleware that some calls bypass, and one that answers clients
+// before it records.
 func TestConcurrentHistoriesRunAtMostOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		s, _ := newStage(t, settings())
 		require.NoError(t, checkHistory(runHistory(seed, s.Wrap)))
 	}
-	leaky := func(next core.Handler) core.Handler {
+	bypassing := func(next core.Handler) core.Handler {
 		s, _ := newStage(t, settings())
 		recognised := s.Wrap(next)
 		var n atomic.Int64
@@ -393,7 +395,7 @@
 			return recognised(call)
 		}
 	}
-	hasty := func(next core.Handler) core.Handler {
+	premature := func(next core.Handler) core.Handler {
 		s, _ := newStage(t, settings())
 		return s.Wrap(func(call *core.Call) core.Answer {
 			a := next(call)
@@ -401,7 +403,7 @@
 			return a
 		})
 	}
-	for _, wrong := range []func(core.Handler) core.Handler{leaky, hasty} {
+	for _, wrong := range []func(core.Handler) core.Handler{bypassing, premature} {
 		var found error
 		for seed := uint64(0); seed < 50 && found == nil; seed++ {
 			found = checkHistory(runHistory(seed, wrong))
@@ -410,7 +412,7 @@
 	}
 }
 
-// BenchmarkStage is a new call through the middleware alone.
+// BenchmarkStage measures a new call through the middleware alone.
 func BenchmarkStage(b *testing.B) {
 	s, err := New(settings(), clock.NewManual(1000), slog.New(slog.DiscardHandler))
 	require.NoError(b, err)
--- a/internal/node/idempotency/middleware/run.go
+++ b/internal/node/idempotency/middleware/run.go
@@ -5,16 +5,16 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// run is a call that runs for all clients that wait for it.
+// run is one execution of a call, for all clients that wait for it.
 type run struct {
 	call      *core.Call    // the copy; nil = it runs in the predecessor, which is one of the waiters
 	waiters   int           // clients; under the lock of the middleware
-	successor Claimer       // claims it and is told its outcome; nil = the table was this process's when it began
+	successor Claimer       // grants its claim and receives its outcome; nil = the table was this process's when it began
 	finished  chan struct{} // closed when answer is set
 	answer    core.Answer
 }
 
-// result is what is known of a run so far, as its end will be reported.
+// result is the outcome of a run as it will be reported, as far as it is known.
 type result struct {
 	outcome idempotency.Outcome
 	payload any // of a served one
@@ -32,7 +32,7 @@
 	r.answer = core.Fail(core.Unavailable, core.ReasonPanic) // what the clients get if the handler panics
 	defer s.finish(r, ref, c, res)
 	if err := s.recordBegin(class, c); err != nil {
-		s.log.Error("the beginning of a request was not recorded", "error", err)
+		s.log.Error("the start of a request could not be written to the journal", "error", err)
 		if class.Recorded {
 			res.outcome, r.answer = idempotency.OutcomeNotExecuted, core.Refuse(core.Busy, ReasonUnrecorded, 0)
 			return
@@ -73,15 +73,15 @@
 	return false
 }
 
-// finish reports the end of a run: first to whoever granted its claim and to the journal, then to the table, and only then to the
-// clients. It runs after a panic of the handler, too.
+// finish reports the end of a run: first to whoever granted its claim and to the journal, then to the table, and
+// only then to the clients. It runs after a panic of the handler, too.
 func (s *Middleware) finish(r *run, ref idempotency.Ref, c idempotency.Call, res *result) {
 	if res.claim != nil {
 		res.claims.Complete(c, *res.claim, res.outcome, s.encode(res.payload))
 	}
 	if j := s.config.Journal; j != nil {
 		if _, err := j.Ended(s.config.WallClock(), c, res.outcome, s.encode(res.payload)); err != nil {
-			s.log.Error("the end of a request was not recorded", "error", err)
+			s.log.Error("the outcome of a request could not be written to the journal", "error", err)
 		}
 	}
 	s.mu.Lock()
@@ -104,7 +104,7 @@
 	return s.config.Encode(payload)
 }
 
-// recordBegin records that a call is about to run, and waits for the disk where its class asks for it.
+// recordBegin records that a call is about to run, and waits for the disk where its class requires it.
 func (s *Middleware) recordBegin(class *classState, c idempotency.Call) error {
 	if s.config.Journal == nil {
 		return nil
@@ -116,8 +116,8 @@
 	return err
 }
 
-// await waits for the answer of a run. retry reports that the run was cancelled without having executed, so that this call may be
-// the next to run.
+// await waits for the answer of a run. retry reports that the run was cancelled without having executed, so that
+// this call may be the next to run.
 func (s *Middleware) await(call *core.Call, r *run) (a core.Answer, retry bool) {
 	expired, stop := s.expired(call.Deadline)
 	defer stop()
@@ -133,7 +133,7 @@
 	}
 }
 
-// removeWaiter removes a client that waits no longer. A run that nobody waits for is cancelled.
+// removeWaiter removes a client that no longer waits. A run that nobody waits for is cancelled.
 func (s *Middleware) removeWaiter(r *run) {
 	s.mu.Lock()
 	r.waiters--
--- a/internal/node/idempotency/middleware/transfer.go
+++ b/internal/node/idempotency/middleware/transfer.go
@@ -11,7 +11,7 @@
 // and claims each new key here.
 type predecessor struct {
 	ready    chan struct{} // closed when the table is here, or will never be
-	withheld atomic.Bool   // it will never be, and the predecessor goes on; set before ready is closed
+	withheld atomic.Bool   // the table will never arrive, and the predecessor keeps serving; set before ready is closed
 
 	// Under the lock of the middleware.
 	lost bool // the channel to it is broken: what it runs may have executed
@@ -49,8 +49,8 @@
 // Once reports whether calls of a class must never run twice.
 func (s *Middleware) Once(class int) bool { return s.config.Table.Classes[class].AtMostOnce }
 
-// BeginTransfer transfers the table, once and for good: from here on each new key is claimed from the successor, and the
-// outcome of each run is reported to it. The entries are encoded as Settings.Entries has them.
+// BeginTransfer transfers the table, once and for good: from here on each new key is claimed from the successor,
+// and the outcome of each run is reported to it. The entries are encoded as Settings.Entries has them.
 func (s *Middleware) BeginTransfer(successor Claimer) []idempotency.Entry {
 	s.mu.Lock()
 	s.successor = successor
@@ -68,13 +68,13 @@
 	return entries
 }
 
-// AwaitTransfer makes calls wait until Inherit or Lost. It is called before the first call arrives.
+// AwaitTransfer makes calls wait until AcceptTransfer or PredecessorLost. It is called before the first call arrives.
 func (s *Middleware) AwaitTransfer() {
 	s.predecessor = &predecessor{ready: make(chan struct{}), runs: map[idempotency.Key]remoteRun{}}
 }
 
-// AcceptTransfer takes the table that the predecessor has transferred, after Await and before Take. The secret is the one
-// under which its keys are hashed.
+// AcceptTransfer takes the table that the predecessor has transferred, after AwaitTransfer and before Claim. The
+// secret is the one under which its keys are hashed.
 func (s *Middleware) AcceptTransfer(secret []byte, entries []idempotency.Entry) {
 	s.config.Secret, s.hasher = secret, newKeyHasher(secret) // nobody reads them before ready is closed
 	s.mu.Lock()
@@ -95,9 +95,9 @@
 		running++
 	}
 	s.mu.Unlock()
-	s.log.Info("the names of the process before are known", "names", len(entries)-lost, "running", running)
+	s.log.Info("the idempotency keys of the previous process were received", "names", len(entries)-lost, "running", running)
 	if lost > 0 {
-		s.log.Error("there is no room for repeats from before the start", "names", lost)
+		s.log.Error("no capacity for idempotency keys from before the start", "names", lost)
 	}
 	close(s.predecessor.ready)
 }
@@ -108,7 +108,7 @@
 	s.runs[ref], s.predecessor.runs[key] = r, remoteRun{ref, r}
 }
 
-// Claim implements Fleet for the predecessor.
+// Claim implements Claimer for the predecessor.
 func (s *Middleware) Claim(c idempotency.Call, deadline float64, left <-chan struct{}) ClaimResult {
 	expired, stop := s.expired(deadline)
 	defer stop()
@@ -145,7 +145,8 @@
 	}
 }
 
-// claimResult returns a decision of the table as the predecessor gets it. A response that is not encoded is not known there.
+// claimResult returns a decision of the table in the form in which the predecessor receives it. A response that
+// cannot be encoded is not available there.
 func (s *Middleware) claimResult(d idempotency.Decision) ClaimResult {
 	t := ClaimResult{Verdict: d.Verdict, RetryAfter: d.RetryAfter}
 	if d.Body != nil {
@@ -156,7 +157,7 @@
 	return t
 }
 
-// Complete implements Fleet for the predecessor.
+// Complete implements Claimer for the predecessor.
 func (s *Middleware) Complete(c idempotency.Call, _ ClaimResult, outcome idempotency.Outcome, body []byte) {
 	payload, size := any(nil), 0
 	a := core.Answer{Kind: core.ClientLeft} // it did not run: one of the waiters may be the next
@@ -190,9 +191,9 @@
 	close(t.run.finished)
 }
 
-// PredecessorLost says that the channel to the predecessor is broken: what it was still running may have executed. alive says
-// whether it goes on. If it does and has not transferred its table, the keys remain its own: calls that must not run
-// twice are rejected here.
+// PredecessorLost reports that the channel to the predecessor is broken: what it was still running may have
+// executed. alive says whether it keeps serving. If it does and has not transferred its table, the keys remain its
+// own: calls that must not run twice are rejected here.
 func (s *Middleware) PredecessorLost(alive bool) {
 	s.mu.Lock()
 	s.predecessor.lost = true
@@ -202,7 +203,7 @@
 	}
 	s.mu.Unlock()
 	if left > 0 {
-		s.log.Warn("the process before ended some requests unheard: they may have run", "names", left)
+		s.log.Warn("the outcomes of some requests of the previous process are unknown: they may have run", "names", left)
 	}
 	select {
 	case <-s.predecessor.ready:
@@ -210,9 +211,9 @@
 	default:
 	}
 	if alive {
-		s.log.Error("the process before goes on and has kept its names: what must not run twice is refused here")
+		s.log.Error("the previous process resumed without transferring its idempotency keys: at-most-once requests are rejected here")
 	} else {
-		s.log.Warn("the process before has ended without handing over its names: repeats of its requests are not known")
+		s.log.Warn("the previous process ended without transferring its idempotency keys: repeats of its requests are not recognised")
 	}
 	s.predecessor.withheld.Store(alive)
 	close(s.predecessor.ready)
--- a/internal/node/idempotency/queue.go
+++ b/internal/node/idempotency/queue.go
@@ -18,7 +18,7 @@
 
 var emptyQueue = queue{-1, -1}
 
-// insertAfter puts a slot behind another one of a queue, at its head for -1.
+// insertAfter inserts a slot after another one of a queue; at the head of the queue if after is -1.
 func (t *Table) insertAfter(q *queue, which int, slot, after int32) {
 	l := &t.entries[slot].links[which]
 	l.prev, l.next = after, q.head
@@ -35,7 +35,7 @@
 	}
 }
 
-// removeFrom takes a slot out of a queue that it is in.
+// removeFrom removes a slot from a queue that it is in.
 func (t *Table) removeFrom(q *queue, which int, slot int32) {
 	l := &t.entries[slot].links[which]
 	if l.prev >= 0 {
--- a/internal/node/idempotency/replicated/claim.go
+++ b/internal/node/idempotency/replicated/claim.go
@@ -46,14 +46,14 @@
 	}
 }
 
-// commitClaim has a claim committed within a time, in ms. rejected is the result of one that was not.
+// commitClaim waits until a claim is committed, for at most timeout ms. rejected is the result where it was not.
 func (n *Keys) commitClaim(claim statemachine.Claim, timeout float64) (o statemachine.ClaimReply, rejected *middleware.ClaimResult) {
 	ctx, stop := context.WithTimeout(context.Background(), n.duration(timeout))
 	r, err := n.client.Do(ctx, statemachine.ComponentCalls, statemachine.ClaimCommand(claim))
 	stop()
 	if err != nil {
 		n.markUnreachable(err)
-		if errors.Is(err, client.ErrUnknown) { // it may still be committed; nothing was sent, and nothing will be
+		if errors.Is(err, client.ErrUnknown) { // it may still be committed, although no attempt was sent to a backend and none will be
 			n.background.Go(func() {
 				n.releaseClaim(statemachine.Completion{Name: claim.Name, Token: claim.Token, Outcome: statemachine.OutcomeNotExecuted})
 			})
@@ -62,13 +62,13 @@
 	}
 	n.replies.Add(1)
 	if r.Code != statemachine.OK || json.Unmarshal(r.Body, &o) != nil {
-		n.log.Error("a name could not be taken", "error", r.Text)
+		n.log.Error("an idempotency key could not be claimed", "error", r.Text)
 		return o, &middleware.ClaimResult{Verdict: idempotency.Full, RetryAfter: retryAfter}
 	}
 	return o, nil
 }
 
-// Lookup looks a key up without claiming it, and waits for the run elsewhere that holds it. Run = nobody holds it.
+// Lookup looks up a key without claiming it, and waits for the run elsewhere that holds it. Run = nobody holds it.
 func (n *Keys) Lookup(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.ClaimResult {
 	if !n.reachable.Load() {
 		return noMajority
--- a/internal/node/idempotency/replicated/completion.go
+++ b/internal/node/idempotency/replicated/completion.go
@@ -8,8 +8,8 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// Complete has the outcome of a run committed, and returns once it is, or after Settings.CompletionTimeout: it then goes on in the
-// background, for endReportTimeout at most.
+// Complete reports the outcome of a run to the replicas and returns once it is committed, or after
+// Settings.CompletionTimeout: it then continues in the background, for endReportTimeout at most.
 func (n *Keys) Complete(c idempotency.Call, t middleware.ClaimResult, outcome idempotency.Outcome, body []byte) {
 	e := statemachine.Completion{Name: c.Key[:], Token: t.Token, Outcome: statemachine.OutcomeInDoubt}
 	switch outcome {
@@ -32,7 +32,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), endReportTimeout)
 		defer stop()
 		if _, ok := n.reportEnd(ctx, e); !ok { // a second report of it is a conflict that changes nothing
-			n.log.Warn("the end of a call was not agreed: it counts as one that may have run")
+			n.log.Warn("the outcome of a call was not committed by the replicas: it counts as in doubt")
 		}
 	})
 	expired, cancel := n.timer(n.clock.Now() + n.config.CompletionTimeout)
@@ -43,7 +43,8 @@
 	}
 }
 
-// reportEnd has an outcome committed, and returns the reply; false if it was not before ctx ended.
+// reportEnd retries until an outcome is committed, and returns the reply; false if that did not happen before ctx
+// ended.
 func (n *Keys) reportEnd(ctx context.Context, e statemachine.Completion) (r statemachine.Reply, ok bool) {
 	for ctx.Err() == nil {
 		one, stop := context.WithTimeout(ctx, n.duration(n.config.RequestTimeout))
@@ -58,8 +59,8 @@
 }
 
 // releaseClaim gives up a claim of which it is not known whether it was committed. A claim that is still in flight
-// may be committed after the report that nothing ran, so that the report is repeated with backoff until it finds the
-// claim or none is to be expected any more.
+// may be committed after the report that nothing ran, so the report is repeated with backoff until it finds the
+// claim or the claim can no longer arrive.
 func (n *Keys) releaseClaim(e statemachine.Completion) {
 	select {
 	case n.endReports <- struct{}{}:
--- a/internal/node/idempotency/replicated/probe.go
+++ b/internal/node/idempotency/replicated/probe.go
@@ -41,7 +41,7 @@
 		wait, cancel := n.timer(n.clock.Now() + pause*(0.75+rand.Float64()/2))
 		select {
 		case <-wait:
-		case <-predecessorEnded: // what it had claimed and not ended may have executed
+		case <-predecessorEnded: // the calls that it claimed and did not complete may have executed
 			predecessorEnded, p.start.Predecessor, p.announced = nil, 0, false
 			cancel()
 		case <-ctx.Done():
@@ -55,11 +55,12 @@
 	names     *Keys
 	start     statemachine.ProcessStart
 	announced bool // start was committed
-	warned    bool // of another secret
-	ready     bool // keys could be claimed once
+	warned    bool // a different secret has been logged
+	ready     bool // keys could be claimed at least once
 }
 
-// probe asks the replicas once: it announces the process if that was not committed yet, else it reads a key that nobody has.
+// probe asks the replicas once: it announces the process if that has not been committed yet, otherwise it reads a key
+// that nobody holds.
 func (p *prober) probe(ctx context.Context) error {
 	n := p.names
 	timeout := n.config.RequestTimeout
@@ -68,7 +69,8 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, n.duration(timeout))
 	defer stop()
-	// Once another process replaces this one, an announcement would end that one's incarnation, whose runs nobody would answer for.
+	// Once another process replaces this one, an announcement would end the incarnation of that process, and its
+	// runs would count as abandoned.
 	if !p.announced && n.announceCtx.Err() == nil {
 		return p.announce(ctx, stop)
 	}
@@ -76,15 +78,15 @@
 	return err
 }
 
-// announce has the start of the process committed; stop ends ctx.
+// announce reports the start of the process to the replicas, which commit it; stop ends ctx.
 func (p *prober) announce(ctx context.Context, stop func()) error {
 	n := p.names
-	unhook := context.AfterFunc(n.announceCtx, stop) //nolint:contextcheck // n.announceCtx ends with Yield, before ctx
+	unhook := context.AfterFunc(n.announceCtx, stop) //nolint:contextcheck // n.announceCtx ends with StopAnnouncing, before ctx
 	defer unhook()
 	r, err := n.client.Do(ctx, statemachine.ComponentCalls, statemachine.ProcessStartCommand(p.start))
 	if err == nil && r.Code == statemachine.Conflict {
 		if !p.warned {
-			n.log.Error("this node hashes names under another secret than its fleet: it takes none", "error", r.Text)
+			n.log.Error("this node hashes idempotency keys with another secret than its fleet: it claims none", "error", r.Text)
 		}
 		p.warned, err = true, errors.New(r.Text)
 	}
@@ -92,7 +94,8 @@
 	return err
 }
 
-// secretSum returns a digest by which nodes with different secrets of the hash of keys find out. It is replicated.
+// secretSum returns a digest of the secret, by which nodes that hash keys with different secrets are detected. It is
+// replicated.
 func secretSum(secret []byte) []byte {
 	sum := hmac.New(sha256.New, secret)
 	_, _ = sum.Write([]byte("linenwheel names of a fleet")) // a hash returns no error
--- a/internal/node/idempotency/replicated/release_test.go
+++ b/internal/node/idempotency/replicated/release_test.go
@@ -19,7 +19,8 @@
 	"linenwheel.dev/linenwheel/internal/node/statemachine"
 )
 
-// lateReplica is a replica that commits alone, and applies the first claim late: after the report that nothing ran was rejected.
+// lateReplica is a replica that commits alone, and applies the first claim late: after the report that nothing ran
+// was rejected.
 type lateReplica struct {
 	t        *testing.T
 	log      *statemachine.Machine
@@ -104,7 +105,8 @@
 	return &reply
 }
 
-// Guards against a claim that is committed after its node gave it up: nothing ran, and every repeat would be in doubt.
+// Guards against a claim that is committed after its node gave it up: nothing ran, and every repeat would be in
+// doubt.
 func TestLateClaimIsReleased(t *testing.T) {
 	k := &lateReplica{t: t, log: statemachine.New(), claimed: make(chan struct{}), released: make(chan struct{})}
 	log := client.New(client.Config{Fleet: "f", Name: "n", Replicas: []client.Replica{{Name: "k", Address: k.listen()}}, AttemptTimeout: 250 * time.Millisecond})
@@ -112,12 +114,12 @@
 	n := New(Settings{Node: "n", ClaimValidity: 60000, MaxRun: 60000, RequestTimeout: 1000, CompletionTimeout: 1000},
 		log, clock.NewSystem(), slog.New(slog.DiscardHandler))
 	c := idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
-	take := func() idempotency.Verdict {
+	claim := func() idempotency.Verdict {
 		n.reachable.Store(true)
 		return n.Claim(c, n.clock.Now()+60000, nil).Verdict
 	}
 	for came := false; !came; { // on a slow machine its deadline may pass before it is sent
-		require.Equal(t, idempotency.Full, take(), "rejected: it is not known whether the claim was committed")
+		require.Equal(t, idempotency.Full, claim(), "rejected: it is not known whether the claim was committed")
 		select {
 		case <-k.claimed:
 			came = true
@@ -127,11 +129,11 @@
 	select {
 	case <-k.released:
 	case <-time.After(time.Minute):
-		require.Fail(t, "the name stays one that may have run")
+		require.Fail(t, "the key stays in doubt")
 	}
-	last := take()
+	last := claim()
 	for last == idempotency.Full { // as clients retry
-		last = take()
+		last = claim()
 	}
 	assert.Equal(t, idempotency.Run, last)
 }
--- a/internal/node/idempotency/replicated/replicated.go
+++ b/internal/node/idempotency/replicated/replicated.go
@@ -1,9 +1,9 @@
 // Package replicated claims idempotency keys for all nodes: a claim is committed by the replicas before the first
 // byte of its call goes out, and an outcome before the client is answered. It is the adapter between package
-// middleware and the replicated state machine; what is decided is in package statemachine.
+// middleware and the replicated state machine; the decisions are made in package statemachine.
 //
-// While no majority of the replicas can be reached, claims are rejected at once: a probe runs in the background and
-// finds when one can be reached again.
+// While no majority of the replicas can be reached, claims are rejected at once: a probe in the background detects
+// when one can be reached again.
 package replicated
 
 import (
@@ -29,14 +29,14 @@
 	MaxRun            float64  // maximum time of a run
 	RequestTimeout    float64  // maximum time for one request to the replicas
 	CompletionTimeout float64  // maximum time that a client waits until the outcome of its call is committed
-	Predecessor       uint64   // incarnation of the process that this one replaces, and which ends its own claims; 0 = none
+	Predecessor       uint64   // incarnation of the process that this one replaces, which completes its own claims; 0 = none
 }
 
 const (
 	probeInterval            = 500.0  // ms between two probes
 	unreachableProbeInterval = 100.0  // ms between two probes while no majority can be reached
 	unreachableProbeTimeout  = 5000.0 // ms for such a probe: nobody waits for it, and slow replicas are not unreachable
-	minPollInterval          = 5.0    // ms between two looks at a run elsewhere; doubles up to maxPollInterval
+	minPollInterval          = 5.0    // ms between two polls of a run elsewhere; doubles up to maxPollInterval
 	maxPollInterval          = 80.0   // ms
 	retryAfter               = 1000.0 // ms after which a rejected client should retry
 	endReportTimeout         = 10 * time.Second
@@ -46,7 +46,7 @@
 // noMajority is the result of a claim while the replicas cannot be asked.
 var noMajority = middleware.ClaimResult{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, RetryAfter: retryAfter}
 
-// Keys is the adapter: a middleware.LeaseService and a middleware.KeyLookup. All of its methods may be called from any
+// Keys is the adapter: a middleware.Claimer and a middleware.KeyLookup. All of its methods may be called from any
 // goroutine, Run by one only.
 type Keys struct {
 	config           Settings
@@ -80,11 +80,11 @@
 // Incarnation returns this process's incarnation.
 func (n *Keys) Incarnation() uint64 { return n.life }
 
-// PredecessorEnded says that the process that this one replaces has ended.
+// PredecessorEnded reports that the process that this one replaces has ended.
 func (n *Keys) PredecessorEnded() { n.predecessorOnce.Do(func() { close(n.predecessorEnded) }) }
 
-// StopAnnouncing says that another process replaces this one: this incarnation is not announced any more, but the outcomes of
-// its calls still are.
+// StopAnnouncing reports that another process replaces this one: this incarnation is not announced any more, but
+// the outcomes of its calls still are.
 func (n *Keys) StopAnnouncing() { n.stopAnnouncing() }
 
 // Reachable reports whether keys can be claimed.
@@ -102,6 +102,6 @@
 // markUnreachable records that no majority of the replicas can be reached.
 func (n *Keys) markUnreachable(err error) {
 	if n.reachable.Swap(false) {
-		n.log.Warn("no majority of keepers can be reached: calls that must not run twice are refused", "error", err)
+		n.log.Warn("no majority of the replicas can be reached: at-most-once calls are rejected", "error", err)
 	}
 }
--- a/internal/node/idempotency/replicated/replicated_test.go
+++ b/internal/node/idempotency/replicated/replicated_test.go
@@ -53,8 +53,8 @@
 	return len(b), nil
 }
 
-// Guards against a node that hashes keys under another secret than the other nodes and is only noticed when a charge runs twice: it
-// logs that when it starts, and claims no key.
+// Guards against a node that hashes keys under another secret than the other nodes and is only noticed when a
+// charge runs twice: it logs that when it starts, and claims no key.
 func TestNodeWithAnotherSecretClaimsNothing(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
@@ -70,14 +70,14 @@
 	}
 	first := begin("a", "the secret of the fleet", slog.New(slog.DiscardHandler))
 	<-first.Ready()
-	seen := &logWatcher{what: "level=ERROR msg=\"this node hashes names under another secret than its fleet: it takes none\"", found: make(chan struct{})}
+	seen := &logWatcher{what: "level=ERROR msg=\"this node hashes idempotency keys with another secret than its fleet: it claims none\"", found: make(chan struct{})}
 	other := begin("b", "another secret", slog.New(slog.NewTextHandler(seen, nil)))
 	select {
 	case <-seen.found:
 	case <-other.Ready():
-		require.Fail(t, "it takes names")
+		require.Fail(t, "it claims keys")
 	case <-time.After(time.Minute):
-		require.Fail(t, "it does not say so")
+		require.Fail(t, "it does not log the other secret")
 	}
 	call := idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
 	assert.Equal(t, middleware.ClaimResult{Verdict: idempotency.Full, Reason: middleware.ReasonNoMajority, RetryAfter: retryAfter}, other.Claim(call, real.Now()+20000, nil))
@@ -87,32 +87,32 @@
 	<-same.Ready()
 }
 
-// Guards against a process that announces its incarnation after another has replaced it: the runs of that one would count as
-// abandoned, and their responses would be lost.
-func TestYieldedProcessNoLongerAnnouncesItself(t *testing.T) {
+// Guards against a process that announces its incarnation after another has replaced it: the runs of that one
+// would count as abandoned, and their responses would be lost.
+func TestReplacedProcessNoLongerAnnouncesItself(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
 	ask, quiet := runReplica(ctx, t, &work), slog.New(slog.DiscardHandler)
 	real := clock.NewSystem()
-	begin := func(yielded bool) *Keys {
+	begin := func(replaced bool) *Keys {
 		c := client.New(ask)
 		n := New(Settings{Node: "n", ClaimValidity: 600000, MaxRun: 600000, RequestTimeout: 60000,
 			CompletionTimeout: 60000}, c, real, quiet)
-		if yielded {
+		if replaced {
 			n.StopAnnouncing()
 		}
 		work.Go(func() { defer c.Close(); n.Run(ctx) })
 		<-n.Ready()
 		return n
 	}
-	heir, call := begin(false), idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
-	t1 := heir.Claim(call, real.Now()+120000, nil)
+	successor, call := begin(false), idempotency.Call{Key: idempotency.Key{1}, Tenant: -1, Windows: &idempotency.Windows{Answered: 60000, Doubt: 60000}}
+	t1 := successor.Claim(call, real.Now()+120000, nil)
 	require.Equal(t, idempotency.Run, t1.Verdict)
 	begin(true)
-	heir.Complete(call, t1, idempotency.OutcomeServed, []byte("answer"))
-	t2 := heir.Claim(call, real.Now()+120000, nil)
+	successor.Complete(call, t1, idempotency.OutcomeServed, []byte("answer"))
+	t2 := successor.Claim(call, real.Now()+120000, nil)
 	assert.Equal(t, idempotency.Replay, t2.Verdict)
 	assert.Equal(t, "answer", string(t2.Body))
 }
--- a/internal/node/idempotency/restore.go
+++ b/internal/node/idempotency/restore.go
@@ -33,8 +33,8 @@
 	return true
 }
 
-// Resume adds an entry for a call that still runs in another process, and returns its Ref for End. It reports whether
-// there was capacity; a key that is known already keeps its entry, and Resume returns false.
+// Resume adds an entry for a call that still runs in another process, and returns its Ref for Complete. It reports
+// whether there was capacity; a key that is known already keeps its entry, and Resume returns false.
 func (t *Table) Resume(now float64, c Call) (Ref, bool) {
 	t.advance(now)
 	if _, known := t.index[c.Key]; known {
@@ -47,19 +47,19 @@
 	return Ref{slot, t.entries[slot].generation}, true
 }
 
-// Snapshot returns every entry as Restore takes it, in an order in which a table that restores them all evicts bodies in
-// the same order as this one. Running entries come last.
-func (t *Table) Snapshot() (image []Entry) {
+// Snapshot returns every entry as Restore accepts it, in an order in which a table that restores them all evicts
+// bodies in the same order as this one. Running entries come last.
+func (t *Table) Snapshot() (entries []Entry) {
 	windows, order := make([]Windows, len(t.lanes)), make([]int, len(t.lanes))
 	for i := range t.lanes {
 		windows[i], order[i] = t.lanes[i].Windows, i
 	}
-	// A table that restored an image has its lanes in another order; sorted, it returns the same image.
+	// A table that restored a snapshot has its lanes in another order; sorting makes it return the same snapshot.
 	slices.SortFunc(order, func(i, j int) int {
 		a, b := &t.lanes[i], &t.lanes[j]
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.Answered, b.Answered), cmp.Compare(a.Doubt, b.Doubt))
 	})
-	known := func(e *entry) Entry {
+	toEntry := func(e *entry) Entry {
 		w := &windows[e.lane]
 		k := Entry{Call: Call{e.key, e.fingerprint, int(e.class), int(e.tenant), w}, Running: e.state == stateRunning,
 			Served: e.state == stateAnswered || e.state == stateExecuted, Body: e.body, Size: int(e.size)}
@@ -72,21 +72,21 @@
 		return k
 	}
 	for slot := t.bodies.head; slot >= 0; slot = t.entries[slot].links[byBody].next {
-		image = append(image, known(&t.entries[slot]))
+		entries = append(entries, toEntry(&t.entries[slot]))
 	}
 	for _, i := range order {
 		for _, q := range []*queue{&t.lanes[i].executed, &t.lanes[i].inDoubt} {
 			for slot := q.head; slot >= 0; slot = t.entries[slot].links[byExpiry].next {
 				if e := &t.entries[slot]; e.state != stateAnswered {
-					image = append(image, known(e))
+					entries = append(entries, toEntry(e))
 				}
 			}
 		}
 	}
 	for slot := range t.entries {
 		if e := &t.entries[slot]; e.state == stateRunning {
-			image = append(image, known(e))
+			entries = append(entries, toEntry(e))
 		}
 	}
-	return image
+	return entries
 }
--- a/internal/node/idempotency/table_test.go
+++ b/internal/node/idempotency/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "linenwheel.dev/linenwheel/internal/rapidseed" // the same histories every time
+	_ "linenwheel.dev/linenwheel/internal/rapidseed" // fixes the seed of rapid
 )
 
 func keyOf(i int) (n Key) {
@@ -44,7 +44,7 @@
 		windows: rapid.SampledFrom(changedWindows).Draw(t, "under")}
 })
 
-// expected is what the specification knows of a key, by the plainest means.
+// expected is the state of a key in the specification, kept in the simplest way.
 type expected struct {
 	call    Call
 	windows Windows // under which it began
@@ -63,7 +63,7 @@
 	Tick(now float64)
 }
 
-// checkHistory plays a history and returns which rule was broken, "" for none.
+// checkHistory runs a history against a table and returns the rule that was broken, "" for none.
 func checkHistory(b table, set Settings, ops []step) string {
 	now, latest, runs := 1000.0, 0.0, 0
 	known, openRuns := map[Key]*expected{}, []Ref{}
@@ -102,7 +102,7 @@
 				case within && set.Classes[k.call.Class].AtMostOnce:
 					return "ran again within its window"
 				case d.Verdict == RunUnrecorded && once:
-					return "let a call go on unrecorded that must never run twice"
+					return "let a call that must never run twice run unrecorded"
 				}
 				if d.Verdict == Run {
 					windows := Windows{set.Classes[c.Class].AnsweredWindow, set.Classes[c.Class].InDoubtWindow}
@@ -115,33 +115,33 @@
 				}
 			case Join:
 				if k == nil || !k.running || k.call.Fingerprint != c.Fingerprint || k.call.Class != c.Class {
-					return "joined to what does not run"
+					return "joined a call that is not running"
 				}
 			case Replay:
 				if !ran || k.outcome != OutcomeServed || d.Body != k.body || k.call.Fingerprint != c.Fingerprint {
-					return "replayed another answer than the one that was given"
+					return "replayed another response than that of the run"
 				}
 			case Executed, InDoubt:
 				if !within {
-					return "called spent or in doubt what is not"
+					return "returned Executed or InDoubt for a call that is neither"
 				}
 			case Mismatch:
 				if k == nil || k.call.Fingerprint == c.Fingerprint && k.call.Class == c.Class {
-					return "called different what is the same"
+					return "returned Mismatch for equal calls"
 				}
 			case Full:
-				room := float64(set.MaxEntries - before.Pinned)
-				if room > 0 && float64(b.Pinned(c.Tenant)) < set.PinnedRatio*room && before.Entries < set.MaxEntries {
-					return "turned away though there was room"
+				capacity := float64(set.MaxEntries - before.Pinned)
+				if capacity > 0 && float64(b.Pinned(c.Tenant)) < set.PinnedRatio*capacity && before.Entries < set.MaxEntries {
+					return "rejected although there was capacity"
 				}
 			}
 		}
 		c := b.Counts()
 		switch {
 		case c.Entries > set.MaxEntries || c.Bytes > set.MaxBodyBytes:
-			return "outgrew its bounds"
+			return "exceeded its bounds"
 		case c.Entries != c.Running+c.Answered+c.Executed+c.InDoubt || c.Running != len(openRuns):
-			return "lost count, or a running entry"
+			return "miscounted its entries, or lost a running one"
 		}
 	}
 	for _, ref := range openRuns {
@@ -149,14 +149,14 @@
 	}
 	b.Tick(now + 1e6)
 	if c := b.Counts(); c.Entries != 0 || c.Pinned != 0 || c.Bytes != 0 || !math.IsInf(b.NextExpiry(), 1) {
-		return "kept something after all windows"
+		return "kept an entry beyond all windows"
 	}
 	return ""
 }
 
-// Guards against a second run, another response, a lost run, growth beyond the bounds and needless rejections, whatever
-// the order of calls, ends and clocks.
-func TestRandomHistoriesKeepTheSpecification(t *testing.T) {
+// Guards against a second run, a different response, a lost run, growth beyond the bounds and needless rejections,
+// whatever the order of calls, ends and clock readings.
+func TestRandomHistoriesMeetTheSpecification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(small)
 		require.NoError(t, err)
@@ -244,11 +244,11 @@
 func TestHistoryCheckerFindsPlantedFaults(t *testing.T) {
 	short := small
 	short.Classes = []Class{{AtMostOnce: true, AnsweredWindow: 40, InDoubtWindow: 80}, small.Classes[1]}
-	roomy := small
-	roomy.MaxEntries = 7
+	large := small
+	large.MaxEntries = 7
 	for what, make := range map[string]func() table{
 		"a window that is too short":                 func() table { b, _ := New(short); return b },
-		"a bound that is too high":                   func() table { b, _ := New(roomy); return b },
+		"a bound that is too high":                   func() table { b, _ := New(large); return b },
 		"an outcome recorded late":                   func() table { b, _ := New(small); return &lateRecorder{Table: b} },
 		"a running entry evicted":                    func() table { b, _ := New(small); return runningEvicter{b} },
 		"windows of known keys that follow a change": func() table { b, _ := New(small); return windowShifter{b} },
@@ -268,18 +268,18 @@
 	set.MaxEntries = 300
 	b, err := New(set)
 	require.NoError(t, err)
-	taken, refused := 0, Decision{}
+	accepted, rejected := 0, Decision{}
 	for i := range 1000 {
 		d := b.Claim(float64(i)/1000, Call{Key: keyOf(i), Tenant: 0})
 		if d.Verdict == Full {
-			refused = d
+			rejected = d
 			continue
 		}
-		taken++
+		accepted++
 		b.Complete(float64(i)/1000, d.Ref, OutcomeInDoubt, nil, 0)
 	}
-	assert.Equal(t, 200, taken, "twice the capacity that is not pinned")
-	assert.InDelta(t, 80, refused.RetryAfter, 1.1)
+	assert.Equal(t, 200, accepted, "twice the capacity that is not pinned")
+	assert.InDelta(t, 80, rejected.RetryAfter, 1.1)
 	for i := range 66 {
 		assert.Equal(t, Run, b.Claim(1, Call{Key: keyOf(2000 + i), Tenant: 1}).Verdict)
 	}
@@ -287,9 +287,9 @@
 
 // Guards against entries from before a restart that are lost, younger than they are, or replace newer ones.
 func TestRestoreKeepsAgesAndBounds(t *testing.T) {
-	roomy := small
-	roomy.MaxEntries = 60
-	b, err := New(roomy)
+	large := small
+	large.MaxEntries = 60
+	b, err := New(large)
 	require.NoError(t, err)
 	call := func(i int) Call { return Call{Key: keyOf(i)} }
 	for _, k := range []Entry{{Call: call(1), Running: true}, {Call: call(2), Served: true, Age: 20, Body: "two", Size: 3},
@@ -300,7 +300,7 @@
 		for i, v := range verdicts {
 			c := call(i + 1)
 			got := b.Claim(now, c)
-			assert.Equal(t, v, got.Verdict, "name %d at %g", i+1, now)
+			assert.Equal(t, v, got.Verdict, "key %d at %g", i+1, now)
 			if got.Verdict == Run {
 				b.Complete(now, got.Ref, OutcomeNotExecuted, nil, 0)
 			}
@@ -319,15 +319,15 @@
 	assert.False(t, full.Restore(0, Entry{Call: call(7)}))
 }
 
-// Guards against unbounded lanes, a key that is claimed where it cannot be kept for as long as its class says, and one that
-// an image restores under other windows.
+// Guards against unbounded lanes, a key that is claimed where it cannot be kept for as long as its class says, and
+// one that a snapshot restores under other windows.
 func TestLanesAreBoundedAndReused(t *testing.T) {
-	roomy := small
-	roomy.MaxEntries = 1e6
-	b, err := New(roomy)
+	large := small
+	large.MaxEntries = 1e6
+	b, err := New(large)
 	require.NoError(t, err)
 	under := func(i int) *Windows { return &Windows{Answered: 1000 + float64(i), Doubt: 1} }
-	take := func(n, i int) Verdict {
+	claim := func(n, i int) Verdict {
 		d := b.Claim(0, Call{Key: keyOf(n), Windows: under(i)})
 		if d.Verdict == Run {
 			b.Complete(0, d.Ref, OutcomeServed, nil, 1000)
@@ -335,22 +335,22 @@
 		return d.Verdict
 	}
 	for i := range maxLanes {
-		require.Equal(t, Run, take(i, i))
+		require.Equal(t, Run, claim(i, i))
 	}
-	assert.Equal(t, Full, take(maxLanes, maxLanes))
-	assert.Equal(t, Run, take(maxLanes, 5), "windows that other keys have")
-	heir, err := New(roomy)
+	assert.Equal(t, Full, claim(maxLanes, maxLanes))
+	assert.Equal(t, Run, claim(maxLanes, 5), "windows that other keys have")
+	restored, err := New(large)
 	require.NoError(t, err)
 	for _, k := range b.Snapshot() {
-		require.True(t, heir.Restore(0, k))
+		require.True(t, restored.Restore(0, k))
 	}
-	for _, b := range []*Table{b, heir} {
+	for _, b := range []*Table{b, restored} {
 		assert.Equal(t, 1000.0, b.NextExpiry())
 		b.Tick(1000)
 		assert.Equal(t, maxLanes, b.Counts().Entries)
 		assert.Equal(t, 1001.0, b.NextExpiry())
 	}
-	assert.Equal(t, Run, take(maxLanes+1, maxLanes), "a lane is reused")
+	assert.Equal(t, Run, claim(maxLanes+1, maxLanes), "a lane is reused")
 	assert.Len(t, b.lanes, maxLanes)
 }
 
@@ -391,17 +391,17 @@
 	}
 }
 
-// BenchmarkFullTable is one new call, from Ask to End, in a table that is full of others.
+// BenchmarkFullTable measures one new call, from Claim to Complete, in a table that is full of others.
 func BenchmarkFullTable(b *testing.B) {
-	book, err := New(Settings{Classes: []Class{{AtMostOnce: true, AnsweredWindow: 1000, InDoubtWindow: 1000}}, MaxEntries: 100_000, MaxBodyBytes: 1 << 20,
+	table, err := New(Settings{Classes: []Class{{AtMostOnce: true, AnsweredWindow: 1000, InDoubtWindow: 1000}}, MaxEntries: 100_000, MaxBodyBytes: 1 << 20,
 		PinnedRatio: 1e9})
 	require.NoError(b, err)
 	body := any("body")
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now := float64(i) / 50
-		if d := book.Claim(now, Call{Key: keyOf(i)}); d.Verdict == Run {
-			book.Complete(now, d.Ref, OutcomeServed, body, 200)
+		if d := table.Claim(now, Call{Key: keyOf(i)}); d.Verdict == Run {
+			table.Complete(now, d.Ref, OutcomeServed, body, 200)
 		}
 	}
 }
--- a/internal/node/idempotency/transfer/golden_test.go
+++ b/internal/node/idempotency/transfer/golden_test.go
@@ -8,7 +8,8 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency"
 )
 
-// Guards against messages between the processes of a node whose JSON, or whose numbers for verdicts and ends, have changed.
+// Guards against messages between the processes of a node whose JSON, or whose numbers for verdicts and outcomes,
+// have changed.
 func TestEncodedTypesKeepTheirForm(t *testing.T) {
 	golden.JSON[message](t, "message")
 	verdicts := []idempotency.Verdict{idempotency.Run, idempotency.RunUnrecorded, idempotency.Join, idempotency.Replay, idempotency.Executed, idempotency.InDoubt, idempotency.Mismatch, idempotency.Full}
--- a/internal/node/idempotency/transfer/messages.go
+++ b/internal/node/idempotency/transfer/messages.go
@@ -2,10 +2,10 @@
 // of a hot restart.
 //
 // There is one table at each moment: the old process's until the new one has accepted, then the new one's. The old
-// process (Giver) sends all of its entries and claims each new key from the new one (Heir) from then on; what it is
-// running is a running entry in the new table too, and it sends each outcome before it answers its client. When the
-// channel breaks, the old process rejects new keys, and the new one treats every run whose outcome it has not
-// received as one that may have executed.
+// process (Sender) sends all of its entries and from then on claims each new key from the new one (Receiver). Its
+// running calls are running entries in the new table too, and it sends each outcome before it answers its client.
+// When the channel breaks, the old process rejects new keys, and the new one treats every run whose outcome it has
+// not received as one that may have executed.
 package transfer
 
 import (
@@ -18,7 +18,7 @@
 // through Lost.
 type SendFunc func(json.RawMessage) error
 
-// maxChunkBytes bounds the bodies in one message, in bytes, beside those of its last entry.
+// maxChunkBytes bounds the bodies in one message, in bytes, not counting the body of its last entry.
 const maxChunkBytes = 1 << 20
 
 // maxChunkEntries bounds the entries in one message.
@@ -45,7 +45,8 @@
 	Print  []byte `json:"print"`
 	Class  int    `json:"class"`
 	Tenant int    `json:"tenant"`
-	// Windows are those under which it claimed its key; nil, from a release that does not send them = those of its class.
+	// Windows are those under which it claimed its key; nil, from a release that does not send them = those of its
+	// class.
 	Windows *idempotency.Windows `json:"windows,omitempty"`
 }
 
@@ -58,7 +59,7 @@
 	Body    []byte  `json:"body,omitempty"`
 }
 
-// claim asks for a key.
+// claim requests a key.
 type claim struct {
 	wireCall
 	Seq     uint64  `json:"seq"`
--- a/internal/node/idempotency/transfer/heir.go
+++ b/internal/node/idempotency/transfer/receiver.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 )
 
-// Receiver is the new process's side. Its methods are called one after the other.
+// Receiver is the side of the new process. Its methods are called one after the other.
 type Receiver struct {
 	mw      *middleware.Middleware
 	clock   clock.Clock
@@ -26,7 +26,7 @@
 }
 
 // Receive receives a message of the old process. The error is of one that cannot be decoded.
-func (h *Receiver) Receive(text json.RawMessage) error {
+func (r *Receiver) Receive(text json.RawMessage) error {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
@@ -38,29 +38,29 @@
 			if e.Body != nil { // a nil []byte in an interface would not be nil
 				k.Body = e.Body
 			}
-			h.entries = append(h.entries, k)
+			r.entries = append(r.entries, k)
 		}
 		if m.Chunk.Last {
-			h.mw.AcceptTransfer(m.Chunk.Secret, h.entries)
-			h.entries = nil
+			r.mw.AcceptTransfer(m.Chunk.Secret, r.entries)
+			r.entries = nil
 		}
 	case m.Claim != nil:
-		go h.replyTo(*m.Claim) // as many as the old process has calls
+		go r.replyTo(*m.Claim) // at most one goroutine for each call of the old process
 	case m.Completion != nil:
-		h.mw.Complete(m.Completion.wireCall.decode(), middleware.ClaimResult{}, m.Completion.Outcome, m.Completion.Body)
+		r.mw.Complete(m.Completion.wireCall.decode(), middleware.ClaimResult{}, m.Completion.Outcome, m.Completion.Body)
 	}
 	return nil
 }
 
 // replyTo answers a claim. It blocks while the key is running.
-func (h *Receiver) replyTo(a claim) {
-	t := h.mw.Claim(a.wireCall.decode(), h.clock.Now()+a.Timeout, h.broken)
+func (r *Receiver) replyTo(a claim) {
+	t := r.mw.Claim(a.wireCall.decode(), r.clock.Now()+a.Timeout, r.broken)
 	// A broken channel is reported through Lost.
-	_ = message{Reply: &claimReply{a.Seq, t.Verdict, t.Reason, t.RetryAfter, t.Body}}.send(h.send)
+	_ = message{Reply: &claimReply{a.Seq, t.Verdict, t.Reason, t.RetryAfter, t.Body}}.send(r.send)
 }
 
-// Lost says that the channel is broken, and whether the old process goes on.
-func (h *Receiver) Lost(alive bool) {
-	close(h.broken)
-	h.mw.PredecessorLost(alive)
+// Lost reports that the channel is broken, and whether the old process keeps serving.
+func (r *Receiver) Lost(alive bool) {
+	close(r.broken)
+	r.mw.PredecessorLost(alive)
 }
--- a/internal/node/idempotency/transfer/giver.go
+++ b/internal/node/idempotency/transfer/sender.go
@@ -10,8 +10,8 @@
 	"linenwheel.dev/linenwheel/internal/node/idempotency/middleware"
 )
 
-// Sender is the old process's side: the middleware.LeaseService of its middleware from the transfer on. All of its methods
-// may be called from any goroutine.
+// Sender is the side of the old process: the middleware.Claimer of its middleware from the transfer on. All of its
+// methods may be called from any goroutine.
 type Sender struct {
 	mw    *middleware.Middleware
 	clock clock.Clock
@@ -29,7 +29,7 @@
 // pendingClaim is a claim that the other process has not answered yet.
 type pendingClaim struct {
 	call  idempotency.Call
-	reply chan middleware.ClaimResult // nil = nobody waits for it any more
+	reply chan middleware.ClaimResult // nil = nobody waits for the reply any more
 }
 
 // NewSender returns the side that transfers the table of mw once Run is called.
@@ -37,30 +37,30 @@
 	return &Sender{mw: mw, clock: c, log: log, send: send, sent: make(chan struct{}), pending: map[uint64]*pendingClaim{}}
 }
 
-// Run transfers the table, and returns when it has been sent or the channel is broken. Told and Lost may be called
-// meanwhile.
-func (g *Sender) Run() {
-	entries := g.mw.BeginTransfer(g)
-	names := len(entries)
+// Run transfers the table, and returns when it has been sent or the channel is broken. Receive and Lost may be
+// called meanwhile.
+func (s *Sender) Run() {
+	entries := s.mw.BeginTransfer(s)
+	keys := len(entries)
 	for {
-		var p *tableChunk
-		if p, entries = nextChunk(entries); len(entries) == 0 {
-			p.Last, p.Secret = true, g.mw.Secret()
+		var chunk *tableChunk
+		if chunk, entries = nextChunk(entries); len(entries) == 0 {
+			chunk.Last, chunk.Secret = true, s.mw.Secret()
 		}
-		if err := (message{Chunk: p}).send(g.send); err != nil {
-			g.log.Warn("the names could not be handed over", "error", err)
-			g.Lost()
+		if err := (message{Chunk: chunk}).send(s.send); err != nil {
+			s.log.Warn("the idempotency keys could not be transferred", "error", err)
+			s.Lost()
 			return
 		}
-		if p.Last {
+		if chunk.Last {
 			break
 		}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.broken {
-		close(g.sent)
-		g.log.Info("the names were handed over", "names", names)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.broken {
+		close(s.sent)
+		s.log.Info("the idempotency keys were transferred", "names", keys)
 	}
 }
 
@@ -77,13 +77,13 @@
 	return p, entries
 }
 
-// Claim implements middleware.LeaseService: it claims a key from the other process.
-func (g *Sender) Claim(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.ClaimResult {
+// Claim implements middleware.Claimer: it claims a key from the other process.
+func (s *Sender) Claim(c idempotency.Call, deadline float64, left <-chan struct{}) middleware.ClaimResult {
 	expired := make(chan struct{})
-	stop := g.clock.At(deadline, func() { close(expired) })
+	stop := s.clock.At(deadline, func() { close(expired) })
 	defer stop()
 	select {
-	case <-g.sent:
+	case <-s.sent:
 	case <-expired:
 		return middleware.ClaimResult{Verdict: idempotency.Join}
 	case <-left:
@@ -91,17 +91,17 @@
 	}
 	pending := &pendingClaim{c, make(chan middleware.ClaimResult, 1)}
 	reply := pending.reply
-	g.mu.Lock()
-	if g.broken {
-		g.mu.Unlock()
-		return g.withoutSuccessor(c)
-	}
-	g.lastSeq++
-	seq := g.lastSeq
-	g.pending[seq] = pending
-	g.mu.Unlock()
-	if (message{Claim: &claim{encodeCall(c), seq, max(0, deadline-g.clock.Now())}}).send(g.send) != nil {
-		g.Lost()
+	s.mu.Lock()
+	if s.broken {
+		s.mu.Unlock()
+		return s.withoutSuccessor(c)
+	}
+	s.lastSeq++
+	seq := s.lastSeq
+	s.pending[seq] = pending
+	s.mu.Unlock()
+	if (message{Claim: &claim{encodeCall(c), seq, max(0, deadline-s.clock.Now())}}).send(s.send) != nil {
+		s.Lost()
 	}
 	select {
 	case t := <-reply:
@@ -109,9 +109,9 @@
 	case <-expired:
 	case <-left:
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	pending.reply = nil // Told gives back a claim that is granted now
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pending.reply = nil // Receive releases a claim that is granted from now on
 	select {
 	case t := <-reply:
 		return t
@@ -122,27 +122,27 @@
 
 // withoutSuccessor returns the result of a claim where the other process cannot be asked. A call that may run twice
 // runs unrecorded.
-func (g *Sender) withoutSuccessor(c idempotency.Call) middleware.ClaimResult {
-	if !g.mw.Once(c.Class) {
+func (s *Sender) withoutSuccessor(c idempotency.Call) middleware.ClaimResult {
+	if !s.mw.Once(c.Class) {
 		return middleware.ClaimResult{Verdict: idempotency.RunUnrecorded}
 	}
 	return middleware.ClaimResult{Verdict: idempotency.Full, Reason: middleware.ReasonSuccessorLost}
 }
 
-// Complete implements middleware.LeaseService: it sends the outcome of a run. What was written before the client is answered is
-// received though this process dies.
-func (g *Sender) Complete(c idempotency.Call, _ middleware.ClaimResult, outcome idempotency.Outcome, body []byte) {
-	<-g.sent
-	g.mu.Lock()
-	broken := g.broken
-	g.mu.Unlock()
-	if !broken && (message{Completion: &completion{encodeCall(c), outcome, body}}).send(g.send) != nil {
-		g.Lost()
+// Complete implements middleware.Claimer: it sends the outcome of a run. The new process receives what was
+// written before the client was answered, even if this process dies.
+func (s *Sender) Complete(c idempotency.Call, _ middleware.ClaimResult, outcome idempotency.Outcome, body []byte) {
+	<-s.sent
+	s.mu.Lock()
+	broken := s.broken
+	s.mu.Unlock()
+	if !broken && (message{Completion: &completion{encodeCall(c), outcome, body}}).send(s.send) != nil {
+		s.Lost()
 	}
 }
 
 // Receive receives a message of the other process. The error is of one that cannot be decoded.
-func (g *Sender) Receive(text json.RawMessage) error {
+func (s *Sender) Receive(text json.RawMessage) error {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
@@ -151,38 +151,38 @@
 		return nil
 	}
 	t := middleware.ClaimResult{Verdict: m.Reply.Verdict, Reason: m.Reply.Reason, RetryAfter: m.Reply.Wait, Body: m.Reply.Body}
-	g.mu.Lock()
-	pending := g.pending[m.Reply.Seq]
-	delete(g.pending, m.Reply.Seq)
+	s.mu.Lock()
+	pending := s.pending[m.Reply.Seq]
+	delete(s.pending, m.Reply.Seq)
 	abandoned := pending != nil && pending.reply == nil
 	if pending != nil && !abandoned {
 		pending.reply <- t
 	}
-	g.mu.Unlock()
+	s.mu.Unlock()
 	if abandoned && t.Verdict == idempotency.Run {
-		g.Complete(pending.call, t, idempotency.OutcomeNotExecuted, nil)
+		s.Complete(pending.call, t, idempotency.OutcomeNotExecuted, nil)
 	}
 	return nil
 }
 
-// Lost says that the channel is broken.
-func (g *Sender) Lost() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.broken {
+// Lost reports that the channel is broken.
+func (s *Sender) Lost() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.broken {
 		return
 	}
-	g.broken = true
-	g.log.Warn("the process that took over cannot be asked for names any more: new ones are refused")
-	for seq, pending := range g.pending {
+	s.broken = true
+	s.log.Warn("the connection to the new process is lost: new idempotency keys are rejected")
+	for seq, pending := range s.pending {
 		if pending.reply != nil {
-			pending.reply <- g.withoutSuccessor(pending.call)
+			pending.reply <- s.withoutSuccessor(pending.call)
 		}
-		delete(g.pending, seq)
+		delete(s.pending, seq)
 	}
 	select {
-	case <-g.sent:
+	case <-s.sent:
 	default:
-		close(g.sent)
+		close(s.sent)
 	}
 }
--- a/internal/node/idempotency/transfer/transfer_test.go
+++ b/internal/node/idempotency/transfer/transfer_test.go
@@ -64,8 +64,8 @@
 	p.end()
 }
 
-// Guards against a call that runs twice, has two answers or waits for ever, whichever of its repeats arrive at the old and at the new
-// process, before, during and after the transfer, and wherever the channel breaks.
+// Guards against a call that runs twice, gets two answers or waits for ever, whichever of its repeats arrive at
+// the old and at the new process, before, during and after the transfer, and wherever the channel breaks.
 func TestOneTableAtAnyMomentOfTheTransfer(t *testing.T) {
 	joined, broke, refused, doubt := atomic.Int64{}, 0, atomic.Int64{}, atomic.Int64{}
 	for seed := range uint64(40) {
@@ -97,27 +97,27 @@
 				return core.Answer{Kind: core.Served, Ran: true, Payload: text(fmt.Sprintf("%s %d old=%t", call.Key, run, old))}
 			})
 		}
-		before, atOld := stage(true, "drawn there")
-		after, atHeir := stage(false, "drawn here")
+		before, oldHandler := stage(true, "drawn there")
+		after, newHandler := stage(false, "drawn here")
 		there, back := newPipe(most), newPipe(1<<30)
-		giver := NewSender(before, c, slog.New(slog.DiscardHandler), there.send)
-		heir := Await(after, c, slog.New(slog.DiscardHandler), back.send)
+		sender := NewSender(before, c, slog.New(slog.DiscardHandler), there.send)
+		receiver := Await(after, c, slog.New(slog.DiscardHandler), back.send)
 		var read, calls sync.WaitGroup
 		read.Go(func() {
 			for m := range there.queue {
-				assert.NoError(t, heir.Receive(m))
+				assert.NoError(t, receiver.Receive(m))
 			}
 			back.cut()
-			heir.Lost(true)
+			receiver.Lost(true)
 		})
 		read.Go(func() {
 			for m := range back.queue {
-				assert.NoError(t, giver.Receive(m))
+				assert.NoError(t, sender.Receive(m))
 			}
-			giver.Lost()
+			sender.Lost()
 		})
 		answers := sync.Map{}
-		ask := func(serve core.Handler, heirs bool, name int, cost float64) {
+		ask := func(serve core.Handler, atNew bool, name int, cost float64) {
 			key := []byte{byte('a' + name%16), byte('a' + name/16)}
 			a := serve(&core.Call{Tenant: -1, Key: key, Payload: text("x"), Cost: cost, Deadline: 1e9})
 			switch {
@@ -125,7 +125,7 @@
 				if first, known := answers.LoadOrStore(string(key), a.Payload); known {
 					assert.Equal(t, first, a.Payload)
 				}
-				if _, theirs := ranInOld.Load(string(key)); theirs && heirs {
+				if _, inOld := ranInOld.Load(string(key)); inOld && atNew {
 					joined.Add(1)
 				}
 			case a.Reason == middleware.ReasonSuccessorLost || a.Reason == middleware.ReasonNoTransfer:
@@ -135,13 +135,13 @@
 			}
 		}
 		for i := range 600 {
-			serve, cost, name, heirs := atOld, float64(chance.IntN(3)), chance.IntN(100), chance.IntN(2) == 0
-			if heirs {
-				serve = atHeir
+			serve, cost, name, atNew := oldHandler, float64(chance.IntN(3)), chance.IntN(100), chance.IntN(2) == 0
+			if atNew {
+				serve = newHandler
 			}
-			calls.Go(func() { ask(serve, heirs, name, cost) })
+			calls.Go(func() { ask(serve, atNew, name, cost) })
 			if i == 100 {
-				read.Go(giver.Run)
+				read.Go(sender.Run)
 			}
 			if i%50 == 0 {
 				time.Sleep(time.Millisecond)
@@ -153,13 +153,13 @@
 		ran.Range(func(name, n any) bool { return assert.LessOrEqual(t, n.(*atomic.Int64).Load(), int64(1), name) })
 	}
 	assert.Positive(t, broke)
-	assert.Positive(t, joined.Load(), "results of the old process told at the new one")
+	assert.Positive(t, joined.Load(), "results of the old process returned by the new one")
 	assert.Positive(t, refused.Load())
 	assert.Positive(t, doubt.Load())
 }
 
 // Guards against a key that stays claimed for ever because nobody waited any more when its claim was granted.
-func TestClaimNobodyWaitsForIsGivenBack(t *testing.T) {
+func TestClaimNobodyWaitsForIsReleased(t *testing.T) {
 	c := clock.NewManual(1000)
 	s, err := middleware.New(middleware.Settings{Table: idempotency.Settings{Classes: []idempotency.Class{{AtMostOnce: true}}, MaxEntries: 9, PinnedRatio: 4}}, c, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -188,8 +188,8 @@
 	require.Equal(t, middleware.ReasonSuccessorLost, (<-taken).Reason)
 }
 
-// Guards against a key that the new process keeps for another window than the old one, because the windows of their classes differ: one
-// that was transferred, and one that the old process claimed afterwards.
+// Guards against a key that the new process keeps for another window than the old one, because the windows of
+// their classes differ: one that was transferred, and one that the old process claimed afterwards.
 func TestWindowsAreTransferred(t *testing.T) {
 	c, quiet, ran := clock.NewManual(1000), slog.New(slog.DiscardHandler), atomic.Int64{}
 	stage := func(window float64) (*middleware.Middleware, core.Handler) {
@@ -206,32 +206,32 @@
 	ask := func(serve core.Handler, key string) {
 		assert.Equal(t, core.Served, serve(&core.Call{Tenant: -1, Key: []byte(key), Payload: text("x"), Deadline: 1e9}).Kind)
 	}
-	before, atOld := stage(5000)
-	after, atHeir := stage(10)
-	ask(atOld, "a")
+	before, oldHandler := stage(5000)
+	after, newHandler := stage(10)
+	ask(oldHandler, "a")
 	there, back := newPipe(99), newPipe(99)
-	giver, heir := NewSender(before, c, quiet, there.send), Await(after, c, quiet, back.send)
+	sender, receiver := NewSender(before, c, quiet, there.send), Await(after, c, quiet, back.send)
 	var read sync.WaitGroup
 	read.Go(func() {
 		for m := range there.queue {
-			assert.NoError(t, heir.Receive(m))
+			assert.NoError(t, receiver.Receive(m))
 		}
 	})
 	read.Go(func() {
 		for m := range back.queue {
-			assert.NoError(t, giver.Receive(m))
+			assert.NoError(t, sender.Receive(m))
 		}
 	})
-	giver.Run()
-	ask(atOld, "b")
+	sender.Run()
+	ask(oldHandler, "b")
 	for _, wait := range []float64{0, 4999} {
 		c.Advance(wait)
-		ask(atHeir, "a")
-		ask(atHeir, "b")
+		ask(newHandler, "a")
+		ask(newHandler, "b")
 		assert.EqualValues(t, 2, ran.Load())
 	}
 	c.Advance(1)
-	ask(atHeir, "a")
+	ask(newHandler, "a")
 	assert.EqualValues(t, 3, ran.Load())
 	there.cut()
 	back.cut()
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts the calls of a node: one set of counters for the metrics endpoint, the status and the log. The
-// counters are updated on the request path and read without a lock, so that no reader ever blocks a call.
+// Package metrics counts the calls of a node: one set of counters for the metrics endpoint, the status and the
+// log. The counters are updated on the request path and read without a lock, so that no reader ever blocks a call.
 //
 // When each event is counted:
 //
@@ -9,8 +9,8 @@
 //   - left: the client disconnected before it was answered;
 //   - attempts: the last byte of a forwarded request was written to the socket.
 //
-// So at any quiet moment taken = served + refused + failed + left + in flight. Memory is bounded: four counters for each
-// class and five more.
+// So at any quiet moment taken = served + refused + failed + left + in flight. Memory is bounded: four counters
+// for each class and five more.
 package metrics
 
 import (
@@ -89,8 +89,8 @@
 	BackendsExcluded int64             `json:"raters_excluded"`
 }
 
-// Snapshot returns the values of the counters. While calls start and end, each value is correct by itself, but the values
-// are not of the same moment.
+// Snapshot returns the values of the counters. While calls start and end, each value is correct by itself, but the
+// values are not of the same moment.
 func (s *Counters) Snapshot() Snapshot {
 	v := Snapshot{Served: map[string]uint64{}, Refused: map[string]uint64{}, Failed: map[string]uint64{}, ClientLeft: map[string]uint64{},
 		Taken: s.taken.Load(), Attempts: s.attempts.Load(), InFlight: s.inFlight.Load(), BackendsKnown: s.known.Load(),
@@ -106,8 +106,8 @@
 // String returns the counters as one line for the log, summed over the classes.
 func (v Snapshot) String() string {
 	sum := func(m map[string]uint64) (n uint64) {
-		for _, count := range m {
-			n += count
+		for _, calls := range m {
+			n += calls
 		}
 		return n
 	}
--- a/internal/node/statedir/file.go
+++ b/internal/node/statedir/file.go
@@ -52,8 +52,9 @@
 	return body, version, nil
 }
 
-// WriteFileAtomic replaces the content of a file atomically: after a crash of the process or the machine the file holds
-// either the old or the new content in full. The new content is first written to the path with the suffix `.new`.
+// WriteFileAtomic replaces the content of a file atomically: after a crash of the process or the machine the file
+// holds either the old or the new content in full. The new content is first written to the path with the suffix
+// `.new`.
 func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/node/statedir/golden_test.go
+++ b/internal/node/statedir/golden_test.go
@@ -11,7 +11,8 @@
 	"linenwheel.dev/linenwheel/internal/golden"
 )
 
-// Guards against a state file that this build encodes or decodes differently from an earlier build of the same release.
+// Guards against a state file that this build encodes or decodes differently from an earlier build of the same
+// release.
 func TestReadsAndWritesTheStateOfAnEarlierBuild(t *testing.T) {
 	golden.JSON[State](t, "state")
 	golden.Check(t, "ends", fmt.Appendf(nil, "%q", []End{Unknown, Clean, Unanswered, HandedOver, Crashed, Killed, HostDown}))
--- a/internal/node/statedir/store.go
+++ b/internal/node/statedir/store.go
@@ -1,9 +1,10 @@
-// Package statedir stores the state of a node in a directory that outlives its process, and reports after a restart how
-// the previous process ended.
+// Package statedir stores the state of a node in a directory that outlives its process, and reports after a
+// restart how the previous process ended.
 //
-// The directory holds three files. `state` is a header line with the format, the length and the checksum, followed by one
-// JSON object; it is replaced atomically by way of `state.new`. `crash` receives the output of the Go runtime when the
-// process crashes. `lock` is locked by the process that may write. The state is at most maxState bytes.
+// The directory holds three files. `state` is a header line with the format, the length and the checksum, followed
+// by one JSON object; it is replaced atomically by way of `state.new`. `crash` receives the output of the Go
+// runtime when the process crashes. `lock` is locked by the process that may write. The state is at most maxState
+// bytes.
 package statedir
 
 import (
@@ -79,8 +80,8 @@
 // ErrBusy means that another process holds the lock of the directory.
 var ErrBusy = errors.New("another process has it")
 
-// Open locks a directory for this process and reads the state of the previous one. An error together with a Store names a
-// state file that is ignored; with a nil Store the directory cannot be used at all.
+// Open locks a directory for this process and reads the state of the previous one. An error together with a Store
+// names a state file that is ignored; with a nil Store the directory cannot be used at all.
 func Open(dir, node string) (*Store, *Last, error) {
 	s := &Store{dir: dir, boot: boot()}
 	if err := s.Acquire(); err != nil {
--- a/internal/node/systemd/service.go
+++ b/internal/node/systemd/service.go
@@ -1,8 +1,8 @@
 // Package systemd implements the protocols of the host's service manager: notifications, socket activation and the
 // watchdog. Without the manager's environment variables it does nothing.
 //
-// FromEnvironment and Listeners read the variables once and remove them from the environment, so that a child process of
-// the node neither sends notifications in its name nor adopts its listeners.
+// FromEnvironment and Listeners read the variables once and remove them from the environment, so that a child
+// process of the node neither sends notifications in its name nor adopts its listeners.
 package systemd
 
 import (
@@ -39,8 +39,8 @@
 	failing bool // the last notification failed
 }
 
-// FromEnvironment reads the manager's environment variables, unsets them, and returns the Manager, nil if there is none.
-// onError, which may be nil, is called when a notification fails, but not again until one has succeeded.
+// FromEnvironment reads the manager's environment variables, unsets them, and returns the Manager, nil if there is
+// none. onError, which may be nil, is called when a notification fails, but not again until one has succeeded.
 func FromEnvironment(onError func(error)) (*Manager, error) {
 	address := os.Getenv(notifyVariable)
 	timeout, err := daemon.SdWatchdogEnabled(true)
@@ -170,8 +170,8 @@
 	return list, errors.Join(errs...)
 }
 
-// SelectListener returns the listener for an address: the one that has this address or, if there is none, the only one
-// that has the name; nil if neither exists. rest holds the other listeners.
+// SelectListener returns the listener for an address: the one that has this address or, if there is none, the only
+// one that has the name; nil if neither exists. rest holds the other listeners.
 func SelectListener(list []Listener, name, address string) (l net.Listener, rest []Listener) {
 	index, named := -1, 0
 	for i := range list {
--- a/internal/node/systemd/service_test.go
+++ b/internal/node/systemd/service_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against variables that a child process inherits, a notification in a format that the manager does not parse, and
-// a line break in a status text that injects another assignment.
+// Guards against variables that a child process inherits, a notification in a format that the manager does not
+// parse, and a line break in a status text that injects another assignment.
 func TestNotify(t *testing.T) {
 	for _, name := range []string{filepath.Join(t.TempDir(), "n"), fmt.Sprintf("@linenwheel-test-%d", os.Getpid())} {
 		address, next := manager(t, name)
@@ -102,9 +102,9 @@
 	<-ended
 }
 
-// Guards against a socket of the manager that is confused with another one: the address takes precedence over the name,
-// and a name that two sockets have selects neither. A test with a real process, beside the command, covers that sockets
-// arrive at all.
+// Guards against a socket of the manager that is confused with another one: the address takes precedence over the
+// name, and a name that two sockets have selects neither. A test with a real process, beside the command, covers
+// that sockets arrive at all.
 func TestSelectListener(t *testing.T) {
 	var list []Listener
 	for _, name := range []string{"north", "other", "north"} {
--- a/internal/node/systemd/watchdog.go
+++ b/internal/node/systemd/watchdog.go
@@ -11,16 +11,17 @@
 // Serving is the status line of a node that serves normally.
 const Serving = "serving"
 
-// Check is a health check of one part of the node. Run returns once that part has processed the check in its own loop, or
-// when ctx ends; it does not return while the part is stuck.
+// Check is a health check of one part of the node. Run returns once that part has processed the check in its own
+// loop, or when ctx ends; it does not return while the part is stuck.
 type Check struct {
 	Name string
 	Run  func(ctx context.Context)
 }
 
-// WatchdogLoop runs the checks of everything that a request needs, one after the other, and sends a watchdog notification
-// to the service manager after each round that succeeds. A part that is stuck blocks its round, so that the manager's
-// timeout ends the node; a machine that stalls and recovers delays a round no longer than the stall.
+// WatchdogLoop runs the checks of everything that a request needs, one after the other, and sends a watchdog
+// notification to the service manager after each round that succeeds. A part that is stuck blocks its round, so
+// that the manager's timeout ends the node; a machine that stalls and recovers delays a round no longer than the
+// stall.
 type WatchdogLoop struct {
 	Manager     *Manager
 	Clock       clock.Clock
