--- a/internal/node/scenario/script.go
+++ b/internal/node/scenario/scenario.go
@@ -1,24 +1,26 @@
-// Package scenario is the one language and helper of the node's scenarios. A scenario is a list of steps, one a line:
+// Package scenario runs scripted end-to-end tests of a node: it provides fake backends, a fake discovery service and
+// clients, and a small language for the steps. A scenario is a list of steps, one on each line:
 //
 //	a send POST /pay/1 id=1 deadline=900 key=k body=hi   client a sends a request on its connection
-//	a send raw "GET / HTTP/1.1\r\n"                      or any bytes
-//	a expect 503 Retry-After=0.5                         and gets an answer
-//	a expect raw "HTTP/1.1 503 *\r\n"                    or bytes, * standing for any within a line
-//	a eventually 400                                     the same, once the clock has gone on far enough
+//	a send raw "GET / HTTP/1.1\r\n"                      or arbitrary bytes
+//	a expect 503 Retry-After=0.5                         and receives a response
+//	a expect raw "HTTP/1.1 503 *\r\n"                    or bytes, where * matches anything within a line
+//	a eventually 400                                     like expect, while the clock advances until it arrives
 //	a close                                              and closes its connection
-//	a expect refused                                     no new connection is taken any more
-//	r expect POST /pay/1 body=hi host=h1                 a host gets a relay, known as r from now on
-//	r send 200 body=ok                                   and answers it, or `send raw "..."`
-//	r close    r expect close                            the host, or the node, ends the connection
-//	d expect /discovery/hosts                            discovery gets a call
-//	d send 2 whole h1:Ready h2:Terminating               and answers it; `changes` for what changed
-//	d close    d end                                     or resets its connection, or ends it
-//	node send other                                      its configuration names the other discovery; it gets SIGHUP
-//	node close    node expect end                        the node is told to stop, and has stopped
-//	wait 250                                             the clock moves on by so many milliseconds
+//	a expect refused                                     the node no longer accepts new connections
+//	r expect POST /pay/1 body=hi host=h1                 a backend receives a forwarded request, named r from now on
+//	r send 200 body=ok                                   and responds to it, or `send raw "..."`
+//	r close    r expect close                            the backend, or the node, closes the connection
+//	d expect /discovery/hosts                            discovery receives a request
+//	d send 2 whole h1:Ready h2:Terminating               and responds with a snapshot; `changes` for a delta
+//	d close    d end                                     or resets the connection, or closes it
+//	node send other                                      the configuration names the other discovery; the node gets SIGHUP
+//	node close    node expect end                        the node is asked to stop, and has stopped
+//	wait 250                                             the clock advances by 250 milliseconds
 //
-// Clients are a, b, c, e, f and g, relays r, s and t, with digits behind if there are many. An expect blocks until it is met;
-// whatever else comes fails it. While a step expects a connection to end, the clock goes on.
+// Clients are named a, b, c, e, f and g, forwarded requests r, s and t, followed by digits if more are needed. An
+// expect blocks until it is met and fails if anything else arrives. While a step expects a connection to be
+// closed, the clock advances.
 package scenario
 
 import (
@@ -40,72 +42,72 @@
 	"linenwheel.dev/linenwheel/internal/loopback"
 )
 
-// Loopback returns an IP address of the loopback network for this process alone. At a shared address the port of a socket that was
-// closed may be another process's a moment later, and whoever still connects to it talks to the wrong one.
+// Loopback returns an IP address of the loopback network for this process alone. At a shared address the port of a
+// closed socket may soon belong to another process, and whoever still connects to it reaches the wrong one.
 func Loopback(t testing.TB) string {
 	host, err := loopback.Host()
 	require.NoError(t, err)
 	return host
 }
 
-// patience is how long a step may take in real time before the scenario fails.
-const patience = time.Minute
+// stepTimeout is the maximum real time of a step before the scenario fails.
+const stepTimeout = time.Minute
 
-// Stage is what a node under test finds around it.
+// Stage is the environment of the node under test.
 type Stage struct {
 	Clock     *clock.Manual
 	Discovery string
-	Other     string             // another address of discovery, "other" in the steps
-	Reload    func(which string) // to be set by the test: gives the node a new configuration
-	Hosts     map[string]string  // addresses by name
-	Stop      func()             // to be set by the test: begins the graceful stop
-	Ended     chan error         // to be fed by the test when the node has ended
-	Address   func() string      // to be set by the test: where the node listens
+	Other     string             // address of a second discovery service, "other" in the steps
+	Reload    func(which string) // set by the test: reloads the node with another configuration
+	Hosts     map[string]string  // addresses of the backends by name
+	Stop      func()             // set by the test: begins the graceful shutdown
+	Ended     chan error         // the test sends the result of the node when it has ended
+	Address   func() string      // set by the test: returns the listening address of the node
 
-	t     *testing.T
-	calls chan *peer // requests that hosts got
-	asks  chan *peer // and discovery
-	peers map[string]*peer
+	t                 *testing.T
+	backendRequests   chan *peer // requests that backends received
+	discoveryRequests chan *peer // requests that discovery received
+	peers             map[string]*peer
 }
 
-// peer is one connection to the node or from it.
+// peer is one connection to or from the node.
 type peer struct {
-	net  net.Conn
-	host string
-	in   chan []byte   // closed at the end of the connection,
-	over chan struct{} // as is this
-	text []byte        // what came and was not expected yet
-	got  *http1.Message
+	net     net.Conn
+	host    string
+	in      chan []byte    // received bytes; closed at the end of the connection
+	ended   chan struct{}  // closed at the end of the connection
+	text    []byte         // received bytes that no step has consumed yet
+	request *http1.Message // the request, on a connection from the node
 }
 
-// New sets up hosts by the names given, a host named dead that refuses connections, one named heir at the address of
-// the last, and discovery.
+// New starts discovery and a backend for each of the names. It adds a backend named dead, which refuses
+// connections, and one named heir, at the address of the last one.
 func New(t *testing.T, hosts ...string) *Stage {
 	s := &Stage{Clock: clock.NewManual(1.7e12), Hosts: map[string]string{}, Ended: make(chan error, 1), t: t,
-		calls: make(chan *peer, 64), asks: make(chan *peer, 64), peers: map[string]*peer{}}
-	s.Discovery, s.Other = s.listen("", s.asks), s.listen("other", s.asks)
+		backendRequests: make(chan *peer, 64), discoveryRequests: make(chan *peer, 64), peers: map[string]*peer{}}
+	s.Discovery, s.Other = s.listen("", s.discoveryRequests), s.listen("other", s.discoveryRequests)
 	s.Hosts["dead"] = deadAddress(t)
 	for _, name := range hosts {
-		s.Hosts[name] = s.listen(name, s.calls)
+		s.Hosts[name] = s.listen(name, s.backendRequests)
 		s.Hosts["heir"] = s.Hosts[name]
 	}
 	return s
 }
 
-// deadAddress binds a port, so that no one else gets it, but does not listen there.
+// deadAddress returns an address whose port is bound, so that no other process gets it, but not listened on.
 func deadAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: netip.MustParseAddr(Loopback(t)).As4()}))
-	at, err := syscall.Getsockname(fd)
+	address, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
-	return fmt.Sprintf("%s:%d", Loopback(t), at.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("%s:%d", Loopback(t), address.(*syscall.SockaddrInet4).Port)
 }
 
-// listen accepts connections, each message on which goes to came.
-func (s *Stage) listen(host string, came chan *peer) string {
-	address, err := loopback.FreeAddress() // which no stage before this one had, whose node may still call there
+// listen accepts connections and sends each request that arrives on one of them to requests.
+func (s *Stage) listen(host string, requests chan *peer) string {
+	address, err := loopback.FreeAddress() // not used by an earlier stage, whose node may still connect to it
 	require.NoError(s.t, err)
 	l, err := net.Listen("tcp", address)
 	require.NoError(s.t, err)
@@ -123,7 +125,7 @@
 				for text := range p.in {
 					parser.Feed(text)
 					for m, _ := parser.Next(); m != nil; m, _ = parser.Next() {
-						came <- &peer{net: c, host: host, over: p.over, got: m}
+						requests <- &peer{net: c, host: host, ended: p.ended, request: m}
 					}
 				}
 			}()
@@ -132,10 +134,11 @@
 	return l.Addr().String()
 }
 
+// read starts to read from a connection, until it ends.
 func (s *Stage) read(c net.Conn, host string) *peer {
-	p := &peer{net: c, host: host, in: make(chan []byte, 1024), over: make(chan struct{})}
+	p := &peer{net: c, host: host, in: make(chan []byte, 1024), ended: make(chan struct{})}
 	go func() {
-		defer close(p.over)
+		defer close(p.ended)
 		defer close(p.in)
 		for {
 			buf := make([]byte, 4096)
@@ -151,8 +154,8 @@
 	return p
 }
 
-// more waits for further bytes.
-func (p *peer) more() error {
+// readMore waits for further bytes.
+func (p *peer) readMore() error {
 	return within(p.in, func(text []byte) error {
 		if text == nil {
 			return fmt.Errorf("the connection ended after %q", p.text)
@@ -162,12 +165,13 @@
 	})
 }
 
-// answer takes the next answer from what came, byte by byte: what follows it is left for the next step.
-func (p *peer) answer() (m *http1.Message, err error) {
+// readResponse returns the next response. It parses byte by byte, so that the bytes after the response are left for
+// the next step.
+func (p *peer) readResponse() (m *http1.Message, err error) {
 	parser := http1.NewResponses()
 	for used := 0; m == nil && err == nil; used++ {
 		if used == len(p.text) {
-			if err = p.more(); err != nil {
+			if err = p.readMore(); err != nil {
 				break
 			}
 		}
@@ -180,8 +184,8 @@
 	return m, err
 }
 
-// raw takes bytes that look as the quoted text says.
-func (p *peer) raw(quoted string) error {
+// expectRaw consumes bytes that match the quoted text, in which * matches anything within a line.
+func (p *peer) expectRaw(quoted string) error {
 	text, err := strconv.Unquote(quoted)
 	if err != nil {
 		return err
@@ -192,13 +196,13 @@
 			p.text = p.text[len(found):]
 			return nil
 		}
-		if err := p.more(); err != nil {
+		if err := p.readMore(); err != nil {
 			return fmt.Errorf("%w; so far %q", err, p.text)
 		}
 	}
 }
 
-// Run plays the steps of a scenario.
+// Run runs the steps of a scenario.
 func (s *Stage) Run(text string) {
 	for step := range strings.SplitSeq(text, "\n") {
 		step = strings.TrimSpace(step)
@@ -209,6 +213,7 @@
 	}
 }
 
+// step runs one step.
 func (s *Stage) step(step string) error {
 	who, rest, _ := strings.Cut(step, " ")
 	verb, rest, _ := strings.Cut(rest, " ")
@@ -226,37 +231,37 @@
 	case who == "node":
 		return within(s.Ended, func(err error) error { return err })
 	case who == "d" && verb == "expect":
-		return s.expectCall(who, s.asks, "GET "+rest)
+		return s.expectRequest(who, s.discoveryRequests, "GET "+rest)
 	case who == "d" && verb == "close":
 		_ = s.peers[who].net.(*net.TCPConn).SetLinger(0)
 		return s.peers[who].net.Close()
 	case who == "d" && verb == "end":
 		return s.peers[who].net.Close()
 	case who == "d":
-		return s.list(rest)
+		return s.sendEndpoints(rest)
 	case strings.IndexByte("rst", who[0]) >= 0 && verb == "expect" && rest != "close":
-		return s.expectCall(who, s.calls, rest)
+		return s.expectRequest(who, s.backendRequests, rest)
 	case strings.IndexByte("abcefg", who[0]) >= 0 && rest == "refused":
-		return s.refused()
+		return s.expectRefused()
 	case strings.IndexByte("abcefg", who[0]) >= 0 && verb == "send":
-		return s.request(who, rest)
+		return s.sendRequest(who, rest)
 	}
 	p := s.peers[who]
 	switch {
 	case p == nil:
-		return errors.New("who is not known")
+		return errors.New("unknown participant")
 	case verb == "close":
 		return p.net.Close()
 	case verb == "expect" && rest == "close":
-		defer s.goOn()()
-		return within(p.over, func(struct{}) error { return nil })
+		defer s.advanceClock()()
+		return within(p.ended, func(struct{}) error { return nil })
 	case verb == "expect" && strings.HasPrefix(rest, "raw "):
-		return p.raw(rest[4:])
+		return p.expectRaw(rest[4:])
 	case verb == "expect" || verb == "eventually":
 		if verb == "eventually" {
-			defer s.goOn()()
+			defer s.advanceClock()()
 		}
-		m, err := p.answer()
+		m, err := p.readResponse()
 		if err != nil {
 			return err
 		}
@@ -273,9 +278,9 @@
 	return errors.New("unknown step")
 }
 
-// goOn has the clock go on, slowly, until it is stopped: for what a limit ends that began when the node saw something, which may
-// have been after the steps that waited.
-func (s *Stage) goOn() (stop func()) {
+// advanceClock advances the clock slowly until stop is called. It is for events that a time limit triggers: the
+// limit runs from the moment when the node noticed something, which may be after the steps that waited.
+func (s *Stage) advanceClock() (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -291,22 +296,23 @@
 	return func() { close(done); <-ended }
 }
 
-var errNothing = errors.New("nothing came")
+var errTimeout = errors.New("nothing arrived before the time limit")
 
+// within calls f with the next value of a channel. It returns errTimeout if none arrives within stepTimeout.
 func within[T any](from chan T, f func(T) error) error {
 	select {
 	case v := <-from:
 		return f(v)
-	case <-time.After(patience):
-		return errNothing
+	case <-time.After(stepTimeout):
+		return errTimeout
 	}
 }
 
-// names are the short names of fields.
-var names = map[string]string{"id": "Req-Id", "deadline": "Req-Deadline-Ms", "key": "Idempotency-Key",
+// fieldNames are the header fields by their short names.
+var fieldNames = map[string]string{"id": "Req-Id", "deadline": "Req-Deadline-Ms", "key": "Idempotency-Key",
 	"owner": "Req-Owner", "declined": "Srv-Declined"}
 
-// send writes what text describes: raw bytes, or a first line with fields and a body.
+// send writes the message that text describes: raw bytes, or a start line with header fields and a body.
 func (p *peer) send(text string, form func(line, fields, body string) string) error {
 	out := ""
 	if raw, ok := strings.CutPrefix(text, "raw "); ok {
@@ -325,7 +331,7 @@
 			case name == "body":
 				body = value
 			default:
-				fields += long(name) + ": " + value + "\r\n"
+				fields += fieldName(name) + ": " + value + "\r\n"
 			}
 		}
 		out = form(strings.Join(line, " "), fields, body)
@@ -334,15 +340,16 @@
 	return err
 }
 
-func long(name string) string {
-	if l := names[name]; l != "" {
+// fieldName returns the header field for a short name, or the name itself.
+func fieldName(name string) string {
+	if l := fieldNames[name]; l != "" {
 		return l
 	}
 	return name
 }
 
-// request sends on the client's connection, which is opened when it is first needed.
-func (s *Stage) request(who, text string) error {
+// sendRequest sends a request on the connection of a client, which is opened on first use.
+func (s *Stage) sendRequest(who, text string) error {
 	p := s.peers[who]
 	if p == nil {
 		c, err := net.Dial("tcp", s.Address())
@@ -358,25 +365,25 @@
 	})
 }
 
-// refused tries until the node takes no new connection.
-func (s *Stage) refused() error {
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+// expectRefused connects until the node refuses a new connection.
+func (s *Stage) expectRefused() error {
+	for end := time.Now().Add(stepTimeout); time.Now().Before(end); {
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
-			return nil //nolint:nilerr // to be refused is what is waited for
+			return nil //nolint:nilerr // the refusal is what the step waits for
 		}
 		_ = c.Close()
-		time.Sleep(time.Millisecond) // many at once would have others make room
+		time.Sleep(time.Millisecond) // many connections at once would make the node close others
 	}
-	return errors.New("connections are still taken")
+	return errors.New("new connections are still accepted")
 }
 
-// expectCall waits for a request of the node's and gives its connection a name.
-func (s *Stage) expectCall(who string, from chan *peer, want string) error {
+// expectRequest waits for a request from the node and assigns a name to its connection.
+func (s *Stage) expectRequest(who string, from chan *peer, want string) error {
 	err := within(from, func(p *peer) error {
 		s.peers[who] = p
 		parts := strings.SplitN(want, " ", 3)
-		if have := string(p.got.Method) + " " + string(p.got.Target); have != parts[0]+" "+parts[1] {
+		if have := string(p.request.Method) + " " + string(p.request.Target); have != parts[0]+" "+parts[1] {
 			return fmt.Errorf("got %s", have)
 		}
 		if len(parts) < 3 {
@@ -398,15 +405,15 @@
 				rest = append(rest, part)
 			}
 		}
-		return match(p.got, strings.Join(rest, " "))
+		return match(p.request, strings.Join(rest, " "))
 	})
-	if errors.Is(err, errNothing) {
-		return fmt.Errorf("%w; unread answers: %q", err, s.unread())
+	if errors.Is(err, errTimeout) {
+		return fmt.Errorf("%w; unread responses: %q", err, s.unread())
 	}
 	return err
 }
 
-// unread returns what has come on each connection and was not expected yet, by the connection's name.
+// unread returns the bytes that arrived on each connection and were not consumed, by the name of the connection.
 func (s *Stage) unread() map[string]string {
 	unread := map[string]string{}
 	for name, p := range s.peers {
@@ -424,11 +431,11 @@
 	return unread
 }
 
-// match compares fields and the body; a field without a value must be absent.
+// match compares header fields and the body; a field without a value must be absent.
 func match(m *http1.Message, want string) error {
 	for _, part := range strings.Fields(want) {
 		name, value, _ := strings.Cut(part, "=")
-		have, _ := m.Get(long(name))
+		have, _ := m.Get(fieldName(name))
 		if name == "body" {
 			have = m.Body
 		}
@@ -439,8 +446,8 @@
 	return nil
 }
 
-// list answers discovery's open call.
-func (s *Stage) list(text string) error {
+// sendEndpoints responds to the pending request of discovery.
+func (s *Stage) sendEndpoints(text string) error {
 	parts := strings.Fields(text)
 	if parts[0] == "raw" || len(parts) < 2 {
 		return s.peers["d"].send(text, nil)
