--- a/cmd/linenwheel/newcomer_test.go
+++ b/cmd/linenwheel/newcomer_test.go
@@ -87,7 +87,7 @@
 	require.InDelta(t, 0.5, empty["dead"].Share, 0.01)
 	require.Greater(t, empty["r"].Idle, guess)
 
-	const begins = `msg="the node begins with what another node knows"`
+	const begins = `msg="warm start with state from another node"`
 	from := fmt.Sprintf("from = [%q]\nfrom_wait = \"30s\"\n", door) // however slow the machine is
 	learned, third := s.another("n3", from, begins)
 	require.NotEqual(t, "well", learned["dead"].Health)
@@ -99,11 +99,11 @@
 
 	var k node.Knowledge // a state of its own, of a time when all was well
 	require.NoError(t, json.Unmarshal(known.Knowledge, &k))
-	known.Node, k.Node, known.Saved, k.At, k.Pilot.Module.TakenAt = "n4", "n4", known.Saved-60e3, k.At-60e3, k.Pilot.Module.TakenAt-60e9
-	for i := range k.Pilot.Module.Backends {
-		k.Pilot.Module.Backends[i].Ejected, k.Pilot.Module.Backends[i].EjectedUntil = false, 0
+	known.Node, k.Node, known.Saved, k.At, k.Dispatcher.Module.TakenAt = "n4", "n4", known.Saved-60e3, k.At-60e3, k.Dispatcher.Module.TakenAt-60e9
+	for i := range k.Dispatcher.Module.Backends {
+		k.Dispatcher.Module.Backends[i].Ejected, k.Dispatcher.Module.Backends[i].EjectedUntil = false, 0
 	}
-	k.Pilot.Module.Zones = nil
+	k.Dispatcher.Module.Zones = nil
 	known.Knowledge = must(json.Marshal(k))
 	dir := t.TempDir()
 	require.NoError(t, statedir.WriteFileAtomic(filepath.Join(dir, "state"), must(statedir.Encode(known))))
