--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -82,7 +82,7 @@
 	// The actions of a successor.
 
 	Prepare    // prepare with what arrived in State, without accepting
-	StartFresh // start without a takeover: there is no predecessor
+	StartFresh // start without a takeover: there is no predecessor, or the sockets are shared and the takeover failed
 	Accept     // accept connections
 	Abort      // end without having accepted anything; Action.Reason says why
 	Leave      // stop and answer what was accepted: the predecessor keeps serving
--- a/internal/node/statedir/store.go
+++ b/internal/node/statedir/store.go
@@ -198,7 +198,8 @@
 	return &Last{State: state}, nil
 }
 
-// Encode returns the content of a state file. The error is of a state that exceeds maxState bytes.
+// Encode returns the content of a state file. The error says that the state cannot be encoded or exceeds maxState
+// bytes.
 func Encode(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err == nil && len(body) > maxState {
