--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -61,7 +61,7 @@
 
 // endpointList is the list of endpoints built from several sources, or one that is guarded or saved to a file.
 type endpointList struct {
-	merger        *endpoints.Keeper
+	merger        *endpoints.Manager
 	clock         clock.Clock
 	log           *slog.Logger
 	judgeFor      float64
@@ -104,11 +104,11 @@
 	l := &endpointList{clock: watch.Clock, log: watch.Log, judgeFor: o.Last.JudgeFor.Ms, path: o.Last.Path}
 	l.writeInterval.Store(&o.Last.Every)
 	settings := endpoints.Settings{Settings: merge.Settings{Sources: sourcesOf(o), Guard: guardOf(o), RereadDelay: o.Guard.Wait.Ms, MaxHosts: o.MostHosts,
-		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, Give: give}
+		Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds}, Node: conf.Name, OnUpdate: give}
 	if l.path != "" {
-		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Take: func() lastgood.Record { return l.merger.Record() },
-			Every: func() float64 { return l.writeInterval.Load().Ms }}
-		settings.Last = l.writer.Changed
+		l.writer = &lastgood.Writer{Path: l.path, Clock: l.clock, Log: l.log, Current: func() lastgood.Record { return l.merger.Record() },
+			MinInterval: func() float64 { return l.writeInterval.Load().Ms }}
+		settings.OnChange = l.writer.Changed
 	}
 	var err error
 	if l.merger, err = endpoints.New(settings, l.clock, l.log); err != nil {
@@ -117,30 +117,30 @@
 	first := watch.First
 	for i, src := range settings.Sources {
 		feed := l.merger.Feed(i)
-		asked := endpoints.Asked{Feed: feed, Start: l.clock.Now()}
+		asked := endpoints.DiscoveryFeed{Feed: feed, StartedAt: l.clock.Now()}
 		switch src.Name {
 		case options.SourceDiscovery:
 			watch.Sink = asked
-			l.merger.Asks(i, watch.RequestReread)
+			l.merger.SetReread(i, watch.RequestReread)
 			l.sources = append(l.sources, source{watch.Run, func(*Options) {}}) // the node sets its limits itself
 		case options.SourceEtcd:
 			w := &discovery.Watcher{Address: o.Etcd.Agent, Limits: watch.Limits, Loop: watch.Loop, Clock: l.clock,
 				Log: l.log.With("source", src.Name), Sink: asked, Most: maxAgentAnswer, Known: -1, Chance: watch.Chance, First: first}
-			l.merger.Asks(i, w.RequestReread)
+			l.merger.SetReread(i, w.RequestReread)
 			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.SetLimits(watchLimits(o)) }})
 		case options.SourceFiles:
-			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Known: known(conf, o), Most: o.Files.Most.Bytes,
-				Settle: o.Files.Settle.Ms, Limits: files.Limits{Poll: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, First: first}
-			l.merger.Asks(i, w.Look)
-			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.Limit(files.Limits{Poll: o.Inventory.Files.Poll.Ms}) }})
+			w := &files.Watcher{Path: o.Files.Path, Single: !o.Files.Folder, Constraints: known(conf, o), MaxBytes: o.Files.Most.Bytes,
+				Settle: o.Files.Settle.Ms, Limits: files.Limits{PollInterval: o.Files.Poll.Ms}, Clock: l.clock, Log: l.log, Sink: feed, OnFirstRead: first}
+			l.merger.SetReread(i, w.RequestReread)
+			l.sources = append(l.sources, source{w.Run, func(o *Options) { w.SetLimits(files.Limits{PollInterval: o.Inventory.Files.Poll.Ms}) }})
 		}
 	}
 	return l, nil
 }
 
 // known returns the values that entries of a file are checked against.
-func known(conf *Config, o *options.Inventory) files.Known {
-	return files.Known{Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds, Most: o.MostHosts}
+func known(conf *Config, o *options.Inventory) files.Constraints {
+	return files.Constraints{Zones: conf.Settings.Zones, Kinds: conf.Settings.Kinds, MaxHosts: o.MostHosts}
 }
 
 // maxAgentAnswer is the maximum size of an agent's response in bytes: the number of its entries is bounded by
@@ -162,12 +162,12 @@
 		src.limit(o)
 	}
 	l.writeInterval.Store(&o.Inventory.Last.Every)
-	l.merger.Tune(guardOf(&o.Inventory), o.Inventory.Guard.Wait.Ms, sourcesOf(&o.Inventory))
+	l.merger.Reconfigure(guardOf(&o.Inventory), o.Inventory.Guard.Wait.Ms, sourcesOf(&o.Inventory))
 }
 
 // start begins with the newest list available: that of the configuration, or the last good one.
 func (l *endpointList) start(conf *Config) {
-	l.merger.Offer(conf.Known.Hosts, 0, 0, nil)
+	l.merger.Restore(conf.Known.Hosts, 0, 0, nil)
 	if l.path == "" {
 		return
 	}
@@ -181,7 +181,7 @@
 	hosts, _ := r.Hosts() // Load has checked them
 	l.log.Info("starting with the saved endpoint list", "path", l.path, "hosts", len(hosts), "age_ms", l.clock.Now()-r.Changed,
 		"source", r.Followed)
-	l.merger.Offer(hosts, r.Changed, l.judgeFor, r.Sources)
+	l.merger.Restore(hosts, r.Changed, l.judgeFor, r.Sources)
 }
 
 // isOlder reports whether the saved list is older than that of the configuration, which comes from discovery.
@@ -196,7 +196,7 @@
 
 // offer begins with a list that another process had at the time at, if none is newer.
 func (l *endpointList) offer(hosts []dispatch.Host, at float64) {
-	l.merger.Offer(hosts, at, l.judgeFor, nil)
+	l.merger.Restore(hosts, at, l.judgeFor, nil)
 }
 
 // status reports how the list is composed.
@@ -286,15 +286,15 @@
 func (s *Sources) Hosts() []dispatch.Host { return s.endpointList.merger.Hosts() }
 
 // Known returns the values that a node of this configuration checks the entries of a list file against.
-func Known(conf *Config, o *Options) files.Known { return known(conf, &o.Inventory) }
+func Known(conf *Config, o *Options) files.Constraints { return known(conf, &o.Inventory) }
 
 // Judge returns the verdict of the removal guard, under these options, on a change from one list to another, and
 // the size of that change.
 func Judge(o *Options, from, to []dispatch.Host) (removalguard.Verdict, removalguard.Change, error) {
 	g, err := removalguard.New(guardOf(&o.Inventory))
 	if err != nil {
-		return removalguard.Take, removalguard.Change{}, err
+		return removalguard.Accept, removalguard.Change{}, err
 	}
 	c := merge.Compare(from, to)
-	return g.Judge(0, c), c, nil
+	return g.Evaluate(0, c), c, nil
 }
--- a/node/endpoints_test.go
+++ b/node/endpoints_test.go
@@ -54,8 +54,8 @@
 // Guards against a list of etcd's agent or of files that does not reach the dispatcher, a drain that is delayed,
 // and a start without any source that ignores the last good list.
 func TestListOfSeveralSources(t *testing.T) {
-	entries, dir := agent.NewBook("etcd"), t.TempDir()
-	server := httptest.NewServer((&agent.Server{Book: entries, Clock: clock.NewSystem(), Look: func() {}}).Handler())
+	entries, dir := agent.NewStore("etcd"), t.TempDir()
+	server := httptest.NewServer((&agent.Server{Store: entries, Clock: clock.NewSystem(), RequestReread: func() {}}).Handler())
 	defer server.Close()
 	o := DefaultOptions()
 	o.Inventory.Trust = []string{"etcd", "files"}
@@ -65,17 +65,17 @@
 	host := func(name string, status dispatch.Status) dispatch.Host {
 		return dispatch.Host{Name: name, Address: s.Hosts[name], Zone: "z", Kind: "k", Status: status, Weight: 1}
 	}
-	entries.Take(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
-	entries.Alive(1)
+	entries.Apply(agent.Change{Whole: true, Epoch: "c1", Revision: 7, Hosts: []dispatch.Host{host("h1", dispatch.Ready), host("h2", dispatch.Ready)}})
+	entries.MarkAvailable(1)
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 2 })
-	entries.Take(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
+	entries.Apply(agent.Change{Epoch: "c1", Revision: 8, Hosts: []dispatch.Host{host("h1", dispatch.Draining)}})
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 1 })
 	s.Run(`
 		a send POST /pay/1 id=q deadline=900
 		r expect POST /pay/1 host=h2
 		r send 200
 		a expect 200`)
-	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []entryformat.Entry{entryformat.Of(host("h1", dispatch.Ready)), entryformat.Of(host("h2", dispatch.Draining))}})
+	text, err := json.Marshal(map[string]any{"count": 2, "endpoints": []entryformat.Entry{entryformat.FromHost(host("h1", dispatch.Ready)), entryformat.FromHost(host("h2", dispatch.Draining))}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.Inventory.Files.Path, text, 0o600))
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 0 })
@@ -83,7 +83,7 @@
 		wait 5
 		a send POST /pay/1 id=q2 deadline=900
 		a expect 503`)
-	entries.Take(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
+	entries.Apply(agent.Change{Epoch: "c1", Revision: 9, Hosts: []dispatch.Host{host("h1", dispatch.Ready)}})
 	advanceUntil(t, s, func() bool { return n.Status().List.Serving == 1 })
 	advanceUntil(t, s, func() bool {
 		kept, err := os.ReadFile(o.Inventory.Last.Path)
--- a/node/peerknowledge_test.go
+++ b/node/peerknowledge_test.go
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	assert.Positive(t, l.Dispatcher.Module.Responses)
 	assert.Nil(t, l.Drained)
-	assert.Empty(t, l.Bans.Out)
+	assert.Empty(t, l.Bans.Cordoned)
 	assert.Zero(t, l.Life)
 	assert.Empty(t, l.Dispatcher.Module.TenantTokens)
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -118,7 +118,7 @@
 
 // applyFleetOrders puts the orders recorded for this node into force.
 func (n *Node) applyFleetOrders(held statemachine.Ordered) {
-	k := Knowledge{Bans: cordon.Memory{Out: held.Cordoned}}
+	k := Knowledge{Bans: cordon.Snapshot{Cordoned: held.Cordoned}}
 	if held.Drained {
 		since, drained := n.gate.Drained()
 		if !drained {
