--- a/internal/node/systemd/service_test.go
+++ b/internal/node/systemd/service_test.go
@@ -15,7 +15,7 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// manager is a stand-in for the service manager; it gives the next datagram that it was sent.
+// manager is a fake service manager. next returns the next datagram that it receives.
 func manager(t *testing.T, name string) (address string, next func() string) {
 	l, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Net: "unixgram", Name: name})
 	require.NoError(t, err)
@@ -28,15 +28,15 @@
 	}
 }
 
-// Guards against variables that a child inherits, a message in a form that the manager does not read, and one that ends
-// a line of its own.
-func TestTell(t *testing.T) {
+// Guards against variables that a child process inherits, a notification in a format that the manager does not
+// parse, and a line break in a status text that injects another assignment.
+func TestNotify(t *testing.T) {
 	for _, name := range []string{filepath.Join(t.TempDir(), "n"), fmt.Sprintf("@linenwheel-test-%d", os.Getpid())} {
 		address, next := manager(t, name)
 		t.Setenv("NOTIFY_SOCKET", address)
 		t.Setenv("WATCHDOG_USEC", "3000000")
 		t.Setenv("WATCHDOG_PID", fmt.Sprint(os.Getpid()))
-		m, err := Adopt(func(err error) { t.Error(err) })
+		m, err := FromEnvironment(func(err error) { t.Error(err) })
 		require.NoError(t, err)
 		for _, name := range []string{"NOTIFY_SOCKET", "WATCHDOG_USEC", "WATCHDOG_PID"} {
 			_, set := os.LookupEnv(name)
@@ -50,29 +50,29 @@
 		assert.Equal(t, "MAINPID=7", next())
 		assert.Equal(t, []string{"NOTIFY_SOCKET=" + address, "WATCHDOG_USEC=3000000"}, m.Environ())
 	}
-	none, err := Adopt(nil)
+	none, err := FromEnvironment(nil)
 	assert.NoError(t, err)
 	none.Ready("") // without a manager nothing happens
 	assert.Zero(t, none.Watchdog())
 	t.Setenv("NOTIFY_SOCKET", "vsock:2:1")
 	t.Setenv("WATCHDOG_USEC", "soon")
-	_, err = Adopt(nil)
+	_, err = FromEnvironment(nil)
 	assert.ErrorContains(t, err, "WATCHDOG_USEC")
 	assert.ErrorContains(t, err, "vsock")
 }
 
-// Guards against a node that is reported well while a part of it is stuck, one that is reported stuck without the name
-// of that part, and a stall of the whole machine after which the beats do not go on at once.
-func TestHeart(t *testing.T) {
+// Guards against a node that is reported healthy while a part of it is stuck, a report without the name of the stuck
+// part, and notifications that do not resume at once after a stall of the whole machine.
+func TestWatchdogLoop(t *testing.T) {
 	address, next := manager(t, filepath.Join(t.TempDir(), "n"))
 	t.Setenv("NOTIFY_SOCKET", address)
 	t.Setenv("WATCHDOG_USEC", "4000000")
-	m, err := Adopt(nil)
+	m, err := FromEnvironment(nil)
 	require.NoError(t, err)
 	c := clock.NewManual(1e12)
 	pass, passed := make(chan struct{}), make(chan string, 9)
-	h := Heart{Manager: m, Clock: c, Late: func(name string, ms float64) { passed <- fmt.Sprint(name, ms) },
-		Stations: []Station{
+	w := WatchdogLoop{Manager: m, Clock: c, OnLate: func(name string, ms float64) { passed <- fmt.Sprint(name, ms) },
+		Checks: []Check{
 			{"poller", func(context.Context) { passed <- "poller" }},
 			{"timers", func(ctx context.Context) {
 				select {
@@ -83,16 +83,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := make(chan struct{})
-	go func() { h.Run(ctx); close(ended) }()
+	go func() { w.Run(ctx); close(ended) }()
 	assert.Equal(t, "poller", <-passed)
 	pass <- struct{}{}
 	assert.Equal(t, "WATCHDOG=1", next())
-	for c.Next() != 1e12+1000 { // until the pause has begun
+	for c.Next() != 1e12+1000 { // until the pause between two rounds has begun
 		runtime.Gosched()
 	}
-	c.Advance(1000) // the next beat sticks at the timers
+	c.Advance(1000) // the next round is stuck at the timers
 	assert.Equal(t, "poller", <-passed)
-	c.Advance(60000) // and the machine stalls
+	c.Advance(60000) // the machine stalls
 	assert.Equal(t, "timers2000", <-passed)
 	assert.Equal(t, "STATUS=stuck: timers has not answered for 2000 ms", next())
 	pass <- struct{}{}
@@ -102,9 +102,10 @@
 	<-ended
 }
 
-// Guards against a socket of the manager that is taken for another one: the address goes before the name, and a name that
-// two have is none. That sockets arrive at all is tested with a real process, beside the command.
-func TestPick(t *testing.T) {
+// Guards against a socket of the manager that is confused with another one: the address takes precedence over the
+// name, and a name that two sockets have selects neither. A test with a real process, beside the command, covers
+// that sockets arrive at all.
+func TestSelectListener(t *testing.T) {
 	var list []Listener
 	for _, name := range []string{"north", "other", "north"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,12 +113,12 @@
 		defer l.Close()
 		list = append(list, Listener{name, l})
 	}
-	chosen := func(list []Listener, address string) net.Listener {
-		l, rest := Pick(list, "north", address)
+	selected := func(list []Listener, address string) net.Listener {
+		l, rest := SelectListener(list, "north", address)
 		assert.Equal(t, l == nil, len(rest) == len(list))
 		return l
 	}
-	assert.Equal(t, list[1].Listener, chosen(list, list[1].Addr().String()))
-	assert.Nil(t, chosen(list, "127.0.0.1:1"))
-	assert.Equal(t, list[0].Listener, chosen(list[:2], "127.0.0.1:1"))
+	assert.Equal(t, list[1].Listener, selected(list, list[1].Addr().String()))
+	assert.Nil(t, selected(list, "127.0.0.1:1"))
+	assert.Equal(t, list[0].Listener, selected(list[:2], "127.0.0.1:1"))
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -111,14 +111,14 @@
 
 // WatchdogChecks returns a check for each part that has to work for a request to be served: the poller that reads
 // all sockets, the timers and the dispatcher's lock, and the locks of the HTTP server and the core.
-func (n *Node) WatchdogChecks() ([]systemd.Station, error) {
+func (n *Node) WatchdogChecks() ([]systemd.Check, error) {
 	pulse, err := n.loop.NewProbe()
 	if err != nil {
 		return nil, err
 	}
-	return []systemd.Station{{Name: "the poller", Pass: pulse.RoundTrip}, {Name: "the timers", Pass: n.beat},
-		{Name: "the front", Pass: func(context.Context) { n.httpServer.Connections() }},
-		{Name: "the core", Pass: func(context.Context) { n.unanswered() }}}, nil
+	return []systemd.Check{{Name: "the poller", Run: pulse.RoundTrip}, {Name: "the timers", Run: n.beat},
+		{Name: "the front", Run: func(context.Context) { n.httpServer.Connections() }},
+		{Name: "the core", Run: func(context.Context) { n.unanswered() }}}, nil
 }
 
 // beat returns once the timers' goroutine has run the dispatcher's timers, or ctx has ended.
--- a/node/node.go
+++ b/node/node.go
@@ -158,7 +158,7 @@
 	localOptions   Options          // options of this machine, without the fleet's policy; guarded by reload
 	policyDoc      rollout.Document // the fleet's policy, Number 0 = none; guarded by reload
 
-	nodeMetrics *metrics.Set
+	nodeMetrics *metrics.Counters
 	bodyBudget  *bodypipe.Budget // memory for request and response bodies
 	adminServer *admin.Door      // nil = there is no admin endpoint
 	orders      orders
@@ -226,7 +226,7 @@
 	}()
 	n.pool = connpool.New(connpool.Settings{Protocol: protocols(conf, &o),
 		ConnectTimeout: conf.ConnectTimeout, Connections: room.Hosts,
-		Settle: o.South.Settle.Ms, ToOne: n.connectionsPerHost(o.Fleet.RaterConnections, n.fleetSize), Limits: poolLimits(conf, &o), Sent: n.nodeMetrics.Attempt, Budget: n.bodyBudget}, n.clock, n.loop, sparse.With("part", "south"))
+		Settle: o.South.Settle.Ms, ToOne: n.connectionsPerHost(o.Fleet.RaterConnections, n.fleetSize), Limits: poolLimits(conf, &o), Sent: n.nodeMetrics.AttemptSent, Budget: n.bodyBudget}, n.clock, n.loop, sparse.With("part", "south"))
 	n.gate = driver.New(usefulFor(conf), drainTimes(&o), c)
 	stages, first, err := n.stages(&extra, &o, sparse)
 	if err != nil {
--- a/node/operators.go
+++ b/node/operators.go
@@ -195,7 +195,7 @@
 	if n.thrift != nil && n.thrift.dispatcher != n.dispatcher {
 		count(n.thrift.dispatcher)
 	}
-	n.nodeMetrics.Raters(n.orders.cordons.Listed(), excluded)
+	n.nodeMetrics.SetBackends(n.orders.cordons.Listed(), excluded)
 }
 
 // operators is the node as the admin endpoint sees it.
@@ -213,7 +213,7 @@
 }
 
 // Metrics returns the metrics as JSON.
-func (o operators) Metrics() ([]byte, error) { return json.Marshal(o.n.nodeMetrics.View()) }
+func (o operators) Metrics() ([]byte, error) { return json.Marshal(o.n.nodeMetrics.Snapshot()) }
 
 // Knowledge returns the state that a newly started node may use.
 func (o operators) Knowledge() ([]byte, error) { return o.n.encodeKnowledge() }
