--- a/internal/node/upstream/connpool/carrier_test.go
+++ b/internal/node/upstream/connpool/carrier_test.go
@@ -27,10 +27,10 @@
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	open, closed := make(chan struct{}), make(chan struct{})
 	close(closed)
-	assert.Equal(t, dispatch.ConnectFailed, p.unsent(errors.New("refused"), 1000, open))
-	assert.Equal(t, dispatch.ConnectFailed, p.unsent(slow, 2000, open), "it had its full time")
-	assert.Equal(t, dispatch.NotSent, p.unsent(slow, 1000, open))
-	assert.Equal(t, dispatch.NotSent, p.unsent(context.Canceled, 2000, closed), "it has not run")
+	assert.Equal(t, dispatch.ConnectFailed, p.unsentOutcome(errors.New("refused"), 1000, open))
+	assert.Equal(t, dispatch.ConnectFailed, p.unsentOutcome(slow, 2000, open), "it had its full time")
+	assert.Equal(t, dispatch.NotSent, p.unsentOutcome(slow, 1000, open))
+	assert.Equal(t, dispatch.NotSent, p.unsentOutcome(context.Canceled, 2000, closed), "it has not run")
 	o, _ := p.RunAttempt(core.Host{Name: "h", Address: "127.0.0.1:1"}, &core.Call{}, 2000, open)
 	assert.Equal(t, dispatch.NotSent, o, "no connection is allowed at all")
 }
@@ -156,10 +156,10 @@
 	host, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	h.Address = host.Addr().String()
-	done := make(chan end, 1)
+	done := make(chan result, 1)
 	kept, err := p.get(h, 2000, done, nil)
 	require.NoError(t, err)
-	kept.disarm()
+	kept.unassign()
 	peer, err := host.Accept()
 	require.NoError(t, err)
 	c.do = func() {
--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -1,5 +1,6 @@
-// Package connpool carries relays to the south side hosts, whatever protocol they speak: connections, the idle pool, time
-// limits and outcomes. What the bytes mean is a Protocol's.
+// Package connpool sends attempts to backends over pooled connections, independent of the protocol that a backend
+// speaks: it manages connections, the idle pool, timeouts and outcomes. A Protocol encodes requests and parses
+// responses.
 package connpool
 
 import (
@@ -20,74 +21,78 @@
 	"linenwheel.dev/linenwheel/internal/node/netpoll"
 )
 
-// Protocol is what is spoken with a host. Its methods may be called from any goroutine.
+// Protocol encodes requests for a backend and parses its responses. Its methods may be called from any goroutine.
 type Protocol interface {
-	// Request writes a call as one relay; left is how long the node will wait for its end, milliseconds. What it returns
-	// beside is for Answers.Expect. It fails on a call that cannot be written so.
+	// Request appends the request for one attempt of a call to dst; left is how long the node will wait for the
+	// response, in milliseconds. about is passed to Answers.Expect. Request returns an error if the call cannot be
+	// encoded in this protocol.
 	Request(dst []byte, host core.Host, call *core.Call, left int) (out []byte, about any, err error)
-	// Answers makes a reader of the answers on one connection.
+	// Answers returns a new parser for the responses on one connection.
 	Answers() Answers
 }
 
-// Answers reads the answers on one connection.
+// Answers parses the responses on one connection.
 type Answers interface {
-	Expect(about any)                     // the next answer is that to a request
-	Feed(data []byte)                     // takes bytes as they came
-	Next() (a Answer, ok bool, err error) // gives the next whole answer; an error stays
-	Idle() bool                           // no byte of a further one has come
+	Expect(about any)                     // sets the request that the next response belongs to
+	Feed(data []byte)                     // adds received bytes
+	Next() (a Answer, ok bool, err error) // returns the next complete response; an error is permanent
+	Idle() bool                           // no byte of a further response has been received
 }
 
-// Silent is what Request may return beside, for a request that gets no answer: it is served once its last byte is written.
+// Silent may be implemented by the about value of Request. If its method returns true, the request gets no response,
+// and counts as served once its last byte is written.
 type Silent interface{ Silent() bool }
 
-// Answer is a host's whole answer.
+// Answer is a backend's response, complete except for a body that is streamed.
 type Answer struct {
 	Outcome dispatch.Outcome
-	Payload any  // with Served
-	Last    bool // the host ends the connection after it
-	// Attach, if not nil, is to be given the rest of the body, which flows.
+	Payload any  // set if Outcome is Served
+	Last    bool // the backend closes the connection after this response
+	// Attach, if not nil, must be called with the pipe through which the rest of the body is streamed.
 	Attach func(*bodypipe.Pipe)
 }
 
-// Flowing is what Answers have besides if some of them flow.
+// Flowing is implemented by Answers that can stream response bodies.
 type Flowing interface {
-	Piece() (piece []byte, done bool, err error) // gives what has come of the rest; good until Feed is called
-	ToEnd() bool                                 // the answer that is coming ends with the connection
-	// End takes the end of the connection, and tells whether an answer was whole by it; one without a payload was given before.
+	Piece() (piece []byte, done bool, err error) // returns what was received of the rest; valid until the next Feed
+	ToEnd() bool                                 // the current response ends when the connection does
+	// End handles the end of the connection and reports whether that completed a response. If the Answer has no
+	// payload, Next has already returned that response.
 	End() (Answer, bool)
 }
 
-// Body is what Request may return beside, for a body that is to be written after it.
+// Body is the about value of a Request whose body has to be written after the request's head.
 type Body struct {
 	First   []byte
-	Rest    *bodypipe.Pipe // which only one relay can take; nil = First is all
+	Rest    *bodypipe.Pipe // only one attempt can claim it; nil = First is the whole body
 	Left    int            // bytes of Rest, if not Chunked
-	Chunked bool           // nobody knows how many those are
+	Chunked bool           // the length of Rest is unknown
 }
 
-// Settings describe the south side, times in milliseconds.
+// Settings configure the connections to backends; times are in milliseconds.
 type Settings struct {
-	Protocol       func(core.Host) Protocol // that a host speaks
+	Protocol       func(core.Host) Protocol // returns the protocol that a backend speaks
 	ConnectTimeout float64
-	Connections    int // the most open at once
-	// ToOne is the most open at once to one host, 0 = no limit; asked only before a new one is opened. May be nil.
+	Connections    int // maximum number of open connections
+	// ToOne returns the maximum number of open connections to one backend, 0 = no limit. It is called only before a
+	// new connection is opened. May be nil.
 	ToOne func() int
-	// Settle is how long a connection rests after an answer: a host that closes it then, or that sends more than the
-	// answer, does so before the next relay could take that for its own.
+	// Settle is how long a connection stays unused after a response. If the backend closes the connection or sends
+	// surplus bytes after the response, that is noticed before the next attempt could mistake it for its own response.
 	Settle float64
 	Limits Limits
-	Budget *bodypipe.Budget // of bodies that flow; nil = none does
-	// Sent is told of each relay whose last byte has gone out; nil = nobody.
+	Budget *bodypipe.Budget // for streamed bodies; nil = bodies are not streamed
+	// Sent is called for each attempt whose last byte has been written. May be nil.
 	Sent func()
 }
 
-// Limits are what can change while relays are carried.
+// Limits are the settings that can change while attempts are in progress.
 type Limits struct {
-	Idle float64 // an idle connection is closed after this, well before the host would
+	Idle float64 // idle connections are closed after this time, well before the backend would close them
 	Wear Wear
 }
 
-// Pool holds the connections to all hosts.
+// Pool holds the connections to all backends.
 type Pool struct {
 	set   Settings
 	clock clock.Clock
@@ -97,20 +102,22 @@
 	limits atomic.Pointer[Limits]
 
 	mu   sync.Mutex
-	idle map[core.Host][]*conn // the one used last at the end
+	idle map[core.Host][]*conn // the most recently used connection is last
 	open int
-	to   map[core.Host]int // of them, by host
+	to   map[core.Host]int // open connections by backend
 	wear wear
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(set Settings, c clock.Clock, l *netpoll.Loop, log *slog.Logger) *Pool {
-	p := &Pool{set: set, clock: c, loop: l, log: log, idle: map[core.Host][]*conn{}, to: map[core.Host]int{}, wear: newWear(set.Settle)}
+	p := &Pool{set: set, clock: c, loop: l, log: log, idle: map[core.Host][]*conn{}, to: map[core.Host]int{},
+		wear: newWear(set.Settle)}
 	p.Limit(set.Limits)
 	return p
 }
 
-// Resize changes how many connections may be open at once. Those above stay until their relays end.
+// Resize changes the maximum number of open connections. If more are open, idle ones are closed, and those in use
+// stay open until their attempts end.
 func (p *Pool) Resize(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,38 +127,38 @@
 	}
 }
 
-// Open is how many connections are open, or coming up.
+// Open returns the number of connections that are open or being opened.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Limit changes the limits, at any time.
+// Limit replaces the limits. It may be called at any time.
 func (p *Pool) Limit(l Limits) { p.limits.Store(&l) }
 
-// conn is one connection; it carries one relay at a time.
+// conn is one connection; it serves one attempt at a time.
 type conn struct {
-	pool   *Pool
-	host   core.Host
-	net    *netpoll.Conn
-	since  float64 // idle since then
-	band   int     // of how long it was, 0 for a new one
-	mu     sync.Mutex
-	speaks Protocol
-	reader Answers
-	done   chan end       // of the relay that it carries, nil while idle
-	asked  bool           // that relay is being written: what comes may be its answer
-	alone  bool           // its request is written at once
-	need   atomic.Int64   // bytes written once all of that relay's request is
-	known  int64          // of them, those that are known before a body in chunks is
-	body   *bodypipe.Pipe // the rest of its answer, which goes on after its end
-	last   bool           // the host ends the connection after that
-	broken bool
-	freed  sync.Once
-}
-
-// release gives up the connection's place in the pool's count.
+	pool        *Pool
+	host        core.Host
+	net         *netpoll.Conn
+	since       float64 // when the connection became idle; 0 = it is new
+	band        int     // wear band of the preceding idle time; 0 = it is new
+	mu          sync.Mutex
+	protocol    Protocol
+	reader      Answers
+	done        chan result    // receives the result of the current attempt; nil while idle
+	asked       bool           // the request is being written: received bytes may be its response
+	singleWrite bool           // the request is written in a single write
+	need        atomic.Int64   // value of net.Written once the whole request is written
+	known       int64          // the part of need that is known before a chunked body has been written
+	body        *bodypipe.Pipe // rest of a streamed response body, which continues after the attempt has ended
+	last        bool           // the backend closes the connection after that body
+	broken      bool
+	freed       sync.Once
+}
+
+// release removes the connection from the pool's counts, once.
 func (c *conn) release() {
 	c.freed.Do(func() {
 		c.pool.mu.Lock()
@@ -163,8 +170,9 @@
 	})
 }
 
-// arm makes the connection carry a relay whose end goes to done; it fails on one that has ended.
-func (c *conn) arm(done chan end) bool {
+// assign starts an attempt on the connection, whose result is sent to done. It returns false if the connection is
+// broken.
+func (c *conn) assign(done chan result) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.broken {
@@ -173,49 +181,50 @@
 	return !c.broken
 }
 
-// disarm takes back what arm did, before anything was sent.
-func (c *conn) disarm() {
+// unassign reverts assign; done will receive nothing more from the connection.
+func (c *conn) unassign() {
 	c.mu.Lock()
 	c.done = nil
 	c.mu.Unlock()
 }
 
-// ask lets the next bytes be the relay's answer, unless others have come before.
-func (c *conn) ask(about any) {
+// expectResponse makes the connection accept the next bytes as the attempt's response. Bytes that were received
+// earlier have already broken the connection.
+func (c *conn) expectResponse(about any) {
 	c.mu.Lock()
 	_, more := about.(*Body)
-	c.asked, c.alone = true, !more
+	c.asked, c.singleWrite = true, !more
 	c.reader.Expect(about)
 	c.mu.Unlock()
 }
 
-// end is what came back on a connection: an answer or an error.
-type end struct {
+// result is the result of an attempt on a connection: a response or an error.
+type result struct {
 	answer Answer
-	whole  bool // there is one
+	whole  bool // answer is set
 	err    error
 }
 
-// Data takes bytes from the host.
+// Data handles bytes received from the backend.
 func (c *conn) Data(data []byte) {
 	c.mu.Lock()
 	if c.body != nil {
 		c.reader.Feed(data)
-		fit := c.pieces()
+		fit := c.streamBody()
 		c.mu.Unlock()
-		c.settle(fit)
+		c.applyBodyState(fit)
 		return
 	}
-	if c.done == nil || !c.asked { // it belongs to no relay
+	if c.done == nil || !c.asked { // the bytes belong to no attempt
 		c.broken = true
-		c.finish(end{err: errBroken})
+		c.finish(result{err: errBroken})
 		c.mu.Unlock()
 		c.net.Close()
 		return
 	}
-	if c.alone && c.reader.Idle() && c.net.HasUnacknowledged() { // it was sent before the host had the request
+	if c.singleWrite && c.reader.Idle() && c.net.HasUnacknowledged() { // sent before the backend had the request
 		c.broken = true
-		c.finish(end{err: errBroken})
+		c.finish(result{err: errBroken})
 		c.mu.Unlock()
 		return
 	}
@@ -229,30 +238,31 @@
 		return
 	}
 	if err == nil && answer.Attach != nil {
-		c.body, c.last = bodypipe.New(c.pool.set.Budget, c.hold, c.forgo), answer.Last
+		c.body, c.last = bodypipe.New(c.pool.set.Budget, c.throttle, c.abandonBody), answer.Last
 		answer.Attach(c.body)
-		c.finish(end{answer, whole, err})
-		fit := c.pieces()
+		c.finish(result{answer, whole, err})
+		fit := c.streamBody()
 		c.mu.Unlock()
-		c.settle(fit)
+		c.applyBodyState(fit)
 		return
 	}
 	c.broken = c.broken || err != nil || answer.Last || !c.reader.Idle()
-	c.finish(end{answer, whole, err})
+	c.finish(result{answer, whole, err})
 	c.mu.Unlock()
 }
 
-// What is to become of a connection after a part of a flow.
-type fate uint8
+// bodyState is the state of a connection after a part of a streamed response body.
+type bodyState uint8
 
 const (
-	flowing fate = iota
-	free         // it can carry another relay
-	spent
+	streaming bodyState = iota
+	reusable            // the body is complete and the connection can be reused
+	unusable            // the body has ended and the connection must be closed
 )
 
-// pieces moves what has come of a body that flows, under the connection's lock.
-func (c *conn) pieces() fate {
+// streamBody moves the received part of a streamed response body to its pipe. The caller must hold the connection's
+// lock.
+func (c *conn) streamBody() bodyState {
 	reader := c.reader.(Flowing)
 	piece, done, err := reader.Piece()
 	if len(piece) > 0 {
@@ -264,29 +274,29 @@
 	case done:
 		c.body.End(io.EOF)
 	default:
-		return flowing
+		return streaming
 	}
 	c.body = nil
-	early := c.net.Written() < c.need.Load() // it has answered before it has the request
+	early := c.net.Written() < c.need.Load() // the response was complete before the request was
 	if c.broken = c.broken || err != nil || c.last || early || !c.reader.Idle(); c.broken {
-		return spent
+		return unusable
 	}
-	return free
+	return reusable
 }
 
-// settle does, without the lock, what is to become of the connection.
-func (c *conn) settle(f fate) {
-	switch f {
-	case free:
+// applyBodyState reuses or closes the connection as s requires. The caller must not hold the connection's lock.
+func (c *conn) applyBodyState(s bodyState) {
+	switch s {
+	case reusable:
 		c.net.Resume()
 		c.pool.put(c, true)
-	case spent:
+	case unusable:
 		c.net.Close()
 	}
 }
 
-// hold slows the host, or lets it go on.
-func (c *conn) hold(on bool) {
+// throttle pauses or resumes reading from the backend.
+func (c *conn) throttle(on bool) {
 	if on {
 		c.net.Pause()
 	} else {
@@ -294,8 +304,8 @@
 	}
 }
 
-// forgo ends a connection whose flow nobody wants.
-func (c *conn) forgo() {
+// abandonBody closes a connection whose streamed response body has no consumer any more.
+func (c *conn) abandonBody() {
 	c.mu.Lock()
 	c.body, c.broken = nil, true
 	c.mu.Unlock()
@@ -303,8 +313,8 @@
 	c.net.Close()
 }
 
-// finish ends the relay under the connection's lock.
-func (c *conn) finish(e end) {
+// finish ends the current attempt, if any. The caller must hold the connection's lock.
+func (c *conn) finish(e result) {
 	if c.done != nil {
 		c.done <- e
 		c.done = nil
@@ -312,11 +322,11 @@
 }
 
 var (
-	errBroken = errors.New("connection ended") // before its answer did
-	errFull   = errors.New("all connections are in use")
+	errBroken   = errors.New("connection ended") // before the response was complete
+	errPoolFull = errors.New("connection pool is full")
 )
 
-// Closed takes the end of the connection.
+// Closed handles the end of the connection.
 func (c *conn) Closed(err error) {
 	c.mu.Lock()
 	c.broken = true
@@ -325,14 +335,14 @@
 			c.body.End(io.EOF)
 			c.body = nil
 		} else if whole {
-			c.finish(end{answer: answer, whole: true})
+			c.finish(result{answer: answer, whole: true})
 		}
 	}
 	if c.body != nil {
 		c.body.End(errBroken)
 		c.body = nil
 	}
-	c.finish(end{err: errBroken})
+	c.finish(result{err: errBroken})
 	c.mu.Unlock()
 	c.release()
 	c.pool.mu.Lock()
@@ -348,14 +358,14 @@
 
 // RunAttempt implements core.Transport.
 func (p *Pool) RunAttempt(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
-	done := make(chan end, 1)
+	done := make(chan result, 1)
 	late := make(chan struct{})
 	c, about, o, err := p.begin(host, call, until, done, off)
 	if c == nil {
 		return o, nil
 	}
 	sent, broke := p.clock.Now(), false
-	defer func() { p.note(c.band, broke) }()
+	defer func() { p.recordUse(c.band, broke) }()
 	stop := p.clock.At(until, func() { close(late) })
 	defer stop()
 	body, _ := about.(*Body)
@@ -375,24 +385,24 @@
 	count()
 	if err != nil {
 		broke = true
-		c.giveUp(done)
+		c.abort(done)
 		if whole() {
 			return dispatch.Reset, nil
 		}
 		return dispatch.ConnectFailed, nil
 	}
 	if s, ok := about.(Silent); ok && s.Silent() {
-		return p.silent(c, whole), nil
+		return p.oneWayOutcome(c, whole), nil
 	}
-	var e end
+	var e result
 	if body != nil && body.Rest != nil {
 		more, err := p.upload(c, body, done, off, late)
 		if err != nil {
-			e = c.giveUp(done)
+			e = c.abort(done)
 			switch {
-			case e.whole: // it ended the connection after an answer
+			case e.whole: // the backend closed the connection after a response
 				done <- e
-			case errors.Is(err, errHost): // the last byte never went out
+			case errors.Is(err, errBackendWrite): // the last byte was never sent
 				return dispatch.ConnectFailed, nil
 			default:
 				return dispatch.NotSent, nil
@@ -407,12 +417,12 @@
 	select {
 	case e = <-done:
 	case <-off:
-		if e = c.giveUp(done); !e.whole {
-			return cut(whole, dispatch.NotSent, dispatch.Cancelled), nil
+		if e = c.abort(done); !e.whole {
+			return abortedOutcome(whole, dispatch.NotSent, dispatch.Cancelled), nil
 		}
 	case <-late:
-		if e = c.giveUp(done); !e.whole {
-			return cut(whole, dispatch.ConnectFailed, dispatch.TimedOut), nil
+		if e = c.abort(done); !e.whole {
+			return abortedOutcome(whole, dispatch.ConnectFailed, dispatch.TimedOut), nil
 		}
 	}
 	if e.err != nil {
@@ -421,7 +431,7 @@
 		if !whole() {
 			return dispatch.ConnectFailed, nil
 		}
-		return p.unread(host, e.err), nil
+		return p.unreadableOutcome(host, e.err), nil
 	}
 	if e.answer.Attach == nil {
 		p.put(c, whole())
@@ -429,88 +439,93 @@
 	return e.answer.Outcome, e.answer.Payload
 }
 
-// cut is the outcome of an attempt that was given up before its answer, by whether its request had gone out whole.
-func cut(whole func() bool, before, after dispatch.Outcome) dispatch.Outcome {
+// abortedOutcome returns the outcome of an attempt that was aborted before its response: after if the whole request
+// had been written, otherwise before.
+func abortedOutcome(whole func() bool, before, after dispatch.Outcome) dispatch.Outcome {
 	if whole() {
 		return after
 	}
 	return before
 }
 
-// silent is the outcome of an attempt that wants no answer.
-func (p *Pool) silent(c *conn, whole func() bool) dispatch.Outcome {
-	c.disarm()
+// oneWayOutcome returns the outcome of an attempt that expects no response. It returns the connection
+// to the idle pool, or closes it.
+func (p *Pool) oneWayOutcome(c *conn, whole func() bool) dispatch.Outcome {
+	c.unassign()
 	now := whole()
-	if p.put(c, now); !now && !whole() { // closed, its last byte never goes out
+	if p.put(c, now); !now && !whole() { // the connection is closed, so the last byte is never sent
 		return dispatch.ConnectFailed
 	}
 	return dispatch.Served
 }
 
-// unread is the outcome of an attempt whose answer broke off or cannot be read.
-func (p *Pool) unread(host core.Host, err error) dispatch.Outcome {
+// unreadableOutcome returns the outcome of an attempt whose response was cut off or cannot be parsed.
+func (p *Pool) unreadableOutcome(host core.Host, err error) dispatch.Outcome {
 	if errors.Is(err, errBroken) {
 		return dispatch.Reset
 	}
-	p.log.Warn("a host's answer cannot be read", "host", host.Name, "address", host.Address, "error", err)
+	p.log.Warn("cannot parse backend response", "host", host.Name, "address", host.Address, "error", err)
 	return dispatch.Failed
 }
 
-// begin finds a connection for an attempt and writes the first bytes of its request, or tells why nothing is to go out. What may have
-// changed since the attempt was decided is asked here, last before its first byte: whether it was called off or its time is up, the
-// final answer is given, the host departs, the client is there, and nothing has come on the connection. err is that of the first write.
-func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan end, off <-chan struct{}) (c *conn, about any, o dispatch.Outcome,
-	err error) {
+// begin gets a connection for an attempt and writes the first bytes of its request. If nothing is to be sent, c is
+// nil and o is the attempt's outcome. Whatever may have changed since the attempt was decided on is checked here,
+// right before the first byte: whether the attempt was cancelled or its deadline has passed, the call has its final
+// response, the backend is draining, the client has disconnected, or bytes were received on the connection. err is
+// the error of the first write.
+func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan result, off <-chan struct{}) (c *conn,
+	about any, o dispatch.Outcome, err error) {
 	client, _ := call.Client.(*netpoll.Conn)
 	for {
 		c, err := p.get(host, until, done, off)
 		if err != nil {
-			return nil, nil, p.unsent(err, until, off), nil
+			return nil, nil, p.unsentOutcome(err, until, off), nil
 		}
 		select {
 		case <-off:
-			c.giveUp(done)
+			c.abort(done)
 			return nil, nil, dispatch.NotSent, nil
 		default:
 		}
-		left := int(until - p.clock.Now()) // never more than there is
+		left := int(until - p.clock.Now()) // rounded down, so never more than the time that remains
 		if left <= 0 {
-			c.giveUp(done)
+			c.abort(done)
 			return nil, nil, dispatch.NotSent, nil
 		}
 		back := func() (*conn, any, dispatch.Outcome, error) {
-			c.disarm()
+			c.unassign()
 			p.put(c, true)
 			return nil, nil, dispatch.NotSent, nil
 		}
-		if !call.RunAllowed() { // the node stood still for longer than its claim: another may have it
+		if !call.RunAllowed() { // the node was paused for longer than its claim lasts: another node may hold it now
 			return back()
 		}
 		if owed, permitted := call.MaySend(host); !owed || !permitted {
 			return back()
 		}
-		out, about, err := c.speaks.Request(nil, host, call, left)
+		out, about, err := c.protocol.Request(nil, host, call, left)
 		if err != nil {
-			p.log.Warn("a call cannot be written for a host: a relay was not sent", "host", host.Name, "error", err)
+			p.log.Warn("cannot encode call for backend; attempt not sent", "host", host.Name, "error", err)
 			return back()
 		}
 		out = c.measure(out, about)
-		fit, gone, err := c.net.WriteRequest(out, client, func() { c.ask(about) })
-		if gone { // the poller has not heard of it yet
+		fit, gone, err := c.net.WriteRequest(out, client, func() { c.expectResponse(about) })
+		if gone { // the client has disconnected; the poller has not reported it yet
 			call.Cancel()
 			return back()
 		}
 		if fit {
 			return c, about, 0, err
 		}
-		c.giveUp(done)
+		c.abort(done)
 		if c.since == 0 {
 			return nil, nil, dispatch.ConnectFailed, nil
 		}
 	}
 }
 
-// measure notes how much will have been written once all of a request is, of which out comes first.
+// measure sets known and need, the number of bytes that will have been written on the connection once the whole
+// request is. out is the start of the request; it is returned with the head of the first chunk, if there is one.
 func (c *conn) measure(out []byte, about any) []byte {
 	body, _ := about.(*Body)
 	if body != nil && body.Rest != nil && body.Chunked && len(body.First) > 0 {
@@ -522,40 +537,42 @@
 	}
 	c.need.Store(c.known)
 	if body != nil && body.Chunked {
-		c.need.Store(math.MaxInt64) // until that is known
+		c.need.Store(math.MaxInt64) // until the length of the body is known
 	}
 	return out
 }
 
-// note tells how a connection did that was given a request.
-func (p *Pool) note(band int, broke bool) {
+// recordUse records whether a connection broke when a request was sent on it.
+func (p *Pool) recordUse(band int, broke bool) {
 	p.mu.Lock()
 	was := p.wear.limit
 	p.wear.note(p.clock.Now(), &p.limits.Load().Wear, band, broke)
 	limit := p.wear.limit
 	p.mu.Unlock()
 	if limit < was {
-		p.log.Warn("connections that were idle for long turn out dead: they are not used", "idle_ms",
+		p.log.Warn("connections idle for long are often dead; no longer reusing them", "idle_ms",
 			math.Ldexp(p.set.Settle, limit-1))
 	}
 }
 
-// unsent tells why no connection could be had. The host is to blame only if it had its full time.
-func (p *Pool) unsent(err error, until float64, off <-chan struct{}) dispatch.Outcome {
+// unsentOutcome returns the outcome of an attempt that got no connection. A timeout counts against the backend only
+// if the connect timeout was not cut short by the attempt's deadline.
+func (p *Pool) unsentOutcome(err error, until float64, off <-chan struct{}) dispatch.Outcome {
 	select {
 	case <-off:
 		return dispatch.NotSent
 	default:
 	}
 	var timeout net.Error
-	if errors.Is(err, errFull) || errors.As(err, &timeout) && timeout.Timeout() && p.clock.Now() >= until-1 {
+	if errors.Is(err, errPoolFull) || errors.As(err, &timeout) && timeout.Timeout() && p.clock.Now() >= until-1 {
 		return dispatch.NotSent
 	}
 	return dispatch.ConnectFailed
 }
 
-// giveUp closes a connection whose relay ends. An answer that came in the same moment is returned.
-func (c *conn) giveUp(done chan end) (e end) {
+// abort ends the attempt and closes its connection. If the attempt's result arrived at the same moment, abort
+// returns it.
+func (c *conn) abort(done chan result) (e result) {
 	c.mu.Lock()
 	c.broken, c.done = true, nil
 	c.mu.Unlock()
@@ -567,8 +584,8 @@
 	return e
 }
 
-// get takes an idle connection or opens one, and arms it.
-func (p *Pool) get(host core.Host, until float64, done chan end, off <-chan struct{}) (*conn, error) {
+// get takes an idle connection or opens a new one, and assigns the attempt to it.
+func (p *Pool) get(host core.Host, until float64, done chan result, off <-chan struct{}) (*conn, error) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	for i := len(p.idle[host]) - 1; i >= 0; i-- {
@@ -579,7 +596,7 @@
 		}
 		p.idle[host] = append(list[:i], list[i+1:]...)
 		idle := now - c.since
-		if idle < p.limits.Load().Idle && p.wear.fit(idle) && c.arm(done) {
+		if idle < p.limits.Load().Idle && p.wear.fit(idle) && c.assign(done) {
 			c.band = p.wear.band(idle)
 			p.mu.Unlock()
 			return c, nil
@@ -589,21 +606,21 @@
 	if p.set.ToOne != nil && p.to[host] > 0 {
 		if most := p.set.ToOne(); most > 0 && p.to[host] >= most {
 			p.mu.Unlock()
-			p.log.Warn("this node's part of a host's connections is in use: a relay was not sent", "connections", most,
+			p.log.Warn("this node's share of connections to a backend is in use; attempt not sent", "connections", most,
 				"host", host.Name)
-			return nil, errFull
+			return nil, errPoolFull
 		}
 	}
 	if most := p.set.Connections; p.open >= most && !p.evict() {
 		p.mu.Unlock()
-		p.log.Warn("all connections to hosts are in use: a relay was not sent", "connections", most, "host", host.Name)
-		return nil, errFull
+		p.log.Warn("all backend connections are in use; attempt not sent", "connections", most, "host", host.Name)
+		return nil, errPoolFull
 	}
 	p.open++
 	p.to[host]++
 	p.mu.Unlock()
-	speaks := p.set.Protocol(host)
-	c := &conn{pool: p, host: host, speaks: speaks, reader: speaks.Answers()}
+	protocol := p.set.Protocol(host)
+	c := &conn{pool: p, host: host, protocol: protocol, reader: protocol.Answers()}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
@@ -617,7 +634,7 @@
 		c.net = n
 		return c
 	})
-	if err == nil && !c.arm(done) {
+	if err == nil && !c.assign(done) {
 		err = errBroken
 	}
 	if err != nil {
@@ -626,7 +643,8 @@
 	return c, err
 }
 
-// evict closes the connection that is idle longest, under the pool's lock.
+// evict closes the connection that has been idle longest and returns false if none is idle. The caller must hold the
+// pool's lock.
 func (p *Pool) evict() bool {
 	var oldest *conn
 	for _, list := range p.idle {
@@ -642,12 +660,12 @@
 	return true
 }
 
-// put takes a connection back if it can carry another relay.
+// put returns a connection to the idle pool if it can be reused, and closes it otherwise.
 func (p *Pool) put(c *conn, whole bool) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	c.mu.Lock()
-	fit := !c.broken && whole // one that ends from here on finds itself among the idle ones
+	fit := !c.broken && whole // if the connection ends after this, Closed finds it in the idle pool
 	c.mu.Unlock()
 	if fit {
 		c.since = now
@@ -659,22 +677,22 @@
 	}
 }
 
-// Use is how many connections to a host there are, and how many of them carry no relay.
+// Use is the number of connections to a backend, and how many of them are idle.
 type Use struct{ Open, Idle int }
 
-// Uses gives the connections by the hosts' names.
+// Uses returns the number of connections by backend name.
 func (p *Pool) Uses() map[string]Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	uses := map[string]Use{}
-	for host, n := range p.to { // one name may have had two addresses
+	for host, n := range p.to { // one name may have had several addresses
 		u := uses[host.Name]
 		uses[host.Name] = Use{u.Open + n, u.Idle + len(p.idle[host])}
 	}
 	return uses
 }
 
-// Retire closes connections that have stood idle for long; it is to be called now and then.
+// Retire closes connections that have reached the idle limit. It must be called periodically.
 func (p *Pool) Retire() {
 	now, limit := p.clock.Now(), p.limits.Load().Idle
 	p.mu.Lock()
--- a/internal/node/upstream/connpool/upload.go
+++ b/internal/node/upstream/connpool/upload.go
@@ -8,33 +8,34 @@
 )
 
 var (
-	errTaken = errors.New("another relay has the body")
-	errHost  = errors.New("the host took no more")
+	errBodyClaimed  = errors.New("request body already claimed by another attempt")
+	errBackendWrite = errors.New("write to backend failed")
 )
 
-// upload writes the rest of a request's body as it comes, no faster than the host takes it. It gives how many bytes that were;
-// 0 if the relay ended before it knew of the last of them, of which the caller hears by the same channels. errHost is the host's
-// fault; any other error tells that there is no rest to be had. After an error the last byte has not gone out.
-func (p *Pool) upload(c *conn, body *Body, done chan end, off, late <-chan struct{}) (written int64, err error) {
+// upload writes the rest of a request's body as it arrives, no faster than the backend accepts it. It returns the
+// number of bytes written, or 0 if the attempt ended before the last of them was known; the caller sees the reason on
+// the same channels. errBackendWrite means that the backend stopped accepting bytes; any other error means that the
+// rest of the body is not available. After an error the last byte has not been sent.
+func (p *Pool) upload(c *conn, body *Body, done chan result, off, late <-chan struct{}) (written int64, err error) {
 	if !body.Rest.Claim() {
-		return 0, errTaken
+		return 0, errBodyClaimed
 	}
 	write := func(b []byte) bool {
 		written += int64(len(b))
 		return c.net.Write(b) == nil
 	}
 	if body.Chunked && len(body.First) > 0 && !write([]byte("\r\n")) {
-		return 0, errHost
+		return 0, errBackendWrite
 	}
 	stop := make(chan struct{})
 	watched := make(chan struct{})
 	defer func() { close(watched); <-stop }()
-	go func() { // Room waits for one thing only
+	go func() { // WaitForBacklog waits on a single channel
 		defer close(stop)
 		select {
 		case <-off:
 		case <-late:
-		case e := <-done: // a host may answer early and take no more
+		case e := <-done: // a backend may respond early and stop reading
 			done <- e // for the caller
 		case <-watched:
 		}
@@ -47,7 +48,7 @@
 			good = good && write(chunk.Bytes) && (!body.Chunked || write([]byte("\r\n")))
 			chunk.Free()
 			if !good {
-				return 0, errHost
+				return 0, errBackendWrite
 			}
 			if !c.net.WaitForBacklog(p.set.Budget.Window(), stop) {
 				return 0, nil
@@ -56,9 +57,9 @@
 				return 0, nil
 			}
 			continue
-		case err == io.EOF: //nolint:errorlint // this very value says whole, a wrapped one would be of a body that broke off
+		case err == io.EOF: //nolint:errorlint // only io.EOF itself means complete; a wrapped one is from a truncated body
 			if body.Chunked && !write([]byte(http1.LastChunk)) {
-				return 0, errHost
+				return 0, errBackendWrite
 			}
 			return written, nil
 		case err != nil:
--- a/internal/node/upstream/httpbackend/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -1,5 +1,5 @@
-// Package httpbackend is the protocol of hosts that speak HTTP/1.1, for the carrier: how a relay is written and what an answer
-// says, as the platform's table of outcomes has it.
+// Package httpbackend implements connpool.Protocol for backends that speak HTTP/1.1: it encodes requests and maps
+// responses to outcomes as the platform's outcome table defines.
 package httpbackend
 
 import (
@@ -14,23 +14,23 @@
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 )
 
-// Protocol is carrier.Protocol: the payloads of calls and of outcomes Served are *http1.Message. A call that came in Thrift
-// becomes a request of its class with its second argument as the body, if calls may cross.
+// Protocol implements connpool.Protocol. The payloads of calls and of Served outcomes are *http1.Message. If Cross is
+// set, a call received over Thrift becomes a request of its class with the call's second argument as the body.
 type Protocol struct {
 	Cross   bool
 	Classes []Class
-	Tenants []string // names, by number
+	Tenants []string // tenant names by number
 
-	Most  int  // bytes in an answer's body, 0 = that of internal/http1
-	Flows bool // answers that are long, or end with the connection, flow to clients that can take them so
+	Most  int  // maximum size of a response body in bytes, 0 = the default of package http1
+	Flows bool // stream responses that are long, or end with the connection, to clients that support it
 }
 
-// Class is what a request of a class looks like.
+// Class describes the requests of a class.
 type Class struct{ Name, Method string }
 
-var errCross = errors.New("a call in Thrift does not cross to hosts that speak HTTP/1.1")
+var errCross = errors.New("Thrift calls are not translated for HTTP/1.1 backends")
 
-// Request is that of carrier.Protocol.
+// Request implements connpool.Protocol.
 func (p Protocol) Request(dst []byte, host core.Host, call *core.Call, left int) ([]byte, any, error) {
 	m, ok := call.Payload.(*http1.Message)
 	if !ok {
@@ -40,7 +40,7 @@
 		}
 		m = p.compose(call, t)
 	}
-	if m.Rest == nil && len(m.Body) < apart {
+	if m.Rest == nil && len(m.Body) < separateBodyMin {
 		if dst == nil {
 			dst = make([]byte, 0, 512+len(m.Body))
 		}
@@ -50,7 +50,7 @@
 	return http1.AppendRequestHead(dst, m, host.Address, http1.DeadlineField, left), body, nil
 }
 
-// compose makes a request of a call that came in Thrift.
+// compose builds the HTTP request for a call received over Thrift.
 func (p Protocol) compose(call *core.Call, t *thrift.Message) *http1.Message {
 	class := p.Classes[call.Class]
 	m := &http1.Message{Method: []byte(class.Method), Target: []byte("/" + class.Name), Body: mapping.Argument(t),
@@ -67,7 +67,7 @@
 	return m
 }
 
-// Answers is that of carrier.Protocol.
+// Answers implements connpool.Protocol.
 func (p Protocol) Answers() connpool.Answers {
 	if !p.Flows {
 		return answers{http1.NewResponses()}
@@ -76,14 +76,14 @@
 }
 
 const (
-	apart = 16 << 10 // from so many bytes on a body is written apart from its head, which saves a copy
+	separateBodyMin = 16 << 10 // bodies of at least this many bytes are written separately from the head, which saves a copy
 
-	// An answer whose length is not told goes on once so much of it has come: if it is shorter, another host may still make up
-	// for its breaking off.
+	// A response of unknown length is streamed to the client once this many bytes have been received. If a shorter one
+	// is cut off, the call can still be retried on another backend.
 	wholeUnknown = 8 << 10
 )
 
-// answers reads one connection.
+// answers parses the responses on one connection.
 type answers struct{ *http1.Parser }
 
 func (a answers) Expect(any) {}
@@ -104,7 +104,7 @@
 	return answer
 }
 
-// End takes the end of the connection, with which an answer may be whole.
+// End handles the end of the connection, which may complete a response.
 func (a answers) End() (connpool.Answer, bool) {
 	m, ok := a.Parser.End()
 	if m == nil {
@@ -113,7 +113,7 @@
 	return a.answer(m), ok
 }
 
-// outcome reads an answer as the protocol's table has it.
+// outcome maps a response to an outcome as the protocol's table defines.
 func outcome(m *http1.Message) dispatch.Outcome {
 	switch m.Status {
 	case 200:
--- a/internal/node/upstream/thriftbackend/thrifthost.go
+++ b/internal/node/upstream/thriftbackend/thrifthost.go
@@ -1,5 +1,6 @@
-// Package thriftbackend is the protocol of hosts that speak Thrift, for the carrier. A call that came in Thrift goes on as it
-// came, in the host's form; one that came over HTTP/1.1 is put into the method of its class, if calls may cross.
+// Package thriftbackend implements connpool.Protocol for backends that speak Thrift. A call received over Thrift is
+// forwarded unchanged, in the backend's transport and encoding. A call received over HTTP/1.1 becomes a call of the
+// Thrift method of its class, if the class has one.
 package thriftbackend
 
 import (
@@ -14,37 +15,37 @@
 	"linenwheel.dev/linenwheel/internal/node/upstream/connpool"
 )
 
-// Settings describe the hosts.
+// Settings describe the backends.
 type Settings struct {
 	Form    thrift.Form
 	Limits  thrift.Limits
-	Methods []string // by class: that of a call that comes over HTTP/1.1; "" = it cannot cross
-	Tenants []string // names, by number
+	Methods []string // by class: the method for calls received over HTTP/1.1; "" = such calls fail
+	Tenants []string // tenant names by number
 }
 
-// Protocol is carrier.Protocol.
+// Protocol implements connpool.Protocol.
 type Protocol struct {
 	set Settings
 	seq atomic.Int32
 }
 
-// New makes the protocol.
+// New returns a Protocol with the given settings.
 func New(set Settings) *Protocol { return &Protocol{set: set} }
 
 var errCross = errors.New("the call's class has no Thrift method")
 
-// about is what the answer to a request must say.
+// about holds what the response to a request is checked against and how it is converted.
 type about struct {
 	seq    int32
 	method []byte
-	back   func(*thrift.Message) any // puts a served answer into the call's own protocol
+	back   func(*thrift.Message) any // converts a served response to the protocol of the call
 	oneWay bool
 }
 
-// Silent tells that no answer will come.
+// Silent reports that the request is one-way and gets no response.
 func (a *about) Silent() bool { return a.oneWay }
 
-// Request is that of carrier.Protocol.
+// Request implements connpool.Protocol.
 func (p *Protocol) Request(dst []byte, _ core.Host, call *core.Call, left int) ([]byte, any, error) {
 	a := &about{seq: p.seq.Add(1), back: func(m *thrift.Message) any { return m }}
 	o := thrift.Outgoing{Form: p.set.Form, Seq: a.seq, HeadSeq: uint32(a.seq)}
@@ -70,7 +71,8 @@
 	return thrift.Append(dst, o), a, nil
 }
 
-// withInfo puts what a header transport's header said in front of a call's arguments, for hosts that have no headers.
+// withInfo inserts the metadata that otherwise travels in transport headers before a call's arguments, for backends
+// whose transport has no headers.
 func (p *Protocol) withInfo(m *thrift.Message, call *core.Call, left int) *thrift.Message {
 	lead := mapping.Compose(string(m.Name), p.info(call, left), nil)
 	return thrift.Join(lead, mapping.ArgInfo, m)
@@ -84,12 +86,12 @@
 	return i
 }
 
-// Answers is that of carrier.Protocol.
+// Answers implements connpool.Protocol.
 func (p *Protocol) Answers() connpool.Answers {
 	return &answers{Reader: thrift.NewReaderOf(p.set.Form, p.set.Limits)}
 }
 
-// answers reads one connection, which carries one call at a time.
+// answers parses the responses on one connection, which serves one call at a time.
 type answers struct {
 	*thrift.Reader
 	about *about
@@ -97,7 +99,7 @@
 
 func (a *answers) Expect(x any) { a.about, _ = x.(*about) }
 
-var errOther = errors.New("an answer to another call")
+var errOther = errors.New("response belongs to another call")
 
 func (a *answers) Next() (connpool.Answer, bool, error) {
 	m, err := a.Reader.Next()
