--- a/internal/node/upstream/connpool/crossing_test.go
+++ b/internal/node/upstream/connpool/crossing_test.go
@@ -27,20 +27,20 @@
 	"linenwheel.dev/linenwheel/internal/node/upstream/httpbackend"
 )
 
-// bench is a pool whose poller can be held, between a rater and clients.
+// bench is a pool between clients and a backend; its poller can be blocked.
 type bench struct {
 	t          *testing.T
 	clock      *clock.Manual
 	loop       *netpoll.Loop
 	pool       *connpool.Pool
-	rater      net.Listener
+	backend    net.Listener
 	front      string
-	conns      chan *netpoll.Conn // of clients
-	came, free chan struct{}      // what clients send holds the poller until free is closed
+	conns      chan *netpoll.Conn // the server side of client connections
+	came, free chan struct{}      // data from a client is signalled on came and blocks the poller until free is closed
 	dialling   func()             // called before a connection is opened
 	protocol   connpool.Protocol
 	asking     func() // called right before a request is written, if protocol is a hooked one
-	sent       func() // called once its last byte has gone out
+	sent       func() // called once the last byte of a request has been written
 	budget     *bodypipe.Budget
 }
 
@@ -54,15 +54,15 @@
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	b.front, b.loop = l.Addr(), l
-	b.rater, err = net.Listen("tcp", "127.0.0.1:0")
+	b.backend, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = b.rater.Close() })
+	t.Cleanup(func() { _ = b.backend.Close() })
 	b.pool = connpool.New(connpool.Settings{Connections: 8, ConnectTimeout: 60_000, Settle: 5, Limits: connpool.Limits{Idle: 30_000}, Budget: b.budget, Sent: func() { b.sent() },
 		Protocol: func(core.Host) connpool.Protocol { b.dialling(); return b.protocol }}, b.clock, l, slog.New(slog.DiscardHandler))
 	return b
 }
 
-// client gives both ends of a client's connection.
+// client opens a client connection and returns both ends.
 func (b *bench) client() (*net.TCPConn, *netpoll.Conn) {
 	raw, err := net.Dial("tcp", b.front)
 	require.NoError(b.t, err)
@@ -70,8 +70,8 @@
 	return raw.(*net.TCPConn), <-b.conns
 }
 
-// hold keeps the poller busy until free is closed.
-func (b *bench) hold() {
+// blockPoller keeps the poller busy until free is closed.
+func (b *bench) blockPoller() {
 	c, _ := b.client()
 	_, err := c.Write([]byte("x"))
 	require.NoError(b.t, err)
@@ -83,18 +83,19 @@
 	body    string
 }
 
-// attempt sends one attempt, and gives its end.
+// attempt starts an attempt of a new call and returns the call and a channel for the result.
 func (b *bench) attempt(id string, client any) (*core.Call, chan result) {
 	call := &core.Call{ID: id, Tenant: -1, Deadline: 1e9, Client: client,
 		Payload: &http1.Message{Method: []byte("GET"), Target: []byte("/look/" + id)}}
-	return call, b.relay(call, make(chan struct{}))
+	return call, b.runAttempt(call, make(chan struct{}))
 }
 
-// relay has a call carried until off is closed or the clock stands at 1e9, and gives its end.
-func (b *bench) relay(call *core.Call, off chan struct{}) chan result {
+// runAttempt starts an attempt of a call and returns a channel for its result. The attempt is cancelled when off is
+// closed, and its deadline is 1e9 on the clock.
+func (b *bench) runAttempt(call *core.Call, off chan struct{}) chan result {
 	ended := make(chan result, 1)
 	go func() {
-		o, payload := b.pool.RunAttempt(core.Host{Name: "h", Address: b.rater.Addr().String()}, call, 1e9, off)
+		o, payload := b.pool.RunAttempt(core.Host{Name: "h", Address: b.backend.Addr().String()}, call, 1e9, off)
 		r := result{outcome: o}
 		if m, ok := payload.(*http1.Message); ok {
 			r.body = string(m.Body)
@@ -105,13 +106,13 @@
 }
 
 func (b *bench) accept() net.Conn {
-	c, err := b.rater.Accept()
+	c, err := b.backend.Accept()
 	require.NoError(b.t, err)
 	b.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-// serve answers the next request on a connection with its path.
+// serve responds to the next request on a connection with the request's path.
 func (b *bench) serve(c net.Conn) {
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	require.NoError(b.t, err)
@@ -119,8 +120,8 @@
 	require.NoError(b.t, err)
 }
 
-// arrived waits until all that was sent on a connection has reached the other machine's buffer.
-func (b *bench) arrived(c net.Conn) {
+// waitDelivered waits until everything sent on a connection has been acknowledged by the receiving side.
+func (b *bench) waitDelivered(c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	require.NoError(b.t, err)
 	require.Eventually(b.t, func() (all bool) {
@@ -132,17 +133,18 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// Guards against an attempt on a kept connection on which something stands that the poller has not read: a second answer taken for
-// that of the attempt, half a line, or the end, which makes it one that may have run.
-func TestAttemptTakesNoSpoiltConnection(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn) error{
-		"a second answer": func(c net.Conn) error {
+// Guards against an attempt on a reused connection that has input which the poller has not read: a second response,
+// which would be taken for that of the attempt, part of a line, or the end of the connection, after which the attempt
+// would count as one that may have run.
+func TestAttemptUsesNoConnectionWithUnreadInput(t *testing.T) {
+	for name, addInput := range map[string]func(net.Conn) error{
+		"a second response": func(c net.Conn) error {
 			_, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother"))
 			return err
 		},
-		"half a line":   func(c net.Conn) error { _, err := c.Write([]byte("HTTP/1.1 2")); return err },
-		"its end":       func(c net.Conn) error { return c.(*net.TCPConn).CloseWrite() },
-		"its end whole": func(c net.Conn) error { return c.Close() },
+		"part of a line": func(c net.Conn) error { _, err := c.Write([]byte("HTTP/1.1 2")); return err },
+		"half-closed":    func(c net.Conn) error { return c.(*net.TCPConn).CloseWrite() },
+		"closed":         func(c net.Conn) error { return c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
@@ -150,28 +152,28 @@
 			c := b.accept()
 			b.serve(c)
 			require.Equal(t, result{dispatch.Served, "/look/1"}, <-ended)
-			b.clock.Advance(10) // it is used again
-			b.hold()
-			require.NoError(t, spoil(c))
-			if name != "its end whole" {
-				b.arrived(c)
+			b.clock.Advance(10) // past Settle, so the connection can be reused
+			b.blockPoller()
+			require.NoError(t, addInput(c))
+			if name != "closed" {
+				b.waitDelivered(c)
 			}
 			_, ended = b.attempt("2", nil)
 			b.serve(b.accept())
 			close(b.free)
 			assert.Equal(t, result{dispatch.Served, "/look/2"}, <-ended)
-			if name != "its end whole" {
+			if name != "closed" {
 				text, err := io.ReadAll(c)
 				if !errors.Is(err, unix.ECONNRESET) {
 					require.NoError(t, err)
 				}
-				assert.Empty(t, text, "nothing went out on it")
+				assert.Empty(t, text, "nothing was sent on it")
 			}
 		})
 	}
 }
 
-// hooked is a protocol that tells when a request is about to be written.
+// hooked is a protocol that calls bench.asking right before a request is written.
 type hooked struct {
 	connpool.Protocol
 	b *bench
@@ -189,8 +191,8 @@
 	h.Answers.Expect(about)
 }
 
-// deafen has the machine drop what comes on a connection from here on: nothing of it is acknowledged.
-func deafen(t *testing.T, c net.Conn) {
+// dropInput makes the kernel drop everything received on a connection from now on, so that none of it is acknowledged.
+func dropInput(t *testing.T, c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	drop := unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET}}
@@ -199,9 +201,9 @@
 	}))
 }
 
-// Guards against a second answer taken for that to the next request: it comes after the last look at the connection and before the
-// request is written, or after that and before the host can have read it.
-func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
+// Guards against a second response to one request being taken for the response to the next: it arrives after the last
+// check of the connection and before the request is written, or after that and before the backend can have read it.
+func TestSurplusResponseIsNotMatchedToNextRequest(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		b := newBench(t)
 		b.protocol = hooked{b.protocol, b}
@@ -209,27 +211,28 @@
 		host := b.accept()
 		b.serve(host)
 		require.Equal(t, result{dispatch.Served, "/look/1"}, <-ended)
-		pulse, err := b.loop.NewProbe()
+		probe, err := b.loop.NewProbe()
 		require.NoError(t, err)
-		pulse.RoundTrip(t.Context()) // the poller has done with the answer
+		probe.RoundTrip(t.Context()) // the poller has processed the response
 		b.clock.Advance(10)
-		again := func() {
+		respondAgain := func() {
 			_, err := host.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother"))
 			assert.NoError(t, err)
 		}
 		if before {
-			b.asking = func() { again(); b.arrived(host); deafen(t, host) }
+			b.asking = func() { respondAgain(); b.waitDelivered(host); dropInput(t, host) }
 		} else {
-			b.asking, b.sent = func() { deafen(t, host) }, again
+			b.asking, b.sent = func() { dropInput(t, host) }, respondAgain
 		}
 		_, ended = b.attempt("2", nil)
-		assert.Equal(t, result{dispatch.Reset, ""}, <-ended, "it may have run")
-		require.Eventually(t, func() bool { return len(b.pool.Uses()) == 0 }, time.Minute, time.Millisecond, "it is closed")
+		assert.Equal(t, result{dispatch.Reset, ""}, <-ended, "the attempt may have run")
+		require.Eventually(t, func() bool { return len(b.pool.Uses()) == 0 }, time.Minute, time.Millisecond, "the connection is closed")
 	}
 }
 
-// Guards against a host that is told of more time than there is left when its request is written, as after a connection that took long.
-func TestTimeToldIsLeft(t *testing.T) {
+// Guards against sending a backend a longer deadline than remains when the request is written, for example after a
+// connection that took long to open.
+func TestDeadlineIsRemainingTime(t *testing.T) {
 	b := newBench(t)
 	b.dialling = func() { b.clock.Advance(1000.5) }
 	_, ended := b.attempt("1", nil)
@@ -241,9 +244,9 @@
 	assert.Equal(t, dispatch.Reset, (<-ended).outcome)
 }
 
-// Guards against an attempt that begins for a client whose end the poller has not seen, on a connection that has just come up and on a
-// kept one, also behind requests that nobody has read; and against the connection being lost for it.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
+// Guards against starting an attempt for a client whose disconnect the poller has not seen, on a new connection and on
+// a reused one, also if the client's connection has unread requests; and against losing the connection to the backend.
+func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		for _, behind := range []string{"", "a further request"} {
 			b := newBench(t)
@@ -254,11 +257,11 @@
 				b.clock.Advance(10)
 			}
 			raw, client := b.client()
-			b.hold()
+			b.blockPoller()
 			_, err := raw.Write([]byte(behind))
 			require.NoError(t, err)
 			require.NoError(t, raw.CloseWrite())
-			b.arrived(raw)
+			b.waitDelivered(raw)
 			call, ended := b.attempt("2", client)
 			assert.Equal(t, result{dispatch.NotSent, ""}, <-ended)
 			assert.True(t, call.Cancelled())
@@ -268,16 +271,16 @@
 	}
 }
 
-// Guards against keyed work being sent again after its repeats are no longer dropped: the first attempt breaks within the window, the
-// connection of the further one comes up after it.
-func TestLateConnectionSendsNothingAfterTheWindow(t *testing.T) {
+// Guards against retrying a call with an idempotency key after the time in which backends drop duplicates: the first
+// attempt breaks within that time, and the connection for the second is established after it.
+func TestLateConnectionSendsNothingAfterKeyTTL(t *testing.T) {
 	b := newBench(t)
 	quiet := slog.New(slog.DiscardHandler)
 	module, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 3},
 		Classes: []decide.Class{{Name: "alert", Effect: decide.Keyed, Group: decide.GroupAll, KeyTTL: 300 * time.Millisecond, Target: time.Second,
 			Deadline: 2 * time.Second, Value: 1}}}, 1, b.clock, quiet, nil)
 	require.NoError(t, err)
-	address := b.rater.Addr().String()
+	address := b.backend.Addr().String()
 	module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h1", Address: address, Zone: "z", Kind: "k", Weight: 1},
 		{Name: "h2", Address: address, Zone: "z", Kind: "k", Weight: 1}})
 	call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/alert/q")}}
@@ -303,31 +306,31 @@
 	assert.Empty(t, text)
 }
 
-// Guards against a call whose client leaves while its connection comes up being taken for one that may have run: its name and its tenant's
-// room would stay taken.
-func TestLeavingBeforeTheFirstByteRunsNothing(t *testing.T) {
+// Guards against a call whose client disconnects while the connection to the backend is being opened counting as one
+// that may have run: its ID and its share of the tenant's limit would stay in use.
+func TestDisconnectBeforeFirstByteRunsNothing(t *testing.T) {
 	for _, cancel := range []bool{false, true} {
 		b := newBench(t)
 		quiet := slog.New(slog.DiscardHandler)
 		module, err := dispatch.New(decide.Settings{Nodes: 1, Zones: []string{"z"}, Kinds: []string{"k"}, Limits: decide.Limits{MaxAttempts: 1, Cancel: cancel},
 			Classes: []decide.Class{{Name: "pay", Target: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1, b.clock, quiet, nil)
 		require.NoError(t, err)
-		module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
+		module.SetHosts(dispatch.Full, []dispatch.Host{{Name: "h", Address: b.backend.Addr().String(), Zone: "z", Kind: "k", Weight: 1}})
 		call := &core.Call{ID: "q", Tenant: -1, Deadline: 3000, Payload: &http1.Message{Method: []byte("POST"), Target: []byte("/pay/q")}}
 		b.dialling = call.Cancel
 		assert.Equal(t, core.Answer{Kind: core.ClientLeft}, core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call), cancel)
 	}
 }
 
-// Guards against an attempt whose connection comes up late going to a host that the list has meanwhile told to depart, more than its grace
-// ago, or to where it is not any more.
-func TestNothingNewToAHostThatDepartsMeanwhile(t *testing.T) {
+// Guards against an attempt whose connection is established late being sent to a backend that the endpoint list has
+// meanwhile marked as draining or removed, longer ago than the grace period, or to an address it no longer has.
+func TestNothingIsSentToBackendDrainedMeanwhile(t *testing.T) {
 	for name, c := range map[string]struct {
 		change dispatch.Host
 		after  float64
-		goes   bool
-	}{"draining": {dispatch.Host{Status: dispatch.Draining}, 501, false}, "gone": {dispatch.Host{Status: dispatch.Removed}, 501, false},
-		"moved": {dispatch.Host{Address: "127.0.0.1:1"}, 501, false}, "within its grace": {dispatch.Host{Status: dispatch.Draining}, 500, true}} {
+		sent   bool
+	}{"draining": {dispatch.Host{Status: dispatch.Draining}, 501, false}, "removed": {dispatch.Host{Status: dispatch.Removed}, 501, false},
+		"moved": {dispatch.Host{Address: "127.0.0.1:1"}, 501, false}, "within the grace period": {dispatch.Host{Status: dispatch.Draining}, 500, true}} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
 			quiet := slog.New(slog.DiscardHandler)
@@ -335,7 +338,7 @@
 				Rules:   decide.Rules{DrainGrace: 500 * time.Millisecond},
 				Classes: []decide.Class{{Name: "pay", Target: time.Second, Deadline: 2 * time.Second, Value: 1}}}, 1, b.clock, quiet, nil)
 			require.NoError(t, err)
-			is := dispatch.Host{Name: "h", Address: b.rater.Addr().String(), Zone: "z", Kind: "k", Weight: 1}
+			is := dispatch.Host{Name: "h", Address: b.backend.Addr().String(), Zone: "z", Kind: "k", Weight: 1}
 			module.SetHosts(dispatch.Full, []dispatch.Host{is})
 			b.dialling = func() {
 				is.Status = c.change.Status
@@ -347,7 +350,7 @@
 			answer := make(chan core.Answer, 1)
 			go func() { answer <- core.New(core.Settings{MaxCalls: 1}, module, b.pool, quiet).Serve(call) }()
 			host := b.accept()
-			if c.goes {
+			if c.sent {
 				b.serve(host)
 				require.Equal(t, core.Served, (<-answer).Kind)
 				return
--- a/internal/node/upstream/connpool/wear_test.go
+++ b/internal/node/upstream/connpool/wear_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestWearHolds guards against an account of wear that gives up new connections, takes bands back before their time or never, whatever
-// breaks in whatever order.
-func TestWearHolds(t *testing.T) {
-	require.NoError(t, flag.Set("rapid.seed", "8")) // the same histories each time
+// TestWearLimitInvariants guards against a wear limit that rejects new connections, or that accepts a rejected band
+// again too early or never, for any order of uses and breaks.
+func TestWearLimitInvariants(t *testing.T) {
+	require.NoError(t, flag.Set("rapid.seed", "8")) // the same histories in each run
 	rapid.Check(t, func(t *rapid.T) {
 		set := Wear{Memory: 60e3, Quick: 2, Least: 4, Deviations: 3, Hold: 10e3, Usual: 0.02}
 		w, now := newWear(5), 0.0
@@ -23,12 +23,12 @@
 			require.GreaterOrEqual(t, w.limit, 1, "a new connection may always be used")
 			require.LessOrEqual(t, w.limit, wearBands)
 			if w.limit > limit {
-				require.GreaterOrEqual(t, now, until, "a band came back before its time")
+				require.GreaterOrEqual(t, now, until, "a rejected band was accepted again before the hold time had passed")
 			}
 		}
 		now += 20*set.Memory + set.Hold
 		w.note(now, &set, 0, false)
-		require.Equal(t, wearBands, w.limit, "what was long ago keeps no band away")
+		require.Equal(t, wearBands, w.limit, "old breaks must not keep a band rejected")
 		idle := rapid.Float64Range(0, 1e6).Draw(t, "idle")
 		require.LessOrEqual(t, w.band(idle), w.band(idle+rapid.Float64Range(0, 1e6).Draw(t, "more")))
 	})
--- a/internal/node/upstream/httpbackend/httphost_test.go
+++ b/internal/node/upstream/httpbackend/httphost_test.go
@@ -9,7 +9,7 @@
 	"linenwheel.dev/linenwheel/internal/node/dispatch"
 )
 
-// Guards against outcomes other than the protocol's.
+// Guards against outcomes that differ from the protocol's table.
 func TestOutcomes(t *testing.T) {
 	marked := []http1.Field{{Name: []byte("srv-declined"), Value: []byte("1")}}
 	for _, c := range []struct {
--- a/internal/node/upstream/thriftbackend/thrifthost_test.go
+++ b/internal/node/upstream/thriftbackend/thrifthost_test.go
@@ -22,7 +22,7 @@
 	tenants = []string{"morava-mobil"}
 )
 
-// peer is the official library over a buffer, in a form.
+// peer returns a protocol of the official Thrift library over buf, with the transport and encoding of f.
 func peer(f thrift.Form, buf *official.TMemoryBuffer) official.TProtocol {
 	conf := &official.TConfiguration{}
 	var t official.TTransport = buf
@@ -35,8 +35,8 @@
 	return official.NewTBinaryProtocolConf(t, conf)
 }
 
-// hear reads a relay as a rater made with the official library would.
-func hear(t *testing.T, f thrift.Form, data []byte) (method string, seq int32, fields map[int16]any) {
+// decodeRequest decodes a request as a backend that uses the official library would.
+func decodeRequest(t *testing.T, f thrift.Form, data []byte) (method string, seq int32, fields map[int16]any) {
 	buf := official.NewTMemoryBuffer()
 	buf.Write(data)
 	p := peer(f, buf)
@@ -71,8 +71,9 @@
 	return method, seq, fields
 }
 
-// say writes a rater's answer with the official library.
-func say(t *testing.T, f thrift.Form, method string, seq int32, kind official.TMessageType, field int16, write func(official.TProtocol)) []byte {
+// encodeResponse encodes a backend's response with the official library.
+func encodeResponse(t *testing.T, f thrift.Form, method string, seq int32, kind official.TMessageType, field int16,
+	write func(official.TProtocol)) []byte {
 	buf := official.NewTMemoryBuffer()
 	p := peer(f, buf)
 	do := func(err error) { require.NoError(t, err) }
@@ -110,9 +111,10 @@
 	return &core.Call{ID: "q1", Tenant: 0, Payload: got, ClientRetry: true}
 }
 
-// Guards against a relay that is not the client's call with the time that remains, in every pair of forms and from HTTP; and
-// against an answer taken for another outcome than the protocol's.
-func TestRelaysAndAnswers(t *testing.T) {
+// Guards against a request that differs from the client's call, or does not have the remaining time as its deadline,
+// for every pair of transport and encoding and for calls received over HTTP; and against a response that is mapped to
+// an outcome other than the protocol's.
+func TestRequestsAndResponses(t *testing.T) {
 	over := &core.Call{ID: "q1", Tenant: 0, ClientRetry: true, Payload: &http1.Message{Body: []byte("record")}}
 	for _, f := range forms {
 		p := New(Settings{Form: f, Limits: thrift.DefaultLimits, Methods: []string{"postCharge"}, Tenants: tenants})
@@ -123,7 +125,7 @@
 		for _, c := range calls {
 			out, about, err := p.Request(nil, core.Host{}, c, 480)
 			require.NoError(t, err)
-			method, seq, fields := hear(t, f, out)
+			method, seq, fields := decodeRequest(t, f, out)
 			assert.Equal(t, "postCharge", method)
 			assert.Equal(t, map[int16]any{101: "q1", 102: int32(480), 103: "morava-mobil", 105: true, 2: "record"}, fields)
 			for _, a := range []struct {
@@ -145,7 +147,7 @@
 			} {
 				r := p.Answers()
 				r.Expect(about)
-				r.Feed(say(t, f, a.method, a.seq, a.kind, a.field, func(p official.TProtocol) {
+				r.Feed(encodeResponse(t, f, a.method, a.seq, a.kind, a.field, func(p official.TProtocol) {
 					if a.field == 0 {
 						require.NoError(t, p.WriteString(ctx, "ok"))
 					} else {
@@ -172,15 +174,15 @@
 		}
 		_, about, err := p.Request(nil, core.Host{}, call(t, forms[0], true), 480)
 		require.NoError(t, err)
-		assert.True(t, about.(interface{ Silent() bool }).Silent(), "nobody answers a one-way call")
+		assert.True(t, about.(interface{ Silent() bool }).Silent(), "a one-way call gets no response")
 		_, _, err = New(Settings{Form: f, Methods: []string{""}}).Request(nil, core.Host{}, over, 480)
 		assert.ErrorIs(t, err, errCross)
 	}
 }
 
-// Guards against a call whose info came in a header being sent to a host that reads no headers without any, and against one
-// that has both.
-func TestInfoOfAHeader(t *testing.T) {
+// Guards against a call whose metadata arrived in a transport header being sent without metadata to a backend that
+// reads no headers, and against a request that carries both forms of metadata.
+func TestHeaderMetadataForBackendWithoutHeaders(t *testing.T) {
 	m := mapping.Compose("postCharge", mapping.Info{}, []byte("record"))
 	bare := thrift.Join(&thrift.Message{Bytes: []byte{byte(thrift.Struct), 0, 9, 0, 0}}, mapping.ArgInfo, m)
 	r := thrift.NewReader(thrift.DefaultLimits)
@@ -193,6 +195,6 @@
 	assert.Equal(t, int64(900), info.Deadline)
 	out, _, err := New(Settings{Form: forms[0], Tenants: tenants}).Request(nil, core.Host{}, &core.Call{ID: "q1", Tenant: -1, Payload: got}, 480)
 	require.NoError(t, err)
-	_, _, fields := hear(t, forms[0], out)
+	_, _, fields := decodeRequest(t, forms[0], out)
 	assert.Equal(t, map[int16]any{101: "q1", 102: int32(480), 2: "record"}, fields)
 }
