--- a/internal/node/upstream/connpool/pool.go
+++ b/internal/node/upstream/connpool/pool.go
@@ -46,7 +46,7 @@
 // Answer is a backend's response, complete except for a body that is streamed.
 type Answer struct {
 	Outcome dispatch.Outcome
-	Payload any  // set if Outcome is Served
+	Payload any  // meaningful if Outcome is Served
 	Last    bool // the backend closes the connection after this response
 	// Attach, if not nil, must be called with the pipe through which the rest of the body is streamed.
 	Attach func(*bodypipe.Pipe)
@@ -357,16 +357,16 @@
 }
 
 // RunAttempt implements core.Transport.
-func (p *Pool) RunAttempt(host core.Host, call *core.Call, until float64, off <-chan struct{}) (dispatch.Outcome, any) {
+func (p *Pool) RunAttempt(host core.Host, call *core.Call, until float64, cancelled <-chan struct{}) (dispatch.Outcome, any) {
 	done := make(chan result, 1)
-	late := make(chan struct{})
-	c, about, o, err := p.begin(host, call, until, done, off)
+	expired := make(chan struct{})
+	c, about, o, err := p.begin(host, call, until, done, cancelled)
 	if c == nil {
 		return o, nil
 	}
 	sent, broke := p.clock.Now(), false
 	defer func() { p.recordUse(c.band, broke) }()
-	stop := p.clock.At(until, func() { close(late) })
+	stop := p.clock.At(until, func() { close(expired) })
 	defer stop()
 	body, _ := about.(*Body)
 	need := c.need.Load()
@@ -396,7 +396,7 @@
 	}
 	var e result
 	if body != nil && body.Rest != nil {
-		more, err := p.upload(c, body, done, off, late)
+		more, err := p.upload(c, body, done, cancelled, expired)
 		if err != nil {
 			e = c.abort(done)
 			switch {
@@ -416,11 +416,11 @@
 	}
 	select {
 	case e = <-done:
-	case <-off:
+	case <-cancelled:
 		if e = c.abort(done); !e.whole {
 			return abortedOutcome(whole, dispatch.NotSent, dispatch.Cancelled), nil
 		}
-	case <-late:
+	case <-expired:
 		if e = c.abort(done); !e.whole {
 			return abortedOutcome(whole, dispatch.ConnectFailed, dispatch.TimedOut), nil
 		}
@@ -473,16 +473,16 @@
 // right before the first byte: whether the attempt was cancelled or its deadline has passed, the call has its final
 // response, the backend is draining, the client has disconnected, or bytes were received on the connection. err is
 // the error of the first write.
-func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan result, off <-chan struct{}) (c *conn,
+func (p *Pool) begin(host core.Host, call *core.Call, until float64, done chan result, cancelled <-chan struct{}) (c *conn,
 	about any, o dispatch.Outcome, err error) {
 	client, _ := call.Client.(*netpoll.Conn)
 	for {
-		c, err := p.get(host, until, done, off)
+		c, err := p.get(host, until, done, cancelled)
 		if err != nil {
-			return nil, nil, p.unsentOutcome(err, until, off), nil
+			return nil, nil, p.unsentOutcome(err, until, cancelled), nil
 		}
 		select {
-		case <-off:
+		case <-cancelled:
 			c.abort(done)
 			return nil, nil, dispatch.NotSent, nil
 		default:
@@ -492,27 +492,27 @@
 			c.abort(done)
 			return nil, nil, dispatch.NotSent, nil
 		}
-		back := func() (*conn, any, dispatch.Outcome, error) {
+		reuse := func() (*conn, any, dispatch.Outcome, error) {
 			c.unassign()
 			p.put(c, true)
 			return nil, nil, dispatch.NotSent, nil
 		}
 		if !call.RunAllowed() { // the node was paused for longer than its claim lasts: another node may hold it now
-			return back()
+			return reuse()
 		}
 		if owed, permitted := call.MaySend(host); !owed || !permitted {
-			return back()
+			return reuse()
 		}
 		out, about, err := c.protocol.Request(nil, host, call, left)
 		if err != nil {
 			p.log.Warn("cannot encode call for backend; attempt not sent", "host", host.Name, "error", err)
-			return back()
+			return reuse()
 		}
 		out = c.measure(out, about)
 		fit, gone, err := c.net.WriteRequest(out, client, func() { c.expectResponse(about) })
 		if gone { // the client has disconnected; the poller has not reported it yet
 			call.Cancel()
-			return back()
+			return reuse()
 		}
 		if fit {
 			return c, about, 0, err
@@ -557,9 +557,9 @@
 
 // unsentOutcome returns the outcome of an attempt that got no connection. A timeout counts against the backend only
 // if the connect timeout was not cut short by the attempt's deadline.
-func (p *Pool) unsentOutcome(err error, until float64, off <-chan struct{}) dispatch.Outcome {
+func (p *Pool) unsentOutcome(err error, until float64, cancelled <-chan struct{}) dispatch.Outcome {
 	select {
-	case <-off:
+	case <-cancelled:
 		return dispatch.NotSent
 	default:
 	}
@@ -585,7 +585,7 @@
 }
 
 // get takes an idle connection or opens a new one, and assigns the attempt to it.
-func (p *Pool) get(host core.Host, until float64, done chan result, off <-chan struct{}) (*conn, error) {
+func (p *Pool) get(host core.Host, until float64, done chan result, cancelled <-chan struct{}) (*conn, error) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	for i := len(p.idle[host]) - 1; i >= 0; i-- {
@@ -625,7 +625,7 @@
 	defer stop()
 	go func() {
 		select {
-		case <-off:
+		case <-cancelled:
 			stop()
 		case <-ctx.Done():
 		}
--- a/internal/node/upstream/connpool/upload.go
+++ b/internal/node/upstream/connpool/upload.go
@@ -16,7 +16,7 @@
 // number of bytes written, or 0 if the attempt ended before the last of them was known; the caller sees the reason on
 // the same channels. errBackendWrite means that the backend stopped accepting bytes; any other error means that the
 // rest of the body is not available. After an error the last byte has not been sent.
-func (p *Pool) upload(c *conn, body *Body, done chan result, off, late <-chan struct{}) (written int64, err error) {
+func (p *Pool) upload(c *conn, body *Body, done chan result, cancelled, expired <-chan struct{}) (written int64, err error) {
 	if !body.Rest.Claim() {
 		return 0, errBodyClaimed
 	}
@@ -33,8 +33,8 @@
 	go func() { // WaitForBacklog waits on a single channel
 		defer close(stop)
 		select {
-		case <-off:
-		case <-late:
+		case <-cancelled:
+		case <-expired:
 		case e := <-done: // a backend may respond early and stop reading
 			done <- e // for the caller
 		case <-watched:
@@ -67,9 +67,9 @@
 		}
 		select {
 		case <-body.Rest.Ready():
-		case <-off:
+		case <-cancelled:
 			return 0, nil
-		case <-late:
+		case <-expired:
 			return 0, nil
 		case e := <-done:
 			done <- e // for the caller
--- a/internal/node/upstream/httpbackend/httphost.go
+++ b/internal/node/upstream/httpbackend/httphost.go
@@ -28,7 +28,7 @@
 // Class describes the requests of a class.
 type Class struct{ Name, Method string }
 
-var errCross = errors.New("Thrift calls are not translated for HTTP/1.1 backends")
+var errCross = errors.New("calls received over Thrift are not translated for HTTP/1.1 backends")
 
 // Request implements connpool.Protocol.
 func (p Protocol) Request(dst []byte, host core.Host, call *core.Call, left int) ([]byte, any, error) {
