--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the node's one source of time: milliseconds as float64, counted from the Unix epoch so that
-// times which discovery names need no further mapping.
+// Package clock is the node's only source of time. Times are float64 milliseconds since the Unix epoch, so that
+// timestamps from service discovery need no conversion.
 package clock
 
 import (
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// Clock tells the time and runs functions at a time.
+// Clock returns the current time and schedules functions.
 type Clock interface {
-	// Now is the time in milliseconds since the Unix epoch; it never goes back.
+	// Now returns the time in milliseconds since the Unix epoch; it never decreases.
 	Now() float64
-	// At runs f at a time, or at once when that has passed; stop prevents it if it has not begun.
+	// At runs f at time when, or immediately if that time has passed. Calling stop cancels f if it has not started.
 	At(when float64, f func()) (stop func())
 }
 
-// System is the machine's clock: wall time read once, then the monotonic clock.
+// System is the machine's clock: the wall clock is read once, then the monotonic clock is used.
 type System struct {
 	base  float64
 	start time.Time
 }
 
-// NewSystem reads the machine's clocks.
+// NewSystem returns a System clock based on the current wall time.
 func NewSystem() *System {
 	now := time.Now()
 	return &System{base: float64(now.UnixNano()) / 1e6, start: now}
 }
 
-// Now is the time in milliseconds.
+// Now returns the time in milliseconds since the Unix epoch.
 func (s *System) Now() float64 { return s.base + float64(time.Since(s.start))/1e6 }
 
-// At runs f on a goroutine of its own.
+// At runs f in its own goroutine.
 func (s *System) At(when float64, f func()) func() {
 	t := time.AfterFunc(time.Duration((when-s.Now())*1e6), f)
 	return func() { t.Stop() }
 }
 
-// Manual is a clock that stands until it is moved.
+// Manual is a clock that moves only when Advance is called.
 type Manual struct {
 	mu     sync.Mutex
 	now    float64
 	alarms alarms
 }
 
-// NewManual makes a clock that stands at a time.
+// NewManual returns a Manual clock set to now, in milliseconds since the Unix epoch.
 func NewManual(now float64) *Manual { return &Manual{now: now} }
 
-// Now is the time that it was moved to.
+// Now returns the time that the clock was last set to.
 func (m *Manual) Now() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// At runs f from within the Advance that reaches the time, or at once on a goroutine of its own.
+// At runs f within the Advance call that reaches when, or immediately in its own goroutine if when has passed.
 func (m *Manual) At(when float64, f func()) func() {
 	m.mu.Lock()
 	if when <= m.now {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Advance moves the time on and runs what is due, in order.
+// Advance moves the clock forward by ms milliseconds and runs the functions that become due, in order of time.
 func (m *Manual) Advance(ms float64) {
 	m.mu.Lock()
 	end := m.now + ms
@@ -90,7 +90,7 @@
 	m.mu.Unlock()
 }
 
-// Next is the earliest time at which something waits to run, +Inf if nothing does.
+// Next returns the earliest time for which a function is scheduled, or +Inf if there is none.
 func (m *Manual) Next() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,8 @@
-// Package golden holds encoded forms against files that an earlier build wrote, for tests alone: what is on a disk or between
-// processes must not change when the Go names behind it do.
+// Package golden compares encoded values with files that an earlier build wrote. It is for tests only: data on disk or
+// exchanged between processes must not change when the underlying Go names do.
 //
-// The files are in the package's testdata. With LINENWHEEL_GOLDEN=write one that is missing is written; one that is there never is.
+// The files are in the testdata directory of the package under test. With LINENWHEEL_GOLDEN=write a missing file is
+// created; an existing file is never overwritten.
 package golden
 
 import (
@@ -18,13 +19,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Check requires that got is what the golden file of this name holds.
+// Check requires that got equals the contents of the named golden file.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	require.Equal(t, string(File(t, name, got)), string(got), "the encoded form of %s has changed", name)
 }
 
-// File gives a golden file. One that is missing is written from the text given where LINENWHEEL_GOLDEN=write asks for it.
+// File returns the contents of a golden file. If the file is missing and LINENWHEEL_GOLDEN=write is set, File creates
+// it from text.
 func File(t *testing.T, name string, text []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -38,8 +40,8 @@
 	return have
 }
 
-// JSON fills every field of a type and requires that its JSON is what the golden file of this name holds, that nothing in the
-// file is unknown to the type, and that the value read from it is the one that was filled in.
+// JSON fills every field of a type and requires that its JSON encoding equals the named golden file, that the encoding
+// has no field unknown to the type, and that decoding it returns the original value.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
@@ -55,8 +57,9 @@
 	})
 }
 
-// Fill sets every field that v points to and JSON encodes to a value of its own, by its place alone and not by its name: no field
-// is left at its zero value, so that omitempty leaves none out. A field without a tag fails: its Go name would be on the wire.
+// Fill sets every JSON-encoded field of the value that v points to. The values depend on the position of a field, not
+// on its name, and none is the zero value, so that omitempty omits no field. A field without a tag fails the test,
+// because its Go name would be on the wire.
 func Fill(t *testing.T, v any) {
 	t.Helper()
 	n := 0
@@ -75,7 +78,7 @@
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
 			if tag, tagged := f.Tag.Lookup("json"); (f.IsExported() || f.Anonymous) && tag != "-" {
-				require.True(t, tagged || f.Anonymous, "%s.%s is encoded by its Go name: give it a tag", v.Type(), f.Name)
+				require.True(t, tagged || f.Anonymous, "%s.%s is encoded under its Go name: add a tag", v.Type(), f.Name)
 				fill(t, v.Field(i), n)
 			}
 		}
@@ -111,7 +114,7 @@
 		case v.CanFloat():
 			v.SetFloat(float64(*n) + 0.25)
 		default:
-			require.Fail(t, "a field that cannot be filled", "%s", v.Type())
+			require.Fail(t, "cannot fill a field of this type", "%s", v.Type())
 		}
 	}
 }
--- a/internal/log/log.go
+++ b/internal/log/log.go
@@ -1,8 +1,8 @@
-// Package log makes the loggers of a node: log/slog, with the node's clock for the time of a record, a level that can
-// change while it runs, and a rule against floods.
+// Package log creates the loggers of a node. They are log/slog loggers that take record timestamps from the node's
+// clock, have a level that can be changed at run time, and limit the rate of repeated messages.
 //
-// A message is a fixed sentence and what varies is an attribute. The operators' page, docs/ONCALL.md, lists each with
-// its level and attributes; package logcheck holds the page and the source together.
+// A message is a constant sentence; variable data goes into attributes. The operators' page, docs/ONCALL.md, lists
+// each message with its level and attributes; package logcheck verifies that the page and the source agree.
 package log
 
 import (
@@ -15,16 +15,16 @@
 	"linenwheel.dev/linenwheel/internal/clock"
 )
 
-// Format is how records are written.
+// Format is the output format of log records.
 type Format uint8
 
-// The formats, by the names "text" and "json".
+// The formats; their names are "text" and "json".
 const (
-	Text Format = iota // key=value pairs, one line a record
-	JSON               // one JSON object a line
+	Text Format = iota // key=value pairs, one line per record
+	JSON               // one JSON object per line
 )
 
-// String is the format's name.
+// String returns the format's name.
 func (f Format) String() string {
 	if f == JSON {
 		return "json"
@@ -32,10 +32,10 @@
 	return "text"
 }
 
-// MarshalText gives the format's name.
+// MarshalText returns the format's name.
 func (f Format) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText reads a format's name.
+// UnmarshalText parses a format's name. It returns an error if the name is unknown.
 func (f *Format) UnmarshalText(text []byte) error {
 	for _, known := range []Format{Text, JSON} {
 		if string(text) == known.String() {
@@ -46,8 +46,8 @@
 	return fmt.Errorf("%q is neither text nor json", text)
 }
 
-// New makes a logger that writes to w what is at least of a level. A *slog.LevelVar as the level can be set later, at
-// any time.
+// New returns a logger that writes records of at least the given level to w. If level is a *slog.LevelVar, it can be
+// changed at any time.
 func New(w io.Writer, f Format, level slog.Leveler) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	if f == JSON {
@@ -56,31 +56,32 @@
 	return slog.New(slog.NewTextHandler(w, options))
 }
 
-// On makes a logger that gives records the clock's time, in UTC, and passes them on to another, which may be an
-// embedder's.
+// On returns a logger that sets the time of each record from the clock, in UTC, and forwards the record to l, which
+// may be a logger supplied by an embedding program.
 func On(l *slog.Logger, c clock.Clock) *slog.Logger { return slog.New(timed{l.Handler(), c}) }
 
-// timed sets the time of records.
+// timed is a handler that sets the time of records from a clock.
 type timed struct {
 	slog.Handler
 	clock clock.Clock
 }
 
-// Handle passes a record on with the clock's time. One without a time stays so, as slog has it.
+// Handle forwards a record with the clock's time. A record without a time keeps none, as slog.Handler requires.
 func (t timed) Handle(ctx context.Context, r slog.Record) error {
 	if !r.Time.IsZero() {
-		r.Time = stamp(t.clock.Now())
+		r.Time = timestamp(t.clock.Now())
 	}
 	return t.Handler.Handle(ctx, r)
 }
 
-// WithAttrs adds attributes to all records.
+// WithAttrs returns a handler that adds attributes to all records.
 func (t timed) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return timed{t.Handler.WithAttrs(attrs), t.clock}
 }
 
-// WithGroup puts the attributes that follow into a group.
+// WithGroup returns a handler that puts subsequent attributes into a group.
 func (t timed) WithGroup(name string) slog.Handler { return timed{t.Handler.WithGroup(name), t.clock} }
 
-// stamp converts milliseconds since the Unix epoch, to the microsecond: the clock's float64 tells no less apart.
-func stamp(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)).UTC() }
+// timestamp converts milliseconds since the Unix epoch to a time, truncated to the microsecond: the clock's float64
+// has no finer resolution.
+func timestamp(ms float64) time.Time { return time.UnixMicro(int64(ms * 1e3)).UTC() }
--- a/internal/log/log_test.go
+++ b/internal/log/log_test.go
@@ -17,7 +17,7 @@
 
 const epoch = 1.7e12
 
-// Guards against records of another time than the node's, and against a level that stays when it is changed.
+// Guards against records whose time is not from the node's clock, and against a level change without effect.
 func TestClockAndLevel(t *testing.T) {
 	var out bytes.Buffer
 	c, level := clock.NewManual(epoch), new(slog.LevelVar)
@@ -29,8 +29,8 @@
 	assert.Equal(t, "time=2023-11-14T22:13:20.001Z level=DEBUG msg=seen part=x n=1\n", out.String())
 }
 
-// Guards against handlers that lose what slog promises, such as groups and attributes of other loggers.
-func TestHandlerKeepsToSlog(t *testing.T) {
+// Guards against handlers that break the contract of slog.Handler, for example by losing groups or attributes.
+func TestHandlerConformsToSlog(t *testing.T) {
 	var out bytes.Buffer
 	slogtest.Run(t, func(*testing.T) slog.Handler {
 		out.Reset()
@@ -42,8 +42,8 @@
 	})
 }
 
-// Guards against a client that floods the log, against a flood that hides how large it was or another record, against
-// loggers of one origin that each let one through, a count that hides in a group, and an interval that cannot be changed.
+// Guards against a client that floods the log, a flood whose size is not reported or that suppresses other records,
+// derived loggers that each forward a record, a count that ends up in a group, and an interval that cannot be changed.
 func TestSparse(t *testing.T) {
 	var out bytes.Buffer
 	c := clock.NewManual(epoch)
@@ -62,7 +62,7 @@
 	group.Warn("bad", "n", 4)
 	l.Error("bad")
 	l.Warn("other")
-	c.Advance(usual - 1)
+	c.Advance(defaultInterval - 1)
 	l.Warn("bad")
 	Each(north).Warn("bad", "n", -1)
 	Each(Each(north)).Warn("bad", "n", -2)
@@ -82,20 +82,21 @@
 `, out.String())
 }
 
-// Guards against a map that grows with what messages say, and a flood of such that gets through.
+// Guards against a map that grows with every distinct message, and against a flood of distinct messages that is not
+// suppressed.
 func TestSparseIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	c := clock.NewManual(epoch)
 	l := Sparse(New(&out, Text, slog.LevelInfo), c, new(Interval))
-	for i := range 4 * mostKinds {
+	for i := range 4 * maxKinds {
 		l.Info(fmt.Sprint("made up ", i))
 	}
-	assert.Len(t, l.Handler().(*sparse).kinds, mostKinds+1)
-	assert.Equal(t, mostKinds+1, bytes.Count(out.Bytes(), []byte("\n")))
+	assert.Len(t, l.Handler().(*sparse).kinds, maxKinds+1)
+	assert.Equal(t, maxKinds+1, bytes.Count(out.Bytes(), []byte("\n")))
 }
 
-// Guards against a price for what is not written: in a flood, and of a level that is off.
-func TestUnwrittenIsFree(t *testing.T) {
+// Guards against allocations for records that are not written, because they are suppressed or below the level.
+func TestUnwrittenRecordsDoNotAllocate(t *testing.T) {
 	c := clock.NewManual(epoch)
 	l := Sparse(On(New(&bytes.Buffer{}, Text, slog.LevelInfo), c), c, new(Interval))
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelWarn} {
@@ -105,7 +106,7 @@
 	}
 }
 
-// Guards against a format that is taken for another, or that cannot be written back.
+// Guards against a format that is parsed as another one, or whose name does not parse.
 func TestFormat(t *testing.T) {
 	for _, f := range []Format{Text, JSON} {
 		name, err := f.MarshalText()
--- a/internal/log/sparse.go
+++ b/internal/log/sparse.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// usual is the least time between two records of one kind, milliseconds, where none was set.
-	usual = 1000
-	// mostKinds bounds the kinds that are told apart. The node's messages are constants and far fewer; what comes
-	// beyond, from an embedder who makes messages up, shares one kind a level.
-	mostKinds = 256
-	// heldBack is the attribute with the number of records of the kind that were held back since the last one.
+	// defaultInterval is the minimum time between two records of one kind, in milliseconds, if none was set.
+	defaultInterval = 1000
+	// maxKinds limits the number of kinds that are counted separately. The node's messages are constants and far
+	// fewer; further messages, from an embedding program that builds them at run time, share one kind per level.
+	maxKinds = 256
+	// heldBack is the key of the attribute with the number of records of the kind suppressed since the last one.
 	heldBack = "held_back"
 )
 
-// Interval is the least time between two records of one kind. It can be set at any time; the zero value is a second.
+// Interval is the minimum time between two records of one kind. It can be changed at any time; the zero value means
+// one second.
 type Interval struct{ bits atomic.Uint64 }
 
-// Set changes the interval to so many milliseconds, more than 0.
+// Set sets the interval in milliseconds; ms must be greater than 0.
 func (i *Interval) Set(ms float64) { i.bits.Store(math.Float64bits(ms)) }
 
 func (i *Interval) ms() float64 {
 	if bits := i.bits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
-	return usual
+	return defaultInterval
 }
 
-// Sparse makes a logger that keeps the log readable in a flood: of records with one level and message it passes on
-// one in an interval and counts the others. The next one that is passed on has the count as its attribute held_back.
-// The loggers made from it by With and WithGroup count together.
+// Sparse returns a logger that limits the rate of repeated records, so that the log stays readable: of the records with
+// the same level and message it forwards one per interval and counts the others. The next forwarded record carries
+// the count in the attribute held_back. Loggers derived from it by With and WithGroup share the counts.
 func Sparse(l *slog.Logger, c clock.Clock, every *Interval) *slog.Logger {
 	return slog.New(&sparse{counts: &counts{clock: c, every: every, kinds: map[kind]*count{}}, inner: l.Handler()})
 }
 
-// Each gives the logger without the rule against floods, for what is rare by itself and must not hide behind another
-// record of its kind.
+// Each returns the logger without the rate limit, for records that are rare and must not be suppressed because of
+// another record of the same kind.
 func Each(l *slog.Logger) *slog.Logger {
 	if s, ok := l.Handler().(*sparse); ok {
 		return slog.New(s.inner)
@@ -50,18 +51,18 @@
 	return l
 }
 
-// kind is what a flood is made of.
+// kind identifies the records that share a rate limit.
 type kind struct {
 	level   slog.Level
-	message string // "" for those beyond mostKinds
+	message string // "" for all kinds beyond maxKinds
 }
 
 type count struct {
-	last float64 // when a record was passed on
-	held int     // records held back since
+	last       float64 // time at which a record was last forwarded
+	suppressed int     // records suppressed since then
 }
 
-// counts are shared by all loggers that come from one.
+// counts is the state shared by all loggers derived from one Sparse logger.
 type counts struct {
 	clock clock.Clock
 	every *Interval
@@ -69,13 +70,13 @@
 	kinds map[kind]*count
 }
 
-// pass tells whether a record of a kind goes on, and if so how many were held back before it.
-func (s *counts) pass(k kind) (held int, ok bool) {
+// allow reports whether a record of a kind is forwarded, and if so how many were suppressed before it.
+func (s *counts) allow(k kind) (suppressed int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	c := s.kinds[k]
-	if c == nil && len(s.kinds) >= mostKinds {
+	if c == nil && len(s.kinds) >= maxKinds {
 		k.message = ""
 		c = s.kinds[k]
 	}
@@ -84,55 +85,55 @@
 		return 0, true
 	}
 	if now-c.last < s.every.ms() {
-		c.held++
+		c.suppressed++
 		return 0, false
 	}
-	held = c.held
-	c.last, c.held = now, 0
-	return held, true
+	suppressed = c.suppressed
+	c.last, c.suppressed = now, 0
+	return suppressed, true
 }
 
-// sparse is the handler behind Sparse.
+// sparse is the handler of the loggers that Sparse returns.
 type sparse struct {
 	*counts
-	inner slog.Handler // where records go, with all attributes and groups
-	// With a group open, what is added to a record lands in that group. So that the count does not, the handler
-	// before the first group is kept, and what was done to it since.
-	base slog.Handler // nil without a group
+	inner slog.Handler // receives the forwarded records; has all attributes and groups
+	// Attributes added to a record belong to the open group, if there is one. To keep the count out of it, base
+	// is the handler before the first group, and then lists the operations applied to it since.
+	base slog.Handler // nil if no group is open
 	then []func(slog.Handler) slog.Handler
 }
 
-// Enabled is what the handler behind says.
+// Enabled returns the result of the inner handler.
 func (s *sparse) Enabled(ctx context.Context, l slog.Level) bool { return s.inner.Enabled(ctx, l) }
 
-// Handle passes a record on or counts it.
+// Handle forwards a record or counts it as suppressed.
 func (s *sparse) Handle(ctx context.Context, r slog.Record) error {
-	held, ok := s.pass(kind{r.Level, r.Message})
+	suppressed, ok := s.allow(kind{r.Level, r.Message})
 	if !ok {
 		return nil
 	}
-	if held == 0 {
+	if suppressed == 0 {
 		return s.inner.Handle(ctx, r)
 	}
-	many := slog.Int(heldBack, held)
+	attr := slog.Int(heldBack, suppressed)
 	if s.base == nil {
 		r = r.Clone()
-		r.AddAttrs(many)
+		r.AddAttrs(attr)
 		return s.inner.Handle(ctx, r)
 	}
-	h := s.base.WithAttrs([]slog.Attr{many})
+	h := s.base.WithAttrs([]slog.Attr{attr})
 	for _, f := range s.then {
 		h = f(h)
 	}
 	return h.Handle(ctx, r)
 }
 
-// WithAttrs adds attributes to all records.
+// WithAttrs returns a handler that adds attributes to all records.
 func (s *sparse) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return s.with(s.base, func(h slog.Handler) slog.Handler { return h.WithAttrs(attrs) })
 }
 
-// WithGroup puts the attributes that follow into a group.
+// WithGroup returns a handler that puts subsequent attributes into a group.
 func (s *sparse) WithGroup(name string) slog.Handler {
 	if name == "" {
 		return s
@@ -144,7 +145,7 @@
 	return s.with(base, func(h slog.Handler) slog.Handler { return h.WithGroup(name) })
 }
 
-// with makes the handler that has one more thing done to it.
+// with returns a handler to which f has been applied after all earlier operations.
 func (s *sparse) with(base slog.Handler, f func(slog.Handler) slog.Handler) slog.Handler {
 	next := &sparse{counts: s.counts, inner: f(s.inner), base: base}
 	if base != nil {
--- a/internal/logcheck/logcheck.go
+++ b/internal/logcheck/logcheck.go
@@ -1,8 +1,8 @@
-// Package logcheck compares what the source logs with the tables of the operators' page, so that the one on call finds
-// each line there and nothing there that is never logged. It is a check of this repository, not a part of the node.
+// Package logcheck compares the messages that the source logs with the tables of the operators' page, so that the page
+// explains every log line and lists none that is never logged. It is a check of this repository, not part of the node.
 //
-// The source is read with types: a message is the constant given to a method of *slog.Logger, whatever the logger is
-// called. What could not be compared is a fault, such as a message that is put together while the node runs.
+// The source is type-checked: a message is the constant passed to a method of *slog.Logger, whatever the variable's
+// name. Anything that cannot be compared, such as a message that is built at run time, is reported as a fault.
 package logcheck
 
 import (
@@ -12,24 +12,24 @@
 	"strings"
 )
 
-// Log is what is logged, by the source or by the page.
+// Log is the set of messages and attributes found in the source or on the page.
 type Log struct {
-	Messages map[string]Message // by level and text, as "WARN the sentence"
-	Common   map[string]string  // the attributes that are not of one message, and where each is set
-	Module   map[string]string  // the forms of the lines that the decision module gives, and where
+	Messages map[string]Message // keyed by level and text, as "WARN the sentence"
+	Common   map[string]string  // attributes that do not belong to a single message, with the place where each is set
+	Module   map[string]string  // forms of the lines that the decision module logs, with their places
 }
 
-// Message is one fixed sentence.
+// Message is a constant log message.
 type Message struct {
 	Attributes []string // sorted
-	Place      string   // a file and line that has it
+	Place      string   // file and line of its first occurrence
 }
 
 func newLog() Log {
 	return Log{Messages: map[string]Message{}, Common: map[string]string{}, Module: map[string]string{}}
 }
 
-// add notes a message at a place. One that is logged in several places has the attributes of all.
+// add records a message at a place. A message that is logged in several places has the attributes of all of them.
 func (l Log) add(text string, attributes []string, place string) {
 	m, known := l.Messages[text]
 	if !known {
@@ -41,7 +41,7 @@
 	l.Messages[text] = m
 }
 
-// Add takes what another program logs, too.
+// Add merges the log of another program into l.
 func (l Log) Add(other Log) {
 	for text, m := range other.Messages {
 		l.add(text, m.Attributes, m.Place)
@@ -50,32 +50,32 @@
 	maps.Copy(l.Module, other.Module)
 }
 
-// Compare gives a line for each difference, sorted.
+// Compare returns a line for each difference between the source and the page, sorted.
 func Compare(source, page Log) []string {
-	var odd []string
+	var diffs []string
 	differ := func(what string, source, page map[string]string) {
 		for name, place := range source {
 			if _, ok := page[name]; !ok {
-				odd = append(odd, fmt.Sprintf("%s: the page lacks the %s %q", place, what, name))
+				diffs = append(diffs, fmt.Sprintf("%s: the page lacks the %s %q", place, what, name))
 			}
 		}
 		for name, place := range page {
 			if _, ok := source[name]; !ok {
-				odd = append(odd, fmt.Sprintf("%s: the source lacks the %s %q", place, what, name))
+				diffs = append(diffs, fmt.Sprintf("%s: the source lacks the %s %q", place, what, name))
 			}
 		}
 	}
 	differ("message", places(source), places(page))
 	differ("attribute", source.Common, page.Common)
-	differ("module's line", source.Module, page.Module)
+	differ("line of the decision module", source.Module, page.Module)
 	for text, m := range source.Messages {
 		if p, ok := page.Messages[text]; ok && !slices.Equal(m.Attributes, p.Attributes) {
-			odd = append(odd, fmt.Sprintf("%s: %q has the attributes %s, on the page %s", m.Place, text,
+			diffs = append(diffs, fmt.Sprintf("%s: %q has the attributes %s, but %s on the page", m.Place, text,
 				strings.Join(m.Attributes, " "), strings.Join(p.Attributes, " ")))
 		}
 	}
-	slices.Sort(odd)
-	return odd
+	slices.Sort(diffs)
+	return diffs
 }
 
 func places(l Log) map[string]string {
@@ -86,64 +86,64 @@
 	return at
 }
 
-// The heads of the tables that count; others are left alone.
+// Header rows of the tables that are compared; other tables are ignored.
 const (
-	messageHead = "message|level|attributes|what it means|what to do"
-	commonHead  = "attribute|what it says"
-	moduleHead  = "the module says|what it means|what to do"
+	messageHeader = "message|level|attributes|what it means|what to do"
+	commonHeader  = "attribute|what it says"
+	moduleHeader  = "the module says|what it means|what to do"
 )
 
-// Page reads the tables of a page in Markdown. What is compared stands in code spans. A row that explains nothing, or
-// that comes twice, is a fault.
+// Page parses the tables of a Markdown page; name is used in places and faults. The names to compare are in code spans.
+// A row with an empty cell and a duplicate row are faults.
 func Page(name, text string) (l Log, faults []string) {
 	l = newLog()
-	head := ""
+	header := ""
 	number := 0
 	for line := range strings.Lines(text) {
 		number++
 		row, ok := strings.CutPrefix(strings.TrimSpace(line), "|")
 		if !ok {
-			head = ""
+			header = ""
 			continue
 		}
 		cells := strings.Split(strings.TrimSuffix(row, "|"), "|")
 		for i := range cells {
 			cells[i] = strings.TrimSpace(cells[i])
 		}
-		if head == "" {
-			head = strings.Join(cells, "|")
+		if header == "" {
+			header = strings.Join(cells, "|")
 			continue
 		}
-		if head != messageHead && head != commonHead && head != moduleHead || strings.Trim(row, "-|: \n") == "" {
+		if header != messageHeader && header != commonHeader && header != moduleHeader || strings.Trim(row, "-|: \n") == "" {
 			continue
 		}
 		place := fmt.Sprintf("%s:%d", name, number)
 		names := spans(cells[0])
-		if len(names) != 1 || len(cells) != strings.Count(head, "|")+1 || slices.Contains(cells, "") {
-			faults = append(faults, place+": a row with a missing cell, or not one code span in the first")
+		if len(names) != 1 || len(cells) != strings.Count(header, "|")+1 || slices.Contains(cells, "") {
+			faults = append(faults, place+": a row with a missing cell, or without exactly one code span in the first")
 			continue
 		}
 		known := false
-		switch head {
-		case messageHead:
+		switch header {
+		case messageHeader:
 			text := cells[1] + " " + names[0]
 			_, known = l.Messages[text]
 			l.add(text, spans(cells[2]), place)
-		case commonHead:
+		case commonHeader:
 			_, known = l.Common[names[0]]
 			l.Common[names[0]] = place
-		case moduleHead:
+		case moduleHeader:
 			_, known = l.Module[names[0]]
 			l.Module[names[0]] = place
 		}
 		if known {
-			faults = append(faults, place+": a row that was there before")
+			faults = append(faults, place+": a duplicate row")
 		}
 	}
 	return l, faults
 }
 
-// spans gives the code spans of a cell.
+// spans returns the contents of the code spans of a cell.
 func spans(cell string) (inside []string) {
 	for i, part := range strings.Split(cell, "`") {
 		if i%2 == 1 {
--- a/internal/logcheck/logcheck_test.go
+++ b/internal/logcheck/logcheck_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a line of the log that the operators' page does not explain, and against one there that is no more.
+// Guards against a log message that the operators' page does not explain, and against a message on the page that is
+// no longer logged.
 func TestPageAndSourceAgree(t *testing.T) {
 	source, faults, err := Source("../..", "./cmd/linenwheel", "(linenwheel.dev/linenwheel/decide.Actions).Log",
 		"linenwheel.dev/linenwheel/lab")
@@ -29,8 +30,8 @@
 	assert.NotEmpty(t, source.Module)
 }
 
-// Guards against a check that finds nothing: calls whose message, level or attributes are not constants, or that go
-// past the node's logger.
+// Guards against a check that overlooks calls whose message, level or attributes are not constants, or that bypass the
+// node's logger.
 func TestFaultsOfTheSource(t *testing.T) {
 	const file = "testdata/odd/odd.go:"
 	l, faults, err := Source(".", "./testdata/odd",
@@ -44,40 +45,40 @@
 		Module: map[string]string{"zone … is out": file + "22", "room for %d": file + "23"}}, l)
 	assert.Equal(t, []string{
 		file + "7: package log is imported: the node logs with log/slog",
-		file + "26: slog.Info goes past the node's logger",
-		file + "27: the message is not a constant: what varies is an attribute",
-		file + "28: the message is not a constant: what varies is an attribute",
+		file + "26: slog.Info bypasses the node's logger",
+		file + "27: the message is not a constant: variable data belongs in attributes",
+		file + "28: the message is not a constant: variable data belongs in attributes",
 		file + "29: the level is not a constant",
-		file + "30: a list of attributes is passed on: their names cannot be compared",
+		file + "30: attributes are passed as a slice: their names cannot be compared",
 		file + "31: an attribute's name is not a constant",
 		file + "32: an attribute's name is not a constant",
-		file + "32: an attribute is made as a literal: its name cannot be compared",
-		file + "33: a group is used: the page has no place for one",
+		file + "32: an attribute is built as a literal: its name cannot be compared",
+		file + "33: a group is used: the page does not support groups",
 		file + "34: Warn of a logger is used as a value: its messages cannot be compared",
 	}, faults)
 }
 
-// Guards against a page that is not read, and against a comparison that sees only one side's surplus.
+// Guards against a page that is not parsed, and against a comparison that finds surplus entries on one side only.
 func TestSurplusOfEitherSide(t *testing.T) {
 	page, faults := Page("p", "| message | level | attributes | what it means | what to do |\n| --- | - | - | - | - |\n"+
 		"| `both` | INFO | `a`, `b` | m | n |\n| `old` | WARN | none | m | n |\n| `old` | WARN | none | m | n |\n"+
 		"| `both` | INFO | `c` | | n |\n\n| attribute | what it says |\n| --- | --- |\n| `part` | m |\n\n"+
 		"| other | what |\n| --- | --- |\n| `x` | y |\n\n| the module says | what it means | what to do |\n| --- | - | - |\n"+
 		"| `zone …` | m | n |\n")
-	assert.Equal(t, []string{"p:5: a row that was there before",
-		"p:6: a row with a missing cell, or not one code span in the first"}, faults)
+	assert.Equal(t, []string{"p:5: a duplicate row",
+		"p:6: a row with a missing cell, or without exactly one code span in the first"}, faults)
 	source := newLog()
 	source.add("INFO both", []string{"b"}, "f:1")
 	source.add("WARN new", nil, "f:2")
 	source.Common["held_back"] = "f:3"
 	source.Module["room"] = "f:4"
 	assert.Equal(t, []string{
-		`f:1: "INFO both" has the attributes b, on the page a b`,
+		`f:1: "INFO both" has the attributes b, but a b on the page`,
 		`f:2: the page lacks the message "WARN new"`,
 		`f:3: the page lacks the attribute "held_back"`,
-		`f:4: the page lacks the module's line "room"`,
+		`f:4: the page lacks the line of the decision module "room"`,
 		`p:10: the source lacks the attribute "part"`,
-		`p:18: the source lacks the module's line "zone …"`,
+		`p:18: the source lacks the line of the decision module "zone …"`,
 		`p:4: the source lacks the message "WARN old"`,
 	}, Compare(source, page))
 }
--- a/internal/logcheck/source.go
+++ b/internal/logcheck/source.go
@@ -15,10 +15,10 @@
 	"golang.org/x/tools/go/packages"
 )
 
-// Source reads the packages of the main module that root is built from. teller is the full name of the method to which
-// the decision module gives its lines; packages below the path except, if not empty, are no part of the node. Paths in
-// places and faults are relative to dir.
-func Source(dir, root, teller, except string) (l Log, faults []string, err error) {
+// Source collects the log messages of root and of the packages of the main module that it depends on. logMethod is the
+// full name of the method that the decision module calls to log a line. Packages below the path excluded, if it is not
+// empty, are skipped. Paths in places and faults are relative to dir. The error is that of loading the packages.
+func Source(dir, root, logMethod, excluded string) (l Log, faults []string, err error) {
 	if dir, err = filepath.Abs(dir); err != nil {
 		return l, nil, err
 	}
@@ -28,7 +28,7 @@
 	}
 	var ours []string
 	packages.Visit(found, nil, func(p *packages.Package) {
-		if p.Module != nil && p.Module.Main && (except == "" || !strings.HasPrefix(p.PkgPath+"/", except+"/")) {
+		if p.Module != nil && p.Module.Main && (excluded == "" || !strings.HasPrefix(p.PkgPath+"/", excluded+"/")) {
 			ours = append(ours, p.PkgPath)
 		}
 	})
@@ -38,7 +38,7 @@
 	}
 	l = newLog()
 	for _, p := range found {
-		r := reader{out: l, pkg: p, dir: dir, teller: teller, called: map[*ast.Ident]bool{}, inside: map[ast.Expr]bool{}}
+		r := reader{out: l, pkg: p, dir: dir, logMethod: logMethod, callees: map[*ast.Ident]bool{}, counted: map[ast.Expr]bool{}}
 		for _, file := range p.Syntax {
 			ast.Inspect(file, r.visit)
 		}
@@ -60,18 +60,18 @@
 	return found, err
 }
 
-// levels of the methods that say it by their name.
+// levels maps the methods that are named after a level to that level.
 var levels = map[string]slog.Level{"Debug": slog.LevelDebug, "Info": slog.LevelInfo, "Warn": slog.LevelWarn,
 	"Error": slog.LevelError}
 
-// reader goes through one package.
+// reader collects the log messages of one package.
 type reader struct {
-	out         Log
-	pkg         *packages.Package
-	dir, teller string
-	called      map[*ast.Ident]bool // the names of what is called, not used as a value
-	inside      map[ast.Expr]bool   // attributes that belong to a message
-	faults      []string
+	out            Log
+	pkg            *packages.Package
+	dir, logMethod string
+	callees        map[*ast.Ident]bool // names of functions that are called, not used as values
+	counted        map[ast.Expr]bool   // attributes already counted with a message or With
+	faults         []string
 }
 
 func (r *reader) place(at ast.Node) string {
@@ -84,7 +84,7 @@
 
 func (r *reader) fault(at ast.Node, what string) { r.faults = append(r.faults, r.place(at)+": "+what) }
 
-// visit looks at one node of the syntax tree; a call comes before its parts.
+// visit checks one node of the syntax tree; a call is visited before its parts.
 func (r *reader) visit(n ast.Node) bool {
 	switch n := n.(type) {
 	case *ast.ImportSpec:
@@ -95,17 +95,17 @@
 		r.call(n)
 	case *ast.CompositeLit:
 		if types.TypeString(r.pkg.TypesInfo.TypeOf(n), nil) == "log/slog.Attr" {
-			r.fault(n, "an attribute is made as a literal: its name cannot be compared")
+			r.fault(n, "an attribute is built as a literal: its name cannot be compared")
 		}
 	case *ast.Ident:
-		if f := r.slog(n); f != nil && !r.called[n] && (level(f) != "" || f.Name() == "With") {
+		if f := r.slog(n); f != nil && !r.callees[n] && (level(f) != "" || f.Name() == "With") {
 			r.fault(n, f.Name()+" of a logger is used as a value: its messages cannot be compared")
 		}
 	}
 	return true
 }
 
-// slog gives the function or method of log/slog that a name stands for, or nil.
+// slog returns the function or method of log/slog that a name refers to, or nil.
 func (r *reader) slog(name *ast.Ident) *types.Func {
 	f, ok := r.pkg.TypesInfo.Uses[name].(*types.Func)
 	if !ok || f.Pkg() == nil || f.Pkg().Path() != "log/slog" {
@@ -114,7 +114,7 @@
 	return f
 }
 
-// level tells which methods take a message: "?" stands for a level that is an argument.
+// level returns the level at which a method logs, "?" if the level is an argument, or "" if the method logs no message.
 func level(f *types.Func) string {
 	if l, ok := levels[strings.TrimSuffix(f.Name(), "Context")]; ok {
 		return l.String()
@@ -125,14 +125,14 @@
 	return ""
 }
 
-// call notes what a call logs.
+// call records the message or attributes that a call logs.
 func (r *reader) call(c *ast.CallExpr) {
 	name := callee(c)
 	if name == nil {
 		return
 	}
-	r.called[name] = true
-	if f, ok := r.pkg.TypesInfo.Uses[name].(*types.Func); ok && f.FullName() == r.teller {
+	r.callees[name] = true
+	if f, ok := r.pkg.TypesInfo.Uses[name].(*types.Func); ok && f.FullName() == r.logMethod {
 		r.out.Module[r.form(c.Args[0])] = r.place(c)
 	}
 	f := r.slog(name)
@@ -142,15 +142,15 @@
 	of := f.Signature().Recv()
 	switch l := level(f); {
 	case l != "" && of == nil, f.Name() == "Default", f.Name() == "SetDefault", f.Name() == "NewRecord":
-		r.fault(c, "slog."+f.Name()+" goes past the node's logger")
+		r.fault(c, "slog."+f.Name()+" bypasses the node's logger")
 	case l != "" && types.TypeString(of.Type(), nil) == "*log/slog.Logger":
 		r.message(c, f, l)
 	case f.Name() == "With" && of != nil:
 		r.common(c, r.attributes(c, c.Args))
-	case of != nil && f.Name() == "WithGroup" && types.IsInterface(of.Type()): // a handler that passes it on
+	case of != nil && f.Name() == "WithGroup" && types.IsInterface(of.Type()): // a handler that delegates to another one
 	case f.Name() == "WithGroup" || f.Name() == "Group" || f.Name() == "GroupAttrs":
-		r.fault(c, "a group is used: the page has no place for one")
-	case makes(f) && !r.inside[c]:
+		r.fault(c, "a group is used: the page does not support groups")
+	case makesAttr(f) && !r.counted[c]:
 		r.common(c, r.attributes(c, []ast.Expr{c}))
 	}
 }
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// makes tells whether a function makes one attribute of a name and a value.
-func makes(f *types.Func) bool {
+// makesAttr reports whether a function returns an attribute made from a name and a value.
+func makesAttr(f *types.Func) bool {
 	s := f.Signature()
 	return s.Recv() == nil && s.Results().Len() == 1 && s.Params().Len() == 2 && !s.Variadic() &&
 		types.TypeString(s.Results().At(0).Type(), nil) == "log/slog.Attr"
@@ -178,7 +178,7 @@
 	}
 }
 
-// message notes the message of a call of a logger's method.
+// message records the message of a call to a logger's method.
 func (r *reader) message(c *ast.CallExpr, f *types.Func, level string) {
 	args := c.Args
 	if s := f.Signature().Params(); types.TypeString(s.At(0).Type(), nil) == "context.Context" {
@@ -195,16 +195,17 @@
 	}
 	text, ok := r.text(args[0])
 	if !ok {
-		r.fault(c, "the message is not a constant: what varies is an attribute")
+		r.fault(c, "the message is not a constant: variable data belongs in attributes")
 		return
 	}
 	r.out.add(level+" "+text, r.attributes(c, args[1:]), r.place(c))
 }
 
-// attributes gives the names of attributes, each a name and a value or what a function of slog makes.
+// attributes returns the names of the attributes in args: each is a name followed by a value, or a call of a slog
+// function that returns an attribute.
 func (r *reader) attributes(c *ast.CallExpr, args []ast.Expr) (names []string) {
 	if c.Ellipsis.IsValid() {
-		r.fault(c, "a list of attributes is passed on: their names cannot be compared")
+		r.fault(c, "attributes are passed as a slice: their names cannot be compared")
 		return nil
 	}
 	for i := 0; i < len(args); i++ {
@@ -215,9 +216,9 @@
 		}
 		made, ok := ast.Unparen(args[i]).(*ast.CallExpr)
 		if ok && callee(made) != nil {
-			if f := r.slog(callee(made)); f != nil && makes(f) {
+			if f := r.slog(callee(made)); f != nil && makesAttr(f) {
 				if name, ok := r.text(made.Args[0]); ok {
-					r.inside[made] = true
+					r.counted[made] = true
 					names = append(names, name)
 					continue
 				}
@@ -229,7 +230,7 @@
 	return names
 }
 
-// text gives the value of a constant string.
+// text returns the value of a constant string expression, and whether e is one.
 func (r *reader) text(e ast.Expr) (string, bool) {
 	v := r.pkg.TypesInfo.Types[e].Value
 	if v == nil || v.Kind() != constant.String {
@@ -238,7 +239,8 @@
 	return constant.StringVal(v), true
 }
 
-// form gives the fixed parts of a text that is put together; what varies is "…", or the verb of a format.
+// form returns the constant parts of a text that is built at run time. Variable parts appear as "…", or as the verb
+// of a format string.
 func (r *reader) form(e ast.Expr) string {
 	if text, ok := r.text(e); ok {
 		return text
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holderVariable, set to any value, has this test binary print the network it reserved and hold it until its input ends.
+// holderVariable names an environment variable. If it is set, this test binary reserves a network, prints an address
+// of it and holds it until its standard input ends.
 const holderVariable = "LINENWHEEL_LOOPBACK_HOLDER"
 
 func TestMain(m *testing.M) {
@@ -27,8 +28,8 @@
 	os.Exit(0)
 }
 
-// Guards against two users on the same addresses, which stop each other's processes from listening: seen as orders that no control
-// process accepts for 30 s, and as nodes that cannot start.
+// Guards against two users of the same addresses, which prevent each other's processes from listening. This was
+// observed as commands that no control process accepted for 30 s, and as nodes that could not start.
 func TestNetworksAreNotShared(t *testing.T) {
 	first, err := Reserve()
 	require.NoError(t, err)
@@ -43,7 +44,7 @@
 	assert.NotEqual(t, second.Host(1), again.Host(1))
 }
 
-// Guards against a network that another process has.
+// Guards against reserving a network that another process has reserved.
 func TestProcessesDoNotShareANetwork(t *testing.T) {
 	hosts := map[string]bool{}
 	for range 3 {
@@ -59,7 +60,7 @@
 		length, err := output.Read(line)
 		require.NoError(t, err)
 		host := strings.TrimSpace(string(line[:length]))
-		assert.False(t, hosts[host], "%s is another process's", host)
+		assert.False(t, hosts[host], "%s is reserved by another process", host)
 		hosts[host] = true
 	}
 	own, err := Reserve()
@@ -68,8 +69,8 @@
 	require.NoError(t, own.Release())
 }
 
-// Guards against an address that is returned twice while its first user is down, and against the port of an address that a connection
-// takes meanwhile: connections leave from 127.0.0.1.
+// Guards against returning an address twice while its first user is down, and against an outgoing connection taking
+// the port of a returned address in the meantime: outgoing connections use 127.0.0.1 as their source.
 func TestAFreeAddressIsReturnedOnce(t *testing.T) {
 	network, err := Reserve()
 	require.NoError(t, err)
--- a/internal/output/output.go
+++ b/internal/output/output.go
@@ -1,5 +1,5 @@
-// Package output is what a command prints its result to. A result often goes to a file, and a command that could not write all
-// of it must not say that all is well. It holds the first error.
+// Package output provides the writer for a command's results. Results are often redirected to a file, and a command
+// that could not write all of its output must not report success, so the writer records the first write error.
 package output
 
 import (
@@ -7,17 +7,17 @@
 	"sync"
 )
 
-// Writer passes on what is written and keeps the first error. Its methods may be called from any goroutine.
+// Writer forwards writes to another writer and records the first error. It is safe for concurrent use.
 type Writer struct {
 	to    io.Writer
 	mu    sync.Mutex
 	first error
 }
 
-// On gives a writer on another one.
+// On returns a Writer that forwards to another writer.
 func On(to io.Writer) *Writer { return &Writer{to: to} }
 
-// Write is that of the writer below.
+// Write writes b to the underlying writer and returns its result.
 func (w *Writer) Write(b []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -28,7 +28,7 @@
 	return n, err
 }
 
-// Err is the first error.
+// Err returns the first error of a write, or nil if there was none.
 func (w *Writer) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -10,19 +10,19 @@
 
 var errFull = errors.New("full")
 
-// filling takes one write, then is full for one, then takes all again.
-type filling struct{ writes int }
+// failsOnce is a writer whose second write fails; all others succeed.
+type failsOnce struct{ writes int }
 
-func (f *filling) Write(b []byte) (int, error) {
+func (f *failsOnce) Write(b []byte) (int, error) {
 	if f.writes++; f.writes == 2 {
 		return 0, errFull
 	}
 	return len(b), nil
 }
 
-// Guards against an error that is forgotten once a later write is good.
+// Guards against an error that is lost when a later write succeeds.
 func TestFirstErrorIsKept(t *testing.T) {
-	w := On(&filling{})
+	w := On(&failsOnce{})
 	for i, want := range []error{nil, errFull, errFull} {
 		_, _ = fmt.Fprintln(w, "x")
 		require.Equal(t, want, w.Err(), i)
--- a/internal/rapidseed/seeded.go
+++ b/internal/rapidseed/seeded.go
@@ -1,18 +1,18 @@
-// Package rapidseed has the property tests of a package draw the same histories every time, so that they give the same verdict
-// every time. A test imports it for that alone:
+// Package rapidseed fixes the seed of a package's property tests, so that every run generates the same inputs and has
+// the same result. A test imports it only for this side effect:
 //
 //	import _ "linenwheel.dev/linenwheel/internal/rapidseed"
 //
-// Other histories are drawn with the flags -rapid.seed and -rapid.checks.
+// The flags -rapid.seed and -rapid.checks select other inputs.
 package rapidseed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // which defines the flags before they are set here
+	_ "pgregory.net/rapid" // defines the flags before they are set here
 )
 
 func init() {
-	_ = flag.Set("rapid.seed", "1") // a flag on the command line comes later and goes before it
+	_ = flag.Set("rapid.seed", "1") // a flag on the command line is parsed later and overrides this value
 	_ = flag.Set("rapid.nofailfile", "true")
 }
