--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -61,9 +61,9 @@
 	return fmt.Sprintf("127.%d.%d.%d", firstSubnet+n.number/256, n.number%256, number)
 }
 
-// FreeAddress returns a host:port on which nothing listens and which it has never returned before. The kernel does not
-// assign this address to anything else, so it stays free until the caller listens on it and while the caller's server
-// restarts. The error is ErrNoAddress or the error of listening.
+// FreeAddress returns a host:port on which nothing listens and which it has never returned before. Nothing else
+// listens there unless it selects this address explicitly, so the address stays free until the caller listens on it,
+// and while the caller's server restarts. The error is ErrNoAddress or the error of listening.
 func (n *Network) FreeAddress() (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
