--- a/cmd/drill/serve.go
+++ b/cmd/drill/serve.go
@@ -12,25 +12,25 @@
 	"linenwheel.dev/linenwheel/internal/codec/simline"
 )
 
-// instance is one hosted Balancer with the names of its settings.
+// instance is a hosted Balancer with the names that its settings define.
 type instance struct {
 	balancer *decide.Balancer
 	names    *simline.Names
 }
 
-// server is the state of the adapter between lines.
+// server is the state that the adapter keeps between lines.
 type server struct {
-	nodes  map[int]*instance
-	fields simline.Fields
-	reply  simline.Reply
+	instances map[int]*instance
+	fields    simline.Fields
+	reply     simline.Reply
 
-	now     time.Duration
-	inBatch bool
-	node    int
+	now      time.Duration
+	inBatch  bool
+	selected int // key of the instance that events go to, -1 for none
 
-	list decide.EndpointsKind // the list being read,
-	left int                  // how many of its entries are still to come
-	have []decide.Backend     // and those that came
+	kind      decide.EndpointsKind // kind of the list being read
+	remaining int                  // number of its entries not yet received
+	entries   []decide.Backend     // entries received
 }
 
 var (
@@ -43,9 +43,9 @@
 	errTwoMarks = errors.New("MARK within a batch")
 )
 
-// serve answers batches until the input ends.
+// serve processes batches and writes a reply to each until the input ends. An error names the line that caused it.
 func serve(in io.Reader, out io.Writer) error {
-	s := &server{nodes: map[int]*instance{}, node: -1}
+	s := &server{instances: map[int]*instance{}, selected: -1}
 	r := bufio.NewReaderSize(in, 1<<16)
 	var long []byte
 	for n := 1; ; n++ {
@@ -71,7 +71,7 @@
 	}
 }
 
-// readLine returns the next line without its end; it lives until the next call.
+// readLine returns the next line without its newline; the slice is valid until the next call.
 func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -86,7 +86,7 @@
 	return bytes.TrimSuffix(line, []byte("\n")), err
 }
 
-// line takes one line; it tells whether the reply is due.
+// line processes one line and reports whether the batch is complete and its reply must be written.
 func (s *server) line(line []byte) (flush bool, err error) {
 	f := &s.fields
 	name := f.Start(line)
@@ -96,7 +96,7 @@
 		}
 		return false, fmt.Errorf("%w: %q", errOutside, name)
 	}
-	if s.left > 0 && name != "BACKEND" {
+	if s.remaining > 0 && name != "BACKEND" {
 		return false, errEntries
 	}
 	switch name {
@@ -104,20 +104,20 @@
 		if s.inBatch {
 			return false, errTwoMarks
 		}
-		s.now, s.inBatch, s.node = f.Seconds("clock"), true, -1
+		s.now, s.inBatch, s.selected = f.Seconds("clock"), true, -1
 		s.reply.Reset()
 		return false, f.Err()
 	case "FLUSH":
 		s.inBatch = false
 		return true, nil
 	case "SELECT":
-		s.node = int(f.Uint("node", 31))
-		s.reply.Act(s.node)
+		s.selected = int(f.Uint("node", 31))
+		s.reply.Act(s.selected)
 		return false, f.Err()
 	case "ENLIST":
 		return false, s.enlist(f)
 	}
-	inst := s.nodes[s.node]
+	inst := s.instances[s.selected]
 	if inst == nil {
 		return false, fmt.Errorf("%s: %w", name, errNoNode)
 	}
@@ -133,11 +133,11 @@
 	if err != nil {
 		return fmt.Errorf("ENLIST: %w", err)
 	}
-	s.nodes[s.node] = &instance{b, names}
+	s.instances[s.selected] = &instance{b, names}
 	return nil
 }
 
-// event hands one event to its instance. Nothing reaches a Balancer from a line that could not be read.
+// event passes one event to its instance. A line that could not be parsed never reaches a Balancer.
 func (s *server) event(name string, f *simline.Fields, inst *instance) error {
 	b := inst.balancer
 	switch name {
@@ -169,19 +169,19 @@
 			b.Probed(s.now, o)
 		}
 	case "DISCOVERY":
-		s.list, s.left = f.List()
-		s.have = s.have[:0]
+		s.kind, s.remaining = f.List()
+		s.entries = s.entries[:0]
 		s.finishList(f, inst)
 	case "BACKEND":
-		if s.left == 0 {
+		if s.remaining == 0 {
 			return errNoList
 		}
-		s.have = append(s.have, f.Entry(inst.names))
-		s.left--
+		s.entries = append(s.entries, f.Entry(inst.names))
+		s.remaining--
 		s.finishList(f, inst)
 	case "RETIRE":
-		delete(s.nodes, s.node)
-	case "PEER_DATA": // nodes tell each other nothing
+		delete(s.instances, s.selected)
+	case "PEER_DATA": // ignored: nodes exchange no data
 	default:
 		return fmt.Errorf("%w: %q", errUnknown, name)
 	}
@@ -189,7 +189,7 @@
 }
 
 func (s *server) finishList(f *simline.Fields, inst *instance) {
-	if s.left == 0 && f.Err() == nil {
-		inst.balancer.UpdateEndpoints(s.now, s.list, s.have)
+	if s.remaining == 0 && f.Err() == nil {
+		inst.balancer.UpdateEndpoints(s.now, s.kind, s.entries)
 	}
 }
