--- a/cmd/linenwheel-etcd/main.go
+++ b/cmd/linenwheel-etcd/main.go
@@ -1,5 +1,6 @@
-// Command linenwheel-etcd reads and watches the list of hosts in an etcd cluster and hands it on to the nodes of its
-// machine. It is a program of its own because the gRPC that etcd speaks would more than double an idle node.
+// Command linenwheel-etcd reads and watches the list of hosts in an etcd cluster and serves it to the nodes on its
+// machine. It is a separate program because the gRPC client that etcd requires would more than double the footprint of an
+// idle node.
 package main
 
 import (
@@ -11,9 +12,9 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	again := make(chan os.Signal, 1) // a signal that comes while one waits here is the same news
-	signal.Notify(again, syscall.SIGHUP)
-	status := run(ctx, os.Args[1:], os.Getenv, os.Stdout, os.Stderr, again)
+	reloads := make(chan os.Signal, 1) // one pending signal is enough: further ones would request the same reload
+	signal.Notify(reloads, syscall.SIGHUP)
+	status := run(ctx, os.Args[1:], os.Getenv, os.Stdout, os.Stderr, reloads)
 	stop()
 	os.Exit(status)
 }
--- a/cmd/linenwheel-etcd/run.go
+++ b/cmd/linenwheel-etcd/run.go
@@ -27,25 +27,26 @@
 
 const optionsVariable = "LINENWHEEL_OPTIONS"
 
-// Times of the answering side.
+// Time limits of the HTTP server.
 const (
-	headLimit = 5 * time.Second // for a caller's request
-	endLimit  = time.Second     // for the answers that are on at the end
+	headerTimeout   = 5 * time.Second // for reading a request's header
+	shutdownTimeout = time.Second     // for requests in progress at shutdown
 )
 
-// run carries out one command line and returns the exit status: 1 for a failure, 2 for a bad command line or options.
-func run(ctx context.Context, args []string, getenv func(string) string, out, errs io.Writer, again <-chan os.Signal) int {
+// run executes one command line and returns the exit status: 0 for success, 1 for a failure, 2 for an invalid command
+// line or invalid options. A signal on reloads makes it reload the options.
+func run(ctx context.Context, args []string, getenv func(string) string, out, errs io.Writer, reloads <-chan os.Signal) int {
 	flags := flag.NewFlagSet("linenwheel-etcd", flag.ContinueOnError)
 	flags.SetOutput(errs)
-	path := flags.String("options", getenv(optionsVariable), "the options `file`, whose table [inventory.etcd] counts")
-	check := flags.Bool("check", false, "read the options and the files that they name, print every fault, and end")
+	path := flags.String("options", getenv(optionsVariable), "the options `file`; its table [inventory.etcd] is used")
+	check := flags.Bool("check", false, "read the options and the files that they name, print every fault, and exit")
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
 		return 0
 	case err != nil:
-		return 2 // the flag set has said why
+		return 2 // the flag set has printed the error
 	case flags.NArg() > 0:
-		fmt.Fprintf(errs, "linenwheel-etcd: does not take %q\n", flags.Arg(0))
+		fmt.Fprintf(errs, "linenwheel-etcd: unexpected argument %q\n", flags.Arg(0))
 		return 2
 	}
 	a := &program{path: *path, clock: clock.NewSystem(), level: new(slog.LevelVar)}
@@ -63,14 +64,14 @@
 		}
 		return 0
 	}
-	if err := a.serve(ctx, o, set, errs, again); err != nil {
+	if err := a.serve(ctx, o, set, errs, reloads); err != nil {
 		fmt.Fprintln(errs, "linenwheel-etcd:", err)
 		return 1
 	}
 	return 0
 }
 
-// program is a running process.
+// program is the state of the running process.
 type program struct {
 	path  string
 	clock clock.Clock
@@ -79,7 +80,7 @@
 	flood log.Interval
 }
 
-// read takes the options and the files that they name.
+// read loads the options and the files that they name, and returns every fault found in them.
 func (a *program) read() (*options.Options, *etcd.Settings, []*config.FieldError) {
 	file, faults := options.Load(a.path)
 	if len(faults) > 0 {
@@ -108,12 +109,12 @@
 		}
 		set.Password = strings.TrimRight(string(text), "\r\n")
 	}
-	set.TLS = secure(e, fault)
+	set.TLS = tlsConfig(e, fault)
 	return o, set, faults
 }
 
-// secure reads the certificates; nil = connections are not encrypted.
-func secure(e *options.Etcd, fault func(string, error)) *tls.Config {
+// tlsConfig loads the certificates and returns the TLS configuration, or nil if connections are not encrypted.
+func tlsConfig(e *options.Etcd, fault func(string, error)) *tls.Config {
 	if !e.TLS && e.CAFile == "" && e.CertFile == "" {
 		return nil
 	}
@@ -122,7 +123,7 @@
 		text, err := os.ReadFile(e.CAFile)
 		conf.RootCAs = x509.NewCertPool()
 		if err == nil && !conf.RootCAs.AppendCertsFromPEM(text) {
-			err = fmt.Errorf("%s holds no certificate", e.CAFile)
+			err = fmt.Errorf("%s contains no certificate", e.CAFile)
 		}
 		if err != nil {
 			fault("ca_file", err)
@@ -138,7 +139,7 @@
 	return conf
 }
 
-// logger makes the log as the options have it.
+// logger returns the logger that the options specify.
 func (a *program) logger(o *options.Options, errs io.Writer) *slog.Logger {
 	a.apply(o)
 	format := log.Text
@@ -148,48 +149,49 @@
 	return log.Sparse(log.On(log.New(errs, format, a.level), a.clock), a.clock, &a.flood).With("part", "etcd")
 }
 
-// apply has the options of the log hold from now on.
+// apply applies the log level and the flood interval from the options.
 func (a *program) apply(o *options.Options) {
 	level := slog.LevelInfo
-	_ = level.UnmarshalText([]byte(o.Log.Level)) // one of those that slog knows, or the options would be faulty
+	_ = level.UnmarshalText([]byte(o.Log.Level)) // cannot fail: loading the options has validated the level
 	a.level.Set(level)
 	a.flood.Set(o.Log.FloodInterval.Ms)
 }
 
-// told passes what the source says on to the book.
-type told struct {
-	book  *agent.Store
+// storeUpdater applies the notifications of the etcd source to the store.
+type storeUpdater struct {
+	store *agent.Store
 	clock clock.Clock
-	first func() // when there is a list, or no endpoint gives one
+	ready func() // called when there is a list, or when no endpoint can provide one
 }
 
-func (t told) change(epoch string, u etcd.Update) agent.Change {
+func (t storeUpdater) change(epoch string, u etcd.Update) agent.Change {
 	return agent.Change{Whole: u.Whole, Epoch: epoch, Revision: uint64(u.Revision), Hosts: u.Hosts, Confirm: u.Confirm}
 }
 
-// Update takes what has changed.
-func (t told) Update(epoch string, u etcd.Update) {
-	t.book.Apply(t.change(epoch, u))
-	t.first()
+// Update applies changes to the list.
+func (t storeUpdater) Update(epoch string, u etcd.Update) {
+	t.store.Apply(t.change(epoch, u))
+	t.ready()
 }
 
-// UpToDate takes that nothing has.
-func (t told) UpToDate() { t.book.MarkAvailable(t.clock.Now()) }
+// UpToDate records that the list is still current.
+func (t storeUpdater) UpToDate() { t.store.MarkAvailable(t.clock.Now()) }
 
-// Unavailable takes that the cluster cannot be asked.
-func (t told) Unavailable(err error) {
-	t.book.MarkUnavailable(err.Error())
-	t.first()
+// Unavailable records that the cluster cannot be reached.
+func (t storeUpdater) Unavailable(err error) {
+	t.store.MarkUnavailable(err.Error())
+	t.ready()
 }
 
-// Reread takes a list that was read anew.
-func (t told) Reread(epoch string, u etcd.Update) {
-	t.book.Apply(t.change(epoch, u))
-	t.book.MarkReread()
+// Reread applies a list that was read again in full.
+func (t storeUpdater) Reread(epoch string, u etcd.Update) {
+	t.store.Apply(t.change(epoch, u))
+	t.store.MarkReread()
 }
 
-// serve works until ctx ends. A signal has it read the options again.
-func (a *program) serve(ctx context.Context, o *options.Options, set *etcd.Settings, errs io.Writer, again <-chan os.Signal) error {
+// serve runs the agent until ctx is canceled. A signal on reloads makes it reload the options. The error is that of the
+// service manager's environment, of listening, or of the HTTP server.
+func (a *program) serve(ctx context.Context, o *options.Options, set *etcd.Settings, errs io.Writer, reloads <-chan os.Signal) error {
 	a.log = a.logger(o, errs)
 	manager, err := systemd.FromEnvironment(func(err error) { a.log.Warn("the service manager cannot be told", "error", err) })
 	if err != nil {
@@ -199,48 +201,48 @@
 	if err != nil {
 		return fmt.Errorf("listening on %s: %w", o.Inventory.Etcd.Agent, err)
 	}
-	book := agent.NewStore(options.SourceEtcd)
+	store := agent.NewStore(options.SourceEtcd)
 	ready := sync.OnceFunc(func() { manager.Ready(systemd.Serving) })
-	source := etcd.New(*set, a.clock, a.log, told{book, a.clock, ready})
-	server := &http.Server{Handler: (&agent.Server{Store: book, Clock: a.clock, RequestReread: source.RequestReread}).Handler(),
-		ReadHeaderTimeout: headLimit, ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
-	back, cancel := context.WithCancel(ctx)
+	source := etcd.New(*set, a.clock, a.log, storeUpdater{store, a.clock, ready})
+	server := &http.Server{Handler: (&agent.Server{Store: store, Clock: a.clock, RequestReread: source.RequestReread}).Handler(),
+		ReadHeaderTimeout: headerTimeout, ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
+	sourceCtx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	defer func() {
 		cancel()
 		work.Wait()
 	}()
-	work.Go(func() { source.Run(back) })
+	work.Go(func() { source.Run(sourceCtx) })
 	failed := make(chan error, 1)
 	work.Go(func() { failed <- server.Serve(listener) })
-	a.log.Info("the agent answers nodes", "address", listener.Addr().String(), "endpoints", set.Endpoints, "prefix", set.Prefix)
+	a.log.Info("serving the endpoint list to nodes", "address", listener.Addr().String(), "endpoints", set.Endpoints, "prefix", set.Prefix)
 	for {
 		select {
-		case <-again:
+		case <-reloads:
 			a.reload(source)
 		case err := <-failed:
-			return fmt.Errorf("answering nodes: %w", err)
+			return fmt.Errorf("serving nodes: %w", err)
 		case <-ctx.Done():
 			manager.Stopping("ending")
-			end, stop := context.WithTimeout(context.WithoutCancel(ctx), endLimit)
+			end, stop := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 			defer stop()
-			if server.Shutdown(end) != nil { // calls that wait for changes
+			if server.Shutdown(end) != nil { // requests that wait for changes are still open
 				_ = server.Close()
 			}
-			a.log.Info("the agent has stopped")
+			a.log.Info("agent stopped")
 			return nil
 		}
 	}
 }
 
-// reload reads the options again. The agent's address waits for the next start.
+// reload loads the options again and applies them. A change of the agent's address takes effect at the next start.
 func (a *program) reload(source *etcd.Source) {
 	o, set, faults := a.read()
 	if len(faults) > 0 {
-		a.log.Error("the new options are bad and the old ones stay", "error", faults[0])
+		a.log.Error("options reload failed; keeping the previous options", "error", faults[0])
 		return
 	}
 	a.apply(o)
 	source.SetSettings(*set)
-	a.log.Info("the options were read again", "endpoints", set.Endpoints, "prefix", set.Prefix)
+	a.log.Info("options reloaded", "endpoints", set.Endpoints, "prefix", set.Prefix)
 }
--- a/cmd/linenwheel-etcd/run_test.go
+++ b/cmd/linenwheel-etcd/run_test.go
@@ -24,7 +24,7 @@
 	"linenwheel.dev/linenwheel/lab/etcdtest"
 )
 
-// output keeps what a process writes.
+// output records what a process writes.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -42,13 +42,13 @@
 	return strings.Contains(o.text.String(), part)
 }
 
-// Guards against options that are bad and not told, or that are told with the password.
+// Guards against invalid options that are not reported, and against reports that contain the password.
 func TestBadOptions(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "o.toml")
 	for text, want := range map[string]string{
 		"": "inventory.etcd.endpoints: there is none", "endpoints = [\"a\"]": "\"a\" is not host:port",
-		"endpoints = [\"a:1\"]\nuser = \"u\"\npassword_file = \"DIR/none\"": "password_file", "endpoints = [\"a:1\"]\nca_file = \"DIR/o.toml\"": "holds no certificate",
+		"endpoints = [\"a:1\"]\nuser = \"u\"\npassword_file = \"DIR/none\"": "password_file", "endpoints = [\"a:1\"]\nca_file = \"DIR/o.toml\"": "contains no certificate",
 		"endpoints = [\"a:1\"]\ncert_file = \"DIR/o.toml\"\nkey_file = \"DIR/o.toml\"": "cert_file", "password = \"secret\"": "a password without a user",
 		"agent = \"0.0.0.0:1\"": "not an address of this machine alone", "history = \"x\"": "does not begin with a cluster's id", "prefix = \"\"": "prefix is empty",
 		"silence = \"1s\"": "ask_every, 1s, is not shorter", "first_pause = \"2s\"": "is longer than last_pause", "agent = \"x\"": "agent",
@@ -60,17 +60,17 @@
 		assert.False(t, errs.has("secret"))
 	}
 	require.NoError(t, os.WriteFile(path, []byte("[inventory.etcd]\nendpoints = [\"a:1\"]\n"), 0o600))
-	for args, status := range map[string]int{"-check": 0, "-h": 0, "-x": 2, "dance": 2} {
+	for args, status := range map[string]int{"-check": 0, "-h": 0, "-x": 2, "surplus": 2} {
 		assert.Equal(t, status, run(t.Context(), strings.Fields(args), func(string) string { return path }, io.Discard, io.Discard, nil), args)
 	}
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	require.NoError(t, err)
 	defer func() { _ = full.Close() }()
-	assert.Equal(t, 1, run(t.Context(), []string{"-check"}, func(string) string { return path }, full, io.Discard, nil), "a verdict that is lost")
+	assert.Equal(t, 1, run(t.Context(), []string{"-check"}, func(string) string { return path }, full, io.Discard, nil), "a write error must give exit status 1")
 }
 
-// Guards against a list that does not come from the cluster to a node's calls, against a reload that is not taken or that takes
-// a bad file, and against a process that leaves goroutines or sockets behind.
+// Guards against a list that does not get from the cluster to a node's requests, a reload that is ignored or that
+// accepts an invalid file, and a process that leaks goroutines or sockets.
 func TestFromClusterToCalls(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	defer http.DefaultClient.CloseIdleConnections()
@@ -87,9 +87,9 @@
 		c.Endpoints()[0], secret)
 	require.NoError(t, os.WriteFile(path, []byte(options), 0o600))
 	ctx, cancel := context.WithCancel(t.Context())
-	errs, again, status := new(output), make(chan os.Signal, 1), make(chan int, 1)
+	errs, reloads, status := new(output), make(chan os.Signal, 1), make(chan int, 1)
 	go func() {
-		status <- run(ctx, []string{"-options", path}, func(string) string { return "" }, io.Discard, errs, again)
+		status <- run(ctx, []string{"-options", path}, func(string) string { return "" }, io.Discard, errs, reloads)
 	}()
 	await := func(part string) {
 		for end := time.Now().Add(2 * time.Minute); !errs.has(part); time.Sleep(time.Millisecond) {
@@ -107,11 +107,11 @@
 	c.Put("r/a", `{"name":"a","address":"10.0.0.1:80","zone":"z","type":"k","status":"Ready","weight":1}`)
 	await("authentication failed, invalid user ID or password")
 	require.NoError(t, os.WriteFile(path, []byte("[inventory"), 0o600))
-	again <- os.Interrupt
-	await("the new options are bad and the old ones stay")
+	reloads <- os.Interrupt
+	await("options reload failed; keeping the previous options")
 	require.NoError(t, os.WriteFile(path, []byte(options), 0o600))
 	require.NoError(t, os.WriteFile(secret, []byte("secret\n"), 0o600))
-	again <- os.Interrupt
+	reloads <- os.Interrupt
 	await("watching etcd")
 	a := call("")
 	assert.Equal(t, []any{true, "a", "c1"}, []any{a.Snapshot, a.Endpoints[0].Name, a.Origin.Epoch})
--- a/cmd/linenwheel-etcd/soak_test.go
+++ b/cmd/linenwheel-etcd/soak_test.go
@@ -24,11 +24,11 @@
 	"linenwheel.dev/linenwheel/node"
 )
 
-// Guards against what only time shows: goroutines, descriptors and memory that grow while the agent and a node's sources go
-// on, with streams dropped, connections cut, members restarted and the history compacted each second. It takes as long as
-// LINENWHEEL_SOAK says, such as 10m, and does not run without.
+// Guards against slow leaks: goroutines, descriptors and memory that grow while the agent and a node's sources run. Each
+// second streams are dropped, connections cut or a member restarted, and the history is compacted. The environment
+// variable LINENWHEEL_SOAK sets the duration, such as 10m; without it the test is skipped.
 func TestSoak(t *testing.T) {
-	length, err := time.ParseDuration(os.Getenv("LINENWHEEL_SOAK"))
+	duration, err := time.ParseDuration(os.Getenv("LINENWHEEL_SOAK"))
 	if err != nil {
 		t.Skip("LINENWHEEL_SOAK is not set")
 	}
@@ -40,9 +40,9 @@
 	require.NoError(t, err)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "o.toml")
-	ends := c.Endpoints()
+	endpoints := c.Endpoints()
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, "[log]\nlevel = \"error\"\n[inventory]\ntrust = [\"etcd\"]\n[inventory.etcd]\nagent = %q\nprefix = \"r/\"\n"+
-		"endpoints = [%q, %q, %q]\n[inventory.guard]\nshare = 1.0\nfloor = 0\n", addr, ends[0], ends[1], ends[2]), 0o600))
+		"endpoints = [%q, %q, %q]\n[inventory.guard]\nshare = 1.0\nfloor = 0\n", addr, endpoints[0], endpoints[1], endpoints[2]), 0o600))
 	ctx, cancel := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	work.Go(func() {
@@ -57,7 +57,7 @@
 	src, err := node.NewSources(conf, &o, slog.New(slog.DiscardHandler), func(dispatch.ListKind, []dispatch.Host) { steps++ })
 	require.NoError(t, err)
 	work.Go(func() { src.Run(ctx) })
-	has := func() map[string]string {
+	listed := func() map[string]string {
 		all := map[string]string{}
 		for _, h := range src.Hosts() {
 			all["r/"+h.Name] = fmt.Sprintf(`{"name":%q,"address":%q,"zone":"z","type":"k","status":"Ready","weight":1}`, h.Name, h.Address)
@@ -69,8 +69,8 @@
 		list, _ := os.ReadDir("/proc/self/fd")
 		return len(list)
 	}
-	fds, goroutines, begun, changes := 0, 0, time.Now(), 0
-	for second := 0; time.Since(begun) < length; second++ {
+	fds, goroutines, start, changes := 0, 0, time.Now(), 0
+	for second := 0; time.Since(start) < duration; second++ {
 		for range 50 {
 			changes++
 			name := fmt.Sprintf("r/h%d", changes%500)
@@ -93,18 +93,18 @@
 			require.NoError(t, m.Up())
 		}
 		c.Compact()
-		if second == 20 { // what is kept has come to its size
+		if second == 20 { // retained data has reached its steady size
 			runtime.GC()
 			runtime.ReadMemStats(&first)
 			fds, goroutines = descriptors(), runtime.NumGoroutine()
 		}
 	}
-	for end := time.Now().Add(2 * time.Minute); !maps.Equal(has(), c.Values("r/")); time.Sleep(10 * time.Millisecond) {
-		require.True(t, time.Now().Before(end), "the list is not that of the cluster")
+	for end := time.Now().Add(2 * time.Minute); !maps.Equal(listed(), c.Values("r/")); time.Sleep(10 * time.Millisecond) {
+		require.True(t, time.Now().Before(end), "the node's list differs from the cluster's")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&last)
-	t.Logf("%d changes, %d steps; alive on the heap %.1f MB after 20 s, %.1f MB at the end; descriptors %d and %d, goroutines %d and %d",
+	t.Logf("%d changes, %d steps; live heap %.1f MB after 20 s, %.1f MB at the end; descriptors %d and %d, goroutines %d and %d",
 		changes, steps, float64(first.HeapAlloc)/1e6, float64(last.HeapAlloc)/1e6, fds, descriptors(), goroutines, runtime.NumGoroutine())
 	require.Less(t, last.HeapAlloc, first.HeapAlloc+8e6)
 	require.LessOrEqual(t, descriptors(), fds+10)
