--- a/internal/codec/http1/content.go
+++ b/internal/codec/http1/content.go
@@ -2,31 +2,31 @@
 
 import "bytes"
 
-// Content is a Message as stages see one.
+// Content adapts a Message to the interface that pipeline stages use.
 type Content struct{ *Message }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (c Content) Path() []byte {
 	path, _, _ := bytes.Cut(c.Target, []byte("?"))
 	return path
 }
 
-// Query is the target's query, nil where it has none.
+// Query returns the target's query, or nil if it has none.
 func (c Content) Query() []byte {
 	_, query, _ := bytes.Cut(c.Target, []byte("?"))
 	return query
 }
 
-// Header is the value of the first field of a name, nil where there is none.
+// Header returns the value of the first field with the given name, or nil if there is none.
 func (c Content) Header(name string) []byte {
 	value, _ := c.Get(name)
 	return value
 }
 
-// Body is the body.
+// Body returns the body.
 func (c Content) Body() []byte { return c.Message.Body }
 
-// Size is how much memory the message holds, roughly.
+// Size returns the approximate number of bytes of memory that the message holds.
 func (c Content) Size() int {
 	n := 256 + len(c.Target) + cap(c.Message.Body)
 	for _, f := range c.Fields {
--- a/internal/codec/http1/http1.go
+++ b/internal/codec/http1/http1.go
@@ -1,5 +1,4 @@
-// Package http1 reads and writes HTTP/1.1 messages, strictly and piece by piece, with no input or output of its
-// own.
+// Package http1 parses and serializes HTTP/1.1 messages, strictly and incrementally. It does no I/O of its own.
 package http1
 
 import (
@@ -11,16 +10,16 @@
 	"linenwheel.dev/linenwheel/internal/node/bodypipe"
 )
 
-// The most that a message may hold.
+// Limits of a message.
 const (
-	MaxHead   = 16 << 10
-	MaxBody   = 64 << 10
-	maxFields = 64
-	firstBody = 4 << 10 // memory for a body before any of it has come
-	interims  = 16      // interim answers before an answer
+	MaxHead     = 16 << 10
+	MaxBody     = 64 << 10
+	maxFields   = 64
+	initialBody = 4 << 10 // initial buffer capacity for a body of known length, before any of it has arrived
+	maxInterim  = 16      // interim responses before a final response
 )
 
-// What can be wrong with a message.
+// Errors that parsing a message may return.
 var (
 	ErrMalformed = errors.New("malformed HTTP message")
 	ErrHost      = errors.New("no Host, a bad one or two")
@@ -35,7 +34,7 @@
 	ErrNoLength  = errors.New("answer without a length: it cannot be told whole")
 )
 
-// Status is what a server answers to a request with an error.
+// Status returns the status code with which a server answers a request that failed to parse with err.
 func Status(err error) int {
 	switch {
 	case errors.Is(err, ErrTooLarge), errors.Is(err, ErrOver):
@@ -54,28 +53,28 @@
 	return 400
 }
 
-// DeadlineField is the platform's header field that tells how long the sender will wait, in whole milliseconds.
+// DeadlineField is the platform's header field that carries how long the sender will wait, in whole milliseconds.
 const DeadlineField = "Req-Deadline-Ms"
 
 // Field is one header field.
 type Field struct{ Name, Value []byte }
 
-// Message is a whole request or response. It shares no memory with the parser.
+// Message is a request or a response. It shares no memory with the parser.
 type Message struct {
-	Method, Target []byte // of a request
-	Status         int    // of a response
+	Method, Target []byte // requests only
+	Status         int    // responses only
 	Fields         []Field
 	Body           []byte
-	Rest           *bodypipe.Pipe // more of the body, which flows; nil = Body is all
-	Length         int            // of a body that flows, -1 = not known
-	Close          bool           // the sender ends the connection after it
-	Old            bool           // the sender speaks HTTP/1.0
+	Rest           *bodypipe.Pipe // the rest of a streamed body; nil = Body is complete
+	Length         int            // bytes of a streamed body, -1 = unknown
+	Close          bool           // the sender closes the connection after this message
+	Old            bool           // the sender uses HTTP/1.0
 
-	host  []byte // of the target, where that names one
-	names bool   // Connection names more than what becomes of the connection
+	host        []byte // host named by the target, or nil
+	namesFields bool   // the Connection field lists options other than close and keep-alive
 }
 
-// Get returns the value of a field, and how many fields have that name.
+// Get returns the value of the first field with the given name, and the number of fields with that name.
 func (m *Message) Get(name string) (value []byte, count int) {
 	for i := range m.Fields {
 		if equalFold(m.Fields[i].Name, name) {
@@ -92,25 +91,25 @@
 	return len(a) == len(b) && bytes.EqualFold(a, []byte(b))
 }
 
-// Parser collects the bytes of one connection's messages.
+// Parser parses the messages of one connection from the bytes that it is fed.
 type Parser struct {
 	response bool
-	most     int      // bytes in a body, 0 = MaxBody
-	flow     Flow     // bodies that are given piece by piece; zero = none
-	flowing  bool     // one is being given
+	maxBytes int      // maximum bytes in a body, 0 = MaxBody
+	flow     Flow     // which bodies are streamed; zero = none
+	flowing  bool     // a body is being streamed
 	toEnd    bool     // the body ends with the connection
-	total    int      // bytes of the body so far
-	buf      []byte   // what is left of all
-	all      []byte   // the memory behind it
-	seen     int      // bytes of buf that hold no end of the head
-	msg      *Message // whose head is read
-	awaits   bool     // its sender waits for leave to send the body
+	total    int      // bytes of the body read so far
+	buf      []byte   // the unread part of all
+	all      []byte   // the memory that backs buf
+	seen     int      // bytes of buf already searched for the end of the head
+	msg      *Message // the message whose head has been read
+	awaits   bool     // the sender waits for 100 Continue before it sends the body
 	chunked  bool
-	left     int // bytes of the body, or of a chunk, still to come
+	left     int // bytes of the body, or of the current chunk, not yet received
 	chunk    chunkState
-	beside   int    // bytes of chunk extensions and trailers so far
-	interim  int    // interim answers so far
-	spare    []byte // memory for pieces
+	overhead int    // bytes of chunk extensions and trailers so far
+	interim  int    // interim responses so far
+	spare    []byte // buffer reused by Piece
 	err      error
 }
 
@@ -123,66 +122,69 @@
 	chunkTrailer
 )
 
-// NewRequests makes a parser of requests.
+// NewRequests returns a parser of requests.
 func NewRequests() *Parser { return &Parser{} }
 
-// NewResponses makes a parser of responses.
+// NewResponses returns a parser of responses.
 func NewResponses() *Parser { return &Parser{response: true} }
 
-// NewResponsesOf makes a parser of responses whose bodies may have so many bytes; 0 is MaxBody.
-func NewResponsesOf(most int) *Parser { return &Parser{response: true, most: most} }
+// NewResponsesOf returns a parser of responses whose bodies may have up to most bytes; 0 means MaxBody.
+func NewResponsesOf(most int) *Parser { return &Parser{response: true, maxBytes: most} }
 
-// Flow says which bodies are given piece by piece: the message comes when Whole bytes of its body have come, and the rest by
-// Piece. A message whose body is known to be longer comes when Whole bytes have come too, or at once if AtOnce is set.
+// Flow sets which bodies are streamed. Next returns a message with a streamed body once Whole bytes of the body have
+// arrived, or Known bytes if its length is known; Piece returns the rest. If AtOnce is set, a message whose body is
+// known to be longer is returned as soon as its head has been read.
 type Flow struct {
-	Whole  int  // bytes of a body that are held until it is whole; 0 = bodies do not flow
-	Known  int  // the same for a body whose length is known; 0 = Whole
-	AtOnce bool // a longer one comes with its head
+	Whole  int  // bytes of a body that are buffered to complete it; 0 = bodies are not streamed
+	Known  int  // the same for a body of known length; 0 = Whole
+	AtOnce bool // a longer body of known length is streamed from its head on
 }
 
-// NewFlowing makes a parser of requests, or of responses, whose bodies may have so many bytes and flow.
+// NewFlowing returns a parser of requests or responses whose bodies may have up to most bytes (0 means MaxBody)
+// and are streamed as f sets.
 func NewFlowing(response bool, most int, f Flow) *Parser {
 	if f.Known == 0 {
 		f.Known = f.Whole
 	}
-	return &Parser{response: response, most: most, flow: f}
+	return &Parser{response: response, maxBytes: most, flow: f}
 }
 
-// mostBody is how many bytes a body may have.
-func (p *Parser) mostBody() int {
-	if p.most == 0 {
+// maxBody returns the maximum number of bytes in a body.
+func (p *Parser) maxBody() int {
+	if p.maxBytes == 0 {
 		return MaxBody
 	}
-	return p.most
+	return p.maxBytes
 }
 
-// tooLarge is the error of a body that has more.
+// tooLarge returns the error for a body over the maximum.
 func (p *Parser) tooLarge() error {
-	if p.mostBody() == MaxBody {
+	if p.maxBody() == MaxBody {
 		return ErrTooLarge
 	}
 	return ErrOver
 }
 
-// Feed takes bytes as they came.
+// Feed appends received bytes to the parser's buffer.
 func (p *Parser) Feed(data []byte) {
-	// What was taken is given back once for each Feed, not for each piece: a body of tiny chunks costs no more
-	// than another.
+	// Consumed bytes are reclaimed once per Feed, not once per piece, so that a body of tiny chunks costs no more
+	// than any other.
 	p.all = append(p.all[:copy(p.all[:cap(p.all)], p.buf)], data...)
 	p.buf = p.all
 }
 
-// Idle tells that no byte of a further message has come.
+// Idle reports whether no byte of a further message has arrived.
 func (p *Parser) Idle() bool { return len(p.buf) == 0 && p.msg == nil && !p.flowing }
 
-// Buffered is the number of bytes that no message has taken.
+// Buffered returns the number of bytes that belong to no message yet.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Head returns the request whose body is still to come or, after an error, as much as could be read of it; it may be nil.
+// Head returns the request whose body has not fully arrived or, after an error, the part of it that was parsed. It
+// may be nil.
 func (p *Parser) Head() *Message { return p.msg }
 
-// Awaits returns, once, a request whose sender waits for an interim answer before it sends the body: its head has come
-// and nothing behind it.
+// Awaits returns, once, a request whose sender waits for an interim response before it sends the body: the head has
+// arrived and nothing after it. Otherwise it returns nil.
 func (p *Parser) Awaits() *Message {
 	if !p.awaits {
 		return nil
@@ -191,7 +193,8 @@
 	return p.msg
 }
 
-// Next returns the next whole message, or nil while bytes are missing. An error stays.
+// Next returns the next message that is complete or ready to be streamed, or nil while bytes are missing. An error is
+// permanent.
 func (p *Parser) Next() (*Message, error) {
 	for p.err == nil {
 		if p.msg == nil && !p.head() {
@@ -204,9 +207,9 @@
 			break
 		}
 		m := p.msg
-		p.over()
+		p.reset()
 		if p.response && m.Status < 200 {
-			if p.interim++; p.interim > interims {
+			if p.interim++; p.interim > maxInterim {
 				p.err = ErrMalformed
 			}
 			continue
@@ -217,32 +220,32 @@
 	return nil, p.err
 }
 
-// body reads as much of the body as has come, and tells whether that was all.
+// body reads as much of the body as has arrived, and reports whether the body is complete.
 func (p *Parser) body() bool {
 	switch {
 	case p.chunked:
-		return p.chunks()
+		return p.readChunks()
 	case p.toEnd:
 		p.left = len(p.buf)
-		p.plain()
-		if p.total > p.mostBody() {
+		p.readPlain()
+		if p.total > p.maxBody() {
 			p.err = p.tooLarge()
 		}
 		return false
 	}
-	return p.plain()
+	return p.readPlain()
 }
 
-// over forgets the message that was read last.
-func (p *Parser) over() {
-	p.msg, p.awaits, p.chunked, p.left, p.chunk, p.beside = nil, false, false, 0, chunkSize, 0
+// reset clears the state of the last message.
+func (p *Parser) reset() {
+	p.msg, p.awaits, p.chunked, p.left, p.chunk, p.overhead = nil, false, false, 0, chunkSize, 0
 	p.flowing, p.toEnd, p.total = false, false, 0
 	if len(p.buf) == 0 && cap(p.all) > MaxHead {
 		p.buf, p.all = nil, nil
 	}
 }
 
-// flows tells whether the message is given now, and its body flows from here on.
+// flows reports whether Next returns the message now and its body is streamed from here on.
 func (p *Parser) flows() bool {
 	if p.flow.Whole == 0 || p.err != nil || p.response && p.msg.Status < 200 {
 		return false
@@ -259,37 +262,40 @@
 	return true
 }
 
-// Flowing tells that the last message was given and its body is not: Piece gives the rest.
+// Flowing reports whether the last message was returned before the end of its body, the rest of which Piece returns.
 func (p *Parser) Flowing() bool { return p.flowing }
 
-// Piece gives what has come of a body that flows; it is good until Feed is called. Done tells that it was the last.
+// Piece returns the part of a streamed body that has arrived since the last call. It is valid until the next call of
+// Feed or Piece. done reports that it was the last.
 func (p *Parser) Piece() (piece []byte, done bool, err error) {
 	p.msg = &Message{Body: p.spare[:0]}
 	done = p.body()
 	piece = p.msg.Body
 	if p.spare = piece; done {
-		p.over()
+		p.reset()
 	}
 	return piece, done, p.err
 }
 
-// ToEnd tells that the body that is being read ends with the connection.
+// ToEnd reports whether the body that is being read ends with the connection.
 func (p *Parser) ToEnd() bool { return p.toEnd }
 
-// End takes the end of the connection: a body that lasts until then is whole. It gives the message, if that was not given yet.
+// End handles the end of the connection, which completes a body that is delimited by it. whole reports whether there
+// was such a body; m is its message, to be used only if Next has not returned the message yet.
 func (p *Parser) End() (m *Message, whole bool) {
 	if !p.toEnd || p.err != nil || p.msg == nil {
 		return nil, false
 	}
 	m = p.msg
-	p.over()
+	p.reset()
 	return m, true
 }
 
-// Came is how much of a body that is held has come.
+// Came returns the number of bytes of the current body that have arrived.
 func (p *Parser) Came() int { return p.total }
 
-// Held is how much of a body has come, or is known to come, that is held until it is whole, or until it flows.
+// Held returns the number of bytes of a body that are buffered, or are known to follow and will be, until the body is
+// complete or is streamed.
 func (p *Parser) Held() int {
 	switch {
 	case p.msg == nil || p.flowing:
@@ -300,21 +306,22 @@
 	return min(p.left+p.total, max(p.flow.Known, MaxBody))
 }
 
-func (p *Parser) take(n int) {
+func (p *Parser) consume(n int) {
 	p.buf = p.buf[n:]
 	p.seen = 0
 }
 
-// head reads the start line and the fields once they are whole.
+// head parses the start line and the fields once they have arrived completely.
 func (p *Parser) head() bool {
 	for !p.response && bytes.HasPrefix(p.buf, []byte("\r\n")) {
-		p.take(2) // an empty line may stand before a request
+		p.consume(2) // an empty line may precede a request
 	}
 	from := max(0, p.seen-3)
 	end := bytes.Index(p.buf[from:], []byte("\r\n\r\n"))
 	if end < 0 {
 		p.seen = len(p.buf)
-		// Another protocol, such as TLS, may not wait for an answer until its message looks like a head.
+		// Fail early on another protocol, such as TLS: its bytes might never contain the end of a head, and the
+		// sender would wait for a response.
 		if p.seen > 0 && !tokenBytes[p.buf[0]] && p.buf[0] != '\r' {
 			p.err = ErrMalformed
 		}
@@ -328,7 +335,7 @@
 		return false
 	}
 	head := append([]byte(nil), p.buf[:end+2]...)
-	p.take(end + 4)
+	p.consume(end + 4)
 	m := &Message{Fields: make([]Field, 0, 12)}
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	err := p.startLine(m, line)
@@ -343,7 +350,7 @@
 	return err == nil
 }
 
-// tooLong tells what of a head over the limit is too long: the target, where a start line is the whole of it.
+// tooLong returns the error for a head over the limit: ErrTarget if the limit falls within the start line's target.
 func (p *Parser) tooLong() error {
 	line, _, whole := bytes.Cut(p.buf[:MaxHead], []byte("\r\n"))
 	switch {
@@ -357,7 +364,7 @@
 	return ErrMalformed
 }
 
-// version reads which HTTP a sender speaks; from 1.1 on, all of HTTP/1 are alike.
+// version parses the HTTP version. Versions 1.1 to 1.9 are treated alike.
 func (m *Message) version(text []byte) error {
 	if len(text) != 8 || string(text[:5]) != "HTTP/" || text[6] != '.' || !decimalBytes[text[5]] || !decimalBytes[text[7]] {
 		return ErrMalformed
@@ -369,7 +376,7 @@
 	return nil
 }
 
-// startLine reads the first line.
+// startLine parses the request line or the status line.
 func (p *Parser) startLine(m *Message, line []byte) error {
 	if p.response {
 		if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
@@ -400,12 +407,12 @@
 			return ErrMalformed
 		}
 	}
-	return m.aim(target)
+	return m.parseTarget(target)
 }
 
-// aim reads a target. One in absolute form is brought to the form that names a path only, and what it names goes before
-// the Host field.
-func (m *Message) aim(target []byte) error {
+// parseTarget parses a request target. It converts an absolute form to the origin form (for OPTIONS without a
+// path, to the asterisk form); the host that a target names takes precedence over the Host field.
+func (m *Message) parseTarget(target []byte) error {
 	const scheme = "http://"
 	options := string(m.Method) == "OPTIONS"
 	m.Target = target
@@ -463,8 +470,8 @@
 	return Field{name, value}, nil
 }
 
-// framing finds how the body ends, and what the sender wants of the connection. Anything two readers could take
-// differently is malformed.
+// framing determines how the body is delimited and whether the connection persists. Anything that two parsers could
+// interpret differently is malformed.
 func (p *Parser) framing(m *Message) error {
 	var length, coding []byte
 	lengths, codings, hosts := 0, 0, 0
@@ -507,12 +514,12 @@
 		return ErrMalformed
 	}
 	if p.response && (m.Status < 200 || m.Status == 204 || m.Status == 304) {
-		m.Close = m.Close || codings > 0 || lengths > 0 && string(length) != "0" // there may be a body all the same
+		m.Close = m.Close || codings > 0 || lengths > 0 && string(length) != "0" // the sender may send a body nevertheless
 		return nil
 	}
 	switch {
 	case codings == 1:
-		if err := m.coded(coding); err != nil {
+		if err := m.checkCoding(coding); err != nil {
 			return err
 		}
 		p.chunked, p.awaits = true, waits
@@ -524,9 +531,9 @@
 		p.left = n
 		p.awaits = waits && n > 0
 		if n > 0 {
-			m.Body = make([]byte, 0, min(n, firstBody)) // a length is only a claim
+			m.Body = make([]byte, 0, min(n, initialBody)) // the length is only claimed, so allocate little in advance
 		}
-	case p.response && p.flow.Whole > 0 && m.Close: // else it may just be spoilt, and never end
+	case p.response && p.flow.Whole > 0 && m.Close: // without Connection: close the message may be corrupt and its body never end
 		p.toEnd, m.Close = true, true
 	case p.response:
 		return ErrNoLength
@@ -534,7 +541,7 @@
 	return nil
 }
 
-// connection reads a field Connection.
+// connection parses the value of a Connection field.
 func (m *Message) connection(value []byte) (closes, keeps bool) {
 	for part := range bytes.SplitSeq(value, []byte(",")) {
 		switch part = bytes.TrimSpace(part); {
@@ -543,13 +550,13 @@
 		case equalFold(part, "keep-alive"):
 			keeps = true
 		default:
-			m.names = true
+			m.namesFields = true
 		}
 	}
 	return closes, keeps
 }
 
-// expectation reads a field Expect: whether the sender waits for the word to go on.
+// expectation parses the value of an Expect field. waits reports whether the sender waits for 100 Continue.
 func expectation(value []byte) (waits bool, err error) {
 	for part := range bytes.SplitSeq(value, []byte(",")) {
 		switch part = bytes.TrimSpace(part); {
@@ -562,8 +569,8 @@
 	return waits, nil
 }
 
-// coded tells what is wrong with a transfer coding.
-func (m *Message) coded(coding []byte) error {
+// checkCoding returns an error unless the transfer coding is chunked alone and the sender uses HTTP/1.1.
+func (m *Message) checkCoding(coding []byte) error {
 	switch {
 	case m.Old:
 		return ErrMalformed
@@ -573,8 +580,8 @@
 	return nil
 }
 
-// unknownCoding tells what is wrong with a coding that is not chunked alone: where chunked is not the last, and only the
-// last, it would not even tell where the body ends.
+// unknownCoding returns the error for a transfer coding other than chunked alone. Unless chunked is the last
+// coding and occurs once, the end of the body is undefined and the message is malformed.
 func unknownCoding(coding []byte) error {
 	i := bytes.LastIndexByte(coding, ',')
 	if i < 0 || !equalFold(bytes.TrimSpace(coding[i+1:]), "chunked") {
@@ -588,7 +595,7 @@
 	return ErrCoding
 }
 
-// readNumber reads a length; one over the cap is too large, however many digits it has.
+// readNumber parses a length. A length over the maximum body size is too large, whatever its number of digits.
 func (p *Parser) readNumber(digits []byte, base int) (int, error) {
 	n := 0
 	for _, c := range digits {
@@ -604,33 +611,33 @@
 		if d >= base {
 			return 0, ErrMalformed
 		}
-		n = min(n*base+d, p.mostBody()+1)
+		n = min(n*base+d, p.maxBody()+1)
 	}
 	switch {
 	case len(digits) == 0:
 		return 0, ErrMalformed
-	case n > p.mostBody():
+	case n > p.maxBody():
 		return 0, p.tooLarge()
 	}
 	return n, nil
 }
 
-func (p *Parser) plain() bool {
+func (p *Parser) readPlain() bool {
 	n := min(p.left, len(p.buf))
 	if n > 0 {
 		p.msg.Body = append(p.msg.Body, p.buf[:n]...)
-		p.take(n)
+		p.consume(n)
 		p.left -= n
 		p.total += n
 	}
 	return p.left == 0
 }
 
-func (p *Parser) chunks() bool {
+func (p *Parser) readChunks() bool {
 	for p.err == nil {
 		switch p.chunk {
 		case chunkData:
-			if !p.plain() {
+			if !p.readPlain() {
 				return false
 			}
 			p.chunk = chunkEnd
@@ -643,7 +650,7 @@
 				p.err = ErrMalformed
 				return false
 			}
-			p.take(2)
+			p.consume(2)
 			p.chunk = chunkSize
 			continue
 		}
@@ -659,7 +666,7 @@
 		if p.chunk == chunkTrailer {
 			extension = line
 		}
-		if p.beside += len(extension); p.beside > MaxHead && (!p.flowing || p.beside > MaxHead+p.total) {
+		if p.overhead += len(extension); p.overhead > MaxHead && (!p.flowing || p.overhead > MaxHead+p.total) {
 			p.err = ErrMalformed
 			return false
 		}
@@ -667,7 +674,7 @@
 			if i > 0 {
 				_, p.err = readField(line)
 			}
-			p.take(i + 2)
+			p.consume(i + 2)
 			if i == 0 {
 				return true
 			}
@@ -678,11 +685,11 @@
 		case err != nil:
 		case !isText(extension):
 			err = ErrMalformed
-		case p.total+n > p.mostBody():
+		case p.total+n > p.maxBody():
 			err = p.tooLarge()
 		}
 		p.err = err
-		p.take(i + 2)
+		p.consume(i + 2)
 		p.left, p.chunk = n, chunkData
 		if n == 0 {
 			p.chunk = chunkTrailer
@@ -726,7 +733,7 @@
 
 func isToken(b []byte) bool { return len(b) > 0 && tokenBytes.all(b) }
 
-// isAuthority tells whether b is a host, perhaps with a port. It may be empty.
+// isAuthority reports whether b is a host with an optional port. It may be empty.
 func isAuthority(b []byte) bool {
 	host, port, _ := bytes.Cut(b, []byte(":"))
 	if len(b) == 0 || b[0] != '[' {
@@ -746,35 +753,36 @@
 	return true
 }
 
-// Flows tells whether the body is still on its way.
+// Flows reports whether the body is streamed.
 func (m *Message) Flows() bool { return m.Rest != nil }
 
-// Drop tells that nobody wants the rest of it.
+// Drop discards the rest of a streamed body.
 func (m *Message) Drop() {
 	if m.Rest != nil {
 		m.Rest.Drop()
 	}
 }
 
-// hopByHop are the fields that belong to one connection, or that a writer sets itself.
+// hopByHop lists the fields that apply to one connection only, or that the serializer sets itself.
 var hopByHop = [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer",
 	"Upgrade", "Content-Length", "Expect", "Host"}
 
-// kept are the fields that go on even where Connection names them: on a client's word alone a request would lose what
-// keeps it from running twice. No other sender names what is meant for the last reader (RFC 9110, 7.6.1).
-var kept = [...]string{"Req-Id", "Idempotency-Key", DeadlineField, "Req-Owner", "Req-Retry", "Req-Extra"}
+// alwaysForwarded lists the fields that are forwarded even if Connection names them: otherwise a client could
+// remove the fields that keep a request from being executed twice. A conforming sender does not name fields that
+// are meant for the final recipient (RFC 9110, 7.6.1).
+var alwaysForwarded = [...]string{"Req-Id", "Idempotency-Key", DeadlineField, "Req-Owner", "Req-Retry", "Req-Extra"}
 
-// goesOn tells whether a field goes on with its message: it does not belong to the connection it came on.
-func (m *Message) goesOn(name []byte) bool {
+// endToEnd reports whether a field is forwarded with its message rather than applying to one connection only.
+func (m *Message) endToEnd(name []byte) bool {
 	for _, h := range hopByHop {
 		if equalFold(name, h) {
 			return false
 		}
 	}
-	if !m.names {
+	if !m.namesFields {
 		return true
 	}
-	for _, k := range kept {
+	for _, k := range alwaysForwarded {
 		if equalFold(name, k) {
 			return true
 		}
@@ -791,7 +799,7 @@
 	return true
 }
 
-// appendField writes one field.
+// appendField appends one field.
 func appendField[N, V string | []byte](dst []byte, name N, value V) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
@@ -799,13 +807,14 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendRequest writes a request with the method, target, end-to-end fields and body of m. The field replace gets
-// another value.
+// AppendRequest appends a request with the method, target, end-to-end fields and body of m. Unless replace is
+// empty, the field of that name is replaced by one with the given value.
 func AppendRequest(dst []byte, m *Message, host, replace string, value int) []byte {
 	return append(AppendRequestHead(dst, m, host, replace, value), m.Body...)
 }
 
-// AppendRequestHead is AppendRequest without the body. One that flows without a known length is to be written in chunks.
+// AppendRequestHead is AppendRequest without the body. The caller must send a streamed body of unknown length in
+// chunks.
 func AppendRequestHead(dst []byte, m *Message, host, replace string, value int) []byte {
 	dst = append(dst, m.Method...)
 	dst = append(dst, ' ')
@@ -813,7 +822,7 @@
 	dst = append(dst, " HTTP/1.1\r\n"...)
 	dst = appendField(dst, "Host", host)
 	for _, f := range m.Fields {
-		if m.goesOn(f.Name) && !equalFold(f.Name, replace) {
+		if m.endToEnd(f.Name) && !equalFold(f.Name, replace) {
 			dst = appendField(dst, f.Name, f.Value)
 		}
 	}
@@ -835,12 +844,13 @@
 
 const chunkedLine = "Transfer-Encoding: chunked\r\n"
 
-// AppendChunkHead writes what stands before a chunk of so many bytes; CRLF is to follow it, and LastChunk all of them.
+// AppendChunkHead appends the size line of a chunk of size bytes. The caller must append CRLF after the chunk's
+// data, and LastChunk after the last chunk.
 func AppendChunkHead(dst []byte, size int) []byte {
 	return append(strconv.AppendInt(dst, int64(size), 16), "\r\n"...)
 }
 
-// LastChunk ends a body in chunks.
+// LastChunk terminates a chunked body.
 const LastChunk = "0\r\n\r\n"
 
 func appendLength(dst []byte, n int) []byte {
@@ -848,7 +858,7 @@
 	return append(strconv.AppendInt(dst, int64(n), 10), "\r\n"...)
 }
 
-// Continue is the interim answer that gives a client leave to send the body.
+// Continue is the interim response that asks a client to send the body.
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
 var reasons = map[int]string{200: "OK", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found",
@@ -857,22 +867,22 @@
 	501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable", 505: "HTTP Version Not Supported",
 	508: "Loop Detected"}
 
-// Reply is an answer to be written.
+// Reply is a response to be serialized.
 type Reply struct {
 	Status int
-	Fields string   // whole lines that stand before all others
-	Of     *Message // an answer whose end-to-end fields go along, or nil
-	Date   []byte   // the date, which one that comes with Of goes before; nil = none
+	Fields string   // complete field lines, written before all others
+	Of     *Message // a response whose end-to-end fields are copied, or nil
+	Date   []byte   // value of the Date field unless Of has one; nil = none
 	Body   []byte
-	Close  bool // the connection ends after it
-	Keep   bool // it does not, and the client speaks HTTP/1.0, in which that is to be said
-	Head   bool // it answers HEAD: what would be its body is not sent
+	Close  bool // the connection is closed after this response
+	Keep   bool // the connection persists and the client uses HTTP/1.0, so a keep-alive field is required
+	Head   bool // the response answers HEAD: the body is not sent
 
-	Flows  bool // the body is not Body, but follows: in chunks, or in so many bytes
-	Length int  // -1 = in chunks; -2 = it ends with the connection
+	Flows  bool // the body is streamed by the caller instead of taken from Body
+	Length int  // bytes of a streamed body; -1 = chunked; -2 = delimited by the end of the connection
 }
 
-// AppendResponse writes a response.
+// AppendResponse appends a response.
 func AppendResponse(dst []byte, r Reply) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = append(strconv.AppendInt(dst, int64(r.Status), 10), ' ')
@@ -882,7 +892,7 @@
 	dated := r.Date == nil
 	if r.Of != nil {
 		for _, f := range r.Of.Fields {
-			if r.Of.goesOn(f.Name) {
+			if r.Of.endToEnd(f.Name) {
 				dst = appendField(dst, f.Name, f.Value)
 				dated = dated || equalFold(f.Name, "Date")
 			}
@@ -897,7 +907,7 @@
 	case r.Flows && r.Length >= 0:
 		dst = appendLength(dst, r.Length)
 	case r.Flows:
-	case !r.Head || r.Status != 405: // after that, GET would get something else
+	case !r.Head || r.Status != 405: // after a 405 to HEAD, the response to GET would differ
 		dst = appendLength(dst, len(r.Body))
 	}
 	if r.Close {
@@ -912,7 +922,7 @@
 	return append(dst, r.Body...)
 }
 
-// AppendDate writes a time as the Date field has it.
+// AppendDate appends a time in the format of the Date field.
 func AppendDate(dst []byte, t time.Time) []byte {
 	return t.UTC().AppendFormat(dst, "Mon, 02 Jan 2006 15:04:05 GMT")
 }
--- a/internal/codec/http1/http1_test.go
+++ b/internal/codec/http1/http1_test.go
@@ -19,7 +19,7 @@
 	return m, err
 }
 
-// Guards against messages whose reading depends on how they were cut up.
+// Guards against parsing that depends on how the bytes of a message are split.
 func TestWholeMessages(t *testing.T) {
 	for _, c := range []struct {
 		text, body string
@@ -47,19 +47,20 @@
 	}
 }
 
-// Guards against interim answers without end, and against memory for a body of which only the length has come.
-func TestClaimsCostNothing(t *testing.T) {
+// Guards against endless interim responses, and against allocating memory for a body of which only the length has
+// arrived.
+func TestUnsentBodyTakesNoMemory(t *testing.T) {
 	_, err := read(NewResponses(), strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 1000), 1000)
 	assert.ErrorIs(t, err, ErrMalformed)
 	p := NewRequests()
 	m, err := read(p, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\n", 1000)
 	require.NoError(t, err)
 	assert.Nil(t, m)
-	assert.LessOrEqual(t, cap(p.msg.Body), firstBody)
+	assert.LessOrEqual(t, cap(p.msg.Body), initialBody)
 }
 
-// Guards against a body of tiny chunks that holds the node's one core for long: the work may not grow with the
-// square of the bytes.
+// Guards against a body of tiny chunks that occupies the node's single core for long: the work must not grow with the
+// square of the number of bytes.
 func BenchmarkTinyChunks(b *testing.B) {
 	text := []byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\na\r\n", 60000) + "0\r\n\r\n")
 	for b.Loop() {
@@ -71,7 +72,7 @@
 	}
 }
 
-// Guards against messages without bound: head, fields, trailers, and extensions of many chunks.
+// Guards against unbounded messages: head, fields, trailers, and extensions of many chunks.
 func TestBounds(t *testing.T) {
 	long, chunked := strings.Repeat("x", MaxHead), "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for text, want := range map[string]error{
@@ -88,7 +89,7 @@
 	}
 }
 
-// Guards against a parser that panics, keeps more than it may, or reads its own writing differently.
+// Guards against a parser that panics, buffers more than its limit, or parses a serialized message differently.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nA: 1\r\nContent-Length: 3\r\n\r\nabc"), 3)
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), 1)
@@ -117,9 +118,9 @@
 	})
 }
 
-// Guards against a body that flows and comes out otherwise than it was sent, however it is framed and cut up, and against what
-// follows it being taken for a part of it.
-func TestBodiesThatFlow(t *testing.T) {
+// Guards against a streamed body that differs from what was sent, for each framing and split, and against reading
+// what follows the body as part of it.
+func TestStreamedBodies(t *testing.T) {
 	body := strings.Repeat("0123456789", 30)
 	chunked := "Transfer-Encoding: chunked\r\n\r\n"
 	for i := 0; i < len(body); i += 30 {
@@ -134,19 +135,19 @@
 		toEnd := strings.HasPrefix(c.text, "Connection")
 		for _, piece := range []int{1, 7, 1000} {
 			p := NewFlowing(true, 300, Flow{Whole: 20, Known: 64, AtOnce: true})
-			text, got, given, done := "HTTP/1.1 200 OK\r\n"+c.text, "", false, false
+			text, got, returned, done := "HTTP/1.1 200 OK\r\n"+c.text, "", false, false
 			for rest := text; rest != ""; {
 				n := min(piece, len(rest))
 				p.Feed([]byte(rest[:n]))
 				rest = rest[n:]
-				if !given {
+				if !returned {
 					m, err := p.Next()
 					require.NoError(t, err)
-					if given = m != nil; !given {
+					if returned = m != nil; !returned {
 						continue
 					}
 					got = string(m.Body)
-					if done = !p.Flowing(); done { // it came in one piece
+					if done = !p.Flowing(); done { // the whole body came with the message
 						continue
 					}
 					assert.Equal(t, c.length, m.Length)
--- a/internal/codec/http1/vectors_test.go
+++ b/internal/codec/http1/vectors_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// vectors reads messages and what is to become of them from a file of testdata.
+// vectors reads messages and their expected results from a file in testdata.
 func vectors(tb testing.TB, name string) (want, text []string) {
 	file, err := os.ReadFile("testdata/" + name + ".txt")
 	require.NoError(tb, err)
@@ -35,8 +35,8 @@
 	return want, text
 }
 
-// Guards against anything that two readers could take differently, against a reading that depends on how a message was
-// cut up, and against a refusal with the wrong status.
+// Guards against messages that two parsers could interpret differently, against parsing that depends on how a
+// message is split, and against a rejection with the wrong status.
 func TestVectors(t *testing.T) {
 	for name, parser := range map[string]func() *Parser{"requests": NewRequests, "answers": NewResponses} {
 		want, text := vectors(t, name)
@@ -58,8 +58,8 @@
 	}
 }
 
-// spell takes each byte for one of the words that messages are made of, if it has one: so the fuzzer finds its way among
-// messages that are nearly right.
+// spell replaces each byte that is an index of dictionary by that entry, so that the fuzzer explores messages that
+// are nearly valid.
 func spell(text []byte, words bool) (out []byte) {
 	if !words {
 		return text
@@ -82,7 +82,7 @@
 	"[::1]", ":80", "#", "%", " HTTP/1.1", " HTTP/1.0", " HTTP/2.0", "HTTP/1.1 ", "HTTP/1.0 ", "100 C", "101 S", "204 N",
 	"304 N", "200 OK"}
 
-// fields are a message's as net/http keeps them.
+// fields returns a message's fields as net/http represents them.
 func fields(m *Message) http.Header {
 	h := http.Header{}
 	for _, f := range m.Fields {
@@ -91,10 +91,11 @@
 	return h
 }
 
-// taken are the fields that net/http takes out of a message, or adds to it.
-var taken = []string{"Host", "Transfer-Encoding", "Trailer", "Pragma", "Cache-Control", "Connection"}
+// adjusted lists the fields that net/http removes from a message or adds to it.
+var adjusted = []string{"Host", "Transfer-Encoding", "Trailer", "Pragma", "Cache-Control", "Connection"}
 
-// same compares what both readers found, and where the message ends for them.
+// same compares the results of both parsers and where each ends the message. It returns false if net/http cannot read
+// the body.
 func same(t *testing.T, m *Message, p *Parser, h http.Header, body io.Reader, in *bufio.Reader) bool {
 	text, err := io.ReadAll(body)
 	if err != nil {
@@ -104,7 +105,7 @@
 	require.NoError(t, err)
 	in.Reset(bytes.NewReader(rest))
 	have := fields(m)
-	for _, name := range taken {
+	for _, name := range adjusted {
 		h.Del(name)
 		have.Del(name)
 	}
@@ -114,8 +115,8 @@
 	return true
 }
 
-// Guards against a request that two readers take differently: what this parser and net/http both read must be the same,
-// and what is passed on must be the same to net/http as it was here.
+// Guards against a request that two parsers interpret differently: if this parser and net/http both accept it, the
+// results must be equal, and net/http must parse the forwarded request as this parser parsed the original.
 func FuzzRequests(f *testing.F) {
 	_, text := vectors(f, "requests")
 	for _, t := range text {
@@ -130,7 +131,7 @@
 			if m == nil || err != nil {
 				return
 			}
-			passedOn(t, m)
+			checkForwarded(t, m)
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
@@ -158,15 +159,15 @@
 	})
 }
 
-// passedOn checks that net/http reads one request from what a host gets, and the one that was meant.
-func passedOn(t *testing.T, m *Message) {
+// checkForwarded checks that net/http parses exactly one request from what a backend receives, equal to the original.
+func checkForwarded(t *testing.T, m *Message) {
 	if m.Target[0] != '/' {
-		return // it goes to no host
+		return // it is not forwarded to a backend
 	}
 	in := bufio.NewReaderSize(bytes.NewReader(AppendRequest(nil, m, "host:1", DeadlineField, 7)), 1<<18)
 	r, err := http.ReadRequest(in)
 	if bad := (*url.Error)(nil); errors.As(err, &bad) {
-		return // a target with bad escapes, which is the host's to refuse
+		return // a target with bad escapes, which the backend rejects
 	}
 	require.NoError(t, err)
 	body, err := io.ReadAll(r.Body)
@@ -183,8 +184,8 @@
 	}
 }
 
-// Guards against an answer that is taken for another one than it is: what this parser and net/http both read must be the
-// same, and so must be what a client gets.
+// Guards against a response that is misinterpreted: if this parser and net/http both accept it, the results must be
+// equal, and net/http must be able to parse what a client receives.
 func FuzzAnswers(f *testing.F) {
 	_, text := vectors(f, "answers")
 	for _, t := range text {
