--- a/internal/codec/thrift/mapping/mapping.go
+++ b/internal/codec/thrift/mapping/mapping.go
@@ -1,6 +1,6 @@
-// Package mapping says what a call of the platform is in Thrift, and what a Thrift result means: which method is which class,
-// where id, owner, deadline, key and retry mark travel, how refusals and failures are told. It is what api/rating.thrift
-// describes, used by the front and by the hosts' side. No I/O.
+// Package mapping defines how the platform's calls and results are represented in Thrift: where the id, the owner,
+// the deadline, the idempotency key and the retry mark are carried, and how rejections and failures are encoded.
+// It follows api/rating.thrift and is used by both the server and the backend client. It does no I/O.
 package mapping
 
 import (
@@ -24,10 +24,10 @@
 // The fields of arguments and results.
 const (
 	ArgInfo  = 1 // CallInfo
-	ArgBody  = 2 // where a call that came in another protocol has its body
+	ArgBody  = 2 // the body of a call that was received in another protocol
 	Success  = 0
-	Declined = 1 // the exception of that name,
-	Failed   = 2 // and of this
+	Declined = 1 // the exception Declined
+	Failed   = 2 // the exception Failed
 )
 
 // The fields of the two exceptions.
@@ -48,7 +48,7 @@
 	ProtocolError      = 7
 )
 
-// The names that a header transport's header has for the fields of CallInfo.
+// The names of the fields of CallInfo in a header transport's header.
 const (
 	HeaderID       = "req-id"
 	HeaderDeadline = "req-deadline-ms"
@@ -57,7 +57,7 @@
 	HeaderRetry    = "req-retry"
 )
 
-// Info is what the platform wants to know of a call.
+// Info holds the attributes of a call that the platform uses.
 type Info struct {
 	ID       []byte
 	Deadline int64 // ms, 0 = missing
@@ -66,10 +66,12 @@
 	Retry    bool
 }
 
-// ErrNoInfo tells that a call has no CallInfo.
+// ErrNoInfo is the error for a call without CallInfo.
 var ErrNoInfo = errors.New("neither a header nor the first argument says what the call is")
 
-// Read finds a call's info: in the header transport's header if that names an id, else in the first argument.
+// Read returns a call's info from the header transport's header if that has an id, otherwise from the first
+// argument. It returns ErrNoInfo if neither has it, and another error if the deadline in the header is not a
+// number of 32 bits.
 func Read(m *thrift.Message) (i Info, err error) {
 	if id, ok := m.Header(HeaderID); ok {
 		i.ID = id
@@ -104,7 +106,8 @@
 	return i, nil
 }
 
-// Onward is what has to change in a call that goes on to a host: the time that remains, where the call says it.
+// Onward returns what must change in a call that is forwarded to a backend: the remaining time of left milliseconds
+// replaces the deadline, in CallInfo and in the headers, wherever the call has one.
 func Onward(m *thrift.Message, left int) (change *thrift.Change, headers []thrift.Info) {
 	if v, ok := thrift.Field(m.Info, InfoDeadline, thrift.I32); ok {
 		change = &thrift.Change{Value: v, To: int64(min(left, math.MaxInt32))}
@@ -118,7 +121,8 @@
 	return change, headers
 }
 
-// Compose makes a call of a method from what another protocol said, with its body as the second argument.
+// Compose returns a call of a method from a request received in another protocol, with its body as the second
+// argument.
 func Compose(method string, i Info, body []byte) *thrift.Message {
 	var w thrift.Builder
 	w.Begin(ArgInfo)
@@ -138,7 +142,8 @@
 	return w.Message(thrift.Call, []byte(method))
 }
 
-// Refusal is the result that declines a call: trying again is harmless, after so many milliseconds if above 0.
+// Refusal returns the result that rejects a call. The caller may safely retry, after wait milliseconds if wait is
+// above 0.
 func Refusal(method []byte, wait float64, reason string) *thrift.Message {
 	var w thrift.Builder
 	w.Begin(Declined)
@@ -152,7 +157,7 @@
 	return w.Message(thrift.Reply, method)
 }
 
-// Failure is the result that promises nothing.
+// Failure returns the result for a failed call. It does not say whether the call was executed.
 func Failure(method []byte, reason string) *thrift.Message {
 	var w thrift.Builder
 	w.Begin(Failed)
@@ -163,14 +168,14 @@
 	return w.Message(thrift.Reply, method)
 }
 
-// Result is a served result whose value is a body that another protocol brought.
+// Result returns a successful result whose value is a body received in another protocol.
 func Result(method, body []byte) *thrift.Message {
 	var w thrift.Builder
 	w.Text(Success, body)
 	return w.Message(thrift.Reply, method)
 }
 
-// Fault is an application exception.
+// Fault returns an application exception.
 func Fault(method []byte, kind int64, text string) *thrift.Message {
 	var w thrift.Builder
 	w.Text(1, []byte(text))
@@ -178,18 +183,18 @@
 	return w.Message(thrift.Exception, method)
 }
 
-// Meaning is what a host's answer says.
+// Meaning classifies a backend's response.
 type Meaning uint8
 
 // The meanings.
 const (
-	Served     Meaning = iota // a result, or an exception of the method's own
-	TurnedAway                // declined unseen
-	Error                     // it may have run
-	Rejected                  // the host finds fault with the call itself; it may have run
+	Served     Meaning = iota // a result, or an exception that the method declares
+	TurnedAway                // rejected without being executed
+	Error                     // failed; it may have been executed
+	Rejected                  // the backend reports the call itself as invalid; it may have been executed
 )
 
-// Tell reads a host's answer.
+// Tell returns the meaning of a backend's response.
 func Tell(m *thrift.Message) Meaning {
 	if m.Type == thrift.Exception {
 		kind, ok := thrift.Field(m.Top, 2, thrift.I32)
@@ -211,7 +216,7 @@
 	return Served
 }
 
-// Body is the value of a served result that is a string, nil where it is none.
+// Body returns the value of a successful result if it is a string, otherwise nil.
 func Body(m *thrift.Message) []byte {
 	v, ok := thrift.Field(m.Top, Success, thrift.String)
 	if !ok {
@@ -220,7 +225,8 @@
 	return m.Text(v)
 }
 
-// Argument is the second argument of a call where that is a string, for hosts of another protocol.
+// Argument returns the second argument of a call if it is a string, otherwise nil. It is the body that backends of
+// another protocol receive.
 func Argument(m *thrift.Message) []byte {
 	v, ok := thrift.Field(m.Top, ArgBody, thrift.String)
 	if !ok {
--- a/internal/codec/thrift/reader.go
+++ b/internal/codec/thrift/reader.go
@@ -1,45 +1,46 @@
 package thrift
 
-// Reader finds the messages in the bytes of one connection.
+// Reader splits the bytes of one connection into messages.
 type Reader struct {
 	limits Limits
 	form   Form
-	known  bool // else the first message tells the form
+	known  bool // form is set; if false, it is detected from the first message
 
-	buf  []byte // what is left of all
-	all  []byte // the memory behind it
+	buf  []byte // the unread part of all
+	all  []byte // the memory that backs buf
 	scan scanner
-	msg  *Message // that is being read, nil between messages
-	size int      // of its frame without the length, -1 = unframed
-	head int      // bytes in front of the message itself: the frame's length and header
+	msg  *Message // the message that is being read, nil between messages
+	size int      // bytes of its frame without the length, -1 = unframed
+	head int      // bytes before the message itself: the frame's length and header
 	err  error
 }
 
-// NewReader makes a reader that tells from the first message in which form a connection's messages are written.
+// NewReader returns a reader that detects the form of a connection's messages from the first one.
 func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
-// NewReaderOf makes a reader of one form. Of the strict and the old binary protocol it takes either.
+// NewReaderOf returns a reader of one form. It accepts both the strict and the old binary protocol if form has
+// either.
 func NewReaderOf(form Form, limits Limits) *Reader {
 	return &Reader{limits: limits, form: form, known: true}
 }
 
-// Form is the form of the messages, once it is known.
+// Form returns the form of the messages, and whether it is known yet.
 func (r *Reader) Form() (f Form, known bool) { return r.form, r.known }
 
-// Feed takes bytes as they came.
+// Feed appends received bytes to the reader's buffer.
 func (r *Reader) Feed(data []byte) {
-	// What was taken is given back once for each Feed, so that many small messages cost no more than one large one.
+	// Consumed bytes are reclaimed once per Feed, so that many small messages cost no more than one large one.
 	r.all = append(r.all[:copy(r.all[:cap(r.all)], r.buf)], data...)
 	r.buf = r.all
 }
 
-// Idle tells that no byte of a further message has come.
+// Idle reports whether no byte of a further message has arrived.
 func (r *Reader) Idle() bool { return len(r.buf) == 0 && r.msg == nil }
 
-// Buffered is the number of bytes that no message has taken.
+// Buffered returns the number of bytes that belong to no message yet.
 func (r *Reader) Buffered() int { return len(r.buf) }
 
-// Next returns the next whole message, or nil while bytes are missing. An error stays.
+// Next returns the next complete message, or nil while bytes are missing. An error is permanent.
 func (r *Reader) Next() (*Message, error) {
 	if r.err != nil {
 		return nil, r.err
@@ -65,9 +66,9 @@
 	case err != nil:
 		return nil, err
 	case framed && !whole && len(r.buf) >= 4+r.size:
-		return nil, ErrMalformed // something in it claims more than its frame
+		return nil, ErrMalformed // a value in it extends beyond the frame
 	case framed && whole && r.scan.at < 4+r.size-r.head:
-		return nil, ErrMalformed // and here the frame claims more than its message
+		return nil, ErrMalformed // the frame extends beyond its message
 	case !whole:
 		return nil, nil
 	}
@@ -76,16 +77,16 @@
 	m.Name = m.Bytes[m.nameFrom:m.nameTo]
 	r.buf = r.buf[r.head+r.scan.at:]
 	r.msg = nil
-	if len(r.buf) == 0 && cap(r.all) > keepMost {
+	if len(r.buf) == 0 && cap(r.all) > maxIdleBuffer {
 		r.buf, r.all = nil, nil
 	}
 	return m, nil
 }
 
-// keepMost is how much memory a connection keeps between messages.
-const keepMost = 16 << 10
+// maxIdleBuffer is the maximum number of bytes of memory that a connection keeps between messages.
+const maxIdleBuffer = 16 << 10
 
-// begin settles how the next message is written and where it begins; false while bytes are missing.
+// begin determines the form and the start of the next message. It returns false while bytes are missing.
 func (r *Reader) begin() (bool, error) {
 	if len(r.buf) < 4 {
 		return false, nil
@@ -95,7 +96,7 @@
 		return false, ErrNotThrift
 	}
 	if !r.known {
-		switch n := be32(r.buf); { // whatever it is the length of
+		switch n := be32(r.buf); { // a length, of the frame or of the name, in every form that does not start with a version
 		case n == 0:
 			return false, ErrMalformed
 		case n < 1<<31 && int(n) > r.limits.Message+r.limits.Header+headerFixed:
@@ -112,10 +113,10 @@
 	switch {
 	case size == 0 || size > 1<<31-1:
 		return false, ErrMalformed
-	case int(size) > r.limits.Message+r.headerMost():
+	case int(size) > r.limits.Message+r.maxHeaderSize():
 		return false, ErrTooLarge
 	case len(r.buf) < min(4+int(size), 8):
-		return false, nil // which protocol it is
+		return false, nil // the protocol cannot be determined yet
 	}
 	r.size = int(size)
 	switch header := r.buf[4] == 0x0f; {
@@ -128,15 +129,16 @@
 	return r.header()
 }
 
-// headerMost is how many bytes a frame may have besides its message.
-func (r *Reader) headerMost() int {
+// maxHeaderSize returns the maximum number of bytes that a frame may have in addition to its message.
+func (r *Reader) maxHeaderSize() int {
 	if r.form.Transport == Header {
 		return r.limits.Header + headerFixed
 	}
 	return 0
 }
 
-// start begins to scan a message whose first byte has come. Strict and old binary messages may follow each other.
+// start begins to scan a message whose first byte has arrived. Strict and old binary messages may be mixed on one
+// connection.
 func (r *Reader) start(b []byte) error {
 	p := r.form.Protocol
 	if (b[0] == 0x82) != (p == Compact) {
@@ -152,8 +154,8 @@
 	return nil
 }
 
-// detect finds the form from the first bytes; false while they do not tell. What it cannot tell is taken for a frame,
-// whose checks will say what is wrong.
+// detect derives the form from the first bytes. It returns false while there are too few of them. Bytes that match no
+// form are treated as the old binary protocol, whose checks then return the error.
 func (r *Reader) detect() bool {
 	b := r.buf
 	switch {
@@ -168,23 +170,24 @@
 	case b[4] == 0x82:
 		r.form = Form{Compact, Framed}
 	case b[4] == 0x0f:
-		if len(b) < headerFixed+5 { // the protocol's number comes behind what is fixed
+		if len(b) < headerFixed+5 { // the protocol's number follows the fixed part
 			return false
 		}
 		r.form = Form{Binary, Header}
 		if b[headerFixed+4] == headerCompact {
 			r.form.Protocol = Compact
 		}
-	case b[4] == 0: // the length of a name, behind that of a frame
+	case b[4] == 0: // the length of the name, after the length of the frame
 		r.form = Form{Old, Framed}
-	default: // a name, behind its length
+	default: // the name, after its length
 		r.form = Form{Old, Unframed}
 	}
 	r.known = true
 	return true
 }
 
-// isHTTP recognises the commonest wrong guess of a client, which would be taken for the length of a frame otherwise.
+// isHTTP detects HTTP, the most common wrong protocol of a client, whose first bytes would otherwise be read as the
+// length of a frame.
 func isHTTP(b []byte) bool {
 	switch string(b[:4]) {
 	case "GET ", "HEAD", "POST", "PUT ", "DELE", "OPTI", "CONN", "TRAC", "PATC", "PRI ", "HTTP":
@@ -193,17 +196,18 @@
 	return false
 }
 
-// The header transport's layout: magic (2 bytes), flags (2), sequence id (4), number of 4-byte words in the header (2),
-// then the header: the protocol's number, the number of transforms and the transforms, then groups of names and values.
+// The header transport's layout: magic (2 bytes), flags (2), sequence id (4), number of 4-byte words in the header
+// (2), then the header: the protocol's number, the number of transforms and the transforms, then groups of names
+// and values.
 const (
 	headerFixed   = 10
 	headerMagic   = 0x0fff
 	headerBinary  = 0
 	headerCompact = 2
-	headerInfos   = 1 // the number of the only kind of group
+	headerInfos   = 1 // the number of the only known kind of group
 )
 
-// header reads a header transport's header once it is whole.
+// header parses a header transport's header once it has arrived completely.
 func (r *Reader) header() (bool, error) {
 	b := r.buf[4:]
 	if r.size < headerFixed {
@@ -244,10 +248,10 @@
 	return true, nil
 }
 
-// mostInfos is the most names of a header that are read.
-const mostInfos = 64
+// maxInfos is the maximum number of name-value pairs in a header.
+const maxInfos = 64
 
-// readHeader reads what stands between the fixed part and the message.
+// readHeader parses the part of the header between its fixed part and the message.
 func readHeader(b []byte) (p Protocol, infos []Info, err error) {
 	number := func() (v uint64) {
 		if err == nil {
@@ -281,10 +285,10 @@
 	if transforms := number(); err == nil && transforms > 0 {
 		err = ErrTransform
 	}
-	for err == nil && len(b) > 0 && b[0] == headerInfos { // other groups cannot be told apart from each other
+	for err == nil && len(b) > 0 && b[0] == headerInfos { // groups of other kinds have no known length and end the parsing
 		b = b[1:]
 		for n := number(); err == nil && n > 0; n-- {
-			if len(infos) == mostInfos {
+			if len(infos) == maxInfos {
 				return 0, nil, ErrTooLarge
 			}
 			name := text()
--- a/internal/codec/thrift/scan.go
+++ b/internal/codec/thrift/scan.go
@@ -1,18 +1,18 @@
 package thrift
 
-// scanner finds the end of one message. It keeps its place between pieces, so that no byte is read twice, and notes where
-// the fields stand that a proxy needs.
+// scanner finds the end of one message. It keeps its position between pieces, so that no byte is scanned twice, and
+// records the positions of the fields that a proxy needs.
 type scanner struct {
 	protocol Protocol
 	limits   Limits
 	msg      *Message
 	step     step
-	at       int // the next byte to look at
+	at       int // offset of the next byte to scan
 	levels   []level
 
-	skip    int // bytes to pass over unread: of a string, or of many values of one width
-	pending Value
-	held    bool // pending is to be recorded once they have passed
+	skip          int // bytes to skip: a string, or several values of fixed width
+	pending       Value
+	recordPending bool // record pending once these bytes are skipped
 }
 
 // step is what the scanner expects next.
@@ -28,23 +28,23 @@
 	atEnd
 )
 
-// level is a struct or container that has begun and not ended.
+// level is a struct or container whose end has not been scanned yet.
 type level struct {
 	kind       Kind // Struct, List, Set or Map
-	left       int  // values still to come in a container; a map's keys and values count apart
+	left       int  // values remaining in a container; a map's keys and values count separately
 	key, value Kind // of a container
 	last       int16
-	self       Value // the field that holds it, where a struct stands round it
-	into       into
+	self       Value // the field that holds this level, if the enclosing level is a struct
+	recording  recording
 }
 
-// into is where a struct's fields are remembered.
-type into uint8
+// recording is the list in which a struct's fields are recorded.
+type recording uint8
 
 const (
-	nowhere into = iota
-	intoTop
-	intoInfo
+	recordNone recording = iota
+	recordTop
+	recordInfo
 )
 
 func (s *scanner) reset(p Protocol, limits Limits, m *Message) {
@@ -55,12 +55,12 @@
 }
 
 const (
-	maxName      = 256
-	longestToken = maxName + 16 // no step needs as many bytes at once
+	maxName  = 256
+	maxToken = maxName + 16 // no single step needs this many bytes
 )
 
-// scan looks at buf, which holds the message from its first byte on as far as it has come. It tells whether the message
-// is whole, which then ends at s.at.
+// scan scans buf, which holds the part of the message that has arrived, from its first byte. It reports whether the
+// message is complete; it then ends at s.at.
 func (s *scanner) scan(buf []byte) (whole bool, err error) {
 	for s.step != atEnd {
 		if s.skip > 0 {
@@ -69,8 +69,8 @@
 			if s.skip -= n; s.skip > 0 {
 				return false, nil
 			}
-			if s.held {
-				s.held = false
+			if s.recordPending {
+				s.recordPending = false
 				s.record(s.pending)
 			}
 			continue
@@ -80,7 +80,7 @@
 			return false, err
 		}
 		if n < 0 {
-			if len(buf)-s.at > longestToken {
+			if len(buf)-s.at > maxToken {
 				return false, ErrMalformed
 			}
 			return false, nil
@@ -92,10 +92,10 @@
 	return true, nil
 }
 
-// missing is what a step returns while bytes of it have not come; it has changed nothing then.
+// missing is what a step returns while some of its bytes have not arrived; the step has then changed nothing.
 const missing = -1
 
-// next takes one token from the front of b and returns how many bytes it had.
+// next scans one token at the start of b and returns its length in bytes.
 func (s *scanner) next(b []byte) (n int, err error) {
 	switch s.step {
 	case atVersion:
@@ -125,7 +125,7 @@
 	s.msg.Seq, s.msg.seqFrom, s.msg.seqTo = int32(v), from, from+n
 }
 
-// version takes what stands in front of the name.
+// version scans what precedes the name.
 func (s *scanner) version(b []byte) (int, error) {
 	if s.protocol != Compact {
 		if len(b) < 4 {
@@ -152,11 +152,11 @@
 	return 2 + n, nil
 }
 
-// varint reads a variable-width number of at most so many bytes; n is missing while they have not come.
-func varint(b []byte, most int) (v uint64, n int, err error) {
-	v, n, ok := uvarint(b[:min(len(b), most)])
+// varint decodes a variable-width number of at most maxBytes bytes; n is missing while they have not arrived.
+func varint(b []byte, maxBytes int) (v uint64, n int, err error) {
+	v, n, ok := uvarint(b[:min(len(b), maxBytes)])
 	switch {
-	case !ok || n == 0 && len(b) >= most:
+	case !ok || n == 0 && len(b) >= maxBytes:
 		return 0, 0, ErrMalformed
 	case n == 0:
 		return 0, missing, nil
@@ -164,7 +164,7 @@
 	return v, n, nil
 }
 
-// size reads the length of a string or the number of values in a container.
+// size decodes the length of a string or the number of values in a container.
 func (s *scanner) size(b []byte) (size, n int, err error) {
 	v := uint64(0)
 	if s.protocol == Compact {
@@ -179,14 +179,14 @@
 	}
 	switch {
 	case v > 1<<31-1:
-		return 0, 0, ErrMalformed // a negative one
+		return 0, 0, ErrMalformed // negative
 	case v > uint64(s.limits.Message):
-		return 0, 0, ErrTooLarge // a value has a byte at least
+		return 0, 0, ErrTooLarge // each value has at least one byte
 	}
 	return int(v), n, nil
 }
 
-// name takes the method's name with its length.
+// name scans the method's name and its length.
 func (s *scanner) name(b []byte) (int, error) {
 	size, n, err := s.size(b)
 	if n <= 0 {
@@ -215,18 +215,18 @@
 	return n, nil
 }
 
-// begin opens the struct of arguments or of the result, after the n bytes that are being taken.
+// begin opens the struct of arguments or of the result, which follows the n bytes of the current step.
 func (s *scanner) begin(n int) error {
 	if s.msg.Type < Call || s.msg.Type > OneWay {
 		return ErrMalformed
 	}
 	s.msg.content = s.at + n
-	s.levels = append(s.levels, level{kind: Struct, into: intoTop})
+	s.levels = append(s.levels, level{kind: Struct, recording: recordTop})
 	s.step = atField
 	return nil
 }
 
-// field takes a field's header with the beginning of its value, or the end of a struct.
+// field scans a field's header and the start of its value, or the end of a struct.
 func (s *scanner) field(b []byte) (int, error) {
 	if len(b) == 0 {
 		return missing, nil
@@ -235,7 +235,7 @@
 		s.leave(s.at + 1)
 		return 1, nil
 	}
-	depth := len(s.levels) - 1 // the value may open a level
+	depth := len(s.levels) - 1 // computed first, since the value may open a level
 	v, n := Value{Kind: Kind(b[0])}, 3
 	if s.protocol == Compact {
 		id, read, err := s.compactID(b)
@@ -267,7 +267,7 @@
 	return n + read, nil
 }
 
-// compactID reads the id of a compact field, with its header.
+// compactID decodes the id of a compact field from its header.
 func (s *scanner) compactID(b []byte) (id int16, n int, err error) {
 	if delta := b[0] >> 4; delta > 0 {
 		return s.levels[len(s.levels)-1].last + int16(delta), 1, nil
@@ -279,7 +279,7 @@
 	return int16(unzigzag(u)), 1 + n, nil
 }
 
-// item takes the beginning of one value of a container, or all where their widths are known.
+// item scans the start of one value of a container, or all of its values if their widths are fixed.
 func (s *scanner) item(b []byte) (int, error) {
 	depth := len(s.levels) - 1
 	l := &s.levels[depth]
@@ -307,7 +307,7 @@
 	return n, err
 }
 
-// varints takes as many of a container's variable-width numbers as have come.
+// varints scans as many of a container's variable-width numbers as have arrived.
 func (l *level) varints(b []byte) (n int, err error) {
 	for l.left > 0 {
 		_, read, err := varint(b[n:], 10)
@@ -325,7 +325,7 @@
 	return n, nil
 }
 
-// value takes the beginning of a value, or all of it where it is short. Only fields are recorded.
+// value scans the start of a value, or all of a short one. Only the values of fields are recorded.
 func (s *scanner) value(b []byte, v Value, field bool) (n int, err error) {
 	switch v.Kind {
 	case Struct:
@@ -343,7 +343,7 @@
 		}
 		s.skip = size
 		v.To = v.From + n + size
-		if s.pending, s.held = v, field && size > 0; field && size == 0 {
+		if s.pending, s.recordPending = v, field && size > 0; field && size == 0 {
 			s.record(v)
 		}
 		return n, nil
@@ -361,7 +361,7 @@
 	return n, nil
 }
 
-// container reads the header of a list, a set or a map.
+// container scans the header of a list, a set or a map.
 func (s *scanner) container(b []byte, l *level) (n int, err error) {
 	if s.protocol == Compact {
 		return s.compactContainer(b, l)
@@ -420,14 +420,14 @@
 	return n + 1, nil
 }
 
-// enter opens a level. The fields of the first struct among the arguments, or of the result, are remembered.
+// enter opens a level. The fields of the first struct among the arguments, or in the result, are recorded.
 func (s *scanner) enter(l level) error {
 	if len(s.levels) >= s.limits.Depth {
 		return ErrTooDeep
 	}
 	if len(s.levels) == 1 && l.kind == Struct && !s.msg.hasInfo {
 		s.msg.hasInfo = true
-		l.into = intoInfo
+		l.recording = recordInfo
 	}
 	s.levels = append(s.levels, l)
 	s.step = atField
@@ -437,7 +437,7 @@
 	return nil
 }
 
-// leave closes the innermost level, which ends at a place.
+// leave closes the innermost level, which ends at offset end.
 func (s *scanner) leave(end int) {
 	l := s.levels[len(s.levels)-1]
 	s.levels = s.levels[:len(s.levels)-1]
@@ -453,21 +453,21 @@
 	}
 }
 
-// record remembers a field of the innermost struct if its fields are wanted.
+// record appends a field of the innermost struct to the list in which that struct's fields are recorded, if any.
 func (s *scanner) record(v Value) {
-	switch s.levels[len(s.levels)-1].into {
-	case intoTop:
-		if len(s.msg.Top) < mostTop {
+	switch s.levels[len(s.levels)-1].recording {
+	case recordTop:
+		if len(s.msg.Top) < maxTopFields {
 			s.msg.Top = append(s.msg.Top, v)
 		}
-	case intoInfo:
-		if len(s.msg.Info) < mostInfo {
+	case recordInfo:
+		if len(s.msg.Info) < maxInfoFields {
 			s.msg.Info = append(s.msg.Info, v)
 		}
 	}
 }
 
-// width is the number of bytes of a kind that always has so many, else 0.
+// width returns the number of bytes of a kind of fixed width, or 0 for other kinds.
 func (s *scanner) width(k Kind) int {
 	switch k {
 	case Bool, Byte:
--- a/internal/codec/thrift/thrift.go
+++ b/internal/codec/thrift/thrift.go
@@ -1,38 +1,39 @@
-// Package thrift reads and writes Apache Thrift messages piece by piece, with no input or output of its own: their
-// boundaries in every form, the few fields that a proxy needs, and the same message in another form. It builds no tree of
-// values and compiles no interface in.
+// Package thrift parses and serializes Apache Thrift messages incrementally. It does no I/O of its own. It finds
+// message boundaries in every form, extracts the few fields that a proxy needs, and converts a message to another
+// form. It builds no tree of values and has no interface definitions compiled in.
 //
-// The forms are those of the protocol specifications: the binary protocol, strict and old, and the compact protocol, each
-// framed (four bytes of length before each message) or not, and the header transport, a frame whose own header carries
-// names and values beside a message of either protocol.
+// The forms are those of the protocol specifications: the binary protocol, strict and old, and the compact
+// protocol, each framed (a length of four bytes before each message) or unframed; and the header transport, a
+// frame with its own header that carries names and values next to a message of either protocol.
 //
-// Bounds: a message holds at most Limits.Message bytes and nests at most Limits.Depth deep. A length that a message claims
-// costs nothing until the bytes have come; each byte is looked at once, however small the pieces are.
+// Bounds: a message holds at most Limits.Message bytes and nests at most Limits.Depth levels deep. No memory is
+// allocated for a claimed length until the bytes have arrived; each byte is scanned once, however small the pieces
+// are.
 package thrift
 
 import "errors"
 
-// Protocol is how values are written.
+// Protocol is the encoding of values.
 type Protocol uint8
 
 // The protocols.
 const (
-	Binary  Protocol = iota // fixed widths, with a version in front
-	Old                     // the binary protocol as it was before it had a version
-	Compact                 // variable widths
+	Binary  Protocol = iota // fixed-width values, preceded by a version
+	Old                     // the binary protocol without a version (non-strict)
+	Compact                 // variable-width integers
 )
 
-// Transport is how messages are told apart.
+// Transport is how messages are delimited.
 type Transport uint8
 
 // The transports.
 const (
-	Framed   Transport = iota // by a length in front
-	Unframed                  // by nothing but their own grammar
+	Framed   Transport = iota // by a length prefix
+	Unframed                  // only by the message's own structure
 	Header                    // framed, with a header of names and values
 )
 
-// Form is how a message is written.
+// Form is the encoding of a message: protocol and transport.
 type Form struct {
 	Protocol  Protocol
 	Transport Transport
@@ -45,7 +46,7 @@
 
 func (f Form) String() string { return transportNames[f.Transport] + " " + protocolNames[f.Protocol] }
 
-// Type is what a message is.
+// Type is the type of a message.
 type Type uint8
 
 // The types of messages.
@@ -53,7 +54,7 @@
 	Call      Type = 1
 	Reply     Type = 2
 	Exception Type = 3 // the content is an application exception
-	OneWay    Type = 4 // no answer is expected
+	OneWay    Type = 4 // no reply is expected
 )
 
 // Kind is the type of a value, numbered as in the binary protocol.
@@ -76,17 +77,17 @@
 	UUID   Kind = 16
 )
 
-// Limits bound what a message may be.
+// Limits bound the size and the nesting of a message.
 type Limits struct {
 	Message int // bytes of a message, without the frame's length and header
 	Header  int // bytes of a header transport's header
-	Depth   int // structs, lists, sets and maps within each other
+	Depth   int // nesting levels of structs, lists, sets and maps
 }
 
 // DefaultLimits are the limits of the platform's messages.
 var DefaultLimits = Limits{Message: 64<<10 + 4<<10, Header: 16 << 10, Depth: 64}
 
-// What can be wrong with a message.
+// Errors that parsing a message may return.
 var (
 	ErrMalformed = errors.New("malformed Thrift message")
 	ErrTooLarge  = errors.New("a Thrift message that is too large")
@@ -96,43 +97,43 @@
 	ErrTransform = errors.New("header transport with transforms, which are not spoken here")
 )
 
-// Value is where a field's value stands in the bytes of its message.
+// Value is the position of a field's value in the bytes of its message.
 type Value struct {
 	ID       int16
 	Kind     Kind
-	From, To int  // of the value itself; nothing for a compact bool, which stands in the field's header
-	True     bool // of such a bool
+	From, To int  // offsets of the value; equal for a compact bool, which is encoded in the field's header
+	True     bool // the value of such a bool
 }
 
-// The most fields that a message remembers; further ones are read over.
+// The maximum numbers of fields that a message records; further fields are skipped.
 const (
-	mostTop  = 4
-	mostInfo = 12
+	maxTopFields  = 4
+	maxInfoFields = 12
 )
 
-// Info is one name and value of a header transport's header.
+// Info is one name-value pair of a header transport's header.
 type Info struct{ Name, Value []byte }
 
-// Message is one whole message. Its memory is its own.
+// Message is one complete message. It shares no memory with the reader.
 type Message struct {
 	Form    Form
 	Type    Type
 	Name    []byte // of the method
 	Seq     int32
-	Bytes   []byte  // the message as it came, without the frame's length and header
-	Top     []Value // fields of its arguments or its result, as many as are remembered
-	Info    []Value // fields of the first of these that is a struct
-	Headers []Info  // of a header transport,
+	Bytes   []byte  // the message as received, without the frame's length and header
+	Top     []Value // fields of the arguments or the result, up to maxTopFields
+	Info    []Value // fields of the first struct among these, up to maxInfoFields
+	Headers []Info  // name-value pairs of a header transport
 
-	HeaderSeq uint32 // and its own sequence id
+	HeaderSeq uint32 // sequence id of a header transport's header
 
-	nameFrom, nameTo int // where the name stands,
-	seqFrom, seqTo   int // the sequence id,
-	hasInfo          bool
-	content          int // and where the struct of arguments or result begins
+	nameFrom, nameTo int  // offsets of the name in Bytes
+	seqFrom, seqTo   int  // offsets of the sequence id in Bytes
+	hasInfo          bool // the struct whose fields are recorded in Info was found
+	content          int  // offset in Bytes of the struct of arguments or result
 }
 
-// Text is the value of a string field.
+// Text returns the value of a string field, or nil for another kind.
 func (m *Message) Text(v Value) []byte {
 	if v.Kind != String {
 		return nil
@@ -141,7 +142,7 @@
 	return m.Bytes[v.From+n : v.To]
 }
 
-// length reads the length of a string at a place, and how many bytes tell it.
+// length decodes the length of the string at an offset; n is the number of bytes that encode it.
 func (m *Message) length(at int) (length, n int) {
 	if m.Form.Protocol != Compact {
 		return int(be32(m.Bytes[at:])), 4
@@ -150,7 +151,7 @@
 	return int(u), n
 }
 
-// Number is the value of an integer field, or of a bool as 0 or 1.
+// Number returns the value of an integer field, or of a bool as 0 or 1. It returns 0 for other kinds.
 func (m *Message) Number(v Value) int64 {
 	b := m.Bytes[v.From:v.To]
 	switch {
@@ -171,7 +172,7 @@
 	return int64(uint64(be32(b))<<32 | uint64(be32(b[4:])))
 }
 
-// Field finds a field by its id.
+// Field finds a field by its id, and reports whether it exists and has the given kind.
 func Field(list []Value, id int16, kind Kind) (Value, bool) {
 	for _, v := range list {
 		if v.ID == id {
@@ -181,7 +182,7 @@
 	return Value{}, false
 }
 
-// Header finds a value of the header transport's header; the last of a name counts.
+// Header returns the value of a name in the header transport's header. If a name is repeated, its last value counts.
 func (m *Message) Header(name string) (value []byte, ok bool) {
 	for _, h := range m.Headers {
 		if string(h.Name) == name {
@@ -199,7 +200,7 @@
 	b[0], b[1], b[2], b[3] = byte(v>>24), byte(v>>16), byte(v>>8), byte(v)
 }
 
-// uvarint reads a variable-width number; n is 0 while bytes are missing, and ok is false for one over 64 bits.
+// uvarint decodes a variable-width number. n is 0 while bytes are missing, and ok is false for a number over 64 bits.
 func uvarint(b []byte) (v uint64, n int, ok bool) {
 	for i, c := range b {
 		if i == 9 && c > 1 {
@@ -224,7 +225,8 @@
 func zigzag(v int64) uint64   { return uint64(v<<1) ^ uint64(v>>63) }
 func unzigzag(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
 
-// Rest is what the content holds behind a top field, or all of it where there is none.
+// Rest returns the part of the content that follows the top field with the given id, or the whole content if there
+// is no such field.
 func (m *Message) Rest(id int16) []byte {
 	for _, v := range m.Top {
 		if v.ID == id {
--- a/internal/codec/thrift/thrift_test.go
+++ b/internal/codec/thrift/thrift_test.go
@@ -20,8 +20,8 @@
 
 var ctx = context.Background()
 
-// peer is the official library's protocol over a buffer, in a form.
-func peer(f Form, buf *official.TMemoryBuffer) official.TProtocol {
+// libraryProtocol returns the official library's protocol of a form over a buffer.
+func libraryProtocol(f Form, buf *official.TMemoryBuffer) official.TProtocol {
 	conf := &official.TConfiguration{TBinaryStrictRead: new(f.Protocol == Binary),
 		TBinaryStrictWrite: new(f.Protocol == Binary)}
 	var t official.TTransport = buf
@@ -40,10 +40,10 @@
 	return official.NewTBinaryProtocolConf(t, conf)
 }
 
-// write writes a call with every kind of value.
+// write serializes a call with the official library; its fields cover nearly every kind of value.
 func write(t testing.TB, f Form, seq int32) []byte {
 	buf := official.NewTMemoryBuffer()
-	p := peer(f, buf)
+	p := libraryProtocol(f, buf)
 	if h, ok := p.(*official.THeaderProtocol); ok {
 		h.SetWriteHeader("deadline", "480")
 		h.SetWriteHeader("id", "q1")
@@ -94,11 +94,12 @@
 	return bytes.Clone(buf.Bytes())
 }
 
-// tell reads a message with the official library and puts all that it holds into words.
-func tell(f Form, data []byte) (text string, left int, err error) {
+// describe parses a message with the official library and returns its whole content as text, and the number of bytes
+// left over.
+func describe(f Form, data []byte) (text string, left int, err error) {
 	buf := official.NewTMemoryBuffer()
 	buf.Write(data)
-	p := peer(f, buf)
+	p := libraryProtocol(f, buf)
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("the library panicked: %v", r)
@@ -110,25 +111,25 @@
 	}
 	var b strings.Builder
 	fmt.Fprint(&b, name, kind, seq)
-	err = tellValue(p, official.STRUCT, 0, &b)
-	if f.Transport == Framed { // the library leaves in its transport what the frame holds besides
+	err = describeValue(p, official.STRUCT, 0, &b)
+	if f.Transport == Framed { // the library keeps surplus bytes of the frame in its transport
 		return b.String(), buf.Len() + int(p.Transport().RemainingBytes()), err
 	}
 	return b.String(), buf.Len(), err
 }
 
-func tellValue(p official.TProtocol, k official.TType, depth int, b *strings.Builder) (err error) {
+func describeValue(p official.TProtocol, k official.TType, depth int, b *strings.Builder) (err error) {
 	if depth > 60 {
 		return errors.New("too deep")
 	}
-	say := func(v any, err error) error {
+	emit := func(v any, err error) error {
 		fmt.Fprint(b, " ", v)
 		return err
 	}
 	each := func(n int, kinds ...official.TType) error {
 		for range n {
 			for _, k := range kinds {
-				if err := tellValue(p, k, depth+1, b); err != nil {
+				if err := describeValue(p, k, depth+1, b); err != nil {
 					return err
 				}
 			}
@@ -137,23 +138,23 @@
 	}
 	switch k {
 	case official.BOOL:
-		return say(p.ReadBool(ctx))
+		return emit(p.ReadBool(ctx))
 	case official.BYTE:
-		return say(p.ReadByte(ctx))
+		return emit(p.ReadByte(ctx))
 	case official.I16:
-		return say(p.ReadI16(ctx))
+		return emit(p.ReadI16(ctx))
 	case official.I32:
-		return say(p.ReadI32(ctx))
+		return emit(p.ReadI32(ctx))
 	case official.I64:
-		return say(p.ReadI64(ctx))
+		return emit(p.ReadI64(ctx))
 	case official.DOUBLE:
 		v, err := p.ReadDouble(ctx)
-		return say(math.Float64bits(v), err)
+		return emit(math.Float64bits(v), err)
 	case official.STRING:
 		v, err := p.ReadBinary(ctx)
-		return say(fmt.Sprintf("%q", v), err)
+		return emit(fmt.Sprintf("%q", v), err)
 	case official.UUID:
-		return say(p.ReadUUID(ctx))
+		return emit(p.ReadUUID(ctx))
 	case official.STRUCT:
 		fmt.Fprint(b, " {")
 		if _, err := p.ReadStructBegin(ctx); err != nil {
@@ -169,7 +170,7 @@
 				return p.ReadStructEnd(ctx)
 			}
 			fmt.Fprint(b, " ", id, ":")
-			if err := tellValue(p, k, depth+1, b); err != nil {
+			if err := describeValue(p, k, depth+1, b); err != nil {
 				return err
 			}
 		}
@@ -180,7 +181,7 @@
 		}
 		return each(n, key, value)
 	case official.SET, official.LIST:
-		kind, n, err := p.ReadListBegin(ctx) // the same as a set in every protocol
+		kind, n, err := p.ReadListBegin(ctx) // sets have the same encoding in every protocol
 		if fmt.Fprint(b, " list", n); err != nil {
 			return err
 		}
@@ -189,7 +190,7 @@
 	return fmt.Errorf("kind %d", k)
 }
 
-// read feeds data in pieces of a size and gives the messages that were found.
+// read feeds data in pieces of the given size and returns the messages that were found.
 func read(r *Reader, data []byte, piece int) (list []*Message, err error) {
 	for len(data) > 0 && err == nil {
 		n := min(piece, len(data))
@@ -206,12 +207,12 @@
 	return list, err
 }
 
-// Guards against a boundary, a field or a form taken for another, whatever the pieces in which a message comes, and against
-// a message that means something else once it is written in another form.
+// Guards against wrong boundaries, fields or forms, for each split of the bytes, and against a message whose meaning
+// changes when it is converted to another form.
 func TestEveryForm(t *testing.T) {
 	for _, f := range forms {
 		one, two := write(t, f, 7), write(t, f, -2)
-		want, _, err := tell(f, one)
+		want, _, err := describe(f, one)
 		require.NoError(t, err)
 		for _, piece := range []int{1, 2, 3, 5, 64, 4096} {
 			list, err := read(NewReader(DefaultLimits), append(bytes.Clone(one), two...), piece)
@@ -238,12 +239,12 @@
 			}
 			for _, to := range forms {
 				out := Append(nil, Outgoing{Message: m, Form: to, Seq: 7, Headers: m.Headers})
-				got, left, err := tell(to, out)
+				got, left, err := describe(to, out)
 				require.NoError(t, err, "%v to %v", f, to)
 				assert.Equal(t, want, got, "%v to %v", f, to)
 				assert.Zero(t, left)
 				out = Append(nil, Outgoing{Message: m, Form: to, Seq: 99, Change: &Change{deadline, 70000}})
-				got, _, err = tell(to, out)
+				got, _, err = describe(to, out)
 				require.NoError(t, err)
 				changed := strings.Replace(strings.Replace(want, " 480", " 70000", 1), "7 {", "99 {", 1)
 				assert.Equal(t, changed, got, "%v to %v", f, to)
@@ -252,15 +253,15 @@
 	}
 }
 
-// Guards against messages that claim, nest or contradict, and against what is no Thrift at all; none may cost more
-// than has come.
-func TestHostile(t *testing.T) {
+// Guards against accepting messages with excessive lengths, excessive nesting or contradictory fields, or bytes
+// that are not Thrift. None may take memory out of proportion to the bytes that have arrived.
+func TestMalformedMessages(t *testing.T) {
 	frame := func(n uint32, rest string) string {
 		return string(binary.BigEndian.AppendUint32(nil, n)) + rest
 	}
-	head := "\x80\x01\x00\x01\x00\x00\x00\x01p\x00\x00\x00\x07" // a strict binary call of the method p
+	head := "\x80\x01\x00\x01\x00\x00\x00\x01p\x00\x00\x00\x07" // a strict binary call of method p
 	old := "\x00\x00\x00\x01p\x01\x00\x00\x00\x07"
-	short := "\x82\x21\x07\x01p"
+	compactHead := "\x82\x21\x07\x01p"
 	for what, c := range map[string]struct {
 		data string
 		want error
@@ -270,25 +271,25 @@
 		"a negative frame":                  {frame(1<<31, head), ErrMalformed},
 		"HTTP":                              {"POST /post-charge HTTP/1.1\r\n", ErrNotThrift},
 		"a string beyond its frame":         {frame(13+7+1, head+"\x0b\x00\x01\x00\x00\x00\x05a"), ErrMalformed},
-		"surplus in a frame":                {frame(15, head+"\x00\x00"), ErrMalformed},
+		"trailing bytes in a frame":         {frame(15, head+"\x00\x00"), ErrMalformed},
 		"a negative string":                 {head + "\x0b\x00\x01\xff\xff\xff\xff", ErrMalformed},
 		"a string of 2 GB":                  {head + "\x0b\x00\x01\x7f\xff\xff\xff", ErrTooLarge},
 		"a list of 2 billion":               {head + "\x0f\x00\x01\x08\x7f\xff\xff\xff", ErrTooLarge},
 		"a list of too many numbers":        {head + "\x0f\x00\x01\x0a\x00\x00\xff\xff", ErrTooLarge},
-		"a list of nothing known":           {head + "\x0f\x00\x01\x05\x00\x00\x00\x01", ErrMalformed},
+		"a list of an unknown kind":         {head + "\x0f\x00\x01\x05\x00\x00\x00\x01", ErrMalformed},
 		"an unknown kind":                   {head + "\x05\x00\x01", ErrMalformed},
 		"another version":                   {"\x80\x02\x00\x01", ErrMalformed},
-		"no type of message":                {strings.Replace(head, "\x00\x01\x00", "\x00\x09\x00", 1), ErrMalformed},
+		"an unknown message type":           {strings.Replace(head, "\x00\x01\x00", "\x00\x09\x00", 1), ErrMalformed},
 		"an empty name":                     {"\x80\x01\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07\x00", ErrMalformed},
-		"a name with a line in it":          {strings.Replace(head, "p", "\n", 1), ErrMalformed},
+		"a name with a line feed":           {strings.Replace(head, "p", "\n", 1), ErrMalformed},
 		"nesting of 10,000":                 {head + strings.Repeat("\x0c\x00\x01", 10000), ErrTooDeep},
-		"nesting of 10,000, compact":        {short + strings.Repeat("\x1c", 10000), ErrTooDeep},
-		"nesting of 10,000 lists":           {short + "\x19" + strings.Repeat("\x19", 10000), ErrTooDeep},
-		"a number without an end":           {"\x82\x21" + strings.Repeat("\xff", 20), ErrMalformed},
-		"compact of another version":        {"\x82\x22\x07\x01p\x00", ErrMalformed},
+		"nesting of 10,000, compact":        {compactHead + strings.Repeat("\x1c", 10000), ErrTooDeep},
+		"nesting of 10,000 lists":           {compactHead + "\x19" + strings.Repeat("\x19", 10000), ErrTooDeep},
+		"an unterminated varint":            {"\x82\x21" + strings.Repeat("\xff", 20), ErrMalformed},
+		"compact, another version":          {"\x82\x22\x07\x01p\x00", ErrMalformed},
 		"old binary without a known kind":   {old + "\x05\x00\x01", ErrMalformed},
-		"another form after the first":      {head + "\x00" + short + "\x00", ErrOtherForm},
-		"another form in a frame":           {frame(14, head+"\x00") + frame(6, short+"\x00"), ErrOtherForm},
+		"another form after the first":      {head + "\x00" + compactHead + "\x00", ErrOtherForm},
+		"another form in a frame":           {frame(14, head+"\x00") + frame(6, compactHead+"\x00"), ErrOtherForm},
 		"a header with a transform":         {frame(64, "\x0f\xff\x00\x00\x00\x00\x00\x01\x00\x01\x00\x01\x01\x00"+head), ErrTransform},
 		"a header larger than its frame":    {frame(16, "\x0f\xff\x00\x00\x00\x00\x00\x01\x00\x09\x00\x00\x00\x00"+head), ErrMalformed},
 		"a header with a name of 1 GB":      {frame(64, "\x0f\xff\x00\x00\x00\x00\x00\x01\x00\x02\x00\x00\x01\x01\xff\xff\xff\x7f"+head), ErrMalformed},
@@ -300,14 +301,14 @@
 			assert.ErrorIs(t, err, c.want, what)
 			assert.LessOrEqual(t, len(list), 1, what)
 			_, again := r.Next()
-			assert.Equal(t, err, again, "an error stays")
+			assert.Equal(t, err, again, "an error is permanent")
 			assert.LessOrEqual(t, cap(r.all), 2*len(c.data)+64, what)
 		}
 	}
 }
 
-// FuzzReader guards against a verdict that hangs on the pieces, against a boundary or a meaning that the official library
-// sees elsewhere, and against a transcription that changes either.
+// FuzzReader guards against a result that depends on how the bytes are split, against a boundary or a meaning that
+// differs from the official library's, and against a conversion that changes either.
 func FuzzReader(f *testing.F) {
 	for _, form := range forms {
 		f.Add(write(f, form, 7), uint8(3))
@@ -322,14 +323,14 @@
 		for i, m := range whole {
 			require.Equal(t, m, parts[i])
 			plain := Form{m.Form.Protocol, Unframed}
-			want, left, err := tell(plain, m.Bytes)
+			want, left, err := describe(plain, m.Bytes)
 			if err != nil && strings.Contains(err.Error(), "too deep") {
 				continue
 			}
 			require.NoError(t, err)
 			require.Zero(t, left)
 			for _, to := range []Form{{Compact, Framed}, {Binary, Unframed}, plain} {
-				got, left, err := tell(to, Append(nil, Outgoing{Message: m, Form: to, Seq: m.Seq}))
+				got, left, err := describe(to, Append(nil, Outgoing{Message: m, Form: to, Seq: m.Seq}))
 				require.NoError(t, err)
 				require.Zero(t, left)
 				require.Equal(t, want, got)
@@ -338,7 +339,7 @@
 	})
 }
 
-// BenchmarkReader is what finding the boundary of one charge costs, beside the official library's way to it.
+// BenchmarkReader measures finding the boundary of one message, compared with skipping it with the official library.
 func BenchmarkReader(b *testing.B) {
 	for _, f := range []Form{{Binary, Framed}, {Compact, Unframed}} {
 		data := write(b, f, 7)
@@ -355,7 +356,7 @@
 		b.Run(f.String()+", official library", func(b *testing.B) {
 			b.ReportAllocs()
 			buf := official.NewTMemoryBuffer()
-			p := peer(f, buf)
+			p := libraryProtocol(f, buf)
 			for b.Loop() {
 				buf.Write(data)
 				if _, _, _, err := p.ReadMessageBegin(ctx); err != nil {
--- a/internal/codec/thrift/writer.go
+++ b/internal/codec/thrift/writer.go
@@ -11,17 +11,18 @@
 	To    int64
 }
 
-// Outgoing is a message about to be written.
+// Outgoing is a message to be serialized.
 type Outgoing struct {
 	Message *Message
-	Form    Form // to write it in, whatever form it came in
+	Form    Form // to serialize it in, independent of the form in which it was received
 	Seq     int32
 	Change  *Change // nil = none
-	Headers []Info  // with a header transport,
-	HeadSeq uint32  // and its sequence id
+	Headers []Info  // of a header transport
+	HeadSeq uint32  // sequence id of a header transport
 }
 
-// Append writes a message. Its content goes on byte for byte where the protocol stays the same, but for the change.
+// Append appends a serialized message. If the protocol stays the same, the content is copied byte for byte except
+// for the change.
 func Append(dst []byte, o Outgoing) []byte {
 	start := len(dst)
 	if o.Form.Transport != Unframed {
@@ -50,7 +51,7 @@
 	return dst
 }
 
-// appendHead writes what stands in front of the content.
+// appendHead appends what precedes the content.
 func appendHead(dst []byte, o Outgoing) []byte {
 	m := o.Message
 	switch o.Form.Protocol {
@@ -67,7 +68,7 @@
 	return append32(dst, uint32(o.Seq))
 }
 
-// appendHeader writes a header transport's header.
+// appendHeader appends a header transport's header.
 func appendHeader(dst []byte, o Outgoing) []byte {
 	dst = append(dst, headerMagic>>8, headerMagic&0xff, 0, 0)
 	dst = append(append32(dst, o.HeadSeq), 0, 0)
@@ -96,7 +97,7 @@
 	return append(dst, byte(v>>24), byte(v>>16), byte(v>>8), byte(v))
 }
 
-// number writes an integer value.
+// number encodes an integer value.
 func (p Protocol) number(k Kind, v int64) []byte {
 	switch {
 	case k == Byte:
@@ -111,14 +112,14 @@
 	return append32(append32(nil, uint32(v>>32)), uint32(v))
 }
 
-// transcoder rewrites a struct that a scanner has read from one protocol in the other.
+// transcoder converts a struct that a scanner has already validated between the binary and the compact protocol.
 type transcoder struct {
 	in      []byte
-	compact bool // to compact, else from it
+	compact bool // convert to the compact protocol, else from it
 	out     []byte
 }
 
-func (t *transcoder) take(n int) []byte {
+func (t *transcoder) consume(n int) []byte {
 	b := t.in[:n]
 	t.in = t.in[n:]
 	return b
@@ -130,28 +131,28 @@
 	return v
 }
 
-// fields rewrites the fields of a struct to its end.
+// fields converts the fields of a struct, including the end marker.
 func (t *transcoder) fields() {
-	last, wrote := int16(0), int16(0)
+	lastIn, lastOut := int16(0), int16(0)
 	for {
-		head := t.take(1)[0]
+		head := t.consume(1)[0]
 		if head == 0 {
 			t.out = append(t.out, 0)
 			return
 		}
 		if t.compact {
-			b := t.take(2)
+			b := t.consume(2)
 			id, kind := int16(uint16(b[0])<<8|uint16(b[1])), Kind(head)
 			code := compactCode(kind)
-			if kind == Bool && t.take(1)[0] != 1 {
+			if kind == Bool && t.consume(1)[0] != 1 {
 				code = 2
 			}
-			if delta := int(id) - int(wrote); delta > 0 && delta <= 15 {
+			if delta := int(id) - int(lastOut); delta > 0 && delta <= 15 {
 				t.out = append(t.out, byte(delta)<<4|code)
 			} else {
 				t.out = appendUvarint(append(t.out, code), zigzag(int64(id)))
 			}
-			wrote = id
+			lastOut = id
 			if kind != Bool {
 				t.value(kind)
 			}
@@ -159,11 +160,11 @@
 		}
 		kind := compactKind(head & 0x0f)
 		if delta := head >> 4; delta > 0 {
-			last += int16(delta)
+			lastIn += int16(delta)
 		} else {
-			last = int16(unzigzag(t.uvarint()))
+			lastIn = int16(unzigzag(t.uvarint()))
 		}
-		t.out = append(t.out, byte(kind), byte(uint16(last)>>8), byte(last))
+		t.out = append(t.out, byte(kind), byte(uint16(lastIn)>>8), byte(lastIn))
 		if kind == Bool {
 			t.out = append(t.out, boolByte(head&0x0f == 1))
 		} else {
@@ -188,7 +189,7 @@
 	return 0
 }
 
-// value rewrites one value.
+// value converts one value.
 func (t *transcoder) value(k Kind) {
 	switch k {
 	case Struct:
@@ -198,15 +199,15 @@
 	case String:
 		var n int
 		if t.compact {
-			n = int(be32(t.take(4)))
+			n = int(be32(t.consume(4)))
 			t.out = appendUvarint(t.out, uint64(n))
 		} else {
 			n = int(t.uvarint())
 			t.out = append32(t.out, uint32(n))
 		}
-		t.out = append(t.out, t.take(n)...)
+		t.out = append(t.out, t.consume(n)...)
 	case Bool: // in a container
-		b := t.take(1)[0]
+		b := t.consume(1)[0]
 		if t.compact && b != 1 {
 			b = 2
 		} else if !t.compact {
@@ -214,11 +215,11 @@
 		}
 		t.out = append(t.out, b)
 	case Byte:
-		t.out = append(t.out, t.take(1)...)
+		t.out = append(t.out, t.consume(1)...)
 	case UUID:
-		t.out = append(t.out, t.take(16)...)
-	case Double: // the compact protocol has its bytes the other way round
-		t.out = append(t.out, t.take(8)...)
+		t.out = append(t.out, t.consume(16)...)
+	case Double: // the compact protocol has the opposite byte order
+		t.out = append(t.out, t.consume(8)...)
 		slices.Reverse(t.out[len(t.out)-8:])
 	default:
 		t.integer(k)
@@ -233,45 +234,45 @@
 	var v int64
 	switch k {
 	case I16:
-		b := t.take(2)
+		b := t.consume(2)
 		v = int64(int16(uint16(b[0])<<8 | uint16(b[1])))
 	case I32:
-		v = int64(int32(be32(t.take(4))))
+		v = int64(int32(be32(t.consume(4))))
 	default:
-		b := t.take(8)
+		b := t.consume(8)
 		v = int64(uint64(be32(b))<<32 | uint64(be32(b[4:])))
 	}
 	t.out = appendUvarint(t.out, zigzag(v))
 }
 
-// container rewrites a list, a set or a map.
+// container converts a list, a set or a map.
 func (t *transcoder) container(k Kind) {
 	var key, value Kind
 	size := 0
 	switch {
 	case t.compact && k == Map:
-		b := t.take(2)
+		b := t.consume(2)
 		key, value = Kind(b[0]), Kind(b[1])
-		if size = int(be32(t.take(4))); size == 0 {
+		if size = int(be32(t.consume(4))); size == 0 {
 			t.out = append(t.out, 0)
 			return
 		}
 		t.out = append(appendUvarint(t.out, uint64(size)), compactCode(key)<<4|compactCode(value))
 	case t.compact:
-		value = Kind(t.take(1)[0])
-		if size = int(be32(t.take(4))); size < 15 {
+		value = Kind(t.consume(1)[0])
+		if size = int(be32(t.consume(4))); size < 15 {
 			t.out = append(t.out, byte(size)<<4|compactCode(value))
 		} else {
 			t.out = appendUvarint(append(t.out, 0xf0|compactCode(value)), uint64(size))
 		}
 	case k == Map:
 		if size = int(t.uvarint()); size > 0 {
-			b := t.take(1)[0]
+			b := t.consume(1)[0]
 			key, value = compactKind(b>>4), compactKind(b&0x0f)
 		}
 		t.out = append32(append(t.out, byte(key), byte(value)), uint32(size))
 	default:
-		b := t.take(1)[0]
+		b := t.consume(1)[0]
 		value = compactKind(b & 0x0f)
 		if size = int(b >> 4); size == 15 {
 			size = int(t.uvarint())
@@ -286,7 +287,7 @@
 	}
 }
 
-// Builder makes the content of a small message: a struct of fields in the order of the calls.
+// Builder builds the content of a small message: a struct with fields in the order of the calls.
 type Builder struct{ b []byte }
 
 func (w *Builder) head(k Kind, id int16) { w.b = append(w.b, byte(k), byte(uint16(id)>>8), byte(id)) }
@@ -297,7 +298,7 @@
 	w.b = append(append32(w.b, uint32(len(v))), v...)
 }
 
-// Number adds an i32 field, or the nearest one that fits.
+// Number adds an i32 field; a value out of range is clamped.
 func (w *Builder) Number(id int16, v int64) {
 	w.head(I32, id)
 	w.b = append32(w.b, uint32(int32(max(math.MinInt32, min(v, math.MaxInt32)))))
@@ -315,13 +316,13 @@
 // End closes what Begin opened.
 func (w *Builder) End() { w.b = append(w.b, 0) }
 
-// Message gives the message with what was built as its content.
+// Message returns a message whose content is the struct that was built.
 func (w *Builder) Message(t Type, name []byte) *Message {
 	return &Message{Form: Form{Protocol: Binary}, Type: t, Name: name, Bytes: append(w.b, 0)}
 }
 
-// Join puts the first field of one message's content, which must be written in the binary protocol, in front of the fields of
-// another; a field of the same id there is left out.
+// Join returns a message with the fields of m, preceded by the first field of lead, whose content must be in the
+// binary protocol. It omits the fields of m with the given id. The content is in the binary protocol.
 func Join(lead *Message, id int16, m *Message) *Message {
 	first := fieldEnd(lead.Bytes[lead.content:])
 	content := append([]byte(nil), lead.Bytes[lead.content:lead.content+first]...)
@@ -341,9 +342,9 @@
 	return &Message{Form: Form{Protocol: Binary}, Type: m.Type, Name: m.Name, Seq: m.Seq, Bytes: append(content, byte(Stop))}
 }
 
-// fieldEnd is the length of the first field of a struct's content in the binary protocol.
+// fieldEnd returns the length in bytes of the first field of a struct's content in the binary protocol.
 func fieldEnd(b []byte) int {
-	t := transcoder{in: b[3:], compact: true} // what it writes is thrown away
+	t := transcoder{in: b[3:], compact: true} // its output is discarded
 	if Kind(b[0]) == Bool {
 		return 4
 	}
