--- a/internal/codec/simline/reply.go
+++ b/internal/codec/simline/reply.go
@@ -7,36 +7,35 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// Reply collects the actions of one batch as lines. It implements decide.Actions for the instance named
-// last.
+// Reply encodes the actions of one batch as lines. It implements decide.Actions for the node last given to Act.
 type Reply struct {
 	buf  []byte
 	node int
-	told bool // the lines written name the node already
+	nodeWritten bool // the ON_BEHALF line of the node has been written
 }
 
-// Reset starts an empty reply.
-func (r *Reply) Reset() { r.buf, r.told = r.buf[:0], false }
+// Reset empties the reply.
+func (r *Reply) Reset() { r.buf, r.nodeWritten = r.buf[:0], false }
 
-// Act makes the actions that follow those of a node.
+// Act attributes the actions that follow to a node.
 func (r *Reply) Act(node int) {
 	if node != r.node {
-		r.node, r.told = node, false
+		r.node, r.nodeWritten = node, false
 	}
 }
 
-// Bytes ends the reply and returns it.
+// Bytes appends the end line and returns the reply.
 func (r *Reply) Bytes() []byte {
 	r.buf = append(r.buf, "END\n"...)
 	return r.buf
 }
 
 func (r *Reply) open(name string) {
-	if !r.told {
+	if !r.nodeWritten {
 		r.buf = append(r.buf, "ON_BEHALF "...)
 		r.buf = strconv.AppendInt(r.buf, int64(r.node), 10)
 		r.buf = append(r.buf, '\n')
-		r.told = true
+		r.nodeWritten = true
 	}
 	r.buf = append(r.buf, name...)
 }
@@ -51,7 +50,7 @@
 
 func (r *Reply) uint(n uint64) { r.buf = strconv.AppendUint(append(r.buf, ' '), n, 10) }
 
-// seconds writes microseconds as a decimal number of seconds.
+// seconds appends a duration as a decimal number of seconds, in microsecond resolution; a negative one counts as 0.
 func (r *Reply) seconds(d time.Duration) {
 	us := uint64(max(d, 0) / time.Microsecond)
 	r.uint(us / 1e6)
@@ -63,7 +62,7 @@
 
 func (r *Reply) close() { r.buf = append(r.buf, '\n') }
 
-// Send writes DISPATCH.
+// Send appends a DISPATCH line.
 func (r *Reply) Send(id decide.RequestID, to decide.BackendID, abandon time.Duration) {
 	r.open("DISPATCH")
 	r.id(id)
@@ -72,7 +71,7 @@
 	r.close()
 }
 
-// Reject writes DECLINE.
+// Reject appends a DECLINE line.
 func (r *Reply) Reject(id decide.RequestID, wait time.Duration) {
 	r.open("DECLINE")
 	r.id(id)
@@ -80,14 +79,14 @@
 	r.close()
 }
 
-// Fail writes END_FAILED.
+// Fail appends an END_FAILED line.
 func (r *Reply) Fail(id decide.RequestID) {
 	r.open("END_FAILED")
 	r.id(id)
 	r.close()
 }
 
-// Cancel writes STOP_ATTEMPT.
+// Cancel appends a STOP_ATTEMPT line.
 func (r *Reply) Cancel(id decide.RequestID, attempt int) {
 	r.open("STOP_ATTEMPT")
 	r.id(id)
@@ -95,14 +94,14 @@
 	r.close()
 }
 
-// Probe writes PROBE.
+// Probe appends a PROBE line.
 func (r *Reply) Probe(to decide.BackendID) {
 	r.open("PROBE")
 	r.uint(uint64(to))
 	r.close()
 }
 
-// SetTimer writes ARM.
+// SetTimer appends an ARM line.
 func (r *Reply) SetTimer(after time.Duration, token uint64) {
 	r.open("ARM")
 	r.seconds(after)
@@ -110,13 +109,13 @@
 	r.close()
 }
 
-// Watch writes OBSERVE.
+// Watch appends an OBSERVE line.
 func (r *Reply) Watch() {
 	r.open("OBSERVE 1")
 	r.close()
 }
 
-// Log writes JOURNAL_LINE.
+// Log appends a JOURNAL_LINE line.
 func (r *Reply) Log(line string) {
 	r.open("JOURNAL_LINE ")
 	r.buf = append(r.buf, line...)
--- a/internal/codec/simline/settings.go
+++ b/internal/codec/simline/settings.go
@@ -10,7 +10,7 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// pairs reads path=value settings. The first error sticks; a missing path has its default.
+// pairs decodes path=value settings. It keeps the first error. A missing path has the zero value.
 type pairs struct {
 	values map[string]string
 	err    error
@@ -64,7 +64,7 @@
 	return strings.Split(text, ",")
 }
 
-// choice looks a word up; an absent one has the zero value.
+// choice returns the value of a word, or the zero value if the path is missing.
 func choice[T any](p *pairs, path string, words map[string]T) T {
 	text, ok := p.values[path]
 	v, known := words[text]
@@ -92,7 +92,7 @@
 	discoveries = map[string]bool{"ask": true, "push": false}
 )
 
-// Enlist reads the values of ENLIST: the settings, the seed and the names for later messages.
+// Enlist decodes the values of ENLIST. It returns the settings, the seed and the names for decoding later messages.
 func (f *Fields) Enlist() (s decide.Settings, seed uint64, names *Names) {
 	seed = f.Uint("nonce64", 64)
 	p := &pairs{values: map[string]string{}}
@@ -162,24 +162,24 @@
 		s.Classes = append(s.Classes, p.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	for i := range p.count("projects.count") {
-		at := fmt.Sprintf("projects.%d.", i)
+		prefix := fmt.Sprintf("projects.%d.", i)
 		s.Tenants = append(s.Tenants, decide.Tenant{
-			Name: p.values[at+"name"], Quota: p.float(at + "quota_rps"), Share: p.float(at + "share"),
+			Name: p.values[prefix+"name"], Quota: p.float(prefix + "quota_rps"), Share: p.float(prefix + "share"),
 		})
 	}
 	return s
 }
 
-func (p *pairs) class(at string) decide.Class {
+func (p *pairs) class(prefix string) decide.Class {
 	return decide.Class{
-		Name:      p.values[at+"name"],
-		Effect:    choice(p, at+"effect", effects),
-		Group:     choice(p, at+"group", groups),
-		KeyTTL:    seconds(p.float(at + "key_ttl_s")),
-		Target:    seconds(p.float(at + "on_time_s")),
-		Deadline:  seconds(p.float(at + "hard_limit_s")),
-		Value:     p.float(at + "worth"),
-		LateValue: p.float(at + "late_share"),
-		Streaming: p.flag(at + "streaming"),
+		Name:      p.values[prefix+"name"],
+		Effect:    choice(p, prefix+"effect", effects),
+		Group:     choice(p, prefix+"group", groups),
+		KeyTTL:    seconds(p.float(prefix + "key_ttl_s")),
+		Target:    seconds(p.float(prefix + "on_time_s")),
+		Deadline:  seconds(p.float(prefix + "hard_limit_s")),
+		Value:     p.float(prefix + "worth"),
+		LateValue: p.float(prefix + "late_share"),
+		Streaming: p.flag(prefix + "streaming"),
 	}
 }
--- a/internal/codec/simline/wire.go
+++ b/internal/codec/simline/wire.go
@@ -1,5 +1,5 @@
-// Package simline is the codec for the line protocol of the bench: it turns lines into the events of package
-// decide and writes actions as lines. It decides nothing.
+// Package simline is the codec for the line protocol of the test bench: it decodes lines into the events of package
+// decide and encodes actions as lines. It makes no decisions.
 package simline
 
 import (
@@ -13,7 +13,7 @@
 	"linenwheel.dev/linenwheel/decide"
 )
 
-// A FieldError tells which field of which message could not be read.
+// FieldError reports which field of which message could not be decoded.
 type FieldError struct {
 	Message, Field string
 	Err            error
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s: field %s: %v", e.Message, e.Field, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 var (
@@ -31,13 +31,13 @@
 	errUnknown = errors.New("unknown name")
 )
 
-// Names maps the names of one instance's settings to indexes.
+// Names maps the names in one instance's settings to indexes.
 type Names struct {
 	classes, tenants, zones, kinds map[string]int
 	columns                        map[string]decide.ReportField
 }
 
-// Fields reads the values of one message, part by part. The first error sticks.
+// Fields decodes the values of one message, field by field. It keeps the first error.
 type Fields struct {
 	message string
 	rest    []byte
@@ -45,21 +45,21 @@
 	err     error
 }
 
-// NewFields starts reading a line; it returns the name of the message too.
+// NewFields returns the name of the message in a line and a decoder of its fields.
 func NewFields(line []byte) (string, *Fields) {
 	f := &Fields{}
 	name := f.Start(line)
 	return name, f
 }
 
-// Start makes f read another line and returns the name of its message.
+// Start resets f to decode another line and returns the name of its message.
 func (f *Fields) Start(line []byte) string {
 	*f = Fields{rest: line, more: true}
 	f.message = intern(f.next("name"))
 	return f.message
 }
 
-// intern gives the constant for a known name, so that reading a line allocates nothing.
+// intern returns the constant for a known name, so that decoding a line allocates nothing.
 func intern(name []byte) string {
 	for _, known := range [...]string{"KNOCK", "CLOSED_ATTEMPT", "SELECT", "TIMEOUT_FIRED", "MARK", "FLUSH",
 		"BACKEND", "BEGUN", "ABANDONED", "PROBE_DONE", "DISCOVERY", "ENLIST", "RETIRE", "PEER_DATA"} {
@@ -70,7 +70,7 @@
 	return string(name)
 }
 
-// Err returns the first error met.
+// Err returns the first error.
 func (f *Fields) Err() error { return f.err }
 
 func (f *Fields) fail(field string, err error) {
@@ -79,7 +79,8 @@
 	}
 }
 
-// next returns the next part; nil where the line has none left or the part is absent ("-").
+// next returns the next part of the line, or nil if the line has ended, which is an error, or the part is absent
+// ("-").
 func (f *Fields) next(field string) []byte {
 	if !f.more {
 		f.fail(field, errMissing)
@@ -97,7 +98,7 @@
 	return part
 }
 
-// Rest returns what is left of the line.
+// Rest returns the rest of the line.
 func (f *Fields) Rest() []byte {
 	if !f.more {
 		return nil
@@ -106,7 +107,7 @@
 	return f.rest
 }
 
-// Uint reads a decimal number of at most bits bits, 0 if absent.
+// Uint decodes a decimal number of at most bits bits, 0 if absent.
 func (f *Fields) Uint(field string, bits int) uint64 {
 	part := f.next(field)
 	if part == nil {
@@ -115,7 +116,7 @@
 	return f.number(field, part, 10, bits)
 }
 
-// ID reads a number of 16 hexadecimal digits.
+// ID decodes a number of 16 hexadecimal digits.
 func (f *Fields) ID(field string) decide.RequestID {
 	part := f.next(field)
 	if len(part) != 16 {
@@ -155,7 +156,7 @@
 	return math.MaxUint64
 }
 
-// Float reads a finite number, 0 if absent.
+// Float decodes a finite number, 0 if absent.
 func (f *Fields) Float(field string) float64 {
 	return f.float(field, f.next(field))
 }
@@ -175,7 +176,8 @@
 	return v
 }
 
-// plainDecimal reads numbers such as 8.65225 that a float holds without loss before the division.
+// plainDecimal decodes numbers such as 8.65225 whose digits, read as an integer, a float64 represents exactly. It
+// returns false for all others.
 func plainDecimal(part []byte) (float64, bool) {
 	var n, scale uint64
 	for _, c := range part {
@@ -195,7 +197,7 @@
 	return float64(n) / float64(scale), len(part) > 0
 }
 
-// Seconds reads a time or span in seconds, 0 if absent.
+// Seconds decodes a point in time or a duration in seconds, 0 if absent.
 func (f *Fields) Seconds(field string) time.Duration {
 	v := f.Float(field)
 	if math.Abs(v) > 9e9 {
@@ -207,7 +209,7 @@
 
 func seconds(v float64) time.Duration { return time.Duration(math.Round(v*1e6)) * time.Microsecond }
 
-// index looks a name up.
+// index decodes a name and returns its index in names.
 func (f *Fields) index(field string, names map[string]int) int {
 	part := f.next(field)
 	i, ok := names[string(part)]
@@ -252,7 +254,7 @@
 	return load
 }
 
-// Request reads the values of KNOCK.
+// Request decodes the values of KNOCK.
 func (f *Fields) Request(names *Names) decide.Request {
 	r := decide.Request{ID: f.ID("rid"), Tenant: -1}
 	r.Cost = f.Float("cost_s")
@@ -274,7 +276,7 @@
 	return r
 }
 
-// Outcome reads the values of CLOSED_ATTEMPT.
+// Outcome decodes the values of CLOSED_ATTEMPT.
 func (f *Fields) Outcome(names *Names) decide.Outcome {
 	return decide.Outcome{
 		Request: f.ID("rid"),
@@ -287,7 +289,7 @@
 	}
 }
 
-// Probed reads the values of PROBE_DONE.
+// Probed decodes the values of PROBE_DONE.
 func (f *Fields) Probed(names *Names) decide.Outcome {
 	return decide.Outcome{
 		Backend: f.Backend("backend"),
@@ -297,7 +299,7 @@
 	}
 }
 
-// Backend reads the id of a backend.
+// Backend decodes the id of a backend.
 func (f *Fields) Backend(field string) decide.BackendID { return decide.BackendID(f.Uint(field, 32)) }
 
 var listKinds = map[string]decide.EndpointsKind{
@@ -305,7 +307,7 @@
 	"Persisted": decide.EndpointsStored, "Error": decide.EndpointsUnavailable,
 }
 
-// List reads the values of DISCOVERY: the kind and how many entries follow.
+// List decodes the values of DISCOVERY: the kind of the list and the number of entries that follow.
 func (f *Fields) List() (decide.EndpointsKind, int) {
 	f.Uint("generation", 64)
 	mode := f.next("mode")
@@ -320,7 +322,7 @@
 	"SERVING": decide.Serving, "DRAINING": decide.Draining, "DELETED": decide.Deleted,
 }
 
-// Entry reads the values of BACKEND.
+// Entry decodes the values of BACKEND.
 func (f *Fields) Entry(names *Names) decide.Backend {
 	b := decide.Backend{
 		ID:   f.Backend("backend"),
--- a/internal/codec/simline/wire_test.go
+++ b/internal/codec/simline/wire_test.go
@@ -15,7 +15,7 @@
 	"my_number=2 limits.max_attempts=3 limits.cancel=true locality=b machine_types=g1,g2 projects.count=1 " +
 	"projects.0.name=acme projects.0.quota_rps=35.5 safety.fall_multiple=3.0 something.new=what weights=live zones=a,b"
 
-func enlisted(t testing.TB) (decide.Settings, uint64, *Names) {
+func decodeEnlist(t testing.TB) (decide.Settings, uint64, *Names) {
 	t.Helper()
 	name, f := NewFields([]byte(enlist))
 	s, seed, names := f.Enlist()
@@ -26,7 +26,7 @@
 }
 
 func TestEnlist(t *testing.T) {
-	s, seed, _ := enlisted(t)
+	s, seed, _ := decodeEnlist(t)
 	if seed != 5138197539985895 || s.Nodes != 3 || s.Node != 2 || s.Zone != 1 || !s.WatchEndpoints ||
 		s.Weights != decide.WeightLive || !s.Limits.Cancel || s.Rules.OverloadMultiple != 3 {
 		t.Errorf("seed %d, settings %+v", seed, s)
@@ -41,7 +41,7 @@
 }
 
 func TestEvents(t *testing.T) {
-	_, _, names := enlisted(t)
+	_, _, names := decodeEnlist(t)
 
 	_, f := NewFields([]byte("KNOCK 82ed89b25d3a91c4 0.012 pay acme 91f03b7c55d20a64 8.65225 3"))
 	want := decide.Request{ID: 0x82ed89b25d3a91c4, Class: 1, Deadline: 8652250 * time.Microsecond, Cost: 0.012, Repeat: true}
@@ -71,7 +71,7 @@
 }
 
 func TestMalformedLinesNameTheField(t *testing.T) {
-	_, _, names := enlisted(t)
+	_, _, names := decodeEnlist(t)
 	for _, c := range []struct{ line, field string }{
 		{"KNOCK 82ed89b25d3a91c 0 look - - 1 0", "rid"},
 		{"KNOCK 82ED89b25d3a91c4 0 look - - 1 0", "rid"},
@@ -96,7 +96,7 @@
 		{"ENLIST 1 zones=a locality=a weights=heavy", "settings weights"},
 	} {
 		name, f := NewFields([]byte(c.line))
-		read(name, f, names)
+		decodeFields(name, f, names)
 		var e *FieldError
 		if !errors.As(f.Err(), &e) || e.Field != c.field || e.Message != strings.Fields(c.line)[0] {
 			t.Errorf("%q: error %v, want one of field %s", c.line, f.Err(), c.field)
@@ -104,7 +104,7 @@
 	}
 }
 
-func read(name string, f *Fields, names *Names) {
+func decodeFields(name string, f *Fields, names *Names) {
 	switch name {
 	case "KNOCK":
 		f.Request(names)
@@ -148,9 +148,9 @@
 		"PROBE_DONE 1 GOOD 0.01 -", "", " ", "KNOCK  "} {
 		f.Add([]byte(line))
 	}
-	_, _, names := enlisted(f)
+	_, _, names := decodeEnlist(f)
 	f.Fuzz(func(_ *testing.T, line []byte) {
 		name, fields := NewFields(line)
-		read(name, fields, names) // must not panic
+		decodeFields(name, fields, names) // must not panic
 	})
 }
