--- a/internal/codec/simline/reply.go
+++ b/internal/codec/simline/reply.go
@@ -9,8 +9,8 @@
 
 // Reply encodes the actions of one batch as lines. It implements decide.Actions for the node last given to Act.
 type Reply struct {
-	buf  []byte
-	node int
+	buf         []byte
+	node        int
 	nodeWritten bool // the ON_BEHALF line of the node has been written
 }
 
