--- a/internal/codec/http1/http1.go
+++ b/internal/codec/http1/http1.go
@@ -698,11 +698,11 @@
 	return false
 }
 
-// bytesOf is a set of bytes.
-type bytesOf [256]bool
+// byteSet is a set of bytes.
+type byteSet [256]bool
 
-func setOf(chars string) *bytesOf {
-	var s bytesOf
+func newByteSet(chars string) *byteSet {
+	var s byteSet
 	for i := range len(chars) {
 		s[chars[i]] = true
 	}
@@ -710,19 +710,19 @@
 }
 
 const (
-	decimals = "0123456789"
-	hexes    = decimals + "abcdefABCDEF"
-	alphas   = decimals + "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
+	decimals      = "0123456789"
+	hexDigits     = decimals + "abcdefABCDEF"
+	alphanumerics = decimals + "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 )
 
 var (
-	tokenBytes   = setOf(alphas + "!#$%&'*+-.^_`|~")
-	nameBytes    = setOf(alphas + "-._~!$&'()*+,;=%") // of a host that is no IPv6 address
-	addressBytes = setOf(hexes + ":.")                // of one that is
-	decimalBytes = setOf(decimals)
+	tokenBytes   = newByteSet(alphanumerics + "!#$%&'*+-.^_`|~")
+	nameBytes    = newByteSet(alphanumerics + "-._~!$&'()*+,;=%") // of a host name or an IPv4 address
+	addressBytes = newByteSet(hexDigits + ":.")                   // of an IPv6 address
+	decimalBytes = newByteSet(decimals)
 )
 
-func (s *bytesOf) all(b []byte) bool {
+func (s *byteSet) all(b []byte) bool {
 	for _, c := range b {
 		if !s[c] {
 			return false
